--- /dev/null
+++ b/control/behavior_test.go
@@ -0,0 +1,295 @@
+package control_test
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/config"
+)
+
+// encoder hashes what the module does without any name of a type or field: kinds by the numbers given here, values in
+// the order of fields, floats bit by bit.
+type encoder struct {
+	hash.Hash
+	kinds [numberOfKinds]int // actions seen of each kind
+}
+
+const numberOfKinds = 11
+
+func (e *encoder) number(v uint64) {
+	var b [8]byte
+	binary.BigEndian.PutUint64(b[:], v)
+	_, _ = e.Write(b[:]) // a hash's Write never fails
+}
+
+func (e *encoder) value(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			e.number(1)
+		} else {
+			e.number(0)
+		}
+	case reflect.Int, reflect.Int64:
+		e.number(uint64(v.Int()))
+	case reflect.Uint32, reflect.Uint64:
+		e.number(v.Uint())
+	case reflect.Float64:
+		e.number(math.Float64bits(v.Float()))
+	case reflect.String:
+		e.number(uint64(v.Len()))
+		_, _ = e.Write([]byte(v.String()))
+	case reflect.Slice:
+		e.number(uint64(v.Len()))
+		for i := range v.Len() {
+			e.value(v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			e.value(v.Field(i))
+		}
+	default:
+		panic(fmt.Sprintf("no encoding for a value of kind %v", v.Kind()))
+	}
+}
+
+func (e *encoder) action(a control.Action) {
+	kind := kindOf(a)
+	e.kinds[kind]++
+	e.number(uint64(kind))
+	if _, ok := a.(control.Log); !ok { // the wording of a line is no behaviour; that there is one is
+		e.value(reflect.ValueOf(a))
+	}
+}
+
+func kindOf(action control.Action) int {
+	switch action.(type) {
+	case control.Send:
+		return 1
+	case control.Refuse:
+		return 2
+	case control.Fail:
+		return 3
+	case control.Cancel:
+		return 4
+	case control.Terms:
+		return 5
+	case control.SetTimer:
+		return 6
+	case control.Probe:
+		return 7
+	case control.Tell:
+		return 8
+	case control.Watch:
+		return 9
+	case control.Log:
+		return 10
+	}
+	panic(fmt.Sprintf("no number for %T", action))
+}
+
+// siteSettings reads the settings that a broker of a deployment is given.
+func siteSettings(t testing.TB, name string) control.Settings {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "settings", name+".json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, err := config.DecodeSettings(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return settings.Control
+}
+
+// drawnSettings draws every switch that a deployment may set.
+func drawnSettings(seed uint64) control.Settings {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	flip := func() bool { return rng.IntN(2) == 0 }
+	s := control.Settings{Gateways: 1 + rng.IntN(4), Zone: "a", Round: 5 * millisecond, GrantCap: 0.4,
+		Grants: flip(), Priorities: flip(), CostTold: flip(), WorthByWork: flip(), ListOnRequest: flip(),
+		Kinds: map[string]control.Kind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
+		Limits: control.Limits{MaxAttempts: 1 + rng.IntN(5), RetryHints: flip(), MaxRetryWait: time.Second, Cancel: flip(),
+			Copies: flip(), Probing: flip(), Peers: flip()},
+		Rules: control.Rules{AskEvery: 10 * time.Second, ColdFrom: 0.4, WarmAfter: 14 * time.Second, FallMultiple: 2,
+			FallWindow: 2 * time.Second, KeyRest: 300 * millisecond}}
+	if flip() { // so many that engines are pooled
+		s.Gateways = 40 + rng.IntN(300)
+	}
+	s.Gateway = rng.IntN(s.Gateways)
+	if flip() {
+		s.NotesEvery = time.Second
+	}
+	if flip() {
+		s.ReportFields = []string{"util", "inflight", "queue"}
+	}
+	if flip() {
+		s.SendLate = 40 * millisecond
+	}
+	if flip() {
+		s.Tenants = []control.Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}, {Name: "t2"}}
+	}
+	if flip() {
+		s.Rules.BudgetWindow, s.Rules.BudgetShare, s.Rules.BudgetFree = 5*time.Second, 0.1, 2
+	}
+	for i := range 2 + rng.IntN(3) {
+		k := control.Class{Name: fmt.Sprint("class-", i), Aim: time.Duration(200+rng.IntN(1500)) * millisecond,
+			AimStretch: 2 * rng.Float64(), Worth: 1 + 10*rng.Float64(), LateWorth: float64(rng.IntN(2)) * 0.4,
+			Effect: control.Effect(rng.IntN(3)), Scope: control.Scope(rng.IntN(3)), Window: time.Duration(1+rng.IntN(4)) * time.Second,
+			Ordered: flip(), Threads: rng.IntN(4), Load: flip(), Waits: flip()}
+		if rng.IntN(5) == 0 {
+			k.Zones = []string{"b"}
+		}
+		if rng.IntN(5) == 0 {
+			k.Kinds = []string{"std"}
+		}
+		if flip() {
+			k.GiveUp = k.Aim * time.Duration(2+rng.IntN(5))
+		}
+		if rng.IntN(6) == 0 {
+			k.Aim = 0
+		}
+		s.Classes = append(s.Classes, k)
+	}
+	return s
+}
+
+type behaviourCase struct {
+	name     string
+	settings func(t testing.TB) control.Settings
+	engines  int
+	seeds    uint64 // so many worlds, each with its seed
+	length   time.Duration
+	want     string // the hash
+}
+
+func site(name string, change func(s *control.Settings)) func(testing.TB) control.Settings {
+	return func(t testing.TB) control.Settings {
+		t.Helper()
+		s := siteSettings(t, name)
+		if change != nil {
+			change(&s)
+		}
+		return s
+	}
+}
+
+func drawn(seed uint64) func(testing.TB) control.Settings {
+	return func(testing.TB) control.Settings { return drawnSettings(seed) }
+}
+
+// fleetOf has a site's engines shared by so many brokers that they are pooled.
+func fleetOf(brokers int) func(*control.Settings) {
+	return func(s *control.Settings) { s.Gateways, s.Gateway = brokers, brokers/3 }
+}
+
+func behaviourCases() []behaviourCase {
+	cases := []behaviourCase{
+		{"reykjavik", site("reykjavik", nil), 7, 3, 80 * time.Second,
+			"ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7"},
+		{"hobart", site("hobart", nil), 7, 3, 80 * time.Second,
+			"5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656"},
+		{"ledger", site("ledger", nil), 7, 3, 80 * time.Second,
+			"b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629"},
+		{"shortline", site("shortline", nil), 7, 3, 80 * time.Second,
+			"9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1"},
+		{"a fleet of 40 at reykjavik", site("reykjavik", fleetOf(40)), 40, 2, 60 * time.Second,
+			"c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff"},
+		{"a fleet of 200 at hobart", site("hobart", fleetOf(200)), 60, 2, 60 * time.Second,
+			"a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9"},
+	}
+	for seed := range uint64(len(drawnHashes)) {
+		engines := 4 + 2*int(seed%5)
+		if drawnSettings(seed).Gateways > 4 {
+			engines = 70
+		}
+		cases = append(cases, behaviourCase{fmt.Sprint("drawn settings ", seed), drawn(seed), engines, 1, 60 * time.Second,
+			drawnHashes[seed]})
+	}
+	return cases
+}
+
+// play runs a case and returns its hash and what was done how often.
+func (c behaviourCase) play(t testing.TB) (string, [numberOfKinds]int) {
+	t.Helper()
+	e := &encoder{Hash: sha256.New()}
+	for seed := range c.seeds {
+		w := newWorld(t, c.settings(t), seed+1, c.engines)
+		w.seen = func(b batch, actions []control.Action) {
+			e.number(uint64(b.now))
+			e.number(uint64(len(actions)))
+			for _, a := range actions {
+				e.action(a)
+			}
+		}
+		var view control.View
+		for range c.length / (5 * time.Second) {
+			w.run(5 * time.Second)
+			w.module.View(&view)
+			e.value(reflect.ValueOf(view))
+		}
+	}
+	return fmt.Sprintf("%x", e.Sum(nil)), e.kinds
+}
+
+// The module's decisions as they were when these hashes were written, over worlds with faults, drains, restarts, lost
+// answers, cancels, reloads, maintenance and other brokers' reports. A change that is not meant to change a decision
+// leaves them as they are; the floats behind them are those of amd64, where no multiplication is fused with an addition.
+func TestDecisionsAreThoseOnRecord(t *testing.T) {
+	var kinds [numberOfKinds]int
+	for _, c := range behaviourCases() {
+		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
+			got, seen := c.play(t)
+			if got != c.want {
+				t.Errorf("hash %s, on record %s; actions by kind: %v", got, c.want, seen)
+			}
+			for i, n := range seen {
+				kinds[i] += n
+			}
+		})
+	}
+	for kind, n := range kinds[1:] {
+		if n < 50 {
+			t.Errorf("%d actions of kind %d: too few to pin it", n, kind+1)
+		}
+	}
+}
+
+// drawnHashes are the hashes of the drawn settings, by their seed.
+var drawnHashes = [...]string{
+	"0960ef88e15a3a42c572a95cfeafc6fb751e42637c8d12fd74f56791ee27c14a",
+	"82e3ca594438db95501159bff699148f863828769a64ccd37afa487f1a8dffd6",
+	"0f48b5769a4e7509159ddb3acf77c814b405a47afae09bbde32391db54e02a8b",
+	"094e80b115fd5c77a69682f19ded775ce22572f1a4c9050f995e55e4ea5d0eb8",
+	"497670a2b3c9e7026e25dec721cc2e6791dc9c97001c49b0dc2a5fee17408cbc",
+	"de9cf547ce5a1658a51d94915c8210e14fa3944a960d39e9d1a39cacdb4a5a7b",
+	"cc1c120227ed72fdf1fe760c3717ead6f26d68ff769efd5fa073600ffc4f0500",
+	"81f22215cb83e2aa5b1748a77ea3ff7525d221366ceb8e3aa166300ba11dd737",
+	"62d0e893bf3422e65789f6a53679fc8749b34e6df6b12e7341d964ae7e735207",
+	"b49335fb25c17751cb519c98606e1daa2609c8abcfac4c1fa9618343aa7e360a",
+	"e36499260182f62ac0e3baa1f33569ed2ed5da9f38ab4ae2ac02e2a7787343fc",
+	"b64b6163ee3d15858096a06edf213d4ed4e05907570de915373a3356d526367d",
+	"0dd6111342d6deb7503a1480d64aea82a035dc39dcb988e0b13eabf7308fc41a",
+	"7c09121a3c893980421b2e0f210126e9c3ad45e107c5436ffd0921936c10da66",
+	"d34d0e983e69c7d3c9e7b42b8a122ea4e77fd0543094e0aed4b57ce4d6882ecd",
+	"cd8f3c0b8fc0730bca60ea6bec68f2ec08ce1bf55a40636c746ccd92a2330e2a",
+	"f6ac70dcc5fb3b72a5807a5f342ca35ce2f65b4e4d65fd9445b0f32f0c648634",
+	"74f18289cf8ec77158b8b56cebb57ab6461a7fc110adfd7da9e9e5a0b13b8ad9",
+	"a3b36c675b68d2206f092d152867f7bdf8868fa787c0e77221f7bdc15558f224",
+	"c02baac017aaea87c8b76e35e1ca0b6bd3adbaa86738821c73f6847b077f44e3",
+	"2b7cd6c5710c69da685293e683fc29748407eb57a088e35eddc560ca47395fe2",
+	"4b15536a14d7e58576663bbb36a179246cc7b995ac89d811dd1d044e1940c475",
+	"5a579d7b1affc1b9e79313c4b47059987e14f7603a16803e0b481a0f887547ec",
+	"fe4df32194f6c65fb0755a3eafe85f5e9f4398ad6e1e9df32ce7340069dadd7a",
+}
--- /dev/null
+++ b/control/benchmark_test.go
@@ -0,0 +1,72 @@
+package control_test
+
+import (
+	"testing"
+	"time"
+
+	"wheatlane/control"
+)
+
+// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh controllers:
+// equal settings, seeds and events give equal actions, so the loop stays closed and only the module is measured.
+type recorded struct {
+	settings control.Settings
+	seed     uint64
+	batches  []batch
+}
+
+func record(b *testing.B, settings control.Settings, engines int, load float64, length time.Duration) recorded {
+	b.Helper()
+	r := recorded{settings: settings, seed: 1}
+	w := newWorld(b, settings, r.seed, engines)
+	w.calm, w.load = true, load
+	w.seen = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
+	w.run(length)
+	return r
+}
+
+func requestsIn(events []control.Event) (n int) {
+	for _, event := range events {
+		if _, ok := event.(control.Arrival); ok {
+			n++
+		}
+	}
+	return n
+}
+
+// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part of the
+// timers and intervals, at three quarters and at one and a half times the engines' capacity.
+func BenchmarkRequest(b *testing.B) {
+	for _, c := range []struct {
+		name    string
+		site    string
+		change  func(*control.Settings)
+		engines int
+		load    float64
+	}{
+		{"site=reykjavik/load=0.75", "reykjavik", nil, 7, 0.75},
+		{"site=reykjavik/load=1.5", "reykjavik", nil, 7, 1.5},
+		{"site=ledger/load=0.75", "ledger", nil, 7, 0.75},
+		{"site=shortline/load=1.5", "shortline", nil, 7, 1.5},
+		{"site=fleet-of-200/load=0.75", "hobart", fleetOf(200), 65, 0.75},
+		{"site=fleet-of-200/load=1.5", "hobart", fleetOf(200), 65, 1.5},
+	} {
+		b.Run(c.name, func(b *testing.B) {
+			r := record(b, site(c.site, c.change)(b), c.engines, c.load, time.Minute)
+			b.ReportAllocs()
+			b.ResetTimer()
+			for done := 0; done < b.N; {
+				b.StopTimer()
+				module, err := control.New(r.settings, r.seed)
+				if err != nil {
+					b.Fatal(err)
+				}
+				b.StartTimer()
+				for i := 0; i < len(r.batches) && done < b.N; i++ {
+					module.Handle(r.batches[i].now, r.batches[i].events)
+					done += requestsIn(r.batches[i].events)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/control/world_test.go
@@ -0,0 +1,537 @@
+package control_test
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"wheatlane/control"
+)
+
+const (
+	millisecond = time.Millisecond
+	worldStep   = 5 * millisecond
+	worldStart  = 100 * time.Second
+)
+
+// batch is what the module was given at one time; retune, if set, comes before the events.
+type batch struct {
+	now    time.Duration
+	events []control.Event
+	retune *retuning
+}
+
+type retuning struct {
+	classes []control.Class
+	limits  control.Limits
+}
+
+// simEngine is a model of an engine: enough for the module to meet every kind of answer, no more.
+type simEngine struct {
+	control.Engine
+	slow, failing, silent, full float64 // multiple of the service time; shares of attempts
+	healthyAt                   time.Duration
+	background                  float64 // load by other brokers
+	out                         int
+}
+
+type simQuery struct {
+	control.Query
+	work     time.Duration
+	threads  int
+	attempts []*simAttempt
+	arrived  bool
+	over     bool
+}
+
+type simAttempt struct {
+	engine *simEngine
+	sent   time.Duration
+	ended  bool
+}
+
+type due struct {
+	at    time.Duration
+	order int
+	event control.Event
+}
+
+// agenda is a heap of what is due, the soonest first, and what is due at one time in its order.
+type agenda []due
+
+func (a agenda) Len() int      { return len(a) }
+func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a agenda) Less(i, j int) bool {
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+}
+func (a *agenda) Push(x any) { *a = append(*a, x.(due)) }
+func (a *agenda) Pop() any {
+	last := (*a)[len(*a)-1]
+	*a = (*a)[:len(*a)-1]
+	return last
+}
+
+// world is a broker's surroundings in a closed loop with the module: clients, engines, other brokers and the operator.
+// All that happens is drawn from one generator, so equal seeds give equal events for equal actions.
+type world struct {
+	t        testing.TB
+	module   *control.Controller
+	settings control.Settings
+	rng      *rand.Rand
+	now      time.Duration
+	calm     bool // nothing goes wrong
+	seen     func(b batch, actions []control.Action)
+	pending  agenda
+	order    int
+	engines  []*simEngine
+	queries  map[string]*simQuery
+	load     float64 // part of the engines' capacity that clients ask for
+	impatient,
+	hurried float64
+	numbered int
+}
+
+func newWorld(t testing.TB, settings control.Settings, seed uint64, engines int) *world {
+	t.Helper()
+	module, err := control.New(settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := &world{t: t, module: module, settings: settings, rng: rand.New(rand.NewPCG(seed, 26)), now: worldStart,
+		queries: map[string]*simQuery{}, load: 0.7, seen: func(batch, []control.Action) {}}
+	for range engines {
+		w.join()
+	}
+	w.after(0, w.snapshot())
+	return w
+}
+
+func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
+
+func (w *world) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.rng.Float64()*float64(high-low))
+}
+
+func (w *world) after(d time.Duration, event control.Event) {
+	w.order++
+	heap.Push(&w.pending, due{w.now + max(0, d), w.order, event})
+}
+
+func (w *world) join() *simEngine {
+	kinds := make([]string, 0, len(w.settings.Kinds))
+	for name := range w.settings.Kinds {
+		kinds = append(kinds, name)
+	}
+	slices.Sort(kinds)
+	e := &simEngine{Engine: control.Engine{ID: fmt.Sprintf("engine-%03d", len(w.engines)), Zone: []string{w.settings.Zone, "b"}[w.rng.IntN(2)],
+		Cell: w.rng.IntN(3)}, slow: 1}
+	if len(kinds) > 0 {
+		e.Kind = kinds[w.rng.IntN(len(kinds))]
+	}
+	w.engines = append(w.engines, e)
+	return e
+}
+
+func (w *world) snapshot() control.List {
+	all := control.List{Kind: control.Whole}
+	for _, e := range w.engines {
+		if e.State != control.Gone || w.chance(0.3) {
+			all.Engines = append(all.Engines, e.Engine)
+		}
+	}
+	return all
+}
+
+// run lets so much time pass.
+func (w *world) run(length time.Duration) {
+	for end := w.now + length; w.now < end; {
+		w.now += worldStep
+		if !w.calm && w.chance(0.002) { // the process stood still
+			w.now += w.between(0, 1500*millisecond)
+		}
+		w.clients()
+		b := batch{now: w.now}
+		if !w.calm {
+			w.mishaps()
+			w.peers()
+			b.retune = w.reload()
+		}
+		w.handle(b)
+	}
+}
+
+func (w *world) handle(b batch) {
+	for len(w.pending) > 0 && w.pending[0].at <= w.now {
+		if ev := heap.Pop(&w.pending).(due).event; w.happens(ev) {
+			b.events = append(b.events, ev)
+		}
+	}
+	if len(b.events) == 0 && b.retune == nil {
+		return
+	}
+	if !w.calm && w.chance(0.1) {
+		w.rng.Shuffle(len(b.events), func(i, j int) { b.events[i], b.events[j] = b.events[j], b.events[i] })
+	}
+	if b.retune != nil {
+		w.module.Retune(b.retune.classes, b.retune.limits)
+	}
+	actions := w.module.Handle(b.now, b.events)
+	w.seen(b, actions)
+	for _, a := range actions {
+		w.act(a)
+	}
+}
+
+// happens keeps the world's own records of an event and says whether it comes to the module at all.
+func (w *world) happens(event control.Event) bool {
+	switch ev := event.(type) {
+	case control.Attempt:
+		q := w.queries[ev.Query]
+		if q == nil || ev.Number < 0 || ev.Number >= len(q.attempts) {
+			return true // of nothing that is known: the module passes it over
+		}
+		a := q.attempts[ev.Number]
+		if a.ended {
+			return false
+		}
+		a.ended = true
+		a.engine.out--
+		q.over = q.over || ev.Closed
+	case control.Arrival:
+		if q := w.queries[ev.Query.ID]; q != nil {
+			arrivedBefore := q.arrived
+			q.arrived = true
+			return !arrivedBefore || !q.over
+		}
+	case control.ClientGone:
+		if q := w.queries[ev.Query]; q != nil {
+			q.over = true
+		}
+	case control.Note:
+		if q := w.queries[ev.Query]; q != nil {
+			return !q.attempts[ev.Number].ended
+		}
+	}
+	return true
+}
+
+func (w *world) act(action control.Action) {
+	switch a := action.(type) {
+	case control.Send:
+		w.send(a)
+	case control.Refuse:
+		q := w.queries[a.Query]
+		q.over = true
+		if !w.calm && w.chance(0.3) { // its client comes again
+			w.ask(q.Class, q.Key, max(a.RetryIn, 50*millisecond))
+		}
+	case control.Fail:
+		if q := w.queries[a.Query]; q != nil {
+			q.over = true
+		}
+	case control.Cancel:
+		q := w.queries[a.Query]
+		if a.Number >= len(q.attempts) {
+			w.t.Fatalf("cancel of attempt %d of %s, which has %d", a.Number, a.Query, len(q.attempts))
+		}
+		if w.chance(0.9) {
+			w.after(w.between(millisecond, 12*millisecond), control.Attempt{Query: a.Query, Number: a.Number,
+				Engine: q.attempts[a.Number].engine.ID, Status: control.Cancelled, Took: w.now - q.attempts[a.Number].sent})
+		}
+	case control.SetTimer:
+		w.after(a.After, control.Timer{Token: a.Token})
+	case control.Probe:
+		w.probe(a.Engine)
+	case control.Watch:
+		if w.chance(0.3) {
+			w.after(w.between(0, 400*millisecond), control.List{Kind: control.AskFailed})
+		} else {
+			w.after(w.between(0, 400*millisecond), w.snapshot())
+			w.after(w.between(4*time.Second, 20*time.Second), control.List{Kind: control.AskFailed})
+		}
+	}
+}
+
+func (w *world) engine(id string) *simEngine {
+	i := slices.IndexFunc(w.engines, func(e *simEngine) bool { return e.ID == id })
+	if i < 0 {
+		w.t.Fatalf("no engine %s", id)
+	}
+	return w.engines[i]
+}
+
+func (w *world) probe(id string) {
+	e, result := w.engine(id), control.ProbeResult{Engine: id, Took: w.between(millisecond, 15*millisecond)}
+	if w.chance(0.05) || e.State == control.Gone {
+		result.Status = control.Failed
+	} else {
+		result.Report = w.report(e)
+	}
+	w.after(result.Took, result)
+}
+
+// report is an engine's load by the fields that the settings name.
+func (w *world) report(e *simEngine) []float64 {
+	var row []float64
+	for _, field := range w.settings.ReportFields {
+		v := e.background * (0.9 + 0.2*w.rng.Float64()) * math.Sqrt(e.slow)
+		if field == "queue" || field == "inflight" {
+			v = float64(e.out) + math.Floor(4*v)
+		}
+		row = append(row, v)
+	}
+	return row
+}
+
+// send models what becomes of an attempt.
+func (w *world) send(a control.Send) {
+	q, e := w.queries[a.Query], w.engine(a.Engine)
+	attempt := &simAttempt{engine: e, sent: w.now}
+	end := control.Attempt{Query: a.Query, Number: len(q.attempts), Engine: a.Engine}
+	q.attempts = append(q.attempts, attempt)
+	e.out++
+	end.Status, end.Took = w.outcome(q, e)
+	limit := q.Deadline - w.now + 20*millisecond
+	if a.Timeout > 0 {
+		limit = min(limit, a.Timeout)
+	}
+	if end.Took > limit {
+		end.Status, end.Took = control.TimedOut, limit
+	}
+	switch end.Status {
+	case control.OK:
+		end.Closed = true
+		end.Report = w.report(e)
+		if w.settings.CostTold {
+			end.Work, end.MemoryMB = q.work, 40+q.work.Seconds()*100
+		}
+		if w.chance(0.2) {
+			w.after(end.Took-3*millisecond, control.Started{Query: a.Query})
+		}
+	case control.Full:
+		end.Report = w.report(e)
+	case control.Reset:
+		end.Shared = w.chance(0.4)
+	}
+	w.after(end.Took, end)
+	if every := w.settings.NotesEvery; every > 0 {
+		for at := every; at < end.Took; at += every {
+			w.after(at, control.Note{Query: a.Query, Number: end.Number, Engine: a.Engine, Kind: control.NoteKind(1 + w.rng.IntN(3)),
+				Value: at.Seconds() / end.Took.Seconds() * w.rng.Float64()})
+		}
+	}
+}
+
+// outcome draws how an attempt ends and when, were there no limit of time.
+func (w *world) outcome(q *simQuery, e *simEngine) (control.Status, time.Duration) {
+	quick := w.between(millisecond, 8*millisecond)
+	service := q.work.Seconds() / float64(q.threads) * e.slow * (1 + e.background) * math.Exp(0.3*w.rng.NormFloat64())
+	took := time.Duration(service*float64(time.Second)) + millisecond
+	switch draw := w.rng.Float64(); {
+	case w.calm:
+		return control.OK, took
+	case e.State == control.Gone || draw < 0.002:
+		return control.ConnectFailed, quick
+	case draw < 0.004:
+		return control.Moot, quick
+	case draw < 0.006:
+		return control.Reset, took / 2
+	case draw < 0.006+e.full:
+		return control.Full, quick
+	}
+	if w.chance(e.failing) {
+		return control.Failed, quick
+	}
+	if w.chance(e.silent) {
+		return control.OK, time.Hour
+	}
+	return control.OK, took
+}
+
+// ask has a client ask for a query of a class a time from now.
+func (w *world) ask(class, key string, in time.Duration) {
+	i := slices.IndexFunc(w.settings.Classes, func(k control.Class) bool { return k.Name == class })
+	k := w.settings.Classes[max(0, i)]
+	w.numbered++
+	wait := k.GiveUp
+	if wait == 0 {
+		wait = w.between(200*millisecond, 6*time.Second)
+	}
+	objective := k.Aim
+	if objective <= 0 {
+		objective = time.Second
+	}
+	work := 0.15 * objective.Seconds() * float64(max(1, k.Threads)) * math.Exp(0.8*w.rng.NormFloat64())
+	q := &simQuery{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
+	q.Query = control.Query{ID: fmt.Sprint("r", w.numbered), Class: class, Deadline: w.now + in + wait, Tables: w.rng.IntN(12)}
+	if n := len(w.settings.Tenants); n > 0 {
+		q.Tenant = append(w.settings.Tenants, control.Tenant{Name: "unknown"})[w.rng.IntN(n+1)].Name
+	}
+	if k.Ordered {
+		if q.Key = key; key == "" {
+			q.Key = fmt.Sprint("key", w.rng.IntN(8))
+		}
+	}
+	if w.chance(w.hurried) {
+		q.Work = time.Duration(float64(q.work) * (0.6 + 0.8*w.rng.Float64()))
+		q.MemoryMB = 30 + 120*q.Work.Seconds()
+	}
+	w.queries[q.ID] = q
+	w.after(in, control.Arrival{Query: q.Query})
+	if w.chance(w.impatient) {
+		w.after(in+w.between(0, wait), control.ClientGone{Query: q.ID})
+	}
+}
+
+// clients draws arrivals for one step by the load that is wanted of the engines.
+func (w *world) clients() {
+	cores := 0.0
+	for _, e := range w.engines {
+		if e.State != control.Gone {
+			cores += max(1, w.settings.Kinds[e.Kind].Cores)
+		}
+	}
+	work := 0.0
+	for i := range w.settings.Classes {
+		work += w.workOf(i) * w.weight(i)
+	}
+	rate := min(100, w.load*cores/float64(w.settings.Gateways)/max(work, 1e-3))
+	for expected := rate * worldStep.Seconds(); expected > 0; expected-- {
+		if !w.chance(expected) {
+			continue
+		}
+		draw, i := w.rng.Float64(), 0
+		for i < len(w.settings.Classes)-1 && draw >= w.weight(i) {
+			draw -= w.weight(i)
+			i++
+		}
+		w.ask(w.settings.Classes[i].Name, "", 0)
+	}
+}
+
+// weight is the share of a class in what clients ask: each is asked half as often as the one before.
+func (w *world) weight(i int) float64 {
+	n := len(w.settings.Classes)
+	return math.Exp2(float64(n-1-i)) / (math.Exp2(float64(n)) - 1)
+}
+
+func (w *world) workOf(i int) float64 {
+	k := w.settings.Classes[i]
+	return 0.2 * max(k.Aim.Seconds(), 0.1) * float64(max(1, k.Threads))
+}
+
+// mishaps changes the world now and then: what is asked, how engines fare, the list of them, the operator's wishes.
+func (w *world) mishaps() {
+	if w.chance(0.0005) {
+		w.load = []float64{0.3, 0.7, 1, 1.6, 3}[w.rng.IntN(5)]
+	}
+	if w.chance(0.0004) {
+		w.impatient = []float64{0, 0.02, 0.7}[w.rng.IntN(3)]
+	}
+	if w.chance(0.0005) {
+		w.hurried = w.rng.Float64()
+	}
+	for _, e := range w.engines {
+		w.mishap(e)
+	}
+	if w.chance(0.0008) {
+		w.after(0, w.snapshot())
+	}
+	if w.chance(0.0004) && len(w.engines) < 80 {
+		e := w.join()
+		e.StartedAt = w.now - w.between(0, 2*time.Second)
+		w.after(0, control.List{Kind: control.Delta, Engines: []control.Engine{e.Engine}})
+	}
+	if w.chance(0.002) { // what nobody asked for
+		w.after(0, control.Arrival{Query: control.Query{ID: "stray", Class: "no such class", Deadline: w.now + time.Second}})
+		if q := w.queries[fmt.Sprint("r", w.numbered)]; q != nil && !q.over { // the same once more
+			w.after(20*millisecond, control.Arrival{Query: q.Query})
+		}
+		w.after(0, control.ClientGone{Query: "nobody's"})
+		w.after(0, control.Attempt{Query: "nobody's", Number: -1})
+		w.after(0, control.Timer{Token: 1 << 40})
+		w.after(0, control.ProbeResult{Engine: "no such engine"})
+	}
+}
+
+func (w *world) mishap(e *simEngine) {
+	if w.chance(0.01) {
+		e.background = 1.3 * w.rng.Float64()
+	}
+	if w.now > e.healthyAt {
+		e.slow, e.failing, e.silent, e.full = 1, 0.001, 0.001, 0
+		if !w.chance(0.0005) {
+			return
+		}
+		e.healthyAt = w.now + w.between(500*millisecond, 8*time.Second)
+		switch w.rng.IntN(4) {
+		case 0:
+			e.slow = 2 + 10*w.rng.Float64()
+		case 1:
+			e.failing = 0.3 + 0.7*w.rng.Float64()
+		case 2:
+			e.silent = 0.1 + 0.9*w.rng.Float64()
+		case 3:
+			e.full = 0.5 + 0.5*w.rng.Float64()
+		}
+	}
+	if w.chance(0.0006) {
+		e.State = control.EngineState(w.rng.IntN(3))
+		w.listed(e)
+	}
+	if w.chance(0.0015) && e.State != control.Ready { // a new process takes its place
+		e.State, e.StartedAt = control.Ready, w.now-w.between(0, 2*time.Second)
+		w.listed(e)
+	}
+	if w.chance(0.0003) {
+		w.after(0, control.Ban{Engine: e.ID, Down: true})
+		w.after(w.between(time.Second, 6*time.Second), control.Ban{Engine: e.ID})
+	}
+}
+
+func (w *world) listed(e *simEngine) {
+	w.after(w.between(0, 600*millisecond), control.List{Kind: control.Delta, Engines: []control.Engine{e.Engine}})
+}
+
+// peers has another broker speak of some engines' loads.
+func (w *world) peers() {
+	if !w.settings.Limits.Peers || !w.chance(0.02) {
+		return
+	}
+	heard := control.Heard{Gateway: w.rng.IntN(w.settings.Gateways)}
+	for range 1 + w.rng.IntN(8) {
+		e := w.engines[w.rng.IntN(len(w.engines))]
+		heard.Reports = append(heard.Reports, control.LoadReport{Engine: control.Mark(e.ID), Load: e.background,
+			Age: w.between(0, 3*time.Second)})
+	}
+	w.after(0, heard)
+}
+
+// reload now and then reads settings anew: a class changes, one comes or goes, more or fewer attempts are allowed.
+func (w *world) reload() *retuning {
+	if !w.chance(0.0003) {
+		return nil
+	}
+	classes := slices.Clone(w.settings.Classes)
+	switch k := &classes[w.rng.IntN(len(classes))]; w.rng.IntN(4) {
+	case 0:
+		k.Worth *= 1.5
+	case 1:
+		k.Aim += 100 * millisecond
+	case 2:
+		added := *k
+		added.Name = fmt.Sprint("added-", w.numbered)
+		classes = append(classes, added)
+	case 3:
+		if len(classes) > 1 {
+			classes = classes[1:]
+		}
+	}
+	w.settings.Classes = classes
+	w.settings.Limits.MaxAttempts = 1 + w.rng.IntN(5)
+	return &retuning{classes, w.settings.Limits}
+}
