--- /dev/null
+++ b/internal/broker/benchmark_test.go
@@ -0,0 +1,107 @@
+package broker
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/changelog"
+)
+
+// BenchmarkRequest measures the reducer with the decision module behind it, a request a time from its submission to
+// its answer, in a closed loop of clients and engines that always answer after the same time.
+func BenchmarkRequest(b *testing.B) {
+	for _, c := range []struct{ clients, engines int }{{16, 4}, {256, 64}} {
+		b.Run(fmt.Sprintf("clients=%d,engines=%d", c.clients, c.engines), func(b *testing.B) {
+			l := newClosedLoop(b, c.clients, c.engines)
+			b.ReportAllocs()
+			for b.Loop() {
+				l.request()
+			}
+			b.ReportMetric(float64(l.answers[Result])/float64(max(1, l.submitted)), "served/request")
+		})
+	}
+}
+
+const (
+	loopArrivalsPerEngine = 200 // a second
+	loopServiceTime       = 15 * time.Millisecond
+)
+
+// closedLoop is a broker with clients that submit their next request once the last one is answered.
+type closedLoop struct {
+	broker    *Broker
+	now       time.Duration
+	gap       time.Duration // between two requests
+	idle      []Session
+	running   []runningAttempt // by the time at which they are answered
+	submitted int
+	answers   map[Kind]int
+}
+
+type runningAttempt struct {
+	id     Attempt
+	doneAt time.Duration
+}
+
+func newClosedLoop(b *testing.B, clients, engines int) *closedLoop {
+	b.Helper()
+	set := settings()
+	set.ReportFields = []string{"util"}
+	r, err := New(set, 1, clients)
+	if err != nil {
+		b.Fatal(err)
+	}
+	l := &closedLoop{broker: r, now: start, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[Kind]int{}}
+	change := changelog.Change{Seq: 1, Whole: true}
+	for n := range engines {
+		change.Hosts = append(change.Hosts, host(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
+	}
+	l.react(r.Apply(l.now, Changes{changelog.Page{Seq: 1, Changes: []changelog.Change{change}}}))
+	for n := range clients {
+		id := Session(n + 1)
+		l.react(r.Apply(l.now, Connected{id}))
+		l.react(r.Apply(l.now, LoggedIn{id}))
+		l.idle = append(l.idle, id)
+	}
+	return l
+}
+
+// request submits one request, as soon as a client is idle.
+func (l *closedLoop) request() {
+	l.step()
+	for len(l.idle) == 0 {
+		l.step()
+	}
+	client := l.idle[0]
+	l.idle = l.idle[1:]
+	l.submitted++
+	l.react(l.broker.Apply(l.now, Submit{client, Request{Ref: fmt.Sprint(l.submitted), Class: "lookup", Sent: l.now,
+		Allow: 2 * time.Second, Work: loopServiceTime, Body: "SELECT 1"}}))
+}
+
+func (l *closedLoop) step() {
+	l.now += l.gap
+	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
+		id := l.running[0].id
+		l.running = l.running[1:]
+		l.react(l.broker.Apply(l.now, Served{Attempt: id, Pages: 1, Work: loopServiceTime, Report: []float64{0.5},
+			Body: []byte("1\t2\t3\n")}))
+	}
+	l.react(l.broker.Tick(l.now))
+}
+
+func (l *closedLoop) react(effects []Effect) {
+	for _, e := range effects {
+		switch e := e.(type) {
+		case Want:
+			l.running = append(l.running, runningAttempt{e.Attempt, l.now + loopServiceTime})
+		case GiveUp:
+			l.react(l.broker.Apply(l.now, Ended{Attempt: e.Attempt, Status: control.Cancelled}))
+		case Reply:
+			l.answers[e.Kind]++
+			l.idle = append(l.idle, e.Session)
+		}
+	}
+}
