--- /dev/null
+++ b/cmd/wheatlane/golden_test.go
@@ -0,0 +1,199 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/jsonschema-go/jsonschema"
+
+	"wheatlane/internal/config"
+	"wheatlane/internal/description"
+	"wheatlane/internal/jsontext"
+	"wheatlane/internal/operator"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares a text with that of a file.
+func golden(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), got); diff != "" {
+		t.Errorf("%s: %s", path, diff)
+	}
+}
+
+// output runs a command in this process.
+func output(t *testing.T, args ...string) string {
+	t.Helper()
+	var out bytes.Buffer
+	c := root()
+	c.SetArgs(args)
+	c.SetOut(&out)
+	if err := c.Execute(); err != nil {
+		t.Fatalf("%q: %v", args, err)
+	}
+	return out.String()
+}
+
+// facts are what a schema says of a value beside its description.
+func facts(s *jsonschema.Schema) (all []string) {
+	add := func(text string) {
+		if text != "" {
+			all = append(all, text)
+		}
+	}
+	add(s.Type)
+	add(string(s.Default))
+	if s.Minimum != nil {
+		add(fmt.Sprint(*s.Minimum))
+	}
+	if s.Maximum != nil {
+		add(fmt.Sprint(*s.Maximum))
+	}
+	var words []string
+	for _, w := range s.Enum {
+		words = append(words, fmt.Sprintf("%q", w))
+	}
+	add(strings.Join(words, " "))
+	add(s.Pattern)
+	if len(s.Properties) > 0 {
+		add(strings.Join(slices.Sorted(maps.Keys(s.Properties)), ", "))
+	}
+	return all
+}
+
+// keysOf calls f with each key of a schema, lists passed over.
+func keysOf(s *jsonschema.Schema, path string, f func(key string, s *jsonschema.Schema)) {
+	for s.Items != nil {
+		s = s.Items
+	}
+	for _, k := range slices.Sorted(maps.Keys(s.Properties)) {
+		key := strings.TrimPrefix(path+"."+k, ".")
+		f(key, s.Properties[k])
+		keysOf(s.Properties[k], key, f)
+	}
+}
+
+// Each key of each file has the type, default, bounds and values that it had, and 'config explain' says them, each behind
+// a word and a colon.
+func TestEveryKeyIsExplained(t *testing.T) {
+	for _, file := range []struct {
+		name string
+		make func() (*jsonschema.Schema, error)
+	}{{"operator", operator.JSONSchema}, {"broker", config.JSONSchema}, {"description", description.JSONSchema}} {
+		s, err := file.make()
+		if err != nil {
+			t.Fatal(err)
+		}
+		var all strings.Builder
+		keysOf(s, "", func(key string, at *jsonschema.Schema) {
+			fmt.Fprintf(&all, "%s | %s\n", key, strings.Join(facts(at), " | "))
+			said := output(t, "config", "explain", key)
+			for _, fact := range facts(at) {
+				if !strings.Contains(said, ": "+fact+"\n") {
+					t.Errorf("%s: %q is not said in %s", key, fact, said)
+				}
+			}
+			if at.Description != "" && !strings.Contains(said, at.Description) {
+				t.Errorf("%s: %q is not said in %s", key, at.Description, said)
+			}
+		})
+		golden(t, "testdata/keys-of-"+file.name+".txt", all.String())
+	}
+}
+
+// Where the value of a key comes from: each place in a file with its line, column and value, and the environment.
+func TestOriginsOfValues(t *testing.T) {
+	for name, path := range map[string]string{
+		"broker":      "../../internal/config/testdata/every-key.json",
+		"operator":    "../../deploy/operator.json",
+		"description": "../../deploy/app.json",
+	} {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		doc, _, err := jsontext.Parse(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var all strings.Builder
+		for _, make := range []func() (*jsonschema.Schema, error){operator.JSONSchema, config.JSONSchema, description.JSONSchema} {
+			s, err := make()
+			if err != nil {
+				t.Fatal(err)
+			}
+			keysOf(s, "", func(key string, at *jsonschema.Schema) {
+				if doc.Get(strings.Split(key, ".")[0]) == nil || len(at.Properties) > 0 || at.Items != nil {
+					return
+				}
+				for line := range strings.SplitSeq(output(t, "config", "explain", key, "--file", path), "\n") {
+					if place, ok := strings.CutPrefix(line, path+":"); ok {
+						fmt.Fprintf(&all, "%s | %s\n", key, place)
+					}
+				}
+			})
+		}
+		golden(t, "testdata/origins-in-"+name+".txt", all.String())
+	}
+	t.Setenv("RELAY_NAME", "n \"9\"")
+	t.Setenv("RELAY_LISTEN", "")
+	for key, want := range map[string][]string{
+		"name":   {"RELAY_NAME", `"n \"9\""`},
+		"listen": {"RELAY_LISTEN", `""`},
+	} {
+		for _, w := range want {
+			if said := output(t, "config", "explain", key); !strings.Contains(said, w) {
+				t.Errorf("%s: %q is not said in %s", key, w, said)
+			}
+		}
+	}
+}
+
+// 'config schema' prints what it did, descriptions apart.
+func TestPrintedSchema(t *testing.T) {
+	var doc any
+	if err := json.Unmarshal([]byte(output(t, "config", "schema")), &doc); err != nil {
+		t.Fatal(err)
+	}
+	dropDescriptions(doc)
+	text, err := json.MarshalIndent(doc, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "testdata/schema.json", string(text)+"\n")
+}
+
+// dropDescriptions removes the texts that describe values from a schema.
+func dropDescriptions(v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		if text, ok := v["description"].(string); ok && text != "" {
+			delete(v, "description")
+		}
+		for _, x := range v {
+			dropDescriptions(x)
+		}
+	case []any:
+		for _, x := range v {
+			dropDescriptions(x)
+		}
+	}
+}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,288 @@
+package config
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/jsonschema-go/jsonschema"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares a text with that of a file.
+func golden(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), got); diff != "" {
+		t.Errorf("%s: %s", path, diff)
+	}
+}
+
+// values lists the values that a Go value holds, one a line, in the order of its fields and of the keys of its maps. It
+// gives no name of a type or field.
+func values(v reflect.Value) []string {
+	var all []string
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			all = append(all, values(v.Field(i))...)
+		}
+	case reflect.Slice, reflect.Array:
+		all = append(all, fmt.Sprintf("list of %d", v.Len()))
+		for i := range v.Len() {
+			all = append(all, values(v.Index(i))...)
+		}
+	case reflect.Map:
+		all = append(all, fmt.Sprintf("map of %d", v.Len()))
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
+		for _, k := range keys {
+			all = append(append(all, values(k)...), values(v.MapIndex(k))...)
+		}
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			return []string{"nil"}
+		}
+		return values(v.Elem())
+	case reflect.Bool:
+		return []string{fmt.Sprint(v.Bool())}
+	case reflect.String:
+		return []string{fmt.Sprintf("%q", v.String())}
+	default:
+		switch {
+		case v.CanInt():
+			return []string{fmt.Sprint(v.Int())}
+		case v.CanUint():
+			return []string{fmt.Sprint(v.Uint())}
+		default:
+			return []string{fmt.Sprint(v.Float())}
+		}
+	}
+	return all
+}
+
+// What files of the platform give is what it was, value by value, with the same defaults.
+func TestParsedValues(t *testing.T) {
+	for name, path := range map[string]string{
+		"every-key":                "testdata/every-key.json",
+		"least":                    "testdata/least.json",
+		"application":              "../description/testdata/deploy.broker.golden",
+		"application-of-every-key": "../description/testdata/every-key.broker.golden",
+	} {
+		for _, env := range []map[string]string{
+			{"TMPDIR": "/var/tmp/a"},
+			{"TMPDIR": "/var/tmp/b", "RELAY_NAME": "n9", "RELAY_LISTEN": "10.0.0.9:6565", "RELAY_OPERATOR": "10.0.0.9:7000"},
+		} {
+			env["RELAY_CONFIG"] = path
+			c, err := Load(func(key string) string { return env[key] })
+			if err != nil {
+				t.Fatal(err)
+			}
+			suffix := ".values"
+			if env["RELAY_NAME"] != "" {
+				suffix = ".env.values"
+			}
+			golden(t, filepath.Join("testdata", name+suffix), strings.Join(values(reflect.ValueOf(c)), "\n")+"\n")
+		}
+	}
+}
+
+// Each key of the platform's file has its own place: one that is changed or left out changes the same values as it did.
+func TestEachKey(t *testing.T) {
+	text, err := os.ReadFile("testdata/every-key.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	parsed := func(doc any) []string {
+		changed, err := json.Marshal(doc)
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(t.TempDir(), "config.json")
+		if err := os.WriteFile(path, changed, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		c, err := Load(func(key string) string { return map[string]string{"RELAY_CONFIG": path, "TMPDIR": "/tmp"}[key] })
+		if err != nil {
+			return []string{"rejected"}
+		}
+		c.Keys = nil // of them TestParsedValues tells
+		return values(reflect.ValueOf(c))
+	}
+	var doc any
+	if err := json.Unmarshal(text, &doc); err != nil {
+		t.Fatal(err)
+	}
+	whole := parsed(doc)
+	var out strings.Builder
+	without(doc, "", func(key string) {
+		fmt.Fprintf(&out, "without %s:\n", key)
+		for _, line := range differences(whole, parsed(doc)) {
+			fmt.Fprintf(&out, "\t%s\n", line)
+		}
+	})
+	golden(t, "testdata/each-key.txt", out.String())
+}
+
+// without calls f with each key of a document while the document is without it.
+func without(doc any, path string, f func(key string)) {
+	switch doc := doc.(type) {
+	case map[string]any:
+		for _, k := range slices.Sorted(maps.Keys(doc)) {
+			key := strings.TrimPrefix(path+"."+k, ".")
+			v := doc[k]
+			delete(doc, k)
+			f(key)
+			doc[k] = v
+			without(v, key, f)
+		}
+	case []any:
+		for i, v := range doc {
+			without(v, fmt.Sprintf("%s[%d]", path, i), f)
+		}
+	}
+}
+
+// differences are the lines that one list has and the other lacks, with the number of the line for lists of one length.
+func differences(was, now []string) (all []string) {
+	if len(was) == len(now) {
+		for i := range was {
+			if was[i] != now[i] {
+				all = append(all, fmt.Sprintf("%d: %s -> %s", i, was[i], now[i]))
+			}
+		}
+		return all
+	}
+	if len(now) == 1 {
+		return now
+	}
+	first := 0
+	for first < min(len(was), len(now)) && was[first] == now[first] {
+		first++
+	}
+	last := 0
+	for last < min(len(was), len(now))-first && was[len(was)-1-last] == now[len(now)-1-last] {
+		last++
+	}
+	return []string{fmt.Sprintf("%d: %s -> %s", first, strings.Join(was[first:len(was)-last], " "),
+		strings.Join(now[first:len(now)-last], " "))}
+}
+
+// The words of each deployment that a broker reads are those that the platform's files use.
+func TestWordsOfDeployments(t *testing.T) {
+	sites, err := filepath.Glob("../../deploy/sites/*/wire.json")
+	if err != nil || len(sites) == 0 {
+		t.Fatalf("%q, %v", sites, err)
+	}
+	schema, err := JSONSchema()
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := map[string]bool{}
+	keysOf(schema.Properties["settings"], known)
+	for _, site := range sites {
+		var wire struct {
+			Init struct {
+				UnitSuffix    string `json:"unit_suffix"`
+				Rename, Words map[string]string
+			}
+		}
+		read(t, site, &wire)
+		var out strings.Builder
+		for _, from := range slices.Sorted(maps.Keys(wire.Init.Rename)) {
+			word := pascal(wire.Init.Rename[from])
+			fmt.Fprintf(&out, "%s %s read=%v as time=%v\n", from, word, known[word], known[word+wire.Init.UnitSuffix])
+		}
+		for _, from := range slices.Sorted(maps.Keys(wire.Init.Words)) {
+			fmt.Fprintf(&out, "word %s %s\n", from, wire.Init.Words[from])
+		}
+		name := filepath.Base(filepath.Dir(site))
+		golden(t, filepath.Join("testdata", name+".words.txt"), out.String())
+		t.Run(name, func(t *testing.T) { listOfDeployment(t, filepath.Join(filepath.Dir(site), "real.json")) })
+	}
+}
+
+// listOfDeployment reads a list of engines that is written in the words of a deployment.
+func listOfDeployment(t *testing.T, path string) {
+	var real struct {
+		FeedKey string `json:"feed_key"`
+		F       map[string]string
+		States  map[string]string
+		Route   struct {
+			E       []string
+			FeedKey string `json:"feed_key"`
+		}
+	}
+	read(t, path, &real)
+	type object = map[string]any
+	host := func(n int, state string) object {
+		return object{real.F["id"]: fmt.Sprintf("e%d", n), real.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n), real.F["zone"]: "north",
+			real.F["kind"]: "std", real.F["cell"]: 40 + n, real.F["state"]: real.States[state], real.F["started"]: 1000 * n}
+	}
+	event := object{real.F["version"]: 5, real.Route.E[4]: object{real.F["full"]: true,
+		real.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")}}}
+	doc := object{"listen": "10.0.0.4:6565", real.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
+		"known": object{real.F["version"]: 9, real.Route.E[3]: []object{event}}}
+	text, err := json.Marshal(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c, err := Load(func(key string) string { return map[string]string{"RELAY_CONFIG": file, "TMPDIR": "/tmp"}[key] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "testdata/deployment.list.values", strings.Join(values(reflect.ValueOf(c.Known)), "\n")+"\n"+c.Changelog+"\n")
+}
+
+func read(t *testing.T, path string, into any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, into); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// keysOf adds the keys of a schema and of all below it.
+func keysOf(s *jsonschema.Schema, to map[string]bool) {
+	if s == nil {
+		return
+	}
+	for k, p := range s.Properties {
+		to[k] = true
+		keysOf(p, to)
+	}
+	keysOf(s.Items, to)
+}
+
+// pascal writes the last part of rules.order_settle as OrderSettle.
+func pascal(word string) string {
+	var b strings.Builder
+	for part := range strings.SplitSeq(word[strings.LastIndex(word, ".")+1:], "_") {
+		b.WriteString(strings.ToUpper(part[:1]) + part[1:])
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,101 @@
+package operator
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares a text with that of a file.
+func golden(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), got); diff != "" {
+		t.Errorf("%s: %s", path, diff)
+	}
+}
+
+// What operators' files give is what it was, key by key in the words of the file, with the same defaults; so are the
+// passwords and the bounds on names.
+func TestParsedValues(t *testing.T) {
+	for _, c := range []struct{ name, path string }{
+		{"every-key", "testdata/every-key.json"},
+		{"least", "testdata/least.json"},
+		{"telemetry-alone", "testdata/telemetry-alone.json"},
+		{"empty", "testdata/empty.json"},
+		{"deploy", "../../deploy/operator.json"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f, err := Load(c.path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var out bytes.Buffer
+			e := json.NewEncoder(&out)
+			e.SetIndent("", " ")
+			if err := e.Encode(f); err != nil {
+				t.Fatal(err)
+			}
+			if err := e.Encode(f.Names()); err != nil {
+				t.Fatal(err)
+			}
+			if f.Telemetry != nil {
+				for _, d := range f.Telemetry.Collectd {
+					out.WriteString("password " + d.Password + "\n")
+				}
+				out.WriteString("interval " + f.Telemetry.Interval().String() + "\n")
+			}
+			golden(t, filepath.Join("testdata", c.name+".values"), out.String())
+		})
+	}
+}
+
+// The schema is what it was, descriptions apart.
+func TestSchemaIsStable(t *testing.T) {
+	text, err := Schema()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var doc any
+	if err := json.Unmarshal(text, &doc); err != nil {
+		t.Fatal(err)
+	}
+	dropDescriptions(doc)
+	out, err := json.MarshalIndent(doc, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "testdata/schema.json", string(out)+"\n")
+}
+
+// dropDescriptions removes the texts that describe values from a schema.
+func dropDescriptions(v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		if text, ok := v["description"].(string); ok && text != "" {
+			delete(v, "description")
+		}
+		for _, x := range v {
+			dropDescriptions(x)
+		}
+	case []any:
+		for _, x := range v {
+			dropDescriptions(x)
+		}
+	}
+}
--- /dev/null
+++ b/internal/standin/fleet/golden_test.go
@@ -0,0 +1,49 @@
+package fleet
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// A list of engines that an earlier release wrote is read, and the same list is written in the same bytes.
+func TestStoredList(t *testing.T) {
+	const golden = "testdata/engines.json"
+	hosts := []Host{
+		{"e1", "127.0.0.1:7001", "north", "std-8core", 2, "in_service", 100, 1750000000000},
+		{"e2", "127.0.0.1:7002", "south", "big-16core", 0, "terminating", 50, 0},
+		{"e3", "", "", "", 0, "terminated", 0, 0},
+	}
+	path := filepath.Join(t.TempDir(), "engines.json")
+	if err := WriteFile(path, hosts); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		if err := os.WriteFile(golden, written, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(stored), string(written)); diff != "" {
+		t.Errorf("written: %s", diff)
+	}
+	got, err := ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(hosts, got); diff != "" {
+		t.Errorf("read: %s", diff)
+	}
+}
