--- a/internal/standin/collector/carbon.go
+++ b/internal/standin/collector/carbon.go
@@ -43,25 +43,26 @@
 	mu    sync.Mutex
 	mode  Mode
 	addr  string
+	ln    net.Listener  // nil while it is Gone
 	turn  chan struct{} // closed when the mode changes
 	conns map[net.Conn]bool
 }
 
 // NewCarbon returns one that listens at an address; port 0 is any, and the one taken is kept when it comes back.
+// Connections that come before Run wait for it.
 func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Ledger) (*Carbon, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
-	defer ln.Close()
-	return &Carbon{Form: form, Pickle: pickle, ledger: ledger, mode: Serve, addr: ln.Addr().String(),
+	return &Carbon{Form: form, Pickle: pickle, ledger: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
 		turn: make(chan struct{}), conns: map[net.Conn]bool{}}, nil
 }
 
 // Addr is where it listens.
 func (c *Carbon) Addr() string { return c.addr }
 
-// Set changes how it behaves.
+// Set changes how it behaves. Once it has returned from a change to Gone, nothing listens.
 func (c *Carbon) Set(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,12 +70,33 @@
 	close(c.turn)
 	c.turn = make(chan struct{})
 	if m == Gone {
+		c.shut()
 		for nc := range c.conns {
 			reset(nc)
 		}
 	}
 }
 
+// shut closes the listener. The caller holds the lock.
+func (c *Carbon) shut() {
+	if c.ln != nil {
+		c.ln.Close()
+		c.ln = nil
+	}
+}
+
+// listener is the one there is, or another at the same address; nil while it is Gone, and at the end.
+func (c *Carbon) listener(ctx context.Context) (ln net.Listener, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.mode != Gone && c.ln == nil && ctx.Err() == nil {
+		if c.ln, err = net.Listen("tcp", c.addr); err != nil {
+			return nil, fmt.Errorf("stand-in: %w", err)
+		}
+	}
+	return c.ln, nil
+}
+
 func (c *Carbon) now() (Mode, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,20 +114,26 @@
 // Run serves until ctx ends.
 func (c *Carbon) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
+	stop := context.AfterFunc(ctx, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.shut()
+	})
+	defer stop()
 	g.Go(func() error {
 		for ctx.Err() == nil {
-			mode, turn := c.now()
-			if mode == Gone {
+			_, turn := c.now()
+			ln, err := c.listener(ctx)
+			if err != nil {
+				return err
+			}
+			if ln == nil {
 				select {
 				case <-ctx.Done():
 				case <-turn:
 				}
 				continue
 			}
-			ln, err := net.Listen("tcp", c.addr)
-			if err != nil {
-				return fmt.Errorf("stand-in: %w", err)
-			}
 			c.accept(ctx, g, ln)
 		}
 		return nil
@@ -113,26 +141,8 @@
 	return g.Wait()
 }
 
-// accept takes connections until the mode is Gone or ctx ends.
+// accept takes connections until the listener is closed.
 func (c *Carbon) accept(ctx context.Context, g *errgroup.Group, ln net.Listener) {
-	done := make(chan struct{})
-	g.Go(func() error {
-		defer ln.Close()
-		for {
-			mode, turn := c.now()
-			if mode == Gone {
-				return nil
-			}
-			select {
-			case <-ctx.Done():
-				return nil
-			case <-done:
-				return nil
-			case <-turn:
-			}
-		}
-	})
-	defer close(done)
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -88,6 +91,41 @@
 	}
 }
 
+// A collector that is to be there is there from the start, and one that is gone is so at once: a test that goes on sees
+// no other order.
+func TestComesAndGoesAtOnce(t *testing.T) {
+	dial := func(c *Carbon) error {
+		nc, err := net.Dial("tcp", c.Addr())
+		if err == nil {
+			nc.Close()
+		}
+		return err
+	}
+	for range 200 { // no run may depend on which goroutine comes first
+		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, NewLedger(nil))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := dial(c); err != nil {
+			t.Fatal("before it runs:", err)
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan error, 1)
+		go func() { done <- c.Run(ctx) }()
+		if err := dial(c); err != nil {
+			t.Fatal("as it runs:", err)
+		}
+		c.Set(Gone)
+		if err := dial(c); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Fatal("gone:", err)
+		}
+		cancel()
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // file is a buffer that is closed as a file is.
 type file struct{ bytes.Buffer }
 
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -55,6 +55,7 @@
 	seed     uint64
 	names    operator.Names
 	reloads  chan *operator.Telemetry
+	stopWait time.Duration // how long a destination that ends may take to write what is left
 
 	dests map[string]*destination
 	group *errgroup.Group
@@ -70,7 +71,7 @@
 func New(name string, n operator.Names, look Looker, clock Clock, seed uint64, log *zap.Logger) (*Reporter, *Recorder) {
 	rec := NewRecorder(Limits(n), clock.Wall(), clock.Mono())
 	return &Reporter{broker: name, clock: clock, recorder: rec, look: look, log: log, seed: seed, names: n,
-		reloads: make(chan *operator.Telemetry), dests: map[string]*destination{}}, rec
+		reloads: make(chan *operator.Telemetry), stopWait: stopWait, dests: map[string]*destination{}}, rec
 }
 
 // plans are the destinations of a file.
@@ -138,7 +139,7 @@
 		case <-over:
 			r.cut(ctx)
 			for _, d := range r.sorted() {
-				d.tell(ctx, delivery.Stop{Within: stopWait})
+				d.tell(ctx, delivery.Stop{Within: r.stopWait})
 			}
 			return nil
 		}
@@ -154,7 +155,7 @@
 		switch {
 		case d != nil && !reflect.DeepEqual(d.plan.form, p.form):
 			// Another form: what waits was held under the old budget, and is written to the old place as far as it goes.
-			d.tell(ctx, delivery.Stop{Within: stopWait})
+			d.tell(ctx, delivery.Stop{Within: r.stopWait})
 			fallthrough
 		case d == nil:
 			r.seed++
@@ -168,7 +169,7 @@
 	}
 	for _, d := range r.sorted() {
 		if !wanted[d.plan.name] {
-			d.tell(ctx, delivery.Stop{Within: stopWait})
+			d.tell(ctx, delivery.Stop{Within: r.stopWait})
 			delete(r.dests, d.plan.name)
 		}
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -96,6 +96,13 @@
 }
 
 func startAt(t *testing.T, f *operator.Telemetry, at time.Duration) *rig {
+	t.Helper()
+	// The machine may be too busy to do in stopWait what a test wants done.
+	return startWith(t, f, at, patience)
+}
+
+// startWith starts one whose destinations have a time to write what is left at their end.
+func startWith(t *testing.T, f *operator.Telemetry, at, within time.Duration) *rig {
 	t.Helper()
 	b, err := broker.New(control.Settings{Gateways: 1, Round: time.Millisecond,
 		Classes: []control.Class{{Name: "lookup", Aim: 400 * time.Millisecond, Worth: 1, Threads: 1}}}, 1, 10)
@@ -110,6 +117,10 @@
 		return r.tick, func(time.Duration) {}, func() {}
 	}
 	r.reporter, r.host.rec = New("n1", f.Names, r.host, clock, 1, zap.NewNop())
+	if r.reporter.stopWait != stopWait {
+		t.Fatalf("a destination that ends has %v", r.reporter.stopWait)
+	}
+	r.reporter.stopWait = within
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
@@ -408,19 +419,47 @@
 	r.exact(ledger)
 }
 
-// A reload that takes a destination away ends it, and one that adds one begins it.
+// A reload that takes a destination away ends it, and one that adds one begins it. The first gets each interval from
+// before the reload and none from after it, however late its collector comes to read, and though the writing takes
+// longer than stopWait, as it does on a machine that is busy.
 func TestAReloadEndsAndBeginsDestinations(t *testing.T) {
-	_, one, g := carbonAt(t, false)
-	_, two, h := carbonAt(t, true)
-	h.Name = "second"
-	r := start(t, file(g))
-	r.intervals(2)
-	r.reporter.Reload(t.Context(), file(h))
-	r.intervals(3)
-	r.finish()
-	r.exact(two)
-	if f := one.Judge(); len(f.Runs) != 1 || f.Runs[0].Last >= two.Judge().Runs[0].Last {
-		t.Fatalf("the first was told of %+v", f.Runs)
+	for _, tt := range []struct {
+		name string
+		mode collector.Mode // until it serves
+	}{
+		{"it reads at once", collector.Serve},
+		{"it reads after the end", collector.Mute},
+		{"it comes back late", collector.Gone},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			c, one, g := carbonAt(t, false)
+			c.Set(tt.mode)
+			_, two, h := carbonAt(t, true)
+			h.Name = "second"
+			r := start(t, file(g))
+			r.intervals(2)
+			ended := r.reporter.dests["carbon"]
+			r.reporter.Reload(t.Context(), file(h))
+			r.intervals(3)
+			if tt.mode == collector.Gone {
+				defer time.AfterFunc(2*stopWait, func() { c.Set(collector.Serve) }).Stop()
+			}
+			r.finish()
+			if st := ended.stats.Load(); st.Delivered != 2 || st.Lost != 0 || st.Waiting != 0 {
+				t.Fatalf("the first destination ended with %+v", st)
+			}
+			r.exact(two)
+			if tt.mode == collector.Mute { // all is acknowledged, and nothing is read yet
+				if f := one.Judge(); f.Samples != 0 {
+					t.Fatalf("a collector that does not read has %d samples", f.Samples)
+				}
+				c.Set(collector.Serve)
+			}
+			f := await(t, one, "what came before the reload", func(f *collector.Findings) bool { return all(f) && f.Runs[0].Of == 2 })
+			if f.Runs[0].Last != 2 || two.Judge().Runs[0].Last != r.sequence() {
+				t.Fatalf("the first was told of %+v", f.Runs)
+			}
+		})
 	}
 }
 
@@ -436,7 +475,7 @@
 	await(t, ledger, "each interval", all)
 
 	c.Set(collector.Mute)
-	r = start(t, file(g))
+	r = startWith(t, file(g), 1_750_000_000*time.Second, stopWait)
 	r.intervals(200) // more than the sockets take
 	r.finish()
 	d := r.reporter.dests["carbon"]
