--- a/internal/standin/collector/carbon.go
+++ b/internal/standin/collector/carbon.go
@@ -62,7 +62,8 @@
 // Addr is where it listens.
 func (c *Carbon) Addr() string { return c.addr }
 
-// Set changes how it behaves. Once it has returned from a change to Gone, nothing listens.
+// Set changes how it behaves. Once it has returned from a change to Gone, nothing listens, and from one that ends Tear,
+// no connection is torn.
 func (c *Carbon) Set(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,6 +168,17 @@
 	}
 }
 
+// tear resets a connection unless the mode has changed meanwhile: what comes under another mode is not torn.
+func (c *Carbon) tear(nc net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.mode != Tear {
+		return false
+	}
+	reset(nc)
+	return true
+}
+
 // read reads a connection as the mode has it.
 func (c *Carbon) read(ctx context.Context, nc net.Conn) {
 	var buf []byte
@@ -206,8 +218,7 @@
 			return
 		case err != nil:
 			return // what is left of a line is dropped, as carbon does
-		case mode == Tear && total >= tearAfter && len(buf) > 0:
-			reset(nc)
+		case mode == Tear && total >= tearAfter && len(buf) > 0 && c.tear(nc):
 			return
 		}
 	}
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -126,6 +126,46 @@
 	}
 }
 
+// turning is a connection under which the mode changes while it is being read.
+type turning struct {
+	net.Conn
+	rest   io.Reader
+	turn   func()
+	closed bool
+}
+
+func (c *turning) Read(p []byte) (int, error) {
+	c.turn()
+	if c.closed {
+		return 0, net.ErrClosed
+	}
+	return io.ReadFull(c.rest, p)
+}
+
+func (c *turning) Close() error {
+	c.closed = true
+	return nil
+}
+
+// A connection that is being read as Tear ends is not torn any more, so what is written from then on comes whole.
+func TestNothingIsTornUnderAnotherMode(t *testing.T) {
+	const lines = 3000 // of 6 bytes: tearAfter is inside of one
+	for mode, want := range map[Mode]int{Tear: tearAfter / 6, Serve: lines} {
+		ledger := NewLedger(nil)
+		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, ledger)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Set(Tear)
+		nc := &turning{rest: strings.NewReader(strings.Repeat("x 1 1\n", lines)), turn: func() { c.Set(mode) }}
+		c.read(t.Context(), nc)
+		c.Set(Gone)
+		if got := ledger.Judge().Unknown["x"]; got != want {
+			t.Errorf("%s: %d lines came, want %d", mode, got, want)
+		}
+	}
+}
+
 // file is a buffer that is closed as a file is.
 type file struct{ bytes.Buffer }
 
