--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -88,6 +91,81 @@
 	}
 }
 
+// A collector that is to be there is there from the start, and one that is gone is so at once: a test that goes on sees
+// no other order.
+func TestComesAndGoesAtOnce(t *testing.T) {
+	dial := func(c *Carbon) error {
+		nc, err := net.Dial("tcp", c.Addr())
+		if err == nil {
+			nc.Close()
+		}
+		return err
+	}
+	for range 200 { // no run may depend on which goroutine comes first
+		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, NewLedger(nil))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := dial(c); err != nil {
+			t.Fatal("before it runs:", err)
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan error, 1)
+		go func() { done <- c.Run(ctx) }()
+		if err := dial(c); err != nil {
+			t.Fatal("as it runs:", err)
+		}
+		c.Set(Gone)
+		if err := dial(c); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Fatal("gone:", err)
+		}
+		cancel()
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// turning is a connection under which the mode changes while it is being read.
+type turning struct {
+	net.Conn
+	rest   io.Reader
+	turn   func()
+	closed bool
+}
+
+func (c *turning) Read(p []byte) (int, error) {
+	c.turn()
+	if c.closed {
+		return 0, net.ErrClosed
+	}
+	return io.ReadFull(c.rest, p)
+}
+
+func (c *turning) Close() error {
+	c.closed = true
+	return nil
+}
+
+// A connection that is being read as Tear ends is not torn any more, so what is written from then on comes whole.
+func TestNothingIsTornUnderAnotherMode(t *testing.T) {
+	const lines = 3000 // of 6 bytes: tearAfter is inside of one
+	for mode, want := range map[Mode]int{Tear: tearAfter / 6, Serve: lines} {
+		ledger := NewLedger(nil)
+		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, ledger)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Set(Tear)
+		nc := &turning{rest: strings.NewReader(strings.Repeat("x 1 1\n", lines)), turn: func() { c.Set(mode) }}
+		c.read(t.Context(), nc)
+		c.Set(Gone)
+		if got := ledger.Judge().Unknown["x"]; got != want {
+			t.Errorf("%s: %d lines came, want %d", mode, got, want)
+		}
+	}
+}
+
 // file is a buffer that is closed as a file is.
 type file struct{ bytes.Buffer }
 
