--- a/cmd/wheatlane/config.go
+++ b/cmd/wheatlane/config.go
@@ -18,7 +18,7 @@
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/description"
 	"wheatlane/internal/jsontext"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 )
 
 // errDiffer says that two files differ, in what is printed.
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, jsontext.MostText+1))
+	return io.ReadAll(io.LimitReader(f, jsontext.MaxText+1))
 }
 
 // errFindings says that there are findings, which are printed.
@@ -64,7 +64,7 @@
 func configCommand() *cobra.Command {
 	schema := &cobra.Command{Use: "schema", Short: "Print the JSON Schema of the operator's file", Args: takes(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			text, err := operator.Schema()
+			text, err := operatorconfig.Schema()
 			if err != nil {
 				return err
 			}
--- a/cmd/wheatlane/demo.go
+++ b/cmd/wheatlane/demo.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"wheatlane/internal/demo"
-	"wheatlane/internal/standin/script"
+	"wheatlane/internal/emulator/scenario"
 )
 
 func demoCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 			if o.Engines < 1 || o.Engines > 32 || o.Rate <= 0 || o.Rate > 500 {
 				return &usageError{c.CommandPath(), errors.New("1 to 32 engines and up to 500 requests a second can be shown")}
 			}
-			if o.Script, err = script.Parse(faults, demo.Verbs(), o.Engines); err != nil {
+			if o.Script, err = scenario.Parse(faults, demo.Verbs(), o.Engines); err != nil {
 				return &usageError{c.CommandPath(), err}
 			}
 			ctx, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/description"
 	"wheatlane/internal/jsontext"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 )
 
 // schemas are those of all files that are read, by what they are of.
@@ -22,7 +22,7 @@
 	of   string
 	make func() (*jsonschema.Schema, error)
 }{
-	{"an operator's file", operator.JSONSchema},
+	{"an operator's file", operatorconfig.JSONSchema},
 	{"a broker's configuration", config.JSONSchema},
 	{"a description of an application", description.JSONSchema},
 }
--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -17,7 +17,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/description"
 	"wheatlane/internal/jsontext"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -97,7 +97,7 @@
 	for _, file := range []struct {
 		name string
 		make func() (*jsonschema.Schema, error)
-	}{{"operator", operator.JSONSchema}, {"broker", config.JSONSchema}, {"description", description.JSONSchema}} {
+	}{{"operator", operatorconfig.JSONSchema}, {"broker", config.JSONSchema}, {"description", description.JSONSchema}} {
 		s, err := file.make()
 		if err != nil {
 			t.Fatal(err)
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		var all strings.Builder
-		for _, make := range []func() (*jsonschema.Schema, error){operator.JSONSchema, config.JSONSchema, description.JSONSchema} {
+		for _, make := range []func() (*jsonschema.Schema, error){operatorconfig.JSONSchema, config.JSONSchema, description.JSONSchema} {
 			s, err := make()
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/wheatlane/main_test.go
+++ b/cmd/wheatlane/main_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"wheatlane/internal/emulator/collector"
 	"wheatlane/internal/graphite"
-	"wheatlane/internal/standin/collector"
 )
 
 // TestMain lets the test's own binary be the program.
@@ -486,17 +486,17 @@
 	heard(t, two, "the last interval", func(f *collector.Findings) bool {
 		return some(f) && strings.Contains(ended, fmt.Sprintf(`"delivered":%d,`, f.Runs[0].Last))
 	})
-	for _, l := range []*collector.Ledger{one, two} {
-		if f := l.Judge(); !f.OK() {
-			t.Errorf("%v %v %v", f.Faults, f.Unknown, f.Broken)
+	for _, l := range []*collector.Reconciler{one, two} {
+		if f := l.Reconcile(); !f.OK() {
+			t.Errorf("%v %v %v", f.Faults, f.Unknown, f.Malformed)
 		}
 	}
 }
 
 // standIn is a collector to report to.
-func standIn(t *testing.T) (*collector.Carbon, *collector.Ledger) {
+func standIn(t *testing.T) (*collector.Carbon, *collector.Reconciler) {
 	t.Helper()
-	ledger := collector.NewLedger(nil)
+	ledger := collector.NewReconciler(nil)
 	c, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane"}, false, ledger)
 	if err != nil {
 		t.Fatal(err)
@@ -514,12 +514,12 @@
 }
 
 // heard waits until a collector holds what is wanted.
-func heard(t *testing.T, l *collector.Ledger, what string, ok func(*collector.Findings) bool) {
+func heard(t *testing.T, l *collector.Reconciler, what string, ok func(*collector.Findings) bool) {
 	t.Helper()
 	late := time.After(20 * time.Second)
 	for {
 		changed := l.Changed()
-		if ok(l.Judge()) {
+		if ok(l.Reconcile()) {
 			return
 		}
 		select {
@@ -550,7 +550,7 @@
 		}
 		cmd.Wait() //nolint:errcheck // it was killed
 	}
-	if f := ledger.Judge(); !f.OK() || f.Runs[0].Started >= f.Runs[1].Started {
+	if f := ledger.Reconcile(); !f.OK() || f.Runs[0].Started >= f.Runs[1].Started {
 		t.Fatalf("%+v", f)
 	}
 }
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"wheatlane/internal/emulator/collector"
 	"wheatlane/internal/report"
-	"wheatlane/internal/standin/collector"
 )
 
 func reportCommand() *cobra.Command {
@@ -25,7 +25,7 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			found := collector.Judge(samples, 0, nil, nil)
+			found := collector.Reconcile(samples, 0, nil, nil)
 			if err := errors.Join(report.Write(f, title, found), f.Close()); err != nil {
 				return err
 			}
--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatlane/internal/config"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/service"
 )
 
@@ -28,7 +28,7 @@
 	path := c.Flags().String("operator", "", "the operator's own file; without it WHEATLANE_OPERATOR names one, or there is none")
 	c.RunE = func(*cobra.Command, []string) error {
 		if *path == "" {
-			*path = os.Getenv(operator.Variable)
+			*path = os.Getenv(operatorconfig.Variable)
 		}
 		return serve(*path)
 	}
@@ -58,9 +58,9 @@
 	if err != nil {
 		return err
 	}
-	var own *operator.File
+	var own *operatorconfig.File
 	if path != "" {
-		if own, err = operator.Load(path); err != nil {
+		if own, err = operatorconfig.Load(path); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	fields := []zap.Field{zap.Stringer("listen", broker.Node.Addr()), zap.Int64("seq", cfg.Known.Seq)}
-	if at := broker.Operator(); at != nil {
+	fields := []zap.Field{zap.Stringer("listen", broker.Server.Addr()), zap.Int64("seq", cfg.Known.Revision)}
+	if at := broker.AdminAddr(); at != nil {
 		fields = append(fields, zap.Stringer("operator", at))
 	}
 	log.Info("serving", fields...)
@@ -114,7 +114,7 @@
 		}
 		if err != nil {
 			log.Error("not reloaded, the configuration before stays", zap.Error(err))
-			broker.Invalid(ctx)
+			broker.RejectReload(ctx)
 		} else {
 			broker.Reload(ctx, cfg)
 			running = cfg
@@ -122,12 +122,12 @@
 		if path == "" {
 			continue
 		}
-		own, err := operator.Load(path)
+		own, err := operatorconfig.Load(path)
 		if err != nil {
 			log.Error("not reloaded, the operator's file before stays", zap.Error(err))
 			continue
 		}
-		broker.ReloadOwn(ctx, own)
+		broker.ReloadOperatorConfig(ctx, own)
 		log.Info("operator's file reloaded", zap.String("file", path))
 	}
 }
--- a/cmd/wheatlane/standin.go
+++ b/cmd/wheatlane/standin.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatlane/internal/collectd"
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/emulator/scenario"
 	"wheatlane/internal/graphite"
-	"wheatlane/internal/standin/collector"
-	"wheatlane/internal/standin/fleet"
-	"wheatlane/internal/standin/script"
-	"wheatlane/internal/standin/troupe"
 )
 
 func standinCommand() *cobra.Command {
@@ -43,14 +43,14 @@
 const emptied = "empty"
 
 // collectorVerbs are what a collector can be told to do.
-var collectorVerbs = map[string]bool{string(collector.Serve): false, string(collector.Gone): false, string(collector.Mute): false,
-	string(collector.Slow): false, string(collector.Tear): false, string(collector.Lossy): false, string(collector.Shuffle): false,
+var collectorVerbs = map[string]bool{string(collector.Serve): false, string(collector.Unreachable): false, string(collector.Silent): false,
+	string(collector.Slow): false, string(collector.Truncating): false, string(collector.Lossy): false, string(collector.Reordering): false,
 	emptied: false}
 
 // run plays a collector until a signal or its time, then says what came.
-func (s *standin) run(c *cobra.Command, ledger *collector.Ledger, recording *collector.Recording, addr string,
+func (s *standin) run(c *cobra.Command, ledger *collector.Reconciler, recording *collector.Recording, addr string,
 	set func(collector.Mode), serve func(context.Context) error) error {
-	steps, err := script.Parse(s.faults, collectorVerbs, 0)
+	steps, err := scenario.Parse(s.faults, collectorVerbs, 0)
 	if err != nil {
 		return &usageError{c.CommandPath(), err}
 	}
@@ -65,7 +65,7 @@
 		g.Go(func() error { return recording.Run(ctx) })
 	}
 	g.Go(func() error {
-		return script.Play(ctx, steps, func(st script.Step) error {
+		return scenario.Play(ctx, steps, func(st scenario.Step) error {
 			fmt.Fprintln(c.OutOrStdout(), st)
 			if st.Do == emptied {
 				ledger.Empty()
@@ -84,13 +84,13 @@
 	if err != nil {
 		return err
 	}
-	return tell(c, ledger.Judge())
+	return tell(c, ledger.Reconcile())
 }
 
 // tell prints what a collector found; an error if a rule was broken.
 func tell(c *cobra.Command, f *collector.Findings) error {
 	w := c.OutOrStdout()
-	fmt.Fprintf(w, "%d samples, %d came twice, %d stamps not whole\n", f.Samples, f.Doubled, f.Incomplete)
+	fmt.Fprintf(w, "%d samples, %d came twice, %d stamps not whole\n", f.Samples, f.Duplicated, f.Incomplete)
 	for _, r := range f.Runs {
 		fmt.Fprintf(w, "broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n", r.Broker,
 			time.UnixMilli(r.Started).UTC().Format(time.RFC3339), len(r.Intervals), r.Of, r.Last, r.Series)
@@ -98,7 +98,7 @@
 	if f.OK() {
 		return nil
 	}
-	text, err := json.MarshalIndent(map[string]any{"faults": f.Faults, "unknown": f.Unknown, "broken": f.Broken}, "", "  ")
+	text, err := json.MarshalIndent(map[string]any{"faults": f.Faults, "unknown": f.Unknown, "broken": f.Malformed}, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		if err != nil {
 			return err
 		}
-		ledger := collector.NewLedger(add)
+		ledger := collector.NewReconciler(add)
 		carbon, err := collector.NewCarbon(s.listen, form, pickled, ledger)
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 		if err != nil {
 			return err
 		}
-		ledger := collector.NewLedger(add)
+		ledger := collector.NewReconciler(add)
 		reader := collectd.Reader{Demand: demand, Passwords: func(u string) (string, bool) { return password, u == user && user != "" }}
 		cd, err := collector.NewCollectd(s.listen, reader, 1, ledger)
 		if err != nil {
@@ -192,7 +192,7 @@
 	c.Flags().StringVar(&faults, "faults", "", "what to do when to which, as in 30s:slow:2,60s:quick:2; slow, quick, silent, speak, drain, crash, back, moved")
 	c.Flags().DurationVar(&most, "for", time.Hour, "end after this time at the latest")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		steps, err := script.Parse(faults, troupe.Verbs, n)
+		steps, err := scenario.Parse(faults, cluster.Verbs, n)
 		if err != nil {
 			return &usageError{c.CommandPath(), err}
 		}
@@ -200,18 +200,18 @@
 		defer cancel()
 		ctx, stop := context.WithTimeout(ctx, most)
 		defer stop()
-		var all *troupe.Troupe
-		if all, err = troupe.New(n, nil, func(fleet.Host) error { return fleet.WriteFile(list, all.Hosts()) }); err != nil {
+		var all *cluster.Cluster
+		if all, err = cluster.New(n, nil, func(changelogserver.Host) error { return changelogserver.WriteFile(list, all.Hosts()) }); err != nil {
 			return err
 		}
-		if err := fleet.WriteFile(list, all.Hosts()); err != nil {
+		if err := changelogserver.WriteFile(list, all.Hosts()); err != nil {
 			return err
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%d engines, listed in %s\n", n, list)
 		g, ctx := errgroup.WithContext(ctx)
 		g.Go(func() error { return all.Run(ctx) })
 		g.Go(func() error {
-			return script.Play(ctx, steps, func(st script.Step) error {
+			return scenario.Play(ctx, steps, func(st scenario.Step) error {
 				fmt.Fprintln(c.OutOrStdout(), st)
 				return all.Do(ctx, st)
 			})
@@ -224,7 +224,7 @@
 func standinChangelog() *cobra.Command {
 	var list, listen, faults string
 	var late, most time.Duration
-	verbs := map[string]bool{string(fleet.Serve): false, string(fleet.Break): false, string(fleet.Stall): false, string(fleet.Refuse): false}
+	verbs := map[string]bool{string(changelogserver.Serve): false, string(changelogserver.Break): false, string(changelogserver.Stall): false, string(changelogserver.Refuse): false}
 	c := &cobra.Command{Use: "changelog", Short: "A change log that tells what becomes of a list of engines", Args: takes(cobra.NoArgs)}
 	c.Flags().StringVar(&list, "list", "engines.json", "the list, as 'wheatlane standin engines' keeps it")
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:4222", "address and port")
@@ -232,15 +232,15 @@
 	c.Flags().DurationVar(&late, "late", 0, "tell each change so long after it happened")
 	c.Flags().DurationVar(&most, "for", time.Hour, "end after this time at the latest")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		steps, err := script.Parse(faults, verbs, 0)
+		steps, err := scenario.Parse(faults, verbs, 0)
 		if err != nil {
 			return &usageError{c.CommandPath(), err}
 		}
-		hosts, err := fleet.ReadFile(list)
+		hosts, err := changelogserver.ReadFile(list)
 		if err != nil {
 			return err
 		}
-		changes, err := fleet.New(listen, hosts, nil)
+		changes, err := changelogserver.New(listen, hosts, nil)
 		if err != nil {
 			return err
 		}
@@ -254,9 +254,9 @@
 		g.Go(func() error { return changes.Run(ctx) })
 		g.Go(func() error { return changes.Follow(ctx, list, hosts) })
 		g.Go(func() error {
-			return script.Play(ctx, steps, func(st script.Step) error {
+			return scenario.Play(ctx, steps, func(st scenario.Step) error {
 				fmt.Fprintln(c.OutOrStdout(), st)
-				changes.Set(fleet.Mode(st.Do))
+				changes.Set(changelogserver.Mode(st.Do))
 				return nil
 			})
 		})
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -75,23 +75,23 @@
 
 func kindOf(action control.Action) int {
 	switch action.(type) {
-	case control.Send:
+	case control.SendAttempt:
 		return 1
-	case control.Refuse:
+	case control.Reject:
 		return 2
 	case control.Fail:
 		return 3
-	case control.Cancel:
+	case control.CancelAttempt:
 		return 4
-	case control.Terms:
+	case control.SetAttemptOptions:
 		return 5
 	case control.SetTimer:
 		return 6
-	case control.Probe:
+	case control.ProbeLoad:
 		return 7
-	case control.Tell:
+	case control.SendGossip:
 		return 8
-	case control.Watch:
+	case control.WatchEndpoints:
 		return 9
 	case control.Log:
 		return 10
@@ -117,48 +117,48 @@
 func drawnSettings(seed uint64) control.Settings {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func() bool { return rng.IntN(2) == 0 }
-	s := control.Settings{Gateways: 1 + rng.IntN(4), Zone: "a", Round: 5 * millisecond, GrantCap: 0.4,
-		Grants: flip(), Priorities: flip(), CostTold: flip(), WorthByWork: flip(), ListOnRequest: flip(),
-		Kinds: map[string]control.Kind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
-		Limits: control.Limits{MaxAttempts: 1 + rng.IntN(5), RetryHints: flip(), MaxRetryWait: time.Second, Cancel: flip(),
-			Copies: flip(), Probing: flip(), Peers: flip()},
-		Rules: control.Rules{AskEvery: 10 * time.Second, ColdFrom: 0.4, WarmAfter: 14 * time.Second, FallMultiple: 2,
-			FallWindow: 2 * time.Second, KeyRest: 300 * millisecond}}
+	s := control.Settings{Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
+		MemoryGrants: flip(), Priorities: flip(), ReportsCost: flip(), WeightByWork: flip(), PollEndpointList: flip(),
+		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
+		Limits: control.Limits{MaxAttempts: 1 + rng.IntN(5), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
+			Hedging: flip(), LoadProbes: flip(), Gossip: flip()},
+		Rules: control.Rules{MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second, OverloadMultiple: 2,
+			OverloadWindow: 2 * time.Second, KeyCooldown: 300 * millisecond}}
 	if flip() { // so many that engines are pooled
-		s.Gateways = 40 + rng.IntN(300)
+		s.Brokers = 40 + rng.IntN(300)
 	}
-	s.Gateway = rng.IntN(s.Gateways)
+	s.BrokerIndex = rng.IntN(s.Brokers)
 	if flip() {
-		s.NotesEvery = time.Second
+		s.ProgressInterval = time.Second
 	}
 	if flip() {
 		s.ReportFields = []string{"util", "inflight", "queue"}
 	}
 	if flip() {
-		s.SendLate = 40 * millisecond
+		s.MaxSendDelay = 40 * millisecond
 	}
 	if flip() {
 		s.Tenants = []control.Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}, {Name: "t2"}}
 	}
 	if flip() {
-		s.Rules.BudgetWindow, s.Rules.BudgetShare, s.Rules.BudgetFree = 5*time.Second, 0.1, 2
+		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 5*time.Second, 0.1, 2
 	}
 	for i := range 2 + rng.IntN(3) {
-		k := control.Class{Name: fmt.Sprint("class-", i), Aim: time.Duration(200+rng.IntN(1500)) * millisecond,
-			AimStretch: 2 * rng.Float64(), Worth: 1 + 10*rng.Float64(), LateWorth: float64(rng.IntN(2)) * 0.4,
-			Effect: control.Effect(rng.IntN(3)), Scope: control.Scope(rng.IntN(3)), Window: time.Duration(1+rng.IntN(4)) * time.Second,
-			Ordered: flip(), Threads: rng.IntN(4), Load: flip(), Waits: flip()}
+		k := control.Class{Name: fmt.Sprint("class-", i), LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
+			ObjectivePerWork: 2 * rng.Float64(), PriorityWeight: 1 + 10*rng.Float64(), LateWeight: float64(rng.IntN(2)) * 0.4,
+			Idempotency: control.Idempotency(rng.IntN(3)), DedupScope: control.DedupScope(rng.IntN(3)), DedupWindow: time.Duration(1+rng.IntN(4)) * time.Second,
+			Ordered: flip(), Threads: rng.IntN(4), HoldsDataSetLock: flip(), BlockedByDataSetLock: flip()}
 		if rng.IntN(5) == 0 {
-			k.Zones = []string{"b"}
+			k.AllowedZones = []string{"b"}
 		}
 		if rng.IntN(5) == 0 {
-			k.Kinds = []string{"std"}
+			k.AllowedKinds = []string{"std"}
 		}
 		if flip() {
-			k.GiveUp = k.Aim * time.Duration(2+rng.IntN(5))
+			k.ClientTimeout = k.LatencyObjective * time.Duration(2+rng.IntN(5))
 		}
 		if rng.IntN(6) == 0 {
-			k.Aim = 0
+			k.LatencyObjective = 0
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -191,7 +191,7 @@
 
 // fleetOf has a site's engines shared by so many brokers that they are pooled.
 func fleetOf(brokers int) func(*control.Settings) {
-	return func(s *control.Settings) { s.Gateways, s.Gateway = brokers, brokers/3 }
+	return func(s *control.Settings) { s.Brokers, s.BrokerIndex = brokers, brokers/3 }
 }
 
 func behaviourCases() []behaviourCase {
@@ -211,7 +211,7 @@
 	}
 	for seed := range uint64(len(drawnHashes)) {
 		engines := 4 + 2*int(seed%5)
-		if drawnSettings(seed).Gateways > 4 {
+		if drawnSettings(seed).Brokers > 4 {
 			engines = 70
 		}
 		cases = append(cases, behaviourCase{fmt.Sprint("drawn settings ", seed), drawn(seed), engines, 1, 60 * time.Second,
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -27,7 +27,7 @@
 
 func requestsIn(events []control.Event) (n int) {
 	for _, event := range events {
-		if _, ok := event.(control.Arrival); ok {
+		if _, ok := event.(control.RequestReceived); ok {
 			n++
 		}
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -97,7 +97,7 @@
 )
 
 // arrive takes a query. Its guard timer gives it its one answer whatever else happens to it.
-func (c *Controller) arrive(in Query) {
+func (c *Controller) arrive(in Request) {
 	i, ok := c.classOf[in.Class]
 	if c.queries[in.ID] != nil {
 		return
@@ -107,11 +107,11 @@
 		return
 	}
 	k, t := c.classes[i], c.tenant(in.Tenant)
-	q := &query{Query: in, c: i, t: t, taken: c.now, work: k.work, prio: 1}
-	if in.Work > 0 {
-		q.work = in.Work.Seconds() * k.ratio
+	q := &query{Request: in, c: i, t: t, taken: c.now, work: k.work, prio: 1}
+	if in.EstimatedWork > 0 {
+		q.work = in.EstimatedWork.Seconds() * k.ratio
 	}
-	q.aim = min(in.Deadline, c.now+k.Aim+seconds(k.AimStretch*q.work/float64(k.Threads)))
+	q.aim = min(in.Deadline, c.now+k.LatencyObjective+seconds(k.ObjectivePerWork*q.work/float64(k.Threads)))
 	if k.leaves > manyLeave { // symptom (impatience): clients leave before their time
 		q.aim = min(q.aim, c.now+seconds(k.stays))
 	}
@@ -119,7 +119,7 @@
 	c.tenants[t].arrived++
 	c.queries[in.ID] = q
 	c.took = append(c.took, c.now)
-	c.alarm(in.Deadline-c.now-2*c.set.Round, func() { c.giveUp(q) })
+	c.alarm(in.Deadline-c.now-2*c.set.MinBatchInterval, func() { c.giveUp(q) })
 	c.line(q)
 	c.place(q, nil)
 }
@@ -131,10 +131,10 @@
 	}
 	k := c.classes[q.c]
 	ran := slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.ran })
-	if !ran || k.Effect == Repeatable || k.Effect == Keyed && k.Scope == ScopeAll {
-		r := Refuse{Query: q.ID}
-		if c.set.Limits.RetryHints {
-			r.RetryIn = c.retryIn()
+	if !ran || k.Idempotency == Idempotent || k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll {
+		r := Reject{RequestID: q.ID}
+		if c.set.Limits.RetryAfter {
+			r.RetryAfter = c.retryIn()
 		}
 		c.do(r)
 	} else {
@@ -146,7 +146,7 @@
 // retryIn is when a refused client is asked to come back: spread evenly up to the longest wait that clients
 // follow, as what a fleet refuses at once must not come back at once.
 func (c *Controller) retryIn() time.Duration {
-	hi := min(c.set.Limits.MaxRetryWait, time.Second)
+	hi := min(c.set.Limits.MaxRetryAfter, time.Second)
 	lo := min(300*time.Millisecond, hi/2)
 	return lo + time.Duration(c.rng.Float64()*float64(hi-lo))
 }
@@ -158,14 +158,14 @@
 		return false
 	}
 	for _, a := range q.attempts { // 2: each effect once
-		if a.out && (!c.set.Limits.Copies || k.Effect == Once) {
+		if a.out && (!c.set.Limits.Hedging || k.Idempotency == NonIdempotent) {
 			return false
 		}
-		if !a.ran || k.Effect == Repeatable { // ran holds while an attempt is out
+		if !a.ran || k.Idempotency == Idempotent { // ran holds while an attempt is out
 			continue
 		}
-		same := k.Scope == ScopeAll || k.Scope == ScopeZone && e.Zone == a.e.Zone ||
-			k.Scope == ScopeCell && e.Cell == a.e.Cell
+		same := k.DedupScope == DedupScopeAll || k.DedupScope == DedupScopeZone && e.Zone == a.e.Zone ||
+			k.DedupScope == DedupScopeCell && e.Cell == a.e.Cell
 		if !same || c.barred(k, a) {
 			return false
 		}
@@ -179,13 +179,13 @@
 	if q.line != nil && (q.line.queue[0] != q || len(q.attempts) == 0 && c.now < q.line.restTo) { // 5
 		return false
 	}
-	if len(k.Zones) > 0 && !slices.Contains(k.Zones, e.Zone) ||
-		len(k.Kinds) > 0 && !slices.Contains(k.Kinds, e.Kind) { // 6
+	if len(k.AllowedZones) > 0 && !slices.Contains(k.AllowedZones, e.Zone) ||
+		len(k.AllowedKinds) > 0 && !slices.Contains(k.AllowedKinds, e.Kind) { // 6
 		return false
 	}
-	if len(q.attempts) > 0 && r.BudgetWindow > 0 { // 7
+	if len(q.attempts) > 0 && r.RetryBudgetWindow > 0 { // 7
 		c.trim()
-		if float64(len(c.further)+1) > r.BudgetFree+r.BudgetShare*float64(len(c.took)) {
+		if float64(len(c.further)+1) > r.RetryBudgetReserve+r.RetryBudgetRatio*float64(len(c.took)) {
 			return false
 		}
 	}
@@ -194,8 +194,8 @@
 
 // barred says whether an attempt that may have run allows no other one of its class, at whichever engine.
 func (c *Controller) barred(k *class, a *attempt) bool {
-	window := k.Window - c.set.Round - c.set.SendLate
-	return a.ran && (k.Effect == Once || k.Effect == Keyed && c.now-a.sent >= window)
+	window := k.DedupWindow - c.set.MinBatchInterval - c.set.MaxSendDelay
+	return a.ran && (k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && c.now-a.sent >= window)
 }
 
 // spent says whether a query can have no further attempt, whatever becomes of the engines.
@@ -208,16 +208,16 @@
 // where the deployment doesn't say by what cold ones fall.
 func (c *Controller) cold(e *engine) bool {
 	r := &c.set.Rules
-	falls := r.FallWindow > 0 && r.FallMultiple > 0
-	return falls && e.StartedAt > 0 && c.now-e.StartedAt < r.WarmAfter+time.Second
+	falls := r.OverloadWindow > 0 && r.OverloadMultiple > 0
+	return falls && e.StartedAt > 0 && c.now-e.StartedAt < r.SlowStartDuration+time.Second
 }
 
 func (c *Controller) warmth(e *engine) float64 {
 	if !c.cold(e) {
 		return 1
 	}
-	from, since := c.set.Rules.ColdFrom, float64(c.now-e.StartedAt)
-	return from + (1-from)*coldRamp*min(1, since/float64(c.set.Rules.WarmAfter))
+	from, since := c.set.Rules.SlowStartInitial, float64(c.now-e.StartedAt)
+	return from + (1-from)*coldRamp*min(1, since/float64(c.set.Rules.SlowStartDuration))
 }
 
 // coldRoom keeps this gateway's part of a cold engine's budget, shared unseen: half by head, half by traffic.
@@ -225,18 +225,18 @@
 // window long; as many as half the budget (a window can touch two) has room for: heavy queries, or by chance.
 func (c *Controller) coldRoom(e *engine, k *class) bool {
 	r := &c.set.Rules
-	mine, budget := 0.5/float64(c.set.Gateways)+0.5*c.part, c.coldBudget(e)
+	mine, budget := 0.5/float64(c.set.Brokers)+0.5*c.part, c.coldBudget(e)
 	if c.pool != nil {
-		n := c.set.Gateways
+		n := c.set.Brokers
 		turns, fit := c.turns(e)
-		first := e.hash + int((c.now-e.StartedAt)/r.FallWindow)*turns
-		if (c.set.Gateway+n-first%n)%n >= turns {
+		first := e.hash + int((c.now-e.StartedAt)/r.OverloadWindow)*turns
+		if (c.set.BrokerIndex+n-first%n)%n >= turns {
 			return false
 		}
 		mine = 0.5 / fit
 	}
 	budget *= mine
-	e.colds = slices.DeleteFunc(e.colds, func(s coldSend) bool { return s.at <= c.now-r.FallWindow })
+	e.colds = slices.DeleteFunc(e.colds, func(s coldSend) bool { return s.at <= c.now-r.OverloadWindow })
 	used := k.work
 	for _, s := range e.colds {
 		used += s.work
@@ -247,15 +247,15 @@
 // coldBudget is the work that all gateways together may send a cold engine within a window.
 func (c *Controller) coldBudget(e *engine) float64 {
 	r := &c.set.Rules
-	return r.FallMultiple * c.warmth(e) * coldBusy * e.cores * r.FallWindow.Seconds() * coldSafety
+	return r.OverloadMultiple * c.warmth(e) * coldBusy * e.cores * r.OverloadWindow.Seconds() * coldSafety
 }
 
 // turns is how many gateways have their turn at a cold engine at a time, and how many heavy queries fit it.
 func (c *Controller) turns(e *engine) (turns int, fit float64) {
 	budget := c.coldBudget(e)
 	fit = max(1, math.Floor(budget/2/max(c.heaviest, 1e-3)))
-	use := c.rate * c.meanWork * c.set.Rules.FallWindow.Seconds() / float64(c.ready)
-	return int(min(float64(c.set.Gateways), max(fit, coldChance*budget/2/use))), fit
+	use := c.rate * c.meanWork * c.set.Rules.OverloadWindow.Seconds() / float64(c.ready)
+	return int(min(float64(c.set.Brokers), max(fit, coldChance*budget/2/use))), fit
 }
 
 // pooled says whether engines share one queue and bound. Exception, where this gateway's part of an engine's
@@ -263,10 +263,10 @@
 // judge each. All count as one large engine; a query's own is chosen when it leaves.
 func (c *Controller) pooled() bool {
 	cores := 0.0
-	for _, k := range c.set.Kinds {
+	for _, k := range c.set.EngineKinds {
 		cores = max(cores, k.Cores)
 	}
-	return mostThreads*cores < c.widest*float64(c.set.Gateways)
+	return mostThreads*cores < c.widest*float64(c.set.Brokers)
 }
 
 // place queues a query at the eligible engine with most room under its bound, or at the pool.
@@ -277,7 +277,7 @@
 		return
 	}
 	// What is more work than the mean query goes to the best of a few engines whose load is asked for.
-	if c.set.Limits.Probing && !q.probed && c.classes[q.c].work > c.meanWork && c.pool == nil {
+	if c.set.Limits.LoadProbes && !q.probed && c.classes[q.c].work > c.meanWork && c.pool == nil {
 		q.probed = true
 		asked := false
 		for n := 0; n < probes && len(c.engines) > 0; n++ {
@@ -285,11 +285,11 @@
 			young := o.askedAt > 0 && c.now-o.askedAt < reportAge
 			if o.listed && o.State == Ready && !o.down && !young {
 				o.askedAt, asked = c.now, true
-				c.do(Probe{o.ID})
+				c.do(ProbeLoad{o.ID})
 			}
 		}
 		if asked {
-			c.alarm(probeWait*c.set.Round, func() {
+			c.alarm(probeWait*c.set.MinBatchInterval, func() {
 				if !q.closed {
 					c.place(q, not)
 				}
@@ -325,7 +325,7 @@
 			room := c.room(e, q) + c.luck(e)
 			if e.down && !c.doubt {
 				if c.now < e.trialAt || e.lot == e && e.threads > 0 || len(q.attempts) > 0 ||
-					c.classes[q.c].Worth > c.leastWorth { // a trial is cheap
+					c.classes[q.c].PriorityWeight > c.leastWorth { // a trial is cheap
 					continue
 				}
 				room += 100
@@ -348,7 +348,7 @@
 	luck := -math.Log(c.rng.ExpFloat64())
 	if c.cold(e) {
 		turns, _ := c.turns(e)
-		luck += math.Log(c.warmth(e) * float64(c.set.Gateways) / float64(turns))
+		luck += math.Log(c.warmth(e) * float64(c.set.Brokers) / float64(turns))
 	}
 	return chance * luck
 }
@@ -369,19 +369,19 @@
 		room -= crossPrice
 	}
 	k := c.classes[q.c]
-	if (k.Load || k.Waits) && c.loading(e, q.Tables) {
+	if (k.HoldsDataSetLock || k.BlockedByDataSetLock) && c.loading(e, q.DataSet) {
 		room -= loadPrice
 	}
-	if at := e.ranks(q.Tables); k.Load { // all gateways rank alike, so loads of others keep away, too
+	if at := e.ranks(q.DataSet); k.HoldsDataSetLock { // all gateways rank alike, so loads of others keep away, too
 		room -= apartPrice * at
-	} else if k.Waits {
+	} else if k.BlockedByDataSetLock {
 		room -= apartPrice * (1 - at)
 	}
 	return room
 }
 
 func (c *Controller) pressed(e *engine) bool {
-	told := c.set.CostTold || len(c.set.ReportFields) == 0 // else reports tell more than noisy times
+	told := c.set.ReportsCost || len(c.set.ReportFields) == 0 // else reports tell more than noisy times
 	return c.full(e, fullFor) || e.overdue > overdueAt ||
 		e.report > busyAt && (e.threads > 0 || c.now-e.reportAt < interval) ||
 		told && e.samples > leastSamples && c.slowness(e) > pressureAt
@@ -394,7 +394,7 @@
 	if e.lot != e { // the fewer its own answers, the more the pool's count
 		slow = e.lot.slow + (e.slow-e.lot.slow)*e.evidence/(e.evidence+poolWeight)
 	}
-	if c.set.CostTold {
+	if c.set.ReportsCost {
 		return max(0, slow-c.best)
 	}
 	return max(0, slow-c.best-scatter)
@@ -439,7 +439,7 @@
 // keep out is worth more. Guards against a few very heavy queries that keep out many of the same worth each.
 func (c *Controller) costly(q *query) bool {
 	k := c.classes[q.c]
-	return c.pool != nil && !c.set.WorthByWork && k.Worth < c.price*c.cheapest*q.work
+	return c.pool != nil && !c.set.WeightByWork && k.PriorityWeight < c.price*c.cheapest*q.work
 }
 
 // short raises the price, as a query was refused for lack of room that was not the least worth its work.
@@ -490,7 +490,7 @@
 func (c *Controller) ask(q *query) bool {
 	k, asked := c.classes[q.c], false
 	q.drawn = nil
-	if !c.set.Limits.Probing || k.work <= c.meanWork {
+	if !c.set.Limits.LoadProbes || k.work <= c.meanWork {
 		return false
 	}
 	for range probes {
@@ -501,13 +501,13 @@
 		q.drawn = append(q.drawn, e)
 		if c.now-max(e.askedAt, e.reportAt) >= reportAge {
 			e.askedAt, asked = c.now, true
-			c.do(Probe{e.ID})
+			c.do(ProbeLoad{e.ID})
 		}
 	}
 	if asked {
 		k.leaving++ // its threads are taken meanwhile
 		c.pool.threads += k.Threads
-		c.alarm(probeWait*c.set.Round, func() {
+		c.alarm(probeWait*c.set.MinBatchInterval, func() {
 			k.leaving--
 			c.pool.threads -= k.Threads
 			if !q.closed {
@@ -564,7 +564,7 @@
 	}
 	// Only a trial on a doubtful engine ends early, for another try: work that is cut off is lost.
 	usual := c.patienceFor(q, e)
-	to := Send{Query: q.ID, Engine: e.ID, Due: usual}
+	to := SendAttempt{RequestID: q.ID, Engine: e.ID, OverdueAfter: usual}
 	if e.down && 2*usual < q.Deadline-c.now {
 		to.Timeout = usual
 	}
@@ -574,9 +574,9 @@
 
 // terms names memory and priority where they are heeded.
 func (c *Controller) terms(q *query, e *engine) {
-	t := Terms{Query: q.ID, Priority: 1}
-	if c.set.Grants && c.set.CostTold && q.MemoryMB > 0 {
-		t.GrantMB = math.Ceil(min(q.MemoryMB*c.classes[q.c].needs, c.set.GrantCap*e.memory))
+	t := SetAttemptOptions{RequestID: q.ID, Priority: 1}
+	if c.set.MemoryGrants && c.set.ReportsCost && q.EstimatedMemoryMB > 0 {
+		t.GrantMB = math.Ceil(min(q.EstimatedMemoryMB*c.classes[q.c].needs, c.set.MaxGrantFraction*e.memory))
 	}
 	if c.set.Priorities {
 		t.Priority = c.priority(q)
@@ -596,8 +596,8 @@
 }
 
 // outcome takes the end of an attempt.
-func (c *Controller) outcome(ev Attempt) {
-	a := c.running(ev.Query, ev.Number)
+func (c *Controller) outcome(ev AttemptEnded) {
+	a := c.running(ev.RequestID, ev.Number)
 	if a == nil {
 		return
 	}
@@ -607,26 +607,26 @@
 	if a.lost && ev.Status == OK {
 		e.lost, c.lost = max(0, e.lost-a.sure), max(0, c.lost-a.sure)
 	}
-	if width := c.classes[q.c].Threads; ev.Status == TimedOut && !c.set.Limits.Cancel && !a.dropped {
+	if width := c.classes[q.c].Threads; ev.Status == TimedOut && !c.set.Limits.Cancellation && !a.dropped {
 		c.alarm(c.now-a.sent, func() { e.hold(-width) }) // it may run on: as long again, by its age
 	} else if !a.dropped {
 		e.hold(-width)
 	}
-	a.ran = ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot
-	if q.line != nil && (ev.Status == TimedOut || ev.Status == Reset || ev.Status == Cancelled) {
-		q.line.restTo = max(q.line.restTo, c.now+c.set.Rules.KeyRest)
+	a.ran = ev.Status != AtCapacity && ev.Status != ConnectFailed && ev.Status != NeverSent
+	if q.line != nil && (ev.Status == TimedOut || ev.Status == ConnectionReset || ev.Status == Cancelled) {
+		q.line.restTo = max(q.line.restTo, c.now+c.set.Rules.KeyCooldown)
 	}
 	c.reported(e, ev.Report)
-	if !ev.Shared && (!a.lost || ev.Status != TimedOut) {
+	if !ev.SharedCause && (!a.lost || ev.Status != TimedOut) {
 		c.judge(e, ev.Status)
 	}
 	if ev.Status == OK {
 		c.learn(q, a, ev)
-		if c.classes[q.c].Waits {
-			e.unlock(q.Tables)
+		if c.classes[q.c].BlockedByDataSetLock {
+			e.unlock(q.DataSet)
 		}
 	}
-	if ev.Closed && !q.closed {
+	if ev.RequestClosed && !q.closed {
 		c.left(q, 0)
 		c.close(q)
 	}
@@ -639,9 +639,9 @@
 
 // again tries a failed query elsewhere while there is time, unless its work may go on and that adds to a jam.
 func (c *Controller) again(q *query, a *attempt, s Status) {
-	if q.Deadline-c.now < 4*c.set.Round ||
-		s == TimedOut && !c.set.Limits.Cancel && !a.e.down && c.pressed(a.e) ||
-		c.classes[q.c].LateWorth == 0 && c.now > q.aim {
+	if q.Deadline-c.now < 4*c.set.MinBatchInterval ||
+		s == TimedOut && !c.set.Limits.Cancellation && !a.e.down && c.pressed(a.e) ||
+		c.classes[q.c].LateWeight == 0 && c.now > q.aim {
 		c.giveUp(q)
 	} else {
 		c.place(q, a.e)
@@ -652,19 +652,19 @@
 func (c *Controller) judge(e *engine, s Status) {
 	bad := 1.0
 	switch s {
-	case Moot, Cancelled:
+	case NeverSent, Cancelled:
 		return
 	case TimedOut:
 		if !c.pressed(e.lot) {
 			c.lose(e, 1)
 		}
 		return
-	case Full:
+	case AtCapacity:
 		e.fullAt, e.heardAt, e.lot.fullAt = c.now, c.now, c.now
 		return
 	case OK:
 		bad, e.heardAt = 0, c.now
-	case Failed, Reset:
+	case Failed, ConnectionReset:
 		e.heardAt = c.now
 	}
 	e.evidence, c.evidence = e.evidence+1, c.evidence+1
@@ -707,14 +707,14 @@
 		return
 	}
 	k, limit := c.classes[a.q.c], c.patienceFor(a.q, a.e)
-	if n := c.set.NotesEvery; n > 0 {
+	if n := c.set.ProgressInterval; n > 0 {
 		limit = min(limit, seconds(missedNotes*n.Seconds()))
 	}
 	heard := max(a.sent, a.heardAt)
 	// The likelier a loss, the sooner it is judged.
 	least := seconds(leastSilence.Seconds() * math.Sqrt(surelyLost/c.tail(a.e)))
-	if k.Waits { // it may stand still behind a load, which is no loss, but takes too long
-		least = seconds(leastStand * k.Aim.Seconds())
+	if k.BlockedByDataSetLock { // it may stand still behind a load, which is no loss, but takes too long
+		least = seconds(leastStand * k.LatencyObjective.Seconds())
 		alive := c.now-a.e.heardAt < leastSilence
 		if alive && !a.dropped && c.now-heard >= max(limit, least) {
 			c.stand(a)
@@ -749,7 +749,7 @@
 // then, others that would stand there too go elsewhere, and it is tried elsewhere while there is time.
 func (c *Controller) stand(a *attempt) {
 	c.drop(a)
-	a.e.locks = append(a.e.locks, lock{a.q.Tables, c.now + seconds(c.longest)})
+	a.e.locks = append(a.e.locks, lock{a.q.DataSet, c.now + seconds(c.longest)})
 	c.rescue(a)
 }
 
@@ -761,32 +761,32 @@
 func (c *Controller) rescue(a *attempt) {
 	q, k := a.q, c.classes[a.q.c]
 	if len(q.attempts) >= c.set.Limits.MaxAttempts || a.called || q.at != nil ||
-		k.Effect == Once || k.Effect == Keyed && k.Scope != ScopeAll ||
-		c.now+seconds(q.work) > q.Deadline || k.LateWorth == 0 && c.now > q.aim {
+		k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && k.DedupScope != DedupScopeAll ||
+		c.now+seconds(q.work) > q.Deadline || k.LateWeight == 0 && c.now > q.aim {
 		return
 	}
-	if c.set.Limits.Cancel {
+	if c.set.Limits.Cancellation {
 		a.called = true
-		c.do(Cancel{q.ID, a.n})
-	} else if e := c.pick(q, a.e); c.set.Limits.Copies && e != nil && e != a.e {
+		c.do(CancelAttempt{q.ID, a.n})
+	} else if e := c.pick(q, a.e); c.set.Limits.Hedging && e != nil && e != a.e {
 		c.send(q, e)
 	}
 }
 
 // note takes news of a running attempt. Little progress for much time is a bad plan: it is called off
 // where a fresh attempt should end sooner.
-func (c *Controller) note(ev Note) {
-	a := c.running(ev.Query, ev.Number)
+func (c *Controller) note(ev AttemptProgress) {
+	a := c.running(ev.RequestID, ev.Number)
 	if a == nil {
 		return
 	}
 	a.heardAt, a.e.heardAt = c.now, c.now
-	if ev.Kind != Progress {
+	if ev.Kind != ProgressFraction {
 		return
 	}
 	spent, usual := (c.now - a.sent).Seconds(), c.expect(a.q, a.e)
 	left := spent * (1 - ev.Value) / max(ev.Value, 0.005)
-	if c.set.Limits.Cancel && left > badPlan*usual {
+	if c.set.Limits.Cancellation && left > badPlan*usual {
 		c.rescue(a)
 	}
 }
@@ -795,9 +795,9 @@
 func (c *Controller) tick() {
 	c.do(SetTimer{tick, 1})
 	c.trim()
-	if c.set.ListOnRequest && !c.watching && c.now >= c.askAt {
+	if c.set.PollEndpointList && !c.watching && c.now >= c.askAt {
 		c.watching = true
-		c.do(Watch{})
+		c.do(WatchEndpoints{})
 	}
 	c.fade(evidenceFade, failFade)
 	for _, e := range c.lots() {
@@ -818,13 +818,13 @@
 // tell tells another gateway, drawn by chance, of the engines' loads, by reports of its own and by those
 // heard of: so news reach all within seconds, at a price that does not grow with their number.
 func (c *Controller) tell() {
-	n := c.set.Gateways
-	if !c.set.Limits.Peers || c.pool == nil || n < 2 || c.now-c.toldAt < tellEvery {
+	n := c.set.Brokers
+	if !c.set.Limits.Gossip || c.pool == nil || n < 2 || c.now-c.toldAt < tellEvery {
 		return
 	}
 	if known := c.known(seconds(reportLasts)); len(known) > 0 {
 		c.toldAt = c.now
-		c.do(Tell{(c.set.Gateway + 1 + c.rng.IntN(n-1)) % n, known})
+		c.do(SendGossip{(c.set.BrokerIndex + 1 + c.rng.IntN(n-1)) % n, known})
 	}
 }
 
@@ -859,9 +859,9 @@
 	}
 	c.price = max(leastPrice, c.price*priceFall)
 	k := c.tightest
-	target := max(targetFloor, 1-k.wait/k.Aim.Seconds())
+	target := max(targetFloor, 1-k.wait/k.LatencyObjective.Seconds())
 	threads, memory := c.means()
-	fair := max(1/float64(c.set.Gateways), c.part)
+	fair := max(1/float64(c.set.Brokers), c.part)
 	if c.pool != nil {
 		fair = c.part
 	}
@@ -927,7 +927,7 @@
 	s[i] -= d
 	k := c.classes[i]
 	onTime := min(1, max(0, inverse))
-	return k.Worth * k.rate * min(1, max(0, through)) * (k.LateWorth + (1-k.LateWorth)*onTime*onTime)
+	return k.PriorityWeight * k.rate * min(1, max(0, through)) * (k.LateWeight + (1-k.LateWeight)*onTime*onTime)
 }
 
 func (f *queue) push(c *Controller, q *query) {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -13,17 +13,17 @@
 
 // base is a small deployment: one quick and one long class, two tenants, four engines' worth of rules.
 func base() Settings {
-	return Settings{Gateways: 2, Zone: "a", Round: 5 * ms,
+	return Settings{Brokers: 2, Zone: "a", MinBatchInterval: 5 * ms,
 		Classes: []Class{
-			{Name: "quick", Aim: 600 * ms, AimStretch: 1, Worth: 1, Threads: 1},
-			{Name: "long", Aim: 3 * time.Second, AimStretch: 2, Worth: 8,
-				LateWorth: 0.4, Threads: 2}},
-		Tenants:  []Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}},
-		Kinds:    map[string]Kind{"std": {Cores: 8, MemoryMB: 16384}},
-		GrantCap: 0.4, CostTold: true,
+			{Name: "quick", LatencyObjective: 600 * ms, ObjectivePerWork: 1, PriorityWeight: 1, Threads: 1},
+			{Name: "long", LatencyObjective: 3 * time.Second, ObjectivePerWork: 2, PriorityWeight: 8,
+				LateWeight: 0.4, Threads: 2}},
+		Tenants:          []Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}},
+		EngineKinds:      map[string]EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
+		MaxGrantFraction: 0.4, ReportsCost: true,
 		Limits: Limits{MaxAttempts: 3},
-		Rules: Rules{AskEvery: 10 * time.Second, ColdFrom: 0.4, WarmAfter: 14 * time.Second,
-			FallMultiple: 2, FallWindow: 2 * time.Second}}
+		Rules: Rules{MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
+			OverloadMultiple: 2, OverloadWindow: 2 * time.Second}}
 }
 
 // rig drives a controller by hand and keeps what it did; it models no engine.
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, c: c, now: 100 * time.Second, due: map[uint64]time.Duration{}}
-	r.feed(List{Kind: Whole, Engines: engines})
+	r.feed(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
 	return r
 }
 
@@ -74,20 +74,20 @@
 		}
 		slices.Sort(fire)
 		for _, tok := range fire {
-			r.feed(Timer{Token: tok})
+			r.feed(TimerFired{Token: tok})
 		}
 	}
 	return r.all[from:]
 }
 
 // ask gives the controller a query of a class and returns its ID and what was done.
-func (r *rig) ask(class string, change ...func(*Query)) (string, []Action) {
+func (r *rig) ask(class string, change ...func(*Request)) (string, []Action) {
 	r.n++
-	q := Query{ID: fmt.Sprint("q", r.n), Class: class, Tenant: "t0", Deadline: r.now + 3*time.Second}
+	q := Request{ID: fmt.Sprint("q", r.n), Class: class, Tenant: "t0", Deadline: r.now + 3*time.Second}
 	for _, f := range change {
 		f(&q)
 	}
-	return q.ID, r.feed(Arrival{Query: q})
+	return q.ID, r.feed(RequestReceived{Request: q})
 }
 
 func pickOf[T Action](as []Action) []T {
@@ -101,7 +101,7 @@
 }
 
 func (r *rig) end(id string, n int, s Status) []Action {
-	return r.feed(Attempt{Query: id, Number: n, Status: s, Took: 100 * ms, Closed: s == OK,
+	return r.feed(AttemptEnded{RequestID: id, Number: n, Status: s, Duration: 100 * ms, RequestClosed: s == OK,
 		Work: 100 * ms, MemoryMB: 100})
 }
 
@@ -113,7 +113,7 @@
 }
 
 func TestNewRefusesSettingsItCantActOn(t *testing.T) {
-	for _, s := range []Settings{{}, {Gateways: 1}, {Classes: []Class{{Name: "x"}}}} {
+	for _, s := range []Settings{{}, {Brokers: 1}, {Classes: []Class{{Name: "x"}}}} {
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("no error for %+v", s)
 		}
@@ -124,48 +124,48 @@
 	r := newRig(t, base()) // no engines at all: nothing can be sent
 	id, _ := r.ask("quick")
 	got := r.run(5 * time.Second)
-	want(t, "refusals", len(pickOf[Refuse](got)), 1)
-	want(t, "query", pickOf[Refuse](got)[0].Query, id)
-	want(t, "sends", len(pickOf[Send](got)), 0)
+	want(t, "refusals", len(pickOf[Reject](got)), 1)
+	want(t, "query", pickOf[Reject](got)[0].RequestID, id)
+	want(t, "sends", len(pickOf[SendAttempt](got)), 0)
 	want(t, "kept", len(r.c.queries), 0)
 }
 
 func TestAnswerLeavesNothingBehind(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	id, got := r.ask("quick")
-	want(t, "sends", len(pickOf[Send](got)), 1)
+	want(t, "sends", len(pickOf[SendAttempt](got)), 1)
 	r.end(id, 0, OK)
 	got = r.run(4 * time.Second)
-	want(t, "answers of its own", len(pickOf[Refuse](got))+len(pickOf[Fail](got)), 0)
+	want(t, "answers of its own", len(pickOf[Reject](got))+len(pickOf[Fail](got)), 0)
 	want(t, "queries kept", len(r.c.queries), 0)
 	want(t, "threads", r.c.engines[0].threads, 0)
 }
 
 func TestAnOnceQueryThatMayHaveRunIsFailedAndNeverRepeated(t *testing.T) {
 	s := base()
-	s.Classes[0].Effect = Once
+	s.Classes[0].Idempotency = NonIdempotent
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	id, _ := r.ask("quick")
 	got := r.end(id, 0, Failed)
 	want(t, "failures at once", len(pickOf[Fail](got)), 1)
 	got = append(got, r.run(4*time.Second)...)
-	want(t, "repeats", len(pickOf[Send](got)), 0)
-	want(t, "refusals", len(pickOf[Refuse](got)), 0)
+	want(t, "repeats", len(pickOf[SendAttempt](got)), 0)
+	want(t, "refusals", len(pickOf[Reject](got)), 0)
 	want(t, "failures", len(pickOf[Fail](got)), 1)
 	id, _ = r.ask("quick")
-	want(t, "repeats after proof that it never ran", len(pickOf[Send](r.end(id, 0, ConnectFailed))), 1)
+	want(t, "repeats after proof that it never ran", len(pickOf[SendAttempt](r.end(id, 0, ConnectFailed))), 1)
 }
 
 func TestAKeyedQueryStaysInItsGroupAndWindow(t *testing.T) {
-	for _, scope := range []Scope{ScopeZone, ScopeCell} {
+	for _, scope := range []DedupScope{DedupScopeZone, DedupScopeCell} {
 		s := base()
-		s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Window = Keyed, scope, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentWithKey, scope, time.Second
 		b, far := eng("e2"), eng("e3")
 		b.Cell, far.Zone, far.Cell = 0, "b", 1
 		r := newRig(t, s, eng("e1"), b, far)
 		id, got := r.ask("quick")
-		first := pickOf[Send](got)[0].Engine
-		again := pickOf[Send](r.end(id, 0, Failed))
+		first := pickOf[SendAttempt](got)[0].Engine
+		again := pickOf[SendAttempt](r.end(id, 0, Failed))
 		if first == "e3" {
 			want(t, "engine", again[0].Engine, "e3")
 		} else if again[0].Engine == "e3" {
@@ -173,7 +173,7 @@
 		}
 		r.run(1100 * ms)
 		got = append(r.end(id, 1, Failed), r.run(3*time.Second)...)
-		want(t, "sends after the window", len(pickOf[Send](got)), 0)
+		want(t, "sends after the window", len(pickOf[SendAttempt](got)), 0)
 		want(t, "failures", len(pickOf[Fail](got)), 1)
 	}
 }
@@ -186,23 +186,25 @@
 		status       Status
 		fail, refuse int
 	}{
-		"unsafe, reset":              {func(k *Class) { k.Effect = Once }, 0, Reset, 1, 0},
-		"unsafe, timed out":          {func(k *Class) { k.Effect = Once }, 0, TimedOut, 1, 0},
-		"keyed, past its window":     {func(k *Class) { k.Effect, k.Window = Keyed, time.Second }, 1100 * ms, Failed, 0, 1},
-		"keyed for a zone, past it":  {func(k *Class) { k.Effect, k.Scope, k.Window = Keyed, ScopeZone, time.Second }, 1100 * ms, Failed, 1, 0},
-		"keyed, and too late to try": {func(k *Class) { k.Effect, k.Window = Keyed, time.Second }, 750 * ms, Failed, 0, 1},
+		"unsafe, reset":          {func(k *Class) { k.Idempotency = NonIdempotent }, 0, ConnectionReset, 1, 0},
+		"unsafe, timed out":      {func(k *Class) { k.Idempotency = NonIdempotent }, 0, TimedOut, 1, 0},
+		"keyed, past its window": {func(k *Class) { k.Idempotency, k.DedupWindow = IdempotentWithKey, time.Second }, 1100 * ms, Failed, 0, 1},
+		"keyed for a zone, past it": {func(k *Class) {
+			k.Idempotency, k.DedupScope, k.DedupWindow = IdempotentWithKey, DedupScopeZone, time.Second
+		}, 1100 * ms, Failed, 1, 0},
+		"keyed, and too late to try": {func(k *Class) { k.Idempotency, k.DedupWindow = IdempotentWithKey, time.Second }, 750 * ms, Failed, 0, 1},
 	} {
 		s := base()
-		s.SendLate = 300 * ms // so a second attempt after 750 ms might leave past the window
-		s.Classes[1].Effect = Repeatable
+		s.MaxSendDelay = 300 * ms // so a second attempt after 750 ms might leave past the window
+		s.Classes[1].Idempotency = Idempotent
 		c.class(&s.Classes[1])
 		r := newRig(t, s, eng("e1"), eng("e2"))
-		id, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+		id, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 		r.run(c.after)
 		got := r.end(id, 0, c.status)
 		want(t, name+": failures", len(pickOf[Fail](got)), c.fail)
-		want(t, name+": refusals", len(pickOf[Refuse](got)), c.refuse)
-		want(t, name+": repeats", len(pickOf[Send](append(got, r.run(time.Second)...))), 0)
+		want(t, name+": refusals", len(pickOf[Reject](got)), c.refuse)
+		want(t, name+": repeats", len(pickOf[SendAttempt](append(got, r.run(time.Second)...))), 0)
 	}
 }
 
@@ -210,15 +212,15 @@
 func TestALoweredRationEndsWhatWaits(t *testing.T) {
 	s := base()
 	r := newRig(t, s, eng("e1"))
-	id, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+	id, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	gone := eng("e1")
 	gone.State = Draining
-	r.feed(List{Kind: Delta, Engines: []Engine{gone}})
+	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{gone}})
 	got := append(r.end(id, 0, Failed), r.run(300*ms)...)
-	want(t, "answers while there may be another engine", len(pickOf[Refuse](got))+len(pickOf[Fail](got)), 0)
+	want(t, "answers while there may be another engine", len(pickOf[Reject](got))+len(pickOf[Fail](got)), 0)
 	s.Limits.MaxAttempts = 1
-	r.c.Retune(s.Classes, s.Limits)
-	want(t, "refusals", len(pickOf[Refuse](r.run(300*ms))), 1)
+	r.c.UpdateClasses(s.Classes, s.Limits)
+	want(t, "refusals", len(pickOf[Reject](r.run(300*ms))), 1)
 }
 
 // The ration of further attempts counts each for as long as it may have left late, and no query longer than an attempt
@@ -226,7 +228,7 @@
 func TestTheRationAllowsForAttemptsThatLeaveLate(t *testing.T) {
 	for late, wanted := range map[time.Duration][2]int{0: {1, 2}, 300 * ms: {2, 1}} {
 		s := base()
-		s.Rules.BudgetWindow, s.SendLate = 10*time.Second, late
+		s.Rules.RetryBudgetWindow, s.MaxSendDelay = 10*time.Second, late
 		r := newRig(t, s, eng("e1"))
 		r.c.now = r.now
 		past := r.now - 10*time.Second
@@ -239,35 +241,35 @@
 }
 
 func TestNothingNewGoesToAnEngineThatDrainsOrIsGone(t *testing.T) {
-	for _, state := range []EngineState{Draining, Gone} {
+	for _, state := range []EngineState{Draining, Removed} {
 		r := newRig(t, base(), eng("e1"), eng("e2"))
 		e := eng("e1")
 		e.State = state
-		r.feed(List{Kind: Delta, Engines: []Engine{e}})
+		r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}})
 		for range 20 {
 			id, got := r.ask("quick")
-			want(t, "engine", pickOf[Send](got)[0].Engine, "e2")
+			want(t, "engine", pickOf[SendAttempt](got)[0].Engine, "e2")
 			r.end(id, 0, OK)
 		}
 	}
 	r := newRig(t, base(), eng("e1"), eng("e2"))
-	r.feed(List{Kind: Whole, Engines: []Engine{eng("e2")}}) // missing in a whole list: gone
+	r.feed(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{eng("e2")}}) // missing in a whole list: gone
 	_, got := r.ask("quick")
-	want(t, "engine", pickOf[Send](got)[0].Engine, "e2")
+	want(t, "engine", pickOf[SendAttempt](got)[0].Engine, "e2")
 }
 
 func TestAColdEngineGetsOnlyItsBudget(t *testing.T) {
 	r := newRig(t, base())
 	e := eng("e1")
 	e.StartedAt = r.now - 100*ms
-	r.feed(List{Kind: Whole, Engines: []Engine{e}})
+	r.feed(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{e}})
 	sent := 0
 	for range 400 {
 		_, got := r.ask("quick")
-		sent += len(pickOf[Send](got))
+		sent += len(pickOf[SendAttempt](got))
 	}
 	s := r.c.set.Rules
-	most := s.FallMultiple * s.ColdFrom * 1.1 * coldBusy * 8 * s.FallWindow.Seconds() / r.c.classes[0].work
+	most := s.OverloadMultiple * s.SlowStartInitial * 1.1 * coldBusy * 8 * s.OverloadWindow.Seconds() / r.c.classes[0].work
 	if sent == 0 || float64(sent) > most {
 		t.Fatalf("%d sent to a cold engine, at most %.0f by all", sent, most)
 	}
@@ -275,25 +277,25 @@
 
 func TestOneKeysQueriesRunInOrderAndRest(t *testing.T) {
 	s := base()
-	s.Classes[0].Ordered, s.Rules.KeyRest = true, 400*ms
-	key := func(q *Query) { q.Key = "k" }
+	s.Classes[0].Ordered, s.Rules.KeyCooldown = true, 400*ms
+	key := func(q *Request) { q.OrderKey = "k" }
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	one, got := r.ask("quick", key)
-	want(t, "first", len(pickOf[Send](got)), 1)
+	want(t, "first", len(pickOf[SendAttempt](got)), 1)
 	_, got = r.ask("quick", key)
-	want(t, "second waits", len(pickOf[Send](got)), 0)
-	_, got = r.ask("quick", func(q *Query) { q.Key = "other" })
-	want(t, "another key", len(pickOf[Send](got)), 1)
-	r.feed(ClientGone{Query: one}) // over for the client, but its attempt is still out
-	want(t, "while out", len(pickOf[Send](r.run(300*ms))), 0)
+	want(t, "second waits", len(pickOf[SendAttempt](got)), 0)
+	_, got = r.ask("quick", func(q *Request) { q.OrderKey = "other" })
+	want(t, "another key", len(pickOf[SendAttempt](got)), 1)
+	r.feed(ClientDisconnected{RequestID: one}) // over for the client, but its attempt is still out
+	want(t, "while out", len(pickOf[SendAttempt](r.run(300*ms))), 0)
 	r.end(one, 0, TimedOut)
-	want(t, "at rest", len(pickOf[Send](r.run(350*ms))), 0)
-	want(t, "after the rest", len(pickOf[Send](r.run(300*ms))), 1)
+	want(t, "at rest", len(pickOf[SendAttempt](r.run(350*ms))), 0)
+	want(t, "after the rest", len(pickOf[SendAttempt](r.run(300*ms))), 1)
 }
 
 func TestPlacementHoldsOnEveryAttempt(t *testing.T) {
 	s := base()
-	s.Classes[0].Zones, s.Classes[0].Kinds = []string{"b"}, []string{"std"}
+	s.Classes[0].AllowedZones, s.Classes[0].AllowedKinds = []string{"b"}, []string{"std"}
 	b := eng("e2")
 	b.Zone = "b"
 	other := eng("e3")
@@ -301,29 +303,29 @@
 	r := newRig(t, s, eng("e1"), b, other)
 	id, got := r.ask("quick")
 	for n := range 3 {
-		want(t, "engine", pickOf[Send](got)[0].Engine, "e2")
-		if got = r.end(id, n, Failed); n < 2 && len(pickOf[Send](got)) == 0 {
+		want(t, "engine", pickOf[SendAttempt](got)[0].Engine, "e2")
+		if got = r.end(id, n, Failed); n < 2 && len(pickOf[SendAttempt](got)) == 0 {
 			got = r.run(time.Second)
 		}
-		if len(pickOf[Send](got)) == 0 {
+		if len(pickOf[SendAttempt](got)) == 0 {
 			break
 		}
 	}
-	r.feed(List{Kind: Whole, Engines: []Engine{eng("e1"), other}})
+	r.feed(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{eng("e1"), other}})
 	_, got = r.ask("quick")
-	want(t, "sends with no engine allowed", len(pickOf[Send](got))+len(pickOf[Send](r.run(4*time.Second))), 0)
+	want(t, "sends with no engine allowed", len(pickOf[SendAttempt](got))+len(pickOf[SendAttempt](r.run(4*time.Second))), 0)
 }
 
 func TestFurtherAttemptsStayInTheirBudget(t *testing.T) {
 	s := base()
-	s.Rules.BudgetWindow, s.Rules.BudgetShare, s.Rules.BudgetFree = 10*time.Second, 0.1, 2
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 10*time.Second, 0.1, 2
 	r := newRig(t, s, eng("e1"), eng("e2"), eng("e3"))
 	further := 0
 	for range 30 {
 		id, _ := r.ask("quick")
-		further += len(pickOf[Send](r.end(id, 0, ConnectFailed)))
+		further += len(pickOf[SendAttempt](r.end(id, 0, ConnectFailed)))
 	}
-	further += len(pickOf[Send](r.run(100 * ms)))
+	further += len(pickOf[SendAttempt](r.run(100 * ms)))
 	if further == 0 || further > 5 {
 		t.Fatalf("%d further attempts for 30 queries, want 1 to 5", further)
 	}
@@ -331,24 +333,24 @@
 
 func TestNoTwoAttemptsAtOnceAndNoMoreThanAllowed(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
-	id, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
-	want(t, "copies", len(pickOf[Send](r.run(10*time.Second))), 0)
+	id, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	want(t, "copies", len(pickOf[SendAttempt](r.run(10*time.Second))), 0)
 	sends := 1
 	for n := range 4 {
-		sends += len(pickOf[Send](r.end(id, n, Failed)))
-		sends += len(pickOf[Send](r.run(time.Second)))
+		sends += len(pickOf[SendAttempt](r.end(id, n, Failed)))
+		sends += len(pickOf[SendAttempt](r.run(time.Second)))
 	}
 	want(t, "attempts", sends, 3)
 }
 
 func TestTheListIsAskedForAndAgainAfterAFailure(t *testing.T) {
 	s := base()
-	s.ListOnRequest = true
+	s.PollEndpointList = true
 	r := newRig(t, s, eng("e1"))
-	want(t, "first", len(pickOf[Watch](r.run(300*ms))), 1)
-	want(t, "while it holds", len(pickOf[Watch](r.run(20*time.Second))), 0)
-	r.feed(List{Kind: AskFailed})
-	want(t, "again", len(pickOf[Watch](r.run(3*time.Second))), 1)
+	want(t, "first", len(pickOf[WatchEndpoints](r.run(300*ms))), 1)
+	want(t, "while it holds", len(pickOf[WatchEndpoints](r.run(20*time.Second))), 0)
+	r.feed(EndpointUpdate{Kind: EndpointPollFailed})
+	want(t, "again", len(pickOf[WatchEndpoints](r.run(3*time.Second))), 1)
 }
 
 // A fast-failing engine looks idle; it must not draw the traffic, and must be let back by trials.
@@ -357,8 +359,8 @@
 	count := func(bad bool, n int) (sent int) {
 		for range n {
 			id, got := r.ask("quick")
-			for k := 0; k < 3 && len(pickOf[Send](got)) > 0; k++ {
-				if pickOf[Send](got)[0].Engine == "e1" {
+			for k := 0; k < 3 && len(pickOf[SendAttempt](got)) > 0; k++ {
+				if pickOf[SendAttempt](got)[0].Engine == "e1" {
 					sent++
 					if bad {
 						got = r.end(id, k, Failed)
@@ -384,18 +386,18 @@
 
 func TestASilentEngineIsLeftAndItsWorkCalledOff(t *testing.T) {
 	s := base()
-	s.Limits.Cancel, s.NotesEvery, s.Classes[0].LateWorth = true, time.Second, 0.1
+	s.Limits.Cancellation, s.ProgressInterval, s.Classes[0].LateWeight = true, time.Second, 0.1
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	id, got := r.ask("quick")
-	hung := pickOf[Send](got)[0].Engine
+	hung := pickOf[SendAttempt](got)[0].Engine
 	for range 40 {
 		other, got := r.ask("quick")
-		if pickOf[Send](got)[0].Engine != hung {
+		if pickOf[SendAttempt](got)[0].Engine != hung {
 			r.end(other, 0, OK)
 		}
-		if got = r.run(50 * ms); slices.Contains(got, Action(Cancel{Query: id, Number: 0})) {
+		if got = r.run(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
 			want(t, "believed to lose answers", r.c.loss(r.c.engineOf[hung]) > 10*rareLoss, true)
-			again := pickOf[Send](r.end(id, 0, Cancelled))
+			again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 			want(t, "sent elsewhere", len(again) == 1 && again[0].Engine != hung, true)
 			return
 		}
@@ -405,23 +407,23 @@
 
 func TestASilentEngineIsDoubledWhereCopiesAreAllowed(t *testing.T) {
 	s := base()
-	s.Limits.Copies, s.Limits.MaxAttempts, s.Classes[0].LateWorth = true, 2, 0.1
+	s.Limits.Hedging, s.Limits.MaxAttempts, s.Classes[0].LateWeight = true, 2, 0.1
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	id, got := r.ask("quick")
-	first := pickOf[Send](got)[0].Engine
-	copies := pickOf[Send](r.run(2900 * ms))
+	first := pickOf[SendAttempt](got)[0].Engine
+	copies := pickOf[SendAttempt](r.run(2900 * ms))
 	want(t, "copies", len(copies), 1)
-	want(t, "elsewhere", copies[0].Query == id && copies[0].Engine != first, true)
+	want(t, "elsewhere", copies[0].RequestID == id && copies[0].Engine != first, true)
 }
 
 func TestABadPlanIsCalledOff(t *testing.T) {
 	s := base()
-	s.Limits.Cancel, s.NotesEvery = true, time.Second
+	s.Limits.Cancellation, s.ProgressInterval = true, time.Second
 	r := newRig(t, s, eng("e1"), eng("e2"))
-	id, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+	id, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	r.now += time.Second
-	want(t, "at good progress", len(pickOf[Cancel](r.feed(Note{Query: id, Kind: Progress, Value: 0.6}))), 0)
-	want(t, "at little", len(pickOf[Cancel](r.feed(Note{Query: id, Kind: Progress, Value: 0.01}))), 1)
+	want(t, "at good progress", len(pickOf[CancelAttempt](r.feed(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: 0.6}))), 0)
+	want(t, "at little", len(pickOf[CancelAttempt](r.feed(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: 0.01}))), 1)
 }
 
 // A jam sends no news. Without the age of what is out its pressure would lapse and the jam be fed.
@@ -430,14 +432,14 @@
 	sent := 0
 	for range 200 {
 		_, got := r.ask("quick")
-		sent += len(pickOf[Send](got))
-		sent += len(pickOf[Send](r.run(10 * ms)))
+		sent += len(pickOf[SendAttempt](got))
+		sent += len(pickOf[SendAttempt](r.run(10 * ms)))
 	}
 	early := sent
 	for range 200 {
 		_, got := r.ask("quick")
-		sent += len(pickOf[Send](got))
-		sent += len(pickOf[Send](r.run(5 * ms)))
+		sent += len(pickOf[SendAttempt](got))
+		sent += len(pickOf[SendAttempt](r.run(5 * ms)))
 	}
 	if sent-early > 4 {
 		t.Fatalf("%d more sent into a jam (%d before it showed)", sent-early, early)
@@ -451,7 +453,7 @@
 	s.ReportFields = []string{"util"}
 	r := newRig(t, s, eng("e1"))
 	id, _ := r.ask("quick")
-	r.feed(Attempt{Query: id, Status: OK, Took: 100 * ms, Closed: true, Work: 100 * ms, Report: []float64{3}})
+	r.feed(AttemptEnded{RequestID: id, Status: OK, Duration: 100 * ms, RequestClosed: true, Work: 100 * ms, Report: []float64{3}})
 	return r
 }
 
@@ -460,7 +462,7 @@
 	refused := 0
 	for range 200 {
 		_, got := r.ask("quick")
-		refused += len(pickOf[Refuse](got))
+		refused += len(pickOf[Reject](got))
 	}
 	if sent := r.c.engines[0].threads; float64(sent) > r.c.engines[0].bound || refused == 0 {
 		t.Fatalf("%d threads under a bound of %.1f, %d refused", sent, r.c.engines[0].bound, refused)
@@ -470,12 +472,12 @@
 func TestAFullEngineRests(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
 	id, got := r.ask("quick")
-	full := pickOf[Send](got)[0].Engine
-	got = r.end(id, 0, Full)
-	want(t, "elsewhere", pickOf[Send](got)[0].Engine != full, true)
+	full := pickOf[SendAttempt](got)[0].Engine
+	got = r.end(id, 0, AtCapacity)
+	want(t, "elsewhere", pickOf[SendAttempt](got)[0].Engine != full, true)
 	for range 5 {
 		_, got = r.ask("quick")
-		want(t, "not to the full one", pickOf[Send](got)[0].Engine != full, true)
+		want(t, "not to the full one", pickOf[SendAttempt](got)[0].Engine != full, true)
 	}
 }
 
@@ -486,7 +488,7 @@
 	e.fails = 1
 	back := eng("e1")
 	back.StartedAt = r.now
-	r.feed(List{Kind: Delta, Engines: []Engine{back}})
+	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{back}})
 	want(t, "down", e.down, false)
 	want(t, "fails", e.fails, 0.0)
 	want(t, "cold", r.c.cold(e), true)
@@ -499,45 +501,45 @@
 	seen := map[string]bool{}
 	for range 20 {
 		_, got := r.ask("quick")
-		seen[pickOf[Send](got)[0].Engine] = true
+		seen[pickOf[SendAttempt](got)[0].Engine] = true
 	}
 	want(t, "engines tried", len(seen), 3)
 }
 
 func TestMemoryAndPriorityAreNamedOnlyWhereHeeded(t *testing.T) {
-	mem := func(q *Query) { q.MemoryMB = 1000 }
+	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
 	r := newRig(t, base(), eng("e1"))
 	_, got := r.ask("quick", mem)
-	want(t, "terms where nothing is heeded", len(pickOf[Terms](got)), 0)
+	want(t, "terms where nothing is heeded", len(pickOf[SetAttemptOptions](got)), 0)
 	s := base()
-	s.Grants, s.Priorities = true, true
+	s.MemoryGrants, s.Priorities = true, true
 	r = newRig(t, s, eng("e1"))
 	_, got = r.ask("quick", mem)
-	want(t, "grant", pickOf[Terms](got)[0], Terms{Query: "q1", GrantMB: 1250, Priority: 3})
-	_, got = r.ask("quick", func(q *Query) { q.MemoryMB = 1e6 })
-	want(t, "largest grant", pickOf[Terms](got)[0].GrantMB, math.Ceil(0.4*16384))
+	want(t, "grant", pickOf[SetAttemptOptions](got)[0], SetAttemptOptions{RequestID: "q1", GrantMB: 1250, Priority: 3})
+	_, got = r.ask("quick", func(q *Request) { q.EstimatedMemoryMB = 1e6 })
+	want(t, "largest grant", pickOf[SetAttemptOptions](got)[0].GrantMB, math.Ceil(0.4*16384))
 }
 
 func TestEventsOutOfStepAreTakenQuietly(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	id, _ := r.ask("quick")
 	r.end(id, 0, OK)
-	got := r.feed(Attempt{Query: id, Status: OK}, Attempt{Query: "never", Number: 7}, ClientGone{Query: id},
-		ClientGone{Query: id}, Note{Query: id, Kind: Progress}, Timer{Token: 1 << 40}, Started{Query: "never"},
-		ProbeResult{Engine: "never", Status: OK}, List{Kind: Delta})
+	got := r.feed(AttemptEnded{RequestID: id, Status: OK}, AttemptEnded{RequestID: "never", Number: 7}, ClientDisconnected{RequestID: id},
+		ClientDisconnected{RequestID: id}, AttemptProgress{RequestID: id, Kind: ProgressFraction}, TimerFired{Token: 1 << 40}, ResponseStarted{RequestID: "never"},
+		ProbeResult{Engine: "never", Status: OK}, EndpointUpdate{Kind: EndpointDelta})
 	want(t, "actions", len(got), 0)
 	want(t, "empty batch", len(r.c.Handle(r.now, nil)), 0)
-	got = r.feed(Arrival{Query: Query{ID: "x", Class: "unknown", Deadline: r.now + time.Second}})
-	want(t, "a class nobody named", got[0], Action(Fail{Query: "x"}))
+	got = r.feed(RequestReceived{Request: Request{ID: "x", Class: "unknown", Deadline: r.now + time.Second}})
+	want(t, "a class nobody named", got[0], Action(Fail{RequestID: "x"}))
 }
 
 func TestTimeGoingBackwardsCountsAsTheLastTime(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	was := r.c.now
 	r.now -= time.Minute
-	_, got := r.ask("quick", func(q *Query) { q.Deadline = was + time.Second })
+	_, got := r.ask("quick", func(q *Request) { q.Deadline = was + time.Second })
 	want(t, "now", r.c.now, was)
-	want(t, "sent", len(pickOf[Send](got)), 1)
+	want(t, "sent", len(pickOf[SendAttempt](got)), 1)
 }
 
 // Worked example: shares 3 to 1, equal costs, both backlogged: the first class gets three of four.
@@ -548,7 +550,7 @@
 	var q queue
 	q.init(2, 2)
 	for i := range 40 {
-		q.push(c, &query{Query: Query{ID: fmt.Sprint(i)}, c: i % 2, t: i / 2 % 2, work: 1})
+		q.push(c, &query{Request: Request{ID: fmt.Sprint(i)}, c: i % 2, t: i / 2 % 2, work: 1})
 	}
 	var classes, tenants [2]int
 	for range 16 {
@@ -597,12 +599,12 @@
 	bound := r.c.engines[0].bound
 	for i := range 60 {
 		id, _ := r.ask("quick")
-		long, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+		long, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 		r.run(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
 			if q := r.c.queries[id]; q != nil && len(q.attempts) > 0 {
-				r.feed(Attempt{Query: id, Number: len(q.attempts) - 1, Status: OK, Closed: true,
-					Took: time.Duration(50+i*20) * ms, Work: 100 * ms})
+				r.feed(AttemptEnded{RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
+					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms})
 			}
 		}
 	}
@@ -620,7 +622,7 @@
 	r.end(id, 0, OK)
 	fit := r.c.share.Theta.At(0, 0)
 	r.now += 5 * time.Second
-	r.feed(Timer{Token: 1})
+	r.feed(TimerFired{Token: 1})
 	want(t, "fit", r.c.share.Theta.At(0, 0), fit)
 }
 
@@ -630,7 +632,7 @@
 func TestLongQueriesDontKeepQuickOnesOut(t *testing.T) {
 	r := pressedRig(t)
 	for range 10 {
-		r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
 	e := r.c.engines[0]
 	if room := e.bound - float64(e.threads); room >= 2 || !r.c.pressed(e) {
@@ -639,7 +641,7 @@
 	quick := 0
 	for range 20 {
 		_, got := r.ask("quick")
-		quick += len(pickOf[Send](got))
+		quick += len(pickOf[SendAttempt](got))
 	}
 	if float64(quick) <= r.c.shares[0]*e.bound || float64(quick) > e.bound {
 		t.Fatalf("%d quick queries were sent, want more than their share of the bound of %.1f and no more than it", quick, e.bound)
@@ -649,25 +651,25 @@
 // What runs for a client that left is called off where that is heeded; its threads are free once it ends.
 func TestWorkOfAClientThatLeftIsCalledOff(t *testing.T) {
 	s := base()
-	s.Limits.Cancel = true
+	s.Limits.Cancellation = true
 	r := newRig(t, s, eng("e1"))
 	id, _ := r.ask("quick")
-	want(t, "called off", slices.Contains(r.feed(ClientGone{Query: id}), Action(Cancel{Query: id})), true)
-	want(t, "once", len(pickOf[Cancel](r.run(5*time.Second))), 0)
+	want(t, "called off", slices.Contains(r.feed(ClientDisconnected{RequestID: id}), Action(CancelAttempt{RequestID: id})), true)
+	want(t, "once", len(pickOf[CancelAttempt](r.run(5*time.Second))), 0)
 	r.end(id, 0, Cancelled)
 	want(t, "threads", r.c.engines[0].threads, 0)
 	want(t, "queries kept", len(r.c.queries), 0)
-	s.Limits.Cancel = false
+	s.Limits.Cancellation = false
 	r = newRig(t, s, eng("e1"))
 	id, _ = r.ask("quick")
-	want(t, "where it is not heeded", len(pickOf[Cancel](r.feed(ClientGone{Query: id}))), 0)
+	want(t, "where it is not heeded", len(pickOf[CancelAttempt](r.feed(ClientDisconnected{RequestID: id}))), 0)
 }
 
 // Hundreds of gateways share a cold engine's budget by turns: what all of them send it in any window stays
 // under the budget, each gets a turn, and the engine is used.
 func TestManyGatewaysTakeTurnsAtAColdEngine(t *testing.T) {
 	s := base()
-	s.Gateways = 300
+	s.Brokers = 300
 	cold := eng("e1")
 	cold.StartedAt = 100 * time.Second
 	type sent struct {
@@ -677,25 +679,25 @@
 	var all []sent
 	turns := map[int]bool{}
 	var rigs []*rig
-	for g := range s.Gateways {
-		s.Gateway = g
+	for g := range s.Brokers {
+		s.BrokerIndex = g
 		rigs = append(rigs, newRig(t, s, cold))
 	}
 	for range 240 { // 12 s; each gateway always has a query at hand
 		for g, r := range rigs {
 			for _, class := range []string{"quick", "long"} {
 				id, got := r.ask(class)
-				if len(pickOf[Send](got)) > 0 {
+				if len(pickOf[SendAttempt](got)) > 0 {
 					all = append(all, sent{r.now, r.c.classes[r.c.classOf[class]].work})
 					turns[g] = true
 					r.end(id, 0, OK)
 				}
-				r.feed(ClientGone{Query: id})
+				r.feed(ClientDisconnected{RequestID: id})
 			}
 			r.run(50 * ms)
 		}
 	}
-	window := s.Rules.FallWindow
+	window := s.Rules.OverloadWindow
 	for i, first := range all {
 		sum := 0.0
 		for _, o := range all[i:] {
@@ -703,16 +705,16 @@
 				sum += o.work
 			}
 		}
-		warm := float64(first.at-cold.StartedAt) / float64(s.Rules.WarmAfter) // 8 cores, warming evenly
-		capacity := 8 * (s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*warm)
-		if most := s.Rules.FallMultiple * capacity * window.Seconds(); sum > most {
+		warm := float64(first.at-cold.StartedAt) / float64(s.Rules.SlowStartDuration) // 8 cores, warming evenly
+		capacity := 8 * (s.Rules.SlowStartInitial + (1-s.Rules.SlowStartInitial)*warm)
+		if most := s.Rules.OverloadMultiple * capacity * window.Seconds(); sum > most {
 			t.Fatalf("%.1f thread-seconds from %v on, over %.1f", sum, first.at, most)
 		}
 	}
 	if len(all) < 20 || len(turns) < 10 {
 		t.Fatalf("%d sends from %d gateways: the cold engine is hardly used", len(all), len(turns))
 	}
-	s.Gateway = s.Gateways
+	s.BrokerIndex = s.Brokers
 	if _, err := New(s, 1); err == nil {
 		t.Fatal("a gateway number out of range was taken")
 	}
@@ -722,8 +724,8 @@
 func TestAnUnknownTenantIsChargedToNoOther(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	for _, name := range []string{"nobody", "", "t0"} {
-		_, got := r.ask("quick", func(q *Query) { q.Tenant = name })
-		want(t, "sent for "+name, len(pickOf[Send](got)), 1)
+		_, got := r.ask("quick", func(q *Request) { q.Tenant = name })
+		want(t, "sent for "+name, len(pickOf[SendAttempt](got)), 1)
 	}
 	want(t, "charged to t0", r.c.tenants[0].arrived, 1)
 	want(t, "charged to t1", r.c.tenants[1].arrived, 0)
@@ -735,35 +737,35 @@
 // is at hand, nothing is sent for a client that is gone already, and what is dead is refused.
 func TestAStandstillTakesOutcomesFirst(t *testing.T) {
 	s := base()
-	s.Limits.Copies = true
+	s.Limits.Hedging = true
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	id, got := r.ask("quick")
-	e := pickOf[Send](got)[0].Engine
+	e := pickOf[SendAttempt](got)[0].Engine
 	r.now += 2 * time.Second
 	var evs []Event
 	for tok, at := range r.due {
 		if at <= r.now {
-			evs = append(evs, Timer{Token: tok})
+			evs = append(evs, TimerFired{Token: tok})
 			delete(r.due, tok)
 		}
 	}
-	slices.SortFunc(evs, func(a, b Event) int { return int(a.(Timer).Token) - int(b.(Timer).Token) })
-	evs = append(evs, Arrival{Query: Query{ID: "left", Class: "quick", Deadline: r.now + time.Second}},
-		ClientGone{Query: "left"}, Attempt{Query: id, Engine: e, Status: OK, Closed: true, Took: 100 * ms, Work: 100 * ms},
-		Arrival{Query: Query{ID: "dead", Class: "quick", Deadline: r.now - time.Second}},
-		Arrival{Query: Query{ID: "alive", Class: "quick", Deadline: r.now + time.Second}})
+	slices.SortFunc(evs, func(a, b Event) int { return int(a.(TimerFired).Token) - int(b.(TimerFired).Token) })
+	evs = append(evs, RequestReceived{Request: Request{ID: "left", Class: "quick", Deadline: r.now + time.Second}},
+		ClientDisconnected{RequestID: "left"}, AttemptEnded{RequestID: id, Engine: e, Status: OK, RequestClosed: true, Duration: 100 * ms, Work: 100 * ms},
+		RequestReceived{Request: Request{ID: "dead", Class: "quick", Deadline: r.now - time.Second}},
+		RequestReceived{Request: Request{ID: "alive", Class: "quick", Deadline: r.now + time.Second}})
 	got = r.feed(evs...)
-	sends := pickOf[Send](got)
-	want(t, "sends", len(sends) == 1 && sends[0].Query == "alive", true)
+	sends := pickOf[SendAttempt](got)
+	want(t, "sends", len(sends) == 1 && sends[0].RequestID == "alive", true)
 	want(t, "answers thought lost", r.c.lost, 0.0)
-	answers := pickOf[Refuse](append(got, r.run(50*ms)...))
-	want(t, "refused", len(answers) == 1 && answers[0].Query == "dead", true)
+	answers := pickOf[Reject](append(got, r.run(50*ms)...))
+	want(t, "refused", len(answers) == 1 && answers[0].RequestID == "dead", true)
 }
 
 // pooledBase is base with so many gateways that each one's part of an engine is less than a query.
 func pooledBase() Settings {
 	s := base()
-	s.Gateways, s.Tenants[0].Quota, s.Tenants[1].Quota = 300, 900, 300
+	s.Brokers, s.Tenants[0].Quota, s.Tenants[1].Quota = 300, 900, 300
 	return s
 }
 
@@ -796,10 +798,10 @@
 	shares, bound := slices.Clone(r.c.shares), r.c.pool.bound
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
-			id, got := r.ask(class, func(q *Query) { q.Deadline = r.now + 20*time.Second })
+			id, got := r.ask(class, func(q *Request) { q.Deadline = r.now + 20*time.Second })
 			got = append(got, r.run(time.Duration(50+i*5)*ms)...)
-			if len(pickOf[Send](got)) > 0 {
-				r.feed(Attempt{Query: id, Status: OK, Closed: true, Took: time.Duration(50+i*20) * ms, Work: 100 * ms})
+			if len(pickOf[SendAttempt](got)) > 0 {
+				r.feed(AttemptEnded{RequestID: id, Status: OK, RequestClosed: true, Duration: time.Duration(50+i*20) * ms, Work: 100 * ms})
 			}
 		}
 	}
@@ -812,15 +814,15 @@
 // next is tried sooner; when most look lost it is a jam, and nothing is doubled.
 func TestLostAnswersAreTriedAgainInTime(t *testing.T) {
 	s := pooledBase()
-	s.Limits.Copies, s.Classes[0].LateWorth = true, 0.1
+	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
 	r := pooledRig(t, s, 60)
 	answer := func(id string, n int) {
-		r.feed(Attempt{Query: id, Number: n, Status: OK, Closed: true, Took: 100 * ms, Work: 100 * ms})
+		r.feed(AttemptEnded{RequestID: id, Number: n, Status: OK, RequestClosed: true, Duration: 100 * ms, Work: 100 * ms})
 	}
 	var waited []time.Duration
 	for i := range 120 {
 		id, got := r.ask("quick")
-		if len(pickOf[Send](got)) == 0 {
+		if len(pickOf[SendAttempt](got)) == 0 {
 			continue
 		}
 		if i < 40 || i%4 != 0 {
@@ -830,8 +832,8 @@
 		}
 		from := r.now
 		for r.now < from+2*time.Second {
-			if copies := pickOf[Send](r.run(10 * ms)); len(copies) > 0 {
-				want(t, "elsewhere", copies[0].Engine != pickOf[Send](got)[0].Engine, true)
+			if copies := pickOf[SendAttempt](r.run(10 * ms)); len(copies) > 0 {
+				want(t, "elsewhere", copies[0].Engine != pickOf[SendAttempt](got)[0].Engine, true)
 				waited = append(waited, r.now-from)
 				answer(id, 1)
 				break
@@ -844,8 +846,8 @@
 	for i := range 60 { // now nothing comes back
 		r.c.lost, r.c.evidence = float64(30+i), float64(40+i)
 		r.ask("quick")
-		for _, snd := range pickOf[Send](r.run(100 * ms)) {
-			if q := r.c.queries[snd.Query]; q != nil && len(q.attempts) > 1 {
+		for _, snd := range pickOf[SendAttempt](r.run(100 * ms)) {
+			if q := r.c.queries[snd.RequestID]; q != nil && len(q.attempts) > 1 {
 				t.Fatal("a copy in a jam")
 			}
 		}
@@ -855,26 +857,26 @@
 // Many events at once, lists of hundreds of engines, the same one twice, none left: one answer each.
 func TestMuchAtOnceIsAnsweredOnceEach(t *testing.T) {
 	r := pooledRig(t, pooledBase(), 300)
-	r.feed(List{Kind: Delta, Engines: []Engine{eng("e01"), eng("e01")}})
+	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{eng("e01"), eng("e01")}})
 	var evs []Event
 	for i := range 3000 {
-		evs = append(evs, Arrival{Query: Query{ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
+		evs = append(evs, RequestReceived{Request: Request{ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
 			Deadline: r.now + time.Duration(i%5)*time.Second}})
 	}
 	r.feed(evs...)
 	r.run(500 * ms)
-	r.feed(List{Kind: Whole}) // none left
+	r.feed(EndpointUpdate{Kind: EndpointSnapshot}) // none left
 	r.run(6 * time.Second)
 	answers := map[string]int{}
-	for _, a := range pickOf[Refuse](r.all) {
-		answers[a.Query]++
+	for _, a := range pickOf[Reject](r.all) {
+		answers[a.RequestID]++
 	}
 	want(t, "answered", len(answers), 3000)
 	for id, n := range answers {
 		want(t, id, n, 1)
 	}
-	for _, a := range pickOf[Send](r.all) {
-		r.end(a.Query, 0, TimedOut)
+	for _, a := range pickOf[SendAttempt](r.all) {
+		r.end(a.RequestID, 0, TimedOut)
 	}
 	want(t, "queries kept", len(r.c.queries), 0)
 }
@@ -891,12 +893,12 @@
 				es = append(es, eng(fmt.Sprintf("e%02d", i)))
 			}
 			now := 100 * time.Second
-			c.Handle(now, []Event{List{Kind: Whole, Engines: es}})
+			c.Handle(now, []Event{EndpointUpdate{Kind: EndpointSnapshot, Engines: es}})
 			for i := 0; b.Loop(); i++ {
 				now += 10 * ms
 				id := fmt.Sprint(i)
-				c.Handle(now, []Event{Arrival{Query: Query{ID: id, Class: "quick", Deadline: now + time.Second}}})
-				c.Handle(now, []Event{Attempt{Query: id, Status: OK, Closed: true, Took: 100 * ms, Work: 100 * ms}})
+				c.Handle(now, []Event{RequestReceived{Request: Request{ID: id, Class: "quick", Deadline: now + time.Second}}})
+				c.Handle(now, []Event{AttemptEnded{RequestID: id, Status: OK, RequestClosed: true, Duration: 100 * ms, Work: 100 * ms}})
 			}
 		})
 	}
@@ -916,7 +918,7 @@
 	leave := func() {
 		id, _ := r.ask("quick")
 		r.run(200 * ms)
-		r.feed(ClientGone{Query: id})
+		r.feed(ClientDisconnected{RequestID: id})
 		r.end(id, 0, OK)
 	}
 	// Seen on a day on which one client in twelve left early: every aim was cut to how long those had stayed, and
@@ -949,16 +951,16 @@
 	for shared, down := range map[bool]bool{true: false, false: true} {
 		r := newRig(t, base(), eng("e1"), eng("e2"))
 		for i := range 8 {
-			r.feed(Arrival{Query{ID: fmt.Sprint(i), Class: "quick", Tenant: "t0", Deadline: r.now + time.Second}})
+			r.feed(RequestReceived{Request{ID: fmt.Sprint(i), Class: "quick", Tenant: "t0", Deadline: r.now + time.Second}})
 		}
-		sent := map[string][]Send{}
+		sent := map[string][]SendAttempt{}
 		for _, a := range r.all {
-			if s, ok := a.(Send); ok {
+			if s, ok := a.(SendAttempt); ok {
 				sent[s.Engine] = append(sent[s.Engine], s)
 			}
 		}
 		for i, s := range sent["e1"] {
-			r.feed(Attempt{Query: s.Query, Engine: "e1", Status: Reset, Shared: shared && i > 0})
+			r.feed(AttemptEnded{RequestID: s.RequestID, Engine: "e1", Status: ConnectionReset, SharedCause: shared && i > 0})
 		}
 		if len(sent["e1"]) < 3 || r.c.engineOf["e1"].down != down {
 			t.Errorf("shared %v: %d were out, down is %v", shared, len(sent["e1"]), !down)
@@ -970,15 +972,15 @@
 // set. Seen on calm days: one lookup in ten met a load of its data set, and was late.
 func TestLoadsKeepAwayFromWhatTheyHoldUp(t *testing.T) {
 	s := base()
-	s.Classes[0].Waits, s.Classes[1].Load = true, true
+	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
 	for tables := range 20 {
 		at := map[string]string{}
 		for gateway, class := range []string{"quick", "long"} {
-			s.Gateway = gateway
+			s.BrokerIndex = gateway
 			r := newRig(t, s, eng("e1"), eng("e2"), eng("e3"), eng("e4"), eng("e5"))
 			r.c.meanWork = 100 // so that none is probed for
-			_, got := r.ask(class, func(q *Query) { q.Tables = tables })
-			at[class] = pickOf[Send](got)[0].Engine
+			_, got := r.ask(class, func(q *Request) { q.DataSet = tables })
+			at[class] = pickOf[SendAttempt](got)[0].Engine
 		}
 		if at["quick"] == at["long"] {
 			t.Errorf("both classes of data set %d go to %s", tables, at["quick"])
@@ -992,7 +994,7 @@
 	r := newRig(t, base(), eng("e1"))
 	e := r.c.engines[0]
 	for range 100 {
-		r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
+		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
 	if most := calmRoom * e.bound; r.c.pressed(e) || float64(e.threads) < e.bound || float64(e.threads) > most {
 		t.Fatalf("%d threads are out, want between the bound of %.1f and %.1f", e.threads, e.bound, most)
@@ -1003,16 +1005,16 @@
 // there held its bound for many seconds. By its age an attempt is lost all the same, and is tried elsewhere.
 func TestALostAnswerIsFoundWhileOthersCome(t *testing.T) {
 	s := base()
-	s.Limits.Cancel = true
+	s.Limits.Cancellation = true
 	r := newRig(t, s, eng("e1"))
-	lost, _ := r.ask("long", func(q *Query) { q.Deadline = r.now + 5*time.Minute })
+	lost, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 5*time.Minute })
 	sent := r.now
 	for r.now < sent+2*time.Minute {
 		id, _ := r.ask("quick")
 		r.run(50 * ms)
 		r.end(id, 0, OK)
 		for _, a := range r.all {
-			if x, ok := a.(Cancel); ok && x.Query == lost {
+			if x, ok := a.(CancelAttempt); ok && x.RequestID == lost {
 				return
 			}
 		}
@@ -1025,9 +1027,9 @@
 	r := newRig(t, base(), eng("e0"))
 	for i := range 20 {
 		old, fresh := eng(fmt.Sprintf("e%d", i)), eng(fmt.Sprintf("e%d", i+1))
-		old.State = Gone
+		old.State = Removed
 		r.c.log("down "+old.ID, "noted")
-		r.feed(List{Engines: []Engine{old, fresh}})
+		r.feed(EndpointUpdate{Engines: []Engine{old, fresh}})
 		r.run(2 * interval)
 	}
 	if len(r.c.engines) != 1 || len(r.c.engineOf) != 1 || len(r.c.loggedAt) != 0 {
@@ -1039,20 +1041,20 @@
 // run meanwhile. They are called off and tried elsewhere, and no other goes there while the load is believed to run.
 func TestWhatStandsBehindALoadGoesElsewhere(t *testing.T) {
 	s := base()
-	s.Limits.Cancel, s.Classes[0].Waits, s.Classes[1].Load = true, true, true
+	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	for range 200 {
 		id, _ := r.ask("quick")
 		r.run(20 * ms)
 		r.end(id, 0, OK)
 	}
-	id, got := r.ask("quick", func(q *Query) { q.Tables = 7 })
-	stuck := pickOf[Send](got)[0].Engine
+	id, got := r.ask("quick", func(q *Request) { q.DataSet = 7 })
+	stuck := pickOf[SendAttempt](got)[0].Engine
 	var off time.Duration
 	for from := r.now; off == 0 && r.now < from+2*time.Second; {
-		other, _ := r.ask("quick", func(q *Query) { q.Tables = 3 })
-		if got := r.run(20 * ms); len(pickOf[Cancel](got)) > 0 {
-			want(t, "called off", pickOf[Cancel](got)[0].Query, id)
+		other, _ := r.ask("quick", func(q *Request) { q.DataSet = 3 })
+		if got := r.run(20 * ms); len(pickOf[CancelAttempt](got)) > 0 {
+			want(t, "called off", pickOf[CancelAttempt](got)[0].RequestID, id)
 			off = r.now - from
 		}
 		r.end(other, 0, OK)
@@ -1062,13 +1064,13 @@
 	}
 	want(t, "threads that count", r.c.engineOf[stuck].threads, 0)
 	want(t, "losses", r.c.lost, 0)
-	again := pickOf[Send](r.end(id, 0, Cancelled))
+	again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 	if len(again) != 1 || again[0].Engine == stuck {
 		t.Fatalf("tried again: %v, not at %s", again, stuck)
 	}
 	for range 4 {
-		_, got := r.ask("quick", func(q *Query) { q.Tables = 7 })
-		if s := pickOf[Send](got); len(s) > 0 && s[0].Engine == stuck {
+		_, got := r.ask("quick", func(q *Request) { q.DataSet = 7 })
+		if s := pickOf[SendAttempt](got); len(s) > 0 && s[0].Engine == stuck {
 			t.Fatal("more went where a load holds the data set")
 		}
 	}
@@ -1082,8 +1084,8 @@
 // shorter, until it was less than the usual time. What is called off early is as likely late.
 func TestABeliefInLossesDoesNotFeedOnItself(t *testing.T) {
 	s := base()
-	s.Limits.Cancel, s.Limits.MaxAttempts = true, 4
-	s.Classes[0].LateWorth = 0.5
+	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
+	s.Classes[0].LateWeight = 0.5
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	r.c.lost, r.c.evidence = 30, 100 // as after a bad moment
 	for _, e := range r.c.engines {
@@ -1098,15 +1100,15 @@
 		}
 		got := r.run(took)
 		if i >= 300 {
-			off += len(pickOf[Cancel](got))
+			off += len(pickOf[CancelAttempt](got))
 		}
 		q := r.c.queries[id]
 		if n := len(q.attempts) - 1; q.attempts[n].called {
-			r.feed(Attempt{Query: id, Number: n, Status: Cancelled, Took: took})
+			r.feed(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
 			r.run(took)
-			r.feed(Attempt{Query: id, Number: n + 1, Status: OK, Took: 40 * ms, Closed: true, Work: 40 * ms})
+			r.feed(AttemptEnded{RequestID: id, Number: n + 1, Status: OK, Duration: 40 * ms, RequestClosed: true, Work: 40 * ms})
 		} else {
-			r.feed(Attempt{Query: id, Number: n, Status: OK, Took: took, Closed: true, Work: 40 * ms})
+			r.feed(AttemptEnded{RequestID: id, Number: n, Status: OK, Duration: took, RequestClosed: true, Work: 40 * ms})
 		}
 	}
 	if off > 40 { // the slow tenth, and not many more
@@ -1118,7 +1120,7 @@
 // 0.86 probes a request were seen.
 func TestAYoungReportIsNotAskedForAgain(t *testing.T) {
 	s := base()
-	s.Limits.Probing, s.ReportFields = true, []string{"x1"}
+	s.Limits.LoadProbes, s.ReportFields = true, []string{"x1"}
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	r.run(2 * interval)
 	probed := map[string]time.Duration{}
@@ -1126,15 +1128,15 @@
 	for range 300 {
 		_, got := r.ask("long")
 		got = append(got, r.run(10*ms)...)
-		for _, p := range pickOf[Probe](got) {
+		for _, p := range pickOf[ProbeLoad](got) {
 			if last, ok := probed[p.Engine]; ok && r.now-last < reportAge-20*ms {
 				t.Fatalf("%s was probed again after %v", p.Engine, r.now-last)
 			}
 			probed[p.Engine] = r.now
 		}
-		for _, snd := range pickOf[Send](got) {
+		for _, snd := range pickOf[SendAttempt](got) {
 			sends++
-			r.end(snd.Query, 0, OK)
+			r.end(snd.RequestID, 0, OK)
 		}
 	}
 	if len(probed) != 2 || sends < 250 {
@@ -1146,22 +1148,22 @@
 // until their clients gave up, and held the bounds meanwhile. Age alone tells, and is known after a few answers.
 func TestAnAnswerLostAmongOthersIsMissedInTime(t *testing.T) {
 	s := base()
-	s.Limits.Cancel = true
+	s.Limits.Cancellation = true
 	r := newRig(t, s, eng("e1"), eng("e2"))
-	long := func(q *Query) { q.Deadline = r.now + 20*time.Second }
+	long := func(q *Request) { q.Deadline = r.now + 20*time.Second }
 	r.c.classes[1].work = 0.8
 	for i := range 20 {
 		id, _ := r.ask("long", long)
 		took := time.Duration(300+i*37%200) * ms
 		r.run(took)
-		r.feed(Attempt{Query: id, Status: OK, Took: took, Closed: true, Work: 800 * ms})
+		r.feed(AttemptEnded{RequestID: id, Status: OK, Duration: took, RequestClosed: true, Work: 800 * ms})
 	}
 	id, got := r.ask("long", long)
-	want(t, "sends", len(pickOf[Send](got)), 1)
+	want(t, "sends", len(pickOf[SendAttempt](got)), 1)
 	for sent := r.now; r.now < sent+3*time.Second; { // its aim is 3.8 s
 		other, _ := r.ask("quick")
 		got := r.run(50 * ms)
-		if off := pickOf[Cancel](got); len(off) > 0 && off[0].Query == id {
+		if off := pickOf[CancelAttempt](got); len(off) > 0 && off[0].RequestID == id {
 			return
 		}
 		r.end(other, 0, OK)
@@ -1173,13 +1175,13 @@
 // were half idle: in calm there is room for two.
 func TestACalmEngineTakesTwoWideQueries(t *testing.T) {
 	s := base()
-	s.Gateways, s.Classes[1].Threads = 3, 4
+	s.Brokers, s.Classes[1].Threads = 3, 4
 	r := newRig(t, s, eng("e1"))
 	r.c.engines[0].bound = 4
 	sent := 0
 	for range 4 {
-		_, got := r.ask("long", func(q *Query) { q.Deadline = r.now + 20*time.Second })
-		sent += len(pickOf[Send](got))
+		_, got := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		sent += len(pickOf[SendAttempt](got))
 	}
 	want(t, "wide queries sent", sent, 2)
 }
@@ -1188,14 +1190,14 @@
 // was believed to be lost, and patience was short for seconds.
 func TestAnEngineHasTimeForItsFirstAnswer(t *testing.T) {
 	s := base()
-	s.Limits.Cancel, s.Classes[0].Waits, s.Classes[1].Load = true, true, true
+	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
 	r := newRig(t, s, eng("e1"))
 	for range 200 {
 		id, _ := r.ask("quick")
 		r.run(20 * ms)
 		r.end(id, 0, OK)
 	}
-	r.feed(List{Engines: []Engine{eng("e2")}})
+	r.feed(EndpointUpdate{Engines: []Engine{eng("e2")}})
 	for range 4 {
 		r.ask("quick")
 	}
@@ -1209,10 +1211,10 @@
 	refused := 0
 	for range 200 {
 		_, got := r.ask("quick")
-		refused += len(pickOf[Refuse](got))
+		refused += len(pickOf[Reject](got))
 	}
-	_, got := r.ask("quick", func(q *Query) { q.Tenant = "t1" })
-	if other := len(pickOf[Refuse](got)); refused == 0 || other > 0 {
+	_, got := r.ask("quick", func(q *Request) { q.Tenant = "t1" })
+	if other := len(pickOf[Reject](got)); refused == 0 || other > 0 {
 		t.Fatalf("%d of the one that asks too much were refused, and %d of the other", refused, other)
 	}
 }
@@ -1221,16 +1223,16 @@
 // seen on a day with 80 gateways, where two probes in three were for queries that were then refused.
 func TestWhatIsRefusedAnywayIsNotProbedFor(t *testing.T) {
 	s := pooledBase()
-	s.Limits.Probing, s.ReportFields = true, []string{"util"}
+	s.Limits.LoadProbes, s.ReportFields = true, []string{"util"}
 	r := pooledRig(t, s, 60)
 	r.run(2 * interval)
 	refused, probedFor := 0, 0
 	for range 400 { // nothing is answered: the pool's queue grows until queries can't make their aim
 		id, got := r.ask("long")
-		for _, f := range pickOf[Refuse](got) { // at once: in the same round as its arrival
-			if f.Query == id {
+		for _, f := range pickOf[Reject](got) { // at once: in the same round as its arrival
+			if f.RequestID == id {
 				refused++
-				probedFor += min(1, len(pickOf[Probe](got)))
+				probedFor += min(1, len(pickOf[ProbeLoad](got)))
 			}
 		}
 		r.run(10 * ms)
@@ -1246,11 +1248,11 @@
 func TestAGatewaysPartIsKnownFromTheStart(t *testing.T) {
 	s := pooledBase()
 	r := pooledRig(t, s, 60)
-	even := 1 / float64(s.Gateways)
+	even := 1 / float64(s.Brokers)
 	for range 3 * 24 { // 24 a second: six times the even part of a quota of 1,200 a second
 		id, got := r.ask("quick")
-		for _, snd := range pickOf[Send](got) {
-			if snd.Query == id {
+		for _, snd := range pickOf[SendAttempt](got) {
+			if snd.RequestID == id {
 				r.end(id, 0, OK)
 			}
 		}
@@ -1266,7 +1268,7 @@
 func TestRefusedClientsComeBackSpread(t *testing.T) {
 	for _, most := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
 		s := base()
-		s.Limits.RetryHints, s.Limits.MaxRetryWait = true, most
+		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, most
 		r := newRig(t, s, eng("e1"))
 		hi := min(most, time.Second)
 		atTop := 0
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -12,7 +12,7 @@
 // fleetBase is a pooled deployment whose gateways probe and tell one another.
 func fleetBase() Settings {
 	s := pooledBase()
-	s.Limits.Probing, s.Limits.Peers, s.ReportFields = true, true, []string{"util"}
+	s.Limits.LoadProbes, s.Limits.Gossip, s.ReportFields = true, true, []string{"util"}
 	return s
 }
 
@@ -22,18 +22,18 @@
 	started := eng("e03")
 	started.StartedAt = 99 * time.Second
 	r := pooledRig(t, fleetBase(), 10)
-	r.feed(List{Kind: Delta, Engines: []Engine{started}}, ProbeResult{Engine: "e01", Report: []float64{0.4}})
+	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}}, ProbeResult{Engine: "e01", Report: []float64{0.4}})
 	r.now += time.Second
-	r.feed(Heard{Reports: []LoadReport{
-		{Mark("e01"), 0.9, 1500 * ms}, {Mark("e02"), 0.9, 1500 * ms}, {Mark("e03"), 0.9, 5 * time.Second},
-		{Mark("e04"), -3, -time.Hour}, {Mark("no such"), 0.9, 0}}})
+	r.feed(GossipReceived{Reports: []LoadReport{
+		{EngineHash("e01"), 0.9, 1500 * ms}, {EngineHash("e02"), 0.9, 1500 * ms}, {EngineHash("e03"), 0.9, 5 * time.Second},
+		{EngineHash("e04"), -3, -time.Hour}, {EngineHash("no such"), 0.9, 0}}})
 	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
 		if got := r.c.engineOf[id].report; math.Abs(got-wanted) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
 	want(t, "e04's report, in the future", r.c.engineOf["e04"].reportAt, r.now)
-	r.feed(Heard{Reports: []LoadReport{{Mark("e01"), 0.7, 100 * ms}}})
+	r.feed(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
 	want(t, "a younger report", r.c.engineOf["e01"].report, 0.7)
 }
 
@@ -41,36 +41,36 @@
 // tellEvery; without leave, or alone, it tells nothing.
 func TestAGatewayTellsWhatItKnows(t *testing.T) {
 	s := fleetBase()
-	s.Gateways, s.Gateway = 8, 3
+	s.Brokers, s.BrokerIndex = 8, 3
 	r := pooledRig(t, s, 10)
-	want(t, "tells of nothing", len(pickOf[Tell](r.run(time.Second))), 0)
+	want(t, "tells of nothing", len(pickOf[SendGossip](r.run(time.Second))), 0)
 	r.feed(ProbeResult{Engine: "e01", Report: []float64{0.4}})
 	r.now += 50 * ms
 	r.feed(ProbeResult{Engine: "e02", Report: []float64{0.8}})
-	told := pickOf[Tell](r.run(4 * time.Second))
+	told := pickOf[SendGossip](r.run(4 * time.Second))
 	if len(told) < 10 || len(told) > int(4*time.Second/tellEvery) {
 		t.Fatalf("told %d times in 4 s", len(told))
 	}
 	for range 20 { // news at every second, so that it goes on telling
 		r.feed(ProbeResult{Engine: "e02", Report: []float64{0.8}}, ProbeResult{Engine: "e01", Report: []float64{0.4}})
-		told = append(told, pickOf[Tell](r.run(time.Second))...)
+		told = append(told, pickOf[SendGossip](r.run(time.Second))...)
 	}
 	to := map[int]bool{}
 	for _, a := range told {
-		to[a.Gateway] = true
-		if a.Gateway == s.Gateway || a.Gateway < 0 || a.Gateway >= s.Gateways {
-			t.Fatalf("told gateway %d of %d, being %d", a.Gateway, s.Gateways, s.Gateway)
+		to[a.Broker] = true
+		if a.Broker == s.BrokerIndex || a.Broker < 0 || a.Broker >= s.Brokers {
+			t.Fatalf("told gateway %d of %d, being %d", a.Broker, s.Brokers, s.BrokerIndex)
 		}
 	}
-	want(t, "gateways told", len(to), s.Gateways-1)
-	if first := told[0].Reports; len(first) != 2 || first[0].Engine != Mark("e02") || first[1].Age-first[0].Age != 50*ms {
+	want(t, "gateways told", len(to), s.Brokers-1)
+	if first := told[0].Reports; len(first) != 2 || first[0].Engine != EngineHash("e02") || first[1].Age-first[0].Age != 50*ms {
 		t.Fatalf("told %+v first", first)
 	}
-	want(t, "tells of what is old", len(pickOf[Tell](r.run(10*time.Second))) < int(6*time.Second/tellEvery), true)
-	s.Limits.Peers = false
+	want(t, "tells of what is old", len(pickOf[SendGossip](r.run(10*time.Second))) < int(6*time.Second/tellEvery), true)
+	s.Limits.Gossip = false
 	r = pooledRig(t, s, 10)
 	r.feed(ProbeResult{Engine: "e01", Report: []float64{0.4}})
-	want(t, "tells without leave", len(pickOf[Tell](r.run(time.Second))), 0)
+	want(t, "tells without leave", len(pickOf[SendGossip](r.run(time.Second))), 0)
 }
 
 // Gateways that know the same choose different engines, the emptier the oftener: seen on a day with 80 gateways that
@@ -79,8 +79,8 @@
 	sent := map[string]int{}
 	for seed := range 300 {
 		s := fleetBase()
-		s.Limits.Probing = false
-		s.Gateway = seed % s.Gateways
+		s.Limits.LoadProbes = false
+		s.BrokerIndex = seed % s.Brokers
 		c, err := New(s, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
@@ -90,13 +90,13 @@
 		var reports []LoadReport
 		for i := range 10 {
 			engines = append(engines, eng(fmt.Sprint("e", i)))
-			reports = append(reports, LoadReport{Mark(engines[i].ID), 0.1 + 0.15*float64(i), 0})
+			reports = append(reports, LoadReport{EngineHash(engines[i].ID), 0.1 + 0.15*float64(i), 0})
 		}
-		r.feed(List{Kind: Whole, Engines: engines})
-		r.feed(Heard{Reports: reports})
+		r.feed(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
+		r.feed(GossipReceived{Reports: reports})
 		_, got := r.ask("quick")
 		got = append(got, r.run(50*ms)...)
-		for _, a := range pickOf[Send](got) {
+		for _, a := range pickOf[SendAttempt](got) {
 			sent[a.Engine]++
 		}
 	}
@@ -111,21 +111,21 @@
 	r := pooledRig(t, fleetBase(), 60)
 	r.run(2 * interval)
 	id, got := r.ask("long")
-	asked := pickOf[Probe](got)
-	if len(asked) < 2 || len(pickOf[Send](got)) > 0 {
-		t.Fatalf("%d engines asked, %d sends", len(asked), len(pickOf[Send](got)))
+	asked := pickOf[ProbeLoad](got)
+	if len(asked) < 2 || len(pickOf[SendAttempt](got)) > 0 {
+		t.Fatalf("%d engines asked, %d sends", len(asked), len(pickOf[SendAttempt](got)))
 	}
 	want(t, "threads while it leaves", r.c.pool.threads, 2)
 	for i, a := range asked {
 		r.feed(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
 	}
-	sent := pickOf[Send](r.run(probeWait*5*ms + 5*ms))
-	if len(sent) != 1 || sent[0].Query != id || sent[0].Engine != asked[len(asked)-1].Engine {
+	sent := pickOf[SendAttempt](r.run(probeWait*5*ms + 5*ms))
+	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
 		t.Fatalf("asked %v, sent %v", asked, sent)
 	}
 	want(t, "threads once it left", r.c.pool.threads, 2)
 	gone, _ := r.ask("long")
-	r.feed(ClientGone{Query: gone})
+	r.feed(ClientDisconnected{RequestID: gone})
 	r.run(time.Second)
 	want(t, "threads after a client left", r.c.pool.threads, 2)
 	want(t, "class's count", r.c.classes[1].leaving, 0)
@@ -142,7 +142,7 @@
 		}
 		reports = append(reports, LoadReport{r.c.engines[i].mark, load, 0})
 	}
-	r.feed(Heard{Reports: reports})
+	r.feed(GossipReceived{Reports: reports})
 	r.run(tick + 5*ms)
 	if got := r.c.pool.report; got < 1.6 || got > 1.8 {
 		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
@@ -155,7 +155,7 @@
 func TestTheHeaviestAreRefusedFirst(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := fleetBase()
-		s.WorthByWork, s.Limits.Probing = byWork, false
+		s.WeightByWork, s.Limits.LoadProbes = byWork, false
 		r := pooledRig(t, s, 60)
 		r.run(2 * interval)
 		weight := func(i int) time.Duration { return time.Duration(100<<(i%6)) * ms } // 0.1 to 3.2 s
@@ -164,23 +164,23 @@
 		take := func(got []Action) {
 			for _, a := range got {
 				switch a := a.(type) {
-				case Send:
-					out[a.Query] = r.now + weight(works[a.Query])/2
-				case Refuse:
-					refused[works[a.Query]]++
+				case SendAttempt:
+					out[a.RequestID] = r.now + weight(works[a.RequestID])/2
+				case Reject:
+					refused[works[a.RequestID]]++
 				}
 			}
 		}
 		for i := range 1200 { // 10 s of work a second on two threads each, for a gateway with room for a tenth
 			kind := i * 5 % 6
-			id, got := r.ask("long", func(q *Query) { q.Work, q.Deadline = weight(kind), r.now+20*time.Second })
+			id, got := r.ask("long", func(q *Request) { q.EstimatedWork, q.Deadline = weight(kind), r.now+20*time.Second })
 			works[id] = kind
 			take(got)
 			take(r.run(100 * ms))
 			for _, id := range slices.Sorted(maps.Keys(out)) {
 				if out[id] <= r.now {
 					delete(out, id)
-					take(r.feed(Attempt{Query: id, Status: OK, Closed: true, Took: weight(works[id]) / 2, Work: weight(works[id])}))
+					take(r.feed(AttemptEnded{RequestID: id, Status: OK, RequestClosed: true, Duration: weight(works[id]) / 2, Work: weight(works[id])}))
 				}
 			}
 		}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -12,16 +12,16 @@
 func varied(r *rand.Rand) Settings {
 	s := base()
 	flip := func() bool { return r.IntN(2) == 0 }
-	s.Gateways = 1 + r.IntN(4)
+	s.Brokers = 1 + r.IntN(4)
 	if flip() { // so many that engines are pooled
-		s.Gateways = 100 + r.IntN(300)
+		s.Brokers = 100 + r.IntN(300)
 	}
-	s.Gateway = r.IntN(s.Gateways)
-	s.Limits = Limits{MaxAttempts: 1 + r.IntN(4), RetryHints: flip(), MaxRetryWait: time.Second, Cancel: flip(),
-		Copies: flip(), Probing: flip(), Peers: flip()}
-	s.Grants, s.Priorities, s.CostTold, s.ListOnRequest = flip(), flip(), flip(), flip()
+	s.BrokerIndex = r.IntN(s.Brokers)
+	s.Limits = Limits{MaxAttempts: 1 + r.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
+		Hedging: flip(), LoadProbes: flip(), Gossip: flip()}
+	s.MemoryGrants, s.Priorities, s.ReportsCost, s.PollEndpointList = flip(), flip(), flip(), flip()
 	if flip() {
-		s.NotesEvery = time.Second
+		s.ProgressInterval = time.Second
 	}
 	if flip() {
 		s.ReportFields = []string{"util", "inflight", "queue"}
@@ -31,16 +31,16 @@
 	}
 	for i := range s.Classes {
 		k := &s.Classes[i]
-		k.Effect, k.Scope = Effect(r.IntN(3)), Scope(r.IntN(3))
-		k.Window, k.Ordered = time.Duration(1+r.IntN(4))*time.Second, flip()
+		k.Idempotency, k.DedupScope = Idempotency(r.IntN(3)), DedupScope(r.IntN(3))
+		k.DedupWindow, k.Ordered = time.Duration(1+r.IntN(4))*time.Second, flip()
 		if r.IntN(4) == 0 {
-			k.Zones = []string{"b"}
+			k.AllowedZones = []string{"b"}
 		}
 	}
 	if flip() {
-		s.Rules.BudgetWindow, s.Rules.BudgetShare, s.Rules.BudgetFree = 5*time.Second, 0.1, 2
+		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 5*time.Second, 0.1, 2
 	}
-	s.Rules.KeyRest = 300 * ms
+	s.Rules.KeyCooldown = 300 * ms
 	return s
 }
 
@@ -52,7 +52,7 @@
 }
 
 type taken struct {
-	Query
+	Request
 	class    Class
 	attempts []*sentAttempt
 	answers  int
@@ -74,33 +74,33 @@
 	check := func(acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Send:
-				q := queries[a.Query]
+			case SendAttempt:
+				q := queries[a.RequestID]
 				if q == nil || q.over || q.answers > 0 {
-					t.Fatalf("seed %d: sent %s, which is over or unknown", seed, a.Query)
+					t.Fatalf("seed %d: sent %s, which is over or unknown", seed, a.RequestID)
 				}
 				e, known := engines[a.Engine]
 				if !known || toldBad[a.Engine] {
 					t.Fatalf("seed %d: sent to %s, which is not ready", seed, a.Engine)
 				}
-				if q.class.Zones != nil && e.Zone != q.class.Zones[0] {
+				if q.class.AllowedZones != nil && e.Zone != q.class.AllowedZones[0] {
 					t.Fatalf("seed %d: placement", seed)
 				}
 				for _, p := range q.attempts {
-					if p.out && !s.Limits.Copies {
+					if p.out && !s.Limits.Hedging {
 						t.Fatalf("seed %d: two attempts at once", seed)
 					}
-					if !p.mayRun || q.class.Effect == Repeatable {
+					if !p.mayRun || q.class.Idempotency == Idempotent {
 						continue
 					}
-					same := q.class.Scope == ScopeAll || q.class.Scope == ScopeZone && p.engine.Zone == e.Zone ||
-						q.class.Scope == ScopeCell && p.engine.Cell == e.Cell
-					if q.class.Effect == Once || !same || r.now-p.at > q.class.Window {
+					same := q.class.DedupScope == DedupScopeAll || q.class.DedupScope == DedupScopeZone && p.engine.Zone == e.Zone ||
+						q.class.DedupScope == DedupScopeCell && p.engine.Cell == e.Cell
+					if q.class.Idempotency == NonIdempotent || !same || r.now-p.at > q.class.DedupWindow {
 						t.Fatalf("seed %d: an effect might happen twice", seed)
 					}
 				}
-				if q.class.Ordered && q.Key != "" {
-					if len(q.attempts) == 0 && r.now < rest[q.Key] {
+				if q.class.Ordered && q.OrderKey != "" {
+					if len(q.attempts) == 0 && r.now < rest[q.OrderKey] {
 						t.Fatalf("seed %d: sent while its key rests", seed)
 					}
 					for _, o := range order {
@@ -108,7 +108,7 @@
 						for _, p := range o.attempts {
 							open = open || p.out
 						}
-						if o.class.Ordered && o.Key == q.Key && o.order < q.order && open {
+						if o.class.Ordered && o.OrderKey == q.OrderKey && o.order < q.order && open {
 							t.Fatalf("seed %d: out of order", seed)
 						}
 					}
@@ -117,16 +117,16 @@
 					further = append(further, r.now)
 					n, m := 0, 0
 					for _, at := range further {
-						if at >= r.now-s.Rules.BudgetWindow {
+						if at >= r.now-s.Rules.RetryBudgetWindow {
 							n++
 						}
 					}
 					for _, at := range took {
-						if at > r.now-s.Rules.BudgetWindow {
+						if at > r.now-s.Rules.RetryBudgetWindow {
 							m++
 						}
 					}
-					if s.Rules.BudgetWindow > 0 && float64(n) > s.Rules.BudgetFree+s.Rules.BudgetShare*float64(m) {
+					if s.Rules.RetryBudgetWindow > 0 && float64(n) > s.Rules.RetryBudgetReserve+s.Rules.RetryBudgetRatio*float64(m) {
 						t.Fatalf("seed %d: over the budget of attempts", seed)
 					}
 				}
@@ -134,13 +134,13 @@
 				if len(q.attempts) > s.Limits.MaxAttempts {
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
-			case Refuse, Fail:
+			case Reject, Fail:
 				id := ""
 				refused := false
-				if v, ok := a.(Refuse); ok {
-					id, refused = v.Query, true
+				if v, ok := a.(Reject); ok {
+					id, refused = v.RequestID, true
 				} else {
-					id = a.(Fail).Query
+					id = a.(Fail).RequestID
 				}
 				q := queries[id]
 				q.answers++
@@ -148,17 +148,17 @@
 					t.Fatalf("seed %d: a second or late answer for %s", seed, id)
 				}
 				for _, p := range q.attempts {
-					if refused && p.mayRun && q.class.Effect != Repeatable &&
-						!(q.class.Effect == Keyed && q.class.Scope == ScopeAll) {
+					if refused && p.mayRun && q.class.Idempotency != Idempotent &&
+						!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupScopeAll) {
 						t.Fatalf("seed %d: refused %s, which may have run", seed, id)
 					}
 				}
-			case Cancel:
-				if q := queries[a.Query]; !s.Limits.Cancel || q == nil || a.Number >= len(q.attempts) {
+			case CancelAttempt:
+				if q := queries[a.RequestID]; !s.Limits.Cancellation || q == nil || a.Number >= len(q.attempts) {
 					t.Fatalf("seed %d: a cancel that is not allowed", seed)
 				}
-			case Probe:
-				if !s.Limits.Probing {
+			case ProbeLoad:
+				if !s.Limits.LoadProbes {
 					t.Fatalf("seed %d: a probe that is not allowed", seed)
 				}
 			}
@@ -178,18 +178,18 @@
 				e.StartedAt = r.now
 			}
 			engines[e.ID], toldBad[e.ID] = e, e.State != Ready
-			check(r.feed(List{Kind: Delta, Engines: []Engine{e}}))
+			check(r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
 		case k < 6:
 			c := s.Classes[rng.IntN(2)]
-			q := &taken{Query: Query{ID: fmt.Sprint(seed, "-", step), Class: c.Name, Deadline: r.now +
-				time.Duration(200+rng.IntN(5000))*ms, MemoryMB: float64(rng.IntN(3)) * 200}, class: c, order: step}
+			q := &taken{Request: Request{ID: fmt.Sprint(seed, "-", step), Class: c.Name, Deadline: r.now +
+				time.Duration(200+rng.IntN(5000))*ms, EstimatedMemoryMB: float64(rng.IntN(3)) * 200}, class: c, order: step}
 			if c.Ordered {
-				q.Key = fmt.Sprint("k", rng.IntN(3))
+				q.OrderKey = fmt.Sprint("k", rng.IntN(3))
 			}
 			queries[q.ID] = q
 			order = append(order, q)
 			took = append(took, r.now)
-			check(r.feed(Arrival{Query: q.Query}))
+			check(r.feed(RequestReceived{Request: q.Request}))
 		case k < 10:
 			q, n := pickOut(rng, order)
 			if q == nil {
@@ -198,17 +198,17 @@
 			st := Status(rng.IntN(8))
 			p := q.attempts[n]
 			p.out = false
-			p.mayRun = st != Full && st != ConnectFailed && st != Moot
-			if st == TimedOut || st == Reset || st == Cancelled {
-				rest[q.Key] = r.now + s.Rules.KeyRest
+			p.mayRun = st != AtCapacity && st != ConnectFailed && st != NeverSent
+			if st == TimedOut || st == ConnectionReset || st == Cancelled {
+				rest[q.OrderKey] = r.now + s.Rules.KeyCooldown
 			}
 			closed := q.over || q.answers > 0 || st == OK
 			q.over = q.over || st == OK
-			check(r.feed(Attempt{Query: q.ID, Number: n, Status: st, Closed: closed, Took: r.now - p.at,
+			check(r.feed(AttemptEnded{RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.at,
 				Work: time.Duration(rng.IntN(300)) * ms, MemoryMB: 100, Report: []float64{rng.Float64() * 1.2, 3, 1}}))
 		case k == 10:
 			if q, n := pickOut(rng, order); q != nil {
-				check(r.feed(Note{Query: q.ID, Number: n, Kind: NoteKind(1 + rng.IntN(3)), Value: rng.Float64()}))
+				check(r.feed(AttemptProgress{RequestID: q.ID, Number: n, Kind: ProgressKind(1 + rng.IntN(3)), Value: rng.Float64()}))
 			}
 		default:
 			if len(order) > 0 {
@@ -216,7 +216,7 @@
 				if q.answers == 0 {
 					q.over = true
 				}
-				check(r.feed(ClientGone{Query: q.ID}))
+				check(r.feed(ClientDisconnected{RequestID: q.ID}))
 			}
 		}
 		for range rng.IntN(20) {
@@ -264,7 +264,7 @@
 	sends := 0
 	for seed := range uint64(150) {
 		a := checkRandom(t, seed)
-		sends += len(pickOf[Send](a))
+		sends += len(pickOf[SendAttempt](a))
 		if seed%10 == 0 && !reflect.DeepEqual(a, checkRandom(t, seed)) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
--- a/control/state.go
+++ b/control/state.go
@@ -79,7 +79,7 @@
 }
 
 type query struct {
-	Query
+	Request
 	c        int // class
 	t        int // tenant
 	taken    time.Duration
@@ -215,40 +215,40 @@
 	var gone map[string]bool
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case ClientGone:
-			if q := c.queries[ev.Query]; q != nil && !q.closed {
+		case ClientDisconnected:
+			if q := c.queries[ev.RequestID]; q != nil && !q.closed {
 				c.left(q, 1)
 				c.close(q)
 			}
 			if gone == nil {
 				gone = map[string]bool{}
 			}
-			gone[ev.Query] = true
-		case Started:
-			if q := c.queries[ev.Query]; q != nil {
+			gone[ev.RequestID] = true
+		case ResponseStarted:
+			if q := c.queries[ev.RequestID]; q != nil {
 				q.stream = true
 			}
-		case Attempt:
+		case AttemptEnded:
 			c.outcome(ev)
-		case Note:
+		case AttemptProgress:
 			c.note(ev)
 		case ProbeResult:
 			c.probed(ev)
-		case Heard:
+		case GossipReceived:
 			c.heard(ev)
-		case List:
+		case EndpointUpdate:
 			c.list(ev)
-		case Ban:
+		case SetMaintenance:
 			c.ban(ev)
 		}
 	}
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case Arrival:
-			if !gone[ev.Query.ID] {
-				c.arrive(ev.Query)
+		case RequestReceived:
+			if !gone[ev.Request.ID] {
+				c.arrive(ev.Request)
 			}
-		case Timer:
+		case TimerFired:
 			if ev.Token == 1 {
 				c.tick()
 			} else if f := c.alarms[ev.Token]; f != nil {
@@ -268,7 +268,7 @@
 func (c *Controller) alarm(after time.Duration, f func()) {
 	c.token++
 	c.alarms[c.token] = f
-	c.do(SetTimer{max(after, c.set.Round, 1), c.token})
+	c.do(SetTimer{max(after, c.set.MinBatchInterval, 1), c.token})
 }
 
 func (c *Controller) log(about, format string, args ...any) {
@@ -285,9 +285,9 @@
 	}
 	q.closed = true
 	for _, a := range q.attempts { // what still runs for it is of no use
-		if a.out && !a.called && c.set.Limits.Cancel && !q.stream {
+		if a.out && !a.called && c.set.Limits.Cancellation && !q.stream {
 			a.called = true
-			c.do(Cancel{q.ID, a.n})
+			c.do(CancelAttempt{q.ID, a.n})
 		}
 	}
 	if q.at != nil {
@@ -307,8 +307,8 @@
 		l.queue = slices.DeleteFunc(l.queue, func(o *query) bool { return o == q })
 		if len(l.queue) == 0 {
 			c.alarm(max(0, l.restTo-c.now), func() {
-				if len(l.queue) == 0 && c.lines[q.Key] == l && l.restTo <= c.now {
-					delete(c.lines, q.Key)
+				if len(l.queue) == 0 && c.lines[q.OrderKey] == l && l.restTo <= c.now {
+					delete(c.lines, q.OrderKey)
 				}
 			})
 		}
@@ -358,22 +358,22 @@
 	if len(set.Classes) == 0 {
 		return nil, errors.New("no classes of query")
 	}
-	if set.Gateways < 1 {
+	if set.Brokers < 1 {
 		return nil, errors.New("no gateways")
 	}
-	if set.Gateway < 0 || set.Gateway >= set.Gateways {
-		return nil, fmt.Errorf("gateway %d of %d", set.Gateway, set.Gateways)
+	if set.BrokerIndex < 0 || set.BrokerIndex >= set.Brokers {
+		return nil, fmt.Errorf("gateway %d of %d", set.BrokerIndex, set.Brokers)
 	}
 	c := &Controller{set: set, rng: rand.New(rand.NewPCG(seed, 0x7461)), classOf: map[string]int{},
 		tenantOf: map[string]int{}, engineOf: map[string]*engine{}, queries: map[string]*query{},
 		lines: map[string]*keyLine{}, alarms: map[uint64]func(){}, token: firstToken,
-		loggedAt: map[string]time.Duration{}, banned: map[string]bool{}, part: 1 / float64(set.Gateways), price: leastPrice}
+		loggedAt: map[string]time.Duration{}, banned: map[string]bool{}, part: 1 / float64(set.Brokers), price: leastPrice}
 	c.set.Limits.MaxAttempts = max(1, set.Limits.MaxAttempts)
 	for i, k := range set.Classes {
 		k = k.whole()
 		c.widest = max(c.widest, float64(k.Threads))
 		c.classOf[k.Name] = i
-		guess := firstGuess * k.Aim.Seconds() * float64(k.Threads)
+		guess := firstGuess * k.LatencyObjective.Seconds() * float64(k.Threads)
 		c.classes = append(c.classes, &class{Class: k, work: guess, ratio: 1, needs: firstNeeds, level: math.NaN(),
 			spreadVar: 1})
 		c.shares = append(c.shares, 1/float64(len(set.Classes)))
@@ -388,10 +388,10 @@
 		other.Share = min(other.Share, t.Share)
 	}
 	c.tenants = append(c.tenants, &tenant{Tenant: other})
-	c.leastWorth = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.Worth, b.Worth) }).Worth
-	c.tightest = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.Aim, b.Aim) })
+	c.leastWorth = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.PriorityWeight, b.PriorityWeight) }).PriorityWeight
+	c.tightest = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) })
 	if c.pooled() {
-		c.pool = c.newEngine(Engine{}, Kind{})
+		c.pool = c.newEngine(Engine{}, EngineKind{})
 		c.pool.listed = true
 		c.one[0] = c.pool
 	}
@@ -404,9 +404,9 @@
 func (k Class) whole() Class {
 	const anyAim = time.Second // of a class that has neither
 	k.Threads = max(1, k.Threads)
-	if k.Aim <= 0 {
-		if k.Aim, k.AimStretch = k.GiveUp, 0; k.GiveUp <= 0 {
-			k.Aim = anyAim
+	if k.LatencyObjective <= 0 {
+		if k.LatencyObjective, k.ObjectivePerWork = k.ClientTimeout, 0; k.ClientTimeout <= 0 {
+			k.LatencyObjective = anyAim
 		}
 	}
 	return k
@@ -424,13 +424,13 @@
 
 // line puts a query of an ordered class at the end of its key's line.
 func (c *Controller) line(q *query) {
-	if !c.classes[q.c].Ordered || q.Key == "" {
+	if !c.classes[q.c].Ordered || q.OrderKey == "" {
 		return
 	}
-	l := c.lines[q.Key]
+	l := c.lines[q.OrderKey]
 	if l == nil {
 		l = &keyLine{}
-		c.lines[q.Key] = l
+		c.lines[q.OrderKey] = l
 	}
 	l.queue = append(l.queue, q)
 	q.line = l
@@ -452,7 +452,7 @@
 	return nil
 }
 
-func (c *Controller) newEngine(in Engine, kind Kind) *engine {
+func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
 	e := &engine{Engine: Engine{ID: in.ID}, squeeze: 1, cores: max(1, kind.Cores), memory: kind.MemoryMB, fullAt: -1}
 	if e.memory <= 0 { // not said, so nothing is bounded by it
 		e.memory = math.Inf(1)
@@ -460,7 +460,7 @@
 	for _, b := range in.ID {
 		e.hash = (e.hash*31 + int(b)) % 1000003
 	}
-	e.lot, e.mark = e, Mark(in.ID)
+	e.lot, e.mark = e, EngineHash(in.ID)
 	e.queue.init(len(c.classes), len(c.tenants))
 	e.bound = startThreads * e.cores * c.part
 	e.reg = newRegulator(1, 1, qBound, []float64{startThreads})
@@ -469,7 +469,7 @@
 
 // meet makes the record of an engine listed for the first time, in the order of IDs.
 func (c *Controller) meet(in Engine) *engine {
-	e := c.newEngine(in, c.set.Kinds[in.Kind])
+	e := c.newEngine(in, c.set.EngineKinds[in.Kind])
 	if c.pool != nil {
 		e.lot = c.pool
 	}
@@ -491,7 +491,7 @@
 
 // heard takes what another gateway told of engines: what is younger than what is known counts. Guards against a
 // broker of many that sees an engine once in many seconds and sends to it by what it was then.
-func (c *Controller) heard(ev Heard) {
+func (c *Controller) heard(ev GossipReceived) {
 	for _, r := range ev.Reports {
 		i := slices.IndexFunc(c.engines, func(e *engine) bool { return e.mark == r.Engine })
 		if i < 0 {
@@ -507,7 +507,7 @@
 // as engines that are crowded are no better off for others that stand empty. Seen: half of a fleet's sends made
 // without pressure, by a mean load of 0.85, while single engines held from 1 to over 80 threads.
 func (c *Controller) survey() {
-	if c.pool == nil || !c.set.Limits.Peers {
+	if c.pool == nil || !c.set.Limits.Gossip {
 		return
 	}
 	sum, squares, youngest := 0.0, 0.0, time.Duration(0)
@@ -545,7 +545,7 @@
 		quota += t.Quota
 	}
 	if quota > 0 {
-		even := 1 / float64(c.set.Gateways)
+		even := 1 / float64(c.set.Brokers)
 		part := min(1, max(leastPart*even, total/quota))
 		if c.pool == nil {
 			c.part += c.gain(partGain) * (part - c.part)
@@ -562,7 +562,7 @@
 		work, rate = work+k.rate*k.work, rate+k.rate
 		if k.done > 0 {
 			seen[i] = true
-			k.y = [2]float64{min(mostInverse, k.Aim.Seconds()*k.done/max(k.latency, 1e-6)),
+			k.y = [2]float64{min(mostInverse, k.LatencyObjective.Seconds()*k.done/max(k.latency, 1e-6)),
 				k.done / gap.Seconds() / (k.rate + rateFloor)}
 		}
 		y[2*i], y[2*i+1] = k.y[0], k.y[1]
@@ -571,11 +571,11 @@
 	}
 	c.rate, c.meanWork, c.heaviest, c.longest, c.cheapest = rate, work/rate, 0, 0, math.Inf(1)
 	for i, k := range c.classes {
-		c.heaviest, c.cheapest = max(c.heaviest, k.work), min(c.cheapest, k.Worth/k.work)
-		if k.Load {
+		c.heaviest, c.cheapest = max(c.heaviest, k.work), min(c.cheapest, k.PriorityWeight/k.work)
+		if k.HoldsDataSetLock {
 			c.longest = max(c.longest, k.work/float64(k.Threads))
 		}
-		if o := c.classes[c.dearest]; k.Worth/k.work > o.Worth/o.work {
+		if o := c.classes[c.dearest]; k.PriorityWeight/k.work > o.PriorityWeight/o.work {
 			c.dearest = i
 		}
 	}
@@ -606,7 +606,7 @@
 func (c *Controller) loading(e *engine, tables int) bool {
 	e.locks = slices.DeleteFunc(e.locks, func(l lock) bool { return l.until <= c.now })
 	return slices.ContainsFunc(e.locks, func(l lock) bool { return l.tables == tables }) ||
-		slices.ContainsFunc(e.attempts, func(a *attempt) bool { return c.classes[a.q.c].Load && a.q.Tables == tables })
+		slices.ContainsFunc(e.attempts, func(a *attempt) bool { return c.classes[a.q.c].HoldsDataSetLock && a.q.DataSet == tables })
 }
 
 // unlock forgets that loads hold a data set, as what waits for them was answered.
@@ -649,15 +649,15 @@
 
 // newRegulator starts a regulator: one of the document's, or one of an engine's bound.
 func newRegulator(per, groups int, price float64, u []float64) *rls.Regulator {
-	return rls.New(rls.Config{Per: per, Groups: groups, Price: price, Gain: firstGain, Cov: firstCov,
-		Forget: forget, MostTrace: mostTrace}, u)
+	return rls.New(rls.Config{OutputsPerGroup: per, Groups: groups, InputPenalty: price, InitialGain: firstGain, InitialCovariance: firstCov,
+		ForgettingFactor: forget, MaxTrace: mostTrace}, u)
 }
 
 // list follows the list of engines.
-func (c *Controller) list(ev List) {
-	if ev.Kind == AskFailed {
+func (c *Controller) list(ev EndpointUpdate) {
+	if ev.Kind == EndpointPollFailed {
 		c.watching = false // whatever failed, a subscription may be asked for again
-		c.askAt = c.now + min(askAgain, c.set.Rules.AskEvery/2)
+		c.askAt = c.now + min(askAgain, c.set.Rules.MaxPollInterval/2)
 		return
 	}
 	named := map[string]bool{}
@@ -670,10 +670,10 @@
 			e.down, e.fails, e.slow, e.samples = false, 0, c.best, 0 // what was believed is void
 			e.fullAt, e.lost, e.evidence = -1, 0, 0
 		}
-		e.Engine, e.listed, e.said = in, in.State != Gone, in.State
+		e.Engine, e.listed, e.said = in, in.State != Removed, in.State
 		c.hold(e)
 	}
-	if ev.Kind == Whole {
+	if ev.Kind == EndpointSnapshot {
 		for _, e := range c.engines {
 			if !named[e.ID] && e.listed {
 				e.listed = false
@@ -799,9 +799,9 @@
 // trim forgets queries taken and further attempts made that the budget's window has passed; the queries a
 // round early, to be on the safe side, and both by what an attempt may leave late.
 func (c *Controller) trim() {
-	from, late := c.now-c.set.Rules.BudgetWindow, c.set.SendLate
+	from, late := c.now-c.set.Rules.RetryBudgetWindow, c.set.MaxSendDelay
 	c.further = slices.DeleteFunc(c.further, func(t time.Duration) bool { return t < from-late })
-	c.took = slices.DeleteFunc(c.took, func(t time.Duration) bool { return t < from+c.set.Round+late })
+	c.took = slices.DeleteFunc(c.took, func(t time.Duration) bool { return t < from+c.set.MinBatchInterval+late })
 }
 
 // left learns how long clients stay that leave before their time, and how many do.
@@ -832,27 +832,27 @@
 	}
 	e.report += 0.5 * (load - e.report)
 	e.reportAt = c.now
-	if p := e.lot; p != e && !c.set.Limits.Peers {
+	if p := e.lot; p != e && !c.set.Limits.Gossip {
 		p.report += poolReport * (load - p.report)
 		p.reportAt = c.now
 	}
 }
 
 // learn takes what an answer teaches: work, estimates' bias, memory, slowness.
-func (c *Controller) learn(q *query, a *attempt, ev Attempt) {
+func (c *Controller) learn(q *query, a *attempt, ev AttemptEnded) {
 	k, e := c.classes[q.c], a.e
-	took, th := max(ev.Took.Seconds(), 1e-4), float64(k.Threads)
+	took, th := max(ev.Duration.Seconds(), 1e-4), float64(k.Threads)
 	k.seen++
 	gain, x := max(0.02, 1/(k.seen+1)), 0.0
-	if c.set.CostTold && ev.Work > 0 {
+	if c.set.ReportsCost && ev.Work > 0 {
 		work := ev.Work.Seconds()
 		k.work += gain * (work - k.work)
-		if q.Work > 0 {
-			k.ratio += gain * (work/q.Work.Seconds() - k.ratio)
+		if q.EstimatedWork > 0 {
+			k.ratio += gain * (work/q.EstimatedWork.Seconds() - k.ratio)
 		}
-		if q.MemoryMB > 0 && ev.MemoryMB > 0 {
+		if q.EstimatedMemoryMB > 0 && ev.MemoryMB > 0 {
 			up := -0.2
-			if ev.MemoryMB > q.MemoryMB*k.needs {
+			if ev.MemoryMB > q.EstimatedMemoryMB*k.needs {
 				up = 0.8
 			}
 			k.needs *= 1 + 0.03*up
@@ -878,7 +878,7 @@
 	k.spreadVar += gain * ((z-k.spreadMean)*(z-k.spreadMean) - k.spreadVar)
 	k.spreadMean += gain * (z - k.spreadMean)
 	weight := slowGain
-	if !c.set.CostTold {
+	if !c.set.ReportsCost {
 		weight /= 3 // the scatter of the work is in the sample
 	}
 	if p := e.lot; p != e {
@@ -887,15 +887,15 @@
 	}
 	e.slow += max(weight, 1/float64(e.samples+1)) * (x - e.slow)
 	e.samples, e.sampledAt = e.samples+1, c.now
-	e.sum, e.n = e.sum+took/k.Aim.Seconds(), e.n+1
+	e.sum, e.n = e.sum+took/k.LatencyObjective.Seconds(), e.n+1
 	k.latency, k.done = k.latency+(c.now-q.taken).Seconds(), k.done+1
 }
 
-// Retune takes over the classes and the ration of attempts of settings read anew. A class that is new, or whose
+// UpdateClasses takes over the classes and the ration of attempts of settings read anew. A class that is new, or whose
 // settings differ, gets a place of its own: queries under way keep the class that they came under, and their
 // place goes on until they are over. A class that is not named any more takes no new query here; the broker
 // turns those away. The other settings are those of the start.
-func (c *Controller) Retune(classes []Class, limits Limits) {
+func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
 	grew := false
 	for _, k := range classes {
 		k = k.whole()
@@ -904,7 +904,7 @@
 		}
 		c.classOf[k.Name] = len(c.classes)
 		c.widest = max(c.widest, float64(k.Threads))
-		guess := firstGuess * k.Aim.Seconds() * float64(k.Threads)
+		guess := firstGuess * k.LatencyObjective.Seconds() * float64(k.Threads)
 		c.classes = append(c.classes, &class{Class: k, work: guess, ratio: 1, needs: firstNeeds, level: math.NaN(),
 			spreadVar: 1})
 		c.shares = append(c.shares, 1/float64(len(c.classes)))
@@ -927,8 +927,8 @@
 	if c.pool != nil {
 		c.pool.queue.grow(len(c.classes), len(c.tenants))
 	}
-	c.leastWorth = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.Worth, b.Worth) }).Worth
-	c.tightest = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.Aim, b.Aim) })
+	c.leastWorth = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.PriorityWeight, b.PriorityWeight) }).PriorityWeight
+	c.tightest = slices.MinFunc(c.classes, func(a, b *class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) })
 	c.share = newRegulator(2, len(c.classes), qShares, c.shares) // what it learnt was of fewer classes
 }
 
@@ -940,8 +940,8 @@
 }
 
 // ban leaves an engine out by hand, or lets it in again.
-func (c *Controller) ban(ev Ban) {
-	if ev.Down {
+func (c *Controller) ban(ev SetMaintenance) {
+	if ev.Enabled {
 		c.banned[ev.Engine] = true
 	} else {
 		delete(c.banned, ev.Engine)
--- a/control/view.go
+++ b/control/view.go
@@ -8,13 +8,13 @@
 
 // EngineView is what the module believes of an engine.
 type EngineView struct {
-	ID      string
-	State   EngineState
-	Cold    bool    // it started lately
-	Down    bool    // it is held to be out of order
-	Bound   float64 // threads that this gateway may have out there
-	Threads int     // of what is out there
-	Queued  int     // queries that wait for it here
+	ID               string
+	State            EngineState
+	SlowStart        bool    // it started lately
+	Ejected          bool    // it is held to be out of order
+	ConcurrencyLimit float64 // threads that this gateway may have out there
+	ThreadsInFlight  int     // of what is out there
+	Queued           int     // queries that wait for it here
 }
 
 // ClassView is what the module sets for a class.
@@ -30,10 +30,10 @@
 		if !e.listed {
 			continue
 		}
-		w := EngineView{ID: e.ID, State: e.State, Cold: c.cold(e), Down: e.down, Bound: e.lot.bound, Threads: e.threads,
+		w := EngineView{ID: e.ID, State: e.State, SlowStart: c.cold(e), Ejected: e.down, ConcurrencyLimit: e.lot.bound, ThreadsInFlight: e.threads,
 			Queued: e.lot.queue.n}
 		if c.pool != nil && c.pool.cores > 0 {
-			w.Bound *= e.cores / c.pool.cores
+			w.ConcurrencyLimit *= e.cores / c.pool.cores
 		}
 		v.Engines = append(v.Engines, w)
 	}
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -40,7 +40,7 @@
 }
 
 type simQuery struct {
-	control.Query
+	control.Request
 	work     time.Duration
 	threads  int
 	attempts []*simAttempt
@@ -122,8 +122,8 @@
 }
 
 func (w *world) join() *simEngine {
-	kinds := make([]string, 0, len(w.settings.Kinds))
-	for name := range w.settings.Kinds {
+	kinds := make([]string, 0, len(w.settings.EngineKinds))
+	for name := range w.settings.EngineKinds {
 		kinds = append(kinds, name)
 	}
 	slices.Sort(kinds)
@@ -136,10 +136,10 @@
 	return e
 }
 
-func (w *world) snapshot() control.List {
-	all := control.List{Kind: control.Whole}
+func (w *world) snapshot() control.EndpointUpdate {
+	all := control.EndpointUpdate{Kind: control.EndpointSnapshot}
 	for _, e := range w.engines {
-		if e.State != control.Gone || w.chance(0.3) {
+		if e.State != control.Removed || w.chance(0.3) {
 			all.Engines = append(all.Engines, e.Engine)
 		}
 	}
@@ -177,7 +177,7 @@
 		w.rng.Shuffle(len(b.events), func(i, j int) { b.events[i], b.events[j] = b.events[j], b.events[i] })
 	}
 	if b.retune != nil {
-		w.module.Retune(b.retune.classes, b.retune.limits)
+		w.module.UpdateClasses(b.retune.classes, b.retune.limits)
 	}
 	actions := w.module.Handle(b.now, b.events)
 	w.seen(b, actions)
@@ -189,8 +189,8 @@
 // happens keeps the world's own records of an event and says whether it comes to the module at all.
 func (w *world) happens(event control.Event) bool {
 	switch ev := event.(type) {
-	case control.Attempt:
-		q := w.queries[ev.Query]
+	case control.AttemptEnded:
+		q := w.queries[ev.RequestID]
 		if q == nil || ev.Number < 0 || ev.Number >= len(q.attempts) {
 			return true // of nothing that is known: the module passes it over
 		}
@@ -200,19 +200,19 @@
 		}
 		a.ended = true
 		a.engine.out--
-		q.over = q.over || ev.Closed
-	case control.Arrival:
-		if q := w.queries[ev.Query.ID]; q != nil {
+		q.over = q.over || ev.RequestClosed
+	case control.RequestReceived:
+		if q := w.queries[ev.Request.ID]; q != nil {
 			arrivedBefore := q.arrived
 			q.arrived = true
 			return !arrivedBefore || !q.over
 		}
-	case control.ClientGone:
-		if q := w.queries[ev.Query]; q != nil {
+	case control.ClientDisconnected:
+		if q := w.queries[ev.RequestID]; q != nil {
 			q.over = true
 		}
-	case control.Note:
-		if q := w.queries[ev.Query]; q != nil {
+	case control.AttemptProgress:
+		if q := w.queries[ev.RequestID]; q != nil {
 			return !q.attempts[ev.Number].ended
 		}
 	}
@@ -221,37 +221,37 @@
 
 func (w *world) act(action control.Action) {
 	switch a := action.(type) {
-	case control.Send:
+	case control.SendAttempt:
 		w.send(a)
-	case control.Refuse:
-		q := w.queries[a.Query]
+	case control.Reject:
+		q := w.queries[a.RequestID]
 		q.over = true
 		if !w.calm && w.chance(0.3) { // its client comes again
-			w.ask(q.Class, q.Key, max(a.RetryIn, 50*millisecond))
+			w.ask(q.Class, q.OrderKey, max(a.RetryAfter, 50*millisecond))
 		}
 	case control.Fail:
-		if q := w.queries[a.Query]; q != nil {
+		if q := w.queries[a.RequestID]; q != nil {
 			q.over = true
 		}
-	case control.Cancel:
-		q := w.queries[a.Query]
+	case control.CancelAttempt:
+		q := w.queries[a.RequestID]
 		if a.Number >= len(q.attempts) {
-			w.t.Fatalf("cancel of attempt %d of %s, which has %d", a.Number, a.Query, len(q.attempts))
+			w.t.Fatalf("cancel of attempt %d of %s, which has %d", a.Number, a.RequestID, len(q.attempts))
 		}
 		if w.chance(0.9) {
-			w.after(w.between(millisecond, 12*millisecond), control.Attempt{Query: a.Query, Number: a.Number,
-				Engine: q.attempts[a.Number].engine.ID, Status: control.Cancelled, Took: w.now - q.attempts[a.Number].sent})
+			w.after(w.between(millisecond, 12*millisecond), control.AttemptEnded{RequestID: a.RequestID, Number: a.Number,
+				Engine: q.attempts[a.Number].engine.ID, Status: control.Cancelled, Duration: w.now - q.attempts[a.Number].sent})
 		}
 	case control.SetTimer:
-		w.after(a.After, control.Timer{Token: a.Token})
-	case control.Probe:
+		w.after(a.After, control.TimerFired{Token: a.Token})
+	case control.ProbeLoad:
 		w.probe(a.Engine)
-	case control.Watch:
+	case control.WatchEndpoints:
 		if w.chance(0.3) {
-			w.after(w.between(0, 400*millisecond), control.List{Kind: control.AskFailed})
+			w.after(w.between(0, 400*millisecond), control.EndpointUpdate{Kind: control.EndpointPollFailed})
 		} else {
 			w.after(w.between(0, 400*millisecond), w.snapshot())
-			w.after(w.between(4*time.Second, 20*time.Second), control.List{Kind: control.AskFailed})
+			w.after(w.between(4*time.Second, 20*time.Second), control.EndpointUpdate{Kind: control.EndpointPollFailed})
 		}
 	}
 }
@@ -265,13 +265,13 @@
 }
 
 func (w *world) probe(id string) {
-	e, result := w.engine(id), control.ProbeResult{Engine: id, Took: w.between(millisecond, 15*millisecond)}
-	if w.chance(0.05) || e.State == control.Gone {
+	e, result := w.engine(id), control.ProbeResult{Engine: id, Duration: w.between(millisecond, 15*millisecond)}
+	if w.chance(0.05) || e.State == control.Removed {
 		result.Status = control.Failed
 	} else {
 		result.Report = w.report(e)
 	}
-	w.after(result.Took, result)
+	w.after(result.Duration, result)
 }
 
 // report is an engine's load by the fields that the settings name.
@@ -288,40 +288,40 @@
 }
 
 // send models what becomes of an attempt.
-func (w *world) send(a control.Send) {
-	q, e := w.queries[a.Query], w.engine(a.Engine)
+func (w *world) send(a control.SendAttempt) {
+	q, e := w.queries[a.RequestID], w.engine(a.Engine)
 	attempt := &simAttempt{engine: e, sent: w.now}
-	end := control.Attempt{Query: a.Query, Number: len(q.attempts), Engine: a.Engine}
+	end := control.AttemptEnded{RequestID: a.RequestID, Number: len(q.attempts), Engine: a.Engine}
 	q.attempts = append(q.attempts, attempt)
 	e.out++
-	end.Status, end.Took = w.outcome(q, e)
+	end.Status, end.Duration = w.outcome(q, e)
 	limit := q.Deadline - w.now + 20*millisecond
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	if end.Took > limit {
-		end.Status, end.Took = control.TimedOut, limit
+	if end.Duration > limit {
+		end.Status, end.Duration = control.TimedOut, limit
 	}
 	switch end.Status {
 	case control.OK:
-		end.Closed = true
+		end.RequestClosed = true
 		end.Report = w.report(e)
-		if w.settings.CostTold {
+		if w.settings.ReportsCost {
 			end.Work, end.MemoryMB = q.work, 40+q.work.Seconds()*100
 		}
 		if w.chance(0.2) {
-			w.after(end.Took-3*millisecond, control.Started{Query: a.Query})
+			w.after(end.Duration-3*millisecond, control.ResponseStarted{RequestID: a.RequestID})
 		}
-	case control.Full:
+	case control.AtCapacity:
 		end.Report = w.report(e)
-	case control.Reset:
-		end.Shared = w.chance(0.4)
-	}
-	w.after(end.Took, end)
-	if every := w.settings.NotesEvery; every > 0 {
-		for at := every; at < end.Took; at += every {
-			w.after(at, control.Note{Query: a.Query, Number: end.Number, Engine: a.Engine, Kind: control.NoteKind(1 + w.rng.IntN(3)),
-				Value: at.Seconds() / end.Took.Seconds() * w.rng.Float64()})
+	case control.ConnectionReset:
+		end.SharedCause = w.chance(0.4)
+	}
+	w.after(end.Duration, end)
+	if every := w.settings.ProgressInterval; every > 0 {
+		for at := every; at < end.Duration; at += every {
+			w.after(at, control.AttemptProgress{RequestID: a.RequestID, Number: end.Number, Engine: a.Engine, Kind: control.ProgressKind(1 + w.rng.IntN(3)),
+				Value: at.Seconds() / end.Duration.Seconds() * w.rng.Float64()})
 		}
 	}
 }
@@ -334,14 +334,14 @@
 	switch draw := w.rng.Float64(); {
 	case w.calm:
 		return control.OK, took
-	case e.State == control.Gone || draw < 0.002:
+	case e.State == control.Removed || draw < 0.002:
 		return control.ConnectFailed, quick
 	case draw < 0.004:
-		return control.Moot, quick
+		return control.NeverSent, quick
 	case draw < 0.006:
-		return control.Reset, took / 2
+		return control.ConnectionReset, took / 2
 	case draw < 0.006+e.full:
-		return control.Full, quick
+		return control.AtCapacity, quick
 	}
 	if w.chance(e.failing) {
 		return control.Failed, quick
@@ -357,33 +357,33 @@
 	i := slices.IndexFunc(w.settings.Classes, func(k control.Class) bool { return k.Name == class })
 	k := w.settings.Classes[max(0, i)]
 	w.numbered++
-	wait := k.GiveUp
+	wait := k.ClientTimeout
 	if wait == 0 {
 		wait = w.between(200*millisecond, 6*time.Second)
 	}
-	objective := k.Aim
+	objective := k.LatencyObjective
 	if objective <= 0 {
 		objective = time.Second
 	}
 	work := 0.15 * objective.Seconds() * float64(max(1, k.Threads)) * math.Exp(0.8*w.rng.NormFloat64())
 	q := &simQuery{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
-	q.Query = control.Query{ID: fmt.Sprint("r", w.numbered), Class: class, Deadline: w.now + in + wait, Tables: w.rng.IntN(12)}
+	q.Request = control.Request{ID: fmt.Sprint("r", w.numbered), Class: class, Deadline: w.now + in + wait, DataSet: w.rng.IntN(12)}
 	if n := len(w.settings.Tenants); n > 0 {
 		q.Tenant = append(w.settings.Tenants, control.Tenant{Name: "unknown"})[w.rng.IntN(n+1)].Name
 	}
 	if k.Ordered {
-		if q.Key = key; key == "" {
-			q.Key = fmt.Sprint("key", w.rng.IntN(8))
+		if q.OrderKey = key; key == "" {
+			q.OrderKey = fmt.Sprint("key", w.rng.IntN(8))
 		}
 	}
 	if w.chance(w.hurried) {
-		q.Work = time.Duration(float64(q.work) * (0.6 + 0.8*w.rng.Float64()))
-		q.MemoryMB = 30 + 120*q.Work.Seconds()
+		q.EstimatedWork = time.Duration(float64(q.work) * (0.6 + 0.8*w.rng.Float64()))
+		q.EstimatedMemoryMB = 30 + 120*q.EstimatedWork.Seconds()
 	}
 	w.queries[q.ID] = q
-	w.after(in, control.Arrival{Query: q.Query})
+	w.after(in, control.RequestReceived{Request: q.Request})
 	if w.chance(w.impatient) {
-		w.after(in+w.between(0, wait), control.ClientGone{Query: q.ID})
+		w.after(in+w.between(0, wait), control.ClientDisconnected{RequestID: q.ID})
 	}
 }
 
@@ -391,15 +391,15 @@
 func (w *world) clients() {
 	cores := 0.0
 	for _, e := range w.engines {
-		if e.State != control.Gone {
-			cores += max(1, w.settings.Kinds[e.Kind].Cores)
+		if e.State != control.Removed {
+			cores += max(1, w.settings.EngineKinds[e.Kind].Cores)
 		}
 	}
 	work := 0.0
 	for i := range w.settings.Classes {
 		work += w.workOf(i) * w.weight(i)
 	}
-	rate := min(100, w.load*cores/float64(w.settings.Gateways)/max(work, 1e-3))
+	rate := min(100, w.load*cores/float64(w.settings.Brokers)/max(work, 1e-3))
 	for expected := rate * worldStep.Seconds(); expected > 0; expected-- {
 		if !w.chance(expected) {
 			continue
@@ -421,7 +421,7 @@
 
 func (w *world) workOf(i int) float64 {
 	k := w.settings.Classes[i]
-	return 0.2 * max(k.Aim.Seconds(), 0.1) * float64(max(1, k.Threads))
+	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
 }
 
 // mishaps changes the world now and then: what is asked, how engines fare, the list of them, the operator's wishes.
@@ -444,16 +444,16 @@
 	if w.chance(0.0004) && len(w.engines) < 80 {
 		e := w.join()
 		e.StartedAt = w.now - w.between(0, 2*time.Second)
-		w.after(0, control.List{Kind: control.Delta, Engines: []control.Engine{e.Engine}})
+		w.after(0, control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}})
 	}
 	if w.chance(0.002) { // what nobody asked for
-		w.after(0, control.Arrival{Query: control.Query{ID: "stray", Class: "no such class", Deadline: w.now + time.Second}})
+		w.after(0, control.RequestReceived{Request: control.Request{ID: "stray", Class: "no such class", Deadline: w.now + time.Second}})
 		if q := w.queries[fmt.Sprint("r", w.numbered)]; q != nil && !q.over { // the same once more
-			w.after(20*millisecond, control.Arrival{Query: q.Query})
+			w.after(20*millisecond, control.RequestReceived{Request: q.Request})
 		}
-		w.after(0, control.ClientGone{Query: "nobody's"})
-		w.after(0, control.Attempt{Query: "nobody's", Number: -1})
-		w.after(0, control.Timer{Token: 1 << 40})
+		w.after(0, control.ClientDisconnected{RequestID: "nobody's"})
+		w.after(0, control.AttemptEnded{RequestID: "nobody's", Number: -1})
+		w.after(0, control.TimerFired{Token: 1 << 40})
 		w.after(0, control.ProbeResult{Engine: "no such engine"})
 	}
 }
@@ -488,24 +488,24 @@
 		w.listed(e)
 	}
 	if w.chance(0.0003) {
-		w.after(0, control.Ban{Engine: e.ID, Down: true})
-		w.after(w.between(time.Second, 6*time.Second), control.Ban{Engine: e.ID})
+		w.after(0, control.SetMaintenance{Engine: e.ID, Enabled: true})
+		w.after(w.between(time.Second, 6*time.Second), control.SetMaintenance{Engine: e.ID})
 	}
 }
 
 func (w *world) listed(e *simEngine) {
-	w.after(w.between(0, 600*millisecond), control.List{Kind: control.Delta, Engines: []control.Engine{e.Engine}})
+	w.after(w.between(0, 600*millisecond), control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}})
 }
 
 // peers has another broker speak of some engines' loads.
 func (w *world) peers() {
-	if !w.settings.Limits.Peers || !w.chance(0.02) {
+	if !w.settings.Limits.Gossip || !w.chance(0.02) {
 		return
 	}
-	heard := control.Heard{Gateway: w.rng.IntN(w.settings.Gateways)}
+	heard := control.GossipReceived{Broker: w.rng.IntN(w.settings.Brokers)}
 	for range 1 + w.rng.IntN(8) {
 		e := w.engines[w.rng.IntN(len(w.engines))]
-		heard.Reports = append(heard.Reports, control.LoadReport{Engine: control.Mark(e.ID), Load: e.background,
+		heard.Reports = append(heard.Reports, control.LoadReport{Engine: control.EngineHash(e.ID), Load: e.background,
 			Age: w.between(0, 3*time.Second)})
 	}
 	w.after(0, heard)
@@ -519,9 +519,9 @@
 	classes := slices.Clone(w.settings.Classes)
 	switch k := &classes[w.rng.IntN(len(classes))]; w.rng.IntN(4) {
 	case 0:
-		k.Worth *= 1.5
+		k.PriorityWeight *= 1.5
 	case 1:
-		k.Aim += 100 * millisecond
+		k.LatencyObjective += 100 * millisecond
 	case 2:
 		added := *k
 		added.Name = fmt.Sprint("added-", w.numbered)
--- a/internal/admin/call.go
+++ b/internal/adminapi/call.go
@@ -1,7 +1,7 @@
 // Package admin is the broker's second address, where on-call staff ask it things: one line a connection,
 // answered by one line that starts with ACK or NAK, and for vars by the figures and a line "--". Call reads and
 // checks a call without I/O; Server holds the listener.
-package admin
+package adminapi
 
 import (
 	"bytes"
--- a/internal/admin/call_test.go
+++ b/internal/adminapi/call_test.go
@@ -1,4 +1,4 @@
-package admin
+package adminapi
 
 import (
 	"errors"
--- a/internal/admin/server.go
+++ b/internal/adminapi/server.go
@@ -1,4 +1,4 @@
-package admin
+package adminapi
 
 import (
 	"context"
@@ -42,10 +42,10 @@
 	Ready(ctx context.Context) (bool, error)
 	// Vars appends the figures, one a line in the text exposition form.
 	Vars(ctx context.Context, to []byte) ([]byte, error)
-	// SetDown leaves an engine out until SetUp; ErrNotListed for an id never listed.
-	SetDown(ctx context.Context, id string) error
-	// SetUp ends a ban; ErrNotListed for an id never listed.
-	SetUp(ctx context.Context, id string) error
+	// StartMaintenance leaves an engine out until SetUp; ErrNotListed for an id never listed.
+	StartMaintenance(ctx context.Context, id string) error
+	// EndMaintenance ends a ban; ErrNotListed for an id never listed.
+	EndMaintenance(ctx context.Context, id string) error
 }
 
 // The reason codes of the log lines of ended connections here, beside those of internal/node.
@@ -178,9 +178,9 @@
 			return append(reply, "--\n"...)
 		}
 	case SetDown:
-		err = s.Broker.SetDown(ctx, c.ID)
+		err = s.Broker.StartMaintenance(ctx, c.ID)
 	case SetUp:
-		err = s.Broker.SetUp(ctx, c.ID)
+		err = s.Broker.EndMaintenance(ctx, c.ID)
 	}
 	if err != nil {
 		return nak(nil, err)
--- a/internal/admin/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -1,4 +1,4 @@
-package admin
+package adminapi
 
 import (
 	"bufio"
@@ -37,8 +37,8 @@
 	return append(to, "relay_current 3\nrelay_cluster_unhealthy "+map[bool]string{false: "0", true: "1"}[len(d.down) > 0]+"\n"...), nil
 }
 
-func (d *desk) SetDown(_ context.Context, id string) error { return d.set(id, true) }
-func (d *desk) SetUp(_ context.Context, id string) error   { return d.set(id, false) }
+func (d *desk) StartMaintenance(_ context.Context, id string) error { return d.set(id, true) }
+func (d *desk) EndMaintenance(_ context.Context, id string) error   { return d.set(id, false) }
 
 func (d *desk) set(id string, down bool) error {
 	d.mu.Lock()
--- a/internal/broker/bans.go
+++ b/internal/broker/bans.go
@@ -12,18 +12,18 @@
 const mostListed = 4096
 
 type (
-	// SetDown leaves an engine out by hand: nothing new is sent to it until SetUp, whatever the change log says of
+	// StartMaintenance leaves an engine out by hand: nothing new is sent to it until SetUp, whatever the change log says of
 	// it in the meantime. A second one changes nothing.
-	SetDown struct{ Engine string }
-	// SetUp ends the ban of an engine. One without a ban changes nothing.
-	SetUp struct{ Engine string }
-	// Restore takes over the bans of the process before, listed now or not: they hold until SetUp.
-	Restore struct{ Bans []string }
+	StartMaintenance struct{ Engine string }
+	// EndMaintenance ends the ban of an engine. One without a ban changes nothing.
+	EndMaintenance struct{ Engine string }
+	// RestoreMaintenance takes over the bans of the process before, listed now or not: they hold until SetUp.
+	RestoreMaintenance struct{ Engines []string }
 )
 
-func (SetDown) event() {}
-func (SetUp) event()   {}
-func (Restore) event() {}
+func (StartMaintenance) event()   {}
+func (EndMaintenance) event()     {}
+func (RestoreMaintenance) event() {}
 
 // restore takes over bans of the process before.
 func (b *Broker) restore(bans []string) {
@@ -33,29 +33,29 @@
 	}
 }
 
-// Listed tells whether an engine was ever in the list, as far as is kept.
-func (b *Broker) Listed(id string) bool { return b.listed[id] }
+// EverListed tells whether an engine was ever in the list, as far as is kept.
+func (b *Broker) EverListed(id string) bool { return b.listed[id] }
 
-// Banned are the engines left out by hand, in order.
-func (b *Broker) Banned() []string { return slices.Sorted(maps.Keys(b.bans)) }
+// EnginesInMaintenance are the engines left out by hand, in order.
+func (b *Broker) EnginesInMaintenance() []string { return slices.Sorted(maps.Keys(b.bans)) }
 
 // Ready tells whether the broker can serve: it is not stopping, and an engine is in service and not left out.
 func (b *Broker) Ready() bool { return !b.stopped && b.ready > 0 }
 
-// Unhealthy is how many listed engines are avoided now, by hand or by the decision module's belief.
-func (b *Broker) Unhealthy() int {
+// UnavailableEngines is how many listed engines are avoided now, by hand or by the decision module's belief.
+func (b *Broker) UnavailableEngines() int {
 	b.decide.View(&b.view)
 	n := 0
 	for _, e := range b.view.Engines {
-		if _, listed := b.engines[e.ID]; listed && (b.bans[e.ID] || e.Down || e.State != control.Ready) {
+		if _, listed := b.engines[e.ID]; listed && (b.bans[e.ID] || e.Ejected || e.State != control.Ready) {
 			n++
 		}
 	}
 	return n
 }
 
-// Size is how many engines are in the list.
-func (b *Broker) Size() int { return len(b.engines) }
+// EndpointCount is how many engines are in the list.
+func (b *Broker) EndpointCount() int { return len(b.engines) }
 
 // ban leaves an engine out, or lets it in again; the decision module keeps anything new from it.
 func (b *Broker) ban(id string, down bool) {
@@ -67,9 +67,9 @@
 	} else {
 		delete(b.bans, id)
 	}
-	b.tell(control.Ban{Engine: id, Down: down})
+	b.tell(control.SetMaintenance{Engine: id, Enabled: down})
 	if _, ok := b.engines[id]; ok && down {
-		b.do(DropUnsent{id})
+		b.do(CancelUnsent{id})
 	}
 	b.count()
 }
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -70,12 +70,12 @@
 			t.Errorf("%s never came", name)
 		}
 	}
-	for kind := Result; kind <= Crowded; kind++ {
+	for kind := ReplyResult; kind <= ReplyTooManySessions; kind++ {
 		if name := fmt.Sprint("reply ", int(kind)); seen[name] == 0 {
 			t.Errorf("%s never came", name)
 		}
 	}
-	for why := Killed; why <= NoRoom; why++ {
+	for why := CloseKilled; why <= CloseTooManySessions; why++ {
 		if name := fmt.Sprint("close ", int(why)); seen[name] == 0 {
 			t.Errorf("%s never came", name)
 		}
@@ -95,31 +95,31 @@
 	switch e.(type) {
 	case Reply:
 		return 1
-	case Admit:
+	case AdmitSession:
 		return 2
 	case CloseSession:
 		return 3
-	case Want:
+	case StartAttempt:
 		return 4
-	case Turn:
+	case FetchPage:
 		return 5
-	case GiveUp:
+	case CancelAttempt:
 		return 6
-	case Withdraw:
+	case WithdrawUnsent:
 		return 7
-	case Forget:
+	case ReleaseAttempt:
 		return 8
-	case Hurry:
+	case SetPriority:
 		return 9
-	case Probe:
+	case ProbeLoad:
 		return 10
-	case Tell:
+	case SendGossip:
 		return 11
-	case DropUnsent:
+	case CancelUnsent:
 		return 12
-	case DropEngine:
+	case CloseEngineConnections:
 		return 13
-	case Note:
+	case LogLine:
 		return logLineKind
 	}
 	panic(fmt.Sprintf("an effect without a number: %T", e))
@@ -178,11 +178,11 @@
 
 // The recorder is also the meter of the reducer.
 
-func (r recorder) Taken(q *Request)          { r.record(firstMeterKind, q) }
-func (r recorder) TurnedAway(k Kind)         { r.record(firstMeterKind+1, k) }
-func (r recorder) Sent(class string)         { r.record(firstMeterKind+2, class) }
-func (r recorder) Over(o Over)               { r.record(firstMeterKind+3, o) }
-func (r recorder) AttemptOver(o AttemptOver) { r.record(firstMeterKind+4, o) }
+func (r recorder) RequestAccepted(q *Request)             { r.record(firstMeterKind, q) }
+func (r recorder) RequestRejected(k ReplyKind)       { r.record(firstMeterKind+1, k) }
+func (r recorder) AttemptStarted(class string)            { r.record(firstMeterKind+2, class) }
+func (r recorder) RequestEnded(o RequestSummary)        { r.record(firstMeterKind+3, o) }
+func (r recorder) AttemptEnded(o AttemptSummary) { r.record(firstMeterKind+4, o) }
 
 // fromFile reads the settings object of a deployment from testdata, as a broker does.
 func fromFile(name string) func(t *testing.T) control.Settings {
@@ -203,20 +203,20 @@
 // smallDeployment is one broker with two small engines, where nearly everything is allowed.
 func smallDeployment(*testing.T) control.Settings {
 	return control.Settings{
-		Gateways: 1, Round: 2 * ms, Grants: true, Priorities: true, GrantCap: 0.5, CostTold: true, WorthByWork: true,
+		Brokers: 1, MinBatchInterval: 2 * ms, MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, ReportsCost: true, WeightByWork: true,
 		ReportFields: []string{"util", "queue"},
 		Classes: []control.Class{
-			{Name: "lookup", Aim: 300 * ms, GiveUp: time.Second, AimStretch: 1, Worth: 9, LateWorth: 0.1, Threads: 1, Waits: true},
-			{Name: "report", Aim: time.Second, GiveUp: 4 * time.Second, AimStretch: 2, Worth: 9, LateWorth: 0.4, Threads: 1},
-			{Name: "load", Aim: 2 * time.Second, GiveUp: 9 * time.Second, AimStretch: 2, Worth: 2, LateWorth: 0.5, Threads: 2,
-				Effect: control.Keyed, Scope: control.ScopeZone, Window: 5 * time.Second, Ordered: true, Load: true},
-			{Name: "payment", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 2, Threads: 1, Effect: control.Once},
+			{Name: "lookup", LatencyObjective: 300 * ms, ClientTimeout: time.Second, ObjectivePerWork: 1, PriorityWeight: 9, LateWeight: 0.1, Threads: 1, BlockedByDataSetLock: true},
+			{Name: "report", LatencyObjective: time.Second, ClientTimeout: 4 * time.Second, ObjectivePerWork: 2, PriorityWeight: 9, LateWeight: 0.4, Threads: 1},
+			{Name: "load", LatencyObjective: 2 * time.Second, ClientTimeout: 9 * time.Second, ObjectivePerWork: 2, PriorityWeight: 2, LateWeight: 0.5, Threads: 2,
+				Idempotency: control.IdempotentWithKey, DedupScope: control.DedupScopeZone, DedupWindow: 5 * time.Second, Ordered: true, HoldsDataSetLock: true},
+			{Name: "payment", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 2, Threads: 1, Idempotency: control.NonIdempotent},
 		},
-		Kinds: map[string]control.Kind{"std": {Cores: 4, MemoryMB: 4096}},
-		Limits: control.Limits{MaxAttempts: 4, Cancel: true, Copies: true, Probing: true, RetryHints: true,
-			MaxRetryWait: 500 * ms},
-		Rules: control.Rules{AskEvery: time.Second, ColdFrom: 0.3, WarmAfter: 5 * time.Second, FallMultiple: 2,
-			FallWindow: time.Second, KeyRest: 100 * ms, BudgetWindow: 5 * time.Second, BudgetShare: 0.3, BudgetFree: 10},
+		EngineKinds: map[string]control.EngineKind{"std": {Cores: 4, MemoryMB: 4096}},
+		Limits: control.Limits{MaxAttempts: 4, Cancellation: true, Hedging: true, LoadProbes: true, RetryAfter: true,
+			MaxRetryAfter: 500 * ms},
+		Rules: control.Rules{MaxPollInterval: time.Second, SlowStartInitial: 0.3, SlowStartDuration: 5 * time.Second, OverloadMultiple: 2,
+			OverloadWindow: time.Second, KeyCooldown: 100 * ms, RetryBudgetWindow: 5 * time.Second, RetryBudgetRatio: 0.3, RetryBudgetReserve: 10},
 	}
 }
 
@@ -224,20 +224,20 @@
 // called off there.
 func largeDeployment(*testing.T) control.Settings {
 	set := control.Settings{
-		Gateways: 60, Gateway: 7, Zone: "zone-1", Round: 10 * ms, CostTold: true, NotesEvery: time.Second, Priorities: true,
+		Brokers: 60, BrokerIndex: 7, Zone: "zone-1", MinBatchInterval: 10 * ms, ReportsCost: true, ProgressInterval: time.Second, Priorities: true,
 		ReportFields: []string{"util", "inflight"},
 		Classes: []control.Class{
-			{Name: "view", Aim: 500 * ms, GiveUp: 2 * time.Second, AimStretch: 1.5, Worth: 5, LateWorth: 0.2, Threads: 1},
-			{Name: "export", Aim: 3 * time.Second, GiveUp: 12 * time.Second, AimStretch: 2, Worth: 5, LateWorth: 0.5, Threads: 4,
-				Kinds: []string{"big"}},
-			{Name: "update", Aim: time.Second, GiveUp: 6 * time.Second, Worth: 8, LateWorth: 0.3, Threads: 1,
-				Effect: control.Keyed, Window: 10 * time.Second, Ordered: true, Zones: []string{"zone-0", "zone-1"}},
+			{Name: "view", LatencyObjective: 500 * ms, ClientTimeout: 2 * time.Second, ObjectivePerWork: 1.5, PriorityWeight: 5, LateWeight: 0.2, Threads: 1},
+			{Name: "export", LatencyObjective: 3 * time.Second, ClientTimeout: 12 * time.Second, ObjectivePerWork: 2, PriorityWeight: 5, LateWeight: 0.5, Threads: 4,
+				AllowedKinds: []string{"big"}},
+			{Name: "update", LatencyObjective: time.Second, ClientTimeout: 6 * time.Second, PriorityWeight: 8, LateWeight: 0.3, Threads: 1,
+				Idempotency: control.IdempotentWithKey, DedupWindow: 10 * time.Second, Ordered: true, AllowedZones: []string{"zone-0", "zone-1"}},
 		},
-		Kinds: map[string]control.Kind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16, MemoryMB: 65536}},
-		Limits: control.Limits{MaxAttempts: 3, Copies: true, Probing: true, Peers: true, RetryHints: true,
-			MaxRetryWait: time.Second},
-		Rules: control.Rules{AskEvery: 2 * time.Second, ColdFrom: 0.35, WarmAfter: 10 * time.Second, FallMultiple: 3,
-			FallWindow: 2 * time.Second, KeyRest: 200 * ms, BudgetWindow: 10 * time.Second, BudgetShare: 0.1, BudgetFree: 5},
+		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16, MemoryMB: 65536}},
+		Limits: control.Limits{MaxAttempts: 3, Hedging: true, LoadProbes: true, Gossip: true, RetryAfter: true,
+			MaxRetryAfter: time.Second},
+		Rules: control.Rules{MaxPollInterval: 2 * time.Second, SlowStartInitial: 0.35, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: 2 * time.Second, KeyCooldown: 200 * ms, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.1, RetryBudgetReserve: 5},
 	}
 	for n := range 6 {
 		set.Tenants = append(set.Tenants, control.Tenant{Name: fmt.Sprint("tenant-", n), Share: float64(n+1) / 21, Quota: float64(10 * (n + 1))})
@@ -272,7 +272,7 @@
 }
 
 type simulatedEngine struct {
-	changelog.Host
+	changelog.Endpoint
 	mode engineMode
 }
 
@@ -287,7 +287,7 @@
 )
 
 type simulatedAttempt struct {
-	id     Attempt
+	id     AttemptID
 	engine string
 	sentAt time.Duration
 }
@@ -305,7 +305,7 @@
 	}
 	s := &simulation{recorder: recorder{sum}, t: t, rng: rand.New(rand.NewPCG(seed, 17)), broker: b, set: set, now: start, limit: clients,
 		seen: map[string]int{}}
-	b.Measure(s.recorder)
+	b.SetMeter(s.recorder)
 	for range engines {
 		s.engines = append(s.engines, s.newEngine())
 	}
@@ -334,9 +334,9 @@
 		}
 	}
 	if s.chance(70) {
-		s.apply(Stop{Within: 400 * ms})
+		s.apply(Shutdown{Within: 400 * ms})
 	} else {
-		s.apply(Parting{})
+		s.apply(SendFinalAnswers{})
 	}
 	for range 400 {
 		s.step()
@@ -344,7 +344,7 @@
 			s.act()
 		}
 	}
-	if open := s.broker.Open(); open != 0 {
+	if open := s.broker.OpenRequests(); open != 0 {
 		s.t.Errorf("%d requests are owed an answer at the end", open)
 	}
 }
@@ -358,18 +358,18 @@
 		s.apply(event)
 	}
 	s.react(s.broker.Tick(s.now))
-	next, ok := s.broker.Next()
-	s.record(stateKind, next, ok, s.broker.Open(), s.broker.Ready(), s.broker.Unhealthy(), s.broker.Size(), s.broker.Sessions(),
-		s.broker.Seq(), s.broker.Banned())
+	next, ok := s.broker.NextDeadline()
+	s.record(stateKind, next, ok, s.broker.OpenRequests(), s.broker.Ready(), s.broker.UnavailableEngines(), s.broker.EndpointCount(), s.broker.SessionCount(),
+		s.broker.LastRevision(), s.broker.EnginesInMaintenance())
 }
 
 func (s *simulation) apply(event Event) {
 	switch ev := event.(type) {
-	case Submit:
+	case SubmitRequest:
 		if c := s.client(ev.Session); c != nil {
 			c.waiting++
 		}
-	case Ended:
+	case AttemptEnded:
 		s.endAttempt(ev.Attempt)
 	case SessionClosed:
 		s.forgetClient(ev.Session)
@@ -405,57 +405,57 @@
 		if c := s.client(e.Session); c != nil {
 			c.waiting--
 		}
-	case Admit:
+	case AdmitSession:
 		if s.chance(90) {
-			s.schedule(s.between(0, 20*ms), LoggedIn{e.Session})
+			s.schedule(s.between(0, 20*ms), SessionAuthenticated{e.Session})
 		}
 		s.client(e.Session).admitted = true
 	case CloseSession:
-		s.seen[fmt.Sprint("close ", int(e.Why))]++
+		s.seen[fmt.Sprint("close ", int(e.Reason))]++
 		s.forgetClient(e.Session)
 	}
 }
 
 func (s *simulation) reactToEngineEffect(e Effect) {
 	switch e := e.(type) {
-	case Want:
+	case StartAttempt:
 		s.attempts = append(s.attempts, simulatedAttempt{e.Attempt, e.Engine, s.now})
 		s.serve(e)
-	case Turn:
+	case FetchPage:
 		s.servePage(e)
-	case GiveUp:
+	case CancelAttempt:
 		if s.chance(95) {
-			s.schedule(s.between(0, 4*ms), Ended{Attempt: e.Attempt, Status: control.Cancelled})
+			s.schedule(s.between(0, 4*ms), AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		} else { // its answer crosses the word
-			s.schedule(0, Served{Attempt: e.Attempt, Pages: 1, Work: 5 * ms, Body: s.rows(1)})
-			s.schedule(3*ms, Ended{Attempt: e.Attempt, Status: control.Cancelled})
+			s.schedule(0, AttemptServed{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
+			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
-	case Withdraw:
+	case WithdrawUnsent:
 		if s.chance(30) {
-			s.schedule(0, Ended{Attempt: e.Attempt, Status: control.Moot})
+			s.schedule(0, AttemptEnded{Attempt: e.Attempt, Status: control.NeverSent})
 		}
-	case Forget:
+	case ReleaseAttempt:
 		s.endAttempt(e.Attempt)
-	case Probe:
+	case ProbeLoad:
 		s.answerProbe(e)
-	case DropUnsent:
+	case CancelUnsent:
 		for _, a := range s.attempts {
 			if a.engine == e.Engine && s.chance(20) {
-				s.schedule(0, Ended{Attempt: a.id, Status: control.Moot})
+				s.schedule(0, AttemptEnded{Attempt: a.id, Status: control.NeverSent})
 			}
 		}
-	case DropEngine:
+	case CloseEngineConnections:
 		shared := false
 		for _, a := range s.attempts {
-			if a.engine == e.Engine && (e.Before == 0 || a.sentAt < e.Before) {
-				s.schedule(0, Ended{Attempt: a.id, Status: control.Reset, Shared: shared})
+			if a.engine == e.Engine && (e.DialedBefore == 0 || a.sentAt < e.DialedBefore) {
+				s.schedule(0, AttemptEnded{Attempt: a.id, Status: control.ConnectionReset, SharedCause: shared})
 				shared = true
 			}
 		}
 	}
 }
 
-func (s *simulation) endAttempt(id Attempt) {
+func (s *simulation) endAttempt(id AttemptID) {
 	s.attempts = slices.DeleteFunc(s.attempts, func(a simulatedAttempt) bool { return a.id == id })
 }
 
@@ -490,12 +490,12 @@
 }
 
 // serve plays an engine that gets an attempt.
-func (s *simulation) serve(w Want) {
+func (s *simulation) serve(w StartAttempt) {
 	work := s.between(3*ms, 60*ms)
 	took := s.between(2*ms, 12*ms) + work
 	luck := s.rng.IntN(100)
 	ended := func(after time.Duration, status control.Status) {
-		s.schedule(after, Ended{Attempt: w.Attempt, Status: status, Report: s.report()})
+		s.schedule(after, AttemptEnded{Attempt: w.Attempt, Status: status, Report: s.report()})
 	}
 	switch s.modeOf(w.Engine) {
 	case slow:
@@ -513,36 +513,36 @@
 	if s.chance(30) {
 		pages += s.rng.IntN(4)
 	}
-	served := Served{Attempt: w.Attempt, Pages: pages, Work: work, MemoryMB: float64(s.rng.IntN(200)), Report: s.report(),
+	served := AttemptServed{Attempt: w.Attempt, PageCount: pages, Work: work, MemoryMB: float64(s.rng.IntN(200)), Report: s.report(),
 		Body: s.rows(1 + s.rng.IntN(5))}
 	switch {
 	case luck < 3:
 		ended(s.between(0, 130*ms), control.ConnectFailed)
 	case luck < 6:
-		ended(s.between(0, 4*ms), control.Full)
+		ended(s.between(0, 4*ms), control.AtCapacity)
 	case luck < 8:
 		ended(took, control.Failed)
 	case luck < 9:
-		ended(took, control.Reset)
+		ended(took, control.ConnectionReset)
 	case luck < 10:
-		ended(0, control.Moot)
+		ended(0, control.NeverSent)
 	case luck < 12: // lost
 	case luck < 13:
 		served.Body = s.spoilt()
 		s.schedule(took, served)
 	case luck < 14:
-		served.Pages = s.rng.IntN(2) * 65
+		served.PageCount = s.rng.IntN(2) * 65
 		s.schedule(took, served)
 	default:
 		s.schedule(took, served)
 		if pages > 1 && s.chance(4) { // it dies between pages
-			ended(took+6*ms, []control.Status{control.Reset, control.Full, control.Moot, control.Failed}[s.rng.IntN(4)])
+			ended(took+6*ms, []control.Status{control.ConnectionReset, control.AtCapacity, control.NeverSent, control.Failed}[s.rng.IntN(4)])
 		}
 	}
 }
 
-func (s *simulation) servePage(p Turn) {
-	page := Page{Attempt: p.Attempt, Number: p.Page, Body: s.rows(s.rng.IntN(40))}
+func (s *simulation) servePage(p FetchPage) {
+	page := PageReceived{Attempt: p.Attempt, Number: p.Page, Body: s.rows(s.rng.IntN(40))}
 	after := s.between(1*ms, 15*ms)
 	switch luck := s.rng.IntN(100); {
 	case luck < 4: // lost
@@ -560,13 +560,13 @@
 	}
 }
 
-func (s *simulation) answerProbe(p Probe) {
-	answer := Probed{Tag: p.Tag, Status: control.OK, Report: s.report()}
+func (s *simulation) answerProbe(p ProbeLoad) {
+	answer := ProbeResult{ProbeID: p.ProbeID, Status: control.OK, Report: s.report()}
 	switch {
 	case s.modeOf(p.Engine) == silent || s.chance(5): // lost
 		return
 	case s.chance(5):
-		answer = Probed{Tag: p.Tag, Status: control.ConnectFailed}
+		answer = ProbeResult{ProbeID: p.ProbeID, Status: control.ConnectFailed}
 	}
 	s.schedule(s.between(ms, 20*ms), answer)
 }
@@ -582,13 +582,13 @@
 	case luck < 800:
 		s.apply(Ping{client})
 	case luck < 810:
-		s.apply(Bad{client, Reply{Kind: []Kind{BadCommand, NoDatabase}[s.rng.IntN(2)], Text: "not known here"}})
+		s.apply(InvalidRequest{client, Reply{Kind: []ReplyKind{ReplyUnknownCommand, ReplyUnknownDatabase}[s.rng.IntN(2)], Text: "not known here"}})
 	case luck < 840:
 		s.kill(client)
 	case luck < 865:
 		s.apply(SessionClosed{client})
 	case luck < 875:
-		s.apply(HalfClosed{client})
+		s.apply(SessionHalfClosed{client})
 		s.forgetClient(client)
 	case luck < 895:
 		s.hear()
@@ -633,17 +633,17 @@
 func (s *simulation) connect() {
 	s.lastSession++
 	s.clients = append(s.clients, &simulatedClient{session: s.lastSession})
-	s.apply(Connected{s.lastSession})
+	s.apply(SessionOpened{s.lastSession})
 }
 
 // crowd lets all clients wait for an answer as two more come.
 func (s *simulation) crowd() {
-	s.apply(Retune{s.set})
-	for s.broker.Sessions() < s.limit {
+	s.apply(UpdateSettings{s.set})
+	for s.broker.SessionCount() < s.limit {
 		s.connect()
 	}
 	for _, c := range slices.Clone(s.clients) {
-		s.apply(Submit{c.session, s.request()})
+		s.apply(SubmitRequest{c.session, s.request()})
 	}
 	s.connect()
 	s.connect()
@@ -653,19 +653,19 @@
 func (s *simulation) request() Request {
 	class := s.set.Classes[s.rng.IntN(len(s.set.Classes))]
 	s.refs++
-	r := Request{Ref: fmt.Sprintf("%016x", s.refs), Class: class.Name, Group: s.rng.IntN(6), Sent: s.now - s.between(0, 10*ms),
-		Fresh: s.chance(20), Allow: time.Duration(float64(class.GiveUp) * (0.2 + 0.8*s.rng.Float64())), Again: s.chance(10), Body: "SELECT 1"}
+	r := Request{RequestID: fmt.Sprintf("%016x", s.refs), Class: class.Name, DataSet: s.rng.IntN(6), SentAt: s.now - s.between(0, 10*ms),
+		FirstOnConnection: s.chance(20), Timeout: time.Duration(float64(class.ClientTimeout) * (0.2 + 0.8*s.rng.Float64())), IsRetry: s.chance(10), Body: "SELECT 1"}
 	if len(s.set.Tenants) > 0 {
 		r.Tenant = s.set.Tenants[s.rng.IntN(len(s.set.Tenants))].Name
 	}
-	if class.Effect == control.Keyed {
-		r.Idem = fmt.Sprint("op-", s.refs)
+	if class.Idempotency == control.IdempotentWithKey {
+		r.IdempotencyKey = fmt.Sprint("op-", s.refs)
 	}
 	if class.Ordered {
-		r.Order = fmt.Sprint("key-", s.rng.IntN(12))
+		r.OrderKey = fmt.Sprint("key-", s.rng.IntN(12))
 	}
 	if s.chance(40) {
-		r.Work, r.MemoryMB = s.between(5*ms, 80*ms), float64(s.rng.IntN(300))
+		r.EstimatedWork, r.EstimatedMemoryMB = s.between(5*ms, 80*ms), float64(s.rng.IntN(300))
 	}
 	return r
 }
@@ -679,45 +679,45 @@
 	case 1:
 		r.Tenant = "nobody"
 	case 2:
-		r.Allow = time.Hour
+		r.Timeout = time.Hour
 	case 3:
-		r.Idem = ""
+		r.IdempotencyKey = ""
 	case 4:
-		r.Ref = fmt.Sprintf("%016x", s.refs-1-s.rng.IntN(3))
+		r.RequestID = fmt.Sprintf("%016x", s.refs-1-s.rng.IntN(3))
 	case 5:
-		r.Allow = s.between(0, 20*ms)
+		r.Timeout = s.between(0, 20*ms)
 	case 6:
-		r.Sent -= s.between(0, 100*ms)
+		r.SentAt -= s.between(0, 100*ms)
 	}
-	s.apply(Submit{client, r})
+	s.apply(SubmitRequest{client, r})
 }
 
 func (s *simulation) kill(target Session) {
 	if s.chance(20) {
 		target += 1000
 	}
-	s.apply(Kill{By: s.anyClient(), Target: target, Connection: s.chance(30), Sent: s.now - s.between(0, 5*ms)})
+	s.apply(Kill{RequestedBy: s.anyClient(), Target: target, CloseConnection: s.chance(30), SentAt: s.now - s.between(0, 5*ms)})
 }
 
 func (s *simulation) hear() {
 	var reports []control.LoadReport
 	for range 1 + s.rng.IntN(3) {
 		e := s.engines[s.rng.IntN(len(s.engines))]
-		reports = append(reports, control.LoadReport{Engine: control.Mark(e.ID), Load: s.rng.Float64(), Age: s.between(0, 200*ms)})
+		reports = append(reports, control.LoadReport{Engine: control.EngineHash(e.ID), Load: s.rng.Float64(), Age: s.between(0, 200*ms)})
 	}
-	s.apply(Heard{From: s.rng.IntN(max(1, s.set.Gateways)), Reports: reports})
+	s.apply(GossipReceived{Broker: s.rng.IntN(max(1, s.set.Brokers)), Reports: reports})
 }
 
 func (s *simulation) maintain() {
 	id := s.engines[s.rng.IntN(len(s.engines))].ID
 	switch s.rng.IntN(5) {
 	case 0:
-		s.apply(SetDown{id})
+		s.apply(StartMaintenance{id})
 	case 1:
-		s.apply(Restore{[]string{id, fmt.Sprintf("engine-%03d", s.lastEngine+1)}})
+		s.apply(RestoreMaintenance{[]string{id, fmt.Sprintf("engine-%03d", s.lastEngine+1)}})
 	default:
-		for _, down := range s.broker.Banned() {
-			s.apply(SetUp{down})
+		for _, down := range s.broker.EnginesInMaintenance() {
+			s.apply(EndMaintenance{down})
 		}
 	}
 }
@@ -729,45 +729,45 @@
 	i := s.rng.IntN(len(set.Classes))
 	switch s.rng.IntN(4) {
 	case 0:
-		set.Classes[i].GiveUp /= 2
+		set.Classes[i].ClientTimeout /= 2
 	case 1:
-		set.Classes[i].Aim = set.Classes[i].Aim * 3 / 2
+		set.Classes[i].LatencyObjective = set.Classes[i].LatencyObjective * 3 / 2
 	case 2:
 		set.Classes = slices.Delete(set.Classes, i, i+1)
 	default:
 		set.Limits.MaxAttempts = 1 + s.rng.IntN(4)
 	}
-	s.apply(Retune{set})
+	s.apply(UpdateSettings{set})
 }
 
 // newEngine is an engine that started long ago.
 func (s *simulation) newEngine() *simulatedEngine {
 	s.lastEngine++
 	kinds := []string{}
-	for name := range s.set.Kinds {
+	for name := range s.set.EngineKinds {
 		kinds = append(kinds, name)
 	}
 	slices.Sort(kinds)
-	return &simulatedEngine{Host: changelog.Host{
+	return &simulatedEngine{Endpoint: changelog.Endpoint{
 		Engine: control.Engine{ID: fmt.Sprintf("engine-%03d", s.lastEngine), Zone: fmt.Sprint("zone-", s.lastEngine%3),
 			Kind: kinds[s.lastEngine%len(kinds)], Cell: s.lastEngine / 4, State: control.Ready},
 		Addr: fmt.Sprint("10.0.0.1:", 1000+s.lastEngine)}}
 }
 
 // listed is the whole list of engines as it is now.
-func (s *simulation) listed() (hosts []changelog.Host) {
+func (s *simulation) listed() (hosts []changelog.Endpoint) {
 	for _, e := range s.engines {
-		hosts = append(hosts, e.Host)
+		hosts = append(hosts, e.Endpoint)
 	}
 	return hosts
 }
 
-func (s *simulation) publish(whole bool, hosts ...changelog.Host) {
+func (s *simulation) publish(whole bool, hosts ...changelog.Endpoint) {
 	s.sequence++
-	page := changelog.Page{Seq: s.sequence, Changes: []changelog.Change{{Seq: s.sequence, Whole: whole, Hosts: hosts}}}
-	s.apply(Changes{page})
+	page := changelog.Page{Revision: s.sequence, Changes: []changelog.Change{{Revision: s.sequence, Snapshot: whole, Endpoints: hosts}}}
+	s.apply(EndpointChanges{page})
 	if s.chance(10) { // the page comes twice
-		s.apply(Changes{page})
+		s.apply(EndpointChanges{page})
 	}
 }
 
@@ -778,29 +778,29 @@
 	switch s.rng.IntN(8) {
 	case 0:
 		e.State = control.Draining
-		s.publish(false, e.Host)
+		s.publish(false, e.Endpoint)
 	case 1:
-		gone := e.Host
-		gone.State = control.Gone
+		gone := e.Endpoint
+		gone.State = control.Removed
 		s.engines[i] = s.newEngine()
 		s.engines[i].StartedAt = s.now
-		s.publish(false, gone, s.engines[i].Host)
+		s.publish(false, gone, s.engines[i].Endpoint)
 	case 2: // restarted, and known so a while later
 		e.State, e.StartedAt = control.Ready, s.now-s.between(0, 50*ms)
-		s.publish(false, e.Host)
+		s.publish(false, e.Endpoint)
 	case 3: // its address passes to another
 		next := s.newEngine()
 		next.Addr, next.StartedAt = e.Addr, s.now
 		s.engines[i] = next
-		s.publish(false, next.Host)
+		s.publish(false, next.Endpoint)
 	case 4: // it moved
 		e.Addr = fmt.Sprint("10.0.0.2:", 1000+s.rng.IntN(1000))
-		s.publish(false, e.Host)
+		s.publish(false, e.Endpoint)
 	case 5: // a complete list, in which one is missing and another is new
 		s.engines[i] = s.newEngine()
 		s.publish(true, s.listed()...)
 	default:
 		e.State = control.Ready
-		s.publish(false, e.Host)
+		s.publish(false, e.Endpoint)
 	}
 }
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -19,7 +19,7 @@
 			for b.Loop() {
 				l.request()
 			}
-			b.ReportMetric(float64(l.answers[Result])/float64(max(1, l.submitted)), "served/request")
+			b.ReportMetric(float64(l.answers[ReplyResult])/float64(max(1, l.submitted)), "served/request")
 		})
 	}
 }
@@ -37,11 +37,11 @@
 	idle      []Session
 	running   []runningAttempt // by the time at which they are answered
 	submitted int
-	answers   map[Kind]int
+	answers   map[ReplyKind]int
 }
 
 type runningAttempt struct {
-	id     Attempt
+	id     AttemptID
 	doneAt time.Duration
 }
 
@@ -53,16 +53,16 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	l := &closedLoop{broker: r, now: start, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[Kind]int{}}
-	change := changelog.Change{Seq: 1, Whole: true}
+	l := &closedLoop{broker: r, now: start, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[ReplyKind]int{}}
+	change := changelog.Change{Revision: 1, Snapshot: true}
 	for n := range engines {
-		change.Hosts = append(change.Hosts, host(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
+		change.Endpoints = append(change.Endpoints, host(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
 	}
-	l.react(r.Apply(l.now, Changes{changelog.Page{Seq: 1, Changes: []changelog.Change{change}}}))
+	l.react(r.Apply(l.now, EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{change}}}))
 	for n := range clients {
 		id := Session(n + 1)
-		l.react(r.Apply(l.now, Connected{id}))
-		l.react(r.Apply(l.now, LoggedIn{id}))
+		l.react(r.Apply(l.now, SessionOpened{id}))
+		l.react(r.Apply(l.now, SessionAuthenticated{id}))
 		l.idle = append(l.idle, id)
 	}
 	return l
@@ -77,8 +77,8 @@
 	client := l.idle[0]
 	l.idle = l.idle[1:]
 	l.submitted++
-	l.react(l.broker.Apply(l.now, Submit{client, Request{Ref: fmt.Sprint(l.submitted), Class: "lookup", Sent: l.now,
-		Allow: 2 * time.Second, Work: loopServiceTime, Body: "SELECT 1"}}))
+	l.react(l.broker.Apply(l.now, SubmitRequest{client, Request{RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
+		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1"}}))
 }
 
 func (l *closedLoop) step() {
@@ -86,7 +86,7 @@
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
 		id := l.running[0].id
 		l.running = l.running[1:]
-		l.react(l.broker.Apply(l.now, Served{Attempt: id, Pages: 1, Work: loopServiceTime, Report: []float64{0.5},
+		l.react(l.broker.Apply(l.now, AttemptServed{Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
 			Body: []byte("1\t2\t3\n")}))
 	}
 	l.react(l.broker.Tick(l.now))
@@ -95,10 +95,10 @@
 func (l *closedLoop) react(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Want:
+		case StartAttempt:
 			l.running = append(l.running, runningAttempt{e.Attempt, l.now + loopServiceTime})
-		case GiveUp:
-			l.react(l.broker.Apply(l.now, Ended{Attempt: e.Attempt, Status: control.Cancelled}))
+		case CancelAttempt:
+			l.react(l.broker.Apply(l.now, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled}))
 		case Reply:
 			l.answers[e.Kind]++
 			l.idle = append(l.idle, e.Session)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// MostResult is the largest result, in bytes of its pages together.
-	MostResult = 48000
-	columns    = 3    // of every row
-	mostPage   = 6000 // bytes
-	mostPages  = 64   // engines fill them: two that follow each other hold more than one has room for
+	// MaxResultBytes is the largest result, in bytes of its pages together.
+	MaxResultBytes = 48000
+	columns        = 3    // of every row
+	mostPage       = 6000 // bytes
+	mostPages      = 64   // engines fill them: two that follow each other hold more than one has room for
 
 	pageTimeout  = 500 * time.Millisecond // for each page: a silent engine is given up after it
 	probeTimeout = 250 * time.Millisecond
@@ -44,7 +44,7 @@
 	nextID   uint64
 	open     int // requests that are owed an answer
 
-	engines map[string]changelog.Host
+	engines map[string]changelog.Endpoint
 	copies  bool            // two attempts of a request may be out at once
 	ready   int             // engines in service and not left out
 	bans    map[string]bool // engines left out by hand
@@ -80,7 +80,7 @@
 }
 
 type attempt struct {
-	id      Attempt
+	id      AttemptID
 	r       *request
 	engine  string
 	sent    time.Duration
@@ -88,7 +88,7 @@
 	ran     bool           // it may have run
 	won     bool           // its answer is the client's
 	ending  control.Status // how it ends once its engine has been told; OK while it is not being given up
-	served  *Served
+	served  *AttemptServed
 	pages   [][]byte
 	missing int
 	size    int
@@ -105,9 +105,9 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Broker{decide: c, round: set.Round, copies: set.Limits.Copies, sessions: newSessions(mostSessions), requests: map[uint64]*request{}, refs: map[string]bool{},
-		engines: map[string]changelog.Host{}, bans: map[string]bool{}, listed: map[string]bool{}, probes: map[uint64]probe{}, trains: map[string]*train{},
-		classes: map[string]control.Class{}, longest: map[string]time.Duration{}, tenants: map[string]bool{}, sweepTrains: fewTrains, meter: Unmeasured{}}
+	b := &Broker{decide: c, round: set.MinBatchInterval, copies: set.Limits.Hedging, sessions: newSessions(mostSessions), requests: map[uint64]*request{}, refs: map[string]bool{},
+		engines: map[string]changelog.Endpoint{}, bans: map[string]bool{}, listed: map[string]bool{}, probes: map[uint64]probe{}, trains: map[string]*train{},
+		classes: map[string]control.Class{}, longest: map[string]time.Duration{}, tenants: map[string]bool{}, sweepTrains: fewTrains, meter: NopMeter{}}
 	b.setClasses(set.Classes)
 	for _, t := range set.Tenants {
 		b.tenants[t.Name] = true
@@ -115,14 +115,14 @@
 	return b, nil
 }
 
-// Seq is the number of the last change taken.
-func (b *Broker) Seq() int64 { return b.seq }
+// LastRevision is the number of the last change taken.
+func (b *Broker) LastRevision() int64 { return b.seq }
 
-// Open is the number of requests that are owed an answer.
-func (b *Broker) Open() int { return b.open }
+// OpenRequests is the number of requests that are owed an answer.
+func (b *Broker) OpenRequests() int { return b.open }
 
-// Next is the time at which Tick has something to do; ok is false if there is nothing.
-func (b *Broker) Next() (at time.Duration, ok bool) {
+// NextDeadline is the time at which Tick has something to do; ok is false if there is nothing.
+func (b *Broker) NextDeadline() (at time.Duration, ok bool) {
 	if len(b.pending) > 0 {
 		at, ok = b.lastRound+b.round, true
 	}
@@ -173,13 +173,13 @@
 	}
 	slices.SortStableFunc(arrivals, func(a, b arrival) int { return int(a.sent - b.sent) })
 	for i, at := range places {
-		events[at] = arrivals[i].Arrival
+		events[at] = arrivals[i].RequestReceived
 	}
 }
 
 // arrival is a control.Arrival with the time at which it was sent, until its round.
 type arrival struct {
-	control.Arrival
+	control.RequestReceived
 	sent time.Duration
 }
 
@@ -195,8 +195,8 @@
 // reply answers a session. A result and what is no answer to a request are not turned away.
 func (b *Broker) reply(s Session, r Reply) {
 	r.Session = s
-	if r.Kind != Result && r.Kind != Done && r.Kind != Failed {
-		b.meter.TurnedAway(r.Kind)
+	if r.Kind != ReplyResult && r.Kind != ReplyOK && r.Kind != ReplyFailed {
+		b.meter.RequestRejected(r.Kind)
 	}
 	b.do(r)
 }
@@ -209,46 +209,46 @@
 // Apply takes one event.
 func (b *Broker) Apply(now time.Duration, ev Event) []Effect {
 	switch ev := ev.(type) {
-	case Connected:
+	case SessionOpened:
 		b.connected(now, ev.Session)
-	case LoggedIn:
+	case SessionAuthenticated:
 		b.loggedIn(now, ev.Session)
-	case Submit:
+	case SubmitRequest:
 		b.command(now, ev.Session, ev)
 	case Ping:
 		b.command(now, ev.Session, ev)
 	case Kill:
-		b.command(now, ev.By, ev)
-	case Bad:
+		b.command(now, ev.RequestedBy, ev)
+	case InvalidRequest:
 		b.command(now, ev.Session, ev)
 	case SessionClosed:
 		b.sessionEnds(now, ev.Session)
-	case HalfClosed:
+	case SessionHalfClosed:
 		b.halfClosed(now, ev.Session)
-	case Served:
+	case AttemptServed:
 		b.served(now, ev)
-	case Page:
+	case PageReceived:
 		b.page(now, ev)
-	case Ended:
+	case AttemptEnded:
 		b.ended(now, ev)
-	case Probed:
+	case ProbeResult:
 		b.probed(now, ev)
-	case Heard:
-		b.tell(control.Heard{Gateway: ev.From, Reports: ev.Reports})
-	case Changes:
+	case GossipReceived:
+		b.tell(control.GossipReceived{Broker: ev.Broker, Reports: ev.Reports})
+	case EndpointChanges:
 		b.changes(ev.Page)
-	case Stop:
+	case Shutdown:
 		b.stopped = true
 		b.after(now+ev.Within, b.lastWords)
-	case Parting:
+	case SendFinalAnswers:
 		b.lastWords(now)
-	case SetDown:
+	case StartMaintenance:
 		b.ban(ev.Engine, true)
-	case SetUp:
+	case EndMaintenance:
 		b.ban(ev.Engine, false)
-	case Restore:
-		b.restore(ev.Bans)
-	case Retune:
+	case RestoreMaintenance:
+		b.restore(ev.Engines)
+	case UpdateSettings:
 		b.retune(ev.Settings)
 	}
 	b.goOn(now)
@@ -256,7 +256,7 @@
 }
 
 // submit takes a request, or answers it at once; false if its fields can't be used.
-func (b *Broker) submit(now time.Duration, s *session, ev Submit) bool {
+func (b *Broker) submit(now time.Duration, s *session, ev SubmitRequest) bool {
 	k, known := b.classes[ev.Request.Class]
 	bad := ""
 	switch {
@@ -264,44 +264,44 @@
 		bad = "no such class"
 	case len(b.tenants) > 0 && !b.tenants[ev.Request.Tenant]:
 		bad = "no such tenant"
-	case k.GiveUp > 0 && ev.Request.Allow > b.longest[ev.Request.Class]+allowSlack:
+	case k.ClientTimeout > 0 && ev.Request.Timeout > b.longest[ev.Request.Class]+allowSlack:
 		bad = "the class has no such time to wait"
-	case k.Effect == control.Keyed && ev.Request.Idem == "":
+	case k.Idempotency == control.IdempotentWithKey && ev.Request.IdempotencyKey == "":
 		// Without it an engine could not drop a repeat, and the effect might come twice.
 		bad = "the class needs an idempotency key"
-	case b.refs[ev.Request.Ref]:
+	case b.refs[ev.Request.RequestID]:
 		// Guards against an answer that passes for another's, as engines know a request by this id alone.
 		bad = "the id of the request is in use"
 	}
 	switch {
 	case bad != "":
-		b.reply(ev.Session, Reply{Kind: BadFields, Text: bad})
+		b.reply(ev.Session, Reply{Kind: ReplyInvalidFields, Text: bad})
 		return false
-	case ev.Request.Sent < s.killed:
+	case ev.Request.SentAt < s.killed:
 		// Guards against a request that goes on for a client that has left: its query and the word that kills it come
 		// on two connections, and may be read in the other order.
-		b.reply(ev.Session, Reply{Kind: Interrupted, Text: killed})
+		b.reply(ev.Session, Reply{Kind: ReplyInterrupted, Text: killed})
 		return true
 	case b.ending:
-		b.reply(ev.Session, Reply{Kind: Refused, Text: stopping})
+		b.reply(ev.Session, Reply{Kind: ReplyRejected, Text: stopping})
 		return true
-	case ev.Request.Allow <= lastWay && ev.Request.Allow < k.Aim:
+	case ev.Request.Timeout <= lastWay && ev.Request.Timeout < k.LatencyObjective:
 		// Guards against a client's last retry, in what little is left of its time, that is never answered: no answer can
 		// come in time but one that leaves now.
-		b.reply(ev.Session, Reply{Kind: Refused, Text: "no time is left"})
+		b.reply(ev.Session, Reply{Kind: ReplyRejected, Text: "no time is left"})
 		return true
 	}
 	b.nextID++
 	r := &request{Request: ev.Request, class: k, id: b.nextID, name: strconv.FormatUint(b.nextID, 10), session: ev.Session,
 		taken: now, priority: 1}
 	from := b.waitsFrom(ev.Request)
-	r.deadline = from + ev.Request.Allow - early(ev.Request, from)
-	b.requests[r.id], b.refs[r.Ref] = r, true
+	r.deadline = from + ev.Request.Timeout - early(ev.Request, from)
+	b.requests[r.id], b.refs[r.RequestID] = r, true
 	s.open = r
 	b.open++
-	b.meter.Taken(&r.Request)
-	b.tell(arrival{sent: r.Sent, Arrival: control.Arrival{Query: control.Query{ID: r.name, Class: r.Class, Tenant: r.Tenant,
-		Key: r.Order, Tables: r.Group, Deadline: r.deadline, Work: r.Work, MemoryMB: r.MemoryMB}}})
+	b.meter.RequestAccepted(&r.Request)
+	b.tell(arrival{sent: r.SentAt, RequestReceived: control.RequestReceived{Request: control.Request{ID: r.name, Class: r.Class, Tenant: r.Tenant,
+		OrderKey: r.OrderKey, DataSet: r.DataSet, Deadline: r.deadline, EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB}}})
 	return true
 }
 
@@ -325,20 +325,20 @@
 // answers that come after it: of a request that follows so closely only this is sure, that it was not meant
 // before the first of its train.
 func (b *Broker) waitsFrom(r Request) time.Duration {
-	if r.Order == "" {
-		return r.Sent
+	if r.OrderKey == "" {
+		return r.SentAt
 	}
-	t := b.trains[r.Order]
-	if t == nil || !t.holds(r.Sent) {
+	t := b.trains[r.OrderKey]
+	if t == nil || !t.holds(r.SentAt) {
 		if len(b.trains) >= b.sweepTrains { // keys are new every day, so those that are over must go
-			maps.DeleteFunc(b.trains, func(_ string, t *train) bool { return !t.holds(r.Sent) })
+			maps.DeleteFunc(b.trains, func(_ string, t *train) bool { return !t.holds(r.SentAt) })
 			b.sweepTrains = max(fewTrains, 2*len(b.trains))
 		}
-		t = &train{start: r.Sent}
-		b.trains[r.Order] = t
+		t = &train{start: r.SentAt}
+		b.trains[r.OrderKey] = t
 	}
-	t.last, t.fresh = max(t.last, r.Sent), r.Fresh
-	return min(t.start, r.Sent)
+	t.last, t.fresh = max(t.last, r.SentAt), r.FirstOnConnection
+	return min(t.start, r.SentAt)
 }
 
 // early is how long before its time a client may stop waiting for a request, where it began to wait at from by what is known
@@ -347,10 +347,10 @@
 // those with an order key 34 to 98 ms, before the time that they had named.)
 func early(r Request, from time.Duration) time.Duration {
 	most := lastWay
-	if r.Order != "" && from == r.Sent { // it may have been held back for another of its key, which went to another broker
+	if r.OrderKey != "" && from == r.SentAt { // it may have been held back for another of its key, which went to another broker
 		most = freshKeyGap + gapSlack
 	}
-	return min(most, time.Duration(lastPart*float64(r.Allow)))
+	return min(most, time.Duration(lastPart*float64(r.Timeout)))
 }
 
 // holds tells whether a request written at a time may have been held back for this train.
@@ -365,8 +365,8 @@
 // gone ends a request whose client waits no more; nothing is owed for it.
 func (b *Broker) gone(now time.Duration, r *request) {
 	if b.finish(r) {
-		b.measureOver(now, r, Interrupted, true)
-		b.tell(control.ClientGone{Query: r.name})
+		b.measureOver(now, r, ReplyInterrupted, true)
+		b.tell(control.ClientDisconnected{RequestID: r.name})
 	}
 }
 
@@ -382,7 +382,7 @@
 		if a.out && a.ending == control.OK && a.served == nil {
 			// Guards against a send that leaves after its client has: it may wait for a connection or behind others,
 			// and where the deployment does not let attempts be called off the module can't.
-			b.do(Withdraw{a.id})
+			b.do(WithdrawUnsent{a.id})
 		}
 	}
 	b.forget(r)
@@ -405,40 +405,40 @@
 func (b *Broker) forget(r *request) {
 	if r.over && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.out }) {
 		delete(b.requests, r.id)
-		delete(b.refs, r.Ref)
+		delete(b.refs, r.RequestID)
 	}
 }
 
 // act carries out one action of the module.
 func (b *Broker) act(now time.Duration, a control.Action) {
 	switch a := a.(type) {
-	case control.Send:
+	case control.SendAttempt:
 		b.send(now, a)
-	case control.Refuse:
-		if r := b.named(a.Query); r != nil {
-			b.answer(now, r, Reply{Kind: Refused, Text: "the engines have no room", Cooldown: a.RetryIn})
+	case control.Reject:
+		if r := b.named(a.RequestID); r != nil {
+			b.answer(now, r, Reply{Kind: ReplyRejected, Text: "the engines have no room", RetryAfter: a.RetryAfter})
 		}
 	case control.Fail:
-		if r := b.named(a.Query); r != nil {
-			b.answer(now, r, Reply{Kind: Failed, Text: "no engine answered in time"})
+		if r := b.named(a.RequestID); r != nil {
+			b.answer(now, r, Reply{Kind: ReplyFailed, Text: "no engine answered in time"})
 		}
-	case control.Cancel:
-		if r := b.named(a.Query); r != nil && a.Number < len(r.attempts) {
+	case control.CancelAttempt:
+		if r := b.named(a.RequestID); r != nil && a.Number < len(r.attempts) {
 			b.giveUp(r.attempts[a.Number], control.Cancelled)
 		}
-	case control.Terms:
-		if r := b.named(a.Query); r != nil {
+	case control.SetAttemptOptions:
+		if r := b.named(a.RequestID); r != nil {
 			b.terms(r, a)
 		}
 	case control.SetTimer:
-		b.after(now+a.After, func(time.Duration) { b.tell(control.Timer{Token: a.Token}) })
-	case control.Probe:
+		b.after(now+a.After, func(time.Duration) { b.tell(control.TimerFired{Token: a.Token}) })
+	case control.ProbeLoad:
 		b.probe(now, a.Engine)
-	case control.Tell:
-		b.do(Tell{To: a.Gateway, Reports: a.Reports})
+	case control.SendGossip:
+		b.do(SendGossip{Broker: a.Broker, Reports: a.Reports})
 	case control.Log:
-		b.do(Note{a.Text})
-	case control.Watch: // changes come unasked
+		b.do(LogLine{a.Text})
+	case control.WatchEndpoints: // changes come unasked
 	}
 }
 
@@ -450,12 +450,12 @@
 	return b.requests[id]
 }
 
-func (b *Broker) send(now time.Duration, s control.Send) {
-	r := b.named(s.Query)
+func (b *Broker) send(now time.Duration, s control.SendAttempt) {
+	r := b.named(s.RequestID)
 	if r == nil {
 		return
 	}
-	a := &attempt{id: Attempt{r.id, len(r.attempts)}, r: r, engine: s.Engine, sent: now, out: true, ran: true}
+	a := &attempt{id: AttemptID{r.id, len(r.attempts)}, r: r, engine: s.Engine, sent: now, out: true, ran: true}
 	r.attempts = append(r.attempts, a)
 	e, listed := b.engines[s.Engine]
 	until := r.deadline
@@ -464,21 +464,21 @@
 	}
 	if r.over || until <= now || !listed || e.State != control.Ready {
 		// Guards against a send that the module decided before it could know: nothing has left.
-		b.end(now, a, control.Attempt{Status: control.Moot})
+		b.end(now, a, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
-	b.meter.Sent(r.Class)
-	b.do(Want{Attempt: a.id, Engine: e.ID, Addr: e.Addr, Ref: r.Ref, Class: r.Class, Idem: r.Idem,
-		Patience: until - now, Due: s.Due, GrantMB: r.grantMB, Priority: r.priority, Body: r.Body})
+	b.meter.AttemptStarted(r.Class)
+	b.do(StartAttempt{Attempt: a.id, Engine: e.ID, Addr: e.Addr, RequestID: r.RequestID, Class: r.Class, IdempotencyKey: r.IdempotencyKey,
+		Timeout: until - now, OverdueAfter: s.OverdueAfter, GrantMB: r.grantMB, Priority: r.priority, Body: r.Body})
 	b.after(until, func(time.Duration) { b.giveUp(a, control.TimedOut) })
 }
 
-func (b *Broker) terms(r *request, t control.Terms) {
+func (b *Broker) terms(r *request, t control.SetAttemptOptions) {
 	changed := t.Priority != r.priority
 	r.grantMB, r.priority = t.GrantMB, t.Priority
 	for _, a := range r.attempts {
 		if changed && a.out && a.served == nil && a.ending == control.OK {
-			b.do(Hurry{a.id, t.Priority})
+			b.do(SetPriority{a.id, t.Priority})
 		}
 	}
 }
@@ -490,10 +490,10 @@
 		return
 	}
 	a.ending = how
-	b.do(GiveUp{a.id})
+	b.do(CancelAttempt{a.id})
 }
 
-func (b *Broker) attempt(id Attempt) *attempt {
+func (b *Broker) attempt(id AttemptID) *attempt {
 	r := b.requests[id.Request]
 	if r == nil || id.Number >= len(r.attempts) || !r.attempts[id.Number].out {
 		return nil
@@ -502,18 +502,18 @@
 }
 
 // end tells the module of an attempt's end.
-func (b *Broker) end(now time.Duration, a *attempt, ev control.Attempt) {
+func (b *Broker) end(now time.Duration, a *attempt, ev control.AttemptEnded) {
 	a.out = false
 	a.pages = nil
-	ev.Query, ev.Number, ev.Engine = a.r.name, a.id.Number, a.engine
-	ev.Took, ev.Closed = now-a.sent, a.r.over
-	a.ran = ev.Status != control.ConnectFailed && ev.Status != control.Full && ev.Status != control.Moot
-	b.meter.AttemptOver(AttemptOver{Class: a.r.Class, Engine: a.engine, Status: ev.Status, Took: ev.Took, Wasted: a.ran && !a.won})
+	ev.RequestID, ev.Number, ev.Engine = a.r.name, a.id.Number, a.engine
+	ev.Duration, ev.RequestClosed = now-a.sent, a.r.over
+	a.ran = ev.Status != control.ConnectFailed && ev.Status != control.AtCapacity && ev.Status != control.NeverSent
+	b.meter.AttemptEnded(AttemptSummary{Class: a.r.Class, Engine: a.engine, Status: ev.Status, Duration: ev.Duration, Wasted: a.ran && !a.won})
 	b.tell(ev)
 	b.forget(a.r)
 }
 
-func (b *Broker) ended(now time.Duration, ev Ended) {
+func (b *Broker) ended(now time.Duration, ev AttemptEnded) {
 	a := b.attempt(ev.Attempt)
 	if a == nil {
 		return
@@ -527,35 +527,35 @@
 		status = control.Failed
 	}
 	calledOff := status == control.Cancelled || status == control.TimedOut
-	if calledOff && (a.r.Order != "" || !b.copies) || status == control.Reset && !b.copies {
+	if calledOff && (a.r.OrderKey != "" || !b.copies) || status == control.ConnectionReset && !b.copies {
 		// Guards the order of a key at the engines, and the rule that no request has two attempts out: the word that
 		// calls this attempt off has left, or its connection has ended, but the next request of the key or the next
 		// attempt could overtake that on the way to another engine.
-		b.after(now+settle, func(now time.Duration) { b.end(now, a, control.Attempt{Status: status, Report: ev.Report}) })
+		b.after(now+settle, func(now time.Duration) { b.end(now, a, control.AttemptEnded{Status: status, Report: ev.Report}) })
 		return
 	}
-	b.end(now, a, control.Attempt{Status: status, Report: ev.Report, Shared: ev.Shared})
+	b.end(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
 }
 
 // served takes a good end at the engine. It counts only once every page is in, so that an engine that dies
 // between pages costs another attempt and not a broken answer.
-func (b *Broker) served(now time.Duration, ev Served) {
+func (b *Broker) served(now time.Duration, ev AttemptServed) {
 	a := b.attempt(ev.Attempt)
 	if a == nil || a.ending != control.OK || a.served != nil {
 		return
 	}
-	if ev.Pages < 1 || ev.Pages > mostPages || !whole(ev.Body) {
+	if ev.PageCount < 1 || ev.PageCount > mostPages || !whole(ev.Body) {
 		b.broken(now, a, "a result that can't be read")
 		return
 	}
-	a.served, a.pages, a.missing, a.size = &ev, make([][]byte, ev.Pages), ev.Pages-1, len(ev.Body)
+	a.served, a.pages, a.missing, a.size = &ev, make([][]byte, ev.PageCount), ev.PageCount-1, len(ev.Body)
 	a.pages[0] = notNil(ev.Body)
 	if a.missing == 0 {
 		b.complete(now, a)
 		return
 	}
-	for n := 1; n < ev.Pages; n++ {
-		b.do(Turn{a.id, n})
+	for n := 1; n < ev.PageCount; n++ {
+		b.do(FetchPage{a.id, n})
 	}
 	b.awaitPages(now, a)
 }
@@ -572,7 +572,7 @@
 	})
 }
 
-func (b *Broker) page(now time.Duration, ev Page) {
+func (b *Broker) page(now time.Duration, ev PageReceived) {
 	a := b.attempt(ev.Attempt)
 	if a == nil || a.ending != control.OK || a.served == nil {
 		return
@@ -581,7 +581,7 @@
 		return // a second copy
 	}
 	a.size += len(ev.Body)
-	if ev.Number < 1 || ev.Number >= len(a.pages) || a.pages[ev.Number] != nil || !whole(ev.Body) || a.size > MostResult {
+	if ev.Number < 1 || ev.Number >= len(a.pages) || a.pages[ev.Number] != nil || !whole(ev.Body) || a.size > MaxResultBytes {
 		b.broken(now, a, "a page that can't be read")
 		return
 	}
@@ -617,17 +617,17 @@
 
 // broken ends an attempt whose result can't be had whole.
 func (b *Broker) broken(now time.Duration, a *attempt, why string) {
-	b.do(Note{"engine " + a.engine + " gave " + why})
-	b.do(Forget{Attempt: a.id, Shut: true})
-	b.end(now, a, control.Attempt{Status: control.Failed})
+	b.do(LogLine{"engine " + a.engine + " gave " + why})
+	b.do(ReleaseAttempt{Attempt: a.id, PagesLeft: true})
+	b.end(now, a, control.AttemptEnded{Status: control.Failed})
 }
 
 func (b *Broker) complete(now time.Duration, a *attempt) {
-	b.do(Forget{Attempt: a.id})
+	b.do(ReleaseAttempt{Attempt: a.id})
 	pages := a.pages
 	a.won = !a.r.over
-	b.answer(now, a.r, Reply{Kind: Result, Pages: pages})
-	b.end(now, a, control.Attempt{Status: control.OK, Work: a.served.Work, MemoryMB: a.served.MemoryMB,
+	b.answer(now, a.r, Reply{Kind: ReplyResult, Pages: pages})
+	b.end(now, a, control.AttemptEnded{Status: control.OK, Work: a.served.Work, MemoryMB: a.served.MemoryMB,
 		Report: a.served.Report})
 }
 
@@ -640,80 +640,80 @@
 	b.ordinal++
 	tag := b.ordinal
 	b.probes[tag] = probe{engine: id, sent: now}
-	b.do(Probe{Tag: tag, Engine: id, Addr: e.Addr})
-	b.after(now+probeTimeout, func(now time.Duration) { b.probed(now, Probed{Tag: tag, Status: control.TimedOut}) })
+	b.do(ProbeLoad{ProbeID: tag, Engine: id, Addr: e.Addr})
+	b.after(now+probeTimeout, func(now time.Duration) { b.probed(now, ProbeResult{ProbeID: tag, Status: control.TimedOut}) })
 }
 
-func (b *Broker) probed(now time.Duration, ev Probed) {
-	p, ok := b.probes[ev.Tag]
+func (b *Broker) probed(now time.Duration, ev ProbeResult) {
+	p, ok := b.probes[ev.ProbeID]
 	if !ok {
 		return
 	}
-	delete(b.probes, ev.Tag)
-	b.tell(control.ProbeResult{Engine: p.engine, Status: ev.Status, Took: now - p.sent, Report: ev.Report})
+	delete(b.probes, ev.ProbeID)
+	b.tell(control.ProbeResult{Engine: p.engine, Status: ev.Status, Duration: now - p.sent, Report: ev.Report})
 }
 
 // changes follows the change log. What was taken before is passed over, so a page may come twice.
 func (b *Broker) changes(p changelog.Page) {
 	for _, c := range p.Changes {
-		if c.Seq <= b.seq {
+		if c.Revision <= b.seq {
 			continue
 		}
-		list := control.List{Kind: control.Delta}
-		if c.Whole {
-			list.Kind = control.Whole
+		list := control.EndpointUpdate{Kind: control.EndpointDelta}
+		if c.Snapshot {
+			list.Kind = control.EndpointSnapshot
 			named := map[string]bool{}
-			for _, h := range c.Hosts {
+			for _, h := range c.Endpoints {
 				named[h.ID] = true
 			}
 			for _, id := range b.hosts() {
 				if !named[id] {
-					b.do(DropEngine{Engine: id})
+					b.do(CloseEngineConnections{Engine: id})
 					delete(b.engines, id)
 				}
 			}
 		}
-		for _, h := range c.Hosts {
+		for _, h := range c.Endpoints {
 			for _, id := range b.host(h) {
-				list.Engines = append(list.Engines, control.Engine{ID: id, State: control.Gone})
+				list.Engines = append(list.Engines, control.Engine{ID: id, State: control.Removed})
 			}
 			list.Engines = append(list.Engines, h.Engine)
-			if h.State != control.Gone {
+			if h.State != control.Removed {
 				b.remember(h.ID)
 			}
 		}
 		b.tell(list)
 	}
-	b.seq = max(b.seq, p.Seq)
+	b.seq = max(b.seq, p.Revision)
 	b.count()
 }
 
 // host takes what the change log says of an engine, and returns those that must be gone as it has their address.
-func (b *Broker) host(h changelog.Host) (replaced []string) {
+func (b *Broker) host(h changelog.Endpoint) (replaced []string) {
 	for _, id := range b.hosts() {
 		// Guards against answers of an engine that is gone being taken for those of the one that has its
 		// address now, and against work that goes to the wrong one.
-		if o := b.engines[id]; id != h.ID && o.Addr == h.Addr && h.State != control.Gone {
-			b.do(DropEngine{Engine: id})
+		if o := b.engines[id]; id != h.ID && o.Addr == h.Addr && h.State != control.Removed {
+			b.do(CloseEngineConnections{Engine: id})
 			delete(b.engines, id)
 			replaced = append(replaced, id)
 		}
 	}
 	old, listed := b.engines[h.ID]
 	switch {
-	case h.State == control.Gone, listed && old.Addr != h.Addr:
-		b.do(DropEngine{Engine: h.ID})
+	case h.State == control.Removed, listed && old.Addr != h.Addr:
+		b.do(CloseEngineConnections{Engine: h.ID})
 	case listed && h.StartedAt > old.StartedAt:
 		// The list tells of a restart seconds late. What went to the new process meanwhile is under way there, and would
 		// fail for nothing if its connection were closed: of an unsafe class for good.
-		b.do(DropEngine{Engine: h.ID, Before: h.StartedAt})
+		b.do(CloseEngineConnections{Engine: h.ID, DialedBefore: h.StartedAt})
 		if h.State == control.Draining {
-			b.do(DropUnsent{h.ID})
+			b.do(CancelUnsent{h.ID})
 		}
 	case h.State == control.Draining:
-		b.do(DropUnsent{h.ID})
+		b.do(CancelUnsent{h.ID})
 	}
-	if h.State == control.Gone {
+	if h.State == control.Removed {
 		delete(b.engines, h.ID)
 	} else {
 		b.engines[h.ID] = h
@@ -737,7 +737,7 @@
 	b.ending = true
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		if r := b.requests[id]; r != nil && !r.over {
-			b.tell(control.ClientGone{Query: r.name})
+			b.tell(control.ClientDisconnected{RequestID: r.name})
 			b.answer(now, r, r.lastWord(stopping))
 		}
 	}
@@ -747,10 +747,10 @@
 func (r *request) lastWord(why string) Reply {
 	k := r.class
 	ran := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.ran })
-	if !ran || k.Effect == control.Repeatable || k.Effect == control.Keyed && k.Scope == control.ScopeAll {
-		return Reply{Kind: Refused, Text: why}
+	if !ran || k.Idempotency == control.Idempotent || k.Idempotency == control.IdempotentWithKey && k.DedupScope == control.DedupScopeAll {
+		return Reply{Kind: ReplyRejected, Text: why}
 	}
-	return Reply{Kind: Failed, Text: why}
+	return Reply{Kind: ReplyFailed, Text: why}
 }
 
 // timers is a heap by time, and by order of setting within one time.
