--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -18,17 +18,17 @@
 )
 
 func settings() control.Settings {
-	return control.Settings{Gateways: 1, Round: 5 * ms,
+	return control.Settings{Brokers: 1, MinBatchInterval: 5 * ms,
 		Classes: []control.Class{
-			{Name: "lookup", Aim: 400 * ms, Worth: 1, Threads: 1},
-			{Name: "load", Aim: 3 * time.Second, Worth: 20, Threads: 2, Effect: control.Keyed, Window: 15 * time.Second,
-				Ordered: true, LateWorth: 0.5, Load: true}},
-		Kinds:  map[string]control.Kind{"std": {Cores: 8, MemoryMB: 16384}},
-		Limits: control.Limits{MaxAttempts: 4, Cancel: true, Copies: true, RetryHints: true, MaxRetryWait: 500 * ms}}
+			{Name: "lookup", LatencyObjective: 400 * ms, PriorityWeight: 1, Threads: 1},
+			{Name: "load", LatencyObjective: 3 * time.Second, PriorityWeight: 20, Threads: 2, Idempotency: control.IdempotentWithKey, DedupWindow: 15 * time.Second,
+				Ordered: true, LateWeight: 0.5, HoldsDataSetLock: true}},
+		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
+		Limits:      control.Limits{MaxAttempts: 4, Cancellation: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 500 * ms}}
 }
 
-func host(id, addr string, state control.EngineState) changelog.Host {
-	return changelog.Host{Engine: control.Engine{ID: id, Kind: "std", State: state}, Addr: addr}
+func host(id, addr string, state control.EngineState) changelog.Endpoint {
+	return changelog.Endpoint{Engine: control.Engine{ID: id, Kind: "std", State: state}, Addr: addr}
 }
 
 // rig drives a broker through time and keeps what it asks for.
@@ -39,20 +39,20 @@
 	got []Effect
 }
 
-func newRig(t *testing.T, hosts ...changelog.Host) *rig { return newRigOf(t, settings(), hosts...) }
+func newRig(t *testing.T, hosts ...changelog.Endpoint) *rig { return newRigOf(t, settings(), hosts...) }
 
-func newRigOf(t *testing.T, set control.Settings, hosts ...changelog.Host) *rig {
+func newRigOf(t *testing.T, set control.Settings, hosts ...changelog.Endpoint) *rig {
 	b, err := New(set, 1, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: start}
 	for id := range Session(5) { // in every test they are there
-		b.Apply(r.now, Connected{id + 1})
-		b.Apply(r.now, LoggedIn{id + 1})
+		b.Apply(r.now, SessionOpened{id + 1})
+		b.Apply(r.now, SessionAuthenticated{id + 1})
 	}
-	r.apply(Changes{changelog.Page{Seq: 1, Changes: []changelog.Change{{Seq: 1, Whole: true, Hosts: hosts}}}})
-	r.run(2 * settings().Round)
+	r.apply(EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{{Revision: 1, Snapshot: true, Endpoints: hosts}}}})
+	r.run(2 * settings().MinBatchInterval)
 	return r
 }
 
@@ -85,18 +85,18 @@
 }
 
 func (r *rig) submit(s Session, class, key string, allow time.Duration) []Effect {
-	return r.apply(Submit{s, Request{Ref: fmt.Sprintf("%016x", s), Class: class, Order: key, Idem: "op", Sent: r.now,
-		Allow: allow, Body: "SELECT 1"}})
+	return r.apply(SubmitRequest{s, Request{RequestID: fmt.Sprintf("%016x", s), Class: class, OrderKey: key, IdempotencyKey: "op", SentAt: r.now,
+		Timeout: allow, Body: "SELECT 1"}})
 }
 
-func (r *rig) kinds() (out []Kind) {
+func (r *rig) kinds() (out []ReplyKind) {
 	for _, reply := range of[Reply](r.got) {
 		out = append(out, reply.Kind)
 	}
 	return out
 }
 
-func (r *rig) wantKinds(kinds ...Kind) {
+func (r *rig) wantKinds(kinds ...ReplyKind) {
 	r.t.Helper()
 	if diff := cmp.Diff(kinds, r.kinds()); diff != "" {
 		r.t.Fatalf("replies (-want +got):\n%s", diff)
@@ -107,47 +107,51 @@
 func TestPages(t *testing.T) {
 	row := []byte("a\tb\tc\n")
 	for name, c := range map[string]struct {
-		events func(a Attempt) []Event
-		kinds  []Kind
+		events func(a AttemptID) []Event
+		kinds  []ReplyKind
 		wants  int // attempts made
 		shut   int
 	}{
-		"whole at once": {func(a Attempt) []Event { return []Event{Served{Attempt: a, Pages: 1, Body: row}} }, []Kind{Result}, 1, 0},
-		"no rows":       {func(a Attempt) []Event { return []Event{Served{Attempt: a, Pages: 1}} }, []Kind{Result}, 1, 0},
-		"pages in any order": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 3, Body: row}, Page{a, 2, row}, Page{a, 1, row}}
-		}, []Kind{Result}, 1, 0},
-		"waits for its pages": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 3, Body: row}, Page{a, 2, row}}
+		"whole at once": {func(a AttemptID) []Event { return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: row}} }, []ReplyKind{ReplyResult}, 1, 0},
+		"no rows":       {func(a AttemptID) []Event { return []Event{AttemptServed{Attempt: a, PageCount: 1}} }, []ReplyKind{ReplyResult}, 1, 0},
+		"pages in any order": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 2, row}, PageReceived{a, 1, row}}
+		}, []ReplyKind{ReplyResult}, 1, 0},
+		"waits for its pages": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 2, row}}
 		}, nil, 1, 0},
-		"engine dies between pages": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 2, Body: row}, Ended{Attempt: a, Status: control.Reset}}
+		"engine dies between pages": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 2, Body: row}, AttemptEnded{Attempt: a, Status: control.ConnectionReset}}
 		}, nil, 2, 0},
-		"page lost": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 2, Body: row}, Ended{Attempt: a, Status: control.Failed}}
+		"page lost": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 2, Body: row}, AttemptEnded{Attempt: a, Status: control.Failed}}
 		}, nil, 2, 0},
-		"half a row":     {func(a Attempt) []Event { return []Event{Served{Attempt: a, Pages: 1, Body: []byte("a\tb")}} }, nil, 2, 1},
-		"a column short": {func(a Attempt) []Event { return []Event{Served{Attempt: a, Pages: 1, Body: []byte("a\tb\n")}} }, nil, 2, 1},
-		"second copies": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 3, Body: row}, Page{a, 1, nil}, Page{a, 1, nil}, Page{a, 0, row},
-				Served{Attempt: a, Pages: 1, Body: row}, Page{a, 2, row}}
-		}, []Kind{Result}, 1, 0},
-		"two pages of one number": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 3, Body: row}, Page{a, 1, row}, Page{a, 1, nil}}
+		"half a row": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: []byte("a\tb")}}
 		}, nil, 2, 1},
-		"not text": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 1, Body: []byte("a\tb\xff\tc\n")}}
+		"a column short": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: []byte("a\tb\n")}}
 		}, nil, 2, 1},
-		"a page too long": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: 1, Body: bytes.Repeat(row, mostPage/len(row)+1)}}
+		"second copies": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 1, nil}, PageReceived{a, 1, nil}, PageReceived{a, 0, row},
+				AttemptServed{Attempt: a, PageCount: 1, Body: row}, PageReceived{a, 2, row}}
+		}, []ReplyKind{ReplyResult}, 1, 0},
+		"two pages of one number": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 1, row}, PageReceived{a, 1, nil}}
 		}, nil, 2, 1},
-		"too many pages": {func(a Attempt) []Event {
-			return []Event{Served{Attempt: a, Pages: mostPages + 1, Body: row}}
+		"not text": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: []byte("a\tb\xff\tc\n")}}
 		}, nil, 2, 1},
-		"too large": {func(a Attempt) []Event {
-			events := []Event{Served{Attempt: a, Pages: 10}}
+		"a page too long": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: bytes.Repeat(row, mostPage/len(row)+1)}}
+		}, nil, 2, 1},
+		"too many pages": {func(a AttemptID) []Event {
+			return []Event{AttemptServed{Attempt: a, PageCount: mostPages + 1, Body: row}}
+		}, nil, 2, 1},
+		"too large": {func(a AttemptID) []Event {
+			events := []Event{AttemptServed{Attempt: a, PageCount: 10}}
 			for n := range 9 {
-				events = append(events, Page{a, n + 1, bytes.Repeat(row, mostPage/len(row))})
+				events = append(events, PageReceived{a, n + 1, bytes.Repeat(row, mostPage/len(row))})
 			}
 			return events
 		}, nil, 2, 1},
@@ -155,7 +159,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 			r.submit(1, "lookup", "", 2*time.Second)
-			wants := of[Want](r.got)
+			wants := of[StartAttempt](r.got)
 			if len(wants) != 1 {
 				t.Fatalf("%d attempts", len(wants))
 			}
@@ -163,12 +167,12 @@
 			r.run(20 * ms)
 			r.wantKinds(c.kinds...)
 			shut := 0
-			for _, f := range of[Forget](r.got) {
-				if f.Shut {
+			for _, f := range of[ReleaseAttempt](r.got) {
+				if f.PagesLeft {
 					shut++
 				}
 			}
-			if got := len(of[Want](r.got)); got != c.wants || shut != c.shut {
+			if got := len(of[StartAttempt](r.got)); got != c.wants || shut != c.shut {
 				t.Fatalf("%d attempts and %d shut, want %d and %d", got, shut, c.wants, c.shut)
 			}
 		})
@@ -179,9 +183,9 @@
 func TestASilentPageIsGivenUp(t *testing.T) {
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 	r.submit(1, "load", "", 9*time.Second)
-	r.apply(Served{Attempt: of[Want](r.got)[0].Attempt, Pages: 2, Body: []byte("a\tb\tc\n")})
+	r.apply(AttemptServed{Attempt: of[StartAttempt](r.got)[0].Attempt, PageCount: 2, Body: []byte("a\tb\tc\n")})
 	r.run(pageTimeout + 20*ms)
-	if n := len(of[Want](r.got)); n != 2 {
+	if n := len(of[StartAttempt](r.got)); n != 2 {
 		t.Fatalf("%d attempts, want 2", n)
 	}
 }
@@ -189,30 +193,32 @@
 // Every request gets one answer before its client gives up, whatever its attempt does, and none after a kill.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(r *rig, a Attempt)
-		want []Kind
+		do   func(r *rig, a AttemptID)
+		want []ReplyKind
 	}{
-		"silent engine": {func(r *rig, a Attempt) {}, []Kind{Refused}},
-		"answer after the end": {func(r *rig, a Attempt) {
+		"silent engine": {func(r *rig, a AttemptID) {}, []ReplyKind{ReplyRejected}},
+		"answer after the end": {func(r *rig, a AttemptID) {
 			r.run(2 * time.Second)
-			r.apply(Served{Attempt: a, Pages: 1})
-		}, []Kind{Refused}},
-		"two answers":   {func(r *rig, a Attempt) { r.apply(Served{Attempt: a, Pages: 1}, Served{Attempt: a, Pages: 1}) }, []Kind{Result}},
-		"killed":        {func(r *rig, a Attempt) { r.apply(Kill{By: 2, Target: 1}) }, []Kind{Done, Interrupted}},
-		"client closed": {func(r *rig, a Attempt) { r.apply(SessionClosed{1}) }, nil},
-		"stopped":       {func(r *rig, a Attempt) { r.apply(Stop{500 * ms}) }, []Kind{Refused}},
+			r.apply(AttemptServed{Attempt: a, PageCount: 1})
+		}, []ReplyKind{ReplyRejected}},
+		"two answers": {func(r *rig, a AttemptID) {
+			r.apply(AttemptServed{Attempt: a, PageCount: 1}, AttemptServed{Attempt: a, PageCount: 1})
+		}, []ReplyKind{ReplyResult}},
+		"killed":        {func(r *rig, a AttemptID) { r.apply(Kill{RequestedBy: 2, Target: 1}) }, []ReplyKind{ReplyOK, ReplyInterrupted}},
+		"client closed": {func(r *rig, a AttemptID) { r.apply(SessionClosed{1}) }, nil},
+		"stopped":       {func(r *rig, a AttemptID) { r.apply(Shutdown{500 * ms}) }, []ReplyKind{ReplyRejected}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 			r.submit(1, "lookup", "", 2*time.Second)
-			a := of[Want](r.got)[0].Attempt
+			a := of[StartAttempt](r.got)[0].Attempt
 			c.do(r, a)
 			r.run(2*time.Second - 1)
 			r.wantKinds(c.want...)
-			if r.b.Open() != 0 {
-				t.Fatalf("%d requests are owed an answer", r.b.Open())
+			if r.b.OpenRequests() != 0 {
+				t.Fatalf("%d requests are owed an answer", r.b.OpenRequests())
 			}
-			if len(of[GiveUp](r.got)) == 0 && name != "two answers" {
+			if len(of[CancelAttempt](r.got)) == 0 && name != "two answers" {
 				t.Fatal("its attempt was not called off")
 			}
 		})
@@ -245,7 +251,7 @@
 		}
 		var got time.Duration
 		for _, w := range c.writes {
-			got = b.waitsFrom(Request{Order: w.key, Sent: start + w.at, Fresh: w.fresh})
+			got = b.waitsFrom(Request{OrderKey: w.key, SentAt: start + w.at, FirstOnConnection: w.fresh})
 		}
 		if got != start+c.want {
 			t.Errorf("%s: counted from %v, want %v", name, got-start, c.want)
@@ -258,17 +264,17 @@
 func TestOrderOfAKey(t *testing.T) {
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 	request := func(s Session, sent time.Duration) Event {
-		return Submit{s, Request{Ref: fmt.Sprint(s), Class: "load", Order: "k", Idem: "op", Sent: sent, Allow: 9 * time.Second}}
+		return SubmitRequest{s, Request{RequestID: fmt.Sprint(s), Class: "load", OrderKey: "k", IdempotencyKey: "op", SentAt: sent, Timeout: 9 * time.Second}}
 	}
 	r.run(10 * ms)
 	r.apply(request(3, r.now), request(2, r.now-80*ms), request(1, r.now-160*ms))
 	var refs []string
 	for range 3 {
 		r.run(200 * ms)
-		wants := of[Want](r.got)
+		wants := of[StartAttempt](r.got)
 		last := wants[len(wants)-1]
-		refs = append(refs, last.Ref)
-		r.apply(Served{Attempt: last.Attempt, Pages: 1})
+		refs = append(refs, last.RequestID)
+		r.apply(AttemptServed{Attempt: last.Attempt, PageCount: 1})
 	}
 	if diff := cmp.Diff([]string{"1", "2", "3"}, refs); diff != "" {
 		t.Fatal(diff)
@@ -276,18 +282,18 @@
 	r.submit(4, "load", "k2", 9*time.Second)
 	r.submit(5, "load", "k2", 9*time.Second)
 	r.run(200 * ms)
-	wants := of[Want](r.got)
+	wants := of[StartAttempt](r.got)
 	first := wants[len(wants)-1]
 	r.apply(SessionClosed{4})
-	if r.run(10 * ms); len(of[GiveUp](r.got)) != 1 || first.Ref != fmt.Sprintf("%016x", 4) {
+	if r.run(10 * ms); len(of[CancelAttempt](r.got)) != 1 || first.RequestID != fmt.Sprintf("%016x", 4) {
 		t.Fatal("the one whose client left was not called off")
 	}
-	r.apply(Ended{Attempt: first.Attempt, Status: control.Cancelled})
-	if r.run(settle - ms); len(of[Want](r.got)) != len(wants) {
+	r.apply(AttemptEnded{Attempt: first.Attempt, Status: control.Cancelled})
+	if r.run(settle - ms); len(of[StartAttempt](r.got)) != len(wants) {
 		t.Fatal("the next one left before the word could be there")
 	}
 	r.run(200 * ms)
-	if wants := of[Want](r.got); wants[len(wants)-1].Ref != fmt.Sprintf("%016x", 5) {
+	if wants := of[StartAttempt](r.got); wants[len(wants)-1].RequestID != fmt.Sprintf("%016x", 5) {
 		t.Fatal("the next one was not sent")
 	}
 }
@@ -300,20 +306,20 @@
 		want   control.Status
 	}{
 		"refused connect": {control.ConnectFailed, false, control.ConnectFailed},
-		"busy":            {control.Full, false, control.Full},
+		"busy":            {control.AtCapacity, false, control.AtCapacity},
 		// Guards against a BUSY for a page passing as proof that the query never ran.
-		"busy for a page": {control.Full, true, control.Failed},
-		"void for a page": {control.Moot, true, control.Failed},
+		"busy for a page": {control.AtCapacity, true, control.Failed},
+		"void for a page": {control.NeverSent, true, control.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 			r.submit(1, "lookup", "", 2*time.Second)
-			a := of[Want](r.got)[0].Attempt
+			a := of[StartAttempt](r.got)[0].Attempt
 			if c.pages {
-				r.apply(Served{Attempt: a, Pages: 2, Body: []byte("a\tb\tc\n")})
+				r.apply(AttemptServed{Attempt: a, PageCount: 2, Body: []byte("a\tb\tc\n")})
 			}
-			r.b.Apply(r.now, Ended{Attempt: a, Status: c.status})
-			told := r.b.pending[len(r.b.pending)-1].(control.Attempt)
+			r.b.Apply(r.now, AttemptEnded{Attempt: a, Status: c.status})
+			told := r.b.pending[len(r.b.pending)-1].(control.AttemptEnded)
 			if told.Status != c.want {
 				t.Fatalf("told the module %v, want %v", told.Status, c.want)
 			}
@@ -324,8 +330,8 @@
 // Changes of the list: what drains gets nothing that has not left, what is gone or has lost its address is
 // dropped, and a page that comes twice counts once.
 func TestChanges(t *testing.T) {
-	page := func(seq int64, whole bool, hosts ...changelog.Host) Event {
-		return Changes{changelog.Page{Seq: seq, Changes: []changelog.Change{{Seq: seq, Whole: whole, Hosts: hosts}}}}
+	page := func(seq int64, whole bool, hosts ...changelog.Endpoint) Event {
+		return EndpointChanges{changelog.Page{Revision: seq, Changes: []changelog.Change{{Revision: seq, Snapshot: whole, Endpoints: hosts}}}}
 	}
 	restarted := host("e1", "127.0.0.1:1", control.Ready)
 	restarted.StartedAt = start
@@ -333,13 +339,13 @@
 		change Event
 		want   []Effect
 	}{
-		"drains":           {page(2, false, host("e1", "127.0.0.1:1", control.Draining)), []Effect{DropUnsent{"e1"}}},
-		"gone":             {page(2, false, host("e1", "127.0.0.1:1", control.Gone)), []Effect{DropEngine{Engine: "e1"}}},
-		"restarted":        {page(2, false, restarted), []Effect{DropEngine{Engine: "e1", Before: restarted.StartedAt}}},
-		"moved":            {page(2, false, host("e1", "127.0.0.1:9", control.Ready)), []Effect{DropEngine{Engine: "e1"}}},
-		"address passed":   {page(2, false, host("e3", "127.0.0.1:1", control.Ready)), []Effect{DropEngine{Engine: "e1"}}},
-		"left a whole one": {page(2, true, host("e2", "127.0.0.1:2", control.Ready)), []Effect{DropEngine{Engine: "e1"}}},
-		"known before":     {page(1, false, host("e1", "127.0.0.1:1", control.Gone)), nil},
+		"drains":           {page(2, false, host("e1", "127.0.0.1:1", control.Draining)), []Effect{CancelUnsent{"e1"}}},
+		"gone":             {page(2, false, host("e1", "127.0.0.1:1", control.Removed)), []Effect{CloseEngineConnections{Engine: "e1"}}},
+		"restarted":        {page(2, false, restarted), []Effect{CloseEngineConnections{Engine: "e1", DialedBefore: restarted.StartedAt}}},
+		"moved":            {page(2, false, host("e1", "127.0.0.1:9", control.Ready)), []Effect{CloseEngineConnections{Engine: "e1"}}},
+		"address passed":   {page(2, false, host("e3", "127.0.0.1:1", control.Ready)), []Effect{CloseEngineConnections{Engine: "e1"}}},
+		"left a whole one": {page(2, true, host("e2", "127.0.0.1:2", control.Ready)), []Effect{CloseEngineConnections{Engine: "e1"}}},
+		"known before":     {page(1, false, host("e1", "127.0.0.1:1", control.Removed)), nil},
 	} {
 		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 		if diff := cmp.Diff(c.want, r.apply(c.change)); diff != "" {
@@ -352,21 +358,21 @@
 // which may be cold.
 func TestAnAddressPassesOn(t *testing.T) {
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-	r.b.Apply(r.now, Changes{changelog.Page{Seq: 2, Changes: []changelog.Change{{Seq: 2, Hosts: []changelog.Host{
+	r.b.Apply(r.now, EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
 		host("e2", "127.0.0.1:1", control.Ready)}}}}})
 	told := r.b.pending[len(r.b.pending)-1]
-	if diff := cmp.Diff(control.List{Engines: []control.Engine{{ID: "e1", State: control.Gone}, {ID: "e2", Kind: "std"}}}, told); diff != "" {
+	if diff := cmp.Diff(control.EndpointUpdate{Engines: []control.Engine{{ID: "e1", State: control.Removed}, {ID: "e2", Kind: "std"}}}, told); diff != "" {
 		t.Fatal(diff)
 	}
 	for id := range Session(5) {
 		r.submit(id+1, "lookup", "", time.Second)
 	}
-	for _, w := range of[Want](r.run(50 * ms)) {
+	for _, w := range of[StartAttempt](r.run(50 * ms)) {
 		if w.Engine != "e2" {
 			t.Fatalf("%s got work at the address of e2", w.Engine)
 		}
 	}
-	if n := len(of[Want](r.got)); n != 5 {
+	if n := len(of[StartAttempt](r.got)); n != 5 {
 		t.Fatalf("%d were sent, want 5", n)
 	}
 }
@@ -375,43 +381,43 @@
 func TestRequestsThatCannotBeMeant(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(r *Request)
-		want   Kind
+		want   ReplyKind
 	}{
-		"good":              {func(r *Request) {}, Result},
-		"class":             {func(r *Request) { r.Class = "nonsense" }, BadFields},
-		"tenant":            {func(r *Request) { r.Tenant = "nobody" }, BadFields},
-		"time to wait":      {func(r *Request) { r.Allow = time.Hour }, BadFields},
-		"no key":            {func(r *Request) { r.Class = "load"; r.Idem = "" }, BadFields},
-		"id of an open one": {func(r *Request) { r.Ref = "open" }, BadFields},
+		"good":              {func(r *Request) {}, ReplyResult},
+		"class":             {func(r *Request) { r.Class = "nonsense" }, ReplyInvalidFields},
+		"tenant":            {func(r *Request) { r.Tenant = "nobody" }, ReplyInvalidFields},
+		"time to wait":      {func(r *Request) { r.Timeout = time.Hour }, ReplyInvalidFields},
+		"no key":            {func(r *Request) { r.Class = "load"; r.IdempotencyKey = "" }, ReplyInvalidFields},
+		"id of an open one": {func(r *Request) { r.RequestID = "open" }, ReplyInvalidFields},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := settings()
 			set.Tenants = []control.Tenant{{Name: "acme", Share: 1}}
-			set.Classes[0].GiveUp = 2 * time.Second
+			set.Classes[0].ClientTimeout = 2 * time.Second
 			b, err := New(set, 1, 100)
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := &rig{t: t, b: b, now: start}
-			r.apply(Connected{1}, LoggedIn{1}, Connected{2}, LoggedIn{2}, Changes{changelog.Page{Seq: 1, Changes: []changelog.Change{
-				{Seq: 1, Whole: true, Hosts: []changelog.Host{host("e1", "127.0.0.1:1", control.Ready)}}}}})
-			good := Request{Ref: "open", Class: "lookup", Tenant: "acme", Idem: "op", Sent: r.now, Allow: 2 * time.Second}
-			r.apply(Submit{1, good})
+			r.apply(SessionOpened{1}, SessionAuthenticated{1}, SessionOpened{2}, SessionAuthenticated{2}, EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{
+				{Revision: 1, Snapshot: true, Endpoints: []changelog.Endpoint{host("e1", "127.0.0.1:1", control.Ready)}}}}})
+			good := Request{RequestID: "open", Class: "lookup", Tenant: "acme", IdempotencyKey: "op", SentAt: r.now, Timeout: 2 * time.Second}
+			r.apply(SubmitRequest{1, good})
 			r.run(10 * ms)
-			first := of[Want](r.got)[0]
+			first := of[StartAttempt](r.got)[0]
 			next := good
-			next.Ref = "next"
+			next.RequestID = "next"
 			c.change(&next)
-			r.apply(Submit{2, next})
+			r.apply(SubmitRequest{2, next})
 			r.run(10 * ms)
-			if wants := of[Want](r.got); c.want == Result {
-				r.apply(Served{Attempt: wants[1].Attempt, Pages: 1})
+			if wants := of[StartAttempt](r.got); c.want == ReplyResult {
+				r.apply(AttemptServed{Attempt: wants[1].Attempt, PageCount: 1})
 			}
 			r.wantKinds(c.want)
-			r.apply(Served{Attempt: first.Attempt, Pages: 1}, Submit{1, good}) // over, so its id is free
-			r.wantKinds(c.want, Result)
-			if b.Open() != 1 {
-				t.Fatalf("%d are open, want 1", b.Open())
+			r.apply(AttemptServed{Attempt: first.Attempt, PageCount: 1}, SubmitRequest{1, good}) // over, so its id is free
+			r.wantKinds(c.want, ReplyResult)
+			if b.OpenRequests() != 1 {
+				t.Fatalf("%d are open, want 1", b.OpenRequests())
 			}
 		})
 	}
@@ -424,7 +430,7 @@
 		t.Fatal(err)
 	}
 	for n := range 10 * fewTrains {
-		b.waitsFrom(Request{Order: fmt.Sprint(n), Sent: start + time.Duration(n)*time.Second})
+		b.waitsFrom(Request{OrderKey: fmt.Sprint(n), SentAt: start + time.Duration(n)*time.Second})
 	}
 	if len(b.trains) > fewTrains {
 		t.Fatalf("%d keys are remembered", len(b.trains))
@@ -436,12 +442,12 @@
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 	r.apply(Ping{1})
 	r.submit(1, "lookup", "", time.Second)
-	r.apply(Ping{1}, Submit{1, Request{Class: "nonsense"}})
-	r.wantKinds(Done)
-	r.apply(Served{Attempt: of[Want](r.got)[0].Attempt, Pages: 1})
-	r.wantKinds(Done, Result, Done, BadFields)
-	r.apply(Submit{1, Request{Class: "load"}}, Kill{By: 1, Target: 77}, Stop{time.Second}, Ping{1})
-	r.wantKinds(Done, Result, Done, BadFields, BadFields, NoSession, NotReady)
+	r.apply(Ping{1}, SubmitRequest{1, Request{Class: "nonsense"}})
+	r.wantKinds(ReplyOK)
+	r.apply(AttemptServed{Attempt: of[StartAttempt](r.got)[0].Attempt, PageCount: 1})
+	r.wantKinds(ReplyOK, ReplyResult, ReplyOK, ReplyInvalidFields)
+	r.apply(SubmitRequest{1, Request{Class: "load"}}, Kill{RequestedBy: 1, Target: 77}, Shutdown{time.Second}, Ping{1})
+	r.wantKinds(ReplyOK, ReplyResult, ReplyOK, ReplyInvalidFields, ReplyInvalidFields, ReplyUnknownSession, ReplyNotReady)
 	if len(of[CloseSession](r.got)) > 0 {
 		t.Fatal("the session was closed")
 	}
@@ -457,7 +463,7 @@
 func TestNotReadyWithoutEngines(t *testing.T) {
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Draining))
 	r.apply(Ping{1})
-	r.wantKinds(NotReady)
+	r.wantKinds(ReplyNotReady)
 }
 
 // Who makes room when there are as many sessions as may be: one that had time to log in and did not, else, of
@@ -468,24 +474,24 @@
 	r.b.sessions.most = 5 // all there
 	r.submit(1, "lookup", "", time.Second)
 	r.run(sayWithin)
-	r.apply(Ping{2}, Submit{3, Request{Class: "nonsense"}}, Ping{4})
-	r.apply(Connected{10}) // 3 goes
+	r.apply(Ping{2}, SubmitRequest{3, Request{Class: "nonsense"}}, Ping{4})
+	r.apply(SessionOpened{10}) // 3 goes
 	r.run(sayWithin)
-	r.apply(Connected{11})               // 10 goes
-	r.apply(Connected{12}, LoggedIn{12}) // 5 goes, as 11 may be about to log in
+	r.apply(SessionOpened{11})                           // 10 goes
+	r.apply(SessionOpened{12}, SessionAuthenticated{12}) // 5 goes, as 11 may be about to log in
 	for _, id := range []Session{2, 4, 12} {
 		r.submit(id, "lookup", "", time.Second)
 	}
-	r.apply(Connected{13}, LoggedIn{13}) // 11 goes
+	r.apply(SessionOpened{13}, SessionAuthenticated{13}) // 11 goes
 	r.submit(13, "lookup", "", time.Second)
-	if diff := cmp.Diff([]CloseSession{{3, MadeRoom}, {10, MadeRoom}, {5, MadeRoom}, {11, MadeRoom}}, of[CloseSession](r.got)); diff != "" {
+	if diff := cmp.Diff([]CloseSession{{3, CloseEvictedIdle}, {10, CloseEvictedIdle}, {5, CloseEvictedIdle}, {11, CloseEvictedIdle}}, of[CloseSession](r.got)); diff != "" {
 		t.Fatal(diff)
 	}
 	if late := r.apply(Ping{10}); len(late) != 0 {
 		t.Fatalf("a session that was closed got %v", late)
 	}
-	if diff := cmp.Diff([]Effect{Reply{Session: 14, Kind: Crowded, Text: "too many connections"},
-		CloseSession{14, NoRoom}}, r.apply(Connected{14})); diff != "" {
+	if diff := cmp.Diff([]Effect{Reply{Session: 14, Kind: ReplyTooManySessions, Text: "too many connections"},
+		CloseSession{14, CloseTooManySessions}}, r.apply(SessionOpened{14})); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/broker/crossing_test.go
+++ b/internal/broker/crossing_test.go
@@ -15,28 +15,28 @@
 	for name, c := range map[string]struct {
 		asked time.Duration // after the word was written
 		wants int
-		kinds []Kind
+		kinds []ReplyKind
 	}{
-		"asked before": {-3 * ms, 0, []Kind{Done, Interrupted}},
-		"asked after":  {3 * ms, 1, []Kind{Done}},
+		"asked before": {-3 * ms, 0, []ReplyKind{ReplyOK, ReplyInterrupted}},
+		"asked after":  {3 * ms, 1, []ReplyKind{ReplyOK}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-			r.apply(Kill{By: 2, Target: 1, Sent: r.now},
-				Submit{1, Request{Ref: "a", Class: "lookup", Sent: r.now + c.asked, Allow: time.Second}})
+			r.apply(Kill{RequestedBy: 2, Target: 1, SentAt: r.now},
+				SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now + c.asked, Timeout: time.Second}})
 			r.run(20 * ms)
 			r.wantKinds(c.kinds...)
-			if got := len(of[Want](r.got)); got != c.wants {
+			if got := len(of[StartAttempt](r.got)); got != c.wants {
 				t.Fatalf("%d attempts, want %d", got, c.wants)
 			}
-			if open := r.b.Open(); open != c.wants {
+			if open := r.b.OpenRequests(); open != c.wants {
 				t.Fatalf("%d requests are owed an answer", open)
 			}
 			// The session goes on: what its client asks now is served.
-			r.apply(SessionClosed{1}, Connected{1}, LoggedIn{1})
+			r.apply(SessionClosed{1}, SessionOpened{1}, SessionAuthenticated{1})
 			r.submit(1, "lookup", "", time.Second)
 			r.run(20 * ms)
-			if got := len(of[Want](r.got)); got != c.wants+1 {
+			if got := len(of[StartAttempt](r.got)); got != c.wants+1 {
 				t.Fatal("nothing more is sent on")
 			}
 		})
@@ -47,14 +47,14 @@
 func TestAKillTakesWhatWaitsBehindTheOpenRequest(t *testing.T) {
 	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 	request := func(ref string) Event {
-		return Submit{1, Request{Ref: ref, Class: "lookup", Sent: r.now - ms, Allow: time.Second}}
+		return SubmitRequest{1, Request{RequestID: ref, Class: "lookup", SentAt: r.now - ms, Timeout: time.Second}}
 	}
 	r.apply(request("a"), request("b"))
 	r.run(20 * ms)
-	r.apply(Kill{By: 2, Target: 1, Sent: r.now})
+	r.apply(Kill{RequestedBy: 2, Target: 1, SentAt: r.now})
 	r.run(20 * ms)
-	r.wantKinds(Done, Interrupted, Interrupted)
-	if wants := of[Want](r.got); len(wants) != 1 || wants[0].Ref != "a" {
+	r.wantKinds(ReplyOK, ReplyInterrupted, ReplyInterrupted)
+	if wants := of[StartAttempt](r.got); len(wants) != 1 || wants[0].RequestID != "a" {
 		t.Fatalf("sent on: %v", wants)
 	}
 }
@@ -63,26 +63,26 @@
 // module's next round and where the module may not cancel.
 func TestWhatIsOverIsWithdrawn(t *testing.T) {
 	for name, end := range map[string]func(r *rig){
-		"killed":       func(r *rig) { r.apply(Kill{By: 2, Target: 1}) },
+		"killed":       func(r *rig) { r.apply(Kill{RequestedBy: 2, Target: 1}) },
 		"client left":  func(r *rig) { r.apply(SessionClosed{1}) },
 		"time is up":   func(r *rig) { r.run(time.Second) },
-		"last answers": func(r *rig) { r.apply(Stop{10 * ms}); r.run(10 * ms) },
+		"last answers": func(r *rig) { r.apply(Shutdown{10 * ms}); r.run(10 * ms) },
 	} {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
 				set := settings()
-				set.Limits.Cancel = cancel
+				set.Limits.Cancellation = cancel
 				r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
 				r.submit(1, "lookup", "", time.Second)
-				a := of[Want](r.got)[0].Attempt
+				a := of[StartAttempt](r.got)[0].Attempt
 				end(r)
-				if got := of[Withdraw](r.got); len(got) != 1 || got[0].Attempt != a {
+				if got := of[WithdrawUnsent](r.got); len(got) != 1 || got[0].Attempt != a {
 					t.Fatalf("withdrawn: %v", got)
 				}
-				r.apply(Ended{Attempt: a, Status: control.Moot})
+				r.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
 				r.run(2 * time.Second)
-				if len(r.b.requests) != 0 || len(of[Want](r.got)) != 1 {
-					t.Fatalf("%d requests are left, %d attempts were made", len(r.b.requests), len(of[Want](r.got)))
+				if len(r.b.requests) != 0 || len(of[StartAttempt](r.got)) != 1 {
+					t.Fatalf("%d requests are left, %d attempts were made", len(r.b.requests), len(of[StartAttempt](r.got)))
 				}
 			})
 		}
@@ -92,21 +92,21 @@
 // The last answers before a broker ends say what is true of each request, and what comes after them is refused at
 // once and never sent on.
 func TestLastWords(t *testing.T) {
-	once := control.Class{Name: "once", Aim: time.Second, Worth: 1, Threads: 1, Effect: control.Once}
-	zone := control.Class{Name: "zone", Aim: time.Second, Worth: 1, Threads: 1, Effect: control.Keyed, Scope: control.ScopeZone, Window: time.Second}
+	once := control.Class{Name: "once", LatencyObjective: time.Second, PriorityWeight: 1, Threads: 1, Idempotency: control.NonIdempotent}
+	zone := control.Class{Name: "zone", LatencyObjective: time.Second, PriorityWeight: 1, Threads: 1, Idempotency: control.IdempotentWithKey, DedupScope: control.DedupScopeZone, DedupWindow: time.Second}
 	for name, c := range map[string]struct {
 		class string
 		ended control.Status // how its attempt ended; OK: it is out
 		sent  bool
-		want  Kind
+		want  ReplyKind
 	}{
-		"repeatable, out":                   {"lookup", control.OK, true, Refused},
-		"keyed for all engines, out":        {"load", control.OK, true, Refused},
-		"keyed for a zone, out":             {"zone", control.OK, true, Failed},
-		"unsafe, out":                       {"once", control.OK, true, Failed},
-		"unsafe, reset":                     {"once", control.Reset, true, Failed},
-		"unsafe, never sent":                {"once", control.OK, false, Refused},
-		"unsafe, sent and surely never ran": {"once", control.Moot, true, Refused},
+		"repeatable, out":                   {"lookup", control.OK, true, ReplyRejected},
+		"keyed for all engines, out":        {"load", control.OK, true, ReplyRejected},
+		"keyed for a zone, out":             {"zone", control.OK, true, ReplyFailed},
+		"unsafe, out":                       {"once", control.OK, true, ReplyFailed},
+		"unsafe, reset":                     {"once", control.ConnectionReset, true, ReplyFailed},
+		"unsafe, never sent":                {"once", control.OK, false, ReplyRejected},
+		"unsafe, sent and surely never ran": {"once", control.NeverSent, true, ReplyRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := settings()
@@ -118,21 +118,21 @@
 			}
 			r.submit(1, c.class, "", 10*time.Second)
 			r.run(10 * ms)
-			wants := of[Want](r.got)
+			wants := of[StartAttempt](r.got)
 			if len(wants) > 0 != c.sent {
 				t.Fatalf("%d attempts", len(wants))
 			}
 			if c.ended != control.OK {
-				r.b.Apply(r.now, Ended{Attempt: wants[0].Attempt, Status: c.ended}) // the module has not heard of it
+				r.b.Apply(r.now, AttemptEnded{Attempt: wants[0].Attempt, Status: c.ended}) // the module has not heard of it
 			}
 			r.got = nil
-			r.got = append(r.got, r.b.Apply(r.now, Stop{0})...)
+			r.got = append(r.got, r.b.Apply(r.now, Shutdown{0})...)
 			r.apply()
 			r.wantKinds(c.want)
 			r.submit(2, c.class, "", 10*time.Second)
 			r.run(time.Second)
-			r.wantKinds(c.want, Refused)
-			if len(of[Want](r.got)) > 0 || r.b.Open() != 0 {
+			r.wantKinds(c.want, ReplyRejected)
+			if len(of[StartAttempt](r.got)) > 0 || r.b.OpenRequests() != 0 {
 				t.Fatal("what came after the last answers was taken")
 			}
 		})
@@ -141,13 +141,13 @@
 
 // A client that leaves in the round in which its request comes has nothing sent on.
 func TestAClientThatLeavesInTheRoundOfItsRequest(t *testing.T) {
-	for name, leave := range map[string]Event{"closed": SessionClosed{1}, "killed": Kill{By: 2, Target: 1}} {
+	for name, leave := range map[string]Event{"closed": SessionClosed{1}, "killed": Kill{RequestedBy: 2, Target: 1}} {
 		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-		r.now += settings().Round
-		r.b.Apply(r.now, Submit{1, Request{Ref: "a", Class: "lookup", Sent: r.now, Allow: time.Second}})
+		r.now += settings().MinBatchInterval
+		r.b.Apply(r.now, SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
 		r.apply(leave)
 		r.run(time.Second)
-		if len(of[Want](r.got)) > 0 || r.b.Open() != 0 || len(r.b.requests) != 0 {
+		if len(of[StartAttempt](r.got)) > 0 || r.b.OpenRequests() != 0 || len(r.b.requests) != 0 {
 			t.Fatalf("%s: it was sent on, or is kept", name)
 		}
 	}
@@ -156,8 +156,8 @@
 // A page of the change log may tell of one engine that it drains, is gone and is back, and of another that takes over
 // its address: each is followed in its order, and what is sent goes where the last of them says.
 func TestMuchOfOneEngineInOnePage(t *testing.T) {
-	at := func(seq int64, hosts ...changelog.Host) changelog.Change {
-		return changelog.Change{Seq: seq, Hosts: hosts}
+	at := func(seq int64, hosts ...changelog.Endpoint) changelog.Change {
+		return changelog.Change{Revision: seq, Endpoints: hosts}
 	}
 	back := host("e1", "127.0.0.1:1", control.Ready)
 	back.StartedAt = start - time.Hour
@@ -167,24 +167,24 @@
 		drops   int
 	}{
 		"drain, gone and back": {[]changelog.Change{at(2, host("e1", "127.0.0.1:1", control.Draining)),
-			at(3, host("e1", "", control.Gone)), at(4, back)}, "e1", 1},
-		"back, then drain":   {[]changelog.Change{at(2, host("e1", "", control.Gone)), at(3, back), at(4, host("e1", "127.0.0.1:1", control.Draining))}, "", 1},
+			at(3, host("e1", "", control.Removed)), at(4, back)}, "e1", 1},
+		"back, then drain":   {[]changelog.Change{at(2, host("e1", "", control.Removed)), at(3, back), at(4, host("e1", "127.0.0.1:1", control.Draining))}, "", 1},
 		"address taken over": {[]changelog.Change{at(2, host("e1", "127.0.0.1:1", control.Draining)), at(3, host("e2", "127.0.0.1:1", control.Ready))}, "e2", 1},
 		"taken over and back elsewhere": {[]changelog.Change{at(2, host("e2", "127.0.0.1:1", control.Ready)),
 			at(3, host("e2", "127.0.0.1:1", control.Draining)), at(4, host("e1", "127.0.0.1:3", control.Ready))}, "e1", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-			r.apply(Changes{changelog.Page{Seq: 4, Changes: c.changes}})
+			r.apply(EndpointChanges{changelog.Page{Revision: 4, Changes: c.changes}})
 			r.run(10 * ms)
 			r.submit(1, "lookup", "", time.Second)
 			r.run(10 * ms)
 			to := ""
-			for _, w := range of[Want](r.got) {
+			for _, w := range of[StartAttempt](r.got) {
 				to = w.Engine
 			}
-			if to != c.to || len(of[DropEngine](r.got)) != c.drops {
-				t.Fatalf("sent to %q after %d drops, want %q after %d", to, len(of[DropEngine](r.got)), c.to, c.drops)
+			if to != c.to || len(of[CloseEngineConnections](r.got)) != c.drops {
+				t.Fatalf("sent to %q after %d drops, want %q after %d", to, len(of[CloseEngineConnections](r.got)), c.to, c.drops)
 			}
 		})
 	}
@@ -197,18 +197,18 @@
 	for offset := range 40 {
 		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, "lookup", "", 40*ms)
-		r.apply(Kill{By: 1, Target: 2, Sent: r.now + time.Second})
+		r.apply(Kill{RequestedBy: 1, Target: 2, SentAt: r.now + time.Second})
 		r.run(time.Duration(offset) * ms)
-		r.b.Apply(r.now, Submit{2, Request{Ref: "b", Class: "lookup", Sent: r.now, Allow: time.Second}})
+		r.b.Apply(r.now, SubmitRequest{2, Request{RequestID: "b", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
 		r.run(100 * ms)
-		for _, w := range of[Want](r.got) {
-			r.apply(Ended{Attempt: w.Attempt, Status: control.Cancelled})
+		for _, w := range of[StartAttempt](r.got) {
+			r.apply(AttemptEnded{Attempt: w.Attempt, Status: control.Cancelled})
 		}
 		r.run(2 * time.Second)
 		var v control.View
 		r.b.decide.View(&v)
-		if v.Engines[0].Threads != 0 || len(r.b.requests) != 0 || r.b.Open() != 0 {
-			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].Threads, len(r.b.requests))
+		if v.Engines[0].ThreadsInFlight != 0 || len(r.b.requests) != 0 || r.b.OpenRequests() != 0 {
+			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].ThreadsInFlight, len(r.b.requests))
 		}
 	}
 }
@@ -221,18 +221,18 @@
 		how    control.Status
 		waits  bool
 	}{
-		{true, control.Cancelled, false}, {true, control.Reset, false},
-		{false, control.Cancelled, true}, {false, control.Reset, true},
-		{false, control.ConnectFailed, false}, {false, control.Full, false}, // these never ran
+		{true, control.Cancelled, false}, {true, control.ConnectionReset, false},
+		{false, control.Cancelled, true}, {false, control.ConnectionReset, true},
+		{false, control.ConnectFailed, false}, {false, control.AtCapacity, false}, // these never ran
 	} {
 		set := settings()
-		set.Limits.Copies = c.copies
+		set.Limits.Hedging = c.copies
 		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 		r.submit(1, "lookup", "", time.Second)
 		r.run(20 * ms)
-		r.apply(Ended{Attempt: of[Want](r.got)[0].Attempt, Status: c.how})
+		r.apply(AttemptEnded{Attempt: of[StartAttempt](r.got)[0].Attempt, Status: c.how})
 		ended := r.now
-		for len(of[Want](r.got)) < 2 && r.now < ended+time.Second {
+		for len(of[StartAttempt](r.got)) < 2 && r.now < ended+time.Second {
 			r.run(ms)
 		}
 		if waited := r.now-ended >= settle; waited != c.waits {
@@ -245,15 +245,15 @@
 // any that were in force is not.
 func TestARequestThatCrossesAReloadToShorterDeadlines(t *testing.T) {
 	set := settings()
-	set.Classes[0].GiveUp = 5 * time.Second
+	set.Classes[0].ClientTimeout = 5 * time.Second
 	for allow, wants := range map[time.Duration]int{time.Second: 1, 5 * time.Second: 1, 7 * time.Second: 0} {
 		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
 		shorter := settings()
-		shorter.Classes[0].GiveUp = time.Second
-		r.apply(Retune{shorter})
+		shorter.Classes[0].ClientTimeout = time.Second
+		r.apply(UpdateSettings{shorter})
 		r.submit(1, "lookup", "", allow)
 		r.run(20 * ms)
-		if got := len(of[Want](r.got)); got != wants {
+		if got := len(of[StartAttempt](r.got)); got != wants {
 			t.Errorf("allow %v: %d attempts, want %d", allow, got, wants)
 		}
 	}
@@ -274,14 +274,14 @@
 	} {
 		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, c.class, c.key, c.allow)
-		if len(of[Want](r.got)) != 1 { // its engine hangs
+		if len(of[StartAttempt](r.got)) != 1 { // its engine hangs
 			t.Fatalf("%+v: not sent on", c)
 		}
 		sent := r.now
 		for len(of[Reply](r.got)) == 0 && r.now < sent+c.allow {
 			r.run(ms)
 		}
-		if left := sent + c.allow - r.now; left < c.kept || left > c.kept+3*settings().Round {
+		if left := sent + c.allow - r.now; left < c.kept || left > c.kept+3*settings().MinBatchInterval {
 			t.Errorf("%+v: the answer left %v before its client's time", c, left)
 		}
 	}
@@ -292,20 +292,20 @@
 func TestNoTimeIsLeft(t *testing.T) {
 	for _, c := range []struct {
 		aim, allow time.Duration
-		kinds      []Kind
+		kinds      []ReplyKind
 		wants      int
 	}{
-		{400 * ms, lastWay, []Kind{Refused}, 0},
+		{400 * ms, lastWay, []ReplyKind{ReplyRejected}, 0},
 		{400 * ms, lastWay + 5*ms, nil, 1},
 		{lastWay, lastWay, nil, 1},
 	} {
 		set := settings()
-		set.Classes[0].Aim = c.aim
+		set.Classes[0].LatencyObjective = c.aim
 		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, "lookup", "", c.allow)
 		r.wantKinds(c.kinds...)
-		if wants := len(of[Want](r.got)); wants != c.wants || r.b.Open() != c.wants {
-			t.Errorf("%+v: %d attempts, %d open", c, wants, r.b.Open())
+		if wants := len(of[StartAttempt](r.got)); wants != c.wants || r.b.OpenRequests() != c.wants {
+			t.Errorf("%+v: %d attempts, %d open", c, wants, r.b.OpenRequests())
 		}
 	}
 }
@@ -313,29 +313,29 @@
 // An attempt has ended and its request is about to have another one. Whatever comes in that moment goes first: a client that
 // leaves, an engine that drains, the last answers.
 func TestWhatMeetsARetry(t *testing.T) {
-	drains := Changes{changelog.Page{Seq: 2, Changes: []changelog.Change{{Seq: 2, Hosts: []changelog.Host{
+	drains := EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
 		host("e1", "127.0.0.1:1", control.Draining), host("e2", "127.0.0.1:2", control.Draining)}}}}}
 	for name, c := range map[string]struct {
 		comes   Event
 		wants   int
-		replies []Kind
+		replies []ReplyKind
 	}{
-		"nothing":      {Probed{}, 2, nil},
+		"nothing":      {ProbeResult{}, 2, nil},
 		"client left":  {SessionClosed{1}, 1, nil},
-		"killed":       {Kill{By: 2, Target: 1}, 1, []Kind{Done, Interrupted}},
+		"killed":       {Kill{RequestedBy: 2, Target: 1}, 1, []ReplyKind{ReplyOK, ReplyInterrupted}},
 		"drains":       {drains, 1, nil},
-		"last answers": {Parting{}, 1, []Kind{Refused}},
+		"last answers": {SendFinalAnswers{}, 1, []ReplyKind{ReplyRejected}},
 	} {
 		for _, first := range []bool{true, false} { // which of the two comes first
 			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
 			r.submit(1, "lookup", "", 10*time.Second)
-			events := []Event{c.comes, Ended{Attempt: of[Want](r.got)[0].Attempt, Status: control.ConnectFailed}}
+			events := []Event{c.comes, AttemptEnded{Attempt: of[StartAttempt](r.got)[0].Attempt, Status: control.ConnectFailed}}
 			if !first {
 				events[0], events[1] = events[1], events[0]
 			}
 			r.apply(events...)
 			r.run(100 * ms)
-			if wants := len(of[Want](r.got)); wants != c.wants {
+			if wants := len(of[StartAttempt](r.got)); wants != c.wants {
 				t.Errorf("%s, ahead %v: %d attempts, want %d", name, first, wants, c.wants)
 			}
 			r.wantKinds(c.replies...)
@@ -350,16 +350,16 @@
 	r.submit(1, "load", "k", 10*time.Second)
 	r.submit(2, "load", "k", 10*time.Second)
 	r.run(100 * ms)
-	wants := of[Want](r.got)
+	wants := of[StartAttempt](r.got)
 	if len(wants) != 1 {
 		t.Fatalf("%d attempts, want the first of the key alone", len(wants))
 	}
-	r.apply(Stop{50 * ms})
+	r.apply(Shutdown{50 * ms})
 	r.run(60 * ms)
-	r.wantKinds(Refused, Refused) // the first is keyed for all engines
-	r.apply(Ended{Attempt: wants[0].Attempt, Status: control.Cancelled})
+	r.wantKinds(ReplyRejected, ReplyRejected) // the first is keyed for all engines
+	r.apply(AttemptEnded{Attempt: wants[0].Attempt, Status: control.Cancelled})
 	r.run(time.Second)
-	if len(of[Want](r.got)) != 1 || r.b.Open() != 0 {
+	if len(of[StartAttempt](r.got)) != 1 || r.b.OpenRequests() != 0 {
 		t.Fatal("the second was sent on after its answer")
 	}
 }
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -11,22 +11,22 @@
 
 // tape keeps what a meter is told.
 type tape struct {
-	Unmeasured
+	NopMeter
 	taken, sent int
-	away        []Kind
-	overs       []Over
-	attempts    []AttemptOver
+	away        []ReplyKind
+	overs       []RequestSummary
+	attempts    []AttemptSummary
 }
 
-func (t *tape) Taken(*Request)            { t.taken++ }
-func (t *tape) TurnedAway(k Kind)         { t.away = append(t.away, k) }
-func (t *tape) Sent(string)               { t.sent++ }
-func (t *tape) Over(o Over)               { t.overs = append(t.overs, o) }
-func (t *tape) AttemptOver(o AttemptOver) { t.attempts = append(t.attempts, o) }
+func (t *tape) RequestAccepted(*Request)      { t.taken++ }
+func (t *tape) RequestRejected(k ReplyKind)   { t.away = append(t.away, k) }
+func (t *tape) AttemptStarted(string)         { t.sent++ }
+func (t *tape) RequestEnded(o RequestSummary) { t.overs = append(t.overs, o) }
+func (t *tape) AttemptEnded(o AttemptSummary) { t.attempts = append(t.attempts, o) }
 
 // asked is a lookup of a session, sent at a time.
-func asked(s Session, ref string, sent time.Duration) Submit {
-	return Submit{s, Request{Ref: ref, Class: "lookup", Tenant: "acme", Sent: sent, Allow: 2 * time.Second, Body: "SELECT 1"}}
+func asked(s Session, ref string, sent time.Duration) SubmitRequest {
+	return SubmitRequest{s, Request{RequestID: ref, Class: "lookup", Tenant: "acme", SentAt: sent, Timeout: 2 * time.Second, Body: "SELECT 1"}}
 }
 
 // What becomes of requests and attempts is told once, with the times of the client's clock, and work counts as wasted
@@ -39,44 +39,44 @@
 		want tape
 	}{
 		{"served", func(r *rig) {
-			w := of[Want](r.apply(asked(1, "a", r.now-100*ms)))
+			w := of[StartAttempt](r.apply(asked(1, "a", r.now-100*ms)))
 			if len(w) == 0 {
-				w = of[Want](r.run(10 * ms))
+				w = of[StartAttempt](r.run(10 * ms))
 			}
 			r.now += 50 * ms
-			r.apply(Served{Attempt: w[0].Attempt, Pages: 1, Body: []byte("1\t2\t3\n")})
+			r.apply(AttemptServed{Attempt: w[0].Attempt, PageCount: 1, Body: []byte("1\t2\t3\n")})
 		}, tape{taken: 1, sent: 1,
-			overs:    []Over{{Class: "lookup", Tenant: "acme", Kind: Result, Took: 150 * ms, Wanted: 400 * ms, Attempts: 1}},
-			attempts: []AttemptOver{{Class: "lookup", Engine: e, Status: control.OK, Took: 50 * ms}}}},
+			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms, Attempts: 1}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.OK, Duration: 50 * ms}}}},
 		{"its client leaves while it runs", func(r *rig) {
-			w := of[Want](r.apply(asked(1, "a", r.now)))
+			w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
 			r.now += 30 * ms
 			r.apply(SessionClosed{1})
 			r.run(10 * ms)
-			r.apply(Ended{Attempt: w[0].Attempt, Status: control.Cancelled})
+			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
 		}, tape{taken: 1, sent: 1,
-			overs:    []Over{{Class: "lookup", Tenant: "acme", Kind: Interrupted, Gone: true, Took: 30 * ms, Wanted: 400 * ms, Attempts: 1}},
-			attempts: []AttemptOver{{Class: "lookup", Engine: e, Status: control.Cancelled, Took: 40 * ms, Wasted: true}}}},
+			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 40 * ms, Wasted: true}}}},
 		{"bad fields", func(r *rig) {
-			r.apply(Submit{1, Request{Ref: "a", Class: "odd", Sent: r.now, Allow: time.Second}})
-		}, tape{away: []Kind{BadFields}}},
+			r.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: r.now, Timeout: time.Second}})
+		}, tape{away: []ReplyKind{ReplyInvalidFields}}},
 		{"a command that is not known", func(r *rig) {
-			r.apply(Bad{1, Reply{Kind: BadCommand}})
-		}, tape{away: []Kind{BadCommand}}},
+			r.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
+		}, tape{away: []ReplyKind{ReplyUnknownCommand}}},
 		{"killed", func(r *rig) {
-			w := of[Want](r.apply(asked(1, "a", r.now)))
+			w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
 			r.now += 30 * ms
-			r.apply(Kill{By: 2, Target: 1})
-			r.apply(Ended{Attempt: w[0].Attempt, Status: control.Cancelled})
-		}, tape{taken: 1, sent: 1, away: []Kind{Interrupted},
-			overs:    []Over{{Class: "lookup", Tenant: "acme", Kind: Interrupted, Gone: true, Took: 30 * ms, Wanted: 400 * ms, Attempts: 1}},
-			attempts: []AttemptOver{{Class: "lookup", Engine: e, Status: control.Cancelled, Took: 30 * ms, Wasted: true}}}},
+			r.apply(Kill{RequestedBy: 2, Target: 1})
+			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
+		}, tape{taken: 1, sent: 1, away: []ReplyKind{ReplyInterrupted},
+			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 30 * ms, Wasted: true}}}},
 		{"a ping is no refusal", func(r *rig) { r.apply(Ping{1}) }, tape{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, host(e, "127.0.0.1:1", control.Ready))
 			got := &tape{}
-			r.b.Measure(got)
+			r.b.SetMeter(got)
 			c.do(r)
 			if diff := cmp.Diff(c.want, *got, cmp.AllowUnexported(tape{})); diff != "" {
 				t.Fatal(diff)
@@ -87,13 +87,13 @@
 
 // Of an attempt whose engine never got it, or said that it never ran, nothing was wasted.
 func TestWhatNeverRanIsNotWasted(t *testing.T) {
-	for status, wasted := range map[control.Status]bool{control.ConnectFailed: false, control.Full: false, control.Moot: false,
-		control.Reset: true, control.Failed: true} {
+	for status, wasted := range map[control.Status]bool{control.ConnectFailed: false, control.AtCapacity: false, control.NeverSent: false,
+		control.ConnectionReset: true, control.Failed: true} {
 		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
 		got := &tape{}
-		r.b.Measure(got)
-		w := of[Want](r.apply(asked(1, "a", r.now)))
-		r.apply(Ended{Attempt: w[0].Attempt, Status: status})
+		r.b.SetMeter(got)
+		w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
+		r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: status})
 		if len(got.attempts) == 0 || got.attempts[0].Wasted != wasted || got.attempts[0].Status != status {
 			t.Errorf("status %v: %+v", status, got.attempts)
 		}
--- a/internal/broker/retune.go
+++ b/internal/broker/retune.go
@@ -2,22 +2,22 @@
 
 import "wheatlane/control"
 
-// Retune takes over the classes and the ration of attempts of settings read at SIGHUP. Requests under way keep the
+// UpdateSettings takes over the classes and the ration of attempts of settings read at SIGHUP. Requests under way keep the
 // class that they came under; one that is not named any more takes no new request.
-type Retune struct{ Settings control.Settings }
+type UpdateSettings struct{ Settings control.Settings }
 
-func (Retune) event() {}
+func (UpdateSettings) event() {}
 
 func (b *Broker) retune(set control.Settings) {
 	clear(b.classes)
 	b.setClasses(set.Classes)
-	b.decide.Retune(set.Classes, set.Limits)
+	b.decide.UpdateClasses(set.Classes, set.Limits)
 }
 
 // setClasses puts classes in force. Clients word requests by those before for a while, so a class keeps the longest
 // deadline that it had: guards against requests that are turned away as they cross a reload to shorter ones.
 func (b *Broker) setClasses(classes []control.Class) {
 	for _, k := range classes {
-		b.classes[k.Name], b.longest[k.Name] = k, max(k.GiveUp, b.longest[k.Name])
+		b.classes[k.Name], b.longest[k.Name] = k, max(k.ClientTimeout, b.longest[k.Name])
 	}
 }
--- a/internal/broker/retune_test.go
+++ b/internal/broker/retune_test.go
@@ -11,23 +11,23 @@
 // keeps its class: it is answered when its engine answers.
 func TestRetune(t *testing.T) {
 	r := newRig(t, host("e1", "a:1", control.Ready))
-	first := of[Want](r.submit(1, "lookup", "", 400*ms))
+	first := of[StartAttempt](r.submit(1, "lookup", "", 400*ms))
 	if len(first) != 1 {
 		t.Fatalf("sent %+v", first)
 	}
 	set := settings()
-	set.Classes = []control.Class{{Name: "report", Aim: 2 * time.Second, Worth: 5, Threads: 1}}
+	set.Classes = []control.Class{{Name: "report", LatencyObjective: 2 * time.Second, PriorityWeight: 5, Threads: 1}}
 	set.Limits.MaxAttempts = 1
-	r.apply(Retune{set})
+	r.apply(UpdateSettings{set})
 	got := r.submit(2, "report", "", 2*time.Second)
-	if w := of[Want](append(got, r.run(50*ms)...)); len(w) != 1 || w[0].Class != "report" {
+	if w := of[StartAttempt](append(got, r.run(50*ms)...)); len(w) != 1 || w[0].Class != "report" {
 		t.Fatalf("the new class: %+v", w)
 	}
-	if got := of[Reply](r.submit(3, "lookup", "", 400*ms)); len(got) != 1 || got[0].Kind != BadFields {
+	if got := of[Reply](r.submit(3, "lookup", "", 400*ms)); len(got) != 1 || got[0].Kind != ReplyInvalidFields {
 		t.Fatalf("the class that went: %+v", got)
 	}
-	got = r.apply(Served{Attempt: first[0].Attempt, Pages: 1, Body: []byte("1\t2\t3\n")})
-	if replies := of[Reply](got); len(replies) != 1 || replies[0].Session != 1 || replies[0].Kind != Result {
+	got = r.apply(AttemptServed{Attempt: first[0].Attempt, PageCount: 1, Body: []byte("1\t2\t3\n")})
+	if replies := of[Reply](got); len(replies) != 1 || replies[0].Session != 1 || replies[0].Kind != ReplyResult {
 		t.Fatalf("the request under way: %+v", replies)
 	}
 }
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -62,17 +62,17 @@
 	if len(all.by) >= all.most {
 		s := all.spared(now)
 		if s == nil {
-			b.reply(id, Reply{Kind: Crowded, Text: "too many connections"})
-			b.do(CloseSession{id, NoRoom})
+			b.reply(id, Reply{Kind: ReplyTooManySessions, Text: "too many connections"})
+			b.do(CloseSession{id, CloseTooManySessions})
 			return
 		}
-		b.do(CloseSession{s.id, MadeRoom})
+		b.do(CloseSession{s.id, CloseEvictedIdle})
 		b.sessionEnds(now, s.id)
 	}
 	s := &session{id: id}
 	all.by[id] = s
 	s.spare(now, &all.silent, false)
-	b.do(Admit{id})
+	b.do(AdmitSession{id})
 }
 
 // spared is the session that can best be spared: one that had time to log in and did not, else the one idle
@@ -117,8 +117,8 @@
 		b.reply(id, r.lastWord(halfClosed))
 	}
 	for _, ev := range s.queue {
-		if _, ok := ev.(Submit); ok {
-			b.reply(id, Reply{Kind: Refused, Text: halfClosed})
+		if _, ok := ev.(SubmitRequest); ok {
+			b.reply(id, Reply{Kind: ReplyRejected, Text: halfClosed})
 		}
 	}
 	b.sessionEnds(now, id)
@@ -133,8 +133,8 @@
 	}
 	if s.open != nil {
 		if len(s.queue) >= mostQueued {
-			b.reply(id, Reply{Kind: Interrupted, Text: "too much was asked ahead of an answer"})
-			b.do(CloseSession{id, Killed})
+			b.reply(id, Reply{Kind: ReplyInterrupted, Text: "too much was asked ahead of an answer"})
+			b.do(CloseSession{id, CloseKilled})
 			b.sessionEnds(now, id)
 			return
 		}
@@ -143,17 +143,17 @@
 	}
 	bad := false
 	switch ev := ev.(type) {
-	case Submit:
+	case SubmitRequest:
 		bad = !b.submit(now, s, ev)
 	case Ping:
 		if b.stopped || b.ready == 0 {
-			b.reply(id, Reply{Kind: NotReady, Text: "no engine can be used, or the broker is stopping"})
+			b.reply(id, Reply{Kind: ReplyNotReady, Text: "no engine can be used, or the broker is stopping"})
 		} else {
-			b.reply(id, Reply{Kind: Done})
+			b.reply(id, Reply{Kind: ReplyOK})
 		}
 	case Kill:
 		b.kill(now, ev)
-	case Bad:
+	case InvalidRequest:
 		b.reply(id, ev.Reply)
 		bad = true
 	}
@@ -167,18 +167,18 @@
 func (b *Broker) kill(now time.Duration, ev Kill) {
 	target := b.sessions.by[ev.Target]
 	if target == nil {
-		b.reply(ev.By, Reply{Kind: NoSession, Text: "no such session"})
+		b.reply(ev.RequestedBy, Reply{Kind: ReplyUnknownSession, Text: "no such session"})
 		return
 	}
-	b.reply(ev.By, Reply{Kind: Done})
-	target.killed = max(target.killed, ev.Sent)
+	b.reply(ev.RequestedBy, Reply{Kind: ReplyOK})
+	target.killed = max(target.killed, ev.SentAt)
 	if r := target.open; r != nil {
-		b.reply(ev.Target, Reply{Kind: Interrupted, Text: killed})
+		b.reply(ev.Target, Reply{Kind: ReplyInterrupted, Text: killed})
 		b.gone(now, r)
 		b.idle(now, ev.Target)
 	}
-	if ev.Connection {
-		b.do(CloseSession{ev.Target, Killed})
+	if ev.CloseConnection {
+		b.do(CloseSession{ev.Target, CloseKilled})
 		b.sessionEnds(now, ev.Target)
 	}
 }
--- a/internal/names/escape.go
+++ b/internal/cardinality/escape.go
@@ -1,4 +1,4 @@
-package names
+package cardinality
 
 import (
 	"errors"
--- a/internal/names/names.go
+++ b/internal/cardinality/names.go
@@ -2,7 +2,7 @@
 // gives each name that it admits a slot, and all others the slot Other, so that totals stay exact. Names that were
 // not admitted are watched by a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005); the heaviest of them
 // take the places of names that fell idle or are far lighter. The package does no I/O and reads no clock.
-package names
+package cardinality
 
 import (
 	"cmp"
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -24,31 +24,31 @@
 
 const (
 	mostHead = 16 << 10
-	// MostBody is the largest body taken; a list of thousands of engines is smaller.
-	MostBody = 4 << 20
+	// MaxBody is the largest body taken; a list of thousands of engines is smaller.
+	MaxBody = 4 << 20
 )
 
-// Host is an engine as the change log lists it.
-type Host struct {
+// Endpoint is an engine as the change log lists it.
+type Endpoint struct {
 	control.Engine
 	Addr string // where it listens
 }
 
 // Change is one event of the change log.
 type Change struct {
-	Seq   int64
-	Whole bool // Hosts is the whole list
-	Hosts []Host
+	Revision  int64
+	Snapshot  bool // Hosts is the whole list
+	Endpoints []Endpoint
 }
 
 // Page is an answer of the change log.
 type Page struct {
-	Seq     int64
-	Changes []Change
+	Revision int64
+	Changes  []Change
 }
 
 var states = map[string]control.EngineState{
-	"in_service": control.Ready, "terminating": control.Draining, "terminated": control.Gone}
+	"in_service": control.Ready, "terminating": control.Draining, "terminated": control.Removed}
 
 // ParsePage reads a page. Events of kinds that it does not know are passed over.
 func ParsePage(text []byte) (Page, error) {
@@ -77,12 +77,12 @@
 		}
 		return Page{}, fmt.Errorf("page: %w", err)
 	}
-	p := Page{Seq: in.Seq}
+	p := Page{Revision: in.Seq}
 	for i, r := range in.Results {
 		if r.Fleet == nil {
 			continue
 		}
-		c := Change{Seq: r.Seq, Whole: r.Fleet.Whole}
+		c := Change{Revision: r.Seq, Snapshot: r.Fleet.Whole}
 		for j, h := range r.Fleet.Hosts {
 			key := fmt.Sprintf("results[%d].fleet.hosts[%d]", i, j)
 			state, ok := states[h.Health]
@@ -92,10 +92,10 @@
 			if h.Host == "" {
 				return Page{}, fmt.Errorf("%s.host: missing", key)
 			}
-			if _, err := netip.ParseAddrPort(h.Dial); err != nil && state != control.Gone {
+			if _, err := netip.ParseAddrPort(h.Dial); err != nil && state != control.Removed {
 				return Page{}, fmt.Errorf("%s.dial: %w", key, err)
 			}
-			c.Hosts = append(c.Hosts, Host{Addr: h.Dial, Engine: control.Engine{ID: h.Host, Zone: h.Site, Kind: h.Class,
+			c.Endpoints = append(c.Endpoints, Endpoint{Addr: h.Dial, Engine: control.Engine{ID: h.Host, Zone: h.Site, Kind: h.Class,
 				Cell: h.Block, State: state, StartedAt: time.Duration(h.BornMs) * time.Millisecond}})
 		}
 		p.Changes = append(p.Changes, c)
@@ -171,7 +171,7 @@
 	switch {
 	case size < 0:
 		return Response{}, 0, fmt.Errorf("%w: no length", ErrMalformed)
-	case size > MostBody:
+	case size > MaxBody:
 		return Response{}, 0, ErrTooLarge
 	case len(b) < head+size:
 		return Response{}, 0, nil
@@ -206,7 +206,7 @@
 				}
 			}
 		}
-		if len(body)+int(size) > MostBody {
+		if len(body)+int(size) > MaxBody {
 			return nil, 0, ErrTooLarge
 		}
 		if len(b) < n+int(size)+2 {
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -56,7 +56,7 @@
 func TestParsePage(t *testing.T) {
 	text := `{"seq":43,"results":[{"seq":41,"fleet":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.9:6565",
 		"site":"east","class":"std","block":2,"health":"%s","share":4,"born_ms":1500}]}},{"seq":42,"other":{}}]}`
-	want := Page{Seq: 43, Changes: []Change{{Seq: 41, Whole: true, Hosts: []Host{{Addr: "10.1.0.9:6565",
+	want := Page{Revision: 43, Changes: []Change{{Revision: 41, Snapshot: true, Endpoints: []Endpoint{{Addr: "10.1.0.9:6565",
 		Engine: control.Engine{ID: "s-1", Zone: "east", Kind: "std", Cell: 2, State: control.Draining,
 			StartedAt: 1500 * time.Millisecond}}}}}}
 	got, err := ParsePage(fmt.Appendf(nil, text, "terminating"))
--- a/internal/check/diff/diff_test.go
+++ b/internal/check/diff/diff_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"wheatlane/internal/check/plant"
+	"wheatlane/internal/check/faultinjection"
 	"wheatlane/internal/jsontext"
 )
 
@@ -51,7 +51,7 @@
 	for seed := range uint64(200) {
 		text := func(change bool) string {
 			rng := rand.New(rand.NewPCG(seed, 0))
-			doc := plant.Platform(rng)
+			doc := faultinjection.Platform(rng)
 			if change {
 				doc["listen"] = "10.99.0.1:6565"
 			}
@@ -61,7 +61,7 @@
 			}
 			return string(out)
 		}
-		pretty, err := plant.Text(plant.Platform(rand.New(rand.NewPCG(seed, 0))))
+		pretty, err := faultinjection.Text(faultinjection.Platform(rand.New(rand.NewPCG(seed, 0))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/check/plant/plant.go
+++ b/internal/check/faultinjection/plant.go
@@ -1,6 +1,6 @@
 // Package plant makes valid configurations and plants faults in them, all drawn from a seed: what the checker is tried
 // with. It does no I/O.
-package plant
+package faultinjection
 
 import (
 	"encoding/json"
--- a/internal/check/plant/plant_test.go
+++ b/internal/check/faultinjection/plant_test.go
@@ -1,4 +1,4 @@
-package plant
+package faultinjection
 
 import (
 	"math/rand/v2"
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"wheatlane/internal/check"
+	"wheatlane/internal/check/faultinjection"
 	"wheatlane/internal/check/form"
-	"wheatlane/internal/check/plant"
 )
 
 type object = map[string]any
@@ -17,14 +17,14 @@
 	t.Helper()
 	var files []*check.File
 	for i := range 2 {
-		doc := plant.Platform(rand.New(rand.NewPCG(seed, 0)))
+		doc := faultinjection.Platform(rand.New(rand.NewPCG(seed, 0)))
 		doc["name"], doc["listen"] = fmt.Sprint("n", i), fmt.Sprintf("10.0.0.%d:6565", i+1)
 		set := doc["settings"].(object)
 		set["PeersTotal"], set["Position"] = 2, i
 		if i == 1 {
 			change(doc)
 		}
-		text, err := plant.Text(doc)
+		text, err := faultinjection.Text(doc)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/check"
 	"wheatlane/internal/config"
 	"wheatlane/internal/jsontext"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/schema"
 )
 
@@ -50,7 +50,7 @@
 	for _, m := range twice {
 		all = append(all, check.Finding{Check: Twice, File: name, Line: m.Place.Line, Column: m.Place.Column, Key: m.Key, Seen: "again"})
 	}
-	shape := operator.JSONSchema
+	shape := operatorconfig.JSONSchema
 	if f.Kind == check.Platform {
 		shape = config.JSONSchema
 	}
--- a/internal/collectd/collectd.go
+++ b/internal/collectd/collectd.go
@@ -18,11 +18,11 @@
 	"time"
 )
 
-// MostPacket is the largest datagram, in bytes: what an Ethernet frame takes with IPv6 and UDP headers.
-const MostPacket = 1452
+// MaxPacket is the largest datagram, in bytes: what an Ethernet frame takes with IPv6 and UDP headers.
+const MaxPacket = 1452
 
-// MostText is the longest text of an identifier, in bytes.
-const MostText = 127
+// MaxText is the longest text of an identifier, in bytes.
+const MaxText = 127
 
 // The types of parts.
 const (
@@ -179,11 +179,11 @@
 // Add puts a list into the packet, which is sent before if there is no room for it.
 func (p *Packer) Add(l List) error {
 	for _, t := range []string{l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance} {
-		if len(t) > MostText {
-			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(t), MostText)
+		if len(t) > MaxText {
+			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(t), MaxText)
 		}
 	}
-	room := MostPacket - p.Security.overhead()
+	room := MaxPacket - p.Security.overhead()
 	before := len(p.buf)
 	p.buf = appendList(p.buf, &l, &p.last)
 	if len(p.buf) > room {
@@ -346,7 +346,7 @@
 func (l *List) take(part uint16, body []byte, all *[]List) error {
 	switch part {
 	case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
-		if len(body) == 0 || body[len(body)-1] != 0 || len(body)-1 > MostText {
+		if len(body) == 0 || body[len(body)-1] != 0 || len(body)-1 > MaxText {
 			return fmt.Errorf("%w: text of type %#x", ErrPart, part)
 		}
 		*map[uint16]*string{partHost: &l.Host, partPlugin: &l.Plugin, partPluginInstance: &l.PluginInstance,
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -69,7 +69,7 @@
 		}
 		return nil
 	}, Emit: func(b []byte) error {
-		if len(b) > MostPacket {
+		if len(b) > MaxPacket {
 			t.Fatal("a packet of", len(b))
 		}
 		packets = append(packets, b)
@@ -96,7 +96,7 @@
 
 // Whatever is packed comes back, under each kind of security, in packets that a network takes.
 func TestWhatIsPackedComesBack(t *testing.T) {
-	text := rapid.StringN(0, 20, MostText).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
+	text := rapid.StringN(0, 20, MaxText).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
 	rapid.Check(t, func(t *rapid.T) {
 		var lists []List
 		for range rapid.IntRange(1, 60).Draw(t, "lists") {
@@ -187,7 +187,7 @@
 			t.Errorf("%s: %v, want %v", c.packet, err, c.want)
 		}
 	}
-	if err := (&Packer{}).Add(List{Host: strings.Repeat("x", MostText+1)}); !errors.Is(err, ErrTooLarge) {
+	if err := (&Packer{}).Add(List{Host: strings.Repeat("x", MaxText+1)}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a long host: %v", err)
 	}
 	if err := (&Packer{}).Add(List{Values: make([]Value, 200)}); !errors.Is(err, ErrTooLarge) {
--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
+	"wheatlane/internal/cardinality"
 	"wheatlane/internal/metrics"
-	"wheatlane/internal/names"
 )
 
 const (
@@ -48,11 +48,11 @@
 
 func list(v *metrics.Interval, host string, s metrics.Series, values ...Value) List {
 	fig := &metrics.Catalogue[s.Figure]
-	l := List{Host: names.Escape(host), Plugin: plugin, Type: typePrefix + fig.Name, Time: v.At, Interval: v.Took, Values: values}
-	if fig.By != metrics.Whole {
-		name := names.OtherName
+	l := List{Host: cardinality.Escape(host), Plugin: plugin, Type: typePrefix + fig.Name, Time: v.At, Interval: v.Took, Values: values}
+	if fig.By != metrics.NoDimension {
+		name := cardinality.OtherName
 		if !s.Other {
-			name = names.Escape(s.Name)
+			name = cardinality.Escape(s.Name)
 		}
 		l.PluginInstance = fig.By.String() + "-" + name
 	}
@@ -67,7 +67,7 @@
 	bad := func(what string) (string, metrics.Series, error) {
 		return "", s, fmt.Errorf("%w: %s of %s/%s-%s/%s-%s", ErrName, what, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
 	}
-	if broker, err = names.Unescape(l.Host); err != nil {
+	if broker, err = cardinality.Unescape(l.Host); err != nil {
 		return bad("host")
 	}
 	name, ok := strings.CutPrefix(l.Type, typePrefix)
@@ -79,10 +79,10 @@
 	switch {
 	case dim != fig.By.String():
 		return bad("plugin instance")
-	case fig.By != metrics.Whole && instance == names.OtherName:
+	case fig.By != metrics.NoDimension && instance == cardinality.OtherName:
 		s.Other = true
-	case fig.By != metrics.Whole:
-		if s.Name, err = names.Unescape(instance); err != nil {
+	case fig.By != metrics.NoDimension:
+		if s.Name, err = cardinality.Unescape(instance); err != nil {
 			return bad("plugin instance")
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,19 +19,19 @@
 
 // Config is what a broker is told at its start.
 type Config struct {
-	Name       string
-	Listen     string
-	Changelog  string
-	PeerListen string   // where other brokers' datagrams come; empty: nothing is told or heard
-	Peers      []string // an address for every broker of the fleet, its own included, by their numbers
-	Operator   string   // the second address, where on-call staff call; empty: none
-	HandOver   string   // the folder where one process leaves the next what it must not forget; empty: none
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int
-	Known      changelog.Page
-	Settings   Settings
-	Keys       []string // the keys that the file gives, by their paths, sorted
+	Name         string
+	Listen       string
+	Changelog    string
+	PeerListen   string   // where other brokers' datagrams come; empty: nothing is told or heard
+	Peers        []string // an address for every broker of the fleet, its own included, by their numbers
+	AdminListen  string   // the second address, where on-call staff call; empty: none
+	HandoverPath string   // the folder where one process leaves the next what it must not forget; empty: none
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	Known        changelog.Page
+	Settings     Settings
+	Keys         []string // the keys that the file gives, by their paths, sorted
 }
 
 // Defaults of what a deployment may leave out.
@@ -69,7 +69,7 @@
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
-		{"operator", c.Operator == next.Operator},
+		{"operator", c.AdminListen == next.AdminListen},
 		{"peer_listen", c.PeerListen == next.PeerListen},
 		{"peers", slices.Equal(c.Peers, next.Peers)},
 		{"limits.memory_mb", c.MemoryMB == next.MemoryMB},
@@ -106,7 +106,7 @@
 		}
 		return Config{}, err
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, Operator: file.Operator,
+	c := Config{Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, AdminListen: file.Operator,
 		PeerListen: file.PeerListen, Peers: file.Peers,
 		MemoryMB: orElse(file.Limits.MemoryMB, defaultMemoryMB), Sockets: orElse(file.Limits.Sockets, defaultSockets)}
 	if v := getenv("RELAY_NAME"); v != "" { // the environment goes before the file
@@ -115,17 +115,17 @@
 	if v := getenv("RELAY_LISTEN"); v != "" {
 		c.Listen = v
 	}
-	c.HandOver = getenv("TMPDIR")
-	if c.HandOver == "" {
-		c.HandOver = os.TempDir()
+	c.HandoverPath = getenv("TMPDIR")
+	if c.HandoverPath == "" {
+		c.HandoverPath = os.TempDir()
 	}
 	if v := getenv("RELAY_OPERATOR"); v != "" {
-		c.Operator = v
+		c.AdminListen = v
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return c, fmt.Errorf("listen: %w", err)
 	}
-	if _, err := netip.ParseAddrPort(c.Operator); err != nil && c.Operator != "" {
+	if _, err := netip.ParseAddrPort(c.AdminListen); err != nil && c.AdminListen != "" {
 		return c, fmt.Errorf("operator: %w", err)
 	}
 	if _, err := netip.ParseAddrPort(c.Changelog); err != nil {
@@ -159,14 +159,14 @@
 // checkPeers checks the addresses between brokers. Without them, no broker is told anything and none is heard.
 func (c *Config) checkPeers() error {
 	limits := &c.Settings.Control.Limits
-	limits.Peers = limits.Peers && c.PeerListen != "" && len(c.Peers) > 0
-	if !limits.Peers {
+	limits.Gossip = limits.Gossip && c.PeerListen != "" && len(c.Peers) > 0
+	if !limits.Gossip {
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	if n := c.Settings.Control.Gateways; len(c.Peers) != n {
+	if n := c.Settings.Control.Brokers; len(c.Peers) != n {
 		return fmt.Errorf("peers: %d addresses for the %d brokers of settings.PeersTotal", len(c.Peers), n)
 	}
 	for i, p := range c.Peers {
@@ -224,17 +224,17 @@
 	s := c.Settings.Control
 	aims := true // all classes in force have an aim: one without is a fault
 	for _, k := range running.Settings.Control.Classes {
-		aims = aims && k.Aim > 0
+		aims = aims && k.LatencyObjective > 0
 	}
 	if len(s.Classes) == 0 {
 		return errors.New("settings.RequestClasses: none")
 	}
 	for i, k := range s.Classes {
-		if k.GiveUp <= 0 {
-			return fmt.Errorf("settings.RequestClasses[%d].GiveUpNs: %d is not over 0", i, k.GiveUp)
+		if k.ClientTimeout <= 0 {
+			return fmt.Errorf("settings.RequestClasses[%d].GiveUpNs: %d is not over 0", i, k.ClientTimeout)
 		}
-		if k.Aim < 0 || aims && k.Aim == 0 {
-			return fmt.Errorf("settings.RequestClasses[%d].PromiseNs: %d is not over 0", i, k.Aim)
+		if k.LatencyObjective < 0 || aims && k.LatencyObjective == 0 {
+			return fmt.Errorf("settings.RequestClasses[%d].PromiseNs: %d is not over 0", i, k.LatencyObjective)
 		}
 	}
 	if s.Limits.MaxAttempts <= 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,8 +32,8 @@
 		text, env, want string
 	}{{good, "", ""}, {inFile, "", "127.0.0.4:7000"}, {inFile, "127.0.0.4:7001", "127.0.0.4:7001"}, {good, "127.0.0.4:7001", "127.0.0.4:7001"}} {
 		cfg, err := load(t, c.text, map[string]string{"RELAY_OPERATOR": c.env})
-		if err != nil || cfg.Operator != c.want {
-			t.Errorf("%q: got %q, %v", c.env, cfg.Operator, err)
+		if err != nil || cfg.AdminListen != c.want {
+			t.Errorf("%q: got %q, %v", c.env, cfg.AdminListen, err)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946","b"],`:              "peers[1]:",
 	} {
 		cfg, err := load(t, with(keys), nil)
-		got := fmt.Sprint(cfg.Settings.Control.Limits.Peers)
+		got := fmt.Sprint(cfg.Settings.Control.Limits.Gossip)
 		if err != nil {
 			got = err.Error()
 		}
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Known.Seq != 3 || c.Sockets != 1024 || s.MaxStreams != 100 ||
-		s.ConnectTimeout != 250*time.Millisecond || s.ConnIdle != 30*time.Second || s.LongestGiveUp != 2*time.Second {
+	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Known.Revision != 3 || c.Sockets != 1024 || s.MaxStreams != 100 ||
+		s.ConnectTimeout != 250*time.Millisecond || s.ConnIdleTimeout != 30*time.Second || s.MaxClientTimeout != 2*time.Second {
 		t.Fatalf("got %+v", c)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -14,11 +14,11 @@
 	Control control.Settings // what the module decides by
 
 	// What only a broker on real sockets needs.
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // engines close connections that are idle so long
-	MaxStreams     int           // attempts that share a connection
-	LongestGiveUp  time.Duration // the longest deadline of all classes
-	DrainGrace     time.Duration // sends to an engine that drains have left so long after it was told; 0: not said
+	ConnectTimeout   time.Duration
+	ConnIdleTimeout  time.Duration // engines close connections that are idle so long
+	MaxStreams       int           // attempts that share a connection
+	MaxClientTimeout time.Duration // the longest deadline of all classes
+	DrainGrace       time.Duration // sends to an engine that drains have left so long after it was told; 0: not said
 }
 
 // Defaults of settings that a real broker needs and a deployment may leave out.
@@ -80,10 +80,10 @@
 	}
 }
 
-var effects = map[string]control.Effect{"repeatable": control.Repeatable, "by_key": control.Keyed, "once": control.Once}
+var effects = map[string]control.Idempotency{"repeatable": control.Idempotent, "by_key": control.IdempotentWithKey, "once": control.NonIdempotent}
 
-var scopes = map[string]control.Scope{"": control.ScopeAll, "all": control.ScopeAll,
-	"zone": control.ScopeZone, "cell": control.ScopeCell}
+var scopes = map[string]control.DedupScope{"": control.DedupScopeAll, "all": control.DedupScopeAll,
+	"zone": control.DedupScopeZone, "cell": control.DedupScopeCell}
 
 func at[T any](s []T, i int) (v T) {
 	if i < len(s) {
@@ -110,31 +110,31 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := Settings{
-		Control: control.Settings{Gateways: o.PeersTotal, Gateway: o.Position, Zone: o.Zone, Round: o.RoundNs,
-			Kinds: map[string]control.Kind{}, GrantCap: o.Domain.GrantCap, Grants: o.Domain.Grants,
-			Priorities: o.Domain.Priorities, NotesEvery: o.Domain.ProgressPaceNs, CostTold: o.Domain.SaysCost,
-			ReportFields: o.Stats.Fields, ListOnRequest: o.Discovery == "on_request", WorthByWork: o.ValueBy == "work",
-			Limits: control.Limits{MaxAttempts: o.Limits.MaxAttempts, MaxRetryWait: o.Limits.MaxRetryAfterNs,
-				RetryHints: o.Limits.RetryAfter, Cancel: o.Limits.Cancel, Copies: o.Limits.ParallelTries,
-				Probing: o.Limits.Probing, Peers: o.Limits.Peers},
-			Rules: control.Rules{AskEvery: o.Rules.AskEveryNs,
-				ColdFrom: o.Rules.ColdFrom, WarmAfter: o.Rules.WarmAfterNs, FallMultiple: o.Rules.FallMultiple,
-				FallWindow: o.Rules.FallNs, KeyRest: o.Rules.KeyRestNs, BudgetWindow: o.Rules.BudgetSpanNs,
-				BudgetShare: o.Rules.FurtherRatio, BudgetFree: o.Rules.ExtraFree}},
-		ConnectTimeout: orElse(o.Limits.ConnectTimeoutNs, defaultConnectTimeout),
-		ConnIdle:       orElse(o.Limits.ConnIdleNs, defaultConnIdle),
-		MaxStreams:     orElse(o.Limits.MaxStreams, defaultMaxStreams),
-		DrainGrace:     o.Rules.DrainGraceNs,
+		Control: control.Settings{Brokers: o.PeersTotal, BrokerIndex: o.Position, Zone: o.Zone, MinBatchInterval: o.RoundNs,
+			EngineKinds: map[string]control.EngineKind{}, MaxGrantFraction: o.Domain.GrantCap, MemoryGrants: o.Domain.Grants,
+			Priorities: o.Domain.Priorities, ProgressInterval: o.Domain.ProgressPaceNs, ReportsCost: o.Domain.SaysCost,
+			ReportFields: o.Stats.Fields, PollEndpointList: o.Discovery == "on_request", WeightByWork: o.ValueBy == "work",
+			Limits: control.Limits{MaxAttempts: o.Limits.MaxAttempts, MaxRetryAfter: o.Limits.MaxRetryAfterNs,
+				RetryAfter: o.Limits.RetryAfter, Cancellation: o.Limits.Cancel, Hedging: o.Limits.ParallelTries,
+				LoadProbes: o.Limits.Probing, Gossip: o.Limits.Peers},
+			Rules: control.Rules{MaxPollInterval: o.Rules.AskEveryNs,
+				SlowStartInitial: o.Rules.ColdFrom, SlowStartDuration: o.Rules.WarmAfterNs, OverloadMultiple: o.Rules.FallMultiple,
+				OverloadWindow: o.Rules.FallNs, KeyCooldown: o.Rules.KeyRestNs, RetryBudgetWindow: o.Rules.BudgetSpanNs,
+				RetryBudgetRatio: o.Rules.FurtherRatio, RetryBudgetReserve: o.Rules.ExtraFree}},
+		ConnectTimeout:  orElse(o.Limits.ConnectTimeoutNs, defaultConnectTimeout),
+		ConnIdleTimeout: orElse(o.Limits.ConnIdleNs, defaultConnIdle),
+		MaxStreams:      orElse(o.Limits.MaxStreams, defaultMaxStreams),
+		DrainGrace:      o.Rules.DrainGraceNs,
 	}
 	for key, bad := range map[string]bool{
-		"RoundNs": o.RoundNs < 0, "Limits.ConnectTimeoutNs": s.ConnectTimeout < 0, "Limits.ConnIdleNs": s.ConnIdle < 0,
+		"RoundNs": o.RoundNs < 0, "Limits.ConnectTimeoutNs": s.ConnectTimeout < 0, "Limits.ConnIdleNs": s.ConnIdleTimeout < 0,
 		"Rules.DrainGraceNs": s.DrainGrace < 0, "Limits.MaxStreams": s.MaxStreams < 0, "Limits.MaxAttempts": o.Limits.MaxAttempts < 0} {
 		if bad {
 			return s, fmt.Errorf("settings.%s: must not be negative", key)
 		}
 	}
 	for i, name := range o.MachineTypes {
-		s.Control.Kinds[name] = control.Kind{Cores: at(o.Domain.SizeCores, i), MemoryMB: at(o.Domain.KindMemoryMb, i)}
+		s.Control.EngineKinds[name] = control.EngineKind{Cores: at(o.Domain.SizeCores, i), MemoryMB: at(o.Domain.KindMemoryMb, i)}
 	}
 	for i, c := range o.RequestClasses {
 		effect, ok := effects[c.Effect]
@@ -145,12 +145,12 @@
 		if !ok {
 			return s, fmt.Errorf("settings.RequestClasses[%d].KeyScope: unknown scope %q", i, c.KeyScope)
 		}
-		s.LongestGiveUp = max(s.LongestGiveUp, c.GiveUpNs)
-		s.Control.Classes = append(s.Control.Classes, control.Class{Name: c.Name, Aim: c.PromiseNs, GiveUp: c.GiveUpNs,
-			AimStretch: c.AimStretch, Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect, Scope: scope,
-			Window: c.WindowNs, Ordered: c.ByArrival, Zones: c.AllowedIn, Kinds: c.AllowedOn,
-			Threads: at(o.Domain.WidthByClass, i), Load: at(o.Domain.ClassLoad, i),
-			Waits: at(o.Domain.YieldsToLoads, i)})
+		s.MaxClientTimeout = max(s.MaxClientTimeout, c.GiveUpNs)
+		s.Control.Classes = append(s.Control.Classes, control.Class{Name: c.Name, LatencyObjective: c.PromiseNs, ClientTimeout: c.GiveUpNs,
+			ObjectivePerWork: c.AimStretch, PriorityWeight: c.Worth, LateWeight: c.LateWorth, Idempotency: effect, DedupScope: scope,
+			DedupWindow: c.WindowNs, Ordered: c.ByArrival, AllowedZones: c.AllowedIn, AllowedKinds: c.AllowedOn,
+			Threads: at(o.Domain.WidthByClass, i), HoldsDataSetLock: at(o.Domain.ClassLoad, i),
+			BlockedByDataSetLock: at(o.Domain.YieldsToLoads, i)})
 	}
 	for _, t := range o.Tenants {
 		s.Control.Tenants = append(s.Control.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,17 +17,17 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatlane/internal/config"
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/client"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/engine"
+	"wheatlane/internal/emulator/scenario"
 	"wheatlane/internal/graphite"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/report"
 	"wheatlane/internal/service"
-	"wheatlane/internal/standin/client"
-	"wheatlane/internal/standin/collector"
-	"wheatlane/internal/standin/engine"
-	"wheatlane/internal/standin/fleet"
-	"wheatlane/internal/standin/referee"
-	"wheatlane/internal/standin/script"
-	"wheatlane/internal/standin/troupe"
 )
 
 // Options say what is shown.
@@ -36,14 +36,14 @@
 	Engines int     // how many there are
 	Rate    float64 // requests a second, all classes together
 	Seed    uint64
-	For     time.Duration // it ends by itself after this time
-	Script  []script.Step // faults of engines and of the collector
+	For     time.Duration   // it ends by itself after this time
+	Script  []scenario.Step // faults of engines and of the collector
 }
 
 // Verbs are what a script can do: faults of engines, by number, and of the collector.
 func Verbs() map[string]bool {
 	all := map[string]bool{"collector-gone": false, "collector-mute": false, "collector-serve": false}
-	for v := range troupe.Verbs {
+	for v := range cluster.Verbs {
 		all[v] = true
 	}
 	return all
@@ -63,9 +63,9 @@
 
 // The parts of the load: the classes' parts of all requests, and their times as the brief words them.
 var classes = []client.Class{
-	{Engine: troupe.Classes[0], Rate: 0.80, Wanted: 500 * time.Millisecond, Allow: 2 * time.Second},
-	{Engine: troupe.Classes[1], Rate: 0.14, Wanted: 3875 * time.Millisecond, Allow: 20 * time.Second},
-	{Engine: troupe.Classes[2], Rate: 0.06, Wanted: 8700 * time.Millisecond, Allow: 25 * time.Second, Keys: 40},
+	{Engine: cluster.Classes[0], Rate: 0.80, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second},
+	{Engine: cluster.Classes[1], Rate: 0.14, LatencyObjective: 3875 * time.Millisecond, Timeout: 20 * time.Second},
+	{Engine: cluster.Classes[2], Rate: 0.06, LatencyObjective: 8700 * time.Millisecond, Timeout: 25 * time.Second, Keys: 40},
 }
 
 const (
@@ -75,17 +75,17 @@
 )
 
 // watcher tells the referee what engines see.
-type watcher struct{ r *referee.Referee }
+type watcher struct{ r *conformance.Checker }
 
-func (w watcher) Wanted(r engine.Run)                    { w.r.Wanted(r.Engine, r.Ref, r.At) }
-func (w watcher) Ended(engine, ref string, at time.Time) { w.r.Ended(engine, ref, at) }
-func told(r *referee.Referee) func(fleet.Host, time.Time) {
-	return func(h fleet.Host, at time.Time) {
+func (w watcher) AttemptReceived(r engine.Run)                  { w.r.AttemptReceived(r.Engine, r.Ref, r.At) }
+func (w watcher) AttemptEnded(engine, ref string, at time.Time) { w.r.AttemptEnded(engine, ref, at) }
+func told(r *conformance.Checker) func(changelogserver.Host, time.Time) {
+	return func(h changelogserver.Host, at time.Time) {
 		if h.Health == "in_service" {
-			r.InService(h.ID)
+			r.EngineInService(h.ID)
 			return
 		}
-		r.Draining(h.ID, at)
+		r.EngineDraining(h.ID, at)
 	}
 }
 
@@ -93,10 +93,10 @@
 type show struct {
 	o       Options
 	out     io.Writer
-	judge   *referee.Referee
-	engines *troupe.Troupe
-	changes *fleet.Log
-	ledger  *collector.Ledger
+	judge   *conformance.Checker
+	engines *cluster.Cluster
+	changes *changelogserver.ChangeLog
+	ledger  *collector.Reconciler
 	figures *collector.Recording
 	carbon  *collector.Carbon
 	broker  *service.Service
@@ -109,16 +109,16 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	s := &show{o: o, out: out, judge: referee.New(referee.Rules{DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
-		MostTries: 4})}
+	s := &show{o: o, out: out, judge: conformance.New(conformance.Rules{DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
+		MaxAttempts: 4})}
 	var err error
-	if s.engines, err = troupe.New(o.Engines, watcher{s.judge}, func(h fleet.Host) error {
+	if s.engines, err = cluster.New(o.Engines, watcher{s.judge}, func(h changelogserver.Host) error {
 		s.changes.Change(h)
 		return nil
 	}); err != nil {
 		return err
 	}
-	if s.changes, err = fleet.New("127.0.0.1:0", s.engines.Hosts(), told(s.judge)); err != nil {
+	if s.changes, err = changelogserver.New("127.0.0.1:0", s.engines.Hosts(), told(s.judge)); err != nil {
 		return err
 	}
 	figures, err := os.Create(filepath.Join(o.Dir, figuresFile))
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	s.figures, s.ledger = recording, collector.NewLedger(recording.Add)
+	s.figures, s.ledger = recording, collector.NewReconciler(recording.Add)
 	if s.carbon, err = collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane", Tags: true}, false, s.ledger); err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	if err := s.start(ctx, logs); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "broker at %s, %d engines, change log at %s, collector at %s; files in %s\n", s.broker.Node.Addr(), o.Engines,
+	fmt.Fprintf(out, "broker at %s, %d engines, change log at %s, collector at %s; files in %s\n", s.broker.Server.Addr(), o.Engines,
 		s.changes.Addr(), s.carbon.Addr(), o.Dir)
 	err = s.run(ctx)
 	if closed := recording.Close(); err == nil {
@@ -155,7 +155,7 @@
 
 // start writes the broker's files and reads them as a broker does.
 func (s *show) start(ctx context.Context, logs io.Writer) error {
-	text, err := troupe.Configuration("demo", s.o.Seed, s.changes)
+	text, err := cluster.Configuration("demo", s.o.Seed, s.changes)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := operator.Load(own)
+	file, err := operatorconfig.Load(own)
 	if err != nil {
 		return err
 	}
@@ -190,8 +190,8 @@
 		c.Rate *= s.o.Rate
 		mine[i] = c
 	}
-	s.load = client.New(client.Config{Addr: s.broker.Node.Addr().String(), Classes: mine, Tenants: troupe.Tenants, DataSets: dataSets,
-		Seed: s.o.Seed, MostOpen: mostOpen, Retries: 2}, s.judge)
+	s.load = client.New(client.Config{Addr: s.broker.Server.Addr().String(), Classes: mine, Tenants: cluster.Tenants, DataSets: dataSets,
+		Seed: s.o.Seed, MaxOpen: mostOpen, Retries: 2}, s.judge)
 	return nil
 }
 
@@ -213,7 +213,7 @@
 	show, shown := errgroup.WithContext(ctx)
 	show.Go(func() error { return s.load.Run(shown) })
 	show.Go(func() error {
-		return script.Play(shown, s.o.Script, func(st script.Step) error {
+		return scenario.Play(shown, s.o.Script, func(st scenario.Step) error {
 			fmt.Fprintln(s.out, "---", st)
 			return s.do(shown, st)
 		})
@@ -227,12 +227,12 @@
 	return errors.Join(err, others.Wait())
 }
 
-func (s *show) do(ctx context.Context, st script.Step) error {
+func (s *show) do(ctx context.Context, st scenario.Step) error {
 	switch st.Do {
 	case "collector-gone":
-		s.carbon.Set(collector.Gone)
+		s.carbon.Set(collector.Unreachable)
 	case "collector-mute":
-		s.carbon.Set(collector.Mute)
+		s.carbon.Set(collector.Silent)
 	case "collector-serve":
 		s.carbon.Set(collector.Serve)
 	default:
@@ -254,20 +254,20 @@
 		}
 		all, t := client.Tally{}, s.load.Tally()
 		for _, c := range t {
-			all.InTime, all.Late, all.Refused, all.Failed = all.InTime+c.InTime, all.Late+c.Late, all.Refused+c.Refused, all.Failed+c.Failed
-			all.Left += c.Left + c.Lost + c.Wrong
+			all.InTime, all.Late, all.Rejected, all.Failed = all.InTime+c.InTime, all.Late+c.Late, all.Rejected+c.Rejected, all.Failed+c.Failed
+			all.ClientLeft += c.ClientLeft + c.Unanswered + c.WrongAnswers
 		}
 		worst := ""
 		for _, c := range classes {
 			worst += fmt.Sprintf(" %6s", t[c.Engine.Name].Worst.Round(time.Millisecond))
 		}
-		fmt.Fprintf(s.out, "%6d  %7d %6d %7d %6d %5d  %s\n", second, all.InTime, all.Late, all.Refused, all.Failed, all.Left, worst)
+		fmt.Fprintf(s.out, "%6d  %7d %6d %7d %6d %5d  %s\n", second, all.InTime, all.Late, all.Rejected, all.Failed, all.ClientLeft, worst)
 	}
 }
 
 // finish writes the report and says what the referee and the collector found.
 func (s *show) finish() error {
-	found := s.ledger.Judge()
+	found := s.ledger.Reconcile()
 	f, err := os.Create(filepath.Join(s.o.Dir, reportFile))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
@@ -276,9 +276,9 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	v := s.judge.Judge(time.Now())
-	fmt.Fprintf(s.out, "%d requests: %d served, %d refused, %d failed; %d attempts at engines\n", v.Requests, v.Outcomes[referee.Served],
-		v.Outcomes[referee.Refused], v.Outcomes[referee.Failed], v.Attempts)
+	v := s.judge.Check(time.Now())
+	fmt.Fprintf(s.out, "%d requests: %d served, %d refused, %d failed; %d attempts at engines\n", v.Requests, v.Outcomes[conformance.Served],
+		v.Outcomes[conformance.Rejected], v.Outcomes[conformance.Failed], v.Attempts)
 	for _, r := range found.Runs {
 		fmt.Fprintf(s.out, "the collector has %d intervals, which stand for %d of %d\n", len(r.Intervals), r.Of, r.Last)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"wheatlane/internal/standin/script"
+	"wheatlane/internal/emulator/scenario"
 )
 
 // The whole of it, as a newcomer starts it: requests of all classes are served, faults happen, no rule is broken, and the
 // report is there.
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
-	steps, err := script.Parse("300ms:slow:2,500ms:drain:1,600ms:collector-gone,900ms:collector-serve", Verbs(), 3)
+	steps, err := scenario.Parse("300ms:slow:2,500ms:drain:1,600ms:collector-gone,900ms:collector-serve", Verbs(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -9,23 +9,23 @@
 	"sync"
 	"time"
 
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/schema"
 )
 
 // Application is the description of an application.
 type Application struct {
-	Schema    string              `json:"$schema,omitempty" jsonschema:"where editors find the schema of this file; not read"`
-	Name      string              `json:"name" limits:"minlen=1,maxlen=64" jsonschema:"name of the broker in logs and figures"`
-	Listen    string              `json:"listen" jsonschema:"address and port for the application's clients"`
-	Changelog string              `json:"changelog" jsonschema:"address and port of the change log, from which engines are learned"`
-	Peers     int                 `json:"peers,omitempty" limits:"min=1,max=1000,default=1" jsonschema:"brokers of the tier, this one included"`
-	Position  int                 `json:"position,omitempty" limits:"min=0,max=999,default=0" jsonschema:"the place of this one among them, from 0"`
-	Customers []Customer          `json:"customers" limits:"maxitems=256"`
-	Classes   []Class             `json:"classes" limits:"maxitems=64"`
-	Engines   []Kind              `json:"engines" limits:"maxitems=16" jsonschema:"kinds of engine that there may be"`
-	Machine   Machine             `json:"machine,omitzero"`
-	Telemetry *operator.Telemetry `json:"telemetry,omitempty" jsonschema:"as in the operator's file"`
+	Schema    string                    `json:"$schema,omitempty" jsonschema:"where editors find the schema of this file; not read"`
+	Name      string                    `json:"name" limits:"minlen=1,maxlen=64" jsonschema:"name of the broker in logs and figures"`
+	Listen    string                    `json:"listen" jsonschema:"address and port for the application's clients"`
+	Changelog string                    `json:"changelog" jsonschema:"address and port of the change log, from which engines are learned"`
+	Peers     int                       `json:"peers,omitempty" limits:"min=1,max=1000,default=1" jsonschema:"brokers of the tier, this one included"`
+	Position  int                       `json:"position,omitempty" limits:"min=0,max=999,default=0" jsonschema:"the place of this one among them, from 0"`
+	Customers []Customer                `json:"customers" limits:"maxitems=256"`
+	Classes   []Class                   `json:"classes" limits:"maxitems=64"`
+	Engines   []Kind                    `json:"engines" limits:"maxitems=16" jsonschema:"kinds of engine that there may be"`
+	Machine   Machine                   `json:"machine,omitzero"`
+	Telemetry *operatorconfig.Telemetry `json:"telemetry,omitempty" jsonschema:"as in the operator's file"`
 }
 
 // Customer has a share of the service.
@@ -162,7 +162,7 @@
 	if a.Telemetry == nil {
 		return nil, nil
 	}
-	return lines(operator.File{Made: made, Telemetry: a.Telemetry})
+	return lines(operatorconfig.File{Made: made, Telemetry: a.Telemetry})
 }
 
 func lines(v any) ([]byte, error) {
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/check/form"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/config"
-	"wheatlane/internal/operator"
+	"wheatlane/internal/operatorconfig"
 )
 
 func example(t *testing.T) []byte {
@@ -59,15 +59,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Name != "chart-app" || cfg.MemoryMB != 192 || cfg.Settings.LongestGiveUp != 25*time.Second {
+	if cfg.Name != "chart-app" || cfg.MemoryMB != 192 || cfg.Settings.MaxClientTimeout != 25*time.Second {
 		t.Errorf("%+v", cfg)
 	}
-	want := control.Class{Name: "survey-load", Aim: 3 * time.Second, GiveUp: 25 * time.Second, AimStretch: 3, Worth: 20,
-		Effect: control.Keyed, Window: 15 * time.Second, Ordered: true, Threads: 2, Load: true}
+	want := control.Class{Name: "survey-load", LatencyObjective: 3 * time.Second, ClientTimeout: 25 * time.Second, ObjectivePerWork: 3, PriorityWeight: 20,
+		Idempotency: control.IdempotentWithKey, DedupWindow: 15 * time.Second, Ordered: true, Threads: 2, HoldsDataSetLock: true}
 	if diff := cmp.Diff(want, cfg.Settings.Control.Classes[2]); diff != "" {
 		t.Error(diff)
 	}
-	if f, err := operator.Parse(own); err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
+	if f, err := operatorconfig.Parse(own); err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -22,8 +22,8 @@
 	version = 1
 	headLen = len(magic) + 4
 	frame   = 8 // length and checksum
-	// MostRecord is the largest record or snapshot, in bytes.
-	MostRecord = 16 << 20
+	// MaxRecord is the largest record or snapshot, in bytes.
+	MaxRecord = 16 << 20
 )
 
 // Errors of a store.
@@ -154,7 +154,7 @@
 		return nil, false
 	}
 	n := int(binary.BigEndian.Uint32(b))
-	if n > MostRecord || n > len(b)-frame || checksum(b[:4], b[frame:frame+n]) != binary.BigEndian.Uint32(b[4:]) {
+	if n > MaxRecord || n > len(b)-frame || checksum(b[:4], b[frame:frame+n]) != binary.BigEndian.Uint32(b[4:]) {
 		return nil, false
 	}
 	return b[frame : frame+n], true
@@ -191,8 +191,8 @@
 	switch {
 	case s.failed:
 		return ErrFailed
-	case len(record) > MostRecord:
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MostRecord)
+	case len(record) > MaxRecord:
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MaxRecord)
 	}
 	if _, err := s.file.Write(appendRecord(nil, record)); err != nil {
 		s.failed = true
@@ -207,8 +207,8 @@
 
 // Compact puts a snapshot in the place of all that was there. If it fails, all that was confirmed before is there still.
 func (s *Store) Compact(snapshot []byte) error {
-	if len(snapshot) > MostRecord {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(snapshot), MostRecord)
+	if len(snapshot) > MaxRecord {
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(snapshot), MaxRecord)
 	}
 	return s.rotate(snapshot, nil)
 }
--- a/internal/standin/fleet/file.go
+++ b/internal/emulator/changelogserver/file.go
@@ -1,4 +1,4 @@
-package fleet
+package changelogserver
 
 import (
 	"context"
@@ -42,7 +42,7 @@
 }
 
 // Follow adds an event for whatever changes in a file, until ctx ends.
-func (l *Log) Follow(ctx context.Context, path string, was []Host) error {
+func (l *ChangeLog) Follow(ctx context.Context, path string, was []Host) error {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/emulator/changelogserver/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet plays a change log: it numbers changes of the list of engines and tells them over HTTP long polls, late,
 // broken or not at all as a test wants it.
-package fleet
+package changelogserver
 
 import (
 	"context"
@@ -41,8 +41,8 @@
 	told time.Time // from when on it may be told
 }
 
-// Log is the change log.
-type Log struct {
+// ChangeLog is the change log.
+type ChangeLog struct {
 	mu      sync.Mutex
 	events  []event
 	changed chan struct{}
@@ -65,23 +65,23 @@
 
 // New returns a change log whose first event holds the whole list, and which listens at an address. onTold, if there
 // is one, is called with each host of an event as that is first told to somebody.
-func New(address string, hosts []Host, onTold func(h Host, at time.Time)) (*Log, error) {
+func New(address string, hosts []Host, onTold func(h Host, at time.Time)) (*ChangeLog, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in change log: %w", err)
 	}
-	l := &Log{changed: make(chan struct{}), mode: Serve, ln: ln, onTold: onTold}
+	l := &ChangeLog{changed: make(chan struct{}), mode: Serve, ln: ln, onTold: onTold}
 	l.add(true, hosts)
 	return l, nil
 }
 
 // Addr is where it listens.
-func (l *Log) Addr() string { return l.ln.Addr().String() }
+func (l *ChangeLog) Addr() string { return l.ln.Addr().String() }
 
 // Change adds an event with what has changed.
-func (l *Log) Change(hosts ...Host) { l.add(false, hosts) }
+func (l *ChangeLog) Change(hosts ...Host) { l.add(false, hosts) }
 
-func (l *Log) add(whole bool, hosts []Host) {
+func (l *ChangeLog) add(whole bool, hosts []Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ev := event{Seq: int64(len(l.events) + 1), told: time.Now().Add(l.late)}
@@ -96,20 +96,20 @@
 	l.wake()
 }
 
-func (l *Log) wake() {
+func (l *ChangeLog) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // Late tells each later event so long after it happened.
-func (l *Log) Late(d time.Duration) {
+func (l *ChangeLog) Late(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.late = d
 }
 
 // Set changes how it behaves from the next answer on.
-func (l *Log) Set(m Mode) {
+func (l *ChangeLog) Set(m Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode = m
@@ -117,7 +117,7 @@
 }
 
 // Known is the page of all events so far, as a configuration holds it.
-func (l *Log) Known() (json.RawMessage, error) {
+func (l *ChangeLog) Known() (json.RawMessage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return page(l.events)
@@ -142,7 +142,7 @@
 }
 
 // Run serves until ctx ends.
-func (l *Log) Run(ctx context.Context) error {
+func (l *ChangeLog) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /changes", l.poll)
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: longestPoll, BaseContext: func(net.Listener) context.Context { return ctx }}
@@ -161,7 +161,7 @@
 }
 
 // after are the events that may be told now with a number over since, when the next may be, and the signal of a change.
-func (l *Log) after(since int64) (events []event, next time.Time, changed <-chan struct{}, mode Mode) {
+func (l *ChangeLog) after(since int64) (events []event, next time.Time, changed <-chan struct{}, mode Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -179,7 +179,7 @@
 }
 
 // poll answers GET /changes?since=N&timeout=MS.
-func (l *Log) poll(w http.ResponseWriter, r *http.Request) {
+func (l *ChangeLog) poll(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	ms, err2 := strconv.Atoi(r.URL.Query().Get("timeout"))
 	if errors.Join(err, err2) != nil || ms < 0 {
@@ -207,7 +207,7 @@
 }
 
 // answer writes a page as the mode has it.
-func (l *Log) answer(w http.ResponseWriter, r *http.Request, since int64, events []event, mode Mode) {
+func (l *ChangeLog) answer(w http.ResponseWriter, r *http.Request, since int64, events []event, mode Mode) {
 	if mode == Refuse {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/emulator/changelogserver/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package changelogserver
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"wheatlane/internal/changelog"
 )
 
-func serve(t *testing.T, l *Log) {
+func serve(t *testing.T, l *ChangeLog) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -28,7 +28,7 @@
 	})
 }
 
-func get(t *testing.T, l *Log, since, timeout int) (string, error) {
+func get(t *testing.T, l *ChangeLog, since, timeout int) (string, error) {
 	t.Helper()
 	res, err := http.Get(fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", l.Addr(), since, timeout))
 	if err != nil {
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	p, err := changelog.ParsePage(known)
-	if err != nil || p.Seq != 1 || !p.Changes[0].Whole || len(p.Changes[0].Hosts) != 2 {
+	if err != nil || p.Revision != 1 || !p.Changes[0].Snapshot || len(p.Changes[0].Endpoints) != 2 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	if text, err := get(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
@@ -64,7 +64,7 @@
 	}()
 	l.Change(Host{ID: "a", Addr: "127.0.0.1:1", Health: "terminating"})
 	p, err = changelog.ParsePage([]byte(<-answer))
-	if err != nil || p.Seq != 2 || p.Changes[0].Whole || p.Changes[0].Hosts[0].ID != "a" {
+	if err != nil || p.Revision != 2 || p.Changes[0].Snapshot || p.Changes[0].Endpoints[0].ID != "a" {
 		t.Fatalf("%+v, %v", p, err)
 	}
 }
--- a/internal/standin/fleet/golden_test.go
+++ b/internal/emulator/changelogserver/golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package changelogserver
 
 import (
 	"flag"
--- a/internal/standin/client/load.go
+++ b/internal/emulator/client/load.go
@@ -19,17 +19,17 @@
 	"github.com/go-sql-driver/mysql"
 	"golang.org/x/sync/errgroup"
 
-	"wheatlane/internal/standin/engine"
-	"wheatlane/internal/standin/referee"
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/engine"
 )
 
 // Class is a class of requests as clients send it.
 type Class struct {
-	Engine engine.Class
-	Rate   float64       // a second
-	Wanted time.Duration // answers after it are late
-	Allow  time.Duration // then the client stops waiting
-	Keys   int           // order keys in use; 0: the class keeps no order
+	Engine           engine.Class
+	Rate             float64       // a second
+	LatencyObjective time.Duration // answers after it are late
+	Timeout          time.Duration // then the client stops waiting
+	Keys             int           // order keys in use; 0: the class keeps no order
 }
 
 // Config is a load.
@@ -39,22 +39,22 @@
 	Tenants  []string
 	DataSets int
 	Seed     uint64
-	MostOpen int // requests at a time; more are not sent, and counted
+	MaxOpen  int // requests at a time; more are not sent, and counted
 	Retries  int // of a request that was refused, after the time that the refusal names
 	// OnEnd, if there is one, is told of each request as it ends.
-	OnEnd func(class string, out referee.Outcome, took time.Duration)
+	OnEnd func(class string, out conformance.Outcome, took time.Duration)
 }
 
 // Tally is what became of requests.
 type Tally struct {
-	Sent, InTime, Late, Refused, Failed, Left, Lost, Wrong, Held int
-	Worst                                                        time.Duration // of those served
+	Sent, InTime, Late, Rejected, Failed, ClientLeft, Unanswered, WrongAnswers, Held int
+	Worst                                                                            time.Duration // of those served
 }
 
 // Load sends requests.
 type Load struct {
 	cfg   Config
-	judge *referee.Referee
+	judge *conformance.Checker
 
 	mu    sync.Mutex
 	rng   *rand.Rand
@@ -69,9 +69,9 @@
 const spacing = 250 * time.Millisecond
 
 // New returns a load; judge may be nil.
-func New(cfg Config, judge *referee.Referee) *Load {
+func New(cfg Config, judge *conformance.Checker) *Load {
 	l := &Load{cfg: cfg, judge: judge, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), tally: map[string]*Tally{},
-		keys: map[string]*sync.Mutex{}, slots: make(chan struct{}, max(1, cfg.MostOpen))}
+		keys: map[string]*sync.Mutex{}, slots: make(chan struct{}, max(1, cfg.MaxOpen))}
 	for _, c := range cfg.Classes {
 		l.tally[c.Engine.Name] = &Tally{}
 		for k := range c.Keys {
@@ -162,7 +162,7 @@
 	}
 	for try := 0; ; try++ {
 		out, cooldown := l.ask(c, ask{set: set, tenant: tenant, op: op, key: key, again: try > 0})
-		if out != referee.Refused || cooldown <= 0 || try >= l.cfg.Retries {
+		if out != conformance.Rejected || cooldown <= 0 || try >= l.cfg.Retries {
 			return
 		}
 		select {
@@ -189,7 +189,7 @@
 // Text is the statement of a request, with its fields.
 func (c *Class) Text(ref, tenant, op, key string, set int, again bool) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "/* service=%s,ref=%s,allow=%d,project=%s,replay=%s,effort=%.1f,ram=%d", c.Engine.Name, ref, c.Allow.Milliseconds(),
+	fmt.Fprintf(&b, "/* service=%s,ref=%s,allow=%d,project=%s,replay=%s,effort=%.1f,ram=%d", c.Engine.Name, ref, c.Timeout.Milliseconds(),
 		tenant, op, float64(c.Engine.Cost(ref))/float64(time.Millisecond), 16*c.Engine.Threads)
 	if key != "" {
 		fmt.Fprintf(&b, ",lookup=%s", key)
@@ -204,39 +204,39 @@
 var cooldown = regexp.MustCompile(`cooldown=([0-9]+)`)
 
 // ask sends one request on a connection of its own and judges the answer.
-func (l *Load) ask(c *Class, a ask) (referee.Outcome, time.Duration) {
+func (l *Load) ask(c *Class, a ask) (conformance.Outcome, time.Duration) {
 	ref := l.ref()
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), c.Allow)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	rows, err := l.query(ctx, c.Text(ref, a.tenant, a.op, a.key, a.set, a.again), func() {
 		began = time.Now()
 		if l.judge != nil {
-			l.judge.Asked(referee.Request{Ref: ref, Class: c.Engine.Name, Key: a.key, At: began, Allow: c.Allow})
+			l.judge.RequestSent(conformance.Request{ID: ref, Class: c.Engine.Name, Key: a.key, SentAt: began, Timeout: c.Timeout})
 		}
 	})
 	took := time.Since(began)
-	out, wait := referee.Served, time.Duration(0)
+	out, wait := conformance.Served, time.Duration(0)
 	var wrong *mysql.MySQLError
 	switch {
 	case err == nil && rows != strings.Join(c.Engine.Result(ref), ""):
-		out = referee.Wrong
+		out = conformance.WrongAnswer
 	case err == nil:
 	case errors.As(err, &wrong) && (wrong.Number == 1040 || wrong.Number == 1203 || wrong.Number == 1226):
-		out = referee.Refused
+		out = conformance.Rejected
 		if m := cooldown.FindStringSubmatch(wrong.Message); m != nil {
 			ms, _ := strconv.Atoi(m[1]) // digits, as matched
 			wait = time.Duration(ms) * time.Millisecond
 		}
 	case errors.As(err, &wrong):
-		out = referee.Failed
+		out = conformance.Failed
 	case ctx.Err() != nil:
-		out = referee.Left
+		out = conformance.ClientLeft
 	default:
-		out = referee.Lost
+		out = conformance.Unanswered
 	}
 	if l.judge != nil {
-		l.judge.Answered(ref, out, time.Now())
+		l.judge.RequestEnded(ref, out, time.Now())
 	}
 	if l.cfg.OnEnd != nil {
 		l.cfg.OnEnd(c.Engine.Name, out, took)
@@ -244,23 +244,23 @@
 	l.add(c.Engine.Name, func(t *Tally) {
 		t.Sent++
 		switch out {
-		case referee.Served:
-			if took <= c.Wanted {
+		case conformance.Served:
+			if took <= c.LatencyObjective {
 				t.InTime++
 			} else {
 				t.Late++
 			}
 			t.Worst = max(t.Worst, took)
-		case referee.Refused:
-			t.Refused++
-		case referee.Failed:
+		case conformance.Rejected:
+			t.Rejected++
+		case conformance.Failed:
 			t.Failed++
-		case referee.Left:
-			t.Left++
-		case referee.Lost:
-			t.Lost++
-		case referee.Wrong:
-			t.Wrong++
+		case conformance.ClientLeft:
+			t.ClientLeft++
+		case conformance.Unanswered:
+			t.Unanswered++
+		case conformance.WrongAnswer:
+			t.WrongAnswers++
 		}
 	})
 	return out, wait
--- a/internal/standin/troupe/config.go
+++ b/internal/emulator/cluster/config.go
@@ -1,10 +1,10 @@
-package troupe
+package cluster
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"wheatlane/internal/standin/fleet"
+	"wheatlane/internal/emulator/changelogserver"
 )
 
 // settings words the deployment as the platform does.
@@ -26,7 +26,7 @@
 var Tenants = []string{"fishing-fleet", "harbour-office"}
 
 // Configuration is the file of a broker beside these engines, in the platform's form. It listens at any port.
-func Configuration(name string, seed uint64, changes *fleet.Log) ([]byte, error) {
+func Configuration(name string, seed uint64, changes *changelogserver.ChangeLog) ([]byte, error) {
 	known, err := changes.Known()
 	if err != nil {
 		return nil, err
--- a/internal/standin/troupe/troupe.go
+++ b/internal/emulator/cluster/troupe.go
@@ -1,6 +1,6 @@
 // Package troupe plays several engines together with what the change log has to tell of them: each fault of an engine
 // that a change log would come to know of is published, a little later than it happened.
-package troupe
+package cluster
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"wheatlane/internal/standin/engine"
-	"wheatlane/internal/standin/fleet"
-	"wheatlane/internal/standin/script"
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/engine"
+	"wheatlane/internal/emulator/scenario"
 )
 
 // Verbs are what can be done to engines.
@@ -29,45 +29,45 @@
 
 // Classes are the classes of the chart service, as its engines run them.
 var Classes = []engine.Class{
-	{Name: "lookup", Work: 65 * time.Millisecond, Threads: 1, Rows: 4, Waits: true},
+	{Name: "lookup", Work: 65 * time.Millisecond, Threads: 1, Rows: 4, BlockedByDataSetLock: true},
 	{Name: "route-report", Work: 3 * time.Second, Threads: 4, Rows: 250},
-	{Name: "survey-load", Work: 3800 * time.Millisecond, Threads: 2, Rows: 1, Load: true},
+	{Name: "survey-load", Work: 3800 * time.Millisecond, Threads: 2, Rows: 1, HoldsDataSetLock: true},
 }
 
 // Size is that of an engine of the chart service.
-var Size = engine.Config{Cores: 8, Knee: 1.9, Sessions: 64, Repeat: 15 * time.Second, Warm: 15 * time.Second, ColdFrom: 0.33}
+var Size = engine.Config{Cores: 8, SaturationPoint: 1.9, Sessions: 64, DedupWindow: 15 * time.Second, SlowStartDuration: 15 * time.Second, SlowStartInitial: 0.33}
 
-// Troupe is the engines.
-type Troupe struct {
+// Cluster is the engines.
+type Cluster struct {
 	engines []*engine.Server
-	publish func(fleet.Host) error
+	publish func(changelogserver.Host) error
 	mu      sync.Mutex
-	hosts   []fleet.Host
+	hosts   []changelogserver.Host
 }
 
 // New returns so many engines, warm and in service. publish is called with each host that changes.
-func New(n int, watch engine.Watcher, publish func(fleet.Host) error) (*Troupe, error) {
-	t := &Troupe{publish: publish}
+func New(n int, watch engine.Observer, publish func(changelogserver.Host) error) (*Cluster, error) {
+	t := &Cluster{publish: publish}
 	for i := range n {
 		e, err := engine.NewServer(fmt.Sprintf("s-%08x", 0xe0000000+i+1), Classes, Size, watch)
 		if err != nil {
 			return nil, err
 		}
 		t.engines = append(t.engines, e)
-		t.hosts = append(t.hosts, fleet.Host{ID: e.ID, Addr: e.Addr(), Site: "east", Class: Kind, Share: 4, Health: "in_service"})
+		t.hosts = append(t.hosts, changelogserver.Host{ID: e.ID, Addr: e.Addr(), Site: "east", Class: Kind, Share: 4, Health: "in_service"})
 	}
 	return t, nil
 }
 
 // Hosts is the list of engines as it is now.
-func (t *Troupe) Hosts() []fleet.Host {
+func (t *Cluster) Hosts() []changelogserver.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]fleet.Host(nil), t.hosts...)
+	return append([]changelogserver.Host(nil), t.hosts...)
 }
 
 // Run plays the engines until ctx ends.
-func (t *Troupe) Run(ctx context.Context) error {
+func (t *Cluster) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, e := range t.engines {
 		g.Go(func() error { return e.Run(ctx) })
@@ -76,7 +76,7 @@
 }
 
 // tell changes a host and publishes it.
-func (t *Troupe) tell(i int, change func(*fleet.Host)) error {
+func (t *Cluster) tell(i int, change func(*changelogserver.Host)) error {
 	t.mu.Lock()
 	change(&t.hosts[i])
 	h := t.hosts[i]
@@ -85,7 +85,7 @@
 }
 
 // Do carries out a step; it returns once the change log has been told what it is to know.
-func (t *Troupe) Do(ctx context.Context, s script.Step) error {
+func (t *Cluster) Do(ctx context.Context, s scenario.Step) error {
 	i := s.Target - 1
 	e := t.engines[i]
 	switch s.Do {
@@ -98,7 +98,7 @@
 	case "speak":
 		e.Silence(false)
 	case "drain":
-		return t.tell(i, func(h *fleet.Host) { h.Health = "terminating" })
+		return t.tell(i, func(h *changelogserver.Host) { h.Health = "terminating" })
 	case "crash":
 		e.Crash()
 		select {
@@ -106,13 +106,13 @@
 			return nil
 		case <-time.After(noticed):
 		}
-		return t.tell(i, func(h *fleet.Host) { h.Health = "terminated" })
+		return t.tell(i, func(h *changelogserver.Host) { h.Health = "terminated" })
 	case "back", "moved":
 		e.Crash() // one that only drained ends first
 		if err := e.Return(s.Do == "moved"); err != nil {
 			return err
 		}
-		return t.tell(i, func(h *fleet.Host) {
+		return t.tell(i, func(h *changelogserver.Host) {
 			h.Health, h.Addr, h.BornMS = "in_service", e.Addr(), time.Now().UnixMilli()
 		})
 	}
@@ -121,17 +121,17 @@
 
 // Plain starts n engines of the chart service that run classes, without faults, and a change log that lists them,
 // each in g until ctx ends.
-func Plain(ctx context.Context, g *errgroup.Group, n int, classes []engine.Class) (*fleet.Log, []fleet.Host, error) {
-	var hosts []fleet.Host
+func Plain(ctx context.Context, g *errgroup.Group, n int, classes []engine.Class) (*changelogserver.ChangeLog, []changelogserver.Host, error) {
+	var hosts []changelogserver.Host
 	for i := range n {
 		e, err := engine.NewServer(fmt.Sprint("s-", i), classes, Size, nil)
 		if err != nil {
 			return nil, nil, err
 		}
 		g.Go(func() error { return e.Run(ctx) })
-		hosts = append(hosts, fleet.Host{ID: e.ID, Addr: e.Addr(), Class: Kind})
+		hosts = append(hosts, changelogserver.Host{ID: e.ID, Addr: e.Addr(), Class: Kind})
 	}
-	changes, err := fleet.New("127.0.0.1:0", hosts, nil)
+	changes, err := changelogserver.New("127.0.0.1:0", hosts, nil)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/standin/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -18,13 +18,13 @@
 
 // The modes of stand-ins.
 const (
-	Serve   Mode = "serve"
-	Gone    Mode = "gone"    // nothing listens, and open connections are reset
-	Mute    Mode = "mute"    // connections are accepted and never read
-	Slow    Mode = "slow"    // read at some 2 KB a second
-	Tear    Mode = "tear"    // each connection is reset in the middle of a line
-	Lossy   Mode = "lossy"   // a third of the datagrams is lost
-	Shuffle Mode = "shuffle" // datagrams come out of order
+	Serve       Mode = "serve"
+	Unreachable Mode = "gone"    // nothing listens, and open connections are reset
+	Silent      Mode = "mute"    // connections are accepted and never read
+	Slow        Mode = "slow"    // read at some 2 KB a second
+	Truncating  Mode = "tear"    // each connection is reset in the middle of a line
+	Lossy       Mode = "lossy"   // a third of the datagrams is lost
+	Reordering  Mode = "shuffle" // datagrams come out of order
 )
 
 const (
@@ -38,7 +38,7 @@
 type Carbon struct {
 	Form   graphite.Form
 	Pickle bool
-	ledger *Ledger
+	ledger *Reconciler
 
 	mu    sync.Mutex
 	mode  Mode
@@ -50,7 +50,7 @@
 
 // NewCarbon returns one that listens at an address; port 0 is any, and the one taken is kept when it comes back.
 // Connections that come before Run wait for it.
-func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Ledger) (*Carbon, error) {
+func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Reconciler) (*Carbon, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
@@ -70,7 +70,7 @@
 	c.mode = m
 	close(c.turn)
 	c.turn = make(chan struct{})
-	if m == Gone {
+	if m == Unreachable {
 		c.shut()
 		for nc := range c.conns {
 			reset(nc)
@@ -90,7 +90,7 @@
 func (c *Carbon) listener(ctx context.Context) (ln net.Listener, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.mode != Gone && c.ln == nil && ctx.Err() == nil {
+	if c.mode != Unreachable && c.ln == nil && ctx.Err() == nil {
 		if c.ln, err = net.Listen("tcp", c.addr); err != nil {
 			return nil, fmt.Errorf("stand-in: %w", err)
 		}
@@ -151,7 +151,7 @@
 		}
 		c.mu.Lock()
 		c.conns[nc] = true
-		if c.mode == Gone {
+		if c.mode == Unreachable {
 			reset(nc)
 		}
 		c.mu.Unlock()
@@ -172,7 +172,7 @@
 func (c *Carbon) tear(nc net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.mode != Tear {
+	if c.mode != Truncating {
 		return false
 	}
 	reset(nc)
@@ -188,7 +188,7 @@
 		mode, turn := c.now()
 		part := b
 		switch mode {
-		case Mute:
+		case Silent:
 			select {
 			case <-ctx.Done():
 			case <-turn:
@@ -201,7 +201,7 @@
 			case <-turn:
 			case <-time.After(slowEvery):
 			}
-		case Tear:
+		case Truncating:
 			part = b[:1]
 			if total < tearAfter {
 				part = b[:min(len(b), tearAfter-total)]
@@ -218,7 +218,7 @@
 			return
 		case err != nil:
 			return // what is left of a line is dropped, as carbon does
-		case mode == Tear && total >= tearAfter && len(buf) > 0 && c.tear(nc):
+		case mode == Truncating && total >= tearAfter && len(buf) > 0 && c.tear(nc):
 			return
 		}
 	}
--- a/internal/standin/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -25,7 +25,7 @@
 // Collectd is a stand-in for a collectd with the network plugin.
 type Collectd struct {
 	reader collectd.Reader
-	ledger *Ledger
+	ledger *Reconciler
 	rng    *rand.Rand
 	addr   string
 
@@ -36,7 +36,7 @@
 }
 
 // NewCollectd returns one that listens at an address, as NewCarbon does. Losses are drawn from a seed.
-func NewCollectd(address string, reader collectd.Reader, seed uint64, ledger *Ledger) (*Collectd, error) {
+func NewCollectd(address string, reader collectd.Reader, seed uint64, ledger *Reconciler) (*Collectd, error) {
 	pc, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
@@ -78,11 +78,11 @@
 		mode := c.mode
 		c.mu.Unlock()
 		switch {
-		case mode == Gone && pc != nil:
+		case mode == Unreachable && pc != nil:
 			pc.Close()
 			pc = nil
 			continue
-		case mode == Gone:
+		case mode == Unreachable:
 			select {
 			case <-ctx.Done():
 			case <-time.After(lookAt):
@@ -116,7 +116,7 @@
 			continue
 		}
 		held = append(held, slices.Clone(b[:n]))
-		if mode == Shuffle && len(held) < mostHeld {
+		if mode == Reordering && len(held) < mostHeld {
 			continue
 		}
 		c.takeAll(&held)
@@ -135,7 +135,7 @@
 
 // take reads a datagram.
 func (c *Collectd) take(packet []byte) {
-	if len(packet) > collectd.MostPacket {
+	if len(packet) > collectd.MaxPacket {
 		c.ledger.Broken(fmt.Sprintf("a packet of %d bytes", len(packet)))
 	}
 	lists, err := c.reader.Parse(packet)
@@ -155,7 +155,7 @@
 			if v.Kind != collectd.Gauge {
 				x = float64(v.Count)
 			}
-			if metrics.Catalogue[s.Figure].Kind == metrics.Spread {
+			if metrics.Catalogue[s.Figure].Kind == metrics.DistributionKind {
 				n.Stat = metrics.Stats[i]
 			}
 			c.ledger.Take(n, x, at)
--- a/internal/standin/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -27,7 +27,7 @@
 		x  float64
 	}{{metrics.Requests, requests}, {metrics.Started, float64(started)}, {metrics.Sequence, number}, {metrics.Folded, of}} {
 		s := metrics.Series{Figure: v.id}
-		if metrics.Catalogue[v.id].By != metrics.Whole {
+		if metrics.Catalogue[v.id].By != metrics.NoDimension {
 			s.Name = "lookup"
 		}
 		all = append(all, Sample{Name: graphite.Name{Broker: broker, Series: s}, Value: v.x, At: at})
@@ -63,7 +63,7 @@
 		{"a number under two times", day(first, told("n1", 100, 115, 1, 1, 6)), "interval 1 came under the times", -1},
 		{"more than there were", day(first, told("n1", 100, 120, 2, 5, 9)), "more than the 2 there were", -4},
 	} {
-		f := Judge(c.samples, 0, nil, nil)
+		f := Reconcile(c.samples, 0, nil, nil)
 		got := strings.Join(f.Faults, "; ")
 		if c.want == "" && got != "" || c.want != "" && !strings.Contains(got, c.want) {
 			t.Errorf("%s: found %q, want %q", c.name, got, c.want)
@@ -72,10 +72,10 @@
 			t.Errorf("%s: %d missing, want %d", c.name, m, c.missing)
 		}
 	}
-	if f := Judge(day(first, second, second), 0, nil, nil); f.Doubled != 4 {
-		t.Errorf("%d came twice", f.Doubled)
+	if f := Reconcile(day(first, second, second), 0, nil, nil); f.Duplicated != 4 {
+		t.Errorf("%d came twice", f.Duplicated)
 	}
-	if f := Judge(first[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
+	if f := Reconcile(first[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
 		t.Errorf("an interval without its number: %+v", f)
 	}
 }
@@ -86,7 +86,7 @@
 		all = append(all, Sample{Name: graphite.Name{Broker: "n1", Series: metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}, Stat: stat},
 			Value: float64(10 - i), At: 110})
 	}
-	if f := Judge(all, 0, nil, nil); len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
+	if f := Reconcile(all, 0, nil, nil); len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
 		t.Fatalf("%q", f.Faults)
 	}
 }
@@ -102,7 +102,7 @@
 		return err
 	}
 	for range 200 { // no run may depend on which goroutine comes first
-		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, NewLedger(nil))
+		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, NewReconciler(nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 		if err := dial(c); err != nil {
 			t.Fatal("as it runs:", err)
 		}
-		c.Set(Gone)
+		c.Set(Unreachable)
 		if err := dial(c); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatal("gone:", err)
 		}
@@ -150,17 +150,17 @@
 // A connection that is being read as Tear ends is not torn any more, so what is written from then on comes whole.
 func TestNothingIsTornUnderAnotherMode(t *testing.T) {
 	const lines = 3000 // of 6 bytes: tearAfter is inside of one
-	for mode, want := range map[Mode]int{Tear: tearAfter / 6, Serve: lines} {
-		ledger := NewLedger(nil)
+	for mode, want := range map[Mode]int{Truncating: tearAfter / 6, Serve: lines} {
+		ledger := NewReconciler(nil)
 		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Set(Tear)
+		c.Set(Truncating)
 		nc := &turning{rest: strings.NewReader(strings.Repeat("x 1 1\n", lines)), turn: func() { c.Set(mode) }}
 		c.read(t.Context(), nc)
-		c.Set(Gone)
-		if got := ledger.Judge().Unknown["x"]; got != want {
+		c.Set(Unreachable)
+		if got := ledger.Reconcile().Unknown["x"]; got != want {
 			t.Errorf("%s: %d lines came, want %d", mode, got, want)
 		}
 	}
--- a/internal/standin/collector/ledger.go
+++ b/internal/emulator/collector/ledger.go
@@ -24,8 +24,8 @@
 	At      int64 // seconds of Unix time, as the broker says
 }
 
-// Ledger keeps samples. It may be used from several goroutines.
-type Ledger struct {
+// Reconciler keeps samples. It may be used from several goroutines.
+type Reconciler struct {
 	mu       sync.Mutex
 	began    time.Time
 	samples  []Sample
@@ -41,14 +41,14 @@
 	mostFaults  = 100     // texts of faults kept
 )
 
-// NewLedger returns an empty one. onSample, if there is one, is given each sample as it comes.
-func NewLedger(onSample func(Sample)) *Ledger {
-	return &Ledger{began: time.Now(), unknown: map[string]int{}, broken: map[string]int{}, onSample: onSample,
+// NewReconciler returns an empty one. onSample, if there is one, is given each sample as it comes.
+func NewReconciler(onSample func(Sample)) *Reconciler {
+	return &Reconciler{began: time.Now(), unknown: map[string]int{}, broken: map[string]int{}, onSample: onSample,
 		changed: make(chan struct{})}
 }
 
 // Take keeps a sample.
-func (l *Ledger) Take(n graphite.Name, value float64, at int64) {
+func (l *Reconciler) Take(n graphite.Name, value float64, at int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Sample{Arrived: time.Since(l.began), Name: n, Value: value, At: at}
@@ -64,13 +64,13 @@
 }
 
 // wake lets those go on that wait for something new.
-func (l *Ledger) wake() {
+func (l *Reconciler) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // Changed is closed when something new comes.
-func (l *Ledger) Changed() <-chan struct{} {
+func (l *Reconciler) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
@@ -83,7 +83,7 @@
 }
 
 // Unknown counts a name that is not in the catalogue.
-func (l *Ledger) Unknown(text string) {
+func (l *Reconciler) Unknown(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count(l.unknown, text)
@@ -91,7 +91,7 @@
 }
 
 // Broken counts what could not be read.
-func (l *Ledger) Broken(why string) {
+func (l *Reconciler) Broken(why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count(l.broken, why)
@@ -99,7 +99,7 @@
 }
 
 // Empty forgets all samples, as a collector that restarts without its disk.
-func (l *Ledger) Empty() {
+func (l *Reconciler) Empty() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.samples = nil
@@ -152,16 +152,18 @@
 
 // Findings are what a ledger says of all that came.
 type Findings struct {
-	Samples, Dropped int
-	Doubled          int // samples that came twice
-	Incomplete       int // stamps without a start or a number: their intervals did not come whole
-	Unknown, Broken  map[string]int
-	Runs             []*Run // by broker and start
-	Faults           []string
+	Samples, Dropped   int
+	Duplicated         int // samples that came twice
+	Incomplete         int // stamps without a start or a number: their intervals did not come whole
+	Unknown, Malformed map[string]int
+	Runs               []*Run // by broker and start
+	Faults             []string
 }
 
 // OK tells whether no rule was broken.
-func (f *Findings) OK() bool { return len(f.Faults) == 0 && len(f.Unknown) == 0 && len(f.Broken) == 0 }
+func (f *Findings) OK() bool {
+	return len(f.Faults) == 0 && len(f.Unknown) == 0 && len(f.Malformed) == 0
+}
 
 // stamp holds what came under one time of one broker.
 type stamp struct {
@@ -172,17 +174,17 @@
 	spreads map[metrics.Series]map[string]float64
 }
 
-// Judge holds all that came against the rules: each interval tells its number and the broker's start; counters never
+// Reconcile holds all that came against the rules: each interval tells its number and the broker's start; counters never
 // fall within a run; the numbers rise with the stamps' order of arrival or stand for what was folded.
-func (l *Ledger) Judge() *Findings {
+func (l *Reconciler) Reconcile() *Findings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Judge(l.samples, l.dropped, l.unknown, l.broken)
+	return Reconcile(l.samples, l.dropped, l.unknown, l.broken)
 }
 
-// Judge is Ledger.Judge for samples that were recorded.
-func Judge(samples []Sample, dropped int, unknown, broken map[string]int) *Findings {
-	f := &Findings{Samples: len(samples), Dropped: dropped, Unknown: maps.Clone(unknown), Broken: maps.Clone(broken)}
+// Reconcile is Ledger.Judge for samples that were recorded.
+func Reconcile(samples []Sample, dropped int, unknown, broken map[string]int) *Findings {
+	f := &Findings{Samples: len(samples), Dropped: dropped, Unknown: maps.Clone(unknown), Malformed: maps.Clone(broken)}
 	fault := func(format string, args ...any) {
 		if len(f.Faults) < mostFaults {
 			f.Faults = append(f.Faults, fmt.Sprintf(format, args...))
@@ -201,9 +203,9 @@
 				spreads: map[metrics.Series]map[string]float64{}}
 			stamps[k] = st
 		}
-		if metrics.Catalogue[s.Name.Series.Figure].Kind != metrics.Spread {
+		if metrics.Catalogue[s.Name.Series.Figure].Kind != metrics.DistributionKind {
 			if old, there := st.values[s.Name.Series]; there && old == s.Value {
-				f.Doubled++
+				f.Duplicated++
 			}
 			st.values[s.Name.Series] = s.Value
 			continue
@@ -212,7 +214,7 @@
 			st.spreads[s.Name.Series] = map[string]float64{}
 		}
 		if old, there := st.spreads[s.Name.Series][s.Name.Stat]; there && old == s.Value {
-			f.Doubled++
+			f.Duplicated++
 		}
 		st.spreads[s.Name.Series][s.Name.Stat] = s.Value
 	}
--- a/internal/standin/referee/referee.go
+++ b/internal/emulator/conformance/referee.go
@@ -1,6 +1,6 @@
 // Package referee holds what clients, engines and the change log saw against the rules of the protocol: what came
 // of it is judged by none of the broker's own books. It does no I/O and reads no clock.
-package referee
+package conformance
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 
 // Rules are the figures of the rules.
 type Rules struct {
-	DrainGrace time.Duration // nothing new goes to an engine so long after its drain was told
-	Slack      time.Duration // what sockets and clocks add to each time
-	MostTries  int           // attempts of a request
-	LeaveGrace time.Duration // nothing of a request goes to an engine so long after its client has left; 0: not judged
-	OneOut     bool          // a request has one attempt out at a time
+	DrainGrace      time.Duration // nothing new goes to an engine so long after its drain was told
+	Slack           time.Duration // what sockets and clocks add to each time
+	MaxAttempts     int           // attempts of a request
+	DisconnectGrace time.Duration // nothing of a request goes to an engine so long after its client has left; 0: not judged
+	NoHedging       bool          // a request has one attempt out at a time
 }
 
 // Outcome is how a request ended at its client.
@@ -25,22 +25,22 @@
 
 // The outcomes.
 const (
-	Served  Outcome = "served"
-	Refused Outcome = "refused"
-	Failed  Outcome = "failed"
-	Left    Outcome = "left"  // the client stopped waiting
-	Lost    Outcome = "lost"  // the connection ended without an answer
-	Wrong   Outcome = "wrong" // served with what no engine made for it
+	Served      Outcome = "served"
+	Rejected    Outcome = "refused"
+	Failed      Outcome = "failed"
+	ClientLeft  Outcome = "left"  // the client stopped waiting
+	Unanswered  Outcome = "lost"  // the connection ended without an answer
+	WrongAnswer Outcome = "wrong" // served with what no engine made for it
 )
 
 // Request is what a client asked.
 type Request struct {
-	Ref, Class, Key string
-	Once            bool // its class may not run twice
-	At              time.Time
-	Allow           time.Duration
-	Out             Outcome
-	Ended           time.Time
+	ID, Class, Key string
+	NonIdempotent  bool // its class may not run twice
+	SentAt         time.Time
+	Timeout        time.Duration
+	Outcome        Outcome
+	EndedAt        time.Time
 }
 
 type run struct {
@@ -48,8 +48,8 @@
 	from, to    time.Time
 }
 
-// Referee keeps what happened. It may be used from several goroutines.
-type Referee struct {
+// Checker keeps what happened. It may be used from several goroutines.
+type Checker struct {
 	mu       sync.Mutex
 	rules    Rules
 	requests map[string]*Request
@@ -59,28 +59,28 @@
 }
 
 // New returns one that has seen nothing.
-func New(r Rules) *Referee {
-	return &Referee{rules: r, requests: map[string]*Request{}, open: map[[2]string]*run{}, drains: map[string]time.Time{}}
+func New(r Rules) *Checker {
+	return &Checker{rules: r, requests: map[string]*Request{}, open: map[[2]string]*run{}, drains: map[string]time.Time{}}
 }
 
-// Asked says that a client has written a request.
-func (r *Referee) Asked(q Request) {
+// RequestSent says that a client has written a request.
+func (r *Checker) RequestSent(q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests[q.Ref] = &q
+	r.requests[q.ID] = &q
 }
 
-// Answered says how a request ended at its client.
-func (r *Referee) Answered(ref string, out Outcome, at time.Time) {
+// RequestEnded says how a request ended at its client.
+func (r *Checker) RequestEnded(ref string, out Outcome, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q := r.requests[ref]; q != nil {
-		q.Out, q.Ended = out, at
+		q.Outcome, q.EndedAt = out, at
 	}
 }
 
-// Wanted says that an engine took a request.
-func (r *Referee) Wanted(engine, ref string, at time.Time) {
+// AttemptReceived says that an engine took a request.
+func (r *Checker) AttemptReceived(engine, ref string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := &run{ref: ref, engine: engine, from: at}
@@ -88,8 +88,8 @@
 	r.open[[2]string{engine, ref}] = n
 }
 
-// Ended says that an engine wrote the end of a request, or that it was given up there.
-func (r *Referee) Ended(engine, ref string, at time.Time) {
+// AttemptEnded says that an engine wrote the end of a request, or that it was given up there.
+func (r *Checker) AttemptEnded(engine, ref string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := [2]string{engine, ref}
@@ -99,8 +99,8 @@
 	}
 }
 
-// Draining says that brokers were told that an engine drains or is gone.
-func (r *Referee) Draining(engine string, at time.Time) {
+// EngineDraining says that brokers were told that an engine drains or is gone.
+func (r *Checker) EngineDraining(engine string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.drains[engine]; !known {
@@ -108,8 +108,8 @@
 	}
 }
 
-// InService says that an engine takes work, again or anew.
-func (r *Referee) InService(engine string) {
+// EngineInService says that an engine takes work, again or anew.
+func (r *Checker) EngineInService(engine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.drains, engine)
@@ -127,9 +127,9 @@
 
 const mostBreaches = 50
 
-// Judge holds all that happened up to now against the rules. Requests that are open are no breach until their time has
+// Check holds all that happened up to now against the rules. Requests that are open are no breach until their time has
 // passed.
-func (r *Referee) Judge(now time.Time) Verdict {
+func (r *Checker) Check(now time.Time) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := Verdict{Requests: len(r.requests), Outcomes: map[Outcome]int{}, Attempts: len(r.runs)}
@@ -140,26 +140,26 @@
 	}
 	for _, ref := range slices.Sorted(maps.Keys(r.requests)) {
 		q := r.requests[ref]
-		v.Outcomes[q.Out]++
+		v.Outcomes[q.Outcome]++
 		switch {
-		case q.Out == Lost || q.Out == Wrong:
-			breach("request %s of %s: %s", ref, q.Class, q.Out)
-		case q.Out == "" && now.Sub(q.At) > q.Allow+r.rules.Slack:
-			breach("request %s of %s has no answer after %v", ref, q.Class, now.Sub(q.At))
+		case q.Outcome == Unanswered || q.Outcome == WrongAnswer:
+			breach("request %s of %s: %s", ref, q.Class, q.Outcome)
+		case q.Outcome == "" && now.Sub(q.SentAt) > q.Timeout+r.rules.Slack:
+			breach("request %s of %s has no answer after %v", ref, q.Class, now.Sub(q.SentAt))
 		}
 	}
 	r.judgeRuns(breach)
 	r.judgeOrder(breach)
 	r.judgeLeaving(&v, breach)
-	if r.rules.OneOut {
+	if r.rules.NoHedging {
 		r.judgeCopies(breach)
 	}
 	return v
 }
 
 // judgeLeaving looks at requests whose clients left before they were sent on.
-func (r *Referee) judgeLeaving(v *Verdict, breach func(string, ...any)) {
-	if r.rules.LeaveGrace <= 0 {
+func (r *Checker) judgeLeaving(v *Verdict, breach func(string, ...any)) {
+	if r.rules.DisconnectGrace <= 0 {
 		return
 	}
 	first := map[string]time.Time{}
@@ -171,11 +171,11 @@
 	for _, ref := range slices.Sorted(maps.Keys(r.requests)) {
 		q := r.requests[ref]
 		from, sent := first[ref]
-		if q.Out != Left || sent && !from.After(q.Ended) {
+		if q.Outcome != ClientLeft || sent && !from.After(q.EndedAt) {
 			continue
 		}
 		v.Waited++
-		if late := from.Sub(q.Ended); sent && late > r.rules.LeaveGrace {
+		if late := from.Sub(q.EndedAt); sent && late > r.rules.DisconnectGrace {
 			v.SentLate++
 			breach("request %s of %s was sent on %v after its client had left", ref, q.Class, late)
 		}
@@ -183,7 +183,7 @@
 }
 
 // judgeCopies looks for requests with two attempts out at once.
-func (r *Referee) judgeCopies(breach func(string, ...any)) {
+func (r *Checker) judgeCopies(breach func(string, ...any)) {
 	of := map[string][]*run{}
 	for _, n := range r.runs {
 		of[n.ref] = append(of[n.ref], n)
@@ -199,7 +199,7 @@
 }
 
 // judgeRuns looks at each attempt by itself and at how many there are.
-func (r *Referee) judgeRuns(breach func(string, ...any)) {
+func (r *Checker) judgeRuns(breach func(string, ...any)) {
 	tries := map[string]int{}
 	for _, n := range r.runs {
 		tries[n.ref]++
@@ -214,17 +214,17 @@
 	}
 	for _, ref := range slices.Sorted(maps.Keys(tries)) {
 		q := r.requests[ref]
-		if q != nil && r.rules.MostTries > 0 && tries[ref] > r.rules.MostTries {
+		if q != nil && r.rules.MaxAttempts > 0 && tries[ref] > r.rules.MaxAttempts {
 			breach("request %s of %s: %d attempts", ref, q.Class, tries[ref])
 		}
-		if q != nil && q.Once && tries[ref] > 1 {
+		if q != nil && q.NonIdempotent && tries[ref] > 1 {
 			breach("request %s of %s, which may run once: %d attempts", ref, q.Class, tries[ref])
 		}
 	}
 }
 
 // judgeOrder looks at requests of one key: one runs at a time, in the order in which they were asked.
-func (r *Referee) judgeOrder(breach func(string, ...any)) {
+func (r *Checker) judgeOrder(breach func(string, ...any)) {
 	keys := map[string][]*run{}
 	for _, n := range r.runs {
 		if q := r.requests[n.ref]; q != nil && q.Key != "" {
@@ -242,7 +242,7 @@
 				if a.to.IsZero() || a.to.After(b.from) {
 					breach("key %s: %s ran at %s while %s ran at %s", key, b.ref, b.engine, a.ref, a.engine)
 				}
-				if r.requests[a.ref].At.After(r.requests[b.ref].At) {
+				if r.requests[a.ref].SentAt.After(r.requests[b.ref].SentAt) {
 					breach("key %s: %s ran ahead of %s, which was asked before it", key, a.ref, b.ref)
 				}
 			}
--- a/internal/standin/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	short = &Class{Name: "lookup", Work: 100 * time.Millisecond, Threads: 1, Rows: 3, Waits: true}
-	load  = &Class{Name: "load", Work: 500 * time.Millisecond, Threads: 2, Rows: 1, Load: true}
-	size  = Config{Cores: 4, Knee: 2, Sessions: 16, Repeat: 15 * time.Second}
+	short = &Class{Name: "lookup", Work: 100 * time.Millisecond, Threads: 1, Rows: 3, BlockedByDataSetLock: true}
+	load  = &Class{Name: "load", Work: 500 * time.Millisecond, Threads: 2, Rows: 1, HoldsDataSetLock: true}
+	size  = Config{Cores: 4, SaturationPoint: 2, Sessions: 16, DedupWindow: 15 * time.Second}
 )
 
 // end runs a model to the end of all that runs, and returns when each query ended.
@@ -128,7 +128,7 @@
 
 func TestAColdEngineIsSlow(t *testing.T) {
 	cfg := size
-	cfg.Warm, cfg.ColdFrom = 10*time.Second, 0.25
+	cfg.SlowStartDuration, cfg.SlowStartInitial = 10*time.Second, 0.25
 	m := NewModel(cfg, 0)
 	m.Submit(0, Job{Ref: "a", Class: load})
 	cold := end(t, m)["a"]
@@ -191,13 +191,13 @@
 	ends  []string
 }
 
-func (s *seen) Wanted(r Run) {
+func (s *seen) AttemptReceived(r Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wants = append(s.wants, r.Ref+" "+r.Class)
 }
 
-func (s *seen) Ended(_, ref string, _ time.Time) {
+func (s *seen) AttemptEnded(_, ref string, _ time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends = append(s.ends, ref)
@@ -236,7 +236,7 @@
 			if err != nil {
 				b.t.Fatal(err)
 			}
-			out := fmt.Sprintf("%s %s %d/%d", a.ID, parts[1], a.Sheet, a.Sheets)
+			out := fmt.Sprintf("%s %s %d/%d", a.RequestID, parts[1], a.Page, a.PageCount)
 			b.buf = b.buf[n:]
 			return out
 		}
@@ -265,7 +265,7 @@
 	wide := Class{Name: "report", Work: time.Millisecond, Threads: 4, Rows: 2000}
 	slow := Class{Name: "slow", Work: time.Hour, Threads: 1, Rows: 1}
 	w := &seen{}
-	s, err := NewServer("e1", []Class{quick, wide, slow}, Config{Cores: 4, Knee: 2, Sessions: 2, Repeat: time.Minute}, w)
+	s, err := NewServer("e1", []Class{quick, wide, slow}, Config{Cores: 4, SaturationPoint: 2, Sessions: 2, DedupWindow: time.Minute}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -16,12 +16,12 @@
 
 // Class is how queries of one class behave.
 type Class struct {
-	Name    string
-	Work    time.Duration // on one thread, on average
-	Threads int
-	Rows    int  // of a result, on average
-	Load    bool // holds its data set until it ends; one of a data set runs at a time
-	Waits   bool // stands still while a load holds its data set
+	Name                 string
+	Work                 time.Duration // on one thread, on average
+	Threads              int
+	Rows                 int  // of a result, on average
+	HoldsDataSetLock     bool // holds its data set until it ends; one of a data set runs at a time
+	BlockedByDataSetLock bool // stands still while a load holds its data set
 }
 
 // spread is the standard deviation of the log of the work.
@@ -60,12 +60,12 @@
 
 // Config is the size of an engine.
 type Config struct {
-	Cores    float64
-	Knee     float64       // threads a core beyond which work is lost to switching
-	Sessions int           // queries at a time; more are turned away
-	Repeat   time.Duration // a repeat of an idempotency key is dropped for so long
-	Warm     time.Duration // an engine that has started is warm after it
-	ColdFrom float64       // and begins at this part of its speed
+	Cores             float64
+	SaturationPoint   float64       // threads a core beyond which work is lost to switching
+	Sessions          int           // queries at a time; more are turned away
+	DedupWindow       time.Duration // a repeat of an idempotency key is dropped for so long
+	SlowStartDuration time.Duration // an engine that has started is warm after it
+	SlowStartInitial  float64       // and begins at this part of its speed
 }
 
 // Job is a query to run.
@@ -143,11 +143,11 @@
 		return 0
 	}
 	v := min(1, m.cfg.Cores/threads) / m.slow
-	if knee := m.cfg.Knee * m.cfg.Cores; threads > knee {
+	if knee := m.cfg.SaturationPoint * m.cfg.Cores; threads > knee {
 		v *= knee / threads
 	}
-	if warm := m.now - m.started; m.cfg.Warm > 0 && warm < m.cfg.Warm {
-		v *= m.cfg.ColdFrom + (1-m.cfg.ColdFrom)*float64(warm)/float64(m.cfg.Warm)
+	if warm := m.now - m.started; m.cfg.SlowStartDuration > 0 && warm < m.cfg.SlowStartDuration {
+		v *= m.cfg.SlowStartInitial + (1-m.cfg.SlowStartInitial)*float64(warm)/float64(m.cfg.SlowStartDuration)
 	}
 	return v
 }
@@ -156,7 +156,7 @@
 func (m *Model) Submit(now time.Duration, j Job) Verdict {
 	m.advance(now)
 	if j.Op != "" {
-		if at, known := m.ops[j.Op]; known && now-at < m.cfg.Repeat {
+		if at, known := m.ops[j.Op]; known && now-at < m.cfg.DedupWindow {
 			return Dropped
 		}
 	}
@@ -167,7 +167,7 @@
 		m.ops[j.Op] = now
 		if len(m.ops) > 4*m.cfg.Sessions {
 			for op, at := range m.ops {
-				if now-at >= m.cfg.Repeat {
+				if now-at >= m.cfg.DedupWindow {
 					delete(m.ops, op)
 				}
 			}
@@ -214,13 +214,13 @@
 func (m *Model) settle() {
 	all := m.sorted()
 	for _, j := range all {
-		if j.Class.Load && m.holder[j.Group] == nil {
+		if j.Class.HoldsDataSetLock && m.holder[j.Group] == nil {
 			m.holder[j.Group] = j
 		}
 	}
 	for _, j := range all {
 		h := m.holder[j.Group]
-		j.held = h != nil && h != j && (j.Class.Load || j.Class.Waits)
+		j.held = h != nil && h != j && (j.Class.HoldsDataSetLock || j.Class.BlockedByDataSetLock)
 	}
 }
 
@@ -241,7 +241,7 @@
 		}
 	}
 	// A cold engine grows faster while it runs: it is looked at again meanwhile.
-	if warm := m.started + m.cfg.Warm; ok && m.now < warm {
+	if warm := m.started + m.cfg.SlowStartDuration; ok && m.now < warm {
 		at = min(at, m.now+coldStep)
 	}
 	return at, ok
--- a/internal/standin/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -28,12 +28,12 @@
 	At                           time.Time
 }
 
-// Watcher is told what an engine sees, for whoever checks the rules.
-type Watcher interface {
-	// Wanted says that a query came whole.
-	Wanted(r Run)
-	// Ended says that a query's end was written, or that it was given up.
-	Ended(engine, ref string, at time.Time)
+// Observer is told what an engine sees, for whoever checks the rules.
+type Observer interface {
+	// AttemptReceived says that a query came whole.
+	AttemptReceived(r Run)
+	// AttemptEnded says that a query's end was written, or that it was given up.
+	AttemptEnded(engine, ref string, at time.Time)
 }
 
 // Server plays an engine on sockets.
@@ -41,7 +41,7 @@
 	ID      string
 	classes map[string]*Class
 	cfg     Config
-	watch   Watcher
+	watch   Observer
 
 	mu     sync.Mutex
 	model  *Model
@@ -68,13 +68,13 @@
 }
 
 // NewServer returns an engine that listens at a loopback address already.
-func NewServer(id string, classes []Class, cfg Config, watch Watcher) (*Server, error) {
+func NewServer(id string, classes []Class, cfg Config, watch Observer) (*Server, error) {
 	s := &Server{ID: id, classes: map[string]*Class{}, cfg: cfg, watch: watch, began: time.Now(), conns: map[*conn]bool{},
 		kept: map[string]kept{}, kick: make(chan struct{}, 1), owner: map[string]*conn{}}
 	for i := range classes {
 		s.classes[classes[i].Name] = &classes[i]
 	}
-	s.model = NewModel(cfg, -cfg.Warm) // it is warm
+	s.model = NewModel(cfg, -cfg.SlowStartDuration) // it is warm
 	return s, s.listen("127.0.0.1:0")
 }
 
@@ -250,7 +250,7 @@
 	}
 	delete(s.owner, ref)
 	if s.watch != nil {
-		s.watch.Ended(s.ID, ref, time.Now())
+		s.watch.AttemptEnded(s.ID, ref, time.Now())
 	}
 }
 
@@ -387,12 +387,12 @@
 	}
 	class := s.classes[values["sort"]]
 	if s.watch != nil {
-		s.watch.Wanted(Run{Engine: s.ID, Ref: id, Class: values["sort"], Op: values["op"], Body: body, At: time.Now()})
+		s.watch.AttemptReceived(Run{Engine: s.ID, Ref: id, Class: values["sort"], Op: values["op"], Body: body, At: time.Now()})
 	}
 	if s.watch != nil {
 		defer func() {
 			if s.owner[id] == nil { // it is over already
-				s.watch.Ended(s.ID, id, time.Now())
+				s.watch.AttemptEnded(s.ID, id, time.Now())
 			}
 		}()
 	}
--- a/internal/standin/script/script.go
+++ b/internal/emulator/scenario/script.go
@@ -1,5 +1,5 @@
 // Package script reads and plays what a stand-in is to do when.
-package script
+package scenario
 
 import (
 	"context"
--- a/internal/standin/script/script_test.go
+++ b/internal/emulator/scenario/script_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"strings"
--- a/internal/peer/peer.go
+++ b/internal/gossip/peer.go
@@ -5,7 +5,7 @@
 // A datagram holds the two bytes of magic and then reports of 6 bytes each: the engine's mark (4 bytes, big endian),
 // its load in hundredths, and its age in steps of 20 ms, as when the datagram is sent. What doesn't fit these ranges
 // is cut to them, but a report that is too old to be told is left out.
-package peer
+package gossip
 
 import (
 	"encoding/binary"
@@ -17,12 +17,12 @@
 )
 
 const (
-	// MostBytes is the longest datagram that may be sent between brokers.
-	MostBytes = 256
-	// MostReports is how many reports fit in one.
-	MostReports = (MostBytes - len(magic)) / reportBytes
-	// Oldest is the age, in the steps of a datagram, that a report can have at most.
-	Oldest = math.MaxUint8 * ageStep
+	// MaxBytes is the longest datagram that may be sent between brokers.
+	MaxBytes = 256
+	// MaxReports is how many reports fit in one.
+	MaxReports = (MaxBytes - len(magic)) / reportBytes
+	// MaxAge is the age, in the steps of a datagram, that a report can have at most.
+	MaxAge = math.MaxUint8 * ageStep
 
 	magic       = "w\x01" // the second byte is the version
 	reportBytes = 6
@@ -32,9 +32,9 @@
 
 // What a datagram can't be read for.
 var (
-	ErrTooLong = errors.New("over 256 bytes")
-	ErrMagic   = errors.New("no datagram of a broker, or of another version")
-	ErrTorn    = errors.New("a report is cut off")
+	ErrTooLong   = errors.New("over 256 bytes")
+	ErrVersion   = errors.New("no datagram of a broker, or of another version")
+	ErrTruncated = errors.New("a report is cut off")
 )
 
 // Append adds the datagram of these reports to buf; of more than MostReports, and of those that are too old, it
@@ -43,7 +43,7 @@
 	buf = append(buf, magic...)
 	n := 0
 	for _, r := range reports {
-		if r.Age > Oldest || n == MostReports {
+		if r.Age > MaxAge || n == MaxReports {
 			continue
 		}
 		buf = binary.BigEndian.AppendUint32(buf, r.Engine)
@@ -55,15 +55,15 @@
 
 // Parse reads a datagram.
 func Parse(text []byte) ([]control.LoadReport, error) {
-	if len(text) > MostBytes {
+	if len(text) > MaxBytes {
 		return nil, ErrTooLong
 	}
 	if len(text) < len(magic) || string(text[:len(magic)]) != magic {
-		return nil, ErrMagic
+		return nil, ErrVersion
 	}
 	text = text[len(magic):]
 	if len(text)%reportBytes != 0 {
-		return nil, ErrTorn
+		return nil, ErrTruncated
 	}
 	reports := make([]control.LoadReport, 0, len(text)/reportBytes)
 	for ; len(text) > 0; text = text[reportBytes:] {
--- a/internal/peer/peer_test.go
+++ b/internal/gossip/peer_test.go
@@ -1,4 +1,4 @@
-package peer
+package gossip
 
 import (
 	"errors"
@@ -21,7 +21,7 @@
 			in[i] = control.LoadReport{Engine: rng.Uint32(), Load: 4*rng.Float64() - 0.5, Age: time.Duration(rng.Int64N(int64(7 * time.Second)))}
 		}
 		text := Append(nil, in)
-		if len(text) > MostBytes {
+		if len(text) > MaxBytes {
 			t.Fatalf("%d bytes", len(text))
 		}
 		out, err := Parse(text)
@@ -29,11 +29,11 @@
 			t.Fatal(err)
 		}
 		for _, r := range in {
-			if r.Age > Oldest {
+			if r.Age > MaxAge {
 				continue
 			}
 			if len(out) == 0 {
-				if len(text) < MostBytes-reportBytes {
+				if len(text) < MaxBytes-reportBytes {
 					t.Fatal("a report is missing")
 				}
 				return
@@ -58,12 +58,12 @@
 		text []byte
 		want error
 	}{
-		"empty":           {nil, ErrMagic},
-		"one byte":        {good[:1], ErrMagic},
-		"another version": {append([]byte("w\x02"), good[2:]...), ErrMagic},
-		"another program": {[]byte("GET / HTTP/1.1"), ErrMagic},
-		"cut off":         {good[:len(good)-1], ErrTorn},
-		"too long":        {make([]byte, MostBytes+1), ErrTooLong},
+		"empty":           {nil, ErrVersion},
+		"one byte":        {good[:1], ErrVersion},
+		"another version": {append([]byte("w\x02"), good[2:]...), ErrVersion},
+		"another program": {[]byte("GET / HTTP/1.1"), ErrVersion},
+		"cut off":         {good[:len(good)-1], ErrTruncated},
+		"too long":        {make([]byte, MaxBytes+1), ErrTooLong},
 		"no reports":      {good[:2], nil},
 		"good":            {good, nil},
 	} {
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -40,11 +40,11 @@
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
 		all := []metrics.Series{{Figure: id}}
-		if f.By != metrics.Whole {
+		if f.By != metrics.NoDimension {
 			all = []metrics.Series{{Figure: id, Name: "fishing-fleet"}, {Figure: id, Name: "re.port;x=1 é"}, {Figure: id, Other: true}}
 		}
 		for _, s := range all {
-			if f.Kind == metrics.Spread {
+			if f.Kind == metrics.DistributionKind {
 				d := metrics.NewSketch()
 				for n := range 100 {
 					value += 0.25
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -45,12 +45,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "figure"))
 		n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{Figure: id, Part: rapid.IntRange(0, id.Parts()-1).Draw(t, "part")}}
-		if metrics.Catalogue[id].By != metrics.Whole {
+		if metrics.Catalogue[id].By != metrics.NoDimension {
 			if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
 				n.Series.Name = rapid.String().Draw(t, "name")
 			}
 		}
-		if metrics.Catalogue[id].Kind == metrics.Spread {
+		if metrics.Catalogue[id].Kind == metrics.DistributionKind {
 			n.Stat = rapid.SampledFrom(metrics.Stats).Draw(t, "stat")
 		}
 		f := Form{Prefix: rapid.SampledFrom([]string{"", "a", "a.b-c_d"}).Draw(t, "prefix"), Tags: rapid.Bool().Draw(t, "tags")}
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
+	"wheatlane/internal/cardinality"
 	"wheatlane/internal/metrics"
-	"wheatlane/internal/names"
 )
 
 // ErrName is returned for a path that is none of ours.
@@ -32,9 +32,9 @@
 // PREFIX.FIGURE[.STAT];broker=BROKER[;DIMENSION=NAME][;DETAIL=...].
 func (f Form) Append(dst []byte, n Name) []byte {
 	fig := &metrics.Catalogue[n.Series.Figure]
-	name := names.OtherName
+	name := cardinality.OtherName
 	if !n.Series.Other {
-		name = names.Escape(n.Series.Name)
+		name = cardinality.Escape(n.Series.Name)
 	}
 	if f.Prefix != "" {
 		dst = append(append(dst, f.Prefix...), '.')
@@ -44,8 +44,8 @@
 		if n.Stat != "" {
 			dst = append(append(dst, '.'), n.Stat...)
 		}
-		dst = append(append(dst, ";broker="...), names.Escape(n.Broker)...)
-		if fig.By != metrics.Whole {
+		dst = append(append(dst, ";broker="...), cardinality.Escape(n.Broker)...)
+		if fig.By != metrics.NoDimension {
 			dst = append(append(append(append(dst, ';'), fig.By.String()...), '='), name...)
 		}
 		if len(fig.Parts) > 0 {
@@ -53,8 +53,8 @@
 		}
 		return dst
 	}
-	dst = append(append(append(dst, names.Escape(n.Broker)...), '.'), fig.Name...)
-	if fig.By != metrics.Whole {
+	dst = append(append(append(dst, cardinality.Escape(n.Broker)...), '.'), fig.Name...)
+	if fig.By != metrics.NoDimension {
 		dst = append(append(dst, '.'), name...)
 	}
 	if len(fig.Parts) > 0 {
@@ -109,7 +109,7 @@
 		broker, figure, parts = all[0], all[1], all[2:]
 	}
 	var err error
-	if n.Broker, err = names.Unescape(broker); err != nil {
+	if n.Broker, err = cardinality.Unescape(broker); err != nil {
 		return n, false
 	}
 	if n.Series.Figure, ok = metrics.Find(figure); !ok {
@@ -122,10 +122,10 @@
 		return p
 	}
 	fig := &metrics.Catalogue[n.Series.Figure]
-	if fig.By != metrics.Whole {
-		if p := next(); p == names.OtherName {
+	if fig.By != metrics.NoDimension {
+		if p := next(); p == cardinality.OtherName {
 			n.Series.Other = true
-		} else if n.Series.Name, err = names.Unescape(p); err != nil {
+		} else if n.Series.Name, err = cardinality.Unescape(p); err != nil {
 			return n, false
 		}
 	}
@@ -134,7 +134,7 @@
 			return n, false
 		}
 	}
-	if fig.Kind == metrics.Spread {
+	if fig.Kind == metrics.DistributionKind {
 		if n.Stat = next(); !slices.Contains(metrics.Stats, n.Stat) {
 			return n, false
 		}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			path := filepath.Join("testdata", c.file)
-			written := Encode(State{Broker: c.broker, Bans: c.bans})
+			written := Encode(State{Broker: c.broker, MaintenanceEngines: c.bans})
 			if *update {
 				if err := os.WriteFile(path, written, 0o600); err != nil {
 					t.Fatal(err)
@@ -43,8 +43,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Broker != c.broker || !cmp.Equal(got.Bans, c.bans) {
-				t.Errorf("read: %q, %q", got.Broker, got.Bans)
+			if got.Broker != c.broker || !cmp.Equal(got.MaintenanceEngines, c.bans) {
+				t.Errorf("read: %q, %q", got.Broker, got.MaintenanceEngines)
 			}
 		})
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -17,8 +17,8 @@
 	"syscall"
 )
 
-// File is the name of the file in its folder.
-const File = "wheatlane-handover"
+// FileName is the name of the file in its folder.
+const FileName = "wheatlane-handover"
 
 // version is that of the form; a reader takes no other.
 const version = 1
@@ -28,15 +28,15 @@
 
 // State is what is handed over.
 type State struct {
-	Broker string   // the broker's name; a file of another is not taken
-	Bans   []string // engines left out by hand, sorted
+	Broker             string   // the broker's name; a file of another is not taken
+	MaintenanceEngines []string // engines left out by hand, sorted
 }
 
 // The errors of a file that is not taken.
 var (
-	ErrNone  = errors.New("handover: no file")
-	ErrTorn  = errors.New("handover: torn or spoilt")
-	ErrStale = errors.New("handover: of another broker or form")
+	ErrNotFound = errors.New("handover: no file")
+	ErrCorrupt  = errors.New("handover: torn or spoilt")
+	ErrStale    = errors.New("handover: of another broker or form")
 )
 
 type form struct {
@@ -47,7 +47,7 @@
 
 // Encode words a state: a line with the checksum of what follows, then the JSON.
 func Encode(s State) []byte {
-	body, _ := json.Marshal(form{Version: version, Broker: s.Broker, Bans: s.Bans}) // of strings: it can't fail
+	body, _ := json.Marshal(form{Version: version, Broker: s.Broker, Bans: s.MaintenanceEngines}) // of strings: it can't fail
 	out := strconv.AppendUint(nil, uint64(crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli))), 16)
 	return append(append(out, '\n'), body...)
 }
@@ -57,22 +57,22 @@
 	head, body, ok := strings.Cut(string(text), "\n")
 	sum, err := strconv.ParseUint(head, 16, 32)
 	if !ok || err != nil || uint32(sum) != crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli)) {
-		return State{}, ErrTorn
+		return State{}, ErrCorrupt
 	}
 	var f form
 	if err := json.Unmarshal([]byte(body), &f); err != nil {
-		return State{}, fmt.Errorf("%w: %v", ErrTorn, err)
+		return State{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	if f.Version != version || f.Broker != broker {
 		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, f.Version, f.Broker)
 	}
 	bans := slices.Sorted(slices.Values(f.Bans))
-	return State{Broker: f.Broker, Bans: slices.Compact(bans)}, nil
+	return State{Broker: f.Broker, MaintenanceEngines: slices.Compact(bans)}, nil
 }
 
 // Write puts a state in a folder, whole or not at all.
 func Write(dir string, s State) error {
-	tmp, err := os.CreateTemp(dir, File+".*")
+	tmp, err := os.CreateTemp(dir, FileName+".*")
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -84,7 +84,7 @@
 	if err := tmp.Close(); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if err := os.Rename(tmp.Name(), filepath.Join(dir, File)); err != nil {
+	if err := os.Rename(tmp.Name(), filepath.Join(dir, FileName)); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -93,24 +93,24 @@
 // Read reads the state in a folder for a broker of a name: ErrNone without a file.
 func Read(dir, broker string) (State, error) {
 	// Guards against a start that never ends: a named pipe under this name would be waited for.
-	f, err := os.OpenFile(filepath.Join(dir, File), os.O_RDONLY|syscall.O_NONBLOCK, 0)
+	f, err := os.OpenFile(filepath.Join(dir, FileName), os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, os.ErrNotExist) {
-		return State{}, ErrNone
+		return State{}, ErrNotFound
 	}
 	if err != nil {
 		return State{}, fmt.Errorf("handover: %w", err)
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
-		return State{}, fmt.Errorf("%w: not a file", ErrTorn)
+		return State{}, fmt.Errorf("%w: not a file", ErrCorrupt)
 	}
 	text := make([]byte, mostBytes+1)
 	n, err := f.ReadAt(text, 0)
 	if n > mostBytes {
-		return State{}, fmt.Errorf("%w: over %d bytes", ErrTorn, mostBytes)
+		return State{}, fmt.Errorf("%w: over %d bytes", ErrCorrupt, mostBytes)
 	}
 	if err != nil && n == 0 {
-		return State{}, fmt.Errorf("%w: %v", ErrTorn, err)
+		return State{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return Decode(text[:n], broker)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,10 +16,10 @@
 
 func TestWriteRead(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Read(dir, "n3"); !errors.Is(err, ErrNone) {
+	if _, err := Read(dir, "n3"); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("got %v", err)
 	}
-	want := State{Broker: "n3", Bans: []string{"e1", "e7"}}
+	want := State{Broker: "n3", MaintenanceEngines: []string{"e1", "e7"}}
 	for range 2 { // the second write takes the place of the first
 		if err := Write(dir, want); err != nil {
 			t.Fatal(err)
@@ -42,19 +42,19 @@
 }
 
 func TestBadFiles(t *testing.T) {
-	good := Encode(State{Broker: "n3", Bans: []string{"e1"}})
+	good := Encode(State{Broker: "n3", MaintenanceEngines: []string{"e1"}})
 	for name, c := range map[string]struct {
 		text []byte
 		err  error
 	}{
-		"empty":        {nil, ErrTorn},
-		"cut":          {good[:len(good)-3], ErrTorn},
-		"no checksum":  {good[9:], ErrTorn},
-		"spoilt":       {append(append([]byte{}, good[:len(good)-2]...), 'X', '}'), ErrTorn},
+		"empty":        {nil, ErrCorrupt},
+		"cut":          {good[:len(good)-3], ErrCorrupt},
+		"no checksum":  {good[9:], ErrCorrupt},
+		"spoilt":       {append(append([]byte{}, good[:len(good)-2]...), 'X', '}'), ErrCorrupt},
 		"other form":   {signed(`{"version":2,"broker":"n3","bans":[]}`), ErrStale},
-		"json of junk": {[]byte("0\nnull"), ErrTorn},
+		"json of junk": {[]byte("0\nnull"), ErrCorrupt},
 	} {
-		path := filepath.Join(t.TempDir(), File)
+		path := filepath.Join(t.TempDir(), FileName)
 		if err := os.WriteFile(path, c.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -68,9 +68,9 @@
 func TestDecodeAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bans := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), func(s string) string { return s }).Draw(t, "bans")
-		text := Encode(State{Broker: "n3", Bans: bans})
+		text := Encode(State{Broker: "n3", MaintenanceEngines: bans})
 		got, err := Decode(text, "n3")
-		if err != nil || len(got.Bans) != len(bans) {
+		if err != nil || len(got.MaintenanceEngines) != len(bans) {
 			t.Fatalf("%q: %v, %v", text, got, err)
 		}
 		cut := rapid.IntRange(0, len(text)).Draw(t, "cut")
@@ -81,7 +81,7 @@
 		}
 		if _, err := Decode(spoilt, "n3"); err == nil {
 			t.Fatalf("%q taken", spoilt)
-		} else if !errors.Is(err, ErrTorn) && !errors.Is(err, ErrStale) {
+		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStale) {
 			t.Fatalf("%q: %v", spoilt, err)
 		}
 	})
@@ -99,7 +99,7 @@
 		"a named pipe": func(path string) error { return syscall.Mkfifo(path, 0o600) },
 		"a folder":     func(path string) error { return os.Mkdir(path, 0o700) },
 	} {
-		path := filepath.Join(t.TempDir(), File)
+		path := filepath.Join(t.TempDir(), FileName)
 		if err := put(path); err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 		}()
 		select {
 		case err := <-got:
-			if !errors.Is(err, ErrTorn) {
+			if !errors.Is(err, ErrCorrupt) {
 				t.Errorf("%s: got %v", name, err)
 			}
 		case <-time.After(20 * time.Second):
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MostText is the largest text read; a list of thousands of engines is smaller.
-	MostText = 4 << 20
+	// MaxText is the largest text read; a list of thousands of engines is smaller.
+	MaxText  = 4 << 20
 	mostDeep = 64 // objects and lists within each other; a file of ours has eight
 )
 
@@ -69,8 +69,8 @@
 func Parse(text []byte) (*Node, []Member, error) {
 	p := &parser{text: text}
 	switch {
-	case len(text) > MostText:
-		return nil, nil, &Error{Place{1, 1}, fmt.Sprintf("the file has %d bytes, %d at most", len(text), MostText)}
+	case len(text) > MaxText:
+		return nil, nil, &Error{Place{1, 1}, fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxText)}
 	case bytes.HasPrefix(text, []byte("\xef\xbb\xbf")):
 		return nil, nil, &Error{Place{1, 1}, "a byte order mark stands ahead of the value"}
 	}
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -13,9 +13,9 @@
 
 // The kinds of figure.
 const (
-	Counter Kind = iota // a total since the broker's start, which never falls
-	Gauge               // a value of the moment
-	Spread              // a distribution of the values of an interval
+	Counter          Kind = iota // a total since the broker's start, which never falls
+	Gauge                        // a value of the moment
+	DistributionKind             // a distribution of the values of an interval
 )
 
 func (k Kind) String() string { return [...]string{"counter", "gauge", "distribution"}[k] }
@@ -25,9 +25,9 @@
 
 // The dimensions. Names of each are bounded by themselves.
 const (
-	Whole  Dim = iota // one series
-	Class             // of requests
-	Tenant            // customers
+	NoDimension Dim = iota // one series
+	Class                  // of requests
+	Tenant                 // customers
 	Engine
 	DataSet // the number of a group of tables
 	Destination
@@ -49,15 +49,15 @@
 	Answers
 	AnswersByTenant
 	InTimeShare
-	AimRatio
+	ObjectiveRatio
 	AnswerTime
-	Refusals
+	Rejections
 	Attempts
 	AttemptsByRequest
 	AttemptEnds
 	EngineTime
 	ClientRetries
-	SecondCopies
+	DuplicateResponses
 	Wasted
 	WastedByEngine
 	Drains
@@ -66,7 +66,7 @@
 	WorstDrain
 	QueueWait
 	QueueWaitByTenant
-	Bound
+	ConcurrencyLimit
 	Threads
 	Queued
 	ClassShare
@@ -129,14 +129,14 @@
 const (
 	InTime = iota // served within the wanted time
 	Late          // served after it
-	Refused
+	Rejected
 	Failed
-	Gone // the client stopped waiting
+	ClientLeft // the client stopped waiting
 )
 
 // The details of Refusals.
 const (
-	NoRoom = iota // the decision module found no room in time
+	NoCapacity = iota // the decision module found no room in time
 	TooManySessions
 	BadFields
 	BadCommand
@@ -149,8 +149,8 @@
 // The details of Engines.
 const (
 	Ready = iota
-	Cold
-	Doubted
+	SlowStart
+	Ejected
 	Draining
 )
 
@@ -162,59 +162,59 @@
 
 // Catalogue has every figure that a broker reports, by its ID.
 var Catalogue = [figures]Figure{
-	Requests:          {"requests", Counter, "", Class, "", nil, "requests taken"},
-	RequestsByTenant:  {"requests_by_tenant", Counter, "", Tenant, "", nil, "requests taken"},
-	RequestsByDataSet: {"requests_by_data_set", Counter, "", DataSet, "", nil, "requests taken that read or write this group of tables"},
-	Answers:           {"answers", Counter, "", Class, "outcome", outcomes, "requests that are over: served within the wanted time or after it, refused, failed, or their client gone"},
-	AnswersByTenant:   {"answers_by_tenant", Counter, "", Tenant, "outcome", outcomes, "the same by customer"},
-	InTimeShare:       {"in_time_share", Gauge, "", Class, "", nil, "part of the requests that ended in the interval, clients that left apart, that were served within the wanted time"},
-	AimRatio:          {"aim_ratio", Spread, "", Class, "", nil, "time from the client's send to the answer over the wanted time, of requests served; above 1 is late"},
-	AnswerTime:        {"answer_ms", Spread, "ms", Class, "", nil, "time from the client's send to the answer, of requests served"},
-	Refusals:          {"refusals", Counter, "", Whole, "cause", causes, "what was turned away, by cause; no_room is the decision module's"},
-	Attempts:          {"attempts", Counter, "", Class, "", nil, "attempts sent to engines"},
-	AttemptsByRequest: {"attempts_a_request", Spread, "", Class, "", nil, "attempts that each request took until it was over"},
-	AttemptEnds:       {"attempt_ends", Counter, "", Engine, "status", statuses, "attempts that ended, by how"},
-	EngineTime:        {"engine_ms", Spread, "ms", Engine, "", nil, "time from an attempt's send to its good end"},
-	ClientRetries:     {"client_retries", Counter, "", Class, "", nil, "requests that their client marked as a retry"},
-	SecondCopies:      {"second_copies", Counter, "", Engine, "", nil, "answers that no attempt waited for: second copies, and answers to what was given up"},
-	Wasted:            {"wasted_ms", Counter, "ms", Class, "", nil, "time that attempts were out which may have run and whose answer no client got; the most that engines can have spent on them"},
-	WastedByEngine:    {"wasted_by_engine_ms", Counter, "ms", Engine, "", nil, "the same by engine"},
-	Drains:            {"drains", Counter, "", Whole, "", nil, "engines that the broker was told to drain"},
-	LateDrains:        {"drains_over_500ms", Counter, "", Whole, "", nil, "drains after which something was still sent beyond 500 ms; the rule allows none"},
-	DrainTime:         {"drain_ms", Spread, "ms", Whole, "", nil, "time from when the broker read that an engine drains to the last byte of a request sent to it"},
-	WorstDrain:        {"worst_drain_ms", Gauge, "ms", Whole, "", nil, "the longest of these since the start"},
-	QueueWait:         {"queue_wait_ms", Spread, "ms", Class, "", nil, "time from when a request was taken until its first attempt was sent, or until it was over without one"},
-	QueueWaitByTenant: {"queue_wait_by_tenant_ms", Spread, "ms", Tenant, "", nil, "the same by customer"},
-	Bound:             {"bound", Gauge, "threads", Engine, "", nil, "threads that the decision module lets this broker have out at the engine"},
-	Threads:           {"threads", Gauge, "threads", Engine, "", nil, "threads of what is out there"},
-	Queued:            {"queued", Gauge, "", Engine, "", nil, "requests that wait in the engine's queue at this broker"},
-	ClassShare:        {"class_share", Gauge, "", Class, "", nil, "weight of the class in the fair queues, as the decision module sets it"},
-	Engines:           {"engines", Gauge, "", Whole, "health", health, "engines by health, each in one group: draining, doubted (held to be down), cold (started lately), ready"},
-	ClientEnds:        {"client_connections_ended", Counter, "", Whole, "reason", EndReasons, "connections of clients that ended, by reason code"},
-	EngineEnds:        {"engine_connections_ended", Counter, "", Whole, "reason", EndReasons, "connections to engines that ended, by reason code"},
-	ChangelogEnds:     {"changelog_connections_ended", Counter, "", Whole, "reason", EndReasons, "connections to the change log that ended, by reason code"},
-	Connections:       {"connections", Gauge, "", Whole, "side", sides, "connections that are open"},
-	Open:              {"open_requests", Gauge, "", Whole, "", nil, "requests that are owed an answer"},
-	Sessions:          {"sessions", Gauge, "", Whole, "", nil, "clients that are connected"},
-	Heap:              {"heap_bytes", Gauge, "bytes", Whole, "", nil, "memory of live objects and of those not yet collected"},
-	Memory:            {"memory_bytes", Gauge, "bytes", Whole, "", nil, "memory that the runtime has from the system"},
-	Inbox:             {"inbox", Gauge, "", Whole, "", nil, "the most events that waited for the reducer in the interval"},
-	RoundLag:          {"round_lag_ms", Spread, "ms", Whole, "", nil, "how long after it was due the reducer's goroutine came to a turn"},
-	NamesAdmitted:     {"names", Gauge, "", Whole, "of", bounded, "names that have series of their own"},
-	NamesJoined:       {"names_joined", Counter, "", Whole, "of", bounded, "names that were given series of their own"},
-	NamesLeft:         {"names_left", Counter, "", Whole, "of", bounded, "names that lost them again, being idle or lighter than others"},
-	NamesOther:        {"names_other", Counter, "", Whole, "of", bounded, "how often a name was counted under 'other'"},
-	Held:              {"held_bytes", Gauge, "bytes", Destination, "", nil, "figures that wait for delivery"},
-	HeldIntervals:     {"held_intervals", Gauge, "", Destination, "", nil, "intervals that wait for delivery, each of those folded into one counted; with delivered_intervals and lost_intervals they make up all before this one"},
-	Delivered:         {"delivered_intervals", Counter, "", Destination, "", nil, "intervals that were written, each of those folded into one counted"},
-	Lost:              {"lost_intervals", Counter, "", Destination, "", nil, "intervals that will never be written; their counts live on in later ones"},
-	LostSamples:       {"lost_samples", Counter, "", Destination, "", nil, "values of distributions that will never be written"},
-	Breaks:            {"delivery_breaks", Counter, "", Destination, "", nil, "connections to the collector that broke or never came up"},
-	ConfLoaded:        {"conf_loaded", Counter, "", Whole, "", nil, "configuration files taken at SIGHUP"},
-	ConfInvalid:       {"conf_invalid", Counter, "", Whole, "", nil, "configuration files turned down at SIGHUP: the settings before stay in full"},
-	Started:           {"started_s", Gauge, "s", Whole, "", nil, "when this broker started, in seconds of Unix time, to the millisecond: a new value is a restart, after which counters begin at zero"},
-	Sequence:          {"sequence", Counter, "", Whole, "", nil, "number of the interval, from 1 at each start; a gap is one that was folded into a later one or lost"},
-	Folded:            {"folded", Gauge, "", Whole, "", nil, "intervals that this one is made of: 1, or more where they waited for the collector"},
+	Requests:           {"requests", Counter, "", Class, "", nil, "requests taken"},
+	RequestsByTenant:   {"requests_by_tenant", Counter, "", Tenant, "", nil, "requests taken"},
+	RequestsByDataSet:  {"requests_by_data_set", Counter, "", DataSet, "", nil, "requests taken that read or write this group of tables"},
+	Answers:            {"answers", Counter, "", Class, "outcome", outcomes, "requests that are over: served within the wanted time or after it, refused, failed, or their client gone"},
+	AnswersByTenant:    {"answers_by_tenant", Counter, "", Tenant, "outcome", outcomes, "the same by customer"},
+	InTimeShare:        {"in_time_share", Gauge, "", Class, "", nil, "part of the requests that ended in the interval, clients that left apart, that were served within the wanted time"},
+	ObjectiveRatio:     {"aim_ratio", DistributionKind, "", Class, "", nil, "time from the client's send to the answer over the wanted time, of requests served; above 1 is late"},
+	AnswerTime:         {"answer_ms", DistributionKind, "ms", Class, "", nil, "time from the client's send to the answer, of requests served"},
+	Rejections:         {"refusals", Counter, "", NoDimension, "cause", causes, "what was turned away, by cause; no_room is the decision module's"},
+	Attempts:           {"attempts", Counter, "", Class, "", nil, "attempts sent to engines"},
+	AttemptsByRequest:  {"attempts_a_request", DistributionKind, "", Class, "", nil, "attempts that each request took until it was over"},
+	AttemptEnds:        {"attempt_ends", Counter, "", Engine, "status", statuses, "attempts that ended, by how"},
+	EngineTime:         {"engine_ms", DistributionKind, "ms", Engine, "", nil, "time from an attempt's send to its good end"},
+	ClientRetries:      {"client_retries", Counter, "", Class, "", nil, "requests that their client marked as a retry"},
+	DuplicateResponses: {"second_copies", Counter, "", Engine, "", nil, "answers that no attempt waited for: second copies, and answers to what was given up"},
+	Wasted:             {"wasted_ms", Counter, "ms", Class, "", nil, "time that attempts were out which may have run and whose answer no client got; the most that engines can have spent on them"},
+	WastedByEngine:     {"wasted_by_engine_ms", Counter, "ms", Engine, "", nil, "the same by engine"},
+	Drains:             {"drains", Counter, "", NoDimension, "", nil, "engines that the broker was told to drain"},
+	LateDrains:         {"drains_over_500ms", Counter, "", NoDimension, "", nil, "drains after which something was still sent beyond 500 ms; the rule allows none"},
+	DrainTime:          {"drain_ms", DistributionKind, "ms", NoDimension, "", nil, "time from when the broker read that an engine drains to the last byte of a request sent to it"},
+	WorstDrain:         {"worst_drain_ms", Gauge, "ms", NoDimension, "", nil, "the longest of these since the start"},
+	QueueWait:          {"queue_wait_ms", DistributionKind, "ms", Class, "", nil, "time from when a request was taken until its first attempt was sent, or until it was over without one"},
+	QueueWaitByTenant:  {"queue_wait_by_tenant_ms", DistributionKind, "ms", Tenant, "", nil, "the same by customer"},
+	ConcurrencyLimit:   {"bound", Gauge, "threads", Engine, "", nil, "threads that the decision module lets this broker have out at the engine"},
+	Threads:            {"threads", Gauge, "threads", Engine, "", nil, "threads of what is out there"},
+	Queued:             {"queued", Gauge, "", Engine, "", nil, "requests that wait in the engine's queue at this broker"},
+	ClassShare:         {"class_share", Gauge, "", Class, "", nil, "weight of the class in the fair queues, as the decision module sets it"},
+	Engines:            {"engines", Gauge, "", NoDimension, "health", health, "engines by health, each in one group: draining, doubted (held to be down), cold (started lately), ready"},
+	ClientEnds:         {"client_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections of clients that ended, by reason code"},
+	EngineEnds:         {"engine_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections to engines that ended, by reason code"},
+	ChangelogEnds:      {"changelog_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections to the change log that ended, by reason code"},
+	Connections:        {"connections", Gauge, "", NoDimension, "side", sides, "connections that are open"},
+	Open:               {"open_requests", Gauge, "", NoDimension, "", nil, "requests that are owed an answer"},
+	Sessions:           {"sessions", Gauge, "", NoDimension, "", nil, "clients that are connected"},
+	Heap:               {"heap_bytes", Gauge, "bytes", NoDimension, "", nil, "memory of live objects and of those not yet collected"},
+	Memory:             {"memory_bytes", Gauge, "bytes", NoDimension, "", nil, "memory that the runtime has from the system"},
+	Inbox:              {"inbox", Gauge, "", NoDimension, "", nil, "the most events that waited for the reducer in the interval"},
+	RoundLag:           {"round_lag_ms", DistributionKind, "ms", NoDimension, "", nil, "how long after it was due the reducer's goroutine came to a turn"},
+	NamesAdmitted:      {"names", Gauge, "", NoDimension, "of", bounded, "names that have series of their own"},
+	NamesJoined:        {"names_joined", Counter, "", NoDimension, "of", bounded, "names that were given series of their own"},
+	NamesLeft:          {"names_left", Counter, "", NoDimension, "of", bounded, "names that lost them again, being idle or lighter than others"},
+	NamesOther:         {"names_other", Counter, "", NoDimension, "of", bounded, "how often a name was counted under 'other'"},
+	Held:               {"held_bytes", Gauge, "bytes", Destination, "", nil, "figures that wait for delivery"},
+	HeldIntervals:      {"held_intervals", Gauge, "", Destination, "", nil, "intervals that wait for delivery, each of those folded into one counted; with delivered_intervals and lost_intervals they make up all before this one"},
+	Delivered:          {"delivered_intervals", Counter, "", Destination, "", nil, "intervals that were written, each of those folded into one counted"},
+	Lost:               {"lost_intervals", Counter, "", Destination, "", nil, "intervals that will never be written; their counts live on in later ones"},
+	LostSamples:        {"lost_samples", Counter, "", Destination, "", nil, "values of distributions that will never be written"},
+	Breaks:             {"delivery_breaks", Counter, "", Destination, "", nil, "connections to the collector that broke or never came up"},
+	ConfLoaded:         {"conf_loaded", Counter, "", NoDimension, "", nil, "configuration files taken at SIGHUP"},
+	ConfInvalid:        {"conf_invalid", Counter, "", NoDimension, "", nil, "configuration files turned down at SIGHUP: the settings before stay in full"},
+	Started:            {"started_s", Gauge, "s", NoDimension, "", nil, "when this broker started, in seconds of Unix time, to the millisecond: a new value is a restart, after which counters begin at zero"},
+	Sequence:           {"sequence", Counter, "", NoDimension, "", nil, "number of the interval, from 1 at each start; a gap is one that was folded into a later one or lost"},
+	Folded:             {"folded", Gauge, "", NoDimension, "", nil, "intervals that this one is made of: 1, or more where they waited for the collector"},
 }
 
 // Parts is how many series a figure has for each name.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"wheatlane/internal/names"
+	"wheatlane/internal/cardinality"
 )
 
 func limits() Limits {
@@ -23,13 +23,13 @@
 func TestTheCatalogueIsWhole(t *testing.T) {
 	seen := map[string]bool{}
 	for id, f := range Catalogue {
-		if f.Name == "" || f.Help == "" || seen[f.Name] || names.Escape(f.Name) == "" {
+		if f.Name == "" || f.Help == "" || seen[f.Name] || cardinality.Escape(f.Name) == "" {
 			t.Errorf("figure %d: %+v", id, f)
 		}
 		if (f.Detail == "") != (len(f.Parts) == 0) {
 			t.Errorf("%s: detail %q with parts %v", f.Name, f.Detail, f.Parts)
 		}
-		if f.Kind == Spread && len(f.Parts) > 0 {
+		if f.Kind == DistributionKind && len(f.Parts) > 0 {
 			t.Errorf("%s: a distribution with parts", f.Name)
 		}
 		if got, ok := Find(f.Name); !ok || got != ID(id) {
@@ -109,7 +109,7 @@
 		slot := r.Slot(Engine, name)
 		r.Add(AttemptEnds, slot, 0, n)
 		r.Observe(EngineTime, slot, 10)
-		r.Set(Bound, slot, 0, 4)
+		r.Set(ConcurrencyLimit, slot, 0, 4)
 	}
 	count("stays", 3)
 	count("leaves", 5)
@@ -129,7 +129,7 @@
 		want float64
 	}{
 		{Series{Figure: AttemptEnds, Name: "leaves"}, 5}, {Series{Figure: AttemptEnds, Name: "stays"}, 14},
-		{Series{Figure: Bound, Name: "leaves"}, 0}, {Series{Figure: Bound, Name: "stays"}, 4},
+		{Series{Figure: ConcurrencyLimit, Name: "leaves"}, 0}, {Series{Figure: ConcurrencyLimit, Name: "stays"}, 4},
 	} {
 		if got := v.Value(c.s); got != c.want {
 			t.Errorf("%s of %s: %v, want %v", Catalogue[c.s.Figure].Name, c.s.Name, got, c.want)
@@ -238,9 +238,9 @@
 	share := func() float64 { return r.Cut(0, 0).Value(Series{Figure: InTimeShare, Name: "lookup"}) }
 	add(InTime, 6)
 	add(Late, 2)
-	add(Refused, 1)
+	add(Rejected, 1)
 	add(Failed, 1)
-	add(Gone, 90)
+	add(ClientLeft, 90)
 	if got := share(); got != 0.6 {
 		t.Errorf("%v", got)
 	}
@@ -268,7 +268,7 @@
 		r.Add(Answers, class, InTime, 1)
 		r.Add(AnswersByTenant, tenant, InTime, 1)
 		r.Observe(AnswerTime, class, float64(i%1000))
-		r.Observe(AimRatio, class, float64(i%1000)/400)
+		r.Observe(ObjectiveRatio, class, float64(i%1000)/400)
 		r.Observe(AttemptsByRequest, class, 1)
 		r.Observe(QueueWait, class, float64(i%10))
 		r.Observe(QueueWaitByTenant, tenant, float64(i%10))
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"wheatlane/internal/names"
+	"wheatlane/internal/cardinality"
 )
 
 // Limits bound what a registry keeps.
@@ -29,7 +29,7 @@
 	cutAt    time.Duration
 	sequence uint64
 	stampAt  time.Duration
-	tables   [dims]*names.Table
+	tables   [dims]*cardinality.Table
 	counts   [figures][]float64 // counters and gauges, by slot and part
 	set      [figures][]bool    // gauges that were set in this interval
 	before   []float64          // answers by class and outcome at the last cut
@@ -40,15 +40,15 @@
 // NewRegistry returns an empty one that starts at a time by the wall clock and by one that is never set.
 func NewRegistry(l Limits, wall, mono time.Duration) *Registry {
 	r := &Registry{now: mono, cutAt: mono}
-	for dim, most := range map[Dim]int{Whole: 0, Class: l.Classes, Tenant: l.Tenants, Engine: l.Engines, DataSet: l.DataSets,
+	for dim, most := range map[Dim]int{NoDimension: 0, Class: l.Classes, Tenant: l.Tenants, Engine: l.Engines, DataSet: l.DataSets,
 		Destination: mostDestinations} {
-		r.tables[dim] = names.New(names.Config{Most: most, Resting: restFactor * most, Idle: l.Idle, Rest: keepSlots},
+		r.tables[dim] = cardinality.New(cardinality.Config{Most: most, Resting: restFactor * most, Idle: l.Idle, Rest: keepSlots},
 			func(slot int) { r.clear(dim, slot) })
 	}
 	for id, f := range Catalogue {
 		slots := r.tables[f.By].Slots()
 		switch f.Kind {
-		case Spread:
+		case DistributionKind:
 			r.spreads[id] = make([]*Sketch, slots)
 		case Gauge:
 			r.set[id] = make([]bool, slots*ID(id).Parts())
@@ -58,8 +58,8 @@
 		}
 	}
 	r.before = make([]float64, len(r.counts[Answers]))
-	r.Set(Started, names.Other, 0, float64(wall/time.Millisecond)/1000)
-	r.Set(Folded, names.Other, 0, 1)
+	r.Set(Started, cardinality.Other, 0, float64(wall/time.Millisecond)/1000)
+	r.Set(Folded, cardinality.Other, 0, 1)
 	return r
 }
 
@@ -69,7 +69,7 @@
 		if f.By != dim {
 			continue
 		}
-		if f.Kind == Spread {
+		if f.Kind == DistributionKind {
 			r.spreads[id][slot] = nil
 			continue
 		}
@@ -119,32 +119,32 @@
 // Cut ends an interval and returns its figures. Times are those of the wall clock and of one that is never set.
 func (r *Registry) Cut(wall, mono time.Duration) *Interval {
 	r.sequence++
-	r.Set(Sequence, names.Other, 0, float64(r.sequence))
+	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
 	for part, dim := range []Dim{Class, Tenant, Engine, DataSet} {
 		active, joined, left, other := r.tables[dim].Counts()
-		r.Set(NamesAdmitted, names.Other, part, float64(active))
-		r.Set(NamesJoined, names.Other, part, float64(joined))
-		r.Set(NamesLeft, names.Other, part, float64(left))
-		r.Set(NamesOther, names.Other, part, float64(other))
+		r.Set(NamesAdmitted, cardinality.Other, part, float64(active))
+		r.Set(NamesJoined, cardinality.Other, part, float64(joined))
+		r.Set(NamesLeft, cardinality.Other, part, float64(left))
+		r.Set(NamesOther, cardinality.Other, part, float64(other))
 	}
 	r.shares()
 	v := &Interval{Number: r.sequence, Of: 1, At: r.stamp(wall), Took: mono - r.cutAt}
 	for id, f := range Catalogue {
 		series := func(slot int, s Series) {
-			if f.Kind == Spread {
+			if f.Kind == DistributionKind {
 				v.Spreads = r.spread(v.Spreads, ID(id), slot, s)
 				return
 			}
 			v.Points = r.points(v.Points, ID(id), slot, s)
 		}
 		r.tables[f.By].Each(func(slot int, name string) { series(slot, Series{Figure: ID(id), Name: name}) })
-		series(names.Other, Series{Figure: ID(id), Other: f.By != Whole})
+		series(cardinality.Other, Series{Figure: ID(id), Other: f.By != NoDimension})
 	}
 	slices.SortFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) })
 	slices.SortFunc(v.Spreads, func(a, b Distribution) int { return compareSeries(a.Series, b.Series) })
 	copy(r.before, r.counts[Answers])
 	for id, f := range Catalogue {
-		if f.Kind == Gauge && f.By != Whole || ID(id) == Inbox {
+		if f.Kind == Gauge && f.By != NoDimension || ID(id) == Inbox {
 			clear(r.set[id])
 		}
 	}
@@ -175,7 +175,7 @@
 		i := slot*id.Parts() + part
 		v := r.counts[id][i]
 		// A counter of many series is told from when it has counted; what is new in a collector began at zero.
-		if gauge := r.set[id]; gauge != nil && !gauge[i] || gauge == nil && v == 0 && (Catalogue[id].By != Whole || id.Parts() > 1) {
+		if gauge := r.set[id]; gauge != nil && !gauge[i] || gauge == nil && v == 0 && (Catalogue[id].By != NoDimension || id.Parts() > 1) {
 			continue
 		}
 		s.Part = part
@@ -201,7 +201,7 @@
 	parts := Answers.Parts()
 	for slot := range r.tables[Class].Slots() {
 		of := func(outcome int) float64 { return r.counts[Answers][slot*parts+outcome] - r.before[slot*parts+outcome] }
-		if owed := of(InTime) + of(Late) + of(Refused) + of(Failed); owed > 0 {
+		if owed := of(InTime) + of(Late) + of(Rejected) + of(Failed); owed > 0 {
 			r.Set(InTimeShare, slot, 0, of(InTime)/owed)
 		}
 	}
@@ -213,5 +213,5 @@
 // Each calls f for each name of a dimension that has a series of its own, and for names.Other with an empty name.
 func (r *Registry) Each(dim Dim, f func(slot int, name string)) {
 	r.tables[dim].Each(f)
-	f(names.Other, "")
+	f(cardinality.Other, "")
 }
--- a/internal/mysql/mysql_test.go
+++ b/internal/mysql/mysql_test.go
@@ -20,11 +20,11 @@
 	}{
 		"all fields": {"/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1,replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211," +
 			"effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ INSERT INTO sales_17.orders VALUES (1)",
-			Statement{Service: "load", Ref: "9b1f03aa5c7e2d41", AllowMS: 1500, Project: "acme",
-				Replay: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Lookup: "7f3a9c21e0b4d655", EffortMS: 820.5, RAMMB: 96, Again: true, Group: 17,
+			Statement{Class: "load", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Tenant: "acme",
+				IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", OrderKey: "7f3a9c21e0b4d655", EstimatedWorkMS: 820.5, EstimatedMemoryMB: 96, IsRetry: true, DataSet: 17,
 				Text: "INSERT INTO sales_17.orders VALUES (1)"}, ""},
 		"unknown fields": {fields + ",new=1*/\n SELECT 1",
-			Statement{Service: "report", Ref: "9b1f03aa5c7e2d41", AllowMS: 1500, Text: "SELECT 1"}, ""},
+			Statement{Class: "report", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Text: "SELECT 1"}, ""},
 		"no comment":   {"SELECT 1", Statement{}, "service"},
 		"open comment": {fields + " SELECT 1", Statement{}, "service"},
 		"no statement": {fields + " */ ", Statement{}, "service"},
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// MostPacket is the largest payload taken from a client.
-	MostPacket = 64 << 10
+	// MaxPacket is the largest payload taken from a client.
+	MaxPacket = 64 << 10
 	// HeaderLen is the length of a packet's header.
 	HeaderLen = 4
 )
@@ -33,7 +33,7 @@
 		return 0, nil, 0, nil
 	}
 	size := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
-	if size > MostPacket {
+	if size > MaxPacket {
 		return 0, nil, 0, ErrTooLarge
 	}
 	if len(b) < HeaderLen+size {
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -9,17 +9,17 @@
 
 // Statement is a COM_QUERY with its fields read.
 type Statement struct {
-	Service  string  // class
-	Ref      string  // id of the request
-	AllowMS  int64   // how long the client waits, from when it sent
-	Project  string  // tenant
-	Replay   string  // idempotency key
-	Lookup   string  // order key
-	EffortMS float64 // estimated work
-	RAMMB    float64 // estimated memory
-	Again    bool    // marked as a client's retry
-	Group    int     // number of the group of tables
-	Text     string  // the statement without the comment of fields
+	Class             string  // class
+	RequestID         string  // id of the request
+	TimeoutMS         int64   // how long the client waits, from when it sent
+	Tenant            string  // tenant
+	IdempotencyKey    string  // idempotency key
+	OrderKey          string  // order key
+	EstimatedWorkMS   float64 // estimated work
+	EstimatedMemoryMB float64 // estimated memory
+	IsRetry           bool    // marked as a client's retry
+	DataSet           int     // number of the group of tables
+	Text              string  // the statement without the comment of fields
 }
 
 // FieldError names a field that can't be used.
@@ -49,25 +49,25 @@
 		var err error
 		switch name {
 		case "service":
-			s.Service = value
+			s.Class = value
 		case "ref":
-			s.Ref, err = hexDigits(value, 16)
+			s.RequestID, err = hexDigits(value, 16)
 		case "allow":
-			if s.AllowMS, err = strconv.ParseInt(value, 10, 64); err == nil && (s.AllowMS <= 0 || s.AllowMS > mostAllow) {
+			if s.TimeoutMS, err = strconv.ParseInt(value, 10, 64); err == nil && (s.TimeoutMS <= 0 || s.TimeoutMS > mostAllow) {
 				err = fmt.Errorf("is out of range")
 			}
 		case "project":
-			s.Project = value
+			s.Tenant = value
 		case "dup":
-			s.Again = value == "1"
+			s.IsRetry = value == "1"
 		case "replay":
-			s.Replay, err = token(value)
+			s.IdempotencyKey, err = token(value)
 		case "lookup":
-			s.Lookup, err = hexDigits(value, 16)
+			s.OrderKey, err = hexDigits(value, 16)
 		case "effort":
-			s.EffortMS, err = amount(value)
+			s.EstimatedWorkMS, err = amount(value)
 		case "ram":
-			s.RAMMB, err = amount(value)
+			s.EstimatedMemoryMB, err = amount(value)
 		}
 		if err != nil {
 			return s, &FieldError{name, fmt.Sprintf("%q can't be used", clip(value))}
@@ -76,7 +76,7 @@
 	for _, f := range []struct {
 		name    string
 		missing bool
-	}{{"service", s.Service == ""}, {"ref", s.Ref == ""}, {"allow", s.AllowMS == 0}} {
+	}{{"service", s.Class == ""}, {"ref", s.RequestID == ""}, {"allow", s.TimeoutMS == 0}} {
 		if f.missing {
 			return s, &FieldError{f.name, "is missing"}
 		}
@@ -84,7 +84,7 @@
 	if s.Text == "" {
 		return s, &FieldError{"service", "no statement follows the fields"}
 	}
-	s.Group = group(s.Text)
+	s.DataSet = group(s.Text)
 	return s, nil
 }
 
--- a/internal/operator/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"bytes"
@@ -51,7 +51,7 @@
 			if err := e.Encode(f); err != nil {
 				t.Fatal(err)
 			}
-			if err := e.Encode(f.Names()); err != nil {
+			if err := e.Encode(f.Cardinality()); err != nil {
 				t.Fatal(err)
 			}
 			if f.Telemetry != nil {
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -1,7 +1,7 @@
 // Package operator reads the operator's own file: what an installation adds to what the platform tells a broker.
 // It is JSON, checked against a JSON Schema that is made from the types here, and every error names the file, the
 // key and the reason. Without the file nothing of it is on.
-package operator
+package operatorconfig
 
 import (
 	"encoding/json"
@@ -30,14 +30,14 @@
 
 // Telemetry says what is kept and where it is sent.
 type Telemetry struct {
-	IntervalMS int        `json:"interval_ms,omitempty" limits:"min=1000,max=600000,default=10000" jsonschema:"length of an interval in milliseconds"`
-	Names      Names      `json:"names,omitzero" jsonschema:"how many names have series of their own; all others are told as one"`
-	Graphite   []Graphite `json:"graphite,omitempty" limits:"maxitems=4"`
-	Collectd   []Collectd `json:"collectd,omitempty" limits:"maxitems=4"`
+	IntervalMS  int               `json:"interval_ms,omitempty" limits:"min=1000,max=600000,default=10000" jsonschema:"length of an interval in milliseconds"`
+	Cardinality CardinalityLimits `json:"names,omitzero" jsonschema:"how many names have series of their own; all others are told as one"`
+	Graphite    []Graphite        `json:"graphite,omitempty" limits:"maxitems=4"`
+	Collectd    []Collectd        `json:"collectd,omitempty" limits:"maxitems=4"`
 }
 
-// Names bounds the names that have series of their own, at a time.
-type Names struct {
+// CardinalityLimits bounds the names that have series of their own, at a time.
+type CardinalityLimits struct {
 	Classes  int `json:"classes,omitempty" limits:"min=1,max=256,default=16"`
 	Tenants  int `json:"tenants,omitempty" limits:"min=1,max=1024,default=32"`
 	Engines  int `json:"engines,omitempty" limits:"min=1,max=1024,default=32"`
@@ -168,11 +168,11 @@
 // complete fills in defaults and checks what a schema can't say.
 func (t *Telemetry) complete() error {
 	orElse(&t.IntervalMS, 10_000)
-	orElse(&t.Names.Classes, 16)
-	orElse(&t.Names.Tenants, 32)
-	orElse(&t.Names.Engines, 32)
-	orElse(&t.Names.DataSets, 32)
-	orElse(&t.Names.IdleS, 600)
+	orElse(&t.Cardinality.Classes, 16)
+	orElse(&t.Cardinality.Tenants, 32)
+	orElse(&t.Cardinality.Engines, 32)
+	orElse(&t.Cardinality.DataSets, 32)
+	orElse(&t.Cardinality.IdleS, 600)
 	taken := map[string]string{}
 	check := func(key, name, address string) error {
 		if other, ok := taken[name]; ok {
@@ -216,12 +216,12 @@
 	return nil
 }
 
-// Names are the bounds on names, the standard ones where the file has no telemetry.
-func (f *File) Names() Names {
+// Cardinality are the bounds on names, the standard ones where the file has no telemetry.
+func (f *File) Cardinality() CardinalityLimits {
 	if f.Telemetry != nil {
-		return f.Telemetry.Names
+		return f.Telemetry.Cardinality
 	}
 	t := Telemetry{}
 	_ = t.complete() // there is no destination that could be wrong
-	return t.Names
+	return t.Cardinality
 }
