--- /dev/null
+++ b/internal/changelog/http.go
@@ -0,0 +1,217 @@
+package changelog
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Errors of a response. Each costs the connection it came on and nothing else.
+var (
+	ErrMalformed = errors.New("changelog: malformed response")
+	ErrTooLarge  = errors.New("changelog: response too large")
+	ErrStatus    = errors.New("changelog: status is not 200")
+)
+
+const (
+	// MaxBody is the length of the largest body accepted, in bytes; a list of thousands of engines is
+	// smaller.
+	MaxBody = 4 << 20
+
+	maxHead      = 16 << 10 // bytes of status line and headers
+	maxChunkLine = 1 << 10  // bytes of a line with the size of a chunk
+)
+
+// What stands in responses.
+const (
+	lineEnd = "\r\n"
+	headEnd = lineEnd + lineEnd
+
+	protocolPrefix = "HTTP/1."
+	protocol10     = "HTTP/1.0"
+	statusOK       = "200"
+
+	headerContentLength    = "content-length"
+	headerTransferEncoding = "transfer-encoding"
+	headerConnection       = "connection"
+	encodingChunked        = "chunked"
+	connectionClose        = "close"
+)
+
+// Request is the long poll for the changes after a revision; the change log answers after wait at the latest.
+func Request(host string, since int64, wait time.Duration) []byte {
+	return fmt.Appendf(nil,
+		"GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
+		since, wait.Milliseconds(), host)
+}
+
+// Response is a complete HTTP response with status 200.
+type Response struct {
+	Body  []byte
+	Close bool // the connection ends with it
+}
+
+// ParseResponse reads a response from the front of b. It returns the number of bytes that the response takes,
+// 0 while it is incomplete. Its error is ErrMalformed, ErrTooLarge or ErrStatus.
+func ParseResponse(b []byte) (Response, int, error) {
+	end := bytes.Index(b, []byte(headEnd))
+	if end > maxHead || end < 0 && len(b) > maxHead {
+		return Response{}, 0, ErrTooLarge
+	}
+	if end < 0 {
+		return Response{}, 0, nil
+	}
+	head, err := parseHead(string(b[:end]))
+	if err != nil {
+		return Response{}, 0, err
+	}
+	start := end + len(headEnd)
+	body, n, err := head.parseBody(b[start:])
+	if body == nil || err != nil {
+		return Response{}, 0, err
+	}
+	return Response{Body: body, Close: head.close}, start + n, nil
+}
+
+// noLength is the length of a head without Content-Length.
+const noLength = -1
+
+// responseHead is what the status line and the headers say of the body.
+type responseHead struct {
+	length  int
+	chunked bool
+	close   bool
+}
+
+// parseHead reads the status line and the headers, without the empty line behind them.
+func parseHead(text string) (responseHead, error) {
+	lines := strings.Split(text, lineEnd)
+	version, status, _ := strings.Cut(lines[0], " ")
+	if !strings.HasPrefix(version, protocolPrefix) || len(status) < len(statusOK) {
+		return responseHead{}, fmt.Errorf("%w: %.40q", ErrMalformed, lines[0])
+	}
+	if status[:len(statusOK)] != statusOK {
+		return responseHead{}, fmt.Errorf("%w: %.40q", ErrStatus, status)
+	}
+	head := responseHead{length: noLength, close: version == protocol10}
+	for _, line := range lines[1:] {
+		name, value, ok := strings.Cut(line, ":")
+		if !ok {
+			return responseHead{}, fmt.Errorf("%w: header %.40q", ErrMalformed, line)
+		}
+		if err := head.setHeader(strings.ToLower(name), strings.ToLower(strings.TrimSpace(value))); err != nil {
+			return responseHead{}, err
+		}
+	}
+	return head, nil
+}
+
+// setHeader reads one header, whose name and value are in lower case.
+func (h *responseHead) setHeader(name, value string) error {
+	switch name {
+	case headerContentLength:
+		length, err := strconv.ParseUint(value, 10, 32)
+		if err != nil || h.length != noLength && h.length != int(length) {
+			return fmt.Errorf("%w: Content-Length %.40q", ErrMalformed, value)
+		}
+		h.length = int(length)
+	case headerTransferEncoding:
+		if value != encodingChunked {
+			return fmt.Errorf("%w: Transfer-Encoding %.40q", ErrMalformed, value)
+		}
+		h.chunked = true
+	case headerConnection:
+		h.close = h.close || value == connectionClose
+	}
+	return nil
+}
+
+// parseBody reads the body and the number of bytes that it takes; the body is nil while it is incomplete.
+func (h *responseHead) parseBody(b []byte) (body []byte, n int, err error) {
+	if h.chunked {
+		return parseChunkedBody(b)
+	}
+	return parseSizedBody(b, h.length)
+}
+
+// parseSizedBody reads a body of a known length; it is nil while it is incomplete.
+func parseSizedBody(b []byte, length int) (body []byte, n int, err error) {
+	switch {
+	case length == noLength:
+		return nil, 0, fmt.Errorf("%w: no length", ErrMalformed)
+	case length > MaxBody:
+		return nil, 0, ErrTooLarge
+	case len(b) < length:
+		return nil, 0, nil
+	}
+	body = make([]byte, length)
+	copy(body, b)
+	return body, length, nil
+}
+
+// parseChunkedBody reads a body in chunks; it is nil while it is incomplete.
+func parseChunkedBody(b []byte) (body []byte, n int, err error) {
+	body = []byte{}
+	for {
+		size, lineLen, err := parseChunkLine(b[n:])
+		if lineLen == 0 || err != nil {
+			return nil, 0, err
+		}
+		n += lineLen
+		if size == 0 {
+			trailerLen := trailerLength(b[n:])
+			if trailerLen == 0 {
+				return nil, 0, nil
+			}
+			return body, n + trailerLen, nil
+		}
+		if len(body)+size > MaxBody {
+			return nil, 0, ErrTooLarge
+		}
+		end := n + size
+		if len(b) < end+len(lineEnd) {
+			return nil, 0, nil
+		}
+		if string(b[end:end+len(lineEnd)]) != lineEnd {
+			return nil, 0, fmt.Errorf("%w: chunk end", ErrMalformed)
+		}
+		body = append(body, b[n:end]...)
+		n = end + len(lineEnd)
+	}
+}
+
+// parseChunkLine reads the line with the size of a chunk; n, its length, is 0 while it is incomplete.
+func parseChunkLine(b []byte) (size, n int, err error) {
+	line, _, ok := bytes.Cut(b, []byte(lineEnd))
+	if !ok {
+		if len(b) > maxChunkLine {
+			return 0, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+		}
+		return 0, 0, nil
+	}
+	digits, _, _ := strings.Cut(string(line), ";") // extensions follow
+	parsed, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
+	if err != nil {
+		return 0, 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
+	}
+	return int(parsed), len(line) + len(lineEnd), nil
+}
+
+// trailerLength is the length of the trailers behind the last chunk with the empty line that ends them, 0
+// while they are incomplete.
+func trailerLength(b []byte) int {
+	n := 0
+	for {
+		line, _, ok := bytes.Cut(b[n:], []byte(lineEnd))
+		if !ok {
+			return 0
+		}
+		n += len(line) + len(lineEnd)
+		if len(line) == 0 {
+			return n
+		}
+	}
+}
--- /dev/null
+++ b/internal/mysql/handshake.go
@@ -0,0 +1,105 @@
+package mysql
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+)
+
+// Capability flags of the protocol.
+const (
+	longPassword     = 1
+	connectWithDB    = 1 << 3
+	protocol41       = 1 << 9
+	useTLS           = 1 << 11
+	transactions     = 1 << 13
+	secureConnection = 1 << 15
+	pluginAuth       = 1 << 19
+	pluginAuthLenenc = 1 << 21
+
+	// capabilities are those that the greeting announces.
+	capabilities = longPassword | connectWithDB | protocol41 | transactions | secureConnection | pluginAuth
+)
+
+// What the greeting says of the server.
+const (
+	protocolVersion = 10
+	serverVersion   = "8.0.0-wheatlane"
+	charsetUTF8MB4  = 45
+	autocommit      = 2 // status flag
+	authPlugin      = "mysql_native_password"
+
+	saltLen         = 20
+	firstSaltLen    = 8 // the rest of the salt stands further back
+	greetingPadding = 10
+)
+
+// AppendGreeting adds the greeting, which is the first packet of a connection. The salt must not hold zero
+// bytes.
+func AppendGreeting(dst []byte, connectionID uint32, salt [saltLen]byte) []byte {
+	dst, start := beginPacket(dst)
+	dst = append(dst, protocolVersion)
+	dst = appendZeroTerminated(dst, serverVersion)
+	dst = binary.LittleEndian.AppendUint32(dst, connectionID)
+	dst = appendZeroTerminated(dst, string(salt[:firstSaltLen]))
+	dst = binary.LittleEndian.AppendUint16(dst, capabilities&0xffff)
+	dst = append(dst, charsetUTF8MB4)
+	dst = binary.LittleEndian.AppendUint16(dst, autocommit)
+	dst = binary.LittleEndian.AppendUint16(dst, capabilities>>16)
+	dst = append(dst, saltLen+1) // with the zero byte at its end
+	dst = append(dst, make([]byte, greetingPadding)...)
+	dst = appendZeroTerminated(dst, string(salt[firstSaltLen:]))
+	dst = appendZeroTerminated(dst, authPlugin)
+	return endPacket(dst, start, 0)
+}
+
+func appendZeroTerminated(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
+
+// Login is what a client's answer to the greeting holds.
+type Login struct {
+	User, Database string
+	Password       bool // it sent proof of a password
+}
+
+const (
+	loginHeaderLen = 32 // flags, largest packet, character set and padding
+	maxProofLen    = 250
+)
+
+// ParseLogin reads the answer to the greeting. Its error is ErrHandshake, with what is at fault.
+func ParseLogin(payload []byte) (Login, error) {
+	if len(payload) < loginHeaderLen {
+		return Login{}, fmt.Errorf("%w: %d bytes", ErrHandshake, len(payload))
+	}
+	flags := binary.LittleEndian.Uint32(payload)
+	if flags&protocol41 == 0 || flags&useTLS != 0 {
+		return Login{}, fmt.Errorf("%w: protocol 4.1 without TLS is spoken here", ErrHandshake)
+	}
+	user, rest, ok := bytes.Cut(payload[loginHeaderLen:], []byte{0})
+	if !ok {
+		return Login{}, fmt.Errorf("%w: user", ErrHandshake)
+	}
+	proof, rest, ok := cutProof(rest, flags)
+	if !ok {
+		return Login{User: string(user)}, fmt.Errorf("%w: password", ErrHandshake)
+	}
+	login := Login{User: string(user), Password: len(proof) > 0}
+	if flags&connectWithDB != 0 {
+		database, _, _ := bytes.Cut(rest, []byte{0})
+		login.Database = string(database)
+	}
+	return login, nil
+}
+
+// cutProof splits the proof of a password from what follows it.
+func cutProof(b []byte, flags uint32) (proof, rest []byte, ok bool) {
+	if flags&(pluginAuthLenenc|secureConnection) == 0 {
+		return bytes.Cut(b, []byte{0})
+	}
+	// A length of one byte; there are no proofs long enough for more.
+	if len(b) < 1 || b[0] > maxProofLen || len(b) < 1+int(b[0]) {
+		return nil, nil, false
+	}
+	size := int(b[0])
+	return b[1 : 1+size], b[1+size:], true
+}
--- /dev/null
+++ b/internal/mysql/handshake_test.go
@@ -0,0 +1,43 @@
+package mysql
+
+import (
+	"encoding/binary"
+	"errors"
+	"testing"
+)
+
+// loginPayload is the payload of a login with these flags and what follows its header.
+func loginPayload(flags uint32, rest string) []byte {
+	payload := binary.LittleEndian.AppendUint32(nil, flags)
+	payload = append(payload, make([]byte, loginHeaderLen-len(payload))...)
+	return append(payload, rest...)
+}
+
+func TestParseLogin(t *testing.T) {
+	const pluginFlags = protocol41 | pluginAuth | pluginAuthLenenc | connectWithDB
+	for name, c := range map[string]struct {
+		payload []byte
+		want    Login
+		err     error
+	}{
+		"with database": {
+			loginPayload(protocol41|secureConnection|connectWithDB, "app\x00\x00main\x00"), Login{"app", "main", false}, nil,
+		},
+		"without":          {loginPayload(protocol41|secureConnection, "app\x00\x00"), Login{User: "app"}, nil},
+		"with plugin":      {loginPayload(pluginFlags, "app\x00\x00main\x00x\x00"), Login{"app", "main", false}, nil},
+		"old password":     {loginPayload(protocol41, "app\x00pw\x00"), Login{"app", "", true}, nil},
+		"password":         {loginPayload(protocol41|secureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil},
+		"cut password":     {loginPayload(protocol41|secureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
+		"user without end": {loginPayload(protocol41, "app"), Login{}, ErrHandshake},
+		"old protocol":     {loginPayload(0, "app\x00\x00"), Login{}, ErrHandshake},
+		"TLS":              {loginPayload(protocol41|useTLS, ""), Login{}, ErrHandshake},
+		"short":            {[]byte("x"), Login{}, ErrHandshake},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := ParseLogin(c.payload)
+			if !errors.Is(err, c.err) || err == nil && got != c.want {
+				t.Errorf("got %+v, %v, want %+v, %v", got, err, c.want, c.err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/mysql/lexer.go
@@ -0,0 +1,73 @@
+package mysql
+
+import "strings"
+
+// lexer splits a statement into words, marks and quoted names, without strings and comments.
+type lexer struct {
+	text string
+	pos  int // index in text of the next byte to read
+}
+
+// next returns the next token, "" at the end.
+func (l *lexer) next() string {
+	for l.pos < len(l.text) {
+		start, rest := l.pos, l.text[l.pos:]
+		switch c := rest[0]; {
+		case strings.IndexByte(space, c) >= 0:
+			l.pos++
+		case c == '\'' || c == '"':
+			l.skipString(c)
+		case c == '`':
+			l.skipQuotedName()
+			return l.text[start:l.pos]
+		case strings.HasPrefix(rest, "/*"):
+			l.skipPast(2, "*/")
+		case c == '#' || strings.HasPrefix(rest, "-- "):
+			l.skipPast(1, "\n")
+		case isWordByte(c):
+			l.skipWord()
+			return l.text[start:l.pos]
+		default:
+			l.pos++
+			return rest[:1]
+		}
+	}
+	return ""
+}
+
+func isWordByte(c byte) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
+	return letter || c >= '0' && c <= '9' || c == '_' || c == '$'
+}
+
+func (l *lexer) skipWord() {
+	for l.pos < len(l.text) && isWordByte(l.text[l.pos]) {
+		l.pos++
+	}
+}
+
+// skipString passes over a string with its quotes. A doubled quote shows as two strings, which does no harm.
+func (l *lexer) skipString(quote byte) {
+	for l.pos++; l.pos < len(l.text); l.pos++ {
+		switch l.text[l.pos] {
+		case '\\':
+			l.pos++ // the byte behind it can't end the string
+		case quote:
+			l.pos++
+			return
+		}
+	}
+	l.pos = len(l.text)
+}
+
+// skipQuotedName passes over a name with its backquotes, in which a backslash is a byte like others.
+func (l *lexer) skipQuotedName() { l.skipPast(1, "`") }
+
+// skipPast moves behind the next mark that begins skip bytes from here or later, or to the end without one.
+func (l *lexer) skipPast(skip int, mark string) {
+	if i := strings.Index(l.text[l.pos+skip:], mark); i >= 0 {
+		l.pos += skip + i + len(mark)
+	} else {
+		l.pos = len(l.text)
+	}
+}
--- /dev/null
+++ b/internal/mysql/response.go
@@ -0,0 +1,139 @@
+package mysql
+
+import (
+	"bytes"
+	"encoding/binary"
+	"strconv"
+)
+
+// Codes of errors, as MySQL numbers them.
+const (
+	CodeConnections  = 1040 // too many connections
+	CodeHandshake    = 1043
+	CodeAccessDenied = 1045
+	CodeCommand      = 1047 // unknown command
+	CodeUnknownDB    = 1049
+	CodeShutdown     = 1053 // server shutdown in progress
+	CodeNoThread     = 1094 // unknown thread id
+	CodeUnknown      = 1105
+	CodeTooLarge     = 1153
+	CodeSequence     = 1156
+	CodeArguments    = 1210 // incorrect arguments
+	CodeUserLimit    = 1226 // a user has exceeded a resource
+	CodeInterrupted  = 1317
+	CodeMalformed    = 1835
+)
+
+// generalSQLState is the SQL state of the codes without one of their own.
+const generalSQLState = "HY000"
+
+var sqlStates = map[int]string{
+	CodeConnections:  "08004",
+	CodeHandshake:    "08S01",
+	CodeAccessDenied: "28000",
+	CodeCommand:      "08S01",
+	CodeUnknownDB:    "42000",
+	CodeShutdown:     "08S01",
+	CodeTooLarge:     "08S01",
+	CodeSequence:     "08S01",
+	CodeUserLimit:    "42000",
+	CodeInterrupted:  "70100",
+}
+
+// The first bytes of answers, and of their parts.
+const (
+	okHeader     = 0x00
+	eofHeader    = 0xfe
+	errorHeader  = 0xff
+	sqlStateMark = '#'
+)
+
+// AppendError adds an ERR packet with the code's SQL state and a text for the client.
+func AppendError(dst []byte, seq byte, code int, text string) []byte {
+	state, ok := sqlStates[code]
+	if !ok {
+		state = generalSQLState
+	}
+	dst, start := beginPacket(dst)
+	dst = append(dst, errorHeader)
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(code))
+	dst = append(dst, sqlStateMark)
+	dst = append(dst, state...)
+	dst = append(dst, text...)
+	return endPacket(dst, start, seq)
+}
+
+// AppendOK adds an OK packet.
+func AppendOK(dst []byte, seq byte) []byte {
+	dst, start := beginPacket(dst)
+	// No rows affected, no last insert id; the status; no warnings.
+	dst = append(dst, okHeader, 0, 0, autocommit, 0, 0, 0)
+	return endPacket(dst, start, seq)
+}
+
+func appendEOF(dst []byte, seq byte) []byte {
+	dst, start := beginPacket(dst)
+	dst = append(dst, eofHeader, 0, 0, autocommit, 0)
+	return endPacket(dst, start, seq)
+}
+
+// Columns is the number of columns of every result.
+const Columns = 3
+
+// What a column's definition says.
+const (
+	columnCatalog    = "def"
+	columnSchema     = "main"
+	fixedFieldsLen   = 0x0c
+	maxColumnBytes   = 1<<16 - 1
+	typeVarString    = 0xfd
+	columnNamePrefix = "c"
+	rowSeparator     = '\n'
+	columnSeparator  = '\t'
+)
+
+// AppendResult adds a text result set of complete pages: rows end with a line feed, columns stand between
+// tabs. The sequence number wraps after 255, as in the protocol.
+func AppendResult(dst []byte, seq byte, pages [][]byte) []byte {
+	dst, start := beginPacket(dst)
+	dst = endPacket(append(dst, Columns), start, seq)
+	for i := range Columns {
+		seq++
+		dst = appendColumn(dst, seq, columnNamePrefix+strconv.Itoa(i+1))
+	}
+	seq++
+	dst = appendEOF(dst, seq)
+	for _, page := range pages {
+		for len(page) > 0 {
+			var row []byte
+			row, page, _ = bytes.Cut(page, []byte{rowSeparator})
+			seq++
+			dst = appendRow(dst, seq, row)
+		}
+	}
+	return appendEOF(dst, seq+1)
+}
+
+// appendColumn adds the definition of a column of strings.
+func appendColumn(dst []byte, seq byte, name string) []byte {
+	dst, start := beginPacket(dst)
+	// Catalogue, schema, table, original table, name, original name.
+	for _, s := range []string{columnCatalog, columnSchema, "", "", name, name} {
+		dst = appendString(dst, s)
+	}
+	dst = append(dst, fixedFieldsLen, charsetUTF8MB4, 0)
+	dst = binary.LittleEndian.AppendUint32(dst, maxColumnBytes)
+	dst = append(dst, typeVarString, 0, 0, 0, 0, 0) // no flags, no decimals
+	return endPacket(dst, start, seq)
+}
+
+// appendRow adds a row; columns that it lacks are empty.
+func appendRow(dst []byte, seq byte, row []byte) []byte {
+	dst, start := beginPacket(dst)
+	for range Columns {
+		var column []byte
+		column, row, _ = bytes.Cut(row, []byte{columnSeparator})
+		dst = appendString(dst, column)
+	}
+	return endPacket(dst, start, seq)
+}
--- /dev/null
+++ b/internal/resp/answer_test.go
@@ -0,0 +1,72 @@
+package resp
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestParseAnswer(t *testing.T) {
+	for name, c := range map[string]struct {
+		parts []string
+		want  Answer
+		err   error
+	}{
+		"ok": {
+			parts: []string{"7", "OK", "sheets=3,toil=12.5,room=96,new=1,l=queue:1;x1:0.5", "a\tb\tc\n"},
+			want: Answer{
+				RequestID: "7", Word: OK, PageCount: 3, WorkMS: 12.5, MemoryMB: 96, Load: "queue:1;x1:0.5",
+				Body: []byte("a\tb\tc\n"),
+			},
+		},
+		"page": {
+			parts: []string{"7", "ROWS", "sheet=2", "x"},
+			want:  Answer{RequestID: "7", Word: Rows, PageCount: 1, Page: 2, Body: []byte("x")},
+		},
+		"no fields":      {parts: []string{"7", "VOID", "-"}, want: Answer{RequestID: "7", Word: Void, PageCount: 1}},
+		"short":          {parts: []string{"7", "BUSY"}, want: Answer{RequestID: "7", Word: Busy, PageCount: 1}},
+		"one part":       {parts: []string{"7"}, err: ErrMalformed},
+		"unknown word":   {parts: []string{"7", "WHAT", "-", ""}, err: ErrMalformed},
+		"field no value": {parts: []string{"7", "OK", "sheets", ""}, err: ErrMalformed},
+		"no page count":  {parts: []string{"7", "OK", "sheets=x", ""}, err: ErrMalformed},
+		// Figures that averages would never recover from.
+		"work NaN":         {parts: []string{"7", "OK", "sheets=1,toil=NaN", ""}, err: ErrMalformed},
+		"work without end": {parts: []string{"7", "OK", "sheets=1,toil=+Inf", ""}, err: ErrMalformed},
+		"negative memory":  {parts: []string{"7", "OK", "sheets=1,room=-1", ""}, err: ErrMalformed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			parts := make([][]byte, 0, len(c.parts))
+			for _, part := range c.parts {
+				parts = append(parts, []byte(part))
+			}
+			got, err := ParseAnswer(parts)
+			if !errors.Is(err, c.err) {
+				t.Fatalf("got %v, want %v", err, c.err)
+			}
+			if diff := cmp.Diff(c.want, got); err == nil && diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
+
+func TestReport(t *testing.T) {
+	fields := []string{"queue", "x1"}
+	for load, want := range map[string][]float64{
+		"queue:2;x1:0.5":       {2, 0.5},
+		"x1:0.5;new:9;queue:2": {2, 0.5},
+		"queue:2":              nil,
+		"queue:2;x1:?":         nil,
+		"":                     nil,
+		"queue:NaN;x1:0.5":     nil,
+		"queue:2;x1:-1":        nil,
+		"queue:2;x1:1e300":     nil,
+	} {
+		t.Run(load, func(t *testing.T) {
+			if diff := cmp.Diff(want, Report(load, fields)); diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
