--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring holds a bounded ring buffer. Each connection has one a direction: it starts empty, grows as
-// bytes come, never beyond its cap, and gives its memory back when it is drained.
+// Package ring holds a bounded ring buffer of bytes. A connection has one for each direction: it starts
+// without memory, grows as bytes come, never beyond its limit, and gives its memory back when it is emptied.
 package ring
 
 import (
@@ -7,27 +7,28 @@
 	"io"
 )
 
-// ErrFull says that a buffer has reached its cap.
+// ErrFull says that what is to be added doesn't fit under the buffer's limit.
 var ErrFull = errors.New("ring: buffer is full")
 
 const (
-	first = 1 << 10 // size of the first allocation
-	keep  = 4 << 10 // an empty buffer larger than this is let go
+	initialSize = 1 << 10 // bytes of the first allocation
+	maxIdleSize = 4 << 10 // an empty buffer with more bytes of memory than this gives it back
 )
 
 // Buffer is a ring of bytes. It is not safe for concurrent use, with one exception: the slices of Segments
 // stay readable while Write appends, as appending never touches what has not been discarded.
 type Buffer struct {
-	data []byte
-	r, n int
-	most int
+	data   []byte
+	start  int // index in data of the first byte held
+	length int // number of bytes held
+	limit  int // most bytes that may be held
 }
 
-// New returns a buffer that holds at most so many bytes.
-func New(most int) *Buffer { return &Buffer{most: most} }
+// New returns an empty buffer that holds at most limit bytes.
+func New(limit int) *Buffer { return &Buffer{limit: limit} }
 
 // Len is the number of bytes held.
-func (b *Buffer) Len() int { return b.n }
+func (b *Buffer) Len() int { return b.length }
 
 // Write appends all of p, or nothing and ErrFull.
 func (b *Buffer) Write(p []byte) (int, error) {
@@ -36,7 +37,7 @@
 	}
 	for rest := p; len(rest) > 0; {
 		n := copy(b.free(), rest)
-		b.n += n
+		b.length += n
 		rest = rest[n:]
 	}
 	return len(p), nil
@@ -44,75 +45,77 @@
 
 // ReadOnce appends what one Read of src gives. A full buffer reads nothing and returns ErrFull.
 func (b *Buffer) ReadOnce(src io.Reader) (int, error) {
-	if b.n == len(b.data) {
+	if b.length == len(b.data) {
 		if err := b.grow(1); err != nil {
 			return 0, err
 		}
 	}
 	n, err := src.Read(b.free())
-	b.n += n
+	b.length += n
 	return n, err
 }
 
 // Bytes returns all that is held as one slice, valid until the next call that changes the buffer.
 func (b *Buffer) Bytes() []byte {
-	if b.r+b.n > len(b.data) { // wrapped: laid out anew
-		b.move(len(b.data))
+	if b.start+b.length > len(b.data) { // it wraps: one slice needs the bytes in one run
+		b.reallocate(len(b.data))
 	}
-	return b.data[b.r : b.r+b.n]
+	return b.data[b.start : b.start+b.length]
 }
 
 // Segments returns what is held, in order, without moving it; the second is empty unless it wraps.
-func (b *Buffer) Segments() (one, two []byte) {
-	end := b.r + b.n
+func (b *Buffer) Segments() (head, tail []byte) {
+	end := b.start + b.length
 	if end <= len(b.data) {
-		return b.data[b.r:end], nil
+		return b.data[b.start:end], nil
 	}
-	return b.data[b.r:], b.data[:end-len(b.data)]
+	return b.data[b.start:], b.data[:end-len(b.data)]
 }
 
-// Discard drops the first n bytes.
+// Discard drops the first n bytes; n is at most Len.
 func (b *Buffer) Discard(n int) {
-	b.n -= n
+	b.length -= n
 	switch {
-	case b.n > 0:
-		b.r = (b.r + n) % len(b.data)
-	case len(b.data) > keep:
-		b.data, b.r = nil, 0
+	case b.length > 0:
+		b.start = (b.start + n) % len(b.data)
+	case len(b.data) > maxIdleSize:
+		b.data, b.start = nil, 0
 	default:
-		b.r = 0
+		b.start = 0
 	}
 }
 
 // free is the first run of bytes that nothing is held in.
 func (b *Buffer) free() []byte {
-	w := b.r + b.n
-	if w >= len(b.data) {
-		w -= len(b.data)
-		return b.data[w:b.r]
+	end := b.start + b.length
+	if end >= len(b.data) {
+		end -= len(b.data)
+		return b.data[end:b.start]
 	}
-	return b.data[w:]
+	return b.data[end:]
 }
 
+// grow makes room for n more bytes, by doubling.
 func (b *Buffer) grow(n int) error {
-	need := b.n + n
+	need := b.length + n
 	if need <= len(b.data) {
 		return nil
 	}
-	if need > b.most {
+	if need > b.limit {
 		return ErrFull
 	}
-	size := max(first, len(b.data))
+	size := max(initialSize, len(b.data))
 	for size < need {
 		size *= 2
 	}
-	b.move(min(size, b.most))
+	b.reallocate(min(size, b.limit))
 	return nil
 }
 
-func (b *Buffer) move(size int) {
+// reallocate moves what is held to the front of size bytes of new memory.
+func (b *Buffer) reallocate(size int) {
 	data := make([]byte, size)
-	one, two := b.Segments()
-	copy(data[copy(data, one):], two)
-	b.data, b.r = data, 0
+	head, tail := b.Segments()
+	copy(data[copy(data, head):], tail)
+	b.data, b.start = data, 0
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Any mix of writes, reads and discards gives the bytes back in order, within the cap.
+// Any mix of writes, reads and discards gives the bytes back in order, within the limit.
 func TestBytesComeBackInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b, held, next := New(5000), []byte{}, byte(0)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAnEmptyBufferGivesMemoryBack(t *testing.T) {
+func TestEmptyBufferReleasesMemory(t *testing.T) {
 	b := New(1 << 20)
 	if _, err := b.Write([]byte(strings.Repeat("x", 1<<19))); err != nil {
 		t.Fatal(err)
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -1,6 +1,7 @@
-// Package rls fits y(k+1) = A y(k) + B u(k) by recursive least squares with forgetting and solves for the
-// input that minimises J = |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2 ("Proteus", Karlsson and Karamanolis,
-// Middleware 2006, sections 3.1 and 3.2). It holds the linear algebra only: every value comes in.
+// Package rls fits the linear model y(k+1) = A y(k) + B u(k) by recursive least squares with exponential
+// forgetting and solves for the input that minimises J = |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2: the
+// self-tuning regulator of "Proteus" (Karlsson and Karamanolis, Middleware 2006, sections 3.1 and 3.2). It
+// holds the linear algebra only and decides nothing: each value and limit comes from its caller.
 package rls
 
 import (
@@ -10,40 +11,45 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Config holds the values of a regulator.
+// Config holds the constants of a regulator.
 type Config struct {
-	OutputsPerGroup   int     // outputs of one group; a group that was not seen keeps its fit
+	OutputsPerGroup   int     // outputs of one group; a group that was not observed keeps its fit
 	Groups            int     // groups of outputs
-	InputPenalty      float64 // q: price of moving the input
+	InputPenalty      float64 // q, the penalty on changes of the input
 	InitialGain       float64 // first value on the diagonals of A and B
 	InitialCovariance float64 // first variance of each coefficient
-	ForgettingFactor  float64
-	MaxTrace          float64 // covariance is not let grow over this
+	ForgettingFactor  float64 // weight of the past after one interval; at most 1
+	MaxTrace          float64 // forgetting doesn't let the trace of a covariance grow over this
 }
 
 // Regulator is one fit with its last output Y and input U.
 type Regulator struct {
 	Config
-	Y, U  []float64
-	Theta *mat.Dense // [A B]
-	cov   []*mat.Dense
-	ready bool
+	Y, U       []float64
+	Theta      *mat.Dense   // [A B]
+	covariance []*mat.Dense // of the coefficients, one for each group
+	observed   bool         // Y was observed in the interval before
 }
 
 // New returns a regulator that starts at the input u.
 func New(cfg Config, u []float64) *Regulator {
-	n, m := cfg.OutputsPerGroup*cfg.Groups, len(u)
-	r := &Regulator{Config: cfg, Theta: mat.NewDense(n, n+m, nil), Y: make([]float64, n), U: slices.Clone(u)}
-	for i := range n {
+	outputs, inputs := cfg.OutputsPerGroup*cfg.Groups, len(u)
+	r := &Regulator{
+		Config: cfg,
+		Theta:  mat.NewDense(outputs, outputs+inputs, nil),
+		Y:      make([]float64, outputs),
+		U:      slices.Clone(u),
+	}
+	for i := range outputs {
 		r.Theta.Set(i, i, cfg.InitialGain)
-		r.Theta.Set(i, n+i/cfg.OutputsPerGroup, cfg.InitialGain)
+		r.Theta.Set(i, outputs+i/cfg.OutputsPerGroup, cfg.InitialGain)
 	}
 	for range cfg.Groups {
-		p := mat.NewDense(n+m, n+m, nil)
-		for i := range n + m {
+		p := mat.NewDense(outputs+inputs, outputs+inputs, nil)
+		for i := range outputs + inputs {
 			p.Set(i, i, cfg.InitialCovariance)
 		}
-		r.cov = append(r.cov, p)
+		r.covariance = append(r.covariance, p)
 	}
 	return r
 }
@@ -60,7 +66,7 @@
 	return sum
 }
 
-// Predict gives all outputs at the input u.
+// Predict predicts all outputs at the input u.
 func (r *Regulator) Predict(u []float64) []float64 {
 	out := make([]float64, len(r.Y))
 	for i := range out {
@@ -69,64 +75,71 @@
 	return out
 }
 
-// Skip breaks the sequence of intervals; y, if any, is where it starts again.
+// Skip interrupts the sequence of intervals, so that the next Observe fits nothing; y, if not nil, is the
+// output at which the sequence starts again, so that the next Observe does.
 func (r *Regulator) Skip(y []float64) {
-	r.ready = y != nil
+	r.observed = y != nil
 	if y != nil {
 		r.Y = y
 	}
 }
 
-// Observe takes the measurements of one interval; groups not seen keep their fit.
+// Observe takes the outputs of one interval and fits the groups that were seen to them.
 func (r *Regulator) Observe(y []float64, seen []bool) {
-	if r.ready {
+	if r.observed {
 		phi := mat.NewVecDense(len(r.Y)+len(r.U), append(slices.Clone(r.Y), r.U...))
-		for g, p := range r.cov {
-			if !seen[g] {
-				continue
-			}
-			var pp, gain mat.VecDense
-			pp.MulVec(p, phi)
-			den := r.ForgettingFactor + mat.Dot(phi, &pp)
-			gain.ScaleVec(1/den, &pp)
-			for i := g * r.OutputsPerGroup; i < (g+1)*r.OutputsPerGroup; i++ {
-				row := r.Theta.RowView(i)
-				err := y[i] - mat.Dot(row, phi)
-				for j := range phi.Len() {
-					r.Theta.Set(i, j, row.AtVec(j)+gain.AtVec(j)*err)
-				}
-			}
-			var out mat.Dense
-			out.Outer(1, &gain, &pp)
-			p.Sub(p, &out)
-			if mat.Trace(p)/r.ForgettingFactor < r.MaxTrace {
-				p.Scale(1/r.ForgettingFactor, p)
+		for group := range r.covariance {
+			if seen[group] {
+				r.fitGroup(group, phi, y)
 			}
 		}
 	}
-	r.Y, r.ready = y, true
+	r.Y, r.observed = y, true
+}
+
+// fitGroup is the step of recursive least squares for one group: phi holds the outputs and inputs of the
+// interval before, y the outputs that followed.
+func (r *Regulator) fitGroup(group int, phi *mat.VecDense, y []float64) {
+	p := r.covariance[group]
+	var pPhi, gain mat.VecDense
+	pPhi.MulVec(p, phi)
+	gain.ScaleVec(1/(r.ForgettingFactor+mat.Dot(phi, &pPhi)), &pPhi)
+	for i := group * r.OutputsPerGroup; i < (group+1)*r.OutputsPerGroup; i++ {
+		coefficients := r.Theta.RowView(i)
+		residual := y[i] - mat.Dot(coefficients, phi)
+		for j := range phi.Len() {
+			r.Theta.Set(i, j, coefficients.AtVec(j)+gain.AtVec(j)*residual)
+		}
+	}
+	var update mat.Dense
+	update.Outer(1, &gain, &pPhi)
+	p.Sub(p, &update)
+	if mat.Trace(p)/r.ForgettingFactor < r.MaxTrace {
+		p.Scale(1/r.ForgettingFactor, p)
+	}
 }
 
-// Decide solves (B'B + Q'Q) u = B'(yref - A y) + Q'Q u(k-1) and clamps u.
+// Decide solves (B'B + Q'Q) u = B'(yref - A y) + Q'Q u(k-1), where want is yref, and clamps u to [low, high].
+// What can't be solved keeps the input before.
 func (r *Regulator) Decide(want []float64, low, high float64) []float64 {
-	n, m := len(r.Y), len(r.U)
-	b := r.Theta.Slice(0, n, n, n+m)
-	gap := mat.NewVecDense(n, nil)
-	zero := make([]float64, m)
-	for i := range n {
-		gap.SetVec(i, want[i]-r.Row(i, zero))
+	outputs, inputs := len(r.Y), len(r.U)
+	b := r.Theta.Slice(0, outputs, outputs, outputs+inputs)
+	gap := mat.NewVecDense(outputs, nil) // yref - A y
+	noInput := make([]float64, inputs)
+	for i := range outputs {
+		gap.SetVec(i, want[i]-r.Row(i, noInput))
 	}
 	var left mat.Dense
 	var right, u mat.VecDense
 	left.Mul(b.T(), b)
 	right.MulVec(b.T(), gap)
-	for j := range m {
+	for j := range inputs {
 		left.Set(j, j, left.At(j, j)+r.InputPenalty*r.InputPenalty)
 		right.SetVec(j, right.AtVec(j)+r.InputPenalty*r.InputPenalty*r.U[j])
 	}
 	next := slices.Clone(r.U)
 	if err := u.SolveVec(&left, &right); err == nil {
-		for j := range m {
+		for j := range inputs {
 			if v := u.AtVec(j); !math.IsNaN(v) {
 				next[j] = min(high, max(low, v))
 			}
--- a/internal/rls/rls_test.go
+++ b/internal/rls/rls_test.go
@@ -8,57 +8,65 @@
 
 // y(k+1) = A y(k) + B u(k) with known A and B is found, and u then brings y to its target.
 func TestRegulatorConvergesOnAKnownSystem(t *testing.T) {
-	reg := New(Config{OutputsPerGroup: 1, Groups: 1, InputPenalty: 0.1, InitialGain: 0.5, InitialCovariance: 10, ForgettingFactor: 0.98, MaxTrace: 1e4}, []float64{0.5})
+	regulator := New(Config{
+		OutputsPerGroup: 1, Groups: 1, InputPenalty: 0.1, InitialGain: 0.5, InitialCovariance: 10,
+		ForgettingFactor: 0.98, MaxTrace: 1e4,
+	}, []float64{0.5})
 	rng := rand.New(rand.NewPCG(1, 2))
 	y := 0.0
 	step := func(u float64) { y = 0.6*y + 0.8*u }
-	reg.Observe([]float64{y}, []bool{true})
+	regulator.Observe([]float64{y}, []bool{true})
 	for range 60 {
-		reg.U = []float64{rng.Float64()}
-		step(reg.U[0])
-		reg.Observe([]float64{y}, []bool{true})
+		regulator.U = []float64{rng.Float64()}
+		step(regulator.U[0])
+		regulator.Observe([]float64{y}, []bool{true})
 	}
-	if a, b := reg.Theta.At(0, 0), reg.Theta.At(0, 1); math.Abs(a-0.6) > 0.01 || math.Abs(b-0.8) > 0.01 {
+	a, b := regulator.Theta.At(0, 0), regulator.Theta.At(0, 1)
+	if math.Abs(a-0.6) > 0.01 || math.Abs(b-0.8) > 0.01 {
 		t.Fatalf("fit A=%.3f B=%.3f, want 0.6 and 0.8", a, b)
 	}
 	for range 40 {
-		step(reg.Decide([]float64{1}, 0, 2)[0])
-		reg.Observe([]float64{y}, []bool{true})
+		step(regulator.Decide([]float64{1}, 0, 2)[0])
+		regulator.Observe([]float64{y}, []bool{true})
 	}
 	if math.Abs(y-1) > 0.02 {
 		t.Fatalf("y=%.3f, want 1", y)
 	}
-	// The closed form: u = (B r + q^2 u') / (B^2 + q^2) with r = target - A y.
-	a, b, before := reg.Theta.At(0, 0), reg.Theta.At(0, 1), reg.U[0]
+	// The closed form of Decide: u = (B r + q^2 u') / (B^2 + q^2) with r = target - A y.
+	a, b = regulator.Theta.At(0, 0), regulator.Theta.At(0, 1)
+	before := regulator.U[0]
 	wanted := (b*(1.3-a*y) + 0.01*before) / (b*b + 0.01)
-	if got := reg.Decide([]float64{1.3}, 0, 9)[0]; math.Abs(got-wanted) > 1e-9 {
+	if got := regulator.Decide([]float64{1.3}, 0, 9)[0]; math.Abs(got-wanted) > 1e-9 {
 		t.Fatalf("u=%v, want %v", got, wanted)
 	}
 }
 
+// Whatever noise comes, and while a group is not seen, inputs and covariances stay within their limits.
 func TestRegulatorStaysBoundedUnderSilenceAndNoise(t *testing.T) {
-	reg := New(Config{OutputsPerGroup: 2, Groups: 2, InputPenalty: 0.5, InitialGain: 0.5, InitialCovariance: 10, ForgettingFactor: 0.98, MaxTrace: 1e4},
-		[]float64{0.5, 0.5})
+	regulator := New(Config{
+		OutputsPerGroup: 2, Groups: 2, InputPenalty: 0.5, InitialGain: 0.5, InitialCovariance: 10,
+		ForgettingFactor: 0.98, MaxTrace: 1e4,
+	}, []float64{0.5, 0.5})
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 5000 {
 		y := []float64{rng.NormFloat64(), rng.NormFloat64(), 1, 1}
 		if i%7 == 0 {
-			reg.Skip(y)
+			regulator.Skip(y)
 		} else {
-			fit := reg.Theta.At(2, 2)
-			reg.Observe(y, []bool{true, i < 50}) // the second class falls silent
-			if i > 50 && reg.Theta.At(2, 2) != fit {
-				t.Fatal("a silent class was updated")
+			fit := regulator.Theta.At(2, 2)
+			regulator.Observe(y, []bool{true, i < 50}) // the second group is not seen any more
+			if i > 50 && regulator.Theta.At(2, 2) != fit {
+				t.Fatal("a group that was not seen was updated")
 			}
 		}
-		for _, u := range reg.Decide([]float64{1, 1, 1, 1}, 0.05, 1) {
+		for _, u := range regulator.Decide([]float64{1, 1, 1, 1}, 0.05, 1) {
 			if math.IsNaN(u) || u < 0.05 || u > 1 {
 				t.Fatalf("u=%v", u)
 			}
 		}
 	}
-	for _, p := range reg.cov {
-		if tr := p.At(0, 0) + p.At(1, 1); math.IsNaN(tr) || tr > reg.MaxTrace {
+	for _, p := range regulator.covariance {
+		if tr := p.At(0, 0) + p.At(1, 1); math.IsNaN(tr) || tr > regulator.MaxTrace {
 			t.Fatalf("covariance %v", tr)
 		}
 	}
