--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,7 @@
-// Package handover carries what a broker must not forget from one process to the next of an upgrade: the engines
-// left out by hand. The old process writes it to $TMPDIR whole under another name and renames it, so a reader
-// finds the file before or the file after; the new one reads it at its start, defensively, and starts without it
-// when it is torn, of another broker or of another form.
+// Package handover carries what a broker must not lose when an upgrade replaces its process: the engines in
+// maintenance mode. The old process writes the state to a file in $TMPDIR under another name and renames it,
+// so that a reader finds either the earlier file or the complete new one. The new process reads it at its
+// start and starts without it when the file is corrupt, of another broker or of another format version.
 package handover
 
 import (
@@ -9,108 +9,60 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 )
 
-// FileName is the name of the file in its folder.
-const FileName = "wheatlane-handover"
+// formatVersion is the version of the file format; a reader accepts no other.
+const formatVersion = 1
 
-// version is that of the form; a reader takes no other.
-const version = 1
-
-// mostBytes bounds what is read: a file that is longer is not one of ours.
-const mostBytes = 1 << 20
-
-// State is what is handed over.
+// State is what one process hands over to the next.
 type State struct {
-	Broker             string   // the broker's name; a file of another is not taken
-	MaintenanceEngines []string // engines left out by hand, sorted
+	Broker             string   // the broker's name; the file of another broker is not used
+	MaintenanceEngines []string // ids of the engines in maintenance mode, sorted
 }
 
-// The errors of a file that is not taken.
+// Errors of a file that is not used.
 var (
 	ErrNotFound = errors.New("handover: no file")
-	ErrCorrupt  = errors.New("handover: torn or spoilt")
-	ErrStale    = errors.New("handover: of another broker or form")
+	ErrCorrupt  = errors.New("handover: corrupt file")
+	ErrStale    = errors.New("handover: file of another broker or format version")
 )
 
-type form struct {
-	Version int      `json:"version"`
-	Broker  string   `json:"broker"`
-	Bans    []string `json:"bans"`
+// document is the JSON form of a State.
+type document struct {
+	Version            int      `json:"version"`
+	Broker             string   `json:"broker"`
+	MaintenanceEngines []string `json:"bans"`
 }
 
-// Encode words a state: a line with the checksum of what follows, then the JSON.
+// Encode is the content of a file: a line with the checksum of what follows, then the state as JSON.
 func Encode(s State) []byte {
-	body, _ := json.Marshal(form{Version: version, Broker: s.Broker, Bans: s.MaintenanceEngines}) // of strings: it can't fail
-	out := strconv.AppendUint(nil, uint64(crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli))), 16)
-	return append(append(out, '\n'), body...)
+	body, _ := json.Marshal(document{ // a document holds strings and a number only, which can always be encoded
+		Version: formatVersion, Broker: s.Broker, MaintenanceEngines: s.MaintenanceEngines,
+	})
+	content := strconv.AppendUint(nil, uint64(checksum(body)), 16)
+	return append(append(content, '\n'), body...)
 }
 
-// Decode reads what Encode wrote for a broker of a name.
-func Decode(text []byte, broker string) (State, error) {
-	head, body, ok := strings.Cut(string(text), "\n")
-	sum, err := strconv.ParseUint(head, 16, 32)
-	if !ok || err != nil || uint32(sum) != crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli)) {
+// Decode reads what Encode wrote for the broker of that name. Its error is ErrCorrupt or ErrStale.
+func Decode(content []byte, broker string) (State, error) {
+	firstLine, body, found := strings.Cut(string(content), "\n")
+	sum, err := strconv.ParseUint(firstLine, 16, 32)
+	if !found || err != nil || uint32(sum) != checksum([]byte(body)) {
 		return State{}, ErrCorrupt
 	}
-	var f form
-	if err := json.Unmarshal([]byte(body), &f); err != nil {
-		return State{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
-	}
-	if f.Version != version || f.Broker != broker {
-		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, f.Version, f.Broker)
-	}
-	bans := slices.Sorted(slices.Values(f.Bans))
-	return State{Broker: f.Broker, MaintenanceEngines: slices.Compact(bans)}, nil
-}
-
-// Write puts a state in a folder, whole or not at all.
-func Write(dir string, s State) error {
-	tmp, err := os.CreateTemp(dir, FileName+".*")
-	if err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	defer os.Remove(tmp.Name()) // once renamed, there is nothing under this name
-	if _, err := tmp.Write(Encode(s)); err != nil {
-		tmp.Close()
-		return fmt.Errorf("handover: %w", err)
+	var d document
+	if err := json.Unmarshal([]byte(body), &d); err != nil {
+		return State{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if err := tmp.Close(); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	if d.Version != formatVersion || d.Broker != broker {
+		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, d.Version, d.Broker)
 	}
-	if err := os.Rename(tmp.Name(), filepath.Join(dir, FileName)); err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	return nil
+	engines := slices.Sorted(slices.Values(d.MaintenanceEngines))
+	return State{Broker: d.Broker, MaintenanceEngines: slices.Compact(engines)}, nil
 }
 
-// Read reads the state in a folder for a broker of a name: ErrNone without a file.
-func Read(dir, broker string) (State, error) {
-	// Guards against a start that never ends: a named pipe under this name would be waited for.
-	f, err := os.OpenFile(filepath.Join(dir, FileName), os.O_RDONLY|syscall.O_NONBLOCK, 0)
-	if errors.Is(err, os.ErrNotExist) {
-		return State{}, ErrNotFound
-	}
-	if err != nil {
-		return State{}, fmt.Errorf("handover: %w", err)
-	}
-	defer f.Close()
-	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
-		return State{}, fmt.Errorf("%w: not a file", ErrCorrupt)
-	}
-	text := make([]byte, mostBytes+1)
-	n, err := f.ReadAt(text, 0)
-	if n > mostBytes {
-		return State{}, fmt.Errorf("%w: over %d bytes", ErrCorrupt, mostBytes)
-	}
-	if err != nil && n == 0 {
-		return State{}, fmt.Errorf("%w: %v", ErrCorrupt, err)
-	}
-	return Decode(text[:n], broker)
-}
+// checksum is the CRC-32C of a file's JSON.
+func checksum(body []byte) uint32 { return crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)) }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,18 +14,20 @@
 	"pgregory.net/rapid"
 )
 
+const broker = "n3"
+
 func TestWriteRead(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Read(dir, "n3"); !errors.Is(err, ErrNotFound) {
+	if _, err := Read(dir, broker); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("got %v", err)
 	}
-	want := State{Broker: "n3", MaintenanceEngines: []string{"e1", "e7"}}
-	for range 2 { // the second write takes the place of the first
+	want := State{Broker: broker, MaintenanceEngines: []string{"e1", "e7"}}
+	for range 2 { // the second write replaces the first
 		if err := Write(dir, want); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := Read(dir, "n3")
+	got, err := Read(dir, broker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,86 +37,97 @@
 	if _, err := Read(dir, "n4"); !errors.Is(err, ErrStale) {
 		t.Fatalf("of another broker: %v", err)
 	}
-	entries, _ := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
 	if len(entries) != 1 {
 		t.Fatalf("left behind: %v", entries)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
-	good := Encode(State{Broker: "n3", MaintenanceEngines: []string{"e1"}})
+func TestUnusableFiles(t *testing.T) {
+	valid := Encode(State{Broker: broker, MaintenanceEngines: []string{"e1"}})
 	for name, c := range map[string]struct {
-		text []byte
-		err  error
+		content []byte
+		want    error
 	}{
-		"empty":        {nil, ErrCorrupt},
-		"cut":          {good[:len(good)-3], ErrCorrupt},
-		"no checksum":  {good[9:], ErrCorrupt},
-		"spoilt":       {append(append([]byte{}, good[:len(good)-2]...), 'X', '}'), ErrCorrupt},
-		"other form":   {signed(`{"version":2,"broker":"n3","bans":[]}`), ErrStale},
-		"json of junk": {[]byte("0\nnull"), ErrCorrupt},
+		"empty":          {nil, ErrCorrupt},
+		"cut":            {valid[:len(valid)-3], ErrCorrupt},
+		"no checksum":    {valid[9:], ErrCorrupt},
+		"corrupt":        {append(append([]byte{}, valid[:len(valid)-2]...), 'X', '}'), ErrCorrupt},
+		"other version":  {withChecksum(`{"version":2,"broker":"n3","bans":[]}`), ErrStale},
+		"wrong checksum": {[]byte("0\nnull"), ErrCorrupt},
 	} {
-		path := filepath.Join(t.TempDir(), FileName)
-		if err := os.WriteFile(path, c.text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := Read(filepath.Dir(path), "n3"); !errors.Is(err, c.err) {
-			t.Errorf("%s: got %v, want %v", name, err, c.err)
-		}
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), FileName)
+			if err := os.WriteFile(path, c.content, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := Read(filepath.Dir(path), broker); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
-// Whatever a file holds, Decode returns a state or a named error, and never panics; a state comes back as it went.
+// Whatever a file holds, Decode returns a state or a named error, and never panics; a state survives a round
+// trip.
 func TestDecodeAnything(t *testing.T) {
+	identity := func(s string) string { return s }
+	engineIDs := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), identity)
 	rapid.Check(t, func(t *rapid.T) {
-		bans := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), func(s string) string { return s }).Draw(t, "bans")
-		text := Encode(State{Broker: "n3", MaintenanceEngines: bans})
-		got, err := Decode(text, "n3")
-		if err != nil || len(got.MaintenanceEngines) != len(bans) {
-			t.Fatalf("%q: %v, %v", text, got, err)
+		engines := engineIDs.Draw(t, "engines")
+		content := Encode(State{Broker: broker, MaintenanceEngines: engines})
+		got, err := Decode(content, broker)
+		if err != nil || len(got.MaintenanceEngines) != len(engines) {
+			t.Fatalf("%q: %v, %v", content, got, err)
 		}
-		cut := rapid.IntRange(0, len(text)).Draw(t, "cut")
+		cut := rapid.IntRange(0, len(content)).Draw(t, "cut")
 		flip := rapid.IntRange(0, max(0, cut-1)).Draw(t, "flip")
-		spoilt := append([]byte{}, text[:cut]...)
+		corrupt := append([]byte{}, content[:cut]...)
 		if cut > 0 {
-			spoilt[flip] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+			corrupt[flip] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
-		if _, err := Decode(spoilt, "n3"); err == nil {
-			t.Fatalf("%q taken", spoilt)
+		if _, err := Decode(corrupt, broker); err == nil {
+			t.Fatalf("%q accepted", corrupt)
 		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStale) {
-			t.Fatalf("%q: %v", spoilt, err)
+			t.Fatalf("%q: %v", corrupt, err)
 		}
 	})
 }
 
-// signed words a body with its checksum as Encode does.
-func signed(body string) []byte {
+// withChecksum is a file's content with its checksum, as Encode makes it.
+func withChecksum(body string) []byte {
 	sum := crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli))
 	return []byte(strconv.FormatUint(uint64(sum), 16) + "\n" + body)
 }
 
-// What is under the name and is no file keeps no broker from starting.
-func TestWhatIsNoFile(t *testing.T) {
-	for name, put := range map[string]func(path string) error{
+// What has the file's name and is no regular file keeps no broker from starting.
+func TestNoRegularFile(t *testing.T) {
+	const patience = 20 * time.Second // a test that waits so long has failed
+	for name, create := range map[string]func(path string) error{
 		"a named pipe": func(path string) error { return syscall.Mkfifo(path, 0o600) },
 		"a folder":     func(path string) error { return os.Mkdir(path, 0o700) },
 	} {
-		path := filepath.Join(t.TempDir(), FileName)
-		if err := put(path); err != nil {
-			t.Fatal(err)
-		}
-		got := make(chan error, 1)
-		go func() {
-			_, err := Read(filepath.Dir(path), "n3")
-			got <- err
-		}()
-		select {
-		case err := <-got:
-			if !errors.Is(err, ErrCorrupt) {
-				t.Errorf("%s: got %v", name, err)
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), FileName)
+			if err := create(path); err != nil {
+				t.Fatal(err)
 			}
-		case <-time.After(20 * time.Second):
-			t.Errorf("%s is waited for", name)
-		}
+			result := make(chan error, 1)
+			go func() {
+				_, err := Read(filepath.Dir(path), broker)
+				result <- err
+			}()
+			select {
+			case err := <-result:
+				if !errors.Is(err, ErrCorrupt) {
+					t.Errorf("got %v", err)
+				}
+			case <-time.After(patience):
+				t.Error("Read waits for it")
+			}
+		})
 	}
 }
