--- /dev/null
+++ b/internal/config/file.go
@@ -0,0 +1,139 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"strconv"
+
+	"wheatlane/internal/changelog"
+)
+
+// Defaults and minima of what a deployment may leave out.
+const (
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	minMemoryMB     = 32
+	minSockets      = 64
+)
+
+// platformFile is the platform's file as it is read; fileSchema describes it.
+type platformFile struct {
+	Name       string   `json:"name"`
+	Listen     string   `json:"listen"`
+	Seed       string   `json:"seed"`
+	Changelog  string   `json:"changelog"`
+	Operator   string   `json:"operator"`
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
+	Limits     struct {
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// decodeError names the key of a JSON value of the wrong type; key comes ahead of its path.
+func decodeError(key string, err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		return fmt.Errorf("%s%s: a JSON %s does not belong here", key, mismatch.Field, mismatch.Value)
+	}
+	return err
+}
+
+// parse reads and checks the text of a file with the environment.
+func parse(text []byte, getenv func(string) string) (Config, error) {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return Config{}, decodeError("", err)
+	}
+	c := Config{
+		Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, AdminListen: file.Operator,
+		PeerListen: file.PeerListen, Peers: file.Peers,
+		MemoryMB: withDefault(file.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:  withDefault(file.Limits.Sockets, defaultSockets),
+	}
+	c.applyEnvironment(getenv)
+	if err := c.checkAddresses(); err != nil {
+		return c, err
+	}
+	var err error
+	if c.Seed, err = parseSeed(file.Seed); err != nil {
+		return c, err
+	}
+	if err := c.checkLimits(); err != nil {
+		return c, err
+	}
+	if len(file.Known) > 0 {
+		if c.Known, err = changelog.ParsePage(file.Known); err != nil {
+			return c, fmt.Errorf("known: %w", err)
+		}
+	}
+	if len(file.Settings) == 0 {
+		return c, errors.New("settings: missing")
+	}
+	if c.Settings, err = DecodeSettings(file.Settings); err != nil {
+		return c, err
+	}
+	c.Keys = keyPaths(text)
+	return c, c.checkGossip()
+}
+
+// parseSeed reads a number of up to 16 hex digits; 0 without any.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", text)
+	}
+	return seed, nil
+}
+
+func (c *Config) checkAddresses() error {
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if _, err := netip.ParseAddrPort(c.AdminListen); err != nil && c.AdminListen != "" {
+		return fmt.Errorf("operator: %w", err)
+	}
+	if _, err := netip.ParseAddrPort(c.Changelog); err != nil {
+		return fmt.Errorf("changelog: %w", err)
+	}
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	if c.MemoryMB < minMemoryMB {
+		return fmt.Errorf("limits.memory_mb: %d is less than %d", c.MemoryMB, minMemoryMB)
+	}
+	if c.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is less than %d", c.Sockets, minSockets)
+	}
+	return nil
+}
+
+// checkGossip checks the addresses for gossip, and turns gossip off where none are given.
+func (c *Config) checkGossip() error {
+	limits := &c.Settings.Control.Limits
+	limits.Gossip = limits.Gossip && c.PeerListen != "" && len(c.Peers) > 0
+	if !limits.Gossip {
+		return nil
+	}
+	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
+		return fmt.Errorf("peer_listen: %w", err)
+	}
+	if n := c.Settings.Control.Brokers; len(c.Peers) != n {
+		return fmt.Errorf("peers: %d addresses for the %d brokers of settings.PeersTotal", len(c.Peers), n)
+	}
+	for i, peer := range c.Peers {
+		if _, err := netip.ParseAddrPort(peer); err != nil {
+			return fmt.Errorf("peers[%d]: %w", i, err)
+		}
+	}
+	return nil
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"reflect"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -35,47 +36,54 @@
 	}
 }
 
-// values lists the values that a Go value holds, one a line, in the order of its fields and of the keys of its maps. It
-// gives no name of a type or field.
+// values lists the values that a Go value holds, one a line, in the order of its fields and of the keys of
+// its maps. It gives no name of a type or field.
 func values(v reflect.Value) []string {
-	var all []string
-	switch v.Kind() {
-	case reflect.Struct:
+	if kind := v.Kind(); kind == reflect.Pointer || kind == reflect.Interface {
+		if v.IsNil() {
+			return []string{"nil"}
+		}
+		return values(v.Elem())
+	}
+	if v.Kind() == reflect.Struct {
+		var all []string
 		for i := range v.NumField() {
 			all = append(all, values(v.Field(i))...)
 		}
-	case reflect.Slice, reflect.Array:
-		all = append(all, fmt.Sprintf("list of %d", v.Len()))
+		return all
+	}
+	if kind := v.Kind(); kind == reflect.Slice || kind == reflect.Array {
+		all := []string{fmt.Sprintf("list of %d", v.Len())}
 		for i := range v.Len() {
 			all = append(all, values(v.Index(i))...)
 		}
-	case reflect.Map:
-		all = append(all, fmt.Sprintf("map of %d", v.Len()))
+		return all
+	}
+	if v.Kind() == reflect.Map {
+		all := []string{fmt.Sprintf("map of %d", v.Len())}
 		keys := v.MapKeys()
 		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
 		for _, k := range keys {
 			all = append(append(all, values(k)...), values(v.MapIndex(k))...)
 		}
-	case reflect.Pointer, reflect.Interface:
-		if v.IsNil() {
-			return []string{"nil"}
-		}
-		return values(v.Elem())
-	case reflect.Bool:
-		return []string{fmt.Sprint(v.Bool())}
-	case reflect.String:
-		return []string{fmt.Sprintf("%q", v.String())}
-	default:
-		switch {
-		case v.CanInt():
-			return []string{fmt.Sprint(v.Int())}
-		case v.CanUint():
-			return []string{fmt.Sprint(v.Uint())}
-		default:
-			return []string{fmt.Sprint(v.Float())}
-		}
+		return all
+	}
+	return []string{scalar(v)}
+}
+
+// scalar is a value that holds no others.
+func scalar(v reflect.Value) string {
+	switch {
+	case v.CanInt():
+		return strconv.FormatInt(v.Int(), 10)
+	case v.CanUint():
+		return strconv.FormatUint(v.Uint(), 10)
+	case v.CanFloat():
+		return fmt.Sprint(v.Float())
+	case v.Kind() == reflect.Bool:
+		return strconv.FormatBool(v.Bool())
 	}
-	return all
+	return strconv.Quote(v.String())
 }
 
 // What files of the platform give is what it was, value by value, with the same defaults.
@@ -88,7 +96,10 @@
 	} {
 		for _, env := range []map[string]string{
 			{"TMPDIR": "/var/tmp/a"},
-			{"TMPDIR": "/var/tmp/b", "RELAY_NAME": "n9", "RELAY_LISTEN": "10.0.0.9:6565", "RELAY_OPERATOR": "10.0.0.9:7000"},
+			{
+				"TMPDIR": "/var/tmp/b", "RELAY_NAME": "n9", "RELAY_LISTEN": "10.0.0.9:6565",
+				"RELAY_OPERATOR": "10.0.0.9:7000",
+			},
 		} {
 			env["RELAY_CONFIG"] = path
 			c, err := Load(func(key string) string { return env[key] })
@@ -104,7 +115,8 @@
 	}
 }
 
-// Each key of the platform's file has its own place: one that is changed or left out changes the same values as it did.
+// Each key of the platform's file has its own place: one that is changed or left out changes the same values
+// as it did.
 func TestEachKey(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.json")
 	if err != nil {
@@ -160,7 +172,8 @@
 	}
 }
 
-// differences are the lines that one list has and the other lacks, with the number of the line for lists of one length.
+// differences are the lines that one list has and the other lacks, with the number of the line for lists of
+// one length.
 func differences(was, now []string) (all []string) {
 	if len(was) == len(now) {
 		for i := range was {
@@ -221,7 +234,8 @@
 
 // listOfDeployment reads a list of engines that is written in the words of a deployment.
 func listOfDeployment(t *testing.T, path string) {
-	var real struct {
+	t.Helper()
+	var words struct {
 		FeedKey string `json:"feed_key"`
 		F       map[string]string
 		States  map[string]string
@@ -230,16 +244,23 @@
 			FeedKey string `json:"feed_key"`
 		}
 	}
-	read(t, path, &real)
+	read(t, path, &words)
 	type object = map[string]any
 	host := func(n int, state string) object {
-		return object{real.F["id"]: fmt.Sprintf("e%d", n), real.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n), real.F["zone"]: "north",
-			real.F["kind"]: "std", real.F["cell"]: 40 + n, real.F["state"]: real.States[state], real.F["started"]: 1000 * n}
+		return object{
+			words.F["id"]: fmt.Sprintf("e%d", n), words.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n),
+			words.F["zone"]: "north", words.F["kind"]: "std", words.F["cell"]: 40 + n,
+			words.F["state"]: words.States[state], words.F["started"]: 1000 * n,
+		}
+	}
+	event := object{words.F["version"]: 5, words.Route.E[4]: object{
+		words.F["full"]: true,
+		words.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")},
+	}}
+	doc := object{
+		"listen": "10.0.0.4:6565", words.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
+		"known": object{words.F["version"]: 9, words.Route.E[3]: []object{event}},
 	}
-	event := object{real.F["version"]: 5, real.Route.E[4]: object{real.F["full"]: true,
-		real.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")}}}
-	doc := object{"listen": "10.0.0.4:6565", real.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
-		"known": object{real.F["version"]: 9, real.Route.E[3]: []object{event}}}
 	text, err := json.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
@@ -252,7 +273,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "testdata/deployment.list.values", strings.Join(values(reflect.ValueOf(c.Known)), "\n")+"\n"+c.Changelog+"\n")
+	list := strings.Join(values(reflect.ValueOf(c.Known)), "\n")
+	golden(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
 }
 
 func read(t *testing.T, path string, into any) {
--- /dev/null
+++ b/internal/config/reload_test.go
@@ -0,0 +1,77 @@
+package config
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestNeedRestart(t *testing.T) {
+	running, err := load(t, validFile, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		change change
+		want   []string
+	}{
+		"changelog": {change{`4222`, `4223`}, []string{}},
+		"seed":      {change{`8c1f`, `9c1f`}, []string{}},
+		"name":      {change{`"n3"`, `"n4"`}, []string{"name"}},
+		"listen":    {change{`6565`, `6566`}, []string{"listen"}},
+		"memory":    {change{`"memory_mb":192`, `"memory_mb":64`}, []string{"limits.memory_mb"}},
+		"sockets":   {change{`"sockets":1024`, `"sockets":256`}, []string{"limits.sockets"}},
+		"settings":  {change{`"Name":"a"`, `"Name":"b"`}, []string{"settings"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			next, err := load(t, c.change.apply(validFile), nil)
+			if diff := cmp.Diff(c.want, running.NeedRestart(next)); err != nil || diff != "" {
+				t.Errorf("%v %s", err, diff)
+			}
+		})
+	}
+}
+
+// A file read at SIGHUP replaces none that gave a key more, and none at all with a timeout or limit that is
+// not over 0.
+func TestReplaces(t *testing.T) {
+	const missing, notOver0 = ": missing", ": 0 is not over 0"
+	withAttempts := change{`"RequestClasses"`, `"Limits":{"MaxAttempts":3},"RequestClasses"`}.apply(validFile)
+	running, err := load(t, withAttempts, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		change change
+		want   string // how the error begins; empty: none
+	}{
+		"same": {change{}, ""},
+		"a class more": {
+			change{`{"Name":"a",`, `{"Name":"b","Effect":"once","GiveUpNs":3000000000},{"Name":"a",`}, "",
+		},
+		"fewer attempts":    {change{`"MaxAttempts":3`, `"MaxAttempts":1`}, ""},
+		"attempts 0":        {change{`"MaxAttempts":3`, `"MaxAttempts":0`}, "settings.Limits.MaxAttempts" + notOver0},
+		"attempts missing":  {change{`"MaxAttempts":3`, `"MaxStreams":3`}, "settings.Limits.MaxAttempts" + missing},
+		"client timeout 0":  {change{`"GiveUpNs":2000000000`, `"GiveUpNs":0`}, "settings.RequestClasses[0].GiveUpNs" + notOver0},
+		"endpoints missing": {change{`"known"`, `"unknown"`}, "known" + missing},
+		"no classes": {
+			change{`[{"Name":"a","Effect":"repeatable","GiveUpNs":2000000000}]`, `[]`},
+			"settings.RequestClasses[].Effect" + missing,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			next, err := load(t, c.change.apply(withAttempts), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := ""
+			if err := next.Replaces(running); err != nil {
+				got = err.Error()
+			}
+			if !strings.HasPrefix(got, c.want) || (got == "") != (c.want == "") {
+				t.Errorf("got %q, want %q", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -8,8 +8,8 @@
 	"wheatlane/internal/schema"
 )
 
-// form is the platform's file as far as a broker reads it.
-type form struct {
+// fileSchema is the platform's file as its JSON Schema describes it; platformFile is what is read of it.
+type fileSchema struct {
 	Name       string   `json:"name,omitempty" jsonschema:"name in the log"`
 	Listen     string   `json:"listen" jsonschema:"address and port for clients; this address only"`
 	Seed       string   `json:"seed,omitempty" limits:"pattern=^[0-9a-fA-F]{0,16}$" jsonschema:"for random numbers"`
@@ -21,29 +21,30 @@
 		Sockets  int `json:"sockets,omitempty" limits:"min=64,default=1024"`
 	} `json:"limits,omitzero"`
 	Known    map[string]any `json:"known,omitempty" jsonschema:"the change log's events at the start"`
-	Settings object         `json:"settings" jsonschema:"classes, tenants, engine kinds, limits and rules, as the simulator words them"`
+	Settings settingsObject `json:"settings" jsonschema:"classes, tenants, engine kinds, limits and rules, as the simulator words them"`
 }
 
-// JSONSchema is the schema of the platform's file. The platform says more than a broker reads, so other keys are allowed.
+// JSONSchema is the schema of the platform's file. The file holds more than a broker reads, so other keys are
+// allowed.
 var JSONSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
-	s, err := schema.For[form]()
+	s, err := schema.For[fileSchema]()
 	if err != nil {
 		return nil, err
 	}
-	open(s.Properties["settings"])
-	for _, p := range []*jsonschema.Schema{s, s.Properties["limits"], s.Properties["known"]} {
-		p.AdditionalProperties = nil
+	relax(s.Properties["settings"])
+	for _, object := range []*jsonschema.Schema{s, s.Properties["limits"], s.Properties["known"]} {
+		object.AdditionalProperties = nil
 	}
 	return s, nil
 })
 
-// open lets everything be left out below a schema, and other keys be there.
-func open(s *jsonschema.Schema) {
+// relax makes every key below a schema optional and allows other keys.
+func relax(s *jsonschema.Schema) {
 	s.Required, s.AdditionalProperties = nil, nil
-	for _, p := range s.Properties {
-		open(p)
+	for _, property := range s.Properties {
+		relax(property)
 	}
 	if s.Items != nil {
-		open(s.Items)
+		relax(s.Items)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,27 +9,53 @@
 	"wheatlane/control"
 )
 
-// Settings is what an instance is told of its deployment.
+// Settings is the settings object of a deployment.
 type Settings struct {
-	Control control.Settings // what the module decides by
+	Control control.Settings // what the decision module decides by
 
 	// What only a broker on real sockets needs.
-	ConnectTimeout   time.Duration
-	ConnIdleTimeout  time.Duration // engines close connections that are idle so long
+	ConnectTimeout   time.Duration // for a connection to an engine
+	ConnIdleTimeout  time.Duration // engines close connections that are idle for so long
 	MaxStreams       int           // attempts that share a connection
-	MaxClientTimeout time.Duration // the longest deadline of all classes
-	DrainGrace       time.Duration // sends to an engine that drains have left so long after it was told; 0: not said
+	MaxClientTimeout time.Duration // the longest of all classes
+	DrainGrace       time.Duration // how long after the notice sends to a draining engine may leave; 0: not given
 }
 
-// Defaults of settings that a real broker needs and a deployment may leave out.
+// Defaults of settings that a broker on real sockets needs and a deployment may leave out.
 const (
-	defaultConnectTimeout = 250 * time.Millisecond
-	defaultConnIdle       = 30 * time.Second
-	defaultMaxStreams     = 100
+	defaultConnectTimeout  = 250 * time.Millisecond
+	defaultConnIdleTimeout = 30 * time.Second
+	defaultMaxStreams      = 100
 )
 
-// object is the part of the settings object that is used.
-type object struct {
+// The words of the settings object that are no names of classes, zones or kinds.
+const (
+	discoveryOnRequest = "on_request"
+	valueByWork        = "work"
+)
+
+// The keys of a class that errors name.
+const (
+	keyIdempotency = "Effect"
+	keyDedupScope  = "KeyScope"
+)
+
+var idempotencies = map[string]control.Idempotency{
+	"repeatable": control.Idempotent,
+	"by_key":     control.IdempotentWithKey,
+	"once":       control.NonIdempotent,
+}
+
+var dedupScopes = map[string]control.DedupScope{
+	"":     control.DedupScopeAll,
+	"all":  control.DedupScopeAll,
+	"zone": control.DedupScopeZone,
+	"cell": control.DedupScopeCell,
+}
+
+// settingsObject is the part of the settings object that is used. Its fields are named as its keys; those
+// that end in Ns hold nanoseconds.
+type settingsObject struct {
 	PeersTotal     int
 	Position       int
 	Zone           string
@@ -37,34 +63,12 @@
 	MachineTypes   []string
 	Discovery      string
 	ValueBy        string `limits:"enum=|request|work"`
-	RequestClasses []struct {
-		Name                string
-		PromiseNs, GiveUpNs time.Duration `limits:"min=0"`
-		AimStretch          float64       `limits:"min=0"`
-		Worth, LateWorth    float64
-		Effect              string        `limits:"enum=repeatable|by_key|once"`
-		KeyScope            string        `limits:"enum=|all|zone|cell"`
-		WindowNs            time.Duration `limits:"min=0"`
-		ByArrival           bool
-		AllowedIn           []string
-		AllowedOn           []string
-	}
-	Tenants []struct {
+	RequestClasses []classObject
+	Tenants        []struct {
 		Name             string
 		Share, QuotaPerS float64
 	}
-	Domain struct {
-		ClassLoad      []bool
-		WidthByClass   []int
-		YieldsToLoads  []bool
-		Grants         bool
-		Priorities     bool
-		GrantCap       float64
-		KindMemoryMb   []float64
-		SizeCores      []float64
-		ProgressPaceNs time.Duration
-		SaysCost       bool
-	}
+	Domain domainObject
 	Stats  struct{ Fields []string }
 	Limits struct {
 		MaxAttempts, MaxStreams                           int           `limits:"min=0"`
@@ -80,80 +84,174 @@
 	}
 }
 
-var effects = map[string]control.Idempotency{"repeatable": control.Idempotent, "by_key": control.IdempotentWithKey, "once": control.NonIdempotent}
-
-var scopes = map[string]control.DedupScope{"": control.DedupScopeAll, "all": control.DedupScopeAll,
-	"zone": control.DedupScopeZone, "cell": control.DedupScopeCell}
-
-func at[T any](s []T, i int) (v T) {
-	if i < len(s) {
-		v = s[i]
-	}
-	return v
+type classObject struct {
+	Name                string
+	PromiseNs, GiveUpNs time.Duration `limits:"min=0"`
+	AimStretch          float64       `limits:"min=0"`
+	Worth, LateWorth    float64
+	Effect              string        `limits:"enum=repeatable|by_key|once"`
+	KeyScope            string        `limits:"enum=|all|zone|cell"`
+	WindowNs            time.Duration `limits:"min=0"`
+	ByArrival           bool
+	AllowedIn           []string
+	AllowedOn           []string
 }
 
-func orElse[T int | time.Duration](v, standard T) T {
-	if v == 0 {
-		return standard
-	}
-	return v
+// domainObject says more of the classes and kinds of engines, by their positions in RequestClasses and
+// MachineTypes.
+type domainObject struct {
+	ClassLoad      []bool
+	WidthByClass   []int
+	YieldsToLoads  []bool
+	Grants         bool
+	Priorities     bool
+	GrantCap       float64
+	KindMemoryMb   []float64
+	SizeCores      []float64
+	ProgressPaceNs time.Duration
+	SaysCost       bool
 }
 
-// DecodeSettings reads and checks a settings object. Keys that it does not know are passed over.
+// DecodeSettings reads and checks a settings object. Unknown keys are passed over.
 func DecodeSettings(text []byte) (Settings, error) {
-	var o object
-	if err := json.Unmarshal(text, &o); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return Settings{}, fmt.Errorf("settings.%s: a JSON %s does not belong here", wrong.Field, wrong.Value)
+	var object settingsObject
+	if err := json.Unmarshal(text, &object); err != nil {
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &mismatch) {
+			return Settings{}, decodeError("settings.", err)
 		}
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := Settings{
-		Control: control.Settings{Brokers: o.PeersTotal, BrokerIndex: o.Position, Zone: o.Zone, MinBatchInterval: o.RoundNs,
-			EngineKinds: map[string]control.EngineKind{}, MaxGrantFraction: o.Domain.GrantCap, MemoryGrants: o.Domain.Grants,
-			Priorities: o.Domain.Priorities, ProgressInterval: o.Domain.ProgressPaceNs, ReportsCost: o.Domain.SaysCost,
-			ReportFields: o.Stats.Fields, PollEndpointList: o.Discovery == "on_request", WeightByWork: o.ValueBy == "work",
-			Limits: control.Limits{MaxAttempts: o.Limits.MaxAttempts, MaxRetryAfter: o.Limits.MaxRetryAfterNs,
-				RetryAfter: o.Limits.RetryAfter, Cancellation: o.Limits.Cancel, Hedging: o.Limits.ParallelTries,
-				LoadProbes: o.Limits.Probing, Gossip: o.Limits.Peers},
-			Rules: control.Rules{MaxPollInterval: o.Rules.AskEveryNs,
-				SlowStartInitial: o.Rules.ColdFrom, SlowStartDuration: o.Rules.WarmAfterNs, OverloadMultiple: o.Rules.FallMultiple,
-				OverloadWindow: o.Rules.FallNs, KeyCooldown: o.Rules.KeyRestNs, RetryBudgetWindow: o.Rules.BudgetSpanNs,
-				RetryBudgetRatio: o.Rules.FurtherRatio, RetryBudgetReserve: o.Rules.ExtraFree}},
-		ConnectTimeout:  orElse(o.Limits.ConnectTimeoutNs, defaultConnectTimeout),
-		ConnIdleTimeout: orElse(o.Limits.ConnIdleNs, defaultConnIdle),
-		MaxStreams:      orElse(o.Limits.MaxStreams, defaultMaxStreams),
-		DrainGrace:      o.Rules.DrainGraceNs,
+		Control:         object.control(),
+		ConnectTimeout:  withDefault(object.Limits.ConnectTimeoutNs, defaultConnectTimeout),
+		ConnIdleTimeout: withDefault(object.Limits.ConnIdleNs, defaultConnIdleTimeout),
+		MaxStreams:      withDefault(object.Limits.MaxStreams, defaultMaxStreams),
+		DrainGrace:      object.Rules.DrainGraceNs,
 	}
-	for key, bad := range map[string]bool{
-		"RoundNs": o.RoundNs < 0, "Limits.ConnectTimeoutNs": s.ConnectTimeout < 0, "Limits.ConnIdleNs": s.ConnIdleTimeout < 0,
-		"Rules.DrainGraceNs": s.DrainGrace < 0, "Limits.MaxStreams": s.MaxStreams < 0, "Limits.MaxAttempts": o.Limits.MaxAttempts < 0} {
-		if bad {
-			return s, fmt.Errorf("settings.%s: must not be negative", key)
-		}
+	if err := object.checkNotNegative(); err != nil {
+		return s, err
 	}
-	for i, name := range o.MachineTypes {
-		s.Control.EngineKinds[name] = control.EngineKind{Cores: at(o.Domain.SizeCores, i), MemoryMB: at(o.Domain.KindMemoryMb, i)}
+	for i, class := range object.RequestClasses {
+		decoded, err := class.decode(object.Domain, i)
+		if err != nil {
+			return s, fmt.Errorf("settings.RequestClasses[%d].%w", i, err)
+		}
+		s.MaxClientTimeout = max(s.MaxClientTimeout, class.GiveUpNs)
+		s.Control.Classes = append(s.Control.Classes, decoded)
 	}
-	for i, c := range o.RequestClasses {
-		effect, ok := effects[c.Effect]
-		if !ok {
-			return s, fmt.Errorf("settings.RequestClasses[%d].Effect: unknown effect %q", i, c.Effect)
+	return s, nil
+}
+
+// checkNotNegative returns an error for the first number below 0 of those that no other check covers.
+func (o *settingsObject) checkNotNegative() error {
+	for _, field := range []struct {
+		key      string
+		negative bool
+	}{
+		{"RoundNs", o.RoundNs < 0},
+		{"Limits.ConnectTimeoutNs", o.Limits.ConnectTimeoutNs < 0},
+		{"Limits.ConnIdleNs", o.Limits.ConnIdleNs < 0},
+		{"Limits.MaxStreams", o.Limits.MaxStreams < 0},
+		{"Limits.MaxAttempts", o.Limits.MaxAttempts < 0},
+		{"Rules.DrainGraceNs", o.Rules.DrainGraceNs < 0},
+	} {
+		if field.negative {
+			return fmt.Errorf("settings.%s: must not be negative", field.key)
 		}
-		scope, ok := scopes[c.KeyScope]
-		if !ok {
-			return s, fmt.Errorf("settings.RequestClasses[%d].KeyScope: unknown scope %q", i, c.KeyScope)
+	}
+	return nil
+}
+
+// control is what the decision module takes of the object, but the classes.
+func (o *settingsObject) control() control.Settings {
+	s := control.Settings{
+		Brokers:          o.PeersTotal,
+		BrokerIndex:      o.Position,
+		Zone:             o.Zone,
+		MinBatchInterval: o.RoundNs,
+		EngineKinds:      map[string]control.EngineKind{},
+		MaxGrantFraction: o.Domain.GrantCap,
+		MemoryGrants:     o.Domain.Grants,
+		Priorities:       o.Domain.Priorities,
+		ProgressInterval: o.Domain.ProgressPaceNs,
+		ReportsCost:      o.Domain.SaysCost,
+		ReportFields:     o.Stats.Fields,
+		PollEndpointList: o.Discovery == discoveryOnRequest,
+		WeightByWork:     o.ValueBy == valueByWork,
+		Limits: control.Limits{
+			MaxAttempts:   o.Limits.MaxAttempts,
+			MaxRetryAfter: o.Limits.MaxRetryAfterNs,
+			RetryAfter:    o.Limits.RetryAfter,
+			Cancellation:  o.Limits.Cancel,
+			Hedging:       o.Limits.ParallelTries,
+			LoadProbes:    o.Limits.Probing,
+			Gossip:        o.Limits.Peers,
+		},
+		Rules: control.Rules{
+			MaxPollInterval:    o.Rules.AskEveryNs,
+			SlowStartInitial:   o.Rules.ColdFrom,
+			SlowStartDuration:  o.Rules.WarmAfterNs,
+			OverloadMultiple:   o.Rules.FallMultiple,
+			OverloadWindow:     o.Rules.FallNs,
+			KeyCooldown:        o.Rules.KeyRestNs,
+			RetryBudgetWindow:  o.Rules.BudgetSpanNs,
+			RetryBudgetRatio:   o.Rules.FurtherRatio,
+			RetryBudgetReserve: o.Rules.ExtraFree,
+		},
+	}
+	for i, name := range o.MachineTypes {
+		s.EngineKinds[name] = control.EngineKind{
+			Cores: elementOrZero(o.Domain.SizeCores, i), MemoryMB: elementOrZero(o.Domain.KindMemoryMb, i),
 		}
-		s.MaxClientTimeout = max(s.MaxClientTimeout, c.GiveUpNs)
-		s.Control.Classes = append(s.Control.Classes, control.Class{Name: c.Name, LatencyObjective: c.PromiseNs, ClientTimeout: c.GiveUpNs,
-			ObjectivePerWork: c.AimStretch, PriorityWeight: c.Worth, LateWeight: c.LateWorth, Idempotency: effect, DedupScope: scope,
-			DedupWindow: c.WindowNs, Ordered: c.ByArrival, AllowedZones: c.AllowedIn, AllowedKinds: c.AllowedOn,
-			Threads: at(o.Domain.WidthByClass, i), HoldsDataSetLock: at(o.Domain.ClassLoad, i),
-			BlockedByDataSetLock: at(o.Domain.YieldsToLoads, i)})
 	}
 	for _, t := range o.Tenants {
-		s.Control.Tenants = append(s.Control.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
 	}
-	return s, nil
+	return s
+}
+
+// decode checks the class at a position of RequestClasses. The error begins with its key at fault.
+func (c *classObject) decode(domain domainObject, position int) (control.Class, error) {
+	idempotency, ok := idempotencies[c.Effect]
+	if !ok {
+		return control.Class{}, fmt.Errorf("%s: unknown effect %q", keyIdempotency, c.Effect)
+	}
+	scope, ok := dedupScopes[c.KeyScope]
+	if !ok {
+		return control.Class{}, fmt.Errorf("%s: unknown scope %q", keyDedupScope, c.KeyScope)
+	}
+	return control.Class{
+		Name:                 c.Name,
+		LatencyObjective:     c.PromiseNs,
+		ClientTimeout:        c.GiveUpNs,
+		ObjectivePerWork:     c.AimStretch,
+		PriorityWeight:       c.Worth,
+		LateWeight:           c.LateWorth,
+		Idempotency:          idempotency,
+		DedupScope:           scope,
+		DedupWindow:          c.WindowNs,
+		Ordered:              c.ByArrival,
+		AllowedZones:         c.AllowedIn,
+		AllowedKinds:         c.AllowedOn,
+		Threads:              elementOrZero(domain.WidthByClass, position),
+		HoldsDataSetLock:     elementOrZero(domain.ClassLoad, position),
+		BlockedByDataSetLock: elementOrZero(domain.YieldsToLoads, position),
+	}, nil
+}
+
+// elementOrZero is the element at a position, or the zero value behind the end.
+func elementOrZero[T any](s []T, position int) (v T) {
+	if position < len(s) {
+		v = s[position]
+	}
+	return v
+}
+
+// withDefault is the value, or the default where a deployment leaves it out.
+func withDefault[T int | time.Duration](value, standard T) T {
+	if value == 0 {
+		return standard
+	}
+	return value
 }
