--- /dev/null
+++ b/cmd/adapter/host_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"bufio"
+	"io"
+	"strings"
+	"testing"
+
+	"wheatlane/internal/wire"
+)
+
+// create makes an instance with one class, q.
+const create = `CREATE RngSeed=1 ProfileData={"PeersTotal": 1, "RoundNs": 5000000, "MachineTypes": ["std"], ` +
+	`"Domain": {"SizeCores": [8], "KindMemoryMb": [1000], "WidthByClass": [1]}, "Limits": {"MaxAttempts": 2}, ` +
+	`"RequestClasses": [{"Name": "q", "Effect": "repeatable", "PromiseNs": 600000000, "Worth": 1}]}` + "\n"
+
+// The adapter over pipes: a reply is flushed after every batch, and it ends when its input ends.
+func TestConversationOverPipes(t *testing.T) {
+	inR, inW := io.Pipe()
+	outR, outW := io.Pipe()
+	done := make(chan error, 1)
+	go func() { done <- run(inR, outW) }()
+	replies := bufio.NewScanner(outR)
+	exchange := func(batch string) (lines []string) {
+		t.Helper()
+		if _, err := io.WriteString(inW, batch); err != nil {
+			t.Fatal(err)
+		}
+		for replies.Scan() {
+			if replies.Text() == "OK" {
+				return lines
+			}
+			lines = append(lines, replies.Text())
+		}
+		t.Fatal("the reply did not end")
+		return nil
+	}
+	if got := exchange("CLOCK SimTimeNs=1\nGO\n"); len(got) != 0 {
+		t.Fatalf("reply to an empty batch: %v", got)
+	}
+	got := exchange("CLOCK SimTimeNs=2\nSHEET Sheet=0 Members=1\nROW Executor=e:1 FamilyType=std Availability=on\n" +
+		"SWITCH_TO Who=7\n" + create + "DISCOVERY Sheet=0 Kind=cached\n" +
+		"SWITCH_TO Who=4\n" + create + "DISCOVERY Sheet=0 Kind=cached\nGO\n")
+	if len(got) != 4 || got[0] != "AS Who=7" || got[2] != "AS Who=4" {
+		t.Fatalf("reply to two creates: %v", got)
+	}
+	got = exchange("CLOCK SimTimeNs=3\nSWITCH_TO Who=7\nINGRESS Rid=r1 Profile=q DropDeadNs=3000000000\nGO\n")
+	if !strings.Contains(strings.Join(got, "\n"), "DELIVER Rid=r1 Executor=e:1") {
+		t.Fatalf("reply to a request: %v", got)
+	}
+	// Killed and started again within one batch: the request before is forgotten.
+	got = exchange("CLOCK SimTimeNs=4\nSWITCH_TO Who=7\nINGRESS Rid=r2 Profile=q DropDeadNs=3000000000\nCRASH_NOW\n" +
+		create + "DISCOVERY Sheet=0 Kind=cached\nGO\n")
+	if strings.Contains(strings.Join(got, "\n"), "r2") {
+		t.Fatalf("acted for a request from before its crash: %v", got)
+	}
+	if err := inW.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := <-done; err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestInvalidInputEndsInAnError(t *testing.T) {
+	const begun = "CLOCK SimTimeNs=1\n"
+	for name, c := range map[string]struct{ text, want string }{
+		"unknown instance": {begun + "SWITCH_TO Who=9\nWAKE Mark=1\nGO\n", "instance 9"},
+		"no classes":       {begun + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes"},
+		"unknown message":  {begun + "NONSENSE\n", "unknown message"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := run(strings.NewReader(c.text), io.Discard)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got %v, want %q", err, c.want)
+			}
+		})
+	}
+}
+
+func TestPanicBecomesInternalError(t *testing.T) {
+	var out strings.Builder
+	writer := wire.NewWriter(&out)
+	act(nil, writer, 1, nil)
+	if err := writer.EndReply(); err != nil || !strings.HasPrefix(out.String(), "INTERNAL_ERROR What=") {
+		t.Fatalf("got %q, %v", out.String(), err)
+	}
+}
--- /dev/null
+++ b/internal/wire/reader.go
@@ -0,0 +1,172 @@
+package wire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"wheatlane/control"
+)
+
+const bufferBytes = 1 << 20 // of a Reader or Writer
+
+// Create asks for a new instance.
+type Create struct {
+	Seed     uint64
+	Settings control.Settings
+}
+
+// Item is what happened to one instance. Exactly one of Create, Crash and Event is set.
+type Item struct {
+	Instance int
+	Create   *Create
+	Crash    bool // the instance ends at once and loses all that it knows
+	Event    control.Event
+}
+
+// Batch is what happened at one time.
+type Batch struct {
+	Now   time.Duration // since the simulation began
+	Items []Item
+}
+
+// Reader decodes batches. Its errors name the line at fault.
+type Reader struct {
+	in    *bufio.Reader
+	line  int                        // number of the last line read
+	lists map[int64][]control.Engine // endpoint lists by their numbers
+}
+
+// NewReader returns a Reader on r.
+func NewReader(r io.Reader) *Reader {
+	return &Reader{in: bufio.NewReaderSize(r, bufferBytes), lists: map[int64][]control.Engine{}}
+}
+
+// Read returns the next batch, or io.EOF when the input ends between batches.
+func (r *Reader) Read() (Batch, error) {
+	now, err := r.readClock()
+	if err != nil {
+		return Batch{}, err
+	}
+	batch := Batch{Now: now}
+	const noInstance = -1
+	instance := noInstance
+	for {
+		m, err := r.nextInside("a batch, " + messageEndBatch + " is missing")
+		if err != nil {
+			return batch, err
+		}
+		switch m.name {
+		case messageEndBatch:
+			return batch, nil
+		case messageInstance:
+			instance = int(m.requiredInteger(fieldInstance))
+		case messageEndpointList:
+			if err := r.readEndpointList(m); err != nil {
+				return batch, err
+			}
+		default:
+			item, err := r.decode(m)
+			if err == nil && instance < 0 {
+				err = fmt.Errorf("%s comes before any %s", m.name, messageInstance)
+			}
+			if err != nil {
+				return batch, r.errorf("%w", err)
+			}
+			item.Instance = instance
+			batch.add(item)
+		}
+		if m.err != nil {
+			return batch, r.errorf("%s: %w", m.name, m.err)
+		}
+	}
+}
+
+// add appends an item, unless it was passed over.
+func (b *Batch) add(item Item) {
+	if item.Create != nil || item.Crash || item.Event != nil {
+		b.Items = append(b.Items, item)
+	}
+}
+
+// readClock reads the message that begins a batch.
+func (r *Reader) readClock() (time.Duration, error) {
+	line, err := r.nextLine()
+	if err != nil {
+		return 0, err
+	}
+	m, err := parseMessage(line)
+	switch {
+	case err != nil:
+		return 0, r.errorf("%w", err)
+	case m.name != messageClock:
+		return 0, r.errorf("expected %s, got %.60q", messageClock, line)
+	}
+	now := m.requiredDuration(fieldNow)
+	if m.err != nil {
+		return 0, r.errorf("%w", m.err)
+	}
+	return now, nil
+}
+
+// readEndpointList reads the endpoints that a list announces.
+func (r *Reader) readEndpointList(announced *message) error {
+	members := announced.requiredInteger(fieldListMembers)
+	number := announced.integer(fieldListNumber)
+	if announced.err != nil {
+		return r.errorf("%s: %w", messageEndpointList, announced.err)
+	}
+	var engines []control.Engine
+	for range members {
+		m, err := r.nextInside("a " + messageEndpointList)
+		if err != nil {
+			return err
+		}
+		if m.name != messageEndpoint {
+			return r.errorf("expected %s, got %.60q", messageEndpoint, m.line)
+		}
+		engine, err := decodeEndpoint(m)
+		if err != nil {
+			return r.errorf("%s: %w", messageEndpoint, err)
+		}
+		engines = append(engines, engine)
+	}
+	r.lists[number] = engines
+	return nil
+}
+
+// nextLine returns the next line without its end, or io.EOF.
+func (r *Reader) nextLine() (string, error) {
+	line, err := r.in.ReadString('\n')
+	if errors.Is(err, io.EOF) && line != "" {
+		return "", r.errorf("the last line has no end: %.60q", line)
+	}
+	if err != nil {
+		return "", err
+	}
+	r.line++
+	return strings.TrimSuffix(line, "\n"), nil
+}
+
+// nextInside returns the next message where one must follow.
+func (r *Reader) nextInside(place string) (*message, error) {
+	line, err := r.nextLine()
+	if errors.Is(err, io.EOF) {
+		return nil, r.errorf("the input ends inside %s", place)
+	}
+	if err != nil {
+		return nil, err
+	}
+	m, err := parseMessage(line)
+	if err != nil {
+		return nil, r.errorf("%w", err)
+	}
+	return m, nil
+}
+
+func (r *Reader) errorf(format string, args ...any) error {
+	return fmt.Errorf("line %d: %w", r.line, fmt.Errorf(format, args...))
+}
--- /dev/null
+++ b/internal/wire/writer.go
@@ -0,0 +1,113 @@
+package wire
+
+import (
+	"bufio"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"wheatlane/control"
+	"wheatlane/internal/gossip"
+)
+
+// Writer encodes replies. A reply is what the instances of a batch did, each behind BeginInstance, and ends
+// with EndReply, which returns the first error of all that was written since the reply before.
+type Writer struct{ out *bufio.Writer }
+
+// NewWriter returns a Writer on w.
+func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, bufferBytes)} }
+
+// BeginInstance names the instance whose actions follow.
+func (w *Writer) BeginInstance(instance int) {
+	w.name(messageReplyOf)
+	w.integer(fieldInstance, int64(instance))
+	w.endLine()
+}
+
+// InternalError says that an instance's decision code failed.
+func (w *Writer) InternalError(text string) {
+	w.name(messageInternalError)
+	w.text(fieldText, oneLine(text))
+	w.endLine()
+}
+
+// EndReply ends the reply and flushes it.
+func (w *Writer) EndReply() error {
+	w.name(messageEndReply)
+	w.endLine()
+	return w.out.Flush()
+}
+
+// Action writes one action. It panics for a type that the protocol has no message for.
+func (w *Writer) Action(action control.Action) {
+	switch a := action.(type) {
+	case control.SendAttempt:
+		w.nameOfRequest(messageSendAttempt, a.RequestID)
+		w.text(fieldEngine, a.Engine)
+		w.positive(fieldTimeout, int64(a.Timeout))
+	case control.Reject:
+		w.nameOfRequest(messageReject, a.RequestID)
+		w.positive(fieldRetryAfter, int64(a.RetryAfter))
+	case control.Fail:
+		w.nameOfRequest(messageFail, a.RequestID)
+	case control.CancelAttempt:
+		w.nameOfRequest(messageCancelAttempt, a.RequestID)
+		w.integer(fieldAttempt, int64(a.Number))
+	case control.SetAttemptOptions:
+		w.nameOfRequest(messageSetAttemptOptions, a.RequestID)
+		w.text(fieldGrant, strconv.FormatFloat(a.GrantMB, 'f', -1, 64))
+		w.integer(fieldPriority, int64(a.Priority))
+	case control.SetTimer:
+		w.name(messageSetTimer)
+		w.integer(fieldTimerAfter, int64(a.After))
+		w.text(fieldTimerToken, strconv.FormatUint(a.Token, 10))
+	case control.ProbeLoad:
+		w.name(messageProbeLoad)
+		w.text(fieldEngine, a.Engine)
+	case control.SendGossip:
+		w.name(messageSendGossip)
+		w.integer(fieldToBroker, int64(a.Broker))
+		w.text(fieldDatagram, hex.EncodeToString(gossip.Append(nil, a.Reports)))
+	case control.WatchEndpoints:
+		w.name(messageWatchEndpoints)
+		w.text(fieldWatch, yes)
+	case control.Log:
+		w.name(messageLog)
+		w.text(fieldText, oneLine(a.Text))
+	default:
+		panic(fmt.Sprintf("wire: unknown action %T", a))
+	}
+	w.endLine()
+}
+
+// oneLine puts a text of several lines into one.
+func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+
+func (w *Writer) name(message string) { w.write(message) }
+
+// nameOfRequest begins a message about a request.
+func (w *Writer) nameOfRequest(message, requestID string) {
+	w.name(message)
+	w.text(fieldRequestID, requestID)
+}
+
+func (w *Writer) text(key, value string) { w.write(" ", key, "=", value) }
+
+func (w *Writer) integer(key string, value int64) { w.text(key, strconv.FormatInt(value, 10)) }
+
+// positive writes a field that stands only where its value is over 0.
+func (w *Writer) positive(key string, value int64) {
+	if value > 0 {
+		w.integer(key, value)
+	}
+}
+
+func (w *Writer) endLine() { w.write("\n") }
+
+func (w *Writer) write(parts ...string) {
+	for _, part := range parts {
+		_, _ = w.out.WriteString(part) // the bufio.Writer keeps its first error until EndReply flushes
+	}
+}
