--- a/internal/adminapi/seed_test.go
+++ b/internal/adminapi/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Each run draws the same, so that it has the same verdict; -rapid.seed draws something else.
+// A fixed seed gives every run the same draws, so the same verdict; -rapid.seed gives others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -14,48 +15,45 @@
 )
 
 const (
-	// readWithin is how long a caller has for its line. Callers that send nothing hold a goroutine of their own
-	// for so long, and nobody else waits for them.
-	readWithin = 5 * time.Second
-	// answerWithin is how long the broker has for what a call asks; the page owes a reply within 1 s.
-	answerWithin = 800 * time.Millisecond
-	// writeWithin bounds the write of a reply.
-	writeWithin = time.Second
-	// lingerWithin and lingerBytes bound what is read and passed over after a reply, before the close.
-	lingerWithin = 250 * time.Millisecond
-	lingerBytes  = 64 << 10
-	// mostCallers are served at once; one more is closed at once.
-	mostCallers = 32
+	// readTimeout is how long a caller has for its line. A caller that sends nothing holds a goroutine of its
+	// own for so long, and nobody else waits for it.
+	readTimeout = 5 * time.Second
+	// answerTimeout is how long the broker has to carry out a call; the deployment page owes a reply within 1
+	// s.
+	answerTimeout = 800 * time.Millisecond
+	// writeTimeout bounds the write of a reply.
+	writeTimeout = time.Second
+	// lingerTimeout and lingerBytes bound what is read and dropped after a reply, before the close.
+	lingerTimeout = 250 * time.Millisecond
+	lingerBytes   = 64 << 10
+	// maxCallers are served at once; one more is closed at once.
+	maxCallers = 32
 	// acceptPause is how long the listener rests after a failed accept.
 	acceptPause = 50 * time.Millisecond
 )
 
-// ErrNotListed is what SetDown and SetUp return for an engine that was never in the list.
-var ErrNotListed = errors.New("not_listed")
-
-// ErrBusy is what a call returns that the broker could not carry out within answerWithin.
-var ErrBusy = errors.New("busy")
-
-// Broker is what the calls ask of. Each method is bounded by ctx.
+// Broker carries out the calls. Each method is bounded by ctx.
 type Broker interface {
-	// Ready tells whether the process is ready to serve.
+	// Ready reports whether the process is ready to serve.
 	Ready(ctx context.Context) (bool, error)
-	// Vars appends the figures, one a line in the text exposition form.
+	// Vars appends the figures, one a line in the text exposition format.
 	Vars(ctx context.Context, to []byte) ([]byte, error)
-	// StartMaintenance leaves an engine out until SetUp; ErrNotListed for an id never listed.
+	// StartMaintenance puts an engine into maintenance mode; ErrNotListed for an id never listed.
 	StartMaintenance(ctx context.Context, id string) error
-	// EndMaintenance ends a ban; ErrNotListed for an id never listed.
+	// EndMaintenance ends an engine's maintenance mode; ErrNotListed for an id never listed.
 	EndMaintenance(ctx context.Context, id string) error
 }
 
-// The reason codes of the log lines of ended connections here, beside those of internal/node.
+// endReason is the reason code in the log line of a connection that ended, beside those of internal/server.
+type endReason string
+
 const (
-	answered    = "answered"             // a reply was written
-	peerClosed  = "peer_closed"          // the caller closed before a whole line
-	readTimeout = "read_timeout"         // no whole line in time
-	tooMany     = "too_many_connections" // mostCallers were served already
-	writeFailed = "write_timeout"        // the reply could not be written
-	shutdown    = "shutdown"             // the broker stops
+	endAnswered       endReason = "answered"             // a reply was written
+	endPeerClosed     endReason = "peer_closed"          // the caller closed before a complete line
+	endReadTimeout    endReason = "read_timeout"         // no complete line in time
+	endTooManyCallers endReason = "too_many_connections" // maxCallers were served already
+	endWriteFailed    endReason = "write_timeout"        // the reply could not be written
+	endShutdown       endReason = "shutdown"             // the broker stops
 )
 
 // Server answers calls at a listener.
@@ -67,45 +65,56 @@
 // Serve answers until ctx ends; it closes ln then.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(ctx, func() { ln.Close() })
+	stop := context.AfterFunc(ctx, func() {
+		_ = ln.Close() // it ends the accept that waits; there is nothing to do about its error
+	})
 	defer stop()
-	slots := make(chan struct{}, mostCallers)
 	g.Go(func() error {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-					return nil
-				}
-				s.Log.Warn("operator accept failed", zap.Error(err))
-				select {
-				case <-ctx.Done():
-				case <-time.After(acceptPause):
-				}
-				continue
+		s.acceptCallers(ctx, ln, g)
+		return nil
+	})
+	return g.Wait()
+}
+
+// acceptCallers serves each caller in a goroutine of the group, until ctx ends or the listener is closed.
+func (s *Server) acceptCallers(ctx context.Context, ln net.Listener, g *errgroup.Group) {
+	slots := make(chan struct{}, maxCallers)
+	for {
+		conn, err := ln.Accept()
+		if err != nil {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+				return
 			}
-			began := time.Now()
+			s.Log.Warn("admin accept failed", zap.Error(err))
 			select {
-			case slots <- struct{}{}:
-			default:
-				nc.Close()
-				s.ended(nc, began, tooMany, nil)
-				continue
+			case <-ctx.Done():
+			case <-time.After(acceptPause):
 			}
+			continue
+		}
+		accepted := time.Now()
+		select {
+		case slots <- struct{}{}:
 			g.Go(func() error {
 				defer func() { <-slots }()
-				reason, err := s.serve(ctx, nc)
-				s.ended(nc, began, reason, err)
+				reason, err := s.serve(ctx, conn)
+				s.logEnd(conn, accepted, reason, err)
 				return nil
 			})
+		default:
+			_ = conn.Close() // nothing was read or written: there is nothing to lose
+			s.logEnd(conn, accepted, endTooManyCallers, nil)
 		}
-	})
-	return g.Wait()
+	}
 }
 
-func (s *Server) ended(nc net.Conn, began time.Time, reason string, err error) {
-	fields := []zap.Field{zap.String("side", "operator"), zap.String("peer", nc.RemoteAddr().String()),
-		zap.String("reason", reason), zap.Duration("lasted", time.Since(began))}
+func (s *Server) logEnd(conn net.Conn, accepted time.Time, reason endReason, err error) {
+	fields := []zap.Field{
+		zap.String("side", "operator"),
+		zap.String("peer", conn.RemoteAddr().String()),
+		zap.String("reason", string(reason)),
+		zap.Duration("lasted", time.Since(accepted)),
+	}
 	if err != nil {
 		fields = append(fields, zap.Error(err))
 	}
@@ -113,91 +122,130 @@
 }
 
 // serve reads one call and answers it.
-func (s *Server) serve(ctx context.Context, nc net.Conn) (reason string, err error) {
-	defer nc.Close()
-	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Now()) })
+func (s *Server) serve(ctx context.Context, conn net.Conn) (endReason, error) {
+	defer func() {
+		_ = conn.Close() // the reply was read or lost by now
+	}()
+	stop := context.AfterFunc(ctx, func() {
+		_ = conn.SetDeadline(time.Now()) // of a closed connection: nothing waits for it
+	})
 	defer stop()
-	nc.SetReadDeadline(time.Now().Add(readWithin))
-	var l Liner
-	buf := make([]byte, MaxLine)
+	line, err := readLine(ctx, conn)
+	var readErr *readError
+	if errors.As(err, &readErr) {
+		return endOfRead(ctx, readErr.err)
+	}
 	var call Call
+	if err == nil {
+		call, err = Parse(line)
+	}
+	if err != nil {
+		return reply(conn, negativeReply(err), err)
+	}
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	defer cancel()
+	return reply(conn, s.answer(ctx, call), nil)
+}
+
+// readError is a failure of a connection before a complete line.
+type readError struct{ err error }
+
+func (e *readError) Error() string { return fmt.Sprintf("read a call: %v", e.err) }
+
+func (e *readError) Unwrap() error { return e.err }
+
+// readLine reads the first line of a connection. Its error is a *readError or ErrTooLong.
+func readLine(ctx context.Context, conn net.Conn) ([]byte, error) {
+	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // of a closed connection: the read fails
+	var l lineBuffer
+	buf := make([]byte, MaxLine)
 	for {
-		k, rerr := nc.Read(buf)
-		line, whole, err := l.Feed(buf[:k])
-		if err == nil && whole {
-			call, err = Parse(line)
+		n, readErr := conn.Read(buf)
+		line, complete, err := l.feed(buf[:n])
+		if err != nil || complete {
+			return line, err
 		}
-		if err != nil {
-			return s.write(nc, nak(nil, err), err)
-		}
-		if whole {
-			break
+		if readErr == nil {
+			readErr = ctx.Err()
 		}
-		switch {
-		case ctx.Err() != nil:
-			return shutdown, nil
-		case errors.Is(rerr, os.ErrDeadlineExceeded):
-			return readTimeout, nil
-		case errors.Is(rerr, io.EOF):
-			return peerClosed, nil
-		case rerr != nil:
-			return peerClosed, rerr
+		if readErr != nil {
+			return nil, &readError{readErr}
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
-	defer cancel()
-	return s.write(nc, s.answer(ctx, call), nil)
 }
 
-func (s *Server) write(nc net.Conn, reply []byte, why error) (string, error) {
-	nc.SetWriteDeadline(time.Now().Add(writeWithin))
-	if _, err := nc.Write(reply); err != nil {
-		return writeFailed, err
+// endOfRead is why a connection ended before a complete line, with the error where that says more.
+func endOfRead(ctx context.Context, err error) (endReason, error) {
+	select {
+	case <-ctx.Done():
+		return endShutdown, nil
+	default:
+	}
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return endReadTimeout, nil
+	case errors.Is(err, io.EOF):
+		return endPeerClosed, nil
+	}
+	return endPeerClosed, err
+}
+
+// reply writes a reply; cause is the error that it answers, or nil.
+func reply(conn net.Conn, text []byte, cause error) (endReason, error) {
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // of a closed connection: the write fails
+	if _, err := conn.Write(text); err != nil {
+		return endWriteFailed, err
 	}
 	// What the caller sent beyond its line would make the close a reset, and the reply could be lost with it.
-	if tc, ok := nc.(*net.TCPConn); ok {
-		tc.CloseWrite()
-		nc.SetReadDeadline(time.Now().Add(lingerWithin))
-		io.CopyN(io.Discard, nc, lingerBytes)
+	// An error means that the caller has closed already.
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
+		_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.CopyN(io.Discard, tcp, lingerBytes)
 	}
-	return answered, why
+	return endAnswered, cause
 }
 
 // answer carries a call out and words its reply.
 func (s *Server) answer(ctx context.Context, c Call) []byte {
 	var err error
 	switch c.Verb {
-	case Check:
+	case VerbCheck:
 		var ready bool
 		if ready, err = s.Broker.Ready(ctx); err == nil && !ready {
 			return []byte("NAK not_ready\n")
 		}
-	case Vars:
-		reply := []byte("ACK vars\n")
-		if reply, err = s.Broker.Vars(ctx, reply); err == nil {
-			return append(reply, "--\n"...)
+	case VerbVars:
+		text := []byte("ACK vars\n")
+		if text, err = s.Broker.Vars(ctx, text); err == nil {
+			return append(text, "--\n"...)
 		}
-	case SetDown:
+	case VerbStartMaintenance:
 		err = s.Broker.StartMaintenance(ctx, c.ID)
-	case SetUp:
+	case VerbEndMaintenance:
 		err = s.Broker.EndMaintenance(ctx, c.ID)
 	}
 	if err != nil {
-		return nak(nil, err)
+		return negativeReply(err)
 	}
-	reply := append([]byte("ACK "), c.Verb...)
+	return positiveReply(c)
+}
+
+// positiveReply repeats a call that was carried out.
+func positiveReply(c Call) []byte {
+	text := "ACK " + string(c.Verb)
 	if c.ID != "" {
-		reply = append(append(reply, ' '), c.ID...)
+		text += " " + c.ID
 	}
-	return append(reply, '\n')
+	return []byte(text + "\n")
 }
 
-// nak words a refusal: its reason code, then what more the error says.
-func nak(to []byte, err error) []byte {
+// negativeReply is the reason code of an error, then what more the error says.
+func negativeReply(err error) []byte {
 	reason := Reason(err)
-	to = append(append(to, "NAK "...), reason...)
-	if more, ok := strings.CutPrefix(err.Error(), reason+": "); ok {
-		to = append(append(to, ' '), more...)
+	text := "NAK " + reason
+	if detail, ok := strings.CutPrefix(err.Error(), reason+": "); ok {
+		text += " " + detail
 	}
-	return append(to, '\n')
+	return []byte(text + "\n")
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -16,51 +16,59 @@
 
 const patience = 20 * time.Second // a test that waits so long has failed
 
-// desk is a broker that knows engines by name.
-type desk struct {
-	mu     sync.Mutex
-	listed map[string]bool
-	down   map[string]bool
-	ready  bool
-	hold   chan struct{} // while open, Vars waits for ctx
+// fakeBroker is a broker that knows engines by their ids.
+type fakeBroker struct {
+	mu          sync.Mutex
+	listed      map[string]bool
+	maintenance map[string]bool
+	ready       bool
+	busy        bool // Vars waits for its context to end
 }
 
-func (d *desk) Ready(context.Context) (bool, error) { return d.ready, nil }
+func (b *fakeBroker) Ready(context.Context) (bool, error) { return b.ready, nil }
 
-func (d *desk) Vars(ctx context.Context, to []byte) ([]byte, error) {
-	if d.hold != nil {
+func (b *fakeBroker) Vars(ctx context.Context, to []byte) ([]byte, error) {
+	if b.busy {
 		<-ctx.Done()
 		return nil, ErrBusy
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append(to, "relay_current 3\nrelay_cluster_unhealthy "+map[bool]string{false: "0", true: "1"}[len(d.down) > 0]+"\n"...), nil
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	unhealthy := "0"
+	if len(b.maintenance) > 0 {
+		unhealthy = "1"
+	}
+	return append(to, "relay_current 3\nrelay_cluster_unhealthy "+unhealthy+"\n"...), nil
 }
 
-func (d *desk) StartMaintenance(_ context.Context, id string) error { return d.set(id, true) }
-func (d *desk) EndMaintenance(_ context.Context, id string) error   { return d.set(id, false) }
-
-func (d *desk) set(id string, down bool) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.listed[id] {
+func (b *fakeBroker) StartMaintenance(_ context.Context, id string) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.listed[id] {
 		return ErrNotListed
 	}
-	if down {
-		d.down[id] = true
-	} else {
-		delete(d.down, id)
+	b.maintenance[id] = true
+	return nil
+}
+
+func (b *fakeBroker) EndMaintenance(_ context.Context, id string) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.listed[id] {
+		return ErrNotListed
 	}
+	delete(b.maintenance, id)
 	return nil
 }
 
+// serve starts a server for the broker until the test ends and returns its address.
 func serve(t *testing.T, b Broker) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ctx, cancel := context.WithCancel(t.Context())
+	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- (&Server{Broker: b, Log: zap.NewNop()}).Serve(ctx, ln) }()
 	t.Cleanup(func() {
@@ -72,104 +80,115 @@
 	return ln.Addr().String()
 }
 
-// call sends text and reads all that comes until the broker closes the connection.
-func call(t *testing.T, addr, text string) string {
+// dial connects to a server for as long as the test lasts.
+func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	if _, err := io.WriteString(c, text); err != nil {
+	t.Cleanup(func() {
+		_ = conn.Close() // the test has read what it wanted
+	})
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	return conn.(*net.TCPConn)
+}
+
+func send(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
-	reply, err := io.ReadAll(c)
+}
+
+// call sends a text on a connection of its own and reads until the broker closes it.
+func call(t *testing.T, addr, text string) string {
+	t.Helper()
+	conn := dial(t, addr)
+	send(t, conn, text)
+	answer, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(reply)
+	return string(answer)
 }
 
+// Calls see the maintenance mode that those ahead of them have left.
 func TestCalls(t *testing.T) {
-	addr := serve(t, &desk{listed: map[string]bool{"e1": true}, down: map[string]bool{}, ready: true})
-	for _, c := range []struct{ send, want string }{
-		{"check\n", "ACK check\n"},
-		{"vars\n", "ACK vars\nrelay_current 3\nrelay_cluster_unhealthy 0\n--\n"},
-		{"set-down e1\n", "ACK set-down e1\n"},
-		{"set-down e1\r\n", "ACK set-down e1\n"}, // again: the same
-		{"vars\n", "ACK vars\nrelay_current 3\nrelay_cluster_unhealthy 1\n--\n"},
-		{"set-down e9\n", "NAK not_listed\n"},
-		{"set-up e1\n", "ACK set-up e1\n"},
-		{"set-up e1\n", "ACK set-up e1\n"},
-		{"set-up e9\n", "NAK not_listed\n"},
-		{"check\nvars\n", "ACK check\n"}, // one line a connection
-		{"restart\n", `NAK unknown_call "restart"` + "\n"},
-		{"set-down\n", "NAK missing_argument set-down takes an engine's id\n"},
-		{"check 1\n", "NAK extra_argument check takes no argument\n"},
-		{"set-up \xff\n", "NAK not_utf8\n"},
-		{strings.Repeat("v", 4*MaxLine), "NAK too_long no line feed in 256 bytes\n"},
-		{"che", ""}, // half a line, then the caller closes
+	listed := map[string]bool{"e1": true}
+	addr := serve(t, &fakeBroker{listed: listed, maintenance: map[string]bool{}, ready: true})
+	for _, c := range []struct{ name, send, want string }{
+		{"check", "check\n", "ACK check\n"},
+		{"vars", "vars\n", "ACK vars\nrelay_current 3\nrelay_cluster_unhealthy 0\n--\n"},
+		{"set-down", "set-down e1\n", "ACK set-down e1\n"},
+		{"set-down again", "set-down e1\r\n", "ACK set-down e1\n"},
+		{"vars in maintenance", "vars\n", "ACK vars\nrelay_current 3\nrelay_cluster_unhealthy 1\n--\n"},
+		{"set-down unknown", "set-down e9\n", "NAK not_listed\n"},
+		{"set-up", "set-up e1\n", "ACK set-up e1\n"},
+		{"set-up again", "set-up e1\n", "ACK set-up e1\n"},
+		{"set-up unknown", "set-up e9\n", "NAK not_listed\n"},
+		{"two lines", "check\nvars\n", "ACK check\n"}, // one line a connection
+		{"unknown call", "restart\n", `NAK unknown_call "restart"` + "\n"},
+		{"no id", "set-down\n", "NAK missing_argument set-down takes an engine's id\n"},
+		{"check with an argument", "check 1\n", "NAK extra_argument check takes no argument\n"},
+		{"vars with an argument", "vars 1\n", "NAK extra_argument vars takes no argument\n"},
+		{"no UTF-8", "set-up \xff\n", "NAK not_utf8\n"},
+		{"too long", strings.Repeat("v", 4*MaxLine), "NAK too_long no line feed in 256 bytes\n"},
 	} {
-		var got string
-		if c.send == "che" {
-			conn, err := net.Dial("tcp", addr)
-			if err != nil {
-				t.Fatal(err)
+		t.Run(c.name, func(t *testing.T) {
+			if diff := cmp.Diff(c.want, call(t, addr, c.send)); diff != "" {
+				t.Error(diff)
 			}
-			io.WriteString(conn, c.send)
-			conn.(*net.TCPConn).CloseWrite()
-			conn.SetDeadline(time.Now().Add(patience))
-			b, _ := io.ReadAll(conn)
-			conn.Close()
-			got = string(b)
-		} else {
-			got = call(t, addr, c.send)
-		}
-		if diff := cmp.Diff(c.want, got); diff != "" {
-			t.Errorf("%q: %s", c.send, diff)
-		}
+		})
+	}
+}
+
+// A caller that closes after half a line gets no answer.
+func TestHalfALine(t *testing.T) {
+	conn := dial(t, serve(t, &fakeBroker{ready: true}))
+	send(t, conn, "che")
+	if err := conn.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	if answer, err := io.ReadAll(conn); err != nil || len(answer) > 0 {
+		t.Fatalf("got %q, %v", answer, err)
 	}
 }
 
 func TestNotReady(t *testing.T) {
-	addr := serve(t, &desk{})
+	addr := serve(t, &fakeBroker{})
 	if got := call(t, addr, "check\n"); got != "NAK not_ready\n" {
 		t.Fatalf("got %q", got)
 	}
 }
 
-// Callers that send nothing, or half a line, hold up nobody: the broker answers the others meanwhile.
+// Callers that send nothing, or half a line, delay nobody: the broker answers the others meanwhile.
 func TestSlowCallersDelayNobody(t *testing.T) {
-	addr := serve(t, &desk{listed: map[string]bool{}, down: map[string]bool{}, ready: true})
-	var slow []net.Conn
-	for i := range mostCallers / 2 {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+	addr := serve(t, &fakeBroker{listed: map[string]bool{}, maintenance: map[string]bool{}, ready: true})
+	slow := make([]net.Conn, maxCallers/2)
+	for i := range slow {
+		slow[i] = dial(t, addr)
 		if i%2 == 0 {
-			io.WriteString(c, "set-do")
+			send(t, slow[i], "set-do")
 		}
-		slow = append(slow, c)
 	}
 	for range 3 {
 		if got := call(t, addr, "check\n"); got != "ACK check\n" {
 			t.Fatalf("got %q", got)
 		}
 	}
-	// Each slow one is still open, and gets its answer once its line is whole.
-	io.WriteString(slow[0], "wn x\n")
-	slow[0].SetDeadline(time.Now().Add(patience))
+	// Each slow one is still open, and gets its answer once its line is complete.
+	send(t, slow[0], "wn x\n")
 	if line, err := bufio.NewReader(slow[0]).ReadString('\n'); err != nil || line != "NAK not_listed\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
 }
 
-// A broker that can't carry a call out in time is answered for all the same, well within the second owed.
+// A call that the broker can't carry out in time is answered all the same, well within the second owed.
 func TestBusyBrokerIsAnswered(t *testing.T) {
-	addr := serve(t, &desk{hold: make(chan struct{})})
+	addr := serve(t, &fakeBroker{busy: true})
 	if got := call(t, addr, "vars\n"); got != "NAK busy\n" {
 		t.Fatalf("got %q", got)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,9 +1,10 @@
-// Package service puts a broker together: the node that serves, the second address where on-call staff call, and
-// what reports of it where the operator's file says so.
+// Package service assembles a broker of its parts: the server of clients, the admin endpoint and, where the
+// operator's configuration asks for it, telemetry.
 package service
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 
@@ -18,120 +19,91 @@
 	"wheatlane/internal/telemetry"
 )
 
-// Service is a broker that listens already.
+// Service is a broker that listens already. Run ends all that it started.
 type Service struct {
-	Server   *server.Server
-	reporter *telemetry.Reporter // nil: there is no operator's file
-	recorder *telemetry.Recorder // nil: neither an operator's file nor a second address
-	own      *operatorconfig.File
-	desk     net.Listener // the second address; nil: none
-	log      *zap.Logger
+	Server         *server.Server
+	reporter       *telemetry.Reporter  // nil: neither an operator's configuration nor an admin endpoint
+	recorder       *telemetry.Recorder  // nil as reporter
+	operatorConfig *operatorconfig.File // nil: none
+	adminListener  net.Listener         // nil: there is no admin endpoint
+	log            *zap.Logger
 }
 
-// New returns a service. own is the operator's file, or nil.
-func New(ctx context.Context, cfg config.Config, own *operatorconfig.File, log *zap.Logger) (*Service, error) {
-	n, err := server.New(ctx, cfg, log)
+// New returns a service. operatorConfig is the operator's configuration, or nil.
+func New(
+	ctx context.Context, cfg config.Config, operatorConfig *operatorconfig.File, log *zap.Logger,
+) (*Service, error) {
+	srv, err := server.New(ctx, cfg, log)
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{Server: n, own: own, log: log}
-	if own != nil || cfg.AdminListen != "" {
-		names := (&operatorconfig.File{}).Cardinality()
-		if own != nil {
-			names = own.Cardinality()
+	s := &Service{Server: srv, operatorConfig: operatorConfig, log: log}
+	if operatorConfig != nil || cfg.AdminListen != "" {
+		limits := (&operatorconfig.File{}).Cardinality()
+		if operatorConfig != nil {
+			limits = operatorConfig.Cardinality()
 		}
-		s.reporter, s.recorder = telemetry.New(cfg.Name, names, n, telemetry.SystemClock(), cfg.Seed, log)
-		n.SetMeter(s.recorder)
+		s.reporter, s.recorder = telemetry.New(cfg.Name, limits, srv, telemetry.SystemClock(), cfg.Seed, log)
+		srv.SetMeter(s.recorder)
 	}
 	if cfg.AdminListen != "" {
-		if s.desk, err = (&net.ListenConfig{}).Listen(ctx, "tcp", cfg.AdminListen); err != nil {
-			n.Close()
-			return nil, fmt.Errorf("operator: %w", err)
+		s.adminListener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", cfg.AdminListen)
+		if err != nil {
+			return nil, errors.Join(fmt.Errorf("operator: %w", err), srv.Close())
 		}
 	}
 	return s, nil
 }
 
-// AdminAddr is the second address, or nil.
+// AdminAddr is the address of the admin endpoint, or nil without one.
 func (s *Service) AdminAddr() net.Addr {
-	if s.desk == nil {
+	if s.adminListener == nil {
 		return nil
 	}
-	return s.desk.Addr()
+	return s.adminListener.Addr()
 }
 
-// Run serves until ctx ends or, after a value on stop, until all that was taken is answered and the last figures have
-// left. The second address answers until the end.
+// Run serves until ctx ends or, after a value on stop, until all accepted requests are answered and the last
+// figures have been sent. The admin endpoint answers until the server has finished.
 func (s *Service) Run(ctx context.Context, stop <-chan struct{}) error {
 	g, ctx := errgroup.WithContext(ctx)
-	over := make(chan struct{}) // closed when the node has finished
-	desk, end := context.WithCancel(ctx)
-	defer end()
+	finished := make(chan struct{}) // closed when the server has finished
+	adminCtx, endAdmin := context.WithCancel(ctx)
+	defer endAdmin()
 	g.Go(func() error {
-		defer close(over)
-		defer end()
+		defer close(finished)
+		defer endAdmin()
 		return s.Server.Run(ctx, stop)
 	})
-	if s.own != nil {
-		g.Go(func() error { return s.reporter.Run(ctx, s.own.Telemetry, stop, over) })
+	if s.operatorConfig != nil {
+		g.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
 	}
-	if s.desk != nil {
-		srv := &adminapi.Server{Broker: calls{s}, Log: s.log}
-		g.Go(func() error { return srv.Serve(desk, s.desk) })
+	if s.adminListener != nil {
+		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log}
+		g.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
 	}
 	return g.Wait()
 }
 
-// Reload takes over a new configuration.
+// Reload applies a new configuration.
 func (s *Service) Reload(ctx context.Context, cfg config.Config) {
 	s.Server.Reload(ctx, cfg)
-	s.reloaded(ctx, true)
-}
-
-// RejectReload counts a configuration file that was turned down at SIGHUP.
-func (s *Service) RejectReload(ctx context.Context) { s.reloaded(ctx, false) }
-
-func (s *Service) reloaded(ctx context.Context, taken bool) {
 	if s.recorder != nil {
-		s.Server.Inspect(ctx, func(*broker.Broker, server.ConnectionCounts) { s.recorder.Reloaded(taken) })
+		s.Server.Inspect(ctx, func(*broker.Broker, server.ConnectionCounts) { s.recorder.Reloaded(true) })
 	}
 }
 
-// ReloadOperatorConfig takes over a new operator's file. One that was started without any goes on without.
-func (s *Service) ReloadOperatorConfig(ctx context.Context, own *operatorconfig.File) {
-	if s.own != nil {
-		s.reporter.Reload(ctx, own.Telemetry)
-	}
-}
-
-// calls carries out what is called at the second address.
-type calls struct{ s *Service }
-
-func (c calls) Ready(ctx context.Context) (ready bool, err error) {
-	if !c.s.Server.Inspect(ctx, func(b *broker.Broker, _ server.ConnectionCounts) { ready = b.Ready() }) {
-		return false, adminapi.ErrBusy
-	}
-	return ready, nil
-}
-
-func (c calls) Vars(ctx context.Context, to []byte) (out []byte, err error) {
-	if !c.s.Server.Inspect(ctx, func(b *broker.Broker, _ server.ConnectionCounts) { out = c.s.recorder.RelayFigures(to, b) }) {
-		return nil, adminapi.ErrBusy
+// RejectReload counts a configuration file that was rejected at SIGHUP.
+func (s *Service) RejectReload(ctx context.Context) {
+	if s.recorder != nil {
+		s.Server.Inspect(ctx, func(*broker.Broker, server.ConnectionCounts) { s.recorder.Reloaded(false) })
 	}
-	return out, nil
 }
 
-func (c calls) StartMaintenance(ctx context.Context, id string) error { return c.ban(ctx, id, true) }
-
-func (c calls) EndMaintenance(ctx context.Context, id string) error { return c.ban(ctx, id, false) }
-
-func (c calls) ban(ctx context.Context, id string, down bool) error {
-	listed, done := c.s.Server.SetMaintenance(ctx, id, down)
-	switch {
-	case !done:
-		return adminapi.ErrBusy
-	case !listed:
-		return adminapi.ErrNotListed
+// ReloadOperatorConfig applies a new operator's configuration. A service that was started without one goes on
+// without.
+func (s *Service) ReloadOperatorConfig(ctx context.Context, next *operatorconfig.File) {
+	if s.operatorConfig != nil {
+		s.reporter.Reload(ctx, next.Telemetry)
 	}
-	return nil
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -18,13 +18,11 @@
 
 const patience = 20 * time.Second // a test that waits so long has failed
 
-// The calls at the second address go through the reducer of a broker on real sockets, from its start to its end.
-func TestTheSecondAddress(t *testing.T) {
-	changes := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	defer changes.Close()
-	defer changes.CloseClientConnections()
-	set, err := config.DecodeSettings([]byte(`{"PeersTotal":1,"Limits":{"MaxAttempts":2},
-		"RequestClasses":[{"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":2000000000,"Worth":1}]}`))
+// adminConfig is the configuration of a broker with an admin endpoint and one engine.
+func adminConfig(t *testing.T, changelogAddr string) config.Config {
+	t.Helper()
+	settings, err := config.DecodeSettings([]byte(`{"PeersTotal":1,"Limits":{"MaxAttempts":2},"RequestClasses":[
+		{"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":2000000000,"Worth":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,28 +31,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	s, err := New(ctx, config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", HandoverPath: t.TempDir(),
-		Changelog: changes.Listener.Addr().String(), Sockets: 1024, Known: known, Settings: set}, nil, zap.NewNop())
+	return config.Config{
+		Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", HandoverPath: t.TempDir(),
+		Changelog: changelogAddr, Sockets: 1024, Known: known, Settings: settings,
+	}
+}
+
+// The calls at the admin endpoint go through the reducer of a broker on real sockets, from its start to its
+// end.
+func TestAdminEndpoint(t *testing.T) {
+	waitForEnd := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	changeLog := httptest.NewServer(http.HandlerFunc(waitForEnd))
+	defer changeLog.Close()
+	defer changeLog.CloseClientConnections()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	s, err := New(ctx, adminConfig(t, changeLog.Listener.Addr().String()), nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, nil) }()
 	addr := s.AdminAddr().String()
-	for _, c := range []struct{ send, want string }{
-		{"check", "ACK check\n"},
-		{"set-down e1", "ACK set-down e1\n"},
-		{"check", "NAK not_ready\n"},
-		{"set-down e9", "NAK not_listed\n"},
-		{"vars", "relay_cluster_size 1\nrelay_cluster_unhealthy 1\n"},
-		{"set-up e1", "ACK set-up e1\n"},
-		{"vars", "relay_cluster_unhealthy 0\n"},
-		{"check", "ACK check\n"},
+	for _, c := range []struct{ name, send, want string }{
+		{"ready", "check", "ACK check\n"},
+		{"set-down", "set-down e1", "ACK set-down e1\n"},
+		{"not ready without an engine", "check", "NAK not_ready\n"},
+		{"set-down of an unknown engine", "set-down e9", "NAK not_listed\n"},
+		{"vars in maintenance", "vars", "relay_cluster_size 1\nrelay_cluster_unhealthy 1\n"},
+		{"set-up", "set-up e1", "ACK set-up e1\n"},
+		{"vars after it", "vars", "relay_cluster_unhealthy 0\n"},
+		{"ready again", "check", "ACK check\n"},
 	} {
-		if got := call(t, addr, c.send); !strings.Contains(got, c.want) {
-			t.Errorf("%s: got %q, want %q in it", c.send, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := call(t, addr, c.send); !strings.Contains(got, c.want) {
+				t.Errorf("got %q, want %q in it", got, c.want)
+			}
+		})
 	}
 	cancel()
 	select {
@@ -67,18 +80,25 @@
 	}
 }
 
+// call sends a line to the admin endpoint and returns the answer.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	io.WriteString(c, line+"\n")
-	b, err := io.ReadAll(c)
+	defer func() {
+		_ = conn.Close() // the answer has been read
+	}()
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, line+"\n"); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(answer)
 }
