--- a/control/control.go
+++ b/control/control.go
@@ -13,170 +13,170 @@
 )
 
 const (
-	interval     = time.Second            // design: control interval
-	tick         = 100 * time.Millisecond // ours: held queries are looked at again this often
-	startThreads = 1.5                    // design: bound, threads a core (one to two)
-	leastThreads = 1.0                    // design
-	mostThreads  = 1.7                    // design: beyond it engines lose more than they gain
-	targetFloor  = 0.5                    // design: least service target, as a part of the aim
-	forget       = 0.98                   // paper 3.2: forgetting of the least-squares fit
-	mostTrace    = 1e4                    // symptom (silence): covariance grows without bound
-	qShares      = 0.5                    // paper 3.2: price of moving the shares
-	qBound       = 2.0                    // paper 3.3: the bound moves less readily than the shares
-	leastShare   = 0.05                   // symptom (starvation): no class falls under this share
-	steps        = 50                     // ours: the optimizer hands out shares in at most so many steps
-	pressureAt   = 0.45                   // symptom (slowness): log of slowdown that is pressure
-	leastSamples = 10                     // ours: answers before an engine's slowness is believed
-	busyAt       = 0.90                   // symptom (fullness): reported use that is pressure
-	scatter      = 0.5                    // symptom (slowness): what the spread of work explains
-	leastUsual   = 0.1                    // symptom (jam): seconds that any answer may take
-	overdueAt    = 3.0                    // symptom (jam): a jam sends no news; age tells
-	overfull     = 1.2                    // symptom (jam): reported load at which the bound is squeezed
-	jamAt        = 1.6                    // symptom (jam): log of slowdown at which the bound is squeezed
-	poolJamAt    = 0.8                    // symptom (jam): the same for a pool, whose mean moves less
-	leastSqueeze = 0.15                   // symptom (jam): part of the bound that always stays
-	leastTenant  = 1e-3                   // ours: share of a tenant that is given none
-	fullFor      = 2 * time.Second        // symptom (fullness): full engines rest and are pressed so long
-	slowGain     = 0.25                   // symptom (slowness): weight of one answer
-	levelStep    = 0.001                  // symptom (slowness): pace of the least service time seen
-	failGain     = 0.2                    // symptom (fast failure): weight of one outcome
-	slowFade     = 0.02                   // symptom (recovery): lost each tick without answers
-	failDown     = 0.6                    // symptom (fast failure): set aside if it fails more
-	failPrice    = 3.0                    // symptom (fast failure): room taken off for failing
-	slowPrice    = 0.3                    // symptom (slowness): room taken off for slowness
-	loadPrice    = 1.5                    // bench page: what stands behind a load is late for sure
-	apartPrice   = 0.5                    // bench page: loads keep away from what they hold up
-	crossPrice   = 0.05                   // ours: room taken off for another zone
-	firstTrial   = 500 * time.Millisecond // symptom (silence, failure): first wait before a trial
-	lastTrial    = 8 * time.Second        // symptom: longest wait between trials
-	coldSafety   = 0.7                    // rule 4: part of the budget of a cold engine that is used
-	coldRamp     = 0.7                    // rule 4: part of the hoped-for warming that is trusted
-	coldChance   = 0.25                   // rule 4: part of the budget that turns taken by chance may use
-	coldBusy     = 0.85                   // rule 4: capacity is the rate at which cores are so busy
-	manyLeave    = 0.5                    // symptom (impatience): share that leaves early
-	leaveGain    = 0.1                    // ours: weight of one departure
-	badPlan      = 4.0                    // symptom (slowness): times its usual work that is given up
-	logEvery     = 5 * time.Second        // ours: no log line repeats sooner
-	leastRate    = 0.01                   // ours: queries a second of a class without traffic, in means
-	rateFloor    = 1.0                    // ours: added to a rate that throughput is divided by
-	mostInverse  = 4.0                    // ours: most that a latency under the aim counts for in the fit
-	rateGain     = 0.3                    // ours: weight of one interval in a rate
-	poolGain     = 0.05                   // ours: the same where engines are pooled
-	partGain     = 0.2                    // ours: weight of one interval in this gateway's part
-	leastPart    = 0.25                   // ours: the part of a gateway without traffic, in even parts
-	failFade     = 0.98                   // symptom (recovery): left each tick
-	evidenceFade = 0.99                   // ours: evidence of an engine that is left each tick
-	poolWeight   = 3.0                    // ours: answers of its own that weigh as much as the pool's
-	rareLoss     = 0.01                   // symptom (lost answers): expected share
-	rareWeight   = 20.0                   // symptom (lost answers): answers this is worth
-	calmRoom     = 1.5                    // symptom (jam): bounds that calm has: pressure shows late
-	surelyLost   = 0.003                  // symptom (lost answers): late beyond this share of answers
-	maybeLost    = 0.03                   // symptom (lost answers): never called lost before this share
-	silentAfter  = 0.5                    // symptom (silence): share lost at which an engine is silent
-	leastStand   = 0.25                   // bench page: part of the aim at which one stands behind a load
-	leastSilence = 600 * time.Millisecond // symptom (silence): never judged sooner
-	missedNotes  = 1.75                   // symptom (silence): times between notes without one
-	poolReport   = 0.1                    // ours: weight of one engine's report in the pool's
-	probes       = 3                      // ours: engines probed for a query
-	reportLasts  = 5.0                    // ours: seconds in which a report loses most of its weight
-	reportAge    = 250 * time.Millisecond // price of probes: a younger report is as good as a new one
-	tellEvery    = 200 * time.Millisecond // ours: another gateway is told so often; a message is cheap
-	leastPrice   = 1.0 / 16               // ours: refuses no query under 16 times the mean work
-	priceRise    = 1.3                    // ours: growth of the price with each query that finds no room
-	priceFall    = 0.95                   // ours: what is left of it after an interval
-	chance       = 0.6                    // ours: difference of room that is worth a factor e in choice
-	probeWait    = 4                      // ours: rounds that a query waits for its probes
-	manyLost     = 0.4                    // symptom (jam): when so many look lost, it is a jam
-	spreadGain   = 0.02                   // ours: weight of an answer in the spread of service times
-	spreadPrior  = 5.0                    // ours: answers that the first guess of the spread is worth
-	firstGuess   = 0.25                   // ours: work before any answer, as a part of the aim
-	firstNeeds   = 1.25                   // bench page: engines grant a quarter over the estimate
-	firstGain    = 0.5                    // paper 3.2: signs of the fit's diagonals are known
-	firstCov     = 10.0                   // ours: covariance before any measurement
-	askAgain     = 2 * time.Second        // rule 3: a failed subscription is asked for again so soon
+	controlInterval       = time.Second            // design: control interval
+	tickInterval          = 100 * time.Millisecond // ours: held queries are looked at again this often
+	initialThreadsPerCore = 1.5                    // design: bound, threads a core (one to two)
+	minThreadsPerCore     = 1.0                    // design
+	maxThreadsPerCore     = 1.7                    // design: beyond it engines lose more than they gain
+	minServiceTarget      = 0.5                    // design: least service target, as a part of the aim
+	forgettingFactor      = 0.98                   // paper 3.2: forgetting of the least-squares fit
+	maxCovarianceTrace    = 1e4                    // symptom (silence): covariance grows without bound
+	shareMoveCost         = 0.5                    // paper 3.2: price of moving the shares
+	limitMoveCost         = 2.0                    // paper 3.3: the bound moves less readily than the shares
+	minShare              = 0.05                   // symptom (starvation): no class falls under this share
+	optimizerSteps        = 50                     // ours: the optimizer hands out shares in at most so many steps
+	pressureSlowdown      = 0.45                   // symptom (slowness): log of slowdown that is pressure
+	minSlowdownSamples    = 10                     // ours: answers before an engine's slowness is believed
+	pressureLoad          = 0.90                   // symptom (fullness): reported use that is pressure
+	workScatter           = 0.5                    // symptom (slowness): what the spread of work explains
+	minUsualSeconds       = 0.1                    // symptom (jam): seconds that any answer may take
+	pressureOverdue       = 3.0                    // symptom (jam): a jam sends no news; age tells
+	backoffLoad           = 1.2                    // symptom (jam): reported load at which the bound is squeezed
+	backoffSlowdown       = 1.6                    // symptom (jam): log of slowdown at which the bound is squeezed
+	poolBackoffSlowdown   = 0.8                    // symptom (jam): the same for a pool, whose mean moves less
+	minLimitBackoff       = 0.15                   // symptom (jam): part of the bound that always stays
+	minTenantShare        = 1e-3                   // ours: share of a tenant that is given none
+	atCapacityFor         = 2 * time.Second        // symptom (fullness): full engines rest and are pressed so long
+	slowdownGain          = 0.25                   // symptom (slowness): weight of one answer
+	floorStep             = 0.001                  // symptom (slowness): pace of the least service time seen
+	failureGain           = 0.2                    // symptom (fast failure): weight of one outcome
+	slowdownFade          = 0.02                   // symptom (recovery): lost each tick without answers
+	ejectFailureRate      = 0.6                    // symptom (fast failure): set aside if it fails more
+	failurePenalty        = 3.0                    // symptom (fast failure): room taken off for failing
+	slowdownPenalty       = 0.3                    // symptom (slowness): room taken off for slowness
+	dataSetLockPenalty    = 1.5                    // bench page: what stands behind a load is late for sure
+	dataSetRankPenalty    = 0.5                    // bench page: loads keep away from what they hold up
+	crossZonePenalty      = 0.05                   // ours: room taken off for another zone
+	minEjectionBackoff    = 500 * time.Millisecond // symptom (silence, failure): first wait before a trial
+	maxEjectionBackoff    = 8 * time.Second        // symptom: longest wait between trials
+	slowStartSafety       = 0.7                    // rule 4: part of the budget of a cold engine that is used
+	slowStartRamp         = 0.7                    // rule 4: part of the hoped-for warming that is trusted
+	slowStartChanceShare  = 0.25                   // rule 4: part of the budget that turns taken by chance may use
+	slowStartUtilization  = 0.85                   // rule 4: capacity is the rate at which cores are so busy
+	abandonRateHigh       = 0.5                    // symptom (impatience): share that leaves early
+	abandonGain           = 0.1                    // ours: weight of one departure
+	runawayFactor         = 4.0                    // symptom (slowness): times its usual work that is given up
+	logEvery              = 5 * time.Second        // ours: no log line repeats sooner
+	minClassRate          = 0.01                   // ours: queries a second of a class without traffic, in means
+	minThroughputRate     = 1.0                    // ours: added to a rate that throughput is divided by
+	maxInverseLatency     = 4.0                    // ours: most that a latency under the aim counts for in the fit
+	rateGain              = 0.3                    // ours: weight of one interval in a rate
+	poolShareGain         = 0.05                   // ours: the same where engines are pooled
+	trafficShareGain      = 0.2                    // ours: weight of one interval in this gateway's part
+	minTrafficShare       = 0.25                   // ours: the part of a gateway without traffic, in even parts
+	failureFade           = 0.98                   // symptom (recovery): left each tick
+	evidenceFade          = 0.99                   // ours: evidence of an engine that is left each tick
+	poolWeight            = 3.0                    // ours: answers of its own that weigh as much as the pool's
+	priorLossRate         = 0.01                   // symptom (lost answers): expected share
+	priorLossWeight       = 20.0                   // symptom (lost answers): answers this is worth
+	calmLimitFactor       = 1.5                    // symptom (jam): bounds that calm has: pressure shows late
+	minLateQuantile       = 0.003                  // symptom (lost answers): late beyond this share of answers
+	maxLateQuantile       = 0.03                   // symptom (lost answers): never called lost before this share
+	ejectLossRate         = 0.5                    // symptom (silence): share lost at which an engine is silent
+	minLockWait           = 0.25                   // bench page: part of the aim at which one stands behind a load
+	minLossWait           = 600 * time.Millisecond // symptom (silence): never judged sooner
+	missedProgress        = 1.75                   // symptom (silence): times between notes without one
+	poolLoadGain          = 0.1                    // ours: weight of one engine's report in the pool's
+	probeCount            = 3                      // ours: engines probed for a query
+	loadReportDecay       = 5.0                    // ours: seconds in which a report loses most of its weight
+	probeFreshness        = 250 * time.Millisecond // price of probes: a younger report is as good as a new one
+	gossipInterval        = 200 * time.Millisecond // ours: another gateway is told so often; a message is cheap
+	minAdmissionPrice     = 1.0 / 16               // ours: refuses no query under 16 times the mean work
+	admissionPriceRise    = 1.3                    // ours: growth of the price with each query that finds no room
+	admissionPriceFall    = 0.95                   // ours: what is left of it after an interval
+	tieBreakScale         = 0.6                    // ours: difference of room that is worth a factor e in choice
+	probeWait             = 4                      // ours: rounds that a query waits for its probes
+	maxHedgeLossRate      = 0.4                    // symptom (jam): when so many look lost, it is a jam
+	spreadGain            = 0.02                   // ours: weight of an answer in the spread of service times
+	spreadPriorWeight     = 5.0                    // ours: answers that the first guess of the spread is worth
+	initialWorkFactor     = 0.25                   // ours: work before any answer, as a part of the aim
+	initialMemoryQuantile = 1.25                   // bench page: engines grant a quarter over the estimate
+	initialFitGain        = 0.5                    // paper 3.2: signs of the fit's diagonals are known
+	initialFitCovariance  = 10.0                   // ours: covariance before any measurement
+	subscribeRetryAfter   = 2 * time.Second        // rule 3: a failed subscription is asked for again so soon
 )
 
-// arrive takes a query. Its guard timer gives it its one answer whatever else happens to it.
-func (c *Controller) arrive(in Request) {
-	i, ok := c.classOf[in.Class]
-	if c.queries[in.ID] != nil {
+// requestReceived takes a query. Its guard timer gives it its one answer whatever else happens to it.
+func (c *Controller) requestReceived(in Request) {
+	i, ok := c.classByName[in.Class]
+	if c.requests[in.ID] != nil {
 		return
 	}
 	if !ok {
-		c.do(Fail{in.ID})
+		c.emit(Fail{in.ID})
 		return
 	}
 	k, t := c.classes[i], c.tenant(in.Tenant)
-	q := &query{Request: in, c: i, t: t, taken: c.now, work: k.work, prio: 1}
+	q := &request{Request: in, classIndex: i, tenantIndex: t, receivedAt: c.now, expectedWork: k.meanWork, priority: 1}
 	if in.EstimatedWork > 0 {
-		q.work = in.EstimatedWork.Seconds() * k.ratio
+		q.expectedWork = in.EstimatedWork.Seconds() * k.workBias
 	}
-	q.aim = min(in.Deadline, c.now+k.LatencyObjective+seconds(k.ObjectivePerWork*q.work/float64(k.Threads)))
-	if k.leaves > manyLeave { // symptom (impatience): clients leave before their time
-		q.aim = min(q.aim, c.now+seconds(k.stays))
+	q.objectiveAt = min(in.Deadline, c.now+k.LatencyObjective+seconds(k.ObjectivePerWork*q.expectedWork/float64(k.Threads)))
+	if k.abandonRate > abandonRateHigh { // symptom (impatience): clients leave before their time
+		q.objectiveAt = min(q.objectiveAt, c.now+seconds(k.abandonAfter))
 	}
-	k.arrived++
-	c.tenants[t].arrived++
-	c.queries[in.ID] = q
-	c.took = append(c.took, c.now)
-	c.alarm(in.Deadline-c.now-2*c.set.MinBatchInterval, func() { c.giveUp(q) })
-	c.line(q)
-	c.place(q, nil)
+	k.arrivals++
+	c.tenants[t].arrivals++
+	c.requests[in.ID] = q
+	c.requestTimes = append(c.requestTimes, c.now)
+	c.startTimer(in.Deadline-c.now-2*c.settings.MinBatchInterval, func() { c.rejectOrFail(q) })
+	c.joinKeyQueue(q)
+	c.enqueue(q, nil)
 }
 
-// giveUp ends a query whose time is up or that can't be helped: refused where that is true, else failed.
-func (c *Controller) giveUp(q *query) {
-	if q.closed || q.stream {
+// rejectOrFail ends a query whose time is up or that can't be helped: refused where that is true, else failed.
+func (c *Controller) rejectOrFail(q *request) {
+	if q.closed || q.streaming {
 		return
 	}
-	k := c.classes[q.c]
-	ran := slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.ran })
+	k := c.classes[q.classIndex]
+	ran := slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
 	if !ran || k.Idempotency == Idempotent || k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll {
 		r := Reject{RequestID: q.ID}
-		if c.set.Limits.RetryAfter {
-			r.RetryAfter = c.retryIn()
+		if c.settings.Limits.RetryAfter {
+			r.RetryAfter = c.retryAfter()
 		}
-		c.do(r)
+		c.emit(r)
 	} else {
-		c.do(Fail{q.ID})
+		c.emit(Fail{q.ID})
 	}
-	c.close(q)
+	c.closeRequest(q)
 }
 
-// retryIn is when a refused client is asked to come back: spread evenly up to the longest wait that clients
+// retryAfter is when a refused client is asked to come back: spread evenly up to the longest wait that clients
 // follow, as what a fleet refuses at once must not come back at once.
-func (c *Controller) retryIn() time.Duration {
-	hi := min(c.set.Limits.MaxRetryAfter, time.Second)
+func (c *Controller) retryAfter() time.Duration {
+	hi := min(c.settings.Limits.MaxRetryAfter, time.Second)
 	lo := min(300*time.Millisecond, hi/2)
 	return lo + time.Duration(c.rng.Float64()*float64(hi-lo))
 }
 
-// permit is the gate: every send passes it, and it holds the seven rules.
-func (c *Controller) permit(q *query, e *engine) bool {
-	k, r := c.classes[q.c], &c.set.Rules
-	if q.closed || q.stream || c.now >= q.Deadline || len(q.attempts) >= c.set.Limits.MaxAttempts { // 1
+// mayAttempt is the gate: every send passes it, and it holds the seven rules.
+func (c *Controller) mayAttempt(q *request, e *engine) bool {
+	k, r := c.classes[q.classIndex], &c.settings.Rules
+	if q.closed || q.streaming || c.now >= q.Deadline || len(q.attempts) >= c.settings.Limits.MaxAttempts { // 1
 		return false
 	}
 	for _, a := range q.attempts { // 2: each effect once
-		if a.out && (!c.set.Limits.Hedging || k.Idempotency == NonIdempotent) {
+		if a.inFlight && (!c.settings.Limits.Hedging || k.Idempotency == NonIdempotent) {
 			return false
 		}
-		if !a.ran || k.Idempotency == Idempotent { // ran holds while an attempt is out
+		if !a.mayHaveRun || k.Idempotency == Idempotent { // ran holds while an attempt is out
 			continue
 		}
-		same := k.DedupScope == DedupScopeAll || k.DedupScope == DedupScopeZone && e.Zone == a.e.Zone ||
-			k.DedupScope == DedupScopeCell && e.Cell == a.e.Cell
-		if !same || c.barred(k, a) {
+		same := k.DedupScope == DedupScopeAll || k.DedupScope == DedupScopeZone && e.Zone == a.engine.Zone ||
+			k.DedupScope == DedupScopeCell && e.Cell == a.engine.Cell
+		if !same || c.retryForbidden(k, a) {
 			return false
 		}
 	}
 	if !e.listed || e.State != Ready { // 3: stricter than the grace
 		return false
 	}
-	if c.cold(e) && !c.coldRoom(e, k) { // 4
+	if c.inSlowStart(e) && !c.withinSlowStartBudget(e, k) { // 4
 		return false
 	}
-	if q.line != nil && (q.line.queue[0] != q || len(q.attempts) == 0 && c.now < q.line.restTo) { // 5
+	if q.keyQueue != nil && (q.keyQueue.waiting[0] != q || len(q.attempts) == 0 && c.now < q.keyQueue.cooldownUntil) { // 5
 		return false
 	}
 	if len(k.AllowedZones) > 0 && !slices.Contains(k.AllowedZones, e.Zone) ||
@@ -184,114 +184,114 @@
 		return false
 	}
 	if len(q.attempts) > 0 && r.RetryBudgetWindow > 0 { // 7
-		c.trim()
-		if float64(len(c.further)+1) > r.RetryBudgetReserve+r.RetryBudgetRatio*float64(len(c.took)) {
+		c.expireBudget()
+		if float64(len(c.retryTimes)+1) > r.RetryBudgetReserve+r.RetryBudgetRatio*float64(len(c.requestTimes)) {
 			return false
 		}
 	}
 	return true
 }
 
-// barred says whether an attempt that may have run allows no other one of its class, at whichever engine.
-func (c *Controller) barred(k *class, a *attempt) bool {
-	window := k.DedupWindow - c.set.MinBatchInterval - c.set.MaxSendDelay
-	return a.ran && (k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && c.now-a.sent >= window)
+// retryForbidden says whether an attempt that may have run allows no other one of its class, at whichever engine.
+func (c *Controller) retryForbidden(k *class, a *attempt) bool {
+	window := k.DedupWindow - c.settings.MinBatchInterval - c.settings.MaxSendDelay
+	return a.mayHaveRun && (k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && c.now-a.sentAt >= window)
 }
 
-// spent says whether a query can have no further attempt, whatever becomes of the engines.
-func (c *Controller) spent(q *query) bool {
-	bars := func(a *attempt) bool { return c.barred(c.classes[q.c], a) }
-	return len(q.attempts) >= c.set.Limits.MaxAttempts || slices.ContainsFunc(q.attempts, bars)
+// attemptsExhausted says whether a query can have no further attempt, whatever becomes of the engines.
+func (c *Controller) attemptsExhausted(q *request) bool {
+	bars := func(a *attempt) bool { return c.retryForbidden(c.classes[q.classIndex], a) }
+	return len(q.attempts) >= c.settings.Limits.MaxAttempts || slices.ContainsFunc(q.attempts, bars)
 }
 
-// cold says whether an engine started lately; a second is added for what the list's clock may be off. None is
+// inSlowStart says whether an engine started lately; a second is added for what the list's clock may be off. None is
 // where the deployment doesn't say by what cold ones fall.
-func (c *Controller) cold(e *engine) bool {
-	r := &c.set.Rules
+func (c *Controller) inSlowStart(e *engine) bool {
+	r := &c.settings.Rules
 	falls := r.OverloadWindow > 0 && r.OverloadMultiple > 0
 	return falls && e.StartedAt > 0 && c.now-e.StartedAt < r.SlowStartDuration+time.Second
 }
 
-func (c *Controller) warmth(e *engine) float64 {
-	if !c.cold(e) {
+func (c *Controller) slowStartFraction(e *engine) float64 {
+	if !c.inSlowStart(e) {
 		return 1
 	}
-	from, since := c.set.Rules.SlowStartInitial, float64(c.now-e.StartedAt)
-	return from + (1-from)*coldRamp*min(1, since/float64(c.set.Rules.SlowStartDuration))
+	from, since := c.settings.Rules.SlowStartInitial, float64(c.now-e.StartedAt)
+	return from + (1-from)*slowStartRamp*min(1, since/float64(c.settings.Rules.SlowStartDuration))
 }
 
-// coldRoom keeps this gateway's part of a cold engine's budget, shared unseen: half by head, half by traffic.
+// withinSlowStartBudget keeps this gateway's part of a cold engine's budget, shared unseen: half by head, half by traffic.
 // Exception, where engines are pooled: such parts are too small, so gateways take turns by number, each a
 // window long; as many as half the budget (a window can touch two) has room for: heavy queries, or by chance.
-func (c *Controller) coldRoom(e *engine, k *class) bool {
-	r := &c.set.Rules
-	mine, budget := 0.5/float64(c.set.Brokers)+0.5*c.part, c.coldBudget(e)
+func (c *Controller) withinSlowStartBudget(e *engine, k *class) bool {
+	r := &c.settings.Rules
+	mine, budget := 0.5/float64(c.settings.Brokers)+0.5*c.trafficShare, c.slowStartBudget(e)
 	if c.pool != nil {
-		n := c.set.Brokers
-		turns, fit := c.turns(e)
-		first := e.hash + int((c.now-e.StartedAt)/r.OverloadWindow)*turns
-		if (c.set.BrokerIndex+n-first%n)%n >= turns {
+		n := c.settings.Brokers
+		turns, fit := c.slowStartTurns(e)
+		first := e.idHash + int((c.now-e.StartedAt)/r.OverloadWindow)*turns
+		if (c.settings.BrokerIndex+n-first%n)%n >= turns {
 			return false
 		}
 		mine = 0.5 / fit
 	}
 	budget *= mine
-	e.colds = slices.DeleteFunc(e.colds, func(s coldSend) bool { return s.at <= c.now-r.OverloadWindow })
-	used := k.work
-	for _, s := range e.colds {
+	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(s slowStartSend) bool { return s.sentAt <= c.now-r.OverloadWindow })
+	used := k.meanWork
+	for _, s := range e.slowStartSends {
 		used += s.work
 	}
 	return used <= budget
 }
 
-// coldBudget is the work that all gateways together may send a cold engine within a window.
-func (c *Controller) coldBudget(e *engine) float64 {
-	r := &c.set.Rules
-	return r.OverloadMultiple * c.warmth(e) * coldBusy * e.cores * r.OverloadWindow.Seconds() * coldSafety
+// slowStartBudget is the work that all gateways together may send a cold engine within a window.
+func (c *Controller) slowStartBudget(e *engine) float64 {
+	r := &c.settings.Rules
+	return r.OverloadMultiple * c.slowStartFraction(e) * slowStartUtilization * e.cores * r.OverloadWindow.Seconds() * slowStartSafety
 }
 
-// turns is how many gateways have their turn at a cold engine at a time, and how many heavy queries fit it.
-func (c *Controller) turns(e *engine) (turns int, fit float64) {
-	budget := c.coldBudget(e)
-	fit = max(1, math.Floor(budget/2/max(c.heaviest, 1e-3)))
-	use := c.rate * c.meanWork * c.set.Rules.OverloadWindow.Seconds() / float64(c.ready)
-	return int(min(float64(c.set.Brokers), max(fit, coldChance*budget/2/use))), fit
+// slowStartTurns is how many gateways have their turn at a cold engine at a time, and how many heavy queries fit it.
+func (c *Controller) slowStartTurns(e *engine) (turns int, fit float64) {
+	budget := c.slowStartBudget(e)
+	fit = max(1, math.Floor(budget/2/max(c.heaviestWork, 1e-3)))
+	use := c.arrivalRate * c.meanWork * c.settings.Rules.OverloadWindow.Seconds() / float64(c.readyEngines)
+	return int(min(float64(c.settings.Brokers), max(fit, slowStartChanceShare*budget/2/use))), fit
 }
 
-// pooled says whether engines share one queue and bound. Exception, where this gateway's part of an engine's
+// poolsEngines says whether engines share one queue and bound. Exception, where this gateway's part of an engine's
 // bound is less than one query: whole queries would sum past the engines' bound, and answers are too few to
 // judge each. All count as one large engine; a query's own is chosen when it leaves.
-func (c *Controller) pooled() bool {
+func (c *Controller) poolsEngines() bool {
 	cores := 0.0
-	for _, k := range c.set.EngineKinds {
+	for _, k := range c.settings.EngineKinds {
 		cores = max(cores, k.Cores)
 	}
-	return mostThreads*cores < c.widest*float64(c.set.Brokers)
+	return maxThreadsPerCore*cores < c.mostThreads*float64(c.settings.Brokers)
 }
 
-// place queues a query at the eligible engine with most room under its bound, or at the pool.
-func (c *Controller) place(q *query, not *engine) {
-	q.not = not
-	if len(q.attempts) > 0 && !q.busy() && c.spent(q) { // what nothing can help gets its answer now
-		c.giveUp(q)
+// enqueue queues a query at the eligible engine with most room under its bound, or at the pool.
+func (c *Controller) enqueue(q *request, not *engine) {
+	q.avoid = not
+	if len(q.attempts) > 0 && !q.hasAttemptInFlight() && c.attemptsExhausted(q) { // what nothing can help gets its answer now
+		c.rejectOrFail(q)
 		return
 	}
 	// What is more work than the mean query goes to the best of a few engines whose load is asked for.
-	if c.set.Limits.LoadProbes && !q.probed && c.classes[q.c].work > c.meanWork && c.pool == nil {
+	if c.settings.Limits.LoadProbes && !q.probed && c.classes[q.classIndex].meanWork > c.meanWork && c.pool == nil {
 		q.probed = true
 		asked := false
-		for n := 0; n < probes && len(c.engines) > 0; n++ {
+		for n := 0; n < probeCount && len(c.engines) > 0; n++ {
 			o := c.engines[c.rng.IntN(len(c.engines))]
-			young := o.askedAt > 0 && c.now-o.askedAt < reportAge
-			if o.listed && o.State == Ready && !o.down && !young {
-				o.askedAt, asked = c.now, true
-				c.do(ProbeLoad{o.ID})
+			young := o.probedAt > 0 && c.now-o.probedAt < probeFreshness
+			if o.listed && o.State == Ready && !o.ejected && !young {
+				o.probedAt, asked = c.now, true
+				c.emit(ProbeLoad{o.ID})
 			}
 		}
 		if asked {
-			c.alarm(probeWait*c.set.MinBatchInterval, func() {
+			c.startTimer(probeWait*c.settings.MinBatchInterval, func() {
 				if !q.closed {
-					c.place(q, not)
+					c.enqueue(q, not)
 				}
 			})
 			return
@@ -299,33 +299,33 @@
 	}
 	e := c.pool
 	if e == nil {
-		e = c.pick(q, not)
+		e = c.selectEngine(q, not)
 	}
 	switch {
 	case e == nil:
-		c.parked = append(c.parked, q)
-	case len(q.attempts) == 0 && c.costly(q):
-		c.giveUp(q)
-	case len(q.attempts) == 0 && c.hopeless(q, e):
-		c.short()
-		c.giveUp(q)
+		c.waitingForEngine = append(c.waitingForEngine, q)
+	case len(q.attempts) == 0 && c.belowAdmissionPrice(q):
+		c.rejectOrFail(q)
+	case len(q.attempts) == 0 && c.cannotMeetObjective(q, e):
+		c.raiseAdmissionPrice()
+		c.rejectOrFail(q)
 	default:
-		q.at = e
+		q.queuedOn = e
 		e.queue.push(c, q)
 	}
 }
 
-func (c *Controller) pick(q *query, not *engine) *engine {
+func (c *Controller) selectEngine(q *request, not *engine) *engine {
 	best, most := (*engine)(nil), math.Inf(-1)
 	for pass := 0; pass < 2 && best == nil; pass++ {
 		for _, e := range c.engines {
-			if pass == 0 && e == not || c.full(e, fullFor) || !c.permit(q, e) {
+			if pass == 0 && e == not || c.atCapacity(e, atCapacityFor) || !c.mayAttempt(q, e) {
 				continue
 			}
-			room := c.room(e, q) + c.luck(e)
-			if e.down && !c.doubt {
-				if c.now < e.trialAt || e.lot == e && e.threads > 0 || len(q.attempts) > 0 ||
-					c.classes[q.c].PriorityWeight > c.leastWorth { // a trial is cheap
+			room := c.score(e, q) + c.tieBreak(e)
+			if e.ejected && !c.mostLookFaulty {
+				if c.now < e.halfOpenAt || e.queueOwner == e && e.threadsInFlight > 0 || len(q.attempts) > 0 ||
+					c.classes[q.classIndex].PriorityWeight > c.lowestWorth { // a trial is cheap
 					continue
 				}
 				room += 100
@@ -338,567 +338,569 @@
 	return best
 }
 
-// luck is what chance adds to an engine's room. Exception, where engines are pooled: many gateways know the
+// tieBreak is what chance adds to an engine's room. Exception, where engines are pooled: many gateways know the
 // same, and late, and all would fill the one engine that was empty. Each is drawn with a weight of
 // exp(room/chance). Those whose turn it is at a cold engine count it for all.
-func (c *Controller) luck(e *engine) float64 {
+func (c *Controller) tieBreak(e *engine) float64 {
 	if c.pool == nil {
 		return 0.02 * c.rng.Float64()
 	}
 	luck := -math.Log(c.rng.ExpFloat64())
-	if c.cold(e) {
-		turns, _ := c.turns(e)
-		luck += math.Log(c.warmth(e) * float64(c.set.Brokers) / float64(turns))
+	if c.inSlowStart(e) {
+		turns, _ := c.slowStartTurns(e)
+		luck += math.Log(c.slowStartFraction(e) * float64(c.settings.Brokers) / float64(turns))
 	}
-	return chance * luck
+	return tieBreakScale * luck
 }
 
-func (c *Controller) room(e *engine, q *query) float64 {
-	limit := e.bound * c.warmth(e)
-	room := 1 - (float64(e.threads)+e.queue.threads)/limit
-	room -= slowPrice*c.drag(e) + failPrice*(e.fails+c.loss(e))
-	if e.lot == e { // in a pool, an engine that answered of late is better than one not heard of
-		room += failPrice * min(c.loss(e), c.lossOfAll())
+func (c *Controller) score(e *engine, q *request) float64 {
+	limit := e.limit * c.slowStartFraction(e)
+	room := 1 - (float64(e.threadsInFlight)+e.queue.threads)/limit
+	room -= slowdownPenalty*c.slowdown(e) + failurePenalty*(e.failureRate+c.lossRate(e))
+	if e.queueOwner == e { // in a pool, an engine that answered of late is better than one not heard of
+		room += failurePenalty * min(c.lossRate(e), c.overallLossRate())
 	}
-	if age := (c.now - e.reportAt).Seconds(); e.lot != e { // the older, the more the pool's counts
-		room -= e.lot.report + math.Exp(-age/reportLasts)*(e.report-e.lot.report)
-	} else if age < 2*interval.Seconds() {
-		room -= e.report
+	if age := (c.now - e.loadReportedAt).Seconds(); e.queueOwner != e { // the older, the more the pool's counts
+		room -= e.queueOwner.load + math.Exp(-age/loadReportDecay)*(e.load-e.queueOwner.load)
+	} else if age < 2*controlInterval.Seconds() {
+		room -= e.load
 	}
-	if e.Zone != c.set.Zone {
-		room -= crossPrice
+	if e.Zone != c.settings.Zone {
+		room -= crossZonePenalty
 	}
-	k := c.classes[q.c]
-	if (k.HoldsDataSetLock || k.BlockedByDataSetLock) && c.loading(e, q.DataSet) {
-		room -= loadPrice
+	k := c.classes[q.classIndex]
+	if (k.HoldsDataSetLock || k.BlockedByDataSetLock) && c.dataSetLocked(e, q.DataSet) {
+		room -= dataSetLockPenalty
 	}
-	if at := e.ranks(q.DataSet); k.HoldsDataSetLock { // all gateways rank alike, so loads of others keep away, too
-		room -= apartPrice * at
+	if at := e.dataSetRank(q.DataSet); k.HoldsDataSetLock { // all gateways rank alike, so loads of others keep away, too
+		room -= dataSetRankPenalty * at
 	} else if k.BlockedByDataSetLock {
-		room -= apartPrice * (1 - at)
+		room -= dataSetRankPenalty * (1 - at)
 	}
 	return room
 }
 
-func (c *Controller) pressed(e *engine) bool {
-	told := c.set.ReportsCost || len(c.set.ReportFields) == 0 // else reports tell more than noisy times
-	return c.full(e, fullFor) || e.overdue > overdueAt ||
-		e.report > busyAt && (e.threads > 0 || c.now-e.reportAt < interval) ||
-		told && e.samples > leastSamples && c.slowness(e) > pressureAt
+func (c *Controller) underPressure(e *engine) bool {
+	told := c.settings.ReportsCost || len(c.settings.ReportFields) == 0 // else reports tell more than noisy times
+	return c.atCapacity(e, atCapacityFor) || e.overdueRatio > pressureOverdue ||
+		e.load > pressureLoad && (e.threadsInFlight > 0 || c.now-e.loadReportedAt < controlInterval) ||
+		told && e.slowdownSamples > minSlowdownSamples && c.estimatedSlowdown(e) > pressureSlowdown
 }
 
-// slowness is the log of an engine's slowdown over the best seen; where answers don't tell the work, only
+// estimatedSlowdown is the log of an engine's slowdown over the best seen; where answers don't tell the work, only
 // what stands out from the scatter counts.
-func (c *Controller) slowness(e *engine) float64 {
-	slow := e.slow
-	if e.lot != e { // the fewer its own answers, the more the pool's count
-		slow = e.lot.slow + (e.slow-e.lot.slow)*e.evidence/(e.evidence+poolWeight)
+func (c *Controller) estimatedSlowdown(e *engine) float64 {
+	slow := e.logSlowdown
+	if e.queueOwner != e { // the fewer its own answers, the more the pool's count
+		slow = e.queueOwner.logSlowdown + (e.logSlowdown-e.queueOwner.logSlowdown)*e.evidence/(e.evidence+poolWeight)
 	}
-	if c.set.ReportsCost {
-		return max(0, slow-c.best)
+	if c.settings.ReportsCost {
+		return max(0, slow-c.bestLogSlowdown)
 	}
-	return max(0, slow-c.best-scatter)
+	return max(0, slow-c.bestLogSlowdown-workScatter)
 }
 
-// loss is the share of an engine's answers that never come, shrunk to that of all, and that to the usual.
-func (c *Controller) loss(e *engine) float64 {
-	return (e.lost + c.lossOfAll()*poolWeight) / (e.evidence + poolWeight)
+// lossRate is the share of an engine's answers that never come, shrunk to that of all, and that to the usual.
+func (c *Controller) lossRate(e *engine) float64 {
+	return (e.lost + c.overallLossRate()*poolWeight) / (e.evidence + poolWeight)
 }
 
-func (c *Controller) lossOfAll() float64 {
-	return (c.lost + rareLoss*rareWeight) / (c.evidence + rareWeight)
+func (c *Controller) overallLossRate() float64 {
+	return (c.lost + priorLossRate*priorLossWeight) / (c.evidence + priorLossWeight)
 }
 
-// patienceFor is how long an attempt is waited for: until it is more likely lost than late, by the spread of
+// attemptTimeout is how long an attempt is waited for: until it is more likely lost than late, by the spread of
 // service times seen and the share of answers lost.
-func (c *Controller) patienceFor(q *query, e *engine) time.Duration {
-	k := c.classes[q.c]
-	z := math.Sqrt2 * math.Erfinv(1-2*c.tail(e))
-	return seconds(c.expect(q, e) * math.Exp(k.spreadMean+z*math.Sqrt(k.spreadVar)))
+func (c *Controller) attemptTimeout(q *request, e *engine) time.Duration {
+	k := c.classes[q.classIndex]
+	z := math.Sqrt2 * math.Erfinv(1-2*c.lateQuantile(e))
+	return seconds(c.expectedServiceTime(q, e) * math.Exp(k.spreadMean+z*math.Sqrt(k.spreadVar)))
 }
 
-// tail is the share of answers that come later than an attempt is waited for.
-func (c *Controller) tail(e *engine) float64 {
-	lost := c.loss(e)
-	return min(maybeLost, max(surelyLost, lost/(1-min(lost, 0.9))))
+// lateQuantile is the share of answers that come later than an attempt is waited for.
+func (c *Controller) lateQuantile(e *engine) float64 {
+	lost := c.lossRate(e)
+	return min(maxLateQuantile, max(minLateQuantile, lost/(1-min(lost, 0.9))))
 }
 
-// hopeless says whether a query that would be held, as the bound is used up, can't make its aim: refused
+// cannotMeetObjective says whether a query that would be held, as the bound is used up, can't make its aim: refused
 // early, it costs nothing and its client may try again. Guards against a surge or lost engines.
-func (c *Controller) hopeless(q *query, e *engine) bool {
-	if c.fits(e, q.c) {
+func (c *Controller) cannotMeetObjective(q *request, e *engine) bool {
+	if c.withinConcurrencyLimit(e, q.classIndex) {
 		return false
 	}
 	// Its class needs only its share, and its tenant within that.
-	fl, share := &e.queue.flows[q.c], c.shares[q.c]
-	ahead := min(e.queue.work, fl.work/share, fl.tenants[q.t].work/share/c.tenants[q.t].Share)
-	return c.now+seconds(ahead/e.bound*math.Exp(c.slowness(e)))+c.likely(q, e) > q.aim
+	fl, share := &e.queue.flows[q.classIndex], c.shares[q.classIndex]
+	ahead := min(e.queue.work, fl.work/share, fl.tenants[q.tenantIndex].work/share/c.tenants[q.tenantIndex].Share)
+	return c.now+seconds(ahead/e.limit*math.Exp(c.estimatedSlowdown(e)))+c.likelyServiceTime(q, e) > q.objectiveAt
 }
 
-// costly says whether a query is more work than it is worth while the pool is short of room, as what it would
+// belowAdmissionPrice says whether a query is more work than it is worth while the pool is short of room, as what it would
 // keep out is worth more. Guards against a few very heavy queries that keep out many of the same worth each.
-func (c *Controller) costly(q *query) bool {
-	k := c.classes[q.c]
-	return c.pool != nil && !c.set.WeightByWork && k.PriorityWeight < c.price*c.cheapest*q.work
+func (c *Controller) belowAdmissionPrice(q *request) bool {
+	k := c.classes[q.classIndex]
+	return c.pool != nil && !c.settings.WeightByWork && k.PriorityWeight < c.admissionPrice*c.lowestWorthPerWork*q.expectedWork
 }
 
-// short raises the price, as a query was refused for lack of room that was not the least worth its work.
-func (c *Controller) short() { c.price = min(1, c.price*priceRise) }
+// raiseAdmissionPrice raises the price, as a query was refused for lack of room that was not the least worth its work.
+func (c *Controller) raiseAdmissionPrice() {
+	c.admissionPrice = min(1, c.admissionPrice*admissionPriceRise)
+}
 
-// fits says whether a class's next query may go out: without pressure, under the bound or, so that long ones
+// withinConcurrencyLimit says whether a class's next query may go out: without pressure, under the bound or, so that long ones
 // keep no quick ones out, while the class holds less than its share: all, if none earns more for its work.
-func (c *Controller) fits(e *engine, class int) bool {
-	width, bound := float64(c.classes[class].Threads), e.bound
-	if !c.pressed(e) {
-		bound = max(calmRoom*bound, 2*c.widest) // so that one wide query keeps no other out
+func (c *Controller) withinConcurrencyLimit(e *engine, class int) bool {
+	width, bound := float64(c.classes[class].Threads), e.limit
+	if !c.underPressure(e) {
+		bound = max(calmLimitFactor*bound, 2*c.mostThreads) // so that one wide query keeps no other out
 	}
 	share := c.shares[class]
-	if class == c.dearest {
+	if class == c.mostValuable {
 		share = 1
 	}
-	return e.threads == 0 || float64(e.threads)+width <= bound ||
-		c.held(e, class)+width <= max(width, share*bound)
+	return e.threadsInFlight == 0 || float64(e.threadsInFlight)+width <= bound ||
+		c.threadsOfClass(e, class)+width <= max(width, share*bound)
 }
 
-// pump releases held queries in start-tag order while the bound allows it.
-func (c *Controller) pump(e *engine) {
+// dispatch releases held queries in start-tag order while the bound allows it.
+func (c *Controller) dispatch(e *engine) {
 	for q := e.queue.head(nil); q != nil; q = e.queue.head(nil) {
-		if len(q.attempts) == 0 && c.pressed(e) && c.now+c.likely(q, e) > q.aim {
-			c.short()
-			c.giveUp(q)
+		if len(q.attempts) == 0 && c.underPressure(e) && c.now+c.likelyServiceTime(q, e) > q.objectiveAt {
+			c.raiseAdmissionPrice()
+			c.rejectOrFail(q)
 			continue
 		}
-		if q = e.queue.head(func(class int) bool { return c.fits(e, class) }); q == nil {
+		if q = e.queue.head(func(class int) bool { return c.withinConcurrencyLimit(e, class) }); q == nil {
 			return
 		}
 		e.queue.pop(c, q)
-		q.at = nil
+		q.queuedOn = nil
 		switch {
-		case e != c.pool && (!c.permit(q, e) || c.full(e, fullFor)):
-			c.parked = append(c.parked, q)
+		case e != c.pool && (!c.mayAttempt(q, e) || c.atCapacity(e, atCapacityFor)):
+			c.waitingForEngine = append(c.waitingForEngine, q)
 		case e != c.pool:
-			c.send(q, e)
-		case !c.ask(q):
-			c.leave(q)
+			c.sendAttempt(q, e)
+		case !c.probeCandidates(q):
+			c.dispatchToBestCandidate(q)
 		}
 	}
 }
 
-// ask draws a few engines for a query that may leave the pool, and asks them for their load: what is known of
+// probeCandidates draws a few engines for a query that may leave the pool, and asks them for their load: what is known of
 // it is as old as a heavy query lasts. It says whether the query waits for that; what is no more work than
 // the mean goes at once. Guards against probes for queries that the pool then refuses.
-func (c *Controller) ask(q *query) bool {
-	k, asked := c.classes[q.c], false
-	q.drawn = nil
-	if !c.set.Limits.LoadProbes || k.work <= c.meanWork {
+func (c *Controller) probeCandidates(q *request) bool {
+	k, asked := c.classes[q.classIndex], false
+	q.candidates = nil
+	if !c.settings.Limits.LoadProbes || k.meanWork <= c.meanWork {
 		return false
 	}
-	for range probes {
-		e := c.pick(q, q.not)
-		if e == nil || slices.Contains(q.drawn, e) {
+	for range probeCount {
+		e := c.selectEngine(q, q.avoid)
+		if e == nil || slices.Contains(q.candidates, e) {
 			continue
 		}
-		q.drawn = append(q.drawn, e)
-		if c.now-max(e.askedAt, e.reportAt) >= reportAge {
-			e.askedAt, asked = c.now, true
-			c.do(ProbeLoad{e.ID})
+		q.candidates = append(q.candidates, e)
+		if c.now-max(e.probedAt, e.loadReportedAt) >= probeFreshness {
+			e.probedAt, asked = c.now, true
+			c.emit(ProbeLoad{e.ID})
 		}
 	}
 	if asked {
-		k.leaving++ // its threads are taken meanwhile
-		c.pool.threads += k.Threads
-		c.alarm(probeWait*c.set.MinBatchInterval, func() {
-			k.leaving--
-			c.pool.threads -= k.Threads
+		k.awaitingProbes++ // its threads are taken meanwhile
+		c.pool.threadsInFlight += k.Threads
+		c.startTimer(probeWait*c.settings.MinBatchInterval, func() {
+			k.awaitingProbes--
+			c.pool.threadsInFlight -= k.Threads
 			if !q.closed {
-				c.leave(q)
+				c.dispatchToBestCandidate(q)
 			}
 		})
 	}
 	return asked
 }
 
-// leave sends a query that leaves the pool to the best engine drawn for it or, without any, to one drawn now.
-func (c *Controller) leave(q *query) {
+// dispatchToBestCandidate sends a query that leaves the pool to the best engine drawn for it or, without any, to one drawn now.
+func (c *Controller) dispatchToBestCandidate(q *request) {
 	var to *engine
 	most := math.Inf(-1)
-	for _, e := range q.drawn {
-		if room := c.room(e, q); c.permit(q, e) && !c.full(e, fullFor) && room > most {
+	for _, e := range q.candidates {
+		if room := c.score(e, q); c.mayAttempt(q, e) && !c.atCapacity(e, atCapacityFor) && room > most {
 			to, most = e, room
 		}
 	}
 	if to == nil {
-		to = c.pick(q, q.not)
+		to = c.selectEngine(q, q.avoid)
 	}
 	if to == nil {
-		c.parked = append(c.parked, q)
+		c.waitingForEngine = append(c.waitingForEngine, q)
 		return
 	}
-	c.send(q, to)
+	c.sendAttempt(q, to)
 }
 
-// expect is the service time expected of a query on an engine, in seconds.
-func (c *Controller) expect(q *query, e *engine) float64 {
-	k := c.classes[q.c]
-	return q.work / float64(k.Threads) * math.Exp(c.slowness(e))
+// expectedServiceTime is the service time expected of a query on an engine, in seconds.
+func (c *Controller) expectedServiceTime(q *request, e *engine) float64 {
+	k := c.classes[q.classIndex]
+	return q.expectedWork / float64(k.Threads) * math.Exp(c.estimatedSlowdown(e))
 }
 
-func (c *Controller) send(q *query, e *engine) {
-	k := c.classes[q.c]
-	c.terms(q, e)
+func (c *Controller) sendAttempt(q *request, e *engine) {
+	k := c.classes[q.classIndex]
+	c.setAttemptOptions(q, e)
 	if len(q.attempts) > 0 {
-		c.further = append(c.further, c.now)
+		c.retryTimes = append(c.retryTimes, c.now)
 	}
-	if c.cold(e) {
-		e.colds = append(e.colds, coldSend{c.now, k.work})
+	if c.inSlowStart(e) {
+		e.slowStartSends = append(e.slowStartSends, slowStartSend{c.now, k.meanWork})
 	}
-	a := &attempt{q: q, n: len(q.attempts), e: e, sent: c.now, out: true, ran: true}
+	a := &attempt{request: q, number: len(q.attempts), engine: e, sentAt: c.now, inFlight: true, mayHaveRun: true}
 	if len(q.attempts) == 0 {
-		k.wait += 0.05 * ((c.now - q.taken).Seconds() - k.wait)
+		k.meanWait += 0.05 * ((c.now - q.receivedAt).Seconds() - k.meanWait)
 	}
 	q.attempts = append(q.attempts, a)
-	e.begin(a)
-	e.hold(k.Threads)
-	if e.down {
-		e.trialAt = c.now + c.trialWait()
+	e.attemptStarted(a)
+	e.addThreads(k.Threads)
+	if e.ejected {
+		e.halfOpenAt = c.now + c.ejectionBackoff()
 	}
 	// Only a trial on a doubtful engine ends early, for another try: work that is cut off is lost.
-	usual := c.patienceFor(q, e)
+	usual := c.attemptTimeout(q, e)
 	to := SendAttempt{RequestID: q.ID, Engine: e.ID, OverdueAfter: usual}
-	if e.down && 2*usual < q.Deadline-c.now {
+	if e.ejected && 2*usual < q.Deadline-c.now {
 		to.Timeout = usual
 	}
-	c.do(to)
-	c.alarm(usual, func() { c.watch(a) })
+	c.emit(to)
+	c.startTimer(usual, func() { c.checkOverdue(a) })
 }
 
-// terms names memory and priority where they are heeded.
-func (c *Controller) terms(q *query, e *engine) {
+// setAttemptOptions names memory and priority where they are heeded.
+func (c *Controller) setAttemptOptions(q *request, e *engine) {
 	t := SetAttemptOptions{RequestID: q.ID, Priority: 1}
-	if c.set.MemoryGrants && c.set.ReportsCost && q.EstimatedMemoryMB > 0 {
-		t.GrantMB = math.Ceil(min(q.EstimatedMemoryMB*c.classes[q.c].needs, c.set.MaxGrantFraction*e.memory))
+	if c.settings.MemoryGrants && c.settings.ReportsCost && q.EstimatedMemoryMB > 0 {
+		t.GrantMB = math.Ceil(min(q.EstimatedMemoryMB*c.classes[q.classIndex].memoryQuantile, c.settings.MaxGrantFraction*e.memoryMB))
 	}
-	if c.set.Priorities {
+	if c.settings.Priorities {
 		t.Priority = c.priority(q)
 	}
-	if t.GrantMB != 0 || t.Priority != q.prio {
-		q.prio = t.Priority
-		c.do(t)
+	if t.GrantMB != 0 || t.Priority != q.priority {
+		q.priority = t.Priority
+		c.emit(t)
 	}
 }
 
 // priority favours the class that earns most for its work.
-func (c *Controller) priority(q *query) int {
-	if q.c != c.dearest {
+func (c *Controller) priority(q *request) int {
+	if q.classIndex != c.mostValuable {
 		return 1
 	}
 	return 3
 }
 
-// outcome takes the end of an attempt.
-func (c *Controller) outcome(ev AttemptEnded) {
-	a := c.running(ev.RequestID, ev.Number)
+// attemptEnded takes the end of an attempt.
+func (c *Controller) attemptEnded(ev AttemptEnded) {
+	a := c.attemptInFlight(ev.RequestID, ev.Number)
 	if a == nil {
 		return
 	}
-	q, e := a.q, a.e
-	a.out = false
-	e.end(a)
-	if a.lost && ev.Status == OK {
-		e.lost, c.lost = max(0, e.lost-a.sure), max(0, c.lost-a.sure)
+	q, e := a.request, a.engine
+	a.inFlight = false
+	e.attemptEnded(a)
+	if a.presumedLost && ev.Status == OK {
+		e.lost, c.lost = max(0, e.lost-a.lossConfidence), max(0, c.lost-a.lossConfidence)
 	}
-	if width := c.classes[q.c].Threads; ev.Status == TimedOut && !c.set.Limits.Cancellation && !a.dropped {
-		c.alarm(c.now-a.sent, func() { e.hold(-width) }) // it may run on: as long again, by its age
-	} else if !a.dropped {
-		e.hold(-width)
+	if width := c.classes[q.classIndex].Threads; ev.Status == TimedOut && !c.settings.Limits.Cancellation && !a.released {
+		c.startTimer(c.now-a.sentAt, func() { e.addThreads(-width) }) // it may run on: as long again, by its age
+	} else if !a.released {
+		e.addThreads(-width)
 	}
-	a.ran = ev.Status != AtCapacity && ev.Status != ConnectFailed && ev.Status != NeverSent
-	if q.line != nil && (ev.Status == TimedOut || ev.Status == ConnectionReset || ev.Status == Cancelled) {
-		q.line.restTo = max(q.line.restTo, c.now+c.set.Rules.KeyCooldown)
+	a.mayHaveRun = ev.Status != AtCapacity && ev.Status != ConnectFailed && ev.Status != NeverSent
+	if q.keyQueue != nil && (ev.Status == TimedOut || ev.Status == ConnectionReset || ev.Status == Cancelled) {
+		q.keyQueue.cooldownUntil = max(q.keyQueue.cooldownUntil, c.now+c.settings.Rules.KeyCooldown)
 	}
-	c.reported(e, ev.Report)
-	if !ev.SharedCause && (!a.lost || ev.Status != TimedOut) {
-		c.judge(e, ev.Status)
+	c.loadReported(e, ev.Report)
+	if !ev.SharedCause && (!a.presumedLost || ev.Status != TimedOut) {
+		c.recordOutcome(e, ev.Status)
 	}
 	if ev.Status == OK {
-		c.learn(q, a, ev)
-		if c.classes[q.c].BlockedByDataSetLock {
-			e.unlock(q.DataSet)
+		c.learnFromAnswer(q, a, ev)
+		if c.classes[q.classIndex].BlockedByDataSetLock {
+			e.releaseDataSet(q.DataSet)
 		}
 	}
 	if ev.RequestClosed && !q.closed {
-		c.left(q, 0)
-		c.close(q)
+		c.recordDeparture(q, 0)
+		c.closeRequest(q)
 	}
 	if q.closed {
-		c.forget(q)
-	} else if !q.busy() {
-		c.again(q, a, ev.Status)
+		c.forgetRequest(q)
+	} else if !q.hasAttemptInFlight() {
+		c.retry(q, a, ev.Status)
 	}
 }
 
-// again tries a failed query elsewhere while there is time, unless its work may go on and that adds to a jam.
-func (c *Controller) again(q *query, a *attempt, s Status) {
-	if q.Deadline-c.now < 4*c.set.MinBatchInterval ||
-		s == TimedOut && !c.set.Limits.Cancellation && !a.e.down && c.pressed(a.e) ||
-		c.classes[q.c].LateWeight == 0 && c.now > q.aim {
-		c.giveUp(q)
+// retry tries a failed query elsewhere while there is time, unless its work may go on and that adds to a jam.
+func (c *Controller) retry(q *request, a *attempt, s Status) {
+	if q.Deadline-c.now < 4*c.settings.MinBatchInterval ||
+		s == TimedOut && !c.settings.Limits.Cancellation && !a.engine.ejected && c.underPressure(a.engine) ||
+		c.classes[q.classIndex].LateWeight == 0 && c.now > q.objectiveAt {
+		c.rejectOrFail(q)
 	} else {
-		c.place(q, a.e)
+		c.enqueue(q, a.engine)
 	}
 }
 
-// judge follows an engine's health from how attempts end.
-func (c *Controller) judge(e *engine, s Status) {
+// recordOutcome follows an engine's health from how attempts end.
+func (c *Controller) recordOutcome(e *engine, s Status) {
 	bad := 1.0
 	switch s {
 	case NeverSent, Cancelled:
 		return
 	case TimedOut:
-		if !c.pressed(e.lot) {
-			c.lose(e, 1)
+		if !c.underPressure(e.queueOwner) {
+			c.recordLoss(e, 1)
 		}
 		return
 	case AtCapacity:
-		e.fullAt, e.heardAt, e.lot.fullAt = c.now, c.now, c.now
+		e.atCapacityAt, e.lastResponseAt, e.queueOwner.atCapacityAt = c.now, c.now, c.now
 		return
 	case OK:
-		bad, e.heardAt = 0, c.now
+		bad, e.lastResponseAt = 0, c.now
 	case Failed, ConnectionReset:
-		e.heardAt = c.now
+		e.lastResponseAt = c.now
 	}
 	e.evidence, c.evidence = e.evidence+1, c.evidence+1
-	e.fails += max(failGain, 1/(e.evidence+1)) * (bad - e.fails)
+	e.failureRate += max(failureGain, 1/(e.evidence+1)) * (bad - e.failureRate)
 	if bad == 0 {
-		e.trialAt = min(e.trialAt, c.now+c.trialWait())
-		if e.down && e.fails < failDown {
-			e.down = false
-			c.resize()
+		e.halfOpenAt = min(e.halfOpenAt, c.now+c.ejectionBackoff())
+		if e.ejected && e.failureRate < ejectFailureRate {
+			e.ejected = false
+			c.updateFleetTotals()
 			c.log("back "+e.ID, "engine %s is back", e.ID)
 		}
 		return
 	}
-	if e.fails > failDown {
-		c.setDown(e, "failing")
-	} else if s == ConnectFailed && e.fails > 0.3 {
-		c.setDown(e, "unreachable")
+	if e.failureRate > ejectFailureRate {
+		c.eject(e, "failing")
+	} else if s == ConnectFailed && e.failureRate > 0.3 {
+		c.eject(e, "unreachable")
 	}
 }
 
-func (c *Controller) setDown(e *engine, why string) {
-	if e.down {
+func (c *Controller) eject(e *engine, why string) {
+	if e.ejected {
 		return
 	}
-	e.down, e.trialAt = true, c.now+c.trialWait()
-	c.resize()
+	e.ejected, e.halfOpenAt = true, c.now+c.ejectionBackoff()
+	c.updateFleetTotals()
 	c.log("down "+e.ID, "engine %s is %s", e.ID, why)
-	c.vacate(e)
+	c.requeueWaiting(e)
 }
 
-// trialWait stretches the wait between trials where there are many gateways: their trials add up.
-func (c *Controller) trialWait() time.Duration {
-	return min(lastTrial, max(firstTrial, seconds(float64(len(c.engines))/c.rate/2)))
+// ejectionBackoff stretches the wait between trials where there are many gateways: their trials add up.
+func (c *Controller) ejectionBackoff() time.Duration {
+	return min(maxEjectionBackoff, max(minEjectionBackoff, seconds(float64(len(c.engines))/c.arrivalRate/2)))
 }
 
-// watch calls off or doubles an attempt that takes longer than nearly all answers. Guards against lost ones,
+// checkOverdue calls off or doubles an attempt that takes longer than nearly all answers. Guards against lost ones,
 // silent engines, hung queries. When many look lost it is a jam, where more would be harmful.
-func (c *Controller) watch(a *attempt) {
-	if !a.out || a.q.closed || a.called || a.lost {
+func (c *Controller) checkOverdue(a *attempt) {
+	if !a.inFlight || a.request.closed || a.cancelled || a.presumedLost {
 		return
 	}
-	k, limit := c.classes[a.q.c], c.patienceFor(a.q, a.e)
-	if n := c.set.ProgressInterval; n > 0 {
-		limit = min(limit, seconds(missedNotes*n.Seconds()))
+	k, limit := c.classes[a.request.classIndex], c.attemptTimeout(a.request, a.engine)
+	if n := c.settings.ProgressInterval; n > 0 {
+		limit = min(limit, seconds(missedProgress*n.Seconds()))
 	}
-	heard := max(a.sent, a.heardAt)
+	heard := max(a.sentAt, a.lastProgressAt)
 	// The likelier a loss, the sooner it is judged.
-	least := seconds(leastSilence.Seconds() * math.Sqrt(surelyLost/c.tail(a.e)))
+	least := seconds(minLossWait.Seconds() * math.Sqrt(minLateQuantile/c.lateQuantile(a.engine)))
 	if k.BlockedByDataSetLock { // it may stand still behind a load, which is no loss, but takes too long
-		least = seconds(leastStand * k.LatencyObjective.Seconds())
-		alive := c.now-a.e.heardAt < leastSilence
-		if alive && !a.dropped && c.now-heard >= max(limit, least) {
-			c.stand(a)
+		least = seconds(minLockWait * k.LatencyObjective.Seconds())
+		alive := c.now-a.engine.lastResponseAt < minLossWait
+		if alive && !a.released && c.now-heard >= max(limit, least) {
+			c.blockedByLock(a)
 		}
-		if a.dropped {
-			limit += seconds(c.longest)
+		if a.released {
+			limit += seconds(c.longestLoad)
 		}
 	}
 	if left := max(limit, least) - (c.now - heard); left > 0 {
-		c.alarm(left, func() { c.watch(a) })
+		c.startTimer(left, func() { c.checkOverdue(a) })
 		return
 	}
-	if a.lost = c.lossOfAll() < manyLost; !a.lost {
+	if a.presumedLost = c.overallLossRate() < maxHedgeLossRate; !a.presumedLost {
 		return
 	}
-	c.alarm(c.now-a.sent, func() { // it may run on: as long again, by its age
-		if a.out {
-			c.drop(a)
+	c.startTimer(c.now-a.sentAt, func() { // it may run on: as long again, by its age
+		if a.inFlight {
+			c.releaseThreads(a)
 		}
 	})
 	// It may be only late, which never shows if it is called off. Guards against a belief in losses that
 	// feeds on itself: the more it believes, the shorter its patience.
-	a.sure = c.loss(a.e) / (c.loss(a.e) + c.tail(a.e))
-	c.lose(a.e, a.sure)
-	if c.loss(a.e) > silentAfter {
-		c.setDown(a.e, "silent")
+	a.lossConfidence = c.lossRate(a.engine) / (c.lossRate(a.engine) + c.lateQuantile(a.engine))
+	c.recordLoss(a.engine, a.lossConfidence)
+	if c.lossRate(a.engine) > ejectLossRate {
+		c.eject(a.engine, "silent")
 	}
-	c.rescue(a)
+	c.hedgeOrCancel(a)
 }
 
-// stand takes an attempt that stands still behind a load of whichever gateway: it needs nothing of its engine
+// blockedByLock takes an attempt that stands still behind a load of whichever gateway: it needs nothing of its engine
 // then, others that would stand there too go elsewhere, and it is tried elsewhere while there is time.
-func (c *Controller) stand(a *attempt) {
-	c.drop(a)
-	a.e.locks = append(a.e.locks, lock{a.q.DataSet, c.now + seconds(c.longest)})
-	c.rescue(a)
+func (c *Controller) blockedByLock(a *attempt) {
+	c.releaseThreads(a)
+	a.engine.dataSetLocks = append(a.engine.dataSetLocks, dataSetLock{a.request.DataSet, c.now + seconds(c.longestLoad)})
+	c.hedgeOrCancel(a)
 }
 
-// drag is the log of an engine's slowness, from answers or, if worse, from the age of what is out.
-func (c *Controller) drag(e *engine) float64 {
-	return max(c.slowness(e), math.Log(max(1, e.overdue/2)))
+// slowdown is the log of an engine's slowness, from answers or, if worse, from the age of what is out.
+func (c *Controller) slowdown(e *engine) float64 {
+	return max(c.estimatedSlowdown(e), math.Log(max(1, e.overdueRatio/2)))
 }
 
-func (c *Controller) rescue(a *attempt) {
-	q, k := a.q, c.classes[a.q.c]
-	if len(q.attempts) >= c.set.Limits.MaxAttempts || a.called || q.at != nil ||
+func (c *Controller) hedgeOrCancel(a *attempt) {
+	q, k := a.request, c.classes[a.request.classIndex]
+	if len(q.attempts) >= c.settings.Limits.MaxAttempts || a.cancelled || q.queuedOn != nil ||
 		k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && k.DedupScope != DedupScopeAll ||
-		c.now+seconds(q.work) > q.Deadline || k.LateWeight == 0 && c.now > q.aim {
+		c.now+seconds(q.expectedWork) > q.Deadline || k.LateWeight == 0 && c.now > q.objectiveAt {
 		return
 	}
-	if c.set.Limits.Cancellation {
-		a.called = true
-		c.do(CancelAttempt{q.ID, a.n})
-	} else if e := c.pick(q, a.e); c.set.Limits.Hedging && e != nil && e != a.e {
-		c.send(q, e)
+	if c.settings.Limits.Cancellation {
+		a.cancelled = true
+		c.emit(CancelAttempt{q.ID, a.number})
+	} else if e := c.selectEngine(q, a.engine); c.settings.Limits.Hedging && e != nil && e != a.engine {
+		c.sendAttempt(q, e)
 	}
 }
 
-// note takes news of a running attempt. Little progress for much time is a bad plan: it is called off
+// attemptProgress takes news of a running attempt. Little progress for much time is a bad plan: it is called off
 // where a fresh attempt should end sooner.
-func (c *Controller) note(ev AttemptProgress) {
-	a := c.running(ev.RequestID, ev.Number)
+func (c *Controller) attemptProgress(ev AttemptProgress) {
+	a := c.attemptInFlight(ev.RequestID, ev.Number)
 	if a == nil {
 		return
 	}
-	a.heardAt, a.e.heardAt = c.now, c.now
+	a.lastProgressAt, a.engine.lastResponseAt = c.now, c.now
 	if ev.Kind != ProgressFraction {
 		return
 	}
-	spent, usual := (c.now - a.sent).Seconds(), c.expect(a.q, a.e)
+	spent, usual := (c.now - a.sentAt).Seconds(), c.expectedServiceTime(a.request, a.engine)
 	left := spent * (1 - ev.Value) / max(ev.Value, 0.005)
-	if c.set.Limits.Cancellation && left > badPlan*usual {
-		c.rescue(a)
+	if c.settings.Limits.Cancellation && left > runawayFactor*usual {
+		c.hedgeOrCancel(a)
 	}
 }
 
-// tick looks at what waits, and each interval runs the regulators.
-func (c *Controller) tick() {
-	c.do(SetTimer{tick, 1})
-	c.trim()
-	if c.set.PollEndpointList && !c.watching && c.now >= c.askAt {
-		c.watching = true
-		c.do(WatchEndpoints{})
+// runTick looks at what waits, and each interval runs the regulators.
+func (c *Controller) runTick() {
+	c.emit(SetTimer{tickInterval, 1})
+	c.expireBudget()
+	if c.settings.PollEndpointList && !c.subscribed && c.now >= c.nextSubscribeAt {
+		c.subscribed = true
+		c.emit(WatchEndpoints{})
 	}
-	c.fade(evidenceFade, failFade)
-	for _, e := range c.lots() {
-		c.age(e)
-		if c.now-e.sampledAt > interval { // no news: trust returns by and by
-			e.slow += slowFade * (c.best - e.slow)
+	c.fadeEvidence(evidenceFade, failureFade)
+	for _, e := range c.queueOwners() {
+		c.updateOverdue(e)
+		if c.now-e.sampledAt > controlInterval { // no news: trust returns by and by
+			e.logSlowdown += slowdownFade * (c.bestLogSlowdown - e.logSlowdown)
 		}
 	}
-	c.survey()
-	c.unpark()
-	c.tell()
-	if gap := c.now - c.intervalT; gap >= interval {
-		c.intervalT = c.now
-		c.control(gap)
+	c.updatePoolLoad()
+	c.retryWaiting()
+	c.sendGossip()
+	if gap := c.now - c.intervalStart; gap >= controlInterval {
+		c.intervalStart = c.now
+		c.runInterval(gap)
 	}
 }
 
-// tell tells another gateway, drawn by chance, of the engines' loads, by reports of its own and by those
+// sendGossip tells another gateway, drawn by chance, of the engines' loads, by reports of its own and by those
 // heard of: so news reach all within seconds, at a price that does not grow with their number.
-func (c *Controller) tell() {
-	n := c.set.Brokers
-	if !c.set.Limits.Gossip || c.pool == nil || n < 2 || c.now-c.toldAt < tellEvery {
+func (c *Controller) sendGossip() {
+	n := c.settings.Brokers
+	if !c.settings.Limits.Gossip || c.pool == nil || n < 2 || c.now-c.gossipSentAt < gossipInterval {
 		return
 	}
-	if known := c.known(seconds(reportLasts)); len(known) > 0 {
-		c.toldAt = c.now
-		c.do(SendGossip{(c.set.BrokerIndex + 1 + c.rng.IntN(n-1)) % n, known})
+	if known := c.recentLoadReports(seconds(loadReportDecay)); len(known) > 0 {
+		c.gossipSentAt = c.now
+		c.emit(SendGossip{(c.settings.BrokerIndex + 1 + c.rng.IntN(n-1)) % n, known})
 	}
 }
 
-// control runs once an interval: what was seen goes to the regulators, the optimizer sets their targets.
-func (c *Controller) control(gap time.Duration) {
+// runInterval runs once an interval: what was seen goes to the regulators, the optimizer sets their targets.
+func (c *Controller) runInterval(gap time.Duration) {
 	low := math.Inf(1)
-	c.resize()
-	for _, e := range c.lots() {
-		if e.samples > leastSamples && e.listed && !e.down {
-			low = min(low, e.slow)
+	c.updateFleetTotals()
+	for _, e := range c.queueOwners() {
+		if e.slowdownSamples > minSlowdownSamples && e.listed && !e.ejected {
+			low = min(low, e.logSlowdown)
 		}
 	}
 	if !math.IsInf(low, 1) {
-		if low < c.best || c.best == 0 {
-			c.best = low
+		if low < c.bestLogSlowdown || c.bestLogSlowdown == 0 {
+			c.bestLogSlowdown = low
 		} else {
-			c.best += 0.02 * (low - c.best)
+			c.bestLogSlowdown += 0.02 * (low - c.bestLogSlowdown)
 		}
 	}
-	steady := gap < interval*3/2 // a stall breaks the fit's constant interval
-	y, seen, served := c.measure(gap)
+	steady := gap < controlInterval*3/2 // a stall breaks the fit's constant interval
+	y, seen, served := c.closeInterval(gap)
 	if steady {
-		c.share.Observe(y, seen)
+		c.shareRegulator.Observe(y, seen)
 	} else {
-		c.share.Skip(y)
+		c.shareRegulator.Skip(y)
 	}
 	if served > 0 && steady {
-		want := c.optimize(served)
-		c.shares = c.share.Decide(c.share.Predict(want), leastShare, 1)
+		want := c.optimizeShares(served)
+		c.shares = c.shareRegulator.Decide(c.shareRegulator.Predict(want), minShare, 1)
 		floats.Scale(1/floats.Sum(c.shares), c.shares)
-		c.share.U = c.shares
+		c.shareRegulator.U = c.shares
 	}
-	c.price = max(leastPrice, c.price*priceFall)
+	c.admissionPrice = max(minAdmissionPrice, c.admissionPrice*admissionPriceFall)
 	k := c.tightest
-	target := max(targetFloor, 1-k.wait/k.LatencyObjective.Seconds())
-	threads, memory := c.means()
-	fair := max(1/float64(c.set.Brokers), c.part)
+	target := max(minServiceTarget, 1-k.meanWait/k.LatencyObjective.Seconds())
+	threads, memory := c.meanDemand()
+	fair := max(1/float64(c.settings.Brokers), c.trafficShare)
 	if c.pool != nil {
-		fair = c.part
+		fair = c.trafficShare
 	}
-	for _, e := range c.lots() {
-		if e.n > 0 && steady {
-			e.reg.Observe([]float64{e.sum / e.n}, []bool{true})
-			e.reg.Decide([]float64{target}, leastThreads, mostThreads)
+	for _, e := range c.queueOwners() {
+		if e.answered > 0 && steady {
+			e.limitRegulator.Observe([]float64{e.relativeLatencySum / e.answered}, []bool{true})
+			e.limitRegulator.Decide([]float64{target}, minThreadsPerCore, maxThreadsPerCore)
 		} else {
-			e.reg.Skip(nil)
+			e.limitRegulator.Skip(nil)
 		}
-		e.sum, e.n = 0, 0
+		e.relativeLatencySum, e.answered = 0, 0
 		// Exception, for a jam or a surge of retries: where the bound leaves the engine overfull,
 		// this gateway's part was reckoned too high; it is squeezed, and let go by and by.
-		jam := jamAt
+		jam := backoffSlowdown
 		if e == c.pool {
-			jam = poolJamAt
+			jam = poolBackoffSlowdown
 		}
-		if c.pressed(e) && (e.report > overfull || c.drag(e) > jam) {
-			e.squeeze = max(leastSqueeze, e.squeeze*0.8)
+		if c.underPressure(e) && (e.load > backoffLoad || c.slowdown(e) > jam) {
+			e.limitBackoff = max(minLimitBackoff, e.limitBackoff*0.8)
 		} else {
-			e.squeeze = min(1, e.squeeze*1.1)
+			e.limitBackoff = min(1, e.limitBackoff*1.1)
 		}
-		e.bound = e.reg.U[0] * e.cores * fair * e.squeeze
+		e.limit = e.limitRegulator.U[0] * e.cores * fair * e.limitBackoff
 		if memory > 0 { // symptom (spilling, paging): no more threads than there is memory for
-			e.bound = min(e.bound, e.memory*fair*e.squeeze/memory*threads)
+			e.limit = min(e.limit, e.memoryMB*fair*e.limitBackoff/memory*threads)
 		}
 		if c.pool == nil {
-			e.bound = max(e.bound, c.widest)
+			e.limit = max(e.limit, c.mostThreads)
 		}
 	}
 }
 
-// optimize hands out shares greedily on the fitted model (paper, figure 4).
-func (c *Controller) optimize(served float64) []float64 {
+// optimizeShares hands out shares greedily on the fitted model (paper, figure 4).
+func (c *Controller) optimizeShares(served float64) []float64 {
 	n := len(c.classes)
 	s, at := make([]float64, n), slices.Repeat([]float64{math.Inf(-1)}, n)
-	unit := math.Ceil(served/steps) / served
+	unit := math.Ceil(served/optimizerSteps) / served
 	for left := 1.0; left > 1e-9; {
 		pick, grant, gain := 0, left, math.Inf(-1)
 		for i := range n {
@@ -923,59 +925,59 @@
 // utility is the worth a second of a class at a share raised by d, on the fitted model.
 func (c *Controller) utility(i int, s []float64, d float64) float64 {
 	s[i] += d
-	inverse, through := c.share.Row(2*i, s), c.share.Row(2*i+1, s)
+	inverse, through := c.shareRegulator.Row(2*i, s), c.shareRegulator.Row(2*i+1, s)
 	s[i] -= d
 	k := c.classes[i]
 	onTime := min(1, max(0, inverse))
-	return k.PriorityWeight * k.rate * min(1, max(0, through)) * (k.LateWeight + (1-k.LateWeight)*onTime*onTime)
+	return k.PriorityWeight * k.arrivalRate * min(1, max(0, through)) * (k.LateWeight + (1-k.LateWeight)*onTime*onTime)
 }
 
-func (f *queue) push(c *Controller, q *query) {
-	fl := &f.flows[q.c]
-	ln := &fl.tenants[q.t]
-	if fl.n == 0 {
-		fl.start = max(f.v, fl.finish)
+func (f *fairQueue) push(c *Controller, q *request) {
+	fl := &f.flows[q.classIndex]
+	ln := &fl.tenants[q.tenantIndex]
+	if fl.length == 0 {
+		fl.start = max(f.virtualTime, fl.finish)
 	}
-	if len(ln.q) == 0 {
-		ln.start = max(fl.v, ln.finish)
+	if len(ln.requests) == 0 {
+		ln.start = max(fl.virtualTime, ln.finish)
 	}
-	ln.q = append(ln.q, q)
-	ln.work += q.work
-	fl.n++
-	f.n++
-	f.work += q.work
-	fl.work += q.work
-	f.threads += float64(c.classes[q.c].Threads)
+	ln.requests = append(ln.requests, q)
+	ln.work += q.expectedWork
+	fl.length++
+	f.length++
+	f.work += q.expectedWork
+	fl.work += q.expectedWork
+	f.threads += float64(c.classes[q.classIndex].Threads)
 }
 
 // head is the query with the least start tag: of the class first, of the tenant within it second.
-func (f *queue) head(fits func(class int) bool) *query {
-	var best *flow
+func (f *fairQueue) head(fits func(class int) bool) *request {
+	var best *classFlow
 	for i := range f.flows {
 		fl := &f.flows[i]
-		if fl.n > 0 && (best == nil || fl.start < best.start) && (fits == nil || fits(i)) {
+		if fl.length > 0 && (best == nil || fl.start < best.start) && (fits == nil || fits(i)) {
 			best = fl
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	var first *lane
+	var first *tenantFlow
 	for i := range best.tenants {
-		if ln := &best.tenants[i]; len(ln.q) > 0 && (first == nil || ln.start < first.start) {
+		if ln := &best.tenants[i]; len(ln.requests) > 0 && (first == nil || ln.start < first.start) {
 			first = ln
 		}
 	}
-	return first.q[0]
+	return first.requests[0]
 }
 
 // pop takes the head out and moves the tags on by its cost over its share.
-func (f *queue) pop(c *Controller, q *query) {
-	fl := &f.flows[q.c]
-	ln := &fl.tenants[q.t]
-	f.v, fl.v = max(f.v, fl.start), ln.start
-	fl.finish = fl.start + q.work/c.shares[q.c]
-	ln.finish = ln.start + q.work/c.tenants[q.t].Share
+func (f *fairQueue) pop(c *Controller, q *request) {
+	fl := &f.flows[q.classIndex]
+	ln := &fl.tenants[q.tenantIndex]
+	f.virtualTime, fl.virtualTime = max(f.virtualTime, fl.start), ln.start
+	fl.finish = fl.start + q.expectedWork/c.shares[q.classIndex]
+	ln.finish = ln.start + q.expectedWork/c.tenants[q.tenantIndex].Share
 	fl.start, ln.start = fl.finish, ln.finish
 	f.drop(c, fl, ln, 0)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -127,7 +127,7 @@
 	want(t, "refusals", len(pickOf[Reject](got)), 1)
 	want(t, "query", pickOf[Reject](got)[0].RequestID, id)
 	want(t, "sends", len(pickOf[SendAttempt](got)), 0)
-	want(t, "kept", len(r.c.queries), 0)
+	want(t, "kept", len(r.c.requests), 0)
 }
 
 func TestAnswerLeavesNothingBehind(t *testing.T) {
@@ -137,8 +137,8 @@
 	r.end(id, 0, OK)
 	got = r.run(4 * time.Second)
 	want(t, "answers of its own", len(pickOf[Reject](got))+len(pickOf[Fail](got)), 0)
-	want(t, "queries kept", len(r.c.queries), 0)
-	want(t, "threads", r.c.engines[0].threads, 0)
+	want(t, "queries kept", len(r.c.requests), 0)
+	want(t, "threads", r.c.engines[0].threadsInFlight, 0)
 }
 
 func TestAnOnceQueryThatMayHaveRunIsFailedAndNeverRepeated(t *testing.T) {
@@ -232,11 +232,11 @@
 		r := newRig(t, s, eng("e1"))
 		r.c.now = r.now
 		past := r.now - 10*time.Second
-		r.c.further = []time.Duration{past - 100*ms, past + time.Second}
-		r.c.took = []time.Duration{past + 100*ms, past + time.Second}
-		r.c.trim()
-		want(t, "further attempts", len(r.c.further), wanted[0])
-		want(t, "queries", len(r.c.took), wanted[1])
+		r.c.retryTimes = []time.Duration{past - 100*ms, past + time.Second}
+		r.c.requestTimes = []time.Duration{past + 100*ms, past + time.Second}
+		r.c.expireBudget()
+		want(t, "further attempts", len(r.c.retryTimes), wanted[0])
+		want(t, "queries", len(r.c.requestTimes), wanted[1])
 	}
 }
 
@@ -268,8 +268,8 @@
 		_, got := r.ask("quick")
 		sent += len(pickOf[SendAttempt](got))
 	}
-	s := r.c.set.Rules
-	most := s.OverloadMultiple * s.SlowStartInitial * 1.1 * coldBusy * 8 * s.OverloadWindow.Seconds() / r.c.classes[0].work
+	s := r.c.settings.Rules
+	most := s.OverloadMultiple * s.SlowStartInitial * 1.1 * slowStartUtilization * 8 * s.OverloadWindow.Seconds() / r.c.classes[0].meanWork
 	if sent == 0 || float64(sent) > most {
 		t.Fatalf("%d sent to a cold engine, at most %.0f by all", sent, most)
 	}
@@ -396,7 +396,7 @@
 			r.end(other, 0, OK)
 		}
 		if got = r.run(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
-			want(t, "believed to lose answers", r.c.loss(r.c.engineOf[hung]) > 10*rareLoss, true)
+			want(t, "believed to lose answers", r.c.lossRate(r.c.engineByID[hung]) > 10*priorLossRate, true)
 			again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 			want(t, "sent elsewhere", len(again) == 1 && again[0].Engine != hung, true)
 			return
@@ -464,8 +464,8 @@
 		_, got := r.ask("quick")
 		refused += len(pickOf[Reject](got))
 	}
-	if sent := r.c.engines[0].threads; float64(sent) > r.c.engines[0].bound || refused == 0 {
-		t.Fatalf("%d threads under a bound of %.1f, %d refused", sent, r.c.engines[0].bound, refused)
+	if sent := r.c.engines[0].threadsInFlight; float64(sent) > r.c.engines[0].limit || refused == 0 {
+		t.Fatalf("%d threads under a bound of %.1f, %d refused", sent, r.c.engines[0].limit, refused)
 	}
 }
 
@@ -483,21 +483,21 @@
 
 func TestARestartVoidsWhatWasBelieved(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
-	e := r.c.engineOf["e1"]
-	r.c.setDown(e, "failing")
-	e.fails = 1
+	e := r.c.engineByID["e1"]
+	r.c.eject(e, "failing")
+	e.failureRate = 1
 	back := eng("e1")
 	back.StartedAt = r.now
 	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{back}})
-	want(t, "down", e.down, false)
-	want(t, "fails", e.fails, 0.0)
-	want(t, "cold", r.c.cold(e), true)
+	want(t, "down", e.ejected, false)
+	want(t, "fails", e.failureRate, 0.0)
+	want(t, "cold", r.c.inSlowStart(e), true)
 }
 
 func TestWhenMostEnginesLookBadTheyAreStillTried(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"), eng("e3"))
-	r.c.setDown(r.c.engineOf["e1"], "failing")
-	r.c.setDown(r.c.engineOf["e2"], "failing")
+	r.c.eject(r.c.engineByID["e1"], "failing")
+	r.c.eject(r.c.engineByID["e2"], "failing")
 	seen := map[string]bool{}
 	for range 20 {
 		_, got := r.ask("quick")
@@ -547,23 +547,23 @@
 	r := newRig(t, base())
 	c := r.c
 	c.shares = []float64{0.75, 0.25}
-	var q queue
+	var q fairQueue
 	q.init(2, 2)
 	for i := range 40 {
-		q.push(c, &query{Request: Request{ID: fmt.Sprint(i)}, c: i % 2, t: i / 2 % 2, work: 1})
+		q.push(c, &request{Request: Request{ID: fmt.Sprint(i)}, classIndex: i % 2, tenantIndex: i / 2 % 2, expectedWork: 1})
 	}
 	var classes, tenants [2]int
 	for range 16 {
 		h := q.head(nil)
 		q.pop(c, h)
-		classes[h.c]++
-		if h.c == 0 {
-			tenants[h.t]++
+		classes[h.classIndex]++
+		if h.classIndex == 0 {
+			tenants[h.tenantIndex]++
 		}
 	}
 	want(t, "class service", classes, [2]int{12, 4})
 	want(t, "tenant service, shares 3 to 1", tenants, [2]int{9, 3})
-	late := &query{c: 1, t: 0, work: 1}
+	late := &request{classIndex: 1, tenantIndex: 0, expectedWork: 1}
 	before := q.flows[1].start
 	q.remove(c, q.head(nil))
 	q.push(c, late)
@@ -573,21 +573,21 @@
 // Worked example: only the second class gains, so it gets all but nothing.
 func TestOptimizerGivesShareToTheClassThatGains(t *testing.T) {
 	c := newRig(t, base()).c
-	c.classes[0].rate, c.classes[1].rate = 10, 10
+	c.classes[0].arrivalRate, c.classes[1].arrivalRate = 10, 10
 	for i := range 4 {
 		for j := range 6 {
-			c.share.Theta.Set(i, j, 0)
+			c.shareRegulator.Theta.Set(i, j, 0)
 		}
 	}
 	for i := range 4 { // each class's outputs equal its own share
-		c.share.Theta.Set(i, 4+i/2, 1)
+		c.shareRegulator.Theta.Set(i, 4+i/2, 1)
 	}
-	s := c.optimize(100)
+	s := c.optimizeShares(100)
 	if math.Abs(s[0]+s[1]-1) > 1e-6 || s[1] < 0.8 {
 		t.Fatalf("shares %v: the class worth eight times as much should have most", s)
 	}
-	c.classes[1].rate = 0 // worth nothing now
-	if s = c.optimize(100); s[0] < 0.8 {
+	c.classes[1].arrivalRate = 0 // worth nothing now
+	if s = c.optimizeShares(100); s[0] < 0.8 {
 		t.Fatalf("shares %v: the class with traffic should have most", s)
 	}
 }
@@ -596,20 +596,20 @@
 func TestSharesAndBoundMoveWithWhatIsSeen(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
 	shares := slices.Clone(r.c.shares)
-	bound := r.c.engines[0].bound
+	bound := r.c.engines[0].limit
 	for i := range 60 {
 		id, _ := r.ask("quick")
 		long, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 		r.run(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
-			if q := r.c.queries[id]; q != nil && len(q.attempts) > 0 {
+			if q := r.c.requests[id]; q != nil && len(q.attempts) > 0 {
 				r.feed(AttemptEnded{RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
 					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms})
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.engines[0].bound {
-		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.engines[0].bound)
+	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.engines[0].limit {
+		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.engines[0].limit)
 	}
 }
 
@@ -620,10 +620,10 @@
 	r.run(1500 * ms)
 	id, _ = r.ask("quick")
 	r.end(id, 0, OK)
-	fit := r.c.share.Theta.At(0, 0)
+	fit := r.c.shareRegulator.Theta.At(0, 0)
 	r.now += 5 * time.Second
 	r.feed(TimerFired{Token: 1})
-	want(t, "fit", r.c.share.Theta.At(0, 0), fit)
+	want(t, "fit", r.c.shareRegulator.Theta.At(0, 0), fit)
 }
 
 // Long queries fill the bound for seconds. Quick ones, which earn more for their work, must not wait or be refused
@@ -635,7 +635,7 @@
 		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
 	e := r.c.engines[0]
-	if room := e.bound - float64(e.threads); room >= 2 || !r.c.pressed(e) {
+	if room := e.limit - float64(e.threadsInFlight); room >= 2 || !r.c.underPressure(e) {
 		t.Fatalf("the long ones leave %.1f threads", room)
 	}
 	quick := 0
@@ -643,8 +643,8 @@
 		_, got := r.ask("quick")
 		quick += len(pickOf[SendAttempt](got))
 	}
-	if float64(quick) <= r.c.shares[0]*e.bound || float64(quick) > e.bound {
-		t.Fatalf("%d quick queries were sent, want more than their share of the bound of %.1f and no more than it", quick, e.bound)
+	if float64(quick) <= r.c.shares[0]*e.limit || float64(quick) > e.limit {
+		t.Fatalf("%d quick queries were sent, want more than their share of the bound of %.1f and no more than it", quick, e.limit)
 	}
 }
 
@@ -657,8 +657,8 @@
 	want(t, "called off", slices.Contains(r.feed(ClientDisconnected{RequestID: id}), Action(CancelAttempt{RequestID: id})), true)
 	want(t, "once", len(pickOf[CancelAttempt](r.run(5*time.Second))), 0)
 	r.end(id, 0, Cancelled)
-	want(t, "threads", r.c.engines[0].threads, 0)
-	want(t, "queries kept", len(r.c.queries), 0)
+	want(t, "threads", r.c.engines[0].threadsInFlight, 0)
+	want(t, "queries kept", len(r.c.requests), 0)
 	s.Limits.Cancellation = false
 	r = newRig(t, s, eng("e1"))
 	id, _ = r.ask("quick")
@@ -688,7 +688,7 @@
 			for _, class := range []string{"quick", "long"} {
 				id, got := r.ask(class)
 				if len(pickOf[SendAttempt](got)) > 0 {
-					all = append(all, sent{r.now, r.c.classes[r.c.classOf[class]].work})
+					all = append(all, sent{r.now, r.c.classes[r.c.classByName[class]].meanWork})
 					turns[g] = true
 					r.end(id, 0, OK)
 				}
@@ -727,9 +727,9 @@
 		_, got := r.ask("quick", func(q *Request) { q.Tenant = name })
 		want(t, "sent for "+name, len(pickOf[SendAttempt](got)), 1)
 	}
-	want(t, "charged to t0", r.c.tenants[0].arrived, 1)
-	want(t, "charged to t1", r.c.tenants[1].arrived, 0)
-	want(t, "charged to the unknown", r.c.tenants[2].arrived, 2)
+	want(t, "charged to t0", r.c.tenants[0].arrivals, 1)
+	want(t, "charged to t1", r.c.tenants[1].arrivals, 0)
+	want(t, "charged to the unknown", r.c.tenants[2].arrivals, 2)
 	want(t, "share of the unknown", r.c.tenants[2].Share, 0.25)
 }
 
@@ -785,17 +785,17 @@
 	for range 400 { // nothing is answered
 		r.ask("quick")
 		r.run(20 * ms)
-		if most := calmRoom*max(r.c.pool.bound, r.c.widest) + 2; float64(r.c.pool.threads) > most {
-			t.Fatalf("%d threads out, over %.1f", r.c.pool.threads, most)
+		if most := calmLimitFactor*max(r.c.pool.limit, r.c.mostThreads) + 2; float64(r.c.pool.threadsInFlight) > most {
+			t.Fatalf("%d threads out, over %.1f", r.c.pool.threadsInFlight, most)
 		}
 	}
-	want(t, "pressed", r.c.pressed(r.c.pool), true)
+	want(t, "pressed", r.c.underPressure(r.c.pool), true)
 }
 
 // Shares, bound and targets move with what a gateway sees over all engines, though it sees each one rarely.
 func TestAPooledGatewaysRegulatorsMove(t *testing.T) {
 	r := pooledRig(t, pooledBase(), 60)
-	shares, bound := slices.Clone(r.c.shares), r.c.pool.bound
+	shares, bound := slices.Clone(r.c.shares), r.c.pool.limit
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
 			id, got := r.ask(class, func(q *Request) { q.Deadline = r.now + 20*time.Second })
@@ -805,8 +805,8 @@
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.pool.bound {
-		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.pool.bound)
+	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.pool.limit {
+		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.pool.limit)
 	}
 }
 
@@ -847,7 +847,7 @@
 		r.c.lost, r.c.evidence = float64(30+i), float64(40+i)
 		r.ask("quick")
 		for _, snd := range pickOf[SendAttempt](r.run(100 * ms)) {
-			if q := r.c.queries[snd.RequestID]; q != nil && len(q.attempts) > 1 {
+			if q := r.c.requests[snd.RequestID]; q != nil && len(q.attempts) > 1 {
 				t.Fatal("a copy in a jam")
 			}
 		}
@@ -878,7 +878,7 @@
 	for _, a := range pickOf[SendAttempt](r.all) {
 		r.end(a.RequestID, 0, TimedOut)
 	}
-	want(t, "queries kept", len(r.c.queries), 0)
+	want(t, "queries kept", len(r.c.requests), 0)
 }
 
 func BenchmarkHandle(b *testing.B) {
@@ -910,7 +910,7 @@
 	r := newRig(t, base(), eng("e1"))
 	aim := func() time.Duration {
 		id, _ := r.ask("quick")
-		left := r.c.queries[id].aim - r.now
+		left := r.c.requests[id].objectiveAt - r.now
 		r.end(id, 0, OK)
 		return left
 	}
@@ -962,7 +962,7 @@
 		for i, s := range sent["e1"] {
 			r.feed(AttemptEnded{RequestID: s.RequestID, Engine: "e1", Status: ConnectionReset, SharedCause: shared && i > 0})
 		}
-		if len(sent["e1"]) < 3 || r.c.engineOf["e1"].down != down {
+		if len(sent["e1"]) < 3 || r.c.engineByID["e1"].ejected != down {
 			t.Errorf("shared %v: %d were out, down is %v", shared, len(sent["e1"]), !down)
 		}
 	}
@@ -996,8 +996,8 @@
 	for range 100 {
 		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
-	if most := calmRoom * e.bound; r.c.pressed(e) || float64(e.threads) < e.bound || float64(e.threads) > most {
-		t.Fatalf("%d threads are out, want between the bound of %.1f and %.1f", e.threads, e.bound, most)
+	if most := calmLimitFactor * e.limit; r.c.underPressure(e) || float64(e.threadsInFlight) < e.limit || float64(e.threadsInFlight) > most {
+		t.Fatalf("%d threads are out, want between the bound of %.1f and %.1f", e.threadsInFlight, e.limit, most)
 	}
 }
 
@@ -1030,10 +1030,10 @@
 		old.State = Removed
 		r.c.log("down "+old.ID, "noted")
 		r.feed(EndpointUpdate{Engines: []Engine{old, fresh}})
-		r.run(2 * interval)
+		r.run(2 * controlInterval)
 	}
-	if len(r.c.engines) != 1 || len(r.c.engineOf) != 1 || len(r.c.loggedAt) != 0 {
-		t.Fatalf("%d engines, %d by name, %d lines are remembered", len(r.c.engines), len(r.c.engineOf), len(r.c.loggedAt))
+	if len(r.c.engines) != 1 || len(r.c.engineByID) != 1 || len(r.c.loggedAt) != 0 {
+		t.Fatalf("%d engines, %d by name, %d lines are remembered", len(r.c.engines), len(r.c.engineByID), len(r.c.loggedAt))
 	}
 }
 
@@ -1062,7 +1062,7 @@
 	if off == 0 || off > 400*ms {
 		t.Fatalf("called off after %v, which leaves no time for another try", off)
 	}
-	want(t, "threads that count", r.c.engineOf[stuck].threads, 0)
+	want(t, "threads that count", r.c.engineByID[stuck].threadsInFlight, 0)
 	want(t, "losses", r.c.lost, 0)
 	again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 	if len(again) != 1 || again[0].Engine == stuck {
@@ -1075,9 +1075,9 @@
 		}
 	}
 	r.end(id, 1, OK) // elsewhere, which tells nothing of the load
-	want(t, "held", r.c.loading(r.c.engineOf[stuck], 7), true)
+	want(t, "held", r.c.dataSetLocked(r.c.engineByID[stuck], 7), true)
 	r.run(10 * time.Second)
-	want(t, "held for good", r.c.loading(r.c.engineOf[stuck], 7), false)
+	want(t, "held for good", r.c.dataSetLocked(r.c.engineByID[stuck], 7), false)
 }
 
 // On a day without a lost answer 40 of 100 attempts were called off: each counted as a loss, which made patience
@@ -1102,8 +1102,8 @@
 		if i >= 300 {
 			off += len(pickOf[CancelAttempt](got))
 		}
-		q := r.c.queries[id]
-		if n := len(q.attempts) - 1; q.attempts[n].called {
+		q := r.c.requests[id]
+		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
 			r.feed(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
 			r.run(took)
 			r.feed(AttemptEnded{RequestID: id, Number: n + 1, Status: OK, Duration: 40 * ms, RequestClosed: true, Work: 40 * ms})
@@ -1122,14 +1122,14 @@
 	s := base()
 	s.Limits.LoadProbes, s.ReportFields = true, []string{"x1"}
 	r := newRig(t, s, eng("e1"), eng("e2"))
-	r.run(2 * interval)
+	r.run(2 * controlInterval)
 	probed := map[string]time.Duration{}
 	sends := 0
 	for range 300 {
 		_, got := r.ask("long")
 		got = append(got, r.run(10*ms)...)
 		for _, p := range pickOf[ProbeLoad](got) {
-			if last, ok := probed[p.Engine]; ok && r.now-last < reportAge-20*ms {
+			if last, ok := probed[p.Engine]; ok && r.now-last < probeFreshness-20*ms {
 				t.Fatalf("%s was probed again after %v", p.Engine, r.now-last)
 			}
 			probed[p.Engine] = r.now
@@ -1151,7 +1151,7 @@
 	s.Limits.Cancellation = true
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	long := func(q *Request) { q.Deadline = r.now + 20*time.Second }
-	r.c.classes[1].work = 0.8
+	r.c.classes[1].meanWork = 0.8
 	for i := range 20 {
 		id, _ := r.ask("long", long)
 		took := time.Duration(300+i*37%200) * ms
@@ -1177,7 +1177,7 @@
 	s := base()
 	s.Brokers, s.Classes[1].Threads = 3, 4
 	r := newRig(t, s, eng("e1"))
-	r.c.engines[0].bound = 4
+	r.c.engines[0].limit = 4
 	sent := 0
 	for range 4 {
 		_, got := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
@@ -1201,7 +1201,7 @@
 	for range 4 {
 		r.ask("quick")
 	}
-	r.run(leastSilence - 50*ms)
+	r.run(minLossWait - 50*ms)
 	want(t, "losses", r.c.lost, 0)
 }
 
@@ -1225,7 +1225,7 @@
 	s := pooledBase()
 	s.Limits.LoadProbes, s.ReportFields = true, []string{"util"}
 	r := pooledRig(t, s, 60)
-	r.run(2 * interval)
+	r.run(2 * controlInterval)
 	refused, probedFor := 0, 0
 	for range 400 { // nothing is answered: the pool's queue grows until queries can't make their aim
 		id, got := r.ask("long")
@@ -1258,7 +1258,7 @@
 		}
 		r.run(time.Second / 24)
 	}
-	if part := r.c.part / even; part < 4.5 || part > 7.5 {
+	if part := r.c.trafficShare / even; part < 4.5 || part > 7.5 {
 		t.Fatalf("after 3 s its part is %.1f even parts, want about 6", part)
 	}
 }
@@ -1273,7 +1273,7 @@
 		hi := min(most, time.Second)
 		atTop := 0
 		for range 1000 {
-			in := r.c.retryIn()
+			in := r.c.retryAfter()
 			if in < min(300*ms, hi/2) || in > hi {
 				t.Fatalf("told %v where clients follow up to %v", in, most)
 			}
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -28,13 +28,13 @@
 		{EngineHash("e01"), 0.9, 1500 * ms}, {EngineHash("e02"), 0.9, 1500 * ms}, {EngineHash("e03"), 0.9, 5 * time.Second},
 		{EngineHash("e04"), -3, -time.Hour}, {EngineHash("no such"), 0.9, 0}}})
 	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
-		if got := r.c.engineOf[id].report; math.Abs(got-wanted) > 1e-9 {
+		if got := r.c.engineByID[id].load; math.Abs(got-wanted) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
-	want(t, "e04's report, in the future", r.c.engineOf["e04"].reportAt, r.now)
+	want(t, "e04's report, in the future", r.c.engineByID["e04"].loadReportedAt, r.now)
 	r.feed(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
-	want(t, "a younger report", r.c.engineOf["e01"].report, 0.7)
+	want(t, "a younger report", r.c.engineByID["e01"].load, 0.7)
 }
 
 // A gateway tells one other at a time, never itself, what it knows, the youngest first, and no oftener than
@@ -48,7 +48,7 @@
 	r.now += 50 * ms
 	r.feed(ProbeResult{Engine: "e02", Report: []float64{0.8}})
 	told := pickOf[SendGossip](r.run(4 * time.Second))
-	if len(told) < 10 || len(told) > int(4*time.Second/tellEvery) {
+	if len(told) < 10 || len(told) > int(4*time.Second/gossipInterval) {
 		t.Fatalf("told %d times in 4 s", len(told))
 	}
 	for range 20 { // news at every second, so that it goes on telling
@@ -66,7 +66,7 @@
 	if first := told[0].Reports; len(first) != 2 || first[0].Engine != EngineHash("e02") || first[1].Age-first[0].Age != 50*ms {
 		t.Fatalf("told %+v first", first)
 	}
-	want(t, "tells of what is old", len(pickOf[SendGossip](r.run(10*time.Second))) < int(6*time.Second/tellEvery), true)
+	want(t, "tells of what is old", len(pickOf[SendGossip](r.run(10*time.Second))) < int(6*time.Second/gossipInterval), true)
 	s.Limits.Gossip = false
 	r = pooledRig(t, s, 10)
 	r.feed(ProbeResult{Engine: "e01", Report: []float64{0.4}})
@@ -109,13 +109,13 @@
 // threads are taken meanwhile, and given back when its client goes away first.
 func TestAHeavyQueryLeavesForTheEmptiestAsked(t *testing.T) {
 	r := pooledRig(t, fleetBase(), 60)
-	r.run(2 * interval)
+	r.run(2 * controlInterval)
 	id, got := r.ask("long")
 	asked := pickOf[ProbeLoad](got)
 	if len(asked) < 2 || len(pickOf[SendAttempt](got)) > 0 {
 		t.Fatalf("%d engines asked, %d sends", len(asked), len(pickOf[SendAttempt](got)))
 	}
-	want(t, "threads while it leaves", r.c.pool.threads, 2)
+	want(t, "threads while it leaves", r.c.pool.threadsInFlight, 2)
 	for i, a := range asked {
 		r.feed(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
 	}
@@ -123,12 +123,12 @@
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
 		t.Fatalf("asked %v, sent %v", asked, sent)
 	}
-	want(t, "threads once it left", r.c.pool.threads, 2)
+	want(t, "threads once it left", r.c.pool.threadsInFlight, 2)
 	gone, _ := r.ask("long")
 	r.feed(ClientDisconnected{RequestID: gone})
 	r.run(time.Second)
-	want(t, "threads after a client left", r.c.pool.threads, 2)
-	want(t, "class's count", r.c.classes[1].leaving, 0)
+	want(t, "threads after a client left", r.c.pool.threadsInFlight, 2)
+	want(t, "class's count", r.c.classes[1].awaitingProbes, 0)
 }
 
 // The pool's load is what its threads meet: crowded engines are no better off for others that stand empty.
@@ -140,11 +140,11 @@
 		if i < 4 {
 			load = 1.8
 		}
-		reports = append(reports, LoadReport{r.c.engines[i].mark, load, 0})
+		reports = append(reports, LoadReport{r.c.engines[i].shortID, load, 0})
 	}
 	r.feed(GossipReceived{Reports: reports})
-	r.run(tick + 5*ms)
-	if got := r.c.pool.report; got < 1.6 || got > 1.8 {
+	r.run(tickInterval + 5*ms)
+	if got := r.c.pool.load; got < 1.6 || got > 1.8 {
 		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
 	}
 }
@@ -157,7 +157,7 @@
 		s := fleetBase()
 		s.WeightByWork, s.Limits.LoadProbes = byWork, false
 		r := pooledRig(t, s, 60)
-		r.run(2 * interval)
+		r.run(2 * controlInterval)
 		weight := func(i int) time.Duration { return time.Duration(100<<(i%6)) * ms } // 0.1 to 3.2 s
 		out, refused := map[string]time.Duration{}, [6]int{}
 		works := map[string]int{}
@@ -187,13 +187,13 @@
 		if !byWork && refused[5] < 4*(refused[0]+1) {
 			t.Errorf("refused, from the lightest to the heaviest: %v", refused)
 		}
-		if byWork && r.c.costly(&query{work: 1e6}) {
+		if byWork && r.c.belowAdmissionPrice(&request{expectedWork: 1e6}) {
 			t.Error("where worth grows with work, a query was too much work for its worth")
 		}
-		dear := r.c.price
-		r.run(100 * interval)
-		want(t, "price forgotten", r.c.price, leastPrice)
-		if dear <= leastPrice {
+		dear := r.c.admissionPrice
+		r.run(100 * controlInterval)
+		want(t, "price forgotten", r.c.admissionPrice, minAdmissionPrice)
+		if dear <= minAdmissionPrice {
 			t.Errorf("the price never rose: %v", dear)
 		}
 	}
--- a/control/view.go
+++ b/control/view.go
@@ -30,8 +30,8 @@
 		if !e.listed {
 			continue
 		}
-		w := EngineView{ID: e.ID, State: e.State, SlowStart: c.cold(e), Ejected: e.down, ConcurrencyLimit: e.lot.bound, ThreadsInFlight: e.threads,
-			Queued: e.lot.queue.n}
+		w := EngineView{ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.ejected, ConcurrencyLimit: e.queueOwner.limit, ThreadsInFlight: e.threadsInFlight,
+			Queued: e.queueOwner.queue.length}
 		if c.pool != nil && c.pool.cores > 0 {
 			w.ConcurrencyLimit *= e.cores / c.pool.cores
 		}
