--- /dev/null
+++ b/internal/estimate/estimate_test.go
@@ -0,0 +1,122 @@
+package estimate
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+func near(t *testing.T, what string, got, wanted, within float64) {
+	t.Helper()
+	if math.Abs(got-wanted) > within || math.IsNaN(got) {
+		t.Errorf("%s: got %v, want %v within %v", what, got, wanted, within)
+	}
+}
+
+func TestAnAverageIsTheMeanAtFirstAndMovesThen(t *testing.T) {
+	average, sum := 100.0, 0.0
+	for i := range 10 {
+		sum += float64(i)
+		average = Toward(average, float64(i), Gain(0.05, float64(i+1)))
+		near(t, "mean of the samples so far", average, sum/float64(i+1), 1e-12)
+	}
+	for range 200 {
+		average = Toward(average, 50, Gain(0.05, 1000))
+	}
+	near(t, "average after many equal samples", average, 50, 0.01)
+}
+
+func TestMedian(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		values []float64
+		want   float64
+	}{
+		{"of none", nil, 0},
+		{"of one", []float64{3}, 3},
+		{"of an even number is the lower", []float64{4, 1, 3, 2}, 2},
+		{"is not moved by one large value", []float64{1, 1e9, 2}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) { near(t, "median", Median(c.values), c.want, 0) })
+	}
+}
+
+func TestSpreadFindsMeanAndQuantile(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	s := Spread{Variance: 1}
+	for range 20000 {
+		s.Observe(0.4+0.5*rng.NormFloat64(), 0.002)
+	}
+	near(t, "mean", s.Mean, 0.4, 0.05)
+	near(t, "variance", s.Variance, 0.25, 0.05)
+	near(t, "value that 1 in 40 exceeds", s.UpperQuantile(0.025), 0.4+1.96*0.5, 0.1)
+	near(t, "value that half exceed", s.UpperQuantile(0.5), s.Mean, 1e-9)
+}
+
+func TestLossRate(t *testing.T) {
+	var l Loss
+	near(t, "rate without answers is the prior", l.Rate(0.01, 20), 0.01, 1e-12)
+	for range 80 {
+		l.Answer()
+	}
+	for range 20 {
+		l.Lose(0.5)
+	}
+	near(t, "rate", l.Rate(0, 0), 0.1, 1e-12)
+	near(t, "rate shrunk to a prior that weighs as much", l.Rate(0.3, 100), 0.2, 1e-12)
+	l.Recover(5)
+	near(t, "rate after half came after all", l.Rate(0, 0), 0.05, 1e-12)
+	l.Recover(100)
+	near(t, "lost is never less than none", l.Lost, 0, 0)
+	l.Lose(1)
+	l.Fade(0.5)
+	near(t, "answers that are left", l.Answers, 50.5, 1e-12)
+	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
+}
+
+func TestFloorStaysNearTheLowSamples(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	var f Floor
+	near(t, "first sample over the level", f.Observe(2, 0), -floorStep, 1e-12)
+	under := 0
+	for range 20000 {
+		if f.Observe(rng.Float64(), 0) < 0 {
+			under++
+		}
+	}
+	near(t, "share of samples under the level", float64(under)/20000, 0.25, 0.05)
+}
+
+func TestHighRatioCoversFourInFive(t *testing.T) {
+	rng := rand.New(rand.NewPCG(5, 6))
+	ratio, covered := 1.0, 0
+	for i := range 20000 {
+		observed := 10 * rng.Float64()
+		if i >= 1000 && observed <= 10*ratio {
+			covered++
+		}
+		ratio = HighRatio(ratio, observed, 10)
+	}
+	near(t, "share covered", float64(covered)/19000, 0.8, 0.05)
+}
+
+func TestSelfWeightedMeanIsWhatAUnitMeets(t *testing.T) {
+	var s SelfWeighted
+	if _, ok := s.Mean(); ok {
+		t.Error("a mean of nothing")
+	}
+	for range 6 {
+		s.Add(0)
+	}
+	for range 4 {
+		s.Add(2)
+	}
+	mean, ok := s.Mean()
+	near(t, "mean", mean, 2, 1e-12)
+	if !ok {
+		t.Error("no mean")
+	}
+	s.Add(4)
+	mean, _ = s.Mean()
+	near(t, "mean with a crowded one", mean, (4*4+16)/12.0, 1e-12)
+}
--- /dev/null
+++ b/internal/fairqueue/fairqueue_test.go
@@ -0,0 +1,127 @@
+package fairqueue
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func want[T comparable](t *testing.T, what string, got, wanted T) {
+	t.Helper()
+	if got != wanted {
+		t.Errorf("%s: got %v, want %v", what, got, wanted)
+	}
+}
+
+// item numbers are class*100 + tenant*10 + a running number.
+func backlog(classes, tenants, each int) Queue[int] {
+	q := New[int](classes, tenants)
+	for n := range each {
+		for class := range classes {
+			for tenant := range tenants {
+				q.Push(class, tenant, class*100+tenant*10+n, 1, 2)
+			}
+		}
+	}
+	return q
+}
+
+func TestServiceFollowsShares(t *testing.T) {
+	q := backlog(2, 2, 10)
+	classShares, tenantShares := []float64{0.75, 0.25}, []float64{0.75, 0.25}
+	var byClass, byTenant [2]int
+	for range 16 {
+		head, ok := q.Head(nil)
+		if !ok {
+			t.Fatal("the queue ran empty")
+		}
+		class, tenant := head/100, head/10%10
+		q.Pop(class, tenant, classShares[class], tenantShares[tenant])
+		byClass[class]++
+		if class == 0 {
+			byTenant[tenant]++
+		}
+	}
+	want(t, "items by class, shares 3 to 1", byClass, [2]int{12, 4})
+	want(t, "items by tenant, shares 3 to 1", byTenant, [2]int{9, 3})
+}
+
+func TestOneTenantsItemsAreServedInOrder(t *testing.T) {
+	q := New[string](1, 1)
+	for _, value := range []string{"first", "second", "third"} {
+		q.Push(0, 0, value, 1, 1)
+	}
+	var got []string
+	for head, ok := q.Head(nil); ok; head, ok = q.Head(nil) {
+		got = append(got, head)
+		q.Pop(0, 0, 1, 1)
+	}
+	if !slices.Equal(got, []string{"first", "second", "third"}) {
+		t.Errorf("served %v", got)
+	}
+}
+
+func TestAClassThatIsNotEligibleIsPassedOver(t *testing.T) {
+	q := backlog(2, 1, 1)
+	head, ok := q.Head(func(class int) bool { return class == 1 })
+	want(t, "head", head, 100)
+	want(t, "found", ok, true)
+	_, ok = q.Head(func(int) bool { return false })
+	want(t, "found where no class is eligible", ok, false)
+}
+
+func TestSumsFollowWhatWaits(t *testing.T) {
+	q := backlog(2, 2, 2)
+	q.Push(1, 0, 7, 5, 4)
+	q.Remove(1, 0, 7)
+	q.Remove(1, 0, 7) // it waits no more
+	q.Pop(0, 1, 0.5, 0.5)
+	want(t, "length", q.Len(), 7)
+	want(t, "work", q.Work(), 7)
+	want(t, "threads", q.Threads(), 14)
+	want(t, "work of the class served", q.ClassWork(0), 3)
+	want(t, "work of the tenant served", q.TenantWork(0, 1), 1)
+	want(t, "work of the other class", q.ClassWork(1), 4)
+}
+
+func TestAFlowThatStaysBackloggedKeepsItsTag(t *testing.T) {
+	q := backlog(2, 2, 10)
+	shares := []float64{0.75, 0.25}
+	for range 16 {
+		head, _ := q.Head(nil)
+		q.Pop(head/100, head/10%10, shares[head/100], shares[head/10%10])
+	}
+	before := q.classes[1].start
+	head, _ := q.Head(nil)
+	q.Remove(head/100, head/10%10, head)
+	q.Push(1, 0, 100+10, 1, 1)
+	want(t, "start tag", q.classes[1].start, before)
+}
+
+func TestRemovalCostsNothingAndIdleTimeGivesNoCredit(t *testing.T) {
+	q := New[int](2, 1)
+	q.Push(0, 0, 1, 1, 1)
+	before := q.classes[0].start
+	q.Push(0, 0, 2, 1, 1)
+	q.Remove(0, 0, 1)
+	want(t, "start tag after a removal", q.classes[0].start, before)
+	for range 5 {
+		q.Push(0, 0, 3, 1, 1)
+		q.Pop(0, 0, 0.5, 1)
+	}
+	q.Push(1, 0, 4, 1, 1)
+	if got := q.classes[1].start; got != q.virtualTime || got == 0 || math.IsInf(got, 0) {
+		t.Errorf("a class that was idle starts at %v, want the virtual time %v", got, q.virtualTime)
+	}
+}
+
+func TestGrowKeepsWhatWaits(t *testing.T) {
+	q := backlog(1, 1, 1)
+	q.Grow(3, 1)
+	q.Push(2, 0, 200, 1, 1)
+	want(t, "length", q.Len(), 2)
+	head, _ := q.Head(func(class int) bool { return class == 2 })
+	want(t, "head of the class that came later", head, 200)
+	q.Grow(1, 1)
+	want(t, "length after a call that asks for fewer", q.Len(), 2)
+}
