--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -178,10 +178,10 @@
 
 // The recorder is also the meter of the reducer.
 
-func (r recorder) RequestAccepted(q *Request)             { r.record(firstMeterKind, q) }
-func (r recorder) RequestRejected(k ReplyKind)       { r.record(firstMeterKind+1, k) }
-func (r recorder) AttemptStarted(class string)            { r.record(firstMeterKind+2, class) }
-func (r recorder) RequestEnded(o RequestSummary)        { r.record(firstMeterKind+3, o) }
+func (r recorder) RequestAccepted(q *Request)    { r.record(firstMeterKind, q) }
+func (r recorder) RequestRejected(k ReplyKind)   { r.record(firstMeterKind+1, k) }
+func (r recorder) AttemptStarted(class string)   { r.record(firstMeterKind+2, class) }
+func (r recorder) RequestEnded(o RequestSummary) { r.record(firstMeterKind+3, o) }
 func (r recorder) AttemptEnded(o AttemptSummary) { r.record(firstMeterKind+4, o) }
 
 // fromFile reads the settings object of a deployment from testdata, as a broker does.
@@ -303,7 +303,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &simulation{recorder: recorder{sum}, t: t, rng: rand.New(rand.NewPCG(seed, 17)), broker: b, set: set, now: start, limit: clients,
+	s := &simulation{recorder: recorder{sum}, t: t, rng: rand.New(rand.NewPCG(seed, 17)), broker: b, set: set, now: startTime, limit: clients,
 		seen: map[string]int{}}
 	b.SetMeter(s.recorder)
 	for range engines {
@@ -591,7 +591,7 @@
 		s.apply(SessionHalfClosed{client})
 		s.forgetClient(client)
 	case luck < 895:
-		s.hear()
+		s.receiveGossip()
 	case luck < 925:
 		s.changeList()
 	case luck < 980:
@@ -699,7 +699,7 @@
 	s.apply(Kill{RequestedBy: s.anyClient(), Target: target, CloseConnection: s.chance(30), SentAt: s.now - s.between(0, 5*ms)})
 }
 
-func (s *simulation) hear() {
+func (s *simulation) receiveGossip() {
 	var reports []control.LoadReport
 	for range 1 + s.rng.IntN(3) {
 		e := s.engines[s.rng.IntN(len(s.engines))]
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -47,16 +47,16 @@
 
 func newClosedLoop(b *testing.B, clients, engines int) *closedLoop {
 	b.Helper()
-	set := settings()
+	set := testSettings()
 	set.ReportFields = []string{"util"}
 	r, err := New(set, 1, clients)
 	if err != nil {
 		b.Fatal(err)
 	}
-	l := &closedLoop{broker: r, now: start, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[ReplyKind]int{}}
+	l := &closedLoop{broker: r, now: startTime, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[ReplyKind]int{}}
 	change := changelog.Change{Revision: 1, Snapshot: true}
 	for n := range engines {
-		change.Endpoints = append(change.Endpoints, host(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
+		change.Endpoints = append(change.Endpoints, endpoint(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
 	}
 	l.react(r.Apply(l.now, EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{change}}}))
 	for n := range clients {
--- a/internal/broker/crossing_test.go
+++ b/internal/broker/crossing_test.go
@@ -11,7 +11,7 @@
 
 // A query and the word that kills it come on two connections, and may be read in the other order. What was asked
 // before the word is answered as killed and never sent; what was asked after it is a new request.
-func TestAKillReadAheadOfItsQuery(t *testing.T) {
+func TestKillReadBeforeItsQuery(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked time.Duration // after the word was written
 		wants int
@@ -21,22 +21,22 @@
 		"asked after":  {3 * ms, 1, []ReplyKind{ReplyOK}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+			r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 			r.apply(Kill{RequestedBy: 2, Target: 1, SentAt: r.now},
 				SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now + c.asked, Timeout: time.Second}})
 			r.run(20 * ms)
-			r.wantKinds(c.kinds...)
-			if got := len(of[StartAttempt](r.got)); got != c.wants {
+			r.expectReplies(c.kinds...)
+			if got := len(effectsOf[StartAttempt](r.effects)); got != c.wants {
 				t.Fatalf("%d attempts, want %d", got, c.wants)
 			}
-			if open := r.b.OpenRequests(); open != c.wants {
+			if open := r.broker.OpenRequests(); open != c.wants {
 				t.Fatalf("%d requests are owed an answer", open)
 			}
 			// The session goes on: what its client asks now is served.
 			r.apply(SessionClosed{1}, SessionOpened{1}, SessionAuthenticated{1})
 			r.submit(1, "lookup", "", time.Second)
 			r.run(20 * ms)
-			if got := len(of[StartAttempt](r.got)); got != c.wants+1 {
+			if got := len(effectsOf[StartAttempt](r.effects)); got != c.wants+1 {
 				t.Fatal("nothing more is sent on")
 			}
 		})
@@ -44,8 +44,8 @@
 }
 
 // What a killed session had asked ahead of an answer is killed as well: its client has left, and nothing of it is sent.
-func TestAKillTakesWhatWaitsBehindTheOpenRequest(t *testing.T) {
-	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+func TestKillEndsQueuedRequests(t *testing.T) {
+	r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 	request := func(ref string) Event {
 		return SubmitRequest{1, Request{RequestID: ref, Class: "lookup", SentAt: r.now - ms, Timeout: time.Second}}
 	}
@@ -53,36 +53,36 @@
 	r.run(20 * ms)
 	r.apply(Kill{RequestedBy: 2, Target: 1, SentAt: r.now})
 	r.run(20 * ms)
-	r.wantKinds(ReplyOK, ReplyInterrupted, ReplyInterrupted)
-	if wants := of[StartAttempt](r.got); len(wants) != 1 || wants[0].RequestID != "a" {
+	r.expectReplies(ReplyOK, ReplyInterrupted, ReplyInterrupted)
+	if wants := effectsOf[StartAttempt](r.effects); len(wants) != 1 || wants[0].RequestID != "a" {
 		t.Fatalf("sent on: %v", wants)
 	}
 }
 
 // However a request ends while an attempt of it is out, what has not left of that is taken back at once, ahead of the
 // module's next round and where the module may not cancel.
-func TestWhatIsOverIsWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(r *rig){
-		"killed":       func(r *rig) { r.apply(Kill{RequestedBy: 2, Target: 1}) },
-		"client left":  func(r *rig) { r.apply(SessionClosed{1}) },
-		"time is up":   func(r *rig) { r.run(time.Second) },
-		"last answers": func(r *rig) { r.apply(Shutdown{10 * ms}); r.run(10 * ms) },
+func TestClosedRequestIsWithdrawn(t *testing.T) {
+	for name, end := range map[string]func(r *harness){
+		"killed":       func(r *harness) { r.apply(Kill{RequestedBy: 2, Target: 1}) },
+		"client left":  func(r *harness) { r.apply(SessionClosed{1}) },
+		"time is up":   func(r *harness) { r.run(time.Second) },
+		"last answers": func(r *harness) { r.apply(Shutdown{10 * ms}); r.run(10 * ms) },
 	} {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
-				set := settings()
+				set := testSettings()
 				set.Limits.Cancellation = cancel
-				r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
+				r := newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Ready))
 				r.submit(1, "lookup", "", time.Second)
-				a := of[StartAttempt](r.got)[0].Attempt
+				a := effectsOf[StartAttempt](r.effects)[0].Attempt
 				end(r)
-				if got := of[WithdrawUnsent](r.got); len(got) != 1 || got[0].Attempt != a {
+				if got := effectsOf[WithdrawUnsent](r.effects); len(got) != 1 || got[0].Attempt != a {
 					t.Fatalf("withdrawn: %v", got)
 				}
 				r.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
 				r.run(2 * time.Second)
-				if len(r.b.requests) != 0 || len(of[StartAttempt](r.got)) != 1 {
-					t.Fatalf("%d requests are left, %d attempts were made", len(r.b.requests), len(of[StartAttempt](r.got)))
+				if len(r.broker.requests) != 0 || len(effectsOf[StartAttempt](r.effects)) != 1 {
+					t.Fatalf("%d requests are left, %d attempts were made", len(r.broker.requests), len(effectsOf[StartAttempt](r.effects)))
 				}
 			})
 		}
@@ -91,7 +91,7 @@
 
 // The last answers before a broker ends say what is true of each request, and what comes after them is refused at
 // once and never sent on.
-func TestLastWords(t *testing.T) {
+func TestFinalAnswers(t *testing.T) {
 	once := control.Class{Name: "once", LatencyObjective: time.Second, PriorityWeight: 1, Threads: 1, Idempotency: control.NonIdempotent}
 	zone := control.Class{Name: "zone", LatencyObjective: time.Second, PriorityWeight: 1, Threads: 1, Idempotency: control.IdempotentWithKey, DedupScope: control.DedupScopeZone, DedupWindow: time.Second}
 	for name, c := range map[string]struct {
@@ -109,30 +109,30 @@
 		"unsafe, sent and surely never ran": {"once", control.NeverSent, true, ReplyRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.Classes = append(set.Classes, once, zone)
 			set.Limits.MaxAttempts = 1 // no other attempt comes between
-			r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Draining))
+			r := newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Draining))
 			if c.sent {
-				r = newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
+				r = newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Ready))
 			}
 			r.submit(1, c.class, "", 10*time.Second)
 			r.run(10 * ms)
-			wants := of[StartAttempt](r.got)
+			wants := effectsOf[StartAttempt](r.effects)
 			if len(wants) > 0 != c.sent {
 				t.Fatalf("%d attempts", len(wants))
 			}
 			if c.ended != control.OK {
-				r.b.Apply(r.now, AttemptEnded{Attempt: wants[0].Attempt, Status: c.ended}) // the module has not heard of it
+				r.broker.Apply(r.now, AttemptEnded{Attempt: wants[0].Attempt, Status: c.ended}) // the module has not heard of it
 			}
-			r.got = nil
-			r.got = append(r.got, r.b.Apply(r.now, Shutdown{0})...)
+			r.effects = nil
+			r.effects = append(r.effects, r.broker.Apply(r.now, Shutdown{0})...)
 			r.apply()
-			r.wantKinds(c.want)
+			r.expectReplies(c.want)
 			r.submit(2, c.class, "", 10*time.Second)
 			r.run(time.Second)
-			r.wantKinds(c.want, ReplyRejected)
-			if len(of[StartAttempt](r.got)) > 0 || r.b.OpenRequests() != 0 {
+			r.expectReplies(c.want, ReplyRejected)
+			if len(effectsOf[StartAttempt](r.effects)) > 0 || r.broker.OpenRequests() != 0 {
 				t.Fatal("what came after the last answers was taken")
 			}
 		})
@@ -140,14 +140,14 @@
 }
 
 // A client that leaves in the round in which its request comes has nothing sent on.
-func TestAClientThatLeavesInTheRoundOfItsRequest(t *testing.T) {
+func TestClientLeavesInTheBatchOfItsRequest(t *testing.T) {
 	for name, leave := range map[string]Event{"closed": SessionClosed{1}, "killed": Kill{RequestedBy: 2, Target: 1}} {
-		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-		r.now += settings().MinBatchInterval
-		r.b.Apply(r.now, SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
+		r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
+		r.now += testSettings().MinBatchInterval
+		r.broker.Apply(r.now, SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
 		r.apply(leave)
 		r.run(time.Second)
-		if len(of[StartAttempt](r.got)) > 0 || r.b.OpenRequests() != 0 || len(r.b.requests) != 0 {
+		if len(effectsOf[StartAttempt](r.effects)) > 0 || r.broker.OpenRequests() != 0 || len(r.broker.requests) != 0 {
 			t.Fatalf("%s: it was sent on, or is kept", name)
 		}
 	}
@@ -155,36 +155,36 @@
 
 // A page of the change log may tell of one engine that it drains, is gone and is back, and of another that takes over
 // its address: each is followed in its order, and what is sent goes where the last of them says.
-func TestMuchOfOneEngineInOnePage(t *testing.T) {
+func TestSeveralChangesOfOneEngineInOnePage(t *testing.T) {
 	at := func(seq int64, hosts ...changelog.Endpoint) changelog.Change {
 		return changelog.Change{Revision: seq, Endpoints: hosts}
 	}
-	back := host("e1", "127.0.0.1:1", control.Ready)
-	back.StartedAt = start - time.Hour
+	back := endpoint("e1", "127.0.0.1:1", control.Ready)
+	back.StartedAt = startTime - time.Hour
 	for name, c := range map[string]struct {
 		changes []changelog.Change
 		to      string // where a request goes; empty: nowhere
 		drops   int
 	}{
-		"drain, gone and back": {[]changelog.Change{at(2, host("e1", "127.0.0.1:1", control.Draining)),
-			at(3, host("e1", "", control.Removed)), at(4, back)}, "e1", 1},
-		"back, then drain":   {[]changelog.Change{at(2, host("e1", "", control.Removed)), at(3, back), at(4, host("e1", "127.0.0.1:1", control.Draining))}, "", 1},
-		"address taken over": {[]changelog.Change{at(2, host("e1", "127.0.0.1:1", control.Draining)), at(3, host("e2", "127.0.0.1:1", control.Ready))}, "e2", 1},
-		"taken over and back elsewhere": {[]changelog.Change{at(2, host("e2", "127.0.0.1:1", control.Ready)),
-			at(3, host("e2", "127.0.0.1:1", control.Draining)), at(4, host("e1", "127.0.0.1:3", control.Ready))}, "e1", 1},
+		"drain, gone and back": {[]changelog.Change{at(2, endpoint("e1", "127.0.0.1:1", control.Draining)),
+			at(3, endpoint("e1", "", control.Removed)), at(4, back)}, "e1", 1},
+		"back, then drain":   {[]changelog.Change{at(2, endpoint("e1", "", control.Removed)), at(3, back), at(4, endpoint("e1", "127.0.0.1:1", control.Draining))}, "", 1},
+		"address taken over": {[]changelog.Change{at(2, endpoint("e1", "127.0.0.1:1", control.Draining)), at(3, endpoint("e2", "127.0.0.1:1", control.Ready))}, "e2", 1},
+		"taken over and back elsewhere": {[]changelog.Change{at(2, endpoint("e2", "127.0.0.1:1", control.Ready)),
+			at(3, endpoint("e2", "127.0.0.1:1", control.Draining)), at(4, endpoint("e1", "127.0.0.1:3", control.Ready))}, "e1", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+			r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 			r.apply(EndpointChanges{changelog.Page{Revision: 4, Changes: c.changes}})
 			r.run(10 * ms)
 			r.submit(1, "lookup", "", time.Second)
 			r.run(10 * ms)
 			to := ""
-			for _, w := range of[StartAttempt](r.got) {
+			for _, w := range effectsOf[StartAttempt](r.effects) {
 				to = w.Engine
 			}
-			if to != c.to || len(of[CloseEngineConnections](r.got)) != c.drops {
-				t.Fatalf("sent to %q after %d drops, want %q after %d", to, len(of[CloseEngineConnections](r.got)), c.to, c.drops)
+			if to != c.to || len(effectsOf[CloseEngineConnections](r.effects)) != c.drops {
+				t.Fatalf("sent to %q after %d drops, want %q after %d", to, len(effectsOf[CloseEngineConnections](r.effects)), c.to, c.drops)
 			}
 		})
 	}
@@ -193,29 +193,29 @@
 // A request that ends in the round that also sends another one may let a word go that had waited behind it, such as one
 // that kills that other. At whichever moment they meet, the module is told how each of its attempts ended: one that it
 // never hears of would take room at its engine for good.
-func TestAWordThatWaitedKillsWhatItsRoundSends(t *testing.T) {
+func TestQueuedKillOfARequestStartedInTheSameBatch(t *testing.T) {
 	for offset := range 40 {
-		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+		r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, "lookup", "", 40*ms)
 		r.apply(Kill{RequestedBy: 1, Target: 2, SentAt: r.now + time.Second})
 		r.run(time.Duration(offset) * ms)
-		r.b.Apply(r.now, SubmitRequest{2, Request{RequestID: "b", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
+		r.broker.Apply(r.now, SubmitRequest{2, Request{RequestID: "b", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
 		r.run(100 * ms)
-		for _, w := range of[StartAttempt](r.got) {
+		for _, w := range effectsOf[StartAttempt](r.effects) {
 			r.apply(AttemptEnded{Attempt: w.Attempt, Status: control.Cancelled})
 		}
 		r.run(2 * time.Second)
 		var v control.View
-		r.b.decide.View(&v)
-		if v.Engines[0].ThreadsInFlight != 0 || len(r.b.requests) != 0 || r.b.OpenRequests() != 0 {
-			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].ThreadsInFlight, len(r.b.requests))
+		r.broker.module.View(&v)
+		if v.Engines[0].ThreadsInFlight != 0 || len(r.broker.requests) != 0 || r.broker.OpenRequests() != 0 {
+			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].ThreadsInFlight, len(r.broker.requests))
 		}
 	}
 }
 
 // Where second copies are forbidden, the next attempt of a request leaves only once the word that called off the one before
 // has had its way, or the end of its connection: it may have the shorter way to another engine.
-func TestNoAttemptOvertakesTheEndOfTheOneBefore(t *testing.T) {
+func TestNextAttemptWaitsForTheCancelOfThePrevious(t *testing.T) {
 	for _, c := range []struct {
 		copies bool
 		how    control.Status
@@ -225,17 +225,17 @@
 		{false, control.Cancelled, true}, {false, control.ConnectionReset, true},
 		{false, control.ConnectFailed, false}, {false, control.AtCapacity, false}, // these never ran
 	} {
-		set := settings()
+		set := testSettings()
 		set.Limits.Hedging = c.copies
-		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
+		r := newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Ready), endpoint("e2", "127.0.0.1:2", control.Ready))
 		r.submit(1, "lookup", "", time.Second)
 		r.run(20 * ms)
-		r.apply(AttemptEnded{Attempt: of[StartAttempt](r.got)[0].Attempt, Status: c.how})
+		r.apply(AttemptEnded{Attempt: effectsOf[StartAttempt](r.effects)[0].Attempt, Status: c.how})
 		ended := r.now
-		for len(of[StartAttempt](r.got)) < 2 && r.now < ended+time.Second {
+		for len(effectsOf[StartAttempt](r.effects)) < 2 && r.now < ended+time.Second {
 			r.run(ms)
 		}
-		if waited := r.now-ended >= settle; waited != c.waits {
+		if waited := r.now-ended >= settleDelay; waited != c.waits {
 			t.Errorf("%+v: the next attempt left after %v", c, r.now-ended)
 		}
 	}
@@ -243,17 +243,17 @@
 
 // A request that crosses a reload to shorter deadlines was worded by those before, and is taken; one that waits longer than
 // any that were in force is not.
-func TestARequestThatCrossesAReloadToShorterDeadlines(t *testing.T) {
-	set := settings()
+func TestRequestCrossingAReloadToShorterTimeouts(t *testing.T) {
+	set := testSettings()
 	set.Classes[0].ClientTimeout = 5 * time.Second
 	for allow, wants := range map[time.Duration]int{time.Second: 1, 5 * time.Second: 1, 7 * time.Second: 0} {
-		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
-		shorter := settings()
+		r := newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Ready))
+		shorter := testSettings()
 		shorter.Classes[0].ClientTimeout = time.Second
 		r.apply(UpdateSettings{shorter})
 		r.submit(1, "lookup", "", allow)
 		r.run(20 * ms)
-		if got := len(of[StartAttempt](r.got)); got != wants {
+		if got := len(effectsOf[StartAttempt](r.effects)); got != wants {
 			t.Errorf("allow %v: %d attempts, want %d", allow, got, wants)
 		}
 	}
@@ -262,26 +262,26 @@
 // A request that nothing helps is answered while its client waits still: that began to wait before its bytes came here, and
 // the answer has its way. One with an order key may have been held back by its client for another that this broker has not
 // seen. What is kept for that is a small part of a short wait.
-func TestTheLastAnswerComesInTime(t *testing.T) {
+func TestFinalAnswerArrivesInTime(t *testing.T) {
 	for _, c := range []struct {
 		class, key  string
 		allow, kept time.Duration
 	}{
-		{"lookup", "", time.Second, lastWay},
+		{"lookup", "", time.Second, answerMargin},
 		{"lookup", "", 40 * ms, 6 * ms},
-		{"load", "k", 2 * time.Second, freshKeyGap + gapSlack},
+		{"load", "k", 2 * time.Second, keySpacingNewConnection + keySpacingSlack},
 		{"load", "k", 200 * ms, 30 * ms},
 	} {
-		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+		r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, c.class, c.key, c.allow)
-		if len(of[StartAttempt](r.got)) != 1 { // its engine hangs
+		if len(effectsOf[StartAttempt](r.effects)) != 1 { // its engine hangs
 			t.Fatalf("%+v: not sent on", c)
 		}
 		sent := r.now
-		for len(of[Reply](r.got)) == 0 && r.now < sent+c.allow {
+		for len(effectsOf[Reply](r.effects)) == 0 && r.now < sent+c.allow {
 			r.run(ms)
 		}
-		if left := sent + c.allow - r.now; left < c.kept || left > c.kept+3*settings().MinBatchInterval {
+		if left := sent + c.allow - r.now; left < c.kept || left > c.kept+3*testSettings().MinBatchInterval {
 			t.Errorf("%+v: the answer left %v before its client's time", c, left)
 		}
 	}
@@ -289,32 +289,32 @@
 
 // A client's last retry may have less time left than the ways take: it is refused at once. Where a class is wanted as soon
 // as that, it is taken.
-func TestNoTimeIsLeft(t *testing.T) {
+func TestRequestWithoutTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		aim, allow time.Duration
 		kinds      []ReplyKind
 		wants      int
 	}{
-		{400 * ms, lastWay, []ReplyKind{ReplyRejected}, 0},
-		{400 * ms, lastWay + 5*ms, nil, 1},
-		{lastWay, lastWay, nil, 1},
+		{400 * ms, answerMargin, []ReplyKind{ReplyRejected}, 0},
+		{400 * ms, answerMargin + 5*ms, nil, 1},
+		{answerMargin, answerMargin, nil, 1},
 	} {
-		set := settings()
+		set := testSettings()
 		set.Classes[0].LatencyObjective = c.aim
-		r := newRigOf(t, set, host("e1", "127.0.0.1:1", control.Ready))
+		r := newHarnessWithSettings(t, set, endpoint("e1", "127.0.0.1:1", control.Ready))
 		r.submit(1, "lookup", "", c.allow)
-		r.wantKinds(c.kinds...)
-		if wants := len(of[StartAttempt](r.got)); wants != c.wants || r.b.OpenRequests() != c.wants {
-			t.Errorf("%+v: %d attempts, %d open", c, wants, r.b.OpenRequests())
+		r.expectReplies(c.kinds...)
+		if wants := len(effectsOf[StartAttempt](r.effects)); wants != c.wants || r.broker.OpenRequests() != c.wants {
+			t.Errorf("%+v: %d attempts, %d open", c, wants, r.broker.OpenRequests())
 		}
 	}
 }
 
 // An attempt has ended and its request is about to have another one. Whatever comes in that moment goes first: a client that
 // leaves, an engine that drains, the last answers.
-func TestWhatMeetsARetry(t *testing.T) {
+func TestEventsThatCrossARetry(t *testing.T) {
 	drains := EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
-		host("e1", "127.0.0.1:1", control.Draining), host("e2", "127.0.0.1:2", control.Draining)}}}}}
+		endpoint("e1", "127.0.0.1:1", control.Draining), endpoint("e2", "127.0.0.1:2", control.Draining)}}}}}
 	for name, c := range map[string]struct {
 		comes   Event
 		wants   int
@@ -327,39 +327,39 @@
 		"last answers": {SendFinalAnswers{}, 1, []ReplyKind{ReplyRejected}},
 	} {
 		for _, first := range []bool{true, false} { // which of the two comes first
-			r := newRig(t, host("e1", "127.0.0.1:1", control.Ready), host("e2", "127.0.0.1:2", control.Ready))
+			r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready), endpoint("e2", "127.0.0.1:2", control.Ready))
 			r.submit(1, "lookup", "", 10*time.Second)
-			events := []Event{c.comes, AttemptEnded{Attempt: of[StartAttempt](r.got)[0].Attempt, Status: control.ConnectFailed}}
+			events := []Event{c.comes, AttemptEnded{Attempt: effectsOf[StartAttempt](r.effects)[0].Attempt, Status: control.ConnectFailed}}
 			if !first {
 				events[0], events[1] = events[1], events[0]
 			}
 			r.apply(events...)
 			r.run(100 * ms)
-			if wants := len(of[StartAttempt](r.got)); wants != c.wants {
+			if wants := len(effectsOf[StartAttempt](r.effects)); wants != c.wants {
 				t.Errorf("%s, ahead %v: %d attempts, want %d", name, first, wants, c.wants)
 			}
-			r.wantKinds(c.replies...)
+			r.expectReplies(c.replies...)
 		}
 	}
 }
 
 // A request that waits for its key as the last answers are given was never sent on: it is refused, and stays unsent though
 // the one before it ends then.
-func TestTheLastAnswersTakeWhatWaitsForItsKey(t *testing.T) {
-	r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
+func TestFinalAnswersIncludeRequestsWaitingForTheirKey(t *testing.T) {
+	r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 	r.submit(1, "load", "k", 10*time.Second)
 	r.submit(2, "load", "k", 10*time.Second)
 	r.run(100 * ms)
-	wants := of[StartAttempt](r.got)
+	wants := effectsOf[StartAttempt](r.effects)
 	if len(wants) != 1 {
 		t.Fatalf("%d attempts, want the first of the key alone", len(wants))
 	}
 	r.apply(Shutdown{50 * ms})
 	r.run(60 * ms)
-	r.wantKinds(ReplyRejected, ReplyRejected) // the first is keyed for all engines
+	r.expectReplies(ReplyRejected, ReplyRejected) // the first is keyed for all engines
 	r.apply(AttemptEnded{Attempt: wants[0].Attempt, Status: control.Cancelled})
 	r.run(time.Second)
-	if len(of[StartAttempt](r.got)) != 1 || r.b.OpenRequests() != 0 {
+	if len(effectsOf[StartAttempt](r.effects)) != 1 || r.broker.OpenRequests() != 0 {
 		t.Fatal("the second was sent on after its answer")
 	}
 }
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -62,21 +62,21 @@
 func (b *Broker) SetMeter(m Meter) { b.meter = m }
 
 // View fills v with what the decision module believes and sets.
-func (b *Broker) View(v *control.View) { b.decide.View(v) }
+func (b *Broker) View(v *control.View) { b.module.View(v) }
 
 // SessionCount is the number of clients that are connected.
-func (b *Broker) SessionCount() int { return len(b.sessions.by) }
+func (b *Broker) SessionCount() int { return len(b.sessions.byID) }
 
-// measureOver tells the meter of a request's end.
-func (b *Broker) measureOver(now time.Duration, r *request, kind ReplyKind, gone bool) {
+// reportRequestEnd tells the meter of a request's end.
+func (b *Broker) reportRequestEnd(now time.Duration, r *request, kind ReplyKind, gone bool) {
 	k := b.classes[r.Class]
 	o := RequestSummary{Class: r.Class, Tenant: r.Tenant, Kind: kind, ClientLeft: gone, Duration: now - r.SentAt, Objective: k.LatencyObjective,
-		QueueTime: now - r.taken, Attempts: len(r.attempts)}
+		QueueTime: now - r.acceptedAt, Attempts: len(r.attempts)}
 	if k.LatencyObjective > 0 { // as the module has it, but by the client's own estimate of the work
 		o.Objective += time.Duration(k.ObjectivePerWork * float64(r.EstimatedWork) / float64(max(1, k.Threads)))
 	}
 	if len(r.attempts) > 0 {
-		o.QueueTime = r.attempts[0].sent - r.taken
+		o.QueueTime = r.attempts[0].startedAt - r.acceptedAt
 	}
 	b.meter.RequestEnded(o)
 }
