--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -34,7 +34,7 @@
 		err := n.poll(at, addr, &since)
 		moved := at.Err() != nil && ctx.Err() == nil
 		if moved {
-			err = &ended{Moved, err}
+			err = &endError{AddressChanged, err}
 		}
 		n.ended(ChangelogSide, addr, began, err)
 		if moved || since > before || time.Since(began) > pollWait {
@@ -65,9 +65,9 @@
 func (n *Server) poll(ctx context.Context, addr string, since *int64) error {
 	nc, err := (&net.Dialer{Timeout: logConnect}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return &ended{ConnectFailed, err}
+		return &endError{ConnectFailed, err}
 	}
-	l := newLink(nc, 0, mostPending, 4<<10)
+	l := newBufferedConn(nc, 0, mostPending, 4<<10)
 	early := pauses()
 	return l.run(ctx, func(ctx context.Context) error {
 		for {
@@ -81,19 +81,19 @@
 			}
 			var r changelog.Response
 			for size, begun := 0, false; size == 0; {
-				if _, err := l.in.ReadOnce(nc); err != nil {
+				if _, err := l.received.ReadOnce(nc); err != nil {
 					switch {
 					case isTimeout(err) && begun:
-						return &ended{Stalled, err}
+						return &endError{Stalled, err}
 					case isTimeout(err):
-						return &ended{Silent, err}
+						return &endError{PollTimeout, err}
 					}
 					return err
 				}
-				if r, size, err = changelog.ParseResponse(l.in.Bytes()); err != nil {
+				if r, size, err = changelog.ParseResponse(l.received.Bytes()); err != nil {
 					return err
 				}
-				l.in.Discard(size)
+				l.received.Discard(size)
 				// Guards against a log that stops in the middle of an event: what it would have told counts as told.
 				if size == 0 && !begun {
 					begun = true
@@ -108,7 +108,7 @@
 				err = fmt.Errorf("the log is at %d, after %d", page.Revision, *since)
 			}
 			if err != nil {
-				return &ended{Malformed, err}
+				return &endError{Malformed, err}
 			}
 			if page.Revision == *since && time.Since(asked) < pollWait/2 {
 				// Guards against a log that answers at once though it has nothing new: asked again on and on, it would
@@ -127,7 +127,7 @@
 				*since = page.Revision
 			}
 			if r.Close {
-				return &ended{Reason: PeerClosed}
+				return &endError{Reason: PeerClosed}
 			}
 		}
 	})
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -39,7 +39,7 @@
 type client struct {
 	n       *Server
 	id      broker.Session
-	link    *link
+	link    *bufferedConn
 	asked   bool // a request came on it
 	looks   int  // time-outs that found its socket empty at the end; of the goroutine that reads
 	readOut bool // the same, once all that was read is with the reducer; of the reducer's goroutine
@@ -54,8 +54,8 @@
 	timeouts := 0
 	for {
 		nc, err := n.ln.Accept()
-		if err != nil && isTimeout(err) && n.shutting() {
-			if timeouts++; n.nothingMore(timeouts) {
+		if err != nil && isTimeout(err) && n.closingListeners() {
+			if timeouts++; n.listenerTimedOut(timeouts) {
 				return nil
 			}
 			continue
@@ -79,11 +79,11 @@
 			// Closed at once, not left waiting in the kernel: what is written there counts as taken, and requests
 			// of one key that come later would overtake it.
 			turnAway(nc)
-			n.ended(ClientSide, peer, began, &ended{Reason: TooMany})
+			n.ended(ClientSide, peer, began, &endError{Reason: TooManyConnections})
 			continue
 		}
 		n.nextID++
-		c := &client{n: n, id: n.nextID, link: newLink(nc, 0, clientIn, clientOut), admitted: make(chan struct{})}
+		c := &client{n: n, id: n.nextID, link: newBufferedConn(nc, 0, clientIn, clientOut), admitted: make(chan struct{})}
 		// From here, so that it comes ahead of the word that all was accepted.
 		n.post(ctx, func() {
 			n.clients[c.id] = c
@@ -134,32 +134,32 @@
 		return err
 	}
 	l := c.link
-	if err := c.readBy(loginTimeout); err != nil {
+	if err := c.setReadTimeout(loginTimeout); err != nil {
 		return err
 	}
 	loggedIn, begun := false, false // begun: a part of a message is there
 	within := loginTimeout
 	for {
-		_, err := l.in.ReadOnce(l.nc)
+		_, err := l.received.ReadOnce(l.socket)
 		if err != nil {
 			switch {
-			case isTimeout(err) && c.lastLook():
-				if err := c.readBy(within); err != nil {
+			case isTimeout(err) && c.finalRead():
+				if err := c.setReadTimeout(within); err != nil {
 					return err
 				}
 				continue
 			case isTimeout(err) && !loggedIn:
-				return &ended{LoginTimeout, err}
+				return &endError{LoginTimeout, err}
 			case isTimeout(err) && begun:
-				return &ended{ReadTimeout, err}
+				return &endError{ReadTimeout, err}
 			case errors.Is(err, io.EOF):
 				return c.halfClosed(ctx, err)
 			}
 			return err
 		}
-		sent := now() - c.n.sinceReceived(l.nc)
+		sent := now() - c.n.sinceReceived(l.socket)
 		for {
-			seq, payload, size, err := mysql.ParsePacket(l.in.Bytes())
+			seq, payload, size, err := mysql.ParsePacket(l.received.Bytes())
 			if err != nil {
 				return c.broken(ctx, 1, mysql.CodeTooLarge, err)
 			}
@@ -172,22 +172,22 @@
 				loggedIn = true
 				c.n.post(ctx, func() { c.n.apply(broker.SessionAuthenticated{Session: c.id}) })
 			}
-			l.in.Discard(size)
+			l.received.Discard(size)
 			if err != nil {
 				return err
 			}
 		}
-		if loggedIn && (!begun || l.in.Len() == 0) {
+		if loggedIn && (!begun || l.received.Len() == 0) {
 			within = c.n.longestGiveUp() + clientIdle
 		}
-		switch part := l.in.Len() > 0; {
+		switch part := l.received.Len() > 0; {
 		case !loggedIn, part && begun: // its time is running, however slowly more comes
 			continue
 		case part:
 			within = wholeTimeout
 		}
-		begun = l.in.Len() > 0
-		if err := c.readBy(within); err != nil {
+		begun = l.received.Len() > 0
+		if err := c.setReadTimeout(within); err != nil {
 			return err
 		}
 	}
@@ -197,7 +197,7 @@
 func (c *client) halfClosed(ctx context.Context, err error) error {
 	c.n.post(ctx, func() {
 		c.n.apply(broker.SessionHalfClosed{Session: c.id})
-		c.link.finish(&ended{Reason: PeerClosed})
+		c.link.closeAfterSent(&endError{Reason: PeerClosed})
 	})
 	<-ctx.Done()
 	return err
@@ -225,9 +225,9 @@
 	case err != nil:
 		return c.broken(ctx, seq+1, mysql.CodeHandshake, err)
 	case l.User != user || l.Password:
-		return c.broken(ctx, seq+1, mysql.CodeAccessDenied, &ended{Denied, fmt.Errorf("access denied for user %.40q", l.User)})
+		return c.broken(ctx, seq+1, mysql.CodeAccessDenied, &endError{AccessDenied, fmt.Errorf("access denied for user %.40q", l.User)})
 	case l.Database != "" && l.Database != database:
-		return c.broken(ctx, seq+1, mysql.CodeUnknownDB, &ended{Denied, fmt.Errorf("unknown database %.40q", l.Database)})
+		return c.broken(ctx, seq+1, mysql.CodeUnknownDB, &endError{AccessDenied, fmt.Errorf("unknown database %.40q", l.Database)})
 	}
 	_, err = c.link.write(mysql.AppendOK(nil, seq+1))
 	return err
@@ -239,7 +239,7 @@
 		return full
 	}
 	left := make(chan struct{})
-	c.link.then(func() { close(left) })
+	c.link.afterSent(func() { close(left) })
 	select {
 	case <-left:
 	case <-ctx.Done():
@@ -253,11 +253,11 @@
 
 // linger lets the other side read the last words: closing with bytes unread would reset the connection and
 // could destroy them on their way.
-func (l *link) linger(context.Context) error {
-	if err := l.nc.SetReadDeadline(time.Now().Add(lingerTime)); err != nil {
+func (l *bufferedConn) linger(context.Context) error {
+	if err := l.socket.SetReadDeadline(time.Now().Add(lingerTime)); err != nil {
 		return err
 	}
-	_, err := io.CopyN(io.Discard, l.nc, lingerBytes)
+	_, err := io.CopyN(io.Discard, l.socket, lingerBytes)
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
@@ -281,7 +281,7 @@
 	text := string(payload[1:])
 	switch mysql.Command(payload[0]) {
 	case mysql.Quit:
-		return &ended{Reason: Quit}
+		return &endError{Reason: Quit}
 	case mysql.Ping:
 		ev = broker.Ping{Session: c.id}
 	case mysql.Query:
@@ -352,7 +352,7 @@
 	broker.ReplyInvalidFields: mysql.CodeArguments, broker.ReplyUnknownCommand: mysql.CodeCommand,
 	broker.ReplyUnknownSession: mysql.CodeNoThread, broker.ReplyUnknownDatabase: mysql.CodeUnknownDB}
 
-var closings = map[broker.CloseReason]Reason{broker.CloseKilled: Killed, broker.CloseEvictedIdle: MadeRoom, broker.CloseTooManySessions: TooMany}
+var closings = map[broker.CloseReason]Reason{broker.CloseKilled: KilledByClient, broker.CloseEvictedIdle: EvictedIdle, broker.CloseTooManySessions: TooManyConnections}
 
 // reply writes an answer to its client, if that is still there.
 func (n *Server) reply(r broker.Reply) {
@@ -362,7 +362,7 @@
 	}
 	n.scratch = appendReply(n.scratch[:0], r)
 	if _, err := c.link.write(n.scratch); errors.Is(err, ring.ErrFull) {
-		c.link.finish(&ended{Reason: BufferFull})
+		c.link.closeAfterSent(&endError{Reason: BufferFull})
 		n.later(broker.SessionClosed{Session: r.Session})
 	}
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -35,7 +35,7 @@
 // streams is how many attempts and probes are on connections to an engine.
 func (s *site) streams(engine string) int {
 	return look(s, func(n *Server) (sum int) {
-		for _, c := range n.pool.conns[engine] {
+		for _, c := range n.pool.connsByEngine[engine] {
 			sum += len(c.streams)
 		}
 		return sum
@@ -121,7 +121,7 @@
 }
 
 // quiet is a node that does not run, with a connection to engine e1 that nothing has left on yet, and its other side.
-func quiet(t *testing.T) (n *Server, l *link, far *net.TCPConn) {
+func quiet(t *testing.T) (n *Server, l *bufferedConn, far *net.TCPConn) {
 	t.Helper()
 	set, err := config.DecodeSettings(fmt.Appendf(nil, settings, 30*time.Second))
 	if err != nil {
@@ -129,11 +129,11 @@
 	}
 	near, far := pair(t)
 	n = &Server{cfg: config.Config{Settings: set, Sockets: 1024}, meter: nopMeter{}}
-	n.pool = newPool(n)
-	l = newLink(near, latestLeave, engineIn, engineOut)
-	c := &upstream{engine: "e1", addr: "a", link: l, cancel: func() {}, streams: map[string]*stream{}, spent: map[string]time.Time{},
-		used: time.Now(), heard: time.Now()}
-	n.pool.conns["e1"], n.pool.count = []*upstream{c}, 1
+	n.pool = newEnginePool(n)
+	l = newBufferedConn(near, maxEngineSendDelay, maxEngineReceiveBytes, maxEngineSendBytes)
+	c := &engineConn{engine: "e1", addr: "a", transport: l, cancel: func() {}, streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
+		lastUsed: time.Now(), lastReceived: time.Now()}
+	n.pool.connsByEngine["e1"], n.pool.connCount = []*engineConn{c}, 1
 	return n, l, far
 }
 
@@ -146,21 +146,21 @@
 		left []string       // what leaves, by word and id
 		end  []broker.Event // what the reducer is told
 	}{
-		"client left": {func(n *Server) { n.pool.withdraw(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
-		"given up":    {func(n *Server) { n.pool.giveUp(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
-		"drained": {func(n *Server) { n.pool.dropUnsent("e1") }, nil,
+		"client left": {func(n *Server) { n.pool.withdrawAttempt(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
+		"given up":    {func(n *Server) { n.pool.cancelAttempt(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
+		"drained": {func(n *Server) { n.pool.cancelUnsent("e1") }, nil,
 			[]broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}, broker.AttemptEnded{Attempt: two, Status: control.NeverSent}}},
-		"another engine drained": {func(n *Server) { n.pool.dropUnsent("e2") }, []string{"want 1", "want 2", "hurry 1"}, nil},
+		"another engine drained": {func(n *Server) { n.pool.cancelUnsent("e2") }, []string{"want 1", "want 2", "hurry 1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, l, far := quiet(t)
 			for i, a := range []broker.AttemptID{one, two} {
-				n.pool.want(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(i + 1), Class: "lookup", Timeout: time.Second, Priority: 1})
+				n.pool.startAttempt(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(i + 1), Class: "lookup", Timeout: time.Second, Priority: 1})
 			}
-			n.pool.hurry(broker.SetPriority{Attempt: one, Priority: 3})
+			n.pool.setPriority(broker.SetPriority{Attempt: one, Priority: 3})
 			c.do(n)
-			l.finish(&ended{Reason: Shutdown})
-			go l.drain(t.Context())
+			l.closeAfterSent(&endError{Reason: Shutdown})
+			go l.writeLoop(t.Context())
 			all, _ := io.ReadAll(far)
 			var left []string
 			for len(all) > 0 {
@@ -187,9 +187,9 @@
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	l := newLink(near, 0, 100, 100)
+	l := newBufferedConn(near, 0, 100, 100)
 	l.write([]byte("last answer"))
-	l.finish(&ended{Reason: Shutdown})
+	l.closeAfterSent(&endError{Reason: Shutdown})
 	over := make(chan error, 1)
 	go func() {
 		over <- l.run(t.Context(), func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
@@ -225,8 +225,8 @@
 		nets = append(nets, newCustomer(t, nc))
 	}
 	s.node.inbox <- func() {
-		s.node.stop()
-		s.node.parting.since = time.Now().Add(-s.node.parting.window)
+		s.node.beginShutdown()
+		s.node.parting.requestedAt = time.Now().Add(-s.node.parting.acceptWindow)
 	}
 	close(hold)
 	for range nets {
@@ -251,7 +251,7 @@
 func TestNoLivenessProbeWhereProbesAreForbidden(t *testing.T) {
 	e := newEngine(t)
 	s := serve(t, host("e1", e.addr, "in_service", 0))
-	a := s.dial(query("lookup", 1, silentFor+200*time.Millisecond, ""))
+	a := s.dial(query("lookup", 1, silenceThreshold+200*time.Millisecond, ""))
 	first := e.next(t, "want")
 	a.want("1226")
 	e.next(t, "never_mind")
@@ -287,8 +287,8 @@
 		t.Fatal("a fresh connection was not used again")
 	}
 	look(s, func(n *Server) bool {
-		for _, c := range n.pool.conns["e1"] {
-			c.used = c.used.Add(-limit * 7 / 10)
+		for _, c := range n.pool.connsByEngine["e1"] {
+			c.lastUsed = c.lastUsed.Add(-limit * 7 / 10)
 		}
 		return true
 	})
@@ -337,9 +337,9 @@
 // Every bound on late bytes follows the grace that the settings give.
 func TestLeaveWithin(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
-		0: latestLeave, 200 * time.Millisecond: 160 * time.Millisecond, 500 * time.Millisecond: latestLeave, 5 * time.Second: latestLeave,
+		0: maxEngineSendDelay, 200 * time.Millisecond: 160 * time.Millisecond, 500 * time.Millisecond: maxEngineSendDelay, 5 * time.Second: maxEngineSendDelay,
 	} {
-		if got := leaveWithin(grace); got != want {
+		if got := engineSendDelay(grace); got != want {
 			t.Errorf("grace %v: %v, want %v", grace, got, want)
 		}
 	}
@@ -350,8 +350,8 @@
 	s := serve(t)
 	got := look(s, func(n *Server) time.Duration {
 		n.cfg.Settings.Control.Classes = []control.Class{{Name: "lookup", ClientTimeout: 400 * time.Millisecond}}
-		n.stop()
-		return n.parting.within
+		n.beginShutdown()
+		return n.parting.answerWithin
 	})
 	if want := 400*time.Millisecond + stopExtra - stopMargin; got != want {
 		t.Fatalf("what is left is answered after %v, want %v", got, want)
@@ -478,7 +478,7 @@
 	}
 	// What is there while nobody asks: the broker's connections to the engine are dropped for the count.
 	count := func() (goroutines, descriptors int) {
-		look(s, func(n *Server) bool { n.pool.drop("e1", 0); return true })
+		look(s, func(n *Server) bool { n.pool.closeConnections("e1", 0); return true })
 		all, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
 			t.Fatal(err)
@@ -492,7 +492,7 @@
 	var goroutines, descriptors int
 	until(t, "the first client and connection have gone", func() bool {
 		goroutines, descriptors = count()
-		return look(s, func(n *Server) bool { return len(n.clients) == 0 && n.pool.count == 0 && len(n.slots) == 0 })
+		return look(s, func(n *Server) bool { return len(n.clients) == 0 && n.pool.connCount == 0 && len(n.slots) == 0 })
 	})
 	for range 200 { // what ends in the background ends
 		g, d := count()
@@ -556,16 +556,16 @@
 		limits := &n.cfg.Settings.Control.Limits
 		limits.LoadProbes, limits.Hedging = c.probes, c.copies
 		a := broker.AttemptID{Request: 1}
-		n.pool.want(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: "1", Class: "lookup", Timeout: time.Minute, Priority: 1})
-		l.mark(int(l.put)) // all of it has left
-		up := n.pool.conns["e1"][0]
-		up.heard, up.doubtAt = time.Now().Add(-time.Minute), time.Now().Add(-2*doubtFor)
-		n.pool.judge()
-		if up.gone != c.closed || (len(n.backlog) > 0) != c.closed {
-			t.Errorf("%+v: closed %v, told %v", c, up.gone, n.backlog)
+		n.pool.startAttempt(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: "1", Class: "lookup", Timeout: time.Minute, Priority: 1})
+		l.markSent(int(l.queuedBytes)) // all of it has left
+		up := n.pool.connsByEngine["e1"][0]
+		up.lastReceived, up.suspectSince = time.Now().Add(-time.Minute), time.Now().Add(-2*livenessTimeout)
+		n.pool.checkLiveness()
+		if up.closed != c.closed || (len(n.backlog) > 0) != c.closed {
+			t.Errorf("%+v: closed %v, told %v", c, up.closed, n.backlog)
 		}
-		n.pool.withdraw(a) // it has left, so it stays out
-		if over := len(n.pool.out) == 0; over != c.closed {
+		n.pool.withdrawAttempt(a) // it has left, so it stays out
+		if over := len(n.pool.inFlight) == 0; over != c.closed {
 			t.Errorf("%+v: the attempt is over: %v", c, over)
 		}
 	}
@@ -581,8 +581,8 @@
 	w.reply(w.id(), "OK", "-", "")
 	c.want("rows ")
 	s.node.inbox <- func() {
-		s.node.stop()
-		s.node.parting.since = time.Now().Add(-s.node.parting.window)
+		s.node.beginShutdown()
+		s.node.parting.requestedAt = time.Now().Add(-s.node.parting.acceptWindow)
 	}
 	c.want("closed")
 	c.ask(query("lookup", 2, long, ""))
@@ -601,11 +601,11 @@
 // comes to an end has no way back, and is not sent on.
 func TestNothingMoreIsTakenOfAClientThatDoesNotRead(t *testing.T) {
 	near, _ := pair(t)
-	c := &client{id: 7, link: newLink(near, 0, 10, 10)}
+	c := &client{id: 7, link: newBufferedConn(near, 0, 10, 10)}
 	n := &Server{clients: map[broker.Session]*client{7: c}}
 	n.reply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "more than there is room for"})
-	if c.link.closing == nil || c.link.closing.Reason != BufferFull {
-		t.Errorf("the connection ends as %v", c.link.closing)
+	if c.link.closeReason == nil || c.link.closeReason.Reason != BufferFull {
+		t.Errorf("the connection ends as %v", c.link.closeReason)
 	}
 	if got, want := fmt.Sprint(n.backlog), fmt.Sprint([]broker.Event{broker.SessionClosed{Session: 7}}); got != want {
 		t.Errorf("the reducer is told %s, want %s", got, want)
@@ -631,7 +631,7 @@
 			}
 			w.reply(w.id(), "OK", "-", "x\ty\tz\n")
 			a.want("rows x|y|z|")
-			if conns := look(s, func(n *Server) int { return n.pool.count }); conns != 1 || len(e.got)+len(e.closed) > 0 {
+			if conns := look(s, func(n *Server) int { return n.pool.connCount }); conns != 1 || len(e.got)+len(e.closed) > 0 {
 				t.Fatalf("%d connections, %d more messages and %d more ends", conns, len(e.got), len(e.closed))
 			}
 		})
@@ -647,12 +647,12 @@
 	w := e.next(t, "want")
 	w.reply(w.id(), "OK", "-", "")
 	a.want("rows ")
-	look(s, func(n *Server) bool { n.pool.count = n.cfg.Sockets / engineShare; return true })
+	look(s, func(n *Server) bool { n.pool.connCount = n.cfg.Sockets / engineSocketDivisor; return true })
 	s.change(page(2, false, host("e1", e.addr, "terminating", 0), host("e2", o.addr, "in_service", 0)), 2)
 	b := s.dial(query("lookup", 2, long, ""))
 	w = o.next(t, "want")
 	next(t, e.closed, "the end of the idle connection")
-	if got := s.reasons(e.addr); got != string(MadeRoom) {
+	if got := s.reasons(e.addr); got != string(EvictedIdle) {
 		t.Fatalf("it ended as %s", got)
 	}
 	w.reply(w.id(), "OK", "-", "")
@@ -663,9 +663,9 @@
 func TestNoRoomForAnotherConnection(t *testing.T) {
 	n, _, _ := quiet(t)
 	one, two := broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
-	n.pool.want(broker.StartAttempt{Attempt: one, Engine: "e1", Addr: "a", RequestID: "1", Class: "lookup", Timeout: time.Second, Priority: 1})
-	n.pool.count = n.cfg.Sockets / engineShare
-	n.pool.want(broker.StartAttempt{Attempt: two, Engine: "e2", Addr: "b", RequestID: "2", Class: "lookup", Timeout: time.Second, Priority: 1})
+	n.pool.startAttempt(broker.StartAttempt{Attempt: one, Engine: "e1", Addr: "a", RequestID: "1", Class: "lookup", Timeout: time.Second, Priority: 1})
+	n.pool.connCount = n.cfg.Sockets / engineSocketDivisor
+	n.pool.startAttempt(broker.StartAttempt{Attempt: two, Engine: "e2", Addr: "b", RequestID: "2", Class: "lookup", Timeout: time.Second, Priority: 1})
 	if got, want := fmt.Sprint(n.backlog), fmt.Sprint([]broker.Event{broker.AttemptEnded{Attempt: two, Status: control.AtCapacity}}); got != want {
 		t.Fatalf("told: %s, want %s", got, want)
 	}
@@ -676,7 +676,7 @@
 	e := newEngine(t)
 	s := serveChanged(t, nopMeter{}, 30*time.Second, 1024, func(c *config.Config) { c.Settings.MaxStreams = 1 },
 		host("e1", e.addr, "in_service", 0))
-	const clients = 2 * perEngine
+	const clients = 2 * defaultConnsPerEngine
 	conns := map[net.Conn]bool{}
 	for i := range clients {
 		s.dial(query("lookup", i+1, long, ""))
@@ -759,19 +759,19 @@
 	n, l, far := quiet(t)
 	one, two := broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
 	ask := func(a broker.AttemptID) {
-		n.pool.want(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(a.Request), Class: "once", Timeout: time.Second, Priority: 1})
+		n.pool.startAttempt(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(a.Request), Class: "once", Timeout: time.Second, Priority: 1})
 	}
 	ask(one)
-	first := int(l.put)
-	l.take() // it is being written as the connection is closed
+	first := int(l.queuedBytes)
+	l.nextBytes() // it is being written as the connection is closed
 	ask(two)
-	n.pool.drop("e1", 0)
+	n.pool.closeConnections("e1", 0)
 	want := fmt.Sprint([]broker.Event{broker.AttemptEnded{Attempt: one, Status: control.ConnectionReset}, broker.AttemptEnded{Attempt: two, Status: control.ConnectFailed, SharedCause: true}})
 	if got := fmt.Sprint(n.backlog); got != want {
 		t.Errorf("told: %s, want %s", got, want)
 	}
-	l.finish(&ended{Reason: Shutdown}) // the goroutine that writes comes to it ahead of the close
-	go l.drain(t.Context())
+	l.closeAfterSent(&endError{Reason: Shutdown}) // the goroutine that writes comes to it ahead of the close
+	go l.writeLoop(t.Context())
 	if all, _ := io.ReadAll(far); len(all) != first {
 		t.Errorf("the engine got %q", all)
 	}
--- a/internal/server/judge_test.go
+++ b/internal/server/judge_test.go
@@ -18,19 +18,19 @@
 		name                string
 		now, heard, doubted time.Time
 		due                 time.Time
-		want                verdict
+		want                livenessVerdict
 	}{
-		{"nothing is out", ms(5000), ms(0), never, never, keep},
-		{"silent, nothing due yet", ms(1900), ms(0), never, ms(2000), keep},
-		{"silent, and due", ms(2100), ms(0), never, ms(2000), doubt},
-		{"due, but heard of late", ms(2100), ms(1700), never, ms(2000), keep},
-		{"due, heard just over the silence before", ms(2100), ms(1500), never, ms(2000), doubt},
-		{"asked, and a word came", ms(2200), ms(2150), ms(2100), ms(2000), trust},
-		{"asked, no word yet", ms(2300), ms(0), ms(2100), ms(2000), keep},
-		{"asked, no word in time", ms(2400), ms(0), ms(2100), ms(2000), retire},
-		{"asked, nothing is out any more", ms(2400), ms(0), ms(2100), never, retire},
+		{"nothing is out", ms(5000), ms(0), never, never, livenessUnchanged},
+		{"silent, nothing due yet", ms(1900), ms(0), never, ms(2000), livenessUnchanged},
+		{"silent, and due", ms(2100), ms(0), never, ms(2000), livenessSuspected},
+		{"due, but heard of late", ms(2100), ms(1700), never, ms(2000), livenessUnchanged},
+		{"due, heard just over the silence before", ms(2100), ms(1500), never, ms(2000), livenessSuspected},
+		{"asked, and a word came", ms(2200), ms(2150), ms(2100), ms(2000), livenessConfirmed},
+		{"asked, no word yet", ms(2300), ms(0), ms(2100), ms(2000), livenessUnchanged},
+		{"asked, no word in time", ms(2400), ms(0), ms(2100), ms(2000), livenessLost},
+		{"asked, nothing is out any more", ms(2400), ms(0), ms(2100), never, livenessLost},
 	} {
-		if got := judgement(c.now, c.heard, c.doubted, c.due); got != c.want {
+		if got := judgeLiveness(c.now, c.heard, c.doubted, c.due); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -40,14 +40,14 @@
 // that makes a connection doubtful.
 func TestDue(t *testing.T) {
 	at := time.Unix(1000, 0)
-	c := &upstream{streams: map[string]*stream{
-		"a": {at: at, due: 3 * time.Second},
-		"b": {at: at.Add(time.Second), due: silentFor},
+	c := &engineConn{streams: map[string]*stream{
+		"a": {startedAt: at, overdueAfter: 3 * time.Second},
+		"b": {startedAt: at.Add(time.Second), overdueAfter: silenceThreshold},
 	}}
-	if diff := cmp.Diff(at.Add(time.Second+silentFor), c.due()); diff != "" {
+	if diff := cmp.Diff(at.Add(time.Second+silenceThreshold), c.firstOverdueAt()); diff != "" {
 		t.Fatal(diff)
 	}
-	if got := (&upstream{}).due(); !got.IsZero() {
+	if got := (&engineConn{}).firstOverdueAt(); !got.IsZero() {
 		t.Fatalf("nothing out is due at %v", got)
 	}
 }
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -42,21 +42,21 @@
 	ChangelogSide Side = "changelog"
 )
 
-var sides = []Side{ClientSide, EngineSide, ChangelogSide}
+var allSides = []Side{ClientSide, EngineSide, ChangelogSide}
 
 // Reasons are all reason codes, in the order of their list.
-var Reasons = []Reason{PeerClosed, PeerReset, Quit, Idle, LoginTimeout, ReadTimeout, Denied, Malformed, TooLarge, BufferFull,
-	WriteTimeout, Killed, MadeRoom, TooMany, ConnectFailed, EngineGone, Stalled, Retired, Silent, Moved, HTTPStatus, Shutdown,
-	Failed}
+var Reasons = []Reason{PeerClosed, PeerReset, Quit, Idle, LoginTimeout, ReadTimeout, AccessDenied, Malformed, TooLarge, BufferFull,
+	WriteTimeout, KilledByClient, EvictedIdle, TooManyConnections, ConnectFailed, EngineGone, Stalled, Retired, PollTimeout, AddressChanged, HTTPStatus, Shutdown,
+	OtherError}
 
-// ends counts connections that ended, on whichever goroutine.
-type ends struct{ n [3][32]atomic.Uint64 }
+// endCounts counts connections that ended, on whichever goroutine.
+type endCounts struct{ counts [3][32]atomic.Uint64 }
 
-func (e *ends) add(side Side, reason Reason) {
-	for i, s := range sides {
+func (e *endCounts) add(side Side, reason Reason) {
+	for i, s := range allSides {
 		for j, r := range Reasons {
 			if s == side && r == reason {
-				e.n[i][j].Add(1)
+				e.counts[i][j].Add(1)
 				return
 			}
 		}
@@ -66,17 +66,17 @@
 // ConnectionCounts is what a node knows of its connections.
 type ConnectionCounts struct {
 	Clients, Engines int // open
-	ends             *ends
+	ends             *endCounts
 }
 
 // EachEndReason is how many connections of a side ended for a reason, by their places in Reasons.
 func (s *ConnectionCounts) EachEndReason(side Side, f func(reason Reason, n uint64)) {
-	for i, is := range sides {
+	for i, is := range allSides {
 		if is != side || s.ends == nil { // nil: there is no node behind it
 			continue
 		}
 		for j, r := range Reasons {
-			f(r, s.ends.n[i][j].Load())
+			f(r, s.ends.counts[i][j].Load())
 		}
 	}
 }
@@ -92,7 +92,7 @@
 func (n *Server) Inspect(ctx context.Context, f func(*broker.Broker, ConnectionCounts)) bool {
 	done := make(chan struct{})
 	look := func() {
-		f(n.b, ConnectionCounts{Clients: len(n.clients), Engines: n.pool.count, ends: &n.ends})
+		f(n.b, ConnectionCounts{Clients: len(n.clients), Engines: n.pool.connCount, ends: &n.ends})
 		close(done)
 	}
 	inbox := n.inbox
@@ -115,48 +115,48 @@
 	}
 }
 
-// drain is an engine that drains, and what had not left for it when that was told.
-type drain struct {
-	told  time.Time
-	waits int // connections
-	took  time.Duration
+// drainTimer is an engine that drains, and what had not left for it when that was told.
+type drainTimer struct {
+	startedAt    time.Time
+	pendingConns int // connections
+	longest      time.Duration
 }
 
-// drains times how long what was put before an engine's drain takes to leave.
-func (p *pool) drains(engine string) {
-	if p.left[engine] != nil {
+// startDrain times how long what was put before an engine's drain takes to leave.
+func (p *enginePool) startDrain(engine string) {
+	if p.drains[engine] != nil {
 		return // it was told before
 	}
-	d := &drain{told: time.Now()}
-	p.left[engine] = d
-	p.n.meter.DrainStarted()
-	for _, c := range p.conns[engine] {
-		if c.link == nil || c.link.empty() {
+	d := &drainTimer{startedAt: time.Now()}
+	p.drains[engine] = d
+	p.server.meter.DrainStarted()
+	for _, c := range p.connsByEngine[engine] {
+		if c.transport == nil || c.transport.allSent() {
 			continue
 		}
-		d.waits++
+		d.pendingConns++
 		c.drain = d
-		c.link.then(func() {
+		c.transport.afterSent(func() {
 			at := time.Now()
-			p.n.post(p.n.ctx, func() { p.drained(c, at) })
+			p.server.post(p.server.ctx, func() { p.connDrained(c, at) })
 		})
 	}
-	if d.waits == 0 {
-		p.n.meter.DrainCompleted(0)
+	if d.pendingConns == 0 {
+		p.server.meter.DrainCompleted(0)
 	}
 }
 
-// drained takes that all has left on a connection, or, without a time, that nothing more will.
-func (p *pool) drained(c *upstream, at time.Time) {
+// connDrained takes that all has left on a connection, or, without a time, that nothing more will.
+func (p *enginePool) connDrained(c *engineConn, at time.Time) {
 	d := c.drain
 	if d == nil {
 		return
 	}
 	c.drain = nil
 	if !at.IsZero() {
-		d.took = max(d.took, at.Sub(d.told))
+		d.longest = max(d.longest, at.Sub(d.startedAt))
 	}
-	if d.waits--; d.waits == 0 {
-		p.n.meter.DrainCompleted(d.took)
+	if d.pendingConns--; d.pendingConns == 0 {
+		p.server.meter.DrainCompleted(d.longest)
 	}
 }
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -50,7 +50,7 @@
 	for end := time.Now().Add(patience); ; {
 		ended := map[Side]uint64{}
 		if !s.node.Inspect(context.Background(), func(_ *broker.Broker, sockets ConnectionCounts) {
-			for _, side := range sides {
+			for _, side := range allSides {
 				sockets.EachEndReason(side, func(r Reason, n uint64) {
 					if r == PeerClosed || r == EngineGone {
 						ended[side] += n
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -51,11 +51,11 @@
 	clients    map[broker.Session]*client
 	nextID     broker.Session
 	slots      chan struct{} // one is taken for each client's socket
-	pool       pool
+	pool       enginePool
 	gossip     *gossipTransport // nil: brokers tell one another nothing
 	sweptAt    time.Time
 	sweepEvery time.Duration
-	parting    parting
+	parting    shutdownState
 	scratch    []byte
 	meter      Meter
 	costs      usage.Counters // what was spent, on the goroutine of the reducer; Polls is in polls
@@ -65,7 +65,7 @@
 
 	longest        atomic.Int64 // the longest deadline of all classes ever in force, in nanoseconds
 	tcpInfoRefused atomic.Bool  // the system refused TCP_INFO once, which was logged
-	ends           ends
+	ends           endCounts
 	over           chan struct{} // closed once nothing of Run goes on
 	handed         []string      // bans of the process before
 
@@ -77,10 +77,10 @@
 
 // New returns a broker that listens already, so that no client is turned away while it starts.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
-	slots := cfg.Sockets - cfg.Sockets/engineShare - ownSockets
+	slots := cfg.Sockets - cfg.Sockets/engineSocketDivisor - ownSockets
 	set := cfg.Settings.Control
 	// An attempt may wait for its connection, and then behind other bytes.
-	set.MaxSendDelay = cfg.Settings.ConnectTimeout + leaveWithin(cfg.Settings.DrainGrace)
+	set.MaxSendDelay = cfg.Settings.ConnectTimeout + engineSendDelay(cfg.Settings.DrainGrace)
 	b, err := broker.New(set, cfg.Seed, slots-slots/closingShare)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -92,9 +92,9 @@
 	n := &Server{cfg: cfg, log: log, b: b, inbox: make(chan func(), inboxSize), ln: ln,
 		clients: map[broker.Session]*client{}, nextID: broker.Session(cfg.Seed), slots: make(chan struct{}, slots),
 		changelog: cfg.Changelog, leave: func() {}, meter: nopMeter{}, over: make(chan struct{}),
-		sweepEvery: min(sweepEvery, time.Duration((1-idlePart)/2*float64(cfg.Settings.ConnIdleTimeout)))}
+		sweepEvery: min(sweepEvery, time.Duration((1-idleCloseFraction)/2*float64(cfg.Settings.ConnIdleTimeout)))}
 	n.longest.Store(int64(cfg.Settings.MaxClientTimeout))
-	n.pool = newPool(n)
+	n.pool = newEnginePool(n)
 	if cfg.Settings.Control.Limits.Gossip {
 		if n.gossip, err = newGossip(ctx, n); err != nil {
 			ln.Close()
@@ -183,7 +183,7 @@
 			return ctx.Err()
 		case <-stop:
 			stop = nil
-			n.stop()
+			n.beginShutdown()
 		case f := <-n.inbox:
 			n.meter.InboxLength(len(n.inbox) + 1)
 			f()
@@ -208,7 +208,7 @@
 		behind = false
 		n.carryOut(n.b.Tick(now()))
 		n.settle()
-		n.pool.judge()
+		n.pool.checkLiveness()
 		n.settle()
 		if time.Since(n.sweptAt) > n.sweepEvery {
 			n.sweptAt = time.Now()
@@ -217,7 +217,7 @@
 		if time.Since(n.costsAt) > costsEvery {
 			n.account()
 		}
-		if n.finished() {
+		if n.shutdownComplete() {
 			n.account()
 			return nil
 		}
@@ -265,7 +265,7 @@
 			}
 		case broker.CloseSession:
 			if c := n.clients[e.Session]; c != nil {
-				c.link.finish(&ended{Reason: closings[e.Reason]})
+				c.link.closeAfterSent(&endError{Reason: closings[e.Reason]})
 			}
 		case broker.StartAttempt:
 			if e.Attempt.Number == 0 {
@@ -273,28 +273,28 @@
 			} else {
 				n.costs.Retries++
 			}
-			n.pool.want(e)
+			n.pool.startAttempt(e)
 		case broker.FetchPage:
-			n.pool.turn(e)
+			n.pool.fetchPage(e)
 		case broker.CancelAttempt:
-			n.pool.giveUp(e.Attempt)
+			n.pool.cancelAttempt(e.Attempt)
 		case broker.WithdrawUnsent:
-			n.pool.withdraw(e.Attempt)
+			n.pool.withdrawAttempt(e.Attempt)
 		case broker.ReleaseAttempt:
-			n.pool.forget(e)
+			n.pool.releaseAttempt(e)
 		case broker.SetPriority:
-			n.pool.hurry(e)
+			n.pool.setPriority(e)
 		case broker.ProbeLoad:
 			n.costs.LoadProbes++
-			n.pool.probe(e)
+			n.pool.startProbe(e)
 		case broker.SendGossip:
 			n.costs.GossipSent++
 			n.gossip.tell(e)
 		case broker.CancelUnsent:
-			n.pool.drains(e.Engine)
-			n.pool.dropUnsent(e.Engine)
+			n.pool.startDrain(e.Engine)
+			n.pool.cancelUnsent(e.Engine)
 		case broker.CloseEngineConnections:
-			n.pool.drop(e.Engine, e.DialedBefore)
+			n.pool.closeConnections(e.Engine, e.DialedBefore)
 		case broker.LogLine:
 			n.log.Info("note", zap.String("text", e.Text))
 		}
@@ -307,7 +307,7 @@
 	n.ends.add(side, reason)
 	fields := []zap.Field{zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
 		zap.Duration("lasted", time.Since(began))}
-	if reason == Failed || reason == Malformed || reason == HTTPStatus || reason == ConnectFailed {
+	if reason == OtherError || reason == Malformed || reason == HTTPStatus || reason == ConnectFailed {
 		fields = append(fields, zap.Error(err))
 	}
 	n.log.Info("connection ended", fields...)
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -579,7 +579,7 @@
 		want        []string // answers after the greeting
 		reason      Reason   // of its log line
 	}{
-		"wrong user":        {loginAs("root"), nil, []string{"1045", "closed"}, Denied},
+		"wrong user":        {loginAs("root"), nil, []string{"1045", "closed"}, AccessDenied},
 		"no login":          {packet(1, "hello"), nil, []string{"1043", "closed"}, Malformed},
 		"login of sequence": {packet(3, "hello"), nil, []string{"1156", "closed"}, Malformed},
 		"huge packet":       {loginAs("app"), big, []string{"ok", "1153", "closed"}, TooLarge},
@@ -669,7 +669,7 @@
 	for _, c := range []struct {
 		nc   net.Conn
 		want Reason
-	}{{silent, MadeRoom}, {idle.nc, MadeRoom}} {
+	}{{silent, EvictedIdle}, {idle.nc, EvictedIdle}} {
 		if got := s.reasons(c.nc.LocalAddr().String()); got != string(c.want) {
 			t.Errorf("ended as %s, want %s", got, c.want)
 		}
@@ -973,19 +973,19 @@
 	for name, c := range map[string]struct {
 		stale time.Duration
 		want  Reason
-	}{"client": {0, Killed}, "engine": {latestLeave, WriteTimeout}} {
+	}{"client": {0, KilledByClient}, "engine": {maxEngineSendDelay, WriteTimeout}} {
 		near, far := pair(t)
-		l := newLink(near, c.stale, 100, 100)
+		l := newBufferedConn(near, c.stale, 100, 100)
 		if _, err := l.write([]byte("late")); err != nil {
 			t.Fatal(err)
 		}
-		l.puts[0].when = time.Now().Add(-time.Second)
-		l.finish(&ended{Reason: Killed})
+		l.writes[0].queuedAt = time.Now().Add(-time.Second)
+		l.closeAfterSent(&endError{Reason: KilledByClient})
 		go func() {
 			io.Copy(io.Discard, far)
 			far.Close()
 		}()
-		if got := reasonOf(l.drain(t.Context())); got != c.want {
+		if got := reasonOf(l.writeLoop(t.Context())); got != c.want {
 			t.Errorf("%s: ended as %s, want %s", name, got, c.want)
 		}
 	}
@@ -995,25 +995,25 @@
 const much = 8 << 20
 
 // blocked is a link with much put into it whose other side reads nothing, and the end of what drains it.
-func blocked(t *testing.T) (l *link, far *net.TCPConn, ended chan error) {
+func blocked(t *testing.T) (l *bufferedConn, far *net.TCPConn, ended chan error) {
 	t.Helper()
 	near, far := pair(t)
 	near.SetWriteBuffer(64 << 10)
 	far.SetReadBuffer(64 << 10)
-	l = newLink(near, 0, 100, 2*much)
+	l = newBufferedConn(near, 0, 100, 2*much)
 	if _, err := l.write(make([]byte, much)); err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan error, 1)
-	go func() { ended <- l.drain(t.Context()) }()
+	go func() { ended <- l.writeLoop(t.Context()) }()
 	return l, far, ended
 }
 
 // handed is the number of bytes that may have left.
-func handed(l *link) int64 {
+func handed(l *bufferedConn) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.handed
+	return l.handedBytes
 }
 
 // until waits for something to be so.
@@ -1031,9 +1031,9 @@
 func TestWhatTheSystemTookHasLeft(t *testing.T) {
 	l, far, ended := blocked(t)
 	until(t, "a part has left", func() bool { left := handed(l); return left > 0 && left < much })
-	l.nc.Close()
+	l.socket.Close()
 	next(t, ended, "the end of the writes")
-	left := l.cut()
+	left := l.withdrawAll()
 	if got, _ := io.Copy(io.Discard, far); got > left || left == 0 || left >= much {
 		t.Fatalf("the other side got %d bytes of %d, of which %d count as left", got, much, left)
 	}
@@ -1047,16 +1047,16 @@
 		at[i], _ = l.write([]byte(text))
 	}
 	until(t, "a part has left", func() bool { return handed(l) > 0 })
-	if l.takeBack(0) {
+	if l.withdraw(0) {
 		t.Fatal("what has begun to leave was taken back")
 	}
 	// While a call is under way all that it was given counts as left; none is for long.
-	until(t, "what waits is taken back", func() bool { return l.takeBack(at[1]) })
-	if l.takeBack(at[1] + 1) {
+	until(t, "what waits is taken back", func() bool { return l.withdraw(at[1]) })
+	if l.withdraw(at[1] + 1) {
 		t.Fatal("what was never put was taken back")
 	}
 	done := make(chan struct{})
-	l.then(func() { close(done) })
+	l.afterSent(func() { close(done) })
 	tail := make(chan string, 1)
 	go func() {
 		io.CopyN(io.Discard, far, much)
@@ -1068,7 +1068,7 @@
 		t.Fatalf("the other side got %q", got)
 	}
 	next(t, done, "the mark behind what was taken back")
-	if l.takeBack(at[2]) {
+	if l.withdraw(at[2]) {
 		t.Fatal("what has left was taken back")
 	}
 }
