--- a/internal/standin/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -18,13 +18,13 @@
 
 // The modes of stand-ins.
 const (
-	Serve   Mode = "serve"
-	Gone    Mode = "gone"    // nothing listens, and open connections are reset
-	Mute    Mode = "mute"    // connections are accepted and never read
-	Slow    Mode = "slow"    // read at some 2 KB a second
-	Tear    Mode = "tear"    // each connection is reset in the middle of a line
-	Lossy   Mode = "lossy"   // a third of the datagrams is lost
-	Shuffle Mode = "shuffle" // datagrams come out of order
+	Serve       Mode = "serve"
+	Unreachable Mode = "gone"    // nothing listens, and open connections are reset
+	Silent      Mode = "mute"    // connections are accepted and never read
+	Slow        Mode = "slow"    // read at some 2 KB a second
+	Truncating  Mode = "tear"    // each connection is reset in the middle of a line
+	Lossy       Mode = "lossy"   // a third of the datagrams is lost
+	Reordering  Mode = "shuffle" // datagrams come out of order
 )
 
 const (
@@ -38,43 +38,66 @@
 type Carbon struct {
 	Form   graphite.Form
 	Pickle bool
-	ledger *Ledger
+	ledger *Reconciler
 
 	mu    sync.Mutex
 	mode  Mode
 	addr  string
+	ln    net.Listener  // nil while it is Gone
 	turn  chan struct{} // closed when the mode changes
 	conns map[net.Conn]bool
 }
 
 // NewCarbon returns one that listens at an address; port 0 is any, and the one taken is kept when it comes back.
-func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Ledger) (*Carbon, error) {
+// Connections that come before Run wait for it.
+func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Reconciler) (*Carbon, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
-	defer ln.Close()
-	return &Carbon{Form: form, Pickle: pickle, ledger: ledger, mode: Serve, addr: ln.Addr().String(),
+	return &Carbon{Form: form, Pickle: pickle, ledger: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
 		turn: make(chan struct{}), conns: map[net.Conn]bool{}}, nil
 }
 
 // Addr is where it listens.
 func (c *Carbon) Addr() string { return c.addr }
 
-// Set changes how it behaves.
+// Set changes how it behaves. Once it has returned from a change to Gone, nothing listens, and from one that ends Tear,
+// no connection is torn.
 func (c *Carbon) Set(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode = m
 	close(c.turn)
 	c.turn = make(chan struct{})
-	if m == Gone {
+	if m == Unreachable {
+		c.shut()
 		for nc := range c.conns {
 			reset(nc)
 		}
 	}
 }
 
+// shut closes the listener. The caller holds the lock.
+func (c *Carbon) shut() {
+	if c.ln != nil {
+		c.ln.Close()
+		c.ln = nil
+	}
+}
+
+// listener is the one there is, or another at the same address; nil while it is Gone, and at the end.
+func (c *Carbon) listener(ctx context.Context) (ln net.Listener, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.mode != Unreachable && c.ln == nil && ctx.Err() == nil {
+		if c.ln, err = net.Listen("tcp", c.addr); err != nil {
+			return nil, fmt.Errorf("stand-in: %w", err)
+		}
+	}
+	return c.ln, nil
+}
+
 func (c *Carbon) now() (Mode, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,20 +115,26 @@
 // Run serves until ctx ends.
 func (c *Carbon) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
+	stop := context.AfterFunc(ctx, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.shut()
+	})
+	defer stop()
 	g.Go(func() error {
 		for ctx.Err() == nil {
-			mode, turn := c.now()
-			if mode == Gone {
+			_, turn := c.now()
+			ln, err := c.listener(ctx)
+			if err != nil {
+				return err
+			}
+			if ln == nil {
 				select {
 				case <-ctx.Done():
 				case <-turn:
 				}
 				continue
 			}
-			ln, err := net.Listen("tcp", c.addr)
-			if err != nil {
-				return fmt.Errorf("stand-in: %w", err)
-			}
 			c.accept(ctx, g, ln)
 		}
 		return nil
@@ -113,26 +142,8 @@
 	return g.Wait()
 }
 
-// accept takes connections until the mode is Gone or ctx ends.
+// accept takes connections until the listener is closed.
 func (c *Carbon) accept(ctx context.Context, g *errgroup.Group, ln net.Listener) {
-	done := make(chan struct{})
-	g.Go(func() error {
-		defer ln.Close()
-		for {
-			mode, turn := c.now()
-			if mode == Gone {
-				return nil
-			}
-			select {
-			case <-ctx.Done():
-				return nil
-			case <-done:
-				return nil
-			case <-turn:
-			}
-		}
-	})
-	defer close(done)
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -140,7 +151,7 @@
 		}
 		c.mu.Lock()
 		c.conns[nc] = true
-		if c.mode == Gone {
+		if c.mode == Unreachable {
 			reset(nc)
 		}
 		c.mu.Unlock()
@@ -157,6 +168,17 @@
 	}
 }
 
+// tear resets a connection unless the mode has changed meanwhile: what comes under another mode is not torn.
+func (c *Carbon) tear(nc net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.mode != Truncating {
+		return false
+	}
+	reset(nc)
+	return true
+}
+
 // read reads a connection as the mode has it.
 func (c *Carbon) read(ctx context.Context, nc net.Conn) {
 	var buf []byte
@@ -166,7 +188,7 @@
 		mode, turn := c.now()
 		part := b
 		switch mode {
-		case Mute:
+		case Silent:
 			select {
 			case <-ctx.Done():
 			case <-turn:
@@ -179,7 +201,7 @@
 			case <-turn:
 			case <-time.After(slowEvery):
 			}
-		case Tear:
+		case Truncating:
 			part = b[:1]
 			if total < tearAfter {
 				part = b[:min(len(b), tearAfter-total)]
@@ -196,8 +218,7 @@
 			return
 		case err != nil:
 			return // what is left of a line is dropped, as carbon does
-		case mode == Tear && total >= tearAfter && len(buf) > 0:
-			reset(nc)
+		case mode == Truncating && total >= tearAfter && len(buf) > 0 && c.tear(nc):
 			return
 		}
 	}
