--- /dev/null
+++ b/control/actions.go
@@ -0,0 +1,61 @@
+package control
+
+import "time"
+
+// Action is one thing that the host is to do; see the types below.
+type Action interface{ action() }
+
+type (
+	// SendAttempt starts the next attempt of a request.
+	SendAttempt struct {
+		RequestID    string
+		Engine       string
+		Timeout      time.Duration // 0: the client's deadline
+		OverdueAfter time.Duration // after it the answer is likelier lost than late; 0: not known
+	}
+	// Reject is a final answer that invites the client to try again.
+	Reject struct {
+		RequestID  string
+		RetryAfter time.Duration // when the client is asked to come back; 0: not said
+	}
+	// Fail is a final answer that says nothing of whether the request ran.
+	Fail struct{ RequestID string }
+	// CancelAttempt cancels an attempt in flight; its end is reported all the same.
+	CancelAttempt struct {
+		RequestID string
+		Number    int
+	}
+	// SetAttemptOptions sets memory and priority for the next attempts of a request.
+	SetAttemptOptions struct {
+		RequestID string
+		GrantMB   float64 // 0: the engine's own choice
+		Priority  int     // 1 is the least
+	}
+	// SetTimer asks for a TimerFired with the token.
+	SetTimer struct {
+		After time.Duration
+		Token uint64
+	}
+	// ProbeLoad asks an engine for its load.
+	ProbeLoad struct{ Engine string }
+	// SendGossip sends another broker load reports; no answer is expected.
+	SendGossip struct {
+		Broker  int
+		Reports []LoadReport
+	}
+	// WatchEndpoints subscribes to changes of the endpoint list.
+	WatchEndpoints struct{}
+	// Log is a line for the operators.
+	Log struct{ Text string }
+)
+
+func (SendAttempt) action()       {}
+func (Reject) action()            {}
+func (Fail) action()              {}
+func (CancelAttempt) action()     {}
+func (SetAttemptOptions) action() {}
+func (SetTimer) action()          {}
+func (ProbeLoad) action()         {}
+func (SendGossip) action()        {}
+func (WatchEndpoints) action()    {}
+func (Log) action()               {}
--- /dev/null
+++ b/control/admission.go
@@ -0,0 +1,123 @@
+package control
+
+import (
+	"math"
+	"time"
+)
+
+// Tuned values of admission and load shedding.
+const (
+	highAbandonRate     = 0.5      // share of clients leaving early at which the others are expected to
+	deadlineBatches     = 2        // batch intervals before its deadline at which a request is answered
+	minAdmissionPrice   = 1.0 / 16 // rejects no request under 16 times the mean work
+	admissionPriceRise  = 1.3      // growth of the price with each request that finds no capacity
+	admissionPriceFall  = 0.95     // part of the price left after an interval
+	maxRejectRetryAfter = time.Second
+	minRejectRetryAfter = 300 * time.Millisecond
+)
+
+// requestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
+func (c *Controller) requestReceived(in Request) {
+	if c.requests.byID[in.ID] != nil {
+		return
+	}
+	classIndex, known := c.workload.classByName[in.Class]
+	if !known {
+		c.emit(Fail{in.ID})
+		return
+	}
+	k, tenantIndex := c.workload.classes[classIndex], c.workload.tenantIndex(in.Tenant)
+	r := newRequest(in, k, classIndex, tenantIndex, c.now)
+	objective := k.LatencyObjective + seconds(k.ObjectivePerWork*r.expectedWork/float64(k.Threads))
+	r.objectiveAt = min(in.Deadline, c.now+objective)
+	if k.abandonRate > highAbandonRate {
+		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
+	}
+	c.workload.countArrival(classIndex, tenantIndex)
+	c.retries.requestReceived(c.now)
+	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
+	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
+	c.requests.add(r)
+	c.enqueue(r, nil)
+}
+
+// enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
+// engine to avoid is taken only if there is no other.
+func (c *Controller) enqueue(r *request, avoid *engine) {
+	r.avoid = avoid
+	if len(r.attempts) > 0 && !r.hasAttemptInFlight() && c.attemptsExhausted(r) {
+		c.rejectOrFail(r)
+		return
+	}
+	if c.probeBeforeEnqueue(r, avoid) {
+		return
+	}
+	e := c.endpoints.pool
+	if e == nil {
+		e = c.selectEngine(r, avoid)
+	}
+	switch {
+	case e == nil:
+		c.requests.waitForEngine(r)
+	case len(r.attempts) == 0 && c.belowAdmissionPrice(r):
+		c.rejectOrFail(r)
+	case len(r.attempts) == 0 && c.cannotMeetObjective(r, e):
+		c.admission.raise()
+		c.rejectOrFail(r)
+	default:
+		c.enqueueOn(e, r)
+	}
+}
+
+// rejectOrFail ends a request whose time is up or that nothing can help: rejected where trying again is
+// harmless, else failed.
+func (c *Controller) rejectOrFail(r *request) {
+	if r.closed || r.responseStarted {
+		return
+	}
+	if !r.mayHaveRun() || r.class.safeToRepeatAnywhere() {
+		reject := Reject{RequestID: r.ID}
+		if c.settings.Limits.RetryAfter {
+			reject.RetryAfter = c.retryAfter()
+		}
+		c.emit(reject)
+	} else {
+		c.emit(Fail{r.ID})
+	}
+	c.closeRequest(r)
+}
+
+// retryAfter is when a rejected client is asked to come back: spread evenly up to the longest wait that
+// clients follow, as what a fleet rejects at once must not come back at once.
+func (c *Controller) retryAfter() time.Duration {
+	longest := min(c.settings.Limits.MaxRetryAfter, maxRejectRetryAfter)
+	shortest := min(minRejectRetryAfter, longest/2)
+	return shortest + time.Duration(c.rng.Float64()*float64(longest-shortest))
+}
+
+// cannotMeetObjective says whether a request that has to wait for the limit cannot meet its latency
+// objective: rejected early it costs nothing. Its class waits for its own share, and its tenant within that.
+func (c *Controller) cannotMeetObjective(r *request, e *engine) bool {
+	if c.withinConcurrencyLimit(e, r.classIndex) {
+		return false
+	}
+	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
+		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
+	wait := seconds(ahead / e.limit * math.Exp(c.estimatedSlowdown(e)))
+	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
+}
+
+// admissionPrice is what a request must be worth for each thread-second, in parts of what the class that is
+// worth least for its work is worth. It rises while requests find no capacity.
+type admissionPrice struct{ price float64 }
+
+func (p *admissionPrice) raise() { p.price = min(1, p.price*admissionPriceRise) }
+func (p *admissionPrice) decay() { p.price = max(minAdmissionPrice, p.price*admissionPriceFall) }
+
+// belowAdmissionPrice says whether a request is more work than it is worth while the pool is short of
+// capacity: without it a few very heavy requests keep out many light ones that are worth as much each.
+func (c *Controller) belowAdmissionPrice(r *request) bool {
+	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
+		r.class.PriorityWeight < c.admission.price*c.workload.lowestWeightPerWork*r.expectedWork
+}
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -18,8 +18,8 @@
 	"wheatlane/internal/config"
 )
 
-// encoder hashes what the module does without any name of a type or field: kinds by the numbers given here, values in
-// the order of fields, floats bit by bit.
+// encoder hashes what the module does without any name of a type or field: kinds by the numbers given here,
+// values in the order of fields, floats bit by bit.
 type encoder struct {
 	hash.Hash
 	kinds [numberOfKinds]int // actions seen of each kind
@@ -243,9 +243,10 @@
 	return fmt.Sprintf("%x", e.Sum(nil)), e.kinds
 }
 
-// The module's decisions as they were when these hashes were written, over worlds with faults, drains, restarts, lost
-// answers, cancels, reloads, maintenance and other brokers' reports. A change that is not meant to change a decision
-// leaves them as they are; the floats behind them are those of amd64, where no multiplication is fused with an addition.
+// The module's decisions as they were when these hashes were written, over worlds with faults, drains,
+// restarts, lost answers, cancels, reloads, maintenance and other brokers' reports. A change that is not
+// meant to change a decision leaves them as they are; the floats behind them are those of amd64, where no
+// multiplication is fused with an addition.
 func TestDecisionsAreThoseOnRecord(t *testing.T) {
 	var kinds [numberOfKinds]int
 	for _, c := range behaviourCases() {
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -7,8 +7,9 @@
 	"wheatlane/control"
 )
 
-// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh controllers:
-// equal settings, seeds and events give equal actions, so the loop stays closed and only the module is measured.
+// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh
+// controllers: equal settings, seeds and events give equal actions, so the loop stays closed and only the
+// module is measured.
 type recorded struct {
 	settings control.Settings
 	seed     uint64
@@ -34,8 +35,8 @@
 	return n
 }
 
-// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part of the
-// timers and intervals, at three quarters and at one and a half times the engines' capacity.
+// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part
+// of the timers and intervals, at three quarters and at one and a half times the engines' capacity.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name    string
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -127,7 +127,7 @@
 	want(t, "refusals", len(pickOf[Reject](got)), 1)
 	want(t, "query", pickOf[Reject](got)[0].RequestID, id)
 	want(t, "sends", len(pickOf[SendAttempt](got)), 0)
-	want(t, "kept", len(r.c.requests), 0)
+	want(t, "kept", len(r.c.requests.byID), 0)
 }
 
 func TestAnswerLeavesNothingBehind(t *testing.T) {
@@ -137,8 +137,8 @@
 	r.end(id, 0, OK)
 	got = r.run(4 * time.Second)
 	want(t, "answers of its own", len(pickOf[Reject](got))+len(pickOf[Fail](got)), 0)
-	want(t, "queries kept", len(r.c.requests), 0)
-	want(t, "threads", r.c.engines[0].threadsInFlight, 0)
+	want(t, "queries kept", len(r.c.requests.byID), 0)
+	want(t, "threads", r.c.endpoints.all[0].threadsInFlight, 0)
 }
 
 func TestAnOnceQueryThatMayHaveRunIsFailedAndNeverRepeated(t *testing.T) {
@@ -232,11 +232,11 @@
 		r := newRig(t, s, eng("e1"))
 		r.c.now = r.now
 		past := r.now - 10*time.Second
-		r.c.retryTimes = []time.Duration{past - 100*ms, past + time.Second}
-		r.c.requestTimes = []time.Duration{past + 100*ms, past + time.Second}
-		r.c.expireBudget()
-		want(t, "further attempts", len(r.c.retryTimes), wanted[0])
-		want(t, "queries", len(r.c.requestTimes), wanted[1])
+		r.c.retries.retries = []time.Duration{past - 100*ms, past + time.Second}
+		r.c.retries.requests = []time.Duration{past + 100*ms, past + time.Second}
+		r.c.retries.expire(r.c.now)
+		want(t, "further attempts", len(r.c.retries.retries), wanted[0])
+		want(t, "queries", len(r.c.retries.requests), wanted[1])
 	}
 }
 
@@ -269,7 +269,7 @@
 		sent += len(pickOf[SendAttempt](got))
 	}
 	s := r.c.settings.Rules
-	most := s.OverloadMultiple * s.SlowStartInitial * 1.1 * slowStartUtilization * 8 * s.OverloadWindow.Seconds() / r.c.classes[0].meanWork
+	most := s.OverloadMultiple * s.SlowStartInitial * 1.1 * slowStartUtilization * 8 * s.OverloadWindow.Seconds() / r.c.workload.classes[0].meanWork
 	if sent == 0 || float64(sent) > most {
 		t.Fatalf("%d sent to a cold engine, at most %.0f by all", sent, most)
 	}
@@ -396,7 +396,7 @@
 			r.end(other, 0, OK)
 		}
 		if got = r.run(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
-			want(t, "believed to lose answers", r.c.lossRate(r.c.engineByID[hung]) > 10*priorLossRate, true)
+			want(t, "believed to lose answers", r.c.lossRate(r.c.endpoints.byID[hung]) > 10*priorLossRate, true)
 			again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 			want(t, "sent elsewhere", len(again) == 1 && again[0].Engine != hung, true)
 			return
@@ -464,8 +464,8 @@
 		_, got := r.ask("quick")
 		refused += len(pickOf[Reject](got))
 	}
-	if sent := r.c.engines[0].threadsInFlight; float64(sent) > r.c.engines[0].limit || refused == 0 {
-		t.Fatalf("%d threads under a bound of %.1f, %d refused", sent, r.c.engines[0].limit, refused)
+	if sent := r.c.endpoints.all[0].threadsInFlight; float64(sent) > r.c.endpoints.all[0].limit || refused == 0 {
+		t.Fatalf("%d threads under a bound of %.1f, %d refused", sent, r.c.endpoints.all[0].limit, refused)
 	}
 }
 
@@ -483,7 +483,7 @@
 
 func TestARestartVoidsWhatWasBelieved(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
-	e := r.c.engineByID["e1"]
+	e := r.c.endpoints.byID["e1"]
 	r.c.eject(e, "failing")
 	e.failureRate = 1
 	back := eng("e1")
@@ -496,8 +496,8 @@
 
 func TestWhenMostEnginesLookBadTheyAreStillTried(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"), eng("e3"))
-	r.c.eject(r.c.engineByID["e1"], "failing")
-	r.c.eject(r.c.engineByID["e2"], "failing")
+	r.c.eject(r.c.endpoints.byID["e1"], "failing")
+	r.c.eject(r.c.endpoints.byID["e2"], "failing")
 	seen := map[string]bool{}
 	for range 20 {
 		_, got := r.ask("quick")
@@ -542,51 +542,50 @@
 	want(t, "sent", len(pickOf[SendAttempt](got)), 1)
 }
 
-// Worked example: shares 3 to 1, equal costs, both backlogged: the first class gets three of four.
+// Worked example: shares 3 to 1, equal costs, both backlogged: the first class gets three of four. That a flow which
+// stays backlogged keeps its tag is tested in internal/fairqueue.
 func TestFairQueuingFollowsShares(t *testing.T) {
-	r := newRig(t, base())
-	c := r.c
-	c.shares = []float64{0.75, 0.25}
-	var q fairQueue
-	q.init(2, 2)
+	r := newRig(t, base(), eng("e1"))
+	c, e := r.c, r.c.endpoints.all[0]
+	c.shares.weights = []float64{0.75, 0.25}
 	for i := range 40 {
-		q.push(c, &request{Request: Request{ID: fmt.Sprint(i)}, classIndex: i % 2, tenantIndex: i / 2 % 2, expectedWork: 1})
+		k := c.workload.classes[i%2]
+		c.enqueueOn(e, &request{Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
+			tenantIndex: i / 2 % 2, expectedWork: 1})
 	}
+	want(t, "threads of what waits", e.queue.Threads(), 20+20*2)
 	var classes, tenants [2]int
 	for range 16 {
-		h := q.head(nil)
-		q.pop(c, h)
-		classes[h.classIndex]++
-		if h.classIndex == 0 {
-			tenants[h.tenantIndex]++
+		head, _ := e.queue.Head(nil)
+		want(t, "queued on the engine", head.queuedOn, e)
+		c.popFrom(e, head)
+		want(t, "queued on no engine", head.queuedOn, nil)
+		classes[head.classIndex]++
+		if head.classIndex == 0 {
+			tenants[head.tenantIndex]++
 		}
 	}
 	want(t, "class service", classes, [2]int{12, 4})
 	want(t, "tenant service, shares 3 to 1", tenants, [2]int{9, 3})
-	late := &request{classIndex: 1, tenantIndex: 0, expectedWork: 1}
-	before := q.flows[1].start
-	q.remove(c, q.head(nil))
-	q.push(c, late)
-	want(t, "a flow that stays backlogged keeps its tag", q.flows[1].start, before)
 }
 
 // Worked example: only the second class gains, so it gets all but nothing.
 func TestOptimizerGivesShareToTheClassThatGains(t *testing.T) {
 	c := newRig(t, base()).c
-	c.classes[0].arrivalRate, c.classes[1].arrivalRate = 10, 10
+	c.workload.classes[0].arrivalRate, c.workload.classes[1].arrivalRate = 10, 10
 	for i := range 4 {
 		for j := range 6 {
-			c.shareRegulator.Theta.Set(i, j, 0)
+			c.shares.regulator.Theta.Set(i, j, 0)
 		}
 	}
 	for i := range 4 { // each class's outputs equal its own share
-		c.shareRegulator.Theta.Set(i, 4+i/2, 1)
+		c.shares.regulator.Theta.Set(i, 4+i/2, 1)
 	}
 	s := c.optimizeShares(100)
 	if math.Abs(s[0]+s[1]-1) > 1e-6 || s[1] < 0.8 {
 		t.Fatalf("shares %v: the class worth eight times as much should have most", s)
 	}
-	c.classes[1].arrivalRate = 0 // worth nothing now
+	c.workload.classes[1].arrivalRate = 0 // worth nothing now
 	if s = c.optimizeShares(100); s[0] < 0.8 {
 		t.Fatalf("shares %v: the class with traffic should have most", s)
 	}
@@ -595,21 +594,21 @@
 // What is observed moves shares and bound, and these change what is released next.
 func TestSharesAndBoundMoveWithWhatIsSeen(t *testing.T) {
 	r := newRig(t, base(), eng("e1"), eng("e2"))
-	shares := slices.Clone(r.c.shares)
-	bound := r.c.engines[0].limit
+	shares := slices.Clone(r.c.shares.weights)
+	bound := r.c.endpoints.all[0].limit
 	for i := range 60 {
 		id, _ := r.ask("quick")
 		long, _ := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 		r.run(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
-			if q := r.c.requests[id]; q != nil && len(q.attempts) > 0 {
+			if q := r.c.requests.byID[id]; q != nil && len(q.attempts) > 0 {
 				r.feed(AttemptEnded{RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
 					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms})
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.engines[0].limit {
-		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.engines[0].limit)
+	if reflect.DeepEqual(shares, r.c.shares.weights) || bound == r.c.endpoints.all[0].limit {
+		t.Fatalf("shares %v, bound %v did not move", r.c.shares.weights, r.c.endpoints.all[0].limit)
 	}
 }
 
@@ -620,10 +619,10 @@
 	r.run(1500 * ms)
 	id, _ = r.ask("quick")
 	r.end(id, 0, OK)
-	fit := r.c.shareRegulator.Theta.At(0, 0)
+	fit := r.c.shares.regulator.Theta.At(0, 0)
 	r.now += 5 * time.Second
 	r.feed(TimerFired{Token: 1})
-	want(t, "fit", r.c.shareRegulator.Theta.At(0, 0), fit)
+	want(t, "fit", r.c.shares.regulator.Theta.At(0, 0), fit)
 }
 
 // Long queries fill the bound for seconds. Quick ones, which earn more for their work, must not wait or be refused
@@ -634,7 +633,7 @@
 	for range 10 {
 		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
-	e := r.c.engines[0]
+	e := r.c.endpoints.all[0]
 	if room := e.limit - float64(e.threadsInFlight); room >= 2 || !r.c.underPressure(e) {
 		t.Fatalf("the long ones leave %.1f threads", room)
 	}
@@ -643,7 +642,7 @@
 		_, got := r.ask("quick")
 		quick += len(pickOf[SendAttempt](got))
 	}
-	if float64(quick) <= r.c.shares[0]*e.limit || float64(quick) > e.limit {
+	if float64(quick) <= r.c.shares.weights[0]*e.limit || float64(quick) > e.limit {
 		t.Fatalf("%d quick queries were sent, want more than their share of the bound of %.1f and no more than it", quick, e.limit)
 	}
 }
@@ -657,8 +656,8 @@
 	want(t, "called off", slices.Contains(r.feed(ClientDisconnected{RequestID: id}), Action(CancelAttempt{RequestID: id})), true)
 	want(t, "once", len(pickOf[CancelAttempt](r.run(5*time.Second))), 0)
 	r.end(id, 0, Cancelled)
-	want(t, "threads", r.c.engines[0].threadsInFlight, 0)
-	want(t, "queries kept", len(r.c.requests), 0)
+	want(t, "threads", r.c.endpoints.all[0].threadsInFlight, 0)
+	want(t, "queries kept", len(r.c.requests.byID), 0)
 	s.Limits.Cancellation = false
 	r = newRig(t, s, eng("e1"))
 	id, _ = r.ask("quick")
@@ -688,7 +687,7 @@
 			for _, class := range []string{"quick", "long"} {
 				id, got := r.ask(class)
 				if len(pickOf[SendAttempt](got)) > 0 {
-					all = append(all, sent{r.now, r.c.classes[r.c.classByName[class]].meanWork})
+					all = append(all, sent{r.now, r.c.workload.classes[r.c.workload.classByName[class]].meanWork})
 					turns[g] = true
 					r.end(id, 0, OK)
 				}
@@ -727,10 +726,10 @@
 		_, got := r.ask("quick", func(q *Request) { q.Tenant = name })
 		want(t, "sent for "+name, len(pickOf[SendAttempt](got)), 1)
 	}
-	want(t, "charged to t0", r.c.tenants[0].arrivals, 1)
-	want(t, "charged to t1", r.c.tenants[1].arrivals, 0)
-	want(t, "charged to the unknown", r.c.tenants[2].arrivals, 2)
-	want(t, "share of the unknown", r.c.tenants[2].Share, 0.25)
+	want(t, "charged to t0", r.c.workload.tenants[0].arrivals, 1)
+	want(t, "charged to t1", r.c.workload.tenants[1].arrivals, 0)
+	want(t, "charged to the unknown", r.c.workload.tenants[2].arrivals, 2)
+	want(t, "share of the unknown", r.c.workload.tenants[2].Share, 0.25)
 }
 
 // After a standstill a gateway finds what ended before what is new or due: nothing is judged lost whose answer
@@ -757,7 +756,7 @@
 	got = r.feed(evs...)
 	sends := pickOf[SendAttempt](got)
 	want(t, "sends", len(sends) == 1 && sends[0].RequestID == "alive", true)
-	want(t, "answers thought lost", r.c.lost, 0.0)
+	want(t, "answers thought lost", r.c.estimates.loss.Lost, 0.0)
 	answers := pickOf[Reject](append(got, r.run(50*ms)...))
 	want(t, "refused", len(answers) == 1 && answers[0].RequestID == "dead", true)
 }
@@ -785,17 +784,17 @@
 	for range 400 { // nothing is answered
 		r.ask("quick")
 		r.run(20 * ms)
-		if most := calmLimitFactor*max(r.c.pool.limit, r.c.mostThreads) + 2; float64(r.c.pool.threadsInFlight) > most {
-			t.Fatalf("%d threads out, over %.1f", r.c.pool.threadsInFlight, most)
+		if most := calmLimitFactor*max(r.c.endpoints.pool.limit, r.c.workload.maxThreads) + 2; float64(r.c.endpoints.pool.threadsInFlight) > most {
+			t.Fatalf("%d threads out, over %.1f", r.c.endpoints.pool.threadsInFlight, most)
 		}
 	}
-	want(t, "pressed", r.c.underPressure(r.c.pool), true)
+	want(t, "pressed", r.c.underPressure(r.c.endpoints.pool), true)
 }
 
 // Shares, bound and targets move with what a gateway sees over all engines, though it sees each one rarely.
 func TestAPooledGatewaysRegulatorsMove(t *testing.T) {
 	r := pooledRig(t, pooledBase(), 60)
-	shares, bound := slices.Clone(r.c.shares), r.c.pool.limit
+	shares, bound := slices.Clone(r.c.shares.weights), r.c.endpoints.pool.limit
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
 			id, got := r.ask(class, func(q *Request) { q.Deadline = r.now + 20*time.Second })
@@ -805,8 +804,8 @@
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.c.shares) || bound == r.c.pool.limit {
-		t.Fatalf("shares %v, bound %v did not move", r.c.shares, r.c.pool.limit)
+	if reflect.DeepEqual(shares, r.c.shares.weights) || bound == r.c.endpoints.pool.limit {
+		t.Fatalf("shares %v, bound %v did not move", r.c.shares.weights, r.c.endpoints.pool.limit)
 	}
 }
 
@@ -844,10 +843,10 @@
 		t.Fatalf("waited %v before copies", waited)
 	}
 	for i := range 60 { // now nothing comes back
-		r.c.lost, r.c.evidence = float64(30+i), float64(40+i)
+		r.c.estimates.loss.Lost, r.c.estimates.loss.Answers = float64(30+i), float64(40+i)
 		r.ask("quick")
 		for _, snd := range pickOf[SendAttempt](r.run(100 * ms)) {
-			if q := r.c.requests[snd.RequestID]; q != nil && len(q.attempts) > 1 {
+			if q := r.c.requests.byID[snd.RequestID]; q != nil && len(q.attempts) > 1 {
 				t.Fatal("a copy in a jam")
 			}
 		}
@@ -878,7 +877,7 @@
 	for _, a := range pickOf[SendAttempt](r.all) {
 		r.end(a.RequestID, 0, TimedOut)
 	}
-	want(t, "queries kept", len(r.c.requests), 0)
+	want(t, "queries kept", len(r.c.requests.byID), 0)
 }
 
 func BenchmarkHandle(b *testing.B) {
@@ -910,7 +909,7 @@
 	r := newRig(t, base(), eng("e1"))
 	aim := func() time.Duration {
 		id, _ := r.ask("quick")
-		left := r.c.requests[id].objectiveAt - r.now
+		left := r.c.requests.byID[id].objectiveAt - r.now
 		r.end(id, 0, OK)
 		return left
 	}
@@ -962,7 +961,7 @@
 		for i, s := range sent["e1"] {
 			r.feed(AttemptEnded{RequestID: s.RequestID, Engine: "e1", Status: ConnectionReset, SharedCause: shared && i > 0})
 		}
-		if len(sent["e1"]) < 3 || r.c.engineByID["e1"].ejected != down {
+		if len(sent["e1"]) < 3 || r.c.endpoints.byID["e1"].ejected != down {
 			t.Errorf("shared %v: %d were out, down is %v", shared, len(sent["e1"]), !down)
 		}
 	}
@@ -978,7 +977,7 @@
 		for gateway, class := range []string{"quick", "long"} {
 			s.BrokerIndex = gateway
 			r := newRig(t, s, eng("e1"), eng("e2"), eng("e3"), eng("e4"), eng("e5"))
-			r.c.meanWork = 100 // so that none is probed for
+			r.c.workload.meanWork = 100 // so that none is probed for
 			_, got := r.ask(class, func(q *Request) { q.DataSet = tables })
 			at[class] = pickOf[SendAttempt](got)[0].Engine
 		}
@@ -992,7 +991,7 @@
 // their bounds before pressure showed, and the jam lasted for seconds. In calm an engine takes some bounds, no more.
 func TestWhatOneEngineLosesFloodsNoOther(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
-	e := r.c.engines[0]
+	e := r.c.endpoints.all[0]
 	for range 100 {
 		r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
 	}
@@ -1028,12 +1027,13 @@
 	for i := range 20 {
 		old, fresh := eng(fmt.Sprintf("e%d", i)), eng(fmt.Sprintf("e%d", i+1))
 		old.State = Removed
-		r.c.log("down "+old.ID, "noted")
+		r.c.logf(ejectedSubject(old.ID), "noted")
+		r.c.logf(restoredSubject(old.ID), "noted")
 		r.feed(EndpointUpdate{Engines: []Engine{old, fresh}})
 		r.run(2 * controlInterval)
 	}
-	if len(r.c.engines) != 1 || len(r.c.engineByID) != 1 || len(r.c.loggedAt) != 0 {
-		t.Fatalf("%d engines, %d by name, %d lines are remembered", len(r.c.engines), len(r.c.engineByID), len(r.c.loggedAt))
+	if len(r.c.endpoints.all) != 1 || len(r.c.endpoints.byID) != 1 || len(r.c.log.lastAt) != 0 {
+		t.Fatalf("%d engines, %d by name, %d lines are remembered", len(r.c.endpoints.all), len(r.c.endpoints.byID), len(r.c.log.lastAt))
 	}
 }
 
@@ -1062,8 +1062,8 @@
 	if off == 0 || off > 400*ms {
 		t.Fatalf("called off after %v, which leaves no time for another try", off)
 	}
-	want(t, "threads that count", r.c.engineByID[stuck].threadsInFlight, 0)
-	want(t, "losses", r.c.lost, 0)
+	want(t, "threads that count", r.c.endpoints.byID[stuck].threadsInFlight, 0)
+	want(t, "losses", r.c.estimates.loss.Lost, 0)
 	again := pickOf[SendAttempt](r.end(id, 0, Cancelled))
 	if len(again) != 1 || again[0].Engine == stuck {
 		t.Fatalf("tried again: %v, not at %s", again, stuck)
@@ -1075,9 +1075,9 @@
 		}
 	}
 	r.end(id, 1, OK) // elsewhere, which tells nothing of the load
-	want(t, "held", r.c.dataSetLocked(r.c.engineByID[stuck], 7), true)
+	want(t, "held", r.c.endpoints.byID[stuck].dataSetLocked(r.now, 7), true)
 	r.run(10 * time.Second)
-	want(t, "held for good", r.c.dataSetLocked(r.c.engineByID[stuck], 7), false)
+	want(t, "held for good", r.c.endpoints.byID[stuck].dataSetLocked(r.now, 7), false)
 }
 
 // On a day without a lost answer 40 of 100 attempts were called off: each counted as a loss, which made patience
@@ -1087,9 +1087,9 @@
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
 	s.Classes[0].LateWeight = 0.5
 	r := newRig(t, s, eng("e1"), eng("e2"))
-	r.c.lost, r.c.evidence = 30, 100 // as after a bad moment
-	for _, e := range r.c.engines {
-		e.lost, e.evidence = 15, 50
+	r.c.estimates.loss.Lost, r.c.estimates.loss.Answers = 30, 100 // as after a bad moment
+	for _, e := range r.c.endpoints.all {
+		e.loss.Lost, e.loss.Answers = 15, 50
 	}
 	off := 0
 	for i := range 600 { // each is answered, and one in ten is several times as slow as the rest
@@ -1102,7 +1102,7 @@
 		if i >= 300 {
 			off += len(pickOf[CancelAttempt](got))
 		}
-		q := r.c.requests[id]
+		q := r.c.requests.byID[id]
 		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
 			r.feed(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
 			r.run(took)
@@ -1151,7 +1151,7 @@
 	s.Limits.Cancellation = true
 	r := newRig(t, s, eng("e1"), eng("e2"))
 	long := func(q *Request) { q.Deadline = r.now + 20*time.Second }
-	r.c.classes[1].meanWork = 0.8
+	r.c.workload.classes[1].meanWork = 0.8
 	for i := range 20 {
 		id, _ := r.ask("long", long)
 		took := time.Duration(300+i*37%200) * ms
@@ -1177,7 +1177,7 @@
 	s := base()
 	s.Brokers, s.Classes[1].Threads = 3, 4
 	r := newRig(t, s, eng("e1"))
-	r.c.engines[0].limit = 4
+	r.c.endpoints.all[0].limit = 4
 	sent := 0
 	for range 4 {
 		_, got := r.ask("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
@@ -1202,7 +1202,7 @@
 		r.ask("quick")
 	}
 	r.run(minLossWait - 50*ms)
-	want(t, "losses", r.c.lost, 0)
+	want(t, "losses", r.c.estimates.loss.Lost, 0)
 }
 
 // Under pressure a tenant that keeps within its share was refused for the queue of one that did not.
@@ -1258,7 +1258,7 @@
 		}
 		r.run(time.Second / 24)
 	}
-	if part := r.c.trafficShare / even; part < 4.5 || part > 7.5 {
+	if part := r.c.workload.trafficShare / even; part < 4.5 || part > 7.5 {
 		t.Fatalf("after 3 s its part is %.1f even parts, want about 6", part)
 	}
 }
--- /dev/null
+++ b/control/controller.go
@@ -0,0 +1,191 @@
+// Package control decides which requests a broker admits, when it sends them and to which engine of a pool.
+// It performs no I/O, reads no clock and starts no goroutine: events go in, actions come out.
+//
+// Each concern has its file. Those that decide are named by "policy" in deploy/balancer.toml: admission and
+// load shedding, eligibility, slow start, engine selection, dispatch under the concurrency limit, attempts,
+// hedging, outlier detection, regulators, optimizer and gossip. The others keep state and estimates; generic
+// estimators and the fair queue are packages of their own (internal/estimate, internal/fairqueue,
+// internal/rls).
+package control
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// rngStream separates the controller's random numbers from others that are drawn with the same seed.
+const rngStream = 0x7461
+
+// Controller decides for one broker. It is not safe for concurrent use.
+type Controller struct {
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	started      bool
+	actions      []Action // what Handle is about to return
+	timers       timerSet
+	log          logThrottle
+	requests     requestTable
+	endpoints    endpointSet
+	subscription subscription
+	workload     workload
+	estimates    fleetEstimates
+	retries      retryBudget
+	admission    admissionPrice
+	shares       classShares
+	gossip       gossipSchedule
+}
+
+// New returns a controller for these settings; equal settings, seeds and events give equal actions. It
+// returns an error if there is no class of request or if the broker's index is not one of the brokers'.
+func New(settings Settings, seed uint64) (*Controller, error) {
+	if len(settings.Classes) == 0 {
+		return nil, errors.New("no classes of request")
+	}
+	if settings.Brokers < 1 {
+		return nil, errors.New("no brokers")
+	}
+	if settings.BrokerIndex < 0 || settings.BrokerIndex >= settings.Brokers {
+		return nil, fmt.Errorf("broker %d of %d", settings.BrokerIndex, settings.Brokers)
+	}
+	settings.Limits.MaxAttempts = max(1, settings.Limits.MaxAttempts)
+	c := &Controller{
+		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
+		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
+		endpoints: newEndpointSet(), workload: newWorkload(settings),
+		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
+	}
+	c.shares = newClassShares(len(c.workload.classes))
+	if c.poolsEngines() {
+		c.endpoints.setPool(c.newEngine(Engine{}, EngineKind{}))
+	}
+	return c, nil
+}
+
+// Handle takes what happened at one time, in order, and returns what to do, in order. A time before that of
+// the last call counts as the last call's.
+func (c *Controller) Handle(now time.Duration, events []Event) []Action {
+	c.now = max(c.now, now)
+	c.actions = nil
+	if len(events) == 0 {
+		return nil
+	}
+	if !c.started {
+		c.started = true
+		c.shares.intervalStart = c.now
+		c.emit(SetTimer{tickInterval, tickToken})
+	}
+	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
+	disconnected := c.handleOutcomes(events)
+	c.handleRequestsAndTimers(events, disconnected)
+	for _, e := range c.endpoints.queueOwners() {
+		c.dispatch(e)
+	}
+	return c.actions
+}
+
+// handleOutcomes takes all events but new requests and timers; it returns the requests whose clients are
+// gone.
+func (c *Controller) handleOutcomes(events []Event) (disconnected map[string]bool) {
+	for _, event := range events {
+		switch event := event.(type) {
+		case ClientDisconnected:
+			c.clientDisconnected(event.RequestID)
+			if disconnected == nil {
+				disconnected = map[string]bool{}
+			}
+			disconnected[event.RequestID] = true
+		case ResponseStarted:
+			if r := c.requests.byID[event.RequestID]; r != nil {
+				r.responseStarted = true
+			}
+		case AttemptEnded:
+			c.attemptEnded(event)
+		case AttemptProgress:
+			c.attemptProgress(event)
+		case ProbeResult:
+			c.probeEnded(event)
+		case GossipReceived:
+			c.gossipReceived(event)
+		case EndpointUpdate:
+			c.endpointsUpdated(event)
+		case SetMaintenance:
+			c.setMaintenance(event)
+		}
+	}
+	return disconnected
+}
+
+func (c *Controller) handleRequestsAndTimers(events []Event, disconnected map[string]bool) {
+	for _, event := range events {
+		switch event := event.(type) {
+		case RequestReceived:
+			if !disconnected[event.Request.ID] {
+				c.requestReceived(event.Request)
+			}
+		case TimerFired:
+			if event.Token == tickToken {
+				c.tick()
+			} else {
+				c.timers.fire(event.Token)
+			}
+		}
+	}
+}
+
+// tick looks at what waits, and once an interval runs the regulators.
+func (c *Controller) tick() {
+	c.emit(SetTimer{tickInterval, tickToken})
+	c.retries.expire(c.now)
+	c.pollEndpoints()
+	c.fadeEvidence()
+	c.updatePoolLoad()
+	c.retryWaiting()
+	c.sendGossip()
+	if elapsed := c.now - c.shares.intervalStart; elapsed >= controlInterval {
+		c.shares.intervalStart = c.now
+		c.runInterval(elapsed)
+	}
+}
+
+// UpdateClasses takes over the classes and the number of attempts of settings read anew. A class that is new,
+// or whose settings differ, gets an index of its own: requests under way keep the class that they came under.
+// A class that is not named any more stays until then; the broker rejects new requests of it. All other
+// settings are those of the start.
+func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
+	added := 0
+	for _, k := range classes {
+		if c.workload.updateClass(k.withDefaults()) {
+			c.shares.addClass()
+			added++
+		}
+	}
+	c.settings.Limits.MaxAttempts = limits.MaxAttempts
+	if added == 0 {
+		return
+	}
+	c.shares.restart()
+	c.workload.updateExtremes()
+	for _, e := range c.endpoints.all {
+		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+	}
+	if pool := c.endpoints.pool; pool != nil {
+		pool.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+	}
+}
+
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
+
+// startTimer calls a function after a time, at the next batch at the earliest.
+func (c *Controller) startTimer(after time.Duration, callback func()) {
+	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(callback)})
+}
+
+// logf emits a line for the operators, unless one about the same subject was emitted lately.
+func (c *Controller) logf(subject, format string, args ...any) {
+	if c.log.allows(subject, c.now) {
+		c.emit(Log{fmt.Sprintf(format, args...)})
+	}
+}
--- /dev/null
+++ b/control/eligibility.go
@@ -0,0 +1,73 @@
+package control
+
+import "slices"
+
+// mayAttempt says whether an attempt of a request may go to an engine now. Every send passes it; it holds the
+// seven rules of the deployment, in their order.
+func (c *Controller) mayAttempt(r *request, e *engine) bool {
+	return !r.closed && !r.responseStarted && c.now < r.Deadline &&
+		len(r.attempts) < c.settings.Limits.MaxAttempts &&
+		c.cannotRunTwice(r, e) &&
+		e.listed && e.State == Ready && // stricter than the drain's grace period
+		(!c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class)) &&
+		c.isTurnOfKey(r) &&
+		isPlacementAllowed(r.class, e) &&
+		(len(r.attempts) == 0 || c.mayRetry())
+}
+
+// cannotRunTwice says whether an attempt at an engine leaves the request's effect happening once at most.
+func (c *Controller) cannotRunTwice(r *request, e *engine) bool {
+	k := r.class
+	for _, a := range r.attempts {
+		if a.inFlight && (!c.settings.Limits.Hedging || k.Idempotency == NonIdempotent) {
+			return false
+		}
+		if !a.mayHaveRun || k.Idempotency == Idempotent { // an attempt in flight may have run
+			continue
+		}
+		sameScope := k.DedupScope == DedupScopeAll ||
+			k.DedupScope == DedupScopeZone && e.Zone == a.engine.Zone ||
+			k.DedupScope == DedupScopeCell && e.Cell == a.engine.Cell
+		if !sameScope || c.retryForbidden(a) {
+			return false
+		}
+	}
+	return true
+}
+
+// retryForbidden says whether an attempt allows no other one of its request, at whichever engine.
+func (c *Controller) retryForbidden(a *attempt) bool {
+	k := a.request.class
+	window := k.DedupWindow - c.settings.MinBatchInterval - c.settings.MaxSendDelay
+	return a.mayHaveRun && (k.Idempotency == NonIdempotent ||
+		k.Idempotency == IdempotentWithKey && c.now-a.sentAt >= window)
+}
+
+// attemptsExhausted says whether a request can have no further attempt, whatever becomes of the engines.
+func (c *Controller) attemptsExhausted(r *request) bool {
+	return len(r.attempts) >= c.settings.Limits.MaxAttempts ||
+		slices.ContainsFunc(r.attempts, c.retryForbidden)
+}
+
+// isTurnOfKey says whether a request is not ordered or the first of its key, past the key's cooldown.
+func (c *Controller) isTurnOfKey(r *request) bool {
+	q := r.keyQueue
+	return q == nil || q.requests[0] == r && (len(r.attempts) > 0 || c.now >= q.cooldownUntil)
+}
+
+func isPlacementAllowed(k *class, e *engine) bool {
+	return (len(k.AllowedZones) == 0 || slices.Contains(k.AllowedZones, e.Zone)) &&
+		(len(k.AllowedKinds) == 0 || slices.Contains(k.AllowedKinds, e.Kind))
+}
+
+// mayRetry says whether the retry budget, a reserve and a ratio of the requests received within a window, has
+// room for one more retry or hedged request.
+func (c *Controller) mayRetry() bool {
+	rules := &c.settings.Rules
+	if rules.RetryBudgetWindow <= 0 {
+		return true
+	}
+	c.retries.expire(c.now)
+	allowed := rules.RetryBudgetReserve + rules.RetryBudgetRatio*float64(len(c.retries.requests))
+	return float64(len(c.retries.retries)+1) <= allowed
+}
--- /dev/null
+++ b/control/endpoints.go
@@ -0,0 +1,71 @@
+package control
+
+import (
+	"slices"
+	"strings"
+)
+
+// endpointSet is the set of engines that the endpoint list names, and those that still have something in
+// flight.
+type endpointSet struct {
+	all            []*engine // sorted by ID
+	byID           map[string]*engine
+	pool           *engine   // all engines as one queue owner, where they are pooled; else nil
+	poolOnly       []*engine // the pool alone, if there is one
+	inMaintenance  map[string]bool
+	ready          int  // listed as ready, at least 1
+	mostLookFaulty bool // most of them are ejected
+}
+
+func newEndpointSet() endpointSet {
+	return endpointSet{byID: map[string]*engine{}, inMaintenance: map[string]bool{}}
+}
+
+// queueOwners are the engines that have a queue and a concurrency limit: each one, or the pool.
+func (s *endpointSet) queueOwners() []*engine {
+	if s.pool != nil {
+		return s.poolOnly
+	}
+	return s.all
+}
+
+// setPool makes an engine the queue owner of all that are added from now on.
+func (s *endpointSet) setPool(pool *engine) {
+	pool.listed = true
+	s.pool, s.poolOnly = pool, []*engine{pool}
+}
+
+// add puts an engine into the set.
+func (s *endpointSet) add(e *engine) {
+	if s.pool != nil {
+		e.queueOwner = s.pool
+	}
+	s.byID[e.ID] = e
+	byID := func(o *engine, id string) int { return strings.Compare(o.ID, id) }
+	at, _ := slices.BinarySearchFunc(s.all, e.ID, byID)
+	s.all = slices.Insert(s.all, at, e)
+}
+
+// removeGone drops engines that are listed no more, once nothing is in flight there, and returns their IDs.
+// Without it records add up where engines are replaced all day, and probes are drawn for engines that are
+// gone.
+func (s *endpointSet) removeGone() (removed []string) {
+	s.all = slices.DeleteFunc(s.all, func(e *engine) bool {
+		if e.listed || len(e.attempts) > 0 || e.queue.Len() > 0 {
+			return false
+		}
+		delete(s.byID, e.ID)
+		removed = append(removed, e.ID)
+		return true
+	})
+	return removed
+}
+
+// byGossipID finds an engine by the short form of its ID; nil if there is none.
+func (s *endpointSet) byGossipID(id uint32) *engine {
+	i := slices.IndexFunc(s.all, func(e *engine) bool { return e.gossipID == id })
+	if i < 0 {
+		return nil
+	}
+	return s.all[i]
+}
--- /dev/null
+++ b/control/engine.go
@@ -0,0 +1,179 @@
+package control
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"wheatlane/internal/estimate"
+	"wheatlane/internal/fairqueue"
+	"wheatlane/internal/rls"
+)
+
+// engine is an engine of the endpoint list with all that is known of it. The pool, where there is one, is an
+// engine of its own that owns the queue and the concurrency limit of all.
+type engine struct {
+	Engine
+	idHash      int            // of its ID, for ranks
+	gossipID    uint32         // EngineHash of its ID
+	queueOwner  *engine        // whose queue and concurrency limit apply: itself, or the pool
+	listed      bool           // it is in the endpoint list
+	listedState EngineState    // its state there; State is the one that applies
+	cores       float64        // at least 1
+	memoryMB    float64        // infinite if not known
+	limit       float64        // concurrency limit: threads that this broker may have in flight here
+	limitFit    *rls.Regulator // of the limit, in threads a core
+	limitFactor float64        // part of the limit that the backoff leaves
+	queue       fairqueue.Queue[*request]
+
+	attempts        []*attempt // in flight
+	threadsInFlight int        // of those that count against the limit
+
+	logSlowdown     float64       // log of service time over work, averaged
+	slowdownSamples int           // answers behind it
+	sampledAt       time.Duration // of the last one
+	relativeTimeSum float64       // sum of service times over objectives, in this interval
+	answered        float64       // answers of this interval
+	overdueRatio    float64       // age of what is in flight over its usual time
+
+	lastResponseAt time.Duration // when it last answered anything
+	atCapacityAt   time.Duration // when it last did not admit an attempt; negative: never
+	failureRate    float64       // averaged
+	loss           estimate.Loss // answers that never came
+	ejected        bool          // an outlier that gets no requests but half-open probes
+	halfOpenAt     time.Duration // when it may get the next of these
+
+	load           float64       // as reported
+	loadReportedAt time.Duration // 0: never
+	probedAt       time.Duration // when it was last asked for a report
+	dataSetLocks   []dataSetLock // that requests of other brokers seem to hold
+	slowStartSends []slowStartSend
+}
+
+// dataSetLock is a data set that another broker's request seems to have locked, and until when that is
+// believed.
+type dataSetLock struct {
+	dataSet   int
+	expiresAt time.Duration
+}
+
+// slowStartSend is work that was sent to an engine in slow start.
+type slowStartSend struct {
+	sentAt time.Duration
+	work   float64
+}
+
+// idHashSize keeps the hash of an ID small enough for products with a data set's number.
+const idHashSize = 1000003
+
+func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
+	e := &engine{
+		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID), limitFactor: 1,
+		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, atCapacityAt: -1,
+		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
+	}
+	if e.memoryMB <= 0 { // not known, so it bounds nothing
+		e.memoryMB = math.Inf(1)
+	}
+	for _, b := range in.ID {
+		e.idHash = (e.idHash*31 + int(b)) % idHashSize
+	}
+	e.queueOwner = e
+	e.limit = initialThreadsPerCore * e.cores * c.workload.trafficShare
+	e.limitFit = newRegulator(1, 1, limitMoveCost, []float64{initialThreadsPerCore})
+	return e
+}
+
+// pooled says whether it shares its queue and concurrency limit with other engines.
+func (e *engine) pooled() bool { return e.queueOwner != e }
+
+// addThreads counts threads here and where the concurrency limit is.
+func (e *engine) addThreads(threads int) {
+	e.threadsInFlight += threads
+	if e.pooled() {
+		e.queueOwner.threadsInFlight += threads
+	}
+}
+
+func (e *engine) addAttempt(a *attempt) {
+	e.attempts = append(e.attempts, a)
+	if e.pooled() {
+		e.queueOwner.attempts = append(e.queueOwner.attempts, a)
+	}
+}
+
+func (e *engine) removeAttempt(a *attempt) {
+	same := func(o *attempt) bool { return o == a }
+	e.attempts = slices.DeleteFunc(e.attempts, same)
+	if e.pooled() {
+		e.queueOwner.attempts = slices.DeleteFunc(e.queueOwner.attempts, same)
+	}
+}
+
+// threadsOfClass is the threads of a class's attempts that count against an engine's limit; at the pool also
+// of those requests that are about to leave it.
+func (c *Controller) threadsOfClass(e *engine, classIndex int) float64 {
+	threads, k := 0, c.workload.classes[classIndex]
+	for _, a := range e.attempts {
+		if a.request.classIndex == classIndex && !a.released {
+			threads += k.Threads
+		}
+	}
+	if e == c.endpoints.pool {
+		threads += k.awaitingProbes * k.Threads
+	}
+	return float64(threads)
+}
+
+// atCapacity says whether it did not admit an attempt within a time.
+func (e *engine) atCapacity(now, within time.Duration) bool {
+	return e.atCapacityAt >= 0 && now-e.atCapacityAt < within
+}
+
+// hasLoadReport says whether it takes requests and reported its load within a time.
+func (e *engine) hasLoadReport(now, within time.Duration) bool {
+	return e.listed && e.State == Ready && e.loadReportedAt > 0 && now-e.loadReportedAt <= within
+}
+
+// dataSetRank is the rank, from 0 to 1, of the engine among all for a data set: by hash, so that every broker
+// finds the same.
+func (e *engine) dataSetRank(dataSet int) float64 {
+	const (
+		knuth = 2654435761 // multiplicative hashing (Knuth): spreads neighbours over all values
+		bits  = 16
+	)
+	return float64(uint32(e.idHash*31+dataSet)*knuth>>bits) / (1 << bits)
+}
+
+// slowStartWork is the work that was sent here in slow start since a time, and that of one more request.
+func (e *engine) slowStartWork(since time.Duration, next float64) float64 {
+	tooOld := func(s slowStartSend) bool { return s.sentAt <= since }
+	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, tooOld)
+	work := next
+	for _, s := range e.slowStartSends {
+		work += s.work
+	}
+	return work
+}
+
+// dataSetLocked says whether a data set is locked here: by a request of this broker's, or as others seem to
+// hold it.
+func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
+	expired := func(l dataSetLock) bool { return l.expiresAt <= now }
+	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, expired)
+	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
+	locks := func(a *attempt) bool { return a.request.class.HoldsDataSetLock && a.request.DataSet == dataSet }
+	return slices.ContainsFunc(e.dataSetLocks, isOf) || slices.ContainsFunc(e.attempts, locks)
+}
+
+// releaseDataSet drops the belief that a data set is locked, as a request that the lock blocks was answered.
+func (e *engine) releaseDataSet(dataSet int) {
+	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
+	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, isOf)
+}
+
+// restarted drops what was believed of the process that ran before.
+func (e *engine) restarted(bestLogSlowdown float64) {
+	e.ejected, e.failureRate, e.logSlowdown, e.slowdownSamples = false, 0, bestLogSlowdown, 0
+	e.atCapacityAt, e.loss = -1, estimate.Loss{}
+}
--- /dev/null
+++ b/control/estimators.go
@@ -0,0 +1,224 @@
+package control
+
+import (
+	"math"
+	"time"
+
+	"wheatlane/internal/estimate"
+)
+
+const (
+	workGain           = 0.02 // weight of an answer in a class's work and memory
+	waitGain           = 0.05 // weight of a request in its class's mean wait
+	failureGain        = 0.2  // least weight of one outcome in a failure rate
+	spreadGain         = 0.02 // weight of an answer in the spread of service times
+	spreadPriorWeight  = 5.0  // answers that the first guess of the spread is worth
+	floorGain          = 0.5  // weight of an answer in the floor of service times, in weights in the work
+	slowdownGain       = 0.25 // weight of an answer in an engine's slowdown
+	unknownWorkDivisor = 3.0  // answers that don't report their work weigh so much less there
+	slowdownFade       = 0.02 // lost of a slowdown with each tick without answers
+	bestSlowdownGain   = 0.02 // weight of an interval in the best slowdown when it gets worse
+	workScatter        = 0.5  // log of slowdown that the spread of unreported work explains
+	minSlowdownSamples = 10   // answers before an engine's slowdown is believed
+	minUsualSeconds    = 0.1  // that any answer may take
+	minServiceSeconds  = 1e-4 // least service time that is taken as measured
+	failureFade        = 0.98 // part of the failure rate left each tick
+	evidenceFade       = 0.99 // part of an engine's evidence left each tick
+	poolWeight         = 3.0  // answers of its own that weigh as much as the pool's
+	priorLossRate      = 0.01 // expected share of answers lost
+	priorLossWeight    = 20.0 // answers that this is worth
+	abandonGain        = 0.1  // least weight of one departure in how long leaving clients stay
+)
+
+// fleetEstimates is what is believed of all engines together.
+type fleetEstimates struct {
+	loss            estimate.Loss
+	bestLogSlowdown float64 // log of the least slowdown of an engine
+}
+
+// expectedServiceTime is the service time expected of a request on an engine, in seconds.
+func (c *Controller) expectedServiceTime(r *request, e *engine) float64 {
+	return r.expectedWork / float64(r.class.Threads) * math.Exp(c.estimatedSlowdown(e))
+}
+
+// likelyServiceTime corrects that by what the request's class takes over what is expected of all: priorities
+// and locks differ by class.
+func (c *Controller) likelyServiceTime(r *request, e *engine) time.Duration {
+	return seconds(c.expectedServiceTime(r, e) * math.Exp(r.class.spread.Mean))
+}
+
+// estimatedSlowdown is the log of an engine's slowdown over the best seen. Where answers don't report work,
+// only what stands out from the scatter counts. In a pool, the fewer an engine's own answers, the more the
+// pool's count.
+func (c *Controller) estimatedSlowdown(e *engine) float64 {
+	slowdown := e.logSlowdown
+	if e.pooled() {
+		pool := e.queueOwner.logSlowdown
+		slowdown = pool + (e.logSlowdown-pool)*e.loss.Answers/(e.loss.Answers+poolWeight)
+	}
+	if c.settings.ReportsCost {
+		return max(0, slowdown-c.estimates.bestLogSlowdown)
+	}
+	return max(0, slowdown-c.estimates.bestLogSlowdown-workScatter)
+}
+
+// slowdown is the log of an engine's slowdown, from answers or, if worse, from the age of what is in flight.
+func (c *Controller) slowdown(e *engine) float64 {
+	return max(c.estimatedSlowdown(e), math.Log(max(1, e.overdueRatio/2)))
+}
+
+// lossRate is the share of an engine's answers that never come, shrunk to that of all engines, and that to
+// the prior.
+func (c *Controller) lossRate(e *engine) float64 { return e.loss.Rate(c.overallLossRate(), poolWeight) }
+
+func (c *Controller) overallLossRate() float64 {
+	return c.estimates.loss.Rate(priorLossRate, priorLossWeight)
+}
+
+// recordLoss counts an answer that never came, as far as that is sure.
+func (c *Controller) recordLoss(e *engine, confidence float64) {
+	e.loss.Lose(confidence)
+	c.estimates.loss.Lose(confidence)
+}
+
+// recoverLoss takes that back, as the answer came after all.
+func (c *Controller) recoverLoss(e *engine, confidence float64) {
+	e.loss.Recover(confidence)
+	c.estimates.loss.Recover(confidence)
+}
+
+// fadeEvidence lets what was seen count for less as it ages, once a tick.
+func (c *Controller) fadeEvidence() {
+	c.estimates.loss.Fade(evidenceFade)
+	for _, e := range c.endpoints.all {
+		e.loss.Fade(evidenceFade)
+		e.failureRate *= failureFade
+	}
+	for _, e := range c.endpoints.queueOwners() {
+		e.updateOverdue(c.now)
+		if c.now-e.sampledAt > controlInterval { // without answers trust returns little by little
+			best := c.estimates.bestLogSlowdown
+			e.logSlowdown = estimate.Toward(e.logSlowdown, best, slowdownFade)
+		}
+	}
+}
+
+// recordAnswer counts an attempt that the engine answered, or could not be reached for, in its failure rate.
+func (c *Controller) recordAnswer(e *engine, failed float64) {
+	e.loss.Answer()
+	c.estimates.loss.Answer()
+	e.failureRate = estimate.Toward(e.failureRate, failed, estimate.Gain(failureGain, e.loss.Answers+1))
+}
+
+// updateOverdue sets the age of what is in flight over its usual time: the median, which one long request
+// can't move.
+func (e *engine) updateOverdue(now time.Duration) {
+	ages := make([]float64, 0, len(e.attempts))
+	for _, a := range e.attempts {
+		if a.released {
+			continue
+		}
+		usual := a.request.expectedWork/float64(a.request.class.Threads) + minUsualSeconds
+		ages = append(ages, (now-a.sentAt).Seconds()/usual)
+	}
+	e.overdueRatio = estimate.Median(ages)
+}
+
+// updateBestSlowdown follows the least slowdown of the engines that are well: at once down, slowly up.
+func (c *Controller) updateBestSlowdown() {
+	least := math.Inf(1)
+	for _, e := range c.endpoints.queueOwners() {
+		if e.slowdownSamples > minSlowdownSamples && e.listed && !e.ejected {
+			least = min(least, e.logSlowdown)
+		}
+	}
+	best := &c.estimates.bestLogSlowdown
+	switch {
+	case math.IsInf(least, 1):
+	case least < *best || *best == 0:
+		*best = least
+	default:
+		*best = estimate.Toward(*best, least, bestSlowdownGain)
+	}
+}
+
+// learnFromAnswer takes what an answer shows: its class's work and memory, the spread of service times, its
+// engine's slowdown.
+func (c *Controller) learnFromAnswer(a *attempt, end AttemptEnded) {
+	r, k, e := a.request, a.request.class, a.engine
+	took := max(end.Duration.Seconds(), minServiceSeconds)
+	logSlowdown := c.learnWork(r, e, end, took)
+	gain := estimate.Gain(spreadGain, k.answersSeen+spreadPriorWeight)
+	k.spread.Observe(math.Log(took/c.expectedServiceTime(r, e)), gain)
+	weight := slowdownGain
+	if !c.settings.ReportsCost {
+		weight /= unknownWorkDivisor
+	}
+	owner := e.queueOwner
+	if e.pooled() {
+		gain = estimate.Gain(weight, e.loss.Answers)
+		e.logSlowdown = estimate.Toward(e.logSlowdown, logSlowdown, gain)
+	}
+	gain = estimate.Gain(weight, float64(owner.slowdownSamples+1))
+	owner.logSlowdown = estimate.Toward(owner.logSlowdown, logSlowdown, gain)
+	owner.slowdownSamples, owner.sampledAt = owner.slowdownSamples+1, c.now
+	owner.relativeTimeSum += took / k.LatencyObjective.Seconds()
+	owner.answered++
+	k.latencySum += (c.now - r.receivedAt).Seconds()
+	k.answered++
+}
+
+// learnWork takes what an answer shows of its class's work, and returns the log of the engine's slowdown by
+// it.
+func (c *Controller) learnWork(r *request, e *engine, end AttemptEnded, took float64) (logSlowdown float64) {
+	k := r.class
+	threads := float64(k.Threads)
+	k.answersSeen++
+	gain := estimate.Gain(workGain, k.answersSeen+1)
+	if !c.settings.ReportsCost || end.Work <= 0 {
+		k.meanWork = estimate.Toward(k.meanWork, took*threads/math.Exp(c.estimatedSlowdown(e)), gain)
+		return k.serviceTimeFloor.Observe(math.Log(took), gain*floorGain)
+	}
+	work := end.Work.Seconds()
+	k.meanWork = estimate.Toward(k.meanWork, work, gain)
+	if r.EstimatedWork > 0 {
+		k.workBias = estimate.Toward(k.workBias, work/r.EstimatedWork.Seconds(), gain)
+	}
+	if r.EstimatedMemoryMB > 0 && end.MemoryMB > 0 {
+		k.memoryQuantile = estimate.HighRatio(k.memoryQuantile, end.MemoryMB, r.EstimatedMemoryMB)
+	}
+	k.meanMemoryMB = estimate.Toward(k.meanMemoryMB, end.MemoryMB, gain)
+	return math.Log(took * threads / work)
+}
+
+// updateTrafficShare follows this broker's share of the traffic. Where engines are pooled it stays as it is
+// under pressure, as retries are counted again then.
+func (c *Controller) updateTrafficShare(share float64) {
+	gain := trafficShareGain
+	if pool := c.endpoints.pool; pool != nil {
+		if c.underPressure(pool) {
+			return
+		}
+		gain = pooledShareGain
+	}
+	c.workload.trafficShare = estimate.Toward(c.workload.trafficShare, share, c.workload.gain(gain))
+}
+
+// learnWait takes how long a request was held here before its first attempt.
+func (k *class) learnWait(wait time.Duration) {
+	k.meanWait = estimate.Toward(k.meanWait, wait.Seconds(), waitGain)
+}
+
+// clientLeft learns how many clients leave before their time, and how long those stay. While few have left,
+// the last one counts most.
+func (k *class) clientLeft(after time.Duration) {
+	k.abandonRate = estimate.Toward(k.abandonRate, 1, spreadGain)
+	first := min(1, highAbandonRate/max(k.abandonRate, 1e-9))
+	k.abandonAfter += max(abandonGain, first) * (after.Seconds() - k.abandonAfter)
+}
+
+// clientStayed learns that a client waited for its answer.
+func (k *class) clientStayed() { k.abandonRate = estimate.Toward(k.abandonRate, 0, spreadGain) }
+
+// seconds converts a time in seconds, of at most some days.
+func seconds(s float64) time.Duration { return time.Duration(min(s, 1e6) * float64(time.Second)) }
--- /dev/null
+++ b/control/events.go
@@ -0,0 +1,162 @@
+package control
+
+import (
+	"hash/fnv"
+	"time"
+)
+
+// Request is a request received from a client.
+type Request struct {
+	ID                string
+	Class             string
+	Tenant            string
+	OrderKey          string        // set for ordered classes
+	DataSet           int           // the data set that it reads or locks
+	Deadline          time.Duration // time by which it must be answered
+	EstimatedWork     time.Duration // estimated time on one thread; 0: not known
+	EstimatedMemoryMB float64       // estimated memory; 0: not known
+}
+
+// EngineState is the state of an engine in the endpoint list.
+type EngineState int
+
+// The states of an engine.
+const (
+	Ready    EngineState = iota
+	Draining             // finishes what it has and takes nothing new
+	Removed
+)
+
+// Engine is one entry of the endpoint list.
+type Engine struct {
+	ID        string
+	Zone      string
+	Kind      string
+	Cell      int // group within which duplicates are detected
+	State     EngineState
+	StartedAt time.Duration // 0: long ago
+}
+
+// Status is how an attempt ended.
+type Status int
+
+// The ways in which an attempt ends. After AtCapacity, ConnectFailed and NeverSent it surely did not run.
+const (
+	OK Status = iota
+	Failed
+	AtCapacity // the engine did not admit it
+	TimedOut
+	ConnectFailed
+	ConnectionReset
+	Cancelled
+	NeverSent // it was withdrawn before it left the broker
+)
+
+// provesNotRun says whether an attempt that ended so surely did not run.
+func (s Status) provesNotRun() bool { return s == AtCapacity || s == ConnectFailed || s == NeverSent }
+
+// mayStillRun says whether an engine may go on with an attempt that ended so for the broker.
+func (s Status) mayStillRun() bool { return s == TimedOut || s == ConnectionReset || s == Cancelled }
+
+// ProgressKind is the subject of an AttemptProgress.
+type ProgressKind int
+
+// The kinds of progress.
+const (
+	ProgressFraction ProgressKind = iota + 1 // Value is the part that is done, from 0 to 1
+	ProgressSpilled
+	ProgressBlocked
+)
+
+// EndpointUpdateKind is the kind of an EndpointUpdate.
+type EndpointUpdateKind int
+
+// The kinds of update.
+const (
+	EndpointDelta      EndpointUpdateKind = iota // names the engines that changed
+	EndpointSnapshot                             // names all engines; those not named are gone
+	EndpointPollFailed                           // the subscription failed or ended
+)
+
+// LoadReport is an engine's load as it reported it to one of the brokers, and how long ago.
+type LoadReport struct {
+	Engine uint32 // EngineHash of its ID
+	Load   float64
+	Age    time.Duration
+}
+
+// EngineHash is the short form of an engine's ID in gossip.
+func EngineHash(id string) uint32 {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(id)) // a hash's Write never fails
+	return h.Sum32()
+}
+
+// Event is one thing that happened; see the types below.
+type Event interface{ event() }
+
+type (
+	// RequestReceived is a new request.
+	RequestReceived struct{ Request Request }
+	// ClientDisconnected says that the client of a request is gone; it gets no answer.
+	ClientDisconnected struct{ RequestID string }
+	// AttemptEnded is the result of one attempt of a request, named by its number, from 0.
+	AttemptEnded struct {
+		RequestID     string
+		Number        int
+		Engine        string
+		Status        Status
+		Duration      time.Duration
+		RequestClosed bool // the request has its final answer
+		SharedCause   bool // it ended by a cause that another attempt's end was reported for already
+		Work          time.Duration
+		MemoryMB      float64
+		Report        []float64 // the engine's load by Settings.ReportFields, if it reported it
+	}
+	// ResponseStarted says that the client began to receive its answer; its deadline no longer applies.
+	ResponseStarted struct{ RequestID string }
+	// AttemptProgress is a progress report of an attempt in flight.
+	AttemptProgress struct {
+		RequestID string
+		Number    int
+		Engine    string
+		Kind      ProgressKind
+		Value     float64
+	}
+	// ProbeResult answers a ProbeLoad.
+	ProbeResult struct {
+		Engine   string
+		Status   Status
+		Duration time.Duration
+		Report   []float64
+	}
+	// GossipReceived holds load reports that another broker sent.
+	GossipReceived struct {
+		Broker  int
+		Reports []LoadReport
+	}
+	// EndpointUpdate is a change of the endpoint list.
+	EndpointUpdate struct {
+		Kind    EndpointUpdateKind
+		Engines []Engine
+	}
+	// TimerFired returns the token of a SetTimer.
+	TimerFired struct{ Token uint64 }
+	// SetMaintenance puts an engine into maintenance mode or takes it out: while it is in it, nothing new
+	// goes to it, whatever its listed state. The engine need not be listed yet.
+	SetMaintenance struct {
+		Engine  string
+		Enabled bool
+	}
+)
+
+func (RequestReceived) event()    {}
+func (ClientDisconnected) event() {}
+func (AttemptEnded) event()       {}
+func (ResponseStarted) event()    {}
+func (AttemptProgress) event()    {}
+func (ProbeResult) event()        {}
+func (GossipReceived) event()     {}
+func (EndpointUpdate) event()     {}
+func (TimerFired) event()         {}
+func (SetMaintenance) event()     {}
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -28,13 +28,13 @@
 		{EngineHash("e01"), 0.9, 1500 * ms}, {EngineHash("e02"), 0.9, 1500 * ms}, {EngineHash("e03"), 0.9, 5 * time.Second},
 		{EngineHash("e04"), -3, -time.Hour}, {EngineHash("no such"), 0.9, 0}}})
 	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
-		if got := r.c.engineByID[id].load; math.Abs(got-wanted) > 1e-9 {
+		if got := r.c.endpoints.byID[id].load; math.Abs(got-wanted) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
-	want(t, "e04's report, in the future", r.c.engineByID["e04"].loadReportedAt, r.now)
+	want(t, "e04's report, in the future", r.c.endpoints.byID["e04"].loadReportedAt, r.now)
 	r.feed(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
-	want(t, "a younger report", r.c.engineByID["e01"].load, 0.7)
+	want(t, "a younger report", r.c.endpoints.byID["e01"].load, 0.7)
 }
 
 // A gateway tells one other at a time, never itself, what it knows, the youngest first, and no oftener than
@@ -115,20 +115,20 @@
 	if len(asked) < 2 || len(pickOf[SendAttempt](got)) > 0 {
 		t.Fatalf("%d engines asked, %d sends", len(asked), len(pickOf[SendAttempt](got)))
 	}
-	want(t, "threads while it leaves", r.c.pool.threadsInFlight, 2)
+	want(t, "threads while it leaves", r.c.endpoints.pool.threadsInFlight, 2)
 	for i, a := range asked {
 		r.feed(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
 	}
-	sent := pickOf[SendAttempt](r.run(probeWait*5*ms + 5*ms))
+	sent := pickOf[SendAttempt](r.run(probeWaitBatches*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
 		t.Fatalf("asked %v, sent %v", asked, sent)
 	}
-	want(t, "threads once it left", r.c.pool.threadsInFlight, 2)
+	want(t, "threads once it left", r.c.endpoints.pool.threadsInFlight, 2)
 	gone, _ := r.ask("long")
 	r.feed(ClientDisconnected{RequestID: gone})
 	r.run(time.Second)
-	want(t, "threads after a client left", r.c.pool.threadsInFlight, 2)
-	want(t, "class's count", r.c.classes[1].awaitingProbes, 0)
+	want(t, "threads after a client left", r.c.endpoints.pool.threadsInFlight, 2)
+	want(t, "class's count", r.c.workload.classes[1].awaitingProbes, 0)
 }
 
 // The pool's load is what its threads meet: crowded engines are no better off for others that stand empty.
@@ -140,11 +140,11 @@
 		if i < 4 {
 			load = 1.8
 		}
-		reports = append(reports, LoadReport{r.c.engines[i].shortID, load, 0})
+		reports = append(reports, LoadReport{r.c.endpoints.all[i].gossipID, load, 0})
 	}
 	r.feed(GossipReceived{Reports: reports})
 	r.run(tickInterval + 5*ms)
-	if got := r.c.pool.load; got < 1.6 || got > 1.8 {
+	if got := r.c.endpoints.pool.load; got < 1.6 || got > 1.8 {
 		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
 	}
 }
@@ -187,12 +187,12 @@
 		if !byWork && refused[5] < 4*(refused[0]+1) {
 			t.Errorf("refused, from the lightest to the heaviest: %v", refused)
 		}
-		if byWork && r.c.belowAdmissionPrice(&request{expectedWork: 1e6}) {
+		if byWork && r.c.belowAdmissionPrice(&request{class: r.c.workload.classes[0], expectedWork: 1e6}) {
 			t.Error("where worth grows with work, a query was too much work for its worth")
 		}
-		dear := r.c.admissionPrice
+		dear := r.c.admission.price
 		r.run(100 * controlInterval)
-		want(t, "price forgotten", r.c.admissionPrice, minAdmissionPrice)
+		want(t, "price forgotten", r.c.admission.price, minAdmissionPrice)
 		if dear <= minAdmissionPrice {
 			t.Errorf("the price never rose: %v", dear)
 		}
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -75,8 +75,8 @@
 	return last
 }
 
-// world is a broker's surroundings in a closed loop with the module: clients, engines, other brokers and the operator.
-// All that happens is drawn from one generator, so equal seeds give equal events for equal actions.
+// world is a broker's surroundings in a closed loop with the module: clients, engines, other brokers and the
+// operator. All that happens is drawn from one generator, so equal seeds give equal events for equal actions.
 type world struct {
 	t        testing.TB
 	module   *control.Controller
@@ -424,7 +424,8 @@
 	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
 }
 
-// mishaps changes the world now and then: what is asked, how engines fare, the list of them, the operator's wishes.
+// mishaps changes the world now and then: what is asked, how engines fare, the list of them, the operator's
+// wishes.
 func (w *world) mishaps() {
 	if w.chance(0.0005) {
 		w.load = []float64{0.3, 0.7, 1, 1.6, 3}[w.rng.IntN(5)]
@@ -511,7 +512,8 @@
 	w.after(0, heard)
 }
 
-// reload now and then reads settings anew: a class changes, one comes or goes, more or fewer attempts are allowed.
+// reload now and then reads settings anew: a class changes, one comes or goes, more or fewer attempts are
+// allowed.
 func (w *world) reload() *retuning {
 	if !w.chance(0.0003) {
 		return nil
