--- /dev/null
+++ b/internal/broker/attempts.go
@@ -0,0 +1,160 @@
+package broker
+
+import (
+	"time"
+
+	"wheatlane/control"
+)
+
+// settleDelay is how long after it was sent a cancel has certainly reached its engine.
+const settleDelay = 10 * time.Millisecond
+
+// attempt is one attempt of a request.
+type attempt struct {
+	id             AttemptID
+	request        *request
+	engine         string
+	startedAt      time.Duration
+	inFlight       bool
+	mayHaveRun     bool
+	answeredClient bool           // its result is the client's answer
+	cancelStatus   control.Status // the status that it ends with as it was cancelled; OK: it was not
+	result         *result        // nil before the first page
+}
+
+func (a *attempt) cancelled() bool { return a.cancelStatus != control.OK }
+
+// awaitsFirstPage tells whether an attempt is in flight, not cancelled and without any part of a result.
+func (a *attempt) awaitsFirstPage() bool { return a.inFlight && !a.cancelled() && a.result == nil }
+
+// startAttempt starts an attempt as the decision module asks, or ends it at once if it can't be sent any
+// more.
+func (b *Broker) startAttempt(now time.Duration, send control.SendAttempt) {
+	r := b.requests.byModuleID(send.RequestID)
+	if r == nil {
+		return
+	}
+	a := &attempt{
+		id:         AttemptID{r.id, len(r.attempts)},
+		request:    r,
+		engine:     send.Engine,
+		startedAt:  now,
+		inFlight:   true,
+		mayHaveRun: true,
+	}
+	r.attempts = append(r.attempts, a)
+	endpoint, listed := b.endpoints.byID[send.Engine]
+	until := r.deadline
+	if send.Timeout > 0 {
+		until = min(until, now+send.Timeout)
+	}
+	if r.closed || until <= now || !listed || endpoint.State != control.Ready {
+		// The module decided this before it could know.
+		b.endAttempt(now, a, control.AttemptEnded{Status: control.NeverSent})
+		return
+	}
+	b.meter.AttemptStarted(r.Class)
+	b.emit(StartAttempt{
+		Attempt:        a.id,
+		Engine:         endpoint.ID,
+		Addr:           endpoint.Addr,
+		RequestID:      r.RequestID,
+		Class:          r.Class,
+		IdempotencyKey: r.IdempotencyKey,
+		Timeout:        until - now,
+		OverdueAfter:   send.OverdueAfter,
+		GrantMB:        r.grantMB,
+		Priority:       r.priority,
+		Body:           r.Body,
+	})
+	b.timers.set(until, attemptTimedOut{a})
+}
+
+// setAttemptOptions sets the memory grant of a request's next attempt, and the priority of it and of those in
+// flight.
+func (b *Broker) setAttemptOptions(r *request, options control.SetAttemptOptions) {
+	changed := options.Priority != r.priority
+	r.grantMB, r.priority = options.GrantMB, options.Priority
+	if !changed {
+		return
+	}
+	for _, a := range r.attempts {
+		if a.awaitsFirstPage() {
+			b.emit(SetPriority{a.id, options.Priority})
+		}
+	}
+}
+
+// cancelAttempt cancels an attempt. It stays in flight until the cancel was sent to its engine, as only then
+// the next request of its order key may go.
+func (b *Broker) cancelAttempt(a *attempt, status control.Status) {
+	if !a.inFlight || a.cancelled() {
+		return
+	}
+	a.cancelStatus = status
+	b.emit(CancelAttempt{a.id})
+}
+
+// attemptEnded takes the end of an attempt that brought no result.
+func (b *Broker) attemptEnded(now time.Duration, ev AttemptEnded) {
+	a := b.requests.attemptInFlight(ev.Attempt)
+	if a == nil {
+		return
+	}
+	status := endStatus(a, ev.Status)
+	if b.mustSettle(a, status) {
+		end := control.AttemptEnded{Status: status, Report: ev.Report}
+		b.timers.set(now+settleDelay, attemptSettled{a, end})
+		return
+	}
+	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
+}
+
+// endStatus is the status of an attempt that its engine or its connection ended with another one.
+func endStatus(a *attempt, reported control.Status) control.Status {
+	status := reported
+	if status == control.Cancelled && a.cancelled() {
+		status = a.cancelStatus
+	}
+	if a.result != nil && !isCancel(status) {
+		// A BUSY or VOID for a page is no proof that the query never ran.
+		status = control.Failed
+	}
+	return status
+}
+
+func isCancel(status control.Status) bool {
+	return status == control.Cancelled || status == control.TimedOut
+}
+
+// mustSettle tells whether an attempt that has ended counts as in flight for another settleDelay. Its cancel
+// was sent, or its connection has ended, but the next request of its order key, or the next attempt where
+// hedging is forbidden, could still overtake that on the way to another engine.
+func (b *Broker) mustSettle(a *attempt, status control.Status) bool {
+	switch {
+	case isCancel(status):
+		return a.request.OrderKey != "" || !b.hedging
+	case status == control.ConnectionReset:
+		return !b.hedging
+	}
+	return false
+}
+
+// endAttempt ends an attempt and hands its end to the decision module.
+func (b *Broker) endAttempt(now time.Duration, a *attempt, end control.AttemptEnded) {
+	a.inFlight = false
+	a.result = nil
+	a.mayHaveRun = end.Status != control.ConnectFailed && end.Status != control.AtCapacity &&
+		end.Status != control.NeverSent
+	end.RequestID, end.Number, end.Engine = a.request.moduleID, a.id.Number, a.engine
+	end.Duration, end.RequestClosed = now-a.startedAt, a.request.closed
+	b.meter.AttemptEnded(AttemptSummary{
+		Class:    a.request.Class,
+		Engine:   a.engine,
+		Status:   end.Status,
+		Duration: end.Duration,
+		Wasted:   a.mayHaveRun && !a.answeredClient,
+	})
+	b.batch.add(end)
+	b.requests.dropIfDone(a.request)
+}
--- a/internal/broker/bans_test.go
+++ b/internal/broker/bans_test.go
@@ -54,7 +54,8 @@
 func TestMaintenanceOfUnknownEngines(t *testing.T) {
 	r := newHarness(t, endpoint("e1", "a:1", control.Ready), endpoint("e2", "a:2", control.Ready))
 	r.apply(EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
-		endpoint("e2", "a:2", control.Removed)}}}}})
+		endpoint("e2", "a:2", control.Removed),
+	}}}}})
 	for _, c := range []struct {
 		id     string
 		listed bool
@@ -80,7 +81,8 @@
 		t.Fatal("ready with its one engine left out")
 	}
 	r.apply(EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
-		endpoint("e2", "a:2", control.Ready)}}}}})
+		endpoint("e2", "a:2", control.Ready),
+	}}}}})
 	r.submit(1, "lookup", "", 400*ms)
 	if got := startedOn(r.run(100 * ms)); len(got) != 0 {
 		t.Fatalf("sent to %v", got)
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -208,15 +208,21 @@
 		Classes: []control.Class{
 			{Name: "lookup", LatencyObjective: 300 * ms, ClientTimeout: time.Second, ObjectivePerWork: 1, PriorityWeight: 9, LateWeight: 0.1, Threads: 1, BlockedByDataSetLock: true},
 			{Name: "report", LatencyObjective: time.Second, ClientTimeout: 4 * time.Second, ObjectivePerWork: 2, PriorityWeight: 9, LateWeight: 0.4, Threads: 1},
-			{Name: "load", LatencyObjective: 2 * time.Second, ClientTimeout: 9 * time.Second, ObjectivePerWork: 2, PriorityWeight: 2, LateWeight: 0.5, Threads: 2,
-				Idempotency: control.IdempotentWithKey, DedupScope: control.DedupScopeZone, DedupWindow: 5 * time.Second, Ordered: true, HoldsDataSetLock: true},
+			{
+				Name: "load", LatencyObjective: 2 * time.Second, ClientTimeout: 9 * time.Second, ObjectivePerWork: 2, PriorityWeight: 2, LateWeight: 0.5, Threads: 2,
+				Idempotency: control.IdempotentWithKey, DedupScope: control.DedupScopeZone, DedupWindow: 5 * time.Second, Ordered: true, HoldsDataSetLock: true,
+			},
 			{Name: "payment", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 2, Threads: 1, Idempotency: control.NonIdempotent},
 		},
 		EngineKinds: map[string]control.EngineKind{"std": {Cores: 4, MemoryMB: 4096}},
-		Limits: control.Limits{MaxAttempts: 4, Cancellation: true, Hedging: true, LoadProbes: true, RetryAfter: true,
-			MaxRetryAfter: 500 * ms},
-		Rules: control.Rules{MaxPollInterval: time.Second, SlowStartInitial: 0.3, SlowStartDuration: 5 * time.Second, OverloadMultiple: 2,
-			OverloadWindow: time.Second, KeyCooldown: 100 * ms, RetryBudgetWindow: 5 * time.Second, RetryBudgetRatio: 0.3, RetryBudgetReserve: 10},
+		Limits: control.Limits{
+			MaxAttempts: 4, Cancellation: true, Hedging: true, LoadProbes: true, RetryAfter: true,
+			MaxRetryAfter: 500 * ms,
+		},
+		Rules: control.Rules{
+			MaxPollInterval: time.Second, SlowStartInitial: 0.3, SlowStartDuration: 5 * time.Second, OverloadMultiple: 2,
+			OverloadWindow: time.Second, KeyCooldown: 100 * ms, RetryBudgetWindow: 5 * time.Second, RetryBudgetRatio: 0.3, RetryBudgetReserve: 10,
+		},
 	}
 }
 
@@ -228,16 +234,24 @@
 		ReportFields: []string{"util", "inflight"},
 		Classes: []control.Class{
 			{Name: "view", LatencyObjective: 500 * ms, ClientTimeout: 2 * time.Second, ObjectivePerWork: 1.5, PriorityWeight: 5, LateWeight: 0.2, Threads: 1},
-			{Name: "export", LatencyObjective: 3 * time.Second, ClientTimeout: 12 * time.Second, ObjectivePerWork: 2, PriorityWeight: 5, LateWeight: 0.5, Threads: 4,
-				AllowedKinds: []string{"big"}},
-			{Name: "update", LatencyObjective: time.Second, ClientTimeout: 6 * time.Second, PriorityWeight: 8, LateWeight: 0.3, Threads: 1,
-				Idempotency: control.IdempotentWithKey, DedupWindow: 10 * time.Second, Ordered: true, AllowedZones: []string{"zone-0", "zone-1"}},
+			{
+				Name: "export", LatencyObjective: 3 * time.Second, ClientTimeout: 12 * time.Second, ObjectivePerWork: 2, PriorityWeight: 5, LateWeight: 0.5, Threads: 4,
+				AllowedKinds: []string{"big"},
+			},
+			{
+				Name: "update", LatencyObjective: time.Second, ClientTimeout: 6 * time.Second, PriorityWeight: 8, LateWeight: 0.3, Threads: 1,
+				Idempotency: control.IdempotentWithKey, DedupWindow: 10 * time.Second, Ordered: true, AllowedZones: []string{"zone-0", "zone-1"},
+			},
 		},
 		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16, MemoryMB: 65536}},
-		Limits: control.Limits{MaxAttempts: 3, Hedging: true, LoadProbes: true, Gossip: true, RetryAfter: true,
-			MaxRetryAfter: time.Second},
-		Rules: control.Rules{MaxPollInterval: 2 * time.Second, SlowStartInitial: 0.35, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
-			OverloadWindow: 2 * time.Second, KeyCooldown: 200 * ms, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.1, RetryBudgetReserve: 5},
+		Limits: control.Limits{
+			MaxAttempts: 3, Hedging: true, LoadProbes: true, Gossip: true, RetryAfter: true,
+			MaxRetryAfter: time.Second,
+		},
+		Rules: control.Rules{
+			MaxPollInterval: 2 * time.Second, SlowStartInitial: 0.35, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: 2 * time.Second, KeyCooldown: 200 * ms, RetryBudgetWindow: 10 * time.Second, RetryBudgetRatio: 0.1, RetryBudgetReserve: 5,
+		},
 	}
 	for n := range 6 {
 		set.Tenants = append(set.Tenants, control.Tenant{Name: fmt.Sprint("tenant-", n), Share: float64(n+1) / 21, Quota: float64(10 * (n + 1))})
@@ -303,8 +317,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &simulation{recorder: recorder{sum}, t: t, rng: rand.New(rand.NewPCG(seed, 17)), broker: b, set: set, now: startTime, limit: clients,
-		seen: map[string]int{}}
+	s := &simulation{
+		recorder: recorder{sum}, t: t, rng: rand.New(rand.NewPCG(seed, 17)), broker: b, set: set, now: startTime, limit: clients,
+		seen: map[string]int{},
+	}
 	b.SetMeter(s.recorder)
 	for range engines {
 		s.engines = append(s.engines, s.newEngine())
@@ -513,8 +529,10 @@
 	if s.chance(30) {
 		pages += s.rng.IntN(4)
 	}
-	served := AttemptServed{Attempt: w.Attempt, PageCount: pages, Work: work, MemoryMB: float64(s.rng.IntN(200)), Report: s.report(),
-		Body: s.rows(1 + s.rng.IntN(5))}
+	served := AttemptServed{
+		Attempt: w.Attempt, PageCount: pages, Work: work, MemoryMB: float64(s.rng.IntN(200)), Report: s.report(),
+		Body: s.rows(1 + s.rng.IntN(5)),
+	}
 	switch {
 	case luck < 3:
 		ended(s.between(0, 130*ms), control.ConnectFailed)
@@ -653,8 +671,10 @@
 func (s *simulation) request() Request {
 	class := s.set.Classes[s.rng.IntN(len(s.set.Classes))]
 	s.refs++
-	r := Request{RequestID: fmt.Sprintf("%016x", s.refs), Class: class.Name, DataSet: s.rng.IntN(6), SentAt: s.now - s.between(0, 10*ms),
-		FirstOnConnection: s.chance(20), Timeout: time.Duration(float64(class.ClientTimeout) * (0.2 + 0.8*s.rng.Float64())), IsRetry: s.chance(10), Body: "SELECT 1"}
+	r := Request{
+		RequestID: fmt.Sprintf("%016x", s.refs), Class: class.Name, DataSet: s.rng.IntN(6), SentAt: s.now - s.between(0, 10*ms),
+		FirstOnConnection: s.chance(20), Timeout: time.Duration(float64(class.ClientTimeout) * (0.2 + 0.8*s.rng.Float64())), IsRetry: s.chance(10), Body: "SELECT 1",
+	}
 	if len(s.set.Tenants) > 0 {
 		r.Tenant = s.set.Tenants[s.rng.IntN(len(s.set.Tenants))].Name
 	}
@@ -749,9 +769,12 @@
 	}
 	slices.Sort(kinds)
 	return &simulatedEngine{Endpoint: changelog.Endpoint{
-		Engine: control.Engine{ID: fmt.Sprintf("engine-%03d", s.lastEngine), Zone: fmt.Sprint("zone-", s.lastEngine%3),
-			Kind: kinds[s.lastEngine%len(kinds)], Cell: s.lastEngine / 4, State: control.Ready},
-		Addr: fmt.Sprint("10.0.0.1:", 1000+s.lastEngine)}}
+		Engine: control.Engine{
+			ID: fmt.Sprintf("engine-%03d", s.lastEngine), Zone: fmt.Sprint("zone-", s.lastEngine%3),
+			Kind: kinds[s.lastEngine%len(kinds)], Cell: s.lastEngine / 4, State: control.Ready,
+		},
+		Addr: fmt.Sprint("10.0.0.1:", 1000+s.lastEngine),
+	}}
 }
 
 // listed is the whole list of engines as it is now.
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -77,8 +77,10 @@
 	client := l.idle[0]
 	l.idle = l.idle[1:]
 	l.submitted++
-	l.react(l.broker.Apply(l.now, SubmitRequest{client, Request{RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
-		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1"}}))
+	l.react(l.broker.Apply(l.now, SubmitRequest{client, Request{
+		RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
+		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1",
+	}}))
 }
 
 func (l *closedLoop) step() {
@@ -86,8 +88,10 @@
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
 		id := l.running[0].id
 		l.running = l.running[1:]
-		l.react(l.broker.Apply(l.now, AttemptServed{Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
-			Body: []byte("1\t2\t3\n")}))
+		l.react(l.broker.Apply(l.now, AttemptServed{
+			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
+			Body: []byte("1\t2\t3\n"),
+		}))
 	}
 	l.react(l.broker.Tick(l.now))
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -18,13 +18,18 @@
 )
 
 func testSettings() control.Settings {
-	return control.Settings{Brokers: 1, MinBatchInterval: 5 * ms,
+	return control.Settings{
+		Brokers: 1, MinBatchInterval: 5 * ms,
 		Classes: []control.Class{
 			{Name: "lookup", LatencyObjective: 400 * ms, PriorityWeight: 1, Threads: 1},
-			{Name: "load", LatencyObjective: 3 * time.Second, PriorityWeight: 20, Threads: 2, Idempotency: control.IdempotentWithKey, DedupWindow: 15 * time.Second,
-				Ordered: true, LateWeight: 0.5, HoldsDataSetLock: true}},
+			{
+				Name: "load", LatencyObjective: 3 * time.Second, PriorityWeight: 20, Threads: 2, Idempotency: control.IdempotentWithKey, DedupWindow: 15 * time.Second,
+				Ordered: true, LateWeight: 0.5, HoldsDataSetLock: true,
+			},
+		},
 		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
-		Limits:      control.Limits{MaxAttempts: 4, Cancellation: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 500 * ms}}
+		Limits:      control.Limits{MaxAttempts: 4, Cancellation: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 500 * ms},
+	}
 }
 
 func endpoint(id, addr string, state control.EngineState) changelog.Endpoint {
@@ -87,8 +92,10 @@
 }
 
 func (r *harness) submit(s Session, class, key string, allow time.Duration) []Effect {
-	return r.apply(SubmitRequest{s, Request{RequestID: fmt.Sprintf("%016x", s), Class: class, OrderKey: key, IdempotencyKey: "op", SentAt: r.now,
-		Timeout: allow, Body: "SELECT 1"}})
+	return r.apply(SubmitRequest{s, Request{
+		RequestID: fmt.Sprintf("%016x", s), Class: class, OrderKey: key, IdempotencyKey: "op", SentAt: r.now,
+		Timeout: allow, Body: "SELECT 1",
+	}})
 }
 
 func (r *harness) replyKinds() (out []ReplyKind) {
@@ -135,8 +142,14 @@
 			return []Event{AttemptServed{Attempt: a, PageCount: 1, Body: []byte("a\tb\n")}}
 		}, nil, 2, 1},
 		"second copies": {func(a AttemptID) []Event {
-			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 1, nil}, PageReceived{a, 1, nil}, PageReceived{a, 0, row},
-				AttemptServed{Attempt: a, PageCount: 1, Body: row}, PageReceived{a, 2, row}}
+			return []Event{
+				AttemptServed{Attempt: a, PageCount: 3, Body: row},
+				PageReceived{a, 1, nil},
+				PageReceived{a, 1, nil},
+				PageReceived{a, 0, row},
+				AttemptServed{Attempt: a, PageCount: 1, Body: row},
+				PageReceived{a, 2, row},
+			}
 		}, []ReplyKind{ReplyResult}, 1, 0},
 		"two pages of one number": {func(a AttemptID) []Event {
 			return []Event{AttemptServed{Attempt: a, PageCount: 3, Body: row}, PageReceived{a, 1, row}, PageReceived{a, 1, nil}}
@@ -253,7 +266,7 @@
 		}
 		var got time.Duration
 		for _, w := range c.writes {
-			got = b.clientWaitStart(Request{OrderKey: w.key, SentAt: startTime + w.at, FirstOnConnection: w.fresh})
+			got = b.keyBursts.clientWaitStart(Request{OrderKey: w.key, SentAt: startTime + w.at, FirstOnConnection: w.fresh})
 		}
 		if got != startTime+c.want {
 			t.Errorf("%s: counted from %v, want %v", name, got-startTime, c.want)
@@ -321,7 +334,7 @@
 				r.apply(AttemptServed{Attempt: a, PageCount: 2, Body: []byte("a\tb\tc\n")})
 			}
 			r.broker.Apply(r.now, AttemptEnded{Attempt: a, Status: c.status})
-			told := r.broker.moduleEvents[len(r.broker.moduleEvents)-1].(control.AttemptEnded)
+			told := r.broker.batch.events[len(r.broker.batch.events)-1].(control.AttemptEnded)
 			if told.Status != c.want {
 				t.Fatalf("told the module %v, want %v", told.Status, c.want)
 			}
@@ -361,8 +374,9 @@
 func TestAddressTakenOverByAnotherEngine(t *testing.T) {
 	r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 	r.broker.Apply(r.now, EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
-		endpoint("e2", "127.0.0.1:1", control.Ready)}}}}})
-	told := r.broker.moduleEvents[len(r.broker.moduleEvents)-1]
+		endpoint("e2", "127.0.0.1:1", control.Ready),
+	}}}}})
+	told := r.broker.batch.events[len(r.broker.batch.events)-1]
 	if diff := cmp.Diff(control.EndpointUpdate{Engines: []control.Engine{{ID: "e1", State: control.Removed}, {ID: "e2", Kind: "std"}}}, told); diff != "" {
 		t.Fatal(diff)
 	}
@@ -402,7 +416,8 @@
 			}
 			r := &harness{t: t, broker: b, now: startTime}
 			r.apply(SessionOpened{1}, SessionAuthenticated{1}, SessionOpened{2}, SessionAuthenticated{2}, EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{
-				{Revision: 1, Snapshot: true, Endpoints: []changelog.Endpoint{endpoint("e1", "127.0.0.1:1", control.Ready)}}}}})
+				{Revision: 1, Snapshot: true, Endpoints: []changelog.Endpoint{endpoint("e1", "127.0.0.1:1", control.Ready)}},
+			}}})
 			good := Request{RequestID: "open", Class: "lookup", Tenant: "acme", IdempotencyKey: "op", SentAt: r.now, Timeout: 2 * time.Second}
 			r.apply(SubmitRequest{1, good})
 			r.run(10 * ms)
@@ -432,10 +447,10 @@
 		t.Fatal(err)
 	}
 	for n := range 10 * minBurstsToSweep {
-		b.clientWaitStart(Request{OrderKey: fmt.Sprint(n), SentAt: startTime + time.Duration(n)*time.Second})
+		b.keyBursts.clientWaitStart(Request{OrderKey: fmt.Sprint(n), SentAt: startTime + time.Duration(n)*time.Second})
 	}
-	if len(b.keyBursts) > minBurstsToSweep {
-		t.Fatalf("%d keys are remembered", len(b.keyBursts))
+	if len(b.keyBursts.byKey) > minBurstsToSweep {
+		t.Fatalf("%d keys are remembered", len(b.keyBursts.byKey))
 	}
 }
 
@@ -492,8 +507,10 @@
 	if late := r.apply(Ping{10}); len(late) != 0 {
 		t.Fatalf("a session that was closed got %v", late)
 	}
-	if diff := cmp.Diff([]Effect{Reply{Session: 14, Kind: ReplyTooManySessions, Text: "too many connections"},
-		CloseSession{14, CloseTooManySessions}}, r.apply(SessionOpened{14})); diff != "" {
+	if diff := cmp.Diff([]Effect{
+		Reply{Session: 14, Kind: ReplyTooManySessions, Text: "too many connections"},
+		CloseSession{14, CloseTooManySessions},
+	}, r.apply(SessionOpened{14})); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- /dev/null
+++ b/internal/broker/commands.go
@@ -0,0 +1,114 @@
+package broker
+
+import "time"
+
+// maxQueuedCommands is the number of commands that a session may have queued behind its open request.
+const maxQueuedCommands = 2
+
+// command is an event that a session's client sent and that is answered in its turn.
+type command interface {
+	Event
+	// sender is the session that is to be answered.
+	sender() Session
+	// execute answers the command or opens its request. A command that can't be used is marked in its
+	// session.
+	execute(b *Broker, now time.Duration, s *session)
+}
+
+// takeCommand executes a command, or queues it while its session waits for an answer. Commands of unknown
+// sessions are ignored: they were closed meanwhile.
+func (b *Broker) takeCommand(now time.Duration, c command) {
+	s := b.sessions.byID[c.sender()]
+	switch {
+	case s == nil:
+	case s.openRequest == nil:
+		b.executeCommand(now, s, c)
+	case len(s.queuedCommands) < maxQueuedCommands:
+		s.queuedCommands = append(s.queuedCommands, c)
+	default:
+		b.reply(s.id, Reply{Kind: ReplyInterrupted, Text: tooManyQueuedText})
+		b.emit(CloseSession{s.id, CloseKilled})
+		b.endSession(now, s.id)
+	}
+}
+
+func (b *Broker) executeCommand(now time.Duration, s *session, c command) {
+	s.lastCommandInvalid = false
+	c.execute(b, now, s)
+	switch {
+	case s.openRequest != nil:
+		s.markBusy()
+	case b.sessions.byID[s.id] != s: // the command has closed it
+	case s.lastCommandInvalid:
+		b.sessions.markFirstToEvict(now, s)
+	default:
+		b.sessions.markIdle(now, s)
+	}
+}
+
+func (c SubmitRequest) sender() Session  { return c.Session }
+func (c Ping) sender() Session           { return c.Session }
+func (c Kill) sender() Session           { return c.RequestedBy }
+func (c InvalidRequest) sender() Session { return c.Session }
+
+func (c SubmitRequest) execute(b *Broker, now time.Duration, s *session) {
+	b.submit(now, s, c.Request)
+}
+
+func (c Ping) execute(b *Broker, _ time.Duration, s *session) {
+	if b.Ready() {
+		b.reply(s.id, Reply{Kind: ReplyOK})
+	} else {
+		b.reply(s.id, Reply{Kind: ReplyNotReady, Text: notReadyText})
+	}
+}
+
+func (c Kill) execute(b *Broker, now time.Duration, s *session) {
+	target := b.sessions.byID[c.Target]
+	if target == nil {
+		b.reply(s.id, Reply{Kind: ReplyUnknownSession, Text: unknownSessionText})
+		return
+	}
+	b.reply(s.id, Reply{Kind: ReplyOK})
+	target.killedAt = max(target.killedAt, c.SentAt)
+	if r := target.openRequest; r != nil {
+		b.reply(target.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
+		b.abandon(now, r)
+		b.resumeSession(now, target.id)
+	}
+	if c.CloseConnection {
+		b.emit(CloseSession{target.id, CloseKilled})
+		b.endSession(now, target.id)
+	}
+}
+
+func (c InvalidRequest) execute(b *Broker, _ time.Duration, s *session) {
+	s.lastCommandInvalid = true
+	b.reply(s.id, c.Reply)
+}
+
+// resumeAnsweredSessions executes the queued commands of the sessions that were answered in the call under
+// way. That comes last: a queued command may end a request of which the same batch of the decision module
+// starts an attempt next, and the module would wait for the end of that attempt for ever.
+func (b *Broker) resumeAnsweredSessions(now time.Duration) {
+	for len(b.answeredSessions) > 0 {
+		id := b.answeredSessions[0]
+		b.answeredSessions = b.answeredSessions[1:]
+		b.resumeSession(now, id)
+	}
+}
+
+// resumeSession executes the commands that a session has queued, up to the first that opens a request.
+func (b *Broker) resumeSession(now time.Duration, id Session) {
+	s := b.sessions.byID[id]
+	if s == nil {
+		return
+	}
+	s.openRequest = nil
+	b.sessions.markIdle(now, s)
+	for s.openRequest == nil && len(s.queuedCommands) > 0 {
+		next := s.queuedCommands[0]
+		s.queuedCommands = s.queuedCommands[1:]
+		b.takeCommand(now, next)
+	}
+}
--- a/internal/broker/crossing_test.go
+++ b/internal/broker/crossing_test.go
@@ -81,8 +81,8 @@
 				}
 				r.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
 				r.run(2 * time.Second)
-				if len(r.broker.requests) != 0 || len(effectsOf[StartAttempt](r.effects)) != 1 {
-					t.Fatalf("%d requests are left, %d attempts were made", len(r.broker.requests), len(effectsOf[StartAttempt](r.effects)))
+				if len(r.broker.requests.byID) != 0 || len(effectsOf[StartAttempt](r.effects)) != 1 {
+					t.Fatalf("%d requests are left, %d attempts were made", len(r.broker.requests.byID), len(effectsOf[StartAttempt](r.effects)))
 				}
 			})
 		}
@@ -147,7 +147,7 @@
 		r.broker.Apply(r.now, SubmitRequest{1, Request{RequestID: "a", Class: "lookup", SentAt: r.now, Timeout: time.Second}})
 		r.apply(leave)
 		r.run(time.Second)
-		if len(effectsOf[StartAttempt](r.effects)) > 0 || r.broker.OpenRequests() != 0 || len(r.broker.requests) != 0 {
+		if len(effectsOf[StartAttempt](r.effects)) > 0 || r.broker.OpenRequests() != 0 || len(r.broker.requests.byID) != 0 {
 			t.Fatalf("%s: it was sent on, or is kept", name)
 		}
 	}
@@ -166,12 +166,16 @@
 		to      string // where a request goes; empty: nowhere
 		drops   int
 	}{
-		"drain, gone and back": {[]changelog.Change{at(2, endpoint("e1", "127.0.0.1:1", control.Draining)),
-			at(3, endpoint("e1", "", control.Removed)), at(4, back)}, "e1", 1},
+		"drain, gone and back": {[]changelog.Change{
+			at(2, endpoint("e1", "127.0.0.1:1", control.Draining)),
+			at(3, endpoint("e1", "", control.Removed)), at(4, back),
+		}, "e1", 1},
 		"back, then drain":   {[]changelog.Change{at(2, endpoint("e1", "", control.Removed)), at(3, back), at(4, endpoint("e1", "127.0.0.1:1", control.Draining))}, "", 1},
 		"address taken over": {[]changelog.Change{at(2, endpoint("e1", "127.0.0.1:1", control.Draining)), at(3, endpoint("e2", "127.0.0.1:1", control.Ready))}, "e2", 1},
-		"taken over and back elsewhere": {[]changelog.Change{at(2, endpoint("e2", "127.0.0.1:1", control.Ready)),
-			at(3, endpoint("e2", "127.0.0.1:1", control.Draining)), at(4, endpoint("e1", "127.0.0.1:3", control.Ready))}, "e1", 1},
+		"taken over and back elsewhere": {[]changelog.Change{
+			at(2, endpoint("e2", "127.0.0.1:1", control.Ready)),
+			at(3, endpoint("e2", "127.0.0.1:1", control.Draining)), at(4, endpoint("e1", "127.0.0.1:3", control.Ready)),
+		}, "e1", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
@@ -207,8 +211,8 @@
 		r.run(2 * time.Second)
 		var v control.View
 		r.broker.module.View(&v)
-		if v.Engines[0].ThreadsInFlight != 0 || len(r.broker.requests) != 0 || r.broker.OpenRequests() != 0 {
-			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].ThreadsInFlight, len(r.broker.requests))
+		if v.Engines[0].ThreadsInFlight != 0 || len(r.broker.requests.byID) != 0 || r.broker.OpenRequests() != 0 {
+			t.Errorf("%d ms: %d threads are held and %d requests are left", offset, v.Engines[0].ThreadsInFlight, len(r.broker.requests.byID))
 		}
 	}
 }
@@ -221,9 +225,12 @@
 		how    control.Status
 		waits  bool
 	}{
-		{true, control.Cancelled, false}, {true, control.ConnectionReset, false},
-		{false, control.Cancelled, true}, {false, control.ConnectionReset, true},
-		{false, control.ConnectFailed, false}, {false, control.AtCapacity, false}, // these never ran
+		{true, control.Cancelled, false},
+		{true, control.ConnectionReset, false},
+		{false, control.Cancelled, true},
+		{false, control.ConnectionReset, true},
+		{false, control.ConnectFailed, false},
+		{false, control.AtCapacity, false}, // these never ran
 	} {
 		set := testSettings()
 		set.Limits.Hedging = c.copies
@@ -314,7 +321,8 @@
 // leaves, an engine that drains, the last answers.
 func TestEventsThatCrossARetry(t *testing.T) {
 	drains := EndpointChanges{changelog.Page{Revision: 2, Changes: []changelog.Change{{Revision: 2, Endpoints: []changelog.Endpoint{
-		endpoint("e1", "127.0.0.1:1", control.Draining), endpoint("e2", "127.0.0.1:2", control.Draining)}}}}}
+		endpoint("e1", "127.0.0.1:1", control.Draining), endpoint("e2", "127.0.0.1:2", control.Draining),
+	}}}}}
 	for name, c := range map[string]struct {
 		comes   Event
 		wants   int
--- /dev/null
+++ b/internal/broker/effects.go
@@ -0,0 +1,136 @@
+package broker
+
+import (
+	"time"
+
+	"wheatlane/control"
+)
+
+// Effect is one thing to do; its types are in this file.
+type Effect interface{ effect() }
+
+// ReplyKind is the kind of a reply.
+type ReplyKind int
+
+// The kinds of reply.
+const (
+	ReplyResult          ReplyKind = iota // served: Pages hold the rows
+	ReplyOK                               // the command succeeded and has no result
+	ReplyRejected                         // a retry is harmless, after RetryAfter
+	ReplyFailed                           // the request may have run
+	ReplyInterrupted                      // killed by a client
+	ReplyNotReady                         // the broker can't serve
+	ReplyInvalidFields                    // a field of the request can't be used
+	ReplyUnknownCommand                   // the front protocol does not know the command
+	ReplyUnknownSession                   // the session to kill does not exist
+	ReplyUnknownDatabase                  // the database does not exist
+	ReplyTooManySessions                  // the limit of sessions is reached
+)
+
+// CloseReason is why the reducer closes a session.
+type CloseReason int
+
+// The reasons to close a session.
+const (
+	CloseKilled          CloseReason = iota // killed by a client, or too many commands queued
+	CloseEvictedIdle                        // idle while the limit of sessions was reached
+	CloseTooManySessions                    // the limit of sessions was reached, and none was idle
+)
+
+// Effects for clients.
+type (
+	// Reply answers a command of a session.
+	Reply struct {
+		Session    Session
+		Kind       ReplyKind
+		Pages      [][]byte
+		Text       string
+		RetryAfter time.Duration
+	}
+	// AdmitSession admits a client: it is greeted, and read from then on.
+	AdmitSession struct{ Session Session }
+	// CloseSession closes a client's connection, once what was written to it has been sent.
+	CloseSession struct {
+		Session Session
+		Reason  CloseReason
+	}
+)
+
+// Effects for engines.
+type (
+	// StartAttempt sends an attempt to an engine.
+	StartAttempt struct {
+		Attempt        AttemptID
+		Engine         string
+		Addr           string
+		RequestID      string
+		Class          string
+		IdempotencyKey string
+		Timeout        time.Duration
+		OverdueAfter   time.Duration // after it, the answer is more likely lost than late; 0: unknown
+		GrantMB        float64
+		Priority       int
+		Body           string
+	}
+	// FetchPage asks the engine of an attempt for a further page of its result.
+	FetchPage struct {
+		Attempt AttemptID
+		Page    int
+	}
+	// CancelAttempt cancels an attempt. AttemptEnded follows once the cancel was sent to the engine.
+	CancelAttempt struct{ Attempt AttemptID }
+	// WithdrawUnsent takes back an attempt whose request is closed, if no byte of it was sent; AttemptEnded
+	// follows then. One that is partly sent goes on.
+	WithdrawUnsent struct{ Attempt AttemptID }
+	// ReleaseAttempt forgets an attempt whose result is complete or not wanted. With PagesLeft, the engine
+	// still holds pages of it.
+	ReleaseAttempt struct {
+		Attempt   AttemptID
+		PagesLeft bool
+	}
+	// SetPriority changes the priority of an attempt in flight.
+	SetPriority struct {
+		Attempt  AttemptID
+		Priority int
+	}
+	// ProbeLoad asks an engine for its load. ProbeResult follows with the same ProbeID.
+	ProbeLoad struct {
+		ProbeID      uint64
+		Engine, Addr string
+	}
+	// CancelUnsent ends the attempts that wait for a connection to an engine that takes no new work.
+	CancelUnsent struct{ Engine string }
+	// CloseEngineConnections closes the connections to an engine that was removed, has restarted or lost its
+	// address: those dialled before a time, as later ones are to the new process, or all of them if that is
+	// 0.
+	CloseEngineConnections struct {
+		Engine       string
+		DialedBefore time.Duration
+	}
+)
+
+// Effects for other brokers and operators.
+type (
+	// SendGossip sends load reports to another broker, by its index.
+	SendGossip struct {
+		Broker  int
+		Reports []control.LoadReport
+	}
+	// LogLine writes a line to the log.
+	LogLine struct{ Text string }
+)
+
+func (Reply) effect()                  {}
+func (AdmitSession) effect()           {}
+func (CloseSession) effect()           {}
+func (StartAttempt) effect()           {}
+func (FetchPage) effect()              {}
+func (CancelAttempt) effect()          {}
+func (WithdrawUnsent) effect()         {}
+func (ReleaseAttempt) effect()         {}
+func (SetPriority) effect()            {}
+func (ProbeLoad) effect()              {}
+func (CancelUnsent) effect()           {}
+func (CloseEngineConnections) effect() {}
+func (SendGossip) effect()             {}
+func (LogLine) effect()                {}
--- /dev/null
+++ b/internal/broker/endpoints.go
@@ -0,0 +1,143 @@
+package broker
+
+import (
+	"maps"
+	"slices"
+
+	"wheatlane/control"
+	"wheatlane/internal/changelog"
+)
+
+// maxEverListed is how many ids of engines that were ever listed are kept, so that the maintenance of an
+// engine that was removed can be told from that of one that never existed. Beyond it, those that are neither
+// listed nor in maintenance are forgotten.
+const maxEverListed = 4096
+
+// endpointList holds the engines as the change log lists them.
+type endpointList struct {
+	byID       map[string]changelog.Endpoint
+	everListed map[string]bool // ids, as far as they are kept
+	revision   int64           // of the last change that was applied
+	ready      int             // engines that are in service and not in maintenance
+}
+
+func newEndpointList() endpointList {
+	return endpointList{byID: map[string]changelog.Endpoint{}, everListed: map[string]bool{}}
+}
+
+// ids are the listed engines, sorted.
+func (l *endpointList) ids() []string { return slices.Sorted(maps.Keys(l.byID)) }
+
+// rememberListed keeps that an engine was listed.
+func (l *endpointList) rememberListed(id string, inMaintenance map[string]bool) {
+	if len(l.everListed) >= maxEverListed {
+		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
+			_, listed := l.byID[known]
+			return !listed && !inMaintenance[known]
+		})
+	}
+	l.everListed[id] = true
+}
+
+// countReady counts the engines that can serve.
+func (l *endpointList) countReady(inMaintenance map[string]bool) {
+	l.ready = 0
+	for id, endpoint := range l.byID {
+		if endpoint.State == control.Ready && !inMaintenance[id] {
+			l.ready++
+		}
+	}
+}
+
+// LastRevision is the revision of the last change of the endpoint list that was applied.
+func (b *Broker) LastRevision() int64 { return b.endpoints.revision }
+
+// EverListed tells whether an engine was ever in the endpoint list, as far as that is kept.
+func (b *Broker) EverListed(id string) bool { return b.endpoints.everListed[id] }
+
+// EndpointCount is how many engines are listed.
+func (b *Broker) EndpointCount() int { return len(b.endpoints.byID) }
+
+// applyChanges applies a page of the change log. Changes that were applied before are skipped, so that a page
+// may come twice.
+func (b *Broker) applyChanges(page changelog.Page) {
+	for _, change := range page.Changes {
+		if change.Revision > b.endpoints.revision {
+			b.applyChange(change)
+		}
+	}
+	b.endpoints.revision = max(b.endpoints.revision, page.Revision)
+	b.endpoints.countReady(b.maintenance)
+}
+
+func (b *Broker) applyChange(change changelog.Change) {
+	update := control.EndpointUpdate{Kind: control.EndpointDelta}
+	if change.Snapshot {
+		update.Kind = control.EndpointSnapshot
+		b.removeUnlisted(change.Endpoints)
+	}
+	for _, endpoint := range change.Endpoints {
+		for _, id := range b.removeReplaced(endpoint) {
+			update.Engines = append(update.Engines, control.Engine{ID: id, State: control.Removed})
+		}
+		b.applyEndpoint(endpoint)
+		update.Engines = append(update.Engines, endpoint.Engine)
+	}
+	b.batch.add(update)
+}
+
+// removeUnlisted removes the engines that a snapshot does not list.
+func (b *Broker) removeUnlisted(snapshot []changelog.Endpoint) {
+	listed := map[string]bool{}
+	for _, endpoint := range snapshot {
+		listed[endpoint.ID] = true
+	}
+	for _, id := range b.endpoints.ids() {
+		if !listed[id] {
+			b.removeEngine(id)
+		}
+	}
+}
+
+// removeReplaced removes the engines whose address another engine has taken over, and returns their ids:
+// their answers and the attempts for them are not to be taken for those of the new one.
+func (b *Broker) removeReplaced(endpoint changelog.Endpoint) (replaced []string) {
+	if endpoint.State == control.Removed {
+		return nil
+	}
+	for _, id := range b.endpoints.ids() {
+		if id != endpoint.ID && b.endpoints.byID[id].Addr == endpoint.Addr {
+			b.removeEngine(id)
+			replaced = append(replaced, id)
+		}
+	}
+	return replaced
+}
+
+func (b *Broker) removeEngine(id string) {
+	b.emit(CloseEngineConnections{Engine: id})
+	delete(b.endpoints.byID, id)
+}
+
+// applyEndpoint applies what the change log says of one engine.
+func (b *Broker) applyEndpoint(endpoint changelog.Endpoint) {
+	if endpoint.State == control.Removed {
+		b.removeEngine(endpoint.ID)
+		return
+	}
+	old, listed := b.endpoints.byID[endpoint.ID]
+	moved := listed && endpoint.Addr != old.Addr
+	switch {
+	case moved:
+		b.emit(CloseEngineConnections{Engine: endpoint.ID})
+	case listed && endpoint.StartedAt > old.StartedAt:
+		// The change log reports a restart seconds late. Attempts that went to the new process meanwhile
+		// would fail if their connections were closed, those of a non-idempotent class for good.
+		b.emit(CloseEngineConnections{Engine: endpoint.ID, DialedBefore: endpoint.StartedAt})
+	}
+	if endpoint.State == control.Draining && !moved {
+		b.emit(CancelUnsent{endpoint.ID})
+	}
+	b.endpoints.byID[endpoint.ID] = endpoint
+	b.endpoints.rememberListed(endpoint.ID, b.maintenance)
+}
--- /dev/null
+++ b/internal/broker/events.go
@@ -0,0 +1,155 @@
+package broker
+
+import (
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/changelog"
+)
+
+// Session is a client's connection, by the number that the client knows it by.
+type Session uint32
+
+// AttemptID names one attempt of a request.
+type AttemptID struct {
+	Request uint64
+	Number  int // from 0
+}
+
+// Request is what a client asks for.
+type Request struct {
+	RequestID         string // the client's id for it
+	Class             string
+	Tenant            string
+	IdempotencyKey    string
+	OrderKey          string
+	DataSet           int           // the group of tables that it reads
+	EstimatedWork     time.Duration // the client's estimate, on one thread; 0: none
+	EstimatedMemoryMB float64       // the client's estimate; 0: none
+	SentAt            time.Duration // when the client wrote it, as far as is known
+	FirstOnConnection bool          // nothing came on its connection before
+	Timeout           time.Duration // how long the client waits from SentAt
+	IsRetry           bool          // the client marked it as a retry
+	Body              string
+}
+
+// Event is one thing that happened; its types are in this file.
+type Event interface{ event() }
+
+// Events of clients.
+type (
+	// SessionOpened says that a client has connected. Nothing of it is read before the effect AdmitSession.
+	SessionOpened struct{ Session Session }
+	// SessionAuthenticated says that a client has logged in and may send commands.
+	SessionAuthenticated struct{ Session Session }
+	// SubmitRequest is the command to serve a request.
+	SubmitRequest struct {
+		Session Session
+		Request Request
+	}
+	// Ping is the command to answer whether the broker can serve.
+	Ping struct{ Session Session }
+	// Kill is the command to end what another session has open or queued and, with CloseConnection, the
+	// session too. What that session sends after SentAt is not meant.
+	Kill struct {
+		RequestedBy, Target Session
+		CloseConnection     bool
+		SentAt              time.Duration
+	}
+	// InvalidRequest is a message that can't be used, with its answer, which is sent in the message's turn.
+	InvalidRequest struct {
+		Session Session
+		Reply   Reply
+	}
+	// SessionClosed says that a client's connection ended.
+	SessionClosed struct{ Session Session }
+	// SessionHalfClosed says that a client will write nothing more. That can't be distinguished from one that
+	// has left, so nothing more is done for it; but as it may still read, what it waits for is answered. Its
+	// connection is to end after that.
+	SessionHalfClosed struct{ Session Session }
+)
+
+// Events of engines.
+type (
+	// AttemptServed says that an attempt succeeded at its engine: the first page of the result, and the
+	// number of pages.
+	AttemptServed struct {
+		Attempt   AttemptID
+		PageCount int
+		Work      time.Duration // measured by the engine, on one thread
+		MemoryMB  float64       // measured by the engine
+		Report    []float64     // the engine's load
+		Body      []byte
+	}
+	// PageReceived is a further page of a result.
+	PageReceived struct {
+		Attempt AttemptID
+		Number  int // from 0
+		Body    []byte
+	}
+	// AttemptEnded says how an attempt ended without a result, and by that whether it may have run.
+	// SharedCause: it ended with its connection, and another attempt that did was reported already.
+	AttemptEnded struct {
+		Attempt     AttemptID
+		Status      control.Status
+		Report      []float64
+		SharedCause bool
+	}
+	// ProbeResult is the answer to a load probe, or its failure.
+	ProbeResult struct {
+		ProbeID uint64
+		Status  control.Status
+		Report  []float64
+	}
+)
+
+// Events of the fleet and of operators.
+type (
+	// GossipReceived holds the load reports that another broker sent.
+	GossipReceived struct {
+		Broker  int // its index
+		Reports []control.LoadReport
+	}
+	// EndpointChanges is a page of the change log.
+	EndpointChanges struct{ Page changelog.Page }
+	// StartMaintenance sets an engine's maintenance mode: no attempt starts there until EndMaintenance,
+	// whatever the change log reports of it meanwhile. It has no effect on an engine that was never listed.
+	StartMaintenance struct{ Engine string }
+	// EndMaintenance ends an engine's maintenance mode.
+	EndMaintenance struct{ Engine string }
+	// RestoreMaintenance sets the maintenance mode of the engines that the previous process handed over,
+	// whether listed or not.
+	RestoreMaintenance struct{ Engines []string }
+	// UpdateSettings puts the classes and limits of reloaded settings in force. Requests under way keep the
+	// class that they were accepted with; a class that is missing accepts no new request.
+	UpdateSettings struct{ Settings control.Settings }
+	// Shutdown asks the broker to finish what it has accepted within a time; what is left then gets a final
+	// answer.
+	Shutdown struct{ Within time.Duration }
+	// SendFinalAnswers says that all sessions are about to be closed. What is open is answered now, and what
+	// comes later is rejected and never forwarded.
+	SendFinalAnswers struct{}
+)
+
+func (SessionOpened) event()        {}
+func (SessionAuthenticated) event() {}
+func (SubmitRequest) event()        {}
+func (Ping) event()                 {}
+func (Kill) event()                 {}
+func (InvalidRequest) event()       {}
+func (SessionClosed) event()        {}
+func (SessionHalfClosed) event()    {}
+
+func (AttemptServed) event() {}
+func (PageReceived) event()  {}
+func (AttemptEnded) event()  {}
+func (ProbeResult) event()   {}
+
+func (GossipReceived) event()     {}
+func (EndpointChanges) event()    {}
+func (StartMaintenance) event()   {}
+func (EndMaintenance) event()     {}
+func (RestoreMaintenance) event() {}
+func (UpdateSettings) event()     {}
+func (Shutdown) event()           {}
+func (SendFinalAnswers) event()   {}
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -6,29 +6,29 @@
 	"wheatlane/control"
 )
 
-// Meter is told what becomes of requests and attempts as it happens, on the goroutine that owns the reducer. It must
-// not call back, and keeps no text that it is given, as that may be cut from a whole statement.
+// Meter is notified of what becomes of requests and attempts as it happens, on the goroutine that owns the
+// reducer. It must not call back, and must copy text that it keeps, as that may be part of a long statement.
 type Meter interface {
-	// RequestAccepted says that a request was taken.
+	// RequestAccepted: a request was accepted.
 	RequestAccepted(r *Request)
-	// RequestRejected says that something was answered without being taken, or refused.
+	// RequestRejected: something was answered without being accepted, or rejected later.
 	RequestRejected(kind ReplyKind)
-	// AttemptStarted says that an attempt goes to an engine.
+	// AttemptStarted: an attempt of a class goes to an engine.
 	AttemptStarted(class string)
-	// RequestEnded says that a request is over.
-	RequestEnded(o RequestSummary)
-	// AttemptEnded says that an attempt is over.
-	AttemptEnded(o AttemptSummary)
+	// RequestEnded: a request was answered, or its client is gone.
+	RequestEnded(r RequestSummary)
+	// AttemptEnded: an attempt has ended.
+	AttemptEnded(a AttemptSummary)
 }
 
 // RequestSummary is how a request ended.
 type RequestSummary struct {
 	Class, Tenant string
-	Kind          ReplyKind // Result, Refused or Failed
-	ClientLeft    bool      // its client stopped waiting; Kind says nothing then
-	Duration      time.Duration
-	Objective     time.Duration // the time within which its class wants it, 0 if it says none
-	QueueTime     time.Duration // from when it was taken to its first attempt, or to its end without one
+	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; not set if ClientLeft
+	ClientLeft    bool          // its client did not wait for the answer
+	Duration      time.Duration // from when the client sent it
+	Objective     time.Duration // the latency objective for it; 0: none
+	QueueTime     time.Duration // from its acceptance to its first attempt, or to its end without one
 	Attempts      int
 }
 
@@ -36,11 +36,11 @@
 type AttemptSummary struct {
 	Class, Engine string
 	Status        control.Status
-	Duration      time.Duration // from its send
+	Duration      time.Duration // from its start
 	Wasted        bool          // it may have run, and no client got its answer
 }
 
-// NopMeter is the meter of a broker that nobody watches.
+// NopMeter is a Meter that does nothing.
 type NopMeter struct{}
 
 // RequestAccepted does nothing.
@@ -58,25 +58,44 @@
 // AttemptEnded does nothing.
 func (NopMeter) AttemptEnded(AttemptSummary) {}
 
-// SetMeter sets who is told of what happens from now on.
+// SetMeter sets the meter that is notified from now on.
 func (b *Broker) SetMeter(m Meter) { b.meter = m }
 
-// View fills v with what the decision module believes and sets.
+// View fills v with the decision module's view of engines and classes.
 func (b *Broker) View(v *control.View) { b.module.View(v) }
 
-// SessionCount is the number of clients that are connected.
-func (b *Broker) SessionCount() int { return len(b.sessions.byID) }
+// reportAnswered notifies the meter that a request was answered.
+func (b *Broker) reportAnswered(now time.Duration, r *request, kind ReplyKind) {
+	summary := b.summarize(now, r)
+	summary.Kind = kind
+	b.meter.RequestEnded(summary)
+}
+
+// reportAbandoned notifies the meter that the client of a request is gone.
+func (b *Broker) reportAbandoned(now time.Duration, r *request) {
+	summary := b.summarize(now, r)
+	summary.Kind, summary.ClientLeft = ReplyInterrupted, true
+	b.meter.RequestEnded(summary)
+}
 
-// reportRequestEnd tells the meter of a request's end.
-func (b *Broker) reportRequestEnd(now time.Duration, r *request, kind ReplyKind, gone bool) {
-	k := b.classes[r.Class]
-	o := RequestSummary{Class: r.Class, Tenant: r.Tenant, Kind: kind, ClientLeft: gone, Duration: now - r.SentAt, Objective: k.LatencyObjective,
-		QueueTime: now - r.acceptedAt, Attempts: len(r.attempts)}
-	if k.LatencyObjective > 0 { // as the module has it, but by the client's own estimate of the work
-		o.Objective += time.Duration(k.ObjectivePerWork * float64(r.EstimatedWork) / float64(max(1, k.Threads)))
+// summarize fills in all of a summary but the kind of end.
+func (b *Broker) summarize(now time.Duration, r *request) RequestSummary {
+	class := b.admission.classes[r.Class]
+	summary := RequestSummary{
+		Class:     r.Class,
+		Tenant:    r.Tenant,
+		Duration:  now - r.SentAt,
+		Objective: class.LatencyObjective,
+		QueueTime: now - r.acceptedAt,
+		Attempts:  len(r.attempts),
+	}
+	if class.LatencyObjective > 0 {
+		// As in the decision module, but by the client's own estimate of the work.
+		work := float64(r.EstimatedWork) / float64(max(1, class.Threads))
+		summary.Objective += time.Duration(class.ObjectivePerWork * work)
 	}
 	if len(r.attempts) > 0 {
-		o.QueueTime = r.attempts[0].startedAt - r.acceptedAt
+		summary.QueueTime = r.attempts[0].startedAt - r.acceptedAt
 	}
-	b.meter.RequestEnded(o)
+	return summary
 }
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -45,18 +45,22 @@
 			}
 			r.now += 50 * ms
 			r.apply(AttemptServed{Attempt: w[0].Attempt, PageCount: 1, Body: []byte("1\t2\t3\n")})
-		}, recordingMeter{accepted: 1, started: 1,
+		}, recordingMeter{
+			accepted: 1, started: 1,
 			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.OK, Duration: 50 * ms}}}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.OK, Duration: 50 * ms}},
+		}},
 		{"its client leaves while it runs", func(r *harness) {
 			w := effectsOf[StartAttempt](r.apply(lookupRequest(1, "a", r.now)))
 			r.now += 30 * ms
 			r.apply(SessionClosed{1})
 			r.run(10 * ms)
 			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
-		}, recordingMeter{accepted: 1, started: 1,
+		}, recordingMeter{
+			accepted: 1, started: 1,
 			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 40 * ms, Wasted: true}}}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 40 * ms, Wasted: true}},
+		}},
 		{"bad fields", func(r *harness) {
 			r.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: r.now, Timeout: time.Second}})
 		}, recordingMeter{rejected: []ReplyKind{ReplyInvalidFields}}},
@@ -68,9 +72,11 @@
 			r.now += 30 * ms
 			r.apply(Kill{RequestedBy: 2, Target: 1})
 			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
-		}, recordingMeter{accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted},
+		}, recordingMeter{
+			accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted},
 			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 30 * ms, Wasted: true}}}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 30 * ms, Wasted: true}},
+		}},
 		{"a ping is no refusal", func(r *harness) { r.apply(Ping{1}) }, recordingMeter{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,8 +93,10 @@
 
 // Of an attempt whose engine never got it, or said that it never ran, nothing was wasted.
 func TestNeverRunAttemptsAreNotWasted(t *testing.T) {
-	for status, wasted := range map[control.Status]bool{control.ConnectFailed: false, control.AtCapacity: false, control.NeverSent: false,
-		control.ConnectionReset: true, control.Failed: true} {
+	for status, wasted := range map[control.Status]bool{
+		control.ConnectFailed: false, control.AtCapacity: false, control.NeverSent: false,
+		control.ConnectionReset: true, control.Failed: true,
+	} {
 		r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
 		got := &recordingMeter{}
 		r.broker.SetMeter(got)
--- /dev/null
+++ b/internal/broker/module.go
@@ -0,0 +1,98 @@
+package broker
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"wheatlane/control"
+)
+
+// moduleBatch collects the events of the decision module until its next call.
+type moduleBatch struct {
+	minInterval time.Duration // between two calls
+	lastAt      time.Duration // of the last call
+	events      []control.Event
+}
+
+func (m *moduleBatch) add(event control.Event) { m.events = append(m.events, event) }
+
+// nextAt is the time of the next call; ok is false if there is nothing to hand over.
+func (m *moduleBatch) nextAt() (at time.Duration, ok bool) {
+	if len(m.events) == 0 {
+		return 0, false
+	}
+	return m.lastAt + m.minInterval, true
+}
+
+func (m *moduleBatch) due(now time.Duration) bool {
+	at, ok := m.nextAt()
+	return ok && now >= at
+}
+
+// take returns the events of a call that happens now. Requests that were read late and together are put in
+// the order in which they were sent: those of one key must run in that order, whichever connections they came
+// on.
+func (m *moduleBatch) take(now time.Duration) []control.Event {
+	events := m.events
+	m.lastAt, m.events = now, nil
+	sortRequestsBySentTime(events)
+	return events
+}
+
+// requestWithSentTime is a control.RequestReceived until it is handed to the decision module.
+type requestWithSentTime struct {
+	control.RequestReceived
+	sentAt time.Duration
+}
+
+// sortRequestsBySentTime sorts the requests among events by the time they were sent; other events keep their
+// places.
+func sortRequestsBySentTime(events []control.Event) {
+	var places []int
+	var requests []requestWithSentTime
+	for i, event := range events {
+		if r, ok := event.(requestWithSentTime); ok {
+			places, requests = append(places, i), append(requests, r)
+		}
+	}
+	slices.SortStableFunc(requests, func(a, b requestWithSentTime) int {
+		return cmp.Compare(a.sentAt, b.sentAt)
+	})
+	for i, place := range places {
+		events[place] = requests[i].RequestReceived
+	}
+}
+
+// carryOut carries out one action of the decision module.
+func (b *Broker) carryOut(now time.Duration, action control.Action) {
+	switch action := action.(type) {
+	case control.SendAttempt:
+		b.startAttempt(now, action)
+	case control.Reject:
+		if r := b.requests.byModuleID(action.RequestID); r != nil {
+			b.answer(now, r, Reply{Kind: ReplyRejected, Text: noCapacityText, RetryAfter: action.RetryAfter})
+		}
+	case control.Fail:
+		if r := b.requests.byModuleID(action.RequestID); r != nil {
+			b.answer(now, r, Reply{Kind: ReplyFailed, Text: noAnswerText})
+		}
+	case control.CancelAttempt:
+		if r := b.requests.byModuleID(action.RequestID); r != nil && action.Number < len(r.attempts) {
+			b.cancelAttempt(r.attempts[action.Number], control.Cancelled)
+		}
+	case control.SetAttemptOptions:
+		if r := b.requests.byModuleID(action.RequestID); r != nil {
+			b.setAttemptOptions(r, action)
+		}
+	case control.SetTimer:
+		b.timers.set(now+action.After, moduleTimer{action.Token})
+	case control.ProbeLoad:
+		b.probeLoad(now, action.Engine)
+	case control.SendGossip:
+		b.emit(SendGossip{Broker: action.Broker, Reports: action.Reports})
+	case control.Log:
+		b.emit(LogLine{action.Text})
+	case control.WatchEndpoints: // changes are pushed without a subscription
+	}
+}
--- /dev/null
+++ b/internal/broker/probes.go
@@ -0,0 +1,43 @@
+package broker
+
+import (
+	"time"
+
+	"wheatlane/control"
+)
+
+// loadProbeTimeout is how long an engine may take to answer a load probe.
+const loadProbeTimeout = 250 * time.Millisecond
+
+// loadProbe is a question for an engine's load that has no answer yet.
+type loadProbe struct {
+	engine string
+	sentAt time.Duration
+}
+
+func (b *Broker) probeLoad(now time.Duration, engine string) {
+	endpoint, listed := b.endpoints.byID[engine]
+	if !listed {
+		b.batch.add(control.ProbeResult{Engine: engine, Status: control.ConnectFailed})
+		return
+	}
+	id := b.timers.nextOrdinal()
+	b.probes[id] = loadProbe{engine: engine, sentAt: now}
+	b.emit(ProbeLoad{ProbeID: id, Engine: engine, Addr: endpoint.Addr})
+	b.timers.set(now+loadProbeTimeout, probeTimedOut{id})
+}
+
+// probeEnded takes the end of a load probe; only its first one counts.
+func (b *Broker) probeEnded(now time.Duration, ev ProbeResult) {
+	probe, ok := b.probes[ev.ProbeID]
+	if !ok {
+		return
+	}
+	delete(b.probes, ev.ProbeID)
+	b.batch.add(control.ProbeResult{
+		Engine:   probe.engine,
+		Status:   ev.Status,
+		Duration: now - probe.sentAt,
+		Report:   ev.Report,
+	})
+}
--- /dev/null
+++ b/internal/broker/requests.go
@@ -0,0 +1,205 @@
+package broker
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"wheatlane/control"
+)
+
+// request is an accepted request.
+type request struct {
+	Request
+	id         uint64
+	moduleID   string // id in the words of the decision module
+	session    Session
+	acceptedAt time.Duration
+	deadline   time.Duration // its final answer is due
+	closed     bool          // it was answered, or its client is gone
+	grantMB    float64       // of its next attempt
+	priority   int           // of its attempts
+	class      control.Class // as it was when the request was accepted
+	attempts   []*attempt    // by their numbers
+}
+
+func (r *request) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
+}
+
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
+}
+
+// finalAnswer is the answer to a request that can't be finished: rejected where a retry is harmless, else
+// failed.
+func (r *request) finalAnswer(text string) Reply {
+	harmless := r.class.Idempotency == control.Idempotent ||
+		r.class.Idempotency == control.IdempotentWithKey && r.class.DedupScope == control.DedupScopeAll
+	if harmless || !r.mayHaveRun() {
+		return Reply{Kind: ReplyRejected, Text: text}
+	}
+	return Reply{Kind: ReplyFailed, Text: text}
+}
+
+// requestTable holds the requests that are open or still have an attempt in flight.
+type requestTable struct {
+	byID      map[uint64]*request
+	clientIDs map[string]bool // the clients' ids of the requests in byID
+	lastID    uint64
+	open      int // requests whose clients wait for an answer
+}
+
+func newRequestTable() requestTable {
+	return requestTable{byID: map[uint64]*request{}, clientIDs: map[string]bool{}}
+}
+
+// add gives a request its ids and adds it as open.
+func (t *requestTable) add(r *request) {
+	t.lastID++
+	r.id = t.lastID
+	r.moduleID = strconv.FormatUint(r.id, 10)
+	t.byID[r.id] = r
+	t.clientIDs[r.RequestID] = true
+	t.open++
+}
+
+// byModuleID finds a request by its id in the decision module; nil if it is not in the table.
+func (t *requestTable) byModuleID(moduleID string) *request {
+	id, err := strconv.ParseUint(moduleID, 10, 64)
+	if err != nil {
+		return nil
+	}
+	return t.byID[id]
+}
+
+// attemptInFlight finds an attempt; nil if it is unknown or not in flight.
+func (t *requestTable) attemptInFlight(id AttemptID) *attempt {
+	r := t.byID[id.Request]
+	if r == nil || id.Number >= len(r.attempts) || !r.attempts[id.Number].inFlight {
+		return nil
+	}
+	return r.attempts[id.Number]
+}
+
+// openRequests are the requests whose clients wait, in the order in which they were accepted.
+func (t *requestTable) openRequests() []*request {
+	open := make([]*request, 0, t.open)
+	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
+		if r := t.byID[id]; !r.closed {
+			open = append(open, r)
+		}
+	}
+	return open
+}
+
+// dropIfDone removes a request that is closed and has no attempt in flight.
+func (t *requestTable) dropIfDone(r *request) {
+	if r.closed && !r.hasAttemptInFlight() {
+		delete(t.byID, r.id)
+		delete(t.clientIDs, r.RequestID)
+	}
+}
+
+// OpenRequests is the number of requests whose clients wait for an answer.
+func (b *Broker) OpenRequests() int { return b.requests.open }
+
+// submit accepts a request or answers it at once.
+func (b *Broker) submit(now time.Duration, s *session, in Request) {
+	class, err := b.checkFields(in)
+	if err != nil {
+		s.lastCommandInvalid = true
+		b.reply(s.id, Reply{Kind: ReplyInvalidFields, Text: err.Error()})
+		return
+	}
+	switch {
+	case in.SentAt < s.killedAt:
+		// The query and its KILL come on two connections, and may be read in the other order.
+		b.reply(s.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
+	case b.shutdown.finalAnswersSent:
+		b.reply(s.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
+	case in.Timeout <= answerMargin && in.Timeout < class.LatencyObjective:
+		// This may be a client's last retry in the little that is left of its time: only an answer that is
+		// sent now can arrive before the client gives up.
+		b.reply(s.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
+	default:
+		b.accept(now, s, class, in)
+	}
+}
+
+// checkFields returns the class of a request, or the error of a field that can't be used.
+func (b *Broker) checkFields(in Request) (control.Class, error) {
+	class, err := b.admission.check(in)
+	if err == nil && b.requests.clientIDs[in.RequestID] {
+		// Engines know a request by this id alone, and an answer could pass for another request's.
+		err = errDuplicateRequestID
+	}
+	return class, err
+}
+
+// accept takes a request and hands it to the decision module.
+func (b *Broker) accept(now time.Duration, s *session, class control.Class, in Request) {
+	waitStart := b.keyBursts.clientWaitStart(in)
+	r := &request{
+		Request:    in,
+		session:    s.id,
+		acceptedAt: now,
+		deadline:   waitStart + in.Timeout - answerMarginOf(in, waitStart),
+		priority:   1,
+		class:      class,
+	}
+	b.requests.add(r)
+	s.openRequest = r
+	b.meter.RequestAccepted(&r.Request)
+	received := control.RequestReceived{Request: control.Request{
+		ID:                r.moduleID,
+		Class:             r.Class,
+		Tenant:            r.Tenant,
+		OrderKey:          r.OrderKey,
+		DataSet:           r.DataSet,
+		Deadline:          r.deadline,
+		EstimatedWork:     r.EstimatedWork,
+		EstimatedMemoryMB: r.EstimatedMemoryMB,
+	}}
+	b.batch.add(requestWithSentTime{received, r.SentAt})
+}
+
+// answer closes a request with its one final answer; it does nothing if the request is closed.
+func (b *Broker) answer(now time.Duration, r *request, reply Reply) {
+	if r.closed {
+		return
+	}
+	b.closeRequest(r)
+	b.reportAnswered(now, r, reply.Kind)
+	b.reply(r.session, reply)
+	if s := b.sessions.byID[r.session]; s != nil {
+		s.openRequest = nil
+		b.answeredSessions = append(b.answeredSessions, r.session)
+	}
+}
+
+// abandon closes a request whose client does not wait any more, without an answer.
+func (b *Broker) abandon(now time.Duration, r *request) {
+	if r.closed {
+		return
+	}
+	b.closeRequest(r)
+	b.reportAbandoned(now, r)
+	b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
+}
+
+// closeRequest closes an open request.
+func (b *Broker) closeRequest(r *request) {
+	r.closed = true
+	r.Body = "" // timers refer to the request until its deadline, and the texts would add up
+	b.requests.open--
+	for _, a := range r.attempts {
+		if a.awaitsFirstPage() {
+			// It may still wait for a connection or behind other bytes, and the decision module can't cancel
+			// it where the deployment forbids that.
+			b.emit(WithdrawUnsent{a.id})
+		}
+	}
+	b.requests.dropIfDone(r)
+}
