--- /dev/null
+++ b/cmd/wheatlane/diff.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"wheatlane/internal/check/diff"
+	"wheatlane/internal/jsontext"
+)
+
+// errDiffer reports that two files differ; the changes have been printed.
+var errDiffer = errors.New("they differ")
+
+func configDiffCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "diff A B",
+		Short: "Compare two files by their meaning; exit code 1 if they differ",
+		Args:  checkArgs(cobra.ExactArgs(2)),
+		RunE:  func(c *cobra.Command, args []string) error { return runDiff(c, args[0], args[1]) },
+	}
+}
+
+func runDiff(c *cobra.Command, oldName, newName string) error {
+	oldRoot, err := parseConfigFile(oldName)
+	if err != nil {
+		return newUsageError(c, err)
+	}
+	newRoot, err := parseConfigFile(newName)
+	if err != nil {
+		return newUsageError(c, err)
+	}
+	changes := diff.Diff(oldRoot, newRoot)
+	for _, change := range changes {
+		fmt.Fprintln(c.OutOrStdout(), change)
+	}
+	if len(changes) > 0 {
+		return fmt.Errorf("%w in %d places", errDiffer, len(changes))
+	}
+	return nil
+}
+
+func parseConfigFile(name string) (*jsontext.Node, error) {
+	text, err := readConfigFile(name)
+	if err != nil {
+		return nil, err
+	}
+	root, _, err := jsontext.Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s:%w", name, err)
+	}
+	return root, nil
+}
--- /dev/null
+++ b/cmd/wheatlane/emulate.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/emulator/scenario"
+)
+
+// standinCommand groups the emulators. The command has had its name since before they were called that.
+func standinCommand() *cobra.Command {
+	return commandGroup("standin", "Emulate a system that the broker talks to, with faults",
+		emulateGraphiteCommand(), emulateCollectdCommand(), emulateEnginesCommand(), emulateChangelogCommand())
+}
+
+// maxEmulation is how long an emulator runs unless a flag says otherwise.
+const maxEmulation = time.Hour
+
+// emulation is what runs beside each other while an emulator does: its servers, and the scenario of its faults.
+type emulation struct {
+	duration time.Duration // the longest time that it runs
+	steps    []scenario.Step
+	apply    func(context.Context, scenario.Step) error
+	servers  []func(context.Context) error
+}
+
+// run runs until a signal, the end of the duration, or an error. Steps are printed as they are applied.
+func (e *emulation) run(c *cobra.Command) error {
+	ctx, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	ctx, cancelTimeout := context.WithTimeout(ctx, e.duration)
+	defer cancelTimeout()
+	g, ctx := errgroup.WithContext(ctx)
+	for _, server := range e.servers {
+		g.Go(func() error { return server(ctx) })
+	}
+	g.Go(func() error {
+		return scenario.Play(ctx, e.steps, func(step scenario.Step) error {
+			fmt.Fprintln(c.OutOrStdout(), step)
+			return e.apply(ctx, step)
+		})
+	})
+	return g.Wait()
+}
--- /dev/null
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -0,0 +1,228 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"wheatlane/internal/collectd"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/emulator/scenario"
+	"wheatlane/internal/graphite"
+)
+
+// clearAction makes an emulated collector lose all samples, as one that restarts without its disk.
+const clearAction = "empty"
+
+// collectorActions are the actions of a collector's scenario. None of them names a target.
+var collectorActions = map[string]bool{
+	string(collector.Serve):       false,
+	string(collector.Unreachable): false,
+	string(collector.Silent):      false,
+	string(collector.Slow):        false,
+	string(collector.Truncating):  false,
+	string(collector.Lossy):       false,
+	string(collector.Reordering):  false,
+	clearAction:                   false,
+}
+
+// errViolations reports that a broker has sent what violates the catalogue of metrics.
+var errViolations = errors.New("violations in what was received")
+
+// collectorFlags are the flags that all emulated collectors have.
+type collectorFlags struct {
+	listen   string
+	record   string
+	faults   string
+	duration time.Duration
+}
+
+func (f *collectorFlags) register(c *cobra.Command, listen string) {
+	c.Flags().StringVar(&f.listen, "listen", listen, "address and port")
+	c.Flags().StringVar(&f.record, "record", "", "file to record samples to, for 'wheatlane report'")
+	c.Flags().StringVar(&f.faults, "faults", "", "scenario of faults, as in 30s:gone,90s:serve; "+
+		"modes: serve, gone, mute, slow, tear (Graphite), lossy, shuffle (collectd), empty")
+	c.Flags().DurationVar(&f.duration, "for", maxEmulation, "end after this time")
+}
+
+// emulatedCollector is a carbon or collectd server.
+type emulatedCollector interface {
+	Addr() string
+	Set(mode collector.Mode)
+	Run(ctx context.Context) error
+}
+
+// run runs a collector, which start creates, until a signal or the end of its duration, and prints what it received.
+func (f *collectorFlags) run(
+	c *cobra.Command, start func(*collector.Reconciler) (emulatedCollector, error),
+) error {
+	steps, err := scenario.Parse(f.faults, collectorActions, 0)
+	if err != nil {
+		return newUsageError(c, err)
+	}
+	recording, err := f.openRecording()
+	if err != nil {
+		return err
+	}
+	reconciler := collector.NewReconciler(recording.add)
+	server, err := start(reconciler)
+	if err != nil {
+		return errors.Join(err, recording.close())
+	}
+	fmt.Fprintln(c.OutOrStdout(), "listening on", server.Addr())
+	e := emulation{
+		duration: f.duration,
+		steps:    steps,
+		servers:  []func(context.Context) error{server.Run, recording.run},
+		apply: func(_ context.Context, step scenario.Step) error {
+			if step.Do == clearAction {
+				reconciler.Empty()
+			} else {
+				server.Set(collector.Mode(step.Do))
+			}
+			return nil
+		},
+	}
+	if err := errors.Join(e.run(c), recording.close()); err != nil {
+		return err
+	}
+	return printReceived(c.OutOrStdout(), reconciler.Reconcile())
+}
+
+// optionalRecording is a recording, or none.
+type optionalRecording struct{ *collector.Recording }
+
+// openRecording creates the file to record to, if a flag names one.
+func (f *collectorFlags) openRecording() (optionalRecording, error) {
+	if f.record == "" {
+		return optionalRecording{}, nil
+	}
+	file, err := os.Create(f.record)
+	if err != nil {
+		return optionalRecording{}, fmt.Errorf("recording: %w", err)
+	}
+	recording, err := collector.NewRecording(file)
+	return optionalRecording{recording}, err
+}
+
+func (r optionalRecording) add(s collector.Sample) {
+	if r.Recording != nil {
+		r.Add(s)
+	}
+}
+
+func (r optionalRecording) run(ctx context.Context) error {
+	if r.Recording == nil {
+		return nil
+	}
+	return r.Run(ctx)
+}
+
+func (r optionalRecording) close() error {
+	if r.Recording == nil {
+		return nil
+	}
+	return r.Close()
+}
+
+// printReceived prints what a collector received; the error holds the violations of the catalogue.
+func printReceived(w io.Writer, f *collector.Findings) error {
+	fmt.Fprintf(w, "%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete)
+	for _, r := range f.Runs {
+		started := time.UnixMilli(r.Started).UTC().Format(time.RFC3339)
+		fmt.Fprintf(w, "broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n",
+			r.Broker, started, len(r.Intervals), r.Of, r.Last, r.Series)
+	}
+	if f.OK() {
+		return nil
+	}
+	text, err := json.MarshalIndent(struct {
+		Faults  []string       `json:"faults"`
+		Unknown map[string]int `json:"unknown"`
+		Broken  map[string]int `json:"broken"`
+	}{f.Faults, f.Unknown, f.Malformed}, "", "  ")
+	if err != nil {
+		return err
+	}
+	return fmt.Errorf("%w: %s", errViolations, text)
+}
+
+func emulateGraphiteCommand() *cobra.Command {
+	var flags collectorFlags
+	var form graphite.Form
+	var pickle bool
+	c := &cobra.Command{
+		Use:   "graphite",
+		Short: "A carbon server that checks what it receives",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
+				return collector.NewCarbon(flags.listen, form, pickle, r)
+			})
+		},
+	}
+	flags.register(c, "127.0.0.1:2003")
+	c.Flags().BoolVar(&pickle, "pickle", false, "expect the pickle protocol instead of lines")
+	c.Flags().BoolVar(&form.Tags, "tags", false, "expect tags in paths")
+	c.Flags().StringVar(&form.Prefix, "prefix", "wheatlane", "expect this prefix of paths")
+	return c
+}
+
+// collectdSeed is the seed of the losses and of the order of datagrams.
+const collectdSeed = 1
+
+// securityLevels are the values of the flag security.
+var securityLevels = map[string]collectd.Level{
+	"none":    collectd.Plain,
+	"sign":    collectd.Sign,
+	"encrypt": collectd.Encrypt,
+}
+
+func emulateCollectdCommand() *cobra.Command {
+	var flags collectorFlags
+	var level, user, passwordFile string
+	c := &cobra.Command{
+		Use:   "collectd",
+		Short: "A collectd server with the network plugin that checks what it receives",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			demand, ok := securityLevels[level]
+			if !ok {
+				return newUsageError(c, fmt.Errorf("security: %q is none of none, sign, encrypt", level))
+			}
+			password, err := readPassword(passwordFile)
+			if err != nil {
+				return err
+			}
+			passwords := func(u string) (string, bool) { return password, u == user && user != "" }
+			reader := collectd.Reader{Demand: demand, Passwords: passwords}
+			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
+				return collector.NewCollectd(flags.listen, reader, collectdSeed, r)
+			})
+		},
+	}
+	flags.register(c, "127.0.0.1:25826")
+	c.Flags().StringVar(&level, "security", "none", "required level: none, sign or encrypt")
+	c.Flags().StringVar(&user, "user", "", "the user that packets are from")
+	c.Flags().StringVar(&passwordFile, "password-file", "", "file with the user's password")
+	return c
+}
+
+// readPassword reads the password in a file, empty if no file is named.
+func readPassword(name string) (string, error) {
+	if name == "" {
+		return "", nil
+	}
+	text, err := os.ReadFile(name)
+	if err != nil {
+		return "", fmt.Errorf("password: %w", err)
+	}
+	return strings.TrimRight(string(text), "\r\n"), nil
+}
--- /dev/null
+++ b/cmd/wheatlane/emulate_engines.go
@@ -0,0 +1,125 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/scenario"
+)
+
+// defaultListFile is where the emulated engines are listed for the emulated change log.
+const defaultListFile = "engines.json"
+
+// engineFlags are the flags of emulated engines.
+type engineFlags struct {
+	count    int
+	list     string
+	faults   string
+	duration time.Duration
+}
+
+func emulateEnginesCommand() *cobra.Command {
+	var flags engineFlags
+	c := &cobra.Command{
+		Use:   "engines",
+		Short: "Query engines, and a list of them for 'wheatlane standin changelog'",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE:  func(c *cobra.Command, _ []string) error { return flags.run(c) },
+	}
+	c.Flags().IntVar(&flags.count, "n", 4, "number of engines")
+	c.Flags().StringVar(&flags.list, "list", defaultListFile, "file to write the list to")
+	c.Flags().StringVar(&flags.faults, "faults", "", "scenario of faults by engine, as in 30s:slow:2,60s:quick:2; "+
+		"slow, quick, silent, speak, drain, crash, back, moved")
+	c.Flags().DurationVar(&flags.duration, "for", maxEmulation, "end after this time")
+	return c
+}
+
+func (f *engineFlags) run(c *cobra.Command) error {
+	steps, err := scenario.Parse(f.faults, cluster.Verbs, f.count)
+	if err != nil {
+		return newUsageError(c, err)
+	}
+	var engines *cluster.Cluster
+	writeList := func(changelogserver.Host) error { return changelogserver.WriteFile(f.list, engines.Hosts()) }
+	if engines, err = cluster.New(f.count, nil, writeList); err != nil {
+		return err
+	}
+	if err := changelogserver.WriteFile(f.list, engines.Hosts()); err != nil {
+		return err
+	}
+	fmt.Fprintf(c.OutOrStdout(), "%d engines, listed in %s\n", f.count, f.list)
+	e := emulation{
+		duration: f.duration,
+		steps:    steps,
+		servers:  []func(context.Context) error{engines.Run},
+		apply:    engines.Do,
+	}
+	return e.run(c)
+}
+
+// changelogActions are the actions of a change log's scenario. None of them names a target.
+var changelogActions = map[string]bool{
+	string(changelogserver.Serve):  false,
+	string(changelogserver.Break):  false,
+	string(changelogserver.Stall):  false,
+	string(changelogserver.Refuse): false,
+}
+
+// changelogFlags are the flags of an emulated change log.
+type changelogFlags struct {
+	list     string
+	listen   string
+	faults   string
+	delay    time.Duration
+	duration time.Duration
+}
+
+func emulateChangelogCommand() *cobra.Command {
+	var flags changelogFlags
+	c := &cobra.Command{
+		Use:   "changelog",
+		Short: "A change log that reports the changes of a list of engines",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE:  func(c *cobra.Command, _ []string) error { return flags.run(c) },
+	}
+	c.Flags().StringVar(&flags.list, "list", defaultListFile, "the list, as 'wheatlane standin engines' writes it")
+	c.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:4222", "address and port")
+	c.Flags().StringVar(&flags.faults, "faults", "",
+		"scenario of faults, as in 30s:stall,60s:serve; serve, break, stall, refuse")
+	c.Flags().DurationVar(&flags.delay, "late", 0, "delay of each change")
+	c.Flags().DurationVar(&flags.duration, "for", maxEmulation, "end after this time")
+	return c
+}
+
+func (f *changelogFlags) run(c *cobra.Command) error {
+	steps, err := scenario.Parse(f.faults, changelogActions, 0)
+	if err != nil {
+		return newUsageError(c, err)
+	}
+	hosts, err := changelogserver.ReadFile(f.list)
+	if err != nil {
+		return err
+	}
+	changelog, err := changelogserver.New(f.listen, hosts, nil)
+	if err != nil {
+		return err
+	}
+	changelog.Late(f.delay)
+	fmt.Fprintf(c.OutOrStdout(), "listening on %s, %d engines\n", changelog.Addr(), len(hosts))
+	followList := func(ctx context.Context) error { return changelog.Follow(ctx, f.list, hosts) }
+	e := emulation{
+		duration: f.duration,
+		steps:    steps,
+		servers:  []func(context.Context) error{changelog.Run, followList},
+		apply: func(_ context.Context, step scenario.Step) error {
+			changelog.Set(changelogserver.Mode(step.Do))
+			return nil
+		},
+	}
+	return e.run(c)
+}
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -17,52 +17,55 @@
 	"wheatlane/internal/operatorconfig"
 )
 
-// schemas are those of all files that are read, by what they are of.
-var schemas = []struct {
-	of   string
-	make func() (*jsonschema.Schema, error)
-}{
-	{"an operator's file", operatorconfig.JSONSchema},
-	{"a broker's configuration", config.JSONSchema},
-	{"a description of an application", description.JSONSchema},
+// schemaSource is a kind of file with its schema.
+type schemaSource struct {
+	file      string // in words
+	schema    func() (*jsonschema.Schema, error)
+	variables map[string]string // environment variables that take precedence over keys
 }
 
-// variables are what of the environment goes before a key of a broker's configuration.
-var variables = map[string]string{"name": "RELAY_NAME", "listen": "RELAY_LISTEN"}
+// schemaSources are the kinds of file that the program reads.
+var schemaSources = []schemaSource{
+	{file: "an operator's file", schema: operatorconfig.JSONSchema},
+	{
+		file:      "a broker's configuration",
+		schema:    config.JSONSchema,
+		variables: map[string]string{"name": "RELAY_NAME", "listen": "RELAY_LISTEN"},
+	},
+	{file: "a description of an application", schema: description.JSONSchema},
+}
 
-func explainCommand() *cobra.Command {
+func configExplainCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "explain KEY", Short: "Say what a key means, its bounds and default, and where its value comes from",
-		Long: `Say what a key means, as in 'telemetry.graphite.budget_kb', in every file that has it. Lists are passed over: the key of an
-item stands behind that of its list. With --file, the values that the file gives it are told, with their places.`,
-		Args: takes(cobra.ExactArgs(1)), RunE: func(c *cobra.Command, args []string) error { return explain(c, args[0], file) }}
-	c.Flags().StringVar(&file, "file", "", "a file that may give it a value")
+	c := &cobra.Command{
+		Use:   "explain KEY",
+		Short: "Explain a key: its meaning, bounds and default, and where its value comes from",
+		Long: `Explain a key such as 'telemetry.graphite.budget_kb' in every file that has it. The key of a list item follows that of
+the list, without an index. With --file, the values that the file gives the key are printed with their places.`,
+		Args: checkArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, args []string) error { return runExplain(c, args[0], file) },
+	}
+	c.Flags().StringVar(&file, "file", "", "a file that may give the key a value")
 	return c
 }
 
-func explain(c *cobra.Command, key, file string) error {
+func runExplain(c *cobra.Command, key, file string) error {
 	w := c.OutOrStdout()
 	path := strings.Split(key, ".")
 	found := false
-	for _, s := range schemas {
-		root, err := s.make()
+	for _, source := range schemaSources {
+		root, err := source.schema()
 		if err != nil {
 			return err
 		}
-		at := below(root, path)
-		if at == nil {
+		s := schemaAt(root, path)
+		if s == nil {
 			continue
 		}
 		found = true
-		fmt.Fprintf(w, "%s, in %s\n", key, s.of)
-		say(w, at)
-		if v := variables[key]; v != "" && s.of == "a broker's configuration" {
-			fmt.Fprintf(w, "  goes before it: the variable %s", v)
-			if now, set := os.LookupEnv(v); set {
-				fmt.Fprintf(w, ", which is %q", now)
-			}
-			fmt.Fprintln(w)
-		}
+		fmt.Fprintf(w, "%s, in %s\n", key, source.file)
+		printSchema(w, s)
+		printVariable(w, source.variables[key])
 	}
 	if !found {
 		return fmt.Errorf("no file has a key %q", key)
@@ -70,27 +73,44 @@
 	if file == "" {
 		return nil
 	}
-	text, err := readFile(file)
+	return printValues(c, file, path)
+}
+
+// printVariable prints the environment variable that takes precedence over a key, if there is one.
+func printVariable(w io.Writer, name string) {
+	if name == "" {
+		return
+	}
+	fmt.Fprintf(w, "  takes precedence: the variable %s", name)
+	if value, set := os.LookupEnv(name); set {
+		fmt.Fprintf(w, ", which is %q", value)
+	}
+	fmt.Fprintln(w)
+}
+
+// printValues prints the values that a file gives a key, with their places.
+func printValues(c *cobra.Command, file string, path []string) error {
+	w := c.OutOrStdout()
+	text, err := readConfigFile(file)
 	if err != nil {
-		return &usageError{c.CommandPath(), err}
+		return newUsageError(c, err)
 	}
 	root, _, err := jsontext.Parse(text)
 	if err != nil {
 		return fmt.Errorf("%s:%w", file, err)
 	}
-	values := 0
-	walk(root, path, func(n *jsontext.Node) {
-		values++
-		fmt.Fprintf(w, "%s:%d:%d: %v\n", file, n.Place.Line, n.Place.Column, n.Any())
-	})
-	if values == 0 {
-		fmt.Fprintf(w, "%s does not give it: the default holds\n", file)
+	values := valuesAt(root, path)
+	for _, n := range values {
+		fmt.Fprintf(w, "%s:%d:%d: %v\n", file, n.Position.Line, n.Position.Column, n.Any())
+	}
+	if len(values) == 0 {
+		fmt.Fprintf(w, "%s does not set it: the default applies\n", file)
 	}
 	return nil
 }
 
-// below is the schema at a path, through lists, or nil.
-func below(s *jsonschema.Schema, path []string) *jsonschema.Schema {
+// schemaAt returns the schema at a path, which passes over the indices of lists; nil if there is none.
+func schemaAt(s *jsonschema.Schema, path []string) *jsonschema.Schema {
 	for _, key := range path {
 		for s != nil && s.Items != nil {
 			s = s.Items
@@ -103,36 +123,38 @@
 	return s
 }
 
-// walk calls f with each value at a path, through lists.
-func walk(n *jsontext.Node, path []string, f func(*jsontext.Node)) {
+// valuesAt returns the values at a path, which passes over the indices of lists.
+func valuesAt(n *jsontext.Node, path []string) []*jsontext.Node {
 	switch {
 	case n == nil:
+		return nil
 	case len(path) == 0:
-		f(n)
-	case n.Kind == jsontext.List:
+		return []*jsontext.Node{n}
+	case n.Kind == jsontext.Array:
+		var values []*jsontext.Node
 		for _, item := range n.Items {
-			walk(item, path, f)
+			values = append(values, valuesAt(item, path)...)
 		}
-	default:
-		walk(n.Get(path[0]), path[1:], f)
+		return values
 	}
+	return valuesAt(n.Get(path[0]), path[1:])
 }
 
-// say tells what a schema says of a value.
-func say(w io.Writer, s *jsonschema.Schema) {
-	line := func(what, text string) {
+// printSchema prints the meaning, type, default and bounds of a value.
+func printSchema(w io.Writer, s *jsonschema.Schema) {
+	line := func(label, text string) {
 		if text != "" {
-			fmt.Fprintf(w, "  %s: %s\n", what, text)
+			fmt.Fprintf(w, "  %s: %s\n", label, text)
 		}
 	}
 	line("meaning", s.Description)
 	line("type", s.Type)
 	line("default", string(s.Default))
 	if s.Minimum != nil {
-		line("least", fmt.Sprint(*s.Minimum))
+		line("min", fmt.Sprint(*s.Minimum))
 	}
 	if s.Maximum != nil {
-		line("most", fmt.Sprint(*s.Maximum))
+		line("max", fmt.Sprint(*s.Maximum))
 	}
 	if len(s.Enum) > 0 {
 		line("one of", strings.Trim(fmt.Sprintf("%q", s.Enum), "[]"))
--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -43,7 +43,7 @@
 func output(t *testing.T, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
-	c := root()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil {
--- a/cmd/wheatlane/main.go
+++ b/cmd/wheatlane/main.go
@@ -1,5 +1,5 @@
 // Command wheatlane is a broker: it takes queries from clients, lets the decision module choose when and on
-// which engine each runs, and answers. Without an argument it serves; its other commands are for those who run it.
+// which engine each runs, and answers. Without an argument it serves; its other commands are for operators.
 package main
 
 import (
@@ -13,81 +13,94 @@
 
 // The exit codes.
 const (
-	exitFailed = 1 // it could not do what was asked
-	exitUsage  = 2 // what was asked can't be understood
+	exitFailed = 1 // the command failed
+	exitUsage  = 2 // the command line, or a file that it names, can't be read
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "wheatlane:", err)
-		var usage *usageError
-		if errors.As(err, &usage) {
-			fmt.Fprintf(os.Stderr, "Run '%s --help' for what it takes.\n", usage.command)
-			os.Exit(exitUsage)
-		}
-		os.Exit(exitFailed)
+	err := rootCommand().Execute()
+	if err == nil {
+		return
+	}
+	fmt.Fprintln(os.Stderr, "wheatlane:", err)
+	var usage *usageError
+	if errors.As(err, &usage) {
+		fmt.Fprintf(os.Stderr, "Run '%s --help' for usage.\n", usage.command)
+		os.Exit(exitUsage)
 	}
+	os.Exit(exitFailed)
 }
 
-// usageError is of a command line that can't be understood.
+// usageError reports invalid usage of a command.
 type usageError struct {
-	command string
+	command string // with the commands that it is part of
 	err     error
 }
 
+func newUsageError(c *cobra.Command, err error) error { return &usageError{c.CommandPath(), err} }
+
 func (e *usageError) Error() string { return e.err.Error() }
 func (e *usageError) Unwrap() error { return e.err }
 
-// takes marks what a check of arguments finds as wrong use.
-func takes(check cobra.PositionalArgs) cobra.PositionalArgs {
+// checkArgs turns the errors of a check of arguments into usage errors.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
-			return &usageError{c.CommandPath(), err}
+			return newUsageError(c, err)
 		}
 		return nil
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "wheatlane",
 		Short: "A broker between the clients of a chart service and its query engines",
 		Long: `wheatlane is a broker between the clients of a chart service and its query engines.
 
 Without a command it serves, as 'wheatlane serve' does: RELAY_CONFIG names the platform's configuration, and
-WHEATLANE_OPERATOR or --operator the operator's own file.`,
-		Args:          takes(cobra.NoArgs),
+WHEATLANE_OPERATOR or --operator the operator's configuration.`,
+		Args:          checkArgs(cobra.NoArgs),
 		Version:       version(),
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	c.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return &usageError{c.CommandPath(), err} })
-	serves(c)
-	serve := &cobra.Command{Use: "serve", Short: "Serve clients until SIGTERM", Args: takes(cobra.NoArgs)}
-	serves(serve)
+	c.SetFlagErrorFunc(newUsageError)
+	runServe(c)
+	serve := &cobra.Command{
+		Use:   "serve",
+		Short: "Serve clients until SIGTERM",
+		Args:  checkArgs(cobra.NoArgs),
+	}
+	runServe(serve)
 	c.AddCommand(serve, metricsCommand(), configCommand(), standinCommand(), reportCommand(), demoCommand())
 	return c
 }
 
-// group is a command that only holds others.
-func group(use, short string, of ...*cobra.Command) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, Args: takes(cobra.NoArgs), RunE: func(c *cobra.Command, _ []string) error {
-		return &usageError{c.CommandPath(), errors.New("a command is missing")}
-	}}
-	c.AddCommand(of...)
+// commandGroup returns a command that only has subcommands.
+func commandGroup(use, short string, subcommands ...*cobra.Command) *cobra.Command {
+	c := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  checkArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			return newUsageError(c, errors.New("a command is missing"))
+		},
+	}
+	c.AddCommand(subcommands...)
 	return c
 }
 
-// version is what the Go tool knows of the build.
+// version returns the module version, the revision and the Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
 	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			v += " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			v += " " + setting.Value
 		}
 	}
 	return v + " " + info.GoVersion
--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -13,51 +14,80 @@
 )
 
 func metricsCommand() *cobra.Command {
+	return commandGroup("metrics", "Show what the broker reports", metricsListCommand(), metricsTypesCommand())
+}
+
+func metricsListCommand() *cobra.Command {
 	var asJSON, asMarkdown bool
-	list := &cobra.Command{Use: "list", Short: "Print the catalogue of figures", Args: takes(cobra.NoArgs),
+	c := &cobra.Command{
+		Use:   "list",
+		Short: "Print the catalogue of metrics",
+		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			if asJSON && asMarkdown {
-				return &usageError{c.CommandPath(), errors.New("--json and --markdown are two forms of one list")}
-			}
-			if asJSON {
-				return printCatalogue(c)
-			}
-			if asMarkdown {
-				_, err := fmt.Fprint(c.OutOrStdout(), metrics.Markdown())
+			w := c.OutOrStdout()
+			switch {
+			case asJSON && asMarkdown:
+				return newUsageError(c, errors.New("--json and --markdown are two forms of one list"))
+			case asJSON:
+				return printCatalogueJSON(w)
+			case asMarkdown:
+				_, err := fmt.Fprint(w, metrics.Markdown())
 				return err
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
-			for _, f := range metrics.Catalogue {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Detail, f.Help)
-			}
-			return w.Flush()
-		}}
-	list.Flags().BoolVar(&asJSON, "json", false, "as JSON, with the details of each figure")
-	list.Flags().BoolVar(&asMarkdown, "markdown", false, "as a table for a page")
-	types := &cobra.Command{Use: "types", Short: "Print the types.db file that collectd needs", Args: takes(cobra.NoArgs),
+			return printCatalogue(w)
+		},
+	}
+	c.Flags().BoolVar(&asJSON, "json", false, "as JSON, with the details of each metric")
+	c.Flags().BoolVar(&asMarkdown, "markdown", false, "as a Markdown table")
+	return c
+}
+
+func metricsTypesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "types",
+		Short: "Print the types.db file that collectd needs",
+		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprint(c.OutOrStdout(), collectd.TypesDB())
 			return err
-		}}
-	return group("metrics", "What the broker reports", list, types)
+		},
+	}
 }
 
-func printCatalogue(c *cobra.Command) error {
-	type figure struct {
-		Name    string   `json:"name"`
-		Kind    string   `json:"kind"`
-		Unit    string   `json:"unit,omitempty"`
-		By      string   `json:"by,omitempty"`
-		Detail  string   `json:"detail,omitempty"`
-		Details []string `json:"details,omitempty"`
-		Meaning string   `json:"meaning"`
+func printCatalogue(w io.Writer) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
+	for _, f := range metrics.Catalogue {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Detail, f.Help)
 	}
-	all := []figure{}
+	return table.Flush()
+}
+
+// catalogueEntry is a metric as 'metrics list --json' prints it.
+type catalogueEntry struct {
+	Name    string   `json:"name"`
+	Kind    string   `json:"kind"`
+	Unit    string   `json:"unit,omitempty"`
+	By      string   `json:"by,omitempty"`
+	Detail  string   `json:"detail,omitempty"`
+	Details []string `json:"details,omitempty"`
+	Meaning string   `json:"meaning"`
+}
+
+func printCatalogueJSON(w io.Writer) error {
+	entries := make([]catalogueEntry, 0, len(metrics.Catalogue))
 	for _, f := range metrics.Catalogue {
-		all = append(all, figure{f.Name, f.Kind.String(), f.Unit, f.By.String(), f.Detail, f.Parts, f.Help})
+		entries = append(entries, catalogueEntry{
+			Name:    f.Name,
+			Kind:    f.Kind.String(),
+			Unit:    f.Unit,
+			By:      f.By.String(),
+			Detail:  f.Detail,
+			Details: f.Parts,
+			Meaning: f.Help,
+		})
 	}
-	e := json.NewEncoder(c.OutOrStdout())
-	e.SetIndent("", "  ")
-	return e.Encode(all)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(entries)
 }
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -14,59 +14,86 @@
 )
 
 func reportCommand() *cobra.Command {
-	var out, title string
-	c := &cobra.Command{Use: "report FILE|DIR", Short: "Make a page of charts of what a stand-in collector recorded",
-		Args: takes(cobra.ExactArgs(1)), RunE: func(c *cobra.Command, args []string) error {
-			samples, err := recordings(c, args[0])
-			if err != nil {
-				return err
-			}
-			f, err := os.Create(out)
-			if err != nil {
-				return fmt.Errorf("report: %w", err)
-			}
-			found := collector.Reconcile(samples, 0, nil, nil)
-			if err := errors.Join(report.Write(f, title, found), f.Close()); err != nil {
-				return err
-			}
-			fmt.Fprintln(c.OutOrStdout(), out)
-			return nil
-		}}
-	c.Flags().StringVarP(&out, "output", "o", "report.html", "file to write")
+	var output, title string
+	c := &cobra.Command{
+		Use:   "report FILE|DIR",
+		Short: "Make a page of charts from the recordings of an emulated collector",
+		Args:  checkArgs(cobra.ExactArgs(1)),
+		RunE:  func(c *cobra.Command, args []string) error { return runReport(c, args[0], output, title) },
+	}
+	c.Flags().StringVarP(&output, "output", "o", "report.html", "file to write")
 	c.Flags().StringVar(&title, "title", "What wheatlane reported", "heading of the page")
 	return c
 }
 
-// recordings reads a recording, or all in a folder in the order of their names. One that breaks off is read as far as
-// it goes, as its collector may have been killed.
-func recordings(c *cobra.Command, path string) ([]collector.Sample, error) {
-	files := []string{path}
-	if info, err := os.Stat(path); err != nil {
+func runReport(c *cobra.Command, path, output, title string) error {
+	samples, err := readRecordings(c, path)
+	if err != nil {
+		return err
+	}
+	f, err := os.Create(output)
+	if err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	findings := collector.Reconcile(samples, 0, nil, nil)
+	if err := errors.Join(report.Write(f, title, findings), f.Close()); err != nil {
+		return err
+	}
+	fmt.Fprintln(c.OutOrStdout(), output)
+	return nil
+}
+
+// readRecordings reads a recording, or those of a directory in order of their names. A truncated one is read as far as
+// possible and reported on standard error: its collector may have been killed.
+func readRecordings(c *cobra.Command, path string) ([]collector.Sample, error) {
+	names, err := recordingNames(path)
+	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
-	} else if info.IsDir() {
-		if files, err = filepath.Glob(filepath.Join(path, "*.zst")); err != nil {
-			return nil, fmt.Errorf("recording: %w", err)
-		}
-		if len(files) == 0 {
-			return nil, fmt.Errorf("recording: there is no *.zst in %s", path)
-		}
-		slices.Sort(files)
 	}
-	var all []collector.Sample
-	for _, name := range files {
-		f, err := os.Open(name)
-		if err != nil {
-			return nil, fmt.Errorf("recording: %w", err)
-		}
-		some, err := collector.ReadRecording(f)
-		f.Close()
-		if err != nil && len(some) == 0 {
-			return nil, fmt.Errorf("%s: %w", name, err)
+	var samples []collector.Sample
+	for _, name := range names {
+		recorded, err := readRecording(name)
+		if err != nil && len(recorded) == 0 {
+			return nil, err
 		}
 		if err != nil {
-			fmt.Fprintf(c.ErrOrStderr(), "%s breaks off after %d samples: %v\n", name, len(some), err)
+			fmt.Fprintf(c.ErrOrStderr(), "truncated after %d samples: %v\n", len(recorded), err)
 		}
-		all = append(all, some...)
+		samples = append(samples, recorded...)
+	}
+	return samples, nil
+}
+
+// recordingNames returns a file itself, or the recordings of a directory.
+func recordingNames(path string) ([]string, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if !info.IsDir() {
+		return []string{path}, nil
+	}
+	names, err := filepath.Glob(filepath.Join(path, "*.zst"))
+	if err != nil {
+		return nil, err
+	}
+	if len(names) == 0 {
+		return nil, fmt.Errorf("there is no *.zst in %s", path)
+	}
+	slices.Sort(names)
+	return names, nil
+}
+
+// readRecording returns the samples before an error along with it.
+func readRecording(name string) ([]collector.Sample, error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, fmt.Errorf("recording: %w", err)
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	samples, err := collector.ReadRecording(f)
+	if err != nil {
+		return samples, fmt.Errorf("%s: %w", name, err)
 	}
-	return all, nil
+	return samples, nil
 }
--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -19,77 +19,69 @@
 	"wheatlane/internal/service"
 )
 
-// heapPart is the part of the memory limit at which the runtime collects harder; the rest is for what it
-// does not count: kernel buffers, the program itself.
-const heapPart = 0.6
-
-// serves makes a command one that serves.
-func serves(c *cobra.Command) {
-	path := c.Flags().String("operator", "", "the operator's own file; without it WHEATLANE_OPERATOR names one, or there is none")
-	c.RunE = func(*cobra.Command, []string) error {
-		if *path == "" {
-			*path = os.Getenv(operatorconfig.Variable)
+const (
+	// heapFraction is the fraction of the memory limit from which the runtime collects harder; the rest is for what it
+	// does not count: kernel buffers and the program itself.
+	heapFraction = 0.6
+
+	bytesPerMegabyte = 1 << 20
+)
+
+// runServe makes a command serve.
+func runServe(c *cobra.Command) {
+	operatorFile := c.Flags().String("operator", "",
+		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, or there is none")
+	c.RunE = func(c *cobra.Command, _ []string) error {
+		if *operatorFile == "" {
+			*operatorFile = os.Getenv(operatorconfig.Variable)
 		}
-		return serve(*path)
+		return serve(c.Context(), *operatorFile)
 	}
 }
 
 // newLog returns the log of a program that serves: JSON lines on standard error.
 func newLog() (*zap.Logger, error) {
-	logs := zap.NewProductionConfig()
-	logs.Sampling = nil // every ended connection has its line
-	logs.DisableCaller = true
-	log, err := logs.Build()
+	cfg := zap.NewProductionConfig()
+	cfg.Sampling = nil // every ended connection has its line
+	cfg.DisableCaller = true
+	log, err := cfg.Build()
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	return log, nil
 }
 
-// serve runs a broker until SIGTERM or SIGINT. An empty path says that there is no operator's file.
-func serve(path string) error {
-	// Guards against a SIGHUP that ends the program, as it does one that takes no notice of it.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	// Guards against the end of the process with that of whoever reads its log: a write to standard error that nobody reads
-	// any more would end it.
-	signal.Ignore(syscall.SIGPIPE)
-	cfg, err := config.Load(os.Getenv)
+// serve runs a broker until SIGTERM or SIGINT. operatorFile is empty if there is no operator's configuration.
+func serve(ctx context.Context, operatorFile string) error {
+	hangup := handleSignals()
+	cfg, own, err := loadFiles(operatorFile)
 	if err != nil {
 		return err
 	}
-	var own *operatorconfig.File
-	if path != "" {
-		if own, err = operatorconfig.Load(path); err != nil {
-			return err
-		}
-	}
 	runtime.GOMAXPROCS(1) // the processes of a broker run on one core
-	debug.SetMemoryLimit(int64(heapPart * float64(cfg.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * bytesPerMegabyte))
 	log, err := newLog()
 	if err != nil {
 		return err
 	}
-	defer log.Sync() //nolint:errcheck // standard error may not be one that can be synced
+	defer func() { _ = log.Sync() }() // standard error may not support it
 	log = log.With(zap.String("broker", cfg.Name))
 
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer cancel()
-	broker, err := service.New(context.Background(), cfg, own, log)
+	stop, cancelStop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer cancelStop()
+	broker, err := service.New(ctx, cfg, own, log)
 	if err != nil {
 		return err
 	}
-	fields := []zap.Field{zap.Stringer("listen", broker.Server.Addr()), zap.Int64("seq", cfg.Known.Revision)}
-	if at := broker.AdminAddr(); at != nil {
-		fields = append(fields, zap.Stringer("operator", at))
-	}
-	log.Info("serving", fields...)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	logServing(log, broker, cfg)
+	// The broker finishes its requests after a signal, so its context is not that of the signal.
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return reload(ctx, hup, broker, cfg, path, log) })
+	r := reloader{broker: broker, running: cfg, operatorFile: operatorFile, log: log}
+	g.Go(func() error { return r.run(ctx, hangup) })
 	g.Go(func() error {
-		defer end()
+		defer cancel()
 		return broker.Run(ctx, stop.Done())
 	})
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
@@ -99,35 +91,79 @@
 	return nil
 }
 
-// reload reads both files again at each SIGHUP. A faulty one changes nothing, and holds the other one back no more
-// than itself. running is the configuration in force.
-func reload(ctx context.Context, hup <-chan os.Signal, broker *service.Service, running config.Config, path string, log *zap.Logger) error {
+// handleSignals keeps SIGHUP and SIGPIPE from ending the process, and returns the SIGHUPs. SIGPIPE arises once nobody
+// reads the log on standard error any more.
+func handleSignals() <-chan os.Signal {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)
+	return hangup
+}
+
+// loadFiles loads the platform's configuration, and the operator's unless its path is empty.
+func loadFiles(operatorFile string) (config.Config, *operatorconfig.File, error) {
+	cfg, err := config.Load(os.Getenv)
+	if err != nil || operatorFile == "" {
+		return cfg, nil, err
+	}
+	own, err := operatorconfig.Load(operatorFile)
+	return cfg, own, err
+}
+
+func logServing(log *zap.Logger, broker *service.Service, cfg config.Config) {
+	fields := []zap.Field{
+		zap.Stringer("listen", broker.Server.Addr()),
+		zap.Int64("seq", cfg.Known.Revision),
+	}
+	if address := broker.AdminAddr(); address != nil {
+		fields = append(fields, zap.Stringer("operator", address))
+	}
+	log.Info("serving", fields...)
+}
+
+// reloader loads both files again at each SIGHUP. An invalid one is ignored, and does not keep the other one from being
+// reloaded.
+type reloader struct {
+	broker       *service.Service
+	running      config.Config // the platform's configuration that is in use
+	operatorFile string        // empty: there is none
+	log          *zap.Logger
+}
+
+func (r *reloader) run(ctx context.Context, hangup <-chan os.Signal) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-hup:
-		}
-		cfg, err := config.Load(os.Getenv)
-		if err == nil {
-			err = cfg.Replaces(running)
-		}
-		if err != nil {
-			log.Error("not reloaded, the configuration before stays", zap.Error(err))
-			broker.RejectReload(ctx)
-		} else {
-			broker.Reload(ctx, cfg)
-			running = cfg
+		case <-hangup:
 		}
-		if path == "" {
-			continue
+		r.reloadPlatformConfig(ctx)
+		if r.operatorFile != "" {
+			r.reloadOperatorConfig(ctx)
 		}
-		own, err := operatorconfig.Load(path)
-		if err != nil {
-			log.Error("not reloaded, the operator's file before stays", zap.Error(err))
-			continue
-		}
-		broker.ReloadOperatorConfig(ctx, own)
-		log.Info("operator's file reloaded", zap.String("file", path))
 	}
 }
+
+func (r *reloader) reloadPlatformConfig(ctx context.Context) {
+	cfg, err := config.Load(os.Getenv)
+	if err == nil {
+		err = cfg.Replaces(r.running)
+	}
+	if err != nil {
+		r.log.Error("not reloaded, the configuration before stays", zap.Error(err))
+		r.broker.RejectReload(ctx)
+		return
+	}
+	r.broker.Reload(ctx, cfg)
+	r.running = cfg
+}
+
+func (r *reloader) reloadOperatorConfig(ctx context.Context) {
+	own, err := operatorconfig.Load(r.operatorFile)
+	if err != nil {
+		r.log.Error("not reloaded, the operator's file before stays", zap.Error(err))
+		return
+	}
+	r.broker.ReloadOperatorConfig(ctx, own)
+	r.log.Info("operator's file reloaded", zap.String("file", r.operatorFile))
+}
--- /dev/null
+++ b/cmd/wheatlane/write.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"wheatlane/internal/check"
+	"wheatlane/internal/description"
+)
+
+// The files that are generated into a directory.
+const (
+	brokerFileName   = "broker.json"
+	operatorFileName = "operator.json"
+)
+
+const (
+	directoryMode = 0o755
+	fileMode      = 0o644
+)
+
+func configWriteCommand() *cobra.Command {
+	var directory string
+	c := &cobra.Command{
+		Use:   "write APP.json",
+		Short: "Generate a broker's files from the description of an application, checked",
+		Args:  checkArgs(cobra.ExactArgs(1)),
+		RunE:  func(c *cobra.Command, args []string) error { return runWrite(c, args[0], directory) },
+	}
+	c.Flags().StringVarP(&directory, "output", "o", ".", "directory to write to")
+	return c
+}
+
+// runWrite generates a broker's files and prints the findings in them; with a fault among these nothing is written.
+func runWrite(c *cobra.Command, descriptionName, directory string) error {
+	files, err := generateFiles(c, descriptionName, directory)
+	if err != nil {
+		return err
+	}
+	findings, err := checkFiles(files)
+	if err != nil {
+		return err
+	}
+	for _, f := range findings {
+		fmt.Fprintln(c.OutOrStdout(), f)
+	}
+	if slices.ContainsFunc(findings, func(f check.Finding) bool { return f.Severity == check.Fault }) {
+		return fmt.Errorf("%w in the files of %s; nothing is written", errFindings, descriptionName)
+	}
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
+		return err
+	}
+	for _, file := range files {
+		if err := replaceFile(file); err != nil {
+			return err
+		}
+		fmt.Fprintln(c.OutOrStdout(), file.name)
+	}
+	return nil
+}
+
+// generateFiles returns the files of a description. Violations of the description's schema are printed.
+func generateFiles(c *cobra.Command, descriptionName, directory string) ([]configFile, error) {
+	text, err := os.ReadFile(descriptionName)
+	if err != nil {
+		return nil, newUsageError(c, err)
+	}
+	application, violations, err := description.Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", descriptionName, err)
+	}
+	for _, v := range violations {
+		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", descriptionName, v)
+	}
+	if len(violations) > 0 {
+		return nil, fmt.Errorf("%w: %d in %s", errFindings, len(violations), descriptionName)
+	}
+	provenance := description.Provenance(filepath.Base(descriptionName), text)
+	var files []configFile
+	for _, generated := range []struct {
+		name     string
+		generate func(provenance string) ([]byte, error)
+	}{
+		{brokerFileName, application.BrokerFile},
+		{operatorFileName, application.OperatorFile},
+	} {
+		content, err := generated.generate(provenance)
+		if err != nil {
+			return nil, err
+		}
+		if content != nil {
+			files = append(files, configFile{filepath.Join(directory, generated.name), content})
+		}
+	}
+	return files, nil
+}
+
+// replaceFile writes a file under a temporary name and renames it, so that a reader finds the old or the new file, each
+// complete.
+func replaceFile(file configFile) error {
+	temporary := file.name + ".next"
+	if err := os.WriteFile(temporary, file.text, fileMode); err != nil {
+		return err
+	}
+	return os.Rename(temporary, file.name)
+}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,125 +1,121 @@
-// Package check holds what the layers of the configuration checker share: files with the places of their values,
-// findings, and the entries of the table of checks. The layers are form, rules and fleet, below this folder.
+// Package check holds what the layers of the configuration checker share: files with the positions of their values,
+// findings, and the entries of the table of checks. The layers are the packages form, rules and fleet in this directory.
 package check
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
-	"strconv"
 	"strings"
 
 	"wheatlane/internal/jsontext"
 )
 
-// Severity is how bad a finding is.
+// Severity is how severe a finding is.
 type Severity string
 
 // The severities.
 const (
 	Fault   Severity = "fault"   // the broker would not start with it, or would break a rule
-	Warning Severity = "warning" // it is allowed, and probably not meant
+	Warning Severity = "warning" // it is allowed, and probably not intended
 )
 
-// Check is an entry of the table of checks, from which its documentation is made.
+// Check is an entry of the table of checks, from which the table's documentation is generated.
 type Check struct {
-	Code     string   `json:"code"` // stable: a letter for the layer and a number
-	Severity Severity `json:"severity"`
-	Rule     string   `json:"rule"`    // what must hold
-	Instead  string   `json:"instead"` // what to write
-	Broken   string   `json:"-"`       // an example, as it stands in a file
-	Mended   string   `json:"-"`
+	Code           string   `json:"code"` // stable: a letter for the layer and a number
+	Severity       Severity `json:"severity"`
+	Requirement    string   `json:"rule"`    // what must hold
+	Remedy         string   `json:"instead"` // what to write
+	InvalidExample string   `json:"-"`       // as it stands in a file
+	ValidExample   string   `json:"-"`
 }
 
-// Finding is a place where a check found something.
+// Finding is a place in a file that a check rejects.
 type Finding struct {
 	Check
-	File   string `json:"file"`
-	Line   int    `json:"line"`
-	Column int    `json:"column"`
-	Key    string `json:"key"`
-	Seen   string `json:"seen"`
+
+	File     string `json:"file"`
+	Line     int    `json:"line"`
+	Column   int    `json:"column"`
+	Key      string `json:"key"`
+	Observed string `json:"seen"`
 }
 
+// String returns a finding as one line for people.
 func (f Finding) String() string {
-	return fmt.Sprintf("%s:%d:%d: %s %s: %s: %s; %s. Instead: %s", f.File, f.Line, f.Column, f.Severity, f.Code, f.Key, f.Seen, f.Rule, f.Instead)
+	return fmt.Sprintf("%s:%d:%d: %s %s: %s: %s; %s. Instead: %s",
+		f.File, f.Line, f.Column, f.Severity, f.Code, f.Key, f.Observed, f.Requirement, f.Remedy)
 }
 
-// Sort orders findings by file and place.
-func Sort(all []Finding) {
-	slices.SortStableFunc(all, func(a, b Finding) int {
-		return cmp.Or(strings.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column), strings.Compare(a.Code, b.Code))
+// Sort orders findings by file, position and code.
+func Sort(findings []Finding) {
+	slices.SortStableFunc(findings, func(a, b Finding) int {
+		return cmp.Or(
+			strings.Compare(a.File, b.File),
+			cmp.Compare(a.Line, b.Line),
+			cmp.Compare(a.Column, b.Column),
+			strings.Compare(a.Code, b.Code),
+		)
 	})
 }
 
-// Kind is what a file is for.
-type Kind int
+// FileKind is the purpose of a file.
+type FileKind int
 
 // The kinds of file.
 const (
-	Platform Kind = iota // the broker's configuration, in the platform's form
-	Operator             // the operator's own file
+	PlatformFile FileKind = iota // the broker's configuration, in the platform's form
+	OperatorFile                 // the operator's configuration
 )
 
-// File is a file that was read.
+// File is a file that was parsed.
 type File struct {
 	Name string
-	Kind Kind
+	Kind FileKind
 	Root *jsontext.Node
 }
 
-// KindOf tells the kind of a file by what it holds: the platform's has settings, and the operator's has not.
-func KindOf(root *jsontext.Node) Kind {
+// DetectKind determines the kind of a file by its content: only the platform's has any of these keys.
+func DetectKind(root *jsontext.Node) FileKind {
 	for _, key := range []string{"settings", "changelog", "listen", "limits", "known"} {
 		if root.Get(key) != nil {
-			return Platform
-		}
-	}
-	return Operator
-}
-
-// Key writes a path as settings.RequestClasses[0].Name.
-func Key(path ...string) string {
-	var b strings.Builder
-	for _, p := range path {
-		if _, err := strconv.Atoi(p); err == nil {
-			fmt.Fprintf(&b, "[%s]", p)
-			continue
-		}
-		if b.Len() > 0 {
-			b.WriteByte('.')
+			return PlatformFile
 		}
-		b.WriteString(p)
-	}
-	if b.Len() == 0 {
-		return "the file"
 	}
-	return b.String()
+	return OperatorFile
 }
 
-// Place is where a path stands in a file, or the nearest value around it that is there.
-func (f *File) Place(path ...string) jsontext.Place {
+// position returns where a path is in a file, or the innermost value around it that exists.
+func (f *File) position(path []string) jsontext.Position {
 	for n := len(path); n > 0; n-- {
-		if at := f.Root.At(path[:n]...); at != nil {
-			return at.Place
+		if value := f.Root.At(path[:n]...); value != nil {
+			return value.Position
 		}
 	}
-	return f.Root.Place
+	return f.Root.Position
 }
 
-// Hit makes a finding of a check at a path.
-func (f *File) Hit(c Check, seen string, path ...string) Finding {
-	at := f.Place(path...)
-	return Finding{Check: c, File: f.Name, Line: at.Line, Column: at.Column, Key: Key(path...), Seen: seen}
+// NewFinding returns the finding of a check at a path of the file.
+func (f *File) NewFinding(c Check, observed string, path ...string) Finding {
+	position := f.position(path)
+	return Finding{
+		Check:    c,
+		File:     f.Name,
+		Line:     position.Line,
+		Column:   position.Column,
+		Key:      jsontext.FormatPath(path...),
+		Observed: observed,
+	}
 }
 
-// Markdown is the table of checks with their examples, which the operators' page holds.
-func Markdown(all []Check) string {
+// Markdown returns the table of checks with their examples, as the operators' page has it.
+func Markdown(checks []Check) string {
+	escape := strings.NewReplacer("|", `\|`).Replace
 	var b strings.Builder
 	b.WriteString("| code | severity | what must hold | broken | mended |\n| --- | --- | --- | --- | --- |\n")
-	for _, c := range all {
-		fmt.Fprintf(&b, "| %s | %s | %s | `%s` | `%s` |\n", c.Code, c.Severity, c.Rule, strings.ReplaceAll(c.Broken, "|", "\\|"),
-			strings.ReplaceAll(c.Mended, "|", "\\|"))
+	for _, c := range checks {
+		fmt.Fprintf(&b, "| %s | %s | %s | `%s` | `%s` |\n",
+			c.Code, c.Severity, c.Requirement, escape(c.InvalidExample), escape(c.ValidExample))
 	}
 	return b.String()
 }
--- a/internal/check/diff/diff.go
+++ b/internal/check/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff compares two configurations by what they mean: the order of keys, of things that have names, and how a
-// number is written say nothing.
+// Package diff compares two configurations by their meaning: the order of keys and of named items, and the notation of
+// numbers make no difference.
 package diff
 
 import (
@@ -9,135 +9,156 @@
 	"wheatlane/internal/jsontext"
 )
 
-// Change is a difference.
+// Change is a difference between two configurations.
 type Change struct {
-	Key      string // things in lists by their names, as in settings.RequestClasses[lookup].Worth
-	Was, Now string // in words; empty: it is not there
+	Key string // named items of lists by their names, as in settings.RequestClasses["lookup"].Worth
+	Old string // the value in words; empty: the first configuration has none
+	New string // the same of the second configuration
 }
 
+// String returns a change as a line that begins with +, - or ~.
 func (c Change) String() string {
 	switch {
-	case c.Was == "":
-		return "+ " + c.Key + ": " + c.Now
-	case c.Now == "":
-		return "- " + c.Key + ": " + c.Was
+	case c.Old == "":
+		return "+ " + c.Key + ": " + c.New
+	case c.New == "":
+		return "- " + c.Key + ": " + c.Old
 	}
-	return "~ " + c.Key + ": " + c.Was + " -> " + c.Now
+	return "~ " + c.Key + ": " + c.Old + " -> " + c.New
 }
 
-// names are the keys by which things in lists are known, the first that is there.
-var names = []string{"Name", "name", "host", "seq"}
+// nameKeys are the keys that identify an item of a list; the first that an item has counts.
+var nameKeys = []string{"Name", "name", "host", "seq"}
 
-// passed are keys that say nothing of what a broker does.
-var passed = map[string]bool{"$schema": true, "$made": true}
+// ignoredKeys have no influence on a broker.
+var ignoredKeys = map[string]bool{"$schema": true, "$made": true}
 
-// Diff is what differs, in the order of the first file, with what is new behind it.
+// Diff returns the changes from one configuration to another, in the order of the first, with additions last.
 func Diff(a, b *jsontext.Node) []Change { return compare("", a, b) }
 
-func compare(key string, a, b *jsontext.Node) (all []Change) {
+func compare(key string, a, b *jsontext.Node) []Change {
 	switch {
 	case a == nil && b == nil:
 		return nil
 	case a == nil || b == nil || a.Kind != b.Kind:
-		return []Change{{key, words(a), words(b)}}
+		return []Change{{Key: key, Old: describe(a), New: describe(b)}}
+	case a.Kind == jsontext.Object:
+		return compareObjects(key, a, b)
+	case a.Kind == jsontext.Array:
+		return compareArrays(key, a.Items, b.Items)
+	case describe(a) != describe(b):
+		return []Change{{Key: key, Old: describe(a), New: describe(b)}}
 	}
-	switch a.Kind {
-	case jsontext.Object:
-		for _, m := range a.Members {
-			if !passed[m.Key] {
-				all = append(all, compare(join(key, m.Key), m.Value, b.Get(m.Key))...)
-			}
+	return nil
+}
+
+func compareObjects(key string, a, b *jsontext.Node) []Change {
+	var changes []Change
+	for _, m := range a.Members {
+		if !ignoredKeys[m.Key] {
+			changes = append(changes, compare(join(key, m.Key), m.Value, b.Get(m.Key))...)
 		}
-		for _, m := range b.Members {
-			if !passed[m.Key] && a.Get(m.Key) == nil {
-				all = append(all, compare(join(key, m.Key), nil, m.Value)...)
-			}
+	}
+	for _, m := range b.Members {
+		if !ignoredKeys[m.Key] && a.Get(m.Key) == nil {
+			changes = append(changes, compare(join(key, m.Key), nil, m.Value)...)
 		}
-	case jsontext.List:
-		all = lists(key, a.Items, b.Items)
-	default:
-		if words(a) != words(b) {
-			all = []Change{{key, words(a), words(b)}}
+	}
+	return changes
+}
+
+// compareArrays compares items by their names if all have one that is unique, and by index otherwise.
+func compareArrays(key string, a, b []*jsontext.Node) []Change {
+	oldItems, okA := indexByName(a)
+	newItems, okB := indexByName(b)
+	if !okA || !okB {
+		return compareByIndex(key, a, b)
+	}
+	var changes []Change
+	for _, name := range oldItems.names {
+		changes = append(changes, compare(itemKey(key, name), oldItems.byName[name], newItems.byName[name])...)
+	}
+	for _, name := range newItems.names {
+		if oldItems.byName[name] == nil {
+			changes = append(changes, compare(itemKey(key, name), nil, newItems.byName[name])...)
 		}
 	}
-	return all
+	return changes
 }
 
-// lists compares lists by the names of their items if all have one, else by place.
-func lists(key string, a, b []*jsontext.Node) (all []Change) {
-	one, ordered, ok := byName(a)
-	two, rest, ok2 := byName(b)
-	if !ok || !ok2 {
-		for i := range max(len(a), len(b)) {
-			var x, y *jsontext.Node
-			if i < len(a) {
-				x = a[i]
-			}
-			if i < len(b) {
-				y = b[i]
-			}
-			all = append(all, compare(fmt.Sprintf("%s[%d]", key, i), x, y)...)
+func compareByIndex(key string, a, b []*jsontext.Node) []Change {
+	itemAt := func(items []*jsontext.Node, i int) *jsontext.Node {
+		if i >= len(items) {
+			return nil
 		}
-		return all
+		return items[i]
 	}
-	for _, n := range ordered {
-		all = append(all, compare(key+"["+n+"]", one[n], two[n])...)
+	n := max(len(a), len(b))
+	changes := make([]Change, 0, n)
+	for i := range n {
+		changes = append(changes, compare(itemKey(key, strconv.Itoa(i)), itemAt(a, i), itemAt(b, i))...)
 	}
-	for _, n := range rest {
-		if one[n] == nil {
-			all = append(all, compare(key+"["+n+"]", nil, two[n])...)
+	return changes
+}
+
+// namedItems is a list whose items have unique names.
+type namedItems struct {
+	byName map[string]*jsontext.Node
+	names  []string // in order of the list
+}
+
+// indexByName returns false if an item has no name, or two have the same.
+func indexByName(items []*jsontext.Node) (namedItems, bool) {
+	index := namedItems{byName: map[string]*jsontext.Node{}}
+	for _, item := range items {
+		_, name := nameOf(item)
+		if name == "" || index.byName[name] != nil {
+			return namedItems{}, false
 		}
+		index.byName[name] = item
+		index.names = append(index.names, name)
 	}
-	return all
+	return index, true
 }
 
-// byName is a list by the names of its items; false if some have none, or two have one.
-func byName(items []*jsontext.Node) (by map[string]*jsontext.Node, order []string, ok bool) {
-	by = map[string]*jsontext.Node{}
-	for _, n := range items {
-		name := ""
-		for _, key := range names {
-			if v := n.Get(key); v != nil {
-				name = words(v)
-				break
-			}
+// nameOf returns the key by which an item is identified and its value in words, empty if there is none.
+func nameOf(item *jsontext.Node) (key, name string) {
+	for _, key := range nameKeys {
+		if value := item.Get(key); value != nil {
+			return key, describe(value)
 		}
-		if name == "" || by[name] != nil {
-			return nil, nil, false
-		}
-		by[name] = n
-		order = append(order, name)
 	}
-	return by, order, true
+	return "", ""
 }
 
-func join(key, name string) string {
-	if key == "" {
-		return name
+func join(parent, key string) string {
+	if parent == "" {
+		return key
 	}
-	return key + "." + name
+	return parent + "." + key
 }
 
-// words is a value as it is told; numbers by their value, however they are written.
-func words(n *jsontext.Node) string {
+func itemKey(list, item string) string { return list + "[" + item + "]" }
+
+// describe returns a value in words, empty if there is none. Numbers are normalized.
+func describe(n *jsontext.Node) string {
 	if n == nil {
 		return ""
 	}
 	switch n.Kind {
-	case jsontext.Text:
+	case jsontext.String:
 		return strconv.Quote(n.Text)
 	case jsontext.Number:
 		return strconv.FormatFloat(n.Number, 'g', -1, 64)
-	case jsontext.Truth:
-		return strconv.FormatBool(n.Truth)
+	case jsontext.Bool:
+		return strconv.FormatBool(n.Bool)
 	case jsontext.Null:
 		return "null"
-	case jsontext.List:
+	case jsontext.Array:
 		return fmt.Sprintf("a list of %d", len(n.Items))
-	}
-	for _, key := range names {
-		if v := n.Get(key); v != nil {
-			return "{" + key + ": " + words(v) + ", ...}"
+	case jsontext.Object:
+		if key, name := nameOf(n); key != "" {
+			return "{" + key + ": " + name + ", ...}"
 		}
 	}
 	return fmt.Sprintf("an object of %d keys", len(n.Members))
--- /dev/null
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -0,0 +1,124 @@
+package faultinjection
+
+import (
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"wheatlane/internal/check"
+	"wheatlane/internal/check/fleet"
+	"wheatlane/internal/check/form"
+	"wheatlane/internal/check/rules"
+	"wheatlane/internal/jsontext"
+)
+
+// checkFile returns the findings of the layers that look at one file.
+func checkFile(t *testing.T, doc map[string]any) []check.Finding {
+	t.Helper()
+	text, err := Marshal(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, findings, err := form.Run("a.json", text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f != nil {
+		findings = append(findings, rules.Run(f)...)
+	}
+	return findings
+}
+
+const (
+	seeds         = 2000
+	minFaultKinds = 60
+)
+
+// Valid files have no findings.
+func TestNoFalseFindings(t *testing.T) {
+	for seed := range uint64(seeds) {
+		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
+			doc := Valid(rand.New(rand.NewPCG(seed, 0)), kind)
+			if findings := checkFile(t, doc); len(findings) > 0 {
+				t.Fatalf("seed %d: %v", seed, findings[0])
+			}
+		}
+	}
+}
+
+// Every injected fault is found under its code at its path.
+func TestEveryFaultIsFound(t *testing.T) {
+	faults := Faults()
+	injected := map[string]int{} // by code
+	for seed := range uint64(seeds) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		fault := faults[int(seed)%len(faults)]
+		doc := Valid(rng, fault.Kind)
+		key := jsontext.FormatPath(fault.Inject(rng, doc)...)
+		injected[fault.Code]++
+		findings := checkFile(t, doc)
+		isExpected := func(f check.Finding) bool { return f.Code == fault.Code && f.Key == key }
+		if !slices.ContainsFunc(findings, isExpected) {
+			t.Errorf("seed %d: %s at %s is not found, but %v", seed, fault.Code, key, findings)
+		}
+	}
+	for _, r := range rules.Table {
+		if injected[r.Code] == 0 {
+			t.Errorf("%s is never injected", r.Code)
+		}
+	}
+	if len(faults) < minFaultKinds {
+		t.Errorf("%d kinds of fault, %d at least", len(faults), minFaultKinds)
+	}
+}
+
+// Faults of the text itself, which can't be injected into a value.
+func TestFaultsOfTheText(t *testing.T) {
+	for text, want := range map[string]string{
+		"":                                       "F001",
+		"{":                                      "F001",
+		"\xef\xbb\xbf{}":                         "F001",
+		`{"telemetry":{}} x`:                     "F001",
+		strings.Repeat("[", 100_000):             "F001",
+		"{\"telemetry\":{},\n \"telemetry\":{}}": "F002",
+		"[]":                                     "F004",
+	} {
+		_, findings, err := form.Run("a.json", []byte(text))
+		if err != nil || len(findings) != 1 || findings[0].Code != want {
+			t.Errorf("%.20q: %v, %v, want %s", text, findings, err, want)
+		}
+	}
+}
+
+// The position of a finding is that of the value in the file as it is written.
+func TestPositions(t *testing.T) {
+	text := "{\n  \"telemetry\": {\n    \"interval_ms\": 5,\n    \"intervall\": 7\n  }\n}\n"
+	_, findings, err := form.Run("a.json", []byte(text))
+	if err != nil || len(findings) != 2 {
+		t.Fatal(findings, err)
+	}
+	if f := findings[0]; f.Line != 3 || f.Column != 20 || f.Key != "telemetry.interval_ms" {
+		t.Errorf("%+v", f)
+	}
+	if f := findings[1]; f.Line != 4 || f.Column != 18 || f.Code != "F003" {
+		t.Errorf("%+v", f)
+	}
+}
+
+// The operators' page has the table of checks as the program prints it.
+func TestPageOfChecks(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/operators/checks.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checks := slices.Clone(form.Table)
+	for _, r := range rules.Table {
+		checks = append(checks, r.Check)
+	}
+	checks = append(checks, fleet.Table...)
+	if !strings.Contains(string(page), check.Markdown(checks)) {
+		t.Error("docs/operators/checks.md lacks the table that 'wheatlane config checks' prints")
+	}
+}
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -12,19 +12,21 @@
 
 type object = map[string]any
 
-// read makes two files of a fleet, valid together, and lets the second be changed.
-func read(t *testing.T, seed uint64, change func(doc object)) []*check.File {
+const seeds = 50
+
+// generatePair generates the files of two brokers, which are consistent but for a change of the second.
+func generatePair(t *testing.T, seed uint64, change func(doc object)) []*check.File {
 	t.Helper()
-	var files []*check.File
-	for i := range 2 {
-		doc := faultinjection.Platform(rand.New(rand.NewPCG(seed, 0)))
+	files := make([]*check.File, 2)
+	for i := range files {
+		doc := faultinjection.PlatformConfig(rand.New(rand.NewPCG(seed, 0)))
 		doc["name"], doc["listen"] = fmt.Sprint("n", i), fmt.Sprintf("10.0.0.%d:6565", i+1)
-		set := doc["settings"].(object)
-		set["PeersTotal"], set["Position"] = 2, i
+		settings := settingsOf(doc)
+		settings["PeersTotal"], settings["Position"] = 2, i
 		if i == 1 {
 			change(doc)
 		}
-		text, err := faultinjection.Text(doc)
+		text, err := faultinjection.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -32,51 +34,73 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		files = append(files, f)
+		files[i] = f
 	}
 	return files
 }
 
-func class(doc object) object {
-	return doc["settings"].(object)["RequestClasses"].([]any)[0].(object)
-}
+func settingsOf(doc object) object { return doc["settings"].(object) }
+
+func firstClass(doc object) object { return settingsOf(doc)["RequestClasses"].([]any)[0].(object) }
+
+func firstTenant(doc object) object { return settingsOf(doc)["Tenants"].([]any)[0].(object) }
 
-func hosts(doc object) []any {
-	return doc["known"].(object)["results"].([]any)[0].(object)["fleet"].(object)["hosts"].([]any)
+func knownList(doc object) object { return doc["known"].(object) }
+
+func firstEndpointList(doc object) object {
+	return knownList(doc)["results"].([]any)[0].(object)["fleet"].(object)
 }
 
-// Each disagreement is found under its code, in the later file, at its place; where there is none, nothing is.
-func TestDisagreements(t *testing.T) {
+func firstHost(doc object) object { return firstEndpointList(doc)["hosts"].([]any)[0].(object) }
+
+// Each contradiction is found under its code, in the later file, at its path; consistent files have no findings.
+func TestContradictions(t *testing.T) {
 	for _, c := range []struct {
 		name, code, key string
-		change          func(object)
+		change          func(doc object)
 	}{
 		{"none", "", "", func(object) {}},
-		{"one address", "S101", "listen", func(d object) { d["listen"] = "10.0.0.1:6565" }},
-		{"another address of an engine", "S102", "known.results", func(d object) { hosts(d)[0].(object)["dial"] = "10.9.9.9:1" }},
-		{"an engine more", "S102", "known.results", func(d object) {
-			r := d["known"].(object)["results"].([]any)[0].(object)["fleet"].(object)
-			r["hosts"] = append(r["hosts"].([]any), object{"host": "s-more", "dial": "10.9.9.9:1", "class": "std-8core", "health": "in_service"})
+		{"same address", "S101", "listen", func(doc object) { doc["listen"] = "10.0.0.1:6565" }},
+		{"another address of an engine", "S102", "known.results", func(doc object) {
+			firstHost(doc)["dial"] = "10.9.9.9:1"
+		}},
+		{"an additional engine", "S102", "known.results", func(doc object) {
+			list := firstEndpointList(doc)
+			list["hosts"] = append(list["hosts"].([]any),
+				object{"host": "s-more", "dial": "10.9.9.9:1", "class": "std-8core", "health": "in_service"})
 		}},
-		{"one is behind", "S103", "known.seq", func(d object) { d["known"].(object)["seq"] = 99 }},
-		{"another meaning", "S104", "settings.RequestClasses[0].Worth", func(d object) { class(d)["Worth"] = 77 }},
-		{"another aim", "S104", "settings.RequestClasses[0].PromiseNs", func(d object) { class(d)["PromiseNs"] = 1 }},
-		{"another share", "S105", "settings.Tenants[0].Share", func(d object) {
-			d["settings"].(object)["Tenants"].([]any)[0].(object)["Share"] = 0.001
+		{"another revision", "S103", "known.seq", func(doc object) { knownList(doc)["seq"] = 99 }},
+		{"another weight", "S104", "settings.RequestClasses[0].Worth", func(doc object) {
+			firstClass(doc)["Worth"] = 77
 		}},
-		{"other peers", "S106", "settings.PeersTotal", func(d object) { d["settings"].(object)["PeersTotal"] = 3 }},
-		{"one place", "S107", "settings.Position", func(d object) { d["settings"].(object)["Position"] = 0 }},
-		{"another change log", "S108", "changelog", func(d object) { d["changelog"] = "10.2.0.9:4222" }},
-		{"one name", "S109", "name", func(d object) { d["name"] = "n0" }},
+		{"another latency objective", "S104", "settings.RequestClasses[0].PromiseNs", func(doc object) {
+			firstClass(doc)["PromiseNs"] = 1
+		}},
+		{"another share", "S105", "settings.Tenants[0].Share", func(doc object) {
+			firstTenant(doc)["Share"] = 0.001
+		}},
+		{"another number of peers", "S106", "settings.PeersTotal", func(doc object) {
+			settingsOf(doc)["PeersTotal"] = 3
+		}},
+		{"same index", "S107", "settings.Position", func(doc object) { settingsOf(doc)["Position"] = 0 }},
+		{"another change log", "S108", "changelog", func(doc object) { doc["changelog"] = "10.2.0.9:4222" }},
+		{"same name", "S109", "name", func(doc object) { doc["name"] = "n0" }},
 	} {
-		for seed := range uint64(50) {
-			found := Run(read(t, seed, c.change))
-			if c.code == "" && len(found) > 0 {
-				t.Fatalf("seed %d: %v", seed, found)
-			}
-			if c.code != "" && (len(found) != 1 || found[0].Code != c.code || found[0].Key != c.key || found[0].File != "1.json") {
-				t.Fatalf("%s, seed %d: %v, want %s at %s", c.name, seed, found, c.code, c.key)
+		t.Run(c.name, func(t *testing.T) {
+			for seed := range uint64(seeds) {
+				findings := Run(generatePair(t, seed, c.change))
+				if c.code == "" && len(findings) > 0 {
+					t.Fatalf("seed %d: %v", seed, findings)
+				}
+				if c.code != "" && !isOnly(findings, c.code, c.key) {
+					t.Fatalf("seed %d: %v, want %s at %s", seed, findings, c.code, c.key)
+				}
 			}
-		}
+		})
 	}
 }
+
+// isOnly reports whether there is one finding, of a check at a key of the second file.
+func isOnly(findings []check.Finding, code, key string) bool {
+	return len(findings) == 1 && findings[0].Code == code && findings[0].Key == key && findings[0].File == "1.json"
+}
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -1,11 +1,13 @@
-// Package form is the layer of the checker that finds what can't be read: text that is no JSON, keys that come twice or
-// are not known, values of a wrong type or out of range. It does no I/O.
+// Package form is the layer of the checker for values that can't be read: text that is no JSON, keys that are duplicate
+// or unknown, values of a wrong type or out of range. It does no I/O.
 package form
 
 import (
 	"errors"
 	"fmt"
 	"net/netip"
+	"slices"
+	"strconv"
 	"strings"
 
 	"github.com/agnivade/levenshtein"
@@ -20,120 +22,229 @@
 
 // The checks of this layer.
 var (
-	Syntax  = check.Check{Code: "F001", Severity: check.Fault, Rule: "a file is one JSON value", Instead: "text that a JSON reader takes", Broken: `{"a":1,}`, Mended: `{"a":1}`}
-	Twice   = check.Check{Code: "F002", Severity: check.Fault, Rule: "a key comes once in an object", Instead: "one of the two", Broken: `{"listen":"a","listen":"b"}`, Mended: `{"listen":"b"}`}
-	Unknown = check.Check{Code: "F003", Severity: check.Fault, Rule: "a key is one that is known", Instead: "the name that was meant", Broken: `{"telemetery":{}}`, Mended: `{"telemetry":{}}`}
-	Type    = check.Check{Code: "F004", Severity: check.Fault, Rule: "a value is of its key's type", Instead: "a value of that type", Broken: `"interval_ms":"10s"`, Mended: `"interval_ms":10000`}
-	Range   = check.Check{Code: "F005", Severity: check.Fault, Rule: "a value is within its bounds", Instead: "one that is", Broken: `"interval_ms":5`, Mended: `"interval_ms":10000`}
-	Missing = check.Check{Code: "F006", Severity: check.Fault, Rule: "what has no default is there", Instead: "the key with a value", Broken: `{"name":"carbon"}`, Mended: `{"name":"carbon","address":"10.0.0.9:2003"}`}
-	Address = check.Check{Code: "F007", Severity: check.Fault, Rule: "an address is an IP address with a port; names are not looked up", Instead: "as in 10.0.0.9:2003", Broken: `"address":"carbon:2003"`, Mended: `"address":"10.0.0.9:2003"`}
-	Near    = check.Check{Code: "F008", Severity: check.Warning, Rule: "a key that is not read, and is nearly one that is, is probably meant to be that", Instead: "the name that was meant", Broken: `"RoundNS":5000000`, Mended: `"RoundNs":5000000`}
+	Syntax = check.Check{
+		Code:           "F001",
+		Severity:       check.Fault,
+		Requirement:    "a file is one JSON value",
+		Remedy:         "text that a JSON reader takes",
+		InvalidExample: `{"a":1,}`,
+		ValidExample:   `{"a":1}`,
+	}
+	DuplicateKey = check.Check{
+		Code:           "F002",
+		Severity:       check.Fault,
+		Requirement:    "a key comes once in an object",
+		Remedy:         "one of the two",
+		InvalidExample: `{"listen":"a","listen":"b"}`,
+		ValidExample:   `{"listen":"b"}`,
+	}
+	UnknownKey = check.Check{
+		Code:           "F003",
+		Severity:       check.Fault,
+		Requirement:    "a key is one that is known",
+		Remedy:         "the name that was meant",
+		InvalidExample: `{"telemetery":{}}`,
+		ValidExample:   `{"telemetry":{}}`,
+	}
+	InvalidType = check.Check{
+		Code:           "F004",
+		Severity:       check.Fault,
+		Requirement:    "a value is of its key's type",
+		Remedy:         "a value of that type",
+		InvalidExample: `"interval_ms":"10s"`,
+		ValidExample:   `"interval_ms":10000`,
+	}
+	OutOfRange = check.Check{
+		Code:           "F005",
+		Severity:       check.Fault,
+		Requirement:    "a value is within its bounds",
+		Remedy:         "one that is",
+		InvalidExample: `"interval_ms":5`,
+		ValidExample:   `"interval_ms":10000`,
+	}
+	MissingKey = check.Check{
+		Code:           "F006",
+		Severity:       check.Fault,
+		Requirement:    "what has no default is there",
+		Remedy:         "the key with a value",
+		InvalidExample: `{"name":"carbon"}`,
+		ValidExample:   `{"name":"carbon","address":"10.0.0.9:2003"}`,
+	}
+	Address = check.Check{
+		Code:           "F007",
+		Severity:       check.Fault,
+		Requirement:    "an address is an IP address with a port; names are not looked up",
+		Remedy:         "as in 10.0.0.9:2003",
+		InvalidExample: `"address":"carbon:2003"`,
+		ValidExample:   `"address":"10.0.0.9:2003"`,
+	}
+	SimilarKey = check.Check{
+		Code:           "F008",
+		Severity:       check.Warning,
+		Requirement:    "a key that is not read, and is nearly one that is, is probably meant to be that",
+		Remedy:         "the name that was meant",
+		InvalidExample: `"RoundNS":5000000`,
+		ValidExample:   `"RoundNs":5000000`,
+	}
 )
 
 // Table is every check of this layer.
-var Table = []check.Check{Syntax, Twice, Unknown, Type, Range, Missing, Address, Near}
+var Table = []check.Check{
+	Syntax, DuplicateKey, UnknownKey, InvalidType, OutOfRange, MissingKey, Address, SimilarKey,
+}
 
-var kinds = map[schema.What]check.Check{schema.Type: Type, schema.Unknown: Unknown, schema.Missing: Missing, schema.Range: Range}
+var checkOf = map[schema.ViolationKind]check.Check{
+	schema.InvalidType: InvalidType,
+	schema.UnknownKey:  UnknownKey,
+	schema.MissingKey:  MissingKey,
+	schema.OutOfRange:  OutOfRange,
+}
 
-// Run reads a file and finds the faults of its form. The file is nil if it can't be read as JSON at all.
+// Run parses a file and checks its form. The file is nil if it can't be parsed at all.
 func Run(name string, text []byte) (*check.File, []check.Finding, error) {
-	root, twice, err := jsontext.Parse(text)
-	var bad *jsontext.Error
-	if errors.As(err, &bad) {
-		return nil, []check.Finding{{Check: Syntax, File: name, Line: bad.Place.Line, Column: bad.Place.Column, Key: check.Key(), Seen: bad.Reason}}, nil
+	root, duplicates, err := jsontext.Parse(text)
+	var syntaxError *jsontext.SyntaxError
+	if errors.As(err, &syntaxError) {
+		return nil, []check.Finding{syntaxFinding(name, syntaxError)}, nil
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	f := &check.File{Name: name, Kind: check.KindOf(root), Root: root}
-	var all []check.Finding
-	for _, m := range twice {
-		all = append(all, check.Finding{Check: Twice, File: name, Line: m.Place.Line, Column: m.Place.Column, Key: m.Key, Seen: "again"})
-	}
-	shape := operatorconfig.JSONSchema
-	if f.Kind == check.Platform {
-		shape = config.JSONSchema
-	}
-	s, err := shape()
+	f := &check.File{Name: name, Kind: check.DetectKind(root), Root: root}
+	s, err := schemaOf(f.Kind)
 	if err != nil {
 		return nil, nil, err
 	}
-	found, err := schema.Check(s, root.Any())
+	violations, err := schema.Validate(s, root.Any())
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, x := range found {
-		c, seen := kinds[x.What], x.Reason
-		if x.What == schema.Unknown {
-			if n := nearest(x.Path[len(x.Path)-1], x.Near); n != "" {
-				c.Instead = n
-			}
-		}
-		all = append(all, f.Hit(c, seen, x.Path...))
+	findings := duplicateFindings(name, duplicates)
+	for _, v := range violations {
+		findings = append(findings, violationFinding(f, v))
+	}
+	if f.Kind == check.PlatformFile {
+		findings = append(findings, similarKeys(f, s, root, nil)...)
+	}
+	return f, append(findings, invalidAddresses(f)...), nil
+}
+
+// schemaOf returns the schema that files of a kind are checked against.
+func schemaOf(kind check.FileKind) (*jsonschema.Schema, error) {
+	if kind == check.PlatformFile {
+		return config.JSONSchema()
+	}
+	return operatorconfig.JSONSchema()
+}
+
+func syntaxFinding(file string, err *jsontext.SyntaxError) check.Finding {
+	return check.Finding{
+		Check:    Syntax,
+		File:     file,
+		Line:     err.Position.Line,
+		Column:   err.Position.Column,
+		Key:      jsontext.FormatPath(),
+		Observed: err.Reason,
 	}
-	if f.Kind == check.Platform {
-		all = append(all, near(f, s, root, nil)...)
+}
+
+func duplicateFindings(file string, duplicates []jsontext.Member) []check.Finding {
+	findings := make([]check.Finding, 0, len(duplicates))
+	for _, m := range duplicates {
+		findings = append(findings, check.Finding{
+			Check:    DuplicateKey,
+			File:     file,
+			Line:     m.Position.Line,
+			Column:   m.Position.Column,
+			Key:      m.Key,
+			Observed: "again",
+		})
 	}
-	return f, append(all, addresses(f)...), nil
+	return findings
 }
 
-// nearest is the known name that a word is probably meant to be, or empty.
-func nearest(word string, known []string) string {
-	best, least := "", 3 // more than two letters off is another word
-	for _, k := range known {
-		if d := levenshtein.ComputeDistance(strings.ToLower(word), strings.ToLower(k)); d < least && d < len(k)/2+1 {
-			best, least = k, d
+// violationFinding converts a violation of the schema; for an unknown key the remedy is the similar one that is known.
+func violationFinding(f *check.File, v schema.Violation) check.Finding {
+	c := checkOf[v.Kind]
+	if v.Kind == schema.UnknownKey {
+		if similar := mostSimilar(v.Path[len(v.Path)-1], v.KnownKeys); similar != "" {
+			c.Remedy = similar
 		}
 	}
-	return best
+	return f.NewFinding(c, v.Reason, v.Path...)
 }
 
-// near finds keys of the platform's file that are not read, and nearly ones that are.
-func near(f *check.File, s *jsonschema.Schema, n *jsontext.Node, path []string) (all []check.Finding) {
-	known := make([]string, 0, len(s.Properties))
-	for k := range s.Properties {
-		if n.Get(k) == nil { // one that is there was not meant by another
-			known = append(known, k)
+// maxEditDistance is the Levenshtein distance up to which two keys are similar.
+const maxEditDistance = 2
+
+// mostSimilar returns the known key with the least Levenshtein distance to a key, empty if none is similar. In short
+// keys at most half of the letters may differ.
+func mostSimilar(key string, known []string) string {
+	similar, least := "", maxEditDistance+1
+	for _, candidate := range known {
+		distance := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(candidate))
+		if distance < least && distance <= len(candidate)/2 {
+			similar, least = candidate, distance
 		}
 	}
+	return similar
+}
+
+// similarKeys finds keys of the platform's file that are not read, but similar to one that is and that is absent.
+func similarKeys(f *check.File, s *jsonschema.Schema, n *jsontext.Node, path []string) []check.Finding {
+	absent := make([]string, 0, len(s.Properties))
+	for key := range s.Properties {
+		if n.Get(key) == nil {
+			absent = append(absent, key)
+		}
+	}
+	var findings []check.Finding
 	for _, m := range n.Members {
-		at := append(path[:len(path):len(path)], m.Key)
-		if p := s.Properties[m.Key]; p != nil {
-			all = append(all, near(f, p, m.Value, at)...)
-		} else if k := nearest(m.Key, known); k != "" {
-			c := Near
-			c.Instead = k
-			all = append(all, f.Hit(c, "not read", at...))
+		keyPath := extend(path, m.Key)
+		if property := s.Properties[m.Key]; property != nil {
+			findings = append(findings, similarKeys(f, property, m.Value, keyPath)...)
+		} else if similar := mostSimilar(m.Key, absent); similar != "" {
+			c := SimilarKey
+			c.Remedy = similar
+			findings = append(findings, f.NewFinding(c, "not read", keyPath...))
 		}
 	}
 	if s.Items != nil {
 		for i, item := range n.Items {
-			all = append(all, near(f, s.Items, item, append(path[:len(path):len(path)], fmt.Sprint(i)))...)
+			findings = append(findings, similarKeys(f, s.Items, item, extend(path, strconv.Itoa(i)))...)
 		}
 	}
-	return all
+	return findings
 }
 
-// addresses finds texts that are no address where one belongs.
-func addresses(f *check.File) (all []check.Finding) {
-	look := func(path ...string) {
-		n := f.Root.At(path...)
-		if n == nil || n.Kind != jsontext.Text {
-			return
+// extend returns a copy of a path with further keys.
+func extend(path []string, keys ...string) []string { return slices.Concat(path, keys) }
+
+// invalidAddresses finds strings that are no IP address with a port where one is required.
+func invalidAddresses(f *check.File) []check.Finding {
+	var findings []check.Finding
+	for _, path := range addressPaths(f) {
+		value := f.Root.At(path...)
+		if value == nil || value.Kind != jsontext.String {
+			continue
 		}
-		if _, err := netip.ParseAddrPort(n.Text); err != nil {
-			all = append(all, f.Hit(Address, fmt.Sprintf("%q", n.Text), path...))
+		if _, err := netip.ParseAddrPort(value.Text); err != nil {
+			findings = append(findings, f.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...))
 		}
 	}
-	if f.Kind == check.Platform {
-		look("listen")
-		look("changelog")
-		return all
+	return findings
+}
+
+// addressPaths returns the paths of a file at which addresses are required.
+func addressPaths(f *check.File) [][]string {
+	if f.Kind == check.PlatformFile {
+		return [][]string{{"listen"}, {"changelog"}}
 	}
+	var paths [][]string
 	for _, list := range []string{"graphite", "collectd"} {
-		for i := range f.Root.At("telemetry", list).All() {
-			look("telemetry", list, fmt.Sprint(i), "address")
+		for i := range f.Root.At("telemetry", list).Elements() {
+			paths = append(paths, []string{"telemetry", list, strconv.Itoa(i), "address"})
 		}
 	}
-	return all
+	return paths
 }
--- /dev/null
+++ b/internal/check/rules/knownlist.go
@@ -0,0 +1,161 @@
+package rules
+
+import (
+	"strconv"
+
+	"wheatlane/internal/check"
+	"wheatlane/internal/jsontext"
+)
+
+// removedState is the state of an engine that is no longer listed.
+const removedState = "terminated"
+
+// knownListRules are the rules for the endpoint list that a broker starts with.
+var knownListRules = []Rule{
+	{
+		Check: check.Check{
+			Code:           "R125",
+			Severity:       check.Fault,
+			Requirement:    "an engine in service has an address of its own",
+			Remedy:         "another address",
+			InvalidExample: `two hosts with "dial":"10.1.0.9:6565"`,
+			ValidExample:   `"dial":"10.1.0.10:6565"`,
+		},
+		Find: findSharedEngineAddresses,
+	},
+	{
+		Check: check.Check{
+			Code:           "R126",
+			Severity:       check.Fault,
+			Requirement:    "an engine is of a kind of machine that exists",
+			Remedy:         "a kind of MachineTypes",
+			InvalidExample: `"class":"huge"`,
+			ValidExample:   `"class":"std-8core"`,
+		},
+		Find: findUnknownEngineKinds,
+	},
+	{
+		Check: check.Check{
+			Code:           "R127",
+			Severity:       check.Fault,
+			Requirement:    "the first known event is a complete list",
+			Remedy:         "events from the first on",
+			InvalidExample: `"results":[{"seq":1,"fleet":{"whole":false}}]`,
+			ValidExample:   `"results":[{"seq":1,"fleet":{"whole":true}}]`,
+		},
+		Find: findMissingSnapshot,
+	},
+	{
+		Check: check.Check{
+			Code:           "R128",
+			Severity:       check.Fault,
+			Requirement:    "events are numbered in rising order",
+			Remedy:         "the events in their order",
+			InvalidExample: `"seq":2 ahead of "seq":1`,
+			ValidExample:   `"seq":1 ahead of "seq":2`,
+		},
+		Find: findUnorderedEvents,
+	},
+	{
+		Check: check.Check{
+			Code:           "R129",
+			Severity:       check.Fault,
+			Requirement:    "the number of the list is that of its last event",
+			Remedy:         "the number of the last",
+			InvalidExample: `"seq":9, of events up to 3`,
+			ValidExample:   `"seq":3`,
+		},
+		Find: findWrongListRevision,
+	},
+}
+
+// events returns the known events of a platform's file.
+func events(root *jsontext.Node) []listItem { return items(root, "known", "results") }
+
+// hosts returns the engines of an event.
+func hosts(root *jsontext.Node, event listItem) []listItem {
+	return items(root, event.pathOf("fleet", "hosts")...)
+}
+
+// allHosts returns the engines of all known events.
+func allHosts(root *jsontext.Node) []listItem {
+	known := events(root)
+	all := make([]listItem, 0, len(known))
+	for _, event := range known {
+		all = append(all, hosts(root, event)...)
+	}
+	return all
+}
+
+func isRemoved(host *jsontext.Node) bool { return host.Get("health").TextOrEmpty() == removedState }
+
+// enginesInService counts the engines that the known events leave in the list.
+func enginesInService(root *jsontext.Node) int {
+	inService := map[string]bool{}
+	for _, host := range allHosts(root) {
+		inService[host.Get("host").TextOrEmpty()] = !isRemoved(host.Node)
+	}
+	n := 0
+	for _, listed := range inService {
+		if listed {
+			n++
+		}
+	}
+	return n
+}
+
+func findSharedEngineAddresses(root *jsontext.Node, report Report) {
+	for _, event := range events(root) {
+		engineAt := map[string]string{} // by address
+		for _, host := range hosts(root, event) {
+			address, id := host.Get("dial").TextOrEmpty(), host.Get("host").TextOrEmpty()
+			if isRemoved(host.Node) || address == "" {
+				continue
+			}
+			if other, taken := engineAt[address]; taken && other != id {
+				report(address+", which is that of "+other, host.pathOf("dial")...)
+			}
+			engineAt[address] = id
+		}
+	}
+}
+
+func findUnknownEngineKinds(root *jsontext.Node, report Report) {
+	kinds := texts(root, "settings", "MachineTypes")
+	if len(kinds) == 0 {
+		return
+	}
+	for _, host := range allHosts(root) {
+		if kind := host.Get("class").TextOrEmpty(); !kinds[kind] {
+			report(strconv.Quote(kind), host.pathOf("class")...)
+		}
+	}
+}
+
+func findMissingSnapshot(root *jsontext.Node, report Report) {
+	if all := events(root); len(all) > 0 && !all[0].At("fleet", "whole").IsTrue() {
+		report("a change of a list that is missing", all[0].pathOf("fleet", "whole")...)
+	}
+}
+
+func findUnorderedEvents(root *jsontext.Node, report Report) {
+	last := 0.0
+	for _, event := range events(root) {
+		revision := event.Get("seq").NumberOr(0)
+		if revision <= last {
+			report(formatNumber(revision)+" after "+formatNumber(last), event.pathOf("seq")...)
+		}
+		last = max(last, revision)
+	}
+}
+
+func findWrongListRevision(root *jsontext.Node, report Report) {
+	all := events(root)
+	if len(all) == 0 {
+		return
+	}
+	last := all[len(all)-1].Get("seq").NumberOr(0)
+	if revision := root.At("known", "seq").NumberOr(last); revision != last {
+		report(formatNumber(revision)+", the last is "+formatNumber(last), "known", "seq")
+	}
+}
--- /dev/null
+++ b/internal/check/rules/operator.go
@@ -0,0 +1,136 @@
+package rules
+
+import (
+	"net/netip"
+	"time"
+
+	"wheatlane/internal/check"
+	"wheatlane/internal/jsontext"
+)
+
+const (
+	defaultIdleS      = 600
+	defaultIntervalMS = 10_000
+
+	backlogFraction  = 1.0 / 8 // of the default memory, at most this fraction is for metrics that wait
+	minIdleIntervals = 2       // a name keeps its series for so many intervals at least
+)
+
+var (
+	graphiteList = []string{"telemetry", "graphite"}
+	collectdList = []string{"telemetry", "collectd"}
+)
+
+// operatorRules are the rules for the operator's configuration.
+var operatorRules = []Rule{
+	{
+		Kind: check.OperatorFile,
+		Check: check.Check{
+			Code:           "R201",
+			Severity:       check.Fault,
+			Requirement:    "a destination has an address of its own",
+			Remedy:         "another address, or one of them",
+			InvalidExample: `two with "address":"10.0.0.9:2003"`,
+			ValidExample:   `"address":"10.0.0.10:2003"`,
+		},
+		Find: unique("address", graphiteList, collectdList),
+	},
+	{
+		Kind: check.OperatorFile,
+		Check: check.Check{
+			Code:           "R202",
+			Severity:       check.Fault,
+			Requirement:    "the budgets for collectors leave the broker its memory",
+			Remedy:         "smaller budgets",
+			InvalidExample: `"budget_kb":65536, twice`,
+			ValidExample:   `"budget_kb":512`,
+		},
+		Find: findLargeBudgets,
+	},
+	{
+		Kind: check.OperatorFile,
+		Check: check.Check{
+			Code:           "R203",
+			Severity:       check.Warning,
+			Requirement:    "a name keeps its series for longer than an interval",
+			Remedy:         "a longer idle_s or a shorter interval",
+			InvalidExample: `"interval_ms":60000,"names":{"idle_s":10}`,
+			ValidExample:   `"interval_ms":10000,"names":{"idle_s":600}`,
+		},
+		Find: findShortIdleTime,
+	},
+	{
+		Kind: check.OperatorFile,
+		Check: check.Check{
+			Code:           "R204",
+			Severity:       check.Warning,
+			Requirement:    "packets that leave the machine for collectd are signed or encrypted",
+			Remedy:         `"security":"encrypt"`,
+			InvalidExample: `"address":"10.0.0.9:25826"`,
+			ValidExample: `"address":"10.0.0.9:25826","security":"encrypt","user":"chart",` +
+				`"password_file":"collectd.secret"`,
+		},
+		Find: findUnprotectedPackets,
+	},
+	{
+		Kind: check.OperatorFile,
+		Check: check.Check{
+			Code:           "R205",
+			Severity:       check.Warning,
+			Requirement:    "a user is set only where security requires one",
+			Remedy:         `"security":"sign" or "encrypt", or no user`,
+			InvalidExample: `"user":"chart"`,
+			ValidExample:   `"security":"sign","user":"chart","password_file":"collectd.secret"`,
+		},
+		Find: findUnusedUsers,
+	},
+}
+
+func findLargeBudgets(root *jsontext.Node, report Report) {
+	sumKB := 0.0
+	var lastPath []string
+	for _, list := range [][]string{graphiteList, collectdList} {
+		for _, destination := range items(root, list...) {
+			if budget := destination.Get("budget_kb"); budget != nil {
+				sumKB += budget.NumberOr(0)
+				lastPath = destination.pathOf("budget_kb")
+			}
+		}
+	}
+	if lastPath != nil && sumKB > defaultMemoryMB*kilobytesPerMegabyte*backlogFraction {
+		report(formatNumber(sumKB)+" KB together", lastPath...)
+	}
+}
+
+func findShortIdleTime(root *jsontext.Node, report Report) {
+	telemetry := root.Get("telemetry")
+	idleS := telemetry.At("names", "idle_s").NumberOr(defaultIdleS)
+	intervalMS := telemetry.Get("interval_ms").NumberOr(defaultIntervalMS)
+	if idleS*float64(time.Second/time.Millisecond) < minIdleIntervals*intervalMS {
+		report(formatNumber(idleS)+" s, intervals of "+formatMS(intervalMS*nanosecondsPerMillisecond),
+			"telemetry", "names", "idle_s")
+	}
+}
+
+// isUnprotected reports whether packets to a collectd server are neither signed nor encrypted.
+func isUnprotected(destination listItem) bool {
+	security := destination.Get("security").TextOrEmpty()
+	return security == "" || security == "none"
+}
+
+func findUnprotectedPackets(root *jsontext.Node, report Report) {
+	for _, destination := range items(root, collectdList...) {
+		address, err := netip.ParseAddrPort(destination.Get("address").TextOrEmpty())
+		if err == nil && !address.Addr().IsLoopback() && isUnprotected(destination) {
+			report(address.String(), destination.pathOf("address")...)
+		}
+	}
+}
+
+func findUnusedUsers(root *jsontext.Node, report Report) {
+	for _, destination := range items(root, collectdList...) {
+		if isUnprotected(destination) && destination.Get("user").TextOrEmpty() != "" {
+			report("a user, and no security", destination.pathOf("user")...)
+		}
+	}
+}
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -26,28 +26,60 @@
 	return text
 }
 
-// The worked example becomes files that the checker finds nothing in and that a broker reads as it was meant.
-func TestTheExample(t *testing.T) {
-	a, found, err := Parse(example(t))
-	if err != nil || len(found) > 0 {
-		t.Fatal(found, err)
+// generate returns the files of a description.
+func generate(t *testing.T, text []byte) (broker, operator []byte) {
+	t.Helper()
+	a, violations, err := Parse(text)
+	if err != nil || len(violations) > 0 {
+		t.Fatal(violations, err)
 	}
-	broker, err := a.Broker("test")
-	if err != nil {
+	if broker, err = a.BrokerFile(Provenance("app.json", text)); err != nil {
 		t.Fatal(err)
 	}
-	own, err := a.Operator("test")
-	if err != nil {
+	if operator, err = a.OperatorFile(Provenance("app.json", text)); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string][]byte{"broker.json": broker, "operator.json": own} {
-		f, all, err := form.Run(name, text)
-		if err != nil || len(all) > 0 || len(rules.Run(f)) > 0 {
-			t.Errorf("%s: %v %v %v", name, all, rules.Run(f), err)
+	return broker, operator
+}
+
+// The files of the example have no findings, and a broker reads them as intended.
+func TestExample(t *testing.T) {
+	broker, operator := generate(t, example(t))
+	for name, text := range map[string][]byte{"broker.json": broker, "operator.json": operator} {
+		f, findings, err := form.Run(name, text)
+		if err != nil || len(findings) > 0 || len(rules.Run(f)) > 0 {
+			t.Errorf("%s: %v %v %v", name, findings, rules.Run(f), err)
 		}
 	}
+	cfg := load(t, broker)
+	if cfg.Name != "chart-app" || cfg.MemoryMB != 192 || cfg.Settings.MaxClientTimeout != 25*time.Second {
+		t.Errorf("%+v", cfg)
+	}
+	want := control.Class{
+		Name:             "survey-load",
+		LatencyObjective: 3 * time.Second,
+		ClientTimeout:    25 * time.Second,
+		ObjectivePerWork: 3,
+		PriorityWeight:   20,
+		Idempotency:      control.IdempotentWithKey,
+		DedupWindow:      15 * time.Second,
+		Ordered:          true,
+		Threads:          2,
+		HoldsDataSetLock: true,
+	}
+	if diff := cmp.Diff(want, cfg.Settings.Control.Classes[2]); diff != "" {
+		t.Error(diff)
+	}
+	if f, err := operatorconfig.Parse(operator); err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
+		t.Errorf("%+v, %v", f, err)
+	}
+}
+
+// load reads a broker's configuration as the broker does.
+func load(t *testing.T, text []byte) config.Config {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "broker.json")
-	if err := os.WriteFile(path, broker, 0o600); err != nil {
+	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := config.Load(func(name string) string {
@@ -59,53 +91,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Name != "chart-app" || cfg.MemoryMB != 192 || cfg.Settings.MaxClientTimeout != 25*time.Second {
-		t.Errorf("%+v", cfg)
-	}
-	want := control.Class{Name: "survey-load", LatencyObjective: 3 * time.Second, ClientTimeout: 25 * time.Second, ObjectivePerWork: 3, PriorityWeight: 20,
-		Idempotency: control.IdempotentWithKey, DedupWindow: 15 * time.Second, Ordered: true, Threads: 2, HoldsDataSetLock: true}
-	if diff := cmp.Diff(want, cfg.Settings.Control.Classes[2]); diff != "" {
-		t.Error(diff)
-	}
-	if f, err := operatorconfig.Parse(own); err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
-		t.Errorf("%+v, %v", f, err)
-	}
+	return cfg
 }
 
-// The same description gives the same bytes, and says what it was; another says another.
-func TestTheSameBytes(t *testing.T) {
+// The same description gives the same bytes; descriptions that differ have another provenance.
+func TestSameBytes(t *testing.T) {
 	text := example(t)
-	write := func() []byte {
-		a, _, err := Parse(text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		out, err := a.Broker(Made("app.json", text))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return out
-	}
-	one, two := write(), write()
-	if !bytes.Equal(one, two) {
-		t.Error("two writings differ")
+	first, _ := generate(t, text)
+	second, _ := generate(t, text)
+	if !bytes.Equal(first, second) {
+		t.Error("two results of one description differ")
 	}
-	if Made("app.json", text) == Made("app.json", append(text, ' ')) {
-		t.Error("two descriptions pass for one")
+	if Provenance("app.json", text) == Provenance("app.json", append(text, ' ')) {
+		t.Error("two descriptions have the same provenance")
 	}
 }
 
-// All faults of a description are told, each with its key.
-func TestFaults(t *testing.T) {
-	text := strings.NewReplacer(`"share": 0.59`, `"share": 2`, `"wanted_ms": 400`, `"wantedms": 400`, `"repeat": "by_key"`, `"repeat": "often"`,
-		`"listen": "127.0.0.1:6565",`, "").Replace(string(example(t)))
-	_, found, err := Parse([]byte(text))
+// All violations of a description are reported, each with its key.
+func TestViolations(t *testing.T) {
+	text := strings.NewReplacer(
+		`"share": 0.59`, `"share": 2`,
+		`"wanted_ms": 400`, `"wantedms": 400`,
+		`"repeat": "by_key"`, `"repeat": "often"`,
+		`"listen": "127.0.0.1:6565",`, "",
+	).Replace(string(example(t)))
+	_, violations, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var keys []string
-	for _, f := range found {
-		keys = append(keys, f.Key())
+	keys := make([]string, len(violations))
+	for i, v := range violations {
+		keys[i] = v.Key()
 	}
 	want := []string{"classes[0].wantedms", "classes[0].wanted_ms", "classes[2].repeat", "customers[0].share", "listen"}
 	if diff := cmp.Diff(want, keys); diff != "" {
--- a/internal/description/golden_test.go
+++ b/internal/description/golden_test.go
@@ -11,7 +11,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// The files that are made of a description are what they were, byte by byte.
+// The files that are generated from a description are what they were, byte by byte.
 func TestWrittenFiles(t *testing.T) {
 	for _, c := range []struct{ name, path string }{
 		{"every-key", "testdata/every-key.json"},
@@ -22,32 +22,33 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a, found, err := Parse(text)
-			if err != nil || len(found) > 0 {
-				t.Fatalf("%v, %v", found, err)
-			}
-			for _, part := range []struct {
-				name string
-				make func(string) ([]byte, error)
-			}{{"broker", a.Broker}, {"operator", a.Operator}} {
-				got, err := part.make("by hand")
-				if err != nil {
-					t.Fatal(err)
-				}
-				path := filepath.Join("testdata", c.name+"."+part.name+".golden")
-				if *update {
-					if err := os.WriteFile(path, got, 0o600); err != nil {
-						t.Fatal(err)
-					}
-				}
-				want, err := os.ReadFile(path)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if diff := cmp.Diff(string(want), string(got)); diff != "" {
-					t.Errorf("%s: %s", path, diff)
-				}
+			a, violations, err := Parse(text)
+			if err != nil || len(violations) > 0 {
+				t.Fatalf("%v, %v", violations, err)
 			}
+			golden(t, filepath.Join("testdata", c.name+".broker.golden"), a.BrokerFile)
+			golden(t, filepath.Join("testdata", c.name+".operator.golden"), a.OperatorFile)
 		})
 	}
 }
+
+// golden compares a generated file with a golden one.
+func golden(t *testing.T, path string, generate func(provenance string) ([]byte, error)) {
+	t.Helper()
+	got, err := generate("by hand")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), string(got)); diff != "" {
+		t.Errorf("%s: %s", path, diff)
+	}
+}
--- a/internal/durable/disk.go
+++ b/internal/durable/disk.go
@@ -7,52 +7,57 @@
 	"path/filepath"
 )
 
-// Disk is a folder on a disk, made if it is not there.
+const (
+	dirMode  = 0o700 // only the owner may read a store
+	fileMode = 0o600
+)
+
+// Disk is a directory of the file system.
 type Disk struct{ path string }
 
-// NewDisk returns a folder that only its owner may read.
+// NewDisk returns the directory at a path and creates it if it does not exist.
 func NewDisk(path string) (*Disk, error) {
-	if err := os.MkdirAll(path, 0o700); err != nil {
+	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
 	}
 	return &Disk{path}, nil
 }
 
-func (d *Disk) at(name string) string { return filepath.Join(d.path, name) }
+func (d *Disk) join(name string) string { return filepath.Join(d.path, name) }
 
-// List names what is in the folder.
+// List returns the names of the files.
 func (d *Disk) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
-	var all []string
-	for _, e := range entries {
-		all = append(all, e.Name())
+	names := make([]string, 0, len(entries))
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
-	return all, nil
+	return names, nil
 }
 
-// Read reads a file.
-func (d *Disk) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+// Read returns the content of a file.
+func (d *Disk) Read(name string) ([]byte, error) { return os.ReadFile(d.join(name)) }
 
-// Create makes an empty file.
+// Create makes an empty file; an existing one is truncated.
 func (d *Disk) Create(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	return os.OpenFile(d.join(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 }
 
-// Append opens a file to write behind its end.
+// Append opens an existing file to write at its end.
 func (d *Disk) Append(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_APPEND|os.O_WRONLY, 0o600)
+	return os.OpenFile(d.join(name), os.O_APPEND|os.O_WRONLY, fileMode)
 }
 
-// Rename renames a file.
-func (d *Disk) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+// Rename renames a file; an existing one of the new name is replaced.
+func (d *Disk) Rename(from, to string) error { return os.Rename(d.join(from), d.join(to)) }
 
 // Remove removes a file.
-func (d *Disk) Remove(name string) error { return os.Remove(d.at(name)) }
+func (d *Disk) Remove(name string) error { return os.Remove(d.join(name)) }
 
-// Sync brings the names in the folder to the disk.
+// Sync makes the names of the files durable.
 func (d *Disk) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -5,6 +5,7 @@
 	"flag"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -51,74 +52,92 @@
 	return text
 }
 
-// A store that an earlier release wrote is read, and the same history is written in the same bytes.
-func TestStoredFile(t *testing.T) {
-	golden := filepath.Join("testdata", storedFile)
-	written := writeStored(t, t.TempDir())
+// goldenStore returns the golden file, which an earlier release wrote.
+func goldenStore(t *testing.T) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", storedFile)
 	if *update {
-		if err := os.WriteFile(golden, written, 0o600); err != nil {
+		if err := os.WriteFile(path, writeStored(t, t.TempDir()), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	stored, err := os.ReadFile(golden)
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return stored
+}
+
+// The same history is written in the same bytes as in an earlier release.
+func TestStoredBytes(t *testing.T) {
+	stored, written := goldenStore(t), writeStored(t, t.TempDir())
 	if !bytes.Equal(stored, written) {
 		t.Errorf("written: %x, want %x", written, stored)
 	}
+}
+
+// A store that an earlier release wrote is read, also when it is truncated or damaged.
+func TestStoredFile(t *testing.T) {
+	stored := goldenStore(t)
+	const continued = "log-0000000000000003"
 	for _, c := range []struct {
 		name    string
-		text    []byte
+		file    []byte
 		records [][]byte
 		lost    bool
+		files   []string
 	}{
-		{"complete", stored, storedRecords, false},
-		{"cut off in the last record", stored[:len(stored)-5], storedRecords[:3], false},
-		{"damaged ahead of a good record", flipped(stored, 9+4+8+len(storedSnapshot)+8), nil, true},
+		{"complete", stored, storedRecords, false, []string{continued}},
+		{"truncated in the last record", stored[:len(stored)-5], storedRecords[:3], false, []string{continued}},
+		{
+			"damaged ahead of a valid record",
+			flipped(stored, 9+4+8+len(storedSnapshot)+8),
+			nil,
+			true,
+			[]string{"damaged-" + storedFile, continued},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			folder := t.TempDir()
-			if err := os.WriteFile(filepath.Join(folder, storedFile), c.text, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			dir, err := NewDisk(folder)
-			if err != nil {
-				t.Fatal(err)
-			}
-			s, st, err := Open(dir)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer s.Close()
-			if string(st.Snapshot) != storedSnapshot || !cmp.Equal(c.records, st.Records, cmp.Transformer("text",
-				func(r [][]byte) (all []string) {
-					for _, b := range r {
-						all = append(all, string(b))
-					}
-					return all
-				})) {
+			st, files := openStored(t, c.file)
+			if string(st.Snapshot) != storedSnapshot || !slices.EqualFunc(c.records, st.Records, bytes.Equal) {
 				t.Errorf("read: %q, %q", st.Snapshot, st.Records)
 			}
 			if (st.Lost != "") != c.lost {
 				t.Errorf("lost: %q", st.Lost)
 			}
-			files, err := dir.List()
-			if err != nil {
-				t.Fatal(err)
-			}
-			want := []string{"log-0000000000000003"}
-			if c.lost {
-				want = []string{"damaged-" + storedFile, "log-0000000000000003"}
-			}
-			if diff := cmp.Diff(want, files); diff != "" {
+			if diff := cmp.Diff(c.files, files); diff != "" {
 				t.Errorf("files: %s", diff)
 			}
 		})
 	}
 }
 
-// flipped is a copy of a file with one byte changed.
+// openStored opens a store with one file and returns its state and the files afterwards.
+func openStored(t *testing.T, file []byte) (State, []string) {
+	t.Helper()
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, storedFile), file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	dir, err := NewDisk(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, st, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	files, err := dir.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return st, files
+}
+
+// flipped returns a copy of a file with one byte changed.
 func flipped(text []byte, i int) []byte {
 	out := bytes.Clone(text)
 	out[i] ^= 0xff
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,271 +1,248 @@
-// Package durable keeps a short history on a disk through crashes: records that are appended one at a time and a
-// snapshot that stands for those before it. What Append has confirmed is there after a crash at any moment; what can't be
-// read is said openly, set aside and never guessed at.
+// Package durable keeps a short history on a disk through crashes: a write-ahead log of records, and a snapshot that
+// stands for the records before it. A record that Append has confirmed survives a crash at any moment; damage is
+// reported and set aside, and never guessed at.
 //
-// The form: a generation is a file log-N. It begins with the magic and the version, then has records of length, CRC-32C and
-// content, the first of which is the snapshot. A new generation is written whole under another name, synced, and renamed;
-// only then does the one before go.
+// A generation is a file log-N. It begins with the magic and the format version, followed by records of length, CRC-32C
+// and content, the first of which is the snapshot. A new generation is written under a temporary name, synced, and
+// renamed; only then is the previous one removed.
 package durable
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-const (
-	magic   = "wlanlog1"
-	version = 1
-	headLen = len(magic) + 4
-	frame   = 8 // length and checksum
-	// MaxRecord is the largest record or snapshot, in bytes.
-	MaxRecord = 16 << 20
-)
-
 // Errors of a store.
 var (
-	ErrNewer    = errors.New("durable: written by a newer version")
+	// ErrNewer reports a store that was written in a later format version.
+	ErrNewer = errors.New("durable: written by a newer version")
+
+	// ErrTooLarge reports a record or snapshot of more than MaxRecord bytes.
 	ErrTooLarge = errors.New("durable: record too large")
-	// ErrFailed says that a write failed, so that what is at the file's end is not known. A Compact that succeeds puts
-	// the store right.
+
+	// ErrFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact that succeeds
+	// repairs the store.
 	ErrFailed = errors.New("durable: a write failed before")
 )
 
-// File is a file that is written.
+// The names of files in a store's directory.
+const (
+	generationPrefix = "log-"
+	temporaryPrefix  = "draft-"
+	damagedPrefix    = "damaged-"
+)
+
+// File is a file open for writing.
 type File interface {
 	Write(p []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Dir is a folder of a store's own.
+// Dir is a directory that a store has for itself.
 type Dir interface {
+	// List returns the names of the files.
 	List() ([]string, error)
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // empty, even if it was there
+	// Create makes an empty file; an existing one is truncated.
+	Create(name string) (File, error)
+	// Append opens an existing file to write at its end.
 	Append(name string) (File, error)
+	// Rename renames a file; an existing one of the new name is replaced.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(name string) error
-	Sync() error // of the folder itself
+	// Sync makes the names of the files durable.
+	Sync() error
 }
 
-// State is what a store held when it was opened.
+// State is the content of a store when it was opened.
 type State struct {
-	Snapshot []byte // nil in a new store
-	Records  [][]byte
-	// Lost says what could not be read, empty if nothing. A record that was being written when the machine stopped was
-	// never confirmed and is not lost.
+	Snapshot []byte   // nil in a new store
+	Records  [][]byte // appended since the snapshot
+	// Lost describes what could not be read, empty if nothing. A record that was being written during a crash was never
+	// confirmed and is not lost.
 	Lost string
 }
 
 // Store is an open store. It is not safe for concurrent use.
 type Store struct {
-	dir    Dir
-	number uint64
-	file   File
-	failed bool
+	dir        Dir
+	generation uint64
+	file       File
+	failed     bool // what is at the end of file is unknown
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// generationName returns the file name of a generation.
+func generationName(n uint64) string { return fmt.Sprintf("%s%016d", generationPrefix, n) }
 
-func name(n uint64) string { return fmt.Sprintf("log-%016d", n) }
+// parseGenerationName returns the number of a generation file.
+func parseGenerationName(name string) (uint64, bool) {
+	digits, ok := strings.CutPrefix(name, generationPrefix)
+	if !ok {
+		return 0, false
+	}
+	n, err := strconv.ParseUint(digits, 10, 64)
+	return n, err == nil
+}
 
-// Open reads what a folder holds and makes it ready for more.
+// Open reads the content of a directory and prepares it for more records.
 func Open(dir Dir) (*Store, State, error) {
-	files, err := dir.List()
+	generations, err := listGenerations(dir)
 	if err != nil {
-		return nil, State{}, fmt.Errorf("durable: %w", err)
+		return nil, State{}, err
 	}
-	var numbers []uint64
-	for _, f := range files {
-		if digits, ok := strings.CutPrefix(f, "log-"); ok {
-			if n, err := strconv.ParseUint(digits, 10, 64); err == nil && name(n) == f {
-				numbers = append(numbers, n)
-			}
+	s := &Store{dir: dir}
+	if n := len(generations); n > 0 {
+		s.generation = generations[n-1]
+	}
+	state, err := s.recover(generations)
+	if err != nil {
+		return nil, State{}, err
+	}
+	// The end of the old file may be truncated, so nothing is appended there: the records move to a new generation.
+	if err := s.startGeneration(state.Snapshot, state.Records); err != nil {
+		return nil, state, err
+	}
+	return s, state, nil
+}
+
+// listGenerations returns the numbers of the generation files, ascending.
+func listGenerations(dir Dir) ([]uint64, error) {
+	names, err := dir.List()
+	if err != nil {
+		return nil, fmt.Errorf("durable: %w", err)
+	}
+	var generations []uint64
+	for _, name := range names {
+		if n, ok := parseGenerationName(name); ok && generationName(n) == name {
+			generations = append(generations, n)
 		}
 	}
-	slices.Sort(numbers)
-	s := &Store{dir: dir}
-	var st State
+	slices.Sort(generations)
+	return generations, nil
+}
+
+// recover reads the latest generation that has any record, and sets damaged files aside.
+func (s *Store) recover(generations []uint64) (State, error) {
+	var state State
 	var lost []string
-	for i := len(numbers) - 1; i >= 0; i-- {
-		s.number = max(s.number, numbers[i])
-		text, err := dir.Read(name(numbers[i]))
+	for _, n := range slices.Backward(generations) {
+		name := generationName(n)
+		file, err := s.dir.Read(name)
 		if err != nil {
-			return nil, State{}, fmt.Errorf("durable: %w", err)
+			return State{}, fmt.Errorf("durable: %w", err)
 		}
-		records, why, err := parse(text)
+		records, damage, err := decodeGeneration(file)
 		if err != nil {
-			return nil, State{}, fmt.Errorf("%s: %w", name(numbers[i]), err)
+			return State{}, fmt.Errorf("%s: %w", name, err)
 		}
-		if why != "" {
-			lost = append(lost, name(numbers[i])+": "+why)
-			if err := dir.Rename(name(numbers[i]), "damaged-"+name(numbers[i])); err != nil {
-				return nil, State{}, fmt.Errorf("durable: %w", err)
+		if damage != "" {
+			lost = append(lost, name+": "+damage)
+			if err := s.dir.Rename(name, damagedPrefix+name); err != nil {
+				return State{}, fmt.Errorf("durable: %w", err)
 			}
 		}
 		if len(records) > 0 {
-			st.Snapshot, st.Records = records[0], records[1:]
+			state.Snapshot, state.Records = records[0], records[1:]
 			break
 		}
 	}
-	st.Lost = strings.Join(lost, "; ")
-	// A generation of its own: what is at the end of the old file may be torn, and is not written behind. Records go
-	// along behind the snapshot.
-	if err := s.rotate(st.Snapshot, st.Records); err != nil {
-		return nil, st, err
-	}
-	return s, st, nil
+	state.Lost = strings.Join(lost, "; ")
+	return state, nil
 }
 
-// parse reads the records of a generation. why says what is wrong with it beyond a last record that is cut off.
-func parse(text []byte) (records [][]byte, why string, err error) {
-	if len(text) < headLen || string(text[:len(magic)]) != magic {
-		return nil, "it does not begin as a store does", nil
-	}
-	switch v := binary.BigEndian.Uint32(text[len(magic):]); {
-	case v > version:
-		return nil, "", fmt.Errorf("%w: %d, this is %d", ErrNewer, v, version)
-	case v < 1:
-		return nil, "its version is one that never was", nil
-	}
-	for at := headLen; at < len(text); {
-		record, ok := whole(text[at:])
-		if !ok {
-			// What was being written when the machine stopped is at the end; a record behind it was confirmed.
-			if follows(text[at+1:]) {
-				why = fmt.Sprintf("record %d can't be read; %d bytes are not read", len(records), len(text)-at)
-			}
-			return records, why, nil
-		}
-		records = append(records, record)
-		at += frame + len(record)
+// Append adds a record. Once it returns nil, the record is durable.
+func (s *Store) Append(record []byte) error {
+	if s.failed {
+		return ErrFailed
 	}
-	return records, "", nil
-}
-
-// whole reads the record at the front of b, if it is there whole and right.
-func whole(b []byte) ([]byte, bool) {
-	if len(b) < frame {
-		return nil, false
+	if err := checkSize(record); err != nil {
+		return err
 	}
-	n := int(binary.BigEndian.Uint32(b))
-	if n > MaxRecord || n > len(b)-frame || checksum(b[:4], b[frame:frame+n]) != binary.BigEndian.Uint32(b[4:]) {
-		return nil, false
+	// After a failed sync the state of the file is unknown, and a second sync may succeed without writing.
+	if err := writeAndSync(s.file, appendRecord(nil, record)); err != nil {
+		s.failed = true
+		return fmt.Errorf("durable: %w", err)
 	}
-	return b[frame : frame+n], true
+	return nil
 }
 
-// mostLook bounds how far a whole record is looked for behind one that can't be read.
-const mostLook = 64 << 10
-
-// follows tells whether a whole record begins anywhere in b.
-func follows(b []byte) bool {
-	for i := range min(len(b), mostLook) {
-		if _, ok := whole(b[i:]); ok {
-			return true
-		}
+// Compact replaces all content by a snapshot. If it fails, all that was confirmed before is still there.
+func (s *Store) Compact(snapshot []byte) error {
+	if err := checkSize(snapshot); err != nil {
+		return err
 	}
-	return false
-}
-
-// checksum is that of a record with its length. Guards against zeros, which a file system may leave behind, that would
-// else pass for empty records.
-func checksum(length, record []byte) uint32 {
-	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
+	return s.startGeneration(snapshot, nil)
 }
 
-func appendRecord(dst, record []byte) []byte {
-	at := len(dst)
-	dst = binary.BigEndian.AppendUint32(dst, uint32(len(record)))
-	dst = binary.BigEndian.AppendUint32(dst, checksum(dst[at:at+4], record))
-	return append(dst, record...)
-}
-
-// Append adds a record. Once it returns nil, the record is on the disk.
-func (s *Store) Append(record []byte) error {
-	switch {
-	case s.failed:
-		return ErrFailed
-	case len(record) > MaxRecord:
+func checkSize(record []byte) error {
+	if len(record) > MaxRecord {
 		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MaxRecord)
 	}
-	if _, err := s.file.Write(appendRecord(nil, record)); err != nil {
-		s.failed = true
-		return fmt.Errorf("durable: %w", err)
-	}
-	if err := s.file.Sync(); err != nil {
-		s.failed = true // what a failed sync leaves is not known, and a second one may pass without writing
-		return fmt.Errorf("durable: %w", err)
-	}
 	return nil
 }
 
-// Compact puts a snapshot in the place of all that was there. If it fails, all that was confirmed before is there still.
-func (s *Store) Compact(snapshot []byte) error {
-	if len(snapshot) > MaxRecord {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(snapshot), MaxRecord)
+func writeAndSync(f File, content []byte) error {
+	if _, err := f.Write(content); err != nil {
+		return err
 	}
-	return s.rotate(snapshot, nil)
+	return f.Sync()
 }
 
-// rotate begins a new generation.
-func (s *Store) rotate(snapshot []byte, records [][]byte) error {
-	text := binary.BigEndian.AppendUint32([]byte(magic), version)
-	text = appendRecord(text, snapshot)
-	for _, r := range records {
-		text = appendRecord(text, r)
-	}
-	next := s.number + 1
-	draft := "draft-" + name(next)
-	f, err := s.dir.Create(draft)
-	if err != nil {
-		return fmt.Errorf("durable: %w", err)
-	}
-	_, err = f.Write(text)
-	if err == nil {
-		err = f.Sync()
-	}
-	if err := errors.Join(err, f.Close()); err != nil {
-		return fmt.Errorf("durable: %w", err)
-	}
-	if err := s.dir.Rename(draft, name(next)); err != nil {
+// startGeneration writes a new generation and continues there.
+func (s *Store) startGeneration(snapshot []byte, records [][]byte) error {
+	previous, next := s.generation, s.generation+1
+	if err := s.writeGeneration(next, encodeGeneration(snapshot, records)); err != nil {
 		return fmt.Errorf("durable: %w", err)
 	}
-	if err := s.dir.Sync(); err != nil {
-		return fmt.Errorf("durable: %w", err)
-	}
-	f, err = s.dir.Append(name(next))
+	file, err := s.dir.Append(generationName(next))
 	if err != nil {
 		return fmt.Errorf("durable: %w", err)
 	}
 	if s.file != nil {
-		s.file.Close() // all in it was synced
+		_ = s.file.Close() // all its content was synced
 	}
-	old := s.number
-	s.file, s.number, s.failed = f, next, false
-	s.sweep(old)
+	s.file, s.generation, s.failed = file, next, false
+	s.removeObsolete(previous)
 	return nil
 }
 
-// sweep removes generations that a newer one stands for, and drafts. One that can't be removed does no harm.
-func (s *Store) sweep(upTo uint64) {
-	files, err := s.dir.List()
+// writeGeneration makes a complete generation file appear at once.
+func (s *Store) writeGeneration(n uint64, content []byte) error {
+	temporary := temporaryPrefix + generationName(n)
+	f, err := s.dir.Create(temporary)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(writeAndSync(f, content), f.Close()); err != nil {
+		return err
+	}
+	if err := s.dir.Rename(temporary, generationName(n)); err != nil {
+		return err
+	}
+	return s.dir.Sync()
+}
+
+// removeObsolete removes the generations up to the given one and temporary files, except that of the current generation.
+func (s *Store) removeObsolete(upTo uint64) {
+	names, err := s.dir.List()
 	if err != nil {
 		return
 	}
-	for _, f := range files {
-		digits, isLog := strings.CutPrefix(f, "log-")
-		n, err := strconv.ParseUint(digits, 10, 64)
-		if isLog && err == nil && n <= upTo || strings.HasPrefix(f, "draft-") && f != "draft-"+name(s.number) {
-			s.dir.Remove(f) //nolint:errcheck // see above
+	current := temporaryPrefix + generationName(s.generation)
+	for _, name := range names {
+		n, isGeneration := parseGenerationName(name)
+		isTemporary := strings.HasPrefix(name, temporaryPrefix)
+		if isGeneration && n <= upTo || isTemporary && name != current {
+			_ = s.dir.Remove(name) // a file that remains does no harm
 		}
 	}
 }
 
-// Close closes the store. All that was confirmed is on the disk already.
+// Close closes the store. All that was confirmed is durable already.
 func (s *Store) Close() error { return s.file.Close() }
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -11,76 +11,90 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var errCrash = errors.New("the machine stopped")
+var errCrash = errors.New("simulated crash")
 
-// faulty is a folder in memory that loses what was not synced when it crashes: of each file what was written behind the
-// last sync stays whole, in part or not at all, and so do names that were changed since the folder was synced.
-type faulty struct {
-	files  map[string]*content // as a process sees them
-	synced map[string]*content // the names as the disk has them
-	left   int                 // operations until the crash; negative: none comes
-	full   bool                // the disk takes nothing more
-	rng    *rand.Rand
-	down   bool
+// faultyDir is a directory in memory that loses unsynced data when it crashes: of the bytes written since a file's last
+// sync all, some or none remain, and so of the names that changed since the directory was synced.
+type faultyDir struct {
+	files      map[string]*fileContent // as a process sees them
+	synced     map[string]*fileContent // the names as the disk has them
+	untilCrash int                     // operations until the crash; negative: none is planned
+	full       bool                    // writes fail as on a full disk
+	rng        *rand.Rand
+	crashed    bool
 }
 
-type content struct{ data, synced []byte }
+type fileContent struct{ data, synced []byte }
 
-func newFaulty(seed uint64) *faulty {
-	return &faulty{files: map[string]*content{}, synced: map[string]*content{}, left: -1, rng: rand.New(rand.NewPCG(seed, 0))}
+func newFaultyDir(seed uint64) *faultyDir {
+	return &faultyDir{
+		files:      map[string]*fileContent{},
+		synced:     map[string]*fileContent{},
+		untilCrash: -1,
+		rng:        rand.New(rand.NewPCG(seed, 0)),
+	}
 }
 
-// step counts an operation; the one at which the machine stops fails, and so do all after it.
-func (d *faulty) step() error {
-	if d.left == 0 || d.down {
-		d.down = true
+// step counts an operation; the one at which the crash is planned fails, and so do all after it.
+func (d *faultyDir) step() error {
+	if d.untilCrash == 0 || d.crashed {
+		d.crashed = true
 		return errCrash
 	}
-	d.left--
+	d.untilCrash--
 	return nil
 }
 
-// restart brings the machine up again with what the disk has.
-func (d *faulty) restart() {
+// restart continues after a crash with what is on the disk.
+func (d *faultyDir) restart() {
 	names := d.synced
-	if d.rng.IntN(2) == 0 { // the names may have come to the disk all the same
+	if d.rng.IntN(2) == 0 { // the names may have been written nevertheless
 		names = d.files
 	}
-	next := map[string]*content{}
+	next := map[string]*fileContent{}
 	for name, c := range names {
-		data := slices.Clone(c.synced)
-		if more := len(c.data) - len(c.synced); more > 0 {
-			data = append(data, c.data[len(c.synced):len(c.synced)+d.rng.IntN(more+1)]...)
-			if d.rng.IntN(3) == 0 && len(data) > len(c.synced) { // blocks may come in any order
-				data[len(c.synced)+d.rng.IntN(len(data)-len(c.synced))] ^= 0xff
-			}
+		data := d.survivingData(c)
+		next[name] = &fileContent{data, slices.Clone(data)}
+	}
+	d.files, d.synced = next, maps.Clone(next)
+	d.untilCrash, d.crashed, d.full = -1, false, false
+}
+
+// survivingData is what a crash leaves of a file.
+func (d *faultyDir) survivingData(c *fileContent) []byte {
+	data := slices.Clone(c.synced)
+	if unsynced := len(c.data) - len(c.synced); unsynced > 0 {
+		data = append(data, c.data[len(c.synced):len(c.synced)+d.rng.IntN(unsynced+1)]...)
+		if d.rng.IntN(3) == 0 && len(data) > len(c.synced) { // blocks may be written in any order
+			data[len(c.synced)+d.rng.IntN(len(data)-len(c.synced))] ^= 0xff
 		}
-		next[name] = &content{data, slices.Clone(data)}
 	}
-	d.files, d.synced, d.left, d.down, d.full = next, maps.Clone(next), -1, false, false
+	return data
 }
 
-func (d *faulty) List() ([]string, error) { return slices.Sorted(maps.Keys(d.files)), d.step() }
+func (d *faultyDir) List() ([]string, error) { return slices.Sorted(maps.Keys(d.files)), d.step() }
 
-func (d *faulty) Read(name string) ([]byte, error) {
+func (d *faultyDir) Read(name string) ([]byte, error) {
 	if err := d.step(); err != nil {
 		return nil, err
 	}
 	return slices.Clone(d.files[name].data), nil
 }
 
-func (d *faulty) Create(name string) (File, error) {
+func (d *faultyDir) Create(name string) (File, error) {
 	if err := d.step(); err != nil {
 		return nil, err
 	}
-	c := &content{}
+	c := &fileContent{}
 	d.files[name] = c
-	return &handle{d, c}, nil
+	return &faultyFile{d, c}, nil
 }
 
-func (d *faulty) Append(name string) (File, error) { return &handle{d, d.files[name]}, d.step() }
+func (d *faultyDir) Append(name string) (File, error) {
+	return &faultyFile{d, d.files[name]}, d.step()
+}
 
-func (d *faulty) Rename(from, to string) error {
+func (d *faultyDir) Rename(from, to string) error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -89,7 +103,7 @@
 	return nil
 }
 
-func (d *faulty) Remove(name string) error {
+func (d *faultyDir) Remove(name string) error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -97,7 +111,7 @@
 	return nil
 }
 
-func (d *faulty) Sync() error {
+func (d *faultyDir) Sync() error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -105,38 +119,39 @@
 	return nil
 }
 
-type handle struct {
-	d *faulty
-	c *content
+type faultyFile struct {
+	dir     *faultyDir
+	content *fileContent
 }
 
-func (h *handle) Write(p []byte) (int, error) {
-	err := h.d.step()
+func (f *faultyFile) Write(p []byte) (int, error) {
+	err := f.dir.step()
 	n := len(p)
-	if err != nil || h.d.full {
-		n = h.d.rng.IntN(len(p)) // a part of it
+	if err != nil || f.dir.full {
+		n = f.dir.rng.IntN(len(p)) // a partial write
 		if err == nil {
 			err = errors.New("no space left on device")
 		}
 	}
-	h.c.data = append(h.c.data, p[:n]...)
+	f.content.data = append(f.content.data, p[:n]...)
 	return n, err
 }
 
-func (h *handle) Sync() error {
-	if err := h.d.step(); err != nil {
+func (f *faultyFile) Sync() error {
+	if err := f.dir.step(); err != nil {
 		return err
 	}
-	h.c.synced = slices.Clone(h.c.data)
+	f.content.synced = slices.Clone(f.content.data)
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (f *faultyFile) Close() error { return nil }
 
-// run appends and compacts until something fails. It returns what was confirmed, and what was under way at the end.
-func run(s *Store, from []string, steps int) (confirmed, under []string) {
+// write appends and compacts until an operation fails. It returns what was confirmed, and what would have been with the
+// operation that failed.
+func write(s *Store, from []string, operations int) (confirmed, attempted []string) {
 	confirmed = from
-	for i := range steps {
+	for i := range operations {
 		if i%7 == 6 {
 			if s.Compact([]byte(fmt.Sprint(confirmed))) != nil {
 				return confirmed, confirmed
@@ -152,8 +167,8 @@
 	return confirmed, confirmed
 }
 
-// state is all records that a state stands for, as run counts them.
-func state(st State) string {
+// history is all records of a state, in the form of the snapshots that write makes.
+func history(st State) string {
 	var all string
 	if len(st.Snapshot) > 0 {
 		all = string(st.Snapshot[1 : len(st.Snapshot)-1])
@@ -167,147 +182,148 @@
 	return "[" + all + "]"
 }
 
-// The machine stops at each single operation of a day, and again while it comes up: what was confirmed is there, and
+// A crash at each single operation, and another one while the store is opened again: all that was confirmed is there, and
 // nothing that was never written.
-func TestACrashAtEveryOperation(t *testing.T) {
+func TestCrashAtEveryOperation(t *testing.T) {
 	for seed := range uint64(20) {
-		for at := 0; ; at++ {
-			d := newFaulty(seed)
+		for operation := 0; ; operation++ {
+			d := newFaultyDir(seed)
 			s, _, err := Open(d)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.left = at
-			confirmed, under := run(s, nil, 20)
-			if !d.down {
-				break // the day was over before
-			}
-			d.restart()
-			d.left = int(seed) % 6 // it may stop again while it opens
-			if s, _, err = Open(d); err != nil {
-				d.restart()
-				d.left = -1
-			}
-			d.left = -1
-			if s != nil && err == nil {
-				s.Close()
+			d.untilCrash = operation
+			confirmed, attempted := write(s, nil, 20)
+			if !d.crashed {
+				break // all operations have had their crash
 			}
+			crashWhileOpening(d, int(seed)%6)
 			_, st, err := Open(d)
 			if err != nil {
-				t.Fatalf("seed %d, operation %d: %v", seed, at, err)
+				t.Fatalf("seed %d, operation %d: %v", seed, operation, err)
 			}
-			if got := state(st); got != fmt.Sprint(confirmed) && got != fmt.Sprint(under) || st.Lost != "" {
-				t.Fatalf("seed %d, operation %d: there is %s, confirmed is %v; lost %q", seed, at, got, confirmed, st.Lost)
+			if got := history(st); got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Lost != "" {
+				t.Fatalf("seed %d, operation %d: found %s, confirmed were %v; lost %q", seed, operation, got, confirmed, st.Lost)
 			}
 		}
 	}
 }
 
-// A bit that flips is noticed, whatever it is in: what is before it is there, and what is not read is said and set aside.
-func TestABitFlip(t *testing.T) {
+// crashWhileOpening restarts and opens a store, with a crash after a number of operations if it takes that many.
+func crashWhileOpening(d *faultyDir, operations int) {
+	d.restart()
+	d.untilCrash = operations
+	s, _, err := Open(d)
+	if err != nil {
+		d.restart()
+	}
+	d.untilCrash = -1
+	if err == nil {
+		_ = s.Close() // it does not fail
+	}
+}
+
+// A flipped bit is detected wherever it is: the records before it are there, and damage is reported and set aside.
+func TestBitFlip(t *testing.T) {
 	for bit := range 8 * 100 {
-		d := newFaulty(1)
+		d := newFaultyDir(1)
 		s, _, err := Open(d)
 		if err != nil {
 			t.Fatal(err)
 		}
-		confirmed, _ := run(s, nil, 5)
-		file := d.files[name(s.number)]
+		confirmed, _ := write(s, nil, 5)
+		file := d.files[generationName(s.generation)]
 		if bit/8 >= len(file.data) {
 			break
 		}
 		file.data[bit/8] ^= 1 << (bit % 8)
 		_, st, err := Open(d)
 		if errors.Is(err, ErrNewer) {
-			continue // the version is what flipped
+			continue // the bit is in the version
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := state(st)
+		got := history(st)
 		if got == fmt.Sprint(confirmed) {
-			t.Fatalf("bit %d: not noticed", bit)
-		}
-		whole := false
-		for n := range len(confirmed) {
-			whole = whole || got == fmt.Sprint(confirmed[:n])
+			t.Fatalf("bit %d: not detected", bit)
 		}
-		if !whole {
-			t.Fatalf("bit %d: there is %s of %v", bit, got, confirmed)
+		if !isProperPrefix(got, confirmed) {
+			t.Fatalf("bit %d: found %s of %v", bit, got, confirmed)
 		}
-		if _, aside := d.files["damaged-"+name(s.number)]; st.Lost != "" && !aside {
-			t.Fatalf("bit %d: %s, and nothing is set aside", bit, st.Lost)
+		if _, aside := d.files["damaged-"+generationName(s.generation)]; st.Lost != "" && !aside {
+			t.Fatalf("bit %d: %s, but no file was set aside", bit, st.Lost)
 		}
 	}
 }
 
-// A full disk fails what it can't take; what was confirmed stays, and once there is room the store goes on.
-func TestAFullDisk(t *testing.T) {
-	d := newFaulty(3)
+// On a full disk operations fail; what was confirmed stays, and once there is space the store continues.
+func TestFullDisk(t *testing.T) {
+	d := newFaultyDir(3)
 	s, _, err := Open(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	confirmed, _ := run(s, nil, 4)
+	confirmed, _ := write(s, nil, 4)
 	d.full = true
 	if err := s.Append([]byte("x")); err == nil {
-		t.Fatal("a full disk took a record")
+		t.Fatal("a record was confirmed on a full disk")
 	}
 	if err := s.Compact([]byte(fmt.Sprint(confirmed))); err == nil {
-		t.Fatal("a full disk took a snapshot")
+		t.Fatal("a snapshot was confirmed on a full disk")
 	}
 	d.full = false
 	if err := s.Append([]byte("x")); !errors.Is(err, ErrFailed) {
-		t.Fatalf("behind what may be torn: %v", err)
+		t.Fatalf("append after a failed write: %v", err)
 	}
 	if err := s.Compact([]byte(fmt.Sprint(confirmed))); err != nil {
 		t.Fatal(err)
 	}
-	if confirmed, _ = run(s, confirmed, 3); len(confirmed) != 7 {
-		t.Fatal("it does not go on")
+	if confirmed, _ = write(s, confirmed, 3); len(confirmed) != 7 {
+		t.Fatal("the store does not continue")
 	}
 	_, st, err := Open(d)
-	if diff := cmp.Diff(fmt.Sprint(confirmed), state(st)); diff != "" || err != nil {
+	if diff := cmp.Diff(fmt.Sprint(confirmed), history(st)); diff != "" || err != nil {
 		t.Fatal(diff, err)
 	}
 }
 
 // Zeros behind the last record, as some file systems leave them, are no records.
-func TestZerosAtTheEnd(t *testing.T) {
-	d := newFaulty(1)
+func TestTrailingZeros(t *testing.T) {
+	d := newFaultyDir(1)
 	s, _, err := Open(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	confirmed, _ := run(s, nil, 3)
-	file := d.files[name(s.number)]
+	confirmed, _ := write(s, nil, 3)
+	file := d.files[generationName(s.generation)]
 	file.data = append(file.data, make([]byte, 4096)...)
 	_, st, err := Open(d)
-	if err != nil || state(st) != fmt.Sprint(confirmed) || st.Lost != "" {
-		t.Fatalf("%s of %v, lost %q, %v", state(st), confirmed, st.Lost, err)
+	if err != nil || history(st) != fmt.Sprint(confirmed) || st.Lost != "" {
+		t.Fatalf("%s of %v, lost %q, %v", history(st), confirmed, st.Lost, err)
 	}
 }
 
-// A folder of a newer version is left as it is.
-func TestANewerVersion(t *testing.T) {
-	d := newFaulty(1)
+// A store of a newer format version is left unchanged.
+func TestNewerVersion(t *testing.T) {
+	d := newFaultyDir(1)
 	s, _, err := Open(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := d.files[name(s.number)]
-	file.data[headLen-1] = version + 1
-	was := slices.Clone(file.data)
+	file := d.files[generationName(s.generation)]
+	file.data[headerBytes-1] = formatVersion + 1
+	before := slices.Clone(file.data)
 	if _, _, err := Open(d); !errors.Is(err, ErrNewer) {
 		t.Fatalf("%v", err)
 	}
-	if !slices.Equal(d.files[name(s.number)].data, was) {
-		t.Fatal("it was changed")
+	if !slices.Equal(d.files[generationName(s.generation)].data, before) {
+		t.Fatal("the file was changed")
 	}
 }
 
-// The same on a real disk, where nothing fails.
-func TestADisk(t *testing.T) {
+// The same on a real disk, without faults.
+func TestDisk(t *testing.T) {
 	d, err := NewDisk(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -315,16 +331,26 @@
 	var confirmed []string
 	for range 3 {
 		s, st, err := Open(d)
-		if err != nil || state(st) != fmt.Sprint(confirmed) {
-			t.Fatalf("%s of %v, %v", state(st), confirmed, err)
+		if err != nil || history(st) != fmt.Sprint(confirmed) {
+			t.Fatalf("%s of %v, %v", history(st), confirmed, err)
 		}
-		confirmed, _ = run(s, confirmed, 10)
+		confirmed, _ = write(s, confirmed, 10)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	files, err := d.List()
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%q are left, %v", files, err)
+		t.Fatalf("files %q remain, %v", files, err)
+	}
+}
+
+// isProperPrefix reports whether a history is that of the first records, but not of all.
+func isProperPrefix(got string, records []string) bool {
+	for n := range len(records) {
+		if got == fmt.Sprint(records[:n]) {
+			return true
+		}
 	}
+	return false
 }
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -9,30 +9,37 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPlaces(t *testing.T) {
+func TestPositions(t *testing.T) {
 	text := "{\n  \"a\": [1, {\"b\": \"x\"}],\n\t\"c\": null, \"d\":true\n}\n"
-	n, twice, err := Parse([]byte(text))
-	if err != nil || len(twice) > 0 {
-		t.Fatal(err, twice)
+	n, duplicates, err := Parse([]byte(text))
+	if err != nil || len(duplicates) > 0 {
+		t.Fatal(err, duplicates)
 	}
 	for _, c := range []struct {
 		path string
-		want Place
-	}{{"", Place{1, 1}}, {"a", Place{2, 8}}, {"a 0", Place{2, 9}}, {"a 1", Place{2, 12}}, {"a 1 b", Place{2, 18}},
-		{"c", Place{3, 7}}, {"d", Place{3, 17}}} {
-		if got := n.At(strings.Fields(c.path)...); got == nil || got.Place != c.want {
+		want Position
+	}{
+		{"", Position{1, 1}},
+		{"a", Position{2, 8}},
+		{"a 0", Position{2, 9}},
+		{"a 1", Position{2, 12}},
+		{"a 1 b", Position{2, 18}},
+		{"c", Position{3, 7}},
+		{"d", Position{3, 17}},
+	} {
+		if got := n.At(strings.Fields(c.path)...); got == nil || got.Position != c.want {
 			t.Errorf("%s: %+v, want %v", c.path, got, c.want)
 		}
 	}
-	if n.Members[1].Place != (Place{3, 2}) {
-		t.Errorf("the key c is at %v", n.Members[1].Place)
+	if n.Members[1].Position != (Position{3, 2}) {
+		t.Errorf("key c is at %v", n.Members[1].Position)
 	}
 	if n.At("a", "7") != nil || n.At("x", "y") != nil || n.At("c", "z") != nil {
-		t.Error("something is where nothing is")
+		t.Error("a value is found at a path that has none")
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestSyntaxErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "1:1: the text breaks off"},
 		{"{\"a\":", "1:6: the text breaks off"},
@@ -46,26 +53,26 @@
 		{"{\"a\" 1}", "1:6: invalid character '1'"},
 	} {
 		_, _, err := Parse([]byte(c.text))
-		var e *Error
-		if !errors.As(err, &e) || !strings.Contains(err.Error(), c.want) {
+		var syntaxError *SyntaxError
+		if !errors.As(err, &syntaxError) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.20q: %v, want %s", c.text, err, c.want)
 		}
 	}
 }
 
-func TestKeysThatComeTwice(t *testing.T) {
-	n, twice, err := Parse([]byte("{\"a\":1,\n\"b\":{\"c\":2,\"c\":3},\"a\":4}"))
-	if err != nil || len(twice) != 2 || twice[0].Key != "c" || twice[1].Place != (Place{2, 19}) || n.Get("a").Num(0) != 1 {
-		t.Fatalf("%+v, %v", twice, err)
+func TestDuplicateKeys(t *testing.T) {
+	n, duplicates, err := Parse([]byte("{\"a\":1,\n\"b\":{\"c\":2,\"c\":3},\"a\":4}"))
+	if err != nil || len(duplicates) != 2 || duplicates[0].Key != "c" || duplicates[1].Position != (Position{2, 19}) || n.Get("a").NumberOr(0) != 1 {
+		t.Fatalf("%+v, %v", duplicates, err)
 	}
 }
 
-// A tree is what encoding/json decodes, whatever the text.
+// Whatever the text, a tree holds what encoding/json decodes.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"a":[1,2.5,"x",true,null,{"b":{}}]}`))
 	f.Add([]byte("[\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, twice, err := Parse(b)
+		n, duplicates, err := Parse(b)
 		if err != nil {
 			return
 		}
@@ -73,9 +80,9 @@
 		d.UseNumber()
 		var want any
 		if err := d.Decode(&want); err != nil {
-			t.Fatalf("%q was read, %v", b, err)
+			t.Fatalf("%q was parsed, but encoding/json reports %v", b, err)
 		}
-		if len(twice) == 0 {
+		if len(duplicates) == 0 {
 			if diff := cmp.Diff(want, n.Any()); diff != "" {
 				t.Fatal(diff)
 			}
--- /dev/null
+++ b/internal/operatorconfig/defaults.go
@@ -0,0 +1,61 @@
+package operatorconfig
+
+// The defaults of keys that may be omitted. The limits tags of the fields state them as well, for the schema.
+const (
+	defaultIntervalMS = 10_000
+
+	defaultClasses  = 16
+	defaultTenants  = 32
+	defaultEngines  = 32
+	defaultDataSets = 32
+	defaultIdleS    = 600
+
+	defaultProtocol         = "plaintext"
+	defaultPrefix           = "wheatlane"
+	defaultGraphiteBudgetKB = 512
+	defaultReplayKBps       = 64
+	defaultWriteTimeoutMS   = 5000
+
+	defaultSecurity         = securityNone
+	defaultCollectdBudgetKB = 256
+)
+
+// setDefault sets a value that is zero.
+func setDefault[T comparable](value *T, defaultValue T) {
+	var zero T
+	if *value == zero {
+		*value = defaultValue
+	}
+}
+
+func (t *Telemetry) applyDefaults() {
+	setDefault(&t.IntervalMS, defaultIntervalMS)
+	t.Cardinality.applyDefaults()
+	for i := range t.Graphite {
+		t.Graphite[i].applyDefaults()
+	}
+	for i := range t.Collectd {
+		t.Collectd[i].applyDefaults()
+	}
+}
+
+func (l *CardinalityLimits) applyDefaults() {
+	setDefault(&l.Classes, defaultClasses)
+	setDefault(&l.Tenants, defaultTenants)
+	setDefault(&l.Engines, defaultEngines)
+	setDefault(&l.DataSets, defaultDataSets)
+	setDefault(&l.IdleS, defaultIdleS)
+}
+
+func (g *Graphite) applyDefaults() {
+	setDefault(&g.Protocol, defaultProtocol)
+	setDefault(&g.Prefix, defaultPrefix)
+	setDefault(&g.BudgetKB, defaultGraphiteBudgetKB)
+	setDefault(&g.ReplayKBps, defaultReplayKBps)
+	setDefault(&g.WriteTimeoutMS, defaultWriteTimeoutMS)
+}
+
+func (c *Collectd) applyDefaults() {
+	setDefault(&c.Security, defaultSecurity)
+	setDefault(&c.BudgetKB, defaultCollectdBudgetKB)
+}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,203 +11,277 @@
 	"pgregory.net/rapid"
 )
 
-const look = 5 * time.Second
-
-// rig drives a machine through time, under traffic that is drawn from a seed.
-type rig struct {
-	m    *Machine
-	rng  *rand.Rand
-	now  time.Duration
-	said []string
+const observationInterval = 5 * time.Second
+
+// simulation drives a controller through time, with traffic drawn from a seed.
+type simulation struct {
+	controller *Controller
+	rng        *rand.Rand
+	now        time.Duration
+	actions    []string // since the last call of wantActions
 }
 
-func newRig(cfg Config, seed uint64) *rig {
-	return &rig{m: New(cfg, "v1"), rng: rand.New(rand.NewPCG(seed, 0))}
+func newSimulation(cfg Config, seed uint64) *simulation {
+	return &simulation{controller: New(cfg, "v1"), rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-func (r *rig) apply(ev Event) {
-	for _, a := range r.m.Apply(r.now, ev) {
+func (s *simulation) apply(ev Event) {
+	for _, a := range s.controller.Apply(s.now, ev) {
 		switch a := a.(type) {
 		case Apply:
-			r.said = append(r.said, "apply "+string(a.Version))
-		case Note:
-			r.said = append(r.said, string(a.Version)+" "+string(a.What))
+			s.actions = append(s.actions, "apply "+string(a.Version))
+		case Decision:
+			s.actions = append(s.actions, string(a.Version)+" "+string(a.Outcome))
 		}
 	}
 }
 
-// traffic lets looks go by with so many requests a second, of which a part ends badly.
-func (r *rig) traffic(looks int, rate, bad float64) {
-	for range looks {
-		r.now += look
-		c := map[string]Counts{}
-		for class, part := range map[string]float64{"lookup": 0.8, "report": 0.2} {
-			n := int(rate * part * look.Seconds())
-			x := Counts{Ended: float64(n)}
-			for range n {
-				if r.rng.Float64() < bad {
-					x.Bad++
-				}
-			}
-			c[class] = x
+// traffic lets a number of intervals pass with a rate of requests a second, of which a fraction is bad.
+func (s *simulation) traffic(intervals int, rate, badRatio float64) {
+	for range intervals {
+		s.now += observationInterval
+		classes := map[string]Counts{}
+		for class, fraction := range map[string]float64{"lookup": 0.8, "report": 0.2} {
+			classes[class] = s.draw(int(rate*fraction*observationInterval.Seconds()), badRatio)
 		}
-		r.apply(Saw{Classes: c, Took: look})
+		s.apply(Observed{Classes: classes, Duration: observationInterval})
 	}
 }
 
-func (r *rig) want(t *testing.T, want ...string) {
+// draw returns n requests, each of which is bad with a probability.
+func (s *simulation) draw(n int, badRatio float64) Counts {
+	counts := Counts{Total: float64(n)}
+	for range n {
+		if s.rng.Float64() < badRatio {
+			counts.Bad++
+		}
+	}
+	return counts
+}
+
+func (s *simulation) wantActions(t *testing.T, want ...string) {
 	t.Helper()
-	if diff := cmp.Diff(want, r.said); diff != "" {
+	if diff := cmp.Diff(want, s.actions); diff != "" {
 		t.Fatal(diff)
 	}
-	r.said = nil
+	s.actions = nil
 }
 
-func TestKeptAndRolledBack(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		do   func(*rig)
-		want []string
-	}{
-		{"no harm", func(r *rig) { r.traffic(24, 100, 0.02) }, []string{"v2 tried", "apply v2", "v2 kept"}},
-		{"harm", func(r *rig) { r.traffic(24, 100, 0.2) }, []string{"v2 tried", "apply v2", "v2 rolled_back", "apply v1"}},
-		{"too thin to tell", func(r *rig) { r.traffic(180, 0.3, 0.02) }, []string{"v2 tried", "apply v2", "v2 kept_unproven"}},
-		{"a busier hour is no harm", func(r *rig) { r.traffic(24, 150, 0.06) }, []string{"v2 tried", "apply v2", "v2 kept"}},
-		{"withdrawn", func(r *rig) { r.apply(Offer{"v1"}) }, []string{"v2 tried", "apply v2", "v2 withdrawn", "apply v1"}},
-		{"a second one waits, and a third takes its place", func(r *rig) {
-			r.apply(Offer{"v3"})
-			r.apply(Offer{"v4"})
-			r.traffic(24, 100, 0.02)
-		}, []string{"v2 tried", "apply v2", "v3 waits", "v4 waits", "v2 kept", "v4 tried", "apply v4"}},
-		{"the same again changes nothing", func(r *rig) { r.apply(Offer{"v2"}) }, []string{"v2 tried", "apply v2"}},
-		{"a bad one repeated", func(r *rig) {
-			r.traffic(24, 100, 0.3)
-			r.apply(Offer{"v2"})
-			r.now += time.Hour
-			r.apply(Offer{"v2"})
-			r.traffic(24, 100, 0.3)
-			r.now += time.Hour
-			r.apply(Offer{"v2"})
-		}, []string{"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v2 refused", "v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v2 refused"}},
-		{"it can't be put in force", func(r *rig) { r.apply(Invalid{"v2", "no disk"}) }, []string{"v2 tried", "apply v2", "v2 refused"}},
-		{"the target of a rollback has become invalid", func(r *rig) {
-			r.traffic(24, 100, 0.3)
-			r.apply(Invalid{"v1", "its folder is gone"})
-			if r.m.InForce() != "v2" {
-				r.said = append(r.said, "in force is "+string(r.m.InForce()))
+// canaryCases are what happens after version v2 was proposed, and the actions that follow.
+var canaryCases = []struct {
+	name string
+	run  func(*simulation)
+	want []string
+}{
+	{
+		"no harm",
+		func(s *simulation) { s.traffic(24, 100, 0.02) },
+		[]string{"v2 tried", "apply v2", "v2 kept"},
+	},
+	{
+		"harm",
+		func(s *simulation) { s.traffic(24, 100, 0.2) },
+		[]string{"v2 tried", "apply v2", "v2 rolled_back", "apply v1"},
+	},
+	{
+		"too little traffic to decide",
+		func(s *simulation) { s.traffic(180, 0.3, 0.02) },
+		[]string{"v2 tried", "apply v2", "v2 kept_unproven"},
+	},
+	{
+		"higher load is no harm",
+		func(s *simulation) { s.traffic(24, 150, 0.06) },
+		[]string{"v2 tried", "apply v2", "v2 kept"},
+	},
+	{
+		"withdrawn",
+		func(s *simulation) { s.apply(Proposed{"v1"}) },
+		[]string{"v2 tried", "apply v2", "v2 withdrawn", "apply v1"},
+	},
+	{
+		"a second proposal is deferred, and a third replaces it",
+		func(s *simulation) {
+			s.apply(Proposed{"v3"})
+			s.apply(Proposed{"v4"})
+			s.traffic(24, 100, 0.02)
+		},
+		[]string{"v2 tried", "apply v2", "v3 waits", "v4 waits", "v2 kept", "v4 tried", "apply v4"},
+	},
+	{
+		"the same proposal again changes nothing",
+		func(s *simulation) { s.apply(Proposed{"v2"}) },
+		[]string{"v2 tried", "apply v2"},
+	},
+	{
+		"a harmful version is proposed again",
+		func(s *simulation) {
+			s.traffic(24, 100, 0.3)
+			s.apply(Proposed{"v2"})
+			s.now += time.Hour
+			s.apply(Proposed{"v2"})
+			s.traffic(24, 100, 0.3)
+			s.now += time.Hour
+			s.apply(Proposed{"v2"})
+		},
+		[]string{
+			"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v2 refused",
+			"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v2 refused",
+		},
+	},
+	{
+		"the canary can't be applied",
+		func(s *simulation) { s.apply(ApplyFailed{"v2", "no disk"}) },
+		[]string{"v2 tried", "apply v2", "v2 refused"},
+	},
+	{
+		"the target of a rollback has become invalid",
+		func(s *simulation) {
+			s.traffic(24, 100, 0.3)
+			s.apply(ApplyFailed{"v1", "its folder is gone"})
+			if s.controller.Active() != "v2" {
+				s.actions = append(s.actions, "active is "+string(s.controller.Active()))
 			}
-		}, []string{"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v1 refused"}},
-	} {
+		},
+		[]string{"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v1 refused"},
+	},
+}
+
+func TestCanaryOutcomes(t *testing.T) {
+	for _, c := range canaryCases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(Standard(), 1)
-			r.traffic(60, 100, 0.02)
-			r.apply(Offer{"v2"})
-			c.do(r)
-			r.want(t, c.want...)
+			s := newSimulation(DefaultConfig(), 1)
+			s.traffic(60, 100, 0.02)
+			s.apply(Proposed{"v2"})
+			c.run(s)
+			s.wantActions(t, c.want...)
 		})
 	}
 }
 
-// Whoever offers ever new ones is told to wait.
-func TestFlapping(t *testing.T) {
-	r := newRig(Standard(), 1)
-	r.traffic(60, 100, 0.02)
+// Proposals of ever new versions are rejected beyond the rate limit.
+func TestCanaryRateIsLimited(t *testing.T) {
+	s := newSimulation(DefaultConfig(), 1)
+	s.traffic(60, 100, 0.02)
 	for i := range 8 {
-		r.apply(Offer{Version(fmt.Sprint("a", i))})
-		r.apply(Offer{"v1"})
+		s.apply(Proposed{Version(fmt.Sprint("a", i))})
+		s.apply(Proposed{"v1"})
 	}
-	refused := 0
-	for _, s := range r.said {
-		if strings.HasSuffix(s, "refused") {
-			refused++
+	rejected := 0
+	for _, action := range s.actions {
+		if strings.HasSuffix(action, "refused") {
+			rejected++
 		}
 	}
-	if refused != 8-Standard().MostTries {
-		t.Fatalf("%d refused: %q", refused, r.said)
+	if rejected != 8-DefaultConfig().MaxCanaries {
+		t.Fatalf("%d rejected: %q", rejected, s.actions)
 	}
-	r.said = nil
-	r.now += Standard().Calm
-	r.apply(Offer{"a9"})
-	r.want(t, "a9 tried", "apply a9")
+	s.actions = nil
+	s.now += DefaultConfig().CanaryWindow
+	s.apply(Proposed{"a9"})
+	s.wantActions(t, "a9 tried", "apply a9")
 }
 
-// Of trials that do no harm, no more are rolled back than is stated; harm is found, the larger the sooner.
-func TestFalseAlarmsAndPower(t *testing.T) {
-	trial := func(seed uint64, bad float64) (rolled bool, after time.Duration) {
-		r := newRig(Standard(), seed)
-		r.traffic(30, 50, 0.05)
-		r.apply(Offer{"v2"})
-		began := r.now
-		for r.m.Trial() != "" {
-			r.traffic(1, 50, bad)
-		}
-		return r.m.Good() == "v1", r.now - began
+// runCanary runs one canary to its end and returns whether it was rolled back, and after how long.
+func runCanary(seed uint64, badRatio float64) (rolledBack bool, after time.Duration) {
+	s := newSimulation(DefaultConfig(), seed)
+	s.traffic(30, 50, 0.05)
+	s.apply(Proposed{"v2"})
+	startedAt := s.now
+	for s.controller.Canary() != "" {
+		s.traffic(1, 50, badRatio)
 	}
-	const trials = 300
-	false_ := 0
-	for seed := range uint64(trials) {
-		if rolled, _ := trial(seed, 0.05); rolled {
-			false_++
+	return s.controller.Stable() == "v1", s.now - startedAt
+}
+
+// Harmless canaries are rolled back no more often than the significance level allows; harm is detected, larger harm
+// earlier.
+func TestFalseRollbackRateAndPower(t *testing.T) {
+	const harmless = 300
+	falseRollbacks := 0
+	for seed := range uint64(harmless) {
+		if rolledBack, _ := runCanary(seed, 0.05); rolledBack {
+			falseRollbacks++
 		}
 	}
-	if most := Standard().Alpha * trials; float64(false_) > most {
-		t.Errorf("%d of %d calm trials were rolled back, %v may be", false_, trials, most)
+	if allowed := DefaultConfig().SignificanceLevel * harmless; float64(falseRollbacks) > allowed {
+		t.Errorf("%d of %d harmless canaries were rolled back, %v are allowed", falseRollbacks, harmless, allowed)
 	}
-	last := time.Hour
+	previousMean := time.Hour
 	for _, harm := range []float64{0.10, 0.30} {
-		found, sum := 0, time.Duration(0)
+		detected, sum := 0, time.Duration(0)
 		for seed := range uint64(50) {
-			if rolled, after := trial(seed, 0.05+harm); rolled {
-				found, sum = found+1, sum+after
+			if rolledBack, after := runCanary(seed, 0.05+harm); rolledBack {
+				detected++
+				sum += after
 			}
 		}
-		if found < 48 || sum/50 >= last {
-			t.Errorf("harm of %v: %d of 50 found, after %v, a smaller one after %v", harm, found, sum/50, last)
+		mean := sum / 50
+		if detected < 48 || mean >= previousMean {
+			t.Errorf("harm of %v: %d of 50 detected, after %v, smaller harm after %v", harm, detected, mean, previousMean)
 		}
-		last = sum / 50
+		previousMean = mean
 	}
 }
 
-// Whatever happens: what is in force is the good one or the one on trial, each Apply says which, and no banned one is
-// tried.
-func TestWhateverHappens(t *testing.T) {
+// Whatever happens: the active version is the stable one or the canary, each Apply says which, and no version is tried
+// during its backoff.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Standard()
-		cfg.MostTries = 100
-		r := newRig(cfg, 1)
-		force, banned := Version("v1"), map[Version]time.Duration{}
+		cfg := DefaultConfig()
+		cfg.MaxCanaries = 100
+		host := &host{
+			simulation: newSimulation(cfg, 1),
+			active:     "v1",
+			backoffs:   map[Version]time.Duration{},
+		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			var ev Event
-			v := Version(fmt.Sprint("v", rapid.IntRange(1, 4).Draw(t, "version")))
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0, 1:
-				ev = Saw{Took: look, Classes: map[string]Counts{"lookup": {Ended: 400, Bad: float64(rapid.IntRange(0, 300).Draw(t, "bad"))}}}
-			case 2:
-				ev = Offer{v}
-			case 3:
-				ev = Invalid{v, "why"}
-			}
-			r.now += look
-			was := force
-			for _, a := range r.m.Apply(r.now, ev) {
-				switch a := a.(type) {
-				case Apply:
-					if r.now < banned[a.Version] && a.Version != r.m.Good() {
-						t.Fatalf("%s is tried, and banned until %v", a.Version, banned[a.Version])
-					}
-					force = a.Version
-				case Note:
-					if a.What == RolledBack {
-						banned[a.Version] = r.now + cfg.Ban
-					}
-				}
+			ev := drawEvent(t)
+			host.now += observationInterval
+			host.applyEvent(t, ev)
+			if host.active != host.controller.Active() {
+				t.Fatalf("the active version is %s, should be %s", host.active, host.controller.Active())
 			}
-			if in, ok := ev.(Invalid); ok && in.Version == was {
-				force = r.m.InForce() // whoever carries it out is left with the one before
+		}
+	})
+}
+
+// host carries out the actions of a controller.
+type host struct {
+	*simulation
+
+	active   Version
+	backoffs map[Version]time.Duration // until when a version must not be tried
+}
+
+func (h *host) applyEvent(t *rapid.T, ev Event) {
+	before := h.active
+	for _, a := range h.controller.Apply(h.now, ev) {
+		switch a := a.(type) {
+		case Apply:
+			if h.now < h.backoffs[a.Version] && a.Version != h.controller.Stable() {
+				t.Fatalf("%s is tried during its backoff until %v", a.Version, h.backoffs[a.Version])
 			}
-			if force != r.m.InForce() {
-				t.Fatalf("in force is %s, should be %s", force, r.m.InForce())
+			h.active = a.Version
+		case Decision:
+			if a.Outcome == RolledBack {
+				h.backoffs[a.Version] = h.now + h.controller.cfg.RollbackBackoff
 			}
 		}
-	})
+	}
+	if failed, ok := ev.(ApplyFailed); ok && failed.Version == before {
+		h.active = h.controller.Active() // the host keeps the version before
+	}
+}
+
+func drawEvent(t *rapid.T) Event {
+	v := Version(fmt.Sprint("v", rapid.IntRange(1, 4).Draw(t, "version")))
+	switch rapid.IntRange(0, 3).Draw(t, "kind") {
+	case 2:
+		return Proposed{v}
+	case 3:
+		return ApplyFailed{v, "a reason"}
+	default:
+		counts := Counts{Total: 400, Bad: float64(rapid.IntRange(0, 300).Draw(t, "bad"))}
+		return Observed{Duration: observationInterval, Classes: map[string]Counts{"lookup": counts}}
+	}
 }
--- /dev/null
+++ b/measure/config/rollout.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"wheatlane/internal/rollout"
+)
+
+const (
+	observationInterval = 5 * time.Second
+	baselineIntervals   = 30
+	baselineBadRatio    = 0.05
+	harmlessCanaries    = 1000
+	harmfulCanaries     = 200 // by degree of harm
+)
+
+// requestsPerInterval is the traffic by class: 50 requests a second.
+var requestsPerInterval = map[string]int{"lookup": 200, "route-report": 35, "survey-load": 15}
+
+// measureRollout measures how often harmless canaries are rolled back, and how often and how soon harmful ones are.
+func measureRollout() error {
+	falseRollbacks := 0
+	for seed := range uint64(harmlessCanaries) {
+		if rolledBack, _ := runCanary(seed, 0); rolledBack {
+			falseRollbacks++
+		}
+	}
+	printResult("calm_trials", harmlessCanaries, "trials")
+	printResult("false_rollbacks", float64(falseRollbacks), "trials")
+	allowed := rollout.DefaultConfig().SignificanceLevel * harmlessCanaries
+	printResult("false_rollbacks_stated", allowed, "trials at the most")
+	for _, harm := range []float64{0.05, 0.10, 0.30} {
+		measureHarm(harm)
+	}
+	return nil
+}
+
+// measureHarm measures canaries that add a fraction of bad requests.
+func measureHarm(harm float64) {
+	var seconds []float64 // until the rollback
+	for seed := range uint64(harmfulCanaries) {
+		if rolledBack, after := runCanary(seed, harm); rolledBack {
+			seconds = append(seconds, after.Seconds())
+		}
+	}
+	name := fmt.Sprintf("harm_of_%.0f_percent_found", 100*harm)
+	printResult(name, 100*float64(len(seconds))/harmfulCanaries, "percent of trials")
+	if len(seconds) > 0 {
+		slices.Sort(seconds)
+		printResult(name+"_after", seconds[len(seconds)/2], "s")
+	}
+}
+
+// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It returns whether the canary
+// was rolled back, and how long it ran.
+func runCanary(seed uint64, harm float64) (rolledBack bool, after time.Duration) {
+	rng := rand.New(rand.NewPCG(seed, 3))
+	c, now := rollout.New(rollout.DefaultConfig(), "before"), time.Duration(0)
+	observe := func(badRatio float64) {
+		now += observationInterval
+		c.Apply(now, rollout.Observed{Classes: drawRequests(rng, badRatio), Duration: observationInterval})
+	}
+	for range baselineIntervals {
+		observe(baselineBadRatio)
+	}
+	c.Apply(now, rollout.Proposed{Version: "after"})
+	start := now
+	for c.Canary() != "" {
+		observe(baselineBadRatio + harm)
+	}
+	return c.Stable() == "before", now - start
+}
+
+// drawRequests draws the requests of an interval, each of which is bad with a probability.
+func drawRequests(rng *rand.Rand, badRatio float64) map[string]rollout.Counts {
+	classes := map[string]rollout.Counts{}
+	for class, n := range requestsPerInterval {
+		counts := rollout.Counts{Total: float64(n)}
+		for range n {
+			if rng.Float64() < badRatio {
+				counts.Bad++
+			}
+		}
+		classes[class] = counts
+	}
+	return classes
+}
