--- a/cmd/wheatlane/check.go
+++ b/cmd/wheatlane/check.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	if err := printFindings(c.OutOrStdout(), findings, format); err != nil {
+	if err := printFindings(stdout(c), findings, format); err != nil {
 		return err
 	}
 	if len(findings) > 0 {
@@ -72,16 +72,16 @@
 	return nil
 }
 
-func printFindings(w io.Writer, findings []check.Finding, format string) error {
+func printFindings(out *output, findings []check.Finding, format string) error {
 	if format == formatJSON {
-		encoder := json.NewEncoder(w)
+		encoder := json.NewEncoder(out.w)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(findings)
 	}
 	for _, f := range findings {
-		fmt.Fprintln(w, f)
+		out.println(f)
 	}
-	return nil
+	return out.err()
 }
 
 // checkFiles runs all layers of the checker: on each file by itself, and on all together.
--- a/cmd/wheatlane/diff.go
+++ b/cmd/wheatlane/diff.go
@@ -32,8 +32,12 @@
 		return newUsageError(c, err)
 	}
 	changes := diff.Diff(oldRoot, newRoot)
+	out := stdout(c)
 	for _, change := range changes {
-		fmt.Fprintln(c.OutOrStdout(), change)
+		out.println(change)
+	}
+	if err := out.err(); err != nil {
+		return err
 	}
 	if len(changes) > 0 {
 		return fmt.Errorf("%w in %d places", errDiffer, len(changes))
--- a/cmd/wheatlane/emulate.go
+++ b/cmd/wheatlane/emulate.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"errors"
 	"os/signal"
 	"syscall"
 	"time"
@@ -40,10 +40,11 @@
 	for _, server := range e.servers {
 		g.Go(func() error { return server(ctx) })
 	}
+	out := stdout(c)
 	g.Go(func() error {
 		return scenario.Play(ctx, e.steps, func(step scenario.Step) error {
-			fmt.Fprintln(c.OutOrStdout(), step)
-			return e.apply(ctx, step)
+			out.println(step)
+			return errors.Join(out.err(), e.apply(ctx, step))
 		})
 	})
 	return g.Wait()
--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"strings"
 	"time"
@@ -76,7 +75,8 @@
 	if err != nil {
 		return errors.Join(err, recording.close())
 	}
-	fmt.Fprintln(c.OutOrStdout(), "listening on", server.Addr())
+	out := stdout(c)
+	out.println("listening on", server.Addr())
 	e := emulation{
 		duration: f.duration,
 		steps:    steps,
@@ -90,10 +90,10 @@
 			return nil
 		},
 	}
-	if err := errors.Join(e.run(c), recording.close()); err != nil {
+	if err := errors.Join(out.err(), e.run(c), recording.close()); err != nil {
 		return err
 	}
-	return printReceived(c.OutOrStdout(), reconciler.Reconcile())
+	return printReceived(out, reconciler.Reconcile())
 }
 
 // optionalRecording is a recording, or none.
@@ -133,15 +133,15 @@
 }
 
 // printReceived prints what a collector received; the error holds the violations of the catalogue.
-func printReceived(w io.Writer, f *collector.Findings) error {
-	fmt.Fprintf(w, "%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete)
+func printReceived(out *output, f *collector.Findings) error {
+	out.printf("%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete)
 	for _, r := range f.Runs {
 		started := time.UnixMilli(r.Started).UTC().Format(time.RFC3339)
-		fmt.Fprintf(w, "broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n",
+		out.printf("broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n",
 			r.Broker, started, len(r.Intervals), r.Of, r.Last, r.Series)
 	}
 	if f.OK() {
-		return nil
+		return out.err()
 	}
 	text, err := json.MarshalIndent(struct {
 		Faults  []string       `json:"faults"`
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"errors"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -52,14 +52,15 @@
 	if err := changelogserver.WriteFile(f.list, engines.Hosts()); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%d engines, listed in %s\n", f.count, f.list)
+	out := stdout(c)
+	out.printf("%d engines, listed in %s\n", f.count, f.list)
 	e := emulation{
 		duration: f.duration,
 		steps:    steps,
 		servers:  []func(context.Context) error{engines.Run},
 		apply:    engines.Do,
 	}
-	return e.run(c)
+	return errors.Join(out.err(), e.run(c))
 }
 
 // changelogActions are the actions of a change log's scenario. None of them names a target.
@@ -110,7 +111,8 @@
 		return err
 	}
 	changelog.Late(f.delay)
-	fmt.Fprintf(c.OutOrStdout(), "listening on %s, %d engines\n", changelog.Addr(), len(hosts))
+	out := stdout(c)
+	out.printf("listening on %s, %d engines\n", changelog.Addr(), len(hosts))
 	followList := func(ctx context.Context) error { return changelog.Follow(ctx, f.list, hosts) }
 	e := emulation{
 		duration: f.duration,
@@ -121,5 +123,5 @@
 			return nil
 		},
 	}
-	return e.run(c)
+	return errors.Join(out.err(), e.run(c))
 }
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"slices"
@@ -50,7 +49,7 @@
 }
 
 func runExplain(c *cobra.Command, key, file string) error {
-	w := c.OutOrStdout()
+	out := stdout(c)
 	path := strings.Split(key, ".")
 	found := false
 	for _, source := range schemaSources {
@@ -63,34 +62,35 @@
 			continue
 		}
 		found = true
-		fmt.Fprintf(w, "%s, in %s\n", key, source.file)
-		printSchema(w, s)
-		printVariable(w, source.variables[key])
+		out.printf("%s, in %s\n", key, source.file)
+		printSchema(out, s)
+		printVariable(out, source.variables[key])
 	}
 	if !found {
 		return fmt.Errorf("no file has a key %q", key)
 	}
-	if file == "" {
-		return nil
+	if file != "" {
+		if err := printValues(c, out, file, path); err != nil {
+			return err
+		}
 	}
-	return printValues(c, file, path)
+	return out.err()
 }
 
 // printVariable prints the environment variable that takes precedence over a key, if there is one.
-func printVariable(w io.Writer, name string) {
+func printVariable(out *output, name string) {
 	if name == "" {
 		return
 	}
-	fmt.Fprintf(w, "  takes precedence: the variable %s", name)
+	out.printf("  takes precedence: the variable %s", name)
 	if value, set := os.LookupEnv(name); set {
-		fmt.Fprintf(w, ", which is %q", value)
+		out.printf(", which is %q", value)
 	}
-	fmt.Fprintln(w)
+	out.println()
 }
 
 // printValues prints the values that a file gives a key, with their places.
-func printValues(c *cobra.Command, file string, path []string) error {
-	w := c.OutOrStdout()
+func printValues(c *cobra.Command, out *output, file string, path []string) error {
 	text, err := readConfigFile(file)
 	if err != nil {
 		return newUsageError(c, err)
@@ -101,10 +101,10 @@
 	}
 	values := valuesAt(root, path)
 	for _, n := range values {
-		fmt.Fprintf(w, "%s:%d:%d: %v\n", file, n.Position.Line, n.Position.Column, n.Any())
+		out.printf("%s:%d:%d: %v\n", file, n.Position.Line, n.Position.Column, n.Any())
 	}
 	if len(values) == 0 {
-		fmt.Fprintf(w, "%s does not set it: the default applies\n", file)
+		out.printf("%s does not set it: the default applies\n", file)
 	}
 	return nil
 }
@@ -141,10 +141,10 @@
 }
 
 // printSchema prints the meaning, type, default and bounds of a value.
-func printSchema(w io.Writer, s *jsonschema.Schema) {
+func printSchema(out *output, s *jsonschema.Schema) {
 	line := func(label, text string) {
 		if text != "" {
-			fmt.Fprintf(w, "  %s: %s\n", label, text)
+			out.printf("  %s: %s\n", label, text)
 		}
 	}
 	line("meaning", s.Description)
--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -56,11 +56,12 @@
 
 func printCatalogue(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
+	out := &output{w: table}
+	out.println("NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
 	for _, f := range metrics.Catalogue {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Detail, f.Help)
+		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Detail, f.Help)
 	}
-	return table.Flush()
+	return errors.Join(out.err(), table.Flush())
 }
 
 // catalogueEntry is a metric as 'metrics list --json' prints it.
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -14,24 +14,24 @@
 )
 
 func reportCommand() *cobra.Command {
-	var output, title string
+	var outputFile, title string
 	c := &cobra.Command{
 		Use:   "report FILE|DIR",
 		Short: "Make a page of charts from the recordings of an emulated collector",
 		Args:  checkArgs(cobra.ExactArgs(1)),
-		RunE:  func(c *cobra.Command, args []string) error { return runReport(c, args[0], output, title) },
+		RunE:  func(c *cobra.Command, args []string) error { return runReport(c, args[0], outputFile, title) },
 	}
-	c.Flags().StringVarP(&output, "output", "o", "report.html", "file to write")
+	c.Flags().StringVarP(&outputFile, "output", "o", "report.html", "file to write")
 	c.Flags().StringVar(&title, "title", "What wheatlane reported", "heading of the page")
 	return c
 }
 
-func runReport(c *cobra.Command, path, output, title string) error {
+func runReport(c *cobra.Command, path, outputFile, title string) error {
 	samples, err := readRecordings(c, path)
 	if err != nil {
 		return err
 	}
-	f, err := os.Create(output)
+	f, err := os.Create(outputFile)
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
@@ -39,8 +39,9 @@
 	if err := errors.Join(report.Write(f, title, findings), f.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintln(c.OutOrStdout(), output)
-	return nil
+	out := stdout(c)
+	out.println(outputFile)
+	return out.err()
 }
 
 // readRecordings reads a recording, or those of a directory in order of their names. A truncated one is read as far as
@@ -50,6 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
+	warnings := output{w: c.ErrOrStderr()}
 	var samples []collector.Sample
 	for _, name := range names {
 		recorded, err := readRecording(name)
@@ -57,11 +59,11 @@
 			return nil, err
 		}
 		if err != nil {
-			fmt.Fprintf(c.ErrOrStderr(), "truncated after %d samples: %v\n", len(recorded), err)
+			warnings.printf("truncated after %d samples: %v\n", len(recorded), err)
 		}
 		samples = append(samples, recorded...)
 	}
-	return samples, nil
+	return samples, warnings.err()
 }
 
 // recordingNames returns a file itself, or the recordings of a directory.
--- a/cmd/wheatlane/write.go
+++ b/cmd/wheatlane/write.go
@@ -45,8 +45,9 @@
 	if err != nil {
 		return err
 	}
+	out := stdout(c)
 	for _, f := range findings {
-		fmt.Fprintln(c.OutOrStdout(), f)
+		out.println(f)
 	}
 	if slices.ContainsFunc(findings, func(f check.Finding) bool { return f.Severity == check.Fault }) {
 		return fmt.Errorf("%w in the files of %s; nothing is written", errFindings, descriptionName)
@@ -58,9 +59,9 @@
 		if err := replaceFile(file); err != nil {
 			return err
 		}
-		fmt.Fprintln(c.OutOrStdout(), file.name)
+		out.println(file.name)
 	}
-	return nil
+	return out.err()
 }
 
 // generateFiles returns the files of a description. Violations of the description's schema are printed.
@@ -73,8 +74,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", descriptionName, err)
 	}
+	out := stdout(c)
 	for _, v := range violations {
-		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", descriptionName, v)
+		out.printf("%s: %s\n", descriptionName, v)
+	}
+	if err := out.err(); err != nil {
+		return nil, err
 	}
 	if len(violations) > 0 {
 		return nil, fmt.Errorf("%w: %d in %s", errFindings, len(violations), descriptionName)
