--- a/internal/cardinality/escape.go
+++ b/internal/cardinality/escape.go
@@ -8,29 +8,29 @@
 const (
 	// OtherName stands for all names that are not admitted.
 	OtherName = "other"
-	// mostEscaped keeps an escaped name, and what stands ahead of it, within the 127 bytes of a part of a collectd
+	// maxEscapedBytes keeps an escaped name, and what stands ahead of it, within the 127 bytes of a part of a collectd
 	// identifier: a longer one would be cut there, and two might become one.
-	mostEscaped = 110
-	hexDigits   = "0123456789abcdef"
+	maxEscapedBytes = 110
+	hexDigits       = "0123456789abcdef"
 )
 
 // ErrEscape is returned for a text that Escape never makes.
 var ErrEscape = errors.New("names: not an escaped name")
 
-// safe tells whether a byte means nothing to Graphite, collectd or a shell.
-func safe(c byte) bool {
+// isSafe tells whether a byte means nothing to Graphite, collectd or a shell.
+func isSafe(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-'
 }
 
-// Fits tells whether a name can have a series of its own.
-func Fits(name string) bool {
-	if len(name) > mostName {
+// Admissible tells whether a name can have a series of its own.
+func Admissible(name string) bool {
+	if len(name) > maxNameBytes {
 		return false
 	}
 	n := 0
 	for i := range len(name) {
 		switch c := name[i]; {
-		case safe(c):
+		case isSafe(c):
 			n++
 		case c == '_':
 			n += 2
@@ -38,7 +38,7 @@
 			n += 3
 		}
 	}
-	return n <= mostEscaped
+	return n <= maxEscapedBytes
 }
 
 // Escape makes a name fit for a part of a path or a tag, one to one: letters, digits and dashes stay, an underscore
@@ -51,7 +51,7 @@
 	var b strings.Builder
 	for i := range len(name) {
 		switch c := name[i]; {
-		case safe(c) && !(i == 0 && name == OtherName):
+		case isSafe(c) && !(i == 0 && name == OtherName):
 			b.WriteByte(c)
 		case c == '_':
 			b.WriteString("__")
@@ -71,7 +71,7 @@
 	for i := 0; i < len(text); i++ {
 		c := text[i]
 		switch {
-		case safe(c):
+		case isSafe(c):
 			b.WriteByte(c)
 			continue
 		case c != '_' || i+1 >= len(text):
--- a/internal/cardinality/names.go
+++ b/internal/cardinality/names.go
@@ -22,49 +22,49 @@
 	Rest    time.Duration // a slot is kept at least so long after its name has left
 }
 
-// swapFactor is how much heavier than an admitted name one must be to take its place: names about as heavy as
+// displaceFactor is how much heavier than an admitted name one must be to take its place: names about as heavy as
 // each other would else take turns, and each turn begins a series anew.
-const swapFactor = 2
+const displaceFactor = 2
 
-// sketchFactor is the number of names watched over that of names admitted. The error of a count is at most the sum
+// candidatesPerName is the number of names watched over that of names admitted. The error of a count is at most the sum
 // of all counts over the number watched.
-const sketchFactor = 2
+const candidatesPerName = 2
 
 // slot is the place of one name.
 type slot struct {
-	name   string
-	state  state
-	hits   uint64        // since the last cut
-	weight uint64        // of recent intervals, fading by half with each
-	since  time.Duration // when it last came, or when it left
+	name         string
+	state        slotState
+	recentCount  uint64        // since the last cut
+	decayedCount uint64        // of recent intervals, fading by half with each
+	since        time.Duration // when it last came, or when it left
 }
 
-type state int
+type slotState int
 
 const (
-	free state = iota
-	active
-	resting
+	slotFree slotState = iota
+	slotActive
+	slotRetired
 )
 
 // Table gives names their slots. It is not safe for concurrent use.
 type Table struct {
-	cfg    Config
-	slots  []slot // from 1
-	by     map[string]int
-	active int
-	watch  *Sketch
-	clear  func(slot int) // told of a slot before it gets another name
-	joined uint64
-	left   uint64
-	lost   uint64
+	cfg           Config
+	slots         []slot // from 1
+	slotByName    map[string]int
+	activeCount   int
+	candidates    *SpaceSaving
+	onReuse       func(slot int) // told of a slot before it gets another name
+	admittedTotal uint64
+	retiredTotal  uint64
+	otherTotal    uint64
 }
 
 // New returns an empty table. clear is called with each slot that passes from one name to another, so that what is
 // counted under it begins at zero.
 func New(cfg Config, clear func(slot int)) *Table {
-	return &Table{cfg: cfg, slots: make([]slot, 1+cfg.Most+cfg.Resting), by: make(map[string]int, cfg.Most+cfg.Resting),
-		watch: NewSketch(max(1, sketchFactor*cfg.Most)), clear: clear}
+	return &Table{cfg: cfg, slots: make([]slot, 1+cfg.Most+cfg.Resting), slotByName: make(map[string]int, cfg.Most+cfg.Resting),
+		candidates: NewSpaceSaving(max(1, candidatesPerName*cfg.Most)), onReuse: clear}
 }
 
 // Slots is the number of slots, Other included.
@@ -72,40 +72,40 @@
 
 // Slot is where a name that came now is counted. It allocates only when it admits a name.
 func (t *Table) Slot(name string, now time.Duration) int {
-	if i, ok := t.by[name]; ok {
+	if i, ok := t.slotByName[name]; ok {
 		s := &t.slots[i]
-		if s.state == resting && t.active < t.cfg.Most {
-			s.state = active
-			t.active++
-			t.joined++
+		if s.state == slotRetired && t.activeCount < t.cfg.Most {
+			s.state = slotActive
+			t.activeCount++
+			t.admittedTotal++
 		}
-		if s.state == active {
-			s.hits++
+		if s.state == slotActive {
+			s.recentCount++
 			s.since = now
 			return i
 		}
-	} else if t.active < t.cfg.Most && Fits(name) {
+	} else if t.activeCount < t.cfg.Most && Admissible(name) {
 		if i := t.admit(name, now); i != Other {
-			t.slots[i].hits++
+			t.slots[i].recentCount++
 			return i
 		}
 	}
-	t.lost++
-	if Fits(name) {
-		t.watch.Add(name)
+	t.otherTotal++
+	if Admissible(name) {
+		t.candidates.Add(name)
 	}
 	return Other
 }
 
-// place is a slot for a new name, or Other if each is taken or was left too lately.
-func (t *Table) place(now time.Duration) (at int) {
+// availableSlot is a slot for a new name, or Other if each is taken or was left too lately.
+func (t *Table) availableSlot(now time.Duration) (at int) {
 	for i := 1; i < len(t.slots); i++ {
 		s := &t.slots[i]
-		if s.state == free {
+		if s.state == slotFree {
 			at = i
 			break
 		}
-		if s.state == resting && now-s.since >= t.cfg.Rest && (at == Other || s.since < t.slots[at].since) {
+		if s.state == slotRetired && now-s.since >= t.cfg.Rest && (at == Other || s.since < t.slots[at].since) {
 			at = i
 		}
 	}
@@ -114,19 +114,19 @@
 
 // admit gives a new name a slot, or Other if there is none.
 func (t *Table) admit(name string, now time.Duration) int {
-	at := t.place(now)
+	at := t.availableSlot(now)
 	if at == Other {
 		return Other
 	}
-	if s := &t.slots[at]; s.state == resting {
-		delete(t.by, s.name)
-		t.clear(at)
+	if s := &t.slots[at]; s.state == slotRetired {
+		delete(t.slotByName, s.name)
+		t.onReuse(at)
 	}
 	name = strings.Clone(name) // guards against a name that holds on to the whole text it was cut from
-	t.slots[at] = slot{name: name, state: active, since: now}
-	t.by[name] = at
-	t.active++
-	t.joined++
+	t.slots[at] = slot{name: name, state: slotActive, since: now}
+	t.slotByName[name] = at
+	t.activeCount++
+	t.admittedTotal++
 	return at
 }
 
@@ -136,55 +136,55 @@
 	var lightest []int
 	for i := 1; i < len(t.slots); i++ {
 		s := &t.slots[i]
-		if s.state != active {
+		if s.state != slotActive {
 			continue
 		}
-		s.weight = s.weight/2 + s.hits
-		s.hits = 0
+		s.decayedCount = s.decayedCount/2 + s.recentCount
+		s.recentCount = 0
 		if now-s.since >= t.cfg.Idle {
-			t.leave(i, now)
+			t.retire(i, now)
 			continue
 		}
 		lightest = append(lightest, i)
 	}
 	slices.SortFunc(lightest, func(a, b int) int {
-		return cmp.Or(cmp.Compare(t.slots[a].weight, t.slots[b].weight), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.slots[a].decayedCount, t.slots[b].decayedCount), cmp.Compare(a, b))
 	})
-	for _, heavy := range t.watch.Heaviest() {
-		i, known := t.by[heavy.Name]
-		if known && t.slots[i].state == active || !known && t.place(now) == Other {
+	for _, heavy := range t.candidates.HeavyHitters() {
+		i, known := t.slotByName[heavy.Name]
+		if known && t.slots[i].state == slotActive || !known && t.availableSlot(now) == Other {
 			continue
 		}
-		if t.active >= t.cfg.Most {
-			if len(lightest) == 0 || heavy.AtLeast <= swapFactor*t.slots[lightest[0]].weight {
+		if t.activeCount >= t.cfg.Most {
+			if len(lightest) == 0 || heavy.MinCount <= displaceFactor*t.slots[lightest[0]].decayedCount {
 				break
 			}
-			t.leave(lightest[0], now)
+			t.retire(lightest[0], now)
 			lightest = lightest[1:]
 		}
 		if known {
-			t.slots[i].state, t.slots[i].since = active, now
-			t.active++
-			t.joined++
+			t.slots[i].state, t.slots[i].since = slotActive, now
+			t.activeCount++
+			t.admittedTotal++
 		} else {
 			i = t.admit(heavy.Name, now)
 		}
-		t.slots[i].weight = heavy.AtLeast
-		t.watch.Remove(heavy.Name)
+		t.slots[i].decayedCount = heavy.MinCount
+		t.candidates.Remove(heavy.Name)
 	}
-	t.watch.Fade()
+	t.candidates.Decay()
 }
 
-func (t *Table) leave(i int, now time.Duration) {
-	t.slots[i].state, t.slots[i].since = resting, now
-	t.active--
-	t.left++
+func (t *Table) retire(i int, now time.Duration) {
+	t.slots[i].state, t.slots[i].since = slotRetired, now
+	t.activeCount--
+	t.retiredTotal++
 }
 
-// Each calls f with the slot and name of each admitted name, in the order of slots.
-func (t *Table) Each(f func(slot int, name string)) {
+// EachName calls f with the slot and name of each admitted name, in the order of slots.
+func (t *Table) EachName(f func(slot int, name string)) {
 	for i := 1; i < len(t.slots); i++ {
-		if t.slots[i].state == active {
+		if t.slots[i].state == slotActive {
 			f(i, t.slots[i].name)
 		}
 	}
@@ -192,5 +192,5 @@
 
 // Counts are how many names are admitted, have joined and have left, and how often a name went to Other.
 func (t *Table) Counts() (active int, joined, left, other uint64) {
-	return t.active, t.joined, t.left, t.lost
+	return t.activeCount, t.admittedTotal, t.retiredTotal, t.otherTotal
 }
--- a/internal/cardinality/names_test.go
+++ b/internal/cardinality/names_test.go
@@ -36,7 +36,7 @@
 
 func (l *ledger) active() map[string]uint64 {
 	all := map[string]uint64{}
-	l.table.Each(func(i int, name string) { all[name] = l.counts[i] })
+	l.table.EachName(func(i int, name string) { all[name] = l.counts[i] })
 	return all
 }
 
@@ -139,7 +139,7 @@
 func TestSketchBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.IntRange(1, 12).Draw(t, "places")
-		s, true_ := NewSketch(places), map[string]uint64{}
+		s, true_ := NewSpaceSaving(places), map[string]uint64{}
 		names := rapid.SliceOfN(rapid.IntRange(0, 40), 1, 500).Draw(t, "names")
 		for _, n := range names {
 			name := fmt.Sprint(n * n / 30) // some come far more often than others
@@ -147,10 +147,10 @@
 			true_[name]++
 		}
 		in := map[string]bool{}
-		for _, h := range s.Heaviest() {
+		for _, h := range s.HeavyHitters() {
 			in[h.Name] = true
-			if n := true_[h.Name]; n < h.AtLeast || n > h.AtMost {
-				t.Fatalf("%s came %d times, bounds %d to %d", h.Name, n, h.AtLeast, h.AtMost)
+			if n := true_[h.Name]; n < h.MinCount || n > h.MaxCount {
+				t.Fatalf("%s came %d times, bounds %d to %d", h.Name, n, h.MinCount, h.MaxCount)
 			}
 		}
 		for name, n := range true_ {
--- a/internal/collectd/collectd.go
+++ b/internal/collectd/collectd.go
@@ -41,10 +41,10 @@
 )
 
 const (
-	headLen = 4 // of a part: type and length, the length with itself
-	macLen  = sha256.Size
-	ivLen   = aes.BlockSize
-	sumLen  = sha1.Size
+	partHeaderLen = 4 // of a part: type and length, the length with itself
+	signatureLen  = sha256.Size
+	ivLen         = aes.BlockSize
+	checksumLen   = sha1.Size
 )
 
 // Errors of a packet.
@@ -102,9 +102,9 @@
 func (s Security) overhead() int {
 	switch s.Level {
 	case Sign:
-		return headLen + macLen + len(s.User)
+		return partHeaderLen + signatureLen + len(s.User)
 	case Encrypt:
-		return headLen + 2 + len(s.User) + ivLen + sumLen
+		return partHeaderLen + 2 + len(s.User) + ivLen + checksumLen
 	}
 	return 0
 }
@@ -115,29 +115,29 @@
 	Random   func([]byte) error // for the initial vectors of encryption
 	Emit     func(packet []byte) error
 
-	buf  []byte
-	last List // what stands in this packet
+	content  []byte
+	previous List // what stands in this packet
 }
 
-// ticks is a time in units of 2^-30 s.
-func ticks(d time.Duration) uint64 {
+// toHighResolution is a time in units of 2^-30 s.
+func toHighResolution(d time.Duration) uint64 {
 	s, ns := uint64(d/time.Second), uint64(d%time.Second)
 	return s<<30 + (ns<<30+uint64(time.Second)/2)/uint64(time.Second)
 }
 
-func fromTicks(v uint64) time.Duration {
+func fromHighResolution(v uint64) time.Duration {
 	return time.Duration(v>>30)*time.Second + time.Duration(((v&(1<<30-1))*uint64(time.Second)+1<<29)>>30)
 }
 
 func appendText(dst []byte, part uint16, text string) []byte {
 	dst = binary.BigEndian.AppendUint16(dst, part)
-	dst = binary.BigEndian.AppendUint16(dst, uint16(headLen+len(text)+1))
+	dst = binary.BigEndian.AppendUint16(dst, uint16(partHeaderLen+len(text)+1))
 	return append(append(dst, text...), 0)
 }
 
 func appendNumber(dst []byte, part uint16, v uint64) []byte {
 	dst = binary.BigEndian.AppendUint16(dst, part)
-	dst = binary.BigEndian.AppendUint16(dst, headLen+8)
+	dst = binary.BigEndian.AppendUint16(dst, partHeaderLen+8)
 	return binary.BigEndian.AppendUint64(dst, v)
 }
 
@@ -155,13 +155,13 @@
 		}
 	}
 	if first || l.Time != last.Time {
-		dst = appendNumber(dst, partTimeHR, ticks(l.Time))
+		dst = appendNumber(dst, partTimeHR, toHighResolution(l.Time))
 	}
 	if first || l.Interval != last.Interval {
-		dst = appendNumber(dst, partIntervalHR, ticks(l.Interval))
+		dst = appendNumber(dst, partIntervalHR, toHighResolution(l.Interval))
 	}
 	dst = binary.BigEndian.AppendUint16(dst, partValues)
-	dst = binary.BigEndian.AppendUint16(dst, uint16(headLen+2+9*len(l.Values)))
+	dst = binary.BigEndian.AppendUint16(dst, uint16(partHeaderLen+2+9*len(l.Values)))
 	dst = binary.BigEndian.AppendUint16(dst, uint16(len(l.Values)))
 	for _, v := range l.Values {
 		dst = append(dst, byte(v.Kind))
@@ -184,10 +184,10 @@
 		}
 	}
 	room := MaxPacket - p.Security.overhead()
-	before := len(p.buf)
-	p.buf = appendList(p.buf, &l, &p.last)
-	if len(p.buf) > room {
-		p.buf = p.buf[:before]
+	before := len(p.content)
+	p.content = appendList(p.content, &l, &p.previous)
+	if len(p.content) > room {
+		p.content = p.content[:before]
 		if before == 0 {
 			return fmt.Errorf("%w: a list of %d values", ErrTooLarge, len(l.Values))
 		}
@@ -196,17 +196,17 @@
 		}
 		return p.Add(l)
 	}
-	p.last = l
+	p.previous = l
 	return nil
 }
 
 // Flush sends what is in the packet.
 func (p *Packer) Flush() error {
-	if len(p.buf) == 0 {
+	if len(p.content) == 0 {
 		return nil
 	}
-	packet, err := p.Security.seal(p.buf, p.Random)
-	p.buf, p.last = p.buf[:0], List{}
+	packet, err := p.Security.seal(p.content, p.Random)
+	p.content, p.previous = p.content[:0], List{}
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 	switch s.Level {
 	case Sign:
 		packet := binary.BigEndian.AppendUint16(nil, partSignature)
-		packet = binary.BigEndian.AppendUint16(packet, uint16(headLen+macLen+len(s.User)))
+		packet = binary.BigEndian.AppendUint16(packet, uint16(partHeaderLen+signatureLen+len(s.User)))
 		signed := append([]byte(s.User), content...)
 		packet = append(packet, s.mac(signed)...)
 		return append(packet, signed...), nil
@@ -272,19 +272,19 @@
 
 func (r *Reader) parse(b []byte, level Level, l *List, all *[]List) error {
 	for len(b) > 0 {
-		if len(b) < headLen {
+		if len(b) < partHeaderLen {
 			return ErrTruncated
 		}
 		part, n := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
-		if n < headLen || n > len(b) {
+		if n < partHeaderLen || n > len(b) {
 			return fmt.Errorf("%w: type %#x says %d bytes of %d", ErrTruncated, part, n, len(b))
 		}
-		body, rest := b[headLen:n], b[n:]
+		body, rest := b[partHeaderLen:n], b[n:]
 		switch part {
 		case partSignature:
-			return r.signed(body, rest, l, all)
+			return r.parseSigned(body, rest, l, all)
 		case partEncryption:
-			if err := r.encrypted(body, l, all); err != nil {
+			if err := r.parseEncrypted(body, l, all); err != nil {
 				return err
 			}
 			b = rest
@@ -293,7 +293,7 @@
 		if level < r.Demand {
 			return ErrSecurity
 		}
-		if err := l.take(part, body, all); err != nil {
+		if err := l.takePart(part, body, all); err != nil {
 			return err
 		}
 		b = rest
@@ -301,30 +301,30 @@
 	return nil
 }
 
-// signed reads what follows a signature; body is that part's.
-func (r *Reader) signed(body, rest []byte, l *List, all *[]List) error {
-	if len(body) <= macLen {
+// parseSigned reads what follows a signature; body is that part's.
+func (r *Reader) parseSigned(body, rest []byte, l *List, all *[]List) error {
+	if len(body) <= signatureLen {
 		return fmt.Errorf("%w: a signature of %d bytes", ErrPart, len(body))
 	}
-	user := string(body[macLen:])
+	user := string(body[signatureLen:])
 	password, ok := r.Passwords(user)
 	if !ok {
 		return fmt.Errorf("%w %.40q", ErrUser, user)
 	}
 	s := Security{Password: password}
-	if subtle.ConstantTimeCompare(s.mac(append([]byte(user), rest...)), body[:macLen]) != 1 {
+	if subtle.ConstantTimeCompare(s.mac(append([]byte(user), rest...)), body[:signatureLen]) != 1 {
 		return ErrSignature
 	}
 	return r.parse(rest, Sign, l, all)
 }
 
-// encrypted reads the content of an encrypted part.
-func (r *Reader) encrypted(body []byte, l *List, all *[]List) error {
+// parseEncrypted reads the content of an encrypted part.
+func (r *Reader) parseEncrypted(body []byte, l *List, all *[]List) error {
 	if len(body) < 2 {
 		return ErrTruncated
 	}
 	n := int(binary.BigEndian.Uint16(body))
-	if len(body) < 2+n+ivLen+sumLen {
+	if len(body) < 2+n+ivLen+checksumLen {
 		return ErrTruncated
 	}
 	user, iv := string(body[2:2+n]), body[2+n:2+n+ivLen]
@@ -336,14 +336,14 @@
 	if err := (Security{Password: password}).crypt(clear, iv); err != nil {
 		return err
 	}
-	if sum := sha1.Sum(clear[sumLen:]); subtle.ConstantTimeCompare(sum[:], clear[:sumLen]) != 1 { //nolint:gosec // see above
+	if sum := sha1.Sum(clear[checksumLen:]); subtle.ConstantTimeCompare(sum[:], clear[:checksumLen]) != 1 { //nolint:gosec // see above
 		return ErrSignature
 	}
-	return r.parse(clear[sumLen:], Encrypt, l, all)
+	return r.parse(clear[checksumLen:], Encrypt, l, all)
 }
 
-// take reads one part into the list, and hands it on where it is one of values. Types not known are passed over.
-func (l *List) take(part uint16, body []byte, all *[]List) error {
+// takePart reads one part into the list, and hands it on where it is one of values. Types not known are passed over.
+func (l *List) takePart(part uint16, body []byte, all *[]List) error {
 	switch part {
 	case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
 		if len(body) == 0 || body[len(body)-1] != 0 || len(body)-1 > MaxText {
@@ -359,7 +359,7 @@
 		var d time.Duration
 		switch {
 		case part == partTimeHR || part == partIntervalHR:
-			d = fromTicks(v)
+			d = fromHighResolution(v)
 		case v > math.MaxInt64/uint64(time.Second):
 			return fmt.Errorf("%w: a time of %d s", ErrPart, v)
 		default:
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -225,8 +225,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got) != len(v.Points)+len(v.Spreads) {
-		t.Errorf("%d series of %d", len(got), len(v.Points)+len(v.Spreads))
+	if len(got) != len(v.Points)+len(v.Distributions) {
+		t.Errorf("%d series of %d", len(got), len(v.Points)+len(v.Distributions))
 	}
 	for _, p := range v.Points {
 		want := Value{Kind: Gauge, Gauge: p.Value}
--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	plugin     = "wheatlane"
+	pluginName = "wheatlane"
 	typePrefix = "wheatlane_"
 )
 
@@ -26,12 +26,12 @@
 		if metrics.Catalogue[p.Figure].Kind == metrics.Counter {
 			value = Value{Kind: Derive, Count: int64(p.Value)}
 		}
-		if err := f(list(v, host, p.Series, value)); err != nil {
+		if err := f(newList(v, host, p.Series, value)); err != nil {
 			return err
 		}
 	}
-	for _, d := range v.Spreads {
-		s, err := metrics.Summarize(d.Data)
+	for _, d := range v.Distributions {
+		s, err := metrics.Summarize(d.EncodedSketch)
 		if err != nil {
 			return err
 		}
@@ -39,16 +39,16 @@
 		for _, x := range s.Values() {
 			values = append(values, Value{Kind: Gauge, Gauge: x})
 		}
-		if err := f(list(v, host, d.Series, values...)); err != nil {
+		if err := f(newList(v, host, d.Series, values...)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func list(v *metrics.Interval, host string, s metrics.Series, values ...Value) List {
+func newList(v *metrics.Interval, host string, s metrics.Series, values ...Value) List {
 	fig := &metrics.Catalogue[s.Figure]
-	l := List{Host: cardinality.Escape(host), Plugin: plugin, Type: typePrefix + fig.Name, Time: v.At, Interval: v.Took, Values: values}
+	l := List{Host: cardinality.Escape(host), Plugin: pluginName, Type: typePrefix + fig.Name, Time: v.EndTime, Interval: v.Duration, Values: values}
 	if fig.By != metrics.NoDimension {
 		name := cardinality.OtherName
 		if !s.Other {
@@ -71,7 +71,7 @@
 		return bad("host")
 	}
 	name, ok := strings.CutPrefix(l.Type, typePrefix)
-	if s.Figure, ok = metrics.Find(name); !ok || l.Plugin != plugin {
+	if s.Figure, ok = metrics.Find(name); !ok || l.Plugin != pluginName {
 		return bad("type")
 	}
 	fig := &metrics.Catalogue[s.Figure]
@@ -93,34 +93,34 @@
 	} else if l.TypeInstance != "" {
 		return bad("type instance")
 	}
-	kinds, wanted := []Kind{}, sources(fig.Kind)
+	kinds, wanted := []Kind{}, dataSources(fig.Kind)
 	for _, v := range l.Values {
 		kinds = append(kinds, v.Kind)
 	}
-	if !slices.EqualFunc(kinds, wanted, func(k Kind, s source) bool { return k == s.kind }) {
+	if !slices.EqualFunc(kinds, wanted, func(k Kind, s dataSource) bool { return k == s.kind }) {
 		return bad("data sources")
 	}
 	return broker, s, nil
 }
 
-type source struct {
+type dataSource struct {
 	name string
 	kind Kind
 }
 
-var kindNames = map[Kind]string{Counter: "COUNTER", Gauge: "GAUGE", Derive: "DERIVE", Absolute: "ABSOLUTE"}
+var dataSourceTypes = map[Kind]string{Counter: "COUNTER", Gauge: "GAUGE", Derive: "DERIVE", Absolute: "ABSOLUTE"}
 
-// sources are the data sources of a figure.
-func sources(k metrics.Kind) []source {
+// dataSources are the data sources of a figure.
+func dataSources(k metrics.Kind) []dataSource {
 	switch k {
 	case metrics.Counter:
-		return []source{{"value", Derive}}
+		return []dataSource{{"value", Derive}}
 	case metrics.Gauge:
-		return []source{{"value", Gauge}}
+		return []dataSource{{"value", Gauge}}
 	}
-	all := make([]source, 0, len(metrics.Stats))
+	all := make([]dataSource, 0, len(metrics.Stats))
 	for _, s := range metrics.Stats {
-		all = append(all, source{s, Gauge})
+		all = append(all, dataSource{s, Gauge})
 	}
 	return all
 }
@@ -130,12 +130,12 @@
 	var b strings.Builder
 	for _, f := range metrics.Catalogue {
 		fmt.Fprintf(&b, "%-40s", typePrefix+f.Name)
-		for i, s := range sources(f.Kind) {
+		for i, s := range dataSources(f.Kind) {
 			sep := ", "
 			if i == 0 {
 				sep = " "
 			}
-			fmt.Fprintf(&b, "%s%s:%s:0:U", sep, s.name, kindNames[s.kind])
+			fmt.Fprintf(&b, "%s%s:%s:0:U", sep, s.name, dataSourceTypes[s.kind])
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -52,13 +52,13 @@
 func (r *rig) hear(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Open:
+		case Connect:
 			r.said = append(r.said, fmt.Sprintf("open %d", a.Conn))
 		case Write:
-			r.said = append(r.said, fmt.Sprintf("write %d of %d from %d", a.Interval.Number, a.Interval.Of, a.From))
+			r.said = append(r.said, fmt.Sprintf("write %d of %d from %d", a.Interval.Sequence, a.Interval.FoldedCount, a.FirstRecord))
 		case Close:
 			r.said = append(r.said, fmt.Sprintf("close %d", a.Conn))
-		case Done:
+		case Stopped:
 			r.said = append(r.said, "done")
 		}
 	}
@@ -80,7 +80,7 @@
 func (r *rig) pass(d time.Duration) {
 	end := r.now + d
 	for {
-		at, ok := r.m.Next()
+		at, ok := r.m.NextDeadline()
 		if !ok || at > end {
 			break
 		}
@@ -106,14 +106,14 @@
 	r := newRig(config())
 	r.offer(1)
 	r.want(t, "open 1")
-	r.apply(Opened{1})
+	r.apply(Connected{1})
 	r.want(t, "write 1 of 1 from 0")
-	r.apply(Wrote{1})
+	r.apply(WriteCompleted{1})
 	r.pass(time.Hour)
 	r.want(t)
 	r.offer(1)
 	r.want(t, "write 2 of 1 from 0")
-	if st := r.m.Stats(); st.Delivered != 1 || st.Waiting != 1 || st.Lost != 0 {
+	if st := r.m.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.Lost != 0 {
 		t.Fatalf("%+v", st)
 	}
 }
@@ -126,8 +126,8 @@
 		m.Apply(0, Offer{src.next()})
 		now := time.Duration(0)
 		for try := range 10 {
-			m.Apply(now, Broken{Conn: try + 1})
-			at, ok := m.Next()
+			m.Apply(now, Disconnected{Conn: try + 1})
+			at, ok := m.NextDeadline()
 			full := min(15*time.Second, 200*ms<<try)
 			if !ok || at-now < full/2 || at-now > full {
 				t.Fatalf("try %d: waits %v, want %v to %v", try, at-now, full/2, full)
@@ -150,20 +150,20 @@
 func TestAConnectionThatTakesNothingIsBackedOffFrom(t *testing.T) {
 	r := newRig(config())
 	r.offer(1)
-	r.apply(Opened{1})
+	r.apply(Connected{1})
 	r.said = nil
 	r.pass(5*time.Second - 1)
 	r.want(t)
 	r.pass(1)
 	r.want(t, "close 1")
-	r.apply(Broken{1, 0})
+	r.apply(Disconnected{1, 0})
 	r.pass(time.Second)
 	r.want(t, "open 2")
-	r.apply(Opened{2})
+	r.apply(Connected{2})
 	r.pass(5 * time.Second)
-	r.apply(Broken{2, 0})
+	r.apply(Disconnected{2, 0})
 	r.want(t, "write 1 of 1 from 0", "close 2")
-	if at, _ := r.m.Next(); at-r.now < 200*ms {
+	if at, _ := r.m.NextDeadline(); at-r.now < 200*ms {
 		t.Fatalf("the second pause is %v", at-r.now)
 	}
 	r.pass(400 * ms)
@@ -173,7 +173,7 @@
 func TestLinesTakenKeepAConnection(t *testing.T) {
 	r := newRig(config())
 	r.offer(1)
-	r.apply(Opened{1})
+	r.apply(Connected{1})
 	r.said = nil
 	for i := range 10 {
 		r.pass(4 * time.Second)
@@ -185,22 +185,22 @@
 func TestGoesOnBehindTheLinesThatAreOut(t *testing.T) {
 	r := newRig(config())
 	r.offer(1)
-	r.apply(Opened{1}, Broken{1, 17})
+	r.apply(Connected{1}, Disconnected{1, 17})
 	r.pass(time.Second)
-	r.apply(Opened{2})
+	r.apply(Connected{2})
 	r.want(t, "open 1", "write 1 of 1 from 0", "open 2", "write 1 of 1 from 17")
 }
 
 // Guards against lines counted in an interval that is not the one they were of.
 func TestWhatIsOutInPartIsNotFolded(t *testing.T) {
 	cfg := config()
-	cfg.Most = 3
+	cfg.MaxWaiting = 3
 	r := newRig(cfg)
 	r.offer(1)
-	r.apply(Opened{1}, Broken{1, 5})
+	r.apply(Connected{1}, Disconnected{1, 5})
 	r.offer(6)
 	r.pass(time.Second)
-	r.apply(Opened{2}, Wrote{2})
+	r.apply(Connected{2}, WriteCompleted{2})
 	r.pass(time.Second)
 	r.want(t, "open 1", "write 1 of 1 from 0", "open 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
 }
@@ -211,25 +211,25 @@
 	cfg.Budget, cfg.ReplayRate = 1<<20, 2<<10
 	r := newRig(cfg)
 	r.offer(6)
-	r.apply(Opened{1})
+	r.apply(Connected{1})
 	r.want(t, "open 1", "write 6 of 1 from 0")
-	r.apply(Wrote{1})
+	r.apply(WriteCompleted{1})
 	r.want(t) // some 800 bytes at 256 a second
 	r.pass(4 * time.Second)
 	r.want(t, "write 1 of 1 from 0")
 	r.offer(1) // meanwhile
-	r.apply(Wrote{1})
+	r.apply(WriteCompleted{1})
 	r.want(t, "write 7 of 1 from 0")
-	r.apply(Wrote{1})
+	r.apply(WriteCompleted{1})
 	var gaps []time.Duration
 	for range 4 {
-		at, ok := r.m.Next()
+		at, ok := r.m.NextDeadline()
 		if !ok {
 			t.Fatal("nothing is due")
 		}
 		gaps = append(gaps, at-r.now)
 		r.pass(at - r.now)
-		r.apply(Wrote{1})
+		r.apply(WriteCompleted{1})
 	}
 	r.want(t, "write 2 of 1 from 0", "write 3 of 1 from 0", "write 4 of 1 from 0", "write 5 of 1 from 0")
 	if gaps[3] >= gaps[0] {
@@ -247,14 +247,14 @@
 			t.Fatalf("holds %d bytes", held)
 		}
 	}
-	if st := r.m.Stats(); st.Waiting != 360 || st.Lost != 0 || st.LostSamples != 0 {
+	if st := r.m.Stats(); st.WaitingIntervals != 360 || st.Lost != 0 || st.LostSamples != 0 {
 		t.Fatalf("%+v", st)
 	}
 	least, most, samples := uint64(1000), uint64(0), 0.0
 	for i, it := range r.m.queue {
-		samples += it.v.Samples()
+		samples += it.interval.SampleCount()
 		if i < len(r.m.queue)-2 {
-			least, most = min(least, it.v.Of), max(most, it.v.Of)
+			least, most = min(least, it.interval.FoldedCount), max(most, it.interval.FoldedCount)
 		}
 	}
 	if most > 4*least || samples != 360 {
@@ -269,12 +269,12 @@
 	r := newRig(cfg)
 	r.offer(2000) // five hours and more: longer than may be folded into one
 	st := r.m.Stats()
-	if st.Held > cfg.Budget || st.Lost == 0 || st.Lost+st.Waiting != 2000 {
+	if st.Held > cfg.Budget || st.Lost == 0 || st.Lost+st.WaitingIntervals != 2000 {
 		t.Fatalf("%+v", st)
 	}
 	held := 0.0
 	for _, it := range r.m.queue {
-		held += it.v.Samples()
+		held += it.interval.SampleCount()
 	}
 	if st.LostSamples+held != 2000 {
 		t.Fatalf("%v samples lost, %v held", st.LostSamples, held)
@@ -284,16 +284,16 @@
 // collectd takes nothing that is older than the last: one interval waits, which has all.
 func TestOneThatMayWait(t *testing.T) {
 	cfg := config()
-	cfg.Most = 1
+	cfg.MaxWaiting = 1
 	r := newRig(cfg)
 	r.offer(5)
-	r.apply(Broken{1, 0})
+	r.apply(Disconnected{1, 0})
 	r.offer(5)
 	r.pass(time.Second)
-	r.apply(Opened{2})
+	r.apply(Connected{2})
 	r.want(t, "open 1", "open 2", "write 10 of 10 from 0")
 	r.offer(2) // while that is under way
-	r.apply(Wrote{2})
+	r.apply(WriteCompleted{2})
 	r.want(t, "write 12 of 2 from 0")
 	if st := r.m.Stats(); st.Lost != 0 {
 		t.Fatalf("%+v", st)
@@ -303,21 +303,21 @@
 func TestANewAddressGetsWhatWaits(t *testing.T) {
 	r := newRig(config())
 	r.offer(1)
-	r.apply(Opened{1}, Broken{1, 5})
+	r.apply(Connected{1}, Disconnected{1, 5})
 	r.offer(1)
 	r.said = nil
-	r.apply(Move{}) // it does not wait for the pause
+	r.apply(AddressChanged{}) // it does not wait for the pause
 	r.want(t, "open 2")
-	r.apply(Opened{2})
+	r.apply(Connected{2})
 	r.want(t, "write 2 of 1 from 0")
-	r.apply(Move{})
+	r.apply(AddressChanged{})
 	r.want(t, "close 2")
-	r.apply(Broken{2, 9})
+	r.apply(Disconnected{2, 9})
 	r.want(t, "open 3")
-	r.apply(Opened{3}, Wrote{3})
+	r.apply(Connected{3}, WriteCompleted{3})
 	r.pass(time.Second)
 	r.want(t, "write 1 of 1 from 0", "write 2 of 1 from 0") // whole, as the new collector has none of it
-	if st := r.m.Stats(); st.Breaks != 1 {
+	if st := r.m.Stats(); st.ConnectionFailures != 1 {
 		t.Fatalf("a move counts as a break: %+v", st)
 	}
 }
@@ -329,22 +329,22 @@
 		want []string
 		lost uint64
 	}{
-		{"nothing waits", func(r *rig) { r.apply(Stop{300 * ms}) }, []string{"done"}, 0},
+		{"nothing waits", func(r *rig) { r.apply(StopRequested{300 * ms}) }, []string{"done"}, 0},
 		{"all leaves, without a pace", func(r *rig) {
 			r.offer(3)
-			r.apply(Opened{1}, Stop{300 * ms}, Wrote{1}, Wrote{1}, Wrote{1})
+			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1}, WriteCompleted{1}, WriteCompleted{1})
 		}, []string{"open 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "write 2 of 1 from 0", "close 1", "done"}, 0},
 		{"a last try is made at once", func(r *rig) {
 			r.offer(1)
-			r.apply(Broken{1, 0}, Stop{300 * ms}, Opened{2}, Wrote{2})
+			r.apply(Disconnected{1, 0}, StopRequested{300 * ms}, Connected{2}, WriteCompleted{2})
 		}, []string{"open 1", "open 2", "write 1 of 1 from 0", "close 2", "done"}, 0},
 		{"what is left is counted", func(r *rig) {
 			r.offer(3)
-			r.apply(Opened{1}, Stop{300 * ms}, Wrote{1})
+			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1})
 			r.pass(300 * ms)
 		}, []string{"open 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "close 1", "done"}, 2},
 		{"nothing is taken after it", func(r *rig) {
-			r.apply(Stop{300 * ms})
+			r.apply(StopRequested{300 * ms})
 			r.offer(1)
 		}, []string{"done"}, 1},
 	} {
@@ -352,7 +352,7 @@
 			r := newRig(config())
 			c.do(r)
 			r.want(t, c.want...)
-			if st := r.m.Stats(); st.Lost != c.lost || st.Waiting != 0 {
+			if st := r.m.Stats(); st.Lost != c.lost || st.WaitingIntervals != 0 {
 				t.Fatalf("%+v", st)
 			}
 		})
@@ -365,7 +365,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.Budget = rapid.SampledFrom([]int{3 << 10, 16 << 10, 1 << 20}).Draw(t, "budget")
-		cfg.Most = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "most")
+		cfg.MaxWaiting = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "most")
 		r := newRig(cfg)
 		var under *Write
 		conn, open := 0, false
@@ -374,7 +374,7 @@
 		hear := func(actions []Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
-				case Open:
+				case Connect:
 					if conn != 0 {
 						t.Fatal("two connections at once")
 					}
@@ -383,8 +383,8 @@
 					if under != nil || !open || a.Conn != conn {
 						t.Fatalf("writes out of turn: %+v", a)
 					}
-					if a.From < out[a.Interval] {
-						t.Fatalf("line %d again, %d are out", a.From, out[a.Interval])
+					if a.FirstRecord < out[a.Interval] {
+						t.Fatalf("line %d again, %d are out", a.FirstRecord, out[a.Interval])
 					}
 					under = &a
 				}
@@ -392,10 +392,10 @@
 		}
 		step := func(ev Event) { hear(r.m.Apply(r.now, ev)) }
 		wrote := func() {
-			got += under.Interval.Of
+			got += under.Interval.FoldedCount
 			delete(out, under.Interval)
 			under = nil
-			step(Wrote{conn})
+			step(WriteCompleted{conn})
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			r.now += rapid.SampledFrom([]time.Duration{0, ms, 100 * ms, 10 * time.Second}).Draw(t, "pause")
@@ -404,30 +404,30 @@
 			case 0, 1:
 				step(Offer{r.src.next()})
 			case 2:
-				if conn != 0 && !open && r.m.state == opening {
+				if conn != 0 && !open && r.m.state == connecting {
 					open = true
-					step(Opened{conn})
+					step(Connected{conn})
 				}
 			case 3:
-				if under != nil && r.m.state == up {
+				if under != nil && r.m.state == connected {
 					wrote()
 				}
 			case 4:
 				if conn != 0 {
 					lines := 0
 					if under != nil {
-						lines = under.From + rapid.IntRange(0, 5).Draw(t, "lines")
+						lines = under.FirstRecord + rapid.IntRange(0, 5).Draw(t, "lines")
 						out[under.Interval] = lines
 					}
 					old := conn
 					conn, under = 0, nil
-					step(Broken{old, lines})
+					step(Disconnected{old, lines})
 				}
 			case 5:
-				step(Broken{Conn: 999, Lines: 3}) // of no connection that there is
+				step(Disconnected{Conn: 999, Records: 3}) // of no connection that there is
 			}
 			st := r.m.Stats()
-			if got != st.Delivered || st.Delivered+st.Lost+st.Waiting != r.src.made {
+			if got != st.DeliveredIntervals || st.DeliveredIntervals+st.Lost+st.WaitingIntervals != r.src.made {
 				t.Fatalf("%d made, %d taken: %+v", r.src.made, got, st)
 			}
 			if st.Held > cfg.Budget {
@@ -436,27 +436,27 @@
 		}
 		for range 10_000 { // the collector serves
 			switch {
-			case conn != 0 && !open && r.m.state == opening:
+			case conn != 0 && !open && r.m.state == connecting:
 				open = true
-				step(Opened{conn})
+				step(Connected{conn})
 				continue
 			case conn != 0 && r.m.state == closing:
 				old := conn
 				conn, under = 0, nil
-				step(Broken{old, 0})
+				step(Disconnected{old, 0})
 				continue
 			case under != nil:
 				wrote()
 				continue
 			}
-			at, ok := r.m.Next()
+			at, ok := r.m.NextDeadline()
 			if !ok {
 				break
 			}
 			r.now = max(r.now, at)
 			hear(r.m.Tick(r.now))
 		}
-		if st := r.m.Stats(); st.Waiting != 0 || st.Delivered+st.Lost != r.src.made {
+		if st := r.m.Stats(); st.WaitingIntervals != 0 || st.DeliveredIntervals+st.Lost != r.src.made {
 			t.Fatalf("still waiting: %+v", st)
 		}
 	})
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -25,7 +25,7 @@
 
 // Records is how many records an interval has.
 func (e *Encoder) Records(v *metrics.Interval) int {
-	return len(v.Points) + len(v.Spreads)*len(metrics.Stats)
+	return len(v.Points) + len(v.Distributions)*len(metrics.Stats)
 }
 
 // record is number i.
@@ -34,9 +34,9 @@
 		return Name{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value, nil
 	}
 	i -= len(v.Points)
-	d, stat := &v.Spreads[i/len(metrics.Stats)], i%len(metrics.Stats)
+	d, stat := &v.Distributions[i/len(metrics.Stats)], i%len(metrics.Stats)
 	// A sketch is read anew for each of its records only where writing goes on in the middle of it.
-	s, err := metrics.Summarize(d.Data)
+	s, err := metrics.Summarize(d.EncodedSketch)
 	if err != nil {
 		return Name{}, 0, err
 	}
@@ -50,18 +50,18 @@
 		return e.appendPickle(dst, v, from, most)
 	}
 	until := len(dst) + most
-	err = e.each(v, from, func(n Name, value float64) bool {
+	err = e.eachRecord(v, from, func(n Name, value float64) bool {
 		dst = append(e.Form.Append(dst, n), ' ')
 		dst = append(strconv.AppendFloat(dst, value, 'f', -1, 64), ' ')
-		dst = append(strconv.AppendInt(dst, int64(v.At/time.Second), 10), '\n')
+		dst = append(strconv.AppendInt(dst, int64(v.EndTime/time.Second), 10), '\n')
 		from++
 		return len(dst) < until
 	})
 	return dst, from, err
 }
 
-// each calls f with the records from a number on, until it returns false.
-func (e *Encoder) each(v *metrics.Interval, from int, f func(Name, float64) bool) error {
+// eachRecord calls f with the records from a number on, until it returns false.
+func (e *Encoder) eachRecord(v *metrics.Interval, from int, f func(Name, float64) bool) error {
 	for i := from; i < e.Records(v); {
 		n, value, err := e.record(v, i)
 		if err != nil {
@@ -74,7 +74,7 @@
 			i++
 			continue
 		}
-		s, err := metrics.Summarize(v.Spreads[(i-len(v.Points))/len(metrics.Stats)].Data)
+		s, err := metrics.Summarize(v.Distributions[(i-len(v.Points))/len(metrics.Stats)].EncodedSketch)
 		if err != nil {
 			return err
 		}
@@ -92,10 +92,10 @@
 // appendPickle appends one frame: the length as four bytes, then a pickled list of (path, (time, value)).
 func (e *Encoder) appendPickle(dst []byte, v *metrics.Interval, from, most int) ([]byte, int, error) {
 	list, size, path := []any{}, 0, []byte(nil)
-	err := e.each(v, from, func(n Name, value float64) bool {
+	err := e.eachRecord(v, from, func(n Name, value float64) bool {
 		path = e.Form.Append(path[:0], n)
-		list = append(list, pickle.Tuple{string(path), pickle.Tuple{int64(v.At / time.Second), value}})
-		size += len(path) + recordOverhead
+		list = append(list, pickle.Tuple{string(path), pickle.Tuple{int64(v.EndTime / time.Second), value}})
+		size += len(path) + pickledRecordOverhead
 		from++
 		return size < most
 	})
@@ -110,5 +110,5 @@
 	return append(dst, b.Bytes()...), from, nil
 }
 
-// recordOverhead is what a record's pickle has beside its path.
-const recordOverhead = 24
+// pickledRecordOverhead is what a record's pickle has beside its path.
+const pickledRecordOverhead = 24
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -35,7 +35,7 @@
 
 // every is an interval with every figure, each of its details, and values of their own for two names and all others.
 func every() *metrics.Interval {
-	v := &metrics.Interval{Number: 7, Of: 2, At: 1_750_000_000 * time.Second, Took: 10 * time.Second}
+	v := &metrics.Interval{Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: 10 * time.Second}
 	value := 0.0
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
@@ -50,7 +50,7 @@
 					value += 0.25
 					d.Add(value * float64(n))
 				}
-				v.Spreads = append(v.Spreads, metrics.Distribution{Series: s, Count: d.Count(), Data: d.Encode(nil)})
+				v.Distributions = append(v.Distributions, metrics.Distribution{Series: s, Count: d.Count(), EncodedSketch: d.Encode(nil)})
 				continue
 			}
 			for part := range id.Parts() {
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, Sample{string(e.Form.Append(nil, n)), x, int64(v.At / time.Second)})
+		all = append(all, Sample{string(e.Form.Append(nil, n)), x, int64(v.EndTime / time.Second)})
 	}
 	return all
 }
@@ -139,7 +139,7 @@
 		{"a 1 2\n", nil}, {"a 1 2\r\n", nil}, {"a 1 2", nil},
 		{"\n", ErrMalformed}, {"a 1\n", ErrMalformed}, {"a  1 2\n", ErrMalformed}, {"a NaN 2\n", ErrMalformed},
 		{"a inf 2\n", ErrMalformed}, {"a 1 2.5\n", ErrMalformed}, {" 1 2\n", ErrMalformed},
-		{string(make([]byte, mostLine+1)), ErrTooLarge},
+		{string(make([]byte, maxLineBytes+1)), ErrTooLarge},
 	} {
 		if _, _, err := ParseLine([]byte(c.line)); !errors.Is(err, c.want) {
 			t.Errorf("%.20q: %v, want %v", c.line, err, c.want)
--- a/internal/graphite/parse.go
+++ b/internal/graphite/parse.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	mostLine  = 4 << 10
-	mostFrame = 1 << 20
+	maxLineBytes  = 4 << 10
+	maxFrameBytes = 1 << 20
 )
 
 // Sample is one value of one path.
@@ -34,8 +34,8 @@
 func ParseLine(b []byte) (Sample, int, error) {
 	end := bytes.IndexByte(b, '\n')
 	switch {
-	case end < 0 && len(b) > mostLine, end > mostLine:
-		return Sample{}, 0, fmt.Errorf("%w: a line of over %d bytes", ErrTooLarge, mostLine)
+	case end < 0 && len(b) > maxLineBytes, end > maxLineBytes:
+		return Sample{}, 0, fmt.Errorf("%w: a line of over %d bytes", ErrTooLarge, maxLineBytes)
 	case end < 0:
 		return Sample{}, 0, nil
 	}
@@ -61,7 +61,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(b))
 	switch {
-	case n > mostFrame:
+	case n > maxFrameBytes:
 		return nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrTooLarge, n)
 	case len(b) < 4+n:
 		return nil, 0, nil
@@ -76,7 +76,7 @@
 	}
 	all := make([]Sample, 0, len(list))
 	for _, v := range list {
-		s, ok := sample(v)
+		s, ok := decodeSample(v)
 		if !ok {
 			return nil, 0, fmt.Errorf("%w pickle: %.80v is no (path, (time, value))", ErrMalformed, v)
 		}
@@ -85,7 +85,7 @@
 	return all, 4 + n, nil
 }
 
-func sample(v any) (s Sample, ok bool) {
+func decodeSample(v any) (s Sample, ok bool) {
 	outer, ok := v.(pickle.Tuple)
 	if !ok || len(outer) != 2 {
 		return s, false
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -20,21 +20,21 @@
 
 func (k Kind) String() string { return [...]string{"counter", "gauge", "distribution"}[k] }
 
-// Dim is what the series of a figure are named by.
-type Dim int
+// Dimension is what the series of a figure are named by.
+type Dimension int
 
 // The dimensions. Names of each are bounded by themselves.
 const (
-	NoDimension Dim = iota // one series
-	Class                  // of requests
-	Tenant                 // customers
+	NoDimension Dimension = iota // one series
+	Class                        // of requests
+	Tenant                       // customers
 	Engine
 	DataSet // the number of a group of tables
 	Destination
-	dims
+	dimensionCount
 )
 
-func (d Dim) String() string {
+func (d Dimension) String() string {
 	return [...]string{"", "class", "tenant", "engine", "data_set", "destination"}[d]
 }
 
@@ -96,7 +96,7 @@
 	Started
 	Sequence
 	Folded
-	figures
+	figureCount
 )
 
 // Figure is an entry of the catalogue.
@@ -104,7 +104,7 @@
 	Name   string
 	Kind   Kind
 	Unit   string // of a value: ms, bytes, ...; empty: a plain number
-	By     Dim
+	By     Dimension
 	Detail string   // what Details tell apart; empty: there is one series a name
 	Parts  []string // the details, in order
 	Help   string
@@ -112,13 +112,13 @@
 
 // The details of figures by how something ended. The order is that of the constants beside them.
 var (
-	outcomes = []string{"in_time", "late", "refused", "failed", "gone"}
-	causes   = []string{"no_room", "too_many_sessions", "bad_fields", "bad_command", "not_ready", "no_such_session",
+	requestOutcomes = []string{"in_time", "late", "refused", "failed", "gone"}
+	rejectionCauses = []string{"no_room", "too_many_sessions", "bad_fields", "bad_command", "not_ready", "no_such_session",
 		"no_such_database", "killed"}
-	statuses = []string{"ok", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
-	health   = []string{"ready", "cold", "doubted", "draining"}
-	sides    = []string{"client", "engine"}
-	bounded  = []string{"class", "tenant", "engine", "data_set"}
+	attemptStatuses   = []string{"ok", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
+	engineHealths     = []string{"ready", "cold", "doubted", "draining"}
+	connectionSides   = []string{"client", "engine"}
+	boundedDimensions = []string{"class", "tenant", "engine", "data_set"}
 	// EndReasons are the reason codes of ended connections, as the log has them.
 	EndReasons = []string{"peer_closed", "peer_reset", "quit", "idle", "login_timeout", "read_timeout", "access_denied",
 		"malformed", "too_large", "buffer_full", "write_timeout", "killed", "made_room", "too_many_connections",
@@ -161,19 +161,19 @@
 )
 
 // Catalogue has every figure that a broker reports, by its ID.
-var Catalogue = [figures]Figure{
+var Catalogue = [figureCount]Figure{
 	Requests:           {"requests", Counter, "", Class, "", nil, "requests taken"},
 	RequestsByTenant:   {"requests_by_tenant", Counter, "", Tenant, "", nil, "requests taken"},
 	RequestsByDataSet:  {"requests_by_data_set", Counter, "", DataSet, "", nil, "requests taken that read or write this group of tables"},
-	Answers:            {"answers", Counter, "", Class, "outcome", outcomes, "requests that are over: served within the wanted time or after it, refused, failed, or their client gone"},
-	AnswersByTenant:    {"answers_by_tenant", Counter, "", Tenant, "outcome", outcomes, "the same by customer"},
+	Answers:            {"answers", Counter, "", Class, "outcome", requestOutcomes, "requests that are over: served within the wanted time or after it, refused, failed, or their client gone"},
+	AnswersByTenant:    {"answers_by_tenant", Counter, "", Tenant, "outcome", requestOutcomes, "the same by customer"},
 	InTimeShare:        {"in_time_share", Gauge, "", Class, "", nil, "part of the requests that ended in the interval, clients that left apart, that were served within the wanted time"},
 	ObjectiveRatio:     {"aim_ratio", DistributionKind, "", Class, "", nil, "time from the client's send to the answer over the wanted time, of requests served; above 1 is late"},
 	AnswerTime:         {"answer_ms", DistributionKind, "ms", Class, "", nil, "time from the client's send to the answer, of requests served"},
-	Rejections:         {"refusals", Counter, "", NoDimension, "cause", causes, "what was turned away, by cause; no_room is the decision module's"},
+	Rejections:         {"refusals", Counter, "", NoDimension, "cause", rejectionCauses, "what was turned away, by cause; no_room is the decision module's"},
 	Attempts:           {"attempts", Counter, "", Class, "", nil, "attempts sent to engines"},
 	AttemptsByRequest:  {"attempts_a_request", DistributionKind, "", Class, "", nil, "attempts that each request took until it was over"},
-	AttemptEnds:        {"attempt_ends", Counter, "", Engine, "status", statuses, "attempts that ended, by how"},
+	AttemptEnds:        {"attempt_ends", Counter, "", Engine, "status", attemptStatuses, "attempts that ended, by how"},
 	EngineTime:         {"engine_ms", DistributionKind, "ms", Engine, "", nil, "time from an attempt's send to its good end"},
 	ClientRetries:      {"client_retries", Counter, "", Class, "", nil, "requests that their client marked as a retry"},
 	DuplicateResponses: {"second_copies", Counter, "", Engine, "", nil, "answers that no attempt waited for: second copies, and answers to what was given up"},
@@ -189,21 +189,21 @@
 	Threads:            {"threads", Gauge, "threads", Engine, "", nil, "threads of what is out there"},
 	Queued:             {"queued", Gauge, "", Engine, "", nil, "requests that wait in the engine's queue at this broker"},
 	ClassShare:         {"class_share", Gauge, "", Class, "", nil, "weight of the class in the fair queues, as the decision module sets it"},
-	Engines:            {"engines", Gauge, "", NoDimension, "health", health, "engines by health, each in one group: draining, doubted (held to be down), cold (started lately), ready"},
+	Engines:            {"engines", Gauge, "", NoDimension, "health", engineHealths, "engines by health, each in one group: draining, doubted (held to be down), cold (started lately), ready"},
 	ClientEnds:         {"client_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections of clients that ended, by reason code"},
 	EngineEnds:         {"engine_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections to engines that ended, by reason code"},
 	ChangelogEnds:      {"changelog_connections_ended", Counter, "", NoDimension, "reason", EndReasons, "connections to the change log that ended, by reason code"},
-	Connections:        {"connections", Gauge, "", NoDimension, "side", sides, "connections that are open"},
+	Connections:        {"connections", Gauge, "", NoDimension, "side", connectionSides, "connections that are open"},
 	Open:               {"open_requests", Gauge, "", NoDimension, "", nil, "requests that are owed an answer"},
 	Sessions:           {"sessions", Gauge, "", NoDimension, "", nil, "clients that are connected"},
 	Heap:               {"heap_bytes", Gauge, "bytes", NoDimension, "", nil, "memory of live objects and of those not yet collected"},
 	Memory:             {"memory_bytes", Gauge, "bytes", NoDimension, "", nil, "memory that the runtime has from the system"},
 	Inbox:              {"inbox", Gauge, "", NoDimension, "", nil, "the most events that waited for the reducer in the interval"},
 	RoundLag:           {"round_lag_ms", DistributionKind, "ms", NoDimension, "", nil, "how long after it was due the reducer's goroutine came to a turn"},
-	NamesAdmitted:      {"names", Gauge, "", NoDimension, "of", bounded, "names that have series of their own"},
-	NamesJoined:        {"names_joined", Counter, "", NoDimension, "of", bounded, "names that were given series of their own"},
-	NamesLeft:          {"names_left", Counter, "", NoDimension, "of", bounded, "names that lost them again, being idle or lighter than others"},
-	NamesOther:         {"names_other", Counter, "", NoDimension, "of", bounded, "how often a name was counted under 'other'"},
+	NamesAdmitted:      {"names", Gauge, "", NoDimension, "of", boundedDimensions, "names that have series of their own"},
+	NamesJoined:        {"names_joined", Counter, "", NoDimension, "of", boundedDimensions, "names that were given series of their own"},
+	NamesLeft:          {"names_left", Counter, "", NoDimension, "of", boundedDimensions, "names that lost them again, being idle or lighter than others"},
+	NamesOther:         {"names_other", Counter, "", NoDimension, "of", boundedDimensions, "how often a name was counted under 'other'"},
 	Held:               {"held_bytes", Gauge, "bytes", Destination, "", nil, "figures that wait for delivery"},
 	HeldIntervals:      {"held_intervals", Gauge, "", Destination, "", nil, "intervals that wait for delivery, each of those folded into one counted; with delivered_intervals and lost_intervals they make up all before this one"},
 	Delivered:          {"delivered_intervals", Counter, "", Destination, "", nil, "intervals that were written, each of those folded into one counted"},
@@ -222,7 +222,7 @@
 
 // Find is the figure of a name.
 func Find(name string) (ID, bool) {
-	for id := range figures {
+	for id := range figureCount {
 		if Catalogue[id].Name == name {
 			return id, true
 		}
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -34,24 +34,24 @@
 // Distribution is what was measured in the interval.
 type Distribution struct {
 	Series
-	Count float64
-	Data  []byte // the sketch; see Summarize
+	Count         float64
+	EncodedSketch []byte // the sketch; see Summarize
 }
 
 // Interval is what a broker reports of a stretch of time. It is not changed once it is made, so several
 // destinations may hold it. Points and distributions are in order of their series.
 type Interval struct {
-	Number  uint64        // from 1 at the broker's start; of a folded one, that of the last
-	Of      uint64        // intervals that it is made of
-	At      time.Duration // its end, by the wall clock, Unix time
-	Took    time.Duration // its length, by a clock that is never set
-	Points  []Point
-	Spreads []Distribution
+	Sequence      uint64        // from 1 at the broker's start; of a folded one, that of the last
+	FoldedCount   uint64        // intervals that it is made of
+	EndTime       time.Duration // its end, by the wall clock, Unix time
+	Duration      time.Duration // its length, by a clock that is never set
+	Points        []Point
+	Distributions []Distribution
 }
 
-// Samples is how many values its distributions hold.
-func (v *Interval) Samples() (n float64) {
-	for _, d := range v.Spreads {
+// SampleCount is how many values its distributions hold.
+func (v *Interval) SampleCount() (n float64) {
+	for _, d := range v.Distributions {
 		n += d.Count
 	}
 	return n
@@ -59,15 +59,15 @@
 
 // Memory of a point and of a distribution beside its sketch; names are shared.
 const (
-	pointBytes  = 56
-	spreadBytes = 80
+	pointMemoryBytes        = 56
+	distributionMemoryBytes = 80
 )
 
-// Bytes is the memory that it takes.
-func (v *Interval) Bytes() int {
-	n := 96 + pointBytes*len(v.Points) + spreadBytes*len(v.Spreads)
-	for _, d := range v.Spreads {
-		n += len(d.Data)
+// MemoryBytes is the memory that it takes.
+func (v *Interval) MemoryBytes() int {
+	n := 96 + pointMemoryBytes*len(v.Points) + distributionMemoryBytes*len(v.Distributions)
+	for _, d := range v.Distributions {
+		n += len(d.EncodedSketch)
 	}
 	return n
 }
@@ -76,11 +76,11 @@
 // where the later interval lacks it as its name has left: a counter loses nothing. Gauges are the later ones, and
 // distributions are merged.
 func Fold(a, b *Interval) (*Interval, error) {
-	out := &Interval{Number: b.Number, Of: a.Of + b.Of, At: b.At, Took: a.Took + b.Took}
+	out := &Interval{Sequence: b.Sequence, FoldedCount: a.FoldedCount + b.FoldedCount, EndTime: b.EndTime, Duration: a.Duration + b.Duration}
 	out.Points = make([]Point, 0, len(b.Points))
 	i, j := 0, 0
 	for i < len(a.Points) || j < len(b.Points) {
-		switch c := order(a.Points, b.Points, i, j, func(p Point) Series { return p.Series }); {
+		switch c := compareHeads(a.Points, b.Points, i, j, func(p Point) Series { return p.Series }); {
 		case c < 0:
 			if Catalogue[a.Points[i].Figure].Kind == Counter {
 				out.Points = append(out.Points, a.Points[i])
@@ -99,29 +99,29 @@
 		}
 	}
 	i, j = 0, 0
-	for i < len(a.Spreads) || j < len(b.Spreads) {
-		switch c := order(a.Spreads, b.Spreads, i, j, func(d Distribution) Series { return d.Series }); {
+	for i < len(a.Distributions) || j < len(b.Distributions) {
+		switch c := compareHeads(a.Distributions, b.Distributions, i, j, func(d Distribution) Series { return d.Series }); {
 		case c < 0:
-			out.Spreads = append(out.Spreads, a.Spreads[i])
+			out.Distributions = append(out.Distributions, a.Distributions[i])
 			i++
 		case c > 0:
-			out.Spreads = append(out.Spreads, b.Spreads[j])
+			out.Distributions = append(out.Distributions, b.Distributions[j])
 			j++
 		default:
-			data, err := merge(a.Spreads[i].Data, b.Spreads[j].Data)
+			data, err := mergeSketches(a.Distributions[i].EncodedSketch, b.Distributions[j].EncodedSketch)
 			if err != nil {
 				return nil, err
 			}
-			out.Spreads = append(out.Spreads, Distribution{Series: b.Spreads[j].Series,
-				Count: a.Spreads[i].Count + b.Spreads[j].Count, Data: data})
+			out.Distributions = append(out.Distributions, Distribution{Series: b.Distributions[j].Series,
+				Count: a.Distributions[i].Count + b.Distributions[j].Count, EncodedSketch: data})
 			i, j = i+1, j+1
 		}
 	}
 	return out, nil
 }
 
-// order compares the heads of what is left of two lists; one that is used up comes last.
-func order[T any](a, b []T, i, j int, of func(T) Series) int {
+// compareHeads compares the heads of what is left of two lists; one that is used up comes last.
+func compareHeads[T any](a, b []T, i, j int, of func(T) Series) int {
 	switch {
 	case i >= len(a):
 		return 1
@@ -131,10 +131,10 @@
 	return compareSeries(of(a[i]), of(b[j]))
 }
 
-// WithoutSpreads is the interval with its counters and gauges alone.
-func (v *Interval) WithoutSpreads() *Interval {
+// WithoutDistributions is the interval with its counters and gauges alone.
+func (v *Interval) WithoutDistributions() *Interval {
 	out := *v
-	out.Spreads = nil
+	out.Distributions = nil
 	return &out
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -70,9 +70,9 @@
 			if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
 				t.Fatal("points out of order")
 			}
-			of, samples, took = of+v.Of, samples+v.Samples(), took+v.Took
-			if got := v.Value(Series{Figure: Folded}); got != float64(v.Of) {
-				t.Fatalf("an interval of %d says %v", v.Of, got)
+			of, samples, took = of+v.FoldedCount, samples+v.SampleCount(), took+v.Duration
+			if got := v.Value(Series{Figure: Folded}); got != float64(v.FoldedCount) {
+				t.Fatalf("an interval of %d says %v", v.FoldedCount, got)
 			}
 			for _, p := range v.Points {
 				if Catalogue[p.Figure].Kind != Counter {
@@ -83,8 +83,8 @@
 				}
 				last[p.Series] = p.Value
 			}
-			for _, d := range v.Spreads {
-				if s, err := Summarize(d.Data); err != nil || s.Count != d.Count {
+			for _, d := range v.Distributions {
+				if s, err := Summarize(d.EncodedSketch); err != nil || s.Count != d.Count {
 					t.Fatalf("a sketch of %v counts %v, %v", d.Count, s.Count, err)
 				}
 			}
@@ -135,8 +135,8 @@
 			t.Errorf("%s of %s: %v, want %v", Catalogue[c.s.Figure].Name, c.s.Name, got, c.want)
 		}
 	}
-	if after.Value(Series{Figure: AttemptEnds, Name: "leaves"}) != 0 || v.Samples() != 3 {
-		t.Errorf("it did not leave, or %v samples are folded", v.Samples())
+	if after.Value(Series{Figure: AttemptEnds, Name: "leaves"}) != 0 || v.SampleCount() != 3 {
+		t.Errorf("it did not leave, or %v samples are folded", v.SampleCount())
 	}
 }
 
@@ -164,7 +164,7 @@
 				continue
 			}
 			var err error
-			if data, err = merge(data, s.Encode(nil)); err != nil {
+			if data, err = mergeSketches(data, s.Encode(nil)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -179,7 +179,7 @@
 				t.Errorf("%s: quantile %v is %v, told %v", name, q.part, true_, q.got)
 			}
 		}
-		if s.Most != all[len(all)-1] || s.Least != all[0] || s.Count != float64(len(all)) {
+		if s.Max != all[len(all)-1] || s.Min != all[0] || s.Count != float64(len(all)) {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
@@ -192,7 +192,7 @@
 		s.Add(v)
 	}
 	got, err := Summarize(s.Encode(nil))
-	if err != nil || got.Count != 5 || got.Least != 0 || got.P50 != 0 {
+	if err != nil || got.Count != 5 || got.Min != 0 || got.P50 != 0 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 }
@@ -226,7 +226,7 @@
 	wall := []time.Duration{100 * s, 100*s + 400*time.Millisecond, 101 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s}
 	want := []time.Duration{100 * s, 101 * s, 102 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s}
 	for i := range wall {
-		if got := r.Cut(wall[i], 0).At; got != want[i] {
+		if got := r.Cut(wall[i], 0).EndTime; got != want[i] {
 			t.Errorf("the wall says %v, told %v, want %v", wall[i], got, want[i])
 		}
 	}
@@ -310,7 +310,7 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(one.Bytes()), "bytes/interval")
+	b.ReportMetric(float64(one.MemoryBytes()), "bytes/interval")
 }
 
 // The operators' page has the catalogue as it is.
--- a/internal/metrics/spread.go
+++ b/internal/metrics/spread.go
@@ -12,10 +12,10 @@
 // Accuracy is the relative error of a quantile at the most.
 const Accuracy = 0.01
 
-// mostBins bounds a sketch's memory; at this accuracy it spans nine decades, and what is below them joins the lowest.
-const mostBins = 1024
+// maxBins bounds a sketch's memory; at this accuracy it spans nine decades, and what is below them joins the lowest.
+const maxBins = 1024
 
-var bins = func() mapping.IndexMapping {
+var indexMapping = func() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(Accuracy)
 	if err != nil {
 		panic(err) // the accuracy is a constant within its range
@@ -23,16 +23,16 @@
 	return m
 }()
 
-func newStore() store.Store { return store.NewCollapsingLowestDenseStore(mostBins) }
+func newStore() store.Store { return store.NewCollapsingLowestDenseStore(maxBins) }
 
 // Sketch is a distribution: a DDSketch (Masson, Rim, Lee 2019) with exact count, sum, least and most.
 type Sketch struct {
-	d *ddsketch.DDSketchWithExactSummaryStatistics
+	sketch *ddsketch.DDSketchWithExactSummaryStatistics
 }
 
 // NewSketch returns an empty one.
 func NewSketch() *Sketch {
-	return &Sketch{ddsketch.NewDDSketchWithExactSummaryStatistics(bins, newStore)}
+	return &Sketch{ddsketch.NewDDSketchWithExactSummaryStatistics(indexMapping, newStore)}
 }
 
 // Add takes a value; negative ones and those that are no numbers count as 0.
@@ -41,30 +41,30 @@
 		v = 0
 	}
 	// The one error is of a value beyond what the mapping can index, some 1e300.
-	_ = s.d.Add(min(v, 1e300))
+	_ = s.sketch.Add(min(v, 1e300))
 }
 
 // Count is the number of values.
-func (s *Sketch) Count() float64 { return s.d.GetCount() }
+func (s *Sketch) Count() float64 { return s.sketch.GetCount() }
 
 // Clear forgets all values and keeps the memory.
-func (s *Sketch) Clear() { s.d.Clear() }
+func (s *Sketch) Clear() { s.sketch.Clear() }
 
 // Encode appends the sketch to dst.
 func (s *Sketch) Encode(dst []byte) []byte {
-	s.d.Encode(&dst, true)
+	s.sketch.Encode(&dst, true)
 	return dst
 }
 
 // Summary is what is told of a distribution.
 type Summary struct {
-	Count, Sum, Least, Most float64
-	P50, P95, P99           float64
+	Count, Sum, Min, Max float64
+	P50, P95, P99        float64
 }
 
 // Summarize reads an encoded sketch.
 func Summarize(data []byte) (Summary, error) {
-	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(data, newStore, bins)
+	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(data, newStore, indexMapping)
 	if err != nil {
 		return Summary{}, fmt.Errorf("sketch: %w", err)
 	}
@@ -73,10 +73,10 @@
 	}
 	var s Summary
 	s.Count, s.Sum = d.GetCount(), d.GetSum()
-	if s.Least, err = d.GetMinValue(); err != nil {
+	if s.Min, err = d.GetMinValue(); err != nil {
 		return s, fmt.Errorf("sketch: %w", err)
 	}
-	if s.Most, err = d.GetMaxValue(); err != nil {
+	if s.Max, err = d.GetMaxValue(); err != nil {
 		return s, fmt.Errorf("sketch: %w", err)
 	}
 	qs, err := d.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
@@ -87,9 +87,9 @@
 	return s, nil
 }
 
-// merge is two encoded sketches in one.
-func merge(a, b []byte) ([]byte, error) {
-	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(a, newStore, bins)
+// mergeSketches is two encoded sketches in one.
+func mergeSketches(a, b []byte) ([]byte, error) {
+	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(a, newStore, indexMapping)
 	if err != nil {
 		return nil, fmt.Errorf("sketch: %w", err)
 	}
@@ -106,5 +106,5 @@
 
 // Values are the figures of a summary in the order of Stats.
 func (s Summary) Values() [7]float64 {
-	return [7]float64{s.Count, s.Sum, s.Least, s.P50, s.P95, s.P99, s.Most}
+	return [7]float64{s.Count, s.Sum, s.Min, s.P50, s.P95, s.P99, s.Max}
 }
--- a/internal/report/draw.go
+++ b/internal/report/draw.go
@@ -16,12 +16,12 @@
 
 // The size of a chart.
 const (
-	width  = 16 * vg.Centimeter
-	height = 6 * vg.Centimeter
+	chartWidth  = 16 * vg.Centimeter
+	chartHeight = 6 * vg.Centimeter
 )
 
-// colors are told apart by those who see few colours, too (Okabe and Ito).
-var colors = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
+// palette are told apart by those who see few colours, too (Okabe and Ito).
+var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
 	{86, 180, 233, 255}, {0, 0, 0, 255}, {120, 120, 120, 255}}
 
 // render draws a chart as SVG.
@@ -45,7 +45,7 @@
 		if err != nil {
 			return "", fmt.Errorf("report: %s: %w", c.Title, err)
 		}
-		line.Color = colors[i%len(colors)]
+		line.Color = palette[i%len(palette)]
 		line.Width = vg.Points(1.2)
 		dots.Color = line.Color
 		dots.Shape, dots.Radius = draw.CircleGlyph{}, vg.Points(1.2)
@@ -62,7 +62,7 @@
 	}
 	p.Y.Max += 0.25 * (p.Y.Max - p.Y.Min)  // room for the legend
 	p.X.Min, p.X.Max = 0, max(1, c.Length) // all charts of a run have one axis
-	canvas := vgsvg.New(width, height)
+	canvas := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -41,23 +41,23 @@
 	Lines       []Line
 	SVG         template.HTML
 	Length      float64 // of the run, seconds
-	worst       float64 // what it is ordered by
+	severity    float64 // what it is ordered by
 }
 
 // Section is a group of charts of one question.
 type Section struct {
 	Title, Note string
 	Charts      []Chart
-	worst       float64
+	severity    float64
 }
 
-// run is a run with its times.
-type run struct {
+// runView is a run with its times.
+type runView struct {
 	*collector.Run
-	from int64
+	start int64
 }
 
-func (r run) x(v *collector.Interval) float64 { return float64(v.At - r.from) }
+func (r runView) seconds(v *collector.Interval) float64 { return float64(v.At - r.start) }
 
 // Write makes the page of what a collector found.
 func Write(w io.Writer, title string, f *collector.Findings) error {
@@ -118,20 +118,20 @@
 
 // Sections are the charts of a run whose time begins at from, those that look worst first.
 func Sections(r *collector.Run, from int64) []Section {
-	of := run{r, from}
-	all := []Section{of.latency(), of.outcomes(), of.refusals(), of.repeats(), of.wasted(), of.drains(), of.engines(), of.gaps(), of.broker()}
+	of := runView{r, from}
+	all := []Section{of.latency(), of.outcomes(), of.rejections(), of.retries(), of.wasted(), of.drains(), of.engines(), of.deliveries(), of.broker()}
 	all = slices.DeleteFunc(all, func(s Section) bool { return len(s.Charts) == 0 })
 	for i := range all {
 		s := &all[i]
-		slices.SortStableFunc(s.Charts, func(a, b Chart) int { return cmp.Compare(b.worst, a.worst) })
-		s.worst = s.Charts[0].worst
+		slices.SortStableFunc(s.Charts, func(a, b Chart) int { return cmp.Compare(b.severity, a.severity) })
+		s.severity = s.Charts[0].severity
 	}
-	slices.SortStableFunc(all, func(a, b Section) int { return cmp.Compare(b.worst, a.worst) })
+	slices.SortStableFunc(all, func(a, b Section) int { return cmp.Compare(b.severity, a.severity) })
 	return all
 }
 
-// title names a series beside its figure.
-func title(s metrics.Series) string {
+// seriesTitle names a series beside its figure.
+func seriesTitle(s metrics.Series) string {
 	name := s.Name
 	if s.Other {
 		name = "all others"
@@ -144,7 +144,7 @@
 
 // rates are the lines of a counter's series, in counts a second. What an interval that waited tells is spread over all
 // that it stands for.
-func (r run) rates(id metrics.ID, keep func(metrics.Series) bool) []Line {
+func (r runView) rates(id metrics.ID, keep func(metrics.Series) bool) []Line {
 	lines := map[metrics.Series]*Line{}
 	last := map[metrics.Series]float64{}
 	var order []metrics.Series
@@ -160,20 +160,20 @@
 				continue
 			}
 			if lines[s] == nil {
-				lines[s] = &Line{Name: title(s)}
+				lines[s] = &Line{Name: seriesTitle(s)}
 				order = append(order, s)
 			}
 			if span > 0 {
-				lines[s].add(r.x(v), (x-last[s])/span)
+				lines[s].add(r.seconds(v), (x-last[s])/span)
 			}
 			last[s] = x
 		}
 	}
-	return r.sorted(lines, order)
+	return r.largest(lines, order)
 }
 
 // values are the lines of a gauge's series.
-func (r run) values(id metrics.ID) []Line {
+func (r runView) values(id metrics.ID) []Line {
 	lines := map[metrics.Series]*Line{}
 	var order []metrics.Series
 	for _, v := range r.Intervals {
@@ -182,24 +182,24 @@
 				continue
 			}
 			if lines[s] == nil {
-				lines[s] = &Line{Name: title(s)}
+				lines[s] = &Line{Name: seriesTitle(s)}
 				order = append(order, s)
 			}
-			lines[s].add(r.x(v), x)
+			lines[s].add(r.seconds(v), x)
 		}
 	}
-	return r.sorted(lines, order)
+	return r.largest(lines, order)
 }
 
-const mostLines = 8 // in one chart; the others are smaller and would hide these
+const maxLines = 8 // in one chart; the others are smaller and would hide these
 
-// sorted are the largest lines, by their names.
-func (r run) sorted(lines map[metrics.Series]*Line, order []metrics.Series) []Line {
+// largest are the largest lines, by their names.
+func (r runView) largest(lines map[metrics.Series]*Line, order []metrics.Series) []Line {
 	slices.SortFunc(order, func(a, b metrics.Series) int {
-		return cmp.Or(cmp.Compare(sum(lines[b].Y), sum(lines[a].Y)), strings.Compare(title(a), title(b)))
+		return cmp.Or(cmp.Compare(sum(lines[b].Y), sum(lines[a].Y)), strings.Compare(seriesTitle(a), seriesTitle(b)))
 	})
 	var out []Line
-	for _, s := range order[:min(len(order), mostLines)] {
+	for _, s := range order[:min(len(order), maxLines)] {
 		if len(lines[s].X) > 0 {
 			out = append(out, *lines[s])
 		}
@@ -214,7 +214,7 @@
 	return n
 }
 
-func most(y []float64) (n float64) {
+func maxOf(y []float64) (n float64) {
 	for _, v := range y {
 		n = max(n, v)
 	}
@@ -222,7 +222,7 @@
 }
 
 // quantiles are the lines of a distribution, by series.
-func (r run) quantiles(id metrics.ID, stats ...string) map[metrics.Series][]Line {
+func (r runView) quantiles(id metrics.ID, stats ...string) map[metrics.Series][]Line {
 	out := map[metrics.Series][]Line{}
 	for _, v := range r.Intervals {
 		for s, told := range v.Spreads {
@@ -236,7 +236,7 @@
 			}
 			for i, stat := range stats {
 				if x, there := told[stat]; there {
-					out[s][i].add(r.x(v), x)
+					out[s][i].add(r.seconds(v), x)
 				}
 			}
 		}
@@ -245,28 +245,28 @@
 }
 
 // perSeries makes a chart of each series of a distribution, ordered by its last line.
-func (r run) perSeries(id metrics.ID, limit float64, stats ...string) (all []Chart) {
+func (r runView) perSeries(id metrics.ID, limit float64, stats ...string) (all []Chart) {
 	fig := metrics.Catalogue[id]
 	for s, lines := range r.quantiles(id, stats...) {
-		all = append(all, Chart{Title: title(s), Unit: fig.Unit, Limit: limit, Lines: lines, worst: most(lines[len(lines)-1].Y)})
+		all = append(all, Chart{Title: seriesTitle(s), Unit: fig.Unit, Limit: limit, Lines: lines, severity: maxOf(lines[len(lines)-1].Y)})
 	}
 	slices.SortFunc(all, func(a, b Chart) int { return strings.Compare(a.Title, b.Title) })
-	return all[:min(len(all), mostCharts)]
+	return all[:min(len(all), maxCharts)]
 }
 
-const mostCharts = 12 // in one section
+const maxCharts = 12 // in one section
 
-func (r run) latency() Section {
+func (r runView) latency() Section {
 	return Section{Title: "Latency against the wanted time", Note: "Time to the answer over the time within which the class wants it. Above 1 is late.",
 		Charts: r.perSeries(metrics.ObjectiveRatio, 1, "p50", "p95", "p99")}
 }
 
-func (r run) outcomes() Section {
+func (r runView) outcomes() Section {
 	s := Section{Title: "What became of requests", Note: "Requests a second that were over, by class."}
 	classes := map[string][]Line{}
 	bad := map[string]float64{}
 	for series := range r.Totals(metrics.Answers) {
-		name := title(metrics.Series{Figure: metrics.Requests, Name: series.Name, Other: series.Other})
+		name := seriesTitle(metrics.Series{Figure: metrics.Requests, Name: series.Name, Other: series.Other})
 		if classes[name] != nil {
 			continue
 		}
@@ -274,38 +274,38 @@
 		for i := range lines {
 			lines[i].Name = strings.TrimSpace(strings.TrimPrefix(lines[i].Name, name))
 			if lines[i].Name != "in time" {
-				bad[name] = max(bad[name], most(lines[i].Y))
+				bad[name] = max(bad[name], maxOf(lines[i].Y))
 			}
 		}
 		classes[name] = lines
 	}
 	for name, lines := range classes {
-		s.Charts = append(s.Charts, Chart{Title: name, Unit: "a second", Lines: lines, worst: bad[name]})
+		s.Charts = append(s.Charts, Chart{Title: name, Unit: "a second", Lines: lines, severity: bad[name]})
 	}
 	slices.SortFunc(s.Charts, func(a, b Chart) int { return strings.Compare(a.Title, b.Title) })
 	return s
 }
 
-// one makes a section of a single chart, if that has lines.
-func one(title, note, unit string, limit, weight float64, lines []Line) Section {
+// singleChart makes a section of a single chart, if that has lines.
+func singleChart(title, note, unit string, limit, weight float64, lines []Line) Section {
 	s := Section{Title: title, Note: note}
 	if len(lines) == 0 {
 		return s
 	}
 	worst := 0.0
 	for _, l := range lines {
-		worst = max(worst, weight*most(l.Y))
+		worst = max(worst, weight*maxOf(l.Y))
 	}
-	s.Charts = []Chart{{Title: "", Unit: unit, Limit: limit, Lines: lines, worst: worst}}
+	s.Charts = []Chart{{Title: "", Unit: unit, Limit: limit, Lines: lines, severity: worst}}
 	return s
 }
 
-func (r run) refusals() Section {
-	return one("Refusals by cause", "What was turned away, a second. no room is the decision module's word.", "a second", 0, 1,
+func (r runView) rejections() Section {
+	return singleChart("Refusals by cause", "What was turned away, a second. no room is the decision module's word.", "a second", 0, 1,
 		r.rates(metrics.Rejections, nil))
 }
 
-func (r run) repeats() Section {
+func (r runView) retries() Section {
 	lines := r.rates(metrics.Attempts, nil)
 	for i := range lines {
 		lines[i].Name = "attempts: " + lines[i].Name
@@ -316,39 +316,39 @@
 			lines = append(lines, l)
 		}
 	}
-	return one("Repeats", "Attempts sent, requests that clients marked as retries, and answers that nothing waited for.", "a second", 0, 0, lines)
+	return singleChart("Repeats", "Attempts sent, requests that clients marked as retries, and answers that nothing waited for.", "a second", 0, 0, lines)
 }
 
-func (r run) wasted() Section {
-	return one("Wasted work", "Milliseconds a second that attempts were out whose answer no client got.", "ms a second", 0, 1.0/1000,
+func (r runView) wasted() Section {
+	return singleChart("Wasted work", "Milliseconds a second that attempts were out whose answer no client got.", "ms a second", 0, 1.0/1000,
 		r.rates(metrics.Wasted, nil))
 }
 
-func (r run) drains() Section {
-	return one("Drains", "Time from when a drain was told to the last byte sent to the engine. The rule allows 500 ms.", "ms", 500, 1.0/500,
+func (r runView) drains() Section {
+	return singleChart("Drains", "Time from when a drain was told to the last byte sent to the engine. The rule allows 500 ms.", "ms", 500, 1.0/500,
 		r.values(metrics.WorstDrain))
 }
 
-func (r run) engines() Section {
-	return one("Engines by health", "", "engines", 0, 0, r.values(metrics.Engines))
+func (r runView) engines() Section {
+	return singleChart("Engines by health", "", "engines", 0, 0, r.values(metrics.Engines))
 }
 
-// gaps shows how late figures came, and what was folded.
-func (r run) gaps() Section {
+// deliveries shows how late figures came, and what was folded.
+func (r runView) deliveries() Section {
 	lag, of := Line{Name: "late by, s"}, Line{Name: "intervals in one"}
 	base := math.Inf(1)
 	for _, v := range r.Intervals {
 		base = min(base, v.Arrived.Seconds()-float64(v.At))
 	}
 	for _, v := range r.Intervals {
-		lag.add(r.x(v), v.Arrived.Seconds()-float64(v.At)-base)
-		of.add(r.x(v), float64(v.Of))
+		lag.add(r.seconds(v), v.Arrived.Seconds()-float64(v.At)-base)
+		of.add(r.seconds(v), float64(v.Of))
 	}
 	note := fmt.Sprintf("How long after the quickest each interval came, and how many are folded into one. %d of %d intervals are accounted for.", r.Of, r.Last)
-	return one("Delivery", note, "", 0, 0.01, []Line{lag, of})
+	return singleChart("Delivery", note, "", 0, 0.01, []Line{lag, of})
 }
 
-func (r run) broker() Section {
+func (r runView) broker() Section {
 	s := Section{Title: "The broker itself"}
 	if lines := r.values(metrics.Memory); len(lines) > 0 {
 		lines[0].Name = "from the system"
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -42,7 +42,7 @@
 		t.Fatalf("first is %s, %s", got.Title, got.Charts[0].Title)
 	}
 	for i := 1; i < len(sections); i++ {
-		if sections[i].worst > sections[i-1].worst {
+		if sections[i].severity > sections[i-1].severity {
 			t.Errorf("%s comes after %s", sections[i].Title, sections[i-1].Title)
 		}
 	}
@@ -51,7 +51,7 @@
 // A rate is what a counter grew by over the time that the interval stands for.
 func TestRates(t *testing.T) {
 	f := night()
-	lines := run{f.Runs[0], 1000}.rates(metrics.Rejections, nil)
+	lines := runView{f.Runs[0], 1000}.rates(metrics.Rejections, nil)
 	if len(lines) != 1 || lines[0].Name != "no room" || len(lines[0].X) != 6 {
 		t.Fatalf("%+v", lines)
 	}
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -13,67 +13,67 @@
 )
 
 const (
-	mailSize    = 8 // events of the reporter's; it waits at more, and nothing that serves requests waits for it
-	dialTimeout = 2 * time.Second
-	leastPause  = 200 * time.Millisecond
-	mostPause   = 15 * time.Second
-	// stopWait is how long what is left may take to leave at the end; what has not is counted lost.
-	stopWait = 300 * time.Millisecond
+	eventBuffer    = 8 // events of the reporter's; it waits at more, and nothing that serves requests waits for it
+	dialTimeout    = 2 * time.Second
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 15 * time.Second
+	// stopTimeout is how long what is left may take to leave at the end; what has not is counted lost.
+	stopTimeout = 300 * time.Millisecond
 )
 
 // transport brings up connections to one collector.
 type transport interface {
-	open(ctx context.Context, address string) (session, error)
+	open(ctx context.Context, address string) (collectorSession, error)
 }
 
-// session is a connection to a collector.
-type session interface {
+// collectorSession is a connection to a collector.
+type collectorSession interface {
 	// write writes an interval from a record on, and calls progress as records are taken. It returns how many
 	// records in all are out when it fails; it fails once ctx ends.
 	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (records int, err error)
-	// ended is closed when the other side ends the connection.
-	ended() <-chan struct{}
+	// done is closed when the other side ends the connection.
+	done() <-chan struct{}
 	close()
 }
 
 // plan is what a destination is set up as.
 type plan struct {
 	name, address string
-	cfg           delivery.Config
+	delivery      delivery.Config
 	transport     transport
-	form          any // what the transport is made of, to compare
+	settings      any // what the transport is made of, to compare
 }
 
 // destination carries out what its machine decides. One goroutine owns the machine; each connection has one.
 type destination struct {
-	plan  plan // of the reporter's goroutine, as of the last change
-	mail  chan any
-	back  chan delivery.Event
-	stats atomic.Pointer[delivery.Stats]
-	log   *zap.Logger
-
-	m       *delivery.Machine
-	address string
-	began   time.Time
-	group   *errgroup.Group
-	cancel  context.CancelFunc  // of the connection; there is one at a time
-	jobs    chan delivery.Write // for it
+	plan             plan // of the reporter's goroutine, as of the last change
+	inbox            chan any
+	connectionEvents chan delivery.Event
+	stats            atomic.Pointer[delivery.Stats]
+	log              *zap.Logger
+
+	machine   *delivery.Machine
+	address   string
+	startedAt time.Time
+	group     *errgroup.Group
+	cancel    context.CancelFunc  // of the connection; there is one at a time
+	writes    chan delivery.Write // for it
 }
 
-// move is a new address.
-type move struct{ address string }
+// addressChange is a new address.
+type addressChange struct{ address string }
 
 func newDestination(p plan, seed uint64, log *zap.Logger) *destination {
-	d := &destination{plan: p, mail: make(chan any, mailSize), back: make(chan delivery.Event, mailSize),
-		log: log.With(zap.String("destination", p.name)), m: delivery.New(p.cfg, seed), address: p.address, began: time.Now()}
+	d := &destination{plan: p, inbox: make(chan any, eventBuffer), connectionEvents: make(chan delivery.Event, eventBuffer),
+		log: log.With(zap.String("destination", p.name)), machine: delivery.New(p.delivery, seed), address: p.address, startedAt: time.Now()}
 	d.stats.Store(&delivery.Stats{})
 	return d
 }
 
-// tell hands an event to the destination's goroutine.
-func (d *destination) tell(ctx context.Context, ev any) {
+// send hands an event to the destination's goroutine.
+func (d *destination) send(ctx context.Context, ev any) {
 	select {
-	case d.mail <- ev:
+	case d.inbox <- ev:
 	case <-ctx.Done():
 	}
 }
@@ -89,15 +89,15 @@
 	})
 	err := d.group.Wait()
 	st := *d.stats.Load()
-	d.log.Info("destination ended", zap.Uint64("delivered", st.Delivered), zap.Uint64("lost", st.Lost),
-		zap.Float64("lost_samples", st.LostSamples), zap.Uint64("breaks", st.Breaks))
+	d.log.Info("destination ended", zap.Uint64("delivered", st.DeliveredIntervals), zap.Uint64("lost", st.Lost),
+		zap.Float64("lost_samples", st.LostSamples), zap.Uint64("breaks", st.ConnectionFailures))
 	if ctx.Err() != nil {
 		return nil // it was told to end, or came to its end
 	}
 	return err
 }
 
-func (d *destination) now() time.Duration { return time.Since(d.began) }
+func (d *destination) now() time.Duration { return time.Since(d.startedAt) }
 
 func (d *destination) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
@@ -107,29 +107,29 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case ev := <-d.mail:
+		case ev := <-d.inbox:
 			switch ev := ev.(type) {
-			case move:
+			case addressChange:
 				d.address = ev.address
-				actions = d.m.Apply(d.now(), delivery.Move{})
+				actions = d.machine.Apply(d.now(), delivery.AddressChanged{})
 			case delivery.Event:
-				actions = d.m.Apply(d.now(), ev)
+				actions = d.machine.Apply(d.now(), ev)
 			}
-		case ev := <-d.back:
-			actions = d.m.Apply(d.now(), ev)
+		case ev := <-d.connectionEvents:
+			actions = d.machine.Apply(d.now(), ev)
 		case <-timer.C:
-			actions = d.m.Tick(d.now())
+			actions = d.machine.Tick(d.now())
 		}
 		done := false
 		for _, a := range actions {
-			done = d.do(ctx, a) || done
+			done = d.perform(ctx, a) || done
 		}
-		st := d.m.Stats()
+		st := d.machine.Stats()
 		d.stats.Store(&st)
 		if done {
 			return nil
 		}
-		if at, ok := d.m.Next(); ok {
+		if at, ok := d.machine.NextDeadline(); ok {
 			timer.Reset(max(0, at-d.now()))
 		} else {
 			timer.Stop()
@@ -137,30 +137,30 @@
 	}
 }
 
-// do carries out an action; true if it was the last.
-func (d *destination) do(ctx context.Context, a delivery.Action) bool {
+// perform carries out an action; true if it was the last.
+func (d *destination) perform(ctx context.Context, a delivery.Action) bool {
 	switch a := a.(type) {
-	case delivery.Open:
+	case delivery.Connect:
 		at, cancel := context.WithCancel(ctx)
-		d.cancel, d.jobs = cancel, make(chan delivery.Write, 1)
-		address, jobs := d.address, d.jobs
+		d.cancel, d.writes = cancel, make(chan delivery.Write, 1)
+		address, jobs := d.address, d.writes
 		d.group.Go(func() error {
 			defer cancel()
-			d.connection(ctx, at, a.Conn, address, jobs)
+			d.serveConnection(ctx, at, a.Conn, address, jobs)
 			return nil
 		})
 	case delivery.Write:
-		d.jobs <- a // there is room: the machine waits for the end of one before it begins another
+		d.writes <- a // there is room: the machine waits for the end of one before it begins another
 	case delivery.Close:
 		d.cancel()
-	case delivery.Done:
+	case delivery.Stopped:
 		return true
 	}
 	return false
 }
 
-// connection connects and writes what it is given until at ends. ctx is the destination's.
-func (d *destination) connection(ctx, at context.Context, conn int, address string, jobs <-chan delivery.Write) {
+// serveConnection connects and writes what it is given until at ends. ctx is the destination's.
+func (d *destination) serveConnection(ctx, at context.Context, conn int, address string, jobs <-chan delivery.Write) {
 	records := 0
 	began := time.Now()
 	err := func() error {
@@ -171,31 +171,31 @@
 			return err
 		}
 		defer s.close()
-		d.report(ctx, delivery.Opened{Conn: conn})
+		d.notify(ctx, delivery.Connected{Conn: conn})
 		for {
 			select {
 			case <-at.Done():
 				return at.Err()
-			case <-s.ended():
+			case <-s.done():
 				return errPeerClosed
 			case w := <-jobs:
-				records = w.From
-				n, err := s.write(at, w.Interval, w.From, func(n int) { d.report(ctx, delivery.Progress{Conn: conn, Lines: n}) })
+				records = w.FirstRecord
+				n, err := s.write(at, w.Interval, w.FirstRecord, func(n int) { d.notify(ctx, delivery.Progress{Conn: conn, Records: n}) })
 				if err != nil {
 					records = n
 					return err
 				}
-				d.report(ctx, delivery.Wrote{Conn: conn})
+				d.notify(ctx, delivery.WriteCompleted{Conn: conn})
 			}
 		}
 	}()
 	d.log.Info("collector connection ended", zap.String("address", address), zap.Duration("lasted", time.Since(began)), zap.Error(err))
-	d.report(ctx, delivery.Broken{Conn: conn, Lines: records})
+	d.notify(ctx, delivery.Disconnected{Conn: conn, Records: records})
 }
 
-func (d *destination) report(ctx context.Context, ev delivery.Event) {
+func (d *destination) notify(ctx context.Context, ev delivery.Event) {
 	select {
-	case d.back <- ev:
+	case d.connectionEvents <- ev:
 	case <-ctx.Done():
 	}
 }
--- a/internal/telemetry/relay.go
+++ b/internal/telemetry/relay.go
@@ -18,15 +18,15 @@
 // Requests of a class that has no series of its own count under group "other".
 func (r *Recorder) RelayFigures(to []byte, b *broker.Broker) []byte {
 	var sends float64
-	r.reg.Each(figures.Class, func(slot int, name string) {
-		sends += r.reg.Count(figures.Attempts, slot, 0)
+	r.registry.EachName(figures.Class, func(slot int, name string) {
+		sends += r.registry.Value(figures.Attempts, slot, 0)
 		states := [...]struct {
 			state string
 			n     float64
 		}{
-			{"answered", r.reg.Count(figures.Answers, slot, figures.InTime) + r.reg.Count(figures.Answers, slot, figures.Late)},
-			{"deferred", r.reg.Count(figures.Answers, slot, figures.Rejected)},
-			{"errored", r.reg.Count(figures.Answers, slot, figures.Failed)},
+			{"answered", r.registry.Value(figures.Answers, slot, figures.InTime) + r.registry.Value(figures.Answers, slot, figures.Late)},
+			{"deferred", r.registry.Value(figures.Answers, slot, figures.Rejected)},
+			{"errored", r.registry.Value(figures.Answers, slot, figures.Failed)},
 		}
 		if name == "" {
 			if states[0].n+states[1].n+states[2].n == 0 {
@@ -52,8 +52,8 @@
 		{"relay_current", float64(b.OpenRequests())},
 		{"relay_cluster_size", float64(b.EndpointCount())},
 		{"relay_cluster_unhealthy", float64(b.UnavailableEngines())},
-		{"relay_conf_loaded_total", r.reg.Count(figures.ConfLoaded, cardinality.Other, 0)},
-		{"relay_conf_invalid_total", r.reg.Count(figures.ConfInvalid, cardinality.Other, 0)},
+		{"relay_conf_loaded_total", r.registry.Value(figures.ConfLoaded, cardinality.Other, 0)},
+		{"relay_conf_invalid_total", r.registry.Value(figures.ConfInvalid, cardinality.Other, 0)},
 	} {
 		to = append(append(to, f.name...), ' ')
 		to = strconv.AppendFloat(to, f.v, 'f', -1, 64)
@@ -65,8 +65,8 @@
 // Reloaded counts a configuration file read at SIGHUP, taken or turned down.
 func (r *Recorder) Reloaded(taken bool) {
 	if taken {
-		r.reg.Add(figures.ConfLoaded, cardinality.Other, 0, 1)
+		r.registry.Add(figures.ConfLoaded, cardinality.Other, 0, 1)
 	} else {
-		r.reg.Add(figures.ConfInvalid, cardinality.Other, 0, 1)
+		r.registry.Add(figures.ConfInvalid, cardinality.Other, 0, 1)
 	}
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -26,9 +26,9 @@
 
 // Clock tells the time by the wall and by a clock that is never set, and when intervals end.
 type Clock struct {
-	Wall func() time.Duration // since 1970
-	Mono func() time.Duration
-	Tick func(every time.Duration) (c <-chan time.Time, reset func(every time.Duration), stop func())
+	Wall      func() time.Duration // since 1970
+	Monotonic func() time.Duration
+	Tick      func(every time.Duration) (c <-chan time.Time, reset func(every time.Duration), stop func())
 }
 
 // SystemClock is the system's.
@@ -36,8 +36,8 @@
 	start := time.Now()
 	return Clock{
 		// Guards against Go's own correction: without its reading of the monotonic clock, a time is that of the wall.
-		Wall: func() time.Duration { return time.Duration(time.Now().Round(0).UnixNano()) },
-		Mono: func() time.Duration { return time.Since(start) },
+		Wall:      func() time.Duration { return time.Duration(time.Now().Round(0).UnixNano()) },
+		Monotonic: func() time.Duration { return time.Since(start) },
 		Tick: func(every time.Duration) (<-chan time.Time, func(time.Duration), func()) {
 			t := time.NewTicker(every)
 			return t.C, t.Reset, t.Stop
@@ -47,18 +47,18 @@
 
 // Reporter cuts off intervals and brings them to destinations.
 type Reporter struct {
-	broker   string
-	clock    Clock
-	recorder *Recorder
-	look     Inspector
-	log      *zap.Logger
-	seed     uint64
-	names    operatorconfig.CardinalityLimits
-	reloads  chan *operatorconfig.Telemetry
-	stopWait time.Duration // how long a destination that ends may take to write what is left
-
-	dests map[string]*destination
-	group *errgroup.Group
+	broker      string
+	clock       Clock
+	recorder    *Recorder
+	inspector   Inspector
+	log         *zap.Logger
+	seed        uint64
+	names       operatorconfig.CardinalityLimits
+	reloads     chan *operatorconfig.Telemetry
+	stopTimeout time.Duration // how long a destination that ends may take to write what is left
+
+	destinations map[string]*destination
+	group        *errgroup.Group
 }
 
 // Limits are those of the names that have series of their own.
@@ -69,9 +69,9 @@
 
 // New returns a reporter for a broker of a name, and the recorder that it reads.
 func New(name string, n operatorconfig.CardinalityLimits, look Inspector, clock Clock, seed uint64, log *zap.Logger) (*Reporter, *Recorder) {
-	rec := NewRecorder(Limits(n), clock.Wall(), clock.Mono())
-	return &Reporter{broker: name, clock: clock, recorder: rec, look: look, log: log, seed: seed, names: n,
-		reloads: make(chan *operatorconfig.Telemetry), stopWait: stopWait, dests: map[string]*destination{}}, rec
+	rec := NewRecorder(Limits(n), clock.Wall(), clock.Monotonic())
+	return &Reporter{broker: name, clock: clock, recorder: rec, inspector: look, log: log, seed: seed, names: n,
+		reloads: make(chan *operatorconfig.Telemetry), stopTimeout: stopTimeout, destinations: map[string]*destination{}}, rec
 }
 
 // plans are the destinations of a file.
@@ -84,20 +84,20 @@
 		g := g
 		key := g
 		key.Address = ""
-		all = append(all, plan{name: g.Name, address: g.Address, form: key,
-			transport: &carbon{graphite.Encoder{Form: graphite.Form{Prefix: g.Prefix, Tags: g.Tags}, Broker: r.broker,
+		all = append(all, plan{name: g.Name, address: g.Address, settings: key,
+			transport: &carbonTransport{graphite.Encoder{Form: graphite.Form{Prefix: g.Prefix, Tags: g.Tags}, Broker: r.broker,
 				Pickle: g.Protocol == "pickle"}},
-			cfg: delivery.Config{Budget: g.BudgetKB << 10, LeastPause: leastPause, MostPause: mostPause,
+			delivery: delivery.Config{Budget: g.BudgetKB << 10, LeastPause: initialBackoff, MostPause: maxBackoff,
 				WriteTimeout: time.Duration(g.WriteTimeoutMS) * time.Millisecond, ReplayRate: g.ReplayKBps << 10}})
 	}
 	levels := map[string]collectd.Level{"none": collectd.Plain, "sign": collectd.Sign, "encrypt": collectd.Encrypt}
 	for _, c := range t.Collectd {
 		key := c
 		key.Address = ""
-		all = append(all, plan{name: c.Name, address: c.Address, form: key,
-			transport: &network{r.broker, collectd.Security{Level: levels[c.Security], User: c.User, Password: c.Password}},
+		all = append(all, plan{name: c.Name, address: c.Address, settings: key,
+			transport: &collectdTransport{r.broker, collectd.Security{Level: levels[c.Security], User: c.User, Password: c.Password}},
 			// collectd takes no value that is older than the last: what waits is folded into the newest.
-			cfg: delivery.Config{Budget: c.BudgetKB << 10, Most: 1, LeastPause: leastPause, MostPause: mostPause,
+			delivery: delivery.Config{Budget: c.BudgetKB << 10, MaxWaiting: 1, LeastPause: initialBackoff, MostPause: maxBackoff,
 				WriteTimeout: dialTimeout, ReplayRate: c.BudgetKB << 10}})
 	}
 	return all
@@ -119,10 +119,10 @@
 	}
 }
 
-const unreported = time.Hour // between cuts where there is no destination
+const intervalWithoutDestinations = time.Hour // between cuts where there is no destination
 
 func (r *Reporter) loop(ctx context.Context, t *operatorconfig.Telemetry, stopping, over <-chan struct{}) error {
-	tick, reset, stop := r.clock.Tick(r.set(ctx, t))
+	tick, reset, stop := r.clock.Tick(r.reconfigure(ctx, t))
 	defer stop()
 	for {
 		select {
@@ -131,50 +131,50 @@
 		case <-tick:
 			r.cut(ctx)
 		case t := <-r.reloads:
-			reset(r.set(ctx, t))
+			reset(r.reconfigure(ctx, t))
 		case <-stopping:
 			// What is there leaves now: the end may come too soon for all of it.
 			stopping = nil
 			r.cut(ctx)
 		case <-over:
 			r.cut(ctx)
-			for _, d := range r.sorted() {
-				d.tell(ctx, delivery.Stop{Within: r.stopWait})
+			for _, d := range r.sortedDestinations() {
+				d.send(ctx, delivery.StopRequested{Timeout: r.stopTimeout})
 			}
 			return nil
 		}
 	}
 }
 
-// set starts, moves and ends destinations, and returns the length of an interval.
-func (r *Reporter) set(ctx context.Context, t *operatorconfig.Telemetry) time.Duration {
+// reconfigure starts, moves and ends destinations, and returns the length of an interval.
+func (r *Reporter) reconfigure(ctx context.Context, t *operatorconfig.Telemetry) time.Duration {
 	wanted := map[string]bool{}
 	for _, p := range r.plans(t) {
 		wanted[p.name] = true
-		d := r.dests[p.name]
+		d := r.destinations[p.name]
 		switch {
-		case d != nil && !reflect.DeepEqual(d.plan.form, p.form):
+		case d != nil && !reflect.DeepEqual(d.plan.settings, p.settings):
 			// Another form: what waits was held under the old budget, and is written to the old place as far as it goes.
-			d.tell(ctx, delivery.Stop{Within: r.stopWait})
+			d.send(ctx, delivery.StopRequested{Timeout: r.stopTimeout})
 			fallthrough
 		case d == nil:
 			r.seed++
 			d = newDestination(p, r.seed, r.log)
-			r.dests[p.name] = d
+			r.destinations[p.name] = d
 			r.group.Go(func() error { return d.run(ctx) })
 		case d.plan.address != p.address:
 			d.plan.address = p.address
-			d.tell(ctx, move{p.address})
+			d.send(ctx, addressChange{p.address})
 		}
 	}
-	for _, d := range r.sorted() {
+	for _, d := range r.sortedDestinations() {
 		if !wanted[d.plan.name] {
-			d.tell(ctx, delivery.Stop{Within: r.stopWait})
-			delete(r.dests, d.plan.name)
+			d.send(ctx, delivery.StopRequested{Timeout: r.stopTimeout})
+			delete(r.destinations, d.plan.name)
 		}
 	}
 	if t == nil {
-		return unreported
+		return intervalWithoutDestinations
 	}
 	if t.Cardinality != r.names {
 		r.log.Warn("telemetry.names takes effect at the next start")
@@ -182,9 +182,9 @@
 	return t.Interval()
 }
 
-func (r *Reporter) sorted() []*destination {
-	all := make([]*destination, 0, len(r.dests))
-	for _, d := range r.dests {
+func (r *Reporter) sortedDestinations() []*destination {
+	all := make([]*destination, 0, len(r.destinations))
+	for _, d := range r.destinations {
 		all = append(all, d)
 	}
 	slices.SortFunc(all, func(a, b *destination) int { return strings.Compare(a.plan.name, b.plan.name) })
@@ -193,17 +193,17 @@
 
 // cut ends an interval and offers it to each destination.
 func (r *Reporter) cut(ctx context.Context) {
-	stats := make(map[string]delivery.Stats, len(r.dests))
-	for name, d := range r.dests {
+	stats := make(map[string]delivery.Stats, len(r.destinations))
+	for name, d := range r.destinations {
 		stats[name] = *d.stats.Load()
 	}
 	var v *metrics.Interval
-	if !r.look.Inspect(ctx, func(b *broker.Broker, s server.ConnectionCounts) {
-		v = r.recorder.Cut(r.clock.Wall(), r.clock.Mono(), b, s, stats)
+	if !r.inspector.Inspect(ctx, func(b *broker.Broker, s server.ConnectionCounts) {
+		v = r.recorder.Cut(r.clock.Wall(), r.clock.Monotonic(), b, s, stats)
 	}) {
 		return
 	}
-	for _, d := range r.sorted() {
-		d.tell(ctx, delivery.Offer{Interval: v})
+	for _, d := range r.sortedDestinations() {
+		d.send(ctx, delivery.Offer{Interval: v})
 	}
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -117,10 +117,10 @@
 		return r.tick, func(time.Duration) {}, func() {}
 	}
 	r.reporter, r.host.rec = New("n1", f.Cardinality, r.host, clock, 1, zap.NewNop())
-	if r.reporter.stopWait != stopWait {
-		t.Fatalf("a destination that ends has %v", r.reporter.stopWait)
+	if r.reporter.stopTimeout != stopTimeout {
+		t.Fatalf("a destination that ends has %v", r.reporter.stopTimeout)
 	}
-	r.reporter.stopWait = within
+	r.reporter.stopTimeout = within
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
@@ -438,14 +438,14 @@
 			h.Name = "second"
 			r := start(t, file(g))
 			r.intervals(2)
-			ended := r.reporter.dests["carbon"]
+			ended := r.reporter.destinations["carbon"]
 			r.reporter.Reload(t.Context(), file(h))
 			r.intervals(3)
 			if tt.mode == collector.Unreachable {
-				defer time.AfterFunc(2*stopWait, func() { c.Set(collector.Serve) }).Stop()
+				defer time.AfterFunc(2*stopTimeout, func() { c.Set(collector.Serve) }).Stop()
 			}
 			r.finish()
-			if st := ended.stats.Load(); st.Delivered != 2 || st.Lost != 0 || st.Waiting != 0 {
+			if st := ended.stats.Load(); st.DeliveredIntervals != 2 || st.Lost != 0 || st.WaitingIntervals != 0 {
 				t.Fatalf("the first destination ended with %+v", st)
 			}
 			r.exact(two)
@@ -475,12 +475,12 @@
 	await(t, ledger, "each interval", all)
 
 	c.Set(collector.Silent)
-	r = startWith(t, file(g), 1_750_000_000*time.Second, stopWait)
+	r = startWith(t, file(g), 1_750_000_000*time.Second, stopTimeout)
 	r.intervals(200) // more than the sockets take
 	r.finish()
-	d := r.reporter.dests["carbon"]
+	d := r.reporter.destinations["carbon"]
 	st := d.stats.Load()
-	if st.Waiting != 0 || st.Delivered+st.Lost != r.sequence() || st.Lost == 0 {
+	if st.WaitingIntervals != 0 || st.DeliveredIntervals+st.Lost != r.sequence() || st.Lost == 0 {
 		t.Fatalf("%d cut: %+v", r.sequence(), st)
 	}
 }
@@ -533,7 +533,7 @@
 	came, _ := c.Packets()
 	until("no datagram comes", func() bool { now, _ := c.Packets(); return now > came+20 })
 	c.Set(collector.Unreachable)
-	until("it is not noticed that nothing listens", func() bool { return r.reporter.dests["c"].stats.Load().Breaks > 0 })
+	until("it is not noticed that nothing listens", func() bool { return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0 })
 	r.intervals(10)
 	c.Set(collector.Serve)
 	r.intervals(1)
@@ -591,4 +591,4 @@
 }
 
 // held is what a destination holds, in bytes.
-func (r *Reporter) held(name string) int { return r.dests[name].stats.Load().Held }
+func (r *Reporter) held(name string) int { return r.destinations[name].stats.Load().Held }
--- a/internal/telemetry/transport_test.go
+++ b/internal/telemetry/transport_test.go
@@ -63,8 +63,8 @@
 		}
 		defer ln.Close()
 		v := large()
-		c := carbon{graphite.Encoder{Form: graphite.Form{Prefix: "w"}, Broker: "n1", Pickle: pickle}}
-		want, _, err := c.enc.Append(nil, v, 0, 1<<30)
+		c := carbonTransport{graphite.Encoder{Form: graphite.Form{Prefix: "w"}, Broker: "n1", Pickle: pickle}}
+		want, _, err := c.encoder.Append(nil, v, 0, 1<<30)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,14 +86,14 @@
 			n, _ := first.write(ctx, v, 0, func(int) {})
 			out <- n
 		}()
-		stuck(t, first.nc)
+		stuck(t, first.conn)
 		cancel()
 		n := <-out
 		first.close()
 		got, _ := io.ReadAll(peer) // it reads again, too late; the connection ends in a reset
 		peer.Close()
-		if n <= 0 || n >= c.enc.Records(v) {
-			t.Fatalf("%d records of %d are out: the test shows nothing", n, c.enc.Records(v))
+		if n <= 0 || n >= c.encoder.Records(v) {
+			t.Fatalf("%d records of %d are out: the test shows nothing", n, c.encoder.Records(v))
 		}
 
 		second, peer := session()
@@ -102,16 +102,16 @@
 			b, _ := io.ReadAll(peer)
 			whole <- b
 		}()
-		if end, err := second.write(t.Context(), v, n, func(int) {}); err != nil || end != c.enc.Records(v) {
-			t.Fatalf("%d of %d: %v", end, c.enc.Records(v), err)
+		if end, err := second.write(t.Context(), v, n, func(int) {}); err != nil || end != c.encoder.Records(v) {
+			t.Fatalf("%d of %d: %v", end, c.encoder.Records(v), err)
 		}
 		second.close()
 		rest := <-whole
 		peer.Close()
 		if pickle {
 			all := append(samples(t, got), samples(t, rest)...)
-			if len(all) != c.enc.Records(v) {
-				t.Fatalf("%d records came of %d", len(all), c.enc.Records(v))
+			if len(all) != c.encoder.Records(v) {
+				t.Fatalf("%d records came of %d", len(all), c.encoder.Records(v))
 			}
 			continue
 		}
@@ -139,17 +139,17 @@
 
 // Whatever offset is acknowledged, what counts as out is what a collector has whole.
 func TestAcknowledged(t *testing.T) {
-	pieces := []piece{{0, 10, 12, []byte("ab 1\ncd 2\n")}, {10, 12, 13, []byte("ef 3\n")}}
+	pieces := []sentPiece{{0, 10, 12, []byte("ab 1\ncd 2\n")}, {10, 12, 13, []byte("ef 3\n")}}
 	for at, want := range map[int64][2]int{ // lines, pieces that count as a whole
 		0: {10, 10}, 1: {10, 10}, 4: {10, 10}, 5: {11, 10}, 9: {11, 10}, 10: {12, 12}, 14: {12, 12}, 15: {13, 13}, 99: {13, 13},
 	} {
 		for i, lines := range []bool{true, false} {
-			if got, _ := acknowledged(pieces, at, 10, lines); got != want[i] {
+			if got, _ := settlePieces(pieces, at, 10, lines); got != want[i] {
 				t.Errorf("offset %d, lines %v: %d records are out, want %d", at, lines, got, want[i])
 			}
 		}
 	}
-	if _, rest := acknowledged(pieces, 12, 10, true); len(rest) != 1 || rest[0].from != 12 {
+	if _, rest := settlePieces(pieces, 12, 10, true); len(rest) != 1 || rest[0].firstRecord != 12 {
 		t.Errorf("left is %+v", rest)
 	}
 }
