--- /dev/null
+++ b/internal/telemetry/acks.go
@@ -0,0 +1,44 @@
+package telemetry
+
+import "bytes"
+
+// sentPiece is what was encoded at once: complete records.
+type sentPiece struct {
+	offset      int64 // on the connection, of its first byte
+	firstRecord int
+	nextRecord  int // the one after its last
+	data        []byte
+}
+
+// ackTracker finds which records are acknowledged from how many bytes are.
+type ackTracker struct {
+	perLine bool        // a record counts once its line's end is acknowledged; else with the last byte of its piece
+	records int         // of the interval being written, those acknowledged: the number of the next
+	end     int64       // offset of the end of the last piece
+	pending []sentPiece // those not acknowledged completely, oldest first
+}
+
+// add takes a piece that is to be sent behind those before.
+func (a *ackTracker) add(p sentPiece) {
+	p.offset = a.end
+	a.end += int64(len(p.data))
+	a.pending = append(a.pending, p)
+}
+
+// outstanding tells whether anything is not acknowledged yet.
+func (a *ackTracker) outstanding() bool { return len(a.pending) > 0 }
+
+// acknowledge takes note that the bytes before an offset are acknowledged.
+func (a *ackTracker) acknowledge(upTo int64) {
+	for a.outstanding() {
+		p := &a.pending[0]
+		if upTo < p.offset+int64(len(p.data)) {
+			if part := upTo - p.offset; part > 0 && a.perLine {
+				a.records = p.firstRecord + bytes.Count(p.data[:part], []byte{'\n'})
+			}
+			return
+		}
+		a.records = p.nextRecord
+		a.pending = a.pending[1:]
+	}
+}
--- /dev/null
+++ b/internal/telemetry/carbon_transport_test.go
@@ -0,0 +1,176 @@
+package telemetry
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"wheatlane/internal/graphite"
+	"wheatlane/internal/metrics"
+)
+
+// largeInterval is one of more lines than the buffers of two sockets hold.
+func largeInterval() *metrics.Interval {
+	const tenants = 4000
+	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, Idle: time.Hour}
+	r := metrics.NewRegistry(limits, 0, 0)
+	for i := range tenants {
+		slot := r.Slot(metrics.Tenant, fmt.Sprintf("a-tenant-with-a-long-name-%06d", i))
+		for part := range metrics.AnswersByTenant.Parts() {
+			r.Add(metrics.AnswersByTenant, slot, part, float64(i+1))
+		}
+	}
+	return r.Cut(rigStart, rigInterval)
+}
+
+// awaitBlocked waits until a socket has more to send and the other side takes nothing: all that was sent is
+// acknowledged.
+func awaitBlocked(t *testing.T, conn *net.TCPConn) {
+	t.Helper()
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(testTimeout); ; {
+		var info *unix.TCPInfo
+		if err := raw.Control(func(fd uintptr) {
+			info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		}); err != nil {
+			t.Fatal(err)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		if info.Unacked == 0 && info.Notsent_bytes > 0 && info.Bytes_acked > 1000 {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatal("the other side takes all")
+		}
+		time.Sleep(time.Millisecond) // the kernel notifies of no change
+	}
+}
+
+// carbonPeer accepts the connections of a transport, one at a time.
+type carbonPeer struct {
+	t         *testing.T
+	listener  net.Listener
+	transport carbonTransport
+}
+
+func newCarbonPeer(t *testing.T, pickle bool) *carbonPeer {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	encoder := graphite.Encoder{Form: graphite.Form{Prefix: "w"}, Broker: "n1", Pickle: pickle}
+	return &carbonPeer{t, listener, carbonTransport{encoder}}
+}
+
+// connect returns both ends of a new connection.
+func (p *carbonPeer) connect() (*carbonSession, net.Conn) {
+	p.t.Helper()
+	s, err := p.transport.open(p.t.Context(), p.listener.Addr().String())
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	peer, err := p.listener.Accept()
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return s.(*carbonSession), peer
+}
+
+// cutOff writes an interval to a peer that stops reading in the middle, gives the connection up, and returns how many
+// records count as sent and what the peer has got.
+func (p *carbonPeer) cutOff(v *metrics.Interval) (records int, received []byte) {
+	p.t.Helper()
+	s, peer := p.connect()
+	ctx, cancel := context.WithCancel(p.t.Context())
+	sent := make(chan int, 1)
+	go func() {
+		n, _ := s.write(ctx, v, 0, func(int) {}) // it fails as it is cancelled
+		sent <- n
+	}()
+	awaitBlocked(p.t, s.conn)
+	cancel()
+	records = <-sent
+	s.close()
+	received, _ = io.ReadAll(peer) // it reads again, too late; the connection ends in a reset
+	_ = peer.Close()
+	return records, received
+}
+
+// resume writes the interval from a record on over another connection, and returns what came over that.
+func (p *carbonPeer) resume(v *metrics.Interval, from int) []byte {
+	p.t.Helper()
+	s, peer := p.connect()
+	received := make(chan []byte, 1)
+	go func() {
+		b, _ := io.ReadAll(peer) // what is missing is noticed by its length
+		received <- b
+	}()
+	records := p.transport.encoder.Records(v)
+	if end, err := s.write(p.t.Context(), v, from, func(int) {}); err != nil || end != records {
+		p.t.Fatalf("%d of %d: %v", end, records, err)
+	}
+	s.close()
+	rest := <-received
+	_ = peer.Close()
+	return rest
+}
+
+// A collector stops reading in the middle of an interval, and the connection is given up: what it got ends in a
+// truncated line, and the next connection resumes with that line. None is duplicated and none is missing.
+func TestResumesBehindAcknowledgedRecords(t *testing.T) {
+	v := largeInterval()
+	for _, pickle := range []bool{false, true} {
+		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
+			peer := newCarbonPeer(t, pickle)
+			encoder := &peer.transport.encoder
+			sent, got := peer.cutOff(v)
+			if sent <= 0 || sent >= encoder.Records(v) {
+				t.Fatalf("%d records of %d are sent: the test shows nothing", sent, encoder.Records(v))
+			}
+			rest := peer.resume(v, sent)
+			if pickle {
+				if all := append(parseFrames(t, got), parseFrames(t, rest)...); len(all) != encoder.Records(v) {
+					t.Fatalf("%d records came of %d", len(all), encoder.Records(v))
+				}
+				return
+			}
+			want, _, err := encoder.Append(nil, v, 0, 1<<30)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got = got[:bytes.LastIndexByte(got, '\n')+1] // a truncated line is dropped, as carbon does
+			if !bytes.Equal(append(got, rest...), want) {
+				t.Fatalf("%d and %d bytes came, not the %d there are", len(got), len(rest), len(want))
+			}
+		})
+	}
+}
+
+// parseFrames returns the samples of the complete frames.
+func parseFrames(t *testing.T, b []byte) []graphite.Sample {
+	t.Helper()
+	var all []graphite.Sample
+	for {
+		some, n, err := graphite.ParsePickle(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n == 0 {
+			return all
+		}
+		all, b = append(all, some...), b[n:]
+	}
+}
--- /dev/null
+++ b/internal/telemetry/connection.go
@@ -0,0 +1,108 @@
+package telemetry
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/delivery"
+	"wheatlane/internal/metrics"
+)
+
+const dialTimeout = 2 * time.Second
+
+var errPeerClosed = errors.New("the collector closed the connection")
+
+// transport connects to one kind of collector.
+type transport interface {
+	open(ctx context.Context, address string) (session, error)
+}
+
+// session is a connection to a collector.
+type session interface {
+	// write writes an interval from a record on, and calls progress with the number of records sent as that grows. On
+	// an error it returns how many records in all were sent. It fails once ctx ends.
+	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (records int, err error)
+	// peerClosed is closed when the collector ends the connection; nil if that can't be noticed.
+	peerClosed() <-chan struct{}
+	close()
+}
+
+// connection is the state of one connection; its goroutine owns it.
+type connection struct {
+	number      int
+	address     string
+	transport   transport
+	writes      <-chan delivery.Write
+	notify      func(delivery.Event)
+	recordsSent int // of the interval being written
+}
+
+// connect starts the goroutine of a connection, which ends with ctx or by closeConnection.
+func (d *destination) connect(ctx context.Context, number int) {
+	connectionCtx, cancel := context.WithCancel(ctx)
+	d.closeConnection = cancel
+	d.writes = make(chan delivery.Write, 1)
+	c := &connection{
+		number:    number,
+		address:   d.address,
+		transport: d.transport,
+		writes:    d.writes,
+		notify:    func(ev delivery.Event) { d.notify(ctx, ev) }, // also of the connection's own end
+	}
+	d.group.Go(func() error {
+		defer cancel()
+		startedAt := time.Now()
+		err := c.serve(connectionCtx)
+		d.log.Info("collector connection ended", zap.String("address", c.address),
+			zap.Duration("lasted", time.Since(startedAt)), zap.Error(err))
+		c.notify(delivery.Disconnected{Conn: number, Records: c.recordsSent})
+		return nil
+	})
+}
+
+// notify hands an event of a connection to the destination's goroutine.
+func (d *destination) notify(ctx context.Context, ev delivery.Event) {
+	select {
+	case d.connectionEvents <- ev:
+	case <-ctx.Done():
+	}
+}
+
+// serve connects and writes what it is given, until ctx ends or the connection breaks.
+func (c *connection) serve(ctx context.Context) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	s, err := c.transport.open(dialCtx, c.address)
+	cancel()
+	if err != nil {
+		return err
+	}
+	defer s.close()
+	c.notify(delivery.Connected{Conn: c.number})
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-s.peerClosed():
+			return errPeerClosed
+		case w := <-c.writes:
+			if err := c.write(ctx, s, w); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+func (c *connection) write(ctx context.Context, s session, w delivery.Write) error {
+	c.recordsSent = w.FirstRecord
+	progress := func(records int) { c.notify(delivery.Progress{Conn: c.number, Records: records}) }
+	records, err := s.write(ctx, w.Interval, w.FirstRecord, progress)
+	if err != nil {
+		c.recordsSent = records
+		return err
+	}
+	c.notify(delivery.WriteCompleted{Conn: c.number})
+	return nil
+}
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -1,43 +1,42 @@
-// Package telemetry tells Graphite and collectd what a broker sees. A Recorder takes what the reducer and the sockets
-// tell and keeps it in figures; a Reporter cuts off an interval at a time and brings it to each destination as
-// internal/delivery decides. Nothing here holds up a request: all that can wait goes on in goroutines of its own.
 package telemetry
 
 import (
-	"runtime/metrics"
+	runtimemetrics "runtime/metrics"
 	"strconv"
 	"time"
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/cardinality"
-	"wheatlane/internal/delivery"
-	figures "wheatlane/internal/metrics"
-	"wheatlane/internal/server"
+	"wheatlane/internal/metrics"
 )
 
-// maxDrainDuration is the rule: nothing is sent to an engine later than this after its drain was told.
+// maxDrainDuration is the rule: nothing is sent to an engine later than this after its drain was announced.
 const maxDrainDuration = 500 * time.Millisecond
 
-// Recorder keeps figures. It belongs to the goroutine that owns the reducer.
+// cachedDataSetNames is how many data-set numbers have their text cached.
+const cachedDataSetNames = 256
+
+// Recorder records events of the reducer and the sockets as figures; it implements server.Meter. It belongs to the
+// goroutine that owns the reducer.
 type Recorder struct {
-	registry       *figures.Registry
+	registry       *metrics.Registry
 	view           control.View
-	worstDrain     time.Duration // drain
-	dataSetNames   []string      // numbers as text, so that counting them makes none
-	runtimeSamples []metrics.Sample
+	worstDrain     time.Duration
+	dataSetNames   []string // numbers as text, so that recording allocates none
+	runtimeSamples []runtimemetrics.Sample
 }
 
-// cachedDataSetNames is how many numbers of data sets have their text kept.
-const cachedDataSetNames = 256
-
-// NewRecorder returns one that starts at a time by the wall clock and by one that is never set.
-func NewRecorder(l figures.Limits, wall, mono time.Duration) *Recorder {
-	r := &Recorder{registry: figures.NewRegistry(l, wall, mono), runtimeSamples: []metrics.Sample{
-		{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/total:bytes"},
-		{Name: "/memory/classes/heap/released:bytes"}}}
-	for i := range cachedDataSetNames {
-		r.dataSetNames = append(r.dataSetNames, strconv.Itoa(i))
+// NewRecorder returns a recorder whose first interval starts at wall by the wall clock and at monotonic by the clock
+// that is never set.
+func NewRecorder(limits metrics.Limits, wall, monotonic time.Duration) *Recorder {
+	r := &Recorder{
+		registry:       metrics.NewRegistry(limits, wall, monotonic),
+		dataSetNames:   make([]string, cachedDataSetNames),
+		runtimeSamples: newRuntimeSamples(),
+	}
+	for i := range r.dataSetNames {
+		r.dataSetNames[i] = strconv.Itoa(i)
 	}
 	return r
 }
@@ -46,168 +45,123 @@
 
 // RequestAccepted counts a request.
 func (r *Recorder) RequestAccepted(q *broker.Request) {
-	class := r.registry.Slot(figures.Class, q.Class)
-	r.registry.Add(figures.Requests, class, 0, 1)
-	r.registry.Add(figures.RequestsByTenant, r.registry.Slot(figures.Tenant, q.Tenant), 0, 1)
+	class := r.registry.Slot(metrics.Class, q.Class)
+	r.registry.Add(metrics.Requests, class, 0, 1)
+	r.registry.Add(metrics.RequestsByTenant, r.registry.Slot(metrics.Tenant, q.Tenant), 0, 1)
 	if q.IsRetry {
-		r.registry.Add(figures.ClientRetries, class, 0, 1)
+		r.registry.Add(metrics.ClientRetries, class, 0, 1)
 	}
-	var set string
-	if q.DataSet >= 0 && q.DataSet < len(r.dataSetNames) {
-		set = r.dataSetNames[q.DataSet]
-	} else {
-		set = strconv.Itoa(q.DataSet)
+	dataSet := r.registry.Slot(metrics.DataSet, r.dataSetName(q.DataSet))
+	r.registry.Add(metrics.RequestsByDataSet, dataSet, 0, 1)
+}
+
+func (r *Recorder) dataSetName(number int) string {
+	if number >= 0 && number < len(r.dataSetNames) {
+		return r.dataSetNames[number]
 	}
-	r.registry.Add(figures.RequestsByDataSet, r.registry.Slot(figures.DataSet, set), 0, 1)
+	return strconv.Itoa(number)
 }
 
-// rejectionCauses are those of refusals by kinds of reply.
-var rejectionCauses = [...]int{broker.ReplyRejected: figures.NoCapacity, broker.ReplyTooManySessions: figures.TooManySessions,
-	broker.ReplyInvalidFields: figures.BadFields, broker.ReplyUnknownCommand: figures.BadCommand, broker.ReplyNotReady: figures.NotReady,
-	broker.ReplyUnknownSession: figures.NoSuchSession, broker.ReplyUnknownDatabase: figures.NoSuchDatabase, broker.ReplyInterrupted: figures.Killed}
+// rejectionCauses are the parts of metrics.Rejections by the kind of the reply.
+var rejectionCauses = [...]int{
+	broker.ReplyRejected:        metrics.NoCapacity,
+	broker.ReplyTooManySessions: metrics.TooManySessions,
+	broker.ReplyInvalidFields:   metrics.BadFields,
+	broker.ReplyUnknownCommand:  metrics.BadCommand,
+	broker.ReplyNotReady:        metrics.NotReady,
+	broker.ReplyUnknownSession:  metrics.NoSuchSession,
+	broker.ReplyUnknownDatabase: metrics.NoSuchDatabase,
+	broker.ReplyInterrupted:     metrics.Killed,
+}
 
-// RequestRejected counts a refusal.
+// RequestRejected counts a rejection by its cause.
 func (r *Recorder) RequestRejected(kind broker.ReplyKind) {
-	r.registry.Add(figures.Rejections, cardinality.Other, rejectionCauses[kind], 1)
+	r.registry.Add(metrics.Rejections, cardinality.Other, rejectionCauses[kind], 1)
 }
 
-// AttemptStarted counts an attempt.
+// AttemptStarted counts an attempt that is sent to an engine.
 func (r *Recorder) AttemptStarted(class string) {
-	r.registry.Add(figures.Attempts, r.registry.Slot(figures.Class, class), 0, 1)
+	r.registry.Add(metrics.Attempts, r.registry.Slot(metrics.Class, class), 0, 1)
 }
 
-// RequestEnded records how a request ended.
-func (r *Recorder) RequestEnded(o broker.RequestSummary) {
-	class, tenant := r.registry.Slot(figures.Class, o.Class), r.registry.Slot(figures.Tenant, o.Tenant)
-	outcome := figures.Failed
-	switch {
-	case o.ClientLeft:
-		outcome = figures.ClientLeft
-	case o.Kind == broker.ReplyRejected:
-		outcome = figures.Rejected
-	case o.Kind == broker.ReplyResult && (o.Objective <= 0 || o.Duration <= o.Objective):
-		outcome = figures.InTime
-	case o.Kind == broker.ReplyResult:
-		outcome = figures.Late
-	}
-	r.registry.Add(figures.Answers, class, outcome, 1)
-	r.registry.Add(figures.AnswersByTenant, tenant, outcome, 1)
-	if outcome == figures.InTime || outcome == figures.Late {
-		r.registry.Observe(figures.AnswerTime, class, milliseconds(o.Duration))
-		if o.Objective > 0 {
-			r.registry.Observe(figures.ObjectiveRatio, class, float64(o.Duration)/float64(o.Objective))
+// RequestEnded records the outcome of a request and how long it took.
+func (r *Recorder) RequestEnded(s broker.RequestSummary) {
+	class, tenant := r.registry.Slot(metrics.Class, s.Class), r.registry.Slot(metrics.Tenant, s.Tenant)
+	outcome := requestOutcome(&s)
+	r.registry.Add(metrics.Answers, class, outcome, 1)
+	r.registry.Add(metrics.AnswersByTenant, tenant, outcome, 1)
+	if outcome == metrics.InTime || outcome == metrics.Late {
+		r.registry.Observe(metrics.AnswerTime, class, milliseconds(s.Duration))
+		if s.Objective > 0 {
+			r.registry.Observe(metrics.ObjectiveRatio, class, float64(s.Duration)/float64(s.Objective))
 		}
 	}
-	r.registry.Observe(figures.AttemptsByRequest, class, float64(o.Attempts))
-	r.registry.Observe(figures.QueueWait, class, milliseconds(o.QueueTime))
-	r.registry.Observe(figures.QueueWaitByTenant, tenant, milliseconds(o.QueueTime))
+	r.registry.Observe(metrics.AttemptsByRequest, class, float64(s.Attempts))
+	r.registry.Observe(metrics.QueueWait, class, milliseconds(s.QueueTime))
+	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(s.QueueTime))
 }
 
-// AttemptEnded records how an attempt ended.
-func (r *Recorder) AttemptEnded(o broker.AttemptSummary) {
-	engine := r.registry.Slot(figures.Engine, o.Engine)
-	r.registry.Add(figures.AttemptEnds, engine, int(o.Status), 1)
-	if o.Status == control.OK {
-		r.registry.Observe(figures.EngineTime, engine, milliseconds(o.Duration))
+// requestOutcome is the part of metrics.Answers that a request counts under.
+func requestOutcome(s *broker.RequestSummary) int {
+	switch {
+	case s.ClientLeft:
+		return metrics.ClientLeft
+	case s.Kind == broker.ReplyRejected:
+		return metrics.Rejected
+	case s.Kind != broker.ReplyResult:
+		return metrics.Failed
+	case s.Objective <= 0 || s.Duration <= s.Objective:
+		return metrics.InTime
 	}
-	if o.Wasted {
-		r.registry.Add(figures.Wasted, r.registry.Slot(figures.Class, o.Class), 0, milliseconds(o.Duration))
-		r.registry.Add(figures.WastedByEngine, engine, 0, milliseconds(o.Duration))
+	return metrics.Late
+}
+
+// AttemptEnded records how an attempt ended, and its time as wasted work when no client got its answer.
+func (r *Recorder) AttemptEnded(s broker.AttemptSummary) {
+	engine := r.registry.Slot(metrics.Engine, s.Engine)
+	r.registry.Add(metrics.AttemptEnds, engine, int(s.Status), 1)
+	if s.Status == control.OK {
+		r.registry.Observe(metrics.EngineTime, engine, milliseconds(s.Duration))
+	}
+	if s.Wasted {
+		r.registry.Add(metrics.Wasted, r.registry.Slot(metrics.Class, s.Class), 0, milliseconds(s.Duration))
+		r.registry.Add(metrics.WastedByEngine, engine, 0, milliseconds(s.Duration))
 	}
 }
 
-// DuplicateResponse counts an answer that nothing waited for.
+// DuplicateResponse counts a response that no attempt waited for.
 func (r *Recorder) DuplicateResponse(engine string) {
-	r.registry.Add(figures.DuplicateResponses, r.registry.Slot(figures.Engine, engine), 0, 1)
+	r.registry.Add(metrics.DuplicateResponses, r.registry.Slot(metrics.Engine, engine), 0, 1)
 }
 
 // DrainStarted counts a drain.
-func (r *Recorder) DrainStarted() { r.registry.Add(figures.Drains, cardinality.Other, 0, 1) }
+func (r *Recorder) DrainStarted() { r.registry.Add(metrics.Drains, cardinality.Other, 0, 1) }
 
 // DrainCompleted records how long a drain took.
 func (r *Recorder) DrainCompleted(took time.Duration) {
-	r.registry.Observe(figures.DrainTime, cardinality.Other, milliseconds(took))
+	r.registry.Observe(metrics.DrainTime, cardinality.Other, milliseconds(took))
 	r.worstDrain = max(r.worstDrain, took)
-	r.registry.Set(figures.WorstDrain, cardinality.Other, 0, milliseconds(r.worstDrain))
+	r.registry.Set(metrics.WorstDrain, cardinality.Other, 0, milliseconds(r.worstDrain))
 	if took > maxDrainDuration {
-		r.registry.Add(figures.LateDrains, cardinality.Other, 0, 1)
+		r.registry.Add(metrics.LateDrains, cardinality.Other, 0, 1)
 	}
 }
 
-// LoopLag records how late a turn of the reducer's goroutine came.
-func (r *Recorder) LoopLag(d time.Duration) {
-	r.registry.Observe(figures.RoundLag, cardinality.Other, milliseconds(max(0, d)))
+// LoopLag records how late the reducer's goroutine came to its turn; a negative lag counts as none.
+func (r *Recorder) LoopLag(lag time.Duration) {
+	r.registry.Observe(metrics.RoundLag, cardinality.Other, milliseconds(max(0, lag)))
 }
 
-// InboxLength records how many events waited.
+// InboxLength records how many events waited for the reducer.
 func (r *Recorder) InboxLength(events int) {
-	r.registry.SetMax(figures.Inbox, cardinality.Other, 0, float64(events))
+	r.registry.SetMax(metrics.Inbox, cardinality.Other, 0, float64(events))
 }
 
-// Cut ends an interval at a time by the wall clock and by one that is never set.
-func (r *Recorder) Cut(wall, mono time.Duration, b *broker.Broker, s server.ConnectionCounts, stats map[string]delivery.Stats) *figures.Interval {
-	r.recordView(b)
-	set := func(id figures.ID, part int, v float64) { r.registry.Set(id, cardinality.Other, part, v) }
-	set(figures.Open, 0, float64(b.OpenRequests()))
-	set(figures.Sessions, 0, float64(b.SessionCount()))
-	set(figures.Connections, figures.ClientSide, float64(s.Clients))
-	set(figures.Connections, figures.EngineSide, float64(s.Engines))
-	for side, id := range map[server.Side]figures.ID{server.ClientSide: figures.ClientEnds, server.EngineSide: figures.EngineEnds,
-		server.ChangelogSide: figures.ChangelogEnds} {
-		part := 0
-		s.EachEndReason(side, func(_ server.Reason, n uint64) {
-			set(id, part, float64(n))
-			part++
-		})
-	}
-	metrics.Read(r.runtimeSamples)
-	set(figures.Heap, 0, float64(r.runtimeSamples[0].Value.Uint64()))
-	set(figures.Memory, 0, float64(r.runtimeSamples[1].Value.Uint64()-r.runtimeSamples[2].Value.Uint64()))
-	for name, st := range stats {
-		slot := r.registry.Slot(figures.Destination, name)
-		r.registry.Set(figures.Held, slot, 0, float64(st.Held))
-		r.registry.Set(figures.HeldIntervals, slot, 0, float64(st.WaitingIntervals))
-		r.registry.Set(figures.Delivered, slot, 0, float64(st.DeliveredIntervals))
-		r.registry.Set(figures.Lost, slot, 0, float64(st.Lost))
-		r.registry.Set(figures.LostSamples, slot, 0, st.LostSamples)
-		r.registry.Set(figures.Breaks, slot, 0, float64(st.ConnectionFailures))
-	}
-	return r.registry.Cut(wall, mono)
-}
-
-// recordView takes over what the decision module believes and sets.
-func (r *Recorder) recordView(b *broker.Broker) {
-	b.View(&r.view)
-	health := [4]int{}
-	for _, e := range r.view.Engines {
-		slot := r.registry.Slot(figures.Engine, e.ID)
-		if slot != cardinality.Other { // one value can't stand for several engines
-			r.registry.Set(figures.ConcurrencyLimit, slot, 0, e.ConcurrencyLimit)
-			r.registry.Set(figures.Threads, slot, 0, float64(e.ThreadsInFlight))
-			r.registry.Set(figures.Queued, slot, 0, float64(e.Queued))
-		}
-		switch {
-		case e.State == control.Draining:
-			health[figures.Draining]++
-		case e.Ejected:
-			health[figures.Ejected]++
-		case e.SlowStart:
-			health[figures.SlowStart]++
-		default:
-			health[figures.Ready]++
-		}
-	}
-	for part, n := range health {
-		r.registry.Set(figures.Engines, cardinality.Other, part, float64(n))
-	}
-	for _, k := range r.view.Classes {
-		if slot := r.registry.Slot(figures.Class, k.Name); slot != cardinality.Other {
-			r.registry.Set(figures.ClassShare, slot, 0, k.Share)
-		}
+// Reloaded counts a configuration file that was read at SIGHUP, accepted or rejected.
+func (r *Recorder) Reloaded(accepted bool) {
+	if accepted {
+		r.registry.Add(metrics.ConfLoaded, cardinality.Other, 0, 1)
+	} else {
+		r.registry.Add(metrics.ConfInvalid, cardinality.Other, 0, 1)
 	}
 }
-
-// CutAlone ends an interval of a reducer that has no sockets round it.
-func (r *Recorder) CutAlone(now time.Duration, b *broker.Broker) *figures.Interval {
-	return r.Cut(now, now, b, server.ConnectionCounts{}, nil)
-}
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/relay_test.go
@@ -9,23 +9,29 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
-	figures "wheatlane/internal/metrics"
+	"wheatlane/internal/metrics"
 )
 
-// The figures of the second address are the counts of the registry, in the page's names, from zero.
-func TestRelay(t *testing.T) {
-	b, err := broker.New(control.Settings{Brokers: 1, MinBatchInterval: 5 * time.Millisecond,
-		Classes: []control.Class{{Name: "lookup", LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}}}, 1, 10)
+// The figures of the admin endpoint are the counts of the registry, under the on-call page's names, from zero.
+func TestRelayFigures(t *testing.T) {
+	class := control.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}
+	settings := control.Settings{Brokers: 1, MinBatchInterval: 5 * time.Millisecond, Classes: []control.Class{class}}
+	b, err := broker.New(settings, 1, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewRecorder(figures.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}, 0, 0)
+	r := NewRecorder(metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}, 0, 0)
 	r.Reloaded(true)
 	r.Reloaded(false)
 	r.Reloaded(false)
-	for _, o := range []broker.RequestSummary{{Class: "lookup", Kind: broker.ReplyResult}, {Class: "lookup", Kind: broker.ReplyResult, Duration: time.Second, Objective: time.Millisecond},
-		{Class: "lookup", Kind: broker.ReplyRejected}, {Class: "lookup", Kind: broker.ReplyFailed}, {Class: "lookup", ClientLeft: true}} {
-		r.RequestEnded(o)
+	for _, s := range []broker.RequestSummary{
+		{Class: "lookup", Kind: broker.ReplyResult},
+		{Class: "lookup", Kind: broker.ReplyResult, Duration: time.Second, Objective: time.Millisecond},
+		{Class: "lookup", Kind: broker.ReplyRejected},
+		{Class: "lookup", Kind: broker.ReplyFailed},
+		{Class: "lookup", ClientLeft: true},
+	} {
+		r.RequestEnded(s)
 	}
 	r.AttemptStarted("lookup")
 	got := strings.Split(string(r.RelayFigures(nil, b)), "\n")
@@ -33,8 +39,14 @@
 		`relay_transactions_total{group="lookup",state="answered"} 2`,
 		`relay_transactions_total{group="lookup",state="deferred"} 1`,
 		`relay_transactions_total{group="lookup",state="errored"} 1`,
-		"relay_sends_total 1", "relay_current 0", "relay_cluster_size 0", "relay_cluster_unhealthy 0",
-		"relay_conf_loaded_total 1", "relay_conf_invalid_total 2", ""}
+		"relay_sends_total 1",
+		"relay_current 0",
+		"relay_cluster_size 0",
+		"relay_cluster_unhealthy 0",
+		"relay_conf_loaded_total 1",
+		"relay_conf_invalid_total 2",
+		"",
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
--- /dev/null
+++ b/internal/telemetry/reporter_test.go
@@ -0,0 +1,153 @@
+package telemetry
+
+import (
+	"fmt"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/collectd"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/metrics"
+	"wheatlane/internal/operatorconfig"
+	"wheatlane/internal/server"
+)
+
+func TestIntervalsAreDelivered(t *testing.T) {
+	for _, pickle := range []bool{false, true} {
+		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
+			_, received, g := startCarbon(t, pickle)
+			r := startRig(t, telemetryFile(g))
+			r.intervals(5)
+			r.finish()
+			r.awaitAllCounted(received)
+			f := await(t, received, "each interval", complete)
+			if f.Duplicated > 0 || len(f.Runs[0].Intervals) < 5 {
+				t.Fatalf("%+v", f)
+			}
+			last := f.Runs[0].Intervals[len(f.Runs[0].Intervals)-2]
+			got := sortedKeys(last.Spreads[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}])
+			if diff := cmp.Diff([]string{"count", "max", "min", "p50", "p95", "p99", "sum"}, got); diff != "" {
+				t.Fatal(diff)
+			}
+		})
+	}
+}
+
+func sortedKeys(m map[string]float64) []string {
+	keys := make([]string, 0, len(m))
+	for k := range m {
+		keys = append(keys, k)
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// The wall clock steps back an hour and forward a day: intervals keep their pace and nothing is lost.
+func TestWallClockSteps(t *testing.T) {
+	_, received, g := startCarbon(t, false)
+	r := startRig(t, telemetryFile(g))
+	r.intervals(5)
+	r.wall.step(-time.Hour - 5*time.Second) // between the timestamps that are there
+	r.intervals(5)
+	r.wall.step(25 * time.Hour)
+	r.intervals(5)
+	await(t, received, "each interval", completeTo(15))
+	r.finish()
+	r.awaitAllCounted(received)
+	if f := await(t, received, "each interval", complete); f.Runs[0].Last != 16 {
+		t.Fatalf("%+v", f.Runs[0])
+	}
+}
+
+// Datagrams get lost and come out of order: counters are complete all the same.
+func TestCollectdLossAndReordering(t *testing.T) {
+	received := collector.NewReconciler(nil)
+	passwords := func(user string) (string, bool) { return "secret", user == "chart" }
+	reader := collectd.Reader{Demand: collectd.Encrypt, Passwords: passwords}
+	c, err := collector.NewCollectd("127.0.0.1:0", reader, 1, received)
+	if err != nil {
+		t.Fatal(err)
+	}
+	runUntilCleanup(t, c.Run)
+	r := startRig(t, telemetryFile(operatorconfig.Collectd{
+		Name: "c", Address: c.Addr(), Security: "encrypt", User: "chart", Password: "secret",
+	}))
+	r.intervals(3)
+	intervalsUntil := func(what string, ok func() bool) {
+		t.Helper()
+		for end := time.Now().Add(testTimeout); !ok(); runtime.Gosched() {
+			r.intervals(1)
+			if time.Now().After(end) {
+				t.Fatal(what)
+			}
+		}
+	}
+	c.Set(collector.Lossy)
+	intervalsUntil("no datagram is lost", func() bool { _, lost := c.Packets(); return lost > 5 })
+	c.Set(collector.Reordering)
+	before, _ := c.Packets()
+	intervalsUntil("no datagram comes", func() bool { now, _ := c.Packets(); return now > before+20 })
+	c.Set(collector.Unreachable)
+	intervalsUntil("it is not noticed that nothing listens", func() bool {
+		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
+	})
+	r.intervals(10)
+	c.Set(collector.Serve)
+	r.intervals(1)
+	last := r.cuts()
+	await(t, received, "an interval after its return", func(f *collector.Findings) bool {
+		return len(f.Runs) == 1 && f.Runs[0].Last == last
+	})
+	r.finish()
+	r.awaitAllCounted(received)
+}
+
+// 100,000 names in a second make no more series than the limit, cost no memory to speak of, and every request is
+// counted.
+func TestBurstOfNames(t *testing.T) {
+	_, received, g := startCarbon(t, false)
+	r := startRig(t, telemetryFile(g))
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	for i := range 100_000 {
+		tenant := fmt.Sprintf("tenant;%d.x", i)
+		r.record(&broker.Request{Class: "lookup", Tenant: tenant, DataSet: i},
+			&broker.RequestSummary{Class: "lookup", Tenant: tenant, Kind: broker.ReplyRejected})
+	}
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 4<<20 {
+		t.Errorf("%d bytes for the names", grown)
+	}
+	r.intervals(2)
+	r.finish()
+	f := r.awaitAllCounted(received)
+	for _, v := range f.Runs[0].Intervals {
+		tenants := map[string]bool{}
+		for s := range v.Values {
+			if s.Figure == metrics.RequestsByTenant && !s.Other {
+				tenants[s.Name] = true
+			}
+		}
+		if len(tenants) > 8 {
+			t.Fatalf("%d tenants have series, 8 may", len(tenants))
+		}
+	}
+}
+
+// The reasons of the catalogue are those of the log.
+func TestEndReasonsAreTheServers(t *testing.T) {
+	got := make([]string, 0, len(server.Reasons))
+	for _, r := range server.Reasons {
+		got = append(got, string(r))
+	}
+	if diff := cmp.Diff(metrics.EndReasons, got); diff != "" {
+		t.Fatal(diff)
+	}
+}
--- /dev/null
+++ b/internal/telemetry/rig_test.go
@@ -0,0 +1,301 @@
+package telemetry
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/graphite"
+	"wheatlane/internal/metrics"
+	"wheatlane/internal/operatorconfig"
+	"wheatlane/internal/server"
+)
+
+const (
+	testTimeout    = 30 * time.Second // a test that waits so long has failed
+	rigStart       = 1_750_000_000 * time.Second
+	rigObjective   = 400 * time.Millisecond
+	rigInterval    = 10 * time.Second
+	rigWriteLimit  = 300 // ms
+	rigReplayKBps  = 1 << 16
+	carbonBudgetKB = 512
+)
+
+// inspector is a reducer that is inspected as a server lets it be, and whose recorder the test feeds.
+type inspector struct {
+	mu       sync.Mutex
+	broker   *broker.Broker
+	recorder *Recorder
+	cuts     uint64 // how often it was inspected: once an interval
+}
+
+func (i *inspector) Inspect(_ context.Context, f func(*broker.Broker, server.ConnectionCounts)) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	f(i.broker, server.ConnectionCounts{})
+	i.cuts++
+	return true
+}
+
+// wallClock advances by an interval whenever it is read, and may be set.
+type wallClock struct {
+	mu  sync.Mutex
+	now time.Duration
+}
+
+func (w *wallClock) read() time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.now += rigInterval
+	return w.now
+}
+
+func (w *wallClock) step(d time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.now += d
+}
+
+// rig is a reporter with what it reports.
+type rig struct {
+	t                 *testing.T
+	inspector         *inspector
+	wall              *wallClock
+	reporter          *Reporter
+	ticks             chan time.Time
+	draining, drained chan struct{}
+	done              chan error
+	requests          map[string]int // by class, as the test knows them
+}
+
+// telemetryFile is an operator's file with destinations; settings that they leave out are filled in.
+func telemetryFile(destinations ...any) *operatorconfig.Telemetry {
+	t := &operatorconfig.Telemetry{
+		IntervalMS:  int(rigInterval / time.Millisecond),
+		Cardinality: operatorconfig.CardinalityLimits{Classes: 4, Tenants: 8, Engines: 4, DataSets: 4, IdleS: 3600},
+	}
+	for _, d := range destinations {
+		switch d := d.(type) {
+		case operatorconfig.Graphite:
+			d.Prefix, d.Protocol = "w", cmp.Or(d.Protocol, "plaintext")
+			d.WriteTimeoutMS = rigWriteLimit
+			d.BudgetKB, d.ReplayKBps = cmp.Or(d.BudgetKB, carbonBudgetKB), rigReplayKBps
+			t.Graphite = append(t.Graphite, d)
+		case operatorconfig.Collectd:
+			d.BudgetKB = 256
+			t.Collectd = append(t.Collectd, d)
+		}
+	}
+	return t
+}
+
+// startRig starts a reporter whose destinations have as long as they need to write what waits at their end: the
+// machine may be too busy to do within stopTimeout what a test expects done.
+func startRig(t *testing.T, f *operatorconfig.Telemetry) *rig {
+	t.Helper()
+	return startRigAt(t, f, rigStart, testTimeout)
+}
+
+// startRigAt starts a reporter at a time of the wall clock, with a stop timeout of its own.
+func startRigAt(t *testing.T, f *operatorconfig.Telemetry, at, timeout time.Duration) *rig {
+	t.Helper()
+	class := control.Class{Name: "lookup", LatencyObjective: rigObjective, PriorityWeight: 1, Threads: 1}
+	settings := control.Settings{Brokers: 1, MinBatchInterval: time.Millisecond, Classes: []control.Class{class}}
+	b, err := broker.New(settings, 1, 10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{
+		t:         t,
+		inspector: &inspector{broker: b},
+		wall:      &wallClock{now: at},
+		ticks:     make(chan time.Time),
+		draining:  make(chan struct{}),
+		drained:   make(chan struct{}),
+		done:      make(chan error, 1),
+		requests:  map[string]int{},
+	}
+	clock := SystemClock()
+	clock.Wall = r.wall.read
+	clock.Ticker = func(time.Duration) (<-chan time.Time, func(time.Duration), func()) {
+		return r.ticks, func(time.Duration) {}, func() {}
+	}
+	r.reporter, r.inspector.recorder = New("n1", f.Cardinality, r.inspector, clock, 1, zap.NewNop())
+	if r.reporter.stopTimeout != stopTimeout {
+		t.Fatalf("a destination that ends has %v", r.reporter.stopTimeout)
+	}
+	r.reporter.stopTimeout = timeout
+	ctx, cancel := context.WithCancel(t.Context())
+	t.Cleanup(func() {
+		cancel()
+		if err := <-r.done; err != nil {
+			t.Error(err)
+		}
+	})
+	go func() {
+		r.done <- r.reporter.Run(ctx, f, r.draining, r.drained)
+		close(r.done)
+	}()
+	return r
+}
+
+// load records n requests of a class, each ended with a result.
+func (r *rig) load(class string, n int) {
+	for i := range n {
+		tenant := fmt.Sprint(i % 3)
+		r.record(&broker.Request{Class: class, Tenant: tenant, DataSet: i % 5}, &broker.RequestSummary{
+			Class: class, Tenant: tenant, Kind: broker.ReplyResult,
+			Duration: time.Duration(i) * time.Millisecond, Objective: rigObjective, Attempts: 1,
+		})
+	}
+}
+
+// record records one request from its start to its end.
+func (r *rig) record(q *broker.Request, s *broker.RequestSummary) {
+	r.inspector.mu.Lock()
+	defer r.inspector.mu.Unlock()
+	r.requests[q.Class]++
+	r.inspector.recorder.RequestAccepted(q)
+	r.inspector.recorder.RequestEnded(*s)
+}
+
+// cuts is how many intervals have ended.
+func (r *rig) cuts() uint64 {
+	r.inspector.mu.Lock()
+	defer r.inspector.mu.Unlock()
+	return r.inspector.cuts
+}
+
+// intervals lets n intervals end under load.
+func (r *rig) intervals(n int) {
+	r.t.Helper()
+	for range n {
+		r.load("lookup", 7)
+		before := r.cuts()
+		select {
+		case r.ticks <- time.Time{}:
+		case <-time.After(testTimeout):
+			r.t.Fatal("the reporter ends no interval")
+		}
+		for r.cuts() == before { // it has received the tick
+			runtime.Gosched()
+		}
+	}
+}
+
+// held is how much memory a destination holds, in bytes. It must be one that is configured.
+func (r *rig) held(name string) int { return r.reporter.destinations[name].stats.Load().Held }
+
+// finish stops the reporter as a broker does that has answered everything.
+func (r *rig) finish() {
+	r.t.Helper()
+	close(r.drained)
+	select {
+	case err := <-r.done:
+		if err != nil {
+			r.t.Fatal(err)
+		}
+	case <-time.After(testTimeout):
+		r.t.Fatal("the reporter does not end")
+	}
+}
+
+// startCarbon starts an emulated carbon server and returns its reconciler and the settings of a destination for it.
+func startCarbon(t *testing.T, pickle bool) (*collector.Carbon, *collector.Reconciler, operatorconfig.Graphite) {
+	t.Helper()
+	received := collector.NewReconciler(nil)
+	c, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, pickle, received)
+	if err != nil {
+		t.Fatal(err)
+	}
+	runUntilCleanup(t, c.Run)
+	g := operatorconfig.Graphite{Name: "carbon", Address: c.Addr()}
+	if pickle {
+		g.Protocol = "pickle"
+	}
+	return c, received, g
+}
+
+func runUntilCleanup(t *testing.T, f func(context.Context) error) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	var g errgroup.Group
+	g.Go(func() error { return f(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		if err := g.Wait(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// await waits until what a collector received satisfies a condition.
+func await(t *testing.T, received *collector.Reconciler, what string,
+	ok func(*collector.Findings) bool,
+) *collector.Findings {
+	t.Helper()
+	timeout := time.After(testTimeout)
+	for {
+		changed := received.Changed()
+		f := received.Reconcile()
+		if ok(f) {
+			return f
+		}
+		select {
+		case <-changed:
+			select { // the rest of a burst: reconciling for each sample costs too much
+			case <-time.After(10 * time.Millisecond):
+			case <-timeout:
+			}
+		case <-timeout:
+			t.Fatalf("%s: not seen: %d samples, %d runs, %v", what, f.Samples, len(f.Runs), f.Faults)
+		}
+	}
+}
+
+// awaitAllCounted waits until a collector has every request that was recorded in its counters, and checks that no rule
+// was broken.
+func (r *rig) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
+	r.t.Helper()
+	want := float64(r.requests["lookup"])
+	f := await(r.t, received, "every count", func(f *collector.Findings) bool {
+		if len(f.Runs) != 1 || f.Runs[0].Last != r.cuts() {
+			return false
+		}
+		// The newest interval comes first: an earlier one may have the last values of a name that has retired.
+		for _, id := range []metrics.ID{
+			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet, metrics.Answers, metrics.AnswersByTenant,
+		} {
+			if got := f.Runs[0].Total(id); got > want {
+				r.t.Fatalf("%s: %v of %v", metrics.Catalogue[id].Name, got, want)
+			} else if got < want {
+				return false
+			}
+		}
+		return true
+	})
+	if !f.OK() {
+		r.t.Fatalf("faults %v, unknown %v, malformed %v", f.Faults, f.Unknown, f.Malformed)
+	}
+	return f
+}
+
+// complete tells whether a collector has every interval that it knows of.
+func complete(f *collector.Findings) bool {
+	return len(f.Runs) == 1 && f.Runs[0].Missing() == 0 && f.Incomplete == 0
+}
+
+// completeTo tells whether a collector has every interval up to the last.
+func completeTo(last uint64) func(*collector.Findings) bool {
+	return func(f *collector.Findings) bool { return complete(f) && f.Runs[0].Last == last }
+}
--- /dev/null
+++ b/internal/telemetry/snapshot.go
@@ -0,0 +1,125 @@
+package telemetry
+
+import (
+	runtimemetrics "runtime/metrics"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/cardinality"
+	"wheatlane/internal/delivery"
+	"wheatlane/internal/metrics"
+	"wheatlane/internal/server"
+)
+
+// The places of the samples that newRuntimeSamples asks for.
+const (
+	heapObjectBytes = iota
+	totalBytes
+	releasedBytes
+)
+
+func newRuntimeSamples() []runtimemetrics.Sample {
+	return []runtimemetrics.Sample{
+		heapObjectBytes: {Name: "/memory/classes/heap/objects:bytes"},
+		totalBytes:      {Name: "/memory/classes/total:bytes"},
+		releasedBytes:   {Name: "/memory/classes/heap/released:bytes"},
+	}
+}
+
+// Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states of the
+// reducer, the sockets, the runtime and the destinations are read into gauges before.
+func (r *Recorder) Cut(wall, monotonic time.Duration, b *broker.Broker, connections server.ConnectionCounts,
+	destinations map[string]delivery.Stats,
+) *metrics.Interval {
+	r.recordView(b)
+	r.setGauge(metrics.Open, 0, float64(b.OpenRequests()))
+	r.setGauge(metrics.Sessions, 0, float64(b.SessionCount()))
+	r.recordConnections(&connections)
+	r.recordMemory()
+	for name, stats := range destinations {
+		r.recordDestination(name, &stats)
+	}
+	return r.registry.Cut(wall, monotonic)
+}
+
+// CutAlone ends an interval of a reducer that has no sockets and no destinations.
+func (r *Recorder) CutAlone(now time.Duration, b *broker.Broker) *metrics.Interval {
+	return r.Cut(now, now, b, server.ConnectionCounts{}, nil)
+}
+
+// setGauge sets a figure of the whole broker.
+func (r *Recorder) setGauge(id metrics.ID, part int, value float64) {
+	r.registry.Set(id, cardinality.Other, part, value)
+}
+
+func (r *Recorder) recordConnections(connections *server.ConnectionCounts) {
+	r.setGauge(metrics.Connections, metrics.ClientSide, float64(connections.Clients))
+	r.setGauge(metrics.Connections, metrics.EngineSide, float64(connections.Engines))
+	for side, id := range map[server.Side]metrics.ID{
+		server.ClientSide:    metrics.ClientEnds,
+		server.EngineSide:    metrics.EngineEnds,
+		server.ChangelogSide: metrics.ChangelogEnds,
+	} {
+		part := 0
+		connections.EachEndReason(side, func(_ server.Reason, n uint64) {
+			r.setGauge(id, part, float64(n))
+			part++
+		})
+	}
+}
+
+func (r *Recorder) recordMemory() {
+	runtimemetrics.Read(r.runtimeSamples)
+	bytes := func(place int) uint64 { return r.runtimeSamples[place].Value.Uint64() }
+	r.setGauge(metrics.Heap, 0, float64(bytes(heapObjectBytes)))
+	r.setGauge(metrics.Memory, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
+}
+
+func (r *Recorder) recordDestination(name string, stats *delivery.Stats) {
+	slot := r.registry.Slot(metrics.Destination, name)
+	r.registry.Set(metrics.Held, slot, 0, float64(stats.Held))
+	r.registry.Set(metrics.HeldIntervals, slot, 0, float64(stats.WaitingIntervals))
+	r.registry.Set(metrics.Delivered, slot, 0, float64(stats.DeliveredIntervals))
+	r.registry.Set(metrics.Lost, slot, 0, float64(stats.Lost))
+	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
+	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
+}
+
+// recordView records what the decision module knows of engines and classes.
+func (r *Recorder) recordView(b *broker.Broker) {
+	b.View(&r.view)
+	var enginesByHealth [4]int
+	for i := range r.view.Engines {
+		engine := &r.view.Engines[i]
+		slot := r.registry.Slot(metrics.Engine, engine.ID)
+		if slot != cardinality.Other { // one value can't stand for several engines
+			r.registry.Set(metrics.ConcurrencyLimit, slot, 0, engine.ConcurrencyLimit)
+			r.registry.Set(metrics.Threads, slot, 0, float64(engine.ThreadsInFlight))
+			r.registry.Set(metrics.Queued, slot, 0, float64(engine.Queued))
+		}
+		enginesByHealth[engineHealth(engine)]++
+	}
+	for health, engines := range enginesByHealth {
+		r.setGauge(metrics.Engines, health, float64(engines))
+	}
+	for i := range r.view.Classes {
+		class := &r.view.Classes[i]
+		if slot := r.registry.Slot(metrics.Class, class.Name); slot != cardinality.Other {
+			r.registry.Set(metrics.ClassShare, slot, 0, class.Share)
+		}
+	}
+}
+
+// engineHealth is the part of metrics.Engines that an engine counts under.
+func engineHealth(engine *control.EngineView) int {
+	switch {
+	case engine.State == control.Draining:
+		return metrics.Draining
+	case engine.Ejected:
+		return metrics.Ejected
+	case engine.SlowStart:
+		return metrics.SlowStart
+	}
+	return metrics.Ready
+}
