--- /dev/null
+++ b/internal/server/dial.go
@@ -0,0 +1,75 @@
+package server
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"wheatlane/internal/resp"
+)
+
+const (
+	maxEngineReceiveBytes = resp.MaxMessage // of responses that are not parsed yet: one complete message
+	maxEngineSendBytes    = 1 << 20         // of messages that wait to be sent
+)
+
+// newEngineConn returns a connection that is yet to be established, and its context, which ends with ctx.
+func newEngineConn(ctx context.Context, engine, addr string) (*engineConn, context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	return &engineConn{
+		engine: engine, addr: addr, cancel: cancel, dialStarted: time.Now(),
+		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
+	}, ctx
+}
+
+// dial begins to establish a connection to an engine. The connection outlives the event that needs it, so its
+// context is derived from that of Run.
+func (p *enginePool) dial(engine, addr string) *engineConn {
+	c, ctx := newEngineConn(p.server.ctx, engine, addr)
+	p.server.costs.Dials++
+	p.connsByEngine[engine] = append(p.connsByEngine[engine], c)
+	p.connCount++
+	p.server.group.Go(func() error {
+		defer c.cancel()
+		p.runConn(ctx, c)
+		return nil
+	})
+	return c
+}
+
+// runConn establishes a connection and reads it until it ends or ctx does, on a goroutine of its own.
+func (p *enginePool) runConn(ctx context.Context, c *engineConn) {
+	started := time.Now()
+	err := p.serveConn(ctx, c)
+	p.post(func() { p.disconnected(c) })
+	if ctx.Err() != nil && p.server.ctx.Err() == nil {
+		err = c.closeReason // set before ctx ended
+	}
+	p.server.ended(EngineSide, c.addr, started, err)
+}
+
+// serveConn establishes a connection, reads it and returns why it ended.
+func (p *enginePool) serveConn(ctx context.Context, c *engineConn) error {
+	settings := &p.server.cfg.Settings
+	socket, err := (&net.Dialer{Timeout: settings.ConnectTimeout}).DialContext(ctx, "tcp", c.addr)
+	if err != nil {
+		return &endError{ConnectFailed, err}
+	}
+	maxDelay := engineSendDelay(settings.DrainGrace)
+	transport := newBufferedConn(socket, maxDelay, maxEngineReceiveBytes, maxEngineSendBytes)
+	p.server.post(ctx, func() { p.connected(c, transport) })
+	return transport.run(ctx, func(context.Context) error { return p.readResponses(c, transport) })
+}
+
+// connected sends what waited for a connection.
+func (p *enginePool) connected(c *engineConn, transport *bufferedConn) {
+	if c.closed {
+		return
+	}
+	c.transport, c.lastReceived = transport, time.Now()
+	for _, s := range c.inOrder() {
+		if !s.done {
+			p.send(s)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/engineconn.go
@@ -0,0 +1,110 @@
+package server
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"wheatlane/internal/broker"
+)
+
+const (
+	maxRetiredIDs     = 1024 // ids retired on one connection; it is replaced then
+	idleCloseFraction = 0.6  // of the engines' idle timeout: a connection is closed before the engine closes it
+)
+
+// engineConn is a connection to an engine, or one that is being established. It multiplexes streams, each
+// under an id of its own. The goroutine that owns the reducer owns it.
+type engineConn struct {
+	engine, addr string
+	transport    *bufferedConn // nil while it is being established
+	cancel       context.CancelFunc
+	closeReason  *endError            // why the broker closed it
+	streams      map[string]*stream   // by id
+	retiredIDs   map[string]time.Time // until when ids may be answered that nothing waits for
+	closing      bool                 // it takes no new streams and closes with the last
+	closed       bool
+	dialStarted  time.Time
+	lastUsed     time.Time   // when the last stream was put on it
+	lastReceived time.Time   // when the last response came, or when it was established
+	suspectSince time.Time   // since when it is suspected to be dead; zero: it is not
+	drain        *drainTimer // it has bytes queued from before its engine's drain; nil: it has none
+}
+
+// stream is an attempt or a load probe on its connection.
+type stream struct {
+	conn         *engineConn
+	id           string
+	attemptID    broker.AttemptID
+	probeID      uint64  // of a load probe; 0 for an attempt
+	unsent       []byte  // its message while the connection is being established; nil: it was queued
+	offset       int64   // of its message in the send queue
+	followUps    []int64 // offsets of later commands that change nothing unless the message was sent
+	startedAt    time.Time
+	overdueAfter time.Duration // from startedAt: its response is not missed before
+	responding   bool          // the first page of its result came
+	cancelling   bool          // it was cancelled, and the engine is being notified
+	done         bool          // it has ended for the reducer
+}
+
+// isProbe reports whether the stream is a load probe.
+func (s *stream) isProbe() bool { return s.probeID != 0 }
+
+// neverSent reports whether no byte of the stream is among the first bytes of its connection that may have
+// left.
+func (s *stream) neverSent(leftBytes int64) bool { return s.unsent != nil || s.offset >= leftBytes }
+
+// accepts reports whether a stream of this id can be put on the connection. An id is used once only: a late
+// response for the attempt before could not be told from one for this.
+func (c *engineConn) accepts(id, addr string, maxStreams int) bool {
+	_, retired := c.retiredIDs[id]
+	return !retired && c.streams[id] == nil && !c.closing && c.suspectSince.IsZero() && c.addr == addr &&
+		len(c.streams) < maxStreams
+}
+
+// add puts a stream on the connection.
+func (c *engineConn) add(s *stream) {
+	s.conn = c
+	c.streams[s.id] = s
+	c.lastUsed = s.startedAt
+}
+
+// inOrder returns the streams in the order of their start.
+func (c *engineConn) inOrder() []*stream {
+	byStart := func(a, b *stream) int { return a.startedAt.Compare(b.startedAt) }
+	return slices.SortedFunc(maps.Values(c.streams), byStart)
+}
+
+// retireID notes that an id may be answered until a time though nothing waits for that.
+func (c *engineConn) retireID(id string, until time.Time) {
+	c.retiredIDs[id] = until
+	c.closing = c.closing || len(c.retiredIDs) >= maxRetiredIDs
+}
+
+// expireRetiredIDs forgets the retired ids whose time is over.
+func (c *engineConn) expireRetiredIDs(now time.Time) {
+	maps.DeleteFunc(c.retiredIDs, func(_ string, until time.Time) bool { return now.After(until) })
+}
+
+// idleTooLong reports whether nothing was in flight for so long that the engine, which closes connections
+// idle for timeout, may close it any moment: a message sent then could cross that close, and nobody would
+// know whether the engine took it.
+func (c *engineConn) idleTooLong(now time.Time, timeout time.Duration) bool {
+	return len(c.streams) == 0 && now.Sub(c.lastUsed) > time.Duration(idleCloseFraction*float64(timeout))
+}
+
+// withdraw takes back a stream of which no byte has left, and the commands that followed it. It reports
+// false if a byte may have left. The stream stays on the connection.
+func (c *engineConn) withdraw(s *stream) bool {
+	if c.transport == nil {
+		return true
+	}
+	if !c.transport.withdraw(s.offset) {
+		return false
+	}
+	for _, offset := range s.followUps {
+		c.transport.withdraw(offset) // it is queued behind the stream's message, so it has not left either
+	}
+	return true
+}
--- a/internal/server/reason.go
+++ b/internal/server/reason.go
@@ -14,42 +14,50 @@
 	"wheatlane/internal/ring"
 )
 
-// Reason is the code in the log line of an ended connection. This list is the whole of them.
+// Reason is the code in the log line and the figures of an ended connection. Reasons lists them all.
 type Reason string
 
 // The reasons why a connection ends.
 const (
-	PeerClosed         Reason = "peer_closed"          // the other side closed it in good order
-	PeerReset          Reason = "peer_reset"           // the other side broke it
-	Quit               Reason = "quit"                 // the client said so
-	Idle               Reason = "idle"                 // nothing was open on it for long
+	PeerClosed         Reason = "peer_closed"          // the peer closed it in good order
+	PeerReset          Reason = "peer_reset"           // the peer reset it
+	Quit               Reason = "quit"                 // the client sent COM_QUIT
+	Idle               Reason = "idle"                 // nothing was in flight on it for too long
 	LoginTimeout       Reason = "login_timeout"        // the client did not log in in time
-	ReadTimeout        Reason = "read_timeout"         // the client began a message and did not end it in time
+	ReadTimeout        Reason = "read_timeout"         // the client did not complete a message in time
 	AccessDenied       Reason = "access_denied"        // wrong user, password or database
-	Malformed          Reason = "malformed"            // bytes that can't be read: sync is lost
+	Malformed          Reason = "malformed"            // a message that can't be parsed: synchronization is lost
 	TooLarge           Reason = "too_large"            // a message over its limit
-	BufferFull         Reason = "buffer_full"          // the other side does not take what it is sent
-	WriteTimeout       Reason = "write_timeout"        // a write or what waited for it was overdue
-	KilledByClient     Reason = "killed"               // a client killed it, or it asked too much ahead
-	EvictedIdle        Reason = "made_room"            // it said nothing, or was idle, while there were too many
+	BufferFull         Reason = "buffer_full"          // the peer does not read what it is sent
+	WriteTimeout       Reason = "write_timeout"        // bytes were not sent by their deadline
+	KilledByClient     Reason = "killed"               // a client killed it, or it sent too many requests ahead
+	EvictedIdle        Reason = "made_room"            // it was silent or idle while there were too many
 	TooManyConnections Reason = "too_many_connections" // there were too many, and all were busy
-	ConnectFailed      Reason = "connect_failed"       // it never came up
-	EngineGone         Reason = "engine_gone"          // its engine left, restarted or lost its address
-	Stalled            Reason = "stalled"              // an answer began on it and did not end in time
-	Retired            Reason = "retired"              // replaced: silent, or used up
-	PollTimeout        Reason = "silent"               // no answer of the change log in its time
-	AddressChanged     Reason = "moved"                // the configuration names another address for the change log
-	HTTPStatus         Reason = "http_status"          // the change log refused
-	Shutdown           Reason = "shutdown"             // the broker stops
-	OtherError         Reason = "failed"               // any other error, which the line holds
+	ConnectFailed      Reason = "connect_failed"       // it was never established
+	EngineGone         Reason = "engine_gone"          // its engine was removed, restarted or moved
+	Stalled            Reason = "stalled"              // a response began on it and was not completed in time
+	Retired            Reason = "retired"              // replaced: silent, or out of ids
+	PollTimeout        Reason = "silent"               // the change log did not answer in time
+	AddressChanged     Reason = "moved"                // the change log has another address now
+	HTTPStatus         Reason = "http_status"          // the change log answered with an error
+	Shutdown           Reason = "shutdown"             // the broker shuts down
+	OtherError         Reason = "failed"               // any other error, which is in the log line
 )
 
-// endError is why a connection ended.
+// Reasons are all reason codes, in the order in which the figures number them.
+var Reasons = []Reason{
+	PeerClosed, PeerReset, Quit, Idle, LoginTimeout, ReadTimeout, AccessDenied, Malformed, TooLarge, BufferFull,
+	WriteTimeout, KilledByClient, EvictedIdle, TooManyConnections, ConnectFailed, EngineGone, Stalled, Retired,
+	PollTimeout, AddressChanged, HTTPStatus, Shutdown, OtherError,
+}
+
+// endError is the error of a connection that this package ended, or whose end it knows the reason for.
 type endError struct {
 	Reason Reason
-	Err    error
+	Err    error // what led to it; nil: nothing but the reason
 }
 
+// Error is the reason code, and the error behind it if there is one.
 func (e *endError) Error() string {
 	if e.Err == nil {
 		return string(e.Reason)
@@ -57,31 +65,46 @@
 	return string(e.Reason) + ": " + e.Err.Error()
 }
 
+// Unwrap returns the error behind the reason.
 func (e *endError) Unwrap() error { return e.Err }
 
-// reasonOf finds the code for an error.
+// reasonsOfErrors are the reasons for errors of other packages, by errors.Is in this order.
+var reasonsOfErrors = []struct {
+	err    error
+	reason Reason
+}{
+	{io.EOF, PeerClosed},
+	{ring.ErrFull, BufferFull},
+	{mysql.ErrTooLarge, TooLarge},
+	{resp.ErrTooLarge, TooLarge},
+	{changelog.ErrTooLarge, TooLarge},
+	{mysql.ErrSequence, Malformed},
+	{mysql.ErrHandshake, Malformed},
+	{mysql.ErrMalformed, Malformed},
+	{resp.ErrMalformed, Malformed},
+	{changelog.ErrMalformed, Malformed},
+	{changelog.ErrStatus, HTTPStatus},
+	{syscall.ECONNRESET, PeerReset},
+	{syscall.EPIPE, PeerReset},
+	{os.ErrDeadlineExceeded, Idle},
+	{net.ErrClosed, Shutdown},
+	{context.Canceled, Shutdown},
+}
+
+// reasonOf is the reason code of the error that ended a connection: that of an endError in its chain, or
+// else that of the first known error in it. No error means that the peer closed the connection.
 func reasonOf(err error) Reason {
-	var e *endError
-	switch {
-	case errors.As(err, &e):
-		return e.Reason
-	case err == nil || errors.Is(err, io.EOF):
+	if err == nil {
 		return PeerClosed
-	case errors.Is(err, ring.ErrFull):
-		return BufferFull
-	case errors.Is(err, mysql.ErrTooLarge), errors.Is(err, resp.ErrTooLarge), errors.Is(err, changelog.ErrTooLarge):
-		return TooLarge
-	case errors.Is(err, mysql.ErrSequence), errors.Is(err, mysql.ErrHandshake), errors.Is(err, mysql.ErrMalformed),
-		errors.Is(err, resp.ErrMalformed), errors.Is(err, changelog.ErrMalformed):
-		return Malformed
-	case errors.Is(err, changelog.ErrStatus):
-		return HTTPStatus
-	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return PeerReset
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Idle
-	case errors.Is(err, net.ErrClosed), errors.Is(err, context.Canceled):
-		return Shutdown
+	}
+	var ended *endError
+	if errors.As(err, &ended) {
+		return ended.Reason
+	}
+	for _, known := range reasonsOfErrors {
+		if errors.Is(err, known.err) {
+			return known.reason
+		}
 	}
 	return OtherError
 }
--- /dev/null
+++ b/internal/server/responses.go
@@ -0,0 +1,160 @@
+package server
+
+import (
+	"bytes"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/resp"
+)
+
+const (
+	partialResponseTimeout = 200 * time.Millisecond // a response that has begun is complete by then
+	finalReadWait          = 10 * time.Millisecond  // for what came while the process stood still
+)
+
+// responseReader reads the responses on a connection to an engine. The goroutine that reads the connection
+// owns it.
+type responseReader struct {
+	transport *bufferedConn
+	partial   bool // a response has begun, and its timeout runs
+	finalRead bool // the timeout has passed, and what came meanwhile is read
+}
+
+// readResponses hands on the responses of an engine until the connection ends.
+func (p *enginePool) readResponses(c *engineConn, transport *bufferedConn) error {
+	r := responseReader{transport: transport}
+	for {
+		if err := r.read(); err != nil {
+			return err
+		}
+		responses, malformed := parseResponses(transport)
+		// Complete responses count, whatever follows them or ends the connection meanwhile.
+		if len(responses) > 0 {
+			p.post(func() { p.handleResponses(c, responses) })
+		}
+		if malformed != nil {
+			return malformed
+		}
+		if err := r.setDeadline(len(responses)); err != nil {
+			return err
+		}
+	}
+}
+
+// read waits for bytes. It fails if a response that has begun is not completed in time.
+func (r *responseReader) read() error {
+	for {
+		_, err := r.transport.received.ReadOnce(r.transport.socket)
+		switch {
+		case err == nil:
+			return nil
+		case !isTimeout(err):
+			return err
+		case r.finalRead:
+			return &endError{Stalled, err}
+		}
+		r.finalRead = true
+		if err := r.transport.socket.SetReadDeadline(time.Now().Add(finalReadWait)); err != nil {
+			return err
+		}
+	}
+}
+
+// setDeadline starts the timeout of a response that has begun, once some were completed before it. Without
+// it all that is in flight would wait for nothing on a connection whose engine stops in the middle and
+// leaves it open.
+func (r *responseReader) setDeadline(completed int) error {
+	partial := r.transport.received.Len() > 0
+	var err error
+	switch {
+	case !partial && r.partial:
+		err = r.transport.socket.SetReadDeadline(time.Time{})
+	case partial && (!r.partial || completed > 0):
+		err = r.transport.socket.SetReadDeadline(time.Now().Add(partialResponseTimeout))
+	}
+	r.partial, r.finalRead = partial, r.finalRead && completed == 0
+	return err
+}
+
+// parseResponses takes the complete responses off what was received, up to one that is malformed.
+func parseResponses(transport *bufferedConn) ([]resp.Answer, error) {
+	var responses []resp.Answer
+	for {
+		parts, size, err := resp.Parse(transport.received.Bytes())
+		if err != nil || size == 0 {
+			return responses, err
+		}
+		response, err := resp.ParseAnswer(parts)
+		if err != nil {
+			return responses, err
+		}
+		response.Body = bytes.Clone(response.Body) // it points into the buffer
+		responses = append(responses, response)
+		transport.received.Discard(size)
+	}
+}
+
+// handleResponses hands on the responses that came on a connection.
+func (p *enginePool) handleResponses(c *engineConn, responses []resp.Answer) {
+	c.lastReceived = time.Now()
+	for i := range responses {
+		p.handleResponse(c, &responses[i])
+	}
+}
+
+// handleResponse hands on one response. What was cancelled is owed none.
+func (p *enginePool) handleResponse(c *engineConn, r *resp.Answer) {
+	s := c.streams[r.RequestID]
+	if s == nil || s.done || s.cancelling {
+		p.server.meter.DuplicateResponse(c.engine)
+		return
+	}
+	report := resp.Report(r.Load, p.server.cfg.Settings.Control.ReportFields)
+	switch {
+	case s.isProbe():
+		p.probeAnswered(s, r, report)
+	case r.Word == resp.OK:
+		s.responding = true
+		p.server.apply(broker.AttemptServed{
+			Attempt: s.attemptID, PageCount: r.PageCount, Work: time.Duration(r.WorkMS * float64(time.Millisecond)),
+			MemoryMB: r.MemoryMB, Report: report, Body: r.Body,
+		})
+	case r.Word == resp.Rows:
+		p.server.apply(broker.PageReceived{Attempt: s.attemptID, Number: r.Page, Body: r.Body})
+	default:
+		p.attemptFailed(s, r, report)
+	}
+}
+
+// probeAnswered takes the answer to a load probe.
+func (p *enginePool) probeAnswered(s *stream, r *resp.Answer, report []float64) {
+	s.done = true
+	p.removeStream(s)
+	status := control.OK
+	if r.Word != resp.Up {
+		status = control.Failed
+	}
+	p.server.apply(broker.ProbeResult{ProbeID: s.probeID, Status: status, Report: report})
+}
+
+// statusOfWord is what a response without a result proves of its attempt. Any other word means that it
+// failed.
+var statusOfWord = map[resp.Word]control.Status{
+	resp.Busy: control.AtCapacity,
+	resp.Void: control.NeverSent,
+}
+
+// attemptFailed takes a response without a result. A duplicate of it must not be taken for the response to
+// a retry.
+func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report []float64) {
+	status, ok := statusOfWord[r.Word]
+	if !ok {
+		status = control.Failed
+	}
+	s.done = true
+	delete(p.inFlight, s.attemptID)
+	p.retireUntilClientTimeout(s)
+	p.server.apply(broker.AttemptEnded{Attempt: s.attemptID, Status: status, Report: report})
+}
--- /dev/null
+++ b/internal/server/shutdown.go
@@ -0,0 +1,165 @@
+package server
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/broker"
+)
+
+// A graceful shutdown has three steps.
+//
+//  1. Requests go on coming for a while after SIGTERM and are served as before.
+//  2. The listeners close: what the system has accepted is taken, the listener closes, and the socket of each
+//     client is read until it is empty once, so that nothing is left in the kernel or on its way to the reducer.
+//  3. Once all that was taken is answered and the answers have left, the sessions close: the broker ends its
+//     direction of each connection and waits for the client to end the other, as closing a socket with bytes
+//     unread could destroy the last answers.
+
+// finalReads is how many timeouts show that a socket is empty: the read that a timeout ends does not see
+// what comes in that moment, and the next one looks first.
+const finalReads = 2
+
+// shutdownState is how far a graceful shutdown has come. The goroutine that owns the reducer owns it.
+type shutdownState struct {
+	requestedAt          time.Time     // zero: no shutdown was requested
+	answerWithin         time.Duration // from requestedAt: what is left then gets its final answer
+	acceptWindow         time.Duration // from requestedAt: new requests are served so long
+	closingListeners     bool
+	listenerClosed       bool // and all that had come to it was taken
+	closingSessionsSince time.Time
+}
+
+// beginShutdown begins a graceful shutdown.
+func (s *Server) beginShutdown() {
+	within := s.answerWindow()
+	s.parting = shutdownState{
+		requestedAt: time.Now(), answerWithin: within, acceptWindow: min(stopWindow, within),
+	}
+	s.log.Info("stopping", zap.Int("open", s.b.OpenRequests()), zap.Duration("within", within))
+	s.apply(broker.Shutdown{Within: within})
+}
+
+// answerWindow is how long after SIGTERM the last answers leave, ahead of SIGKILL. That follows from the
+// client timeouts of the classes in force; those from before a reload may have been longer.
+func (s *Server) answerWindow() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range s.cfg.Settings.Control.Classes {
+		longest = max(longest, class.ClientTimeout)
+	}
+	if longest == 0 || longest > stopCap {
+		longest = stopCap
+	}
+	return longest + stopExtra - stopMargin
+}
+
+// shutdownComplete takes a graceful shutdown a step further where it can, and reports whether it has ended:
+// all is answered, and the last answers have left.
+func (s *Server) shutdownComplete() bool {
+	state := &s.parting
+	if state.requestedAt.IsZero() {
+		return false
+	}
+	elapsed := time.Since(state.requestedAt)
+	if !state.closingListeners && elapsed >= state.acceptWindow {
+		state.closingListeners = true
+		s.closeListeners()
+	}
+	open := s.b.OpenRequests() > 0
+	if !open && elapsed >= state.answerWithin+flushWait {
+		return true // SIGKILL is near
+	}
+	if !state.closingListeners || open || !s.allRead() {
+		return false
+	}
+	if state.closingSessionsSince.IsZero() {
+		state.closingSessionsSince = time.Now()
+		s.closeSessions()
+	}
+	return len(s.clients) == 0
+}
+
+// closeSessions ends all clients' connections. The reducer rejects what is read from now on, on a
+// connection that was idle until then: an answer could not leave any more.
+func (s *Server) closeSessions() {
+	s.apply(broker.SendFinalAnswers{})
+	for _, c := range s.clients {
+		c.link.closeAfterSent(&endError{Reason: Shutdown})
+	}
+}
+
+// closeListeners lets the listener and the reader of each client read once more what has come.
+func (s *Server) closeListeners() {
+	s.mu.Lock()
+	s.doors = true
+	s.mu.Unlock()
+	s.setFinalAcceptDeadline()
+	for _, c := range s.clients {
+		_ = c.link.socket.SetReadDeadline(time.Now().Add(doorWait)) // fails only on one that has closed
+	}
+}
+
+// closingListeners reports whether the listeners are closing. All goroutines may call it.
+func (s *Server) closingListeners() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.doors
+}
+
+// allRead reports whether the listener has closed, each client's socket was found empty since, and all that
+// is addressed to the clients has been sent.
+func (s *Server) allRead() bool {
+	if !s.parting.listenerClosed {
+		return false
+	}
+	for _, c := range s.clients {
+		if !c.readOut || !c.link.allSent() {
+			return false
+		}
+	}
+	return true
+}
+
+// setReadTimeout sets how long a client may be silent: while the listeners close, until its final reads are
+// done, no longer than these take. One lock covers both, so that neither deadline overwrites the other.
+func (c *client) setReadTimeout(within time.Duration) error {
+	c.n.mu.Lock()
+	defer c.n.mu.Unlock()
+	if c.n.doors && c.looks < finalReads {
+		within = min(within, doorWait)
+	}
+	return c.link.socket.SetReadDeadline(time.Now().Add(within))
+}
+
+// finalRead takes a timeout of a client's reader while the listeners close: the socket is empty. It returns
+// false if it is another timeout.
+func (c *client) finalRead() bool {
+	if c.looks == finalReads || !c.n.closingListeners() {
+		return false
+	}
+	c.looks++
+	if c.looks == finalReads {
+		c.n.post(c.n.ctx, func() { c.readOut = true })
+	}
+	return true
+}
+
+// listenerTimedOut takes a timeout of the listener while the listeners close, by the number of them so far.
+// It returns true once all that had come is taken and the listener is closed; until then it accepts again.
+func (s *Server) listenerTimedOut(timeouts int) bool {
+	if timeouts < finalReads {
+		s.setFinalAcceptDeadline()
+		return false
+	}
+	_ = s.ln.Close() // nothing is lost by a failure: the process is about to end
+	s.post(s.ctx, func() { s.parting.listenerClosed = true })
+	return true
+}
+
+// setFinalAcceptDeadline bounds the wait of the listener for connections that have come.
+func (s *Server) setFinalAcceptDeadline() {
+	if ln, ok := s.ln.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = ln.SetDeadline(time.Now().Add(doorWait)) // fails only on one that has closed
+	}
+}
