--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -178,10 +178,10 @@
 
 // The recorder is also the meter of the reducer.
 
-func (r recorder) RequestAccepted(q *Request)             { r.record(firstMeterKind, q) }
-func (r recorder) RequestRejected(k ReplyKind)       { r.record(firstMeterKind+1, k) }
-func (r recorder) AttemptStarted(class string)            { r.record(firstMeterKind+2, class) }
-func (r recorder) RequestEnded(o RequestSummary)        { r.record(firstMeterKind+3, o) }
+func (r recorder) RequestAccepted(q *Request)    { r.record(firstMeterKind, q) }
+func (r recorder) RequestRejected(k ReplyKind)   { r.record(firstMeterKind+1, k) }
+func (r recorder) AttemptStarted(class string)   { r.record(firstMeterKind+2, class) }
+func (r recorder) RequestEnded(o RequestSummary) { r.record(firstMeterKind+3, o) }
 func (r recorder) AttemptEnded(o AttemptSummary) { r.record(firstMeterKind+4, o) }
 
 // fromFile reads the settings object of a deployment from testdata, as a broker does.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -69,17 +69,21 @@
 }
 
 const (
-	dataSets = 24
-	mostOpen = 256
-	perLine  = time.Second
+	dataSets        = 24
+	maxOpenRequests = 256
+	reportInterval  = time.Second
 )
 
-// watcher tells the referee what engines see.
-type watcher struct{ r *conformance.Checker }
+// engineObserver tells the referee what engines see.
+type engineObserver struct{ checker *conformance.Checker }
 
-func (w watcher) AttemptReceived(r engine.Run)                  { w.r.AttemptReceived(r.Engine, r.Ref, r.At) }
-func (w watcher) AttemptEnded(engine, ref string, at time.Time) { w.r.AttemptEnded(engine, ref, at) }
-func told(r *conformance.Checker) func(changelogserver.Host, time.Time) {
+func (w engineObserver) AttemptReceived(r engine.Run) {
+	w.checker.AttemptReceived(r.Engine, r.Ref, r.At)
+}
+func (w engineObserver) AttemptEnded(engine, ref string, at time.Time) {
+	w.checker.AttemptEnded(engine, ref, at)
+}
+func endpointObserver(r *conformance.Checker) func(changelogserver.Host, time.Time) {
 	return func(h changelogserver.Host, at time.Time) {
 		if h.Health == "in_service" {
 			r.EngineInService(h.ID)
@@ -89,18 +93,18 @@
 	}
 }
 
-// show is a demo that runs.
-type show struct {
-	o       Options
-	out     io.Writer
-	judge   *conformance.Checker
-	engines *cluster.Cluster
-	changes *changelogserver.ChangeLog
-	ledger  *collector.Reconciler
-	figures *collector.Recording
-	carbon  *collector.Carbon
-	broker  *service.Service
-	load    *client.Load
+// demonstration is a demo that runs.
+type demonstration struct {
+	options    Options
+	out        io.Writer
+	checker    *conformance.Checker
+	engines    *cluster.Cluster
+	changes    *changelogserver.ChangeLog
+	reconciler *collector.Reconciler
+	figures    *collector.Recording
+	carbon     *collector.Carbon
+	broker     *service.Service
+	load       *client.Load
 }
 
 // Run shows the broker until ctx ends or its time is over, and leaves files in a folder. It returns an error where a rule
@@ -109,16 +113,16 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	s := &show{o: o, out: out, judge: conformance.New(conformance.Rules{DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
+	s := &demonstration{options: o, out: out, checker: conformance.New(conformance.Rules{DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
 		MaxAttempts: 4})}
 	var err error
-	if s.engines, err = cluster.New(o.Engines, watcher{s.judge}, func(h changelogserver.Host) error {
+	if s.engines, err = cluster.New(o.Engines, engineObserver{s.checker}, func(h changelogserver.Host) error {
 		s.changes.Change(h)
 		return nil
 	}); err != nil {
 		return err
 	}
-	if s.changes, err = changelogserver.New("127.0.0.1:0", s.engines.Hosts(), told(s.judge)); err != nil {
+	if s.changes, err = changelogserver.New("127.0.0.1:0", s.engines.Hosts(), endpointObserver(s.checker)); err != nil {
 		return err
 	}
 	figures, err := os.Create(filepath.Join(o.Dir, figuresFile))
@@ -129,8 +133,8 @@
 	if err != nil {
 		return err
 	}
-	s.figures, s.ledger = recording, collector.NewReconciler(recording.Add)
-	if s.carbon, err = collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane", Tags: true}, false, s.ledger); err != nil {
+	s.figures, s.reconciler = recording, collector.NewReconciler(recording.Add)
+	if s.carbon, err = collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane", Tags: true}, false, s.reconciler); err != nil {
 		return err
 	}
 	logs, err := os.Create(filepath.Join(o.Dir, logFile))
@@ -154,12 +158,12 @@
 }
 
 // start writes the broker's files and reads them as a broker does.
-func (s *show) start(ctx context.Context, logs io.Writer) error {
-	text, err := cluster.Configuration("demo", s.o.Seed, s.changes)
+func (s *demonstration) start(ctx context.Context, logs io.Writer) error {
+	text, err := cluster.Configuration("demo", s.options.Seed, s.changes)
 	if err != nil {
 		return err
 	}
-	path, own := filepath.Join(s.o.Dir, configFile), filepath.Join(s.o.Dir, operatorFile)
+	path, own := filepath.Join(s.options.Dir, configFile), filepath.Join(s.options.Dir, operatorFile)
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -187,17 +191,17 @@
 	}
 	mine := make([]client.Class, len(classes))
 	for i, c := range classes {
-		c.Rate *= s.o.Rate
+		c.Rate *= s.options.Rate
 		mine[i] = c
 	}
 	s.load = client.New(client.Config{Addr: s.broker.Server.Addr().String(), Classes: mine, Tenants: cluster.Tenants, DataSets: dataSets,
-		Seed: s.o.Seed, MaxOpen: mostOpen, Retries: 2}, s.judge)
+		Seed: s.options.Seed, MaxOpen: maxOpenRequests, Retries: 2}, s.checker)
 	return nil
 }
 
 // run plays all parts: the load ends first, then the broker, then what it talks to.
-func (s *show) run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.o.For)
+func (s *demonstration) run(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, s.options.For)
 	defer cancel()
 	outer, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -213,12 +217,12 @@
 	show, shown := errgroup.WithContext(ctx)
 	show.Go(func() error { return s.load.Run(shown) })
 	show.Go(func() error {
-		return scenario.Play(shown, s.o.Script, func(st scenario.Step) error {
+		return scenario.Play(shown, s.options.Script, func(st scenario.Step) error {
 			fmt.Fprintln(s.out, "---", st)
-			return s.do(shown, st)
+			return s.applyStep(shown, st)
 		})
 	})
-	show.Go(func() error { return s.lines(shown) })
+	show.Go(func() error { return s.printProgress(shown) })
 	err := show.Wait()
 	s.carbon.Set(collector.Serve) // what waits gets its chance
 	close(stop)
@@ -227,7 +231,7 @@
 	return errors.Join(err, others.Wait())
 }
 
-func (s *show) do(ctx context.Context, st scenario.Step) error {
+func (s *demonstration) applyStep(ctx context.Context, st scenario.Step) error {
 	switch st.Do {
 	case "collector-gone":
 		s.carbon.Set(collector.Unreachable)
@@ -241,10 +245,10 @@
 	return nil
 }
 
-// lines prints a line a second of what became of requests.
-func (s *show) lines(ctx context.Context) error {
+// printProgress prints a line a second of what became of requests.
+func (s *demonstration) printProgress(ctx context.Context) error {
 	fmt.Fprintf(s.out, "%6s  %7s %6s %7s %6s %5s   %s\n", "second", "in time", "late", "refused", "failed", "gone", "slowest lookup, report, load")
-	tick := time.NewTicker(perLine)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for second := 1; ; second++ {
 		select {
@@ -266,9 +270,9 @@
 }
 
 // finish writes the report and says what the referee and the collector found.
-func (s *show) finish() error {
-	found := s.ledger.Reconcile()
-	f, err := os.Create(filepath.Join(s.o.Dir, reportFile))
+func (s *demonstration) finish() error {
+	found := s.reconciler.Reconcile()
+	f, err := os.Create(filepath.Join(s.options.Dir, reportFile))
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -276,13 +280,13 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	v := s.judge.Check(time.Now())
+	v := s.checker.Check(time.Now())
 	fmt.Fprintf(s.out, "%d requests: %d served, %d refused, %d failed; %d attempts at engines\n", v.Requests, v.Outcomes[conformance.Served],
 		v.Outcomes[conformance.Rejected], v.Outcomes[conformance.Failed], v.Attempts)
 	for _, r := range found.Runs {
 		fmt.Fprintf(s.out, "the collector has %d intervals, which stand for %d of %d\n", len(r.Intervals), r.Of, r.Last)
 	}
-	fmt.Fprintln(s.out, "report:", filepath.Join(s.o.Dir, reportFile))
+	fmt.Fprintln(s.out, "report:", filepath.Join(s.options.Dir, reportFile))
 	var all []error
 	for _, b := range append(v.Breaches, found.Faults...) {
 		all = append(all, errors.New(b))
--- /dev/null
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -0,0 +1,122 @@
+package changelogserver
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/changelog"
+)
+
+// newServer runs a change log with endpoints until the test ends.
+func newServer(t *testing.T, endpoints ...Host) *ChangeLog {
+	t.Helper()
+	l, err := New("127.0.0.1:0", endpoints, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- l.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return l
+}
+
+// poll returns the answer to a poll, as far as it came.
+func poll(t *testing.T, l *ChangeLog, since, timeoutMS int) (string, error) {
+	t.Helper()
+	url := fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", l.Addr(), since, timeoutMS)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return "", err
+	}
+	res, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return "", err
+	}
+	body, err := io.ReadAll(res.Body)
+	_ = res.Body.Close() // what was read counts
+	return string(body), err
+}
+
+// A broker reads the pages: first the snapshot, then what changed, by revision.
+func TestPagesParseAsBrokersReadThem(t *testing.T) {
+	l := newServer(t, Host{ID: "a", Addr: "127.0.0.1:1"}, Host{ID: "b", Addr: "127.0.0.1:2"})
+	known, err := l.Known()
+	if err != nil {
+		t.Fatal(err)
+	}
+	p, err := changelog.ParsePage(known)
+	if err != nil || p.Revision != 1 || !p.Changes[0].Snapshot || len(p.Changes[0].Endpoints) != 2 {
+		t.Fatalf("%+v, %v", p, err)
+	}
+	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
+		t.Fatalf("nothing new: %s, %v", text, err)
+	}
+	answer := make(chan string, 1)
+	go func() {
+		text, _ := poll(t, l, 1, 5000) // waits
+		answer <- text
+	}()
+	l.Change(Host{ID: "a", Addr: "127.0.0.1:1", Health: Terminating})
+	p, err = changelog.ParsePage([]byte(<-answer))
+	if err != nil || p.Revision != 2 || p.Changes[0].Snapshot || p.Changes[0].Endpoints[0].ID != "a" {
+		t.Fatalf("%+v, %v", p, err)
+	}
+}
+
+func TestInjectedFaults(t *testing.T) {
+	l := newServer(t, Host{ID: "a", Addr: "127.0.0.1:1"})
+	l.Set(Break)
+	if text, err := poll(t, l, 0, 10); err == nil || !strings.HasPrefix(text, `{"seq":1`) {
+		t.Errorf("truncated: %q, %v", text, err)
+	}
+	l.Set(Refuse)
+	if text, err := poll(t, l, 0, 10); err != nil || !strings.Contains(text, "not now") {
+		t.Errorf("unavailable: %q, %v", text, err)
+	}
+	l.Set(Serve)
+	l.Late(time.Hour)
+	l.Change(Host{ID: "b", Addr: "127.0.0.1:2"})
+	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
+		t.Errorf("visible ahead of its time: %q, %v", text, err)
+	}
+}
+
+func TestEndpointListFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "engines.json")
+	earlier := []Host{
+		{ID: "a", Addr: "x:1", Health: InService},
+		{ID: "b", Addr: "x:2", Health: InService},
+		{ID: "c", Addr: "x:3", Health: InService},
+	}
+	if err := WriteFile(path, earlier); err != nil {
+		t.Fatal(err)
+	}
+	current, err := ReadFile(path)
+	if diff := cmp.Diff(earlier, current); diff != "" || err != nil {
+		t.Fatal(diff, err)
+	}
+	current[0].Health = Terminating
+	current = append(current[:1], current[2], Host{ID: "d", Addr: "x:4", Health: InService})
+	want := []Host{
+		{ID: "a", Addr: "x:1", Health: Terminating},
+		{ID: "d", Addr: "x:4", Health: InService},
+		{ID: "b", Addr: "x:2", Health: Terminated},
+	}
+	if diff := cmp.Diff(want, Changed(earlier, current)); diff != "" {
+		t.Fatal(diff)
+	}
+}
--- a/internal/emulator/changelogserver/file.go
+++ b/internal/emulator/changelogserver/file.go
@@ -10,78 +10,82 @@
 	"time"
 )
 
-const lookEvery = 100 * time.Millisecond
+const (
+	fileCheckInterval = 100 * time.Millisecond
+	filePermissions   = 0o644
+)
 
-// ReadFile reads a list of engines that WriteFile wrote.
+// ReadFile reads an endpoint list that WriteFile wrote.
 func ReadFile(path string) ([]Host, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("list of engines: %w", err)
+		return nil, fmt.Errorf("endpoint list: %w", err)
 	}
-	var hosts []Host
-	if err := json.Unmarshal(text, &hosts); err != nil {
-		return nil, fmt.Errorf("list of engines: %s: %w", path, err)
+	var endpoints []Host
+	if err := json.Unmarshal(text, &endpoints); err != nil {
+		return nil, fmt.Errorf("endpoint list: %s: %w", path, err)
 	}
-	return hosts, nil
+	return endpoints, nil
 }
 
-// WriteFile writes a list of engines so that whoever reads it finds the old or the new one whole.
-func WriteFile(path string, hosts []Host) error {
-	text, err := json.MarshalIndent(hosts, "", "  ")
+// WriteFile replaces an endpoint list atomically: readers find the old or the new one complete.
+func WriteFile(path string, endpoints []Host) error {
+	text, err := json.MarshalIndent(endpoints, "", "  ")
 	if err != nil {
-		return fmt.Errorf("list of engines: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	next := path + ".next"
-	if err := os.WriteFile(next, append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("list of engines: %w", err)
+	if err := os.WriteFile(next, append(text, '\n'), filePermissions); err != nil {
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		return fmt.Errorf("list of engines: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	return nil
 }
 
-// Follow adds an event for whatever changes in a file, until ctx ends.
-func (l *ChangeLog) Follow(ctx context.Context, path string, was []Host) error {
-	tick := time.NewTicker(lookEvery)
-	defer tick.Stop()
+// Follow publishes whatever changes in a file from a known list on, until ctx ends.
+func (l *ChangeLog) Follow(ctx context.Context, path string, known []Host) error {
+	ticker := time.NewTicker(fileCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		now, err := ReadFile(path)
+		current, err := ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		if changed := Changed(was, now); len(changed) > 0 {
+		if changed := Changed(known, current); len(changed) > 0 {
 			l.Change(changed...)
 		}
-		was = now
+		known = current
 	}
 }
 
-// Changed are the hosts of a list that differ from an earlier one; those that it lacks are terminated.
-func Changed(was, now []Host) (out []Host) {
-	old, there := map[string]Host{}, map[string]bool{}
-	for _, h := range was {
-		old[h.ID] = h
+// Changed returns the endpoints of a list that differ from those of an earlier one, followed by those that it lacks, as
+// terminated.
+func Changed(earlier, current []Host) (changed []Host) {
+	before, listed := map[string]Host{}, map[string]bool{}
+	for _, e := range earlier {
+		before[e.ID] = e
 	}
-	for _, h := range now {
-		there[h.ID] = true
-		if o, known := old[h.ID]; !known || o != h {
-			out = append(out, h)
+	for _, e := range current {
+		listed[e.ID] = true
+		if was, known := before[e.ID]; !known || was != e {
+			changed = append(changed, e)
 		}
 	}
-	for _, h := range was {
-		if !there[h.ID] && h.Health != "terminated" {
-			h.Health = "terminated"
-			out = append(out, h)
+	for _, e := range earlier {
+		if !listed[e.ID] && e.Health != Terminated {
+			e.Health = Terminated
+			changed = append(changed, e)
 		}
 	}
-	return out
+	return changed
 }
--- /dev/null
+++ b/internal/emulator/client/connection.go
@@ -0,0 +1,115 @@
+package client
+
+import (
+	"context"
+	"database/sql/driver"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"github.com/go-sql-driver/mysql"
+)
+
+// The login that brokers expect.
+const (
+	user     = "app"
+	database = "main"
+)
+
+var errNoQueries = errors.New("client emulator: the driver's connection takes no queries")
+
+// query sends a statement on an idle connection or a new one and returns the rows as engines write them. It calls sent
+// just before the statement leaves.
+func (l *Load) query(ctx context.Context, statement string, sent func()) (string, error) {
+	conn, err := l.idleOrNewConn(ctx)
+	if err != nil {
+		return "", err
+	}
+	sent()
+	rows, err := queryRows(ctx, conn, statement)
+	var answered *mysql.MySQLError
+	if err == nil || errors.As(err, &answered) {
+		l.putIdle(conn)
+	} else {
+		_ = conn.Close() // it failed already
+	}
+	return rows, err
+}
+
+func queryRows(ctx context.Context, conn driver.Conn, statement string) (string, error) {
+	queryer, ok := conn.(driver.QueryerContext)
+	if !ok {
+		return "", errNoQueries
+	}
+	rows, err := queryer.QueryContext(ctx, statement, nil)
+	if err != nil {
+		return "", err
+	}
+	return readRows(rows)
+}
+
+// idleOrNewConn returns the connection that was used last, as others may be closed by now, or a new one.
+func (l *Load) idleOrNewConn(ctx context.Context) (driver.Conn, error) {
+	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
+		if r, ok := conn.(driver.SessionResetter); ok && r.ResetSession(ctx) == nil {
+			return conn, nil
+		}
+		_ = conn.Close() // the broker closed it meanwhile
+	}
+	cfg := mysql.NewConfig()
+	cfg.User, cfg.Net, cfg.Addr, cfg.DBName = user, "tcp", l.cfg.Addr, database
+	cfg.Logger = &mysql.NopLogger{}
+	connector, err := mysql.NewConnector(cfg)
+	if err != nil {
+		return nil, fmt.Errorf("connect: %w", err)
+	}
+	return connector.Connect(ctx)
+}
+
+// takeIdle takes the connection that was used last; nil if none is idle.
+func (l *Load) takeIdle() driver.Conn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.idle) == 0 {
+		return nil
+	}
+	conn := l.idle[len(l.idle)-1]
+	l.idle = l.idle[:len(l.idle)-1]
+	return conn
+}
+
+func (l *Load) putIdle(conn driver.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.idle = append(l.idle, conn)
+}
+
+func (l *Load) closeIdle() {
+	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
+		_ = conn.Close() // nothing more comes on it
+	}
+}
+
+// readRows returns rows as engines write them: values with tabs between, a line each.
+func readRows(rows driver.Rows) (string, error) {
+	defer func() { _ = rows.Close() }() // a result that breaks off fails in Next
+	var b strings.Builder
+	row := make([]driver.Value, len(rows.Columns()))
+	for {
+		switch err := rows.Next(row); {
+		case errors.Is(err, io.EOF):
+			return b.String(), nil
+		case err != nil:
+			return "", err
+		}
+		for i, v := range row {
+			if i > 0 {
+				b.WriteByte('\t')
+			}
+			text, _ := v.([]byte)
+			b.Write(text)
+		}
+		b.WriteByte('\n')
+	}
+}
--- /dev/null
+++ b/internal/emulator/client/request.go
@@ -0,0 +1,159 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"regexp"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/go-sql-driver/mysql"
+
+	"wheatlane/internal/emulator/conformance"
+)
+
+const memoryPerThreadMB = 16 // that a request estimates
+
+// Codes of errors by which a broker rejects a request that may be retried.
+const (
+	codeTooManyConnections     = 1040
+	codeTooManyUserConnections = 1203
+	codeUserLimitReached       = 1226
+)
+
+// request is what the attempts of one request have in common.
+type request struct {
+	dataSet                          int
+	tenant, idempotencyKey, orderKey string
+}
+
+func (l *Load) drawRequest(c *Class) request {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := request{
+		dataSet:        l.rng.IntN(max(1, l.cfg.DataSets)),
+		tenant:         l.cfg.Tenants[l.rng.IntN(len(l.cfg.Tenants))],
+		idempotencyKey: fmt.Sprintf("%016x%016x", l.rng.Uint64(), l.rng.Uint64()),
+	}
+	if c.Keys > 0 {
+		r.orderKey = c.orderKey(l.rng.IntN(c.Keys))
+	}
+	return r
+}
+
+// runRequest sends a request, and again after a rejection that says when.
+func (l *Load) runRequest(ctx context.Context, c *Class) {
+	r := l.drawRequest(c)
+	if r.orderKey != "" { // one of a key at a time, as clients send them
+		l.keyLocks[r.orderKey].Lock()
+		defer l.keyLocks[r.orderKey].Unlock()
+		defer time.Sleep(keySpacing)
+	}
+	for retries := 0; ; retries++ {
+		outcome, retryAfter := l.attempt(ctx, c, r, retries > 0)
+		if outcome != conformance.Rejected || retryAfter <= 0 || retries >= l.cfg.Retries {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(retryAfter):
+		}
+	}
+}
+
+func (l *Load) newRequestID() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requestCount++
+	return fmt.Sprintf("%08x%08x", uint32(l.rng.Uint64()), uint32(l.requestCount))
+}
+
+// Text returns the statement of a request, with its fields in a comment.
+func (c *Class) Text(requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool) string {
+	var b strings.Builder
+	workMS := float64(c.Engine.Cost(requestID)) / float64(time.Millisecond)
+	fmt.Fprintf(&b, "/* service=%s,ref=%s,allow=%d,project=%s,replay=%s,effort=%.1f,ram=%d",
+		c.Engine.Name, requestID, c.Timeout.Milliseconds(), tenant, idempotencyKey, workMS, memoryPerThreadMB*c.Engine.Threads)
+	if orderKey != "" {
+		fmt.Fprintf(&b, ",lookup=%s", orderKey)
+	}
+	if isRetry {
+		b.WriteString(",dup=1")
+	}
+	fmt.Fprintf(&b, " */ SELECT at, depth, note FROM chart_%d.soundings WHERE leg = '%s'", dataSet, requestID)
+	return b.String()
+}
+
+// attempt sends a request once and checks the answer. It runs to its own timeout also when the load is stopped, so that
+// each request that was sent has an outcome.
+func (l *Load) attempt(
+	ctx context.Context, c *Class, r request, isRetry bool,
+) (outcome conformance.Outcome, retryAfter time.Duration) {
+	requestID := l.newRequestID()
+	sentAt := time.Now()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout)
+	defer cancel()
+	statement := c.Text(requestID, r.tenant, r.idempotencyKey, r.orderKey, r.dataSet, isRetry)
+	rows, err := l.query(ctx, statement, func() {
+		sentAt = time.Now()
+		if l.checker != nil {
+			l.checker.RequestSent(conformance.Request{
+				ID: requestID, Class: c.Engine.Name, Key: r.orderKey, SentAt: sentAt, Timeout: c.Timeout,
+			})
+		}
+	})
+	took := time.Since(sentAt)
+	if err == nil && rows != strings.Join(c.Engine.Result(requestID), "") {
+		outcome = conformance.WrongAnswer
+	} else {
+		outcome, retryAfter = outcomeOf(err, ctx.Err() != nil)
+	}
+	l.report(c, requestID, outcome, took)
+	return outcome, retryAfter
+}
+
+// report passes the outcome of an attempt on to all that are interested.
+func (l *Load) report(c *Class, requestID string, outcome conformance.Outcome, took time.Duration) {
+	if l.checker != nil {
+		l.checker.RequestEnded(requestID, outcome, time.Now())
+	}
+	if l.cfg.OnEnd != nil {
+		l.cfg.OnEnd(c.Engine.Name, outcome, took)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts[c.Engine.Name].add(outcome, took, c.LatencyObjective)
+}
+
+// outcomeOf returns the outcome that an error stands for, and after what time a rejected request may be retried.
+func outcomeOf(err error, timedOut bool) (outcome conformance.Outcome, retryAfter time.Duration) {
+	var answered *mysql.MySQLError
+	switch {
+	case err == nil:
+		return conformance.Served, 0
+	case errors.As(err, &answered):
+		switch answered.Number {
+		case codeTooManyConnections, codeTooManyUserConnections, codeUserLimitReached:
+			return conformance.Rejected, retryAfterOf(answered.Message)
+		}
+		return conformance.Failed, 0
+	case timedOut:
+		return conformance.ClientLeft, 0
+	}
+	return conformance.Unanswered, 0
+}
+
+var retryAfterPattern = regexp.MustCompile(`cooldown=([0-9]+)`)
+
+// retryAfterOf returns the time that a rejection names, or 0.
+func retryAfterOf(message string) time.Duration {
+	m := retryAfterPattern.FindStringSubmatch(message)
+	if m == nil {
+		return 0
+	}
+	ms, _ := strconv.Atoi(m[1]) // digits, as matched
+	return time.Duration(ms) * time.Millisecond
+}
--- a/internal/emulator/cluster/config.go
+++ b/internal/emulator/cluster/config.go
@@ -7,8 +7,8 @@
 	"wheatlane/internal/emulator/changelogserver"
 )
 
-// settings words the deployment as the platform does.
-const settings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + Kind + `"],
+// deploymentSettings words the deployment as the platform does.
+const deploymentSettings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + Kind + `"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,4,2],"ClassLoad":[false,false,true],
   "YieldsToLoads":[true,false,false],"SaysCost":true},
  "Stats":{"Fields":["queue","x1","x0"]},
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	text, err := json.MarshalIndent(map[string]any{"name": name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%x", seed),
-		"changelog": changes.Addr(), "known": known, "settings": json.RawMessage(settings),
+		"changelog": changes.Addr(), "known": known, "settings": json.RawMessage(deploymentSettings),
 		"limits": map[string]int{"memory_mb": 192, "sockets": 1024}}, "", "  ")
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
--- a/internal/emulator/cluster/troupe.go
+++ b/internal/emulator/cluster/troupe.go
@@ -20,8 +20,8 @@
 	"back": true, "moved": true}
 
 const (
-	slowFactor = 4
-	noticed    = 2 * time.Second // a crash is in the change log so long after it
+	slowdownFactor      = 4
+	crashDetectionDelay = 2 * time.Second // a crash is in the change log so long after it
 )
 
 // Kind is the kind of the engines, as settings name it.
@@ -39,10 +39,10 @@
 
 // Cluster is the engines.
 type Cluster struct {
-	engines []*engine.Server
-	publish func(changelogserver.Host) error
-	mu      sync.Mutex
-	hosts   []changelogserver.Host
+	engines   []*engine.Server
+	publish   func(changelogserver.Host) error
+	mu        sync.Mutex
+	endpoints []changelogserver.Host
 }
 
 // New returns so many engines, warm and in service. publish is called with each host that changes.
@@ -54,7 +54,7 @@
 			return nil, err
 		}
 		t.engines = append(t.engines, e)
-		t.hosts = append(t.hosts, changelogserver.Host{ID: e.ID, Addr: e.Addr(), Site: "east", Class: Kind, Share: 4, Health: "in_service"})
+		t.endpoints = append(t.endpoints, changelogserver.Host{ID: e.ID, Addr: e.Addr(), Site: "east", Class: Kind, Share: 4, Health: "in_service"})
 	}
 	return t, nil
 }
@@ -63,7 +63,7 @@
 func (t *Cluster) Hosts() []changelogserver.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]changelogserver.Host(nil), t.hosts...)
+	return append([]changelogserver.Host(nil), t.endpoints...)
 }
 
 // Run plays the engines until ctx ends.
@@ -75,11 +75,11 @@
 	return g.Wait()
 }
 
-// tell changes a host and publishes it.
-func (t *Cluster) tell(i int, change func(*changelogserver.Host)) error {
+// updateEndpoint changes a host and publishes it.
+func (t *Cluster) updateEndpoint(i int, change func(*changelogserver.Host)) error {
 	t.mu.Lock()
-	change(&t.hosts[i])
-	h := t.hosts[i]
+	change(&t.endpoints[i])
+	h := t.endpoints[i]
 	t.mu.Unlock()
 	return t.publish(h)
 }
@@ -90,7 +90,7 @@
 	e := t.engines[i]
 	switch s.Do {
 	case "slow":
-		e.Slow(slowFactor)
+		e.Slow(slowdownFactor)
 	case "quick":
 		e.Slow(1)
 	case "silent":
@@ -98,21 +98,21 @@
 	case "speak":
 		e.Silence(false)
 	case "drain":
-		return t.tell(i, func(h *changelogserver.Host) { h.Health = "terminating" })
+		return t.updateEndpoint(i, func(h *changelogserver.Host) { h.Health = "terminating" })
 	case "crash":
 		e.Crash()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(noticed):
+		case <-time.After(crashDetectionDelay):
 		}
-		return t.tell(i, func(h *changelogserver.Host) { h.Health = "terminated" })
+		return t.updateEndpoint(i, func(h *changelogserver.Host) { h.Health = "terminated" })
 	case "back", "moved":
 		e.Crash() // one that only drained ends first
 		if err := e.Return(s.Do == "moved"); err != nil {
 			return err
 		}
-		return t.tell(i, func(h *changelogserver.Host) {
+		return t.updateEndpoint(i, func(h *changelogserver.Host) {
 			h.Health, h.Addr, h.BornMS = "in_service", e.Addr(), time.Now().UnixMilli()
 		})
 	}
--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -28,24 +28,24 @@
 )
 
 const (
-	slowBytes  = 256
-	slowEvery  = 125 * time.Millisecond
-	tearAfter  = 10_000 // bytes; the connection is reset at the next byte that is inside of a line
-	mostUnread = 2 << 20
+	slowReadBytes      = 256
+	slowReadInterval   = 125 * time.Millisecond
+	truncateAfterBytes = 10_000 // bytes; the connection is reset at the next byte that is inside of a line
+	maxUnreadBytes     = 2 << 20
 )
 
 // Carbon is a stand-in for a carbon server.
 type Carbon struct {
-	Form   graphite.Form
-	Pickle bool
-	ledger *Reconciler
+	Form       graphite.Form
+	Pickle     bool
+	reconciler *Reconciler
 
-	mu    sync.Mutex
-	mode  Mode
-	addr  string
-	ln    net.Listener  // nil while it is Gone
-	turn  chan struct{} // closed when the mode changes
-	conns map[net.Conn]bool
+	mu          sync.Mutex
+	mode        Mode
+	addr        string
+	ln          net.Listener  // nil while it is Gone
+	modeChanged chan struct{} // closed when the mode changes
+	conns       map[net.Conn]bool
 }
 
 // NewCarbon returns one that listens at an address; port 0 is any, and the one taken is kept when it comes back.
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
-	return &Carbon{Form: form, Pickle: pickle, ledger: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
-		turn: make(chan struct{}), conns: map[net.Conn]bool{}}, nil
+	return &Carbon{Form: form, Pickle: pickle, reconciler: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
+		modeChanged: make(chan struct{}), conns: map[net.Conn]bool{}}, nil
 }
 
 // Addr is where it listens.
@@ -68,8 +68,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode = m
-	close(c.turn)
-	c.turn = make(chan struct{})
+	close(c.modeChanged)
+	c.modeChanged = make(chan struct{})
 	if m == Unreachable {
 		c.shut()
 		for nc := range c.conns {
@@ -98,10 +98,10 @@
 	return c.ln, nil
 }
 
-func (c *Carbon) now() (Mode, <-chan struct{}) {
+func (c *Carbon) currentMode() (Mode, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mode, c.turn
+	return c.mode, c.modeChanged
 }
 
 // reset closes a connection as a process does that is killed.
@@ -123,7 +123,7 @@
 	defer stop()
 	g.Go(func() error {
 		for ctx.Err() == nil {
-			_, turn := c.now()
+			_, turn := c.currentMode()
 			ln, err := c.listener(ctx)
 			if err != nil {
 				return err
@@ -185,7 +185,7 @@
 	b := make([]byte, 16<<10)
 	total := 0
 	for ctx.Err() == nil {
-		mode, turn := c.now()
+		mode, turn := c.currentMode()
 		part := b
 		switch mode {
 		case Silent:
@@ -195,37 +195,37 @@
 			}
 			continue
 		case Slow:
-			part = b[:slowBytes]
+			part = b[:slowReadBytes]
 			select {
 			case <-ctx.Done():
 			case <-turn:
-			case <-time.After(slowEvery):
+			case <-time.After(slowReadInterval):
 			}
 		case Truncating:
 			part = b[:1]
-			if total < tearAfter {
-				part = b[:min(len(b), tearAfter-total)]
+			if total < truncateAfterBytes {
+				part = b[:min(len(b), truncateAfterBytes-total)]
 			}
 		}
 		n, err := nc.Read(part)
 		total += n
 		buf = append(buf, part[:n]...)
-		rest, bad := c.take(buf)
+		rest, bad := c.consume(buf)
 		buf = append(buf[:0], rest...)
 		switch {
 		case bad != nil:
-			c.ledger.Broken(bad.Error())
+			c.reconciler.Broken(bad.Error())
 			return
 		case err != nil:
 			return // what is left of a line is dropped, as carbon does
-		case mode == Truncating && total >= tearAfter && len(buf) > 0 && c.tear(nc):
+		case mode == Truncating && total >= truncateAfterBytes && len(buf) > 0 && c.tear(nc):
 			return
 		}
 	}
 }
 
-// take takes what came whole off buf.
-func (c *Carbon) take(buf []byte) ([]byte, error) {
+// consume takes what came whole off buf.
+func (c *Carbon) consume(buf []byte) ([]byte, error) {
 	for {
 		var all []graphite.Sample
 		var size int
@@ -240,7 +240,7 @@
 		switch {
 		case err != nil:
 			return nil, err
-		case size == 0 && len(buf) > mostUnread:
+		case size == 0 && len(buf) > maxUnreadBytes:
 			return nil, errors.New("a message without end")
 		case size == 0:
 			return buf, nil
@@ -249,10 +249,10 @@
 		for _, s := range all {
 			n, err := c.Form.Parse(s.Path)
 			if err != nil {
-				c.ledger.Unknown(s.Path)
+				c.reconciler.Unknown(s.Path)
 				continue
 			}
-			c.ledger.Take(n, s.Value, s.At)
+			c.reconciler.Take(n, s.Value, s.At)
 		}
 	}
 }
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	lostPart = 3 // one datagram of so many is lost in Lossy
-	mostHeld = 8 // datagrams that Shuffle puts out of order at a time
-	lookAt   = 20 * time.Millisecond
+	lossDivisor       = 3 // one datagram of so many is lost in Lossy
+	reorderWindow     = 8 // datagrams that Shuffle puts out of order at a time
+	modeCheckInterval = 20 * time.Millisecond
 )
 
 // Collectd is a stand-in for a collectd with the network plugin.
 type Collectd struct {
-	reader collectd.Reader
-	ledger *Reconciler
-	rng    *rand.Rand
-	addr   string
+	reader     collectd.Reader
+	reconciler *Reconciler
+	rng        *rand.Rand
+	addr       string
 
 	mu      sync.Mutex
 	mode    Mode
@@ -42,7 +42,7 @@
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
 	defer pc.Close()
-	return &Collectd{reader: reader, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 0)), addr: pc.LocalAddr().String(),
+	return &Collectd{reader: reader, reconciler: ledger, rng: rand.New(rand.NewPCG(seed, 0)), addr: pc.LocalAddr().String(),
 		mode: Serve}, nil
 }
 
@@ -85,7 +85,7 @@
 		case mode == Unreachable:
 			select {
 			case <-ctx.Done():
-			case <-time.After(lookAt):
+			case <-time.After(modeCheckInterval):
 			}
 			continue
 		case pc == nil:
@@ -94,7 +94,7 @@
 				return fmt.Errorf("stand-in: %w", err)
 			}
 		}
-		if err := pc.SetReadDeadline(time.Now().Add(lookAt)); err != nil {
+		if err := pc.SetReadDeadline(time.Now().Add(modeCheckInterval)); err != nil {
 			return fmt.Errorf("stand-in: %w", err)
 		}
 		n, _, err := pc.ReadFrom(b)
@@ -102,12 +102,12 @@
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				return fmt.Errorf("stand-in: %w", err)
 			}
-			c.takeAll(&held) // nothing more comes for now
+			c.flushHeld(&held) // nothing more comes for now
 			continue
 		}
 		c.mu.Lock()
 		c.packets++
-		lose := mode == Lossy && c.rng.IntN(lostPart) == 0
+		lose := mode == Lossy && c.rng.IntN(lossDivisor) == 0
 		if lose {
 			c.lost++
 		}
@@ -116,36 +116,36 @@
 			continue
 		}
 		held = append(held, slices.Clone(b[:n]))
-		if mode == Reordering && len(held) < mostHeld {
+		if mode == Reordering && len(held) < reorderWindow {
 			continue
 		}
-		c.takeAll(&held)
+		c.flushHeld(&held)
 	}
 	return nil
 }
 
-// takeAll takes what is held, in another order where it is several.
-func (c *Collectd) takeAll(held *[][]byte) {
+// flushHeld takes what is held, in another order where it is several.
+func (c *Collectd) flushHeld(held *[][]byte) {
 	c.rng.Shuffle(len(*held), func(i, j int) { (*held)[i], (*held)[j] = (*held)[j], (*held)[i] })
 	for _, packet := range *held {
-		c.take(packet)
+		c.consume(packet)
 	}
 	*held = nil
 }
 
-// take reads a datagram.
-func (c *Collectd) take(packet []byte) {
+// consume reads a datagram.
+func (c *Collectd) consume(packet []byte) {
 	if len(packet) > collectd.MaxPacket {
-		c.ledger.Broken(fmt.Sprintf("a packet of %d bytes", len(packet)))
+		c.reconciler.Broken(fmt.Sprintf("a packet of %d bytes", len(packet)))
 	}
 	lists, err := c.reader.Parse(packet)
 	if err != nil {
-		c.ledger.Broken(err.Error())
+		c.reconciler.Broken(err.Error())
 	}
 	for _, l := range lists {
 		broker, s, err := collectd.Figure(l)
 		if err != nil {
-			c.ledger.Unknown(err.Error())
+			c.reconciler.Unknown(err.Error())
 			continue
 		}
 		n := graphite.Name{Broker: broker, Series: s}
@@ -158,7 +158,7 @@
 			if metrics.Catalogue[s.Figure].Kind == metrics.DistributionKind {
 				n.Stat = metrics.Stats[i]
 			}
-			c.ledger.Take(n, x, at)
+			c.reconciler.Take(n, x, at)
 		}
 	}
 }
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -19,8 +19,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// told are the samples of an interval: its number, what it stands for, and a counter.
-func told(broker string, started, at int64, number, of, requests float64) []Sample {
+// intervalSamples are the samples of an interval: its number, what it stands for, and a counter.
+func intervalSamples(broker string, started, at int64, number, of, requests float64) []Sample {
 	var all []Sample
 	for _, v := range []struct {
 		id metrics.ID
@@ -35,7 +35,7 @@
 	return all
 }
 
-func day(parts ...[]Sample) (all []Sample) {
+func concat(parts ...[]Sample) (all []Sample) {
 	for _, p := range parts {
 		all = append(all, p...)
 	}
@@ -43,25 +43,25 @@
 }
 
 // Each rule finds the breach that is planted for it; what is no breach is not found.
-func TestJudge(t *testing.T) {
-	first, second, third := told("n1", 100, 110, 1, 1, 5), told("n1", 100, 120, 2, 1, 9), told("n1", 100, 130, 3, 1, 12)
+func TestReconcile(t *testing.T) {
+	first, second, third := intervalSamples("n1", 100, 110, 1, 1, 5), intervalSamples("n1", 100, 120, 2, 1, 9), intervalSamples("n1", 100, 130, 3, 1, 12)
 	for _, c := range []struct {
 		name    string
 		samples []Sample
 		want    string // in the one fault
 		missing int64
 	}{
-		{"in order", day(first, second, third), "", 0},
-		{"the newest first", day(third, first, second), "", 0},
-		{"twice", day(first, second, second, third), "", 0},
-		{"folded", day(first, told("n1", 100, 130, 3, 2, 12)), "", 0},
-		{"a gap", day(first, third), "", 1},
-		{"a restart", day(first, second, told("n1", 125, 135, 1, 1, 0), told("n1", 125, 145, 2, 1, 3)), "", 0},
-		{"two brokers", day(first, told("n2", 100, 110, 1, 1, 77)), "", 0},
-		{"the clock set back", day(first, told("n1", 100, 50, 2, 1, 9), told("n1", 100, 60, 3, 1, 10)), "", 0},
-		{"a counter that fell", day(first, second, told("n1", 100, 130, 3, 1, 8)), "requests of \"lookup\" fell from 9 to 8", 0},
-		{"a number under two times", day(first, told("n1", 100, 115, 1, 1, 6)), "interval 1 came under the times", -1},
-		{"more than there were", day(first, told("n1", 100, 120, 2, 5, 9)), "more than the 2 there were", -4},
+		{"in order", concat(first, second, third), "", 0},
+		{"the newest first", concat(third, first, second), "", 0},
+		{"twice", concat(first, second, second, third), "", 0},
+		{"folded", concat(first, intervalSamples("n1", 100, 130, 3, 2, 12)), "", 0},
+		{"a gap", concat(first, third), "", 1},
+		{"a restart", concat(first, second, intervalSamples("n1", 125, 135, 1, 1, 0), intervalSamples("n1", 125, 145, 2, 1, 3)), "", 0},
+		{"two brokers", concat(first, intervalSamples("n2", 100, 110, 1, 1, 77)), "", 0},
+		{"the clock set back", concat(first, intervalSamples("n1", 100, 50, 2, 1, 9), intervalSamples("n1", 100, 60, 3, 1, 10)), "", 0},
+		{"a counter that fell", concat(first, second, intervalSamples("n1", 100, 130, 3, 1, 8)), "requests of \"lookup\" fell from 9 to 8", 0},
+		{"a number under two times", concat(first, intervalSamples("n1", 100, 115, 1, 1, 6)), "interval 1 came under the times", -1},
+		{"more than there were", concat(first, intervalSamples("n1", 100, 120, 2, 5, 9)), "more than the 2 there were", -4},
 	} {
 		f := Reconcile(c.samples, 0, nil, nil)
 		got := strings.Join(f.Faults, "; ")
@@ -72,7 +72,7 @@
 			t.Errorf("%s: %d missing, want %d", c.name, m, c.missing)
 		}
 	}
-	if f := Reconcile(day(first, second, second), 0, nil, nil); f.Duplicated != 4 {
+	if f := Reconcile(concat(first, second, second), 0, nil, nil); f.Duplicated != 4 {
 		t.Errorf("%d came twice", f.Duplicated)
 	}
 	if f := Reconcile(first[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
@@ -80,8 +80,8 @@
 	}
 }
 
-func TestQuantilesOutOfOrder(t *testing.T) {
-	all := told("n1", 100, 110, 1, 1, 5)
+func TestQuantilesOutOfOrderAreFound(t *testing.T) {
+	all := intervalSamples("n1", 100, 110, 1, 1, 5)
 	for i, stat := range metrics.Stats {
 		all = append(all, Sample{Name: graphite.Name{Broker: "n1", Series: metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}, Stat: stat},
 			Value: float64(10 - i), At: 110})
@@ -150,7 +150,7 @@
 // A connection that is being read as Tear ends is not torn any more, so what is written from then on comes whole.
 func TestNothingIsTornUnderAnotherMode(t *testing.T) {
 	const lines = 3000 // of 6 bytes: tearAfter is inside of one
-	for mode, want := range map[Mode]int{Truncating: tearAfter / 6, Serve: lines} {
+	for mode, want := range map[Mode]int{Truncating: truncateAfterBytes / 6, Serve: lines} {
 		ledger := NewReconciler(nil)
 		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, ledger)
 		if err != nil {
@@ -166,20 +166,20 @@
 	}
 }
 
-// file is a buffer that is closed as a file is.
-type file struct{ bytes.Buffer }
+// closableBuffer is a buffer that is closed as a file is.
+type closableBuffer struct{ bytes.Buffer }
 
-func (*file) Close() error { return nil }
+func (*closableBuffer) Close() error { return nil }
 
-func TestRecordings(t *testing.T) {
-	var f file
+func TestRecordingRoundTrip(t *testing.T) {
+	var f closableBuffer
 	r, err := NewRecording(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want []Sample
 	for i := range 3000 {
-		for _, s := range told(fmt.Sprintf("n %d", i%3), 100, int64(100+i), float64(i), 1, float64(i)*1.5) {
+		for _, s := range intervalSamples(fmt.Sprintf("n %d", i%3), 100, int64(100+i), float64(i), 1, float64(i)*1.5) {
 			s.Arrived = time.Duration(i) * time.Millisecond
 			want = append(want, s)
 			r.Add(s)
--- a/internal/emulator/collector/golden_test.go
+++ b/internal/emulator/collector/golden_test.go
@@ -53,7 +53,7 @@
 // A recording that an earlier release wrote is read, and the same samples are written in the same lines.
 func TestStoredRecording(t *testing.T) {
 	const golden = "testdata/recording.zst"
-	var f file
+	var f closableBuffer
 	r, err := NewRecording(&f)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/collector/ledger.go
+++ b/internal/emulator/collector/ledger.go
@@ -26,24 +26,24 @@
 
 // Reconciler keeps samples. It may be used from several goroutines.
 type Reconciler struct {
-	mu       sync.Mutex
-	began    time.Time
-	samples  []Sample
-	dropped  int
-	unknown  map[string]int // names that the catalogue lacks
-	broken   map[string]int // what could not be read
-	onSample func(Sample)
-	changed  chan struct{}
+	mu        sync.Mutex
+	startedAt time.Time
+	samples   []Sample
+	dropped   int
+	unknown   map[string]int // names that the catalogue lacks
+	malformed map[string]int // what could not be read
+	onSample  func(Sample)
+	changed   chan struct{}
 }
 
 const (
-	mostSamples = 2 << 20 // older ones are let go of, and counted
-	mostFaults  = 100     // texts of faults kept
+	maxSamples    = 2 << 20 // older ones are let go of, and counted
+	maxViolations = 100     // texts of faults kept
 )
 
 // NewReconciler returns an empty one. onSample, if there is one, is given each sample as it comes.
 func NewReconciler(onSample func(Sample)) *Reconciler {
-	return &Reconciler{began: time.Now(), unknown: map[string]int{}, broken: map[string]int{}, onSample: onSample,
+	return &Reconciler{startedAt: time.Now(), unknown: map[string]int{}, malformed: map[string]int{}, onSample: onSample,
 		changed: make(chan struct{})}
 }
 
@@ -51,8 +51,8 @@
 func (l *Reconciler) Take(n graphite.Name, value float64, at int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Sample{Arrived: time.Since(l.began), Name: n, Value: value, At: at}
-	if len(l.samples) >= mostSamples {
+	s := Sample{Arrived: time.Since(l.startedAt), Name: n, Value: value, At: at}
+	if len(l.samples) >= maxSamples {
 		l.dropped += len(l.samples) / 2
 		l.samples = append(l.samples[:0:0], l.samples[len(l.samples)/2:]...)
 	}
@@ -60,11 +60,11 @@
 	if l.onSample != nil {
 		l.onSample(s)
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
-// wake lets those go on that wait for something new.
-func (l *Reconciler) wake() {
+// notifyWaiters lets those go on that wait for something new.
+func (l *Reconciler) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -77,7 +77,7 @@
 }
 
 func count(in map[string]int, text string) {
-	if _, known := in[text]; known || len(in) < mostFaults {
+	if _, known := in[text]; known || len(in) < maxViolations {
 		in[text]++
 	}
 }
@@ -87,15 +87,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count(l.unknown, text)
-	l.wake()
+	l.notifyWaiters()
 }
 
 // Broken counts what could not be read.
 func (l *Reconciler) Broken(why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	count(l.broken, why)
-	l.wake()
+	count(l.malformed, why)
+	l.notifyWaiters()
 }
 
 // Empty forgets all samples, as a collector that restarts without its disk.
@@ -165,13 +165,13 @@
 	return len(f.Faults) == 0 && len(f.Unknown) == 0 && len(f.Malformed) == 0
 }
 
-// stamp holds what came under one time of one broker.
-type stamp struct {
-	broker  string
-	at      int64
-	arrived time.Duration
-	values  map[metrics.Series]float64
-	spreads map[metrics.Series]map[string]float64
+// timestampGroup holds what came under one time of one broker.
+type timestampGroup struct {
+	broker        string
+	timestamp     int64
+	arrivedAfter  time.Duration
+	values        map[metrics.Series]float64
+	distributions map[metrics.Series]map[string]float64
 }
 
 // Reconcile holds all that came against the rules: each interval tells its number and the broker's start; counters never
@@ -179,14 +179,14 @@
 func (l *Reconciler) Reconcile() *Findings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Reconcile(l.samples, l.dropped, l.unknown, l.broken)
+	return Reconcile(l.samples, l.dropped, l.unknown, l.malformed)
 }
 
 // Reconcile is Ledger.Judge for samples that were recorded.
 func Reconcile(samples []Sample, dropped int, unknown, broken map[string]int) *Findings {
 	f := &Findings{Samples: len(samples), Dropped: dropped, Unknown: maps.Clone(unknown), Malformed: maps.Clone(broken)}
 	fault := func(format string, args ...any) {
-		if len(f.Faults) < mostFaults {
+		if len(f.Faults) < maxViolations {
 			f.Faults = append(f.Faults, fmt.Sprintf(format, args...))
 		}
 	}
@@ -194,13 +194,13 @@
 		broker string
 		at     int64
 	}
-	stamps := map[key]*stamp{}
+	stamps := map[key]*timestampGroup{}
 	for _, s := range samples {
 		k := key{s.Name.Broker, s.At}
 		st := stamps[k]
 		if st == nil {
-			st = &stamp{broker: k.broker, at: k.at, arrived: s.Arrived, values: map[metrics.Series]float64{},
-				spreads: map[metrics.Series]map[string]float64{}}
+			st = &timestampGroup{broker: k.broker, timestamp: k.at, arrivedAfter: s.Arrived, values: map[metrics.Series]float64{},
+				distributions: map[metrics.Series]map[string]float64{}}
 			stamps[k] = st
 		}
 		if metrics.Catalogue[s.Name.Series.Figure].Kind != metrics.DistributionKind {
@@ -210,13 +210,13 @@
 			st.values[s.Name.Series] = s.Value
 			continue
 		}
-		if st.spreads[s.Name.Series] == nil {
-			st.spreads[s.Name.Series] = map[string]float64{}
+		if st.distributions[s.Name.Series] == nil {
+			st.distributions[s.Name.Series] = map[string]float64{}
 		}
-		if old, there := st.spreads[s.Name.Series][s.Name.Stat]; there && old == s.Value {
+		if old, there := st.distributions[s.Name.Series][s.Name.Stat]; there && old == s.Value {
 			f.Duplicated++
 		}
-		st.spreads[s.Name.Series][s.Name.Stat] = s.Value
+		st.distributions[s.Name.Series][s.Name.Stat] = s.Value
 	}
 	type life struct {
 		broker  string
@@ -235,20 +235,20 @@
 		if runs[k] == nil {
 			runs[k] = &Run{Broker: k.broker, Started: k.started}
 		}
-		runs[k].Intervals = append(runs[k].Intervals, &Interval{Number: uint64(number), At: st.at, Arrived: st.arrived, Of: uint64(of),
-			Values: st.values, Spreads: st.spreads})
+		runs[k].Intervals = append(runs[k].Intervals, &Interval{Number: uint64(number), At: st.timestamp, Arrived: st.arrivedAfter, Of: uint64(of),
+			Values: st.values, Spreads: st.distributions})
 	}
 	f.Runs = slices.SortedFunc(maps.Values(runs), func(a, b *Run) int {
 		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.Started, b.Started))
 	})
 	for _, r := range f.Runs {
-		r.judge(fault)
+		r.check(fault)
 	}
 	return f
 }
 
-// judge orders a run's intervals and holds them against the rules.
-func (r *Run) judge(fault func(string, ...any)) {
+// check orders a run's intervals and holds them against the rules.
+func (r *Run) check(fault func(string, ...any)) {
 	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Number, b.Number) })
 	last := map[metrics.Series]float64{}
 	for i, v := range r.Intervals {
--- a/internal/emulator/collector/record.go
+++ b/internal/emulator/collector/record.go
@@ -16,27 +16,27 @@
 	"wheatlane/internal/graphite"
 )
 
-// recorded is the form of names in a recording.
-var recorded = graphite.Form{Tags: true}
+// recordedForm is the form of names in a recording.
+var recordedForm = graphite.Form{Tags: true}
 
 // ErrRecording is returned for a file that is no recording.
 var ErrRecording = errors.New("not a recording of figures")
 
-// recordingHead is the first line of a recording.
-const recordingHead = "wheatlane figures 1"
+// recordingHeader is the first line of a recording.
+const recordingHeader = "wheatlane figures 1"
 
 // Recording writes samples to a file: lines of arrival in milliseconds, path, value and time, compressed with zstd.
 // It may be used from several goroutines.
 type Recording struct {
-	mu   sync.Mutex
-	to   io.WriteCloser
-	z    *zstd.Encoder
-	line []byte
-	err  error
+	mu      sync.Mutex
+	file    io.WriteCloser
+	encoder *zstd.Encoder
+	line    []byte
+	err     error
 }
 
-// flushEvery is how long samples may stay here before they are in the file, where a collector that is killed leaves them.
-const flushEvery = time.Second
+// flushInterval is how long samples may stay here before they are in the file, where a collector that is killed leaves them.
+const flushInterval = time.Second
 
 // NewRecording begins one.
 func NewRecording(to io.WriteCloser) (*Recording, error) {
@@ -44,8 +44,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	r := &Recording{to: to, z: z}
-	if _, err := fmt.Fprintln(z, recordingHead); err != nil {
+	r := &Recording{file: to, encoder: z}
+	if _, err := fmt.Fprintln(z, recordingHeader); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
 	if err := z.Flush(); err != nil {
@@ -62,15 +62,15 @@
 		return
 	}
 	r.line = append(strconv.AppendInt(r.line[:0], s.Arrived.Milliseconds(), 10), ' ')
-	r.line = append(recorded.Append(r.line, s.Name), ' ')
+	r.line = append(recordedForm.Append(r.line, s.Name), ' ')
 	r.line = append(strconv.AppendFloat(r.line, s.Value, 'g', -1, 64), ' ')
 	r.line = append(strconv.AppendInt(r.line, s.At, 10), '\n')
-	_, r.err = r.z.Write(r.line)
+	_, r.err = r.encoder.Write(r.line)
 }
 
 // Run brings what is added to the file each second, until ctx ends.
 func (r *Recording) Run(ctx context.Context) error {
-	tick := time.NewTicker(flushEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err == nil {
-		r.err = r.z.Flush()
+		r.err = r.encoder.Flush()
 	}
 	if r.err != nil {
 		return fmt.Errorf("recording: %w", r.err)
@@ -100,7 +100,7 @@
 func (r *Recording) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := errors.Join(r.err, r.z.Close(), r.to.Close()); err != nil {
+	if err := errors.Join(r.err, r.encoder.Close(), r.file.Close()); err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
 	return nil
@@ -115,7 +115,7 @@
 	}
 	defer z.Close()
 	lines := bufio.NewScanner(z)
-	if !lines.Scan() || lines.Text() != recordingHead {
+	if !lines.Scan() || lines.Text() != recordingHeader {
 		return nil, errors.Join(ErrRecording, lines.Err())
 	}
 	var all []Sample
@@ -142,7 +142,7 @@
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	s.Arrived = time.Duration(arrived) * time.Millisecond
-	if s.Name, err = recorded.Parse(f[1]); err != nil {
+	if s.Name, err = recordedForm.Parse(f[1]); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	if s.Value, err = strconv.ParseFloat(f[2], 64); err != nil {
--- /dev/null
+++ b/internal/emulator/engine/commands.go
@@ -0,0 +1,152 @@
+package engine
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"wheatlane/internal/resp"
+)
+
+// Words of the wire.
+const (
+	commandQuery       = "want"
+	commandCancel      = "never_mind"
+	commandSetPriority = "hurry"
+	commandFetchPage   = "turn"
+	commandRelease     = "shut"
+	commandLiveness    = "there"
+	commandLoad        = "busy"
+
+	wordOK    = "OK"
+	wordRows  = "ROWS"
+	wordErr   = "ERR"
+	wordBusy  = "BUSY"
+	wordAlive = "UP"
+
+	noFields = "-"
+)
+
+// commandLength is the number of words of each command.
+var commandLength = map[string]int{
+	commandQuery: 4, commandCancel: 2, commandSetPriority: 3, commandFetchPage: 3, commandRelease: 2,
+	commandLiveness: 2, commandLoad: 2,
+}
+
+var errUnknownCommand = errors.New("engine: unknown command")
+
+// processCommands executes the complete commands at the start of buf and returns how many bytes they took.
+func (s *Server) processCommands(c *brokerConn, buf []byte) (used int, err error) {
+	for {
+		parts, n, err := resp.Parse(buf[used:])
+		if err != nil || n == 0 {
+			return used, err
+		}
+		used += n
+		words := make([]string, 0, len(parts))
+		for _, p := range parts {
+			words = append(words, string(p))
+		}
+		if err := s.execute(c, words); err != nil {
+			return used, err
+		}
+	}
+}
+
+// execute carries out one command.
+func (s *Server) execute(c *brokerConn, words []string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	defer s.notifyWorker()
+	if len(words) < 2 || len(words) != commandLength[words[0]] {
+		return errUnknownCommand
+	}
+	id := words[1]
+	switch words[0] {
+	case commandQuery:
+		s.startQuery(c, id, words[2], words[3])
+	case commandCancel:
+		if s.owners[id] == c && s.model.Cancel(s.now(), id) {
+			s.endAttempt(id)
+		}
+	case commandSetPriority: // the emulated engine has no priorities
+	case commandFetchPage:
+		s.sendPage(c, id, words[2])
+	case commandRelease:
+		delete(s.results, id)
+	case commandLiveness:
+		s.send(c, id, wordAlive, noFields, "")
+	case commandLoad:
+		s.send(c, id, wordAlive, s.loadReport(), "")
+	}
+	return nil
+}
+
+// sendPage answers with a further page of a result; s.mu is held.
+func (s *Server) sendPage(c *brokerConn, requestID, number string) {
+	pages := s.results[requestID].pages
+	if page, err := strconv.Atoi(number); err != nil || page < 0 || page >= len(pages) {
+		s.send(c, requestID, wordErr, noFields, "no such page")
+	} else {
+		s.send(c, requestID, wordRows, "sheet="+number, pages[page])
+	}
+}
+
+// loadReport is the answer to a load probe; s.mu is held.
+func (s *Server) loadReport() string {
+	jobs, threads := s.model.Running()
+	queued := max(0, jobs-s.cfg.Sessions/2)
+	busy := threads / s.cfg.Cores
+	return fmt.Sprintf("l=queue:%d;x1:%.3f;x0:%.3f", queued, min(1, busy), min(1, busy/2))
+}
+
+// startQuery takes a query; s.mu is held.
+func (s *Server) startQuery(c *brokerConn, id, fields, statement string) {
+	values := parseFields(fields)
+	className, key := values["sort"], values["op"]
+	s.observer.AttemptReceived(Run{
+		Engine: s.ID, Ref: id, Class: className, Op: key, Body: statement, At: time.Now(),
+	})
+	defer func() {
+		if s.owners[id] == nil { // it is over already
+			s.observer.AttemptEnded(s.ID, id, time.Now())
+		}
+	}()
+	class := s.classes[className]
+	if class == nil {
+		s.send(c, id, wordErr, noFields, "no such class")
+		return
+	}
+	job := Job{RequestID: id, Class: class, IdempotencyKey: key, DataSet: dataSetOf(statement)}
+	switch s.model.Submit(s.now(), job) {
+	case AtCapacity:
+		s.send(c, id, wordBusy, noFields, "")
+	case Duplicate:
+		s.sendResult(c, id, class, 0)
+	case Admitted:
+		s.owners[id] = c
+	}
+}
+
+// parseFields reads NAME=VALUE pairs with commas between.
+func parseFields(text string) map[string]string {
+	values := map[string]string{}
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(field, "=")
+		values[name] = value
+	}
+	return values
+}
+
+// dataSetOf returns the number of the data set in a statement's schema, as in sales_17.orders; 0 if there is none.
+func dataSetOf(statement string) int {
+	_, after, _ := strings.Cut(statement, "_")
+	digits, _, _ := strings.Cut(after, ".")
+	n, err := strconv.Atoi(digits)
+	if err != nil {
+		return 0
+	}
+	return n
+}
--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -1,230 +1,207 @@
-// Package engine plays a query engine: a model of how engines run queries, which does no I/O, and a server that speaks
-// to brokers as engines do. What a query costs and what it answers is drawn from its id, so that whoever knows the
-// id knows both.
+// Package engine emulates a query engine. Model computes how an engine runs queries and does no I/O; Server speaks the
+// engine's protocol to brokers. The cost and the result of a query are drawn from its request id, so that whoever
+// knows the id can compute both.
 package engine
 
 import (
 	"cmp"
-	"fmt"
-	"hash/fnv"
 	"math"
-	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 )
 
-// Class is how queries of one class behave.
-type Class struct {
-	Name                 string
-	Work                 time.Duration // on one thread, on average
-	Threads              int
-	Rows                 int  // of a result, on average
-	HoldsDataSetLock     bool // holds its data set until it ends; one of a data set runs at a time
-	BlockedByDataSetLock bool // stands still while a load holds its data set
-}
-
-// spread is the standard deviation of the log of the work.
-const spread = 0.6
-
-// draw returns the numbers that belong to an id.
-func draw(ref, class string) *rand.Rand {
-	h := fnv.New64a()
-	h.Write([]byte(class)) //nolint:errcheck // it never fails
-	h.Write([]byte(ref))   //nolint:errcheck // it never fails
-	return rand.New(rand.NewPCG(h.Sum64(), 0))
-}
-
-// Cost is the work of the query of an id, on one thread.
-func (c *Class) Cost(ref string) time.Duration {
-	return time.Duration(float64(c.Work) * math.Exp(spread*draw(ref, c.Name).NormFloat64()-spread*spread/2))
-}
-
-// mostPage is the largest page of a result, in bytes.
-const mostPage = 6000
-
-// Result is the answer to the query of an id, in pages of whole rows.
-func (c *Class) Result(ref string) (pages []string) {
-	rng := draw(ref+"rows", c.Name)
-	var b strings.Builder
-	for i := range 1 + rng.IntN(2*max(1, c.Rows)) {
-		row := fmt.Sprintf("%d\t%s\t%x\n", i, c.Name, rng.Uint64())
-		if b.Len()+len(row) > mostPage {
-			pages = append(pages, b.String())
-			b.Reset()
-		}
-		b.WriteString(row)
-	}
-	return append(pages, b.String())
-}
+const (
+	slowStartStep = 50 * time.Millisecond // an engine in slow start gets faster while it runs: it is looked at so often
+	workEpsilon   = 1e-9                  // thread-seconds; less remaining work counts as none
+	keysPerQuery  = 4                     // expired idempotency keys are purged beyond so many times MaxQueries
+)
 
 // Config is the size of an engine.
 type Config struct {
 	Cores             float64
-	SaturationPoint   float64       // threads a core beyond which work is lost to switching
-	Sessions          int           // queries at a time; more are turned away
-	DedupWindow       time.Duration // a repeat of an idempotency key is dropped for so long
-	SlowStartDuration time.Duration // an engine that has started is warm after it
-	SlowStartInitial  float64       // and begins at this part of its speed
+	SaturationPoint   float64       // threads per core beyond which work is lost to switching
+	Sessions          int           // queries in flight; more are answered as busy
+	DedupWindow       time.Duration // a query with an idempotency key seen within it does not run again
+	SlowStartDuration time.Duration // after its start the engine reaches full speed within it
+	SlowStartInitial  float64       // fraction of full speed at the start
 }
 
 // Job is a query to run.
 type Job struct {
-	Ref   string
-	Class *Class
-	Op    string // idempotency key, or empty
-	Group int    // data set
+	RequestID      string
+	Class          *Class
+	IdempotencyKey string // empty: none
+	DataSet        int
 }
 
-// Verdict is what an engine says to a new query.
-type Verdict int
+// Admission is how an engine takes a new query.
+type Admission int
 
-// The verdicts.
+// The outcomes of an admission.
 const (
-	Runs    Verdict = iota
-	Full            // it never ran
-	Dropped         // a repeat: done already, or being done; it is answered at once
+	Admitted   Admission = iota
+	AtCapacity           // it does not run
+	Duplicate            // its idempotency key was seen within the dedup window; it is answered at once
 )
 
-type job struct {
-	Job
-	order int
-	left  float64 // thread-seconds
-	total float64
-	held  bool // it waits for its data set
+// Completion is a query that ended.
+type Completion struct {
+	RequestID string
+	Class     *Class
+	Work      time.Duration // CPU time that it took
 }
 
-// Model is how an engine runs queries: all at once, sharing its cores. It reads no clock and is not safe for concurrent
-// use.
-type Model struct {
-	cfg     Config
-	now     time.Duration
-	started time.Duration
-	slow    float64 // factor on all times
-	order   int
-	jobs    map[string]*job
-	ops     map[string]time.Duration // when each key was last taken
-	holder  map[int]*job             // the load that holds a data set
-	done    []Done
+type runningJob struct {
+	Job
+	order     int     // of its admission
+	remaining float64 // thread-seconds
+	total     float64 // thread-seconds
+	blocked   bool    // by the lock of its data set
 }
 
-// Done is a query that ended.
-type Done struct {
-	Ref   string
-	Class *Class
-	Work  time.Duration
+func (j *runningJob) threads() float64 { return float64(max(1, j.Class.Threads)) }
+
+// Model is how an engine runs queries: all at once, sharing its cores (processor sharing). It reads no clock and is
+// not safe for concurrent use. Times are durations since any fixed moment.
+type Model struct {
+	cfg            Config
+	now            time.Duration
+	startedAt      time.Duration
+	slowdown       float64 // factor on all times, 1 or more
+	submitted      int
+	jobs           map[string]*runningJob   // by request id
+	keySubmittedAt map[string]time.Duration // by idempotency key
+	lockHolders    map[int]*runningJob      // by data set
+	completions    []Completion             // not yet returned by Advance
 }
 
 // NewModel returns an engine that started at a time.
-func NewModel(cfg Config, started time.Duration) *Model {
-	return &Model{cfg: cfg, now: started, started: started, slow: 1, jobs: map[string]*job{}, ops: map[string]time.Duration{},
-		holder: map[int]*job{}}
+func NewModel(cfg Config, startedAt time.Duration) *Model {
+	return &Model{
+		cfg: cfg, now: startedAt, startedAt: startedAt, slowdown: 1,
+		jobs:           map[string]*runningJob{},
+		keySubmittedAt: map[string]time.Duration{},
+		lockHolders:    map[int]*runningJob{},
+	}
 }
 
-// Slow makes everything take so many times as long from now on.
+// Slow makes everything take factor times as long from now on.
 func (m *Model) Slow(now time.Duration, factor float64) {
-	m.advance(now)
-	m.slow = max(1, factor)
+	m.runUntil(now)
+	m.slowdown = max(1, factor)
 }
 
-// Running is how many queries there are, and on how many threads they run.
+// Running returns how many queries are in flight and on how many threads they run.
 func (m *Model) Running() (jobs int, threads float64) {
 	for _, j := range m.jobs {
-		if !j.held {
-			threads += float64(max(1, j.Class.Threads))
+		if !j.blocked {
+			threads += j.threads()
 		}
 	}
 	return len(m.jobs), threads
 }
 
-// speed is the work that a thread does in a second, with so many running.
+// speed returns the thread-seconds of work that a thread does in a second while so many threads run.
 func (m *Model) speed(threads float64) float64 {
 	if threads == 0 {
 		return 0
 	}
-	v := min(1, m.cfg.Cores/threads) / m.slow
-	if knee := m.cfg.SaturationPoint * m.cfg.Cores; threads > knee {
-		v *= knee / threads
+	v := min(1, m.cfg.Cores/threads) / m.slowdown
+	if saturation := m.cfg.SaturationPoint * m.cfg.Cores; threads > saturation {
+		v *= saturation / threads
 	}
-	if warm := m.now - m.started; m.cfg.SlowStartDuration > 0 && warm < m.cfg.SlowStartDuration {
-		v *= m.cfg.SlowStartInitial + (1-m.cfg.SlowStartInitial)*float64(warm)/float64(m.cfg.SlowStartDuration)
+	if age := m.now - m.startedAt; m.cfg.SlowStartDuration > 0 && age < m.cfg.SlowStartDuration {
+		v *= m.cfg.SlowStartInitial + (1-m.cfg.SlowStartInitial)*float64(age)/float64(m.cfg.SlowStartDuration)
 	}
 	return v
 }
 
-// Submit takes a query.
-func (m *Model) Submit(now time.Duration, j Job) Verdict {
-	m.advance(now)
-	if j.Op != "" {
-		if at, known := m.ops[j.Op]; known && now-at < m.cfg.DedupWindow {
-			return Dropped
-		}
+// Submit admits a query or not.
+func (m *Model) Submit(now time.Duration, j Job) Admission {
+	m.runUntil(now)
+	if m.seenKey(j.IdempotencyKey) {
+		return Duplicate
 	}
-	if len(m.jobs) >= m.cfg.Sessions || m.jobs[j.Ref] != nil {
-		return Full
+	if len(m.jobs) >= m.cfg.Sessions || m.jobs[j.RequestID] != nil {
+		return AtCapacity
 	}
-	if j.Op != "" {
-		m.ops[j.Op] = now
-		if len(m.ops) > 4*m.cfg.Sessions {
-			for op, at := range m.ops {
-				if now-at >= m.cfg.DedupWindow {
-					delete(m.ops, op)
-				}
-			}
+	if j.IdempotencyKey != "" {
+		m.rememberKey(j.IdempotencyKey)
+	}
+	m.submitted++
+	work := j.Class.Cost(j.RequestID).Seconds()
+	m.jobs[j.RequestID] = &runningJob{Job: j, order: m.submitted, remaining: work, total: work}
+	m.assignLocks()
+	return Admitted
+}
+
+// seenKey tells whether a query with this idempotency key was admitted within the dedup window.
+func (m *Model) seenKey(key string) bool {
+	if key == "" {
+		return false
+	}
+	at, known := m.keySubmittedAt[key]
+	return known && m.now-at < m.cfg.DedupWindow
+}
+
+func (m *Model) rememberKey(key string) {
+	m.keySubmittedAt[key] = m.now
+	if len(m.keySubmittedAt) <= keysPerQuery*m.cfg.Sessions {
+		return
+	}
+	for k, at := range m.keySubmittedAt {
+		if m.now-at >= m.cfg.DedupWindow {
+			delete(m.keySubmittedAt, k)
 		}
 	}
-	m.order++
-	work := j.Class.Cost(j.Ref).Seconds()
-	m.jobs[j.Ref] = &job{Job: j, order: m.order, left: work, total: work}
-	m.settle()
-	return Runs
 }
 
-// Cancel ends a query at once; false if it is not there.
-func (m *Model) Cancel(now time.Duration, ref string) bool {
-	m.advance(now)
-	j := m.jobs[ref]
+// Cancel ends a query at once; false if it is not in flight.
+func (m *Model) Cancel(now time.Duration, requestID string) bool {
+	m.runUntil(now)
+	j := m.jobs[requestID]
 	if j == nil {
 		return false
 	}
-	delete(m.ops, j.Op) // what was cut off may be asked for again
-	m.end(j)
-	m.settle()
+	delete(m.keySubmittedAt, j.IdempotencyKey) // it was not executed, so a retry is no duplicate
+	m.remove(j)
+	m.assignLocks()
 	return true
 }
 
-func (m *Model) end(j *job) {
-	delete(m.jobs, j.Ref)
-	if m.holder[j.Group] == j {
-		delete(m.holder, j.Group)
+func (m *Model) remove(j *runningJob) {
+	delete(m.jobs, j.RequestID)
+	if m.lockHolders[j.DataSet] == j {
+		delete(m.lockHolders, j.DataSet)
 	}
 }
 
-// sorted are the queries in the order in which they came.
-func (m *Model) sorted() []*job {
-	all := make([]*job, 0, len(m.jobs))
+// inOrder returns the queries in the order of their admission.
+func (m *Model) inOrder() []*runningJob {
+	all := make([]*runningJob, 0, len(m.jobs))
 	for _, j := range m.jobs {
 		all = append(all, j)
 	}
-	slices.SortFunc(all, func(a, b *job) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(all, func(a, b *runningJob) int { return cmp.Compare(a.order, b.order) })
 	return all
 }
 
-// settle lets the first load of each data set hold it, and what waits for it stand still.
-func (m *Model) settle() {
-	all := m.sorted()
+// assignLocks gives each free data-set lock to the first query that needs it and marks the queries that it blocks.
+func (m *Model) assignLocks() {
+	all := m.inOrder()
 	for _, j := range all {
-		if j.Class.HoldsDataSetLock && m.holder[j.Group] == nil {
-			m.holder[j.Group] = j
+		if j.Class.HoldsDataSetLock && m.lockHolders[j.DataSet] == nil {
+			m.lockHolders[j.DataSet] = j
 		}
 	}
 	for _, j := range all {
-		h := m.holder[j.Group]
-		j.held = h != nil && h != j && (j.Class.HoldsDataSetLock || j.Class.BlockedByDataSetLock)
+		holder := m.lockHolders[j.DataSet]
+		lockable := j.Class.HoldsDataSetLock || j.Class.BlockedByDataSetLock
+		j.blocked = holder != nil && holder != j && lockable
 	}
 }
 
-// Next is when a query ends if nothing else happens; ok is false if none runs.
+// Next returns when to call Advance next if nothing else happens; ok is false if nothing runs.
 func (m *Model) Next() (at time.Duration, ok bool) {
 	_, threads := m.Running()
 	v := m.speed(threads)
@@ -232,58 +209,59 @@
 		return 0, false
 	}
 	for _, j := range m.jobs {
-		if j.held {
+		if j.blocked {
 			continue
 		}
-		t := m.now + time.Duration(math.Ceil(j.left/float64(max(1, j.Class.Threads))/v*float64(time.Second)))
-		if !ok || t < at {
-			at, ok = t, true
+		end := m.now + time.Duration(math.Ceil(j.remaining/j.threads()/v*float64(time.Second)))
+		if !ok || end < at {
+			at, ok = end, true
 		}
 	}
-	// A cold engine grows faster while it runs: it is looked at again meanwhile.
-	if warm := m.started + m.cfg.SlowStartDuration; ok && m.now < warm {
-		at = min(at, m.now+coldStep)
+	if fullSpeedAt := m.startedAt + m.cfg.SlowStartDuration; ok && m.now < fullSpeedAt {
+		at = min(at, m.now+slowStartStep)
 	}
 	return at, ok
 }
 
-const (
-	coldStep = 50 * time.Millisecond
-	done     = 1e-9 // thread-seconds that are none
-)
-
-// Advance lets time pass and returns what ended, in order.
-func (m *Model) Advance(now time.Duration) []Done {
-	m.advance(now)
-	out := m.done
-	m.done = nil
+// Advance lets time pass and returns the queries that ended, in order.
+func (m *Model) Advance(now time.Duration) []Completion {
+	m.runUntil(now)
+	out := m.completions
+	m.completions = nil
 	return out
 }
 
-func (m *Model) advance(now time.Duration) {
+func (m *Model) runUntil(now time.Duration) {
 	for m.now < now {
 		next, ok := m.Next()
 		if !ok {
 			m.now = now
 			return
 		}
-		step := max(1, min(next, now)-m.now)
-		_, threads := m.Running()
-		v := m.speed(threads)
-		m.now += step
-		ended := false
-		for _, j := range m.sorted() {
-			if j.held {
-				continue
-			}
-			if j.left -= step.Seconds() * v * float64(max(1, j.Class.Threads)); j.left <= done {
-				m.done = append(m.done, Done{j.Ref, j.Class, time.Duration(j.total * float64(time.Second))})
-				m.end(j)
-				ended = true
-			}
+		m.runFor(max(1, min(next, now)-m.now))
+	}
+}
+
+// runFor lets the queries run at their present speed for a time.
+func (m *Model) runFor(step time.Duration) {
+	_, threads := m.Running()
+	v := m.speed(threads)
+	m.now += step
+	ended := false
+	for _, j := range m.inOrder() {
+		if j.blocked {
+			continue
 		}
-		if ended {
-			m.settle()
+		j.remaining -= step.Seconds() * v * j.threads()
+		if j.remaining > workEpsilon {
+			continue
 		}
+		work := time.Duration(j.total * float64(time.Second))
+		m.completions = append(m.completions, Completion{RequestID: j.RequestID, Class: j.Class, Work: work})
+		m.remove(j)
+		ended = true
+	}
+	if ended {
+		m.assignLocks()
 	}
 }
--- /dev/null
+++ b/internal/emulator/engine/server_test.go
@@ -0,0 +1,205 @@
+package engine
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/resp"
+)
+
+const testTimeout = 20 * time.Second // a test that waits so long has failed
+
+// recordingObserver keeps the ids of the attempts that it is notified of.
+type recordingObserver struct {
+	mu       sync.Mutex
+	received []string
+	ended    []string
+}
+
+func (o *recordingObserver) AttemptReceived(a Run) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.received = append(o.received, a.Ref+" "+a.Class)
+}
+
+func (o *recordingObserver) AttemptEnded(_, requestID string, _ time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.ended = append(o.ended, requestID)
+}
+
+func (o *recordingObserver) expectCounts(t *testing.T, received, ended int) {
+	t.Helper()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if len(o.received) != received || len(o.ended) != ended {
+		t.Fatalf("received %q, ended %q", o.received, o.ended)
+	}
+}
+
+// testBroker is the other end of a connection.
+type testBroker struct {
+	t      *testing.T
+	socket net.Conn
+	unread []byte
+}
+
+func dial(t *testing.T, s *Server) *testBroker {
+	t.Helper()
+	socket, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = socket.Close() }) // the engine may have closed it
+	return &testBroker{t: t, socket: socket}
+}
+
+func (b *testBroker) send(parts ...string) {
+	b.t.Helper()
+	if _, err := b.socket.Write(resp.Append(nil, parts...)); err != nil {
+		b.t.Fatal(err)
+	}
+}
+
+// next returns the next answer as "ID WORD PAGE/PAGES", without its body; "closed" at the end of the connection.
+func (b *testBroker) next() string {
+	b.t.Helper()
+	if err := b.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		b.t.Fatal(err)
+	}
+	buf := make([]byte, 4096)
+	for {
+		parts, n, err := resp.Parse(b.unread)
+		if err != nil {
+			b.t.Fatal(err)
+		}
+		if n > 0 {
+			a, err := resp.ParseAnswer(parts)
+			if err != nil {
+				b.t.Fatal(err)
+			}
+			answer := fmt.Sprintf("%s %s %d/%d", a.RequestID, parts[1], a.Page, a.PageCount)
+			b.unread = b.unread[n:]
+			return answer
+		}
+		n, err = b.socket.Read(buf)
+		b.unread = append(b.unread, buf[:n]...)
+		if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
+			return "closed"
+		}
+		if err != nil {
+			b.t.Fatal(err)
+		}
+	}
+}
+
+func (b *testBroker) expect(answer string) {
+	b.t.Helper()
+	if got := b.next(); got != answer {
+		b.t.Fatalf("%s, want %s", got, answer)
+	}
+}
+
+// ask sends a command and expects its answer.
+func (b *testBroker) ask(answer string, parts ...string) {
+	b.t.Helper()
+	b.send(parts...)
+	b.expect(answer)
+}
+
+var (
+	quickClass = Class{Name: "lookup", Work: time.Millisecond, Threads: 1, Rows: 3}
+	wideClass  = Class{Name: "report", Work: time.Millisecond, Threads: 4, Rows: 2000}
+	slowClass  = Class{Name: "slow", Work: time.Hour, Threads: 1, Rows: 1}
+)
+
+// startServer runs an engine that takes two queries at a time, until the test ends.
+func startServer(t *testing.T, observer Observer) *Server {
+	t.Helper()
+	cfg := Config{Cores: 4, SaturationPoint: 2, Sessions: 2, DedupWindow: time.Minute}
+	s, err := NewServer("e1", []Class{quickClass, wideClass, slowClass}, cfg, observer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	var g errgroup.Group
+	g.Go(func() error { return s.Run(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		if err := g.Wait(); err != nil {
+			t.Error(err)
+		}
+	})
+	return s
+}
+
+// The server answers in the words of the protocol's page, across a crash and a restart as well.
+func TestEngineProtocol(t *testing.T) {
+	observer := &recordingObserver{}
+	s := startServer(t, observer)
+	b := dial(t, s)
+	t.Run("probes", func(t *testing.T) {
+		b.t = t
+		b.ask("t1 UP 0/1", "there", "t1")
+		b.ask("t2 UP 0/1", "busy", "t2")
+	})
+	t.Run("queries", func(t *testing.T) {
+		b.t = t
+		b.ask("q1 OK 0/1", "want", "q1", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s")
+		b.ask("q2 OK 0/1", "want", "q2", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s") // a duplicate
+		b.ask("q3 ERR 0/1", "want", "q3", "sort=odd", "x")
+	})
+	t.Run("pages", func(t *testing.T) {
+		b.t = t
+		pages := len(wideClass.Result("q4"))
+		b.ask(fmt.Sprintf("q4 OK 0/%d", pages), "want", "q4", "sort=report", "x")
+		b.ask("q4 ROWS 1/1", "turn", "q4", "1")
+		b.ask("q4 ERR 0/1", "turn", "q4", fmt.Sprint(pages))
+		b.send("shut", "q4")
+		b.ask("q4 ERR 0/1", "turn", "q4", "1")
+	})
+	other := dial(t, s)
+	t.Run("capacity", func(t *testing.T) {
+		b.t, other.t = t, t
+		b.send("want", "q5", "sort=slow", "x")
+		b.send("want", "q6", "sort=slow", "x")
+		b.ask("q7 BUSY 0/1", "want", "q7", "sort=slow", "x")
+		b.send("never_mind", "q5") // has no answer
+		b.send("hurry", "q6", "3") // has no answer
+		b.ask("q8 OK 0/1", "want", "q8", "sort=lookup", "x")
+		other.ask("q9 OK 0/1", "want", "q9", "sort=lookup", "x")
+	})
+	t.Run("crash and restart", func(t *testing.T) {
+		testCrashAndRestart(t, s, b, other)
+	})
+	observer.expectCounts(t, 10, 10)
+}
+
+// testCrashAndRestart crashes an engine under two connections and restarts it elsewhere.
+func testCrashAndRestart(t *testing.T, s *Server, b, other *testBroker) {
+	t.Helper()
+	b.t, other.t = t, t
+	s.Crash()
+	b.expect("closed")
+	other.expect("closed")
+	if socket, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.Addr()); err == nil {
+		_ = socket.Close() // it should not be there
+		t.Fatal("the engine listens after its crash")
+	}
+	if err := s.Return(true); err != nil {
+		t.Fatal(err)
+	}
+	again := dial(t, s)
+	again.ask("q1 OK 0/1", "want", "q1", "sort=lookup,op=k1", "x") // the dedup window was lost
+	again.send("nonsense", "x")
+	again.expect("closed")
+}
--- a/internal/emulator/scenario/script.go
+++ b/internal/emulator/scenario/script.go
@@ -43,7 +43,7 @@
 		s := Step{At: at, Do: f[1]}
 		numbered, known := verbs[s.Do]
 		if !known {
-			return nil, fmt.Errorf("%q: %q is none of %s", part, s.Do, strings.Join(names(verbs), ", "))
+			return nil, fmt.Errorf("%q: %q is none of %s", part, s.Do, strings.Join(sortedNames(verbs), ", "))
 		}
 		if numbered != (len(f) == 3) {
 			return nil, fmt.Errorf("%q: a number belongs behind what is done to one of several, and nowhere else", part)
@@ -61,7 +61,7 @@
 	return all, nil
 }
 
-func names(verbs map[string]bool) (all []string) {
+func sortedNames(verbs map[string]bool) (all []string) {
 	for v := range verbs {
 		all = append(all, v)
 	}
--- a/internal/emulator/scenario/script_test.go
+++ b/internal/emulator/scenario/script_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestPlay(t *testing.T) {
+func TestPlayRunsStepsInOrder(t *testing.T) {
 	var did []string
 	steps := []Step{{0, "gone", 0}, {time.Millisecond, "slow", 1}}
 	if err := Play(t.Context(), steps, func(s Step) error { did = append(did, s.Do); return nil }); err != nil {
