--- /dev/null
+++ b/internal/server/effects.go
@@ -0,0 +1,84 @@
+package server
+
+import (
+	"go.uber.org/zap"
+
+	"wheatlane/internal/broker"
+)
+
+// execute carries out effects in their order.
+func (s *Server) execute(effects []broker.Effect) {
+	for _, effect := range effects {
+		s.executeOne(effect)
+	}
+}
+
+func (s *Server) executeOne(effect broker.Effect) {
+	switch e := effect.(type) {
+	case broker.Reply:
+		s.sendReply(e)
+	case broker.AdmitSession:
+		s.admitSession(e)
+	case broker.CloseSession:
+		s.closeSession(e)
+	case broker.StartAttempt:
+		s.startAttempt(e)
+	case broker.FetchPage:
+		s.pool.fetchPage(e)
+	case broker.CancelAttempt:
+		s.pool.cancelAttempt(e.Attempt)
+	case broker.WithdrawUnsent:
+		s.pool.withdrawAttempt(e.Attempt)
+	case broker.ReleaseAttempt:
+		s.pool.releaseAttempt(e)
+	case broker.SetPriority:
+		s.pool.setPriority(e)
+	case broker.ProbeLoad:
+		s.startProbe(e)
+	case broker.SendGossip:
+		s.sendGossip(e)
+	case broker.CancelUnsent:
+		s.cancelUnsent(e)
+	case broker.CloseEngineConnections:
+		s.pool.closeConnections(e.Engine, e.DialedBefore)
+	case broker.LogLine:
+		s.log.Info("note", zap.String("text", e.Text))
+	}
+}
+
+func (s *Server) admitSession(e broker.AdmitSession) {
+	if c := s.clients[e.Session]; c != nil {
+		close(c.admitted)
+	}
+}
+
+func (s *Server) closeSession(e broker.CloseSession) {
+	if c := s.clients[e.Session]; c != nil {
+		c.link.closeAfterSent(&endError{Reason: closeReasons[e.Reason]})
+	}
+}
+
+func (s *Server) startAttempt(e broker.StartAttempt) {
+	if e.Attempt.Number == 0 {
+		s.costs.FirstAttempts++
+	} else {
+		s.costs.Retries++
+	}
+	s.pool.startAttempt(e)
+}
+
+func (s *Server) startProbe(e broker.ProbeLoad) {
+	s.costs.LoadProbes++
+	s.pool.startProbe(e)
+}
+
+func (s *Server) sendGossip(e broker.SendGossip) {
+	s.costs.GossipSent++
+	s.gossip.send(e)
+}
+
+// cancelUnsent times the drain of an engine and withdraws what has not left for it.
+func (s *Server) cancelUnsent(e broker.CancelUnsent) {
+	s.pool.startDrain(e.Engine)
+	s.pool.cancelUnsent(e.Engine)
+}
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -14,24 +14,27 @@
 )
 
 const (
-	gossipSendTimeout    = 5 * time.Millisecond // a datagram that can't leave at once is let go
+	gossipSendTimeout    = 5 * time.Millisecond // a datagram that can't leave at once is dropped
 	gossipReadRetryDelay = time.Second          // after an error of the socket
 )
 
-// gossipTransport carries datagrams between the brokers of a fleet. They are late or lost at will: none is answered, waited
-// for or sent again.
+// gossipTransport carries datagrams between the brokers of a fleet. They may be late or lost: none is acknowledged,
+// waited for or sent again.
 type gossipTransport struct {
 	server       *Server
 	conn         *net.UDPConn
-	brokers      []netip.AddrPort
+	brokers      []netip.AddrPort // by number
 	brokerByAddr map[netip.AddrPort]int
-	datagram     []byte
+	datagram     []byte // buffer of send; owned by the loop
+
+	// Each is logged once; owned by the goroutine that listens.
+	loggedUnknownSender, loggedMalformed bool
 }
 
-// newGossipTransport listens for the other brokers' datagrams.
-func newGossipTransport(ctx context.Context, n *Server) (*gossipTransport, error) {
-	g := &gossipTransport{server: n, brokerByAddr: map[netip.AddrPort]int{}}
-	for i, text := range n.cfg.Peers {
+// newGossipTransport listens for the datagrams of other brokers.
+func newGossipTransport(ctx context.Context, s *Server) (*gossipTransport, error) {
+	g := &gossipTransport{server: s, brokerByAddr: map[netip.AddrPort]int{}}
+	for i, text := range s.cfg.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
@@ -39,30 +42,33 @@
 		g.brokers = append(g.brokers, addr)
 		g.brokerByAddr[addr] = i
 	}
-	conn, err := (&net.ListenConfig{Control: reusePort(n.log)}).ListenPacket(ctx, "udp4", n.cfg.PeerListen)
+	listenConfig := net.ListenConfig{Control: reusePort(s.log)}
+	conn, err := listenConfig.ListenPacket(ctx, "udp4", s.cfg.PeerListen)
 	if err != nil {
 		return nil, err
 	}
-	g.conn = conn.(*net.UDPConn)
+	udp, ok := conn.(*net.UDPConn)
+	if !ok {
+		return nil, fmt.Errorf("%T is no UDP socket", conn)
+	}
+	g.conn = udp
 	return g, nil
 }
 
-// send sends one datagram. What can't be sent is let go: the next one holds younger news.
+// send sends one datagram. One that can't be sent is dropped: the next one holds younger reports.
 func (g *gossipTransport) send(e broker.SendGossip) {
 	if e.Broker < 0 || e.Broker >= len(g.brokers) {
 		return
 	}
 	g.datagram = gossip.Append(g.datagram[:0], e.Reports)
-	g.conn.SetWriteDeadline(time.Now().Add(gossipSendTimeout)) //nolint:errcheck // then it has none
-	g.conn.WriteToUDPAddrPort(g.datagram, g.brokers[e.Broker]) //nolint:errcheck // as said above
+	_ = g.conn.SetWriteDeadline(time.Now().Add(gossipSendTimeout))    // a closed socket refuses the write as well
+	_, _ = g.conn.WriteToUDPAddrPort(g.datagram, g.brokers[e.Broker]) // dropped, as said above
 }
 
-// listen takes the other brokers' datagrams until ctx ends. What comes from elsewhere or can't be read is passed
-// over; the first of each kind is logged.
+// listen receives the datagrams of other brokers until ctx ends.
 func (g *gossipTransport) listen(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = g.conn.Close() }) // nobody waits for what is not sent yet
 	defer stop()
-	var foreign, spoilt bool
 	buf := make([]byte, gossip.MaxBytes+1)
 	for {
 		size, from, err := g.conn.ReadFromUDPAddrPort(buf)
@@ -70,31 +76,36 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			g.server.log.Warn("datagrams of other brokers can't be read", zap.Error(err))
-			select { // guards against a loop without a wait where the system refuses every read
+			g.server.log.Warn("reading gossip datagrams failed", zap.Error(err))
+			select { // a system that refuses every read must not make this loop spin
 			case <-ctx.Done():
 			case <-time.After(gossipReadRetryDelay):
 			}
 			continue
 		}
-		number, ok := g.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok {
-			if !foreign {
-				foreign = true
-				g.server.log.Warn("a datagram from no broker of the fleet", zap.Stringer("from", from))
-			}
-			continue
+		if event, ok := g.parse(buf[:size], from); ok {
+			g.server.post(ctx, func() { g.server.apply(event) })
 		}
-		reports, err := gossip.Parse(buf[:size])
-		if err != nil {
-			if !spoilt {
-				spoilt = true
-				g.server.log.Warn("a broker's datagram can't be read", zap.Int("from", number), zap.Error(err))
-			}
-			continue
+	}
+}
+
+// parse reads a datagram. One from an address that is no broker's, or that can't be read, is dropped.
+func (g *gossipTransport) parse(datagram []byte, from netip.AddrPort) (broker.GossipReceived, bool) {
+	number, ok := g.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	if !ok {
+		if !g.loggedUnknownSender {
+			g.loggedUnknownSender = true
+			g.server.log.Warn("gossip datagram from an unknown address", zap.Stringer("from", from))
 		}
-		if !g.server.post(ctx, func() { g.server.apply(broker.GossipReceived{Broker: number, Reports: reports}) }) {
-			return ctx.Err()
+		return broker.GossipReceived{}, false
+	}
+	reports, err := gossip.Parse(datagram)
+	if err != nil {
+		if !g.loggedMalformed {
+			g.loggedMalformed = true
+			g.server.log.Warn("gossip datagram malformed", zap.Int("from", number), zap.Error(err))
 		}
+		return broker.GossipReceived{}, false
 	}
+	return broker.GossipReceived{Broker: number, Reports: reports}, true
 }
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -51,7 +51,7 @@
 	if diff := cmp.Diff([]control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5}}, got); diff != "" {
 		t.Fatal(diff)
 	}
-	for _, line := range []string{"a datagram from no broker of the fleet", "a broker's datagram can't be read"} {
+	for _, line := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
 		if n := s.logs.FilterMessage(line).Len(); n != 1 {
 			t.Errorf("%q logged %d times", line, n)
 		}
--- /dev/null
+++ b/internal/server/listener.go
@@ -0,0 +1,125 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/mysql"
+)
+
+const (
+	acceptRetryDelay  = 10 * time.Millisecond // after a failed accept
+	rejectReadBufSize = 4 << 10
+)
+
+// accept serves the clients that connect, until ctx ends or a shutdown closes the listener.
+func (s *Server) accept(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, func() { _ = s.ln.Close() }) // a shutdown may have closed it
+	defer stop()
+	finalTimeouts := 0
+	for {
+		socket, err := s.ln.Accept()
+		switch {
+		case err == nil:
+			s.acceptClient(ctx, socket)
+		case isTimeout(err) && s.closingListeners():
+			if finalTimeouts++; s.listenerTimedOut(finalTimeouts) {
+				return nil
+			}
+		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
+			return ctx.Err()
+		default:
+			s.log.Warn("accept failed", zap.Error(err))
+			select {
+			case <-ctx.Done():
+			case <-time.After(acceptRetryDelay):
+			}
+		}
+	}
+}
+
+// acceptClient serves a client in goroutines of its own, or rejects it where there are too many sockets.
+func (s *Server) acceptClient(ctx context.Context, socket net.Conn) {
+	openedAt := time.Now()
+	peer := socket.RemoteAddr().String()
+	select {
+	case s.clientSlots <- struct{}{}:
+	default:
+		// It must not be left waiting in the kernel: what is written there counts as taken, and later requests of the
+		// same order key would overtake it.
+		rejectConnection(socket)
+		s.ended(ClientSide, peer, openedAt, &endError{Reason: TooManyConnections})
+		return
+	}
+	s.lastSession++
+	c := newClient(s, s.lastSession, socket)
+	// Posted by this goroutine, so that the loop hears of the client before it hears that all were accepted.
+	s.post(ctx, func() {
+		s.clients[c.id] = c
+		s.apply(broker.SessionOpened{Session: c.id})
+	})
+	s.group.Go(func() error {
+		defer func() { <-s.clientSlots }()
+		s.ended(ClientSide, peer, openedAt, c.link.run(ctx, c.read))
+		s.post(ctx, func() {
+			delete(s.clients, c.id)
+			s.apply(broker.SessionClosed{Session: c.id})
+		})
+		return nil
+	})
+}
+
+// rejectConnection answers that there are too many connections and closes the socket, without waiting for anything. It
+// reads what has come first: a close with bytes unread would be a reset, and could destroy the answer on its way.
+func rejectConnection(socket net.Conn) {
+	defer func() { _ = socket.Close() }() // it is rejected in any case
+	answer := mysql.AppendError(nil, 0, mysql.CodeConnections, "too many connections")
+	_, _ = socket.Write(answer) // a new socket has room for it
+	tcp, ok := socket.(*net.TCPConn)
+	if !ok {
+		return
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Read(func(fd uintptr) bool { // an error leaves the bytes unread, and the client a reset
+		discardReceived(int(fd))
+		return true
+	})
+}
+
+// discardReceived reads what has come on a socket that doesn't block, up to what a client may send at once.
+func discardReceived(fd int) {
+	buf := make([]byte, rejectReadBufSize)
+	for left := maxClientReceiveBytes; left > 0; {
+		n, err := syscall.Read(fd, buf)
+		if n <= 0 || err != nil {
+			return
+		}
+		left -= n
+	}
+}
+
+// reusePort returns a hook that lets a second process listen at the same address, so that a new version takes clients
+// beside the old one. A system that refuses it leaves the listener as it is, which is logged.
+func reusePort(log *zap.Logger) func(network, address string, c syscall.RawConn) error {
+	return func(_, address string, c syscall.RawConn) error {
+		var refused error
+		err := c.Control(func(fd uintptr) {
+			refused = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		})
+		if err == nil && refused != nil {
+			log.Warn("SO_REUSEPORT refused: a second process can't listen beside this one",
+				zap.String("listen", address), zap.Error(refused))
+		}
+		return err
+	}
+}
--- /dev/null
+++ b/internal/server/receivetime.go
@@ -0,0 +1,37 @@
+package server
+
+import (
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+)
+
+// sinceReceived returns how long ago the kernel received the last bytes of a connection: a client's timeout runs from
+// when it sent them, not from when a busy broker comes to read them. A system that refuses TCP_INFO (a filter of system
+// calls may answer ENOSYS) gives 0, which is logged once.
+func (s *Server) sinceReceived(socket net.Conn) time.Duration {
+	tcp, ok := socket.(*net.TCPConn)
+	if !ok {
+		return 0
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var since time.Duration
+	var refused error
+	if err := raw.Control(func(fd uintptr) {
+		var info *unix.TCPInfo
+		if info, refused = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); refused == nil {
+			since = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	}); err != nil {
+		return 0
+	}
+	if refused != nil && s.tcpInfoRefused.CompareAndSwap(false, true) {
+		s.log.Warn("TCP_INFO refused: a client's timeout runs from when its bytes are read", zap.Error(refused))
+	}
+	return since
+}
--- /dev/null
+++ b/internal/server/reply.go
@@ -0,0 +1,65 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/mysql"
+	"wheatlane/internal/ring"
+)
+
+// errorCodes are the MySQL codes of the replies that are errors.
+var errorCodes = map[broker.ReplyKind]int{
+	broker.ReplyRejected:        mysql.CodeUserLimit,
+	broker.ReplyFailed:          mysql.CodeUnknown,
+	broker.ReplyInterrupted:     mysql.CodeInterrupted,
+	broker.ReplyNotReady:        mysql.CodeShutdown,
+	broker.ReplyInvalidFields:   mysql.CodeArguments,
+	broker.ReplyUnknownCommand:  mysql.CodeCommand,
+	broker.ReplyUnknownSession:  mysql.CodeNoThread,
+	broker.ReplyUnknownDatabase: mysql.CodeUnknownDB,
+}
+
+// closeReasons are the reason codes for which the reducer closes sessions.
+var closeReasons = map[broker.CloseReason]Reason{
+	broker.CloseKilled:          KilledByClient,
+	broker.CloseEvictedIdle:     EvictedIdle,
+	broker.CloseTooManySessions: TooManyConnections,
+}
+
+// sendReply sends a reply to its client, if that is still connected. A client that doesn't read its answers is closed,
+// and its session ends at once: what it asks from then on could not be answered.
+func (s *Server) sendReply(r broker.Reply) {
+	if r.Kind == broker.ReplyRejected {
+		s.costs.Rejections++
+	}
+	c := s.clients[r.Session]
+	if c == nil {
+		return
+	}
+	s.replyBuffer = appendReply(s.replyBuffer[:0], r)
+	if _, err := c.link.write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
+		c.link.closeAfterSent(&endError{Reason: BufferFull})
+		s.later(broker.SessionClosed{Session: r.Session})
+	}
+}
+
+// appendReply appends a reply as the MySQL protocol has it.
+func appendReply(dst []byte, r broker.Reply) []byte {
+	switch r.Kind {
+	case broker.ReplyResult:
+		return mysql.AppendResult(dst, 1, r.Pages)
+	case broker.ReplyOK:
+		return mysql.AppendOK(dst, 1)
+	case broker.ReplyTooManySessions: // in place of the greeting
+		return mysql.AppendError(dst, 0, mysql.CodeConnections, r.Text)
+	case broker.ReplyRejected, broker.ReplyFailed, broker.ReplyInterrupted, broker.ReplyNotReady,
+		broker.ReplyInvalidFields, broker.ReplyUnknownCommand, broker.ReplyUnknownSession, broker.ReplyUnknownDatabase:
+	}
+	text := r.Text
+	if ms := r.RetryAfter.Milliseconds(); ms > 0 {
+		text = fmt.Sprintf("%s; cooldown=%d", text, ms)
+	}
+	return mysql.AppendError(dst, 1, errorCodes[r.Kind], text)
+}
--- /dev/null
+++ b/internal/server/server.go
@@ -0,0 +1,192 @@
+// Package server runs a broker on real sockets: it turns what clients, engines, other brokers and the change log send
+// into events of the reducer, and carries out the effects that the reducer returns. One goroutine, the loop, owns the
+// reducer and all state of this package; each connection has one goroutine that reads and one that writes, and those
+// only post functions to the loop. Every goroutine ends with its context.
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/config"
+	"wheatlane/internal/usage"
+)
+
+const (
+	// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
+	inboxSize = 256
+	// The limit of sockets is shared: connections to engines and ownSockets come first, the rest is for clients. One
+	// part in closingSocketDivisor of that is for connections that are about to end, the others bound the sessions.
+	ownSockets           = 16 // listener, change log, log, configuration file, the runtime's own
+	closingSocketDivisor = 8
+)
+
+// Server is a running broker.
+type Server struct {
+	cfg    config.Config
+	log    *zap.Logger
+	ctx    context.Context // of Run
+	group  *errgroup.Group // of Run
+	ln     net.Listener
+	inbox  chan func()   // functions to call in the loop
+	over   chan struct{} // closed once Run returns
+	gossip *gossipTransport
+
+	// Owned by the loop.
+	b                   *broker.Broker
+	meter               Meter
+	pendingEvents       []broker.Event // events that effects gave
+	clients             map[broker.Session]*client
+	pool                enginePool
+	sweptAt             time.Time
+	sweepInterval       time.Duration // how often idle connections to engines are looked for
+	parting             shutdownState
+	replyBuffer         []byte
+	costs               usage.Counters // what was spent since the start, without endpointPolls
+	loggedUsage         usage.Counters // costs at the last log line
+	usageLoggedAt       time.Time
+	restoredMaintenance []string // engines that the previous process had in maintenance mode
+
+	// Owned by the goroutine that accepts.
+	lastSession broker.Session
+
+	// Used by several goroutines.
+	clientSlots        chan struct{} // one is taken for each client's socket
+	endpointPolls      atomic.Uint64
+	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
+	tcpInfoRefused     atomic.Bool  // the system refused TCP_INFO, which was logged
+	ends               endCounts
+
+	mu             sync.Mutex // guards what follows
+	changelogAddr  string
+	leaveChangelog func() // ends the polls at an earlier address
+	doors          bool   // the sockets are read for the last time
+}
+
+// New returns a broker that already listens, so that no client is rejected while it starts. Errors name the setting that
+// can't be used.
+func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
+	maxClients := cfg.Sockets - cfg.Sockets/engineSocketDivisor - ownSockets
+	settings := cfg.Settings.Control
+	// An attempt may wait for its connection, and then behind other bytes.
+	settings.MaxSendDelay = cfg.Settings.ConnectTimeout + engineSendDelay(cfg.Settings.DrainGrace)
+	reducer, err := broker.New(settings, cfg.Seed, maxClients-maxClients/closingSocketDivisor)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	listener, err := (&net.ListenConfig{Control: reusePort(log)}).Listen(ctx, "tcp", cfg.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	s := &Server{
+		cfg: cfg, log: log, ln: listener, b: reducer, meter: nopMeter{},
+		inbox:          make(chan func(), inboxSize),
+		over:           make(chan struct{}),
+		clients:        map[broker.Session]*client{},
+		lastSession:    broker.Session(cfg.Seed),
+		clientSlots:    make(chan struct{}, maxClients),
+		sweepInterval:  sweepIntervalFor(cfg.Settings.ConnIdleTimeout),
+		changelogAddr:  cfg.Changelog,
+		leaveChangelog: func() {},
+	}
+	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
+	s.pool = newEnginePool(s)
+	if cfg.Settings.Control.Limits.Gossip {
+		if s.gossip, err = newGossipTransport(ctx, s); err != nil {
+			_ = listener.Close() // the error that matters is the one above
+			return nil, fmt.Errorf("peer_listen: %w", err)
+		}
+	}
+	s.restoredMaintenance = s.readHandover()
+	return s, nil
+}
+
+// Addr returns where clients connect.
+func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+
+// Close closes the listener of a server that is not to run.
+func (s *Server) Close() error { return s.ln.Close() }
+
+// Run serves until ctx ends or, after a value on stop, until the shutdown is complete. It returns nil in both cases.
+func (s *Server) Run(ctx context.Context, stop <-chan struct{}) error {
+	defer close(s.over)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	s.group, ctx = errgroup.WithContext(ctx)
+	s.ctx = ctx
+	s.group.Go(func() error { return s.accept(ctx) })
+	s.group.Go(func() error { return s.followChangelog(ctx, s.cfg.Known.Revision) })
+	if s.gossip != nil {
+		s.group.Go(func() error { return s.gossip.listen(ctx) })
+	}
+	s.group.Go(func() error {
+		defer cancel()
+		return s.loop(ctx, stop)
+	})
+	err := s.group.Wait()
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	return err
+}
+
+// Reload applies the parts of a new configuration that a running broker takes: the change log's address and known
+// page, the classes and the limit of attempts. It logs the keys that differ otherwise, as they need a restart. The
+// caller has checked that the configuration may replace the one in force.
+func (s *Server) Reload(ctx context.Context, cfg config.Config) {
+	s.mu.Lock()
+	if s.changelogAddr != cfg.Changelog {
+		s.changelogAddr = cfg.Changelog
+		s.leaveChangelog()
+	}
+	s.mu.Unlock()
+	s.post(ctx, func() { s.applySettings(cfg) })
+}
+
+// applySettings does Reload's part in the loop.
+func (s *Server) applySettings(cfg config.Config) {
+	s.apply(broker.EndpointChanges{Page: cfg.Known})
+	s.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
+	s.cfg.Settings.Control.Classes = cfg.Settings.Control.Classes
+	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
+	s.cfg.Settings.MaxClientTimeout = cfg.Settings.MaxClientTimeout
+	s.maxClientTimeoutNS.Store(max(s.maxClientTimeoutNS.Load(), int64(cfg.Settings.MaxClientTimeout)))
+	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
+		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
+}
+
+// longestGiveUp returns the longest client timeout that a request can have. It may be called on any goroutine.
+func (s *Server) longestGiveUp() time.Duration { return time.Duration(s.maxClientTimeoutNS.Load()) }
+
+// post hands f to the loop and tells whether it was taken. It waits while the inbox is full, or until ctx ends.
+func (s *Server) post(ctx context.Context, f func()) bool {
+	select {
+	case s.inbox <- f:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// ended counts a connection that ended and writes its log line.
+func (s *Server) ended(side Side, peer string, openedAt time.Time, err error) {
+	reason := reasonOf(err)
+	s.ends.add(side, reason)
+	fields := []zap.Field{
+		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
+		zap.Duration("lasted", time.Since(openedAt)),
+	}
+	if reason == OtherError || reason == Malformed || reason == HTTPStatus || reason == ConnectFailed {
+		fields = append(fields, zap.Error(err))
+	}
+	s.log.Info("connection ended", fields...)
+}
