--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -47,16 +47,16 @@
 
 func newClosedLoop(b *testing.B, clients, engines int) *closedLoop {
 	b.Helper()
-	set := settings()
+	set := testSettings()
 	set.ReportFields = []string{"util"}
 	r, err := New(set, 1, clients)
 	if err != nil {
 		b.Fatal(err)
 	}
-	l := &closedLoop{broker: r, now: start, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[ReplyKind]int{}}
+	l := &closedLoop{broker: r, now: startTime, gap: time.Second / time.Duration(loopArrivalsPerEngine*engines), answers: map[ReplyKind]int{}}
 	change := changelog.Change{Revision: 1, Snapshot: true}
 	for n := range engines {
-		change.Endpoints = append(change.Endpoints, host(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
+		change.Endpoints = append(change.Endpoints, endpoint(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready))
 	}
 	l.react(r.Apply(l.now, EndpointChanges{changelog.Page{Revision: 1, Changes: []changelog.Change{change}}}))
 	for n := range clients {
@@ -77,8 +77,10 @@
 	client := l.idle[0]
 	l.idle = l.idle[1:]
 	l.submitted++
-	l.react(l.broker.Apply(l.now, SubmitRequest{client, Request{RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
-		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1"}}))
+	l.react(l.broker.Apply(l.now, SubmitRequest{client, Request{
+		RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
+		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1",
+	}}))
 }
 
 func (l *closedLoop) step() {
@@ -86,8 +88,10 @@
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
 		id := l.running[0].id
 		l.running = l.running[1:]
-		l.react(l.broker.Apply(l.now, AttemptServed{Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
-			Body: []byte("1\t2\t3\n")}))
+		l.react(l.broker.Apply(l.now, AttemptServed{
+			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
+			Body: []byte("1\t2\t3\n"),
+		}))
 	}
 	l.react(l.broker.Tick(l.now))
 }
