--- a/control/actions.go
+++ b/control/actions.go
@@ -16,7 +16,7 @@
 	// Reject is a final answer that invites the client to try again.
 	Reject struct {
 		RequestID  string
-		RetryAfter time.Duration // when the client is asked to come back; 0: not said
+		RetryAfter time.Duration // time after which the client may retry; 0: not set
 	}
 	// Fail is a final answer that says nothing of whether the request ran.
 	Fail struct{ RequestID string }
--- a/control/admission.go
+++ b/control/admission.go
@@ -108,15 +108,15 @@
 	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
 }
 
-// admissionPrice is what a request must be worth for each thread-second, in parts of what the class that is
-// worth least for its work is worth. It rises while requests find no capacity.
+// admissionPrice is the least priority weight per thread-second of an admitted request, as a multiple of that
+// of the class with the least. It rises while requests find no capacity.
 type admissionPrice struct{ price float64 }
 
 func (p *admissionPrice) raise() { p.price = min(1, p.price*admissionPriceRise) }
 func (p *admissionPrice) decay() { p.price = max(minAdmissionPrice, p.price*admissionPriceFall) }
 
-// belowAdmissionPrice says whether a request is more work than it is worth while the pool is short of
-// capacity: without it a few very heavy requests keep out many light ones that are worth as much each.
+// belowAdmissionPrice says whether a request is too much work for its priority weight while the pool is short
+// of capacity: without it a few very heavy requests keep out many light ones of the same weight.
 func (c *Controller) belowAdmissionPrice(r *request) bool {
 	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
 		r.class.PriorityWeight < c.admission.price*c.workload.lowestWeightPerWork*r.expectedWork
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -34,28 +35,28 @@
 }
 
 func (e *encoder) value(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Bool:
+	switch {
+	case v.Kind() == reflect.Bool:
 		if v.Bool() {
 			e.number(1)
 		} else {
 			e.number(0)
 		}
-	case reflect.Int, reflect.Int64:
+	case v.CanInt():
 		e.number(uint64(v.Int()))
-	case reflect.Uint32, reflect.Uint64:
+	case v.CanUint():
 		e.number(v.Uint())
-	case reflect.Float64:
+	case v.CanFloat():
 		e.number(math.Float64bits(v.Float()))
-	case reflect.String:
+	case v.Kind() == reflect.String:
 		e.number(uint64(v.Len()))
 		_, _ = e.Write([]byte(v.String()))
-	case reflect.Slice:
+	case v.Kind() == reflect.Slice:
 		e.number(uint64(v.Len()))
 		for i := range v.Len() {
 			e.value(v.Index(i))
 		}
-	case reflect.Struct:
+	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
 			e.value(v.Field(i))
 		}
@@ -68,7 +69,7 @@
 	kind := kindOf(a)
 	e.kinds[kind]++
 	e.number(uint64(kind))
-	if _, ok := a.(control.Log); !ok { // the wording of a line is no behaviour; that there is one is
+	if _, ok := a.(control.Log); !ok { // the wording of a line is no decision; that there is one is
 		e.value(reflect.ValueOf(a))
 	}
 }
@@ -100,15 +101,15 @@
 }
 
 // siteSettings reads the settings that a broker of a deployment is given.
-func siteSettings(t testing.TB, name string) control.Settings {
-	t.Helper()
+func siteSettings(tb testing.TB, name string) control.Settings {
+	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings", name+".json"))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	settings, err := config.DecodeSettings(text)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return settings.Control
 }
@@ -117,13 +118,20 @@
 func drawnSettings(seed uint64) control.Settings {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func() bool { return rng.IntN(2) == 0 }
-	s := control.Settings{Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
-		MemoryGrants: flip(), Priorities: flip(), ReportsCost: flip(), WeightByWork: flip(), PollEndpointList: flip(),
-		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
-		Limits: control.Limits{MaxAttempts: 1 + rng.IntN(5), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
-			Hedging: flip(), LoadProbes: flip(), Gossip: flip()},
-		Rules: control.Rules{MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second, OverloadMultiple: 2,
-			OverloadWindow: 2 * time.Second, KeyCooldown: 300 * millisecond}}
+	s := control.Settings{
+		Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
+		MemoryGrants: flip(), Priorities: flip(), ReportsCost: flip(), WeightByWork: flip(),
+		PollEndpointList: flip(),
+		EngineKinds:      map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
+		Limits: control.Limits{
+			MaxAttempts: 1 + rng.IntN(5), RetryAfter: flip(), MaxRetryAfter: time.Second,
+			Cancellation: flip(), Hedging: flip(), LoadProbes: flip(), Gossip: flip(),
+		},
+		Rules: control.Rules{
+			MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
+			OverloadMultiple: 2, OverloadWindow: 2 * time.Second, KeyCooldown: 300 * millisecond,
+		},
+	}
 	if flip() { // so many that engines are pooled
 		s.Brokers = 40 + rng.IntN(300)
 	}
@@ -138,36 +146,47 @@
 		s.MaxSendDelay = 40 * millisecond
 	}
 	if flip() {
-		s.Tenants = []control.Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}, {Name: "t2"}}
+		s.Tenants = []control.Tenant{
+			{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}, {Name: "t2"},
+		}
 	}
 	if flip() {
 		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 5*time.Second, 0.1, 2
 	}
 	for i := range 2 + rng.IntN(3) {
-		k := control.Class{Name: fmt.Sprint("class-", i), LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
-			ObjectivePerWork: 2 * rng.Float64(), PriorityWeight: 1 + 10*rng.Float64(), LateWeight: float64(rng.IntN(2)) * 0.4,
-			Idempotency: control.Idempotency(rng.IntN(3)), DedupScope: control.DedupScope(rng.IntN(3)), DedupWindow: time.Duration(1+rng.IntN(4)) * time.Second,
-			Ordered: flip(), Threads: rng.IntN(4), HoldsDataSetLock: flip(), BlockedByDataSetLock: flip()}
-		if rng.IntN(5) == 0 {
-			k.AllowedZones = []string{"b"}
-		}
-		if rng.IntN(5) == 0 {
-			k.AllowedKinds = []string{"std"}
-		}
-		if flip() {
-			k.ClientTimeout = k.LatencyObjective * time.Duration(2+rng.IntN(5))
-		}
-		if rng.IntN(6) == 0 {
-			k.LatencyObjective = 0
-		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, drawnClass(rng, fmt.Sprint("class-", i)))
 	}
 	return s
 }
 
-type behaviourCase struct {
+func drawnClass(rng *rand.Rand, name string) control.Class {
+	flip := func() bool { return rng.IntN(2) == 0 }
+	k := control.Class{
+		Name: name, LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
+		ObjectivePerWork: 2 * rng.Float64(), PriorityWeight: 1 + 10*rng.Float64(),
+		LateWeight:  float64(rng.IntN(2)) * 0.4,
+		Idempotency: control.Idempotency(rng.IntN(3)), DedupScope: control.DedupScope(rng.IntN(3)),
+		DedupWindow: time.Duration(1+rng.IntN(4)) * time.Second,
+		Ordered:     flip(), Threads: rng.IntN(4), HoldsDataSetLock: flip(), BlockedByDataSetLock: flip(),
+	}
+	if rng.IntN(5) == 0 {
+		k.AllowedZones = []string{"b"}
+	}
+	if rng.IntN(5) == 0 {
+		k.AllowedKinds = []string{"std"}
+	}
+	if flip() {
+		k.ClientTimeout = k.LatencyObjective * time.Duration(2+rng.IntN(5))
+	}
+	if rng.IntN(6) == 0 {
+		k.LatencyObjective = 0
+	}
+	return k
+}
+
+type recordedCase struct {
 	name     string
-	settings func(t testing.TB) control.Settings
+	settings func(tb testing.TB) control.Settings
 	engines  int
 	seeds    uint64 // so many worlds, each with its seed
 	length   time.Duration
@@ -175,9 +194,9 @@
 }
 
 func site(name string, change func(s *control.Settings)) func(testing.TB) control.Settings {
-	return func(t testing.TB) control.Settings {
-		t.Helper()
-		s := siteSettings(t, name)
+	return func(tb testing.TB) control.Settings {
+		tb.Helper()
+		s := siteSettings(tb, name)
 		if change != nil {
 			change(&s)
 		}
@@ -194,39 +213,53 @@
 	return func(s *control.Settings) { s.Brokers, s.BrokerIndex = brokers, brokers/3 }
 }
 
-func behaviourCases() []behaviourCase {
-	cases := []behaviourCase{
-		{"reykjavik", site("reykjavik", nil), 7, 3, 80 * time.Second,
-			"ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7"},
-		{"hobart", site("hobart", nil), 7, 3, 80 * time.Second,
-			"5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656"},
-		{"ledger", site("ledger", nil), 7, 3, 80 * time.Second,
-			"b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629"},
-		{"shortline", site("shortline", nil), 7, 3, 80 * time.Second,
-			"9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1"},
-		{"a fleet of 40 at reykjavik", site("reykjavik", fleetOf(40)), 40, 2, 60 * time.Second,
-			"c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff"},
-		{"a fleet of 200 at hobart", site("hobart", fleetOf(200)), 60, 2, 60 * time.Second,
-			"a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9"},
+func recordedCases() []recordedCase {
+	cases := []recordedCase{
+		{
+			"reykjavik", site("reykjavik", nil), 7, 3, 80 * time.Second,
+			"ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7",
+		},
+		{
+			"hobart", site("hobart", nil), 7, 3, 80 * time.Second,
+			"5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656",
+		},
+		{
+			"ledger", site("ledger", nil), 7, 3, 80 * time.Second,
+			"b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629",
+		},
+		{
+			"shortline", site("shortline", nil), 7, 3, 80 * time.Second,
+			"9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1",
+		},
+		{
+			"a fleet of 40 at reykjavik", site("reykjavik", fleetOf(40)), 40, 2, 60 * time.Second,
+			"c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff",
+		},
+		{
+			"a fleet of 200 at hobart", site("hobart", fleetOf(200)), 60, 2, 60 * time.Second,
+			"a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9",
+		},
 	}
+	cases = slices.Grow(cases, len(drawnHashes))
 	for seed := range uint64(len(drawnHashes)) {
 		engines := 4 + 2*int(seed%5)
 		if drawnSettings(seed).Brokers > 4 {
 			engines = 70
 		}
-		cases = append(cases, behaviourCase{fmt.Sprint("drawn settings ", seed), drawn(seed), engines, 1, 60 * time.Second,
-			drawnHashes[seed]})
+		cases = append(cases, recordedCase{
+			fmt.Sprint("drawn settings ", seed), drawn(seed), engines, 1, 60 * time.Second, drawnHashes[seed],
+		})
 	}
 	return cases
 }
 
 // play runs a case and returns its hash and what was done how often.
-func (c behaviourCase) play(t testing.TB) (string, [numberOfKinds]int) {
-	t.Helper()
+func (c recordedCase) play(tb testing.TB) (string, [numberOfKinds]int) {
+	tb.Helper()
 	e := &encoder{Hash: sha256.New()}
 	for seed := range c.seeds {
-		w := newWorld(t, c.settings(t), seed+1, c.engines)
-		w.seen = func(b batch, actions []control.Action) {
+		w := newWorld(tb, c.settings(tb), seed+1, c.engines)
+		w.observe = func(b batch, actions []control.Action) {
 			e.number(uint64(b.now))
 			e.number(uint64(len(actions)))
 			for _, a := range actions {
@@ -243,13 +276,13 @@
 	return fmt.Sprintf("%x", e.Sum(nil)), e.kinds
 }
 
-// The module's decisions as they were when these hashes were written, over worlds with faults, drains,
-// restarts, lost answers, cancels, reloads, maintenance and other brokers' reports. A change that is not
-// meant to change a decision leaves them as they are; the floats behind them are those of amd64, where no
-// multiplication is fused with an addition.
-func TestDecisionsAreThoseOnRecord(t *testing.T) {
+// TestDecisionsMatchRecordedHashes holds the decisions as they were when these hashes were written, over
+// worlds with faults, drains, restarts, lost answers, cancels, reloads, maintenance and other brokers'
+// reports. A change that is not meant to change a decision leaves them as they are; the floats behind them
+// are those of amd64, where no multiplication is fused with an addition.
+func TestDecisionsMatchRecordedHashes(t *testing.T) {
 	var kinds [numberOfKinds]int
-	for _, c := range behaviourCases() {
+	for _, c := range recordedCases() {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			got, seen := c.play(t)
 			if got != c.want {
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -20,8 +20,8 @@
 	b.Helper()
 	r := recorded{settings: settings, seed: 1}
 	w := newWorld(b, settings, r.seed, engines)
-	w.calm, w.load = true, load
-	w.seen = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
+	w.faultless, w.load = true, load
+	w.observe = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
 	w.run(length)
 	return r
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -13,17 +13,24 @@
 
 // base is a small deployment: one quick and one long class, two tenants, four engines' worth of rules.
 func base() Settings {
-	return Settings{Brokers: 2, Zone: "a", MinBatchInterval: 5 * ms,
+	return Settings{
+		Brokers: 2, Zone: "a", MinBatchInterval: 5 * ms,
 		Classes: []Class{
 			{Name: "quick", LatencyObjective: 600 * ms, ObjectivePerWork: 1, PriorityWeight: 1, Threads: 1},
-			{Name: "long", LatencyObjective: 3 * time.Second, ObjectivePerWork: 2, PriorityWeight: 8,
-				LateWeight: 0.4, Threads: 2}},
+			{
+				Name: "long", LatencyObjective: 3 * time.Second, ObjectivePerWork: 2, PriorityWeight: 8,
+				LateWeight: 0.4, Threads: 2,
+			},
+		},
 		Tenants:          []Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}},
 		EngineKinds:      map[string]EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
 		MaxGrantFraction: 0.4, ReportsCost: true,
 		Limits: Limits{MaxAttempts: 3},
-		Rules: Rules{MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
-			OverloadMultiple: 2, OverloadWindow: 2 * time.Second}}
+		Rules: Rules{
+			MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
+			OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
+		},
+	}
 }
 
 // rig drives a controller by hand and keeps what it did; it models no engine.
@@ -101,8 +108,10 @@
 }
 
 func (r *rig) end(id string, n int, s Status) []Action {
-	return r.feed(AttemptEnded{RequestID: id, Number: n, Status: s, Duration: 100 * ms, RequestClosed: s == OK,
-		Work: 100 * ms, MemoryMB: 100})
+	return r.feed(AttemptEnded{
+		RequestID: id, Number: n, Status: s, Duration: 100 * ms, RequestClosed: s == OK,
+		Work: 100 * ms, MemoryMB: 100,
+	})
 }
 
 func want[T comparable](t *testing.T, what string, got, wanted T) {
@@ -223,8 +232,8 @@
 	want(t, "refusals", len(pickOf[Reject](r.run(300*ms))), 1)
 }
 
-// The ration of further attempts counts each for as long as it may have left late, and no query longer than an attempt
-// that leaves late may count it.
+// The ration of further attempts counts each for as long as it may have left late, and no query longer than
+// an attempt that leaves late may count it.
 func TestTheRationAllowsForAttemptsThatLeaveLate(t *testing.T) {
 	for late, wanted := range map[time.Duration][2]int{0: {1, 2}, 300 * ms: {2, 1}} {
 		s := base()
@@ -542,16 +551,18 @@
 	want(t, "sent", len(pickOf[SendAttempt](got)), 1)
 }
 
-// Worked example: shares 3 to 1, equal costs, both backlogged: the first class gets three of four. That a flow which
-// stays backlogged keeps its tag is tested in internal/fairqueue.
+// Worked example: shares 3 to 1, equal costs, both backlogged: the first class gets three of four. That a
+// flow which stays backlogged keeps its tag is tested in internal/fairqueue.
 func TestFairQueuingFollowsShares(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	c, e := r.c, r.c.endpoints.all[0]
 	c.shares.weights = []float64{0.75, 0.25}
 	for i := range 40 {
 		k := c.workload.classes[i%2]
-		c.enqueueOn(e, &request{Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
-			tenantIndex: i / 2 % 2, expectedWork: 1})
+		c.enqueueOn(e, &request{
+			Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
+			tenantIndex: i / 2 % 2, expectedWork: 1,
+		})
 	}
 	want(t, "threads of what waits", e.queue.Threads(), 20+20*2)
 	var classes, tenants [2]int
@@ -602,8 +613,10 @@
 		r.run(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
 			if q := r.c.requests.byID[id]; q != nil && len(q.attempts) > 0 {
-				r.feed(AttemptEnded{RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
-					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms})
+				r.feed(AttemptEnded{
+					RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
+					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms,
+				})
 			}
 		}
 	}
@@ -625,9 +638,9 @@
 	want(t, "fit", r.c.shares.regulator.Theta.At(0, 0), fit)
 }
 
-// Long queries fill the bound for seconds. Quick ones, which earn more for their work, must not wait or be refused
-// for it while they hold less than the bound by themselves. Seen on overloaded days: they were kept to their share,
-// and seven in ten were refused though they are a twelfth of the work.
+// Long queries fill the bound for seconds. Quick ones, which earn more for their work, must not wait or be
+// refused for it while they hold less than the bound by themselves. Seen on overloaded days: they were kept
+// to their share, and seven in ten were refused though they are a twelfth of the work.
 func TestLongQueriesDontKeepQuickOnesOut(t *testing.T) {
 	r := pressedRig(t)
 	for range 10 {
@@ -719,7 +732,8 @@
 	}
 }
 
-// What an unknown tenant sends is not charged to one that is told, and waits behind no one's share but its own.
+// What an unknown tenant sends is not charged to one that is told, and waits behind no one's share but its
+// own.
 func TestAnUnknownTenantIsChargedToNoOther(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	for _, name := range []string{"nobody", "", "t0"} {
@@ -732,8 +746,8 @@
 	want(t, "share of the unknown", r.c.workload.tenants[2].Share, 0.25)
 }
 
-// After a standstill a gateway finds what ended before what is new or due: nothing is judged lost whose answer
-// is at hand, nothing is sent for a client that is gone already, and what is dead is refused.
+// After a standstill a gateway finds what ended before what is new or due: nothing is judged lost whose
+// answer is at hand, nothing is sent for a client that is gone already, and what is dead is refused.
 func TestAStandstillTakesOutcomesFirst(t *testing.T) {
 	s := base()
 	s.Limits.Hedging = true
@@ -809,8 +823,8 @@
 	}
 }
 
-// Answers get lost while others come: each lost one is tried again in time, and losses are learned, so that the
-// next is tried sooner; when most look lost it is a jam, and nothing is doubled.
+// Answers get lost while others come: each lost one is tried again in time, and losses are learned, so that
+// the next is tried sooner; when most look lost it is a jam, and nothing is doubled.
 func TestLostAnswersAreTriedAgainInTime(t *testing.T) {
 	s := pooledBase()
 	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
@@ -859,8 +873,10 @@
 	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{eng("e01"), eng("e01")}})
 	var evs []Event
 	for i := range 3000 {
-		evs = append(evs, RequestReceived{Request: Request{ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
-			Deadline: r.now + time.Duration(i%5)*time.Second}})
+		evs = append(evs, RequestReceived{Request: Request{
+			ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
+			Deadline: r.now + time.Duration(i%5)*time.Second,
+		}})
 	}
 	r.feed(evs...)
 	r.run(500 * ms)
@@ -903,8 +919,8 @@
 	}
 }
 
-// Clients that leave before their time teach how long they stay: what can't be done by then is not begun under
-// pressure and is urgent. Those that stay forget it.
+// Clients that leave before their time teach how long they stay: what can't be done by then is not begun
+// under pressure and is urgent. Those that stay forget it.
 func TestHowLongClientsStayIsLearned(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	aim := func() time.Duration {
@@ -920,8 +936,8 @@
 		r.feed(ClientDisconnected{RequestID: id})
 		r.end(id, 0, OK)
 	}
-	// Seen on a day on which one client in twelve left early: every aim was cut to how long those had stayed, and
-	// a quarter of all was refused that could have been served.
+	// Seen on a day on which one client in twelve left early: every aim was cut to how long those had
+	// stayed, and a quarter of all was refused that could have been served.
 	for range 50 {
 		leave()
 		for range 9 {
@@ -944,8 +960,8 @@
 	}
 }
 
-// Seen on a day with bad peers: one reset ended all that was out on its connection, and each end counted against
-// the engine as one of its own, so that a good engine was set aside.
+// Seen on a day with bad peers: one reset ended all that was out on its connection, and each end counted
+// against the engine as one of its own, so that a good engine was set aside.
 func TestWhatEndsTogetherCountsOnce(t *testing.T) {
 	for shared, down := range map[bool]bool{true: false, false: true} {
 		r := newRig(t, base(), eng("e1"), eng("e2"))
@@ -967,8 +983,8 @@
 	}
 }
 
-// Loads keep away from what they hold up, those of other gateways, too: all of them rank the engines alike for a data
-// set. Seen on calm days: one lookup in ten met a load of its data set, and was late.
+// Loads keep away from what they hold up, those of other gateways, too: all of them rank the engines alike
+// for a data set. Seen on calm days: one lookup in ten met a load of its data set, and was late.
 func TestLoadsKeepAwayFromWhatTheyHoldUp(t *testing.T) {
 	s := base()
 	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
@@ -987,8 +1003,9 @@
 	}
 }
 
-// Seen on a day on which two of five engines were lost: what had been theirs came to the others at once, four times
-// their bounds before pressure showed, and the jam lasted for seconds. In calm an engine takes some bounds, no more.
+// Seen on a day on which two of five engines were lost: what had been theirs came to the others at once, four
+// times their bounds before pressure showed, and the jam lasted for seconds. In calm an engine takes some
+// bounds, no more.
 func TestWhatOneEngineLosesFloodsNoOther(t *testing.T) {
 	r := newRig(t, base(), eng("e1"))
 	e := r.c.endpoints.all[0]
@@ -1000,8 +1017,9 @@
 	}
 }
 
-// Seen in a recorded incident: two answers never came from an engine that went on answering others, and what was out
-// there held its bound for many seconds. By its age an attempt is lost all the same, and is tried elsewhere.
+// Seen in a recorded incident: two answers never came from an engine that went on answering others, and what
+// was out there held its bound for many seconds. By its age an attempt is lost all the same, and is tried
+// elsewhere.
 func TestALostAnswerIsFoundWhileOthersCome(t *testing.T) {
 	s := base()
 	s.Limits.Cancellation = true
@@ -1037,8 +1055,9 @@
 	}
 }
 
-// Lookups were seen to stand behind loads of other gateways until their aim had passed, and to count as threads that
-// run meanwhile. They are called off and tried elsewhere, and no other goes there while the load is believed to run.
+// Lookups were seen to stand behind loads of other gateways until their aim had passed, and to count as
+// threads that run meanwhile. They are called off and tried elsewhere, and no other goes there while the load
+// is believed to run.
 func TestWhatStandsBehindALoadGoesElsewhere(t *testing.T) {
 	s := base()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
@@ -1080,8 +1099,8 @@
 	want(t, "held for good", r.c.endpoints.byID[stuck].dataSetLocked(r.now, 7), false)
 }
 
-// On a day without a lost answer 40 of 100 attempts were called off: each counted as a loss, which made patience
-// shorter, until it was less than the usual time. What is called off early is as likely late.
+// On a day without a lost answer 40 of 100 attempts were called off: each counted as a loss, which made
+// patience shorter, until it was less than the usual time. What is called off early is as likely late.
 func TestABeliefInLossesDoesNotFeedOnItself(t *testing.T) {
 	s := base()
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
@@ -1116,8 +1135,8 @@
 	}
 }
 
-// A report is refreshed a few times a second, so that another probe within that tells nothing and costs its price:
-// 0.86 probes a request were seen.
+// A report is refreshed a few times a second, so that another probe within that tells nothing and costs its
+// price: 0.86 probes a request were seen.
 func TestAYoungReportIsNotAskedForAgain(t *testing.T) {
 	s := base()
 	s.Limits.LoadProbes, s.ReportFields = true, []string{"x1"}
@@ -1144,8 +1163,9 @@
 	}
 }
 
-// On a day on which one long answer in ten never came, while its engine went on answering others, they were waited for
-// until their clients gave up, and held the bounds meanwhile. Age alone tells, and is known after a few answers.
+// On a day on which one long answer in ten never came, while its engine went on answering others, they were
+// waited for until their clients gave up, and held the bounds meanwhile. Age alone tells, and is known after
+// a few answers.
 func TestAnAnswerLostAmongOthersIsMissedInTime(t *testing.T) {
 	s := base()
 	s.Limits.Cancellation = true
@@ -1171,8 +1191,8 @@
 	t.Fatal("there was no time left to try again")
 }
 
-// On a day of small engines a bound held one wide query, and a busy gateway refused the next ones though its engines
-// were half idle: in calm there is room for two.
+// On a day of small engines a bound held one wide query, and a busy gateway refused the next ones though its
+// engines were half idle: in calm there is room for two.
 func TestACalmEngineTakesTwoWideQueries(t *testing.T) {
 	s := base()
 	s.Brokers, s.Classes[1].Threads = 3, 4
@@ -1186,8 +1206,8 @@
 	want(t, "wide queries sent", sent, 2)
 }
 
-// After a start, queries that stood behind loads counted as lost, as no engine had answered yet: a fifth of all answers
-// was believed to be lost, and patience was short for seconds.
+// After a start, queries that stood behind loads counted as lost, as no engine had answered yet: a fifth of
+// all answers was believed to be lost, and patience was short for seconds.
 func TestAnEngineHasTimeForItsFirstAnswer(t *testing.T) {
 	s := base()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
@@ -1219,8 +1239,9 @@
 	}
 }
 
-// Where engines are pooled, a query that the pool refuses as it can't make its aim is refused at once, with no probe:
-// seen on a day with 80 gateways, where two probes in three were for queries that were then refused.
+// Where engines are pooled, a query that the pool refuses as it can't make its aim is refused at once, with
+// no probe: seen on a day with 80 gateways, where two probes in three were for queries that were then
+// refused.
 func TestWhatIsRefusedAnywayIsNotProbedFor(t *testing.T) {
 	s := pooledBase()
 	s.Limits.LoadProbes, s.ReportFields = true, []string{"util"}
@@ -1242,9 +1263,9 @@
 	}
 }
 
-// A gateway that gets several times the mean traffic of a fleet knows its part of it after its first intervals, not
-// after a day: seen on a day with 80 gateways, where the busiest was held to the even part of the bounds for 10 s
-// while the engines were calm, and refused half of what it took.
+// A gateway that gets several times the mean traffic of a fleet knows its part of it after its first
+// intervals, not after a day: seen on a day with 80 gateways, where the busiest was held to the even part of
+// the bounds for 10 s while the engines were calm, and refused half of what it took.
 func TestAGatewaysPartIsKnownFromTheStart(t *testing.T) {
 	s := pooledBase()
 	r := pooledRig(t, s, 60)
@@ -1263,8 +1284,9 @@
 	}
 }
 
-// Refused clients are told to come back at times spread over what they follow, not most of them at its end: those
-// refused by a fleet in the same moment would come back in the same moment. Seen: 71 in 100 told 500 ms exactly.
+// Refused clients are told to come back at times spread over what they follow, not most of them at its end:
+// those refused by a fleet in the same moment would come back in the same moment. Seen: 71 in 100 told 500 ms
+// exactly.
 func TestRefusedClientsComeBackSpread(t *testing.T) {
 	for _, most := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
 		s := base()
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -32,7 +32,7 @@
 			if !c.probeCandidates(r) {
 				c.dispatchToBestCandidate(r)
 			}
-		case c.mayAttempt(r, e) && !e.atCapacity(c.now, atCapacityRest):
+		case c.mayAttempt(r, e) && !e.atCapacity(c.now):
 			c.sendAttempt(r, e)
 		default:
 			c.requests.waitForEngine(r)
@@ -42,7 +42,7 @@
 
 // withinConcurrencyLimit says whether a class's next request may be sent: without pressure, under the limit
 // or, so that long requests keep no quick ones out, while the class has less than its share in flight. For
-// the class that is worth most for its work that share is all.
+// the class with the most priority weight per work that share is all.
 func (c *Controller) withinConcurrencyLimit(e *engine, classIndex int) bool {
 	width, limit := float64(c.workload.classes[classIndex].Threads), e.limit
 	if !c.underPressure(e) {
@@ -62,6 +62,6 @@
 	loadCounts := e.threadsInFlight > 0 || c.now-e.loadReportedAt < controlInterval
 	timesCount := (c.settings.ReportsCost || len(c.settings.ReportFields) == 0) &&
 		e.slowdownSamples > minSlowdownSamples
-	return e.atCapacity(c.now, atCapacityRest) || e.overdueRatio > pressureOverdue ||
+	return e.atCapacity(c.now) || e.overdueRatio > pressureOverdue ||
 		loadCounts && e.load > pressureLoad || timesCount && c.estimatedSlowdown(e) > pressureSlowdown
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -125,9 +125,9 @@
 	return float64(threads)
 }
 
-// atCapacity says whether it did not admit an attempt within a time.
-func (e *engine) atCapacity(now, within time.Duration) bool {
-	return e.atCapacityAt >= 0 && now-e.atCapacityAt < within
+// atCapacity says whether it did not admit an attempt lately.
+func (e *engine) atCapacity(now time.Duration) bool {
+	return e.atCapacityAt >= 0 && now-e.atCapacityAt < atCapacityRest
 }
 
 // hasLoadReport says whether it takes requests and reported its load within a time.
@@ -162,7 +162,9 @@
 	expired := func(l dataSetLock) bool { return l.expiresAt <= now }
 	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, expired)
 	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
-	locks := func(a *attempt) bool { return a.request.class.HoldsDataSetLock && a.request.DataSet == dataSet }
+	locks := func(a *attempt) bool {
+		return a.request.class.HoldsDataSetLock && a.request.DataSet == dataSet
+	}
 	return slices.ContainsFunc(e.dataSetLocks, isOf) || slices.ContainsFunc(e.attempts, locks)
 }
 
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -12,7 +12,7 @@
 	waitGain           = 0.05 // weight of a request in its class's mean wait
 	failureGain        = 0.2  // least weight of one outcome in a failure rate
 	spreadGain         = 0.02 // weight of an answer in the spread of service times
-	spreadPriorWeight  = 5.0  // answers that the first guess of the spread is worth
+	spreadPriorWeight  = 5.0  // answers that the first guess of the spread weighs as much as
 	floorGain          = 0.5  // weight of an answer in the floor of service times, in weights in the work
 	slowdownGain       = 0.25 // weight of an answer in an engine's slowdown
 	unknownWorkDivisor = 3.0  // answers that don't report their work weigh so much less there
@@ -26,7 +26,7 @@
 	evidenceFade       = 0.99 // part of an engine's evidence left each tick
 	poolWeight         = 3.0  // answers of its own that weigh as much as the pool's
 	priorLossRate      = 0.01 // expected share of answers lost
-	priorLossWeight    = 20.0 // answers that this is worth
+	priorLossWeight    = 20.0 // answers that this weighs as much as
 	abandonGain        = 0.1  // least weight of one departure in how long leaving clients stay
 )
 
@@ -204,7 +204,7 @@
 	c.workload.trafficShare = estimate.Toward(c.workload.trafficShare, share, c.workload.gain(gain))
 }
 
-// learnWait takes how long a request was held here before its first attempt.
+// learnWait takes how long a request waited here before its first attempt.
 func (k *class) learnWait(wait time.Duration) {
 	k.meanWait = estimate.Toward(k.meanWait, wait.Seconds(), waitGain)
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -32,7 +32,9 @@
 		}
 	}
 	now += 120 * time.Millisecond
-	c.Handle(now, []control.Event{control.AttemptEnded{RequestID: "q1", Engine: "engine-1", Status: control.OK,
-		Duration: 120 * time.Millisecond, RequestClosed: true}})
+	c.Handle(now, []control.Event{control.AttemptEnded{
+		RequestID: "q1", Engine: "engine-1", Status: control.OK,
+		Duration: 120 * time.Millisecond, RequestClosed: true,
+	}})
 	// Output: send q1 to engine-1
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -8,8 +8,8 @@
 // gossipSchedule says when to gossip.
 type gossipSchedule struct{ sentAt time.Duration }
 
-// sendGossip sends another broker, drawn by chance, the engines' loads, as reported here and as heard of: so
-// reports reach all brokers within seconds, at a price that does not grow with their number.
+// sendGossip sends another broker, drawn by chance, the engines' loads, reported here or received by gossip:
+// so reports reach all brokers within seconds, at a price that does not grow with their number.
 func (c *Controller) sendGossip() {
 	brokers := c.settings.Brokers
 	due := c.now-c.gossip.sentAt >= gossipInterval
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -70,7 +70,7 @@
 }
 
 // mayProbeHalfOpen says whether a request may be an ejected engine's next half-open probe: one at a time, a
-// first attempt, and of a class that is worth least.
+// first attempt, and of a class with the least priority weight.
 func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
 	return c.now >= e.halfOpenAt && (e.pooled() || e.threadsInFlight == 0) && len(r.attempts) == 0 &&
 		r.class.PriorityWeight <= c.workload.lowestWeight
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -16,8 +16,8 @@
 	return s
 }
 
-// What is heard of an engine counts where it is younger than what is known, and for no engine that is not listed; a
-// report of a time before the engine started is of another process.
+// What is heard of an engine counts where it is younger than what is known, and for no engine that is not
+// listed; a report of a time before the engine started is of another process.
 func TestHeardReportsCountWhereTheyAreYounger(t *testing.T) {
 	started := eng("e03")
 	started.StartedAt = 99 * time.Second
@@ -25,8 +25,12 @@
 	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}}, ProbeResult{Engine: "e01", Report: []float64{0.4}})
 	r.now += time.Second
 	r.feed(GossipReceived{Reports: []LoadReport{
-		{EngineHash("e01"), 0.9, 1500 * ms}, {EngineHash("e02"), 0.9, 1500 * ms}, {EngineHash("e03"), 0.9, 5 * time.Second},
-		{EngineHash("e04"), -3, -time.Hour}, {EngineHash("no such"), 0.9, 0}}})
+		{EngineHash("e01"), 0.9, 1500 * ms},
+		{EngineHash("e02"), 0.9, 1500 * ms},
+		{EngineHash("e03"), 0.9, 5 * time.Second},
+		{EngineHash("e04"), -3, -time.Hour},
+		{EngineHash("no such"), 0.9, 0},
+	}})
 	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
 		if got := r.c.endpoints.byID[id].load; math.Abs(got-wanted) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
@@ -73,8 +77,9 @@
 	want(t, "tells without leave", len(pickOf[SendGossip](r.run(time.Second))), 0)
 }
 
-// Gateways that know the same choose different engines, the emptier the oftener: seen on a day with 80 gateways that
-// told one another and each took the engine with most room, and served less than when none told (G 0.33 after 0.46).
+// Gateways that know the same choose different engines, the emptier the oftener: seen on a day with 80
+// gateways that told one another and each took the engine with most room, and served less than when none told
+// (G 0.33 after 0.46).
 func TestGatewaysThatKnowTheSameSpread(t *testing.T) {
 	sent := map[string]int{}
 	for seed := range 300 {
@@ -105,8 +110,8 @@
 	}
 }
 
-// A heavy query that may leave is sent to the emptiest of the engines asked for it, once they have answered; its
-// threads are taken meanwhile, and given back when its client goes away first.
+// A heavy query that may leave is sent to the emptiest of the engines asked for it, once they have answered;
+// its threads are taken meanwhile, and given back when its client goes away first.
 func TestAHeavyQueryLeavesForTheEmptiestAsked(t *testing.T) {
 	r := pooledRig(t, fleetBase(), 60)
 	r.run(2 * controlInterval)
@@ -149,8 +154,8 @@
 	}
 }
 
-// Short of room, the heaviest of queries of the same worth are refused first, and light ones get what they would have
-// taken; seen on a day with 80 gateways: the refused were as heavy as the served. Where worth
+// Short of room, the heaviest of queries of the same worth are refused first, and light ones get what they
+// would have taken; seen on a day with 80 gateways: the refused were as heavy as the served. Where worth
 // grows with work, there is no such price; and once there is room again, it is forgotten.
 func TestTheHeaviestAreRefusedFirst(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -17,8 +17,10 @@
 		s.Brokers = 100 + r.IntN(300)
 	}
 	s.BrokerIndex = r.IntN(s.Brokers)
-	s.Limits = Limits{MaxAttempts: 1 + r.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
-		Hedging: flip(), LoadProbes: flip(), Gossip: flip()}
+	s.Limits = Limits{
+		MaxAttempts: 1 + r.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
+		Hedging: flip(), LoadProbes: flip(), Gossip: flip(),
+	}
 	s.MemoryGrants, s.Priorities, s.ReportsCost, s.PollEndpointList = flip(), flip(), flip(), flip()
 	if flip() {
 		s.ProgressInterval = time.Second
@@ -167,8 +169,10 @@
 	for step := range 400 {
 		switch k := rng.IntN(12); {
 		case k == 0:
-			e := Engine{ID: fmt.Sprint("e", rng.IntN(4)), Zone: []string{"a", "b"}[rng.IntN(2)], Kind: "std",
-				State: EngineState(max(0, rng.IntN(5)-2))}
+			e := Engine{
+				ID: fmt.Sprint("e", rng.IntN(4)), Zone: []string{"a", "b"}[rng.IntN(2)], Kind: "std",
+				State: EngineState(max(0, rng.IntN(5)-2)),
+			}
 			if was, ok := engines[e.ID]; ok {
 				e.Zone, e.Cell = was.Zone, was.Cell
 			} else {
@@ -204,8 +208,10 @@
 			}
 			closed := q.over || q.answers > 0 || st == OK
 			q.over = q.over || st == OK
-			check(r.feed(AttemptEnded{RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.at,
-				Work: time.Duration(rng.IntN(300)) * ms, MemoryMB: 100, Report: []float64{rng.Float64() * 1.2, 3, 1}}))
+			check(r.feed(AttemptEnded{
+				RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.at,
+				Work: time.Duration(rng.IntN(300)) * ms, MemoryMB: 100, Report: []float64{rng.Float64() * 1.2, 3, 1},
+			}))
 		case k == 10:
 			if q, n := pickOut(rng, order); q != nil {
 				check(r.feed(AttemptProgress{RequestID: q.ID, Number: n, Kind: ProgressKind(1 + rng.IntN(3)), Value: rng.Float64()}))
--- a/control/regulators.go
+++ b/control/regulators.go
@@ -128,7 +128,8 @@
 	return step
 }
 
-// utility is what a class's answers are worth a second, on the fitted model, at a share raised by a step.
+// utility is the priority weight that a class earns a second by the fitted model, at a share raised by a
+// step.
 func (c *Controller) utility(class int, shares []float64, step float64) float64 {
 	shares[class] += step
 	inverseLatency := c.shares.regulator.Row(2*class, shares)
--- a/control/retrybudget.go
+++ b/control/retrybudget.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retryBudget counts what the retry budget is reckoned by: requests received and retries sent within a
+// retryBudget counts what the retry budget is computed from: requests received and retries sent within a
 // window. It is on the safe side: requests leave the window a batch interval early, and retries leave it late
 // by the time that a send may take. What it allows is decided by mayRetry.
 type retryBudget struct {
--- a/control/selection.go
+++ b/control/selection.go
@@ -15,7 +15,7 @@
 	dataSetRankPenalty = 0.5                    // keeps locks away from what they block
 	crossZonePenalty   = 0.05                   // for another zone
 	halfOpenBonus      = 100.0                  // a half-open probe that is due comes before everything
-	tieBreakScale      = 0.6                    // difference of scores that is worth a factor e in choice
+	tieBreakScale      = 0.6                    // difference of scores that makes a factor e in choice
 	tieBreakJitter     = 0.02                   // where engines are not pooled: it only breaks ties
 	probeCount         = 3                      // engines probed for a request
 	probeWaitBatches   = 4                      // batch intervals that a request waits for probes
@@ -24,8 +24,8 @@
 )
 
 // poolsEngines says whether all engines share one queue and one concurrency limit: where this broker's part
-// of an engine's limit is less than one request. Whole requests would sum past the limits then, and answers
-// are too few to judge each engine by. A request's engine is selected when it leaves the pool.
+// of an engine's limit is less than one request. One request of each broker would exceed the limits then, and
+// answers are too few to judge each engine by. A request's engine is selected when it leaves the pool.
 func (c *Controller) poolsEngines() bool {
 	cores := 0.0
 	for _, kind := range c.settings.EngineKinds {
@@ -45,7 +45,7 @@
 func (c *Controller) bestEngine(r *request, avoid *engine) (best *engine) {
 	bestScore := math.Inf(-1)
 	for _, e := range c.endpoints.all {
-		if e == avoid || e.atCapacity(c.now, atCapacityRest) || !c.mayAttempt(r, e) {
+		if e == avoid || e.atCapacity(c.now) || !c.mayAttempt(r, e) {
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
@@ -174,7 +174,7 @@
 	best, bestScore := (*engine)(nil), math.Inf(-1)
 	for _, e := range r.candidates {
 		score := c.score(e, r)
-		if c.mayAttempt(r, e) && !e.atCapacity(c.now, atCapacityRest) && score > bestScore {
+		if c.mayAttempt(r, e) && !e.atCapacity(c.now) && score > bestScore {
 			best, bestScore = e, score
 		}
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -28,8 +28,8 @@
 	LatencyObjective     time.Duration // an answer within it earns the full PriorityWeight
 	ClientTimeout        time.Duration // clients wait no longer; 0: not known
 	ObjectivePerWork     float64       // the objective grows by this times the work per thread
-	PriorityWeight       float64       // what an answer within the objective is worth
-	LateWeight           float64       // part of PriorityWeight that a later answer is worth
+	PriorityWeight       float64       // what an answer within the objective counts for
+	LateWeight           float64       // part of PriorityWeight that a later answer counts for
 	Idempotency          Idempotency
 	DedupScope           DedupScope    // where duplicates are dropped, if idempotent with a key
 	DedupWindow          time.Duration // how long they are dropped
@@ -109,7 +109,7 @@
 	Priorities       bool          // engines heed priorities
 	ProgressInterval time.Duration // engines report progress so often; 0: never
 	ReportsCost      bool          // answers carry the work and memory that they took
-	WeightByWork     bool          // the worth of a request grows with its work
+	WeightByWork     bool          // the priority weight of a request grows with its work
 	ReportFields     []string      // names of the values in a load report, in their order
 	MaxSendDelay     time.Duration // an attempt may leave the broker so long after SendAttempt
 	PollEndpointList bool          // the endpoint list has to be subscribed to
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Settings of other deployments may leave much out: what a rule or an aim needs, engines' sizes, the number of attempts.
-// Engines with room for all get nearly all that is asked then, whether brokers are few or many, and also once one of them
-// has just started.
+// Settings of other deployments may leave much out: what a rule or an aim needs, engines' sizes, the number
+// of attempts. Engines with room for all get nearly all that is asked then, whether brokers are few or many,
+// and also once one of them has just started.
 func TestSettingsThatLeaveMuchOut(t *testing.T) {
 	classes := func(change func(k *Class)) func(s *Settings) {
 		return func(s *Settings) {
@@ -59,8 +59,10 @@
 						cold.StartedAt = r.now
 						take(r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{cold}}))
 					}
-					take(r.feed(RequestReceived{Request: Request{ID: fmt.Sprint(i), Class: s.Classes[i%len(s.Classes)].Name, EstimatedMemoryMB: 100,
-						EstimatedWork: took, Deadline: r.now + 2*time.Second}}))
+					take(r.feed(RequestReceived{Request: Request{
+						ID: fmt.Sprint(i), Class: s.Classes[i%len(s.Classes)].Name, EstimatedMemoryMB: 100,
+						EstimatedWork: took, Deadline: r.now + 2*time.Second,
+					}}))
 					for range 4 {
 						take(r.run(5 * ms))
 						if ended := sent[r.now]; ended != nil {
--- a/control/workload.go
+++ b/control/workload.go
@@ -34,7 +34,7 @@
 	meanMemoryMB     float64         // 0: not reported
 	memoryQuantile   float64         // high quantile of memory needed over estimated
 	serviceTimeFloor estimate.Floor  // of the log of service time, where answers don't report work
-	meanWait         float64         // time held here, in seconds
+	meanWait         float64         // time waited here before the first attempt, in seconds
 	spread           estimate.Spread // of the log of service time over what was expected
 	arrivalRate      float64         // requests a second
 	awaitingProbes   int             // requests that leave the pool once engines have reported their load
@@ -46,11 +46,13 @@
 
 func newClass(k Class) *class {
 	guess := initialWorkFactor * k.LatencyObjective.Seconds() * float64(k.Threads)
-	return &class{Class: k, meanWork: guess, workBias: 1, memoryQuantile: initialMemoryQuantile,
-		spread: estimate.Spread{Variance: 1}}
+	return &class{
+		Class: k, meanWork: guess, workBias: 1, memoryQuantile: initialMemoryQuantile,
+		spread: estimate.Spread{Variance: 1},
+	}
 }
 
-// weightPerWork is what a thread-second of the class is worth.
+// weightPerWork is the class's priority weight per thread-second.
 func (k *class) weightPerWork() float64 { return k.PriorityWeight / k.meanWork }
 
 // safeToRepeatAnywhere says whether a request may run again at whichever engine.
@@ -94,12 +96,12 @@
 	meanWork            float64 // thread-seconds of a request, by the rates of the classes
 	heaviestWork        float64 // mean work of the heaviest class
 	longestLock         float64 // usual seconds of the longest class that holds its data set's lock
-	lowestWeightPerWork float64 // of the class that is worth least for its work
-	mostValuable        int     // index of the class that is worth most for its work
+	lowestWeightPerWork float64 // least priority weight per thread-second of a class
+	mostValuable        int     // index of the class with the most of it
 	maxThreads          float64 // of a request of the widest class
 	lowestWeight        float64 // priority weight of the least class
 	tightest            *class  // the one with the shortest latency objective
-	trafficShare        float64 // this broker's share of the traffic, as far as it can tell
+	trafficShare        float64 // this broker's share of the traffic, estimated
 	intervals           int     // measured since the start
 }
 
@@ -218,7 +220,7 @@
 	return outputs, seen, answered
 }
 
-// rankClasses finds the classes that are most and least in some way, by their work as it is known now.
+// rankClasses finds the extremes among the classes by their mean work.
 func (w *workload) rankClasses() {
 	w.heaviestWork, w.longestLock, w.lowestWeightPerWork = 0, 0, math.Inf(1)
 	for i, k := range w.classes {
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -18,38 +18,41 @@
 	worldStart  = 100 * time.Second
 )
 
-// batch is what the module was given at one time; retune, if set, comes before the events.
+// batch is what the module was given at one time; update, if set, comes before the events.
 type batch struct {
 	now    time.Duration
 	events []control.Event
-	retune *retuning
+	update *classUpdate
 }
 
-type retuning struct {
+type classUpdate struct {
 	classes []control.Class
 	limits  control.Limits
 }
 
-// simEngine is a model of an engine: enough for the module to meet every kind of answer, no more.
-type simEngine struct {
+// modelEngine is a model of an engine: enough for the module to meet every kind of answer, no more.
+type modelEngine struct {
 	control.Engine
-	slow, failing, silent, full float64 // multiple of the service time; shares of attempts
-	healthyAt                   time.Duration
-	background                  float64 // load by other brokers
-	out                         int
+	slowdown   float64 // multiple of the service time
+	failing    float64 // share of attempts that fail
+	silent     float64 // share of attempts that are never answered
+	atCapacity float64 // share of attempts that are not admitted
+	faultyTo   time.Duration
+	background float64 // load by other brokers
+	inFlight   int
 }
 
-type simQuery struct {
+type modelRequest struct {
 	control.Request
 	work     time.Duration
 	threads  int
-	attempts []*simAttempt
+	attempts []*modelAttempt
 	arrived  bool
 	over     bool
 }
 
-type simAttempt struct {
-	engine *simEngine
+type modelAttempt struct {
+	engine *modelEngine
 	sent   time.Duration
 	ended  bool
 }
@@ -78,31 +81,33 @@
 // world is a broker's surroundings in a closed loop with the module: clients, engines, other brokers and the
 // operator. All that happens is drawn from one generator, so equal seeds give equal events for equal actions.
 type world struct {
-	t        testing.TB
-	module   *control.Controller
-	settings control.Settings
-	rng      *rand.Rand
-	now      time.Duration
-	calm     bool // nothing goes wrong
-	seen     func(b batch, actions []control.Action)
-	pending  agenda
-	order    int
-	engines  []*simEngine
-	queries  map[string]*simQuery
-	load     float64 // part of the engines' capacity that clients ask for
-	impatient,
-	hurried float64
-	numbered int
-}
-
-func newWorld(t testing.TB, settings control.Settings, seed uint64, engines int) *world {
-	t.Helper()
+	tb        testing.TB
+	module    *control.Controller
+	settings  control.Settings
+	rng       *rand.Rand
+	now       time.Duration
+	faultless bool // nothing goes wrong
+	observe   func(b batch, actions []control.Action)
+	pending   agenda
+	order     int
+	engines   []*modelEngine
+	requests  map[string]*modelRequest
+	load      float64 // part of the engines' capacity that clients ask for
+	impatient float64 // share of clients that leave early
+	estimated float64 // share of requests that come with estimates
+	numbered  int     // requests so far
+}
+
+func newWorld(tb testing.TB, settings control.Settings, seed uint64, engines int) *world {
+	tb.Helper()
 	module, err := control.New(settings, seed)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	w := &world{
+		tb: tb, module: module, settings: settings, rng: rand.New(rand.NewPCG(seed, 26)), now: worldStart,
+		requests: map[string]*modelRequest{}, load: 0.7, observe: func(batch, []control.Action) {},
 	}
-	w := &world{t: t, module: module, settings: settings, rng: rand.New(rand.NewPCG(seed, 26)), now: worldStart,
-		queries: map[string]*simQuery{}, load: 0.7, seen: func(batch, []control.Action) {}}
 	for range engines {
 		w.join()
 	}
@@ -121,14 +126,17 @@
 	heap.Push(&w.pending, due{w.now + max(0, d), w.order, event})
 }
 
-func (w *world) join() *simEngine {
+func (w *world) join() *modelEngine {
 	kinds := make([]string, 0, len(w.settings.EngineKinds))
 	for name := range w.settings.EngineKinds {
 		kinds = append(kinds, name)
 	}
 	slices.Sort(kinds)
-	e := &simEngine{Engine: control.Engine{ID: fmt.Sprintf("engine-%03d", len(w.engines)), Zone: []string{w.settings.Zone, "b"}[w.rng.IntN(2)],
-		Cell: w.rng.IntN(3)}, slow: 1}
+	id, zones := fmt.Sprintf("engine-%03d", len(w.engines)), []string{w.settings.Zone, "b"}
+	e := &modelEngine{
+		Engine:   control.Engine{ID: id, Zone: zones[w.rng.IntN(2)], Cell: w.rng.IntN(3)},
+		slowdown: 1,
+	}
 	if len(kinds) > 0 {
 		e.Kind = kinds[w.rng.IntN(len(kinds))]
 	}
@@ -150,15 +158,15 @@
 func (w *world) run(length time.Duration) {
 	for end := w.now + length; w.now < end; {
 		w.now += worldStep
-		if !w.calm && w.chance(0.002) { // the process stood still
+		if !w.faultless && w.chance(0.002) { // the process stood still
 			w.now += w.between(0, 1500*millisecond)
 		}
 		w.clients()
 		b := batch{now: w.now}
-		if !w.calm {
-			w.mishaps()
-			w.peers()
-			b.retune = w.reload()
+		if !w.faultless {
+			w.injectFaults()
+			w.gossip()
+			b.update = w.reload()
 		}
 		w.handle(b)
 	}
@@ -166,54 +174,55 @@
 
 func (w *world) handle(b batch) {
 	for len(w.pending) > 0 && w.pending[0].at <= w.now {
-		if ev := heap.Pop(&w.pending).(due).event; w.happens(ev) {
+		if ev := heap.Pop(&w.pending).(due).event; w.record(ev) {
 			b.events = append(b.events, ev)
 		}
 	}
-	if len(b.events) == 0 && b.retune == nil {
+	if len(b.events) == 0 && b.update == nil {
 		return
 	}
-	if !w.calm && w.chance(0.1) {
-		w.rng.Shuffle(len(b.events), func(i, j int) { b.events[i], b.events[j] = b.events[j], b.events[i] })
+	if !w.faultless && w.chance(0.1) {
+		swap := func(i, j int) { b.events[i], b.events[j] = b.events[j], b.events[i] }
+		w.rng.Shuffle(len(b.events), swap)
 	}
-	if b.retune != nil {
-		w.module.UpdateClasses(b.retune.classes, b.retune.limits)
+	if b.update != nil {
+		w.module.UpdateClasses(b.update.classes, b.update.limits)
 	}
 	actions := w.module.Handle(b.now, b.events)
-	w.seen(b, actions)
+	w.observe(b, actions)
 	for _, a := range actions {
 		w.act(a)
 	}
 }
 
-// happens keeps the world's own records of an event and says whether it comes to the module at all.
-func (w *world) happens(event control.Event) bool {
+// record keeps the world's own records of an event and says whether it comes to the module at all.
+func (w *world) record(event control.Event) bool {
 	switch ev := event.(type) {
 	case control.AttemptEnded:
-		q := w.queries[ev.RequestID]
-		if q == nil || ev.Number < 0 || ev.Number >= len(q.attempts) {
+		r := w.requests[ev.RequestID]
+		if r == nil || ev.Number < 0 || ev.Number >= len(r.attempts) {
 			return true // of nothing that is known: the module passes it over
 		}
-		a := q.attempts[ev.Number]
+		a := r.attempts[ev.Number]
 		if a.ended {
 			return false
 		}
 		a.ended = true
-		a.engine.out--
-		q.over = q.over || ev.RequestClosed
+		a.engine.inFlight--
+		r.over = r.over || ev.RequestClosed
 	case control.RequestReceived:
-		if q := w.queries[ev.Request.ID]; q != nil {
-			arrivedBefore := q.arrived
-			q.arrived = true
-			return !arrivedBefore || !q.over
+		if r := w.requests[ev.Request.ID]; r != nil {
+			arrivedBefore := r.arrived
+			r.arrived = true
+			return !arrivedBefore || !r.over
 		}
 	case control.ClientDisconnected:
-		if q := w.queries[ev.RequestID]; q != nil {
-			q.over = true
+		if r := w.requests[ev.RequestID]; r != nil {
+			r.over = true
 		}
 	case control.AttemptProgress:
-		if q := w.queries[ev.RequestID]; q != nil {
-			return !q.attempts[ev.Number].ended
+		if r := w.requests[ev.RequestID]; r != nil {
+			return !r.attempts[ev.Number].ended
 		}
 	}
 	return true
@@ -224,48 +233,52 @@
 	case control.SendAttempt:
 		w.send(a)
 	case control.Reject:
-		q := w.queries[a.RequestID]
-		q.over = true
-		if !w.calm && w.chance(0.3) { // its client comes again
-			w.ask(q.Class, q.OrderKey, max(a.RetryAfter, 50*millisecond))
+		r := w.requests[a.RequestID]
+		r.over = true
+		if !w.faultless && w.chance(0.3) { // its client comes again
+			w.submit(r.Class, r.OrderKey, max(a.RetryAfter, 50*millisecond))
 		}
 	case control.Fail:
-		if q := w.queries[a.RequestID]; q != nil {
-			q.over = true
+		if r := w.requests[a.RequestID]; r != nil {
+			r.over = true
 		}
 	case control.CancelAttempt:
-		q := w.queries[a.RequestID]
-		if a.Number >= len(q.attempts) {
-			w.t.Fatalf("cancel of attempt %d of %s, which has %d", a.Number, a.RequestID, len(q.attempts))
+		r := w.requests[a.RequestID]
+		if a.Number >= len(r.attempts) {
+			w.tb.Fatalf("cancel of attempt %d of %s, which has %d", a.Number, a.RequestID, len(r.attempts))
 		}
-		if w.chance(0.9) {
-			w.after(w.between(millisecond, 12*millisecond), control.AttemptEnded{RequestID: a.RequestID, Number: a.Number,
-				Engine: q.attempts[a.Number].engine.ID, Status: control.Cancelled, Duration: w.now - q.attempts[a.Number].sent})
+		if attempt := r.attempts[a.Number]; w.chance(0.9) {
+			w.after(w.between(millisecond, 12*millisecond), control.AttemptEnded{
+				RequestID: a.RequestID, Number: a.Number, Engine: attempt.engine.ID,
+				Status: control.Cancelled, Duration: w.now - attempt.sent,
+			})
 		}
 	case control.SetTimer:
 		w.after(a.After, control.TimerFired{Token: a.Token})
 	case control.ProbeLoad:
 		w.probe(a.Engine)
 	case control.WatchEndpoints:
+		failed := control.EndpointUpdate{Kind: control.EndpointPollFailed}
 		if w.chance(0.3) {
-			w.after(w.between(0, 400*millisecond), control.EndpointUpdate{Kind: control.EndpointPollFailed})
+			w.after(w.between(0, 400*millisecond), failed)
 		} else {
 			w.after(w.between(0, 400*millisecond), w.snapshot())
-			w.after(w.between(4*time.Second, 20*time.Second), control.EndpointUpdate{Kind: control.EndpointPollFailed})
+			w.after(w.between(4*time.Second, 20*time.Second), failed)
 		}
 	}
 }
 
-func (w *world) engine(id string) *simEngine {
-	i := slices.IndexFunc(w.engines, func(e *simEngine) bool { return e.ID == id })
+func (w *world) engine(id string) *modelEngine {
+	i := slices.IndexFunc(w.engines, func(e *modelEngine) bool { return e.ID == id })
 	if i < 0 {
-		w.t.Fatalf("no engine %s", id)
+		w.tb.Fatalf("no engine %s", id)
 	}
 	return w.engines[i]
 }
 
 func (w *world) probe(id string) {
-	e, result := w.engine(id), control.ProbeResult{Engine: id, Duration: w.between(millisecond, 15*millisecond)}
+	e := w.engine(id)
+	result := control.ProbeResult{Engine: id, Duration: w.between(millisecond, 15*millisecond)}
 	if w.chance(0.05) || e.State == control.Removed {
 		result.Status = control.Failed
 	} else {
@@ -275,12 +288,12 @@
 }
 
 // report is an engine's load by the fields that the settings name.
-func (w *world) report(e *simEngine) []float64 {
-	var row []float64
+func (w *world) report(e *modelEngine) []float64 {
+	row := make([]float64, 0, len(w.settings.ReportFields))
 	for _, field := range w.settings.ReportFields {
-		v := e.background * (0.9 + 0.2*w.rng.Float64()) * math.Sqrt(e.slow)
+		v := e.background * (0.9 + 0.2*w.rng.Float64()) * math.Sqrt(e.slowdown)
 		if field == "queue" || field == "inflight" {
-			v = float64(e.out) + math.Floor(4*v)
+			v = float64(e.inFlight) + math.Floor(4*v)
 		}
 		row = append(row, v)
 	}
@@ -289,13 +302,13 @@
 
 // send models what becomes of an attempt.
 func (w *world) send(a control.SendAttempt) {
-	q, e := w.queries[a.RequestID], w.engine(a.Engine)
-	attempt := &simAttempt{engine: e, sent: w.now}
-	end := control.AttemptEnded{RequestID: a.RequestID, Number: len(q.attempts), Engine: a.Engine}
-	q.attempts = append(q.attempts, attempt)
-	e.out++
-	end.Status, end.Duration = w.outcome(q, e)
-	limit := q.Deadline - w.now + 20*millisecond
+	r, e := w.requests[a.RequestID], w.engine(a.Engine)
+	attempt := &modelAttempt{engine: e, sent: w.now}
+	end := control.AttemptEnded{RequestID: a.RequestID, Number: len(r.attempts), Engine: a.Engine}
+	r.attempts = append(r.attempts, attempt)
+	e.inFlight++
+	end.Status, end.Duration = w.outcome(r, e)
+	limit := r.Deadline - w.now + 20*millisecond
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
@@ -307,7 +320,7 @@
 		end.RequestClosed = true
 		end.Report = w.report(e)
 		if w.settings.ReportsCost {
-			end.Work, end.MemoryMB = q.work, 40+q.work.Seconds()*100
+			end.Work, end.MemoryMB = r.work, 40+r.work.Seconds()*100
 		}
 		if w.chance(0.2) {
 			w.after(end.Duration-3*millisecond, control.ResponseStarted{RequestID: a.RequestID})
@@ -316,23 +329,28 @@
 		end.Report = w.report(e)
 	case control.ConnectionReset:
 		end.SharedCause = w.chance(0.4)
+	case control.Failed, control.TimedOut, control.ConnectFailed, control.Cancelled, control.NeverSent:
 	}
 	w.after(end.Duration, end)
 	if every := w.settings.ProgressInterval; every > 0 {
 		for at := every; at < end.Duration; at += every {
-			w.after(at, control.AttemptProgress{RequestID: a.RequestID, Number: end.Number, Engine: a.Engine, Kind: control.ProgressKind(1 + w.rng.IntN(3)),
-				Value: at.Seconds() / end.Duration.Seconds() * w.rng.Float64()})
+			w.after(at, control.AttemptProgress{
+				RequestID: a.RequestID, Number: end.Number, Engine: a.Engine,
+				Kind:  control.ProgressKind(1 + w.rng.IntN(3)),
+				Value: at.Seconds() / end.Duration.Seconds() * w.rng.Float64(),
+			})
 		}
 	}
 }
 
 // outcome draws how an attempt ends and when, were there no limit of time.
-func (w *world) outcome(q *simQuery, e *simEngine) (control.Status, time.Duration) {
+func (w *world) outcome(r *modelRequest, e *modelEngine) (control.Status, time.Duration) {
 	quick := w.between(millisecond, 8*millisecond)
-	service := q.work.Seconds() / float64(q.threads) * e.slow * (1 + e.background) * math.Exp(0.3*w.rng.NormFloat64())
+	noise := math.Exp(0.3 * w.rng.NormFloat64())
+	service := r.work.Seconds() / float64(r.threads) * e.slowdown * (1 + e.background) * noise
 	took := time.Duration(service*float64(time.Second)) + millisecond
 	switch draw := w.rng.Float64(); {
-	case w.calm:
+	case w.faultless:
 		return control.OK, took
 	case e.State == control.Removed || draw < 0.002:
 		return control.ConnectFailed, quick
@@ -340,7 +358,7 @@
 		return control.NeverSent, quick
 	case draw < 0.006:
 		return control.ConnectionReset, took / 2
-	case draw < 0.006+e.full:
+	case draw < 0.006+e.atCapacity:
 		return control.AtCapacity, quick
 	}
 	if w.chance(e.failing) {
@@ -352,8 +370,8 @@
 	return control.OK, took
 }
 
-// ask has a client ask for a query of a class a time from now.
-func (w *world) ask(class, key string, in time.Duration) {
+// submit has a client send a request of a class a time from now.
+func (w *world) submit(class, key string, in time.Duration) {
 	i := slices.IndexFunc(w.settings.Classes, func(k control.Class) bool { return k.Name == class })
 	k := w.settings.Classes[max(0, i)]
 	w.numbered++
@@ -366,24 +384,26 @@
 		objective = time.Second
 	}
 	work := 0.15 * objective.Seconds() * float64(max(1, k.Threads)) * math.Exp(0.8*w.rng.NormFloat64())
-	q := &simQuery{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
-	q.Request = control.Request{ID: fmt.Sprint("r", w.numbered), Class: class, Deadline: w.now + in + wait, DataSet: w.rng.IntN(12)}
+	r := &modelRequest{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
+	r.Request = control.Request{
+		ID: fmt.Sprint("r", w.numbered), Class: class, Deadline: w.now + in + wait, DataSet: w.rng.IntN(12),
+	}
 	if n := len(w.settings.Tenants); n > 0 {
-		q.Tenant = append(w.settings.Tenants, control.Tenant{Name: "unknown"})[w.rng.IntN(n+1)].Name
+		r.Tenant = append(w.settings.Tenants, control.Tenant{Name: "unknown"})[w.rng.IntN(n+1)].Name
 	}
 	if k.Ordered {
-		if q.OrderKey = key; key == "" {
-			q.OrderKey = fmt.Sprint("key", w.rng.IntN(8))
+		if r.OrderKey = key; key == "" {
+			r.OrderKey = fmt.Sprint("key", w.rng.IntN(8))
 		}
 	}
-	if w.chance(w.hurried) {
-		q.EstimatedWork = time.Duration(float64(q.work) * (0.6 + 0.8*w.rng.Float64()))
-		q.EstimatedMemoryMB = 30 + 120*q.EstimatedWork.Seconds()
+	if w.chance(w.estimated) {
+		r.EstimatedWork = time.Duration(float64(r.work) * (0.6 + 0.8*w.rng.Float64()))
+		r.EstimatedMemoryMB = 30 + 120*r.EstimatedWork.Seconds()
 	}
-	w.queries[q.ID] = q
-	w.after(in, control.RequestReceived{Request: q.Request})
+	w.requests[r.ID] = r
+	w.after(in, control.RequestReceived{Request: r.Request})
 	if w.chance(w.impatient) {
-		w.after(in+w.between(0, wait), control.ClientDisconnected{RequestID: q.ID})
+		w.after(in+w.between(0, wait), control.ClientDisconnected{RequestID: r.ID})
 	}
 }
 
@@ -397,7 +417,7 @@
 	}
 	work := 0.0
 	for i := range w.settings.Classes {
-		work += w.workOf(i) * w.weight(i)
+		work += w.classWork(i) * w.classShare(i)
 	}
 	rate := min(100, w.load*cores/float64(w.settings.Brokers)/max(work, 1e-3))
 	for expected := rate * worldStep.Seconds(); expected > 0; expected-- {
@@ -405,28 +425,28 @@
 			continue
 		}
 		draw, i := w.rng.Float64(), 0
-		for i < len(w.settings.Classes)-1 && draw >= w.weight(i) {
-			draw -= w.weight(i)
+		for i < len(w.settings.Classes)-1 && draw >= w.classShare(i) {
+			draw -= w.classShare(i)
 			i++
 		}
-		w.ask(w.settings.Classes[i].Name, "", 0)
+		w.submit(w.settings.Classes[i].Name, "", 0)
 	}
 }
 
-// weight is the share of a class in what clients ask: each is asked half as often as the one before.
-func (w *world) weight(i int) float64 {
+// classShare is the share of a class in what clients ask: each is asked half as often as the one before.
+func (w *world) classShare(i int) float64 {
 	n := len(w.settings.Classes)
 	return math.Exp2(float64(n-1-i)) / (math.Exp2(float64(n)) - 1)
 }
 
-func (w *world) workOf(i int) float64 {
+func (w *world) classWork(i int) float64 {
 	k := w.settings.Classes[i]
 	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
 }
 
-// mishaps changes the world now and then: what is asked, how engines fare, the list of them, the operator's
-// wishes.
-func (w *world) mishaps() {
+// injectFaults changes the world now and then: what is asked, how engines fare, the list of them, the
+// operator's wishes.
+func (w *world) injectFaults() {
 	if w.chance(0.0005) {
 		w.load = []float64{0.3, 0.7, 1, 1.6, 3}[w.rng.IntN(5)]
 	}
@@ -434,10 +454,10 @@
 		w.impatient = []float64{0, 0.02, 0.7}[w.rng.IntN(3)]
 	}
 	if w.chance(0.0005) {
-		w.hurried = w.rng.Float64()
+		w.estimated = w.rng.Float64()
 	}
 	for _, e := range w.engines {
-		w.mishap(e)
+		w.injectFault(e)
 	}
 	if w.chance(0.0008) {
 		w.after(0, w.snapshot())
@@ -448,9 +468,10 @@
 		w.after(0, control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}})
 	}
 	if w.chance(0.002) { // what nobody asked for
-		w.after(0, control.RequestReceived{Request: control.Request{ID: "stray", Class: "no such class", Deadline: w.now + time.Second}})
-		if q := w.queries[fmt.Sprint("r", w.numbered)]; q != nil && !q.over { // the same once more
-			w.after(20*millisecond, control.RequestReceived{Request: q.Request})
+		stray := control.Request{ID: "stray", Class: "no such class", Deadline: w.now + time.Second}
+		w.after(0, control.RequestReceived{Request: stray})
+		if r := w.requests[fmt.Sprint("r", w.numbered)]; r != nil && !r.over { // the same once more
+			w.after(20*millisecond, control.RequestReceived{Request: r.Request})
 		}
 		w.after(0, control.ClientDisconnected{RequestID: "nobody's"})
 		w.after(0, control.AttemptEnded{RequestID: "nobody's", Number: -1})
@@ -459,34 +480,34 @@
 	}
 }
 
-func (w *world) mishap(e *simEngine) {
+func (w *world) injectFault(e *modelEngine) {
 	if w.chance(0.01) {
 		e.background = 1.3 * w.rng.Float64()
 	}
-	if w.now > e.healthyAt {
-		e.slow, e.failing, e.silent, e.full = 1, 0.001, 0.001, 0
+	if w.now > e.faultyTo {
+		e.slowdown, e.failing, e.silent, e.atCapacity = 1, 0.001, 0.001, 0
 		if !w.chance(0.0005) {
 			return
 		}
-		e.healthyAt = w.now + w.between(500*millisecond, 8*time.Second)
+		e.faultyTo = w.now + w.between(500*millisecond, 8*time.Second)
 		switch w.rng.IntN(4) {
 		case 0:
-			e.slow = 2 + 10*w.rng.Float64()
+			e.slowdown = 2 + 10*w.rng.Float64()
 		case 1:
 			e.failing = 0.3 + 0.7*w.rng.Float64()
 		case 2:
 			e.silent = 0.1 + 0.9*w.rng.Float64()
 		case 3:
-			e.full = 0.5 + 0.5*w.rng.Float64()
+			e.atCapacity = 0.5 + 0.5*w.rng.Float64()
 		}
 	}
 	if w.chance(0.0006) {
 		e.State = control.EngineState(w.rng.IntN(3))
-		w.listed(e)
+		w.updateList(e)
 	}
 	if w.chance(0.0015) && e.State != control.Ready { // a new process takes its place
 		e.State, e.StartedAt = control.Ready, w.now-w.between(0, 2*time.Second)
-		w.listed(e)
+		w.updateList(e)
 	}
 	if w.chance(0.0003) {
 		w.after(0, control.SetMaintenance{Engine: e.ID, Enabled: true})
@@ -494,27 +515,29 @@
 	}
 }
 
-func (w *world) listed(e *simEngine) {
-	w.after(w.between(0, 600*millisecond), control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}})
+func (w *world) updateList(e *modelEngine) {
+	delta := control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}}
+	w.after(w.between(0, 600*millisecond), delta)
 }
 
-// peers has another broker speak of some engines' loads.
-func (w *world) peers() {
+// gossip has another broker send some engines' load reports.
+func (w *world) gossip() {
 	if !w.settings.Limits.Gossip || !w.chance(0.02) {
 		return
 	}
-	heard := control.GossipReceived{Broker: w.rng.IntN(w.settings.Brokers)}
+	received := control.GossipReceived{Broker: w.rng.IntN(w.settings.Brokers)}
 	for range 1 + w.rng.IntN(8) {
 		e := w.engines[w.rng.IntN(len(w.engines))]
-		heard.Reports = append(heard.Reports, control.LoadReport{Engine: control.EngineHash(e.ID), Load: e.background,
-			Age: w.between(0, 3*time.Second)})
+		received.Reports = append(received.Reports, control.LoadReport{
+			Engine: control.EngineHash(e.ID), Load: e.background, Age: w.between(0, 3*time.Second),
+		})
 	}
-	w.after(0, heard)
+	w.after(0, received)
 }
 
 // reload now and then reads settings anew: a class changes, one comes or goes, more or fewer attempts are
 // allowed.
-func (w *world) reload() *retuning {
+func (w *world) reload() *classUpdate {
 	if !w.chance(0.0003) {
 		return nil
 	}
@@ -535,5 +558,5 @@
 	}
 	w.settings.Classes = classes
 	w.settings.Limits.MaxAttempts = 1 + w.rng.IntN(5)
-	return &retuning{classes, w.settings.Limits}
+	return &classUpdate{classes, w.settings.Limits}
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,5 +1,5 @@
 // Package estimate holds the estimators behind the decisions: moving averages, quantiles, the spread of logarithms and
-// the share of answers lost. It decides nothing; what an estimate is worth is for the caller to judge.
+// the share of answers lost. It decides nothing: callers do, by the estimates.
 package estimate
 
 import (
@@ -38,7 +38,7 @@
 	return s.Mean + z*math.Sqrt(s.Variance)
 }
 
-// Loss counts answers and those of them that never came. Both fade, so they need not be whole numbers.
+// Loss counts answers and those of them that never came. Both fade, so they are not integers.
 type Loss struct{ Lost, Answers float64 }
 
 // Answer counts an answer that came.
