--- /dev/null
+++ b/control/admission_test.go
@@ -0,0 +1,191 @@
+package control
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestPressureRejectsWhatCannotMeetItsObjective(t *testing.T) {
+	r := newRigUnderPressure(t)
+	rejected := 0
+	for range 200 {
+		_, got := r.submit("quick")
+		rejected += countOf[Reject](got)
+	}
+	e := r.controller.endpoints.all[0]
+	if float64(e.threadsInFlight) > e.limit || rejected == 0 {
+		t.Fatalf("%d threads under a limit of %.1f, %d rejected", e.threadsInFlight, e.limit, rejected)
+	}
+}
+
+// Under pressure, a tenant that keeps within its share is not rejected for the queue of another that exceeds
+// its own.
+func TestTenantWithinItsShareIsNotRejectedForAnother(t *testing.T) {
+	r := newRigUnderPressure(t)
+	rejected := 0
+	for range 200 {
+		_, got := r.submit("quick")
+		rejected += countOf[Reject](got)
+	}
+	_, got := r.submit("quick", func(q *Request) { q.Tenant = "t1" })
+	if other := countOf[Reject](got); rejected == 0 || other > 0 {
+		t.Fatalf("%d of the one that asks too much were rejected, and %d of the other", rejected, other)
+	}
+}
+
+// Requests of an unknown tenant are charged to no tenant of the settings, and queue behind no share but their
+// own.
+func TestUnknownTenantIsChargedToNoOther(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"))
+	for _, name := range []string{"nobody", "", "t0"} {
+		_, got := r.submit("quick", func(q *Request) { q.Tenant = name })
+		requireEqual(t, "sent for "+name, countOf[SendAttempt](got), 1)
+	}
+	requireEqual(t, "charged to t0", r.controller.workload.tenants[0].arrivals, 1)
+	requireEqual(t, "charged to t1", r.controller.workload.tenants[1].arrivals, 0)
+	requireEqual(t, "charged to the unknown", r.controller.workload.tenants[2].arrivals, 2)
+	requireEqual(t, "share of the unknown", r.controller.workload.tenants[2].Share, 0.25)
+}
+
+// Where engines are pooled, a request that cannot meet its objective is rejected at once and without a load
+// probe. Seen on a day with 80 brokers: two probes in three were for requests that were then rejected.
+func TestRejectedRequestIsNotProbedFor(t *testing.T) {
+	s := pooledSettings()
+	s.Limits.LoadProbes, s.ReportFields = true, []string{"util"}
+	r := newPooledRig(t, s, 60)
+	r.advance(2 * controlInterval)
+	rejected, probedFor := 0, 0
+	for range 400 { // nothing is answered: the pool's queue grows until requests cannot meet their objective
+		id, got := r.submit("long")
+		for _, f := range actionsOf[Reject](got) { // at once: in the batch in which it arrives
+			if f.RequestID == id {
+				rejected++
+				probedFor += min(1, countOf[ProbeLoad](got))
+			}
+		}
+		r.advance(10 * ms)
+	}
+	if rejected < 100 || probedFor > 0 {
+		t.Fatalf("of %d requests rejected at once, %d were probed for", rejected, probedFor)
+	}
+}
+
+// Short of capacity, the heaviest of requests with the same weight are rejected first, by the admission
+// price. Where the weight grows with the work there is no such price, and with headroom it falls back to its
+// minimum. Seen on a day with 80 brokers: rejected requests were as heavy as served ones.
+func TestHeaviestRequestsAreRejectedFirst(t *testing.T) {
+	for _, byWork := range []bool{false, true} {
+		s := fleetSettings()
+		s.WeightByWork, s.Limits.LoadProbes = byWork, false
+		r := newPooledRig(t, s, 60)
+		r.advance(2 * controlInterval)
+		weight := func(i int) time.Duration { return time.Duration(100<<(i%6)) * ms } // 0.1 to 3.2 s
+		out, rejected := map[string]time.Duration{}, [6]int{}
+		works := map[string]int{}
+		take := func(got []Action) {
+			for _, a := range got {
+				switch a := a.(type) {
+				case SendAttempt:
+					out[a.RequestID] = r.now + weight(works[a.RequestID])/2
+				case Reject:
+					rejected[works[a.RequestID]]++
+				}
+			}
+		}
+		for i := range 1200 { // 10 s of work a second on two threads each, for a broker with capacity for a tenth
+			kind := i * 5 % 6
+			id, got := r.submit("long", func(q *Request) {
+				q.EstimatedWork, q.Deadline = weight(kind), r.now+20*time.Second
+			})
+			works[id] = kind
+			take(got)
+			take(r.advance(100 * ms))
+			for _, id := range slices.Sorted(maps.Keys(out)) {
+				if out[id] <= r.now {
+					delete(out, id)
+					take(r.succeed(id, 0, weight(works[id])/2, weight(works[id])))
+				}
+			}
+		}
+		if !byWork && rejected[5] < 4*(rejected[0]+1) {
+			t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
+		}
+		heaviest := &request{class: r.controller.workload.classes[0], expectedWork: 1e6}
+		if byWork && r.controller.belowAdmissionPrice(heaviest) {
+			t.Error("where worth grows with work, a request was too much work for its worth")
+		}
+		dear := r.controller.admission.price
+		r.advance(100 * controlInterval)
+		requireEqual(t, "price forgotten", r.controller.admission.price, minAdmissionPrice)
+		if dear <= minAdmissionPrice {
+			t.Errorf("the price never rose: %v", dear)
+		}
+	}
+}
+
+// Rejected clients are given times of return that are spread over the allowed range: those that a fleet
+// rejects at one moment would return at one moment. Seen: 71 in 100 were given the maximum of 500 ms.
+func TestRetryAfterIsSpread(t *testing.T) {
+	for _, most := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
+		s := baseSettings()
+		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, most
+		r := newRig(t, s, readyEngine("e1"))
+		hi := min(most, time.Second)
+		atTop := 0
+		for range 1000 {
+			in := r.controller.retryAfter()
+			if in < min(300*ms, hi/2) || in > hi {
+				t.Fatalf("told %v where clients follow up to %v", in, most)
+			}
+			if hi-in < hi/50 {
+				atTop++
+			}
+		}
+		if atTop > 50 {
+			t.Fatalf("%d of 1000 told to come back within 2%% of %v", atTop, hi)
+		}
+	}
+}
+
+// Clients that disconnect before their deadline teach how long they wait: what cannot be done by then is not
+// begun under pressure, and is urgent. Clients that stay make it forget.
+func TestClientPatienceIsLearned(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"))
+	aim := func() time.Duration {
+		id, _ := r.submit("quick")
+		left := r.controller.requests.byID[id].objectiveAt - r.now
+		r.endAttempt(id, 0, OK)
+		return left
+	}
+	before := aim()
+	leave := func() {
+		id, _ := r.submit("quick")
+		r.advance(200 * ms)
+		r.handle(ClientDisconnected{RequestID: id})
+		r.endAttempt(id, 0, OK)
+	}
+	// Seen on a day on which one client in twelve left early: every objective was cut to the time that those had
+	// stayed, and a quarter of all requests was rejected that could have been served.
+	for range 50 {
+		leave()
+		for range 9 {
+			if got := aim(); got < 500*ms {
+				t.Fatalf("objective in %v, though most clients stay", got)
+			}
+		}
+	}
+	for range 50 {
+		leave()
+	}
+	if got := aim(); got < 150*ms || got > 250*ms {
+		t.Fatalf("objective in %v, want the 200ms that clients stay (before %v)", got, before)
+	}
+	for range 200 {
+		aim()
+	}
+	if got := aim(); got < 500*ms {
+		t.Fatalf("objective in %v, want it as set: clients stay", got)
+	}
+}
--- /dev/null
+++ b/control/dispatch_test.go
@@ -0,0 +1,126 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// An overloaded engine sends no answers. Without the age of attempts in flight its pressure would lapse, and
+// the overload be fed.
+func TestOverloadWithoutAnswersHoldsTheLimit(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"))
+	sent := 0
+	for range 200 {
+		_, got := r.submit("quick")
+		sent += countOf[SendAttempt](got)
+		sent += countOf[SendAttempt](r.advance(10 * ms))
+	}
+	early := sent
+	for range 200 {
+		_, got := r.submit("quick")
+		sent += countOf[SendAttempt](got)
+		sent += countOf[SendAttempt](r.advance(5 * ms))
+	}
+	if sent-early > 4 {
+		t.Fatalf("%d more sent into a jam (%d before it showed)", sent-early, early)
+	}
+}
+
+// Long requests fill the concurrency limit for seconds. Quick ones, whose weight is higher for their work,
+// must not wait or be rejected for it while they hold less than the limit by themselves. Seen on overloaded
+// days: they were kept to their share, and seven in ten were rejected though they are a twelfth of the work.
+func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
+	r := newRigUnderPressure(t)
+	for range 10 {
+		r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	}
+	e := r.controller.endpoints.all[0]
+	if room := e.limit - float64(e.threadsInFlight); room >= 2 || !r.controller.underPressure(e) {
+		t.Fatalf("the long ones leave %.1f threads", room)
+	}
+	quick := 0
+	for range 20 {
+		_, got := r.submit("quick")
+		quick += countOf[SendAttempt](got)
+	}
+	if float64(quick) <= r.controller.shares.weights[0]*e.limit || float64(quick) > e.limit {
+		t.Fatalf("%d quick requests were sent, want over their share of the limit of %.1f, and at most the limit",
+			quick, e.limit)
+	}
+}
+
+// In calm an engine takes a small multiple of its limit, no more. Seen on a day on which two of five engines
+// were lost: their requests came to the others at once, four times their limits before pressure showed, and
+// the overload lasted for seconds.
+func TestLostEngineDoesNotOverloadTheOthers(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"))
+	e := r.controller.endpoints.all[0]
+	for range 100 {
+		r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	}
+	calmLimit, threads := calmLimitFactor*e.limit, float64(e.threadsInFlight)
+	if r.controller.underPressure(e) || threads < e.limit || threads > calmLimit {
+		t.Fatalf("%v threads in flight, want between the limit of %.1f and %.1f", threads, e.limit, calmLimit)
+	}
+}
+
+// In calm an engine has capacity for two wide requests. Seen on a day of small engines: a limit held one, and
+// a busy broker rejected the next though its engines were half idle.
+func TestCalmEngineTakesTwoWideRequests(t *testing.T) {
+	s := baseSettings()
+	s.Brokers, s.Classes[1].Threads = 3, 4
+	r := newRig(t, s, readyEngine("e1"))
+	r.controller.endpoints.all[0].limit = 4
+	sent := 0
+	for range 4 {
+		_, got := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		sent += countOf[SendAttempt](got)
+	}
+	requireEqual(t, "wide requests sent", sent, 2)
+}
+
+// The joint load of a fleet stays under control though no broker sees another: under pressure what each has
+// in flight follows its share of all limits together, not a request for each engine.
+func TestPooledBrokerKeepsItsShareOfTheLimits(t *testing.T) {
+	r := newPooledRig(t, pooledSettings(), 60)
+	for range 400 { // nothing is answered
+		r.submit("quick")
+		r.advance(20 * ms)
+		pool := r.controller.endpoints.pool
+		maxThreads := calmLimitFactor*max(pool.limit, r.controller.workload.maxThreads) + 2
+		if float64(pool.threadsInFlight) > maxThreads {
+			t.Fatalf("%d threads in flight, over %.1f", pool.threadsInFlight, maxThreads)
+		}
+	}
+	requireEqual(t, "pressed", r.controller.underPressure(r.controller.endpoints.pool), true)
+}
+
+// Worked example of start-time fair queueing: shares 3 to 1, equal costs, both backlogged: the first class
+// gets three of four. That a flow which stays backlogged keeps its tag is tested in internal/fairqueue.
+func TestFairQueueingFollowsShares(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"))
+	c, e := r.controller, r.controller.endpoints.all[0]
+	c.shares.weights = []float64{0.75, 0.25}
+	for i := range 40 {
+		k := c.workload.classes[i%2]
+		c.enqueueOn(e, &request{
+			Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
+			tenantIndex: i / 2 % 2, expectedWork: 1,
+		})
+	}
+	requireEqual(t, "threads of what waits", e.queue.Threads(), 20+20*2)
+	var classes, tenants [2]int
+	for range 16 {
+		head, _ := e.queue.Head(nil)
+		requireEqual(t, "queued on the engine", head.queuedOn, e)
+		c.popFrom(e, head)
+		requireEqual(t, "queued on no engine", head.queuedOn, nil)
+		classes[head.classIndex]++
+		if head.classIndex == 0 {
+			tenants[head.tenantIndex]++
+		}
+	}
+	requireEqual(t, "class service", classes, [2]int{12, 4})
+	requireEqual(t, "tenant service, shares 3 to 1", tenants, [2]int{9, 3})
+}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,15 +7,17 @@
 	"wheatlane/control"
 )
 
-// One gateway, one engine: a query is taken, sent and answered. A host calls Handle with whatever happened
+// One broker, one engine: a request is taken, sent and answered. A host calls Handle with whatever happened
 // and carries out what it returns; timers come back as control.Timer with the same token.
 func Example() {
 	c, err := control.New(control.Settings{
 		Brokers:          1,
 		MinBatchInterval: 5 * time.Millisecond,
-		Classes:          []control.Class{{Name: "lookup", LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Threads: 1}},
-		EngineKinds:      map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
-		Limits:           control.Limits{MaxAttempts: 3},
+		Classes: []control.Class{
+			{Name: "lookup", LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Threads: 1},
+		},
+		EngineKinds: map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
+		Limits:      control.Limits{MaxAttempts: 3},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -23,7 +25,9 @@
 	}
 	now := time.Hour
 	events := []control.Event{
-		control.EndpointUpdate{Kind: control.EndpointSnapshot, Engines: []control.Engine{{ID: "engine-1", Kind: "std"}}},
+		control.EndpointUpdate{
+			Kind: control.EndpointSnapshot, Engines: []control.Engine{{ID: "engine-1", Kind: "std"}},
+		},
 		control.RequestReceived{Request: control.Request{ID: "q1", Class: "lookup", Deadline: now + 3*time.Second}},
 	}
 	for _, a := range c.Handle(now, events) {
--- /dev/null
+++ b/control/gossip_test.go
@@ -0,0 +1,76 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// A gossiped load report counts where it is fresher than the one known, and for listed engines only; one from
+// before the engine started is of an earlier process.
+func TestGossipedReportsCountWhereTheyAreFresher(t *testing.T) {
+	started := readyEngine("e03")
+	started.StartedAt = 99 * time.Second
+	r := newPooledRig(t, fleetSettings(), 10)
+	r.handle(
+		EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}},
+		ProbeResult{Engine: "e01", Report: []float64{0.4}},
+	)
+	r.now += time.Second
+	r.handle(GossipReceived{Reports: []LoadReport{
+		{EngineHash("e01"), 0.9, 1500 * ms},
+		{EngineHash("e02"), 0.9, 1500 * ms},
+		{EngineHash("e03"), 0.9, 5 * time.Second},
+		{EngineHash("e04"), -3, -time.Hour},
+		{EngineHash("no such"), 0.9, 0},
+	}})
+	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
+		if got := r.controller.endpoints.byID[id].load; math.Abs(got-wanted) > 1e-9 {
+			t.Errorf("%s: report %v, want %v", id, got, wanted)
+		}
+	}
+	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].loadReportedAt, r.now)
+	r.handle(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
+	requireEqual(t, "a younger report", r.controller.endpoints.byID["e01"].load, 0.7)
+}
+
+// A broker sends its reports to one other at a time, never to itself, the freshest first, and no oftener than
+// gossipInterval; where gossip is off, or without other brokers, it sends none.
+func TestGossipIsSentToOneBrokerAtATime(t *testing.T) {
+	s := fleetSettings()
+	s.Brokers, s.BrokerIndex = 8, 3
+	r := newPooledRig(t, s, 10)
+	requireEqual(t, "sent without reports", countOf[SendGossip](r.advance(time.Second)), 0)
+	r.handle(ProbeResult{Engine: "e01", Report: []float64{0.4}})
+	r.now += 50 * ms
+	r.handle(ProbeResult{Engine: "e02", Report: []float64{0.8}})
+	sent := actionsOf[SendGossip](r.advance(4 * time.Second))
+	if len(sent) < 10 || len(sent) > int(4*time.Second/gossipInterval) {
+		t.Fatalf("sent %d times in 4 s", len(sent))
+	}
+	for range 20 { // fresh reports every second, so that it goes on gossiping
+		r.handle(
+			ProbeResult{Engine: "e02", Report: []float64{0.8}},
+			ProbeResult{Engine: "e01", Report: []float64{0.4}},
+		)
+		sent = append(sent, actionsOf[SendGossip](r.advance(time.Second))...)
+	}
+	to := map[int]bool{}
+	for _, a := range sent {
+		to[a.Broker] = true
+		if a.Broker == s.BrokerIndex || a.Broker < 0 || a.Broker >= s.Brokers {
+			t.Fatalf("sent broker %d of %d, being %d", a.Broker, s.Brokers, s.BrokerIndex)
+		}
+	}
+	requireEqual(t, "brokers sent to", len(to), s.Brokers-1)
+	first := sent[0].Reports
+	if len(first) != 2 || first[0].Engine != EngineHash("e02") || first[1].Age-first[0].Age != 50*ms {
+		t.Fatalf("sent %+v first", first)
+	}
+	old := countOf[SendGossip](r.advance(10 * time.Second))
+	requireEqual(t, "sends less of old reports", old < int(6*time.Second/gossipInterval), true)
+	s.Limits.Gossip = false
+	r = newPooledRig(t, s, 10)
+	r.handle(ProbeResult{Engine: "e01", Report: []float64{0.4}})
+	requireEqual(t, "sent where gossip is off", countOf[SendGossip](r.advance(time.Second)), 0)
+}
--- /dev/null
+++ b/control/hedging_test.go
@@ -0,0 +1,267 @@
+package control
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation, s.ProgressInterval, s.Classes[0].LateWeight = true, time.Second, 0.1
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, got := r.submit("quick")
+	hung := actionsOf[SendAttempt](got)[0].Engine
+	for range 40 {
+		other, got := r.submit("quick")
+		if actionsOf[SendAttempt](got)[0].Engine != hung {
+			r.endAttempt(other, 0, OK)
+		}
+		if got = r.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
+			lossRate := r.controller.lossRate(r.controller.endpoints.byID[hung])
+			requireEqual(t, "believed to lose answers", lossRate > 10*priorLossRate, true)
+			again := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+			requireEqual(t, "sent elsewhere", len(again) == 1 && again[0].Engine != hung, true)
+			return
+		}
+	}
+	t.Fatal("no attempt on the silent engine was cancelled")
+}
+
+func TestSilentEngineIsHedgedWhereAllowed(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Hedging, s.Limits.MaxAttempts, s.Classes[0].LateWeight = true, 2, 0.1
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, got := r.submit("quick")
+	first := actionsOf[SendAttempt](got)[0].Engine
+	copies := actionsOf[SendAttempt](r.advance(2900 * ms))
+	requireEqual(t, "hedged attempts", len(copies), 1)
+	requireEqual(t, "elsewhere", copies[0].RequestID == id && copies[0].Engine != first, true)
+}
+
+func TestAttemptWithLittleProgressIsCancelled(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation, s.ProgressInterval = true, time.Second
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	r.now += time.Second
+	progress := func(fraction float64) []Action {
+		return r.handle(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: fraction})
+	}
+	requireEqual(t, "at good progress", countOf[CancelAttempt](progress(0.6)), 0)
+	requireEqual(t, "at little progress", countOf[CancelAttempt](progress(0.01)), 1)
+}
+
+// Attempts of a disconnected client are cancelled where cancelling is supported; their threads are free once
+// they end.
+func TestAttemptsOfADisconnectedClientAreCancelled(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation = true
+	r := newRig(t, s, readyEngine("e1"))
+	id, _ := r.submit("quick")
+	got := r.handle(ClientDisconnected{RequestID: id})
+	requireEqual(t, "cancelled", slices.Contains(got, Action(CancelAttempt{RequestID: id})), true)
+	requireEqual(t, "once", countOf[CancelAttempt](r.advance(5*time.Second)), 0)
+	r.endAttempt(id, 0, Cancelled)
+	requireEqual(t, "threads", r.controller.endpoints.all[0].threadsInFlight, 0)
+	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
+	s.Limits.Cancellation = false
+	r = newRig(t, s, readyEngine("e1"))
+	id, _ = r.submit("quick")
+	got = r.handle(ClientDisconnected{RequestID: id})
+	requireEqual(t, "where it is not supported", countOf[CancelAttempt](got), 0)
+}
+
+// Answers get lost while others arrive: each lost one is hedged in time, and the loss rate is learned, so
+// that the next is hedged sooner. When most look lost it is an overload, and nothing is hedged.
+func TestLostAnswersAreHedgedInTime(t *testing.T) {
+	s := pooledSettings()
+	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
+	r := newPooledRig(t, s, 60)
+	answer := func(id string, n int) {
+		r.succeed(id, n, 100*ms, 100*ms)
+	}
+	var waited []time.Duration
+	for i := range 120 {
+		id, got := r.submit("quick")
+		if countOf[SendAttempt](got) == 0 {
+			continue
+		}
+		if i < 40 || i%4 != 0 {
+			answer(id, 0)
+			r.advance(100 * ms)
+			continue
+		}
+		from := r.now
+		for r.now < from+2*time.Second {
+			if copies := actionsOf[SendAttempt](r.advance(10 * ms)); len(copies) > 0 {
+				requireEqual(t, "elsewhere", copies[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
+				waited = append(waited, r.now-from)
+				answer(id, 1)
+				break
+			}
+		}
+	}
+	if len(waited) < 8 || waited[len(waited)-1] >= waited[0] {
+		t.Fatalf("waited %v before hedged attempts", waited)
+	}
+	for i := range 60 { // now no answer comes
+		r.controller.estimates.loss.Lost, r.controller.estimates.loss.Answers = float64(30+i), float64(40+i)
+		r.submit("quick")
+		for _, snd := range actionsOf[SendAttempt](r.advance(100 * ms)) {
+			if q := r.controller.requests.byID[snd.RequestID]; q != nil && len(q.attempts) > 1 {
+				t.Fatal("a copy in a jam")
+			}
+		}
+	}
+}
+
+// By its age an attempt is lost whether its engine answers others or not, and is retried elsewhere. Seen in a
+// recorded incident: two answers never came from an engine that went on answering others, and these attempts
+// held its limit for many seconds.
+func TestLostAnswerIsDetectedByAgeAlone(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation = true
+	r := newRig(t, s, readyEngine("e1"))
+	lost, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 5*time.Minute })
+	sent := r.now
+	for r.now < sent+2*time.Minute {
+		id, _ := r.submit("quick")
+		r.advance(50 * ms)
+		r.endAttempt(id, 0, OK)
+		for _, a := range r.actions {
+			if x, ok := a.(CancelAttempt); ok && x.RequestID == lost {
+				return
+			}
+		}
+	}
+	t.Fatal("it was waited for while others were answered")
+}
+
+// The age at which an attempt is lost is known after a few answers. Seen on a day on which one long answer in
+// ten was lost while its engine answered others: those requests were waited for until their clients gave up,
+// and held the limits meanwhile.
+func TestLostAnswerIsDetectedAfterFewAnswers(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation = true
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	long := func(q *Request) { q.Deadline = r.now + 20*time.Second }
+	r.controller.workload.classes[1].meanWork = 0.8
+	for i := range 20 {
+		id, _ := r.submit("long", long)
+		took := time.Duration(300+i*37%200) * ms
+		r.advance(took)
+		r.succeed(id, 0, took, 800*ms)
+	}
+	id, got := r.submit("long", long)
+	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
+	for sent := r.now; r.now < sent+3*time.Second; { // its objective is 3.8 s
+		other, _ := r.submit("quick")
+		got := r.advance(50 * ms)
+		if off := actionsOf[CancelAttempt](got); len(off) > 0 && off[0].RequestID == id {
+			return
+		}
+		r.endAttempt(other, 0, OK)
+	}
+	t.Fatal("there was no time left to try again")
+}
+
+// An attempt that is cancelled early counts as lost only as far as that is likelier than late. Seen on a day
+// without a lost answer: 40 of 100 attempts were cancelled, each counted as a loss and shortened the
+// timeouts, until they were below the usual time.
+func TestLossEstimateDoesNotFeedOnItself(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
+	s.Classes[0].LateWeight = 0.5
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	r.controller.estimates.loss.Lost, r.controller.estimates.loss.Answers = 30, 100 // as after many losses
+	for _, e := range r.controller.endpoints.all {
+		e.loss.Lost, e.loss.Answers = 15, 50
+	}
+	off := 0
+	for i := range 600 { // each is answered, one in ten several times as slowly as the rest
+		id, _ := r.submit("quick")
+		took := time.Duration(20+i*37%61) * ms
+		if i%10 == 9 {
+			took = 200 * ms
+		}
+		got := r.advance(took)
+		if i >= 300 {
+			off += countOf[CancelAttempt](got)
+		}
+		q := r.controller.requests.byID[id]
+		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
+			r.handle(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
+			r.advance(took)
+			r.succeed(id, n+1, 40*ms, 40*ms)
+		} else {
+			r.succeed(id, n, took, 40*ms)
+		}
+	}
+	if off > 40 { // the slow tenth and not many more
+		t.Fatalf("%d of the last 300 were cancelled, and none was lost", off)
+	}
+}
+
+// An engine that has not answered yet loses no attempts by age. Seen after a start: requests blocked by locks
+// counted as lost, a fifth of all answers was believed lost, and timeouts were short for seconds.
+func TestEngineHasTimeForItsFirstAnswer(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
+	r := newRig(t, s, readyEngine("e1"))
+	for range 200 {
+		id, _ := r.submit("quick")
+		r.advance(20 * ms)
+		r.endAttempt(id, 0, OK)
+	}
+	r.handle(EndpointUpdate{Engines: []Engine{readyEngine("e2")}})
+	for range 4 {
+		r.submit("quick")
+	}
+	r.advance(minLossWait - 50*ms)
+	requireEqual(t, "losses", r.controller.estimates.loss.Lost, 0)
+}
+
+// An attempt that stands behind another broker's lock on its data set is cancelled and retried elsewhere,
+// does not count as threads in flight meanwhile, and no other request of the data set goes there while the
+// lock is believed held.
+func TestAttemptBlockedByALockIsRetriedElsewhere(t *testing.T) {
+	s := baseSettings()
+	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	for range 200 {
+		id, _ := r.submit("quick")
+		r.advance(20 * ms)
+		r.endAttempt(id, 0, OK)
+	}
+	id, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
+	stuck := actionsOf[SendAttempt](got)[0].Engine
+	var off time.Duration
+	for from := r.now; off == 0 && r.now < from+2*time.Second; {
+		other, _ := r.submit("quick", func(q *Request) { q.DataSet = 3 })
+		if got := r.advance(20 * ms); countOf[CancelAttempt](got) > 0 {
+			requireEqual(t, "cancelled", actionsOf[CancelAttempt](got)[0].RequestID, id)
+			off = r.now - from
+		}
+		r.endAttempt(other, 0, OK)
+	}
+	if off == 0 || off > 400*ms {
+		t.Fatalf("cancelled after %v, which leaves no time for another try", off)
+	}
+	requireEqual(t, "threads that count", r.controller.endpoints.byID[stuck].threadsInFlight, 0)
+	requireEqual(t, "losses", r.controller.estimates.loss.Lost, 0)
+	again := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+	if len(again) != 1 || again[0].Engine == stuck {
+		t.Fatalf("tried again: %v, not at %s", again, stuck)
+	}
+	for range 4 {
+		_, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
+		if s := actionsOf[SendAttempt](got); len(s) > 0 && s[0].Engine == stuck {
+			t.Fatal("more went where a load holds the data set")
+		}
+	}
+	r.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
+	requireEqual(t, "held", r.controller.endpoints.byID[stuck].dataSetLocked(r.now, 7), true)
+	r.advance(10 * time.Second)
+	requireEqual(t, "held for good", r.controller.endpoints.byID[stuck].dataSetLocked(r.now, 7), false)
+}
--- /dev/null
+++ b/control/membership_test.go
@@ -0,0 +1,66 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestDrainingOrRemovedEngineGetsNoAttempts(t *testing.T) {
+	for _, state := range []EngineState{Draining, Removed} {
+		r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+		e := readyEngine("e1")
+		e.State = state
+		r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}})
+		for range 20 {
+			id, got := r.submit("quick")
+			requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
+			r.endAttempt(id, 0, OK)
+		}
+	}
+	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+	// What a snapshot lacks is removed.
+	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e2")}})
+	_, got := r.submit("quick")
+	requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
+}
+
+func TestEndpointListIsPolledAgainAfterAFailure(t *testing.T) {
+	s := baseSettings()
+	s.PollEndpointList = true
+	r := newRig(t, s, readyEngine("e1"))
+	requireEqual(t, "first", countOf[WatchEndpoints](r.advance(300*ms)), 1)
+	requireEqual(t, "while it holds", countOf[WatchEndpoints](r.advance(20*time.Second)), 0)
+	r.handle(EndpointUpdate{Kind: EndpointPollFailed})
+	requireEqual(t, "again", countOf[WatchEndpoints](r.advance(3*time.Second)), 1)
+}
+
+func TestRestartResetsOutlierState(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+	e := r.controller.endpoints.byID["e1"]
+	r.controller.eject(e, "failing")
+	e.failureRate = 1
+	back := readyEngine("e1")
+	back.StartedAt = r.now
+	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{back}})
+	requireEqual(t, "down", e.ejected, false)
+	requireEqual(t, "fails", e.failureRate, 0.0)
+	requireEqual(t, "cold", r.controller.inSlowStart(e), true)
+}
+
+// State of removed engines does not add up where engines are replaced by new ones all day.
+func TestRemovedEnginesAreForgotten(t *testing.T) {
+	r := newRig(t, baseSettings(), readyEngine("e0"))
+	for i := range 20 {
+		old, fresh := readyEngine(fmt.Sprintf("e%d", i)), readyEngine(fmt.Sprintf("e%d", i+1))
+		old.State = Removed
+		r.controller.logf(ejectedSubject(old.ID), "noted")
+		r.controller.logf(restoredSubject(old.ID), "noted")
+		r.handle(EndpointUpdate{Engines: []Engine{old, fresh}})
+		r.advance(2 * controlInterval)
+	}
+	all, byID, logged := r.controller.endpoints.all, r.controller.endpoints.byID, r.controller.log.lastAt
+	if len(all) != 1 || len(byID) != 1 || len(logged) != 0 {
+		t.Fatalf("%d engines, %d by ID, %d log lines are remembered", len(all), len(byID), len(logged))
+	}
+}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// varied draws settings: every switch that a deployment may set.
-func varied(r *rand.Rand) Settings {
-	s := base()
+// drawSettings draws settings: every switch that a deployment may set.
+func drawSettings(r *rand.Rand) Settings {
+	s := baseSettings()
 	flip := func() bool { return r.IntN(2) == 0 }
 	s.Brokers = 1 + r.IntN(4)
 	if flip() { // so many that engines are pooled
@@ -46,31 +46,31 @@
 	return s
 }
 
-type sentAttempt struct {
-	engine Engine
-	at     time.Duration
-	out    bool
-	mayRun bool
+type trackedAttempt struct {
+	engine     Engine
+	sentAt     time.Duration
+	inFlight   bool
+	mayHaveRun bool
 }
 
-type taken struct {
+type trackedRequest struct {
 	Request
-	class    Class
-	attempts []*sentAttempt
-	answers  int
-	over     bool // closed, or its client is gone
-	order    int
+	class        Class
+	attempts     []*trackedAttempt
+	answerCount  int
+	over         bool // closed, or its client is gone
+	arrivalIndex int
 }
 
 // checkRandom feeds random legal events and checks each action against the rules that show from outside.
 func checkRandom(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	s := varied(rng)
+	s := drawSettings(rng)
 	r := newRig(t, s)
 	engines := map[string]Engine{}
 	toldBad := map[string]bool{}
-	queries := map[string]*taken{}
-	var order []*taken
+	queries := map[string]*trackedRequest{}
+	var order []*trackedRequest
 	var took, further []time.Duration
 	rest := map[string]time.Duration{}
 	check := func(acts []Action) {
@@ -78,7 +78,7 @@
 			switch a := a.(type) {
 			case SendAttempt:
 				q := queries[a.RequestID]
-				if q == nil || q.over || q.answers > 0 {
+				if q == nil || q.over || q.answerCount > 0 {
 					t.Fatalf("seed %d: sent %s, which is over or unknown", seed, a.RequestID)
 				}
 				e, known := engines[a.Engine]
@@ -89,15 +89,15 @@
 					t.Fatalf("seed %d: placement", seed)
 				}
 				for _, p := range q.attempts {
-					if p.out && !s.Limits.Hedging {
+					if p.inFlight && !s.Limits.Hedging {
 						t.Fatalf("seed %d: two attempts at once", seed)
 					}
-					if !p.mayRun || q.class.Idempotency == Idempotent {
+					if !p.mayHaveRun || q.class.Idempotency == Idempotent {
 						continue
 					}
 					same := q.class.DedupScope == DedupScopeAll || q.class.DedupScope == DedupScopeZone && p.engine.Zone == e.Zone ||
 						q.class.DedupScope == DedupScopeCell && p.engine.Cell == e.Cell
-					if q.class.Idempotency == NonIdempotent || !same || r.now-p.at > q.class.DedupWindow {
+					if q.class.Idempotency == NonIdempotent || !same || r.now-p.sentAt > q.class.DedupWindow {
 						t.Fatalf("seed %d: an effect might happen twice", seed)
 					}
 				}
@@ -106,11 +106,11 @@
 						t.Fatalf("seed %d: sent while its key rests", seed)
 					}
 					for _, o := range order {
-						open := !o.over && o.answers == 0
+						open := !o.over && o.answerCount == 0
 						for _, p := range o.attempts {
-							open = open || p.out
+							open = open || p.inFlight
 						}
-						if o.class.Ordered && o.OrderKey == q.OrderKey && o.order < q.order && open {
+						if o.class.Ordered && o.OrderKey == q.OrderKey && o.arrivalIndex < q.arrivalIndex && open {
 							t.Fatalf("seed %d: out of order", seed)
 						}
 					}
@@ -132,7 +132,7 @@
 						t.Fatalf("seed %d: over the budget of attempts", seed)
 					}
 				}
-				q.attempts = append(q.attempts, &sentAttempt{engine: e, at: r.now, out: true, mayRun: true})
+				q.attempts = append(q.attempts, &trackedAttempt{engine: e, sentAt: r.now, inFlight: true, mayHaveRun: true})
 				if len(q.attempts) > s.Limits.MaxAttempts {
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
@@ -145,14 +145,14 @@
 					id = a.(Fail).RequestID
 				}
 				q := queries[id]
-				q.answers++
-				if q.over || q.answers > 1 || r.now > q.Deadline {
+				q.answerCount++
+				if q.over || q.answerCount > 1 || r.now > q.Deadline {
 					t.Fatalf("seed %d: a second or late answer for %s", seed, id)
 				}
 				for _, p := range q.attempts {
-					if refused && p.mayRun && q.class.Idempotency != Idempotent &&
+					if refused && p.mayHaveRun && q.class.Idempotency != Idempotent &&
 						!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupScopeAll) {
-						t.Fatalf("seed %d: refused %s, which may have run", seed, id)
+						t.Fatalf("seed %d: rejected %s, which may have run", seed, id)
 					}
 				}
 			case CancelAttempt:
@@ -182,57 +182,57 @@
 				e.StartedAt = r.now
 			}
 			engines[e.ID], toldBad[e.ID] = e, e.State != Ready
-			check(r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
+			check(r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
 		case k < 6:
 			c := s.Classes[rng.IntN(2)]
-			q := &taken{Request: Request{ID: fmt.Sprint(seed, "-", step), Class: c.Name, Deadline: r.now +
-				time.Duration(200+rng.IntN(5000))*ms, EstimatedMemoryMB: float64(rng.IntN(3)) * 200}, class: c, order: step}
+			q := &trackedRequest{Request: Request{ID: fmt.Sprint(seed, "-", step), Class: c.Name, Deadline: r.now +
+				time.Duration(200+rng.IntN(5000))*ms, EstimatedMemoryMB: float64(rng.IntN(3)) * 200}, class: c, arrivalIndex: step}
 			if c.Ordered {
 				q.OrderKey = fmt.Sprint("k", rng.IntN(3))
 			}
 			queries[q.ID] = q
 			order = append(order, q)
 			took = append(took, r.now)
-			check(r.feed(RequestReceived{Request: q.Request}))
+			check(r.handle(RequestReceived{Request: q.Request}))
 		case k < 10:
-			q, n := pickOut(rng, order)
+			q, n := drawInFlight(rng, order)
 			if q == nil {
 				continue
 			}
 			st := Status(rng.IntN(8))
 			p := q.attempts[n]
-			p.out = false
-			p.mayRun = st != AtCapacity && st != ConnectFailed && st != NeverSent
+			p.inFlight = false
+			p.mayHaveRun = st != AtCapacity && st != ConnectFailed && st != NeverSent
 			if st == TimedOut || st == ConnectionReset || st == Cancelled {
 				rest[q.OrderKey] = r.now + s.Rules.KeyCooldown
 			}
-			closed := q.over || q.answers > 0 || st == OK
+			closed := q.over || q.answerCount > 0 || st == OK
 			q.over = q.over || st == OK
-			check(r.feed(AttemptEnded{
-				RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.at,
+			check(r.handle(AttemptEnded{
+				RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.sentAt,
 				Work: time.Duration(rng.IntN(300)) * ms, MemoryMB: 100, Report: []float64{rng.Float64() * 1.2, 3, 1},
 			}))
 		case k == 10:
-			if q, n := pickOut(rng, order); q != nil {
-				check(r.feed(AttemptProgress{RequestID: q.ID, Number: n, Kind: ProgressKind(1 + rng.IntN(3)), Value: rng.Float64()}))
+			if q, n := drawInFlight(rng, order); q != nil {
+				check(r.handle(AttemptProgress{RequestID: q.ID, Number: n, Kind: ProgressKind(1 + rng.IntN(3)), Value: rng.Float64()}))
 			}
 		default:
 			if len(order) > 0 {
 				q := order[rng.IntN(len(order))]
-				if q.answers == 0 {
+				if q.answerCount == 0 {
 					q.over = true
 				}
-				check(r.feed(ClientDisconnected{RequestID: q.ID}))
+				check(r.handle(ClientDisconnected{RequestID: q.ID}))
 			}
 		}
 		for range rng.IntN(20) {
-			check(r.run(5 * ms))
+			check(r.advance(5 * ms))
 		}
 		if rng.IntN(60) == 0 { // a standstill; guards due in it fire late, so it is short of any deadline left
-			check(r.run(5 * ms))
+			check(r.advance(5 * ms))
 			still := 2 * time.Second
 			for _, q := range order {
-				if !q.over && q.answers == 0 {
+				if !q.over && q.answerCount == 0 {
 					still = min(still, q.Deadline-r.now-20*ms)
 				}
 			}
@@ -240,25 +240,25 @@
 		}
 	}
 	for range 1200 {
-		check(r.run(5 * ms))
+		check(r.advance(5 * ms))
 	}
 	for _, q := range order {
-		if !q.over && q.answers == 0 {
+		if !q.over && q.answerCount == 0 {
 			t.Fatalf("seed %d: %s was never answered", seed, q.ID)
 		}
 	}
-	return r.all
+	return r.actions
 }
 
-// pickOut chooses an attempt that is out.
-func pickOut(rng *rand.Rand, qs []*taken) (*taken, int) {
+// drawInFlight chooses an attempt that is out.
+func drawInFlight(rng *rand.Rand, qs []*trackedRequest) (*trackedRequest, int) {
 	for range 30 {
 		if len(qs) == 0 {
 			break
 		}
 		q := qs[max(0, len(qs)-1-rng.IntN(30))]
 		for n, p := range q.attempts {
-			if p.out {
+			if p.inFlight {
 				return q, n
 			}
 		}
@@ -270,7 +270,7 @@
 	sends := 0
 	for seed := range uint64(150) {
 		a := checkRandom(t, seed)
-		sends += len(pickOf[SendAttempt](a))
+		sends += countOf[SendAttempt](a)
 		if seed%10 == 0 && !reflect.DeepEqual(a, checkRandom(t, seed)) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
--- /dev/null
+++ b/control/rig_test.go
@@ -0,0 +1,172 @@
+package control
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// baseSettings is a small deployment: a quick and a long class, two tenants, and rules for a few engines.
+func baseSettings() Settings {
+	return Settings{
+		Brokers: 2, Zone: "a", MinBatchInterval: 5 * ms,
+		Classes: []Class{
+			{Name: "quick", LatencyObjective: 600 * ms, ObjectivePerWork: 1, PriorityWeight: 1, Threads: 1},
+			{
+				Name: "long", LatencyObjective: 3 * time.Second, ObjectivePerWork: 2, PriorityWeight: 8,
+				LateWeight: 0.4, Threads: 2,
+			},
+		},
+		Tenants:          []Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}},
+		EngineKinds:      map[string]EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
+		MaxGrantFraction: 0.4, ReportsCost: true,
+		Limits: Limits{MaxAttempts: 3},
+		Rules: Rules{
+			MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
+			OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
+		},
+	}
+}
+
+// rig drives a controller by hand and keeps what it did; it models no engine.
+type rig struct {
+	t          *testing.T
+	controller *Controller
+	now        time.Duration
+	timers     map[uint64]time.Duration
+	actions    []Action
+	submitted  int
+}
+
+func newRig(t *testing.T, s Settings, engines ...Engine) *rig {
+	t.Helper()
+	c, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
+	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
+	return r
+}
+
+// readyEngines are n engines, e00 and on.
+func readyEngines(n int) []Engine {
+	engines := make([]Engine, n)
+	for i := range engines {
+		engines[i] = readyEngine(fmt.Sprintf("e%02d", i))
+	}
+	return engines
+}
+
+func readyEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "std"} }
+
+func (r *rig) handle(evs ...Event) []Action {
+	out := r.controller.Handle(r.now, evs)
+	for _, a := range out {
+		if s, ok := a.(SetTimer); ok {
+			r.timers[s.Token] = r.now + s.After
+		}
+	}
+	r.actions = append(r.actions, out...)
+	return out
+}
+
+// advance lets time pass, fires timers as they come due, and returns what was done.
+func (r *rig) advance(d time.Duration) []Action {
+	from := len(r.actions)
+	for end := r.now + d; r.now < end; {
+		r.now += 5 * ms
+		var fire []uint64
+		for tok, at := range r.timers {
+			if at <= r.now {
+				fire = append(fire, tok)
+				delete(r.timers, tok)
+			}
+		}
+		slices.Sort(fire)
+		for _, tok := range fire {
+			r.handle(TimerFired{Token: tok})
+		}
+	}
+	return r.actions[from:]
+}
+
+// submit gives the controller a request of a class and returns its ID and what was done.
+func (r *rig) submit(class string, change ...func(*Request)) (string, []Action) {
+	r.submitted++
+	q := Request{ID: fmt.Sprint("q", r.submitted), Class: class, Tenant: "t0", Deadline: r.now + 3*time.Second}
+	for _, f := range change {
+		f(&q)
+	}
+	return q.ID, r.handle(RequestReceived{Request: q})
+}
+
+func actionsOf[T Action](as []Action) []T {
+	var out []T
+	for _, a := range as {
+		if v, ok := a.(T); ok {
+			out = append(out, v)
+		}
+	}
+	return out
+}
+
+func countOf[T Action](all []Action) int { return len(actionsOf[T](all)) }
+
+// endAttempt ends an attempt; an answer closes its request.
+func (r *rig) endAttempt(id string, n int, s Status) []Action {
+	return r.handle(AttemptEnded{
+		RequestID: id, Number: n, Status: s, Duration: 100 * ms, RequestClosed: s == OK,
+		Work: 100 * ms, MemoryMB: 100,
+	})
+}
+
+func requireEqual[T comparable](t *testing.T, what string, got, wanted T) {
+	t.Helper()
+	if got != wanted {
+		t.Fatalf("%s: got %v, want %v", what, got, wanted)
+	}
+}
+
+// succeed ends an attempt with the answer to its request.
+func (r *rig) succeed(id string, number int, took, work time.Duration) []Action {
+	return r.handle(AttemptEnded{
+		RequestID: id, Number: number, Status: OK, RequestClosed: true, Duration: took, Work: work,
+	})
+}
+
+// newRigUnderPressure is a rig whose one engine has reported far more load than its capacity.
+func newRigUnderPressure(t *testing.T) *rig {
+	t.Helper()
+	s := baseSettings()
+	s.ReportFields = []string{"util"}
+	r := newRig(t, s, readyEngine("e1"))
+	id, _ := r.submit("quick")
+	r.handle(AttemptEnded{
+		RequestID: id, Status: OK, Duration: 100 * ms, RequestClosed: true, Work: 100 * ms, Report: []float64{3},
+	})
+	return r
+}
+
+// pooledSettings is baseSettings with so many brokers that the share of each in an engine is less than a
+// request.
+func pooledSettings() Settings {
+	s := baseSettings()
+	s.Brokers, s.Tenants[0].Quota, s.Tenants[1].Quota = 300, 900, 300
+	return s
+}
+
+func newPooledRig(t *testing.T, s Settings, n int) *rig {
+	t.Helper()
+	return newRig(t, s, readyEngines(n)...)
+}
+
+// fleetSettings is a pooled deployment whose brokers probe and gossip.
+func fleetSettings() Settings {
+	s := pooledSettings()
+	s.Limits.LoadProbes, s.Limits.Gossip, s.ReportFields = true, true, []string{"util"}
+	return s
+}
--- /dev/null
+++ b/control/selection_test.go
@@ -0,0 +1,113 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+// Requests that lock a data set keep away from those that the lock blocks, those of other brokers too: all
+// brokers rank the engines alike for a data set. Seen on calm days: one lookup in ten met a lock on its data
+// set, and was late.
+func TestLockHoldersKeepAwayFromWhatTheyBlock(t *testing.T) {
+	s := baseSettings()
+	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
+	for tables := range 20 {
+		at := map[string]string{}
+		for gateway, class := range []string{"quick", "long"} {
+			s.BrokerIndex = gateway
+			r := newRig(t, s, readyEngines(5)...)
+			r.controller.workload.meanWork = 100 // so that no candidates are probed
+			_, got := r.submit(class, func(q *Request) { q.DataSet = tables })
+			at[class] = actionsOf[SendAttempt](got)[0].Engine
+		}
+		if at["quick"] == at["long"] {
+			t.Errorf("both classes of data set %d go to %s", tables, at["quick"])
+		}
+	}
+}
+
+// An engine whose load report is fresh is not probed: reports are renewed a few times a second, and each
+// probe has its price. Seen: 0.86 probes a request.
+func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
+	s := baseSettings()
+	s.Limits.LoadProbes, s.ReportFields = true, []string{"x1"}
+	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	r.advance(2 * controlInterval)
+	probed := map[string]time.Duration{}
+	sends := 0
+	for range 300 {
+		_, got := r.submit("long")
+		got = append(got, r.advance(10*ms)...)
+		for _, p := range actionsOf[ProbeLoad](got) {
+			if last, ok := probed[p.Engine]; ok && r.now-last < probeFreshness-20*ms {
+				t.Fatalf("%s was probed again after %v", p.Engine, r.now-last)
+			}
+			probed[p.Engine] = r.now
+		}
+		for _, snd := range actionsOf[SendAttempt](got) {
+			sends++
+			r.endAttempt(snd.RequestID, 0, OK)
+		}
+	}
+	if len(probed) != 2 || sends < 250 {
+		t.Fatalf("%d engines were probed, %d requests sent", len(probed), sends)
+	}
+}
+
+// Brokers with the same load reports choose different engines, those with less load more often. Seen on a day
+// with 80 brokers that gossiped: each took the engine with the most headroom, and they served less than
+// without gossip (G 0.33 after 0.46).
+func TestBrokersWithTheSameReportsSpread(t *testing.T) {
+	sent := map[string]int{}
+	for seed := range 300 {
+		s := fleetSettings()
+		s.Limits.LoadProbes = false
+		s.BrokerIndex = seed % s.Brokers
+		c, err := New(s, uint64(seed))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &rig{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
+		engines := readyEngines(10)
+		reports := make([]LoadReport, 0, len(engines))
+		for i, e := range engines {
+			reports = append(reports, LoadReport{EngineHash(e.ID), 0.1 + 0.15*float64(i), 0})
+		}
+		r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
+		r.handle(GossipReceived{Reports: reports})
+		_, got := r.submit("quick")
+		got = append(got, r.advance(50*ms)...)
+		for _, a := range actionsOf[SendAttempt](got) {
+			sent[a.Engine]++
+		}
+	}
+	if sent["e00"] > 150 || sent["e00"] < 2*sent["e09"] || sent["e05"] == 0 {
+		t.Fatalf("sends from 300 brokers, from the emptiest engine to the fullest: %v", sent)
+	}
+}
+
+// A heavy request goes to the least loaded of its probe candidates once they have answered; its threads count
+// meanwhile, and are free again when its client disconnects first.
+func TestHeavyRequestGoesToTheBestCandidate(t *testing.T) {
+	r := newPooledRig(t, fleetSettings(), 60)
+	r.advance(2 * controlInterval)
+	id, got := r.submit("long")
+	asked := actionsOf[ProbeLoad](got)
+	if len(asked) < 2 || countOf[SendAttempt](got) > 0 {
+		t.Fatalf("%d engines asked, %d sends", len(asked), countOf[SendAttempt](got))
+	}
+	requireEqual(t, "threads while it leaves", r.controller.endpoints.pool.threadsInFlight, 2)
+	for i, a := range asked {
+		r.handle(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
+	}
+	sent := actionsOf[SendAttempt](r.advance(probeWaitBatches*5*ms + 5*ms))
+	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
+		t.Fatalf("asked %v, sent %v", asked, sent)
+	}
+	requireEqual(t, "threads once it left", r.controller.endpoints.pool.threadsInFlight, 2)
+	gone, _ := r.submit("long")
+	r.handle(ClientDisconnected{RequestID: gone})
+	r.advance(time.Second)
+	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.threadsInFlight, 2)
+	requireEqual(t, "class's count", r.controller.workload.classes[1].awaitingProbes, 0)
+}
