--- a/control/property_test.go
+++ b/control/property_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
@@ -46,6 +47,7 @@
 	return s
 }
 
+// trackedAttempt is an attempt as it shows from outside.
 type trackedAttempt struct {
 	engine     Engine
 	sentAt     time.Duration
@@ -53,213 +55,338 @@
 	mayHaveRun bool
 }
 
+// trackedRequest is a request as it shows from outside.
 type trackedRequest struct {
 	Request
 	class        Class
 	attempts     []*trackedAttempt
 	answerCount  int
-	over         bool // closed, or its client is gone
+	over         bool // closed, or its client has disconnected
 	arrivalIndex int
 }
 
-// checkRandom feeds random legal events and checks each action against the rules that show from outside.
+// open reports whether the request waits for its answer.
+func (q *trackedRequest) open() bool { return !q.over && q.answerCount == 0 }
+
+// inFlight reports whether one of the request's attempts is.
+func (q *trackedRequest) inFlight() bool {
+	return slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.inFlight })
+}
+
+// ruleChecker feeds random legal events to a controller and checks each action against the rules that show
+// from outside.
+type ruleChecker struct {
+	*rig
+	seed        uint64
+	rng         *rand.Rand
+	settings    Settings
+	engines     map[string]Engine
+	unavailable map[string]bool // engines that are known to be draining or removed
+	requests    map[string]*trackedRequest
+	arrivals    []*trackedRequest // requests in the order of their arrival
+	arrivedAt   []time.Duration
+	retriedAt   []time.Duration
+	cooldownEnd map[string]time.Duration // by order key
+}
+
+// checkRandom checks the rules under the events of one seed and returns all actions.
 func checkRandom(t *testing.T, seed uint64) []Action {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
-	s := drawSettings(rng)
-	r := newRig(t, s)
-	engines := map[string]Engine{}
-	toldBad := map[string]bool{}
-	queries := map[string]*trackedRequest{}
-	var order []*trackedRequest
-	var took, further []time.Duration
-	rest := map[string]time.Duration{}
-	check := func(acts []Action) {
-		for _, a := range acts {
-			switch a := a.(type) {
-			case SendAttempt:
-				q := queries[a.RequestID]
-				if q == nil || q.over || q.answerCount > 0 {
-					t.Fatalf("seed %d: sent %s, which is over or unknown", seed, a.RequestID)
-				}
-				e, known := engines[a.Engine]
-				if !known || toldBad[a.Engine] {
-					t.Fatalf("seed %d: sent to %s, which is not ready", seed, a.Engine)
-				}
-				if q.class.AllowedZones != nil && e.Zone != q.class.AllowedZones[0] {
-					t.Fatalf("seed %d: placement", seed)
-				}
-				for _, p := range q.attempts {
-					if p.inFlight && !s.Limits.Hedging {
-						t.Fatalf("seed %d: two attempts at once", seed)
-					}
-					if !p.mayHaveRun || q.class.Idempotency == Idempotent {
-						continue
-					}
-					same := q.class.DedupScope == DedupScopeAll || q.class.DedupScope == DedupScopeZone && p.engine.Zone == e.Zone ||
-						q.class.DedupScope == DedupScopeCell && p.engine.Cell == e.Cell
-					if q.class.Idempotency == NonIdempotent || !same || r.now-p.sentAt > q.class.DedupWindow {
-						t.Fatalf("seed %d: an effect might happen twice", seed)
-					}
-				}
-				if q.class.Ordered && q.OrderKey != "" {
-					if len(q.attempts) == 0 && r.now < rest[q.OrderKey] {
-						t.Fatalf("seed %d: sent while its key rests", seed)
-					}
-					for _, o := range order {
-						open := !o.over && o.answerCount == 0
-						for _, p := range o.attempts {
-							open = open || p.inFlight
-						}
-						if o.class.Ordered && o.OrderKey == q.OrderKey && o.arrivalIndex < q.arrivalIndex && open {
-							t.Fatalf("seed %d: out of order", seed)
-						}
-					}
-				}
-				if len(q.attempts) > 0 {
-					further = append(further, r.now)
-					n, m := 0, 0
-					for _, at := range further {
-						if at >= r.now-s.Rules.RetryBudgetWindow {
-							n++
-						}
-					}
-					for _, at := range took {
-						if at > r.now-s.Rules.RetryBudgetWindow {
-							m++
-						}
-					}
-					if s.Rules.RetryBudgetWindow > 0 && float64(n) > s.Rules.RetryBudgetReserve+s.Rules.RetryBudgetRatio*float64(m) {
-						t.Fatalf("seed %d: over the budget of attempts", seed)
-					}
-				}
-				q.attempts = append(q.attempts, &trackedAttempt{engine: e, sentAt: r.now, inFlight: true, mayHaveRun: true})
-				if len(q.attempts) > s.Limits.MaxAttempts {
-					t.Fatalf("seed %d: too many attempts", seed)
-				}
-			case Reject, Fail:
-				id := ""
-				refused := false
-				if v, ok := a.(Reject); ok {
-					id, refused = v.RequestID, true
-				} else {
-					id = a.(Fail).RequestID
-				}
-				q := queries[id]
-				q.answerCount++
-				if q.over || q.answerCount > 1 || r.now > q.Deadline {
-					t.Fatalf("seed %d: a second or late answer for %s", seed, id)
-				}
-				for _, p := range q.attempts {
-					if refused && p.mayHaveRun && q.class.Idempotency != Idempotent &&
-						!(q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupScopeAll) {
-						t.Fatalf("seed %d: rejected %s, which may have run", seed, id)
-					}
-				}
-			case CancelAttempt:
-				if q := queries[a.RequestID]; !s.Limits.Cancellation || q == nil || a.Number >= len(q.attempts) {
-					t.Fatalf("seed %d: a cancel that is not allowed", seed)
-				}
-			case ProbeLoad:
-				if !s.Limits.LoadProbes {
-					t.Fatalf("seed %d: a probe that is not allowed", seed)
-				}
-			}
-		}
+	settings := drawSettings(rng)
+	c := &ruleChecker{
+		rig: newRig(t, settings), seed: seed, rng: rng, settings: settings,
+		engines: map[string]Engine{}, unavailable: map[string]bool{}, requests: map[string]*trackedRequest{},
+		cooldownEnd: map[string]time.Duration{},
 	}
 	for step := range 400 {
-		switch k := rng.IntN(12); {
-		case k == 0:
-			e := Engine{
-				ID: fmt.Sprint("e", rng.IntN(4)), Zone: []string{"a", "b"}[rng.IntN(2)], Kind: "std",
-				State: EngineState(max(0, rng.IntN(5)-2)),
-			}
-			if was, ok := engines[e.ID]; ok {
-				e.Zone, e.Cell = was.Zone, was.Cell
-			} else {
-				e.Cell = rng.IntN(2)
-			}
-			if rng.IntN(3) == 0 {
-				e.StartedAt = r.now
-			}
-			engines[e.ID], toldBad[e.ID] = e, e.State != Ready
-			check(r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
-		case k < 6:
-			c := s.Classes[rng.IntN(2)]
-			q := &trackedRequest{Request: Request{ID: fmt.Sprint(seed, "-", step), Class: c.Name, Deadline: r.now +
-				time.Duration(200+rng.IntN(5000))*ms, EstimatedMemoryMB: float64(rng.IntN(3)) * 200}, class: c, arrivalIndex: step}
-			if c.Ordered {
-				q.OrderKey = fmt.Sprint("k", rng.IntN(3))
-			}
-			queries[q.ID] = q
-			order = append(order, q)
-			took = append(took, r.now)
-			check(r.handle(RequestReceived{Request: q.Request}))
-		case k < 10:
-			q, n := drawInFlight(rng, order)
-			if q == nil {
-				continue
-			}
-			st := Status(rng.IntN(8))
-			p := q.attempts[n]
-			p.inFlight = false
-			p.mayHaveRun = st != AtCapacity && st != ConnectFailed && st != NeverSent
-			if st == TimedOut || st == ConnectionReset || st == Cancelled {
-				rest[q.OrderKey] = r.now + s.Rules.KeyCooldown
-			}
-			closed := q.over || q.answerCount > 0 || st == OK
-			q.over = q.over || st == OK
-			check(r.handle(AttemptEnded{
-				RequestID: q.ID, Number: n, Status: st, RequestClosed: closed, Duration: r.now - p.sentAt,
-				Work: time.Duration(rng.IntN(300)) * ms, MemoryMB: 100, Report: []float64{rng.Float64() * 1.2, 3, 1},
-			}))
-		case k == 10:
-			if q, n := drawInFlight(rng, order); q != nil {
-				check(r.handle(AttemptProgress{RequestID: q.ID, Number: n, Kind: ProgressKind(1 + rng.IntN(3)), Value: rng.Float64()}))
-			}
-		default:
-			if len(order) > 0 {
-				q := order[rng.IntN(len(order))]
-				if q.answerCount == 0 {
-					q.over = true
-				}
-				check(r.handle(ClientDisconnected{RequestID: q.ID}))
-			}
+		if !c.drawEvent(step) {
+			continue
 		}
 		for range rng.IntN(20) {
-			check(r.advance(5 * ms))
+			c.check(c.advance(5 * ms))
 		}
-		if rng.IntN(60) == 0 { // a standstill; guards due in it fire late, so it is short of any deadline left
-			check(r.advance(5 * ms))
-			still := 2 * time.Second
-			for _, q := range order {
-				if !q.over && q.answerCount == 0 {
-					still = min(still, q.Deadline-r.now-20*ms)
-				}
-			}
-			r.now += max(0, still)
+		if rng.IntN(60) == 0 {
+			c.standStill()
 		}
 	}
 	for range 1200 {
-		check(r.advance(5 * ms))
+		c.check(c.advance(5 * ms))
+	}
+	for _, q := range c.arrivals {
+		if q.open() {
+			c.fatalf("%s was never answered", q.ID)
+		}
+	}
+	return c.actions
+}
+
+func (c *ruleChecker) fatalf(format string, args ...any) {
+	c.t.Helper()
+	c.t.Fatalf("seed %d: %s", c.seed, fmt.Sprintf(format, args...))
+}
+
+// check checks actions against the rules.
+func (c *ruleChecker) check(actions []Action) {
+	c.t.Helper()
+	for _, action := range actions {
+		switch a := action.(type) {
+		case SendAttempt:
+			c.checkSend(a)
+		case Reject:
+			q := c.checkAnswer(a.RequestID)
+			c.checkMayReject(q)
+		case Fail:
+			c.checkAnswer(a.RequestID)
+		case CancelAttempt:
+			q := c.requests[a.RequestID]
+			if !c.settings.Limits.Cancellation || q == nil || a.Number >= len(q.attempts) {
+				c.fatalf("a cancel that is not allowed")
+			}
+		case ProbeLoad:
+			if !c.settings.Limits.LoadProbes {
+				c.fatalf("a probe that is not allowed")
+			}
+		}
+	}
+}
+
+func (c *ruleChecker) checkSend(a SendAttempt) {
+	c.t.Helper()
+	q := c.requests[a.RequestID]
+	if q == nil || !q.open() {
+		c.fatalf("sent %s, which is over or unknown", a.RequestID)
+	}
+	e, known := c.engines[a.Engine]
+	if !known || c.unavailable[a.Engine] {
+		c.fatalf("sent to %s, which is not ready", a.Engine)
+	}
+	if q.class.AllowedZones != nil && e.Zone != q.class.AllowedZones[0] {
+		c.fatalf("sent to a zone that is not allowed")
+	}
+	c.checkEarlierAttempts(q, e)
+	if q.class.Ordered && q.OrderKey != "" {
+		c.checkOrder(q)
 	}
-	for _, q := range order {
-		if !q.over && q.answerCount == 0 {
-			t.Fatalf("seed %d: %s was never answered", seed, q.ID)
+	if len(q.attempts) > 0 {
+		c.retriedAt = append(c.retriedAt, c.now)
+		c.checkRetryBudget()
+	}
+	q.attempts = append(q.attempts, &trackedAttempt{engine: e, sentAt: c.now, inFlight: true, mayHaveRun: true})
+	if len(q.attempts) > c.settings.Limits.MaxAttempts {
+		c.fatalf("too many attempts")
+	}
+}
+
+// checkEarlierAttempts checks that a request may be sent to an engine after its attempts so far.
+func (c *ruleChecker) checkEarlierAttempts(q *trackedRequest, e Engine) {
+	c.t.Helper()
+	if q.inFlight() && !c.settings.Limits.Hedging {
+		c.fatalf("two attempts at once")
+	}
+	if q.class.Idempotency == Idempotent {
+		return
+	}
+	for _, a := range q.attempts {
+		if !a.mayHaveRun {
+			continue
+		}
+		inWindow := c.now-a.sentAt <= q.class.DedupWindow
+		if q.class.Idempotency == NonIdempotent || !sameScope(q.class.DedupScope, a.engine, e) || !inWindow {
+			c.fatalf("an effect might happen twice")
+		}
+	}
+}
+
+// sameScope reports whether two engines share what they have executed.
+func sameScope(scope DedupScope, a, b Engine) bool {
+	return scope == DedupScopeAll || scope == DedupScopeZone && a.Zone == b.Zone ||
+		scope == DedupScopeCell && a.Cell == b.Cell
+}
+
+// checkOrder checks that a request is sent after those of its order key that arrived before it, and after the
+// cooldown.
+func (c *ruleChecker) checkOrder(q *trackedRequest) {
+	c.t.Helper()
+	if len(q.attempts) == 0 && c.now < c.cooldownEnd[q.OrderKey] {
+		c.fatalf("sent while its key cools down")
+	}
+	for _, o := range c.arrivals {
+		sameKey := o.class.Ordered && o.OrderKey == q.OrderKey
+		if sameKey && o.arrivalIndex < q.arrivalIndex && (o.open() || o.inFlight()) {
+			c.fatalf("out of order")
+		}
+	}
+}
+
+func (c *ruleChecker) checkRetryBudget() {
+	c.t.Helper()
+	rules := c.settings.Rules
+	from := c.now - rules.RetryBudgetWindow
+	retries, requests := 0, 0
+	for _, at := range c.retriedAt {
+		if at >= from {
+			retries++
+		}
+	}
+	for _, at := range c.arrivedAt {
+		if at > from {
+			requests++
+		}
+	}
+	budget := rules.RetryBudgetReserve + rules.RetryBudgetRatio*float64(requests)
+	if rules.RetryBudgetWindow > 0 && float64(retries) > budget {
+		c.fatalf("over the retry budget")
+	}
+}
+
+// checkAnswer checks that an answer of the controller's own is the only one of its request, and not late.
+func (c *ruleChecker) checkAnswer(id string) *trackedRequest {
+	c.t.Helper()
+	q := c.requests[id]
+	q.answerCount++
+	if q.over || q.answerCount > 1 || c.now > q.Deadline {
+		c.fatalf("a second or late answer for %s", id)
+	}
+	return q
+}
+
+// checkMayReject checks that a retry by the client of a rejected request is harmless.
+func (c *ruleChecker) checkMayReject(q *trackedRequest) {
+	c.t.Helper()
+	if q.class.Idempotency == Idempotent ||
+		q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupScopeAll {
+		return
+	}
+	if slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
+		c.fatalf("rejected %s, which may have run", q.ID)
+	}
+}
+
+// drawEvent feeds one random event; it returns false where an attempt was to end and none is in flight.
+func (c *ruleChecker) drawEvent(step int) bool {
+	c.t.Helper()
+	switch draw := c.rng.IntN(12); {
+	case draw == 0:
+		c.updateEngine()
+	case draw < 6:
+		c.receive(step)
+	case draw < 10:
+		return c.endInFlight()
+	case draw == 10:
+		if q, number := c.drawInFlight(); q != nil {
+			kind := ProgressKind(1 + c.rng.IntN(3))
+			c.check(c.handle(AttemptProgress{
+				RequestID: q.ID, Number: number, Kind: kind, Value: c.rng.Float64(),
+			}))
+		}
+	default:
+		c.disconnect()
+	}
+	return true
+}
+
+// updateEngine lists an engine, in any state; its zone and cell stay.
+func (c *ruleChecker) updateEngine() {
+	c.t.Helper()
+	e := Engine{
+		ID: fmt.Sprint("e", c.rng.IntN(4)), Zone: []string{"a", "b"}[c.rng.IntN(2)], Kind: "std",
+		State: EngineState(max(0, c.rng.IntN(5)-2)),
+	}
+	if listed, ok := c.engines[e.ID]; ok {
+		e.Zone, e.Cell = listed.Zone, listed.Cell
+	} else {
+		e.Cell = c.rng.IntN(2)
+	}
+	if c.rng.IntN(3) == 0 {
+		e.StartedAt = c.now
+	}
+	c.engines[e.ID], c.unavailable[e.ID] = e, e.State != Ready
+	c.check(c.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
+}
+
+func (c *ruleChecker) receive(step int) {
+	c.t.Helper()
+	class := c.settings.Classes[c.rng.IntN(2)]
+	wait := time.Duration(200+c.rng.IntN(5000)) * ms
+	q := &trackedRequest{
+		Request: Request{
+			ID: fmt.Sprint(c.seed, "-", step), Class: class.Name, Deadline: c.now + wait,
+			EstimatedMemoryMB: float64(c.rng.IntN(3)) * 200,
+		},
+		class: class, arrivalIndex: step,
+	}
+	if class.Ordered {
+		q.OrderKey = fmt.Sprint("k", c.rng.IntN(3))
+	}
+	c.requests[q.ID] = q
+	c.arrivals = append(c.arrivals, q)
+	c.arrivedAt = append(c.arrivedAt, c.now)
+	c.check(c.handle(RequestReceived{Request: q.Request}))
+}
+
+// endInFlight ends an attempt that is in flight, in any way; it returns false where none is.
+func (c *ruleChecker) endInFlight() bool {
+	c.t.Helper()
+	q, number := c.drawInFlight()
+	if q == nil {
+		return false
+	}
+	status := Status(c.rng.IntN(8))
+	a := q.attempts[number]
+	a.inFlight = false
+	a.mayHaveRun = status != AtCapacity && status != ConnectFailed && status != NeverSent
+	if status == TimedOut || status == ConnectionReset || status == Cancelled {
+		c.cooldownEnd[q.OrderKey] = c.now + c.settings.Rules.KeyCooldown
+	}
+	closed := !q.open() || status == OK
+	q.over = q.over || status == OK
+	work := time.Duration(c.rng.IntN(300)) * ms
+	c.check(c.handle(AttemptEnded{
+		RequestID: q.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
+		Work: work, MemoryMB: 100, Report: []float64{c.rng.Float64() * 1.2, 3, 1},
+	}))
+	return true
+}
+
+// disconnect has the client of any request leave.
+func (c *ruleChecker) disconnect() {
+	c.t.Helper()
+	if len(c.arrivals) == 0 {
+		return
+	}
+	q := c.arrivals[c.rng.IntN(len(c.arrivals))]
+	if q.answerCount == 0 {
+		q.over = true
+	}
+	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
+}
+
+// standStill lets time pass without timers, for no longer than to the next deadline: timers due meanwhile
+// fire late.
+func (c *ruleChecker) standStill() {
+	c.t.Helper()
+	c.check(c.advance(5 * ms))
+	length := 2 * time.Second
+	for _, q := range c.arrivals {
+		if q.open() {
+			length = min(length, q.Deadline-c.now-20*ms)
 		}
 	}
-	return r.actions
+	c.now += max(0, length)
 }
 
-// drawInFlight chooses an attempt that is out.
-func drawInFlight(rng *rand.Rand, qs []*trackedRequest) (*trackedRequest, int) {
-	for range 30 {
-		if len(qs) == 0 {
+// drawInFlight draws an attempt in flight of one of the last requests; nil where it finds none.
+func (c *ruleChecker) drawInFlight() (*trackedRequest, int) {
+	const tries, youngest = 30, 30
+	for range tries {
+		if len(c.arrivals) == 0 {
 			break
 		}
-		q := qs[max(0, len(qs)-1-rng.IntN(30))]
-		for n, p := range q.attempts {
-			if p.inFlight {
-				return q, n
+		q := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(youngest))]
+		for number, a := range q.attempts {
+			if a.inFlight {
+				return q, number
 			}
 		}
 	}
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -6,76 +6,101 @@
 	"time"
 )
 
-// Settings of other deployments may leave much out: what a rule or an objective needs, engines' sizes, the number
-// of attempts. Engines with room for all get nearly all that is asked then, whether brokers are few or many,
-// and also once one of them has just started.
-func TestSparseSettings(t *testing.T) {
-	classes := func(change func(k *Class)) func(s *Settings) {
-		return func(s *Settings) {
-			for i := range s.Classes {
-				change(&s.Classes[i])
-			}
+// leaveOut removes something from settings.
+type leaveOut func(s *Settings)
+
+// ofClasses removes something from each class.
+func ofClasses(change func(k *Class)) leaveOut {
+	return func(s *Settings) {
+		for i := range s.Classes {
+			change(&s.Classes[i])
 		}
 	}
+}
+
+// Settings of other deployments may leave much out: what a rule or a latency objective needs, engines' sizes,
+// the number of attempts. Engines with capacity for all of it serve nearly all requests then, whether there
+// are few brokers or many, and also once an engine has just started.
+func TestSparseSettings(t *testing.T) {
 	for name, c := range map[string]struct {
-		took     time.Duration // of each request, where there is one broker
-		leaveOut func(s *Settings)
+		took     time.Duration // by each request, where there is one broker
+		leaveOut leaveOut
 	}{
-		"nothing":                  {300 * ms, func(*Settings) {}},
-		"the rules":                {80 * ms, func(s *Settings) { s.Rules = Rules{} }},
-		"when cold ones fall":      {80 * ms, func(s *Settings) { s.Rules.OverloadWindow = 0 }},
-		"how cold ones fall":       {80 * ms, func(s *Settings) { s.Rules.OverloadMultiple = 0 }},
-		"when they are warm":       {80 * ms, func(s *Settings) { s.Rules.SlowStartDuration = 0 }},
-		"the round":                {80 * ms, func(s *Settings) { s.MinBatchInterval = 0 }},
-		"engines' sizes":           {80 * ms, func(s *Settings) { s.EngineKinds = nil }},
-		"engines' memory":          {300 * ms, func(s *Settings) { s.EngineKinds = map[string]EngineKind{"std": {Cores: 8}} }},
-		"the most memory":          {80 * ms, func(s *Settings) { s.MemoryGrants, s.MaxGrantFraction = true, 0 }},
-		"attempts":                 {80 * ms, func(s *Settings) { s.Limits.MaxAttempts = 0 }},
-		"tenants":                  {80 * ms, func(s *Settings) { s.Tenants = nil }},
-		"objectives":               {80 * ms, classes(func(k *Class) { k.LatencyObjective, k.ClientTimeout = 0, 2*time.Second })},
-		"objectives and deadlines": {80 * ms, classes(func(k *Class) { k.LatencyObjective, k.ObjectivePerWork = 0, 0 })},
-		"what is worth":            {80 * ms, classes(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
-		"all but one class":        {80 * ms, func(s *Settings) { s.Classes = s.Classes[:1] }},
+		"nothing":               {300 * ms, func(*Settings) {}},
+		"the rules":             {80 * ms, func(s *Settings) { s.Rules = Rules{} }},
+		"the overload window":   {80 * ms, func(s *Settings) { s.Rules.OverloadWindow = 0 }},
+		"the overload multiple": {80 * ms, func(s *Settings) { s.Rules.OverloadMultiple = 0 }},
+		"the slow start":        {80 * ms, func(s *Settings) { s.Rules.SlowStartDuration = 0 }},
+		"the batch interval":    {80 * ms, func(s *Settings) { s.MinBatchInterval = 0 }},
+		"engines' sizes":        {80 * ms, func(s *Settings) { s.EngineKinds = nil }},
+		"engines' memory": {300 * ms, func(s *Settings) {
+			s.EngineKinds = map[string]EngineKind{"std": {Cores: 8}}
+		}},
+		"the largest grant": {80 * ms, func(s *Settings) { s.MemoryGrants, s.MaxGrantFraction = true, 0 }},
+		"attempts":          {80 * ms, func(s *Settings) { s.Limits.MaxAttempts = 0 }},
+		"tenants":           {80 * ms, func(s *Settings) { s.Tenants = nil }},
+		"objectives": {80 * ms, ofClasses(func(k *Class) {
+			k.LatencyObjective, k.ClientTimeout = 0, 2*time.Second
+		})},
+		"objectives and client timeouts": {80 * ms, ofClasses(func(k *Class) {
+			k.LatencyObjective, k.ObjectivePerWork = 0, 0
+		})},
+		"weights":           {80 * ms, ofClasses(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
+		"all but one class": {80 * ms, func(s *Settings) { s.Classes = s.Classes[:1] }},
 	} {
-		// One of many brokers has a small part of the engines' limits, so it asks for less work.
-		for gateways, took := range map[int]time.Duration{1: c.took, 300: 30 * ms} {
-			t.Run(fmt.Sprintf("%s, %d brokers", name, gateways), func(t *testing.T) {
+		// One of many brokers has a small share of the engines' limits, so it is asked for less work.
+		for brokers, took := range map[int]time.Duration{1: c.took, 300: 30 * ms} {
+			t.Run(fmt.Sprintf("%s, %d brokers", name, brokers), func(t *testing.T) {
 				s := baseSettings()
-				s.Brokers = gateways
+				s.Brokers = brokers
 				c.leaveOut(&s)
-				r := newRig(t, s, readyEngine("e0"), readyEngine("e1"), readyEngine("e2"))
-				const asked = 1200
-				served := 0
-				sent := map[time.Duration][]Event{} // how attempts end, by when
-				take := func(acts []Action) {
-					for _, a := range actionsOf[SendAttempt](acts) {
-						at := r.now + took
-						sent[at] = append(sent[at], AttemptEnded{RequestID: a.RequestID, Status: OK, Duration: took, RequestClosed: true, Work: took, MemoryMB: 100})
+				const count = 1200
+				r := &servingRig{rig: newRig(t, s, readyEngines(3)...), took: took, endings: map[time.Duration][]Event{}}
+				for i := range count {
+					if i == count/2 {
+						starting := readyEngine("e03")
+						starting.StartedAt = r.now
+						r.serve(r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{starting}}))
 					}
+					r.request(fmt.Sprint(i), s.Classes[i%len(s.Classes)].Name)
 				}
-				for i := range asked {
-					if i == asked/2 {
-						cold := readyEngine("e3")
-						cold.StartedAt = r.now
-						take(r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{cold}}))
-					}
-					take(r.handle(RequestReceived{Request: Request{
-						ID: fmt.Sprint(i), Class: s.Classes[i%len(s.Classes)].Name, EstimatedMemoryMB: 100,
-						EstimatedWork: took, Deadline: r.now + 2*time.Second,
-					}}))
-					for range 4 {
-						take(r.advance(5 * ms))
-						if ended := sent[r.now]; ended != nil {
-							served += len(ended)
-							delete(sent, r.now)
-							take(r.handle(ended...))
-						}
-					}
-				}
-				if served < asked*9/10 {
-					t.Fatalf("%d of %d were served", served, asked)
+				if r.served < count*9/10 {
+					t.Fatalf("%d of %d were served", r.served, count)
 				}
 			})
 		}
 	}
 }
+
+// servingRig is a rig whose engines serve each attempt in the same time.
+type servingRig struct {
+	*rig
+	took    time.Duration
+	endings map[time.Duration][]Event // how attempts end, by when
+	served  int
+}
+
+// serve begins the attempts among the actions.
+func (r *servingRig) serve(actions []Action) {
+	for _, a := range actionsOf[SendAttempt](actions) {
+		at := r.now + r.took
+		r.endings[at] = append(r.endings[at], AttemptEnded{
+			RequestID: a.RequestID, Status: OK, Duration: r.took, RequestClosed: true, Work: r.took, MemoryMB: 100,
+		})
+	}
+}
+
+// request sends a request and lets time pass until the next one.
+func (r *servingRig) request(id, class string) {
+	r.serve(r.handle(RequestReceived{Request: Request{
+		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: r.took, Deadline: r.now + 2*time.Second,
+	}}))
+	for range 4 {
+		r.serve(r.advance(5 * ms))
+		if ended := r.endings[r.now]; ended != nil {
+			r.served += len(ended)
+			delete(r.endings, r.now)
+			r.serve(r.handle(ended...))
+		}
+	}
+}
