--- /dev/null
+++ b/internal/broker/attempts_test.go
@@ -0,0 +1,136 @@
+package broker
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"wheatlane/control"
+)
+
+// An engine that refuses the connection or is at capacity proves that the query never ran, but not with a
+// status for a page of its result.
+func TestAttemptEndStatus(t *testing.T) {
+	for name, c := range map[string]struct {
+		status    control.Status
+		firstPage bool // it came before
+		want      control.Status
+	}{
+		"connection refused":     {control.ConnectFailed, false, control.ConnectFailed},
+		"at capacity":            {control.AtCapacity, false, control.AtCapacity},
+		"at capacity for a page": {control.AtCapacity, true, control.Failed},
+		"never sent for a page":  {control.NeverSent, true, control.Failed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, engine1())
+			h.submit(1, "lookup", "", 2*time.Second)
+			a := h.onlyAttempt()
+			if c.firstPage {
+				h.apply(firstPage(a, 2, row))
+			}
+			h.broker.Apply(h.now, AttemptEnded{Attempt: a, Status: c.status})
+			if got := h.lastModuleEvent().(control.AttemptEnded).Status; got != c.want {
+				t.Fatalf("the module is notified of %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Whatever closes a request while an attempt of it is in flight, the part that was not sent is withdrawn at
+// once, ahead of the module's next batch and also where the module may not cancel.
+func TestClosedRequestIsWithdrawn(t *testing.T) {
+	for name, end := range map[string]func(h *harness){
+		"killed":        func(h *harness) { h.apply(Kill{RequestedBy: 2, Target: 1}) },
+		"client left":   func(h *harness) { h.apply(SessionClosed{1}) },
+		"timed out":     func(h *harness) { h.run(time.Second) },
+		"final answers": func(h *harness) { h.apply(Shutdown{10 * ms}); h.run(10 * ms) },
+	} {
+		for _, cancellation := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cancellation %v", name, cancellation), func(t *testing.T) {
+				settings := testSettings()
+				settings.Limits.Cancellation = cancellation
+				h := newHarnessWithSettings(t, settings, engine1())
+				h.submit(1, "lookup", "", time.Second)
+				a := h.onlyAttempt()
+				end(h)
+				if got := effectsOf[WithdrawUnsent](h.effects); len(got) != 1 || got[0].Attempt != a {
+					t.Fatalf("withdrawn: %v", got)
+				}
+				h.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
+				h.run(2 * time.Second)
+				if kept := len(h.broker.requests.byID); kept != 0 || len(h.started()) != 1 {
+					t.Fatalf("%d requests are kept, %d attempts were started", kept, len(h.started()))
+				}
+			})
+		}
+	}
+}
+
+// Where hedging is forbidden, the next attempt of a request starts only once the cancel of the one before, or
+// the end of its connection, has certainly reached its engine.
+func TestNextAttemptWaitsForTheCancelOfThePrevious(t *testing.T) {
+	for name, c := range map[string]struct {
+		hedging bool
+		status  control.Status
+		waits   bool
+	}{
+		"hedging, cancelled":         {true, control.Cancelled, false},
+		"hedging, reset":             {true, control.ConnectionReset, false},
+		"no hedging, cancelled":      {false, control.Cancelled, true},
+		"no hedging, reset":          {false, control.ConnectionReset, true},
+		"no hedging, connect failed": {false, control.ConnectFailed, false}, // it never ran
+		"no hedging, at capacity":    {false, control.AtCapacity, false},    // it never ran
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Limits.Hedging = c.hedging
+			h := newHarnessWithSettings(t, settings, engine1(), engine2())
+			h.submit(1, "lookup", "", time.Second)
+			h.run(20 * ms)
+			h.apply(AttemptEnded{Attempt: h.started()[0].Attempt, Status: c.status})
+			endedAt := h.now
+			for len(h.started()) < 2 && h.now < endedAt+time.Second {
+				h.run(ms)
+			}
+			if waited := h.now-endedAt >= settleDelay; waited != c.waits {
+				t.Errorf("the next attempt started after %v", h.now-endedAt)
+			}
+		})
+	}
+}
+
+// An attempt has ended and a retry is due. What comes at that moment is respected: a client that leaves,
+// engines that drain, the final answers.
+func TestEventsThatCrossARetry(t *testing.T) {
+	for name, c := range map[string]struct {
+		event    Event
+		attempts int
+		replies  []ReplyKind
+	}{
+		"nothing":     {ProbeResult{}, 2, nil},
+		"client left": {SessionClosed{1}, 1, nil},
+		"killed":      {Kill{RequestedBy: 2, Target: 1}, 1, []ReplyKind{ReplyOK, ReplyInterrupted}},
+		"engines drain": {
+			delta(2, endpoint("e1", addr1, control.Draining), endpoint("e2", addr2, control.Draining)), 1, nil,
+		},
+		"final answers": {SendFinalAnswers{}, 1, []ReplyKind{ReplyRejected}},
+	} {
+		for order, eventFirst := range map[string]bool{"event first": true, "end first": false} {
+			t.Run(name+", "+order, func(t *testing.T) {
+				h := newHarness(t, engine1(), engine2())
+				h.submit(1, "lookup", "", 10*time.Second)
+				end := AttemptEnded{Attempt: h.onlyAttempt(), Status: control.ConnectFailed}
+				if eventFirst {
+					h.apply(c.event, end)
+				} else {
+					h.apply(end, c.event)
+				}
+				h.run(100 * ms)
+				if n := len(h.started()); n != c.attempts {
+					t.Errorf("%d attempts, want %d", n, c.attempts)
+				}
+				h.expectReplies(c.replies...)
+			})
+		}
+	}
+}
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -22,11 +22,12 @@
 	"wheatlane/internal/config"
 )
 
-// The behaviour of the reducer, with the real decision module behind it, is pinned by one hash for each deployment:
-// of every effect that it returned, every call of its meter and what it answered about itself, over seeded random
-// sequences of events. The encoding is neutral: kinds are numbered here, and values are written by reflection in the
-// order of their fields, so that renamed types and fields leave the hashes as they are. Of a log line only its kind
-// counts. Nothing is sorted: effects are compared in the order in which they were returned.
+// The behaviour of the reducer, with the real decision module behind it, is pinned by one hash for each
+// deployment: of every effect that it returned, every call of its meter and what it answered about itself,
+// over seeded random sequences of events. The encoding is neutral: kinds are numbered here, and values are
+// written by reflection in the order of their fields, so that renamed types and fields leave the hashes as
+// they are. Of a log line only its kind counts. Nothing is sorted: effects are compared in the order in which
+// they were returned.
 var behaviors = []struct {
 	name     string
 	settings func(t *testing.T) control.Settings
@@ -134,8 +135,8 @@
 	r.sum.Write(buf[:]) //nolint:errcheck // a hash takes all
 }
 
-// value writes a value by its kind: integers and booleans as 64 bits, floats by their bit pattern, text and lists
-// with their lengths, structs field by field without a mark.
+// value writes a value by its kind: integers and booleans as 64 bits, floats by their bit pattern, text and
+// lists with their lengths, structs field by field without a mark.
 func (r recorder) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -226,8 +227,8 @@
 	}
 }
 
-// largeDeployment is one of sixty brokers with many engines of two kinds in three zones and six tenants; attempts can't be
-// called off there.
+// largeDeployment is one of sixty brokers with many engines of two kinds in three zones and six tenants;
+// attempts can't be called off there.
 func largeDeployment(*testing.T) control.Settings {
 	set := control.Settings{
 		Brokers: 60, BrokerIndex: 7, Zone: "zone-1", MinBatchInterval: 10 * ms, ReportsCost: true, ProgressInterval: time.Second, Priorities: true,
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -9,8 +9,8 @@
 	"wheatlane/internal/changelog"
 )
 
-// BenchmarkRequest measures the reducer with the decision module behind it, a request a time from its submission to
-// its answer, in a closed loop of clients and engines that always answer after the same time.
+// BenchmarkRequest measures the reducer with the decision module behind it, a request a time from its
+// submission to its answer, in a closed loop of clients and engines that always answer after the same time.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ clients, engines int }{{16, 4}, {256, 64}} {
 		b.Run(fmt.Sprintf("clients=%d,engines=%d", c.clients, c.engines), func(b *testing.B) {
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/control"
 )
 
-// recordingMeter keeps what a meter is told.
+// recordingMeter keeps what it is notified of.
 type recordingMeter struct {
 	NopMeter
 	accepted, started int
@@ -18,72 +18,77 @@
 	attempts          []AttemptSummary
 }
 
-func (t *recordingMeter) RequestAccepted(*Request)      { t.accepted++ }
-func (t *recordingMeter) RequestRejected(k ReplyKind)   { t.rejected = append(t.rejected, k) }
-func (t *recordingMeter) AttemptStarted(string)         { t.started++ }
-func (t *recordingMeter) RequestEnded(o RequestSummary) { t.requests = append(t.requests, o) }
-func (t *recordingMeter) AttemptEnded(o AttemptSummary) { t.attempts = append(t.attempts, o) }
+func (m *recordingMeter) RequestAccepted(*Request)      { m.accepted++ }
+func (m *recordingMeter) RequestRejected(k ReplyKind)   { m.rejected = append(m.rejected, k) }
+func (m *recordingMeter) AttemptStarted(string)         { m.started++ }
+func (m *recordingMeter) RequestEnded(r RequestSummary) { m.requests = append(m.requests, r) }
+func (m *recordingMeter) AttemptEnded(a AttemptSummary) { m.attempts = append(m.attempts, a) }
 
-// lookupRequest is a lookup of a session, sent at a time.
-func lookupRequest(s Session, ref string, sent time.Duration) SubmitRequest {
-	return SubmitRequest{s, Request{RequestID: ref, Class: "lookup", Tenant: "acme", SentAt: sent, Timeout: 2 * time.Second, Body: "SELECT 1"}}
+// lookupRequest is a lookup of session 1, sent at a time.
+func lookupRequest(sentAt time.Duration) SubmitRequest {
+	return SubmitRequest{1, Request{
+		RequestID: "a", Class: "lookup", Tenant: "acme", SentAt: sentAt, Timeout: 2 * time.Second,
+		Body: "SELECT 1",
+	}}
 }
 
-// What becomes of requests and attempts is told once, with the times of the client's clock, and work counts as wasted
-// where no client got its answer though it may have run.
+// What becomes of requests and attempts is reported once, with the times of the client's clock. An attempt
+// counts as wasted if no client got its answer though it may have run.
 func TestMeter(t *testing.T) {
-	const e = "e1"
-	for _, c := range []struct {
-		name string
-		do   func(*harness)
+	abandoned := []RequestSummary{{
+		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms,
+		Objective: 400 * ms, Attempts: 1,
+	}}
+	wasted := func(duration time.Duration) []AttemptSummary {
+		return []AttemptSummary{{
+			Class: "lookup", Engine: "e1", Status: control.Cancelled, Duration: duration, Wasted: true,
+		}}
+	}
+	for name, c := range map[string]struct {
+		do   func(h *harness)
 		want recordingMeter
 	}{
-		{"served", func(r *harness) {
-			w := effectsOf[StartAttempt](r.apply(lookupRequest(1, "a", r.now-100*ms)))
-			if len(w) == 0 {
-				w = effectsOf[StartAttempt](r.run(10 * ms))
-			}
-			r.now += 50 * ms
-			r.apply(AttemptServed{Attempt: w[0].Attempt, PageCount: 1, Body: []byte("1\t2\t3\n")})
-		}, recordingMeter{
-			accepted: 1, started: 1,
-			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.OK, Duration: 50 * ms}},
-		}},
-		{"its client leaves while it runs", func(r *harness) {
-			w := effectsOf[StartAttempt](r.apply(lookupRequest(1, "a", r.now)))
-			r.now += 30 * ms
-			r.apply(SessionClosed{1})
-			r.run(10 * ms)
-			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
+		"served": {func(h *harness) {
+			h.apply(lookupRequest(h.now - 100*ms))
+			h.now += 50 * ms
+			h.apply(firstPage(h.onlyAttempt(), 1, row))
 		}, recordingMeter{
 			accepted: 1, started: 1,
-			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 40 * ms, Wasted: true}},
+			requests: []RequestSummary{{
+				Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms,
+				Attempts: 1,
+			}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: "e1", Status: control.OK, Duration: 50 * ms}},
 		}},
-		{"bad fields", func(r *harness) {
-			r.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: r.now, Timeout: time.Second}})
+		"client leaves meanwhile": {func(h *harness) {
+			h.apply(lookupRequest(h.now))
+			h.now += 30 * ms
+			h.apply(SessionClosed{1})
+			h.run(10 * ms)
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: control.Cancelled})
+		}, recordingMeter{accepted: 1, started: 1, requests: abandoned, attempts: wasted(40 * ms)}},
+		"invalid fields": {func(h *harness) {
+			h.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: h.now, Timeout: time.Second}})
 		}, recordingMeter{rejected: []ReplyKind{ReplyInvalidFields}}},
-		{"a command that is not known", func(r *harness) {
-			r.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
+		"unknown command": {func(h *harness) {
+			h.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
 		}, recordingMeter{rejected: []ReplyKind{ReplyUnknownCommand}}},
-		{"killed", func(r *harness) {
-			w := effectsOf[StartAttempt](r.apply(lookupRequest(1, "a", r.now)))
-			r.now += 30 * ms
-			r.apply(Kill{RequestedBy: 2, Target: 1})
-			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
+		"killed": {func(h *harness) {
+			h.apply(lookupRequest(h.now))
+			h.now += 30 * ms
+			h.apply(Kill{RequestedBy: 2, Target: 1})
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: control.Cancelled})
 		}, recordingMeter{
-			accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted},
-			requests: []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 30 * ms, Wasted: true}},
+			accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted}, requests: abandoned,
+			attempts: wasted(30 * ms),
 		}},
-		{"a ping is no refusal", func(r *harness) { r.apply(Ping{1}) }, recordingMeter{}},
+		"a ping is no rejection": {func(h *harness) { h.apply(Ping{1}) }, recordingMeter{}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newHarness(t, endpoint(e, "127.0.0.1:1", control.Ready))
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, engine1())
 			got := &recordingMeter{}
-			r.broker.SetMeter(got)
-			c.do(r)
+			h.broker.SetMeter(got)
+			c.do(h)
 			if diff := cmp.Diff(c.want, *got, cmp.AllowUnexported(recordingMeter{})); diff != "" {
 				t.Fatal(diff)
 			}
@@ -91,19 +96,27 @@
 	}
 }
 
-// Of an attempt whose engine never got it, or said that it never ran, nothing was wasted.
+// An attempt that never reached its engine, or that the engine proved not to have run, is not wasted.
 func TestNeverRunAttemptsAreNotWasted(t *testing.T) {
-	for status, wasted := range map[control.Status]bool{
-		control.ConnectFailed: false, control.AtCapacity: false, control.NeverSent: false,
-		control.ConnectionReset: true, control.Failed: true,
+	for name, c := range map[string]struct {
+		status control.Status
+		wasted bool
+	}{
+		"connect failed":   {control.ConnectFailed, false},
+		"at capacity":      {control.AtCapacity, false},
+		"never sent":       {control.NeverSent, false},
+		"connection reset": {control.ConnectionReset, true},
+		"failed":           {control.Failed, true},
 	} {
-		r := newHarness(t, endpoint("e1", "127.0.0.1:1", control.Ready))
-		got := &recordingMeter{}
-		r.broker.SetMeter(got)
-		w := effectsOf[StartAttempt](r.apply(lookupRequest(1, "a", r.now)))
-		r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: status})
-		if len(got.attempts) == 0 || got.attempts[0].Wasted != wasted || got.attempts[0].Status != status {
-			t.Errorf("status %v: %+v", status, got.attempts)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, engine1())
+			got := &recordingMeter{}
+			h.broker.SetMeter(got)
+			h.apply(lookupRequest(h.now))
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: c.status})
+			if len(got.attempts) == 0 || got.attempts[0].Wasted != c.wasted || got.attempts[0].Status != c.status {
+				t.Errorf("got %+v", got.attempts)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/broker/sessions_test.go
@@ -0,0 +1,47 @@
+package broker
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// With the limit of sessions reached, the first to be evicted is one that had time to log in and did not;
+// else, of the idle ones, one whose command was invalid, then the one that is idle longest; else one that may
+// be about to log in. With all busy, a client is rejected.
+func TestEvictionOrder(t *testing.T) {
+	h := newHarness(t, engine1())
+	h.broker.sessions.max = 5 // as many as are open
+	h.submit(1, "lookup", "", time.Second)
+	h.run(loginGrace)
+	h.apply(Ping{2}, SubmitRequest{3, Request{Class: "nonsense"}}, Ping{4})
+	h.apply(SessionOpened{10}) // evicts 3
+	h.run(loginGrace)
+	h.apply(SessionOpened{11})                           // evicts 10
+	h.apply(SessionOpened{12}, SessionAuthenticated{12}) // evicts 5, as 11 may be about to log in
+	for _, id := range []Session{2, 4, 12} {
+		h.submit(id, "lookup", "", time.Second)
+	}
+	h.apply(SessionOpened{13}, SessionAuthenticated{13}) // evicts 11
+	h.submit(13, "lookup", "", time.Second)
+	want := []CloseSession{
+		{3, CloseEvictedIdle},
+		{10, CloseEvictedIdle},
+		{5, CloseEvictedIdle},
+		{11, CloseEvictedIdle},
+	}
+	if diff := cmp.Diff(want, effectsOf[CloseSession](h.effects)); diff != "" {
+		t.Fatal(diff)
+	}
+	if late := h.apply(Ping{10}); len(late) != 0 {
+		t.Fatalf("a session that was closed got %v", late)
+	}
+	rejected := []Effect{
+		Reply{Session: 14, Kind: ReplyTooManySessions, Text: "too many connections"},
+		CloseSession{14, CloseTooManySessions},
+	}
+	if diff := cmp.Diff(rejected, h.apply(SessionOpened{14})); diff != "" {
+		t.Fatal(diff)
+	}
+}
