--- a/measure/fleet/main.go
+++ b/measure/fleet/main.go
@@ -1,6 +1,7 @@
-// Command fleet counts what a fleet of brokers spent of what they share, from their logs: the lines costs that each
-// broker writes every 5 s and at its end, summed over every file of a folder, one broker's log a file. It prints
-// name value unit lines: the counts of the day, and each over the requests taken, as the settings price them.
+// Command fleet counts what a fleet of brokers spent of the resources that they share, from their logs: the lines costs
+// that each broker writes every 5 s and at its end, summed over all logs of a directory, one file a broker. Each line
+// that it prints is a name, a value and a unit: the counts of the day, and each over the accepted requests, as the
+// settings price them.
 package main
 
 import (
@@ -9,84 +10,107 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 
 	"wheatlane/internal/usage"
 )
 
+const (
+	// costsMessage is the message of the log lines that are counted.
+	costsMessage = "costs"
+	// maxLineBytes is the longest line of a log that is read; a log with a longer one is read up to it.
+	maxLineBytes = 1 << 20
+)
+
 func main() {
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: fleet LOGDIR")
 		os.Exit(2)
 	}
-	all, brokers, err := sum(os.Args[1])
+	total, brokers, err := sumDirectory(os.Args[1])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
 		os.Exit(1)
 	}
+	printCounters(total, brokers)
+}
+
+func printCounters(total usage.Counters, brokers int) {
 	fmt.Printf("brokers %d count\n", brokers)
 	for _, name := range usage.FieldNames {
-		n, _ := all.Count(name)
-		fmt.Printf("%s %d count\n", name, n)
+		count, _ := total.Count(name)
+		fmt.Printf("%s %d count\n", name, count)
 	}
-	for _, name := range usage.FieldNames[1:] {
-		n, _ := all.Count(name)
-		fmt.Printf("%s_per_request %.3f ratio\n", name, usage.PerRequest(n, all.Requests))
+	for _, name := range usage.FieldNames[1:] { // the first is the requests themselves
+		count, _ := total.Count(name)
+		fmt.Printf("%s_per_request %.3f ratio\n", name, usage.PerRequest(count, total.Requests))
 	}
 }
 
-// sum adds up the lines costs of all logs in a folder; brokers is the number of logs that have any.
-func sum(dir string) (all usage.Counters, brokers int, err error) {
-	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
+// sumDirectory adds up all logs of a directory; brokers is the number of logs with any counters.
+func sumDirectory(dir string) (total usage.Counters, brokers int, err error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
-		return all, 0, err
+		return total, 0, err
 	}
-	if len(files) == 0 {
-		return all, 0, fmt.Errorf("%s: no .log files", dir)
+	if len(paths) == 0 {
+		return total, 0, fmt.Errorf("%s: no .log files", dir)
 	}
-	for _, f := range files {
-		b, lines, err := read(f)
+	for _, path := range paths {
+		counters, lines, err := sumFile(path)
 		if err != nil {
-			return all, 0, err
+			return total, 0, fmt.Errorf("%s: %w", path, err)
 		}
 		if lines > 0 {
 			brokers++
 		}
-		all = all.Add(b)
+		total = total.Add(counters)
 	}
-	return all, brokers, nil
+	return total, brokers, nil
 }
 
-// read sums the lines costs of one log. A line may have a time ahead of its JSON, as the bench writes them.
-func read(path string) (b usage.Counters, lines int, err error) {
+func sumFile(path string) (total usage.Counters, lines int, err error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return b, 0, err
+		return total, 0, err
 	}
-	defer f.Close()
-	s := bufio.NewScanner(f)
-	s.Buffer(nil, 1<<20)
-	for s.Scan() {
-		at := bytes.IndexByte(s.Bytes(), '{')
-		if at < 0 {
-			continue
-		}
-		var line map[string]any
-		if json.Unmarshal(s.Bytes()[at:], &line) != nil || line["msg"] != "costs" {
-			continue
-		}
-		lines++
-		var one usage.Counters
-		for _, name := range usage.FieldNames {
-			if v, ok := line[name].(float64); ok {
-				one.Set(name, uint64(v))
-			}
+	defer func() { _ = f.Close() }() // it was only read
+	return sumLog(f)
+}
+
+// sumLog adds up the counters of one log; lines is the number of log lines that have them.
+func sumLog(log io.Reader) (total usage.Counters, lines int, err error) {
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		if counters, ok := parseLine(scanner.Bytes()); ok {
+			lines++
+			total = total.Add(counters)
 		}
-		b = b.Add(one)
 	}
-	if err := s.Err(); err != nil && !errors.Is(err, bufio.ErrTooLong) {
-		return b, lines, fmt.Errorf("%s: %w", path, err)
+	if err := scanner.Err(); err != nil && !errors.Is(err, bufio.ErrTooLong) {
+		return total, lines, err
+	}
+	return total, lines, nil
+}
+
+// parseLine returns the counters of a log line that has them. A line may have a time ahead of its JSON, as the bench
+// writes them.
+func parseLine(line []byte) (counters usage.Counters, ok bool) {
+	start := bytes.IndexByte(line, '{')
+	if start < 0 {
+		return counters, false
+	}
+	var fields map[string]any
+	if json.Unmarshal(line[start:], &fields) != nil || fields["msg"] != costsMessage {
+		return counters, false
+	}
+	for _, name := range usage.FieldNames {
+		if count, ok := fields[name].(float64); ok {
+			counters.Set(name, uint64(count))
+		}
 	}
-	return b, lines, nil
+	return counters, true
 }
--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -1,14 +1,13 @@
-// Command operator measures how long calls at the second address take while the broker serves 500 lookups a second
-// and slow callers hold connections open with nothing or half a line: the page owes a reply within 1 s.
+// Command operator measures how long the admin endpoint takes to reply while the broker serves 500 lookups a second and
+// slow callers hold connections open with nothing or half a line: a reply is due within 1 s. Each line that it prints is a
+// name, a value and a unit.
 package main
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -26,11 +25,11 @@
 )
 
 const (
-	rate      = 500 // lookups a second
-	slowOnes  = 16  // callers that hold a connection with nothing or half a line
-	slowFor   = 4 * time.Second
-	owed      = time.Second
-	callEvery = 20 * time.Millisecond
+	engineCount  = 4
+	lookupRate   = 500 // requests a second
+	slowCallers  = 16  // connections with nothing or half a line
+	replyDue     = time.Second
+	callInterval = 20 * time.Millisecond
 )
 
 func main() {
@@ -42,120 +41,134 @@
 	}
 }
 
-func tell(name string, value float64, unit string) { fmt.Printf("%s %.4g %s\n", name, value, unit) }
+func printResult(name string, value float64, unit string) {
+	fmt.Printf("%s %.4g %s\n", name, value, unit)
+}
 
-func measure(ctx context.Context, calls int) error {
+// measure runs engines, a broker, its load and the callers in this process.
+func measure(ctx context.Context, calls int) (err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	changes, hosts, err := cluster.Plain(ctx, g, 4, cluster.Classes)
+	changelog, hosts, err := cluster.Plain(ctx, g, engineCount, cluster.Classes)
 	if err != nil {
 		return err
 	}
-	text, err := cluster.Configuration("desk", 1, changes)
+	configText, err := cluster.Configuration("desk", 1, changelog)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return err
-	}
-	cfg, err := config.Load(func(k string) string {
-		return map[string]string{"RELAY_CONFIG": path, "RELAY_OPERATOR": "127.0.0.1:0", "TMPDIR": dir}[k]
-	})
-	if err != nil {
-		return err
-	}
-	broker, err := service.New(ctx, cfg, nil, zap.NewNop())
+	broker, err := newBroker(ctx, dir, configText)
 	if err != nil {
 		return err
 	}
 	stop := make(chan struct{})
 	g.Go(func() error { return broker.Run(ctx, stop) })
-	desk := broker.AdminAddr().String()
-	load := client.New(client.Config{Addr: broker.Server.Addr().String(), Tenants: cluster.Tenants, DataSets: 24, Seed: 1, MaxOpen: 256,
-		Classes: []client.Class{{Engine: cluster.Classes[0], Rate: rate, LatencyObjective: 400 * time.Millisecond, Timeout: 2 * time.Second}}}, nil)
-	loading, endLoad := context.WithCancel(ctx)
-	g.Go(func() error {
-		if err := load.Run(loading); err != nil && !errors.Is(err, context.Canceled) {
-			return err
-		}
-		return nil
-	})
-	for i := range slowOnes {
-		g.Go(func() error { return slow(loading, desk, i%2 == 0) })
-	}
-	took, wrong := make([]time.Duration, 0, calls), 0
-	for i := range calls {
-		ask := []string{"check", "vars", "set-down " + hosts[0].ID, "set-up " + hosts[0].ID}[i%4]
-		began := time.Now()
-		reply, err := call(desk, ask)
-		took = append(took, time.Since(began))
-		if err != nil || !strings.HasPrefix(reply, "ACK") || ask == "vars" && !strings.HasSuffix(reply, "\n--\n") {
-			wrong++
-		}
-		time.Sleep(callEvery) // a pace for the calls, not a wait for something to happen
+
+	loadCtx, endLoad := context.WithCancel(ctx)
+	defer endLoad()
+	load := newLoad(broker.Server.Addr().String())
+	g.Go(func() error { return ignoreCanceled(load.Run(loadCtx)) })
+	address := broker.AdminAddr().String()
+	for i := range slowCallers {
+		g.Go(func() error { return callSlowly(loadCtx, address, []string{"", "set-do"}[i%2]) })
 	}
+	replies := callInTurn(ctx, address, hosts[0].ID, calls)
 	endLoad()
 	close(stop)
-	slices.Sort(took)
-	late := len(took) - sortIndex(took, owed)
-	tell("operator_calls", float64(len(took)), "calls")
-	tell("operator_reply_p50", ms(took[len(took)/2]), "ms")
-	tell("operator_reply_p99", ms(took[len(took)*99/100]), "ms")
-	tell("operator_reply_max", ms(took[len(took)-1]), "ms")
-	tell("operator_late", float64(late), "calls")
-	tell("operator_wrong", float64(wrong), "calls")
-	tell("lookups_sent", float64(load.Tally()["lookup"].Sent), "requests")
+	replies.print()
+	printResult("lookups_sent", float64(load.Tally()["lookup"].Sent), "requests")
 	cancel()
-	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
-		return err
-	}
-	return nil
+	return ignoreCanceled(g.Wait())
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// newBroker returns a broker with an admin endpoint, whose files are in a directory.
+func newBroker(ctx context.Context, dir string, configText []byte) (*service.Service, error) {
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, configText, 0o600); err != nil {
+		return nil, err
+	}
+	environment := map[string]string{"RELAY_CONFIG": path, "RELAY_OPERATOR": "127.0.0.1:0", "TMPDIR": dir}
+	cfg, err := config.Load(func(name string) string { return environment[name] })
+	if err != nil {
+		return nil, err
+	}
+	return service.New(ctx, cfg, nil, zap.NewNop())
+}
 
-func sortIndex(sorted []time.Duration, d time.Duration) int {
-	i, _ := slices.BinarySearch(sorted, d)
-	return i
+// newLoad returns clients that send lookups.
+func newLoad(address string) *client.Load {
+	return client.New(client.Config{
+		Addr:     address,
+		Tenants:  cluster.Tenants,
+		DataSets: 24,
+		Seed:     1,
+		MaxOpen:  256,
+		Classes: []client.Class{{
+			Engine:           cluster.Classes[0],
+			Rate:             lookupRate,
+			LatencyObjective: 400 * time.Millisecond,
+			Timeout:          2 * time.Second,
+		}},
+	}, nil)
 }
 
-// call asks one thing and reads the reply to its end.
-func call(addr, line string) (string, error) {
-	c, err := net.DialTimeout("tcp", addr, owed)
-	if err != nil {
-		return "", err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(2 * owed))
-	if _, err := io.WriteString(c, line+"\n"); err != nil {
-		return "", err
+func ignoreCanceled(err error) error {
+	if errors.Is(err, context.Canceled) {
+		return nil
 	}
-	b, err := io.ReadAll(bufio.NewReader(c))
-	return string(b), err
+	return err
 }
 
-// slow holds a connection for slowFor with nothing, or half a call, again and again until ctx ends.
-func slow(ctx context.Context, addr string, half bool) error {
-	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", addr, owed)
-		if err != nil {
-			return nil
-		}
-		if half {
-			io.WriteString(c, "set-do")
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(slowFor):
+// replies are what became of calls.
+type replies struct {
+	durations []time.Duration
+	wrong     int
+}
+
+// callInTurn calls each command in turn, for an engine where it takes one.
+func callInTurn(ctx context.Context, address, engine string, calls int) replies {
+	commands := []string{"check", "vars", "set-down " + engine, "set-up " + engine}
+	r := replies{durations: make([]time.Duration, 0, calls)}
+	for i := range calls {
+		command := commands[i%len(commands)]
+		start := time.Now()
+		reply, err := call(ctx, address, command)
+		r.durations = append(r.durations, time.Since(start))
+		if err != nil || !isComplete(command, reply) {
+			r.wrong++
 		}
-		c.Close()
+		time.Sleep(callInterval) // paces the calls
 	}
-	return nil
+	return r
+}
+
+// isComplete reports whether a reply is positive and complete.
+func isComplete(command, reply string) bool {
+	return strings.HasPrefix(reply, "ACK") && (command != "vars" || strings.HasSuffix(reply, "\n--\n"))
+}
+
+func (r *replies) print() {
+	slices.Sort(r.durations)
+	n := len(r.durations)
+	inTime, _ := slices.BinarySearch(r.durations, replyDue)
+	printResult("operator_calls", float64(n), "calls")
+	printResult("operator_reply_p50", milliseconds(r.durations[n/2]), "ms")
+	printResult("operator_reply_p99", milliseconds(r.durations[n*99/100]), "ms")
+	printResult("operator_reply_max", milliseconds(r.durations[n-1]), "ms")
+	printResult("operator_late", float64(n-inTime), "calls")
+	printResult("operator_wrong", float64(r.wrong), "calls")
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// dial connects to the admin endpoint.
+func dial(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: replyDue}
+	return dialer.DialContext(ctx, "tcp", address)
 }
