--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -9,76 +9,63 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatlane/internal/delivery"
-	"wheatlane/internal/metrics"
 )
 
-const (
-	mailSize    = 8 // events of the reporter's; it waits at more, and nothing that serves requests waits for it
-	dialTimeout = 2 * time.Second
-	leastPause  = 200 * time.Millisecond
-	mostPause   = 15 * time.Second
-	// stopWait is how long what is left may take to leave at the end; what has not is counted lost.
-	stopWait = 300 * time.Millisecond
-)
-
-// transport brings up connections to one collector.
-type transport interface {
-	open(ctx context.Context, address string) (session, error)
-}
-
-// session is a connection to a collector.
-type session interface {
-	// write writes an interval from a record on, and calls progress as records are taken. It returns how many
-	// records in all are out when it fails; it fails once ctx ends.
-	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (records int, err error)
-	// ended is closed when the other side ends the connection.
-	ended() <-chan struct{}
-	close()
-}
+// eventBuffer is how many events may wait for a destination. Beyond that the reporter waits, and no request does.
+const eventBuffer = 8
 
-// plan is what a destination is set up as.
-type plan struct {
-	name, address string
-	cfg           delivery.Config
-	transport     transport
-	form          any // what the transport is made of, to compare
+// message is what the reporter hands to a destination.
+type message struct {
+	event   delivery.Event
+	address string // the new one, of delivery.AddressChanged
 }
 
-// destination carries out what its machine decides. One goroutine owns the machine; each connection has one.
+// destination carries out the decisions of a delivery.Machine. One goroutine owns the machine, and each connection
+// has a goroutine of its own; all end with the context that run was given.
 type destination struct {
-	plan  plan // of the reporter's goroutine, as of the last change
-	mail  chan any
-	back  chan delivery.Event
+	plan  plan // as last configured; the reporter's goroutine owns it
 	stats atomic.Pointer[delivery.Stats]
 	log   *zap.Logger
 
-	m       *delivery.Machine
-	address string
-	began   time.Time
-	group   *errgroup.Group
-	cancel  context.CancelFunc  // of the connection; there is one at a time
-	jobs    chan delivery.Write // for it
-}
+	inbox            chan message
+	connectionEvents chan delivery.Event
+
+	// The rest belongs to the goroutine of loop.
 
-// move is a new address.
-type move struct{ address string }
+	machine   *delivery.Machine
+	transport transport
+	address   string
+	startedAt time.Time
+	group     *errgroup.Group
+	// The one connection that there is at a time.
+	closeConnection context.CancelFunc
+	writes          chan delivery.Write
+}
 
 func newDestination(p plan, seed uint64, log *zap.Logger) *destination {
-	d := &destination{plan: p, mail: make(chan any, mailSize), back: make(chan delivery.Event, mailSize),
-		log: log.With(zap.String("destination", p.name)), m: delivery.New(p.cfg, seed), address: p.address, began: time.Now()}
+	d := &destination{
+		plan:             p,
+		log:              log.With(zap.String("destination", p.name)),
+		inbox:            make(chan message, eventBuffer),
+		connectionEvents: make(chan delivery.Event, eventBuffer),
+		machine:          delivery.New(p.delivery, seed),
+		transport:        p.transport,
+		address:          p.address,
+		startedAt:        time.Now(),
+	}
 	d.stats.Store(&delivery.Stats{})
 	return d
 }
 
-// tell hands an event to the destination's goroutine.
-func (d *destination) tell(ctx context.Context, ev any) {
+// send hands a message to the destination's goroutine.
+func (d *destination) send(ctx context.Context, m message) {
 	select {
-	case d.mail <- ev:
+	case d.inbox <- m:
 	case <-ctx.Done():
 	}
 }
 
-// run carries out what the machine decides until that is done.
+// run carries out what the machine decides until that has stopped.
 func (d *destination) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,16 +75,17 @@
 		return d.loop(ctx)
 	})
 	err := d.group.Wait()
-	st := *d.stats.Load()
-	d.log.Info("destination ended", zap.Uint64("delivered", st.Delivered), zap.Uint64("lost", st.Lost),
-		zap.Float64("lost_samples", st.LostSamples), zap.Uint64("breaks", st.Breaks))
+	stats := d.stats.Load()
+	d.log.Info("destination ended", zap.Uint64("delivered", stats.DeliveredIntervals), zap.Uint64("lost", stats.Lost),
+		zap.Float64("lost_samples", stats.LostSamples), zap.Uint64("breaks", stats.ConnectionFailures))
 	if ctx.Err() != nil {
-		return nil // it was told to end, or came to its end
+		return nil // it was told to end, or its machine has stopped
 	}
 	return err
 }
 
-func (d *destination) now() time.Duration { return time.Since(d.began) }
+// now is the machine's time.
+func (d *destination) now() time.Duration { return time.Since(d.startedAt) }
 
 func (d *destination) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
@@ -107,29 +95,26 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case ev := <-d.mail:
-			switch ev := ev.(type) {
-			case move:
-				d.address = ev.address
-				actions = d.m.Apply(d.now(), delivery.Move{})
-			case delivery.Event:
-				actions = d.m.Apply(d.now(), ev)
+		case m := <-d.inbox:
+			if _, moved := m.event.(delivery.AddressChanged); moved {
+				d.address = m.address
 			}
-		case ev := <-d.back:
-			actions = d.m.Apply(d.now(), ev)
+			actions = d.machine.Apply(d.now(), m.event)
+		case ev := <-d.connectionEvents:
+			actions = d.machine.Apply(d.now(), ev)
 		case <-timer.C:
-			actions = d.m.Tick(d.now())
+			actions = d.machine.Tick(d.now())
 		}
-		done := false
+		stopped := false
 		for _, a := range actions {
-			done = d.do(ctx, a) || done
+			stopped = d.perform(ctx, a) || stopped
 		}
-		st := d.m.Stats()
-		d.stats.Store(&st)
-		if done {
+		stats := d.machine.Stats()
+		d.stats.Store(&stats)
+		if stopped {
 			return nil
 		}
-		if at, ok := d.m.Next(); ok {
+		if at, ok := d.machine.NextDeadline(); ok {
 			timer.Reset(max(0, at-d.now()))
 		} else {
 			timer.Stop()
@@ -137,65 +122,17 @@
 	}
 }
 
-// do carries out an action; true if it was the last.
-func (d *destination) do(ctx context.Context, a delivery.Action) bool {
-	switch a := a.(type) {
-	case delivery.Open:
-		at, cancel := context.WithCancel(ctx)
-		d.cancel, d.jobs = cancel, make(chan delivery.Write, 1)
-		address, jobs := d.address, d.jobs
-		d.group.Go(func() error {
-			defer cancel()
-			d.connection(ctx, at, a.Conn, address, jobs)
-			return nil
-		})
+// perform carries out an action; it returns true if that was the last.
+func (d *destination) perform(ctx context.Context, action delivery.Action) (stopped bool) {
+	switch a := action.(type) {
+	case delivery.Connect:
+		d.connect(ctx, a.Conn)
 	case delivery.Write:
-		d.jobs <- a // there is room: the machine waits for the end of one before it begins another
+		d.writes <- a // it has a place: the machine starts a write only when the one before has ended
 	case delivery.Close:
-		d.cancel()
-	case delivery.Done:
+		d.closeConnection()
+	case delivery.Stopped:
 		return true
 	}
 	return false
 }
-
-// connection connects and writes what it is given until at ends. ctx is the destination's.
-func (d *destination) connection(ctx, at context.Context, conn int, address string, jobs <-chan delivery.Write) {
-	records := 0
-	began := time.Now()
-	err := func() error {
-		dial, cancel := context.WithTimeout(at, dialTimeout)
-		s, err := d.plan.transport.open(dial, address)
-		cancel()
-		if err != nil {
-			return err
-		}
-		defer s.close()
-		d.report(ctx, delivery.Opened{Conn: conn})
-		for {
-			select {
-			case <-at.Done():
-				return at.Err()
-			case <-s.ended():
-				return errPeerClosed
-			case w := <-jobs:
-				records = w.From
-				n, err := s.write(at, w.Interval, w.From, func(n int) { d.report(ctx, delivery.Progress{Conn: conn, Lines: n}) })
-				if err != nil {
-					records = n
-					return err
-				}
-				d.report(ctx, delivery.Wrote{Conn: conn})
-			}
-		}
-	}()
-	d.log.Info("collector connection ended", zap.String("address", address), zap.Duration("lasted", time.Since(began)), zap.Error(err))
-	d.report(ctx, delivery.Broken{Conn: conn, Lines: records})
-}
-
-func (d *destination) report(ctx context.Context, ev delivery.Event) {
-	select {
-	case d.back <- ev:
-	case <-ctx.Done():
-	}
-}
