--- a/Makefile
+++ b/Makefile
@@ -36,8 +36,8 @@
 
 # Requests sent on for clients that have left, or after a shutdown, over runs on loopback with faults.
 measure-rare:
-	go run ./measure/rare
-	go run ./measure/rare -copies=false -cancel=false -busy
+	go run ./measure/edgecases
+	go run ./measure/edgecases -copies=false -cancel=false -busy
 
 measure-config:
 	go run ./measure/config
--- /dev/null
+++ b/measure/edgecases/main.go
@@ -0,0 +1,112 @@
+// Command edgecases counts, over a run on loopback with faults, what the operators' terms on edge cases limit: requests that
+// are forwarded although their clients disconnected while they were queued, requests that are forwarded although they were
+// sent after a planned restart had shut their connection, and violations of any other rule. Clients leave by KILL QUERY, a
+// close or a reset. Each line that it prints is a name, a value and a unit.
+package main
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/engine"
+)
+
+// options are those of a run.
+type options struct {
+	seed         uint64
+	duration     time.Duration // until the planned restart
+	hedging      bool
+	cancellation bool
+	busy         bool // long requests are in flight at the planned restart
+}
+
+func main() {
+	var o options
+	flag.Uint64Var(&o.seed, "seed", 1, "seed of the random numbers")
+	flag.DurationVar(&o.duration, "for", 20*time.Second, "duration until the planned restart")
+	flag.BoolVar(&o.hedging, "copies", true, "the deployment allows hedged requests")
+	flag.BoolVar(&o.cancellation, "cancel", true, "the deployment allows to cancel attempts")
+	flag.BoolVar(&o.busy, "busy", false, "long requests are in flight at the planned restart, otherwise only short ones")
+	flag.Parse()
+	if err := measure(context.Background(), o); err != nil {
+		fmt.Fprintln(os.Stderr, "measure:", err)
+		os.Exit(1)
+	}
+}
+
+// engineObserver reports to the checker what engines observe, and counts the requests that were sent after the shutdown.
+type engineObserver struct {
+	checker *conformance.Checker
+
+	mu        sync.Mutex
+	late      map[string]bool // requests that were sent after the shutdown
+	forwarded int             // attempts of these
+}
+
+// AttemptReceived records an attempt that an engine has received.
+func (o *engineObserver) AttemptReceived(r engine.Run) {
+	o.checker.AttemptReceived(r.Engine, r.Ref, r.At)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.late[r.Ref] {
+		o.forwarded++
+	}
+}
+
+// AttemptEnded records the end of an attempt at an engine.
+func (o *engineObserver) AttemptEnded(engine, requestID string, at time.Time) {
+	o.checker.AttemptEnded(engine, requestID, at)
+}
+
+// addLate records a request that is sent after the shutdown.
+func (o *engineObserver) addLate(requestID string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.late[requestID] = true
+}
+
+// lateCounts returns how many requests were sent after the shutdown, and how many attempts of them engines received.
+func (o *engineObserver) lateCounts() (sent, forwarded int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.late), o.forwarded
+}
+
+var outcomes = []conformance.Outcome{
+	conformance.Served, conformance.Rejected, conformance.Failed, conformance.ClientLeft, conformance.Unanswered,
+	conformance.WrongAnswer,
+}
+
+func printCount(name string, n int) { fmt.Printf("%s %d requests\n", name, n) }
+
+// printVerdict prints what was counted; the error holds all violations.
+func printVerdict(v conformance.Verdict, observer *engineObserver) error {
+	printCount("asked", v.Requests)
+	for _, outcome := range outcomes {
+		printCount(string(outcome), v.Outcomes[outcome])
+	}
+	printCount("left_while_waiting", v.Waited)
+	printCount("sent_on_0.3s_after_leaving", v.SentLate)
+	sent, forwarded := observer.lateCounts()
+	printCount("asked_after_the_shutdown", sent)
+	printCount("sent_on_after_the_shutdown", forwarded)
+	fmt.Printf("breaches %d\n", len(v.Breaches))
+	var violations []error
+	for _, breach := range v.Breaches {
+		violations = append(violations, errors.New(breach))
+	}
+	if v.Waited == 0 || sent == 0 {
+		violations = append(violations, errors.New("no client left while its request was queued, "+
+			"or none sent one after the shutdown: nothing was checked"))
+	}
+	if forwarded > 0 {
+		violations = append(violations, fmt.Errorf("%d requests were forwarded that were sent after the shutdown", forwarded))
+	}
+	return errors.Join(violations...)
+}
--- /dev/null
+++ b/measure/edgecases/run.go
@@ -0,0 +1,205 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"os"
+	"path/filepath"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/config"
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/client"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/scenario"
+	"wheatlane/internal/service"
+)
+
+const (
+	engineCount     = 3
+	faults          = "2s:slow:1,4s:silent:2,6s:speak:2,7s:drain:3,9s:crash:1,12s:back:1,14s:quick:1"
+	disconnectGrace = 300 * time.Millisecond // the operators' term
+	drainGrace      = 500 * time.Millisecond
+	clockSlack      = 50 * time.Millisecond
+	maxAttempts     = 4
+
+	// lateLoad is how long requests are sent after SIGTERM, by the protocol.
+	lateLoad = 300 * time.Millisecond
+	// quietSeed is added to the seed of the load without long requests.
+	quietSeed = 1000
+)
+
+// classes are the requests that clients send.
+var classes = []client.Class{
+	{Engine: cluster.Classes[0], Rate: 80, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second},
+	{Engine: cluster.Classes[1], Rate: 2, LatencyObjective: 4 * time.Second, Timeout: 20 * time.Second},
+	{Engine: cluster.Classes[2], Rate: 1, LatencyObjective: 9 * time.Second, Timeout: 25 * time.Second, Keys: 8},
+}
+
+// environment is what a broker runs in: emulated engines and a change log, and the checker that observes them.
+type environment struct {
+	checker   *conformance.Checker
+	observer  *engineObserver
+	engines   *cluster.Cluster
+	changelog *changelogserver.ChangeLog
+}
+
+func newEnvironment(hedging bool) (*environment, error) {
+	checker := conformance.New(conformance.Rules{
+		DrainGrace:      drainGrace,
+		Slack:           clockSlack,
+		MaxAttempts:     maxAttempts,
+		DisconnectGrace: disconnectGrace,
+		NoHedging:       !hedging,
+	})
+	e := &environment{checker: checker, observer: &engineObserver{checker: checker, late: map[string]bool{}}}
+	var err error
+	e.engines, err = cluster.New(engineCount, e.observer, func(h changelogserver.Host) error {
+		e.changelog.Change(h)
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	e.changelog, err = changelogserver.New("127.0.0.1:0", e.engines.Hosts(), e.listed)
+	return e, err
+}
+
+// listed tells the checker what the change log has reported of an engine.
+func (e *environment) listed(h changelogserver.Host, at time.Time) {
+	if h.Health == "in_service" {
+		e.checker.EngineInService(h.ID)
+	} else {
+		e.checker.EngineDraining(h.ID, at)
+	}
+}
+
+// run emulates engines and change log until ctx ends.
+func (e *environment) run(ctx context.Context) error {
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return e.engines.Run(ctx) })
+	g.Go(func() error { return e.changelog.Run(ctx) })
+	return ignoreCanceled(g.Wait())
+}
+
+// runFaults applies the scenario of faults.
+func (e *environment) runFaults(ctx context.Context) error {
+	steps, err := scenario.Parse(faults, cluster.Verbs, engineCount)
+	if err != nil {
+		return err
+	}
+	return ignoreCanceled(scenario.Play(ctx, steps, func(s scenario.Step) error { return e.engines.Do(ctx, s) }))
+}
+
+// newLoad returns clients that send requests of some classes.
+func (e *environment) newLoad(address string, seed uint64, classes []client.Class) *client.Load {
+	return client.New(client.Config{
+		Addr:     address,
+		Tenants:  cluster.Tenants,
+		DataSets: 24,
+		Seed:     seed,
+		MaxOpen:  256,
+		Retries:  1,
+		Classes:  classes,
+	}, e.checker)
+}
+
+func ignoreCanceled(err error) error {
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	return err
+}
+
+// measure runs a broker under load and faults, restarts it, and prints the checker's verdict.
+func measure(ctx context.Context, o options) (err error) {
+	dir, err := os.MkdirTemp("", "measure")
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	env, err := newEnvironment(o.hedging)
+	if err != nil {
+		return err
+	}
+	broker, err := newBroker(ctx, dir, env.changelog, o)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	emulators, ctx := errgroup.WithContext(ctx)
+	emulators.Go(func() error { return env.run(ctx) })
+	stop := make(chan struct{})
+	ended := make(chan error, 1)
+	go func() { ended <- broker.Run(ctx, stop) }() // ends with stop, or ctx
+
+	address := broker.Server.Addr().String()
+	clients := newDisconnectingClients(address, o.seed, env.checker)
+	load := startLoad(ctx, func(ctx context.Context, g *errgroup.Group) {
+		g.Go(func() error { return env.newLoad(address, o.seed, classes).Run(ctx) })
+		g.Go(func() error { return clients.run(ctx) })
+		g.Go(func() error { return env.runFaults(ctx) })
+	})
+	time.Sleep(o.duration) // the length of the run
+	if !o.busy {
+		err = load.end()
+		load = startLoad(ctx, func(ctx context.Context, g *errgroup.Group) {
+			g.Go(func() error { return env.newLoad(address, o.seed+quietSeed, classes[:1]).Run(ctx) })
+		})
+	}
+	waitForIdle := clients.startIdle(ctx, env.observer.addLate)
+	close(stop)
+	time.Sleep(lateLoad)
+	err = errors.Join(err, load.end(), waitForIdle(), <-ended)
+	cancel()
+	if err := errors.Join(err, emulators.Wait()); err != nil {
+		return err
+	}
+	return printVerdict(env.checker.Check(time.Now()), env.observer)
+}
+
+// loadPhase is clients and faults that end together.
+type loadPhase struct {
+	cancel context.CancelFunc
+	group  *errgroup.Group
+}
+
+func startLoad(ctx context.Context, start func(context.Context, *errgroup.Group)) loadPhase {
+	ctx, cancel := context.WithCancel(ctx)
+	g, ctx := errgroup.WithContext(ctx)
+	start(ctx, g)
+	return loadPhase{cancel, g}
+}
+
+// end ends the phase and waits for its requests.
+func (p loadPhase) end() error {
+	p.cancel()
+	return p.group.Wait()
+}
+
+// newBroker returns a broker whose deployment allows hedging and cancellation, or does not.
+func newBroker(
+	ctx context.Context, dir string, changelog *changelogserver.ChangeLog, o options,
+) (*service.Service, error) {
+	text, err := cluster.Configuration("rare", o.seed, changelog)
+	if err != nil {
+		return nil, err
+	}
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		return nil, err
+	}
+	variables := map[string]string{"RELAY_CONFIG": path, "TMPDIR": dir}
+	cfg, err := config.Load(func(name string) string { return variables[name] })
+	if err != nil {
+		return nil, err
+	}
+	limits := &cfg.Settings.Control.Limits
+	limits.Hedging, limits.Cancellation = o.hedging, o.cancellation
+	return service.New(ctx, cfg, nil, zap.NewNop())
+}
