--- /dev/null
+++ b/measure/telemetry/delivery.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/collectd"
+	"wheatlane/internal/delivery"
+	"wheatlane/internal/metrics"
+	"wheatlane/internal/telemetry"
+)
+
+const (
+	intervalLength     = 10 * time.Second
+	intervalsAnHour    = 360
+	intervalsAMinute   = 6
+	requestsAnInterval = 1000 // requests of an interval: 100 a second
+)
+
+// traffic records random requests with as many names as have series.
+type traffic struct {
+	rng      *rand.Rand
+	recorder *telemetry.Recorder
+	broker   *broker.Broker
+	now      time.Duration
+}
+
+func newTraffic(seed1, seed2 uint64) (*traffic, error) {
+	b, err := broker.New(control.Settings{
+		Brokers:          1,
+		MinBatchInterval: time.Millisecond,
+		Classes:          []control.Class{{Name: "lookup", Threads: 1}},
+	}, 1, 10)
+	if err != nil {
+		return nil, err
+	}
+	return &traffic{
+		rng:      rand.New(rand.NewPCG(seed1, seed2)),
+		recorder: telemetry.NewRecorder(limits, 0, 0),
+		broker:   b,
+	}, nil
+}
+
+// nextInterval records the requests of an interval and returns its metrics.
+func (t *traffic) nextInterval() *metrics.Interval {
+	for range requestsAnInterval {
+		t.record()
+	}
+	t.now += intervalLength
+	return t.recorder.CutAlone(t.now, t.broker)
+}
+
+func (t *traffic) record() {
+	r := &broker.Request{
+		Class:   []string{"lookup", "route-report", "survey-load"}[t.rng.IntN(3)],
+		Tenant:  fmt.Sprint("t", t.rng.IntN(40)),
+		DataSet: t.rng.IntN(60),
+	}
+	t.recorder.RequestAccepted(r)
+	t.recorder.AttemptStarted(r.Class)
+	duration := time.Duration(math.Exp(t.rng.NormFloat64()+4) * float64(time.Millisecond))
+	t.recorder.AttemptEnded(broker.AttemptSummary{
+		Class:    r.Class,
+		Engine:   fmt.Sprint("s-", t.rng.IntN(10)),
+		Status:   control.OK,
+		Duration: duration,
+	})
+	t.recorder.RequestEnded(broker.RequestSummary{
+		Class:     r.Class,
+		Tenant:    r.Tenant,
+		Kind:      broker.ReplyResult,
+		Duration:  duration,
+		Objective: 400 * time.Millisecond,
+		Attempts:  1,
+	})
+}
+
+// measureBacklog measures what is held for a collector that is unreachable for an hour.
+func measureBacklog() error {
+	const (
+		budget     = 512 << 10
+		nearlyFull = 500 << 10
+	)
+	t, err := newTraffic(3, 4)
+	if err != nil {
+		return err
+	}
+	m := delivery.New(delivery.Config{
+		Budget:       budget,
+		LeastPause:   time.Second,
+		MostPause:    time.Second,
+		WriteTimeout: time.Second,
+		ReplayRate:   1,
+	}, 1)
+	fullAt, slowest := 0, time.Duration(0)
+	for i := range intervalsAnHour {
+		interval := t.nextInterval()
+		start := time.Now()
+		m.Apply(0, delivery.Offer{Interval: interval})
+		slowest = max(slowest, time.Since(start))
+		held := m.Stats().Held
+		if i == intervalsAMinute-1 {
+			printResult("backlog_first_minute", float64(held)/bytesPerKilobyte, "KB")
+		}
+		if fullAt == 0 && held > nearlyFull {
+			fullAt = i
+		}
+	}
+	stats := m.Stats()
+	printResult("backlog_unfolded_for", float64(fullAt)/intervalsAMinute, "minutes of 512 KB")
+	printResult("backlog_after_an_hour", float64(stats.Held)/bytesPerKilobyte, "KB")
+	printResult("lost_after_an_hour", float64(stats.Lost)+stats.LostSamples, "intervals and values")
+	printResult("longest_fold", float64(slowest.Microseconds()), "us")
+	return nil
+}
+
+// measurePackets measures how many packets a second are made for collectd.
+func measurePackets() error {
+	t, err := newTraffic(5, 6)
+	if err != nil {
+		return err
+	}
+	interval := t.nextInterval()
+	for name, level := range map[string]collectd.Level{
+		"plain":     collectd.Plain,
+		"signed":    collectd.Sign,
+		"encrypted": collectd.Encrypt,
+	} {
+		rate, err := packetRate(interval, level)
+		if err != nil {
+			return err
+		}
+		printResult("collectd_"+name, rate, "packets/s")
+	}
+	return nil
+}
+
+// packetRate packs an interval again and again and returns the packets a second.
+func packetRate(interval *metrics.Interval, level collectd.Level) (float64, error) {
+	const packFor = 300 * time.Millisecond
+	packets := 0
+	packer := collectd.Packer{
+		Security: collectd.Security{Level: level, User: "u", Password: "p"},
+		Random:   func([]byte) error { return nil },
+		Emit: func([]byte) error {
+			packets++
+			return nil
+		},
+	}
+	start := time.Now()
+	for time.Since(start) < packFor {
+		if err := collectd.Lists(interval, "n1", packer.Add); err != nil {
+			return 0, err
+		}
+		if err := packer.Flush(); err != nil {
+			return 0, err
+		}
+	}
+	return float64(packets) / time.Since(start).Seconds(), nil
+}
--- /dev/null
+++ b/measure/telemetry/process.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/client"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/engine"
+)
+
+const (
+	requestRate = 500             // a second
+	roundLength = 2 * time.Second // of load
+	maxOpen     = 256             // requests at a time
+)
+
+// classes are those of the engines. A lookup takes so little work there that its time in the broker shows.
+var classes = func() []engine.Class {
+	all := slices.Clone(cluster.Classes)
+	all[0].Work = 500 * time.Microsecond
+	return all
+}()
+
+// brokerProcess is a run of the program with the load that it has had.
+type brokerProcess struct {
+	name    string
+	cmd     *exec.Cmd
+	address string
+	drained chan struct{} // closed at the end of its log
+
+	mu        sync.Mutex
+	durations [][]time.Duration // of the requests served, by round, sorted
+	sent      int
+}
+
+// processOptions are those of a broker process.
+type processOptions struct {
+	program      string
+	directory    string // for its files
+	changelog    *changelogserver.ChangeLog
+	operatorFile string               // empty: none
+	changeConfig func(map[string]any) // nil: the configuration is that of the cluster
+}
+
+// startBroker starts the program beside the engines and waits until it serves.
+func startBroker(ctx context.Context, name string, o processOptions) (*brokerProcess, error) {
+	path, err := writeConfig(name, o)
+	if err != nil {
+		return nil, err
+	}
+	b := &brokerProcess{name: name, cmd: exec.CommandContext(ctx, o.program), drained: make(chan struct{})}
+	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
+	if o.operatorFile != "" {
+		b.cmd.Args = append(b.cmd.Args, "--operator", o.operatorFile)
+	}
+	log, err := b.cmd.StderrPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := b.cmd.Start(); err != nil {
+		return nil, err
+	}
+	lines := bufio.NewScanner(log)
+	for b.address == "" && lines.Scan() {
+		if _, rest, ok := strings.Cut(lines.Text(), `"listen":"`); ok {
+			b.address, _, _ = strings.Cut(rest, `"`)
+		}
+	}
+	go func() { // ends with the log, which ends with the program
+		defer close(b.drained)
+		for lines.Scan() {
+			continue
+		}
+	}()
+	if b.address == "" {
+		return nil, fmt.Errorf("%s does not serve", name)
+	}
+	return b, nil
+}
+
+// writeConfig writes the platform's configuration of a broker and returns its path.
+func writeConfig(name string, o processOptions) (string, error) {
+	text, err := cluster.Configuration(name, 1, o.changelog)
+	if err != nil {
+		return "", err
+	}
+	if o.changeConfig != nil {
+		var file map[string]any
+		if err := json.Unmarshal(text, &file); err != nil {
+			return "", err
+		}
+		o.changeConfig(file)
+		if text, err = json.Marshal(file); err != nil {
+			return "", err
+		}
+	}
+	path := filepath.Join(o.directory, name+".json")
+	return path, os.WriteFile(path, text, 0o600)
+}
+
+// terminate sends SIGTERM and waits for the end of the program.
+func (b *brokerProcess) terminate() { b.end(syscall.SIGTERM) }
+
+// kill ends the program at once.
+func (b *brokerProcess) kill() { b.end(syscall.SIGKILL) }
+
+func (b *brokerProcess) end(sig syscall.Signal) {
+	_ = b.cmd.Process.Signal(sig) // one that has ended needs no signal
+	<-b.drained
+	_ = b.cmd.Wait() // a signal is no failure here
+}
+
+// load sends lookups for a number of rounds. The durations of the first round, in which connections are established, are
+// not kept.
+func (b *brokerProcess) load(ctx context.Context, seed uint64, rounds int) error {
+	start, durations := time.Now(), make([][]time.Duration, rounds)
+	load := client.New(client.Config{
+		Addr:     b.address,
+		Classes:  lookups(requestRate),
+		Tenants:  cluster.Tenants,
+		DataSets: 24,
+		Seed:     seed,
+		MaxOpen:  maxOpen,
+		OnEnd: func(_ string, outcome conformance.Outcome, d time.Duration) {
+			b.mu.Lock()
+			defer b.mu.Unlock()
+			b.sent++
+			if round := int(time.Since(start) / roundLength); outcome == conformance.Served && round < rounds {
+				durations[round] = append(durations[round], d)
+			}
+		},
+	}, nil)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(rounds)*roundLength)
+	defer cancel()
+	if err := load.Run(ctx); err != nil {
+		return err
+	}
+	for _, round := range durations[1:] {
+		slices.Sort(round)
+		b.durations = append(b.durations, round)
+	}
+	return nil
+}
+
+// lookups are the classes of clients that send lookups only, at a rate a second.
+func lookups(rate float64) []client.Class {
+	return []client.Class{{
+		Engine:           classes[0],
+		Rate:             rate,
+		LatencyObjective: 400 * time.Millisecond,
+		Timeout:          2 * time.Second,
+	}}
+}
+
+// memoryMB is the anonymous memory of the process.
+func (b *brokerProcess) memoryMB() (float64, error) {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.cmd.Process.Pid))
+	if err != nil {
+		return 0, err
+	}
+	for line := range strings.Lines(string(status)) {
+		if value, ok := strings.CutPrefix(line, "RssAnon:"); ok {
+			var kilobytes float64
+			_, err := fmt.Sscan(value, &kilobytes)
+			return kilobytes / bytesPerKilobyte, err
+		}
+	}
+	return 0, fmt.Errorf("%s: /proc gives no memory", b.name)
+}
