--- a/cmd/wheatlane/check.go
+++ b/cmd/wheatlane/check.go
@@ -32,13 +32,14 @@
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check configurations of brokers and of operators, all findings in one pass",
-		Long: `Check configurations of brokers and of operators. All findings are reported in one pass, each with its place, the rule
-that it violates and what to write instead. The exit code is 0 without findings, 1 with findings, and 2 where a file
-can't be read.`,
+		Long: `Check configurations of brokers and of operators. All findings are reported in one pass, each with
+its place, the rule that it violates and what to write instead. The exit code is 0 without findings, 1 with
+findings, and 2 where a file can't be read.`,
 		Args: checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			if format != formatText && format != formatJSON {
-				return newUsageError(c, fmt.Errorf("format: %q is none of %s, %s", format, formatText, formatJSON))
+				err := fmt.Errorf("format: %q is none of %s, %s", format, formatText, formatJSON)
+				return newUsageError(c, err)
 			}
 			return runCheck(c, args, format)
 		},
--- a/cmd/wheatlane/cli_test.go
+++ b/cmd/wheatlane/cli_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// commandLines are command lines, their exit codes, and what must be on standard output, or on standard error if the exit
-// code is not 0. DIR stands for a directory of the test, BAD for an invalid configuration in it.
+// commandLines are command lines, their exit codes, and what must be on standard output, or on standard error
+// if the exit code is not 0. DIR stands for a directory of the test, BAD for an invalid configuration in it.
 var commandLines = []struct {
 	args     string
 	exitCode int
--- a/cmd/wheatlane/config.go
+++ b/cmd/wheatlane/config.go
@@ -10,9 +10,16 @@
 )
 
 func configCommand() *cobra.Command {
-	return commandGroup("config", "Work with the files that a broker reads",
-		configCheckCommand(), configChecksCommand(), configSchemaCommand(), configWriteCommand(), configDiffCommand(),
-		configExplainCommand())
+	return commandGroup(
+		"config",
+		"Work with the files that a broker reads",
+		configCheckCommand(),
+		configChecksCommand(),
+		configSchemaCommand(),
+		configWriteCommand(),
+		configDiffCommand(),
+		configExplainCommand(),
+	)
 }
 
 func configSchemaCommand() *cobra.Command {
--- a/cmd/wheatlane/demo.go
+++ b/cmd/wheatlane/demo.go
@@ -41,8 +41,12 @@
 }
 
 func runDemo(c *cobra.Command, options demo.Options, faults string) error {
-	if options.Engines < 1 || options.Engines > maxDemoEngines || options.Rate <= 0 || options.Rate > maxDemoRate {
-		return newUsageError(c, errors.New("1 to 32 engines and up to 500 requests a second can be shown"))
+	validEngines := options.Engines >= 1 && options.Engines <= maxDemoEngines
+	validRate := options.Rate > 0 && options.Rate <= maxDemoRate
+	if !validEngines || !validRate {
+		return newUsageError(
+			c, errors.New("1 to 32 engines and up to 500 requests a second can be shown"),
+		)
 	}
 	var err error
 	if options.Script, err = scenario.Parse(faults, demo.Verbs(), options.Engines); err != nil {
--- a/cmd/wheatlane/emulate.go
+++ b/cmd/wheatlane/emulate.go
@@ -15,14 +15,21 @@
 
 // standinCommand groups the emulators. The command has had its name since before they were called that.
 func standinCommand() *cobra.Command {
-	return commandGroup("standin", "Emulate a system that the broker talks to, with faults",
-		emulateGraphiteCommand(), emulateCollectdCommand(), emulateEnginesCommand(), emulateChangelogCommand())
+	return commandGroup(
+		"standin",
+		"Emulate a system that the broker talks to, with faults",
+		emulateGraphiteCommand(),
+		emulateCollectdCommand(),
+		emulateEnginesCommand(),
+		emulateChangelogCommand(),
+	)
 }
 
 // maxEmulation is how long an emulator runs unless a flag says otherwise.
 const maxEmulation = time.Hour
 
-// emulation is what runs beside each other while an emulator does: its servers, and the scenario of its faults.
+// emulation is what runs beside each other while an emulator does: its servers, and the scenario of its
+// faults.
 type emulation struct {
 	duration time.Duration // the longest time that it runs
 	steps    []scenario.Step
--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -58,7 +58,8 @@
 	Run(ctx context.Context) error
 }
 
-// run runs a collector, which start creates, until a signal or the end of its duration, and prints what it received.
+// run runs a collector, which start creates, until a signal or the end of its duration, and prints what it
+// received.
 func (f *collectorFlags) run(
 	c *cobra.Command, start func(*collector.Reconciler) (emulatedCollector, error),
 ) error {
@@ -134,7 +135,9 @@
 
 // printReceived prints what a collector received; the error holds the violations of the catalogue.
 func printReceived(out *output, f *collector.Findings) error {
-	out.printf("%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete)
+	out.printf(
+		"%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete,
+	)
 	for _, r := range f.Runs {
 		started := time.UnixMilli(r.Started).UTC().Format(time.RFC3339)
 		out.printf("broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n",
@@ -195,13 +198,17 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			demand, ok := securityLevels[level]
 			if !ok {
-				return newUsageError(c, fmt.Errorf("security: %q is none of none, sign, encrypt", level))
+				return newUsageError(
+					c, fmt.Errorf("security: %q is none of none, sign, encrypt", level),
+				)
 			}
 			password, err := readPassword(passwordFile)
 			if err != nil {
 				return err
 			}
-			passwords := func(u string) (string, bool) { return password, u == user && user != "" }
+			passwords := func(name string) (string, bool) {
+				return password, name == user && user != ""
+			}
 			reader := collectd.Reader{Demand: demand, Passwords: passwords}
 			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
 				return collector.NewCollectd(flags.listen, reader, collectdSeed, r)
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -33,8 +33,9 @@
 	}
 	c.Flags().IntVar(&flags.count, "n", 4, "number of engines")
 	c.Flags().StringVar(&flags.list, "list", defaultListFile, "file to write the list to")
-	c.Flags().StringVar(&flags.faults, "faults", "", "scenario of faults by engine, as in 30s:slow:2,60s:quick:2; "+
-		"slow, quick, silent, speak, drain, crash, back, moved")
+	c.Flags().StringVar(&flags.faults, "faults", "",
+		"scenario of faults by engine, as in 30s:slow:2,60s:quick:2; "+
+			"slow, quick, silent, speak, drain, crash, back, moved")
 	c.Flags().DurationVar(&flags.duration, "for", maxEmulation, "end after this time")
 	return c
 }
@@ -45,7 +46,9 @@
 		return newUsageError(c, err)
 	}
 	var engines *cluster.Cluster
-	writeList := func(changelogserver.Host) error { return changelogserver.WriteFile(f.list, engines.Hosts()) }
+	writeList := func(changelogserver.Host) error {
+		return changelogserver.WriteFile(f.list, engines.Hosts())
+	}
 	if engines, err = cluster.New(f.count, nil, writeList); err != nil {
 		return err
 	}
@@ -88,7 +91,9 @@
 		Args:  checkArgs(cobra.NoArgs),
 		RunE:  func(c *cobra.Command, _ []string) error { return flags.run(c) },
 	}
-	c.Flags().StringVar(&flags.list, "list", defaultListFile, "the list, as 'wheatlane standin engines' writes it")
+	c.Flags().StringVar(
+		&flags.list, "list", defaultListFile, "the list, as 'wheatlane standin engines' writes it",
+	)
 	c.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:4222", "address and port")
 	c.Flags().StringVar(&flags.faults, "faults", "",
 		"scenario of faults, as in 30s:stall,60s:serve; serve, break, stall, refuse")
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -39,8 +39,9 @@
 	c := &cobra.Command{
 		Use:   "explain KEY",
 		Short: "Explain a key: its meaning, bounds and default, and where its value comes from",
-		Long: `Explain a key such as 'telemetry.graphite.budget_kb' in every file that has it. The key of a list item follows that of
-the list, without an index. With --file, the values that the file gives the key are printed with their places.`,
+		Long: `Explain a key such as 'telemetry.graphite.budget_kb' in every file that has it. The key of a list
+item follows that of the list, without an index. With --file, the values that the file gives the key are printed
+with their places.`,
 		Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error { return runExplain(c, args[0], file) },
 	}
--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -91,13 +91,17 @@
 	}
 }
 
-// Each key of each file has the type, default, bounds and values that it had, and 'config explain' prints them, each after
-// a label and a colon.
+// Each key of each file has the type, default, bounds and values that it had, and 'config explain' prints
+// them, each after a label and a colon.
 func TestEveryKeyIsExplained(t *testing.T) {
 	for _, file := range []struct {
 		name string
 		make func() (*jsonschema.Schema, error)
-	}{{"operator", operatorconfig.JSONSchema}, {"broker", config.JSONSchema}, {"description", description.JSONSchema}} {
+	}{
+		{"operator", operatorconfig.JSONSchema},
+		{"broker", config.JSONSchema},
+		{"description", description.JSONSchema},
+	} {
 		s, err := file.make()
 		if err != nil {
 			t.Fatal(err)
@@ -130,7 +134,8 @@
 	}
 }
 
-// origins returns the places that 'config explain' gives for the keys of a file that hold a value of their own.
+// origins returns the places that 'config explain' gives for the keys of a file that hold a value of their
+// own.
 func origins(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -152,7 +157,8 @@
 			if doc.Get(first) == nil || len(at.Properties) > 0 || at.Items != nil {
 				return
 			}
-			for line := range strings.SplitSeq(runCommand(t, "config", "explain", key, "--file", path), "\n") {
+			text := runCommand(t, "config", "explain", key, "--file", path)
+			for line := range strings.SplitSeq(text, "\n") {
 				if place, ok := strings.CutPrefix(line, path+":"); ok {
 					fmt.Fprintf(&all, "%s | %s\n", key, place)
 				}
--- a/cmd/wheatlane/main.go
+++ b/cmd/wheatlane/main.go
@@ -73,7 +73,9 @@
 		Args:  checkArgs(cobra.NoArgs),
 	}
 	runServe(serve)
-	c.AddCommand(serve, metricsCommand(), configCommand(), standinCommand(), reportCommand(), demoCommand())
+	c.AddCommand(
+		serve, metricsCommand(), configCommand(), standinCommand(), reportCommand(), demoCommand(),
+	)
 	return c
 }
 
--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -14,7 +14,9 @@
 )
 
 func metricsCommand() *cobra.Command {
-	return commandGroup("metrics", "Show what the broker reports", metricsListCommand(), metricsTypesCommand())
+	return commandGroup(
+		"metrics", "Show what the broker reports", metricsListCommand(), metricsTypesCommand(),
+	)
 }
 
 func metricsListCommand() *cobra.Command {
@@ -27,7 +29,9 @@
 			w := c.OutOrStdout()
 			switch {
 			case asJSON && asMarkdown:
-				return newUsageError(c, errors.New("--json and --markdown are two forms of one list"))
+				return newUsageError(
+					c, errors.New("--json and --markdown are two forms of one list"),
+				)
 			case asJSON:
 				return printCatalogueJSON(w)
 			case asMarkdown:
--- a/cmd/wheatlane/process_test.go
+++ b/cmd/wheatlane/process_test.go
@@ -69,7 +69,9 @@
 }
 
 func configText(changelog, settings string) string {
-	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","changelog":%q,"settings":%s}`, changelog, settings)
+	return fmt.Sprintf(
+		`{"name":"n1","listen":"127.0.0.1:0","changelog":%q,"settings":%s}`, changelog, settings,
+	)
 }
 
 // start starts the program and opens its log.
--- a/cmd/wheatlane/reload_test.go
+++ b/cmd/wheatlane/reload_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// At SIGHUP the program reads its configuration again: an invalid one is logged with its key and changes nothing, and a
-// new address of the change log is polled from the last revision of the old one.
+// At SIGHUP the program reads its configuration again: an invalid one is logged with its key and changes
+// nothing, and a new address of the change log is polled from the last revision of the old one.
 func TestReload(t *testing.T) {
 	first, second, third := newRecordingChangelog(t), newRecordingChangelog(t), newRecordingChangelog(t)
 	p := newProcess(t, validSettings)
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -19,7 +19,9 @@
 		Use:   "report FILE|DIR",
 		Short: "Make a page of charts from the recordings of an emulated collector",
 		Args:  checkArgs(cobra.ExactArgs(1)),
-		RunE:  func(c *cobra.Command, args []string) error { return runReport(c, args[0], outputFile, title) },
+		RunE: func(c *cobra.Command, args []string) error {
+			return runReport(c, args[0], outputFile, title)
+		},
 	}
 	c.Flags().StringVarP(&outputFile, "output", "o", "report.html", "file to write")
 	c.Flags().StringVar(&title, "title", "What wheatlane reported", "heading of the page")
@@ -44,8 +46,8 @@
 	return out.err()
 }
 
-// readRecordings reads a recording, or those of a directory in order of their names. A truncated one is read as far as
-// possible and reported on standard error: its collector may have been killed.
+// readRecordings reads a recording, or those of a directory in order of their names. A truncated one is read
+// as far as possible and reported on standard error: its collector may have been killed.
 func readRecordings(c *cobra.Command, path string) ([]collector.Sample, error) {
 	names, err := recordingNames(path)
 	if err != nil {
--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// heapFraction is the fraction of the memory limit from which the runtime collects harder; the rest is for what it
-	// does not count: kernel buffers and the program itself.
+	// heapFraction is the fraction of the memory limit from which the runtime collects harder; the rest
+	// is for what it does not count: kernel buffers and the program itself.
 	heapFraction = 0.6
 
 	bytesPerMegabyte = 1 << 20
@@ -30,7 +30,7 @@
 // runServe makes a command serve.
 func runServe(c *cobra.Command) {
 	operatorFile := c.Flags().String("operator", "",
-		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, or there is none")
+		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, if any")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *operatorFile == "" {
 			*operatorFile = os.Getenv(operatorconfig.Variable)
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// handleSignals keeps SIGHUP and SIGPIPE from ending the process, and returns the SIGHUPs. SIGPIPE arises once nobody
-// reads the log on standard error any more.
+// handleSignals keeps SIGHUP and SIGPIPE from ending the process, and returns the SIGHUPs. SIGPIPE arises
+// once nobody reads the log on standard error any more.
 func handleSignals() <-chan os.Signal {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -121,8 +121,8 @@
 	log.Info("serving", fields...)
 }
 
-// reloader loads both files again at each SIGHUP. An invalid one is ignored, and does not keep the other one from being
-// reloaded.
+// reloader loads both files again at each SIGHUP. An invalid one is ignored, and does not keep the other one
+// from being reloaded.
 type reloader struct {
 	broker       *service.Service
 	running      config.Config // the platform's configuration that is in use
--- a/cmd/wheatlane/serve_test.go
+++ b/cmd/wheatlane/serve_test.go
@@ -50,8 +50,8 @@
 	resourceLimitCode = 1226 // the error code of a request that was rejected
 )
 
-// sendRequest logs in on a connection and sends a request. There is no engine, so the request waits; a ping ahead of it,
-// which is answered as not ready, tells when the request has been read.
+// sendRequest logs in on a connection and sends a request. There is no engine, so the request waits; a ping
+// ahead of it, which is answered as not ready, tells when the request has been read.
 func sendRequest(t *testing.T, conn net.Conn) *requester {
 	t.Helper()
 	const request = "/* service=a,ref=00000000000000a1,allow=1000 */ SELECT a FROM s_1.t"
@@ -119,8 +119,8 @@
 	}
 }
 
-// A broker is killed with a request in flight and restarted at its address; its client reconnects at once, sends the same
-// request, and gets its one answer from what the new process knows.
+// A broker is killed with a request in flight and restarted at its address; its client reconnects at once,
+// sends the same request, and gets its one answer from what the new process knows.
 func TestClientReconnectsToKilledBroker(t *testing.T) {
 	killed := newProcess(t, validSettings)
 	killed.startServing(t)
@@ -137,15 +137,16 @@
 	restarted.stop(t)
 }
 
-// A second SIGTERM and a SIGHUP during the shutdown change nothing: accepted requests are answered, and the program ends
-// with 0.
+// A second SIGTERM and a SIGHUP during the shutdown change nothing: accepted requests are answered, and the
+// program ends with 0.
 func TestSignalsDuringShutdown(t *testing.T) {
 	p := newProcess(t, validSettings)
 	p.startServing(t)
 	client := sendRequest(t, dial(t, p.listen))
-	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
+	const term, hangup = syscall.SIGTERM, syscall.SIGHUP
+	for _, sig := range []syscall.Signal{term, term, hangup, term} {
 		p.signal(t, sig)
-		if sig == syscall.SIGHUP {
+		if sig == hangup {
 			p.waitForLine(t, "stopping")
 		}
 	}
@@ -171,8 +172,8 @@
 	p.stop(t)
 }
 
-// startReadingPipe starts the program with a named pipe for its configuration, and returns the pipe once the program waits
-// for its content.
+// startReadingPipe starts the program with a named pipe for its configuration, and returns the pipe once the
+// program waits for its content.
 func startReadingPipe(t *testing.T) (*process, *os.File) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -181,7 +182,8 @@
 	}
 	p := newProcessWithConfig(t, path)
 	p.start(t)
-	// If the program never opens the pipe, both ends of it are opened here, so that the test does not block.
+	// If the program never opens the pipe, both ends of it are opened here, so that the test does not
+	// block.
 	watchdog := time.AfterFunc(timeout, func() {
 		_ = p.Process.Kill() // it may have ended
 		if both, err := os.OpenFile(path, os.O_RDWR, 0); err == nil {
--- a/cmd/wheatlane/telemetry_test.go
+++ b/cmd/wheatlane/telemetry_test.go
@@ -22,7 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background()) // it outlives t.Context, which ends before the cleanups
+	// It ends in a cleanup; t.Context would end before the cleanups.
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Run(ctx) }()
 	t.Cleanup(func() {
@@ -53,11 +54,13 @@
 
 // operatorText is an operator's configuration with a carbon server.
 func operatorText(server *collector.Carbon) string {
-	return fmt.Sprintf(`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"g","address":%q}]}}`, server.Addr())
+	return fmt.Sprintf(
+		`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"g","address":%q}]}}`, server.Addr(),
+	)
 }
 
-// newReportingProcess prepares a run of the program with an operator's configuration, and returns a function that replaces
-// it.
+// newReportingProcess prepares a run of the program with an operator's configuration, and returns a function
+// that replaces it.
 func newReportingProcess(t *testing.T, operatorText string) (p *process, replace func(text string)) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.json")
@@ -75,8 +78,8 @@
 
 func isOneRunOfN1(f *collector.Findings) bool { return len(f.Runs) == 1 && f.Runs[0].Broker == "n1" }
 
-// The program reports to a collector; at SIGHUP an invalid operator's configuration changes nothing, and a valid one moves
-// the reports to another collector; at SIGTERM the last interval is sent.
+// The program reports to a collector; at SIGHUP an invalid operator's configuration changes nothing, and a
+// valid one moves the reports to another collector; at SIGTERM the last interval is sent.
 func TestReportsToACollector(t *testing.T) {
 	firstServer, firstReceived := startCollector(t)
 	secondServer, secondReceived := startCollector(t)
@@ -101,7 +104,9 @@
 		t.Errorf("at the end: %s", ended)
 	}
 	waitForFindings(t, secondReceived, "the last interval", func(f *collector.Findings) bool {
-		return isOneRunOfN1(f) && strings.Contains(ended, fmt.Sprintf(`"delivered":%d,`, f.Runs[0].Last))
+		return isOneRunOfN1(f) && strings.Contains(
+			ended, fmt.Sprintf(`"delivered":%d,`, f.Runs[0].Last),
+		)
 	})
 	for _, received := range []*collector.Reconciler{firstReceived, secondReceived} {
 		if f := received.Reconcile(); !f.OK() {
@@ -110,7 +115,8 @@
 	}
 }
 
-// A broker that is killed and restarted counts from zero, which a collector can tell from a counter that decreases.
+// A broker that is killed and restarted counts from zero, which a collector can tell from a counter that
+// decreases.
 func TestKilledAndRestarted(t *testing.T) {
 	server, received := startCollector(t)
 	for incarnation := range 2 {
--- a/cmd/wheatlane/write.go
+++ b/cmd/wheatlane/write.go
@@ -35,7 +35,8 @@
 	return c
 }
 
-// runWrite generates a broker's files and prints the findings in them; with a fault among these nothing is written.
+// runWrite generates a broker's files and prints the findings in them; with a fault among these nothing is
+// written.
 func runWrite(c *cobra.Command, descriptionName, directory string) error {
 	files, err := generateFiles(c, descriptionName, directory)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return files, nil
 }
 
-// replaceFile writes a file under a temporary name and renames it, so that a reader finds the old or the new file, each
-// complete.
+// replaceFile writes a file under a temporary name and renames it, so that a reader finds the old or the new
+// file, each complete.
 func replaceFile(file configFile) error {
 	temporary := file.name + ".next"
 	if err := os.WriteFile(temporary, file.text, fileMode); err != nil {
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,6 @@
-// Package check holds what the layers of the configuration checker share: files with the positions of their values,
-// findings, and the entries of the table of checks. The layers are the packages form, rules and fleet in this directory.
+// Package check holds what the layers of the configuration checker share: files with the positions of their
+// values, findings, and the entries of the table of checks. The layers are the packages form, rules and fleet
+// in this directory.
 package check
 
 import (
@@ -112,7 +113,9 @@
 func Markdown(checks []Check) string {
 	escape := strings.NewReplacer("|", `\|`).Replace
 	var b strings.Builder
-	b.WriteString("| code | severity | what must hold | broken | mended |\n| --- | --- | --- | --- | --- |\n")
+	b.WriteString(
+		"| code | severity | what must hold | broken | mended |\n| --- | --- | --- | --- | --- |\n",
+	)
 	for _, c := range checks {
 		fmt.Fprintf(&b, "| %s | %s | %s | `%s` | `%s` |\n",
 			c.Code, c.Severity, c.Requirement, escape(c.InvalidExample), escape(c.ValidExample))
--- a/internal/check/diff/diff.go
+++ b/internal/check/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff compares two configurations by their meaning: the order of keys and of named items, and the notation of
-// numbers make no difference.
+// Package diff compares two configurations by their meaning: the order of keys and of named items, and the
+// notation of numbers make no difference.
 package diff
 
 import (
@@ -76,7 +76,9 @@
 	}
 	var changes []Change
 	for _, name := range oldItems.names {
-		changes = append(changes, compare(itemKey(key, name), oldItems.byName[name], newItems.byName[name])...)
+		changes = append(
+			changes, compare(itemKey(key, name), oldItems.byName[name], newItems.byName[name])...,
+		)
 	}
 	for _, name := range newItems.names {
 		if oldItems.byName[name] == nil {
@@ -96,7 +98,9 @@
 	n := max(len(a), len(b))
 	changes := make([]Change, 0, n)
 	for i := range n {
-		changes = append(changes, compare(itemKey(key, strconv.Itoa(i)), itemAt(a, i), itemAt(b, i))...)
+		changes = append(
+			changes, compare(itemKey(key, strconv.Itoa(i)), itemAt(a, i), itemAt(b, i))...,
+		)
 	}
 	return changes
 }
--- a/internal/check/diff/diff_test.go
+++ b/internal/check/diff/diff_test.go
@@ -29,7 +29,12 @@
 		{"ignored key", `{"$made":"x","a":1}`, `{"a":1}`, nil},
 		{"another value", `{"a":1}`, `{"a":2}`, []string{"~ a: 1 -> 2"}},
 		{"another type", `{"a":1}`, `{"a":"1"}`, []string{`~ a: 1 -> "1"`}},
-		{"keys removed and added", `{"a":{"b":true}}`, `{"a":{"c":null}}`, []string{"- a.b: true", "+ a.c: null"}},
+		{
+			"keys removed and added",
+			`{"a":{"b":true}}`,
+			`{"a":{"c":null}}`,
+			[]string{"- a.b: true", "+ a.c: null"},
+		},
 		{
 			"named items in another order",
 			`{"l":[{"Name":"x","v":1},{"Name":"y","v":2}]}`,
@@ -42,7 +47,12 @@
 			`{"l":[{"Name":"z"}]}`,
 			[]string{`- l["x"]: {Name: "x", ...}`, `+ l["z"]: {Name: "z", ...}`},
 		},
-		{"items without names", `{"l":[1,2]}`, `{"l":[1,3,4]}`, []string{"~ l[1]: 2 -> 3", "+ l[2]: 4"}},
+		{
+			"items without names",
+			`{"l":[1,2]}`,
+			`{"l":[1,3,4]}`,
+			[]string{"~ l[1]: 2 -> 3", "+ l[2]: 4"},
+		},
 		{
 			"duplicate names",
 			`{"l":[{"Name":"x"},{"Name":"x"}]}`,
@@ -78,7 +88,9 @@
 // A configuration equals itself in whatever form; a change shows at its key.
 func TestGeneratedConfigurations(t *testing.T) {
 	for seed := range uint64(200) {
-		text, err := faultinjection.Marshal(faultinjection.PlatformConfig(rand.New(rand.NewPCG(seed, 0))))
+		text, err := faultinjection.Marshal(
+			faultinjection.PlatformConfig(rand.New(rand.NewPCG(seed, 0))),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,8 +98,11 @@
 		if changes := Diff(parse(t, text), parse(t, same)); len(changes) > 0 {
 			t.Fatalf("seed %d: %v", seed, changes)
 		}
-		changed := compactConfig(t, seed, func(doc map[string]any) { doc["listen"] = "10.99.0.1:6565" })
-		if changes := Diff(parse(t, text), parse(t, changed)); len(changes) != 1 || changes[0].Key != "listen" {
+		changed := compactConfig(
+			t, seed, func(doc map[string]any) { doc["listen"] = "10.99.0.1:6565" },
+		)
+		changes := Diff(parse(t, text), parse(t, changed))
+		if len(changes) != 1 || changes[0].Key != "listen" {
 			t.Fatalf("seed %d: %v", seed, changes)
 		}
 	}
--- a/internal/check/faultinjection/formfaults.go
+++ b/internal/check/faultinjection/formfaults.go
@@ -9,7 +9,9 @@
 
 // formFaults are faults of the layer of form: types, bounds, keys and addresses.
 func formFaults() []Fault {
-	return slices.Concat(typeFaults(), rangeFaults(), keyFaults(), destinationFaults(), missingKeyFaults())
+	return slices.Concat(
+		typeFaults(), rangeFaults(), keyFaults(), destinationFaults(), missingKeyFaults(),
+	)
 }
 
 // typeFaults are values of a wrong type.
@@ -25,11 +27,13 @@
 		{"settings", "Rules", "ColdFrom"},
 		{"settings", "Rules", "FallMultiple"},
 	} {
-		faults = append(faults, Fault{"F004", check.PlatformFile, func(rng *rand.Rand, doc map[string]any) []string {
+		inject := func(rng *rand.Rand, doc map[string]any) []string {
 			return setAt(doc, wrongValues[rng.IntN(len(wrongValues))], path...)
-		}})
+		}
+		faults = append(faults, Fault{"F004", check.PlatformFile, inject})
 	}
-	for _, key := range []string{"PromiseNs", "GiveUpNs", "Worth", "LateWorth", "AimStretch", "WindowNs"} {
+	numbers := []string{"PromiseNs", "GiveUpNs", "Worth", "LateWorth", "AimStretch", "WindowNs"}
+	for _, key := range numbers {
 		faults = append(faults, setInItem("F004", "soon", key, classesPath...))
 	}
 	for _, key := range []string{"Name", "Effect"} {
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -1,5 +1,5 @@
-// Package faultinjection generates valid configurations and injects faults into them, all drawn from a seed, to test the
-// checker with. It does no I/O.
+// Package faultinjection generates valid configurations and injects faults into them, all drawn from a seed,
+// to test the checker with. It does no I/O.
 package faultinjection
 
 import (
@@ -51,8 +51,12 @@
 		"listen":    fmt.Sprintf("10.0.0.%d:6565", 1+rng.IntN(200)),
 		"changelog": "10.2.0.1:4222",
 		"seed":      strconv.FormatUint(rng.Uint64(), 16),
-		"limits":    object{"cores": 1.0, "memory_mb": 128 + rng.IntN(512), "sockets": 512 + rng.IntN(512)},
-		"known":     object{"seq": len(results), "results": results},
+		"limits": object{
+			"cores":     1.0,
+			"memory_mb": 128 + rng.IntN(512),
+			"sockets":   512 + rng.IntN(512),
+		},
+		"known": object{"seq": len(results), "results": results},
 		"settings": object{
 			"PeersTotal":     peers,
 			"Position":       rng.IntN(peers),
@@ -113,7 +117,9 @@
 		"AimStretch": float64(rng.IntN(30)) / 10,
 	}
 	if oneIn(rng, 3) {
-		class["Effect"], class["WindowNs"], class["ByArrival"] = "by_key", nanoseconds(15*time.Second), true
+		class["Effect"] = "by_key"
+		class["WindowNs"] = nanoseconds(15 * time.Second)
+		class["ByArrival"] = true
 	}
 	if oneIn(rng, 4) {
 		class["AllowedOn"] = []any{kinds[rng.IntN(len(kinds))]}
--- a/internal/check/faultinjection/inject.go
+++ b/internal/check/faultinjection/inject.go
@@ -110,7 +110,8 @@
 	}}
 }
 
-// duplicateItem is a fault that appends a copy of a list item, which has another identity but the same value of a key.
+// duplicateItem is a fault that appends a copy of a list item, which has another identity but the same value
+// of a key.
 func duplicateItem(kind check.FileKind, code, key string, list ...string) Fault {
 	return Fault{Code: code, Kind: kind, Inject: func(rng *rand.Rand, doc map[string]any) []string {
 		all := listAt(doc, list...)
--- a/internal/check/faultinjection/rulefaults.go
+++ b/internal/check/faultinjection/rulefaults.go
@@ -10,7 +10,8 @@
 	"wheatlane/internal/check"
 )
 
-// Faults returns all kinds of fault. Each violates no check but its own, or is found at its own path nevertheless.
+// Faults returns all kinds of fault. Each violates no check but its own, or is found at its own path
+// nevertheless.
 func Faults() []Fault {
 	return slices.Concat(ruleFaults(), domainListFaults(), formFaults())
 }
@@ -133,13 +134,15 @@
 	var faults []Fault
 	for _, key := range classLists {
 		path := extend(domainPath, key)
-		faults = append(faults, Fault{"R112", check.PlatformFile, func(_ *rand.Rand, doc map[string]any) []string {
+		appendValue := func(_ *rand.Rand, doc map[string]any) []string {
 			values := listAt(doc, path...)
 			return setAt(doc, append(values, values[0]), path...)
-		}})
+		}
+		faults = append(faults, Fault{"R112", check.PlatformFile, appendValue})
 	}
 	threads := extend(domainPath, "WidthByClass")
-	return append(faults, Fault{"R114", check.PlatformFile, func(rng *rand.Rand, doc map[string]any) []string {
+	setThreads := func(rng *rand.Rand, doc map[string]any) []string {
 		return setAt(doc, 64, randomItem(rng, doc, threads...)...)
-	}})
+	}
+	return append(faults, Fault{"R114", check.PlatformFile, setThreads})
 }
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is the layer of the checker that compares the files of several brokers, each of which is valid by itself,
-// and finds where they contradict each other. It works on trees of values and does no I/O.
+// Package fleet is the layer of the checker that compares the files of several brokers, each of which is
+// valid by itself, and finds where they contradict each other. It works on trees of values and does no I/O.
 package fleet
 
 import (
@@ -13,8 +13,8 @@
 	"wheatlane/internal/jsontext"
 )
 
-// Run compares the platform's files among those given. A contradiction is reported in the later file, against the first
-// one that it contradicts. Each file is visited once, however many there are.
+// Run compares the platform's files among those given. A contradiction is reported in the later file, against
+// the first one that it contradicts. Each file is visited once, however many there are.
 func Run(files []*check.File) []check.Finding {
 	c := comparison{
 		owners:  map[uniqueValue]*check.File{},
@@ -131,8 +131,15 @@
 		for _, key := range keys {
 			want, got := describe(first.value.Get(key)), describe(value.Get(key))
 			if got != want {
-				observed := fmt.Sprintf("%s of %q is %s, and %s in %s", key, name, got, want, first.file.Name)
-				c.report(f, violated, observed, slices.Concat(path, []string{strconv.Itoa(i), key})...)
+				observed := fmt.Sprintf(
+					"%s of %q is %s, and %s in %s", key, name, got, want, first.file.Name,
+				)
+				c.report(
+					f,
+					violated,
+					observed,
+					slices.Concat(path, []string{strconv.Itoa(i), key})...,
+				)
 			}
 		}
 	}
@@ -147,7 +154,13 @@
 	revision, engines := describe(value), enginesOf(f.Root)
 	if known, exists := c.lists[revision]; exists {
 		if differing := differingKeys(known.engines, engines); len(differing) > 0 {
-			c.report(f, Engines, strings.Join(differing, ", ")+" not as in "+known.file.Name, "known", "results")
+			c.report(
+				f,
+				Engines,
+				strings.Join(differing, ", ")+" not as in "+known.file.Name,
+				"known",
+				"results",
+			)
 		}
 		return
 	}
@@ -174,7 +187,8 @@
 	return differing
 }
 
-// enginesOf returns the engines that the known events leave in the list, each with what was stated of it last.
+// enginesOf returns the engines that the known events leave in the list, each with what was stated of it
+// last.
 func enginesOf(root *jsontext.Node) map[string]string {
 	engines := map[string]string{}
 	for _, event := range root.At("known", "results").Elements() {
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -53,7 +53,8 @@
 
 func firstHost(doc object) object { return firstEndpointList(doc)["hosts"].([]any)[0].(object) }
 
-// Each contradiction is found under its code, in the later file, at its path; consistent files have no findings.
+// Each contradiction is found under its code, in the later file, at its path; consistent files have no
+// findings.
 func TestContradictions(t *testing.T) {
 	for _, c := range []struct {
 		name, code, key string
@@ -66,24 +67,38 @@
 		}},
 		{"an additional engine", "S102", "known.results", func(doc object) {
 			list := firstEndpointList(doc)
-			list["hosts"] = append(list["hosts"].([]any),
-				object{"host": "s-more", "dial": "10.9.9.9:1", "class": "std-8core", "health": "in_service"})
+			list["hosts"] = append(list["hosts"].([]any), object{
+				"host": "s-more", "dial": "10.9.9.9:1", "class": "std-8core", "health": "in_service",
+			})
 		}},
 		{"another revision", "S103", "known.seq", func(doc object) { knownList(doc)["seq"] = 99 }},
 		{"another weight", "S104", "settings.RequestClasses[0].Worth", func(doc object) {
 			firstClass(doc)["Worth"] = 77
 		}},
-		{"another latency objective", "S104", "settings.RequestClasses[0].PromiseNs", func(doc object) {
-			firstClass(doc)["PromiseNs"] = 1
-		}},
+		{
+			"another latency objective",
+			"S104",
+			"settings.RequestClasses[0].PromiseNs",
+			func(doc object) { firstClass(doc)["PromiseNs"] = 1 },
+		},
 		{"another share", "S105", "settings.Tenants[0].Share", func(doc object) {
 			firstTenant(doc)["Share"] = 0.001
 		}},
 		{"another number of peers", "S106", "settings.PeersTotal", func(doc object) {
 			settingsOf(doc)["PeersTotal"] = 3
 		}},
-		{"same index", "S107", "settings.Position", func(doc object) { settingsOf(doc)["Position"] = 0 }},
-		{"another change log", "S108", "changelog", func(doc object) { doc["changelog"] = "10.2.0.9:4222" }},
+		{
+			"same index",
+			"S107",
+			"settings.Position",
+			func(doc object) { settingsOf(doc)["Position"] = 0 },
+		},
+		{
+			"another change log",
+			"S108",
+			"changelog",
+			func(doc object) { doc["changelog"] = "10.2.0.9:4222" },
+		},
 		{"same name", "S109", "name", func(doc object) { doc["name"] = "n0" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,5 +117,9 @@
 
 // isOnly reports whether there is one finding, of a check at a key of the second file.
 func isOnly(findings []check.Finding, code, key string) bool {
-	return len(findings) == 1 && findings[0].Code == code && findings[0].Key == key && findings[0].File == "1.json"
+	if len(findings) != 1 {
+		return false
+	}
+	f := findings[0]
+	return f.Code == code && f.Key == key && f.File == "1.json"
 }
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -1,5 +1,5 @@
-// Package form is the layer of the checker for values that can't be read: text that is no JSON, keys that are duplicate
-// or unknown, values of a wrong type or out of range. It does no I/O.
+// Package form is the layer of the checker for values that can't be read: text that is no JSON, keys that are
+// duplicate or unknown, values of a wrong type or out of range. It does no I/O.
 package form
 
 import (
@@ -81,7 +81,7 @@
 	SimilarKey = check.Check{
 		Code:           "F008",
 		Severity:       check.Warning,
-		Requirement:    "a key that is not read, and is nearly one that is, is probably meant to be that",
+		Requirement:    "a key that is not read, and nearly one that is, is probably that one",
 		Remedy:         "the name that was meant",
 		InvalidExample: `"RoundNS":5000000`,
 		ValidExample:   `"RoundNs":5000000`,
@@ -163,7 +163,8 @@
 	return findings
 }
 
-// violationFinding converts a violation of the schema; for an unknown key the remedy is the similar one that is known.
+// violationFinding converts a violation of the schema; for an unknown key the remedy is the similar one that
+// is known.
 func violationFinding(f *check.File, v schema.Violation) check.Finding {
 	c := checkOf[v.Kind]
 	if v.Kind == schema.UnknownKey {
@@ -177,8 +178,8 @@
 // maxEditDistance is the Levenshtein distance up to which two keys are similar.
 const maxEditDistance = 2
 
-// mostSimilar returns the known key with the least Levenshtein distance to a key, empty if none is similar. In short
-// keys at most half of the letters may differ.
+// mostSimilar returns the known key with the least Levenshtein distance to a key, empty if none is similar.
+// In short keys at most half of the letters may differ.
 func mostSimilar(key string, known []string) string {
 	similar, least := "", maxEditDistance+1
 	for _, candidate := range known {
@@ -190,7 +191,8 @@
 	return similar
 }
 
-// similarKeys finds keys of the platform's file that are not read, but similar to one that is and that is absent.
+// similarKeys finds keys of the platform's file that are not read, but similar to one that is and that is
+// absent.
 func similarKeys(f *check.File, s *jsonschema.Schema, n *jsontext.Node, path []string) []check.Finding {
 	absent := make([]string, 0, len(s.Properties))
 	for key := range s.Properties {
@@ -211,7 +213,9 @@
 	}
 	if s.Items != nil {
 		for i, item := range n.Items {
-			findings = append(findings, similarKeys(f, s.Items, item, extend(path, strconv.Itoa(i)))...)
+			findings = append(
+				findings, similarKeys(f, s.Items, item, extend(path, strconv.Itoa(i)))...,
+			)
 		}
 	}
 	return findings
@@ -229,7 +233,9 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(value.Text); err != nil {
-			findings = append(findings, f.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...))
+			findings = append(
+				findings, f.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...),
+			)
 		}
 	}
 	return findings
--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -82,7 +82,8 @@
 		},
 		Find: func(root *jsontext.Node, report Report) {
 			listen := root.Get("listen").TextOrEmpty()
-			if listen != "" && listen == root.Get("changelog").TextOrEmpty() && !strings.HasSuffix(listen, anyPort) {
+			changelog := root.Get("changelog").TextOrEmpty()
+			if listen != "" && listen == changelog && !strings.HasSuffix(listen, anyPort) {
 				report(listen, "changelog")
 			}
 		},
@@ -143,7 +144,11 @@
 	memory := root.At("limits", "memory_mb").NumberOr(defaultMemoryMB)
 	required := sockets * (1 - engineSocketFraction) * sessionMemoryKB / kilobytesPerMegabyte
 	if required > heapFraction*memory {
-		report(fmt.Sprintf("%s MB, and requests may hold %.0f", formatNumber(memory), required), "limits", "memory_mb")
+		report(
+			fmt.Sprintf("%s MB, and requests may hold %.0f", formatNumber(memory), required),
+			"limits",
+			"memory_mb",
+		)
 	}
 }
 
@@ -156,6 +161,10 @@
 	}
 	interval := root.At("settings", "RoundNs").NumberOr(0)
 	if interval > tightest/batchIntervalDivisor {
-		report(formatMS(interval)+", the tightest objective is "+formatMS(tightest), "settings", "RoundNs")
+		report(
+			formatMS(interval)+", the tightest objective is "+formatMS(tightest),
+			"settings",
+			"RoundNs",
+		)
 	}
 }
--- a/internal/check/rules/engines.go
+++ b/internal/check/rules/engines.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// sameLength returns the Find function of a rule by which lists of the domain have as many values as another list of the
-// settings.
+// sameLength returns the Find function of a rule by which lists of the domain have as many values as another
+// list of the settings.
 func sameLength(of string, keys ...string) func(*jsontext.Node, Report) {
 	return func(root *jsontext.Node, report Report) {
 		want := len(root.At("settings", of).Elements())
--- a/internal/check/rules/requests.go
+++ b/internal/check/rules/requests.go
@@ -111,7 +111,7 @@
 		Check: check.Check{
 			Code:           "R115",
 			Severity:       check.Fault,
-			Requirement:    "a class that is restricted to kinds of machine names kinds that exist",
+			Requirement:    "a class is restricted to kinds of machine that exist",
 			Remedy:         "a kind of MachineTypes",
 			InvalidExample: `"AllowedOn":["big"]`,
 			ValidExample:   `"AllowedOn":["std-8core"]`,
@@ -138,7 +138,9 @@
 			InvalidExample: `"Worth":0`,
 			ValidExample:   `"Worth":1`,
 		},
-		Find: func(root *jsontext.Node, report Report) { reportNotPositive(classes(root), "Worth", report) },
+		Find: func(root *jsontext.Node, report Report) {
+			reportNotPositive(classes(root), "Worth", report)
+		},
 	},
 }
 
@@ -146,7 +148,10 @@
 	for _, class := range classes(root) {
 		objective, timeout := class.Get("PromiseNs").NumberOr(0), class.Get("GiveUpNs").NumberOr(0)
 		if timeout > 0 && objective > timeout {
-			report(formatMS(objective)+", the client timeout is "+formatMS(timeout), class.pathOf("PromiseNs")...)
+			report(
+				formatMS(objective)+", the client timeout is "+formatMS(timeout),
+				class.pathOf("PromiseNs")...,
+			)
 		}
 	}
 }
@@ -198,7 +203,10 @@
 	for _, class := range classes(root) {
 		for i, kind := range class.Get("AllowedOn").Elements() {
 			if !kinds[kind.TextOrEmpty()] {
-				report(strconv.Quote(kind.TextOrEmpty()), class.pathOf("AllowedOn", strconv.Itoa(i))...)
+				report(
+					strconv.Quote(kind.TextOrEmpty()),
+					class.pathOf("AllowedOn", strconv.Itoa(i))...,
+				)
 			}
 		}
 	}
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules is the layer of the checker for values that are valid each by itself, but break a rule of the protocol, of
-// the deployment, or of good sense. It works on trees of values and does no I/O.
+// Package rules is the layer of the checker for values that are valid each by itself, but break a rule of the
+// protocol, of the deployment, or of good sense. It works on trees of values and does no I/O.
 package rules
 
 import (
@@ -68,8 +68,8 @@
 // classes returns the request classes of a platform's file.
 func classes(root *jsontext.Node) []listItem { return items(root, "settings", "RequestClasses") }
 
-// unique returns the Find function of a rule by which a key has another value in each item of some lists. The lists are
-// compared each by itself.
+// unique returns the Find function of a rule by which a key has another value in each item of some lists. The
+// lists are compared each by itself.
 func unique(key string, lists ...[]string) func(*jsontext.Node, Report) {
 	return func(root *jsontext.Node, report Report) {
 		for _, list := range lists {
--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -1,5 +1,5 @@
-// Package description generates the files that a broker reads from a short description of its application. The same
-// description always gives the same bytes. It does no I/O.
+// Package description generates the files that a broker reads from a short description of its application.
+// The same description always gives the same bytes. It does no I/O.
 package description
 
 import (
@@ -14,17 +14,31 @@
 
 // Application is the description of an application: its clients, and the engines that serve them.
 type Application struct {
-	Schema      string                    `json:"$schema,omitempty" jsonschema:"where editors find the schema of this file; not read"`
-	Name        string                    `json:"name" limits:"minlen=1,maxlen=64" jsonschema:"name of the broker in logs and metrics"`
-	Listen      string                    `json:"listen" jsonschema:"address and port for the application's clients"`
-	Changelog   string                    `json:"changelog" jsonschema:"address and port of the change log, which lists the engines"`
-	Brokers     int                       `json:"peers,omitempty" limits:"min=1,max=1000,default=1" jsonschema:"brokers of the tier, including this one"`
-	BrokerIndex int                       `json:"position,omitempty" limits:"min=0,max=999,default=0" jsonschema:"the index of this one among them, from 0"`
+	Schema      string                    `json:"$schema,omitempty"`
+	Name        string                    `json:"name" limits:"minlen=1,maxlen=64"`
+	Listen      string                    `json:"listen"`
+	Changelog   string                    `json:"changelog"`
+	Brokers     int                       `json:"peers,omitempty" limits:"min=1,max=1000,default=1"`
+	BrokerIndex int                       `json:"position,omitempty" limits:"min=0,max=999,default=0"`
 	Tenants     []Tenant                  `json:"customers" limits:"maxitems=256"`
 	Classes     []Class                   `json:"classes" limits:"maxitems=64"`
-	EngineKinds []EngineKind              `json:"engines" limits:"maxitems=16" jsonschema:"kinds of engine that may be in service"`
+	EngineKinds []EngineKind              `json:"engines" limits:"maxitems=16"`
 	Resources   Resources                 `json:"machine,omitzero"`
-	Telemetry   *operatorconfig.Telemetry `json:"telemetry,omitempty" jsonschema:"as in the operator's file"`
+	Telemetry   *operatorconfig.Telemetry `json:"telemetry,omitempty"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (Application) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"$schema":   "where editors find the schema of this file; not read",
+		"name":      "name of the broker in logs and metrics",
+		"listen":    "address and port for the application's clients",
+		"changelog": "address and port of the change log, which lists the engines",
+		"peers":     "brokers of the tier, including this one",
+		"position":  "the index of this one among them, from 0",
+		"engines":   "kinds of engine that may be in service",
+		"telemetry": "as in the operator's file",
+	}
 }
 
 // Tenant is a customer with a share of the service.
@@ -36,17 +50,32 @@
 // Class is a class of requests.
 type Class struct {
 	Name                 string  `json:"name" limits:"minlen=1"`
-	LatencyObjectiveMS   float64 `json:"wanted_ms" limits:"min=1" jsonschema:"latency objective; an answer within it earns the full weight"`
-	ObjectivePerWork     float64 `json:"stretch,omitempty" limits:"min=0,default=0" jsonschema:"the objective grows by this fraction of the work on a thread"`
-	ClientTimeoutMS      float64 `json:"give_up_ms" limits:"min=1" jsonschema:"client timeout"`
+	LatencyObjectiveMS   float64 `json:"wanted_ms" limits:"min=1"`
+	ObjectivePerWork     float64 `json:"stretch,omitempty" limits:"min=0,default=0"`
+	ClientTimeoutMS      float64 `json:"give_up_ms" limits:"min=1"`
 	PriorityWeight       float64 `json:"worth" limits:"min=0"`
-	LateWeight           float64 `json:"late_worth,omitempty" limits:"min=0,max=1,default=0" jsonschema:"fraction of the weight that an answer after the objective earns"`
-	Idempotency          string  `json:"repeat,omitempty" limits:"enum=free|by_key|never,default=free" jsonschema:"free: idempotent; by_key: engines drop duplicates of a key; never: must not run twice"`
-	DedupWindowMS        float64 `json:"window_ms,omitempty" limits:"min=0,default=15000" jsonschema:"how long engines drop duplicates of a key"`
-	Ordered              bool    `json:"ordered,omitempty" limits:"default=false" jsonschema:"requests of one key run one at a time, in order"`
+	LateWeight           float64 `json:"late_worth,omitempty" limits:"min=0,max=1,default=0"`
+	Idempotency          string  `json:"repeat,omitempty" limits:"enum=free|by_key|never,default=free"`
+	DedupWindowMS        float64 `json:"window_ms,omitempty" limits:"min=0,default=15000"`
+	Ordered              bool    `json:"ordered,omitempty" limits:"default=false"`
 	Threads              int     `json:"threads,omitempty" limits:"min=1,max=256,default=1"`
-	HoldsDataSetLock     bool    `json:"loads,omitempty" limits:"default=false" jsonschema:"it holds the lock of its data set while it runs"`
-	BlockedByDataSetLock bool    `json:"waits,omitempty" limits:"default=false" jsonschema:"it is blocked while a load holds the lock of its data set"`
+	HoldsDataSetLock     bool    `json:"loads,omitempty" limits:"default=false"`
+	BlockedByDataSetLock bool    `json:"waits,omitempty" limits:"default=false"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (Class) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"wanted_ms":  "latency objective; an answer within it earns the full weight",
+		"stretch":    "the objective grows by this fraction of the work on a thread",
+		"give_up_ms": "client timeout",
+		"late_worth": "fraction of the weight that an answer after the objective earns",
+		"repeat":     "free: idempotent; by_key: engines drop duplicates of a key; never: runs once",
+		"window_ms":  "how long engines drop duplicates of a key",
+		"ordered":    "requests of one key run one at a time, in order",
+		"loads":      "it holds the lock of its data set while it runs",
+		"waits":      "it is blocked while a load holds the lock of its data set",
+	}
 }
 
 // EngineKind is a type of machine that engines run on.
@@ -88,7 +117,11 @@
 
 // Provenance returns the text that generated files carry: the name and the content hash of their description.
 func Provenance(name string, text []byte) string {
-	return fmt.Sprintf("wheatlane config write %s, sha256 %x; change that and write again", name, sha256.Sum256(text))
+	return fmt.Sprintf(
+		"wheatlane config write %s, sha256 %x; change that and write again",
+		name,
+		sha256.Sum256(text),
+	)
 }
 
 // OperatorFile generates the operator's configuration, nil if the description has none.
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -70,7 +70,8 @@
 	if diff := cmp.Diff(want, cfg.Settings.Control.Classes[2]); diff != "" {
 		t.Error(diff)
 	}
-	if f, err := operatorconfig.Parse(operator); err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
+	f, err := operatorconfig.Parse(operator)
+	if err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
@@ -123,7 +124,13 @@
 	for i, v := range violations {
 		keys[i] = v.Key()
 	}
-	want := []string{"classes[0].wantedms", "classes[0].wanted_ms", "classes[2].repeat", "customers[0].share", "listen"}
+	want := []string{
+		"classes[0].wantedms",
+		"classes[0].wanted_ms",
+		"classes[2].repeat",
+		"customers[0].share",
+		"listen",
+	}
 	if diff := cmp.Diff(want, keys); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/description/platform.go
+++ b/internal/description/platform.go
@@ -96,7 +96,7 @@
 		LateWeight       float64       `json:"LateWorth"`
 		Name             string
 		LatencyObjective time.Duration  `json:"PromiseNs"`
-		DedupWindow      *time.Duration `json:"WindowNs,omitempty"` // of classes that are idempotent by key
+		DedupWindow      *time.Duration `json:"WindowNs,omitempty"` // only for by_key
 		PriorityWeight   float64        `json:"Worth"`
 	}
 
@@ -130,8 +130,10 @@
 			MinBatchInterval: minBatchInterval,
 			EngineKinds:      mapAll(a.EngineKinds, func(k EngineKind) string { return k.Name }),
 			Classes:          mapAll(a.Classes, platformClassOf),
-			Tenants:          mapAll(a.Tenants, func(t Tenant) platformTenant { return platformTenant(t) }),
-			Domain:           a.platformDomain(),
+			Tenants: mapAll(
+				a.Tenants, func(t Tenant) platformTenant { return platformTenant(t) },
+			),
+			Domain: a.platformDomain(),
 			Limits: platformRequestLimits{
 				MaxAttempts:     maxAttempts,
 				MaxRetryAfter:   maxRetryAfter,
@@ -173,7 +175,9 @@
 // platformDomain returns what the platform lists by class and by engine kind.
 func (a *Application) platformDomain() platformDomain {
 	return platformDomain{
-		Threads:              mapAll(a.Classes, func(c Class) int { return valueOr(c.Threads, defaultThreads) }),
+		Threads: mapAll(
+			a.Classes, func(c Class) int { return valueOr(c.Threads, defaultThreads) },
+		),
 		HoldsDataSetLock:     mapAll(a.Classes, func(c Class) bool { return c.HoldsDataSetLock }),
 		BlockedByDataSetLock: mapAll(a.Classes, func(c Class) bool { return c.BlockedByDataSetLock }),
 		Cores:                mapAll(a.EngineKinds, func(k EngineKind) float64 { return k.Cores }),
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -88,7 +88,13 @@
 		files   []string
 	}{
 		{"complete", stored, storedRecords, false, []string{continued}},
-		{"truncated in the last record", stored[:len(stored)-5], storedRecords[:3], false, []string{continued}},
+		{
+			"truncated in the last record",
+			stored[:len(stored)-5],
+			storedRecords[:3],
+			false,
+			[]string{continued},
+		},
 		{
 			"damaged ahead of a valid record",
 			flipped(stored, 9+4+8+len(storedSnapshot)+8),
@@ -99,7 +105,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			st, files := openStored(t, c.file)
-			if string(st.Snapshot) != storedSnapshot || !slices.EqualFunc(c.records, st.Records, bytes.Equal) {
+			equalRecords := slices.EqualFunc(c.records, st.Records, bytes.Equal)
+			if string(st.Snapshot) != storedSnapshot || !equalRecords {
 				t.Errorf("read: %q, %q", st.Snapshot, st.Records)
 			}
 			if (st.Lost != "") != c.lost {
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -6,8 +6,8 @@
 	"hash/crc32"
 )
 
-// The layout of a generation file: a header of magic and format version, then records, each with its length and checksum
-// ahead of it. Numbers are big-endian.
+// The layout of a generation file: a header of magic and format version, then records, each with its length
+// and checksum ahead of it. Numbers are big-endian.
 const (
 	magic         = "wlanlog1"
 	formatVersion = 1
@@ -22,8 +22,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// decodeGeneration reads the records of a generation file. damage says what is wrong with the file, empty if nothing is;
-// a truncated last record is no damage, as it was never confirmed.
+// decodeGeneration reads the records of a generation file. damage says what is wrong with the file, empty if
+// nothing is; a truncated last record is no damage, as it was never confirmed.
 func decodeGeneration(file []byte) (records [][]byte, damage string, err error) {
 	if len(file) < headerBytes || string(file[:len(magic)]) != magic {
 		return nil, "it has no header of a store", nil
@@ -37,9 +37,14 @@
 	for offset := headerBytes; offset < len(file); {
 		record, ok := decodeRecord(file[offset:])
 		if !ok {
-			// A write that a crash interrupted is at the end of the file; a record behind it was confirmed.
+			// A write that a crash interrupted is at the end of the file; a record behind it was
+			// confirmed.
 			if containsRecord(file[offset+1:]) {
-				damage = fmt.Sprintf("record %d is damaged; %d bytes are not read", len(records), len(file)-offset)
+				damage = fmt.Sprintf(
+					"record %d is damaged; %d bytes are not read",
+					len(records),
+					len(file)-offset,
+				)
 			}
 			return records, damage, nil
 		}
@@ -72,8 +77,8 @@
 	return false
 }
 
-// checksum covers a record and its length: zeros, which a file system may leave behind, would otherwise be valid empty
-// records.
+// checksum covers a record and its length: zeros, which a file system may leave behind, would otherwise be
+// valid empty records.
 func checksum(length, record []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,10 +1,10 @@
-// Package durable keeps a short history on a disk through crashes: a write-ahead log of records, and a snapshot that
-// stands for the records before it. A record that Append has confirmed survives a crash at any moment; damage is
-// reported and set aside, and never guessed at.
+// Package durable keeps a short history on a disk through crashes: a write-ahead log of records, and a
+// snapshot that stands for the records before it. A record that Append has confirmed survives a crash at any
+// moment; damage is reported and set aside, and never guessed at.
 //
-// A generation is a file log-N. It begins with the magic and the format version, followed by records of length, CRC-32C
-// and content, the first of which is the snapshot. A new generation is written under a temporary name, synced, and
-// renamed; only then is the previous one removed.
+// A generation is a file log-N. It begins with the magic and the format version, followed by records of
+// length, CRC-32C and content, the first of which is the snapshot. A new generation is written under a
+// temporary name, synced, and renamed; only then is the previous one removed.
 package durable
 
 import (
@@ -23,8 +23,8 @@
 	// ErrTooLarge reports a record or snapshot of more than MaxRecord bytes.
 	ErrTooLarge = errors.New("durable: record too large")
 
-	// ErrFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact that succeeds
-	// repairs the store.
+	// ErrFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact
+	// that succeeds repairs the store.
 	ErrFailed = errors.New("durable: a write failed before")
 )
 
@@ -64,8 +64,8 @@
 type State struct {
 	Snapshot []byte   // nil in a new store
 	Records  [][]byte // appended since the snapshot
-	// Lost describes what could not be read, empty if nothing. A record that was being written during a crash was never
-	// confirmed and is not lost.
+	// Lost describes what could not be read, empty if nothing. A record that was being written during a
+	// crash was never confirmed and is not lost.
 	Lost string
 }
 
@@ -104,7 +104,8 @@
 	if err != nil {
 		return nil, State{}, err
 	}
-	// The end of the old file may be truncated, so nothing is appended there: the records move to a new generation.
+	// The end of the old file may be truncated, so nothing is appended there: the records move to a new
+	// generation.
 	if err := s.startGeneration(state.Snapshot, state.Records); err != nil {
 		return nil, state, err
 	}
@@ -164,7 +165,8 @@
 	if err := checkSize(record); err != nil {
 		return err
 	}
-	// After a failed sync the state of the file is unknown, and a second sync may succeed without writing.
+	// After a failed sync the state of the file is unknown, and a second sync may succeed without
+	// writing.
 	if err := writeAndSync(s.file, appendRecord(nil, record)); err != nil {
 		s.failed = true
 		return fmt.Errorf("durable: %w", err)
@@ -228,7 +230,8 @@
 	return s.dir.Sync()
 }
 
-// removeObsolete removes the generations up to the given one and temporary files, except that of the current generation.
+// removeObsolete removes the generations up to the given one and temporary files, except that of the current
+// generation.
 func (s *Store) removeObsolete(upTo uint64) {
 	names, err := s.dir.List()
 	if err != nil {
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -13,8 +13,8 @@
 
 var errCrash = errors.New("simulated crash")
 
-// faultyDir is a directory in memory that loses unsynced data when it crashes: of the bytes written since a file's last
-// sync all, some or none remain, and so of the names that changed since the directory was synced.
+// faultyDir is a directory in memory that loses unsynced data when it crashes: of the bytes written since a
+// file's last sync all, some or none remain, and so of the names that changed since the directory was synced.
 type faultyDir struct {
 	files      map[string]*fileContent // as a process sees them
 	synced     map[string]*fileContent // the names as the disk has them
@@ -147,8 +147,8 @@
 
 func (f *faultyFile) Close() error { return nil }
 
-// write appends and compacts until an operation fails. It returns what was confirmed, and what would have been with the
-// operation that failed.
+// write appends and compacts until an operation fails. It returns what was confirmed, and what would have
+// been with the operation that failed.
 func write(s *Store, from []string, operations int) (confirmed, attempted []string) {
 	confirmed = from
 	for i := range operations {
@@ -182,8 +182,8 @@
 	return "[" + all + "]"
 }
 
-// A crash at each single operation, and another one while the store is opened again: all that was confirmed is there, and
-// nothing that was never written.
+// A crash at each single operation, and another one while the store is opened again: all that was confirmed
+// is there, and nothing that was never written.
 func TestCrashAtEveryOperation(t *testing.T) {
 	for seed := range uint64(20) {
 		for operation := 0; ; operation++ {
@@ -202,14 +202,23 @@
 			if err != nil {
 				t.Fatalf("seed %d, operation %d: %v", seed, operation, err)
 			}
-			if got := history(st); got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Lost != "" {
-				t.Fatalf("seed %d, operation %d: found %s, confirmed were %v; lost %q", seed, operation, got, confirmed, st.Lost)
+			got := history(st)
+			if got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Lost != "" {
+				t.Fatalf(
+					"seed %d, operation %d: found %s, confirmed were %v; lost %q",
+					seed,
+					operation,
+					got,
+					confirmed,
+					st.Lost,
+				)
 			}
 		}
 	}
 }
 
-// crashWhileOpening restarts and opens a store, with a crash after a number of operations if it takes that many.
+// crashWhileOpening restarts and opens a store, with a crash after a number of operations if it takes that
+// many.
 func crashWhileOpening(d *faultyDir, operations int) {
 	d.restart()
 	d.untilCrash = operations
@@ -223,7 +232,8 @@
 	}
 }
 
-// A flipped bit is detected wherever it is: the records before it are there, and damage is reported and set aside.
+// A flipped bit is detected wherever it is: the records before it are there, and damage is reported and set
+// aside.
 func TestBitFlip(t *testing.T) {
 	for bit := range 8 * 100 {
 		d := newFaultyDir(1)
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -1,5 +1,6 @@
-// Package jsontext parses JSON into a tree that keeps the position of each value, so that a checker can report where a
-// fault is. It detects what encoding/json accepts silently: duplicate keys, a byte order mark, text after the value.
+// Package jsontext parses JSON into a tree that keeps the position of each value, so that a checker can
+// report where a fault is. It detects what encoding/json accepts silently: duplicate keys, a byte order mark,
+// text after the value.
 package jsontext
 
 import (
@@ -127,8 +128,8 @@
 // IsTrue reports whether the value is true.
 func (n *Node) IsTrue() bool { return n != nil && n.Kind == Bool && n.Bool }
 
-// Any returns the value as encoding/json decodes it, with numbers as json.Number. It is the one method that n must not be
-// nil for.
+// Any returns the value as encoding/json decodes it, with numbers as json.Number. It is the one method that n
+// must not be nil for.
 func (n *Node) Any() any {
 	switch n.Kind {
 	case Object:
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -62,9 +62,15 @@
 
 func TestDuplicateKeys(t *testing.T) {
 	n, duplicates, err := Parse([]byte("{\"a\":1,\n\"b\":{\"c\":2,\"c\":3},\"a\":4}"))
-	if err != nil || len(duplicates) != 2 || duplicates[0].Key != "c" || duplicates[1].Position != (Position{2, 19}) || n.Get("a").NumberOr(0) != 1 {
+	if err != nil || len(duplicates) != 2 {
 		t.Fatalf("%+v, %v", duplicates, err)
 	}
+	if duplicates[0].Key != "c" || duplicates[1].Position != (Position{2, 19}) {
+		t.Errorf("%+v", duplicates)
+	}
+	if first := n.Get("a").NumberOr(0); first != 1 {
+		t.Errorf("the value of a is %v", first)
+	}
 }
 
 // Whatever the text, a tree holds what encoding/json decodes.
--- a/internal/jsontext/parse.go
+++ b/internal/jsontext/parse.go
@@ -28,13 +28,16 @@
 	return fmt.Sprintf("%d:%d: %s", e.Position.Line, e.Position.Column, e.Reason)
 }
 
-// Parse parses a text that holds one JSON value. It also returns the members whose key occurs earlier in the same
-// object; they are not part of the tree. An error is a *SyntaxError.
+// Parse parses a text that holds one JSON value. It also returns the members whose key occurs earlier in the
+// same object; they are not part of the tree. An error is a *SyntaxError.
 func Parse(text []byte) (root *Node, duplicates []Member, err error) {
 	start := Position{Line: 1, Column: 1}
 	switch {
 	case len(text) > MaxText:
-		return nil, nil, &SyntaxError{start, fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxText)}
+		return nil, nil, &SyntaxError{
+			start,
+			fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxText),
+		}
 	case bytes.HasPrefix(text, []byte(byteOrderMark)):
 		return nil, nil, &SyntaxError{start, "a byte order mark stands ahead of the value"}
 	}
@@ -136,7 +139,10 @@
 // container parses an object or array whose opening delimiter has been read.
 func (p *parser) container(n *Node, open json.Delim, depth int) error {
 	if depth >= maxDepth {
-		return &SyntaxError{n.Position, fmt.Sprintf("objects and lists are nested more than %d deep", maxDepth)}
+		return &SyntaxError{
+			n.Position,
+			fmt.Sprintf("objects and lists are nested more than %d deep", maxDepth),
+		}
 	}
 	parseItems := p.array
 	n.Kind = Array
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// What operators' files give is what it was, key by key in the words of the file, with the same defaults; so are the
-// passwords and the bounds on names.
+// What operators' files give is what it was, key by key in the words of the file, with the same defaults; so
+// are the passwords and the bounds on names.
 func TestParsedValues(t *testing.T) {
 	for _, c := range []struct{ name, path string }{
 		{"every-key", "testdata/every-key.json"},
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,6 +1,7 @@
-// Package operatorconfig reads the operator's configuration: what an installation adds to the platform's configuration
-// of a broker. The file is JSON, validated against a JSON Schema that is derived from the types here, and every error
-// names the file, the key and the reason. Without the file none of these features is enabled.
+// Package operatorconfig reads the operator's configuration: what an installation adds to the platform's
+// configuration of a broker. The file is JSON, validated against a JSON Schema that is derived from the types
+// here, and every error names the file, the key and the reason. Without the file none of these features is
+// enabled.
 package operatorconfig
 
 import "time"
@@ -10,52 +11,99 @@
 
 // File is the content of the operator's configuration.
 type File struct {
-	Schema     string     `json:"$schema,omitempty" jsonschema:"where editors find the schema of this file; not read"`
-	Provenance string     `json:"$made,omitempty" jsonschema:"what the file was generated from; not read"`
-	Telemetry  *Telemetry `json:"telemetry,omitempty" jsonschema:"metrics for Graphite and collectd; absent: none are kept"`
+	Schema     string     `json:"$schema,omitempty"`
+	Provenance string     `json:"$made,omitempty"`
+	Telemetry  *Telemetry `json:"telemetry,omitempty"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (File) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"$schema":   "where editors find the schema of this file; not read",
+		"$made":     "what the file was generated from; not read",
+		"telemetry": "metrics for Graphite and collectd; absent: none are kept",
+	}
 }
 
 // Telemetry configures which metrics are kept and where they are sent.
 type Telemetry struct {
-	IntervalMS  int               `json:"interval_ms,omitempty" limits:"min=1000,max=600000,default=10000" jsonschema:"length of an interval in milliseconds"`
-	Cardinality CardinalityLimits `json:"names,omitzero" jsonschema:"how many names have series of their own; all others share one"`
+	IntervalMS  int               `json:"interval_ms,omitempty" limits:"min=1000,max=600000,default=10000"`
+	Cardinality CardinalityLimits `json:"names,omitzero"`
 	Graphite    []Graphite        `json:"graphite,omitempty" limits:"maxitems=4"`
 	Collectd    []Collectd        `json:"collectd,omitempty" limits:"maxitems=4"`
 }
 
+// FieldDescriptions describes the keys for the schema.
+func (Telemetry) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"interval_ms": "length of an interval in milliseconds",
+		"names":       "how many names have series of their own; all others share one",
+	}
+}
+
 // CardinalityLimits bounds how many names have time series of their own at a time, by dimension.
 type CardinalityLimits struct {
 	Classes  int `json:"classes,omitempty" limits:"min=1,max=256,default=16"`
 	Tenants  int `json:"tenants,omitempty" limits:"min=1,max=1024,default=32"`
 	Engines  int `json:"engines,omitempty" limits:"min=1,max=1024,default=32"`
 	DataSets int `json:"data_sets,omitempty" limits:"min=1,max=1024,default=32"`
-	IdleS    int `json:"idle_s,omitempty" limits:"min=1,max=86400,default=600" jsonschema:"seconds without an observation after which a name loses its series"`
+	IdleS    int `json:"idle_s,omitempty" limits:"min=1,max=86400,default=600"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (CardinalityLimits) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"idle_s": "seconds without an observation after which a name loses its series",
+	}
 }
 
 // Graphite is a carbon server that metrics are sent to.
 type Graphite struct {
-	Name           string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$" jsonschema:"of this destination in the log and in metrics"`
-	Address        string `json:"address" jsonschema:"IP address and port; names are not looked up"`
+	Name           string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$"`
+	Address        string `json:"address"`
 	Protocol       string `json:"protocol,omitempty" limits:"enum=plaintext|pickle,default=plaintext"`
-	Tags           bool   `json:"tags,omitempty" limits:"default=false" jsonschema:"write ;name=value tags; carbon takes them from 1.1 on"`
-	Prefix         string `json:"prefix,omitempty" limits:"default=wheatlane,pattern=^[A-Za-z0-9_-]+(\\.[A-Za-z0-9_-]+)*$" jsonschema:"ahead of each path"`
-	BudgetKB       int    `json:"budget_kb,omitempty" limits:"min=64,max=65536,default=512" jsonschema:"memory for intervals that wait while the collector is unreachable"`
-	ReplayKBps     int    `json:"replay_kbps,omitempty" limits:"min=1,max=65536,default=64" jsonschema:"KB a second at which these are sent once it is reachable"`
-	WriteTimeoutMS int    `json:"write_timeout_ms,omitempty" limits:"min=100,max=60000,default=5000" jsonschema:"a connection without progress for this long is closed"`
+	Tags           bool   `json:"tags,omitempty" limits:"default=false"`
+	Prefix         string `json:"prefix,omitempty" limits:"default=wheatlane,pattern=^[A-Za-z0-9_-]+(\\.[A-Za-z0-9_-]+)*$"`
+	BudgetKB       int    `json:"budget_kb,omitempty" limits:"min=64,max=65536,default=512"`
+	ReplayKBps     int    `json:"replay_kbps,omitempty" limits:"min=1,max=65536,default=64"`
+	WriteTimeoutMS int    `json:"write_timeout_ms,omitempty" limits:"min=100,max=60000,default=5000"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (Graphite) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"name":             "of this destination in the log and in metrics",
+		"address":          "IP address and port; names are not looked up",
+		"tags":             "write ;name=value tags; carbon takes them from 1.1 on",
+		"prefix":           "ahead of each path",
+		"budget_kb":        "memory for intervals that wait while the collector is unreachable",
+		"replay_kbps":      "KB a second at which these are sent once it is reachable",
+		"write_timeout_ms": "a connection without progress for this long is closed",
+	}
 }
 
 // Collectd is a collectd server with the network plugin that metrics are sent to.
 type Collectd struct {
-	Name         string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$" jsonschema:"of this destination in the log and in metrics"`
-	Address      string `json:"address" jsonschema:"IP address and port; names are not looked up"`
+	Name         string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$"`
+	Address      string `json:"address"`
 	Security     string `json:"security,omitempty" limits:"enum=none|sign|encrypt,default=none"`
 	User         string `json:"user,omitempty" limits:"maxlen=64"`
-	PasswordFile string `json:"password_file,omitempty" jsonschema:"file that holds the password; a path is relative to the directory of this file"`
-	BudgetKB     int    `json:"budget_kb,omitempty" limits:"min=64,max=65536,default=256" jsonschema:"memory for the one interval that waits"`
+	PasswordFile string `json:"password_file,omitempty"`
+	BudgetKB     int    `json:"budget_kb,omitempty" limits:"min=64,max=65536,default=256"`
 
 	Password string `json:"-"` // the content of PasswordFile
 }
 
+// FieldDescriptions describes the keys for the schema.
+func (Collectd) FieldDescriptions() map[string]string {
+	return map[string]string{
+		"name":          "of this destination in the log and in metrics",
+		"address":       "IP address and port; names are not looked up",
+		"password_file": "file with the password; a path is relative to the directory of this file",
+		"budget_kb":     "memory for the one interval that waits",
+	}
+}
+
 // Interval is the length of a reporting interval.
 func (t *Telemetry) Interval() time.Duration { return time.Duration(t.IntervalMS) * time.Millisecond }
 
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -83,14 +83,22 @@
 }
 
 func TestDefaults(t *testing.T) {
-	f, err := Parse([]byte(`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"a","address":"127.0.0.1:2003"}],
+	f, err := Parse([]byte(`{"telemetry":{
+		"interval_ms":1000,
+		"graphite":[{"name":"a","address":"127.0.0.1:2003"}],
 		"collectd":[{"name":"b","address":"[::1]:25826"}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Telemetry{
-		IntervalMS:  1000,
-		Cardinality: CardinalityLimits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleS: 600},
+		IntervalMS: 1000,
+		Cardinality: CardinalityLimits{
+			Classes:  16,
+			Tenants:  32,
+			Engines:  32,
+			DataSets: 32,
+			IdleS:    600,
+		},
 		Graphite: []Graphite{{
 			Name:           "a",
 			Address:        "127.0.0.1:2003",
@@ -192,7 +200,8 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "telemetry.collectd[0].password_file") {
+	const key = "telemetry.collectd[0].password_file"
+	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), key) {
 		t.Fatalf("without the file: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "secret"), []byte("a b\n"), 0o600); err != nil {
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -8,10 +8,12 @@
 )
 
 const (
-	// baselineZ is the confidence of the baseline's upper bound in standard deviations: exceeded in one of 700 cases.
+	// baselineZ is the confidence of the baseline's upper bound in standard deviations: exceeded in one
+	// of 700 cases.
 	baselineZ = 3
 
-	// baselineDecay is the weight that earlier observations keep at each new one: some twenty of them count.
+	// baselineDecay is the weight that earlier observations keep at each new one: some twenty of them
+	// count.
 	baselineDecay = 0.95
 
 	// maxBackoffDoublings bounds how often RollbackBackoff is doubled.
@@ -24,7 +26,7 @@
 	actions []Action
 
 	stable     Version // the last version that was promoted
-	rolledBack Version // the last canary that ended; it remains active if stable can't be applied any more
+	rolledBack Version // the last canary that ended; used if stable can't be applied any more
 	pending    Version // proposed while a canary runs; empty: none
 
 	canary   canary
@@ -93,7 +95,9 @@
 }
 
 func (c *Controller) decide(v Version, outcome Outcome, format string, args ...any) {
-	c.actions = append(c.actions, Decision{Version: v, Outcome: outcome, Reason: fmt.Sprintf(format, args...)})
+	c.actions = append(
+		c.actions, Decision{Version: v, Outcome: outcome, Reason: fmt.Sprintf(format, args...)},
+	)
 }
 
 // propose starts a canary of a version, unless one runs or the version or the rate of canaries forbids it.
@@ -109,7 +113,13 @@
 		c.decide(v, Deferred, "%s is the running canary", c.canary.version)
 	case now < c.backoffs[v].until:
 		b := c.backoffs[v]
-		c.decide(v, Rejected, "rolled back %d times, not retried for another %v", b.rollbacks, b.until-now)
+		c.decide(
+			v,
+			Rejected,
+			"rolled back %d times, not retried for another %v",
+			b.rollbacks,
+			b.until-now,
+		)
 	case !c.startAllowed(now):
 		c.decide(v, Rejected, "%d canaries started within %v", len(c.starts), c.cfg.CanaryWindow)
 	default:
@@ -156,7 +166,10 @@
 // observe adds new observations of the stable version to the baseline.
 func (b *baseline) observe(classes map[string]Counts, rate float64) {
 	for class, counts := range b.classes {
-		b.classes[class] = Counts{Total: baselineDecay * counts.Total, Bad: baselineDecay * counts.Bad}
+		b.classes[class] = Counts{
+			Total: baselineDecay * counts.Total,
+			Bad:   baselineDecay * counts.Bad,
+		}
 	}
 	for class, counts := range classes {
 		sum := b.classes[class]
@@ -194,7 +207,7 @@
 		maxRatio := MaxBadRatio(before, baselineZ, c.cfg.Tolerance, load)
 		test.Observe(counts, maxRatio)
 		if test.Evidence() >= threshold {
-			return fmt.Sprintf("%s: %.1f%% of requests were bad lately, %.1f%% in the baseline, %.1f%% are allowed",
+			return fmt.Sprintf("%s: %.1f%% of requests bad, %.1f%% in the baseline, %.1f%% allowed",
 				class, 100*counts.BadRatio(), 100*before.BadRatio(), 100*maxRatio), true
 		}
 	}
@@ -205,9 +218,17 @@
 func (c *Controller) promoteIfDue(now time.Duration) {
 	switch ran := now - c.canary.startedAt; {
 	case ran >= c.cfg.CanaryDuration && c.canary.requests >= c.cfg.MinRequests:
-		c.promote(now, Promoted, fmt.Sprintf("%.0f requests in %v show no harm", c.canary.requests, ran))
+		c.promote(
+			now,
+			Promoted,
+			fmt.Sprintf("%.0f requests in %v show no harm", c.canary.requests, ran),
+		)
 	case ran >= c.cfg.MaxCanaryDuration:
-		c.promote(now, PromotedUnproven, fmt.Sprintf("only %.0f requests completed in %v", c.canary.requests, ran))
+		c.promote(
+			now,
+			PromotedUnproven,
+			fmt.Sprintf("only %.0f requests completed in %v", c.canary.requests, ran),
+		)
 	}
 }
 
@@ -243,8 +264,8 @@
 	}
 }
 
-// applyFailed handles a version that could not be activated. If that was the stable one, the canary that ended before it
-// remains active, as a broker needs a configuration, and becomes the stable one.
+// applyFailed handles a version that could not be activated. If that was the stable one, the canary that
+// ended before it remains active, as a broker needs a configuration, and becomes the stable one.
 func (c *Controller) applyFailed(now time.Duration, ev ApplyFailed) {
 	switch {
 	case ev.Version == c.canary.version && c.canary.version != "":
@@ -253,6 +274,11 @@
 		c.proposePending(now)
 	case ev.Version == c.stable && c.canary.version == "" && c.rolledBack != "":
 		c.stable, c.rolledBack = c.rolledBack, ""
-		c.decide(ev.Version, Rejected, "it can't be applied any more, the active version remains: %s", ev.Reason)
+		c.decide(
+			ev.Version,
+			Rejected,
+			"it can't be applied any more, the active version remains: %s",
+			ev.Reason,
+		)
 	}
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout decides what becomes of a new configuration by a canary release: whether it is tried, how long, by
-// which sequential test it is promoted or rolled back, and what happens to another one that arrives meanwhile. It does
-// no I/O, reads no clock and starts no goroutine: events go in, actions come out.
+// Package rollout decides what becomes of a new configuration by a canary release: whether it is tried, how
+// long, by which sequential test it is promoted or rolled back, and what happens to another one that arrives
+// meanwhile. It does no I/O, reads no clock and starts no goroutine: events go in, actions come out.
 package rollout
 
 import "time"
@@ -10,14 +10,22 @@
 
 // Config holds the parameters of a Controller.
 type Config struct {
-	CanaryDuration    time.Duration // how long a canary runs if nothing speaks against it
-	MaxCanaryDuration time.Duration // how long it runs at most while there is too little traffic to decide
-	MinRequests       float64       // completed requests that suffice to decide
-	SignificanceLevel float64       // upper bound on the probability that a harmless canary is rolled back
-	Tolerance         float64       // additional bad ratio that a canary may have over the baseline
-	RollbackBackoff   time.Duration // a version that was rolled back is not retried for this long; doubled each time
-	CanaryWindow      time.Duration // the window over which canaries are counted
-	MaxCanaries       int           // canaries that may start within CanaryWindow
+	// CanaryDuration is how long a canary runs if nothing speaks against it.
+	CanaryDuration time.Duration
+	// MaxCanaryDuration is how long it runs at most while there is too little traffic to decide.
+	MaxCanaryDuration time.Duration
+	// MinRequests is the number of completed requests that suffice to decide.
+	MinRequests float64
+	// SignificanceLevel bounds the probability that a harmless canary is rolled back.
+	SignificanceLevel float64
+	// Tolerance is the additional bad ratio that a canary may have over the baseline.
+	Tolerance float64
+	// RollbackBackoff is how long a version that was rolled back is not retried; doubled each time.
+	RollbackBackoff time.Duration
+	// CanaryWindow is the window over which canaries are counted.
+	CanaryWindow time.Duration
+	// MaxCanaries is the number of canaries that may start within CanaryWindow.
+	MaxCanaries int
 }
 
 // DefaultConfig returns the parameters of a sidecar without settings of its own.
@@ -41,13 +49,15 @@
 	// Proposed reports a new configuration that has passed the checker.
 	Proposed struct{ Version Version }
 
-	// Observed reports the requests that completed under the active configuration since the last such event.
+	// Observed reports the requests that completed under the active configuration since the last such
+	// event.
 	Observed struct {
 		Classes  map[string]Counts // by request class
 		Duration time.Duration
 	}
 
-	// ApplyFailed reports that a configuration could not be activated, and that the one before is still active.
+	// ApplyFailed reports that a configuration could not be activated, and that the one before is still
+	// active.
 	ApplyFailed struct {
 		Version Version
 		Reason  string
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -193,8 +193,8 @@
 	return s.controller.Stable() == "v1", s.now - startedAt
 }
 
-// Harmless canaries are rolled back no more often than the significance level allows; harm is detected, larger harm
-// earlier.
+// Harmless canaries are rolled back no more often than the significance level allows; harm is detected,
+// larger harm earlier.
 func TestFalseRollbackRateAndPower(t *testing.T) {
 	const harmless = 300
 	falseRollbacks := 0
@@ -204,7 +204,12 @@
 		}
 	}
 	if allowed := DefaultConfig().SignificanceLevel * harmless; float64(falseRollbacks) > allowed {
-		t.Errorf("%d of %d harmless canaries were rolled back, %v are allowed", falseRollbacks, harmless, allowed)
+		t.Errorf(
+			"%d of %d harmless canaries were rolled back, %v are allowed",
+			falseRollbacks,
+			harmless,
+			allowed,
+		)
 	}
 	previousMean := time.Hour
 	for _, harm := range []float64{0.10, 0.30} {
@@ -217,14 +222,20 @@
 		}
 		mean := sum / 50
 		if detected < 48 || mean >= previousMean {
-			t.Errorf("harm of %v: %d of 50 detected, after %v, smaller harm after %v", harm, detected, mean, previousMean)
+			t.Errorf(
+				"harm of %v: %d of 50 detected, after %v, smaller harm after %v",
+				harm,
+				detected,
+				mean,
+				previousMean,
+			)
 		}
 		previousMean = mean
 	}
 }
 
-// Whatever happens: the active version is the stable one or the canary, each Apply says which, and no version is tried
-// during its backoff.
+// Whatever happens: the active version is the stable one or the canary, each Apply says which, and no version
+// is tried during its backoff.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -239,7 +250,11 @@
 			host.now += observationInterval
 			host.applyEvent(t, ev)
 			if host.active != host.controller.Active() {
-				t.Fatalf("the active version is %s, should be %s", host.active, host.controller.Active())
+				t.Fatalf(
+					"the active version is %s, should be %s",
+					host.active,
+					host.controller.Active(),
+				)
 			}
 		}
 	})
@@ -259,7 +274,11 @@
 		switch a := a.(type) {
 		case Apply:
 			if h.now < h.backoffs[a.Version] && a.Version != h.controller.Stable() {
-				t.Fatalf("%s is tried during its backoff until %v", a.Version, h.backoffs[a.Version])
+				t.Fatalf(
+					"%s is tried during its backoff until %v",
+					a.Version,
+					h.backoffs[a.Version],
+				)
 			}
 			h.active = a.Version
 		case Decision:
--- a/internal/rollout/sequential.go
+++ b/internal/rollout/sequential.go
@@ -22,8 +22,8 @@
 	return c.Bad / c.Total
 }
 
-// betFractions are the bets that a test mixes, as fractions of the largest possible one: small bets detect small harm
-// late, and large bets detect large harm early.
+// betFractions are the bets that a test mixes, as fractions of the largest possible one: small bets detect
+// small harm late, and large bets detect large harm early.
 var betFractions = [...]float64{0.02, 0.05, 0.1, 0.2, 0.4, 0.7}
 
 const (
@@ -31,9 +31,10 @@
 	maxLogEvidence = 700  // e^700 is beyond any threshold in use and still a finite float64
 )
 
-// SequentialTest is an anytime-valid test of whether the bad ratio of a class exceeds a threshold. It may be evaluated
-// as often as needed: if the ratio is at or below the threshold, the probability that Evidence ever reaches 1/alpha is
-// at most alpha (Ville 1939; testing by betting, Shafer 2021). The zero value has no observations.
+// SequentialTest is an anytime-valid test of whether the bad ratio of a class exceeds a threshold. It may be
+// evaluated as often as needed: if the ratio is at or below the threshold, the probability that Evidence ever
+// reaches 1/alpha is at most alpha (Ville 1939; testing by betting, Shafer 2021). The zero value has no
+// observations.
 type SequentialTest struct {
 	logCapital [len(betFractions)]float64 // natural logarithm of the capital of each bet
 }
@@ -43,12 +44,14 @@
 	threshold = min(max(threshold, minNullRatio), 1-minNullRatio)
 	good := max(0, counts.Total-counts.Bad)
 	for i, fraction := range betFractions {
-		bet := fraction / threshold // at 1/threshold a single good request would lose the whole capital
+		// At a bet of 1/threshold a single good request would lose all capital.
+		bet := fraction / threshold
 		t.logCapital[i] += counts.Bad*math.Log1p(bet*(1-threshold)) + good*math.Log1p(-bet*threshold)
 	}
 }
 
-// Evidence is the e-value against the hypothesis that the ratio is within the threshold: the mean capital of the bets.
+// Evidence is the e-value against the hypothesis that the ratio is within the threshold: the mean capital of
+// the bets.
 func (t *SequentialTest) Evidence() float64 {
 	sum := 0.0
 	for _, logCapital := range t.logCapital {
@@ -60,9 +63,9 @@
 // loadTolerance is the additional bad ratio that a canary may have for each doubling of the load.
 const loadTolerance = 0.2
 
-// MaxBadRatio is the bad ratio that a canary may have: the upper bound of the Wilson score interval of the baseline at
-// z standard deviations, and a tolerance. The tolerance grows with load, the request rate over that of the baseline,
-// where load is above 1: higher load alone must not count as harm.
+// MaxBadRatio is the bad ratio that a canary may have: the upper bound of the Wilson score interval of the
+// baseline at z standard deviations, and a tolerance. The tolerance grows with load, the request rate over
+// that of the baseline, where load is above 1: higher load alone must not count as harm.
 func MaxBadRatio(baseline Counts, z, tolerance, load float64) float64 {
 	upper := 1.0
 	if n := baseline.Total; n > 0 {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,8 +1,9 @@
-// Package schema derives JSON Schemas (draft 2020-12) from Go types and validates documents against them. It finds all
-// violations of a document in one pass, each with its path.
+// Package schema derives JSON Schemas (draft 2020-12) from Go types and validates documents against them. It
+// finds all violations of a document in one pass, each with its path.
 //
-// The schemas and the meaning of their keywords are those of github.com/google/jsonschema-go. Of the libraries that were
-// compared it is the one that costs a broker of 32 MB next to nothing at its start; see docs/design/telemetry.md.
+// The schemas and the meaning of their keywords are those of github.com/google/jsonschema-go. Of the
+// libraries that were compared it is the one that costs a broker of 32 MB next to nothing at its start; see
+// docs/design/telemetry.md.
 package schema
 
 import (
@@ -36,9 +37,16 @@
 	maxItemsKeyword  = "maxitems"
 )
 
-// For derives the schema of a struct type. The json tag of a field names it, jsonschema describes it, and limits bounds
-// it, as in limits:"min=1,max=9,default=4", limits:"enum=a|b", limits:"minlen=1,maxlen=32,pattern=^[a-z]+$" (the pattern
-// last) and limits:"maxitems=4". A field is required unless it is marked omitempty or omitzero.
+// Described is a struct type that describes its fields for people.
+type Described interface {
+	// FieldDescriptions returns the descriptions of fields by their keys in a document.
+	FieldDescriptions() map[string]string
+}
+
+// For derives the schema of a struct type. The json tag of a field names it, and limits bounds it, as in
+// limits:"min=1,max=9,default=4", limits:"enum=a|b", limits:"minlen=1,maxlen=32,pattern=^[a-z]+$" (the
+// pattern last) and limits:"maxitems=4". A field is required unless it is marked omitempty or omitzero. It is
+// described by its jsonschema tag, or by the type if that is Described.
 func For[T any]() (*jsonschema.Schema, error) {
 	s, err := jsonschema.For[T](nil)
 	if err != nil {
@@ -57,7 +65,8 @@
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
-	s.Type, s.Types = "object", nil
+	s.Type, s.Types = typeObject, nil
+	applyDescriptions(s, t)
 	for i := range t.NumField() {
 		field := t.Field(i)
 		property := s.Properties[keyOf(field)]
@@ -74,12 +83,25 @@
 	return nil
 }
 
-// elementOf follows pointers and slices to the type of their elements. On its way it takes null out of the types that
-// the library allows for an array: here null would have no meaning.
+// applyDescriptions adds the descriptions of the fields of a type that has them.
+func applyDescriptions(s *jsonschema.Schema, t reflect.Type) {
+	described, ok := reflect.Zero(t).Interface().(Described)
+	if !ok {
+		return
+	}
+	for key, description := range described.FieldDescriptions() {
+		if property := s.Properties[key]; property != nil {
+			property.Description = description
+		}
+	}
+}
+
+// elementOf follows pointers and slices to the type of their elements. On its way it takes null out of the
+// types that the library allows for an array: here null would have no meaning.
 func elementOf(s *jsonschema.Schema, t reflect.Type) (*jsonschema.Schema, reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		if t.Kind() == reflect.Slice {
-			s.Type, s.Types = "array", nil
+			s.Type, s.Types = typeArray, nil
 			s = s.Items
 		}
 		t = t.Elem()
--- a/internal/schema/validate.go
+++ b/internal/schema/validate.go
@@ -77,22 +77,32 @@
 }
 
 func (v *validator) report(kind ViolationKind, path []string, format string, args ...any) {
-	v.violations = append(v.violations, Violation{Path: slices.Clone(path), Kind: kind, Reason: fmt.Sprintf(format, args...)})
+	v.violations = append(
+		v.violations,
+		Violation{Path: slices.Clone(path), Kind: kind, Reason: fmt.Sprintf(format, args...)},
+	)
 }
 
-// value validates one value. Objects and arrays are traversed here, so that each violation has its path; the library
-// validates all other values.
+// value validates one value. Objects and arrays are traversed here, so that each violation has its path; the
+// library validates all other values.
 func (v *validator) value(s *jsonschema.Schema, value any, path []string) {
 	switch value := value.(type) {
 	case map[string]any:
 		if s.Type != typeObject {
-			v.report(InvalidType, path, "an object does not belong here, but %s", withArticle(s.Type))
+			v.report(
+				InvalidType,
+				path,
+				"an object does not belong here, but %s",
+				withArticle(s.Type),
+			)
 			return
 		}
 		v.object(s, value, path)
 	case []any:
 		if s.Type != typeArray {
-			v.report(InvalidType, path, "a list does not belong here, but %s", withArticle(s.Type))
+			v.report(
+				InvalidType, path, "a list does not belong here, but %s", withArticle(s.Type),
+			)
 			return
 		}
 		v.array(s, value, path)
@@ -133,8 +143,16 @@
 
 // scalar validates a number, string, truth value or null.
 func (v *validator) scalar(s *jsonschema.Schema, value any, path []string) {
-	if got := typeOf(value); s.Type != "" && got != s.Type && (got != typeInteger || s.Type != typeNumber) {
-		v.report(InvalidType, path, "%s does not belong here, but %s", withArticle(got), withArticle(s.Type))
+	got := typeOf(value)
+	isIntegerForNumber := got == typeInteger && s.Type == typeNumber
+	if s.Type != "" && got != s.Type && !isIntegerForNumber {
+		v.report(
+			InvalidType,
+			path,
+			"%s does not belong here, but %s",
+			withArticle(got),
+			withArticle(s.Type),
+		)
 		return
 	}
 	if reason := outOfRange(s, value); reason != "" {
--- a/measure/config/checker.go
+++ b/measure/config/checker.go
@@ -95,7 +95,9 @@
 	texts := make([][]byte, n)
 	for i := range texts {
 		doc := faultinjection.PlatformConfig(rand.New(rand.NewPCG(1, 0)))
-		doc["name"], doc["listen"] = fmt.Sprint("n", i), fmt.Sprintf("10.%d.%d.1:6565", i/brokersPerNet, i%brokersPerNet)
+		doc["name"], doc["listen"] = fmt.Sprint("n", i), fmt.Sprintf(
+			"10.%d.%d.1:6565", i/brokersPerNet, i%brokersPerNet,
+		)
 		settings, ok := doc["settings"].(map[string]any)
 		if !ok {
 			return nil, fmt.Errorf("no settings in %v", doc)
--- a/measure/config/main.go
+++ b/measure/config/main.go
@@ -1,5 +1,5 @@
-// Command config measures the checker of configurations, the store, and the decisions of a rollout. Each line that it
-// prints is a name, a value and a unit. See docs/measurements/config.md.
+// Command config measures the checker of configurations, the store, and the decisions of a rollout. Each line
+// that it prints is a name, a value and a unit. See docs/measurements/config.md.
 package main
 
 import (
@@ -8,7 +8,8 @@
 )
 
 func main() {
-	for _, measure := range []func() error{measureFaults, measureCheckTimes, measureRollout, measureStore} {
+	measures := []func() error{measureFaults, measureCheckTimes, measureRollout, measureStore}
+	for _, measure := range measures {
 		if err := measure(); err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
 			os.Exit(1)
--- a/measure/config/rollout.go
+++ b/measure/config/rollout.go
@@ -20,7 +20,8 @@
 // requestsPerInterval is the traffic by class: 50 requests a second.
 var requestsPerInterval = map[string]int{"lookup": 200, "route-report": 35, "survey-load": 15}
 
-// measureRollout measures how often harmless canaries are rolled back, and how often and how soon harmful ones are.
+// measureRollout measures how often harmless canaries are rolled back, and how often and how soon harmful
+// ones are.
 func measureRollout() error {
 	falseRollbacks := 0
 	for seed := range uint64(harmlessCanaries) {
@@ -54,14 +55,17 @@
 	}
 }
 
-// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It returns whether the canary
-// was rolled back, and how long it ran.
+// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It returns whether
+// the canary was rolled back, and how long it ran.
 func runCanary(seed uint64, harm float64) (rolledBack bool, after time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	c, now := rollout.New(rollout.DefaultConfig(), "before"), time.Duration(0)
 	observe := func(badRatio float64) {
 		now += observationInterval
-		c.Apply(now, rollout.Observed{Classes: drawRequests(rng, badRatio), Duration: observationInterval})
+		c.Apply(
+			now,
+			rollout.Observed{Classes: drawRequests(rng, badRatio), Duration: observationInterval},
+		)
 	}
 	for range baselineIntervals {
 		observe(baselineBadRatio)
--- a/measure/config/store.go
+++ b/measure/config/store.go
@@ -17,8 +17,8 @@
 	temporaryFiles = "measure"
 )
 
-// measureStore measures a store in the directory for temporary files: how long it takes to open it, and how many records
-// it appends a second, against rewriting all of them each time.
+// measureStore measures a store in the directory for temporary files: how long it takes to open it, and how
+// many records it appends a second, against rewriting all of them each time.
 func measureStore() (err error) {
 	dir, err := os.MkdirTemp("", temporaryFiles)
 	if err != nil {
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -26,8 +26,8 @@
 	dataSetCount   = 24
 )
 
-// disconnectingClients are clients that leave before their answers, and some that are idle until the broker closes their
-// connections.
+// disconnectingClients are clients that leave before their answers, and some that are idle until the broker
+// closes their connections.
 type disconnectingClients struct {
 	address string
 	checker *conformance.Checker
@@ -39,7 +39,9 @@
 	keyFree  [keyCount]time.Time // when the next request of a key may be sent
 }
 
-func newDisconnectingClients(address string, seed uint64, checker *conformance.Checker) *disconnectingClients {
+func newDisconnectingClients(
+	address string, seed uint64, checker *conformance.Checker,
+) *disconnectingClients {
 	c := &disconnectingClients{address: address, checker: checker, rng: rand.New(rand.NewPCG(seed, 2))}
 	for i, timeout := range []time.Duration{2 * time.Second, 20 * time.Second, 25 * time.Second} {
 		c.classes = append(c.classes, client.Class{Engine: cluster.Classes[i], Timeout: timeout})
@@ -88,8 +90,8 @@
 	}
 }
 
-// sendAndLeave sends one request and leaves after a while if no answer came. Errors are the broker's right: it may be
-// shutting down.
+// sendAndLeave sends one request and leaves after a while if no answer came. Errors are the broker's right:
+// it may be shutting down.
 func (c *disconnectingClients) sendAndLeave(ctx context.Context) {
 	class := c.classes[[]int{0, 0, 1, 2, 2, 2}[c.draw(6)]]
 	key := ""
@@ -144,7 +146,9 @@
 	left := func() { c.checker.RequestEnded(id, conformance.ClientLeft, time.Now()) }
 	switch c.draw(3) {
 	case 0:
-		killer, err := connect(ctx, c.address, fmt.Sprintf("KILL QUERY %d", s.connectionID), func(time.Time) {})
+		killer, err := connect(
+			ctx, c.address, fmt.Sprintf("KILL QUERY %d", s.connectionID), func(time.Time) {},
+		)
 		if err != nil { // the broker is shutting down: the close is all that it notices
 			s.close()
 			left()
@@ -165,9 +169,11 @@
 // idleClients is how many clients are idle until the broker closes their connections.
 const idleClients = 20
 
-// startIdle connects clients that get one answer and are idle from then on. Once its connection is shut, each sends a
-// request, whose id is given to sentLate first. The returned function waits for them.
-func (c *disconnectingClients) startIdle(ctx context.Context, sentLate func(requestID string)) (wait func() error) {
+// startIdle connects clients that get one answer and are idle from then on. Once its connection is shut, each
+// sends a request, whose id is given to sentLate first. The returned function waits for them.
+func (c *disconnectingClients) startIdle(
+	ctx context.Context, sentLate func(requestID string),
+) (wait func() error) {
 	var g errgroup.Group
 	var ready sync.WaitGroup
 	for range idleClients {
@@ -189,8 +195,8 @@
 	return g.Wait
 }
 
-// connectIdle connects a client and waits for its first answer. The statement has no fields: it is answered at once, and
-// nothing is forwarded.
+// connectIdle connects a client and waits for its first answer. The statement has no fields: it is answered
+// at once, and nothing is forwarded.
 func (c *disconnectingClients) connectIdle(ctx context.Context) (*session, error) {
 	s, err := connect(ctx, c.address, "PING", func(time.Time) {})
 	if err != nil {
@@ -217,6 +223,7 @@
 		SentAt:  time.Now(),
 		Timeout: class.Timeout,
 	})
-	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now()) // a request that crosses a close is owed no answer
+	// A request that crosses a close is owed no answer.
+	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
 	s.sendLast(class.Text(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
--- a/measure/edgecases/main.go
+++ b/measure/edgecases/main.go
@@ -1,7 +1,8 @@
-// Command edgecases counts, over a run on loopback with faults, what the operators' terms on edge cases limit: requests that
-// are forwarded although their clients disconnected while they were queued, requests that are forwarded although they were
-// sent after a planned restart had shut their connection, and violations of any other rule. Clients leave by KILL QUERY, a
-// close or a reset. Each line that it prints is a name, a value and a unit.
+// Command edgecases counts, over a run on loopback with faults, what the operators' terms on edge cases
+// limit: requests that are forwarded although their clients disconnected while they were queued, requests
+// that are forwarded although they were sent after a planned restart had shut their connection, and
+// violations of any other rule. Clients leave by KILL QUERY, a close or a reset. Each line that it prints is
+// a name, a value and a unit.
 package main
 
 import (
@@ -32,7 +33,12 @@
 	flag.DurationVar(&o.duration, "for", 20*time.Second, "duration until the planned restart")
 	flag.BoolVar(&o.hedging, "copies", true, "the deployment allows hedged requests")
 	flag.BoolVar(&o.cancellation, "cancel", true, "the deployment allows to cancel attempts")
-	flag.BoolVar(&o.busy, "busy", false, "long requests are in flight at the planned restart, otherwise only short ones")
+	flag.BoolVar(
+		&o.busy,
+		"busy",
+		false,
+		"long requests are in flight at the planned restart, otherwise only short ones",
+	)
 	flag.Parse()
 	if err := measure(context.Background(), o); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
@@ -40,7 +46,8 @@
 	}
 }
 
-// engineObserver reports to the checker what engines observe, and counts the requests that were sent after the shutdown.
+// engineObserver reports to the checker what engines observe, and counts the requests that were sent after
+// the shutdown.
 type engineObserver struct {
 	checker *conformance.Checker
 
@@ -71,7 +78,8 @@
 	o.late[requestID] = true
 }
 
-// lateCounts returns how many requests were sent after the shutdown, and how many attempts of them engines received.
+// lateCounts returns how many requests were sent after the shutdown, and how many attempts of them engines
+// received.
 func (o *engineObserver) lateCounts() (sent, forwarded int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,7 +87,11 @@
 }
 
 var outcomes = []conformance.Outcome{
-	conformance.Served, conformance.Rejected, conformance.Failed, conformance.ClientLeft, conformance.Unanswered,
+	conformance.Served,
+	conformance.Rejected,
+	conformance.Failed,
+	conformance.ClientLeft,
+	conformance.Unanswered,
 	conformance.WrongAnswer,
 }
 
@@ -106,7 +118,10 @@
 			"or none sent one after the shutdown: nothing was checked"))
 	}
 	if forwarded > 0 {
-		violations = append(violations, fmt.Errorf("%d requests were forwarded that were sent after the shutdown", forwarded))
+		violations = append(
+			violations,
+			fmt.Errorf("%d requests were forwarded that were sent after the shutdown", forwarded),
+		)
 	}
 	return errors.Join(violations...)
 }
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -35,12 +35,24 @@
 
 // classes are the requests that clients send.
 var classes = []client.Class{
-	{Engine: cluster.Classes[0], Rate: 80, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second},
+	{
+		Engine:           cluster.Classes[0],
+		Rate:             80,
+		LatencyObjective: 500 * time.Millisecond,
+		Timeout:          2 * time.Second,
+	},
 	{Engine: cluster.Classes[1], Rate: 2, LatencyObjective: 4 * time.Second, Timeout: 20 * time.Second},
-	{Engine: cluster.Classes[2], Rate: 1, LatencyObjective: 9 * time.Second, Timeout: 25 * time.Second, Keys: 8},
+	{
+		Engine:           cluster.Classes[2],
+		Rate:             1,
+		LatencyObjective: 9 * time.Second,
+		Timeout:          25 * time.Second,
+		Keys:             8,
+	},
 }
 
-// environment is what a broker runs in: emulated engines and a change log, and the checker that observes them.
+// environment is what a broker runs in: emulated engines and a change log, and the checker that observes
+// them.
 type environment struct {
 	checker   *conformance.Checker
 	observer  *engineObserver
@@ -56,7 +68,10 @@
 		DisconnectGrace: disconnectGrace,
 		NoHedging:       !hedging,
 	})
-	e := &environment{checker: checker, observer: &engineObserver{checker: checker, late: map[string]bool{}}}
+	e := &environment{
+		checker:  checker,
+		observer: &engineObserver{checker: checker, late: map[string]bool{}},
+	}
 	var err error
 	e.engines, err = cluster.New(engineCount, e.observer, func(h changelogserver.Host) error {
 		e.changelog.Change(h)
@@ -92,7 +107,9 @@
 	if err != nil {
 		return err
 	}
-	return ignoreCanceled(scenario.Play(ctx, steps, func(s scenario.Step) error { return e.engines.Do(ctx, s) }))
+	return ignoreCanceled(
+		scenario.Play(ctx, steps, func(s scenario.Step) error { return e.engines.Do(ctx, s) }),
+	)
 }
 
 // newLoad returns clients that send requests of some classes.
@@ -149,7 +166,8 @@
 	if !o.busy {
 		err = load.end()
 		load = startLoad(ctx, func(ctx context.Context, g *errgroup.Group) {
-			g.Go(func() error { return env.newLoad(address, o.seed+quietSeed, classes[:1]).Run(ctx) })
+			quiet := env.newLoad(address, o.seed+quietSeed, classes[:1])
+			g.Go(func() error { return quiet.Run(ctx) })
 		})
 	}
 	waitForIdle := clients.startIdle(ctx, env.observer.addLate)
--- a/measure/edgecases/session.go
+++ b/measure/edgecases/session.go
@@ -57,7 +57,8 @@
 	return s, nil
 }
 
-// readLogin reads the greeting and the answer to the login. Where the greeting is an error packet, there is no second one.
+// readLogin reads the greeting and the answer to the login. Where the greeting is an error packet, there is
+// no second one.
 func (s *session) readLogin() error {
 	if err := s.conn.SetReadDeadline(time.Now().Add(connectTimeout)); err != nil {
 		return err
@@ -67,7 +68,8 @@
 		return err
 	}
 	if len(greeting) > 0 && greeting[0] != errorPacket {
-		if _, rest, ok := bytes.Cut(greeting[1:], []byte{0}); ok && len(rest) >= 4 { // behind the server's version
+		// The connection id is behind the server's version, which a zero byte ends.
+		if _, rest, ok := bytes.Cut(greeting[1:], []byte{0}); ok && len(rest) >= 4 {
 			s.connectionID = binary.LittleEndian.Uint32(rest)
 			if _, err := s.readPacket(); err != nil {
 				return err
@@ -88,7 +90,8 @@
 	s.close()
 }
 
-// waitForShutdown waits for the end of the connection and reports whether the broker has shut it in an orderly manner.
+// waitForShutdown waits for the end of the connection and reports whether the broker has shut it in an
+// orderly manner.
 func (s *session) waitForShutdown() bool {
 	_, err := s.r.ReadByte()
 	return errors.Is(err, io.EOF)
@@ -126,8 +129,8 @@
 	return payload, err
 }
 
-// outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that other clients
-// do.
+// outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that
+// other clients do.
 func outcomeOf(answer []byte) conformance.Outcome {
 	if len(answer) < 3 || answer[0] != errorPacket {
 		return conformance.Served
--- a/measure/fleet/main.go
+++ b/measure/fleet/main.go
@@ -1,7 +1,7 @@
-// Command fleet counts what a fleet of brokers spent of the resources that they share, from their logs: the lines costs
-// that each broker writes every 5 s and at its end, summed over all logs of a directory, one file a broker. Each line
-// that it prints is a name, a value and a unit: the counts of the day, and each over the accepted requests, as the
-// settings price them.
+// Command fleet counts what a fleet of brokers spent of the resources that they share, from their logs: the
+// lines costs that each broker writes every 5 s and at its end, summed over all logs of a directory, one file
+// a broker. Each line that it prints is a name, a value and a unit: the counts of the day, and each over the
+// accepted requests, as the settings price them.
 package main
 
 import (
@@ -96,8 +96,8 @@
 	return total, lines, nil
 }
 
-// parseLine returns the counters of a log line that has them. A line may have a time ahead of its JSON, as the bench
-// writes them.
+// parseLine returns the counters of a log line that has them. A line may have a time ahead of its JSON, as
+// the bench writes them.
 func parseLine(line []byte) (counters usage.Counters, ok bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
--- a/measure/operator/call.go
+++ b/measure/operator/call.go
@@ -28,8 +28,8 @@
 	return string(reply), err
 }
 
-// callSlowly holds one connection after the other, on which it has sent the beginning of a command, until ctx ends. It
-// ends as well once the endpoint accepts no more connections.
+// callSlowly holds one connection after the other, on which it has sent the beginning of a command, until ctx
+// ends. It ends as well once the endpoint accepts no more connections.
 func callSlowly(ctx context.Context, address, beginning string) error {
 	for ctx.Err() == nil {
 		conn, err := dial(ctx, address)
--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -1,6 +1,6 @@
-// Command operator measures how long the admin endpoint takes to reply while the broker serves 500 lookups a second and
-// slow callers hold connections open with nothing or half a line: a reply is due within 1 s. Each line that it prints is a
-// name, a value and a unit.
+// Command operator measures how long the admin endpoint takes to reply while the broker serves 500 lookups a
+// second and slow callers hold connections open with nothing or half a line: a reply is due within 1 s. Each
+// line that it prints is a name, a value and a unit.
 package main
 
 import (
--- a/measure/telemetry/endtoend.go
+++ b/measure/telemetry/endtoend.go
@@ -25,8 +25,8 @@
 	pollInterval   = 50 * time.Millisecond
 )
 
-// The brokers that are compared: two without metrics, whose ratio shows the noise, one with, and one whose collector
-// accepts connections and never reads.
+// The brokers that are compared: two without metrics, whose ratio shows the noise, one with, and one whose
+// collector accepts connections and never reads.
 const (
 	withoutMetrics = "off"
 	controlBroker  = "control"
@@ -42,8 +42,9 @@
 	received   *collector.Reconciler        // by the collector of the broker with metrics
 }
 
-// measureEndToEnd sends lookups to four brokers at once, so that other activity of the machine is the same for all. Then
-// the collector of the one with metrics is unreachable for a while, and its counts are compared with those of the client.
+// measureEndToEnd sends lookups to four brokers at once, so that other activity of the machine is the same
+// for all. Then the collector of the one with metrics is unreachable for a while, and its counts are compared
+// with those of the client.
 func measureEndToEnd(ctx context.Context, program string, rounds int) (err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -131,12 +132,14 @@
 	}
 	c.collectors[name] = server
 	emulators.Go(func() error { return server.Run(ctx) })
-	text := fmt.Sprintf(`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"c","address":%q}]}}`, server.Addr())
+	text := fmt.Sprintf(
+		`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"c","address":%q}]}}`, server.Addr(),
+	)
 	return os.WriteFile(c.operatorFile(name), []byte(text), 0o600)
 }
 
-// printLatencies prints the latency of each broker, and its ratio to that of the first broker in the same round: the
-// median over the rounds, the least and the most.
+// printLatencies prints the latency of each broker, and its ratio to that of the first broker in the same
+// round: the median over the rounds, the least and the most.
 func printLatencies(brokers []*brokerProcess) {
 	for _, quantile := range []struct {
 		name string
@@ -148,7 +151,9 @@
 			ratios := make([]float64, len(b.durations))
 			for round, durations := range b.durations {
 				latencies[round] = quantileMS(durations, quantile.q)
-				ratios[round] = latencies[round] / quantileMS(brokers[0].durations[round], quantile.q)
+				ratios[round] = latencies[round] / quantileMS(
+					brokers[0].durations[round], quantile.q,
+				)
 			}
 			slices.Sort(latencies)
 			printResult(prefix, latencies[len(latencies)/2], "ms")
@@ -206,8 +211,8 @@
 	printResult("intervals_missing_after_an_outage", float64(run.Missing()), "intervals")
 }
 
-// measureManyNames sends requests of ever new tenants to brokers of 32 MB, with metrics and without, and prints their
-// memory.
+// measureManyNames sends requests of ever new tenants to brokers of 32 MB, with metrics and without, and
+// prints their memory.
 func (c *comparison) measureManyNames(ctx context.Context) error {
 	const count = 100_000
 	names := make([]string, count)
--- a/measure/telemetry/main.go
+++ b/measure/telemetry/main.go
@@ -1,5 +1,5 @@
-// Command telemetry measures what metrics cost and whether they hold what they promise. Each line that it prints is a name,
-// a value and a unit. See docs/measurements/telemetry.md.
+// Command telemetry measures what metrics cost and whether they hold what they promise. Each line that it
+// prints is a name, a value and a unit. See docs/measurements/telemetry.md.
 package main
 
 import (
--- a/measure/telemetry/process.go
+++ b/measure/telemetry/process.go
@@ -61,7 +61,11 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &brokerProcess{name: name, cmd: exec.CommandContext(ctx, o.program), drained: make(chan struct{})}
+	b := &brokerProcess{
+		name:    name,
+		cmd:     exec.CommandContext(ctx, o.program),
+		drained: make(chan struct{}),
+	}
 	b.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	if o.operatorFile != "" {
 		b.cmd.Args = append(b.cmd.Args, "--operator", o.operatorFile)
@@ -123,8 +127,8 @@
 	_ = b.cmd.Wait() // a signal is no failure here
 }
 
-// load sends lookups for a number of rounds. The durations of the first round, in which connections are established, are
-// not kept.
+// load sends lookups for a number of rounds. The durations of the first round, in which connections are
+// established, are not kept.
 func (b *brokerProcess) load(ctx context.Context, seed uint64, rounds int) error {
 	start, durations := time.Now(), make([][]time.Duration, rounds)
 	load := client.New(client.Config{
@@ -138,7 +142,8 @@
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.sent++
-			if round := int(time.Since(start) / roundLength); outcome == conformance.Served && round < rounds {
+			round := int(time.Since(start) / roundLength)
+			if outcome == conformance.Served && round < rounds {
 				durations[round] = append(durations[round], d)
 			}
 		},
--- a/measure/telemetry/sketches.go
+++ b/measure/telemetry/sketches.go
@@ -12,8 +12,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// measureQuantiles measures the largest relative error of a quantile, over a uniform distribution, a log-normal and a
-// Pareto one.
+// measureQuantiles measures the largest relative error of a quantile, over a uniform distribution, a
+// log-normal and a Pareto one.
 func measureQuantiles() error {
 	const values = 100_000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -34,7 +34,8 @@
 		if err != nil {
 			return err
 		}
-		for q, estimate := range map[float64]float64{0.5: summary.P50, 0.95: summary.P95, 0.99: summary.P99} {
+		estimates := map[float64]float64{0.5: summary.P50, 0.95: summary.P95, 0.99: summary.P99}
+		for q, estimate := range estimates {
 			exact := sorted[int(q*float64(len(sorted)-1))]
 			worst = max(worst, math.Abs(estimate-exact)/exact)
 		}
@@ -50,7 +51,10 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("tenant-%08d", i)
 		}
-		table := cardinality.New(cardinality.Config{Most: 32, Resting: 64, Idle: time.Hour, Rest: time.Hour}, func(int) {})
+		table := cardinality.New(
+			cardinality.Config{Most: 32, Resting: 64, Idle: time.Hour, Rest: time.Hour},
+			func(int) {},
+		)
 		counts := make([]uint64, table.Slots())
 		measureNames("bounded", names, func(name string) { counts[table.Slot(name, 0)]++ })
 		plain := map[string]*uint64{}
