--- /dev/null
+++ b/internal/delivery/machine_test.go
@@ -0,0 +1,370 @@
+package delivery
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/metrics"
+)
+
+const ms = time.Millisecond
+
+func config() Config {
+	return Config{
+		Budget:       64 << 10,
+		LeastPause:   200 * ms,
+		MostPause:    15 * time.Second,
+		WriteTimeout: 5 * time.Second,
+		ReplayRate:   64 << 10,
+	}
+}
+
+// intervalSource makes intervals of one request each, as a broker does.
+type intervalSource struct {
+	registry *metrics.Registry
+	now      time.Duration
+	made     uint64
+}
+
+func newIntervalSource() *intervalSource {
+	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}
+	return &intervalSource{registry: metrics.NewRegistry(limits, 0, 0)}
+}
+
+func (s *intervalSource) next() *metrics.Interval {
+	s.now += 10 * time.Second
+	s.made++
+	class := s.registry.Slot(metrics.Class, "lookup")
+	s.registry.Add(metrics.Requests, class, 0, 1)
+	s.registry.Observe(metrics.AnswerTime, class, float64(s.made))
+	return s.registry.Cut(s.now, s.now)
+}
+
+// rig drives a machine and records its actions as text.
+type rig struct {
+	machine *Machine
+	source  *intervalSource
+	now     time.Duration
+	actions []string
+}
+
+func newRig(cfg Config) *rig { return &rig{machine: New(cfg, 1), source: newIntervalSource()} }
+
+func (r *rig) record(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Connect:
+			r.actions = append(r.actions, fmt.Sprintf("connect %d", a.Conn))
+		case Write:
+			r.actions = append(r.actions,
+				fmt.Sprintf("write %d of %d from %d", a.Interval.Sequence, a.Interval.FoldedCount, a.FirstRecord))
+		case Close:
+			r.actions = append(r.actions, fmt.Sprintf("close %d", a.Conn))
+		case Stopped:
+			r.actions = append(r.actions, "stopped")
+		}
+	}
+}
+
+func (r *rig) apply(events ...Event) {
+	for _, ev := range events {
+		r.record(r.machine.Apply(r.now, ev))
+	}
+}
+
+func (r *rig) offer(n int) {
+	for range n {
+		r.apply(Offer{r.source.next()})
+	}
+}
+
+// advance lets time pass; what is due happens at its time.
+func (r *rig) advance(d time.Duration) {
+	end := r.now + d
+	for {
+		at, ok := r.machine.NextDeadline()
+		if !ok || at > end {
+			break
+		}
+		r.now = max(r.now, at)
+		before := len(r.actions)
+		r.record(r.machine.Tick(r.now))
+		if len(r.actions) == before {
+			break // nothing more is due at this time
+		}
+	}
+	r.now = end
+}
+
+// expect compares the actions since the last call.
+func (r *rig) expect(t *testing.T, want ...string) {
+	t.Helper()
+	if diff := cmp.Diff(want, r.actions); diff != "" {
+		t.Fatal(diff)
+	}
+	r.actions = nil
+}
+
+func TestWritesEachIntervalAndIdles(t *testing.T) {
+	r := newRig(config())
+	r.offer(1)
+	r.expect(t, "connect 1")
+	r.apply(Connected{1})
+	r.expect(t, "write 1 of 1 from 0")
+	r.apply(WriteCompleted{1})
+	r.advance(time.Hour)
+	r.expect(t)
+	r.offer(1)
+	r.expect(t, "write 2 of 1 from 0")
+	if st := r.machine.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.Lost != 0 {
+		t.Fatalf("%+v", st)
+	}
+}
+
+func TestBackoffDoublesWithJitter(t *testing.T) {
+	var firsts []time.Duration
+	for seed := range uint64(8) {
+		m := New(config(), seed)
+		src := newIntervalSource()
+		m.Apply(0, Offer{src.next()})
+		now := time.Duration(0)
+		for attempt := range 10 {
+			m.Apply(now, Disconnected{Conn: attempt + 1})
+			at, ok := m.NextDeadline()
+			full := min(15*time.Second, 200*ms<<attempt)
+			if !ok || at-now < full/2 || at-now > full {
+				t.Fatalf("attempt %d: waits %v, want %v to %v", attempt, at-now, full/2, full)
+			}
+			if attempt == 0 {
+				firsts = append(firsts, at)
+			}
+			now = at
+			if a := m.Tick(now); len(a) != 1 {
+				t.Fatalf("attempt %d: %v", attempt, a)
+			}
+		}
+	}
+	if slices.Sort(firsts); firsts[0] == firsts[len(firsts)-1] {
+		t.Fatal("all come back at once")
+	}
+}
+
+// A connection that comes up and takes nothing is no success: the pause goes on growing.
+func TestBackoffOfAConnectionWithoutProgress(t *testing.T) {
+	r := newRig(config())
+	r.offer(1)
+	r.apply(Connected{1})
+	r.actions = nil
+	r.advance(5*time.Second - 1)
+	r.expect(t)
+	r.advance(1)
+	r.expect(t, "close 1")
+	r.apply(Disconnected{1, 0})
+	r.advance(time.Second)
+	r.expect(t, "connect 2")
+	r.apply(Connected{2})
+	r.advance(5 * time.Second)
+	r.apply(Disconnected{2, 0})
+	r.expect(t, "write 1 of 1 from 0", "close 2")
+	if at, _ := r.machine.NextDeadline(); at-r.now < 200*ms {
+		t.Fatalf("the second pause is %v", at-r.now)
+	}
+	r.advance(400 * ms)
+	r.expect(t, "connect 3")
+}
+
+func TestProgressKeepsAConnection(t *testing.T) {
+	r := newRig(config())
+	r.offer(1)
+	r.apply(Connected{1})
+	r.actions = nil
+	for i := range 10 {
+		r.advance(4 * time.Second)
+		r.apply(Progress{1, i})
+	}
+	r.expect(t)
+}
+
+func TestResumesBehindSentRecords(t *testing.T) {
+	r := newRig(config())
+	r.offer(1)
+	r.apply(Connected{1}, Disconnected{1, 17})
+	r.advance(time.Second)
+	r.apply(Connected{2})
+	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 1 of 1 from 17")
+}
+
+// The number of records sent counts in the interval as it was written.
+func TestPartlySentIntervalIsNotFolded(t *testing.T) {
+	cfg := config()
+	cfg.MaxWaiting = 3
+	r := newRig(cfg)
+	r.offer(1)
+	r.apply(Connected{1}, Disconnected{1, 5})
+	r.offer(6)
+	r.advance(time.Second)
+	r.apply(Connected{2}, WriteCompleted{2})
+	r.advance(time.Second)
+	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
+}
+
+// What is going on now goes ahead of what has waited, which goes at a pace that grows.
+func TestNewestIntervalPrecedesTheBacklog(t *testing.T) {
+	cfg := config()
+	cfg.Budget, cfg.ReplayRate = 1<<20, 2<<10
+	r := newRig(cfg)
+	r.offer(6)
+	r.apply(Connected{1})
+	r.expect(t, "connect 1", "write 6 of 1 from 0")
+	r.apply(WriteCompleted{1})
+	r.expect(t) // some 800 bytes at 256 a second
+	r.advance(4 * time.Second)
+	r.expect(t, "write 1 of 1 from 0")
+	r.offer(1) // meanwhile
+	r.apply(WriteCompleted{1})
+	r.expect(t, "write 7 of 1 from 0")
+	r.apply(WriteCompleted{1})
+	gaps := make([]time.Duration, 0, 4)
+	for range 4 {
+		at, ok := r.machine.NextDeadline()
+		if !ok {
+			t.Fatal("nothing is due")
+		}
+		gaps = append(gaps, at-r.now)
+		r.advance(at - r.now)
+		r.apply(WriteCompleted{1})
+	}
+	r.expect(t, "write 2 of 1 from 0", "write 3 of 1 from 0", "write 4 of 1 from 0", "write 5 of 1 from 0")
+	if gaps[3] >= gaps[0] {
+		t.Fatalf("the pace does not grow: %v", gaps)
+	}
+}
+
+// An hour's outage is reported in fewer, coarser intervals of about one length, and nothing of it is lost.
+func TestLongOutageIsFolded(t *testing.T) {
+	cfg := config()
+	r := newRig(cfg)
+	for range 360 {
+		r.offer(1)
+		if held := r.machine.Stats().Held; held > cfg.Budget {
+			t.Fatalf("holds %d bytes", held)
+		}
+	}
+	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.Lost != 0 || st.LostSamples != 0 {
+		t.Fatalf("%+v", st)
+	}
+	least, most, samples := uint64(1000), uint64(0), 0.0
+	for i, it := range r.machine.queue.intervals {
+		samples += it.interval.SampleCount()
+		if i < len(r.machine.queue.intervals)-2 {
+			least, most = min(least, it.interval.FoldedCount), max(most, it.interval.FoldedCount)
+		}
+	}
+	if most > 4*least || samples != 360 {
+		t.Fatalf("intervals of %d to %d in one, %v samples", least, most, samples)
+	}
+}
+
+// What even folding can't hold is counted, to the last value.
+func TestLossesAreCounted(t *testing.T) {
+	cfg := config()
+	cfg.Budget = 4 << 10 // room for two intervals or so
+	r := newRig(cfg)
+	r.offer(2000) // five hours and more: longer than may be folded into one
+	st := r.machine.Stats()
+	if st.Held > cfg.Budget || st.Lost == 0 || st.Lost+st.WaitingIntervals != 2000 {
+		t.Fatalf("%+v", st)
+	}
+	held := 0.0
+	for _, it := range r.machine.queue.intervals {
+		held += it.interval.SampleCount()
+	}
+	if st.LostSamples+held != 2000 {
+		t.Fatalf("%v samples lost, %v held", st.LostSamples, held)
+	}
+}
+
+// collectd takes nothing that is older than the last: one interval waits, which has all.
+func TestMaxWaitingOfOne(t *testing.T) {
+	cfg := config()
+	cfg.MaxWaiting = 1
+	r := newRig(cfg)
+	r.offer(5)
+	r.apply(Disconnected{1, 0})
+	r.offer(5)
+	r.advance(time.Second)
+	r.apply(Connected{2})
+	r.expect(t, "connect 1", "connect 2", "write 10 of 10 from 0")
+	r.offer(2) // while that is under way
+	r.apply(WriteCompleted{2})
+	r.expect(t, "write 12 of 2 from 0")
+	if st := r.machine.Stats(); st.Lost != 0 {
+		t.Fatalf("%+v", st)
+	}
+}
+
+func TestAddressChangeMovesTheQueue(t *testing.T) {
+	r := newRig(config())
+	r.offer(1)
+	r.apply(Connected{1}, Disconnected{1, 5})
+	r.offer(1)
+	r.actions = nil
+	r.apply(AddressChanged{}) // it does not wait for the pause
+	r.expect(t, "connect 2")
+	r.apply(Connected{2})
+	r.expect(t, "write 2 of 1 from 0")
+	r.apply(AddressChanged{})
+	r.expect(t, "close 2")
+	r.apply(Disconnected{2, 9})
+	r.expect(t, "connect 3")
+	r.apply(Connected{3}, WriteCompleted{3})
+	r.advance(time.Second)
+	// From the first record, as the new collector has none of it.
+	r.expect(t, "write 1 of 1 from 0", "write 2 of 1 from 0")
+	if st := r.machine.Stats(); st.ConnectionFailures != 1 {
+		t.Fatalf("a move counts as a break: %+v", st)
+	}
+}
+
+func TestStop(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		do   func(*rig)
+		want []string
+		lost uint64
+	}{
+		{"nothing waits", func(r *rig) { r.apply(StopRequested{300 * ms}) }, []string{"stopped"}, 0},
+		{"all leaves, without a pace", func(r *rig) {
+			r.offer(3)
+			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1}, WriteCompleted{1}, WriteCompleted{1})
+		}, []string{
+			"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "write 2 of 1 from 0", "close 1", "stopped",
+		}, 0},
+		{"a last attempt is made at once", func(r *rig) {
+			r.offer(1)
+			r.apply(Disconnected{1, 0}, StopRequested{300 * ms}, Connected{2}, WriteCompleted{2})
+		}, []string{"connect 1", "connect 2", "write 1 of 1 from 0", "close 2", "stopped"}, 0},
+		{"what is left is counted", func(r *rig) {
+			r.offer(3)
+			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1})
+			r.advance(300 * ms)
+		}, []string{"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "close 1", "stopped"}, 2},
+		{"nothing is accepted after it", func(r *rig) {
+			r.apply(StopRequested{300 * ms})
+			r.offer(1)
+		}, []string{"stopped"}, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRig(config())
+			c.do(r)
+			r.expect(t, c.want...)
+			if st := r.machine.Stats(); st.Lost != c.lost || st.WaitingIntervals != 0 {
+				t.Fatalf("%+v", st)
+			}
+		})
+	}
+}
--- a/internal/telemetry/acks.go
+++ b/internal/telemetry/acks.go
@@ -12,7 +12,9 @@
 
 // ackTracker finds which records are acknowledged from how many bytes are.
 type ackTracker struct {
-	perLine bool        // a record counts once its line's end is acknowledged; else with the last byte of its piece
+	// A record counts once the end of its line is acknowledged; without perLine, once the end of its piece
+	// is.
+	perLine bool
 	records int         // of the interval being written, those acknowledged: the number of the next
 	end     int64       // offset of the end of the last piece
 	pending []sentPiece // those not acknowledged completely, oldest first
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -15,11 +15,14 @@
 )
 
 const (
-	chunkBytes       = 4 << 10                // encoded and written at once
-	sendBufferBytes  = 64 << 10               // of the socket: bounds what the kernel holds for a collector that reads nothing
-	initialAckPoll   = 200 * time.Microsecond // between looks at what is acknowledged; doubled with each
-	maxAckPoll       = 20 * time.Millisecond
-	writePollTimeout = 100 * time.Millisecond // after which a blocked write looks at its context and what is acknowledged
+	chunkBytes = 4 << 10 // encoded and written at once
+	// sendBufferBytes bounds what the kernel holds for a collector that reads nothing.
+	sendBufferBytes = 64 << 10
+	// The interval at which acknowledgements are polled doubles from the initial one to the maximum.
+	initialAckPoll = 200 * time.Microsecond
+	maxAckPoll     = 20 * time.Millisecond
+	// writePollTimeout is when a blocked write looks at its context and at what is acknowledged.
+	writePollTimeout = 100 * time.Millisecond
 )
 
 // carbonTransport writes to a carbon server over TCP.
@@ -80,8 +83,8 @@
 
 func (s *carbonSession) peerClosed() <-chan struct{} { return s.closed }
 
-// close ends the connection. Bytes that the kernel took and the collector has not acknowledged are discarded by a
-// reset: they could be sent later all the same, and the next connection starts with them.
+// close ends the connection. Bytes that the kernel took and the collector has not acknowledged are discarded
+// by a reset: they could be sent later all the same, and the next connection starts with them.
 func (s *carbonSession) close() {
 	if s.acks.outstanding() {
 		_ = s.conn.SetLinger(0) // it fails on a closed connection only
@@ -90,9 +93,11 @@
 	<-s.closed
 }
 
-// write returns once the collector's machine has acknowledged the interval's last byte: bytes that the kernel took and
-// never sent would otherwise be lost with the connection.
-func (s *carbonSession) write(ctx context.Context, v *metrics.Interval, from int, progress func(int)) (int, error) {
+// write returns once the collector's machine has acknowledged the interval's last byte: bytes that the kernel
+// took and never sent would otherwise be lost with the connection.
+func (s *carbonSession) write(ctx context.Context, v *metrics.Interval, from int,
+	progress func(int),
+) (int, error) {
 	s.acks.records = from
 	for next, records := from, s.encoder.Records(v); next < records; {
 		data, after, err := s.encoder.Append(nil, v, next, chunkBytes)
@@ -129,7 +134,8 @@
 	return nil
 }
 
-// awaitAcks waits until all that was sent is acknowledged. The kernel notifies of no acknowledgement: it is polled.
+// awaitAcks waits until all that was sent is acknowledged. The kernel notifies of no acknowledgement: it is
+// polled.
 func (s *carbonSession) awaitAcks(ctx context.Context, progress func(int)) error {
 	poll := time.NewTimer(initialAckPoll)
 	defer poll.Stop()
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -89,8 +89,8 @@
 	return s.(*carbonSession), peer
 }
 
-// cutOff writes an interval to a peer that stops reading in the middle, gives the connection up, and returns how many
-// records count as sent and what the peer has got.
+// cutOff writes an interval to a peer that stops reading in the middle, gives the connection up, and returns
+// how many records count as sent and what the peer has got.
 func (p *carbonPeer) cutOff(v *metrics.Interval) (records int, received []byte) {
 	p.t.Helper()
 	s, peer := p.connect()
@@ -128,8 +128,8 @@
 	return rest
 }
 
-// A collector stops reading in the middle of an interval, and the connection is given up: what it got ends in a
-// truncated line, and the next connection resumes with that line. None is duplicated and none is missing.
+// A collector stops reading in the middle of an interval, and the connection is given up: what it got ends in
+// a truncated line, and the next connection resumes with that line. None is duplicated and none is missing.
 func TestResumesBehindAcknowledgedRecords(t *testing.T) {
 	v := largeInterval()
 	for _, pickle := range []bool{false, true} {
--- a/internal/telemetry/collectd_transport.go
+++ b/internal/telemetry/collectd_transport.go
@@ -29,8 +29,8 @@
 	return &collectdSession{transport: t, conn: conn}, nil
 }
 
-// collectdSession is a socket to collectd. Datagrams are not acknowledged: a loss on the network is not noticed here,
-// and the counters of the next interval make up for it.
+// collectdSession is a socket to collectd. Datagrams are not acknowledged: a loss on the network is not
+// noticed here, and the counters of the next interval make up for it.
 type collectdSession struct {
 	transport *collectdTransport
 	conn      net.Conn
--- a/internal/telemetry/connection.go
+++ b/internal/telemetry/connection.go
@@ -22,9 +22,9 @@
 
 // session is a connection to a collector.
 type session interface {
-	// write writes an interval from a record on, and calls progress with the number of records sent as that grows. On
-	// an error it returns how many records in all were sent. It fails once ctx ends.
-	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (records int, err error)
+	// write writes an interval from a record on, and calls progress with the number of records sent as
+	// that grows. On an error it returns how many records in all were sent. It fails once ctx ends.
+	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (int, error)
 	// peerClosed is closed when the collector ends the connection; nil if that can't be noticed.
 	peerClosed() <-chan struct{}
 	close()
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -11,7 +11,8 @@
 	"wheatlane/internal/delivery"
 )
 
-// eventBuffer is how many events may wait for a destination. Beyond that the reporter waits, and no request does.
+// eventBuffer is how many events may wait for a destination. Beyond that the reporter waits, and no request
+// does.
 const eventBuffer = 8
 
 // message is what the reporter hands to a destination.
@@ -20,8 +21,8 @@
 	address string // the new one, of delivery.AddressChanged
 }
 
-// destination carries out the decisions of a delivery.Machine. One goroutine owns the machine, and each connection
-// has a goroutine of its own; all end with the context that run was given.
+// destination carries out the decisions of a delivery.Machine. One goroutine owns the machine, and each
+// connection has a goroutine of its own; all end with the context that run was given.
 type destination struct {
 	plan  plan // as last configured; the reporter's goroutine owns it
 	stats atomic.Pointer[delivery.Stats]
@@ -76,8 +77,11 @@
 	})
 	err := d.group.Wait()
 	stats := d.stats.Load()
-	d.log.Info("destination ended", zap.Uint64("delivered", stats.DeliveredIntervals), zap.Uint64("lost", stats.Lost),
-		zap.Float64("lost_samples", stats.LostSamples), zap.Uint64("breaks", stats.ConnectionFailures))
+	d.log.Info("destination ended",
+		zap.Uint64("delivered", stats.DeliveredIntervals),
+		zap.Uint64("lost", stats.Lost),
+		zap.Float64("lost_samples", stats.LostSamples),
+		zap.Uint64("breaks", stats.ConnectionFailures))
 	if ctx.Err() != nil {
 		return nil // it was told to end, or its machine has stopped
 	}
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -9,8 +9,9 @@
 	"wheatlane/internal/metrics"
 )
 
-// A collector is away for six hundred seconds by its own clock, under load. Memory stays within the budget, and after
-// its return every counter sums to what the broker counted: nothing is missing, and of distributions nothing is lost.
+// A collector is away for six hundred seconds by its own clock, under load. Memory stays within the budget,
+// and after its return every counter sums to what the broker counted: nothing is missing, and of
+// distributions nothing is lost.
 func TestBacklogOfAnOutageIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64 // so that folding is needed
@@ -41,7 +42,8 @@
 	}
 }
 
-// It accepts and never reads: the connection is given up, again and again, and memory stays within the budget.
+// It accepts and never reads: the connection is given up, again and again, and memory stays within the
+// budget.
 func TestMemoryIsBoundedWhileACollectorReadsNothing(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64
@@ -130,7 +132,8 @@
 	}
 }
 
-// A broker that is killed and starts again counts from zero; a collector can tell that from a counter that fell.
+// A broker that is killed and starts again counts from zero; a collector can tell that from a counter that
+// fell.
 func TestCountersOfARestart(t *testing.T) {
 	_, received, g := startCarbon(t, false)
 	first := startRig(t, telemetryFile(g))
--- a/internal/telemetry/plan.go
+++ b/internal/telemetry/plan.go
@@ -19,8 +19,8 @@
 	name, address string
 	delivery      delivery.Config
 	transport     transport
-	// settings are those of the file without the address. A destination whose settings change is replaced; one whose
-	// address alone changes keeps what waits.
+	// settings are those of the file without the address. A destination whose settings change is
+	// replaced; one whose address alone changes keeps what waits.
 	settings any
 }
 
@@ -81,7 +81,7 @@
 		},
 		delivery: delivery.Config{
 			Budget:       c.BudgetKB << 10,
-			MaxWaiting:   1, // collectd accepts no value older than the last: what waits is folded into the newest
+			MaxWaiting:   1, // collectd accepts nothing older than the last: what waits is folded into the newest
 			LeastPause:   initialBackoff,
 			MostPause:    maxBackoff,
 			WriteTimeout: dialTimeout,
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -17,8 +17,8 @@
 // cachedDataSetNames is how many data-set numbers have their text cached.
 const cachedDataSetNames = 256
 
-// Recorder records events of the reducer and the sockets as figures; it implements server.Meter. It belongs to the
-// goroutine that owns the reducer.
+// Recorder records events of the reducer and the sockets as figures; it implements server.Meter. It belongs
+// to the goroutine that owns the reducer.
 type Recorder struct {
 	registry       *metrics.Registry
 	view           control.View
@@ -27,8 +27,8 @@
 	runtimeSamples []runtimemetrics.Sample
 }
 
-// NewRecorder returns a recorder whose first interval starts at wall by the wall clock and at monotonic by the clock
-// that is never set.
+// NewRecorder returns a recorder whose first interval starts at wall by the wall clock and at monotonic by
+// the clock that is never set.
 func NewRecorder(limits metrics.Limits, wall, monotonic time.Duration) *Recorder {
 	r := &Recorder{
 		registry:       metrics.NewRegistry(limits, wall, monotonic),
--- a/internal/telemetry/relay.go
+++ b/internal/telemetry/relay.go
@@ -12,10 +12,10 @@
 // labelEscaper escapes a label value of the text exposition format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// RelayFigures appends the figures of the admin endpoint, one a line, under the names that the on-call page gives:
-// requests by class and state, attempts sent, requests in flight, the engines of the endpoint list and those avoided,
-// and the configuration files accepted and rejected at SIGHUP. They come from the counts that Graphite and collectd
-// get as well. Requests of a class without series of its own count under group "other".
+// RelayFigures appends the figures of the admin endpoint, one a line, under the names that the on-call page
+// gives: requests by class and state, attempts sent, requests in flight, the engines of the endpoint list and
+// those avoided, and the configuration files accepted and rejected at SIGHUP. They come from the counts that
+// Graphite and collectd get as well. Requests of a class without series of its own count under group "other".
 func (r *Recorder) RelayFigures(to []byte, b *broker.Broker) []byte {
 	var sends float64
 	r.registry.EachName(metrics.Class, func(class int, name string) {
@@ -26,12 +26,13 @@
 	to = appendRelayFigure(to, "relay_current", float64(b.OpenRequests()))
 	to = appendRelayFigure(to, "relay_cluster_size", float64(b.EndpointCount()))
 	to = appendRelayFigure(to, "relay_cluster_unhealthy", float64(b.UnavailableEngines()))
-	to = appendRelayFigure(to, "relay_conf_loaded_total", r.registry.Value(metrics.ConfLoaded, cardinality.Other, 0))
-	return appendRelayFigure(to, "relay_conf_invalid_total", r.registry.Value(metrics.ConfInvalid, cardinality.Other, 0))
+	total := func(id metrics.ID) float64 { return r.registry.Value(id, cardinality.Other, 0) }
+	to = appendRelayFigure(to, "relay_conf_loaded_total", total(metrics.ConfLoaded))
+	return appendRelayFigure(to, "relay_conf_invalid_total", total(metrics.ConfInvalid))
 }
 
-// appendTransactions appends the ended requests of a class by state. The class without a name is that of all others;
-// it is left out while it has none.
+// appendTransactions appends the ended requests of a class by state. The class without a name is that of all
+// others; it is left out while it has none.
 func (r *Recorder) appendTransactions(to []byte, class int, name string) []byte {
 	answers := func(outcome int) float64 { return r.registry.Value(metrics.Answers, class, outcome) }
 	answered := answers(metrics.InTime) + answers(metrics.Late)
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/relay_test.go
@@ -12,10 +12,13 @@
 	"wheatlane/internal/metrics"
 )
 
-// The figures of the admin endpoint are the counts of the registry, under the on-call page's names, from zero.
+// The figures of the admin endpoint are the counts of the registry, under the on-call page's names, from
+// zero.
 func TestRelayFigures(t *testing.T) {
 	class := control.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}
-	settings := control.Settings{Brokers: 1, MinBatchInterval: 5 * time.Millisecond, Classes: []control.Class{class}}
+	settings := control.Settings{
+		Brokers: 1, MinBatchInterval: 5 * time.Millisecond, Classes: []control.Class{class},
+	}
 	b, err := broker.New(settings, 1, 10)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -25,9 +25,9 @@
 	r.awaitAllCounted(received)
 }
 
-// A reload that takes a destination away stops it, and one that adds one starts it. The first gets each interval from
-// before the reload and none from after it, however late its collector reads, and though the writing takes longer than
-// stopTimeout, as it does on a busy machine.
+// A reload that takes a destination away stops it, and one that adds one starts it. The first gets each
+// interval from before the reload and none from after it, however late its collector reads, and though the
+// writing takes longer than stopTimeout, as it does on a busy machine.
 func TestReloadStopsAndStartsDestinations(t *testing.T) {
 	for _, tt := range []struct {
 		name string
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -20,12 +20,13 @@
 const (
 	// intervalWithoutDestinations is the length of an interval that nothing is to be told of.
 	intervalWithoutDestinations = time.Hour
-	// stopTimeout is how long a destination that ends may take to write what waits; the rest is counted lost.
+	// stopTimeout is how long a destination that ends may take to write what waits; the rest is counted
+	// lost.
 	stopTimeout = 300 * time.Millisecond
 )
 
-// Inspector lets a function read the reducer and the sockets on the goroutine that owns them. It returns false if the
-// function was not called, as there is no such goroutine any more; see server.Server.Inspect.
+// Inspector lets a function read the reducer and the sockets on the goroutine that owns them. It returns
+// false if the function was not called, as there is no such goroutine any more; see server.Server.Inspect.
 type Inspector interface {
 	Inspect(ctx context.Context, f func(*broker.Broker, server.ConnectionCounts)) bool
 }
@@ -57,8 +58,8 @@
 	}
 }
 
-// New returns a reporter for the broker of a name, and the recorder whose intervals it reports. The seed is that of
-// the jitter of reconnections.
+// New returns a reporter for the broker of a name, and the recorder whose intervals it reports. The seed is
+// that of the jitter of reconnections.
 func New(name string, limits operatorconfig.CardinalityLimits, inspector Inspector, clock Clock, seed uint64,
 	log *zap.Logger,
 ) (*Reporter, *Recorder) {
@@ -77,9 +78,11 @@
 	}, recorder
 }
 
-// Run reports until ctx ends or drained is closed, after which the last interval has a moment to be written. It
-// reports once more when draining is closed: the broker then finishes what it has accepted.
-func (r *Reporter) Run(ctx context.Context, t *operatorconfig.Telemetry, draining, drained <-chan struct{}) error {
+// Run reports until ctx ends or drained is closed, after which the last interval has a moment to be written.
+// It reports once more when draining is closed: the broker then finishes what it has accepted.
+func (r *Reporter) Run(ctx context.Context, t *operatorconfig.Telemetry,
+	draining, drained <-chan struct{},
+) error {
 	r.group, ctx = errgroup.WithContext(ctx)
 	r.group.Go(func() error { return r.loop(ctx, t, draining, drained) })
 	return r.group.Wait()
@@ -93,7 +96,9 @@
 	}
 }
 
-func (r *Reporter) loop(ctx context.Context, t *operatorconfig.Telemetry, draining, drained <-chan struct{}) error {
+func (r *Reporter) loop(ctx context.Context, t *operatorconfig.Telemetry,
+	draining, drained <-chan struct{},
+) error {
 	ticks, reset, stop := r.clock.Ticker(r.configure(ctx, t))
 	defer stop()
 	for {
@@ -146,7 +151,8 @@
 	case d == nil:
 		r.start(ctx, p)
 	case !reflect.DeepEqual(d.plan.settings, p.settings):
-		// What waits was held under the old budget and is for the old place: as much as can be is written there.
+		// What waits was held under the old budget and is for the old place: as much as can be is
+		// written there.
 		r.stop(ctx, d)
 		r.start(ctx, p)
 	case d.plan.address != p.address:
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -107,8 +107,8 @@
 	r.awaitAllCounted(received)
 }
 
-// 100,000 names in a second make no more series than the limit, cost no memory to speak of, and every request is
-// counted.
+// 100,000 names in a second make no more series than the limit, cost no memory to speak of, and every request
+// is counted.
 func TestBurstOfNames(t *testing.T) {
 	_, received, g := startCarbon(t, false)
 	r := startRig(t, telemetryFile(g))
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/rig_test.go
@@ -99,8 +99,8 @@
 	return t
 }
 
-// startRig starts a reporter whose destinations have as long as they need to write what waits at their end: the
-// machine may be too busy to do within stopTimeout what a test expects done.
+// startRig starts a reporter whose destinations have as long as they need to write what waits at their end:
+// the machine may be too busy to do within stopTimeout what a test expects done.
 func startRig(t *testing.T, f *operatorconfig.Telemetry) *rig {
 	t.Helper()
 	return startRigAt(t, f, rigStart, testTimeout)
@@ -210,8 +210,11 @@
 	}
 }
 
-// startCarbon starts an emulated carbon server and returns its reconciler and the settings of a destination for it.
-func startCarbon(t *testing.T, pickle bool) (*collector.Carbon, *collector.Reconciler, operatorconfig.Graphite) {
+// startCarbon starts an emulated carbon server and returns its reconciler and the settings of a destination
+// for it.
+func startCarbon(t *testing.T, pickle bool) (*collector.Carbon, *collector.Reconciler,
+	operatorconfig.Graphite,
+) {
 	t.Helper()
 	received := collector.NewReconciler(nil)
 	c, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, pickle, received)
@@ -263,8 +266,8 @@
 	}
 }
 
-// awaitAllCounted waits until a collector has every request that was recorded in its counters, and checks that no rule
-// was broken.
+// awaitAllCounted waits until a collector has every request that was recorded in its counters, and checks
+// that no rule was broken.
 func (r *rig) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
 	r.t.Helper()
 	want := float64(r.requests["lookup"])
@@ -272,9 +275,11 @@
 		if len(f.Runs) != 1 || f.Runs[0].Last != r.cuts() {
 			return false
 		}
-		// The newest interval comes first: an earlier one may have the last values of a name that has retired.
+		// The newest interval comes first: an earlier one may have the last values of a name that has
+		// retired.
 		for _, id := range []metrics.ID{
-			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet, metrics.Answers, metrics.AnswersByTenant,
+			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet,
+			metrics.Answers, metrics.AnswersByTenant,
 		} {
 			if got := f.Runs[0].Total(id); got > want {
 				r.t.Fatalf("%s: %v of %v", metrics.Catalogue[id].Name, got, want)
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states of the
-// reducer, the sockets, the runtime and the destinations are read into gauges before.
+// Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states
+// of the reducer, the sockets, the runtime and the destinations are read into gauges before.
 func (r *Recorder) Cut(wall, monotonic time.Duration, b *broker.Broker, connections server.ConnectionCounts,
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
