--- a/internal/cardinality/escape.go
+++ b/internal/cardinality/escape.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// OtherName stands for all names that are not admitted.
+	// OtherName is the exported name of all names that are not admitted.
 	OtherName = "other"
-	// maxEscapedBytes keeps an escaped name, and what stands ahead of it, within the 127 bytes of a part of a collectd
-	// identifier: a longer one would be cut there, and two might become one.
+	// maxEscapedBytes keeps an escaped name, and what precedes it, within the 127 bytes of a part of a
+	// collectd identifier: a longer one would be truncated there, and two might become one.
 	maxEscapedBytes = 110
 	hexDigits       = "0123456789abcdef"
+	emptyEscaped    = "_"
 )
 
 // ErrEscape is returned for a text that Escape never makes.
-var ErrEscape = errors.New("names: not an escaped name")
+var ErrEscape = errors.New("cardinality: not an escaped name")
 
 // isSafe tells whether a byte means nothing to Graphite, collectd or a shell.
 func isSafe(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-'
 }
 
-// Admissible tells whether a name can have a series of its own.
+// Admissible tells whether a name can have series of its own.
 func Admissible(name string) bool {
 	if len(name) > maxNameBytes {
 		return false
 	}
-	n := 0
+	escaped := 0
 	for i := range len(name) {
 		switch c := name[i]; {
 		case isSafe(c):
-			n++
+			escaped++
 		case c == '_':
-			n += 2
+			escaped += 2
 		default:
-			n += 3
+			escaped += 3
 		}
 	}
-	return n <= maxEscapedBytes
+	return escaped <= maxEscapedBytes
 }
 
-// Escape makes a name fit for a part of a path or a tag, one to one: letters, digits and dashes stay, an underscore
-// becomes two, and any other byte an underscore with two hex digits. The empty name is one underscore, and the
-// name "other" is told apart from OtherName.
+// Escape makes a name fit for a part of a path or a tag, one to one: letters, digits and dashes stay, an
+// underscore becomes two, and any other byte an underscore with two hex digits. The empty name is one
+// underscore, and the name "other" differs from OtherName.
 func Escape(name string) string {
 	if name == "" {
-		return "_"
+		return emptyEscaped
 	}
 	var b strings.Builder
 	for i := range len(name) {
+		reserved := i == 0 && name == OtherName
 		switch c := name[i]; {
-		case isSafe(c) && !(i == 0 && name == OtherName):
+		case isSafe(c) && !reserved:
 			b.WriteByte(c)
 		case c == '_':
 			b.WriteString("__")
@@ -62,36 +64,38 @@
 	return b.String()
 }
 
-// Unescape is the reverse of Escape.
-func Unescape(text string) (string, error) {
-	if text == "_" {
+// Unescape is the reverse of Escape. It fails with ErrEscape for any other spelling of a name.
+func Unescape(escaped string) (string, error) {
+	if escaped == emptyEscaped {
 		return "", nil
 	}
 	var b strings.Builder
-	for i := 0; i < len(text); i++ {
-		c := text[i]
-		switch {
-		case isSafe(c):
-			b.WriteByte(c)
-			continue
-		case c != '_' || i+1 >= len(text):
-			return "", ErrEscape
-		case text[i+1] == '_':
-			b.WriteByte('_')
-			i++
-			continue
-		case i+2 >= len(text):
-			return "", ErrEscape
-		}
-		high, low := strings.IndexByte(hexDigits, text[i+1]), strings.IndexByte(hexDigits, text[i+2])
-		if high < 0 || low < 0 {
+	for rest := escaped; rest != ""; {
+		c, size, ok := unescapeByte(rest)
+		if !ok {
 			return "", ErrEscape
 		}
-		b.WriteByte(byte(high<<4 | low))
-		i += 2
+		b.WriteByte(c)
+		rest = rest[size:]
 	}
-	if name := b.String(); Escape(name) == text {
+	if name := b.String(); Escape(name) == escaped {
 		return name, nil
 	}
-	return "", ErrEscape // guards against two spellings of one name
+	return "", ErrEscape
+}
+
+// unescapeByte decodes the first byte of a text that is not empty, and returns how many bytes that takes.
+func unescapeByte(text string) (c byte, size int, ok bool) {
+	switch {
+	case isSafe(text[0]):
+		return text[0], 1, true
+	case text[0] != '_' || len(text) < 2:
+		return 0, 0, false
+	case text[1] == '_':
+		return '_', 2, true
+	case len(text) < 3:
+		return 0, 0, false
+	}
+	high, low := strings.IndexByte(hexDigits, text[1]), strings.IndexByte(hexDigits, text[2])
+	return byte(high<<4 | low), 3, high >= 0 && low >= 0
 }
--- /dev/null
+++ b/internal/cardinality/table_test.go
@@ -0,0 +1,172 @@
+package cardinality
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func smallConfig() Config {
+	return Config{Most: 4, Resting: 8, Idle: time.Minute, Rest: 2 * time.Hour}
+}
+
+// counter counts under slots as figures do.
+type counter struct {
+	table  *Table
+	counts []uint64
+	reused uint64 // counted under slots that passed to other names
+	total  uint64
+}
+
+func newCounter(cfg Config) *counter {
+	c := &counter{}
+	c.table = New(cfg, func(slot int) { c.reused, c.counts[slot] = c.reused+c.counts[slot], 0 })
+	c.counts = make([]uint64, c.table.Slots())
+	return c
+}
+
+func (c *counter) add(name string, now time.Duration) int {
+	slot := c.table.Slot(name, now)
+	c.counts[slot]++
+	c.total++
+	return slot
+}
+
+// byName are the counts of the admitted names.
+func (c *counter) byName() map[string]uint64 {
+	all := map[string]uint64{}
+	c.table.EachName(func(slot int, name string) { all[name] = c.counts[slot] })
+	return all
+}
+
+// sum is all that was counted, under whatever slot.
+func (c *counter) sum() uint64 {
+	total := c.reused
+	for _, n := range c.counts {
+		total += n
+	}
+	return total
+}
+
+// observer checks the counts that are read at each cut, as a collector sees them.
+type observer struct {
+	cfg      Config
+	truth    map[string]uint64 // how often each name came
+	last     map[string]uint64 // what was last read of a name, and when
+	lastRead map[string]time.Duration
+}
+
+func (o *observer) read(t *rapid.T, counts map[string]uint64, now time.Duration) {
+	if len(counts) > o.cfg.Most {
+		t.Fatalf("%d names, %d at most", len(counts), o.cfg.Most)
+	}
+	for name, n := range counts {
+		if n < o.last[name] && now-o.lastRead[name] < o.cfg.Rest {
+			t.Fatalf("%s fell from %d to %d after %v", name, o.last[name], n, now-o.lastRead[name])
+		}
+		if n > o.truth[name] {
+			t.Fatalf("%s came %d times, counted %d", name, o.truth[name], n)
+		}
+		o.last[name], o.lastRead[name] = n, now
+	}
+}
+
+// Whatever names come in whatever order, nothing is counted twice or lost, the bound holds, and no slot has
+// two names.
+func TestTotalsAreExact(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cfg := Config{
+			Most:    rapid.IntRange(1, 6).Draw(t, "max names"),
+			Resting: rapid.IntRange(0, 6).Draw(t, "retired slots"),
+			Idle:    time.Minute,
+			Rest:    time.Hour,
+		}
+		c := newCounter(cfg)
+		o := &observer{
+			cfg: cfg, truth: map[string]uint64{}, last: map[string]uint64{}, lastRead: map[string]time.Duration{},
+		}
+		now := time.Duration(0)
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			if rapid.IntRange(0, 9).Draw(t, "cut") > 0 {
+				name := fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "name"))
+				o.truth[name]++
+				c.add(name, now)
+				continue
+			}
+			gaps := []time.Duration{time.Second, 2 * time.Minute, 30 * time.Minute, 3 * time.Hour}
+			now += rapid.SampledFrom(gaps).Draw(t, "gap")
+			o.read(t, c.byName(), now)
+			c.table.Cut(now)
+		}
+		if sum := c.sum(); sum != c.total {
+			t.Fatalf("counted %d of %d", sum, c.total)
+		}
+	})
+}
+
+func TestHeavyHitterDisplacesTheRarestName(t *testing.T) {
+	c := newCounter(smallConfig())
+	for i := range 4 {
+		for range 10 * (i + 1) {
+			c.add(fmt.Sprint("early", i), 0)
+		}
+	}
+	for range 100 {
+		if c.add("late", 0) != Other {
+			t.Fatal("admitted though the table is full")
+		}
+	}
+	c.table.Cut(time.Second)
+	got := c.byName()
+	if _, there := got["late"]; !there {
+		t.Fatalf("the heavy hitter is not in: %v", got)
+	}
+	if _, there := got["early0"]; there {
+		t.Fatalf("the rarest name is still in: %v", got)
+	}
+}
+
+// Names that come about as often don't displace each other at every interval.
+func TestEquallyFrequentNamesStay(t *testing.T) {
+	c := newCounter(smallConfig())
+	for cut := range time.Duration(20) {
+		for i := range 8 {
+			for range 10 {
+				c.add(fmt.Sprint(i), cut*time.Second)
+			}
+		}
+		c.table.Cut(cut * time.Second)
+	}
+	if counts := c.table.Counts(); counts.Admitted != 4 || counts.Retired != 0 {
+		t.Fatalf("%+v", counts)
+	}
+}
+
+func TestIdleNameRetiresAndKeepsItsCount(t *testing.T) {
+	c := newCounter(smallConfig())
+	c.add("a", 0)
+	c.add("a", 0)
+	c.table.Cut(2 * time.Minute)
+	if got := c.byName(); len(got) != 0 {
+		t.Fatalf("still there: %v", got)
+	}
+	c.add("a", 3*time.Minute)
+	if got := c.byName()["a"]; got != 3 {
+		t.Fatalf("came back with %d, want 3", got)
+	}
+}
+
+func TestSlotAllocatesNothing(t *testing.T) {
+	table := New(smallConfig(), func(int) {})
+	names := make([]string, 1000)
+	for i := range names {
+		names[i] = fmt.Sprint("tenant-", i)
+		table.Slot(names[i], 0)
+	}
+	i := 0
+	if n := testing.AllocsPerRun(10_000, func() { table.Slot(names[i%len(names)], 0); i++ }); n != 0 {
+		t.Fatalf("%v allocations", n)
+	}
+}
--- a/internal/collectd/seed_test.go
+++ b/internal/collectd/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Each run draws the same, so that it has the same verdict; -rapid.seed draws something else.
+// Each run draws the same cases, so that its verdict is the same; -rapid.seed draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- /dev/null
+++ b/internal/metrics/cut.go
@@ -0,0 +1,132 @@
+package metrics
+
+import (
+	"slices"
+	"time"
+
+	"wheatlane/internal/cardinality"
+)
+
+// Cut ends an interval and returns its figures. Times are by the wall clock and by the clock that is never
+// set.
+func (r *Registry) Cut(wall, monotonic time.Duration) *Interval {
+	r.sequence++
+	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
+	r.setNameCounts()
+	r.setInTimeShares()
+	v := &Interval{
+		Sequence:    r.sequence,
+		FoldedCount: 1,
+		EndTime:     r.timestamp(wall),
+		Duration:    monotonic - r.lastCut,
+	}
+	for i := range Catalogue {
+		r.appendFigure(v, ID(i))
+	}
+	slices.SortFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) })
+	slices.SortFunc(v.Distributions, func(a, b Distribution) int { return compareSeries(a.Series, b.Series) })
+	r.startInterval(monotonic)
+	return v
+}
+
+// startInterval readies the registry for the next interval. The figures of the last one have been read.
+func (r *Registry) startInterval(monotonic time.Duration) {
+	copy(r.answersAtLastCut, r.values[Answers])
+	for i := range Catalogue {
+		if f := &Catalogue[i]; f.Kind == Gauge && f.By != NoDimension || ID(i) == Inbox {
+			clear(r.gaugeSet[i])
+		}
+	}
+	for _, t := range r.tables {
+		t.Cut(monotonic)
+	}
+	r.lastCut = monotonic
+}
+
+// maxTimestampLead is how far timestamps may run ahead of the wall clock before they follow it back.
+const maxTimestampLead = 5 * time.Second
+
+// timestamp is the time that an interval is reported under, in whole seconds as Graphite keeps them. Two
+// intervals within one second get two timestamps, as the later would replace the earlier; a clock that is set
+// back is followed.
+func (r *Registry) timestamp(wall time.Duration) time.Duration {
+	at := wall.Truncate(time.Second)
+	if lead := r.lastTimestamp - at; lead >= 0 && lead < maxTimestampLead {
+		at = r.lastTimestamp + time.Second
+	}
+	r.lastTimestamp = at
+	return at
+}
+
+func (r *Registry) setNameCounts() {
+	for part, dim := range []Dimension{Class, Tenant, Engine, DataSet} { // the order of boundedDimensions
+		counts := r.tables[dim].Counts()
+		r.Set(NamesAdmitted, cardinality.Other, part, float64(counts.Active))
+		r.Set(NamesJoined, cardinality.Other, part, float64(counts.Admitted))
+		r.Set(NamesLeft, cardinality.Other, part, float64(counts.Retired))
+		r.Set(NamesOther, cardinality.Other, part, float64(counts.Other))
+	}
+}
+
+// setInTimeShares sets the part of the interval's answers that came within the latency objective.
+func (r *Registry) setInTimeShares() {
+	for slot := range r.tables[Class].Slots() {
+		answers := func(outcome int) float64 {
+			i := Answers.index(slot, outcome)
+			return r.values[Answers][i] - r.answersAtLastCut[i]
+		}
+		if owed := answers(InTime) + answers(Late) + answers(Rejected) + answers(Failed); owed > 0 {
+			r.Set(InTimeShare, slot, 0, answers(InTime)/owed)
+		}
+	}
+}
+
+// appendFigure appends all series of a figure.
+func (r *Registry) appendFigure(v *Interval, id ID) {
+	f := &Catalogue[id]
+	appendSeries := func(slot int, s Series) {
+		if f.Kind == DistributionKind {
+			r.appendDistribution(v, slot, s)
+		} else {
+			r.appendPoints(v, slot, s)
+		}
+	}
+	r.tables[f.By].EachName(func(slot int, name string) { appendSeries(slot, Series{Figure: id, Name: name}) })
+	appendSeries(cardinality.Other, Series{Figure: id, Other: f.By != NoDimension})
+}
+
+// appendPoints appends the parts of a counter or gauge that are to be reported.
+func (r *Registry) appendPoints(v *Interval, slot int, s Series) {
+	for part := range s.Figure.Parts() {
+		if r.reported(s.Figure, slot, part) {
+			s.Part = part
+			v.Points = append(v.Points, Point{s, r.Value(s.Figure, slot, part)})
+		}
+	}
+}
+
+// reported tells whether a gauge was set, or a counter has counted. A counter of a single series is always
+// reported; of many series each is from when it has counted: a series that is new in a collector began at
+// zero.
+func (r *Registry) reported(id ID, slot, part int) bool {
+	if set := r.gaugeSet[id]; set != nil {
+		return set[id.index(slot, part)]
+	}
+	single := Catalogue[id].By == NoDimension && id.Parts() == 1
+	return single || r.Value(id, slot, part) != 0
+}
+
+// appendDistribution appends a distribution that has values, and empties it.
+func (r *Registry) appendDistribution(v *Interval, slot int, s Series) {
+	sketch := r.sketches[s.Figure][slot]
+	if sketch == nil || sketch.Count() == 0 {
+		return
+	}
+	r.encodeBuffer = sketch.Encode(r.encodeBuffer[:0])
+	v.Distributions = append(v.Distributions, Distribution{
+		Series:        s,
+		Count:         sketch.Count(),
+		EncodedSketch: slices.Clone(r.encodeBuffer),
+	})
+	sketch.Clear()
+}
--- /dev/null
+++ b/internal/metrics/cut_test.go
@@ -0,0 +1,60 @@
+package metrics
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The wall clock may be set; no two intervals have one timestamp unless it was set back far.
+func TestTimestamps(t *testing.T) {
+	r := NewRegistry(smallLimits(), 0, 0)
+	s := time.Second
+	wall := []time.Duration{
+		100 * s, 100*s + 400*time.Millisecond, 101 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s,
+	}
+	want := []time.Duration{100 * s, 101 * s, 102 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s}
+	for i := range wall {
+		if got := r.Cut(wall[i], 0).EndTime; got != want[i] {
+			t.Errorf("at %v by the wall clock: reported %v, want %v", wall[i], got, want[i])
+		}
+	}
+}
+
+func TestInTimeShare(t *testing.T) {
+	r := NewRegistry(smallLimits(), 0, 0)
+	add := func(outcome int, n float64) { r.Add(Answers, r.Slot(Class, "lookup"), outcome, n) }
+	share := func() float64 { return r.Cut(0, 0).Value(Series{Figure: InTimeShare, Name: "lookup"}) }
+	add(InTime, 6)
+	add(Late, 2)
+	add(Rejected, 1)
+	add(Failed, 1)
+	add(ClientLeft, 90)
+	if got := share(); got != 0.6 {
+		t.Errorf("%v", got)
+	}
+	add(InTime, 1)
+	if got := share(); got != 1 { // of this interval alone
+		t.Errorf("%v", got)
+	}
+	if got := share(); got != 0 { // nothing ended: it is not reported
+		t.Errorf("%v", got)
+	}
+}
+
+func BenchmarkCut(b *testing.B) {
+	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}, 0, 0)
+	b.ReportAllocs()
+	for b.Loop() {
+		for i := range 32 {
+			name := fmt.Sprint(i)
+			r.Add(RequestsByTenant, r.Slot(Tenant, name), 0, 1)
+			for v := range 20 {
+				r.Observe(EngineTime, r.Slot(Engine, name), float64(v*10))
+				r.Observe(QueueWaitByTenant, r.Slot(Tenant, name), float64(v))
+				r.Observe(AnswerTime, r.Slot(Class, name[:1]), float64(v*20))
+			}
+		}
+		r.Cut(0, 0)
+	}
+}
--- /dev/null
+++ b/internal/metrics/figure.go
@@ -0,0 +1,135 @@
+package metrics
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Kind is how a figure behaves.
+type Kind int
+
+// The kinds of figures.
+const (
+	Counter          Kind = iota // a total since the broker's start, which never falls
+	Gauge                        // a value of the moment
+	DistributionKind             // a distribution of the values of an interval
+)
+
+func (k Kind) String() string { return [...]string{"counter", "gauge", "distribution"}[k] }
+
+// Dimension is what the series of a figure are named by.
+type Dimension int
+
+// The dimensions. Names of each are bounded by themselves.
+const (
+	NoDimension Dimension = iota // one series
+	Class                        // of requests
+	Tenant
+	Engine
+	DataSet // by number
+	Destination
+	dimensionCount
+)
+
+func (d Dimension) String() string {
+	return [...]string{"", "class", "tenant", "engine", "data_set", "destination"}[d]
+}
+
+// Figure is an entry of the catalogue.
+type Figure struct {
+	Name   string // as exported
+	Kind   Kind
+	Unit   string // of a value: ms, bytes, ...; empty: a plain number
+	By     Dimension
+	Detail string   // what Parts tell apart; empty: there is one series a name
+	Parts  []string // the values of the detail, by part number
+	Help   string
+}
+
+// The parts of figures, as exported. Their order is that of the constants below, or of the type they are
+// named by.
+var (
+	requestOutcomes = []string{"in_time", "late", "refused", "failed", "gone"}
+	rejectionCauses = []string{
+		"no_room", "too_many_sessions", "bad_fields", "bad_command", "not_ready", "no_such_session",
+		"no_such_database", "killed",
+	}
+	attemptStatuses = []string{
+		"ok", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot",
+	}
+	engineHealths     = []string{"ready", "cold", "doubted", "draining"}
+	connectionSides   = []string{"client", "engine"}
+	boundedDimensions = []string{"class", "tenant", "engine", "data_set"}
+	// EndReasons are the reason codes of ended connections, as the log has them.
+	EndReasons = []string{
+		"peer_closed", "peer_reset", "quit", "idle", "login_timeout", "read_timeout", "access_denied",
+		"malformed", "too_large", "buffer_full", "write_timeout", "killed", "made_room",
+		"too_many_connections", "connect_failed", "engine_gone", "stalled", "retired", "silent", "moved",
+		"http_status", "shutdown", "failed",
+	}
+)
+
+// The parts of Answers and AnswersByTenant.
+const (
+	InTime = iota // served within the latency objective, or without one
+	Late          // served after it
+	Rejected
+	Failed
+	ClientLeft // the client stopped waiting
+)
+
+// The parts of Rejections.
+const (
+	NoCapacity = iota // by the decision module
+	TooManySessions
+	BadFields
+	BadCommand
+	NotReady
+	NoSuchSession
+	NoSuchDatabase
+	Killed
+)
+
+// The parts of Engines.
+const (
+	Ready = iota
+	SlowStart
+	Ejected
+	Draining
+)
+
+// The parts of Connections.
+const (
+	ClientSide = iota
+	EngineSide
+)
+
+// Parts is how many series a figure has for each name.
+func (id ID) Parts() int { return max(1, len(Catalogue[id].Parts)) }
+
+// Find is the figure of an exported name.
+func Find(name string) (ID, bool) {
+	for id := range figureCount {
+		if Catalogue[id].Name == name {
+			return id, true
+		}
+	}
+	return 0, false
+}
+
+// Markdown is the catalogue as a table, which the operators' page holds.
+func Markdown() string {
+	var b strings.Builder
+	b.WriteString("| figure | kind | unit | by | detail | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
+	for i := range Catalogue {
+		f := &Catalogue[i]
+		detail := f.Detail
+		if f.Detail == "reason" {
+			detail += ": a reason code of the log"
+		} else if len(f.Parts) > 0 {
+			detail += ": " + strings.Join(f.Parts, ", ")
+		}
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", f.Name, f.Kind, f.Unit, f.By, detail, f.Help)
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/metrics/fold_test.go
@@ -0,0 +1,161 @@
+package metrics
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// recording is what was recorded at random into a registry, and the intervals that it was cut into.
+type recording struct {
+	registry  *Registry
+	now       time.Duration
+	requests  float64
+	samples   float64
+	intervals []*Interval
+}
+
+// drawRecording records requests of random tenants over some intervals.
+func drawRecording(t *rapid.T) *recording {
+	r := &recording{registry: NewRegistry(smallLimits(), 0, 0)}
+	for range rapid.IntRange(1, 12).Draw(t, "intervals") {
+		for range rapid.IntRange(0, 40).Draw(t, "requests") {
+			slot := r.registry.Slot(Tenant, fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "tenant")))
+			r.registry.Add(RequestsByTenant, slot, 0, 1)
+			r.registry.Observe(QueueWaitByTenant, slot, rapid.Float64Range(0, 1e4).Draw(t, "wait"))
+			r.requests++
+			r.samples++
+		}
+		r.now += rapid.SampledFrom([]time.Duration{10 * time.Second, 2 * time.Minute}).Draw(t, "length")
+		r.intervals = append(r.intervals, r.registry.Cut(r.now, r.now))
+	}
+	return r
+}
+
+// foldSome folds neighbors at random.
+func (r *recording) foldSome(t *rapid.T) {
+	for len(r.intervals) > 1 && rapid.IntRange(0, 4).Draw(t, "fold") > 0 {
+		i := rapid.IntRange(0, len(r.intervals)-2).Draw(t, "at")
+		v, err := Fold(r.intervals[i], r.intervals[i+1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.intervals = slices.Replace(r.intervals, i, i+2, v)
+	}
+}
+
+// checkInterval checks an interval by itself, and that no counter fell since the last.
+func checkInterval(t *rapid.T, v *Interval, last map[Series]float64) {
+	if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
+		t.Fatal("points out of order")
+	}
+	if got := v.Value(Series{Figure: Folded}); got != float64(v.FoldedCount) {
+		t.Fatalf("an interval of %d reports %v", v.FoldedCount, got)
+	}
+	for _, p := range v.Points {
+		if Catalogue[p.Figure].Kind != Counter {
+			continue
+		}
+		if p.Value < last[p.Series] {
+			t.Fatalf("%s of %q fell from %v to %v", Catalogue[p.Figure].Name, p.Name, last[p.Series], p.Value)
+		}
+		last[p.Series] = p.Value
+	}
+	for _, d := range v.Distributions {
+		if s, err := Summarize(d.EncodedSketch); err != nil || s.Count != d.Count {
+			t.Fatalf("a sketch of %v counts %v, %v", d.Count, s.Count, err)
+		}
+	}
+}
+
+// Of what is recorded, in whatever order with whatever names, every counter comes out complete and once,
+// however the intervals are folded, and so does every value of a distribution.
+func TestFoldLosesNothing(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		r := drawRecording(t)
+		r.foldSome(t)
+		last, folded, samples, duration := map[Series]float64{}, uint64(0), 0.0, time.Duration(0)
+		for _, v := range r.intervals {
+			checkInterval(t, v, last)
+			folded, samples, duration = folded+v.FoldedCount, samples+v.SampleCount(), duration+v.Duration
+		}
+		requests := 0.0
+		for s, v := range last {
+			if s.Figure == RequestsByTenant {
+				requests += v
+			}
+		}
+		if requests != r.requests || samples != r.samples {
+			t.Fatalf("%v of %v requests, %v of %v values", requests, r.requests, samples, r.samples)
+		}
+		if folded != r.registry.sequence || duration != r.now {
+			t.Fatalf("%d of %d intervals, %v of %v", folded, r.registry.sequence, duration, r.now)
+		}
+	})
+}
+
+// An engine drains and is removed while intervals wait: of what it did nothing is lost in folding, and its
+// gauges are not reported of a time at which it was no more.
+func TestFoldOverARetiredName(t *testing.T) {
+	r := NewRegistry(smallLimits(), 0, 0)
+	count := func(name string, n float64) {
+		slot := r.Slot(Engine, name)
+		r.Add(AttemptEnds, slot, 0, n)
+		r.Observe(EngineTime, slot, 10)
+		r.Set(ConcurrencyLimit, slot, 0, 4)
+	}
+	count("stays", 3)
+	count("leaves", 5)
+	before := r.Cut(10*time.Second, 10*time.Second)
+	for i := range 10 { // past the time after which it is idle
+		count("stays", 1)
+		at := time.Duration(20+10*i) * time.Second
+		r.Cut(at, at)
+	}
+	count("stays", 1)
+	after := r.Cut(200*time.Second, 200*time.Second)
+	v, err := Fold(before, after)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, tt := range []struct {
+		series Series
+		want   float64
+	}{
+		{Series{Figure: AttemptEnds, Name: "leaves"}, 5},
+		{Series{Figure: AttemptEnds, Name: "stays"}, 14},
+		{Series{Figure: ConcurrencyLimit, Name: "leaves"}, 0},
+		{Series{Figure: ConcurrencyLimit, Name: "stays"}, 4},
+	} {
+		if got := v.Value(tt.series); got != tt.want {
+			t.Errorf("%s of %s: %v, want %v", Catalogue[tt.series.Figure].Name, tt.series.Name, got, tt.want)
+		}
+	}
+	if after.Value(Series{Figure: AttemptEnds, Name: "leaves"}) != 0 || v.SampleCount() != 3 {
+		t.Errorf("it did not retire, or %v samples are folded", v.SampleCount())
+	}
+}
+
+func BenchmarkFold(b *testing.B) {
+	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}, 0, 0)
+	cut := func() *Interval {
+		for i := range 32 {
+			for v := range 50 {
+				r.Observe(EngineTime, r.Slot(Engine, fmt.Sprint(i)), float64(v*v))
+				r.Observe(QueueWaitByTenant, r.Slot(Tenant, fmt.Sprint(i)), float64(v))
+			}
+		}
+		return r.Cut(0, 0)
+	}
+	earlier, later := cut(), cut()
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := Fold(earlier, later); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.ReportMetric(float64(earlier.MemoryBytes()), "bytes/interval")
+}
--- a/internal/metrics/spread.go
+++ b/internal/metrics/sketch.go
@@ -9,11 +9,16 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Accuracy is the relative error of a quantile at the most.
+// Accuracy is the maximum relative error of a quantile.
 const Accuracy = 0.01
 
-// maxBins bounds a sketch's memory; at this accuracy it spans nine decades, and what is below them joins the lowest.
-const maxBins = 1024
+const (
+	// maxBins bounds a sketch's memory; at this accuracy it spans nine decades, and lower values join the
+	// lowest bin.
+	maxBins = 1024
+	// maxValue is below the largest value that the bins can index.
+	maxValue = 1e300
+)
 
 var indexMapping = func() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(Accuracy)
@@ -25,86 +30,92 @@
 
 func newStore() store.Store { return store.NewCollapsingLowestDenseStore(maxBins) }
 
-// Sketch is a distribution: a DDSketch (Masson, Rim, Lee 2019) with exact count, sum, least and most.
+// Sketch is a distribution: a DDSketch (Masson, Rim, Lee 2019) with exact count, sum, minimum and maximum.
 type Sketch struct {
 	sketch *ddsketch.DDSketchWithExactSummaryStatistics
 }
 
-// NewSketch returns an empty one.
+// NewSketch returns an empty sketch.
 func NewSketch() *Sketch {
 	return &Sketch{ddsketch.NewDDSketchWithExactSummaryStatistics(indexMapping, newStore)}
 }
 
-// Add takes a value; negative ones and those that are no numbers count as 0.
+// Add adds a value; negative and infinite ones and NaN count as 0.
 func (s *Sketch) Add(v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		v = 0
 	}
-	// The one error is of a value beyond what the mapping can index, some 1e300.
-	_ = s.sketch.Add(min(v, 1e300))
+	_ = s.sketch.Add(min(v, maxValue)) // the one error is of a value beyond what the bins can index
 }
 
 // Count is the number of values.
 func (s *Sketch) Count() float64 { return s.sketch.GetCount() }
 
-// Clear forgets all values and keeps the memory.
+// Clear removes all values and keeps the memory.
 func (s *Sketch) Clear() { s.sketch.Clear() }
 
-// Encode appends the sketch to dst.
+// Encode appends the encoded sketch to dst.
 func (s *Sketch) Encode(dst []byte) []byte {
 	s.sketch.Encode(&dst, true)
 	return dst
 }
 
-// Summary is what is told of a distribution.
+// Summary is what is reported of a distribution.
 type Summary struct {
 	Count, Sum, Min, Max float64
 	P50, P95, P99        float64
 }
 
-// Summarize reads an encoded sketch.
-func Summarize(data []byte) (Summary, error) {
-	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(data, newStore, indexMapping)
+// Summarize decodes a sketch.
+func Summarize(encoded []byte) (Summary, error) {
+	sketch, err := decodeSketch(encoded)
 	if err != nil {
-		return Summary{}, fmt.Errorf("sketch: %w", err)
+		return Summary{}, err
 	}
-	if d.IsEmpty() {
+	if sketch.IsEmpty() {
 		return Summary{}, nil
 	}
-	var s Summary
-	s.Count, s.Sum = d.GetCount(), d.GetSum()
-	if s.Min, err = d.GetMinValue(); err != nil {
+	s := Summary{Count: sketch.GetCount(), Sum: sketch.GetSum()}
+	if s.Min, err = sketch.GetMinValue(); err != nil {
 		return s, fmt.Errorf("sketch: %w", err)
 	}
-	if s.Max, err = d.GetMaxValue(); err != nil {
+	if s.Max, err = sketch.GetMaxValue(); err != nil {
 		return s, fmt.Errorf("sketch: %w", err)
 	}
-	qs, err := d.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
+	quantiles, err := sketch.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
 	if err != nil {
 		return s, fmt.Errorf("sketch: %w", err)
 	}
-	s.P50, s.P95, s.P99 = qs[0], qs[1], qs[2]
+	s.P50, s.P95, s.P99 = quantiles[0], quantiles[1], quantiles[2]
 	return s, nil
 }
 
-// mergeSketches is two encoded sketches in one.
-func mergeSketches(a, b []byte) ([]byte, error) {
-	d, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(a, newStore, indexMapping)
+func decodeSketch(encoded []byte) (*ddsketch.DDSketchWithExactSummaryStatistics, error) {
+	sketch, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(encoded, newStore, indexMapping)
 	if err != nil {
 		return nil, fmt.Errorf("sketch: %w", err)
 	}
-	if err := d.DecodeAndMergeWith(b); err != nil {
+	return sketch, nil
+}
+
+// mergeSketches makes one encoded sketch of two.
+func mergeSketches(a, b []byte) ([]byte, error) {
+	sketch, err := decodeSketch(a)
+	if err != nil {
+		return nil, err
+	}
+	if err := sketch.DecodeAndMergeWith(b); err != nil {
 		return nil, fmt.Errorf("sketch: %w", err)
 	}
 	var out []byte
-	d.Encode(&out, true)
+	sketch.Encode(&out, true)
 	return out, nil
 }
 
-// Stats are the names of what a Summary tells, in the order of Values.
+// Stats are the exported names of what a Summary has, in the order of Values.
 var Stats = []string{"count", "sum", "min", "p50", "p95", "p99", "max"}
 
-// Values are the figures of a summary in the order of Stats.
+// Values are the numbers of a summary in the order of Stats.
 func (s Summary) Values() [7]float64 {
 	return [7]float64{s.Count, s.Sum, s.Min, s.P50, s.P95, s.P99, s.Max}
 }
