--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -15,12 +15,15 @@
 // PickleProtocol is the protocol of pickles written; carbon on Python 2 and 3 reads it.
 const PickleProtocol = 2
 
-// Encoder writes intervals. A record is one value of one path; records are numbered from 0 in an order that an
-// interval fixes, so that writing can go on behind any of them.
+// pickledRecordOverhead is about what a pickled record has beside its path, in bytes.
+const pickledRecordOverhead = 24
+
+// Encoder encodes intervals. A record is one value of one path; records are numbered from 0 in an order that
+// an interval fixes, so that encoding can resume at any of them.
 type Encoder struct {
 	Form   Form
 	Broker string
-	Pickle bool
+	Pickle bool // the pickle protocol; else plaintext
 }
 
 // Records is how many records an interval has.
@@ -28,87 +31,75 @@
 	return len(v.Points) + len(v.Distributions)*len(metrics.Stats)
 }
 
-// record is number i.
-func (e *Encoder) record(v *metrics.Interval, i int) (Name, float64, error) {
-	if i < len(v.Points) {
-		return Name{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value, nil
-	}
-	i -= len(v.Points)
-	d, stat := &v.Distributions[i/len(metrics.Stats)], i%len(metrics.Stats)
-	// A sketch is read anew for each of its records only where writing goes on in the middle of it.
-	s, err := metrics.Summarize(d.EncodedSketch)
-	if err != nil {
-		return Name{}, 0, err
+// Append appends records from a number on until there are maxBytes more bytes, or a few above, or no record
+// is left. It returns the number of the next record. What it appends is complete lines, or one pickled frame.
+// It fails if a sketch can't be decoded.
+func (e *Encoder) Append(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
+	if e.Pickle {
+		return e.appendPickle(dst, v, from, maxBytes)
 	}
-	return Name{Broker: e.Broker, Series: d.Series, Stat: metrics.Stats[stat]}, s.Values()[stat], nil
+	return e.appendLines(dst, v, from, maxBytes)
 }
 
-// Append appends records from number from on until there are so many bytes, or a few more, or no record is left. It
-// returns the number of the next. What it appends can be broken off at its ends only: whole lines, or one pickle.
-func (e *Encoder) Append(dst []byte, v *metrics.Interval, from, most int) (out []byte, next int, err error) {
-	if e.Pickle {
-		return e.appendPickle(dst, v, from, most)
-	}
-	until := len(dst) + most
-	err = e.eachRecord(v, from, func(n Name, value float64) bool {
+func (e *Encoder) appendLines(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
+	next, end := from, len(dst)+maxBytes
+	err := e.eachRecord(v, from, func(n Name, value float64) bool {
 		dst = append(e.Form.Append(dst, n), ' ')
 		dst = append(strconv.AppendFloat(dst, value, 'f', -1, 64), ' ')
-		dst = append(strconv.AppendInt(dst, int64(v.EndTime/time.Second), 10), '\n')
-		from++
-		return len(dst) < until
+		dst = append(strconv.AppendInt(dst, timestamp(v), 10), '\n')
+		next++
+		return len(dst) < end
 	})
-	return dst, from, err
+	return dst, next, err
 }
 
-// eachRecord calls f with the records from a number on, until it returns false.
+// appendPickle appends one frame: the length as four bytes, then a pickled list of (path, (time, value)).
+func (e *Encoder) appendPickle(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
+	var records []any
+	var path []byte
+	next, size := from, 0
+	err := e.eachRecord(v, from, func(n Name, value float64) bool {
+		path = e.Form.Append(path[:0], n)
+		records = append(records, pickle.Tuple{string(path), pickle.Tuple{timestamp(v), value}})
+		size += len(path) + pickledRecordOverhead
+		next++
+		return size < maxBytes
+	})
+	if err != nil || len(records) == 0 {
+		return dst, next, err
+	}
+	var frame bytes.Buffer
+	config := pickle.EncoderConfig{Protocol: PickleProtocol}
+	if err := pickle.NewEncoderWithConfig(&frame, &config).Encode(records); err != nil {
+		return dst, next, fmt.Errorf("graphite: pickle: %w", err)
+	}
+	dst = binary.BigEndian.AppendUint32(dst, uint32(frame.Len()))
+	return append(dst, frame.Bytes()...), next, nil
+}
+
+// timestamp is the time of an interval's records in seconds of Unix time.
+func timestamp(v *metrics.Interval) int64 { return int64(v.EndTime / time.Second) }
+
+// eachRecord calls f with the records from a number on, until it returns false. Each sketch is decoded once.
 func (e *Encoder) eachRecord(v *metrics.Interval, from int, f func(Name, float64) bool) error {
-	for i := from; i < e.Records(v); {
-		n, value, err := e.record(v, i)
-		if err != nil {
-			return err
-		}
-		if i < len(v.Points) || (i-len(v.Points))%len(metrics.Stats) != 0 {
-			if !f(n, value) {
-				return nil
-			}
-			i++
-			continue
+	for i := from; i < len(v.Points); i++ {
+		if !f(Name{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value) {
+			return nil
 		}
-		s, err := metrics.Summarize(v.Distributions[(i-len(v.Points))/len(metrics.Stats)].EncodedSketch)
+	}
+	first := max(0, from-len(v.Points)) // record of distributions
+	for i := first / len(metrics.Stats); i < len(v.Distributions); i++ {
+		d := &v.Distributions[i]
+		summary, err := metrics.Summarize(d.EncodedSketch)
 		if err != nil {
 			return err
 		}
-		for stat, value := range s.Values() {
-			n.Stat = metrics.Stats[stat]
-			if !f(n, value) {
+		values := summary.Values()
+		for stat := max(0, first-i*len(metrics.Stats)); stat < len(values); stat++ {
+			if !f(Name{Broker: e.Broker, Series: d.Series, Stat: metrics.Stats[stat]}, values[stat]) {
 				return nil
 			}
-			i++
 		}
 	}
 	return nil
 }
-
-// appendPickle appends one frame: the length as four bytes, then a pickled list of (path, (time, value)).
-func (e *Encoder) appendPickle(dst []byte, v *metrics.Interval, from, most int) ([]byte, int, error) {
-	list, size, path := []any{}, 0, []byte(nil)
-	err := e.eachRecord(v, from, func(n Name, value float64) bool {
-		path = e.Form.Append(path[:0], n)
-		list = append(list, pickle.Tuple{string(path), pickle.Tuple{int64(v.EndTime / time.Second), value}})
-		size += len(path) + pickledRecordOverhead
-		from++
-		return size < most
-	})
-	if err != nil || len(list) == 0 {
-		return dst, from, err
-	}
-	var b bytes.Buffer
-	if err := pickle.NewEncoderWithConfig(&b, &pickle.EncoderConfig{Protocol: PickleProtocol}).Encode(list); err != nil {
-		return dst, from, fmt.Errorf("graphite: pickle: %w", err)
-	}
-	dst = binary.BigEndian.AppendUint32(dst, uint32(b.Len()))
-	return append(dst, b.Bytes()...), from, nil
-}
-
-// pickledRecordOverhead is what a record's pickle has beside its path.
-const pickledRecordOverhead = 24
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -33,15 +33,22 @@
 	}
 }
 
-// every is an interval with every figure, each of its details, and values of their own for two names and all others.
-func every() *metrics.Interval {
-	v := &metrics.Interval{Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: 10 * time.Second}
+// everyFigure is an interval with every figure, each of its details, and values of their own for two names
+// and all others.
+func everyFigure() *metrics.Interval {
+	v := &metrics.Interval{
+		Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: 10 * time.Second,
+	}
 	value := 0.0
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
 		all := []metrics.Series{{Figure: id}}
 		if f.By != metrics.NoDimension {
-			all = []metrics.Series{{Figure: id, Name: "fishing-fleet"}, {Figure: id, Name: "re.port;x=1 é"}, {Figure: id, Other: true}}
+			all = []metrics.Series{
+				{Figure: id, Name: "fishing-fleet"},
+				{Figure: id, Name: "re.port;x=1 é"},
+				{Figure: id, Other: true},
+			}
 		}
 		for _, s := range all {
 			if f.Kind == metrics.DistributionKind {
@@ -50,7 +57,9 @@
 					value += 0.25
 					d.Add(value * float64(n))
 				}
-				v.Distributions = append(v.Distributions, metrics.Distribution{Series: s, Count: d.Count(), EncodedSketch: d.Encode(nil)})
+				v.Distributions = append(v.Distributions, metrics.Distribution{
+					Series: s, Count: d.Count(), EncodedSketch: d.Encode(nil),
+				})
 				continue
 			}
 			for part := range id.Parts() {
@@ -65,7 +74,7 @@
 
 // The bytes that are sent of every figure are what they were, in each form.
 func TestSentBytes(t *testing.T) {
-	v := every()
+	v := everyFigure()
 	for _, c := range []struct {
 		name    string
 		encoder Encoder
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -1,5 +1,3 @@
-// Package graphite writes and reads figures in the forms that carbon takes: the plaintext protocol, with the tags of
-// Graphite 1.1 or without, and the pickle protocol. It works on bytes and does no I/O.
 package graphite
 
 import (
@@ -12,61 +10,86 @@
 	"wheatlane/internal/metrics"
 )
 
-// ErrName is returned for a path that is none of ours.
+// ErrName is returned for a path that Form.Append never makes.
 var ErrName = errors.New("graphite: not the name of a figure")
 
+// brokerTag is the tag of the broker.
+const brokerTag = "broker"
+
 // Name is what a path stands for.
 type Name struct {
 	Broker string
 	Series metrics.Series
-	Stat   string // of a distribution; see metrics.Stats
+	Stat   string // of a distribution, one of metrics.Stats; else empty
 }
 
 // Form is how names become paths.
 type Form struct {
-	Prefix string // ahead of each path, parts split by dots; may be empty
-	Tags   bool
+	Prefix string // of each path, its parts separated by dots; may be empty
+	Tags   bool   // those of Graphite 1.1
 }
 
 // Append appends a name's path: PREFIX.BROKER.FIGURE[.NAME][.DETAIL][.STAT], or with tags
 // PREFIX.FIGURE[.STAT];broker=BROKER[;DIMENSION=NAME][;DETAIL=...].
 func (f Form) Append(dst []byte, n Name) []byte {
-	fig := &metrics.Catalogue[n.Series.Figure]
-	name := cardinality.OtherName
-	if !n.Series.Other {
-		name = cardinality.Escape(n.Series.Name)
-	}
 	if f.Prefix != "" {
 		dst = append(append(dst, f.Prefix...), '.')
 	}
 	if f.Tags {
-		dst = append(dst, fig.Name...)
-		if n.Stat != "" {
-			dst = append(append(dst, '.'), n.Stat...)
-		}
-		dst = append(append(dst, ";broker="...), cardinality.Escape(n.Broker)...)
-		if fig.By != metrics.NoDimension {
-			dst = append(append(append(append(dst, ';'), fig.By.String()...), '='), name...)
-		}
-		if len(fig.Parts) > 0 {
-			dst = append(append(append(append(dst, ';'), fig.Detail...), '='), fig.Parts[n.Series.Part]...)
-		}
-		return dst
+		return appendTagged(dst, n)
 	}
-	dst = append(append(append(dst, cardinality.Escape(n.Broker)...), '.'), fig.Name...)
-	if fig.By != metrics.NoDimension {
-		dst = append(append(dst, '.'), name...)
+	return appendDotted(dst, n)
+}
+
+func appendDotted(dst []byte, n Name) []byte {
+	figure := &metrics.Catalogue[n.Series.Figure]
+	dst = append(dst, cardinality.Escape(n.Broker)...)
+	dst = appendPart(dst, figure.Name)
+	if figure.By != metrics.NoDimension {
+		dst = appendPart(dst, escapedName(&n.Series))
 	}
-	if len(fig.Parts) > 0 {
-		dst = append(append(dst, '.'), fig.Parts[n.Series.Part]...)
+	if len(figure.Parts) > 0 {
+		dst = appendPart(dst, figure.Parts[n.Series.Part])
 	}
 	if n.Stat != "" {
-		dst = append(append(dst, '.'), n.Stat...)
+		dst = appendPart(dst, n.Stat)
 	}
 	return dst
 }
 
-// Parse reads a path that Append made.
+func appendTagged(dst []byte, n Name) []byte {
+	figure := &metrics.Catalogue[n.Series.Figure]
+	dst = append(dst, figure.Name...)
+	if n.Stat != "" {
+		dst = appendPart(dst, n.Stat)
+	}
+	dst = appendTag(dst, brokerTag, cardinality.Escape(n.Broker))
+	if figure.By != metrics.NoDimension {
+		dst = appendTag(dst, figure.By.String(), escapedName(&n.Series))
+	}
+	if len(figure.Parts) > 0 {
+		dst = appendTag(dst, figure.Detail, figure.Parts[n.Series.Part])
+	}
+	return dst
+}
+
+func appendPart(dst []byte, part string) []byte {
+	return append(append(dst, '.'), part...)
+}
+
+func appendTag(dst []byte, key, value string) []byte {
+	dst = append(append(dst, ';'), key...)
+	return append(append(dst, '='), value...)
+}
+
+func escapedName(s *metrics.Series) string {
+	if s.Other {
+		return cardinality.OtherName
+	}
+	return cardinality.Escape(s.Name)
+}
+
+// Parse reads a path that Append made. It fails with ErrName for any other.
 func (f Form) Parse(path string) (Name, error) {
 	rest := path
 	if f.Prefix != "" {
@@ -75,69 +98,89 @@
 			return Name{}, fmt.Errorf("%w: %.80q", ErrName, path)
 		}
 	}
-	n, ok := f.parse(rest)
-	// Guards against a second spelling of a name.
-	if !ok || string(f.Append(nil, n)) != path {
+	split := splitDotted
+	if f.Tags {
+		split = splitTagged
+	}
+	n, ok := Name{}, false
+	if p, complete := split(rest); complete {
+		n, ok = p.name()
+	}
+	if !ok || string(f.Append(nil, n)) != path { // a name has one spelling
 		return Name{}, fmt.Errorf("%w: %.80q", ErrName, path)
 	}
 	return n, nil
 }
 
-func (f Form) parse(rest string) (n Name, ok bool) {
-	var parts []string // what follows the figure, in the order of a path without tags
-	var figure, broker string
-	if f.Tags {
-		metric, tags, _ := strings.Cut(rest, ";")
-		var stat string
-		figure, stat, _ = strings.Cut(metric, ".")
-		for tag := range strings.SplitSeq(tags, ";") {
-			key, value, _ := strings.Cut(tag, "=")
-			if key == "broker" {
-				broker = value
-				continue
-			}
-			parts = append(parts, value)
-		}
-		if stat != "" {
-			parts = append(parts, stat)
-		}
-	} else {
-		all := strings.Split(rest, ".")
-		if len(all) < 2 {
-			return n, false
+// pathParts are the parts of a path, escaped as they are.
+type pathParts struct {
+	broker, figure string
+	rest           []string // what follows the figure, in the order of a path without tags
+}
+
+func splitDotted(path string) (pathParts, bool) {
+	all := strings.Split(path, ".")
+	if len(all) < 2 {
+		return pathParts{}, false
+	}
+	return pathParts{broker: all[0], figure: all[1], rest: all[2:]}, true
+}
+
+func splitTagged(path string) (pathParts, bool) {
+	var p pathParts
+	metric, tags, _ := strings.Cut(path, ";")
+	figure, stat, _ := strings.Cut(metric, ".")
+	p.figure = figure
+	for tag := range strings.SplitSeq(tags, ";") {
+		key, value, _ := strings.Cut(tag, "=")
+		if key == brokerTag {
+			p.broker = value
+			continue
 		}
-		broker, figure, parts = all[0], all[1], all[2:]
+		p.rest = append(p.rest, value)
+	}
+	if stat != "" {
+		p.rest = append(p.rest, stat)
+	}
+	return p, true
+}
+
+// next takes the first part off what follows the figure; it is empty when there is none.
+func (p *pathParts) next() string {
+	if len(p.rest) == 0 {
+		return ""
 	}
+	part := p.rest[0]
+	p.rest = p.rest[1:]
+	return part
+}
+
+// name is what the parts stand for; ok is false if they stand for nothing.
+func (p *pathParts) name() (n Name, ok bool) {
 	var err error
-	if n.Broker, err = cardinality.Unescape(broker); err != nil {
+	if n.Broker, err = cardinality.Unescape(p.broker); err != nil {
 		return n, false
 	}
-	if n.Series.Figure, ok = metrics.Find(figure); !ok {
+	if n.Series.Figure, ok = metrics.Find(p.figure); !ok {
 		return n, false
 	}
-	next := func() (p string) {
-		if len(parts) > 0 {
-			p, parts = parts[0], parts[1:]
-		}
-		return p
-	}
-	fig := &metrics.Catalogue[n.Series.Figure]
-	if fig.By != metrics.NoDimension {
-		if p := next(); p == cardinality.OtherName {
+	figure := &metrics.Catalogue[n.Series.Figure]
+	if figure.By != metrics.NoDimension {
+		if part := p.next(); part == cardinality.OtherName {
 			n.Series.Other = true
-		} else if n.Series.Name, err = cardinality.Unescape(p); err != nil {
+		} else if n.Series.Name, err = cardinality.Unescape(part); err != nil {
 			return n, false
 		}
 	}
-	if len(fig.Parts) > 0 {
-		if n.Series.Part = slices.Index(fig.Parts, next()); n.Series.Part < 0 {
+	if len(figure.Parts) > 0 {
+		if n.Series.Part = slices.Index(figure.Parts, p.next()); n.Series.Part < 0 {
 			return n, false
 		}
 	}
-	if fig.Kind == metrics.DistributionKind {
-		if n.Stat = next(); !slices.Contains(metrics.Stats, n.Stat) {
+	if figure.Kind == metrics.DistributionKind {
+		if n.Stat = p.next(); !slices.Contains(metrics.Stats, n.Stat) {
 			return n, false
 		}
 	}
-	return n, len(parts) == 0
+	return n, len(p.rest) == 0
 }
--- a/internal/graphite/parse.go
+++ b/internal/graphite/parse.go
@@ -20,6 +20,8 @@
 const (
 	maxLineBytes  = 4 << 10
 	maxFrameBytes = 1 << 20
+	// frameHeaderBytes are those of a frame's length.
+	frameHeaderBytes = 4
 )
 
 // Sample is one value of one path.
@@ -29,8 +31,8 @@
 	At    int64 // seconds of Unix time
 }
 
-// ParseLine reads a line from the front of b. It returns the number of bytes that it took, 0 while the line is not
-// whole yet.
+// ParseLine reads a line from the front of b. It returns the number of bytes that the line takes, 0 while it
+// is not complete. It fails with ErrMalformed or ErrTooLarge.
 func ParseLine(b []byte) (Sample, int, error) {
 	end := bytes.IndexByte(b, '\n')
 	switch {
@@ -45,7 +47,7 @@
 	}
 	s := Sample{Path: string(fields[0])}
 	var err error
-	if s.Value, err = strconv.ParseFloat(string(fields[1]), 64); err != nil || math.IsNaN(s.Value) || math.IsInf(s.Value, 0) {
+	if s.Value, err = strconv.ParseFloat(string(fields[1]), 64); err != nil || !isFinite(s.Value) {
 		return Sample{}, 0, fmt.Errorf("%w value: %.80q", ErrMalformed, b[:end])
 	}
 	if s.At, err = strconv.ParseInt(string(fields[2]), 10, 64); err != nil {
@@ -54,39 +56,50 @@
 	return s, end + 1, nil
 }
 
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+
 // ParsePickle reads a frame from the front of b, as ParseLine does a line.
 func ParsePickle(b []byte) ([]Sample, int, error) {
-	if len(b) < 4 {
+	if len(b) < frameHeaderBytes {
 		return nil, 0, nil
 	}
-	n := int(binary.BigEndian.Uint32(b))
+	size := int(binary.BigEndian.Uint32(b))
 	switch {
-	case n > maxFrameBytes:
-		return nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrTooLarge, n)
-	case len(b) < 4+n:
+	case size > maxFrameBytes:
+		return nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrTooLarge, size)
+	case len(b) < frameHeaderBytes+size:
 		return nil, 0, nil
 	}
-	v, err := pickle.NewDecoderWithConfig(bytes.NewReader(b[4:4+n]), &pickle.DecoderConfig{}).Decode()
+	samples, err := decodeFrame(b[frameHeaderBytes : frameHeaderBytes+size])
+	if err != nil {
+		return nil, 0, err
+	}
+	return samples, frameHeaderBytes + size, nil
+}
+
+func decodeFrame(frame []byte) ([]Sample, error) {
+	decoded, err := pickle.NewDecoderWithConfig(bytes.NewReader(frame), &pickle.DecoderConfig{}).Decode()
 	if err != nil {
-		return nil, 0, fmt.Errorf("%w pickle: %w", ErrMalformed, err)
+		return nil, fmt.Errorf("%w pickle: %w", ErrMalformed, err)
 	}
-	list, ok := v.([]any)
+	list, ok := decoded.([]any)
 	if !ok {
-		return nil, 0, fmt.Errorf("%w pickle: a %T is no list", ErrMalformed, v)
+		return nil, fmt.Errorf("%w pickle: a %T is no list", ErrMalformed, decoded)
 	}
-	all := make([]Sample, 0, len(list))
-	for _, v := range list {
-		s, ok := decodeSample(v)
+	samples := make([]Sample, 0, len(list))
+	for _, record := range list {
+		s, ok := decodeSample(record)
 		if !ok {
-			return nil, 0, fmt.Errorf("%w pickle: %.80v is no (path, (time, value))", ErrMalformed, v)
+			return nil, fmt.Errorf("%w pickle: %.80v is no (path, (time, value))", ErrMalformed, record)
 		}
-		all = append(all, s)
+		samples = append(samples, s)
 	}
-	return all, 4 + n, nil
+	return samples, nil
 }
 
-func decodeSample(v any) (s Sample, ok bool) {
-	outer, ok := v.(pickle.Tuple)
+// decodeSample reads (path, (time, value)); ok is false for anything else.
+func decodeSample(record any) (s Sample, ok bool) {
+	outer, ok := record.(pickle.Tuple)
 	if !ok || len(outer) != 2 {
 		return s, false
 	}
@@ -94,8 +107,7 @@
 	if !ok || len(inner) != 2 {
 		return s, false
 	}
-	at, ok := inner[0].(int64)
-	if !ok {
+	if s.At, ok = inner[0].(int64); !ok {
 		return s, false
 	}
 	switch path := outer[0].(type) {
@@ -106,7 +118,6 @@
 	default:
 		return s, false
 	}
-	s.At = at
 	switch value := inner[1].(type) {
 	case float64:
 		s.Value = value
@@ -115,5 +126,5 @@
 	default:
 		return s, false
 	}
-	return s, s.Path != "" && !math.IsNaN(s.Value) && !math.IsInf(s.Value, 0)
+	return s, s.Path != "" && isFinite(s.Value)
 }
