--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -126,7 +126,7 @@
 
 // retireUntilClientTimeout takes a stream off its connection whose response may still come. Until the last
 // client that may use its id has timed out, the id is not used again.
-func (p *enginePool) retireUntilClientTimeout(s *stream) { p.retire(s, p.server.longestGiveUp()) }
+func (p *enginePool) retireUntilClientTimeout(s *stream) { p.retire(s, p.server.maxClientTimeout()) }
 
 // retire takes a stream off its connection and its id out of use for a time.
 func (p *enginePool) retire(s *stream, within time.Duration) {
--- a/internal/server/bufferedconn.go
+++ b/internal/server/bufferedconn.go
@@ -179,7 +179,7 @@
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
-	timeout := time.AfterFunc(lingerTime, c.closeSocket)
+	timeout := time.AfterFunc(lingerDuration, c.closeSocket)
 	defer timeout.Stop()
-	_, _ = io.CopyN(io.Discard, c.socket, lingerBytes) // however it ends, the connection is closed
+	_, _ = io.CopyN(io.Discard, c.socket, maxLingerBytes) // however it ends, the connection is closed
 }
--- a/internal/server/changelog.go
+++ b/internal/server/changelog.go
@@ -27,7 +27,7 @@
 		if addressChanged {
 			err = &endError{AddressChanged, err}
 		}
-		s.ended(ChangelogSide, addr, openedAt, err)
+		s.connectionEnded(ChangelogSide, addr, openedAt, err)
 		if addressChanged || revision > before || time.Since(openedAt) > pollTimeout {
 			pause = 0
 			retry.Reset()
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -20,30 +20,30 @@
 	partialMessageTimeout = 2 * time.Second
 	clientIdleMargin      = time.Minute // beyond the longest client timeout; clients close sooner
 
-	lingerTime  = 200 * time.Millisecond // the last answer gets so long to be read before the close
-	lingerBytes = 1 << 20
+	lingerDuration = 200 * time.Millisecond // the last answer gets so long to be read before the close
+	maxLingerBytes = 1 << 20
 )
 
 // client is a client's connection. Without another note a field belongs to the goroutine that reads.
 type client struct {
-	n        *Server
+	server   *Server
 	id       broker.Session
-	link     *bufferedConn
+	conn     *bufferedConn
 	admitted chan struct{} // closed once the client may be greeted
 
 	loggedIn       bool
 	partialMessage bool // a part of a message was received
 	readTimeout    time.Duration
 	hasSubmitted   bool // a request came on it
-	looks          int  // final reads of a shutdown that found the socket empty
+	finalTimeouts  int  // final reads of a shutdown that found the socket empty
 
-	readOut bool // the final reads are complete and all that came is with the reducer; owned by the loop
+	fullyRead bool // the final reads are complete and all that came is with the reducer; owned by the loop
 }
 
 func newClient(s *Server, id broker.Session, socket net.Conn) *client {
 	return &client{
-		n: s, id: id, admitted: make(chan struct{}),
-		link: newBufferedConn(socket, 0, maxClientReceiveBytes, maxClientSendBytes),
+		server: s, id: id, admitted: make(chan struct{}),
+		conn: newBufferedConn(socket, 0, maxClientReceiveBytes, maxClientSendBytes),
 	}
 }
 
@@ -62,7 +62,7 @@
 		return err
 	}
 	for {
-		if _, err := c.link.received.ReadOnce(c.link.socket); err != nil {
+		if _, err := c.conn.received.ReadOnce(c.conn.socket); err != nil {
 			if err := c.readFailed(ctx, err); err != nil {
 				return err
 			}
@@ -94,9 +94,9 @@
 
 // handlePackets handles the complete packets that were received.
 func (c *client) handlePackets(ctx context.Context) error {
-	sentAt := now() - c.n.sinceReceived(c.link.socket)
+	sentAt := now() - c.server.sinceReceived(c.conn.socket)
 	for {
-		seq, payload, size, err := mysql.ParsePacket(c.link.received.Bytes())
+		seq, payload, size, err := mysql.ParsePacket(c.conn.received.Bytes())
 		if err != nil {
 			return c.failProtocol(ctx, 1, mysql.CodeTooLarge, err)
 		}
@@ -108,7 +108,7 @@
 		} else {
 			err = c.login(ctx, seq, payload)
 		}
-		c.link.received.Discard(size)
+		c.conn.received.Discard(size)
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 // updateReadTimeout sets the time by which more must come. It runs on until the login, or a message that has begun, is
 // complete, however slowly more comes.
 func (c *client) updateReadTimeout() error {
-	partial := c.link.received.Len() > 0
+	partial := c.conn.received.Len() > 0
 	if !c.loggedIn || partial && c.partialMessage {
 		return nil
 	}
@@ -126,16 +126,16 @@
 	if partial {
 		c.readTimeout = partialMessageTimeout
 	} else {
-		c.readTimeout = c.n.longestGiveUp() + clientIdleMargin
+		c.readTimeout = c.server.maxClientTimeout() + clientIdleMargin
 	}
 	return c.setReadTimeout(c.readTimeout)
 }
 
 // halfClosed has the last answers sent before the connection ends, as a client that writes nothing more may still read.
 func (c *client) halfClosed(ctx context.Context, err error) error {
-	c.n.post(ctx, func() {
-		c.n.apply(broker.SessionHalfClosed{Session: c.id})
-		c.link.closeAfterSent(&endError{Reason: PeerClosed})
+	c.server.post(ctx, func() {
+		c.server.apply(broker.SessionHalfClosed{Session: c.id})
+		c.conn.closeAfterSent(&endError{Reason: PeerClosed})
 	})
 	<-ctx.Done()
 	return err
@@ -143,11 +143,11 @@
 
 // failProtocol answers what can't be read and ends the connection, as nothing after it can be read.
 func (c *client) failProtocol(ctx context.Context, seq byte, code int, err error) error {
-	if _, full := c.link.write(mysql.AppendError(nil, seq, code, err.Error())); full != nil {
+	if _, full := c.conn.write(mysql.AppendError(nil, seq, code, err.Error())); full != nil {
 		return full
 	}
 	sent := make(chan struct{})
-	c.link.afterSent(func() { close(sent) })
+	c.conn.afterSent(func() { close(sent) })
 	select {
 	case <-sent:
 	case <-ctx.Done():
@@ -162,10 +162,10 @@
 // linger reads on for a while so that the client can read its last answer: a close with bytes unread would reset the
 // connection, and could destroy that answer on its way.
 func (c *client) linger() error {
-	if err := c.link.socket.SetReadDeadline(time.Now().Add(lingerTime)); err != nil {
+	if err := c.conn.socket.SetReadDeadline(time.Now().Add(lingerDuration)); err != nil {
 		return err
 	}
-	_, err := io.CopyN(io.Discard, c.link.socket, lingerBytes)
+	_, err := io.CopyN(io.Discard, c.conn.socket, maxLingerBytes)
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
--- a/internal/server/clientcommand.go
+++ b/internal/server/clientcommand.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	c.n.post(ctx, func() { c.n.apply(event) })
+	c.server.post(ctx, func() { c.server.apply(event) })
 	return nil
 }
 
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -226,7 +226,7 @@
 	}
 	s.node.inbox <- func() {
 		s.node.beginShutdown()
-		s.node.parting.requestedAt = time.Now().Add(-s.node.parting.acceptWindow)
+		s.node.shutdown.requestedAt = time.Now().Add(-s.node.shutdown.acceptWindow)
 	}
 	close(hold)
 	for range nets {
@@ -351,9 +351,9 @@
 	got := look(s, func(n *Server) time.Duration {
 		n.cfg.Settings.Control.Classes = []control.Class{{Name: "lookup", ClientTimeout: 400 * time.Millisecond}}
 		n.beginShutdown()
-		return n.parting.answerWithin
+		return n.shutdown.answerWithin
 	})
-	if want := 400*time.Millisecond + stopExtra - stopMargin; got != want {
+	if want := 400*time.Millisecond + shutdownExtra - finalAnswerMargin; got != want {
 		t.Fatalf("what is left is answered after %v, want %v", got, want)
 	}
 	s.done <- next(t, s.done, "the broker's end")
@@ -373,7 +373,7 @@
 		return s.logs.FilterField(zap.String("reason", string(Malformed))).Len() > 0
 	})
 	s.change(page(42, false, host("e2", "127.0.0.1:1", "terminated", 0)), 42)
-	if got := look(s, func(n *Server) int { return n.b.EndpointCount() }); got != 1 {
+	if got := look(s, func(n *Server) int { return n.reducer.EndpointCount() }); got != 1 {
 		t.Fatalf("%d engines are known, want e1 alone", got)
 	}
 	c := s.dial(query("lookup", 1, long, ""))
@@ -543,7 +543,7 @@
 	if took, most := time.Since(began), 2*(pollTimeout+2*time.Second); took > most {
 		t.Fatalf("asked again after %v, and what was to be told counted as told after %v", took, most)
 	}
-	until(t, "the drain is known", func() bool { return !look(s, func(n *Server) bool { return n.b.Ready() }) })
+	until(t, "the drain is known", func() bool { return !look(s, func(n *Server) bool { return n.reducer.Ready() }) })
 }
 
 // A connection that was asked and says nothing is closed with attempts out on it only where second copies are allowed: an
@@ -582,7 +582,7 @@
 	c.want("rows ")
 	s.node.inbox <- func() {
 		s.node.beginShutdown()
-		s.node.parting.requestedAt = time.Now().Add(-s.node.parting.acceptWindow)
+		s.node.shutdown.requestedAt = time.Now().Add(-s.node.shutdown.acceptWindow)
 	}
 	c.want("closed")
 	c.ask(query("lookup", 2, long, ""))
@@ -601,11 +601,11 @@
 // comes to an end has no way back, and is not sent on.
 func TestNothingMoreIsTakenOfAClientThatDoesNotRead(t *testing.T) {
 	near, _ := pair(t)
-	c := &client{id: 7, link: newBufferedConn(near, 0, 10, 10)}
+	c := &client{id: 7, conn: newBufferedConn(near, 0, 10, 10)}
 	n := &Server{clients: map[broker.Session]*client{7: c}}
 	n.sendReply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "more than there is room for"})
-	if c.link.closeReason == nil || c.link.closeReason.Reason != BufferFull {
-		t.Errorf("the connection ends as %v", c.link.closeReason)
+	if c.conn.closeReason == nil || c.conn.closeReason.Reason != BufferFull {
+		t.Errorf("the connection ends as %v", c.conn.closeReason)
 	}
 	if got, want := fmt.Sprint(n.pendingEvents), fmt.Sprint([]broker.Event{broker.SessionClosed{Session: 7}}); got != want {
 		t.Errorf("the reducer is told %s, want %s", got, want)
@@ -713,7 +713,7 @@
 			a := s.dial()
 			if c.class != "" {
 				a.ask(query(c.class, 1, long, ""))
-				until(t, "it is taken", func() bool { return look(s, func(n *Server) bool { return n.b.OpenRequests() == 1 }) })
+				until(t, "it is taken", func() bool { return look(s, func(n *Server) bool { return n.reducer.OpenRequests() == 1 }) })
 			}
 			if c.out {
 				e.next(t, "want")
@@ -732,7 +732,9 @@
 			if c.out {
 				e.next(t, "never_mind")
 			}
-			until(t, "it is gone", func() bool { return look(s, func(n *Server) bool { return n.b.OpenRequests()+len(n.clients) == 0 }) })
+			until(t, "it is gone", func() bool {
+				return look(s, func(n *Server) bool { return n.reducer.OpenRequests()+len(n.clients) == 0 })
+			})
 			if got := s.reasons(a.nc.LocalAddr().String()); got != string(PeerClosed) {
 				t.Errorf("it ended as %s", got)
 			}
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -26,7 +26,7 @@
 // context is derived from that of Run.
 func (p *enginePool) dial(engine, addr string) *engineConn {
 	c, ctx := newEngineConn(p.server.ctx, engine, addr)
-	p.server.costs.Dials++
+	p.server.usage.Dials++
 	p.connsByEngine[engine] = append(p.connsByEngine[engine], c)
 	p.connCount++
 	p.server.group.Go(func() error {
@@ -45,7 +45,7 @@
 	if ctx.Err() != nil && p.server.ctx.Err() == nil {
 		err = c.closeReason // set before ctx ended
 	}
-	p.server.ended(EngineSide, c.addr, started, err)
+	p.server.connectionEnded(EngineSide, c.addr, started, err)
 }
 
 // serveConn establishes a connection, reads it and returns why it ended.
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -54,26 +54,26 @@
 
 func (s *Server) closeSession(e broker.CloseSession) {
 	if c := s.clients[e.Session]; c != nil {
-		c.link.closeAfterSent(&endError{Reason: closeReasons[e.Reason]})
+		c.conn.closeAfterSent(&endError{Reason: closeReasons[e.Reason]})
 	}
 }
 
 func (s *Server) startAttempt(e broker.StartAttempt) {
 	if e.Attempt.Number == 0 {
-		s.costs.FirstAttempts++
+		s.usage.FirstAttempts++
 	} else {
-		s.costs.Retries++
+		s.usage.Retries++
 	}
 	s.pool.startAttempt(e)
 }
 
 func (s *Server) startProbe(e broker.ProbeLoad) {
-	s.costs.LoadProbes++
+	s.usage.LoadProbes++
 	s.pool.startProbe(e)
 }
 
 func (s *Server) sendGossip(e broker.SendGossip) {
-	s.costs.GossipSent++
+	s.usage.GossipSent++
 	s.gossip.send(e)
 }
 
--- a/internal/server/enginepool.go
+++ b/internal/server/enginepool.go
@@ -155,11 +155,11 @@
 	}
 	s.done = true
 	if s.isProbe() {
-		p.server.later(broker.ProbeResult{ProbeID: s.probeID, Status: end.status})
+		p.server.enqueue(broker.ProbeResult{ProbeID: s.probeID, Status: end.status})
 		return
 	}
 	delete(p.inFlight, s.attemptID)
-	p.server.later(broker.AttemptEnded{Attempt: s.attemptID, Status: end.status, SharedCause: end.sharedCause})
+	p.server.enqueue(broker.AttemptEnded{Attempt: s.attemptID, Status: end.status, SharedCause: end.sharedCause})
 }
 
 // close ends a connection from this side. All that is in flight on it ends at once, so that no response
--- a/internal/server/handshake.go
+++ b/internal/server/handshake.go
@@ -26,7 +26,7 @@
 	for i := range salt {
 		salt[i] = salt[i]%printableLength + firstPrintable
 	}
-	_, err := c.link.write(mysql.AppendGreeting(nil, uint32(c.id), salt))
+	_, err := c.conn.write(mysql.AppendGreeting(nil, uint32(c.id), salt))
 	return err
 }
 
@@ -47,10 +47,10 @@
 		denied := &endError{AccessDenied, fmt.Errorf("unknown database %.40q", l.Database)}
 		return c.failProtocol(ctx, seq+1, mysql.CodeUnknownDB, denied)
 	}
-	if _, err := c.link.write(mysql.AppendOK(nil, seq+1)); err != nil {
+	if _, err := c.conn.write(mysql.AppendOK(nil, seq+1)); err != nil {
 		return err
 	}
 	c.loggedIn = true
-	c.n.post(ctx, func() { c.n.apply(broker.SessionAuthenticated{Session: c.id}) })
+	c.server.post(ctx, func() { c.server.apply(broker.SessionAuthenticated{Session: c.id}) })
 	return nil
 }
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -21,11 +21,11 @@
 
 // accept serves the clients that connect, until ctx ends or a shutdown closes the listener.
 func (s *Server) accept(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.ln.Close() }) // a shutdown may have closed it
+	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // a shutdown may have closed it
 	defer stop()
 	finalTimeouts := 0
 	for {
-		socket, err := s.ln.Accept()
+		socket, err := s.listener.Accept()
 		switch {
 		case err == nil:
 			s.acceptClient(ctx, socket)
@@ -55,7 +55,7 @@
 		// It must not be left waiting in the kernel: what is written there counts as taken, and later requests of the
 		// same order key would overtake it.
 		rejectConnection(socket)
-		s.ended(ClientSide, peer, openedAt, &endError{Reason: TooManyConnections})
+		s.connectionEnded(ClientSide, peer, openedAt, &endError{Reason: TooManyConnections})
 		return
 	}
 	s.lastSession++
@@ -67,7 +67,7 @@
 	})
 	s.group.Go(func() error {
 		defer func() { <-s.clientSlots }()
-		s.ended(ClientSide, peer, openedAt, c.link.run(ctx, c.read))
+		s.connectionEnded(ClientSide, peer, openedAt, c.conn.run(ctx, c.read))
 		s.post(ctx, func() {
 			delete(s.clients, c.id)
 			s.apply(broker.SessionClosed{Session: c.id})
--- a/internal/server/liveness.go
+++ b/internal/server/liveness.go
@@ -75,7 +75,7 @@
 func (p *enginePool) suspect(c *engineConn, now time.Time) {
 	c.suspectSince = now
 	if p.livenessProbesAllowed() {
-		p.server.costs.LivenessProbes++
+		p.server.usage.LivenessProbes++
 		p.sendCommand(c, commandLiveness, livenessID)
 	}
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -62,7 +62,7 @@
 
 // loop owns the reducer until ctx ends or a shutdown, begun by a value on stop, is complete.
 func (s *Server) loop(ctx context.Context, stop <-chan struct{}) error {
-	defer func() { _ = s.ln.Close() }() // the shutdown may have closed it
+	defer func() { _ = s.listener.Close() }() // the shutdown may have closed it
 	s.apply(broker.EndpointChanges{Page: s.cfg.Known})
 	s.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
 	pace := newPacer(now())
@@ -106,7 +106,7 @@
 
 // round lets time pass in the reducer and does what is due.
 func (s *Server) round() {
-	s.execute(s.b.Tick(now()))
+	s.execute(s.reducer.Tick(now()))
 	s.settle()
 	s.pool.checkLiveness()
 	s.settle()
@@ -122,7 +122,7 @@
 // untilNextRound returns how long the loop may wait if nothing happens.
 func (s *Server) untilNextRound() time.Duration {
 	wait := maxLoopInterval
-	if at, ok := s.b.NextDeadline(); ok {
+	if at, ok := s.reducer.NextDeadline(); ok {
 		wait = min(wait, at-now())
 	}
 	return max(wait, 0)
@@ -131,9 +131,9 @@
 // apply gives the reducer an event and carries out the effects, and what follows from them.
 func (s *Server) apply(ev broker.Event) {
 	if _, ok := ev.(broker.SubmitRequest); ok {
-		s.costs.Requests++
+		s.usage.Requests++
 	}
-	s.execute(s.b.Apply(now(), ev))
+	s.execute(s.reducer.Apply(now(), ev))
 	s.settle()
 }
 
@@ -142,20 +142,20 @@
 	for len(s.pendingEvents) > 0 {
 		ev := s.pendingEvents[0]
 		s.pendingEvents = s.pendingEvents[1:]
-		s.execute(s.b.Apply(now(), ev))
+		s.execute(s.reducer.Apply(now(), ev))
 	}
 }
 
-// later keeps an event that carrying out an effect gave until the other effects are carried out.
-func (s *Server) later(ev broker.Event) { s.pendingEvents = append(s.pendingEvents, ev) }
+// enqueue keeps an event that carrying out an effect gave until the other effects are carried out.
+func (s *Server) enqueue(ev broker.Event) { s.pendingEvents = append(s.pendingEvents, ev) }
 
 // logUsage logs what the broker spent of what a fleet shares since the line before, so that a day can be counted across
 // all brokers from their logs (docs/operators/fleet-at-size.md).
 func (s *Server) logUsage() {
 	s.usageLoggedAt = time.Now()
-	s.costs.EndpointPolls = s.endpointPolls.Load()
-	spent := s.costs.Since(s.loggedUsage)
-	s.loggedUsage = s.costs
+	s.usage.EndpointPolls = s.endpointPolls.Load()
+	spent := s.usage.Since(s.loggedUsage)
+	s.loggedUsage = s.usage
 	if spent == (usage.Counters{}) {
 		return
 	}
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -27,7 +27,7 @@
 
 // applyMaintenance does SetMaintenance's part in the loop.
 func (s *Server) applyMaintenance(id string, enabled bool) (listed bool) {
-	if !s.b.EverListed(id) {
+	if !s.reducer.EverListed(id) {
 		return false
 	}
 	if enabled {
@@ -44,7 +44,7 @@
 	if s.cfg.HandoverPath == "" {
 		return
 	}
-	state := handover.State{Broker: s.cfg.Name, MaintenanceEngines: s.b.EnginesInMaintenance()}
+	state := handover.State{Broker: s.cfg.Name, MaintenanceEngines: s.reducer.EnginesInMaintenance()}
 	if err := handover.Write(s.cfg.HandoverPath, state); err != nil {
 		s.log.Warn("maintenance state not written for the next process", zap.Error(err))
 	}
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -35,7 +35,7 @@
 // SetMeter sets who is notified from now on. It is to be called ahead of Run.
 func (s *Server) SetMeter(m Meter) {
 	s.meter = m
-	s.b.SetMeter(m)
+	s.reducer.SetMeter(m)
 }
 
 // Inspect calls f on the goroutine that owns the reducer and waits for it; once Run has ended, it calls f
@@ -43,7 +43,7 @@
 func (s *Server) Inspect(ctx context.Context, f func(*broker.Broker, ConnectionCounts)) bool {
 	done := make(chan struct{})
 	inspect := func() {
-		f(s.b, ConnectionCounts{Clients: len(s.clients), Engines: s.pool.connCount, ends: &s.ends})
+		f(s.reducer, ConnectionCounts{Clients: len(s.clients), Engines: s.pool.connCount, ends: &s.endCounts})
 		close(done)
 	}
 	inbox := s.inbox
@@ -55,7 +55,7 @@
 			return true
 		case <-ctx.Done():
 			return false
-		case <-s.over:
+		case <-s.done:
 			select {
 			case <-done:
 			default: // it is in the inbox still, or never was, and nothing takes it from there any more
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -32,16 +32,16 @@
 // and its session ends at once: what it asks from then on could not be answered.
 func (s *Server) sendReply(r broker.Reply) {
 	if r.Kind == broker.ReplyRejected {
-		s.costs.Rejections++
+		s.usage.Rejections++
 	}
 	c := s.clients[r.Session]
 	if c == nil {
 		return
 	}
 	s.replyBuffer = appendReply(s.replyBuffer[:0], r)
-	if _, err := c.link.write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
-		c.link.closeAfterSent(&endError{Reason: BufferFull})
-		s.later(broker.SessionClosed{Session: r.Session})
+	if _, err := c.conn.write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
+		c.conn.closeAfterSent(&endError{Reason: BufferFull})
+		s.enqueue(broker.SessionClosed{Session: r.Session})
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -32,26 +32,26 @@
 
 // Server is a running broker.
 type Server struct {
-	cfg    config.Config
-	log    *zap.Logger
-	ctx    context.Context // of Run
-	group  *errgroup.Group // of Run
-	ln     net.Listener
-	inbox  chan func()   // functions to call in the loop
-	over   chan struct{} // closed once Run returns
-	gossip *gossipTransport
+	cfg      config.Config
+	log      *zap.Logger
+	ctx      context.Context // of Run
+	group    *errgroup.Group // of Run
+	listener net.Listener
+	inbox    chan func()   // functions to call in the loop
+	done     chan struct{} // closed once Run returns
+	gossip   *gossipTransport
 
 	// Owned by the loop.
-	b                   *broker.Broker
+	reducer             *broker.Broker
 	meter               Meter
 	pendingEvents       []broker.Event // events that effects gave
 	clients             map[broker.Session]*client
 	pool                enginePool
 	sweptAt             time.Time
 	sweepInterval       time.Duration // how often idle connections to engines are looked for
-	parting             shutdownState
+	shutdown            shutdownState
 	replyBuffer         []byte
-	costs               usage.Counters // what was spent since the start, without endpointPolls
+	usage               usage.Counters // what was spent since the start, without endpointPolls
 	loggedUsage         usage.Counters // costs at the last log line
 	usageLoggedAt       time.Time
 	restoredMaintenance []string // engines that the previous process had in maintenance mode
@@ -64,12 +64,12 @@
 	endpointPolls      atomic.Uint64
 	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
 	tcpInfoRefused     atomic.Bool  // the system refused TCP_INFO, which was logged
-	ends               endCounts
+	endCounts          endCounts
 
 	mu             sync.Mutex // guards what follows
 	changelogAddr  string
 	leaveChangelog func() // ends the polls at an earlier address
-	doors          bool   // the sockets are read for the last time
+	readingOut     bool   // the sockets are read for the last time
 }
 
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the setting that
@@ -88,9 +88,9 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	s := &Server{
-		cfg: cfg, log: log, ln: listener, b: reducer, meter: nopMeter{},
+		cfg: cfg, log: log, listener: listener, reducer: reducer, meter: nopMeter{},
 		inbox:          make(chan func(), inboxSize),
-		over:           make(chan struct{}),
+		done:           make(chan struct{}),
 		clients:        map[broker.Session]*client{},
 		lastSession:    broker.Session(cfg.Seed),
 		clientSlots:    make(chan struct{}, maxClients),
@@ -111,14 +111,14 @@
 }
 
 // Addr returns where clients connect.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Close closes the listener of a server that is not to run.
-func (s *Server) Close() error { return s.ln.Close() }
+func (s *Server) Close() error { return s.listener.Close() }
 
 // Run serves until ctx ends or, after a value on stop, until the shutdown is complete. It returns nil in both cases.
 func (s *Server) Run(ctx context.Context, stop <-chan struct{}) error {
-	defer close(s.over)
+	defer close(s.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.group, ctx = errgroup.WithContext(ctx)
@@ -164,8 +164,8 @@
 		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
 }
 
-// longestGiveUp returns the longest client timeout that a request can have. It may be called on any goroutine.
-func (s *Server) longestGiveUp() time.Duration { return time.Duration(s.maxClientTimeoutNS.Load()) }
+// maxClientTimeout returns the longest client timeout that a request can have. It may be called on any goroutine.
+func (s *Server) maxClientTimeout() time.Duration { return time.Duration(s.maxClientTimeoutNS.Load()) }
 
 // post hands f to the loop and tells whether it was taken. It waits while the inbox is full, or until ctx ends.
 func (s *Server) post(ctx context.Context, f func()) bool {
@@ -177,10 +177,10 @@
 	}
 }
 
-// ended counts a connection that ended and writes its log line.
-func (s *Server) ended(side Side, peer string, openedAt time.Time, err error) {
+// connectionEnded counts a connection that ended and writes its log line.
+func (s *Server) connectionEnded(side Side, peer string, openedAt time.Time, err error) {
 	reason := reasonOf(err)
-	s.ends.add(side, reason)
+	s.endCounts.add(side, reason)
 	fields := []zap.Field{
 		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
 		zap.Duration("lasted", time.Since(openedAt)),
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -34,10 +34,10 @@
 // beginShutdown begins a graceful shutdown.
 func (s *Server) beginShutdown() {
 	within := s.answerWindow()
-	s.parting = shutdownState{
-		requestedAt: time.Now(), answerWithin: within, acceptWindow: min(stopWindow, within),
+	s.shutdown = shutdownState{
+		requestedAt: time.Now(), answerWithin: within, acceptWindow: min(shutdownAcceptWindow, within),
 	}
-	s.log.Info("stopping", zap.Int("open", s.b.OpenRequests()), zap.Duration("within", within))
+	s.log.Info("stopping", zap.Int("open", s.reducer.OpenRequests()), zap.Duration("within", within))
 	s.apply(broker.Shutdown{Within: within})
 }
 
@@ -48,16 +48,16 @@
 	for _, class := range s.cfg.Settings.Control.Classes {
 		longest = max(longest, class.ClientTimeout)
 	}
-	if longest == 0 || longest > stopCap {
-		longest = stopCap
+	if longest == 0 || longest > maxCountedTimeout {
+		longest = maxCountedTimeout
 	}
-	return longest + stopExtra - stopMargin
+	return longest + shutdownExtra - finalAnswerMargin
 }
 
 // shutdownComplete takes a graceful shutdown a step further where it can, and reports whether it has ended:
 // all is answered, and the last answers have left.
 func (s *Server) shutdownComplete() bool {
-	state := &s.parting
+	state := &s.shutdown
 	if state.requestedAt.IsZero() {
 		return false
 	}
@@ -66,8 +66,8 @@
 		state.closingListeners = true
 		s.closeListeners()
 	}
-	open := s.b.OpenRequests() > 0
-	if !open && elapsed >= state.answerWithin+flushWait {
+	open := s.reducer.OpenRequests() > 0
+	if !open && elapsed >= state.answerWithin+finalFlushTimeout {
 		return true // SIGKILL is near
 	}
 	if !state.closingListeners || open || !s.allRead() {
@@ -85,18 +85,18 @@
 func (s *Server) closeSessions() {
 	s.apply(broker.SendFinalAnswers{})
 	for _, c := range s.clients {
-		c.link.closeAfterSent(&endError{Reason: Shutdown})
+		c.conn.closeAfterSent(&endError{Reason: Shutdown})
 	}
 }
 
 // closeListeners lets the listener and the reader of each client read once more what has come.
 func (s *Server) closeListeners() {
 	s.mu.Lock()
-	s.doors = true
+	s.readingOut = true
 	s.mu.Unlock()
 	s.setFinalAcceptDeadline()
 	for _, c := range s.clients {
-		_ = c.link.socket.SetReadDeadline(time.Now().Add(doorWait)) // fails only on one that has closed
+		_ = c.conn.socket.SetReadDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
 	}
 }
 
@@ -104,17 +104,17 @@
 func (s *Server) closingListeners() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doors
+	return s.readingOut
 }
 
 // allRead reports whether the listener has closed, each client's socket was found empty since, and all that
 // is addressed to the clients has been sent.
 func (s *Server) allRead() bool {
-	if !s.parting.listenerClosed {
+	if !s.shutdown.listenerClosed {
 		return false
 	}
 	for _, c := range s.clients {
-		if !c.readOut || !c.link.allSent() {
+		if !c.fullyRead || !c.conn.allSent() {
 			return false
 		}
 	}
@@ -124,23 +124,23 @@
 // setReadTimeout sets how long a client may be silent: while the listeners close, until its final reads are
 // done, no longer than these take. One lock covers both, so that neither deadline overwrites the other.
 func (c *client) setReadTimeout(within time.Duration) error {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	if c.n.doors && c.looks < finalReads {
-		within = min(within, doorWait)
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.server.readingOut && c.finalTimeouts < finalReads {
+		within = min(within, finalReadTimeout)
 	}
-	return c.link.socket.SetReadDeadline(time.Now().Add(within))
+	return c.conn.socket.SetReadDeadline(time.Now().Add(within))
 }
 
 // finalRead takes a timeout of a client's reader while the listeners close: the socket is empty. It returns
 // false if it is another timeout.
 func (c *client) finalRead() bool {
-	if c.looks == finalReads || !c.n.closingListeners() {
+	if c.finalTimeouts == finalReads || !c.server.closingListeners() {
 		return false
 	}
-	c.looks++
-	if c.looks == finalReads {
-		c.n.post(c.n.ctx, func() { c.readOut = true })
+	c.finalTimeouts++
+	if c.finalTimeouts == finalReads {
+		c.server.post(c.server.ctx, func() { c.fullyRead = true })
 	}
 	return true
 }
@@ -152,14 +152,14 @@
 		s.setFinalAcceptDeadline()
 		return false
 	}
-	_ = s.ln.Close() // nothing is lost by a failure: the process is about to end
-	s.post(s.ctx, func() { s.parting.listenerClosed = true })
+	_ = s.listener.Close() // nothing is lost by a failure: the process is about to end
+	s.post(s.ctx, func() { s.shutdown.listenerClosed = true })
 	return true
 }
 
 // setFinalAcceptDeadline bounds the wait of the listener for connections that have come.
 func (s *Server) setFinalAcceptDeadline() {
-	if ln, ok := s.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = ln.SetDeadline(time.Now().Add(doorWait)) // fails only on one that has closed
+	if ln, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = ln.SetDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
 	}
 }
