--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -1,17 +1,12 @@
 package server
 
 import (
-	"flag"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
-
 	"wheatlane/internal/broker"
 )
 
@@ -21,13 +16,20 @@
 	n.ctx, n.inbox = t.Context(), make(chan func(), 10)
 	n.cfg.Settings.Control.Limits.LoadProbes = true
 	attempt := func(request uint64) broker.AttemptID { return broker.AttemptID{Request: request} }
-	want := broker.StartAttempt{Attempt: attempt(1), Engine: "e1", Addr: "a", RequestID: "00000000000000a1", Class: "lookup", IdempotencyKey: "op-1",
-		Timeout: 1500*time.Millisecond + 999*time.Microsecond, GrantMB: 12.25, Priority: 3, Body: "SELECT 'ä\r\n'"}
+	want := broker.StartAttempt{
+		Attempt: attempt(1), Engine: "e1", Addr: "a", RequestID: "00000000000000a1", Class: "lookup",
+		IdempotencyKey: "op-1", Timeout: 1500*time.Millisecond + 999*time.Microsecond, GrantMB: 12.25, Priority: 3,
+		Body: "SELECT 'ä\r\n'",
+	}
 	n.pool.startAttempt(want)
-	n.pool.startAttempt(broker.StartAttempt{Attempt: attempt(2), Engine: "e1", Addr: "a", RequestID: "00000000000000a2", Class: "load",
-		Timeout: time.Microsecond, Priority: 1, Body: ""})
-	n.pool.startAttempt(broker.StartAttempt{Attempt: attempt(3), Engine: "e1", Addr: "a", RequestID: "00000000000000a3", Class: "once",
-		Timeout: time.Hour, GrantMB: 1e7, Priority: -1, Body: "x"})
+	n.pool.startAttempt(broker.StartAttempt{
+		Attempt: attempt(2), Engine: "e1", Addr: "a", RequestID: "00000000000000a2", Class: "load",
+		Timeout: time.Microsecond, Priority: 1, Body: "",
+	})
+	n.pool.startAttempt(broker.StartAttempt{
+		Attempt: attempt(3), Engine: "e1", Addr: "a", RequestID: "00000000000000a3", Class: "once",
+		Timeout: time.Hour, GrantMB: 1e7, Priority: -1, Body: "x",
+	})
 	n.pool.startProbe(broker.ProbeLoad{ProbeID: 18446744073709551615, Engine: "e1", Addr: "a"})
 	n.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 1})
 	n.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 12345})
@@ -46,23 +48,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far.Close()
+	if err := far.Close(); err != nil {
+		t.Error(err)
+	}
 	if got := reasonOf(next(t, drained, "the end of the connection")); got != Shutdown {
 		t.Errorf("it ended as %s", got)
 	}
 	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // a command a line
-
-	path := filepath.Join("testdata", "commands.golden")
-	if flag.Lookup("update").Value.String() == "true" {
-		if err := os.WriteFile(path, []byte(sent), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(strings.Split(string(golden), "\n"), strings.Split(sent, "\n")); diff != "" {
-		t.Errorf("%s (-want +got):\n%s", path, diff)
-	}
+	CompareGolden(t, "commands", sent)
 }
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -13,25 +13,16 @@
 	maxEngineSendBytes    = 1 << 20         // of messages that wait to be sent
 )
 
-// newEngineConn returns a connection that is yet to be established, and its context, which ends with ctx.
-func newEngineConn(ctx context.Context, engine, addr string) (*engineConn, context.Context) {
-	ctx, cancel := context.WithCancel(ctx)
-	return &engineConn{
-		engine: engine, addr: addr, cancel: cancel, dialStarted: time.Now(),
-		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
-	}, ctx
-}
-
 // dial begins to establish a connection to an engine. The connection outlives the event that needs it, so its
 // context is derived from that of Run.
 func (p *enginePool) dial(engine, addr string) *engineConn {
-	c, ctx := newEngineConn(p.server.ctx, engine, addr)
+	c := newEngineConn(p.server.ctx, engine, addr)
 	p.server.costs.Dials++
 	p.connsByEngine[engine] = append(p.connsByEngine[engine], c)
 	p.connCount++
 	p.server.group.Go(func() error {
 		defer c.cancel()
-		p.runConn(ctx, c)
+		p.runConn(c.ctx, c)
 		return nil
 	})
 	return c
--- a/internal/server/engineconn.go
+++ b/internal/server/engineconn.go
@@ -18,7 +18,8 @@
 // under an id of its own. The goroutine that owns the reducer owns it.
 type engineConn struct {
 	engine, addr string
-	transport    *bufferedConn // nil while it is being established
+	transport    *bufferedConn   // nil while it is being established
+	ctx          context.Context // of its goroutines; ends with that of Run
 	cancel       context.CancelFunc
 	closeReason  *endError            // why the broker closed it
 	streams      map[string]*stream   // by id
@@ -32,6 +33,15 @@
 	drain        *drainTimer // it has bytes queued from before its engine's drain; nil: it has none
 }
 
+// newEngineConn returns a connection that is yet to be established. Its context ends with ctx.
+func newEngineConn(ctx context.Context, engine, addr string) *engineConn {
+	ctx, cancel := context.WithCancel(ctx)
+	return &engineConn{
+		engine: engine, addr: addr, ctx: ctx, cancel: cancel, dialStarted: time.Now(),
+		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
+	}
+}
+
 // stream is an attempt or a load probe on its connection.
 type stream struct {
 	conn         *engineConn
--- /dev/null
+++ b/internal/server/stage_test.go
@@ -0,0 +1,132 @@
+package server_test
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/changelog"
+	"wheatlane/internal/config"
+	"wheatlane/internal/server"
+	"wheatlane/internal/service"
+)
+
+// features are what a deployment allows.
+type features struct {
+	grants, priorities, probing bool
+	classes                     string // JSON, behind one another with commas
+}
+
+const (
+	lookupClass = `{"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":20000000000,` +
+		`"Worth":1}`
+	loadClass = `{"Name":"load","Effect":"by_key","PromiseNs":3000000000,"GiveUpNs":20000000000,` +
+		`"WindowNs":15000000000,"Worth":20,"ByArrival":true,"LateWorth":0.5}`
+	onceClass = `{"Name":"once","Effect":"once","PromiseNs":3000000000,"GiveUpNs":20000000000,"Worth":1,` +
+		`"LateWorth":0.5}`
+	classes = lookupClass + "," + loadClass + "," + onceClass
+)
+
+var plain = features{classes: classes}
+
+func (f features) settings() []byte {
+	return fmt.Appendf(nil, `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
+		"Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false],
+			"Grants":%v,"SaysCost":true,"GrantCap":0.5,"Priorities":%v},
+		"Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":%v,
+			"Probing":%v,"ConnIdleNs":30000000000},
+		"Rules":{"ColdFrom":0.33,"WarmAfterNs":15000000000,"FallMultiple":2.5,"FallNs":1000000000},
+		"RequestClasses":[%s]}`, f.grants, f.priorities, f.probing, f.probing, f.classes)
+}
+
+// stage is a broker on real sockets.
+type stage struct {
+	tr      *transcript
+	service *service.Service
+	clients string // its address
+	stop    chan struct{}
+	cancel  context.CancelFunc
+	done    chan error
+}
+
+// start runs a broker that knows these hosts.
+func start(tr *transcript, allowed features, changelogAddr string, hosts ...string) *stage {
+	tr.t.Helper()
+	settings, err := config.DecodeSettings(allowed.settings())
+	if err != nil {
+		tr.t.Fatal(err)
+	}
+	known, err := changelog.ParsePage([]byte(listPage(1, true, hosts...)))
+	if err != nil {
+		tr.t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	s, err := service.New(ctx, config.Config{
+		Name: "b1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
+		Changelog: changelogAddr, Seed: 1000, Sockets: 1024, Known: known, Settings: settings,
+	}, nil, zap.NewNop())
+	if err != nil {
+		cancel()
+		tr.t.Fatal(err)
+	}
+	st := &stage{
+		tr: tr, service: s, clients: s.Server.Addr().String(), stop: make(chan struct{}),
+		cancel: cancel, done: make(chan error, 1),
+	}
+	go func() { st.done <- s.Run(ctx, st.stop) }()
+	tr.t.Cleanup(func() {
+		cancel()
+		if err := receive(tr.t, st.done, "the broker's end"); err != nil {
+			tr.t.Error(err)
+		}
+	})
+	return st
+}
+
+// finish waits for the end of the broker and records why its connections to these sides ended.
+func (s *stage) finish(sides ...server.Side) {
+	s.tr.t.Helper()
+	err := receive(s.tr.t, s.done, "the broker's end")
+	if err != nil {
+		s.tr.t.Fatal(err)
+	}
+	s.done <- nil // for the clean-up
+	s.reasons(sides)
+}
+
+// reasons records why connections ended, with their counts.
+func (s *stage) reasons(sides []server.Side) {
+	s.tr.t.Helper()
+	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets server.ConnectionCounts) {
+		for _, side := range sides {
+			sockets.EachEndReason(side, func(reason server.Reason, count uint64) {
+				if count > 0 {
+					s.tr.line("ended: %s %s %d", side, reason, count)
+				}
+			})
+		}
+	}) {
+		s.tr.t.Fatal("the broker can't be looked at")
+	}
+}
+
+// request is the text of a query: its class, id, time to wait and further fields.
+func request(class string, id int, allow time.Duration, more string) string {
+	return fmt.Sprintf("/* service=%s,ref=%016x,allow=%d%s */ SELECT a FROM s_1.t",
+		class, id, allow.Milliseconds(), more)
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -1,33 +1,19 @@
 package server_test
 
 import (
-	"bufio"
-	"context"
-	"encoding/binary"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"regexp"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
-	"go.uber.org/zap"
-
 	"wheatlane/control"
-	"wheatlane/internal/broker"
-	"wheatlane/internal/changelog"
-	"wheatlane/internal/config"
 	"wheatlane/internal/gossip"
 	"wheatlane/internal/resp"
 	"wheatlane/internal/server"
-	"wheatlane/internal/service"
 )
 
 // The tests of this file hold every byte on the sockets of a broker to the golden files in testdata: what
@@ -42,8 +28,6 @@
 // Session numbers follow from the seed, which is fixed. A script does one step after the other and waits for
 // what each step causes, so the order of the lines does not vary.
 
-var update = flag.Bool("update", false, "write the golden files of the transcripts anew")
-
 const stepTimeout = 20 * time.Second // a step of a script that takes so long has failed
 
 // transcript gathers the lines of a scripted session.
@@ -56,23 +40,10 @@
 	fmt.Fprintf(&tr.text, format+"\n", args...)
 }
 
-// check compares the transcript with its golden file, or writes that with -update.
+// check compares the transcript with its golden file.
 func (tr *transcript) check(name string) {
 	tr.t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		if err := os.WriteFile(path, []byte(tr.text.String()), 0o644); err != nil {
-			tr.t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		tr.t.Fatal(err)
-	}
-	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(tr.text.String(), "\n")); diff != "" {
-		tr.t.Errorf("%s (-want +got):\n%s", path, diff)
-	}
+	server.CompareGolden(tr.t, name, tr.text.String())
 }
 
 // receive takes from a channel, or fails.
@@ -87,404 +58,6 @@
 	}
 }
 
-// message is what an engine received.
-type message struct {
-	conn  net.Conn
-	parts []string
-}
-
-// scriptedEngine records what the broker sends to an engine and answers as the script says.
-type scriptedEngine struct {
-	tr       *transcript
-	name     string
-	addr     string
-	messages chan message
-	conns    []net.Conn // in the order of their first messages
-}
-
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
-	return ln
-}
-
-func newScriptedEngine(tr *transcript, name string) *scriptedEngine {
-	tr.t.Helper()
-	ln := listen(tr.t)
-	e := &scriptedEngine{tr: tr, name: name, addr: ln.Addr().String(), messages: make(chan message, 1000)}
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go e.readAll(nc)
-		}
-	}()
-	return e
-}
-
-func (e *scriptedEngine) readAll(nc net.Conn) {
-	defer nc.Close()
-	var pending []byte
-	buf := make([]byte, 4096)
-	for {
-		n, err := nc.Read(buf)
-		if err != nil {
-			return
-		}
-		pending = append(pending, buf[:n]...)
-		for {
-			parts, size, err := resp.Parse(pending)
-			if err != nil || size == 0 {
-				break
-			}
-			m := message{conn: nc}
-			for _, p := range parts {
-				m.parts = append(m.parts, string(p))
-			}
-			if encoded := resp.Append(nil, m.parts...); string(encoded) != string(pending[:size]) {
-				m.parts = []string{"unusual encoding", string(pending[:size])}
-			}
-			e.messages <- m
-			pending = pending[size:]
-		}
-	}
-}
-
-var patienceField = regexp.MustCompile(`\$\d+\r\nsort=(\w+),patience=\d+`)
-
-// next records the next message that comes, which is to be of a kind.
-func (e *scriptedEngine) next(kind string) message {
-	e.tr.t.Helper()
-	m := receive(e.tr.t, e.messages, kind+" at "+e.name)
-	raw := string(resp.Append(nil, m.parts...))
-	if m.parts[0] != kind {
-		e.tr.t.Fatalf("%s got %q, want %s", e.name, raw, kind)
-	}
-	e.tr.line("%s connection %d < %q", e.name, e.number(m.conn), patienceField.ReplaceAllString(raw, "$$#\r\nsort=$1,patience=#"))
-	return m
-}
-
-// number is that of a connection, by the order of first messages.
-func (e *scriptedEngine) number(conn net.Conn) int {
-	if i := slices.Index(e.conns, conn); i >= 0 {
-		return i + 1
-	}
-	e.conns = append(e.conns, conn)
-	return len(e.conns)
-}
-
-// answer sends an answer on the connection that a message came on.
-func (e *scriptedEngine) answer(m message, parts ...string) {
-	e.tr.t.Helper()
-	raw := resp.Append(nil, append([]string{m.parts[1]}, parts...)...)
-	e.tr.line("%s connection %d > %q", e.name, e.number(m.conn), raw)
-	if _, err := m.conn.Write(raw); err != nil {
-		e.tr.t.Fatal(err)
-	}
-}
-
-// scriptedClient plays a MySQL client.
-type scriptedClient struct {
-	tr      *transcript
-	name    string
-	conn    net.Conn
-	in      *bufio.Reader
-	session uint32
-}
-
-func dialClient(tr *transcript, name, addr string) *scriptedClient {
-	tr.t.Helper()
-	nc, err := (&net.Dialer{}).DialContext(tr.t.Context(), "tcp", addr)
-	if err != nil {
-		tr.t.Fatal(err)
-	}
-	tr.t.Cleanup(func() { _ = nc.Close() })
-	c := &scriptedClient{tr: tr, name: name, conn: nc, in: bufio.NewReader(nc)}
-	greeting := c.packet()
-	version := strings.IndexByte(greeting, 0)
-	c.session = binary.LittleEndian.Uint32([]byte(greeting[version+1:]))
-	return c
-}
-
-// loginClient connects and logs in.
-func loginClient(tr *transcript, name, addr string) *scriptedClient {
-	tr.t.Helper()
-	c := dialClient(tr, name, addr)
-	c.send(loginPacket("app", "main"))
-	c.packet()
-	return c
-}
-
-func packetOf(seq byte, payload string) string {
-	n := len(payload)
-	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}) + payload
-}
-
-func loginPacket(user, database string) string {
-	return packetOf(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+user+"\x00\x00"+database+"\x00")
-}
-
-func queryPacket(text string) string { return packetOf(0, "\x03"+text) }
-
-func (c *scriptedClient) send(raw string) {
-	c.tr.t.Helper()
-	c.tr.line("%s > %s", c.name, shorten(raw))
-	if _, err := io.WriteString(c.conn, raw); err != nil {
-		c.tr.t.Fatal(err)
-	}
-}
-
-// shorten quotes a text, or says how long it is where it is long.
-func shorten(raw string) string {
-	if len(raw) > 1000 {
-		return fmt.Sprintf("%q and %d bytes more", raw[:20], len(raw)-20)
-	}
-	return fmt.Sprintf("%q", raw)
-}
-
-var cooldownField = regexp.MustCompile(`cooldown=\d+$`)
-
-// packet reads and records one packet, "" for the end of the connection.
-func (c *scriptedClient) packet() string {
-	c.tr.t.Helper()
-	if err := c.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
-		c.tr.t.Fatal(err)
-	}
-	head := make([]byte, 4)
-	if _, err := io.ReadFull(c.in, head); err != nil {
-		c.tr.line("%s < %v", c.name, err)
-		return ""
-	}
-	payload := make([]byte, int(head[0])|int(head[1])<<8|int(head[2])<<16)
-	if _, err := io.ReadFull(c.in, payload); err != nil {
-		c.tr.t.Fatal(err)
-	}
-	length, shown := fmt.Sprint(len(payload)), string(payload)
-	if len(payload) > 0 && payload[0] == 10 { // a greeting
-		shown = maskSalt(shown)
-	}
-	if cooldownField.MatchString(shown) {
-		length, shown = "#", cooldownField.ReplaceAllString(shown, "cooldown=#")
-	}
-	c.tr.line("%s < length %s, sequence %d, %q", c.name, length, head[3], shown)
-	return string(payload)
-}
-
-// maskSalt masks the two parts of the salt in a greeting.
-func maskSalt(greeting string) string {
-	masked := []byte(greeting)
-	first := strings.IndexByte(greeting, 0) + 1 + 4
-	second := first + 8 + 1 + 2 + 1 + 2 + 2 + 1 + 10
-	for _, part := range [][]byte{masked[first : first+8], masked[second : second+12]} {
-		for i := range part {
-			part[i] = '#'
-		}
-	}
-	return string(masked)
-}
-
-// result reads and records the packets of an answer: one, or a result with its rows.
-func (c *scriptedClient) result() {
-	c.tr.t.Helper()
-	first := c.packet()
-	if first == "" || first[0] == 0 || first[0] == 0xff {
-		return
-	}
-	for ends := 0; ends < 2; { // of the columns, and of the rows
-		p := c.packet()
-		if p == "" {
-			return
-		}
-		if p[0] == 0xfe {
-			ends++
-		}
-	}
-}
-
-// scriptedLog plays the change log: it shows each request and gives the answers of the script.
-type scriptedLog struct {
-	tr       *transcript
-	addr     string
-	requests chan logRequest
-}
-
-type logRequest struct {
-	conn net.Conn
-	raw  string
-}
-
-func newScriptedLog(tr *transcript) *scriptedLog {
-	tr.t.Helper()
-	ln := listen(tr.t)
-	l := &scriptedLog{tr: tr, addr: ln.Addr().String(), requests: make(chan logRequest, 1000)}
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go l.readAll(nc)
-		}
-	}()
-	return l
-}
-
-// silentLog is the address of a change log that never answers, and whose requests are not recorded.
-func silentLog(t *testing.T) string {
-	t.Helper()
-	return newScriptedLog(&transcript{t: t}).addr
-}
-
-func (l *scriptedLog) readAll(nc net.Conn) {
-	defer nc.Close()
-	in := bufio.NewReader(nc)
-	var raw strings.Builder
-	for {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return
-		}
-		raw.WriteString(line)
-		if line == "\r\n" {
-			l.requests <- logRequest{nc, raw.String()}
-			raw.Reset()
-		}
-	}
-}
-
-func (l *scriptedLog) next() logRequest {
-	l.tr.t.Helper()
-	r := receive(l.tr.t, l.requests, "a request to the change log")
-	l.tr.line("change log < %q", strings.ReplaceAll(r.raw, l.addr, "127.0.0.1:#"))
-	return r
-}
-
-func (l *scriptedLog) answer(r logRequest, raw string) {
-	l.tr.t.Helper()
-	l.tr.line("change log > %q", raw)
-	if _, err := io.WriteString(r.conn, raw); err != nil {
-		l.tr.t.Fatal(err)
-	}
-}
-
-func ok(body, header string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), header, body)
-}
-
-func hostEntry(id, addr, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":0}`, id, addr, health)
-}
-
-func listPage(seq int, complete bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
-		seq, seq, complete, strings.Join(hosts, ","))
-}
-
-// features are what a deployment allows.
-type features struct {
-	grants, priorities, probing bool
-	classes                     string // JSON, behind one another with commas
-}
-
-const (
-	lookupClass = `{"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":20000000000,"Worth":1}`
-	loadClass   = `{"Name":"load","Effect":"by_key","PromiseNs":3000000000,"GiveUpNs":20000000000,` +
-		`"WindowNs":15000000000,"Worth":20,"ByArrival":true,"LateWorth":0.5}`
-	onceClass = `{"Name":"once","Effect":"once","PromiseNs":3000000000,"GiveUpNs":20000000000,"Worth":1,` +
-		`"LateWorth":0.5}`
-	classes = lookupClass + "," + loadClass + "," + onceClass
-)
-
-var plain = features{classes: classes}
-
-func (f features) settings() []byte {
-	return fmt.Appendf(nil, `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
-		"Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false],
-			"Grants":%v,"SaysCost":true,"GrantCap":0.5,"Priorities":%v},
-		"Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":%v,
-			"Probing":%v,"ConnIdleNs":30000000000},
-		"Rules":{"ColdFrom":0.33,"WarmAfterNs":15000000000,"FallMultiple":2.5,"FallNs":1000000000},
-		"RequestClasses":[%s]}`, f.grants, f.priorities, f.probing, f.probing, f.classes)
-}
-
-// stage is a broker on real sockets.
-type stage struct {
-	tr      *transcript
-	service *service.Service
-	clients string // its address
-	stop    chan struct{}
-	cancel  context.CancelFunc
-	done    chan error
-}
-
-// start runs a broker that knows these hosts.
-func start(tr *transcript, allowed features, changelogAddr string, hosts ...string) *stage {
-	tr.t.Helper()
-	settings, err := config.DecodeSettings(allowed.settings())
-	if err != nil {
-		tr.t.Fatal(err)
-	}
-	known, err := changelog.ParsePage([]byte(listPage(1, true, hosts...)))
-	if err != nil {
-		tr.t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	s, err := service.New(ctx, config.Config{Name: "b1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-		Changelog: changelogAddr, Seed: 1000, Sockets: 1024, Known: known, Settings: settings}, nil, zap.NewNop())
-	if err != nil {
-		cancel()
-		tr.t.Fatal(err)
-	}
-	st := &stage{tr: tr, service: s, clients: s.Server.Addr().String(), stop: make(chan struct{}),
-		cancel: cancel, done: make(chan error, 1)}
-	go func() { st.done <- s.Run(ctx, st.stop) }()
-	tr.t.Cleanup(func() {
-		cancel()
-		if err := receive(tr.t, st.done, "the broker's end"); err != nil {
-			tr.t.Error(err)
-		}
-	})
-	return st
-}
-
-// finish waits for the end of the broker and records why its connections to these sides ended.
-func (s *stage) finish(sides ...server.Side) {
-	s.tr.t.Helper()
-	err := receive(s.tr.t, s.done, "the broker's end")
-	if err != nil {
-		s.tr.t.Fatal(err)
-	}
-	s.done <- nil // for the clean-up
-	s.reasons(sides)
-}
-
-// reasons records why connections ended, with their counts.
-func (s *stage) reasons(sides []server.Side) {
-	s.tr.t.Helper()
-	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets server.ConnectionCounts) {
-		for _, side := range sides {
-			sockets.EachEndReason(side, func(reason server.Reason, count uint64) {
-				if count > 0 {
-					s.tr.line("ended: %s %s %d", side, reason, count)
-				}
-			})
-		}
-	}) {
-		s.tr.t.Fatal("the broker can't be looked at")
-	}
-}
-
-// request is the text of a query: its class, id, time to wait and further fields.
-func request(class string, id int, allow time.Duration, more string) string {
-	return fmt.Sprintf("/* service=%s,ref=%016x,allow=%d%s */ SELECT a FROM s_1.t", class, id, allow.Milliseconds(), more)
-}
-
 const (
 	comQuit   = "\x01"
 	comInitDB = "\x02"
@@ -549,62 +122,67 @@
 	tr.check("grants")
 }
 
-// Cancelled requests: by KILL, with pages left, by their time, and by the end of their client.
+// cancelScript is a broker with one engine, and a client that kills the requests of others.
+type cancelScript struct {
+	tr     *transcript
+	engine *scriptedEngine
+	stage  *stage
+	killer *scriptedClient
+}
+
+func (cs *cancelScript) kill(text string) {
+	cs.tr.t.Helper()
+	cs.killer.send(queryPacket(text))
+	cs.killer.result()
+}
+
+// request lets a new client send a request, which comes to the engine.
+func (cs *cancelScript) request(id int, timeout time.Duration) (*scriptedClient, message) {
+	cs.tr.t.Helper()
+	client := loginClient(cs.tr, "client", cs.stage.clients)
+	client.send(queryPacket(request("lookup", id, timeout, "")))
+	return client, cs.engine.next("want")
+}
+
+// Cancelled requests: by KILL, with pages left, by the end of their client, and by their timeout.
 func TestTranscriptOfCancelledRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
 	s := start(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
-	killer := loginClient(tr, "killer", s.clients)
-	kill := func(text string) {
-		t.Helper()
-		killer.send(queryPacket(text))
-		killer.result()
-	}
+	cs := &cancelScript{tr: tr, engine: e, stage: s, killer: loginClient(tr, "killer", s.clients)}
 
 	tr.line("# KILL QUERY")
-	c := loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 1, waits, "")))
-	e.next("want")
-	kill(fmt.Sprintf("KILL QUERY %d", c.session))
-	c.result()
+	client, _ := cs.request(1, waits)
+	cs.kill(fmt.Sprintf("KILL QUERY %d", client.session))
+	client.result()
 	e.next("never_mind")
 
 	tr.line("# KILL QUERY, with pages left")
-	c = loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 2, waits, "")))
-	m := e.next("want")
+	client, m := cs.request(2, waits)
 	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
 	e.next("turn")
-	kill(fmt.Sprintf("KILL QUERY %d", c.session))
-	c.result()
+	cs.kill(fmt.Sprintf("KILL QUERY %d", client.session))
+	client.result()
 	e.next("shut")
 
 	tr.line("# KILL")
-	c = loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 3, waits, "")))
-	e.next("want")
-	kill(fmt.Sprintf("KILL %d", c.session))
-	c.result()
-	c.packet()
+	client, _ = cs.request(3, waits)
+	cs.kill(fmt.Sprintf("KILL %d", client.session))
+	client.result()
+	client.packet() // the end
 	e.next("never_mind")
 
 	tr.line("# KILL of no session")
-	kill("KILL QUERY 999999")
+	cs.kill("KILL QUERY 999999")
 
 	tr.line("# the end of the client")
-	c = loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 4, waits, "")))
-	e.next("want")
-	if err := c.conn.Close(); err != nil {
-		t.Fatal(err)
-	}
+	client, _ = cs.request(4, waits)
+	client.close()
 	e.next("never_mind")
 
 	tr.line("# the end of its time")
-	c = loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 5, 300*time.Millisecond, "")))
-	e.next("want")
-	c.result()
+	client, _ = cs.request(5, 300*time.Millisecond)
+	client.result()
 	e.next("never_mind")
 	tr.check("cancelled")
 }
@@ -758,8 +336,8 @@
 	tr.check("shutdown")
 }
 
-// An engine whose answer is missing is asked whether it is alive. Load probes may come at any time and are passed over;
-// their bytes are in TestTranscriptOfEngineCommands.
+// An engine whose answer is missing is asked whether it is alive. Load probes may come at any time and are
+// passed over; their bytes are in TestTranscriptOfEngineCommands.
 func TestTranscriptOfALivenessCheck(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
@@ -785,8 +363,7 @@
 		commands[m.parts[0]] = m
 	}
 	for _, kind := range []string{"want", "never_mind", "there"} {
-		raw := string(resp.Append(nil, commands[kind].parts...))
-		tr.line("engine < %q", patienceField.ReplaceAllString(raw, "$$#\r\nsort=$1,patience=#"))
+		tr.line("engine < %q", commands[kind].masked())
 	}
 	tr.check("liveness")
 }
@@ -818,75 +395,98 @@
 
 var unhealthyFigure = regexp.MustCompile(`relay_cluster_unhealthy \d`)
 
-// Every call at the operator's address, with all figures by their names.
-func TestTranscriptOfTheOperatorsAddress(t *testing.T) {
-	tr := &transcript{t: t}
-	e := newScriptedEngine(&transcript{t: t}, "engine")
-	s := start(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
-	c := loginClient(&transcript{t: t}, "client", s.clients)
-	ask := func(text string) string {
-		t.Helper()
-		nc, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.service.AdminAddr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer nc.Close()
-		if err := nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.WriteString(nc, text); err != nil {
-			t.Fatal(err)
-		}
-		reply, err := io.ReadAll(nc)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(reply)
+// operator calls at the operator's address.
+type operator struct {
+	tr   *transcript
+	addr string
+}
+
+// ask sends a call on a connection of its own and returns the reply.
+func (o *operator) ask(text string) string {
+	o.tr.t.Helper()
+	nc, err := (&net.Dialer{}).DialContext(o.tr.t.Context(), "tcp", o.addr)
+	if err != nil {
+		o.tr.t.Fatal(err)
+	}
+	defer func() { _ = nc.Close() }() // the broker closes it as well
+	if err := nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
+		o.tr.t.Fatal(err)
+	}
+	if _, err := io.WriteString(nc, text); err != nil {
+		o.tr.t.Fatal(err)
 	}
-	record := func(text, reply string) {
-		tr.line("operator > %s", shorten(text))
-		for line := range strings.Lines(reply) {
-			tr.line("operator < %q", line)
+	reply, err := io.ReadAll(nc)
+	if err != nil {
+		o.tr.t.Fatal(err)
+	}
+	return string(reply)
+}
+
+// record adds a call and its reply to the transcript.
+func (o *operator) record(text, reply string) {
+	o.tr.line("operator > %s", shorten(text))
+	for line := range strings.Lines(reply) {
+		o.tr.line("operator < %q", line)
+	}
+}
+
+// call sends and records calls.
+func (o *operator) call(texts ...string) {
+	o.tr.t.Helper()
+	for _, text := range texts {
+		o.record(text, o.ask(text))
+	}
+}
+
+// waitFor calls for the figures until a line is among them.
+func (o *operator) waitFor(line string) {
+	o.tr.t.Helper()
+	for end := time.Now().Add(stepTimeout); !strings.Contains(o.ask("vars\n"), line); {
+		if time.Now().After(end) {
+			o.tr.t.Fatalf("%q does not become true", line)
 		}
 	}
-	call := func(text string) { record(text, ask(text)) }
-	call("check\n")
-	call("vars\n")
+}
+
+// Every call at the operator's address, with all figures by their names.
+func TestTranscriptOfTheOperatorsAddress(t *testing.T) {
+	unrecorded, tr := &transcript{t: t}, &transcript{t: t}
+	e := newScriptedEngine(unrecorded, "engine")
+	s := start(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
+	o := &operator{tr: tr, addr: s.service.AdminAddr().String()}
+	c := loginClient(unrecorded, "client", s.clients)
+	killer := loginClient(unrecorded, "killer", s.clients)
+
+	o.call("check\n", "vars\n")
 	c.send(queryPacket(request("lookup", 1, waits, "")))
 	e.answer(e.next("want"), "OK", "-", "")
 	c.result()
 	c.send(queryPacket(request("once", 2, waits, "")))
 	e.next("want")
-	killer := loginClient(&transcript{t: t}, "killer", s.clients)
 	killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", c.session)))
 	c.result()
 	e.next("never_mind")
-	c = loginClient(&transcript{t: t}, "client", s.clients)
+
+	c = loginClient(unrecorded, "client", s.clients)
 	c.send(queryPacket(request("load", 3, waits, ",replay=op3")))
 	open := e.next("want")
-	call("vars\n")
+	o.call("vars\n")
 	e.answer(open, "OK", "-", "")
 	c.result()
-	for _, text := range []string{"set-down e1\n", "check\n", "vars\n", "set-down e9\n", "set-up e9\n"} {
-		call(text)
-	}
+
+	o.call("set-down e1\n", "check\n", "vars\n", "set-down e9\n", "set-up e9\n")
 	c.send(queryPacket(request("lookup", 4, 300*time.Millisecond, "")))
 	c.result()
 	s.service.RejectReload(t.Context())
-	call("set-up e1\r\n")
-	for end := time.Now().Add(stepTimeout); !strings.Contains(ask("vars\n"), "relay_cluster_unhealthy 0\n"); {
-		if time.Now().After(end) {
-			t.Fatal("the engine is not used again")
-		}
-	}
-	for _, text := range []string{"vars\n", "check\nvars\n", "restart\n", "set-down\n", "check 1\n", "set-up \xff\n", "\n",
-		strings.Repeat("x", 5000)} {
-		call(text)
-	}
+	o.call("set-up e1\r\n")
+	o.waitFor("relay_cluster_unhealthy 0\n")
+	o.call("vars\n", "check\nvars\n", "restart\n", "set-down\n", "check 1\n", "set-up \xff\n", "\n",
+		strings.Repeat("x", 5000))
+
 	c.send(queryPacket(request("once", 5, waits, "")))
 	e.answer(e.next("want"), "ERR", "-", "")
 	c.result()
-	record("vars\n", unhealthyFigure.ReplaceAllString(ask("vars\n"), "relay_cluster_unhealthy #"))
+	o.record("vars\n", unhealthyFigure.ReplaceAllString(o.ask("vars\n"), "relay_cluster_unhealthy #"))
 	tr.check("operator")
 }
 
@@ -895,13 +495,18 @@
 	tr := &transcript{t: t}
 	many := make([]control.LoadReport, 100)
 	for i := range many {
-		many[i] = control.LoadReport{Engine: uint32(i), Load: float64(i) / 100, Age: time.Duration(i) * 20 * time.Millisecond}
+		age := time.Duration(i) * 20 * time.Millisecond
+		many[i] = control.LoadReport{Engine: uint32(i), Load: float64(i) / 100, Age: age}
 	}
 	for _, reports := range [][]control.LoadReport{
 		nil,
 		{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}},
-		{{Engine: control.EngineHash("e1"), Load: 2.5, Age: 0}, {Engine: control.EngineHash("e2"), Load: 9, Age: 21 * time.Millisecond},
-			{Engine: control.EngineHash("e3"), Load: -1, Age: 5100 * time.Millisecond}, {Engine: 7, Load: 1, Age: 5101 * time.Millisecond}},
+		{
+			{Engine: control.EngineHash("e1"), Load: 2.5, Age: 0},
+			{Engine: control.EngineHash("e2"), Load: 9, Age: 21 * time.Millisecond},
+			{Engine: control.EngineHash("e3"), Load: -1, Age: 5100 * time.Millisecond},
+			{Engine: 7, Load: 1, Age: 5101 * time.Millisecond},
+		},
 		many,
 	} {
 		datagram := gossip.Append(nil, reports)
@@ -914,7 +519,8 @@
 			tr.line("  engine %d, load %.2f, age %v", r.Engine, r.Load, r.Age)
 		}
 	}
-	for _, text := range []string{"", "w", "GET / HTTP/1.1", "w\x02", "w\x01abc", "w\x01" + strings.Repeat("a", 300)} {
+	tooLong := "w\x01" + strings.Repeat("a", 300)
+	for _, text := range []string{"", "w", "GET / HTTP/1.1", "w\x02", "w\x01abc", tooLong} {
 		_, err := gossip.Parse([]byte(text))
 		tr.line("%s rejected: %v", shorten(text), err)
 	}
