--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -12,7 +12,7 @@
 
 // Each command to an engine, byte for byte, with each field that it can have.
 func TestTranscriptOfEngineCommands(t *testing.T) {
-	n, l, far := quiet(t)
+	n, l, far := newIdleServer(t)
 	n.ctx, n.inbox = t.Context(), make(chan func(), 10)
 	n.cfg.Settings.Control.Limits.LoadProbes = true
 	attempt := func(request uint64) broker.AttemptID { return broker.AttemptID{Request: request} }
@@ -37,7 +37,7 @@
 	n.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := make(chan error, 1)
 	go func() { drained <- l.writeLoop(n.ctx) }()
-	until(t, "all has left, so that what follows takes nothing back", l.allSent)
+	waitUntil(t, "all has left, so that what follows takes nothing back", l.allSent)
 	n.pool.cancelAttempt(attempt(1))
 	n.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // given up: nothing is sent
 	n.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
@@ -51,7 +51,7 @@
 	if err := far.Close(); err != nil {
 		t.Error(err)
 	}
-	if got := reasonOf(next(t, drained, "the end of the connection")); got != Shutdown {
+	if got := reasonOf(receive(t, drained, "the end of the connection")); got != Shutdown {
 		t.Errorf("it ended as %s", got)
 	}
 	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // a command a line
--- a/internal/server/table_test.go
+++ b/internal/server/crossingstable_test.go
@@ -13,7 +13,7 @@
 
 // docs/design/crossings.md keeps up with the code: the tests that it names are there, and the constants of the two
 // packages that meet other customers' settings have their source in it.
-func TestTheTableOfCrossings(t *testing.T) {
+func TestCrossingsTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/design/crossings.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -14,17 +14,17 @@
 
 // A broker of many tells on what another told it of an engine. What comes from no broker's address or can't be read
 // is not taken, and is logged once.
-func TestBrokersTellOneAnother(t *testing.T) {
-	other, stranger := datagrams(t), datagrams(t)
-	s := serveChanged(t, nopMeter{}, 30*time.Second, 1024, func(c *config.Config) {
+func TestGossip(t *testing.T) {
+	other, stranger := listenUDP(t), listenUDP(t)
+	s := startConfigured(t, nopMeter{}, 30*time.Second, 1024, func(c *config.Config) {
 		c.PeerListen = "127.0.0.1:0"
 		c.Settings.Control.Limits.Gossip = true
 		c.Settings.Control.Brokers = 40 // so many that engines are pooled; the test is all the others
 		for range c.Settings.Control.Brokers {
 			c.Peers = append(c.Peers, other.LocalAddr().String())
 		}
-	}, host("e1", "127.0.0.1:1", "in_service", 0))
-	broker := s.node.gossip.conn.LocalAddr()
+	}, endpointJSON("e1", "127.0.0.1:1", "in_service", 0))
+	broker := s.server.gossip.conn.LocalAddr()
 	say := func(from net.PacketConn, text []byte) {
 		if _, err := from.WriteTo(text, broker); err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	}
 	say(other, gossip.Append(nil, []control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}))
 	buf := make([]byte, gossip.MaxBytes+1)
-	if err := other.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := other.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	size, _, err := other.ReadFrom(buf)
@@ -58,7 +58,7 @@
 	}
 }
 
-func datagrams(t *testing.T) net.PacketConn {
+func listenUDP(t *testing.T) net.PacketConn {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -8,22 +8,22 @@
 	"wheatlane/internal/broker"
 )
 
-// tape hands on what a meter is told.
-type tape struct {
+// recordingMeter hands on what a meter is told.
+type recordingMeter struct {
 	nopMeter
-	said chan string
+	events chan string
 }
 
-func (m tape) RequestAccepted(r *broker.Request)    { m.said <- "taken " + r.Class }
-func (m tape) RequestEnded(o broker.RequestSummary) { m.said <- "over " + o.Class }
-func (m tape) DuplicateResponse(engine string)      { m.said <- "second copy from " + engine }
-func (m tape) DrainStarted()                        { m.said <- "drain told" }
-func (m tape) DrainCompleted(took time.Duration)    { m.said <- "drained" }
+func (m recordingMeter) RequestAccepted(r *broker.Request)    { m.events <- "taken " + r.Class }
+func (m recordingMeter) RequestEnded(o broker.RequestSummary) { m.events <- "over " + o.Class }
+func (m recordingMeter) DuplicateResponse(engine string)      { m.events <- "second copy from " + engine }
+func (m recordingMeter) DrainStarted()                        { m.events <- "drain told" }
+func (m recordingMeter) DrainCompleted(took time.Duration)    { m.events <- "drained" }
 
-func (m tape) want(t *testing.T, all ...string) {
+func (m recordingMeter) expect(t *testing.T, all ...string) {
 	t.Helper()
 	for _, w := range all {
-		if got := next(t, m.said, w); got != w {
+		if got := receive(t, m.events, w); got != w {
 			t.Fatalf("told %q, want %q", got, w)
 		}
 	}
@@ -31,25 +31,25 @@
 
 // The meter is told of what only sockets know: answers that nothing waits for, and drains, once each however often the
 // change log repeats them. Connections that ended are counted by their reasons.
-func TestMeterOfSockets(t *testing.T) {
-	e := newEngine(t)
-	m := tape{said: make(chan string, 100)}
-	s := serveMeasured(t, m, 30*time.Second, 1024, host("e1", e.addr, "in_service", 0))
-	c := s.dial(query("lookup", 7, long, ""))
-	w := e.next(t, "want")
-	w.reply(w.id(), "OK", "sheets=1", "x\ty\tz\n")
-	c.want("rows x|y|z|")
-	m.want(t, "taken lookup", "over lookup")
-	w.reply(w.id(), "OK", "sheets=1", "x\ty\tz\n")
-	m.want(t, "second copy from e1")
-	s.change(page(2, false, host("e1", e.addr, "terminating", 0)), 2)
-	s.change(page(3, false, host("e1", e.addr, "terminating", 0)), 3)
-	m.want(t, "drain told", "drained")
-	c.nc.Close()
-	s.change(page(4, false, host("e1", "", "terminated", 0)), 4)
-	for end := time.Now().Add(patience); ; {
+func TestMeterEvents(t *testing.T) {
+	e := newFakeEngine(t)
+	m := recordingMeter{events: make(chan string, 100)}
+	s := startMeasured(t, m, 30*time.Second, 1024, endpointJSON("e1", e.addr, "in_service", 0))
+	c := s.connect(statement("lookup", 7, longTimeout, ""))
+	w := e.expect(t, "want")
+	w.reply(w.requestID(), "OK", "sheets=1", "x\ty\tz\n")
+	c.expect("rows x|y|z|")
+	m.expect(t, "taken lookup", "over lookup")
+	w.reply(w.requestID(), "OK", "sheets=1", "x\ty\tz\n")
+	m.expect(t, "second copy from e1")
+	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0)), 2)
+	s.publish(pageJSON(3, false, endpointJSON("e1", e.addr, "terminating", 0)), 3)
+	m.expect(t, "drain told", "drained")
+	c.socket.Close()
+	s.publish(pageJSON(4, false, endpointJSON("e1", "", "terminated", 0)), 4)
+	for end := time.Now().Add(testTimeout); ; {
 		ended := map[Side]uint64{}
-		if !s.node.Inspect(context.Background(), func(_ *broker.Broker, sockets ConnectionCounts) {
+		if !s.server.Inspect(context.Background(), func(_ *broker.Broker, sockets ConnectionCounts) {
 			for _, side := range allSides {
 				sockets.EachEndReason(side, func(r Reason, n uint64) {
 					if r == PeerClosed || r == EngineGone {
@@ -68,22 +68,22 @@
 		}
 	}
 	select {
-	case more := <-m.said:
+	case more := <-m.events:
 		t.Fatalf("told %q as well", more)
 	default:
 	}
 }
 
 // A node that has ended can be looked at still, for the last figures.
-func TestALookAfterTheEnd(t *testing.T) {
-	s := serve(t)
-	close(s.stop)
-	if err := next(t, s.done, "the end"); err != nil {
+func TestInspectAfterRun(t *testing.T) {
+	s := startServer(t)
+	close(s.stopSignal)
+	if err := receive(t, s.ended, "the end"); err != nil {
 		t.Fatal(err)
 	}
-	s.done <- nil // for the cleanup
+	s.ended <- nil // for the cleanup
 	looked := false
-	if !s.node.Inspect(context.Background(), func(*broker.Broker, ConnectionCounts) { looked = true }) || !looked {
+	if !s.server.Inspect(context.Background(), func(*broker.Broker, ConnectionCounts) { looked = true }) || !looked {
 		t.Fatal("it can't be looked at")
 	}
 }
