--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/broker"
 )
 
-// duplicateWindow is how long duplicates of a response may follow it. The protocol says milliseconds.
+// duplicateWindow is how long duplicates of a response may follow it; by the protocol that is milliseconds.
 const duplicateWindow = 2 * time.Second
 
 // startAttempt sends an attempt to its engine.
@@ -19,7 +19,7 @@
 		overdueAfter: max(silenceThreshold, a.OverdueAfter),
 	}
 	p.inFlight[a.Attempt] = s
-	delete(p.drains, a.Engine) // it is in service again
+	p.drains.forget(a.Engine) // it is in service again
 	p.assign(a.Engine, a.Addr, s)
 }
 
@@ -89,7 +89,7 @@
 	p.endStream(s, streamEnd{status: control.Cancelled})
 }
 
-// releaseAttempt lets go of an attempt whose result is complete, or whose further pages are not wanted.
+// releaseAttempt forgets an attempt whose result is complete, or whose further pages are not wanted.
 func (p *enginePool) releaseAttempt(r broker.ReleaseAttempt) {
 	s := p.inFlight[r.Attempt]
 	if s == nil {
@@ -98,7 +98,7 @@
 	s.done = true
 	delete(p.inFlight, r.Attempt)
 	if !r.PagesLeft {
-		// A duplicate must not be taken for the response to another request of the same id.
+		// A duplicate must not be mistaken for the response to another request of the same id.
 		p.retire(s, duplicateWindow)
 		return
 	}
@@ -124,11 +124,11 @@
 	}
 }
 
-// retireUntilClientTimeout takes a stream off its connection whose response may still come. Until the last
+// retireUntilClientTimeout removes a stream whose response may still come from its connection. Until the last
 // client that may use its id has timed out, the id is not used again.
 func (p *enginePool) retireUntilClientTimeout(s *stream) { p.retire(s, p.server.longestGiveUp()) }
 
-// retire takes a stream off its connection and its id out of use for a time.
+// retire removes a stream from its connection and does not use its id for a time.
 func (p *enginePool) retire(s *stream, within time.Duration) {
 	s.conn.retireID(s.id, time.Now().Add(within))
 	p.removeStream(s)
--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -37,9 +37,9 @@
 	n.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := make(chan error, 1)
 	go func() { drained <- l.writeLoop(n.ctx) }()
-	until(t, "all has left, so that what follows takes nothing back", l.allSent)
+	until(t, "all has left, so that nothing can be withdrawn", l.allSent)
 	n.pool.cancelAttempt(attempt(1))
-	n.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // given up: nothing is sent
+	n.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // cancelled: nothing is sent
 	n.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
 	n.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
 	n.pool.suspect(n.pool.connsByEngine["e1"][0], time.Now())
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -2,30 +2,46 @@
 
 import "time"
 
-// drainTimer measures how long what was queued for an engine as it began to drain takes to be sent.
+// drainTimer measures how long after the drain of an engine began the last byte queued for it by then is
+// sent.
 type drainTimer struct {
 	startedAt    time.Time
 	pendingConns int           // connections with bytes from before the drain
-	longest      time.Duration // that one of them took so far
+	longest      time.Duration // that one of them needed so far
 }
 
-// connDone takes the end of the wait for one connection, after a time. It reports whether it was the last.
-func (d *drainTimer) connDone(took time.Duration) (last bool) {
-	d.longest = max(d.longest, took)
+// connDone ends the wait for one connection, which needed a time, and reports whether it was the last.
+func (d *drainTimer) connDone(needed time.Duration) (last bool) {
+	d.longest = max(d.longest, needed)
 	d.pendingConns--
 	return d.pendingConns == 0
 }
 
-// startDrain begins to measure the drain of an engine. The drain of an engine that drains already is not
-// restarted.
+// drainTracker measures the drains of engines. The goroutine that owns the pool owns it.
+type drainTracker struct {
+	byEngine map[string]*drainTimer // until the engine is used again or removed
+	meter    func() Meter           // the one in use
+}
+
+func newDrainTracker(meter func() Meter) drainTracker {
+	return drainTracker{byEngine: map[string]*drainTimer{}, meter: meter}
+}
+
+// startDrain begins to measure the drain of an engine.
 func (p *enginePool) startDrain(engine string) {
-	if p.drains[engine] != nil {
+	p.drains.start(engine, p.connsByEngine[engine], p.post)
+}
+
+// start begins to measure the drain of an engine with these connections, unless it drains already. notify
+// calls a function on the goroutine that owns the tracker.
+func (t *drainTracker) start(engine string, conns []*engineConn, notify func(func())) {
+	if t.byEngine[engine] != nil {
 		return
 	}
 	drain := &drainTimer{startedAt: time.Now()}
-	p.drains[engine] = drain
-	p.server.meter.DrainStarted()
-	for _, c := range p.connsByEngine[engine] {
+	t.byEngine[engine] = drain
+	t.meter().DrainStarted()
+	for _, c := range conns {
 		if c.transport == nil || c.transport.allSent() {
 			continue
 		}
@@ -33,33 +49,37 @@
 		c.drain = drain
 		c.transport.afterSent(func() {
 			sentAt := time.Now()
-			p.post(func() { p.drainSent(c, sentAt) })
+			notify(func() { t.connSent(c, sentAt) })
 		})
 	}
 	if drain.pendingConns == 0 {
-		p.server.meter.DrainCompleted(0)
+		t.meter().DrainCompleted(0)
 	}
 }
 
-// drainSent takes that a connection has sent all from before the drain of its engine.
-func (p *enginePool) drainSent(c *engineConn, sentAt time.Time) {
+// forget ends the drain of an engine that is used again or was removed. Bytes from before it are still
+// waited for.
+func (t *drainTracker) forget(engine string) { delete(t.byEngine, engine) }
+
+// connSent notes that a connection has sent all from before the drain of its engine.
+func (t *drainTracker) connSent(c *engineConn, sentAt time.Time) {
 	if c.drain != nil {
-		p.endDrain(c, sentAt.Sub(c.drain.startedAt))
+		t.connDone(c, sentAt.Sub(c.drain.startedAt))
 	}
 }
 
-// drainClosed takes that a connection closed: it sends nothing more, and its time does not count.
-func (p *enginePool) drainClosed(c *engineConn) {
+// connClosed notes that a connection has closed: it sends nothing more, and its time does not count.
+func (t *drainTracker) connClosed(c *engineConn) {
 	if c.drain != nil {
-		p.endDrain(c, 0)
+		t.connDone(c, 0)
 	}
 }
 
-// endDrain ends the wait for one connection.
-func (p *enginePool) endDrain(c *engineConn, took time.Duration) {
+// connDone ends the wait for a connection.
+func (t *drainTracker) connDone(c *engineConn, needed time.Duration) {
 	drain := c.drain
 	c.drain = nil
-	if drain.connDone(took) {
-		p.server.meter.DrainCompleted(drain.longest)
+	if drain.connDone(needed) {
+		t.meter().DrainCompleted(drain.longest)
 	}
 }
--- a/internal/server/engineconn.go
+++ b/internal/server/engineconn.go
@@ -24,7 +24,7 @@
 	closeReason  *endError            // why the broker closed it
 	streams      map[string]*stream   // by id
 	retiredIDs   map[string]time.Time // until when ids may be answered that nothing waits for
-	closing      bool                 // it takes no new streams and closes with the last
+	closing      bool                 // it accepts no new streams and closes with the last
 	closed       bool
 	dialStarted  time.Time
 	lastUsed     time.Time   // when the last stream was put on it
@@ -104,8 +104,8 @@
 	return len(c.streams) == 0 && now.Sub(c.lastUsed) > time.Duration(idleCloseFraction*float64(timeout))
 }
 
-// withdraw takes back a stream of which no byte has left, and the commands that followed it. It reports
-// false if a byte may have left. The stream stays on the connection.
+// withdraw removes a stream's message and the commands that followed it from the send queue. It returns
+// false if a byte of the message may have left. The stream stays on the connection.
 func (c *engineConn) withdraw(s *stream) bool {
 	if c.transport == nil {
 		return true
--- a/internal/server/enginepool.go
+++ b/internal/server/enginepool.go
@@ -21,13 +21,13 @@
 	connsByEngine map[string][]*engineConn
 	connCount     int // in connsByEngine
 	inFlight      map[broker.AttemptID]*stream
-	drains        map[string]*drainTimer // of engines that drain, until they are used again or removed
+	drains        drainTracker
 }
 
 func newEnginePool(s *Server) enginePool {
 	return enginePool{
 		server: s, connsByEngine: map[string][]*engineConn{},
-		inFlight: map[broker.AttemptID]*stream{}, drains: map[string]*drainTimer{},
+		inFlight: map[broker.AttemptID]*stream{}, drains: newDrainTracker(func() Meter { return s.meter }),
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // maxConnsPerEngine is how many connections one engine gets. Deployments whose connections take few streams
-// each need more, or their engines would be taken for unreachable.
+// each need more, or their engines would count as unreachable.
 func (p *enginePool) maxConnsPerEngine() int {
 	streams := p.server.cfg.Settings.MaxStreams
 	return max(defaultConnsPerEngine, (minStreamsPerEngine+streams-1)/streams)
@@ -123,7 +123,7 @@
 	return offset
 }
 
-// removeStream takes a stream off its connection, which closes if it was the last that was waited for.
+// removeStream removes a stream from its connection, which closes if it only waited for that.
 func (p *enginePool) removeStream(s *stream) {
 	c := s.conn
 	delete(c.streams, s.id)
@@ -133,7 +133,7 @@
 	}
 }
 
-// withdraw takes back a stream of which no byte has left; false if one may have.
+// withdraw cancels a stream of which no byte has left, without notifying the engine; false if one may have.
 func (p *enginePool) withdraw(s *stream) bool {
 	if !s.conn.withdraw(s) {
 		return false
@@ -163,7 +163,7 @@
 }
 
 // close ends a connection from this side. All that is in flight on it ends at once, so that no response
-// that is on its way can be taken for one to another stream.
+// that is on its way can be mistaken for one to another stream.
 func (p *enginePool) close(c *engineConn, reason Reason) {
 	if c.closed {
 		return
@@ -176,7 +176,7 @@
 // closeConnections closes the connections to an engine that were dialled before a Unix time, all of them if
 // it is 0.
 func (p *enginePool) closeConnections(engine string, dialledBefore time.Duration) {
-	delete(p.drains, engine)
+	p.drains.forget(engine)
 	for _, c := range slices.Clone(p.connsByEngine[engine]) {
 		if dialledBefore == 0 || c.dialStarted.Before(time.Unix(0, int64(dialledBefore))) {
 			p.close(c, EngineGone)
@@ -184,13 +184,13 @@
 	}
 }
 
-// disconnected takes a connection that has ended out of the pool and ends its streams.
+// disconnected removes a connection that has ended from the pool and ends its streams.
 func (p *enginePool) disconnected(c *engineConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	p.drainClosed(c)
+	p.drains.connClosed(c)
 	p.connCount--
 	rest := slices.DeleteFunc(p.connsByEngine[c.engine], func(other *engineConn) bool { return other == c })
 	if p.connsByEngine[c.engine] = rest; len(rest) == 0 {
--- a/internal/server/liveness.go
+++ b/internal/server/liveness.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	silenceThreshold = 500 * time.Millisecond // a connection that received nothing for so long may be dead
+	silenceThreshold = 500 * time.Millisecond // a connection that received nothing for longer may be dead
 	livenessTimeout  = 250 * time.Millisecond // an engine answers a liveness check by then
 )
 
-// livenessVerdict is what a look at an established connection decides.
+// livenessVerdict is the result of a liveness check of an established connection.
 type livenessVerdict int
 
 const (
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -58,7 +58,7 @@
 		case <-s.over:
 			select {
 			case <-done:
-			default: // it is in the inbox still, or never was, and nothing takes it from there any more
+			default: // it may be in the inbox still, which nobody reads any more
 				inspect()
 			}
 			return true
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -18,7 +18,7 @@
 	})
 }
 
-// expireProbes lets go of the probes on a connection that were not answered. The reducer has its own
+// expireProbes forgets the probes on a connection that were not answered. The reducer has its own
 // timeout for them.
 func (p *enginePool) expireProbes(c *engineConn, now time.Time) {
 	if c.transport == nil {
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -22,7 +22,7 @@
 	finalRead bool // the timeout has passed, and what came meanwhile is read
 }
 
-// readResponses hands on the responses of an engine until the connection ends.
+// readResponses posts the responses of an engine to the owner of the pool until the connection ends.
 func (p *enginePool) readResponses(c *engineConn, transport *bufferedConn) error {
 	r := responseReader{transport: transport}
 	for {
@@ -78,7 +78,7 @@
 	return err
 }
 
-// parseResponses takes the complete responses off what was received, up to one that is malformed.
+// parseResponses consumes the complete responses in the receive buffer, up to one that is malformed.
 func parseResponses(transport *bufferedConn) ([]resp.Answer, error) {
 	var responses []resp.Answer
 	for {
@@ -96,7 +96,7 @@
 	}
 }
 
-// handleResponses hands on the responses that came on a connection.
+// handleResponses passes the responses that came on a connection to the reducer.
 func (p *enginePool) handleResponses(c *engineConn, responses []resp.Answer) {
 	c.lastReceived = time.Now()
 	for i := range responses {
@@ -104,7 +104,7 @@
 	}
 }
 
-// handleResponse hands on one response. What was cancelled is owed none.
+// handleResponse passes one response to the reducer. Cancelled streams and retired ids are owed none.
 func (p *enginePool) handleResponse(c *engineConn, r *resp.Answer) {
 	s := c.streams[r.RequestID]
 	if s == nil || s.done || s.cancelling {
@@ -128,7 +128,7 @@
 	}
 }
 
-// probeAnswered takes the answer to a load probe.
+// probeAnswered passes the answer to a load probe to the reducer.
 func (p *enginePool) probeAnswered(s *stream, r *resp.Answer, report []float64) {
 	s.done = true
 	p.removeStream(s)
@@ -139,15 +139,15 @@
 	p.server.apply(broker.ProbeResult{ProbeID: s.probeID, Status: status, Report: report})
 }
 
-// statusOfWord is what a response without a result proves of its attempt. Any other word means that it
-// failed.
+// statusOfWord is what a response without a result proves of its attempt. Any other word means that the
+// attempt failed.
 var statusOfWord = map[resp.Word]control.Status{
 	resp.Busy: control.AtCapacity,
 	resp.Void: control.NeverSent,
 }
 
-// attemptFailed takes a response without a result. A duplicate of it must not be taken for the response to
-// a retry.
+// attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
+// mistaken for the response to a retry, so the id is retired.
 func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report []float64) {
 	status, ok := statusOfWord[r.Word]
 	if !ok {
--- a/internal/server/scriptedclient_test.go
+++ b/internal/server/scriptedclient_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// shorten quotes a text, or says how long it is where it is long.
+// shorten quotes a text, or only its beginning and its length if it is long.
 func shorten(raw string) string {
 	if len(raw) > 1000 {
 		return fmt.Sprintf("%q and %d bytes more", raw[:20], len(raw)-20)
--- a/internal/server/sendqueue.go
+++ b/internal/server/sendqueue.go
@@ -10,13 +10,13 @@
 )
 
 // sendQueue holds the bytes that wait to be sent on a connection, in order, and knows how many of them the
-// system has taken. Offsets count bytes from the start of the connection. Bytes that have not been handed
+// system has accepted. Offsets count bytes from the start of the connection. Bytes that have not been handed
 // to the system can be withdrawn; they are then never sent. All methods may be called from any goroutine.
 type sendQueue struct {
 	mu          sync.Mutex
 	pending     *ring.Buffer
 	queuedBytes int64 // ever written to pending
-	sentBytes   int64 // of these, taken by the system or withdrawn
+	sentBytes   int64 // of these, accepted by the system or withdrawn
 	handedBytes int64 // sentBytes, and what a write under way was given: these bytes may have left
 	writes      []queuedWrite
 	hooks       []sentHook
@@ -56,7 +56,7 @@
 	return start, nil
 }
 
-// withdraw takes back the write that begins at an offset. It returns false if a byte of it may have left.
+// withdraw removes the write that begins at an offset. It returns false if a byte of it may have left.
 func (q *sendQueue) withdraw(offset int64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -71,8 +71,8 @@
 	return true
 }
 
-// withdrawAll takes back every write of which no byte can have left, and returns the number of bytes that
-// may have: what is beyond that offset is reported as never sent, so it must not leave while the connection
+// withdrawAll removes every write of which no byte can have left, and returns the number of bytes that may
+// have: what is beyond that offset is reported as never sent, so it must not leave while the connection
 // closes.
 func (q *sendQueue) withdrawAll() int64 {
 	q.mu.Lock()
@@ -141,7 +141,7 @@
 	return next
 }
 
-// markSent takes the number of bytes that the system took, and calls the hooks that waited for them.
+// markSent removes n bytes that the system has accepted, and calls the hooks that waited for them.
 func (q *sendQueue) markSent(n int) {
 	for _, hook := range q.advanceSent(n) { // not under the lock: a hook may wait for the broker's loop
 		hook.call()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -11,9 +11,10 @@
 // A graceful shutdown has three steps.
 //
 //  1. Requests go on coming for a while after SIGTERM and are served as before.
-//  2. The listeners close: what the system has accepted is taken, the listener closes, and the socket of each
-//     client is read until it is empty once, so that nothing is left in the kernel or on its way to the reducer.
-//  3. Once all that was taken is answered and the answers have left, the sessions close: the broker ends its
+//  2. The listeners close: connections that the system has accepted are served, the listener closes, and the
+//     socket of each client is read until it is empty once, so that nothing is left in the kernel or on its way
+//     to the reducer.
+//  3. Once all requests are answered and the answers have left, the sessions close: the broker ends its
 //     direction of each connection and waits for the client to end the other, as closing a socket with bytes
 //     unread could destroy the last answers.
 
@@ -25,9 +26,9 @@
 type shutdownState struct {
 	requestedAt          time.Time     // zero: no shutdown was requested
 	answerWithin         time.Duration // from requestedAt: what is left then gets its final answer
-	acceptWindow         time.Duration // from requestedAt: new requests are served so long
+	acceptWindow         time.Duration // from requestedAt: until then new requests are served
 	closingListeners     bool
-	listenerClosed       bool // and all that had come to it was taken
+	listenerClosed       bool // and all connections that had come to it are served
 	closingSessionsSince time.Time
 }
 
@@ -54,8 +55,8 @@
 	return longest + stopExtra - stopMargin
 }
 
-// shutdownComplete takes a graceful shutdown a step further where it can, and reports whether it has ended:
-// all is answered, and the last answers have left.
+// shutdownComplete moves a graceful shutdown to its next step where it can, and reports whether it has ended:
+// all requests are answered, and the last answers have left.
 func (s *Server) shutdownComplete() bool {
 	state := &s.parting
 	if state.requestedAt.IsZero() {
@@ -132,8 +133,8 @@
 	return c.link.socket.SetReadDeadline(time.Now().Add(within))
 }
 
-// finalRead takes a timeout of a client's reader while the listeners close: the socket is empty. It returns
-// false if it is another timeout.
+// finalRead counts a timeout of a client's reader while the listeners close: the socket was empty. It returns
+// false if the timeout is another one, which ends the connection.
 func (c *client) finalRead() bool {
 	if c.looks == finalReads || !c.n.closingListeners() {
 		return false
@@ -145,8 +146,9 @@
 	return true
 }
 
-// listenerTimedOut takes a timeout of the listener while the listeners close, by the number of them so far.
-// It returns true once all that had come is taken and the listener is closed; until then it accepts again.
+// listenerTimedOut handles a timeout of the listener while the listeners close, by the number of them so
+// far. It returns true once nothing more comes and the listener is closed; until then it is to accept
+// again.
 func (s *Server) listenerTimedOut(timeouts int) bool {
 	if timeouts < finalReads {
 		s.setFinalAcceptDeadline()
--- a/internal/server/sweep.go
+++ b/internal/server/sweep.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// closeIfIdle closes a connection that is idle for too long, or that takes no new streams and has none.
+// closeIfIdle closes a connection that is idle for too long, or that accepts no new streams and has none.
 func (p *enginePool) closeIfIdle(c *engineConn, now time.Time) {
 	finished := c.closing && len(c.streams) == 0
 	if finished || c.idleTooLong(now, p.server.cfg.Settings.ConnIdleTimeout) {
