--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -126,7 +126,7 @@
 
 // retireUntilClientTimeout removes a stream whose response may still come from its connection. Until the last
 // client that may use its id has timed out, the id is not used again.
-func (p *enginePool) retireUntilClientTimeout(s *stream) { p.retire(s, p.server.longestGiveUp()) }
+func (p *enginePool) retireUntilClientTimeout(s *stream) { p.retire(s, p.server.maxClientTimeout()) }
 
 // retire removes a stream from its connection and does not use its id for a time.
 func (p *enginePool) retire(s *stream, within time.Duration) {
