--- a/internal/server/engineconn.go
+++ b/internal/server/engineconn.go
@@ -5,8 +5,6 @@
 	"maps"
 	"slices"
 	"time"
-
-	"wheatlane/internal/broker"
 )
 
 const (
@@ -42,29 +40,6 @@
 	}
 }
 
-// stream is an attempt or a load probe on its connection.
-type stream struct {
-	conn         *engineConn
-	id           string
-	attemptID    broker.AttemptID
-	probeID      uint64  // of a load probe; 0 for an attempt
-	unsent       []byte  // its message while the connection is being established; nil: it was queued
-	offset       int64   // of its message in the send queue
-	followUps    []int64 // offsets of later commands that change nothing unless the message was sent
-	startedAt    time.Time
-	overdueAfter time.Duration // from startedAt: its response is not missed before
-	responding   bool          // the first page of its result came
-	cancelling   bool          // it was cancelled, and the engine is being notified
-	done         bool          // it has ended for the reducer
-}
-
-// isProbe reports whether the stream is a load probe.
-func (s *stream) isProbe() bool { return s.probeID != 0 }
-
-// neverSent reports whether no byte of the stream is among the first bytes of its connection that may have
-// left.
-func (s *stream) neverSent(leftBytes int64) bool { return s.unsent != nil || s.offset >= leftBytes }
-
 // accepts reports whether a stream of this id can be put on the connection. An id is used once only: a late
 // response for the attempt before could not be told from one for this.
 func (c *engineConn) accepts(id, addr string, maxStreams int) bool {
--- a/internal/server/enginepool.go
+++ b/internal/server/enginepool.go
@@ -142,12 +142,6 @@
 	return true
 }
 
-// streamEnd is how a stream ended.
-type streamEnd struct {
-	status      control.Status
-	sharedCause bool // it ended with its connection, and another attempt has reported that already
-}
-
 // endStream notifies the reducer of the end of a stream, once.
 func (p *enginePool) endStream(s *stream, end streamEnd) {
 	if s.done {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -11,12 +11,12 @@
 // A graceful shutdown has three steps.
 //
 //  1. Requests go on coming for a while after SIGTERM and are served as before.
-//  2. The listeners close: connections that the system has accepted are served, the listener closes, and the
-//     socket of each client is read until it is empty once, so that nothing is left in the kernel or on its way
-//     to the reducer.
+//  2. The listeners close: connections that the system has accepted are served, the listener closes, and
+//     the socket of each client is read until it is empty once, so that nothing is left in the kernel or
+//     on its way to the reducer.
 //  3. Once all requests are answered and the answers have left, the sessions close: the broker ends its
-//     direction of each connection and waits for the client to end the other, as closing a socket with bytes
-//     unread could destroy the last answers.
+//     direction of each connection and waits for the client to end the other, as closing a socket with
+//     bytes unread could destroy the last answers.
 
 // finalReads is how many timeouts show that a socket is empty: the read that a timeout ends does not see
 // what comes in that moment, and the next one looks first.
