--- a/control/attempts.go
+++ b/control/attempts.go
@@ -96,11 +96,10 @@
 	if a.released {
 		return
 	}
-	release := func() { a.engine.addThreads(-a.request.class.Threads) }
 	if status == TimedOut && !c.settings.Limits.Cancellation {
-		c.startTimer(c.now-a.sentAt, release)
+		c.startTimer(c.now-a.sentAt, func() { a.engine.addThreads(-a.request.class.Threads) })
 	} else {
-		release()
+		a.engine.addThreads(-a.request.class.Threads)
 	}
 }
 
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -191,6 +191,7 @@
 	seeds    uint64 // so many worlds, each with its seed
 	length   time.Duration
 	want     string // the hash
+	lossy    bool   // engines lose many answers and have faults often
 }
 
 func site(name string, change func(s *control.Settings)) func(testing.TB) control.Settings {
@@ -216,28 +217,44 @@
 func recordedCases() []recordedCase {
 	cases := []recordedCase{
 		{
-			"reykjavik", site("reykjavik", nil), 7, 3, 80 * time.Second,
-			"ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7",
+			name: "reykjavik", settings: site("reykjavik", nil), engines: 7, seeds: 3,
+			length: 80 * time.Second, want: "ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7",
 		},
 		{
-			"hobart", site("hobart", nil), 7, 3, 80 * time.Second,
-			"5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656",
+			name: "hobart", settings: site("hobart", nil), engines: 7, seeds: 3,
+			length: 80 * time.Second, want: "5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656",
 		},
 		{
-			"ledger", site("ledger", nil), 7, 3, 80 * time.Second,
-			"b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629",
+			name: "ledger", settings: site("ledger", nil), engines: 7, seeds: 3,
+			length: 80 * time.Second, want: "b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629",
 		},
 		{
-			"shortline", site("shortline", nil), 7, 3, 80 * time.Second,
-			"9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1",
+			name: "shortline", settings: site("shortline", nil), engines: 7, seeds: 3,
+			length: 80 * time.Second, want: "9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1",
 		},
 		{
-			"a fleet of 40 at reykjavik", site("reykjavik", fleetOf(40)), 40, 2, 60 * time.Second,
-			"c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff",
+			name: "a fleet of 40 at reykjavik", settings: site("reykjavik", fleetOf(40)), engines: 40, seeds: 2,
+			length: 60 * time.Second, want: "c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff",
 		},
 		{
-			"a fleet of 200 at hobart", site("hobart", fleetOf(200)), 60, 2, 60 * time.Second,
-			"a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9",
+			name: "a fleet of 200 at hobart", settings: site("hobart", fleetOf(200)), engines: 60, seeds: 2,
+			length: 60 * time.Second, want: "a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9",
+		},
+		{
+			name: "reykjavik, losing answers", settings: site("reykjavik", nil), engines: 7, seeds: 2,
+			length: 60 * time.Second, want: "bbd412f85ab0d17d0ff480c57ea77a1c006679fc11af4017b03f1617ad801226", lossy: true,
+		},
+		{
+			name: "hobart, losing answers", settings: site("hobart", nil), engines: 7, seeds: 2,
+			length: 60 * time.Second, want: "a25b8054a1727196f5cfb253291b1d5eae6c02bfa8e66b10c8c4eca269186a7a", lossy: true,
+		},
+		{
+			name: "shortline, losing answers", settings: site("shortline", nil), engines: 7, seeds: 2,
+			length: 60 * time.Second, want: "bff4ce9299fa9c0d2d5a054b2327363961864f0c4b358e77b466fcddb88ed5c4", lossy: true,
+		},
+		{
+			name: "a fleet of 40 at ledger, losing answers", settings: site("ledger", fleetOf(40)), engines: 40, seeds: 2,
+			length: 60 * time.Second, want: "e58139c2da7729032c6e457f9a6c6a152f6511190d822b60f08e96af00338a64", lossy: true,
 		},
 	}
 	cases = slices.Grow(cases, len(drawnHashes))
@@ -247,7 +264,8 @@
 			engines = 70
 		}
 		cases = append(cases, recordedCase{
-			fmt.Sprint("drawn settings ", seed), drawn(seed), engines, 1, 60 * time.Second, drawnHashes[seed],
+			name: fmt.Sprint("drawn settings ", seed), settings: drawn(seed), engines: engines, seeds: 1,
+			length: 60 * time.Second, want: drawnHashes[seed],
 		})
 	}
 	return cases
@@ -259,6 +277,9 @@
 	e := &encoder{Hash: sha256.New()}
 	for seed := range c.seeds {
 		w := newWorld(tb, c.settings(tb), seed+1, c.engines)
+		if c.lossy {
+			w.faultRate, w.lossRate = 0.005, 0.35
+		}
 		w.observe = func(b batch, actions []control.Action) {
 			e.number(uint64(b.now))
 			e.number(uint64(len(actions)))
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -27,7 +27,6 @@
 	poolWeight         = 3.0  // answers of its own that weigh as much as the pool's
 	priorLossRate      = 0.01 // expected share of answers lost
 	priorLossWeight    = 20.0 // answers that this weighs as much as
-	abandonGain        = 0.1  // least weight of one departure in how long leaving clients stay
 )
 
 // fleetEstimates is what is believed of all engines together.
@@ -214,7 +213,7 @@
 func (k *class) clientLeft(after time.Duration) {
 	k.abandonRate = estimate.Toward(k.abandonRate, 1, spreadGain)
 	first := min(1, highAbandonRate/max(k.abandonRate, 1e-9))
-	k.abandonAfter += max(abandonGain, first) * (after.Seconds() - k.abandonAfter)
+	k.abandonAfter += first * (after.Seconds() - k.abandonAfter)
 }
 
 // clientStayed learns that a client waited for its answer.
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -95,6 +95,8 @@
 	load      float64 // part of the engines' capacity that clients ask for
 	impatient float64 // share of clients that leave early
 	estimated float64 // share of requests that come with estimates
+	faultRate float64 // chance of an engine's fault to begin in a step
+	lossRate  float64 // share of answers that a healthy engine never gives
 	numbered  int     // requests so far
 }
 
@@ -106,7 +108,8 @@
 	}
 	w := &world{
 		tb: tb, module: module, settings: settings, rng: rand.New(rand.NewPCG(seed, 26)), now: worldStart,
-		requests: map[string]*modelRequest{}, load: 0.7, observe: func(batch, []control.Action) {},
+		requests: map[string]*modelRequest{}, observe: func(batch, []control.Action) {},
+		load: 0.7, faultRate: 0.0005, lossRate: 0.001,
 	}
 	for range engines {
 		w.join()
@@ -485,8 +488,8 @@
 		e.background = 1.3 * w.rng.Float64()
 	}
 	if w.now > e.faultyTo {
-		e.slowdown, e.failing, e.silent, e.atCapacity = 1, 0.001, 0.001, 0
-		if !w.chance(0.0005) {
+		e.slowdown, e.failing, e.silent, e.atCapacity = 1, 0.001, w.lossRate, 0
+		if !w.chance(w.faultRate) {
 			return
 		}
 		e.faultyTo = w.now + w.between(500*millisecond, 8*time.Second)
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -44,6 +44,7 @@
 
 // Grow adds classes until there are so many; those that there are stay as they are.
 func (q *Queue[T]) Grow(classes, tenants int) {
+	q.classes = slices.Grow(q.classes, max(0, classes-len(q.classes)))
 	for len(q.classes) < classes {
 		q.classes = append(q.classes, classFlow[T]{tenants: make([]tenantFlow[T], tenants)})
 	}
