--- /dev/null
+++ b/internal/schema/schema_test.go
@@ -0,0 +1,181 @@
+package schema
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// server is a type with all keywords.
+type server struct {
+	Name     string   `json:"name" limits:"minlen=1,maxlen=8,pattern=^[a-z]{1,8}$"`
+	Protocol string   `json:"protocol,omitempty" limits:"enum=tcp|udp,default=tcp"`
+	Weight   float64  `json:"weight,omitempty" limits:"min=0,max=1,default=0.5"`
+	Ports    []int    `json:"ports,omitempty" limits:"maxitems=2"`
+	Parent   *nested  `json:"parent,omitempty"`
+	Others   []nested `json:"others,omitempty"`
+}
+
+type nested struct {
+	Zone string `json:"zone"`
+}
+
+// FieldDescriptions describes the keys for the schema.
+func (nested) FieldDescriptions() map[string]string { return map[string]string{"zone": "where it is"} }
+
+func TestForAppliesKeywordsAndDescriptions(t *testing.T) {
+	s, err := For[server]()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff([]string{"name"}, s.Required); diff != "" {
+		t.Errorf("required: %s", diff)
+	}
+	name, protocol := s.Properties["name"], s.Properties["protocol"]
+	weight, ports := s.Properties["weight"], s.Properties["ports"]
+	if *name.MinLength != 1 || *name.MaxLength != 8 || name.Pattern != "^[a-z]{1,8}$" {
+		t.Errorf("name: %v", name)
+	}
+	diff := cmp.Diff([]any{"tcp", "udp"}, protocol.Enum)
+	if diff != "" || string(protocol.Default) != `"tcp"` {
+		t.Errorf("protocol: %s, default %s", diff, protocol.Default)
+	}
+	if *weight.Minimum != 0 || *weight.Maximum != 1 || string(weight.Default) != "0.5" {
+		t.Errorf("weight: %v", weight)
+	}
+	if *ports.MaxItems != 2 || ports.Type != typeArray {
+		t.Errorf("ports: %v", ports)
+	}
+	for _, zone := range []string{
+		s.Properties["parent"].Properties["zone"].Description,
+		s.Properties["others"].Items.Properties["zone"].Description,
+	} {
+		if zone != "where it is" {
+			t.Errorf("zone is described as %q", zone)
+		}
+	}
+}
+
+func TestForRejectsInvalidTags(t *testing.T) {
+	if _, err := For[struct {
+		A int `limits:"least=1"`
+	}](); err == nil || !strings.Contains(err.Error(), `unknown keyword "least"`) {
+		t.Errorf("unknown keyword: %v", err)
+	}
+	if _, err := For[struct {
+		A int `limits:"min=one"`
+	}](); err == nil || !strings.Contains(err.Error(), `"min=one"`) {
+		t.Errorf("no number: %v", err)
+	}
+}
+
+// invalidDocuments are documents with one violation each.
+var invalidDocuments = []struct {
+	name, doc string
+	kind      ViolationKind
+	want      string
+}{
+	{
+		"object for a string",
+		`{"name":{}}`,
+		InvalidType,
+		"name: an object does not belong here, but a string",
+	},
+	{
+		"list for a string",
+		`{"name":[]}`,
+		InvalidType,
+		"name: a list does not belong here, but a string",
+	},
+	{
+		"number for a string",
+		`{"name":1.5}`,
+		InvalidType,
+		"name: a number does not belong here, but a string",
+	},
+	{
+		"null for an object",
+		`{"name":"a","parent":null}`,
+		InvalidType,
+		"parent: null does not belong here, but an object",
+	},
+	{
+		"unknown key",
+		`{"name":"a","parent":{"zone":"n","size":1}}`,
+		UnknownKey,
+		"parent.size: unknown key",
+	},
+	{
+		"missing key",
+		`{"name":"a","others":[{"zone":"n"},{}]}`,
+		MissingKey,
+		"others[1].zone: missing",
+	},
+	{
+		"not in the enum",
+		`{"name":"a","protocol":"icmp"}`,
+		OutOfRange,
+		`protocol: "icmp" is none of tcp, udp`,
+	},
+	{"too small", `{"name":"a","weight":-1}`, OutOfRange, "weight: -1 is less than 0"},
+	{"too large", `{"name":"a","weight":1e999}`, OutOfRange, "weight: 1e999 is more than 1"},
+	{"too many items", `{"name":"a","ports":[1,2,3]}`, OutOfRange, "ports: 3 items, 2 at most"},
+	{"not as the pattern", `{"name":"A"}`, OutOfRange, "name: pattern: "},
+}
+
+// A violation is found with its kind, path and reason.
+func TestValidate(t *testing.T) {
+	for _, c := range invalidDocuments {
+		t.Run(c.name, func(t *testing.T) {
+			violations := validate(t, c.doc)
+			if len(violations) != 1 {
+				t.Fatalf("%v, want %s", violations, c.want)
+			}
+			v := violations[0]
+			if v.Kind != c.kind || !strings.HasPrefix(v.String(), c.want) {
+				t.Errorf("%v, want %s", v, c.want)
+			}
+		})
+	}
+}
+
+// All violations of a document are found, and none in a valid one.
+func TestValidateFindsAll(t *testing.T) {
+	if valid := validate(t, `{"name":"a","weight":1,"ports":[1],"parent":{"zone":"n"}}`); len(valid) > 0 {
+		t.Errorf("a valid document: %v", valid)
+	}
+	if all := validate(t, `{"protocol":1,"weight":"x"}`); len(all) != 3 {
+		t.Errorf("%v, want three violations", all)
+	}
+}
+
+func validate(t *testing.T, text string) []Violation {
+	t.Helper()
+	s, err := For[server]()
+	if err != nil {
+		t.Fatal(err)
+	}
+	doc, err := Decode([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	violations, err := Validate(s, doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return violations
+}
+
+func TestDecodeRejectsWhatIsNotOneValue(t *testing.T) {
+	for text, want := range map[string]error{
+		"":      ErrTruncated,
+		`{"a":`: ErrTruncated,
+		"{} {}": ErrTrailingText,
+	} {
+		if _, err := Decode([]byte(text)); !errors.Is(err, want) {
+			t.Errorf("%q: %v, want %v", text, err, want)
+		}
+	}
+}
--- a/measure/telemetry/process.go
+++ b/measure/telemetry/process.go
@@ -90,6 +90,7 @@
 		}
 	}()
 	if b.address == "" {
+		b.kill()
 		return nil, fmt.Errorf("%s does not serve", name)
 	}
 	return b, nil
