--- /dev/null
+++ b/internal/collectd/figures_test.go
@@ -0,0 +1,104 @@
+package collectd
+
+import (
+	"errors"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/metrics"
+)
+
+// namedInterval has figures under each kind of name.
+func namedInterval() *metrics.Interval {
+	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}
+	r := metrics.NewRegistry(limits, 0, 0)
+	for _, name := range []string{"lookup", "other", strings.Repeat(".", 30), "a-b"} {
+		slot := r.Slot(metrics.Class, name)
+		r.Add(metrics.Answers, slot, metrics.Late, 3)
+		r.Observe(metrics.AnswerTime, slot, 12.5)
+		r.Add(metrics.RequestsByDataSet, r.Slot(metrics.DataSet, name), 0, 2)
+	}
+	r.Add(metrics.Wasted, 0, 0, 2.5)
+	return r.Cut(1_750_000_000*time.Second, 10*time.Second)
+}
+
+// Each figure, under each name it can have, is read as what it was.
+func TestFiguresAreOneToOne(t *testing.T) {
+	v := namedInterval()
+	got := map[metrics.Series][]Value{}
+	err := Lists(v, "n.1", func(l List) error {
+		for _, p := range pack(t, Security{}, l) {
+			lists, err := (&Reader{}).Parse(p)
+			if err != nil {
+				return err
+			}
+			broker, s, err := Figure(lists[0])
+			if err != nil || broker != "n.1" {
+				t.Errorf("%+v: %q, %v", l, broker, err)
+			}
+			got[s] = lists[0].Values
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != len(v.Points)+len(v.Distributions) {
+		t.Errorf("%d series of %d", len(got), len(v.Points)+len(v.Distributions))
+	}
+	for _, p := range v.Points {
+		want := Value{Kind: Gauge, Gauge: p.Value}
+		if metrics.Catalogue[p.Figure].Kind == metrics.Counter {
+			want = Value{Kind: Derive, Count: int64(p.Value)}
+		}
+		if diff := cmp.Diff([]Value{want}, got[p.Series]); diff != "" {
+			t.Errorf("%+v: %s", p.Series, diff)
+		}
+	}
+}
+
+func TestFigureErrors(t *testing.T) {
+	valid := func() List {
+		return List{
+			Host: "n1", Plugin: "wheatlane", PluginInstance: "class-lookup",
+			Type: "wheatlane_answers", TypeInstance: "late", Values: []Value{{Kind: Derive}},
+		}
+	}
+	if _, _, err := Figure(valid()); err != nil {
+		t.Fatal(err)
+	}
+	for name, spoil := range map[string]func(*List){
+		"host":      func(l *List) { l.Host = "n.1" },
+		"plugin":    func(l *List) { l.Plugin = "cpu" },
+		"type":      func(l *List) { l.Type = "load" },
+		"prefix":    func(l *List) { l.Type = "answers" },
+		"dimension": func(l *List) { l.PluginInstance = "tenant-lookup" },
+		"name":      func(l *List) { l.PluginInstance = "class-a.b" },
+		"detail":    func(l *List) { l.TypeInstance = "tardy" },
+		"kind":      func(l *List) { l.Values[0].Kind = Gauge },
+		"count":     func(l *List) { l.Values = append(l.Values, Value{Kind: Derive}) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			spoiled := valid()
+			spoil(&spoiled)
+			if _, s, err := Figure(spoiled); !errors.Is(err, ErrName) {
+				t.Errorf("read as %+v, %v", s, err)
+			}
+		})
+	}
+}
+
+// The file that operators give collectd is the one that the program prints.
+func TestTypesDB(t *testing.T) {
+	file, err := os.ReadFile("../../deploy/types.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(TypesDB(), string(file)); diff != "" {
+		t.Fatalf("deploy/types.db is not what 'wheatlane metrics types' prints: %s", diff)
+	}
+}
--- /dev/null
+++ b/internal/collectd/packer.go
@@ -0,0 +1,89 @@
+package collectd
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+)
+
+// Packer fills packets with lists. Parts that are as in the list before are left out.
+type Packer struct {
+	Security Security
+	Random   func([]byte) error // fills initial vectors of encryption
+	Emit     func(packet []byte) error
+
+	content  []byte // of the packet so far
+	previous List   // the last one in this packet
+}
+
+// Add puts a list into the packet, which is emitted before if the list does not fit. It fails with
+// ErrTooLarge if the list fits no packet, and with what Random and Emit return.
+func (p *Packer) Add(l List) error {
+	for _, t := range l.texts() {
+		if len(*t.text) > MaxText {
+			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxText)
+		}
+	}
+	capacity := MaxPacket - p.Security.overhead()
+	before := len(p.content)
+	p.content = appendList(p.content, &l, &p.previous)
+	if len(p.content) <= capacity {
+		p.previous = l
+		return nil
+	}
+	p.content = p.content[:before]
+	if before == 0 {
+		return fmt.Errorf("%w: a list of %d values", ErrTooLarge, len(l.Values))
+	}
+	if err := p.Flush(); err != nil {
+		return err
+	}
+	return p.Add(l)
+}
+
+// Flush emits what is in the packet.
+func (p *Packer) Flush() error {
+	if len(p.content) == 0 {
+		return nil
+	}
+	packet, err := p.Security.seal(p.content, p.Random)
+	p.content, p.previous = p.content[:0], List{}
+	if err != nil {
+		return err
+	}
+	return p.Emit(packet)
+}
+
+// appendList appends the parts of a list that differ from the previous one; all in an empty packet.
+func appendList(dst []byte, l, previous *List) []byte {
+	first := len(dst) == 0
+	previousTexts := previous.texts()
+	for i, t := range l.texts() {
+		if first || *t.text != *previousTexts[i].text {
+			dst = appendText(dst, t.part, *t.text)
+		}
+	}
+	if first || l.Time != previous.Time {
+		dst = appendNumber(dst, partTimeHR, toHighResolution(l.Time))
+	}
+	if first || l.Interval != previous.Interval {
+		dst = appendNumber(dst, partIntervalHR, toHighResolution(l.Interval))
+	}
+	return appendValues(dst, l.Values)
+}
+
+func appendValues(dst []byte, values []Value) []byte {
+	dst = appendHeader(dst, partValues, countLen+valueLen*len(values))
+	dst = binary.BigEndian.AppendUint16(dst, uint16(len(values)))
+	for _, v := range values {
+		dst = append(dst, byte(v.Kind))
+	}
+	for _, v := range values {
+		if v.Kind == Gauge { // the one number of the protocol that is little-endian
+			dst = binary.LittleEndian.AppendUint64(dst, math.Float64bits(v.Gauge))
+			continue
+		}
+		dst = binary.BigEndian.AppendUint64(dst, uint64(v.Count))
+	}
+	return dst
+}
--- /dev/null
+++ b/internal/collectd/reader.go
@@ -0,0 +1,192 @@
+package collectd
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"time"
+)
+
+// Reader reads packets as a collector does.
+type Reader struct {
+	Demand    Level                            // lower levels are rejected
+	Passwords func(user string) (string, bool) // of known users
+}
+
+// Parse reads a packet. What it read before an error is returned along with that.
+func (r *Reader) Parse(packet []byte) ([]List, error) {
+	p := parser{reader: r}
+	err := p.parse(packet, Plain)
+	return p.lists, err
+}
+
+// parser is the state of one packet.
+type parser struct {
+	reader  *Reader
+	current List // what the parts read so far make of the next list
+	lists   []List
+}
+
+// parse reads the parts of a content that came at a level.
+func (p *parser) parse(content []byte, level Level) error {
+	for len(content) > 0 {
+		if len(content) < partHeaderLen {
+			return ErrTruncated
+		}
+		part, length := binary.BigEndian.Uint16(content), int(binary.BigEndian.Uint16(content[2:]))
+		if length < partHeaderLen || length > len(content) {
+			return fmt.Errorf("%w: type %#x says %d bytes of %d", ErrTruncated, part, length, len(content))
+		}
+		payload, rest := content[partHeaderLen:length], content[length:]
+		switch {
+		case part == partSignature:
+			return p.parseSigned(payload, rest)
+		case part == partEncryption:
+			if err := p.parseEncrypted(payload); err != nil {
+				return err
+			}
+		case level < p.reader.Demand:
+			return ErrSecurity
+		default:
+			if err := p.parsePart(part, payload); err != nil {
+				return err
+			}
+		}
+		content = rest
+	}
+	return nil
+}
+
+// security is that of a user's packets.
+func (p *parser) security(user string) (Security, error) {
+	password, ok := p.reader.Passwords(user)
+	if !ok {
+		return Security{}, fmt.Errorf("%w %.40q", ErrUser, user)
+	}
+	return Security{Password: password}, nil
+}
+
+// parseSigned reads what follows a signature.
+func (p *parser) parseSigned(signature, content []byte) error {
+	if len(signature) <= signatureLen {
+		return fmt.Errorf("%w: a signature of %d bytes", ErrPart, len(signature))
+	}
+	user := signature[signatureLen:]
+	s, err := p.security(string(user))
+	if err != nil {
+		return err
+	}
+	signed := append(append([]byte(nil), user...), content...)
+	if err := s.verify(signature[:signatureLen], signed); err != nil {
+		return err
+	}
+	return p.parse(content, Sign)
+}
+
+// parseEncrypted reads the content of an encrypted part.
+func (p *parser) parseEncrypted(payload []byte) error {
+	if len(payload) < countLen {
+		return ErrTruncated
+	}
+	userLen := int(binary.BigEndian.Uint16(payload))
+	rest := payload[countLen:]
+	if len(rest) < userLen+ivLen+checksumLen {
+		return ErrTruncated
+	}
+	user, iv, encrypted := rest[:userLen], rest[userLen:userLen+ivLen], rest[userLen+ivLen:]
+	s, err := p.security(string(user))
+	if err != nil {
+		return err
+	}
+	content, err := s.decrypt(encrypted, iv)
+	if err != nil {
+		return err
+	}
+	return p.parse(content, Encrypt)
+}
+
+// parsePart reads one part of the next list, which that of its values completes. Unknown types are ignored.
+func (p *parser) parsePart(part uint16, payload []byte) error {
+	switch part {
+	case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
+		return p.parseText(part, payload)
+	case partTime, partTimeHR, partInterval, partIntervalHR:
+		return p.parseTime(part, payload)
+	case partValues:
+		values, err := parseValues(payload)
+		if err != nil {
+			return err
+		}
+		l := p.current
+		l.Values = values
+		p.lists = append(p.lists, l)
+	}
+	return nil
+}
+
+func (p *parser) parseText(part uint16, payload []byte) error {
+	end := len(payload) - 1
+	if end < 0 || payload[end] != 0 || end > MaxText {
+		return fmt.Errorf("%w: text of type %#x", ErrPart, part)
+	}
+	for _, t := range p.current.texts() {
+		if t.part == part {
+			*t.text = string(payload[:end])
+		}
+	}
+	return nil
+}
+
+func (p *parser) parseTime(part uint16, payload []byte) error {
+	if len(payload) != numberLen {
+		return fmt.Errorf("%w: number of type %#x", ErrPart, part)
+	}
+	v := binary.BigEndian.Uint64(payload)
+	var d time.Duration
+	switch {
+	case part == partTimeHR || part == partIntervalHR:
+		d = fromHighResolution(v)
+	case v > math.MaxInt64/uint64(time.Second):
+		return fmt.Errorf("%w: a time of %d s", ErrPart, v)
+	default:
+		d = time.Duration(v) * time.Second
+	}
+	if part == partTime || part == partTimeHR {
+		p.current.Time = d
+	} else {
+		p.current.Interval = d
+	}
+	return nil
+}
+
+func parseValues(payload []byte) ([]Value, error) {
+	if len(payload) < countLen {
+		return nil, ErrTruncated
+	}
+	count := int(binary.BigEndian.Uint16(payload))
+	if count == 0 || len(payload) != countLen+valueLen*count {
+		return nil, fmt.Errorf("%w: %d values in %d bytes", ErrPart, count, len(payload))
+	}
+	kinds, numbers := payload[countLen:countLen+count], payload[countLen+count:]
+	values := make([]Value, count)
+	for i := range values {
+		var err error
+		if values[i], err = parseValue(Kind(kinds[i]), numbers[numberLen*i:]); err != nil {
+			return nil, err
+		}
+	}
+	return values, nil
+}
+
+func parseValue(kind Kind, number []byte) (Value, error) {
+	v := Value{Kind: kind}
+	switch kind {
+	case Gauge:
+		v.Gauge = math.Float64frombits(binary.LittleEndian.Uint64(number))
+	case Counter, Derive, Absolute:
+		v.Count = int64(binary.BigEndian.Uint64(number))
+	default:
+		return v, fmt.Errorf("%w: data source of type %d", ErrPart, kind)
+	}
+	return v, nil
+}
--- /dev/null
+++ b/internal/collectd/security.go
@@ -0,0 +1,120 @@
+package collectd
+
+import (
+	"crypto/aes"
+	"crypto/cipher"
+	"crypto/hmac"
+	"crypto/sha1" //nolint:gosec // the protocol prescribes it
+	"crypto/sha256"
+	"crypto/subtle"
+	"encoding/binary"
+	"fmt"
+)
+
+// Level is how packets are protected.
+type Level int
+
+// The levels. A collector that demands one accepts higher ones as well.
+const (
+	Plain   Level = iota
+	Sign          // HMAC-SHA-256
+	Encrypt       // AES-256 in OFB mode, with SHA-1 over the content
+)
+
+const (
+	signatureLen = sha256.Size
+	ivLen        = aes.BlockSize
+	checksumLen  = sha1.Size
+)
+
+// Security protects packets.
+type Security struct {
+	Level          Level
+	User, Password string
+}
+
+// overhead is how many bytes of a packet the protection takes.
+func (s Security) overhead() int {
+	switch s.Level {
+	case Plain:
+		return 0
+	case Sign:
+		return partHeaderLen + signatureLen + len(s.User)
+	case Encrypt:
+		return partHeaderLen + countLen + len(s.User) + ivLen + checksumLen
+	}
+	return 0
+}
+
+// seal makes a packet of its content. random fills the initial vector of encryption.
+func (s Security) seal(content []byte, random func([]byte) error) ([]byte, error) {
+	switch s.Level {
+	case Plain:
+	case Sign:
+		return s.sign(content), nil
+	case Encrypt:
+		return s.encrypt(content, random)
+	}
+	return append([]byte(nil), content...), nil
+}
+
+func (s Security) sign(content []byte) []byte {
+	signed := append([]byte(s.User), content...)
+	packet := appendHeader(nil, partSignature, signatureLen+len(s.User))
+	packet = append(packet, s.mac(signed)...)
+	return append(packet, signed...)
+}
+
+func (s Security) encrypt(content []byte, random func([]byte) error) ([]byte, error) {
+	var iv [ivLen]byte
+	if err := random(iv[:]); err != nil {
+		return nil, fmt.Errorf("collectd: initial vector: %w", err)
+	}
+	checksum := sha1.Sum(content) //nolint:gosec // the protocol prescribes it
+	packet := appendHeader(nil, partEncryption, s.overhead()-partHeaderLen+len(content))
+	packet = binary.BigEndian.AppendUint16(packet, uint16(len(s.User)))
+	packet = append(append(packet, s.User...), iv[:]...)
+	plain := len(packet)
+	packet = append(append(packet, checksum[:]...), content...)
+	return packet, s.crypt(packet[plain:], iv[:])
+}
+
+// mac is the signature of a text.
+func (s Security) mac(signed []byte) []byte {
+	m := hmac.New(sha256.New, []byte(s.Password))
+	m.Write(signed)
+	return m.Sum(nil)
+}
+
+// crypt encrypts or decrypts in place.
+func (s Security) crypt(b, iv []byte) error {
+	key := sha256.Sum256([]byte(s.Password))
+	block, err := aes.NewCipher(key[:])
+	if err != nil {
+		return fmt.Errorf("collectd: %w", err)
+	}
+	cipher.NewOFB(block, iv).XORKeyStream(b, b) //nolint:staticcheck // the protocol prescribes it
+	return nil
+}
+
+// verify checks a signature of a text.
+func (s Security) verify(signature, signed []byte) error {
+	if subtle.ConstantTimeCompare(s.mac(signed), signature) != 1 {
+		return ErrSignature
+	}
+	return nil
+}
+
+// decrypt returns the content of an encrypted text.
+func (s Security) decrypt(encrypted, iv []byte) ([]byte, error) {
+	plain := append([]byte(nil), encrypted...)
+	if err := s.crypt(plain, iv); err != nil {
+		return nil, err
+	}
+	content := plain[checksumLen:]
+	checksum := sha1.Sum(content) //nolint:gosec // the protocol prescribes it
+	if subtle.ConstantTimeCompare(checksum[:], plain[:checksumLen]) != 1 {
+		return nil, ErrSignature
+	}
+	return content, nil
+}
