--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -9,93 +9,114 @@
 	"wheatlane/control"
 )
 
-// tape keeps what a meter is told.
-type tape struct {
+// recordingMeter keeps what it is notified of.
+type recordingMeter struct {
 	NopMeter
-	taken, sent int
-	away        []ReplyKind
-	overs       []RequestSummary
-	attempts    []AttemptSummary
+	accepted, started int
+	rejected          []ReplyKind
+	requests          []RequestSummary
+	attempts          []AttemptSummary
 }
 
-func (t *tape) RequestAccepted(*Request)      { t.taken++ }
-func (t *tape) RequestRejected(k ReplyKind)   { t.away = append(t.away, k) }
-func (t *tape) AttemptStarted(string)         { t.sent++ }
-func (t *tape) RequestEnded(o RequestSummary) { t.overs = append(t.overs, o) }
-func (t *tape) AttemptEnded(o AttemptSummary) { t.attempts = append(t.attempts, o) }
+func (m *recordingMeter) RequestAccepted(*Request)      { m.accepted++ }
+func (m *recordingMeter) RequestRejected(k ReplyKind)   { m.rejected = append(m.rejected, k) }
+func (m *recordingMeter) AttemptStarted(string)         { m.started++ }
+func (m *recordingMeter) RequestEnded(r RequestSummary) { m.requests = append(m.requests, r) }
+func (m *recordingMeter) AttemptEnded(a AttemptSummary) { m.attempts = append(m.attempts, a) }
 
-// asked is a lookup of a session, sent at a time.
-func asked(s Session, ref string, sent time.Duration) SubmitRequest {
-	return SubmitRequest{s, Request{RequestID: ref, Class: "lookup", Tenant: "acme", SentAt: sent, Timeout: 2 * time.Second, Body: "SELECT 1"}}
+// lookupRequest is a lookup of session 1, sent at a time.
+func lookupRequest(sentAt time.Duration) SubmitRequest {
+	return SubmitRequest{1, Request{
+		RequestID: "a", Class: "lookup", Tenant: "acme", SentAt: sentAt, Timeout: 2 * time.Second,
+		Body: "SELECT 1",
+	}}
 }
 
-// What becomes of requests and attempts is told once, with the times of the client's clock, and work counts as wasted
-// where no client got its answer though it may have run.
+// What becomes of requests and attempts is reported once, with the times of the client's clock. An attempt
+// counts as wasted if no client got its answer though it may have run.
 func TestMeter(t *testing.T) {
-	const e = "e1"
-	for _, c := range []struct {
-		name string
-		do   func(*rig)
-		want tape
+	abandoned := []RequestSummary{{
+		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms,
+		Objective: 400 * ms, Attempts: 1,
+	}}
+	wasted := func(duration time.Duration) []AttemptSummary {
+		return []AttemptSummary{{
+			Class: "lookup", Engine: "e1", Status: control.Cancelled, Duration: duration, Wasted: true,
+		}}
+	}
+	for name, c := range map[string]struct {
+		do   func(h *harness)
+		want recordingMeter
 	}{
-		{"served", func(r *rig) {
-			w := of[StartAttempt](r.apply(asked(1, "a", r.now-100*ms)))
-			if len(w) == 0 {
-				w = of[StartAttempt](r.run(10 * ms))
-			}
-			r.now += 50 * ms
-			r.apply(AttemptServed{Attempt: w[0].Attempt, PageCount: 1, Body: []byte("1\t2\t3\n")})
-		}, tape{taken: 1, sent: 1,
-			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.OK, Duration: 50 * ms}}}},
-		{"its client leaves while it runs", func(r *rig) {
-			w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
-			r.now += 30 * ms
-			r.apply(SessionClosed{1})
-			r.run(10 * ms)
-			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
-		}, tape{taken: 1, sent: 1,
-			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 40 * ms, Wasted: true}}}},
-		{"bad fields", func(r *rig) {
-			r.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: r.now, Timeout: time.Second}})
-		}, tape{away: []ReplyKind{ReplyInvalidFields}}},
-		{"a command that is not known", func(r *rig) {
-			r.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
-		}, tape{away: []ReplyKind{ReplyUnknownCommand}}},
-		{"killed", func(r *rig) {
-			w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
-			r.now += 30 * ms
-			r.apply(Kill{RequestedBy: 2, Target: 1})
-			r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: control.Cancelled})
-		}, tape{taken: 1, sent: 1, away: []ReplyKind{ReplyInterrupted},
-			overs:    []RequestSummary{{Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms, Objective: 400 * ms, Attempts: 1}},
-			attempts: []AttemptSummary{{Class: "lookup", Engine: e, Status: control.Cancelled, Duration: 30 * ms, Wasted: true}}}},
-		{"a ping is no refusal", func(r *rig) { r.apply(Ping{1}) }, tape{}},
+		"served": {func(h *harness) {
+			h.apply(lookupRequest(h.now - 100*ms))
+			h.now += 50 * ms
+			h.apply(firstPage(h.onlyAttempt(), 1, row))
+		}, recordingMeter{
+			accepted: 1, started: 1,
+			requests: []RequestSummary{{
+				Class: "lookup", Tenant: "acme", Kind: ReplyResult, Duration: 150 * ms, Objective: 400 * ms,
+				Attempts: 1,
+			}},
+			attempts: []AttemptSummary{{Class: "lookup", Engine: "e1", Status: control.OK, Duration: 50 * ms}},
+		}},
+		"client leaves meanwhile": {func(h *harness) {
+			h.apply(lookupRequest(h.now))
+			h.now += 30 * ms
+			h.apply(SessionClosed{1})
+			h.run(10 * ms)
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: control.Cancelled})
+		}, recordingMeter{accepted: 1, started: 1, requests: abandoned, attempts: wasted(40 * ms)}},
+		"invalid fields": {func(h *harness) {
+			h.apply(SubmitRequest{1, Request{RequestID: "a", Class: "odd", SentAt: h.now, Timeout: time.Second}})
+		}, recordingMeter{rejected: []ReplyKind{ReplyInvalidFields}}},
+		"unknown command": {func(h *harness) {
+			h.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
+		}, recordingMeter{rejected: []ReplyKind{ReplyUnknownCommand}}},
+		"killed": {func(h *harness) {
+			h.apply(lookupRequest(h.now))
+			h.now += 30 * ms
+			h.apply(Kill{RequestedBy: 2, Target: 1})
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: control.Cancelled})
+		}, recordingMeter{
+			accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted}, requests: abandoned,
+			attempts: wasted(30 * ms),
+		}},
+		"a ping is no rejection": {func(h *harness) { h.apply(Ping{1}) }, recordingMeter{}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, host(e, "127.0.0.1:1", control.Ready))
-			got := &tape{}
-			r.b.SetMeter(got)
-			c.do(r)
-			if diff := cmp.Diff(c.want, *got, cmp.AllowUnexported(tape{})); diff != "" {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, engine1())
+			got := &recordingMeter{}
+			h.broker.SetMeter(got)
+			c.do(h)
+			if diff := cmp.Diff(c.want, *got, cmp.AllowUnexported(recordingMeter{})); diff != "" {
 				t.Fatal(diff)
 			}
 		})
 	}
 }
 
-// Of an attempt whose engine never got it, or said that it never ran, nothing was wasted.
-func TestWhatNeverRanIsNotWasted(t *testing.T) {
-	for status, wasted := range map[control.Status]bool{control.ConnectFailed: false, control.AtCapacity: false, control.NeverSent: false,
-		control.ConnectionReset: true, control.Failed: true} {
-		r := newRig(t, host("e1", "127.0.0.1:1", control.Ready))
-		got := &tape{}
-		r.b.SetMeter(got)
-		w := of[StartAttempt](r.apply(asked(1, "a", r.now)))
-		r.apply(AttemptEnded{Attempt: w[0].Attempt, Status: status})
-		if len(got.attempts) == 0 || got.attempts[0].Wasted != wasted || got.attempts[0].Status != status {
-			t.Errorf("status %v: %+v", status, got.attempts)
-		}
+// An attempt that never reached its engine, or that the engine proved not to have run, is not wasted.
+func TestNeverRunAttemptsAreNotWasted(t *testing.T) {
+	for name, c := range map[string]struct {
+		status control.Status
+		wasted bool
+	}{
+		"connect failed":   {control.ConnectFailed, false},
+		"at capacity":      {control.AtCapacity, false},
+		"never sent":       {control.NeverSent, false},
+		"connection reset": {control.ConnectionReset, true},
+		"failed":           {control.Failed, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, engine1())
+			got := &recordingMeter{}
+			h.broker.SetMeter(got)
+			h.apply(lookupRequest(h.now))
+			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: c.status})
+			if len(got.attempts) == 0 || got.attempts[0].Wasted != c.wasted || got.attempts[0].Status != c.status {
+				t.Errorf("got %+v", got.attempts)
+			}
+		})
 	}
 }
