--- a/internal/server/bufferedconn_test.go
+++ b/internal/server/bufferedconn_test.go
@@ -8,128 +8,174 @@
 	"time"
 )
 
-// Seen on paper: after a standstill of the process, bytes for a client that waited were dropped as stale and
-// its request was lost. Only sends to engines may be too late to leave.
+// After a standstill of the process, bytes for a client are still sent; only writes to engines expire. (Seen on paper:
+// bytes for a client that waited were dropped as expired, and its request was lost.)
 func TestOnlyEngineWritesExpire(t *testing.T) {
-	for name, c := range map[string]struct {
-		stale time.Duration
-		want  Reason
-	}{"client": {0, KilledByClient}, "engine": {maxEngineSendDelay, WriteTimeout}} {
-		near, far := connectedPair(t)
-		l := newBufferedConn(near, c.stale, 100, 100)
-		if _, err := l.write([]byte("late")); err != nil {
-			t.Fatal(err)
-		}
-		l.writes[0].queuedAt = time.Now().Add(-time.Second)
-		l.closeAfterSent(&endError{Reason: KilledByClient})
-		go func() {
-			io.Copy(io.Discard, far)
-			far.Close()
-		}()
-		if got := reasonOf(l.writeLoop(t.Context())); got != c.want {
-			t.Errorf("%s: ended as %s, want %s", name, got, c.want)
-		}
+	for name, tt := range map[string]struct {
+		maxSendDelay time.Duration
+		want         Reason
+	}{
+		"client": {0, KilledByClient},
+		"engine": {maxEngineSendDelay, WriteTimeout},
+	} {
+		t.Run(name, func(t *testing.T) {
+			near, far := connectedPair(t)
+			c := newBufferedConn(near, tt.maxSendDelay, 100, 100)
+			if _, err := c.write([]byte("late")); err != nil {
+				t.Fatal(err)
+			}
+			c.writes[0].queuedAt = time.Now().Add(-time.Second)
+			c.closeAfterSent(&endError{Reason: KilledByClient})
+			go func() {
+				_, _ = io.Copy(io.Discard, far) // until the connection ends
+				_ = far.Close()                 // so that the other end needs not wait for it
+			}()
+			if got := reasonOf(c.writeLoop(t.Context())); got != tt.want {
+				t.Errorf("ended as %s, want %s", got, tt.want)
+			}
+		})
 	}
 }
 
-// blockingBytes is more than the system takes of a connection whose other side reads nothing.
-const blockingBytes = 8 << 20
+const (
+	// blockingBytes is more than the system takes of a connection whose other end reads nothing.
+	blockingBytes    = 8 << 20
+	socketBufferSize = 64 << 10
+)
 
-// newBlockedConn is a link with much put into it whose other side reads nothing, and the end of what drains it.
-func newBlockedConn(t *testing.T) (l *bufferedConn, far *net.TCPConn, ended chan error) {
+// newBlockedConn returns a connection with blockingBytes queued whose other end reads nothing, and the end of its write
+// loop.
+func newBlockedConn(t *testing.T) (c *bufferedConn, far *net.TCPConn, ended chan error) {
 	t.Helper()
 	near, far := connectedPair(t)
-	near.SetWriteBuffer(64 << 10)
-	far.SetReadBuffer(64 << 10)
-	l = newBufferedConn(near, 0, 100, 2*blockingBytes)
-	if _, err := l.write(make([]byte, blockingBytes)); err != nil {
+	if err := near.SetWriteBuffer(socketBufferSize); err != nil {
+		t.Fatal(err)
+	}
+	if err := far.SetReadBuffer(socketBufferSize); err != nil {
+		t.Fatal(err)
+	}
+	c = newBufferedConn(near, 0, 100, 2*blockingBytes)
+	if _, err := c.write(make([]byte, blockingBytes)); err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan error, 1)
-	go func() { ended <- l.writeLoop(t.Context()) }()
-	return l, far, ended
+	go func() { ended <- c.writeLoop(t.Context()) }()
+	return c, far, ended
 }
 
-// handedBytes is the number of bytes that may have left.
-func handedBytes(l *bufferedConn) int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.handedBytes
+// handedBytes returns the number of bytes that may have left.
+func handedBytes(c *bufferedConn) int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.handedBytes
 }
 
-// Guards against bytes that have left passing for ones that never did: of a write that blocks, exactly what the system
-// took counts as left. (Before, all of a write under way did, so nothing of it could be taken back.)
+// Of a write that blocks, exactly the bytes that the system took count as sent: none that has left may count as never
+// sent. (Before, all of a write under way counted as sent, so nothing of it could be withdrawn.)
 func TestBytesTakenByTheSystemCountAsSent(t *testing.T) {
-	l, far, ended := newBlockedConn(t)
-	waitUntil(t, "a part has left", func() bool { left := handedBytes(l); return left > 0 && left < blockingBytes })
-	l.socket.Close()
-	receive(t, ended, "the end of the writes")
-	left := l.withdrawAll()
-	if got, _ := io.Copy(io.Discard, far); got > left || left == 0 || left >= blockingBytes {
-		t.Fatalf("the other side got %d bytes of %d, of which %d count as left", got, blockingBytes, left)
+	c, far, ended := newBlockedConn(t)
+	waitUntil(t, "a part has left", func() bool {
+		sent := handedBytes(c)
+		return sent > 0 && sent < blockingBytes
+	})
+	if err := c.socket.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := receive(t, ended, "the end of the writes"); err == nil {
+		t.Error("the writes ended without an error")
+	}
+	sent := c.withdrawAll()
+	received, err := io.Copy(io.Discard, far)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if received > sent || sent == 0 || sent >= blockingBytes {
+		t.Fatalf("the other end got %d bytes of %d, of which %d count as sent", received, blockingBytes, sent)
 	}
 }
 
-// What waits behind a write that blocks is taken back whole, and what is put after it leaves.
+// What waits behind a write that blocks can be withdrawn, and what is queued after it leaves.
 func TestWithdrawBehindBlockedWrite(t *testing.T) {
-	l, far, _ := newBlockedConn(t)
-	var at [3]int64
+	c, far, _ := newBlockedConn(t)
+	var offsets [3]int64
 	for i, text := range []string{"one", "two", "six"} {
-		at[i], _ = l.write([]byte(text))
+		var err error
+		if offsets[i], err = c.write([]byte(text)); err != nil {
+			t.Fatal(err)
+		}
 	}
-	waitUntil(t, "a part has left", func() bool { return handedBytes(l) > 0 })
-	if l.withdraw(0) {
-		t.Fatal("what has begun to leave was taken back")
+	waitUntil(t, "a part has left", func() bool { return handedBytes(c) > 0 })
+	if c.withdraw(0) {
+		t.Fatal("what has begun to leave was withdrawn")
 	}
-	// While a call is under way all that it was given counts as left; none is for long.
-	waitUntil(t, "what waits is taken back", func() bool { return l.withdraw(at[1]) })
-	if l.withdraw(at[1] + 1) {
-		t.Fatal("what was never put was taken back")
+	// While a write is under way all that it was given counts as sent; none is under way for long.
+	waitUntil(t, "what waits is withdrawn", func() bool { return c.withdraw(offsets[1]) })
+	if c.withdraw(offsets[1] + 1) {
+		t.Fatal("what was never queued was withdrawn")
 	}
-	done := make(chan struct{})
-	l.afterSent(func() { close(done) })
-	tail := make(chan string, 1)
-	go func() {
-		io.CopyN(io.Discard, far, blockingBytes)
-		text := make([]byte, 6)
-		io.ReadFull(far, text)
-		tail <- string(text)
-	}()
-	if got := receive(t, tail, "the rest"); got != "onesix" {
-		t.Fatalf("the other side got %q", got)
+	sent := make(chan struct{})
+	c.afterSent(func() { close(sent) })
+	if got := readAfter(t, far, blockingBytes, len("onesix")); got != "onesix" {
+		t.Fatalf("the other end got %q", got)
 	}
-	receive(t, done, "the mark behind what was taken back")
-	if l.withdraw(at[2]) {
-		t.Fatal("what has left was taken back")
+	receive(t, sent, "the hook behind what was withdrawn")
+	if c.withdraw(offsets[2]) {
+		t.Fatal("what has left was withdrawn")
 	}
 }
 
-// A client's bytes that nobody has read yet don't turn the close into a reset, which could destroy its last answer.
+// readAfter returns n bytes that come after others on a connection.
+func readAfter(t *testing.T, conn net.Conn, skip int64, n int) string {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.CopyN(io.Discard, conn, skip); err != nil {
+		t.Fatal(err)
+	}
+	text := make([]byte, n)
+	if _, err := io.ReadFull(conn, text); err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// Bytes of a client that nobody has read don't turn the close into a reset, which could destroy its last answer.
 func TestLastAnswerSurvivesUnreadBytes(t *testing.T) {
 	near, far := connectedPair(t)
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	l := newBufferedConn(near, 0, 100, 100)
-	l.write([]byte("last answer"))
-	l.closeAfterSent(&endError{Reason: Shutdown})
-	over := make(chan error, 1)
+	c := newBufferedConn(near, 0, 100, 100)
+	if _, err := c.write([]byte("last answer")); err != nil {
+		t.Fatal(err)
+	}
+	c.closeAfterSent(&endError{Reason: Shutdown})
+	ended := make(chan error, 1)
 	go func() {
-		over <- l.run(t.Context(), func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
+		ended <- c.run(t.Context(), func(ctx context.Context) error {
+			<-ctx.Done()
+			return ctx.Err()
+		})
 	}()
 	if got, err := io.ReadAll(far); string(got) != "last answer" || err != nil {
 		t.Fatalf("the client got %q and %v", got, err)
 	}
-	far.Close()
-	if got := reasonOf(receive(t, over, "the end")); got != Shutdown {
-		t.Fatalf("it ended as %s", got)
+	if err := far.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if got := reasonOf(receive(t, ended, "the end")); got != Shutdown {
+		t.Fatalf("ended as %s", got)
 	}
 }
 
-// Every bound on late bytes follows the grace that the settings give.
+// The limit on late bytes for engines follows the drain grace of the settings.
 func TestEngineSendDelayFollowsDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
-		0: maxEngineSendDelay, 200 * time.Millisecond: 160 * time.Millisecond, 500 * time.Millisecond: maxEngineSendDelay, 5 * time.Second: maxEngineSendDelay,
+		0:                      maxEngineSendDelay,
+		200 * time.Millisecond: 160 * time.Millisecond,
+		500 * time.Millisecond: maxEngineSendDelay,
+		5 * time.Second:        maxEngineSendDelay,
 	} {
 		if got := engineSendDelay(grace); got != want {
 			t.Errorf("grace %v: %v, want %v", grace, got, want)
--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -12,38 +12,38 @@
 
 // Each command to an engine, byte for byte, with each field that it can have.
 func TestTranscriptOfEngineCommands(t *testing.T) {
-	n, l, far := newIdleServer(t)
-	n.ctx, n.inbox = t.Context(), make(chan func(), 10)
-	n.cfg.Settings.Control.Limits.LoadProbes = true
+	s, transport, far := newIdleServer(t)
+	s.ctx, s.inbox = t.Context(), make(chan func(), 10)
+	s.cfg.Settings.Control.Limits.LoadProbes = true
 	attempt := func(request uint64) broker.AttemptID { return broker.AttemptID{Request: request} }
 	want := broker.StartAttempt{
 		Attempt: attempt(1), Engine: "e1", Addr: "a", RequestID: "00000000000000a1", Class: "lookup",
 		IdempotencyKey: "op-1", Timeout: 1500*time.Millisecond + 999*time.Microsecond, GrantMB: 12.25, Priority: 3,
 		Body: "SELECT 'ä\r\n'",
 	}
-	n.pool.startAttempt(want)
-	n.pool.startAttempt(broker.StartAttempt{
+	s.pool.startAttempt(want)
+	s.pool.startAttempt(broker.StartAttempt{
 		Attempt: attempt(2), Engine: "e1", Addr: "a", RequestID: "00000000000000a2", Class: "load",
 		Timeout: time.Microsecond, Priority: 1, Body: "",
 	})
-	n.pool.startAttempt(broker.StartAttempt{
+	s.pool.startAttempt(broker.StartAttempt{
 		Attempt: attempt(3), Engine: "e1", Addr: "a", RequestID: "00000000000000a3", Class: "once",
 		Timeout: time.Hour, GrantMB: 1e7, Priority: -1, Body: "x",
 	})
-	n.pool.startProbe(broker.ProbeLoad{ProbeID: 18446744073709551615, Engine: "e1", Addr: "a"})
-	n.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 1})
-	n.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 12345})
-	n.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 0})
-	n.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
+	s.pool.startProbe(broker.ProbeLoad{ProbeID: 18446744073709551615, Engine: "e1", Addr: "a"})
+	s.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 1})
+	s.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 12345})
+	s.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 0})
+	s.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := make(chan error, 1)
-	go func() { drained <- l.writeLoop(n.ctx) }()
-	waitUntil(t, "all has left, so that what follows takes nothing back", l.allSent)
-	n.pool.cancelAttempt(attempt(1))
-	n.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // given up: nothing is sent
-	n.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
-	n.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
-	n.pool.suspect(n.pool.connsByEngine["e1"][0], time.Now())
-	l.closeAfterSent(&endError{Reason: Shutdown})
+	go func() { drained <- transport.writeLoop(s.ctx) }()
+	waitUntil(t, "all has left, so that what follows takes nothing back", transport.allSent)
+	s.pool.cancelAttempt(attempt(1))
+	s.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // given up: nothing is sent
+	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
+	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
+	s.pool.suspect(s.pool.connsByEngine["e1"][0], time.Now())
+	transport.closeAfterSent(&endError{Reason: Shutdown})
 	all, err := io.ReadAll(far)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/crossingstable_test.go
+++ b/internal/server/crossingstable_test.go
@@ -11,53 +11,91 @@
 	"testing"
 )
 
-// docs/design/crossings.md keeps up with the code: the tests that it names are there, and the constants of the two
-// packages that meet other customers' settings have their source in it.
+const (
+	serverDir = "."
+	brokerDir = "../broker"
+)
+
+// docs/design/crossings.md keeps up with the code: the tests that it names exist, and each constant of the server and
+// the reducer that meets other customers' settings has its source in it.
 func TestCrossingsTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/design/crossings.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := string(page)
-	tests := map[string]bool{}
-	for _, dir := range []string{".", "../broker", "../handover", "../../control", "../../cmd/wheatlane"} {
-		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
-		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", dir, len(files), err)
-		}
-		for _, path := range files {
-			f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
-			if err != nil {
-				t.Fatal(err)
+	functions := map[string]bool{}
+	for _, dir := range []string{serverDir, brokerDir, "../handover", "../../control", "../../cmd/wheatlane"} {
+		for path, file := range parseDir(t, dir) {
+			for _, name := range functionNames(file) {
+				functions[name] = true
 			}
-			for _, d := range f.Decls {
-				switch d := d.(type) {
-				case *ast.FuncDecl:
-					tests[d.Name.Name] = true
-				case *ast.GenDecl:
-					if d.Tok != token.CONST || strings.HasSuffix(path, "_test.go") || dir != "." && dir != "../broker" {
-						continue
-					}
-					for _, spec := range d.Specs {
-						v := spec.(*ast.ValueSpec)
-						if v.Type != nil || len(v.Values) == 0 { // a name of a kind, not a figure
-							continue
-						}
-						for i, name := range v.Names {
-							lit, isText := v.Values[i].(*ast.BasicLit)
-							words := isText && lit.Kind == token.STRING && strings.Contains(lit.Value, " ")
-							if !words && !strings.Contains(text, "`"+name.Name+"`") {
-								t.Errorf("%s: the constant %s has no source in the table", path, name.Name)
-							}
-						}
-					}
+			if strings.HasSuffix(path, "_test.go") || dir != serverDir && dir != brokerDir {
+				continue
+			}
+			for _, name := range constantNames(file) {
+				if !strings.Contains(string(page), "`"+name+"`") {
+					t.Errorf("%s: the constant %s has no source in the table", path, name)
 				}
 			}
 		}
 	}
-	for _, name := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(text, -1) {
-		if !tests[name[1]] {
+	for _, name := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(string(page), -1) {
+		if !functions[name[1]] {
 			t.Errorf("the table names %s, which is not there", name[1])
 		}
 	}
 }
+
+// parseDir returns the files of a package by their paths.
+func parseDir(t *testing.T, dir string) map[string]*ast.File {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%s: %d files, %v", dir, len(paths), err)
+	}
+	files := map[string]*ast.File{}
+	for _, path := range paths {
+		if files[path], err = parser.ParseFile(token.NewFileSet(), path, nil, 0); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
+
+func functionNames(file *ast.File) (names []string) {
+	for _, d := range file.Decls {
+		if f, ok := d.(*ast.FuncDecl); ok {
+			names = append(names, f.Name.Name)
+		}
+	}
+	return names
+}
+
+// constantNames returns the names of a file's constants that are figures: neither members of an enumeration nor texts
+// of several words.
+func constantNames(file *ast.File) (names []string) {
+	for _, d := range file.Decls {
+		decl, ok := d.(*ast.GenDecl)
+		if !ok || decl.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range decl.Specs {
+			v := spec.(*ast.ValueSpec)
+			if v.Type != nil || len(v.Values) == 0 { // a member of an enumeration
+				continue
+			}
+			for i, name := range v.Names {
+				if !isProse(v.Values[i]) {
+					names = append(names, name.Name)
+				}
+			}
+		}
+	}
+	return names
+}
+
+// isProse tells whether a constant is a text of several words.
+func isProse(value ast.Expr) bool {
+	literal, ok := value.(*ast.BasicLit)
+	return ok && literal.Kind == token.STRING && strings.Contains(literal.Value, " ")
+}
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -1,74 +1,98 @@
 package server
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"testing"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
+
 	"wheatlane/control"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
 	"wheatlane/internal/resp"
 )
 
-// Connections to engines that are idle are closed from this side, before the engines do.
+var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
+
+// Idle connections to engines are closed by the broker, before the engines do.
 func TestIdleEngineConnectionsAreClosed(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startWithLimits(t, 100*time.Millisecond, 1024, endpointJSON("e1", e.addr, "in_service", 0))
+	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, listed("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
-	w := e.expect(t, "want")
-	w.reply(w.requestID(), "OK", "-", "")
+	e.expect(t, "want").replyOK()
 	c.expect("rows ")
 	receive(t, e.closed, "the end of an idle connection")
 	c.query(statement("lookup", 2, longTimeout, ""))
-	w = e.expect(t, "want")
-	w.reply(w.requestID(), "OK", "-", "")
+	e.expect(t, "want").replyOK()
 	c.expect("rows ")
 }
 
-// What waits behind other bytes on its way to an engine is taken back whole, with what was said of it since, when its
-// client has left, it is given up, or its engine drains; what is beside it leaves. What has begun to leave is called off.
+// sentCommands ends a connection and returns what leaves on it, as command and request id.
+func sentCommands(t *testing.T, transport *bufferedConn, far io.Reader) (commands []string) {
+	t.Helper()
+	transport.closeAfterSent(&endError{Reason: Shutdown})
+	ended := make(chan error, 1)
+	go func() { ended <- transport.writeLoop(t.Context()) }()
+	sent, err := io.ReadAll(far)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for len(sent) > 0 {
+		parts, size, err := resp.Parse(sent)
+		if err != nil || size == 0 {
+			t.Fatalf("the engine can't parse %q", sent)
+		}
+		commands = append(commands, string(parts[0])+" "+string(parts[1]))
+		sent = sent[size:]
+	}
+	return commands
+}
+
+// What waits behind other bytes on its way to an engine is withdrawn, with its later commands, when its client has left,
+// it is cancelled, or its engine drains; its neighbours leave.
 func TestUnsentAttemptsAreWithdrawn(t *testing.T) {
-	one, two := broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
-	for name, c := range map[string]struct {
-		do   func(n *Server)
-		left []string       // what leaves, by word and id
-		end  []broker.Event // what the reducer is told
+	neverSent := func(id broker.AttemptID) broker.Event {
+		return broker.AttemptEnded{Attempt: id, Status: control.NeverSent}
+	}
+	for name, tt := range map[string]struct {
+		act    func(p *enginePool)
+		sent   []string
+		events []broker.Event
 	}{
-		"client left": {func(n *Server) { n.pool.withdrawAttempt(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
-		"given up":    {func(n *Server) { n.pool.cancelAttempt(one) }, []string{"want 2"}, []broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}}},
-		"drained": {
-			func(n *Server) { n.pool.cancelUnsent("e1") }, nil,
-			[]broker.Event{broker.AttemptEnded{Attempt: one, Status: control.NeverSent}, broker.AttemptEnded{Attempt: two, Status: control.NeverSent}},
+		"client left": {
+			func(p *enginePool) { p.withdrawAttempt(firstAttempt) },
+			[]string{"want 2"},
+			[]broker.Event{neverSent(firstAttempt)},
+		},
+		"cancelled": {
+			func(p *enginePool) { p.cancelAttempt(firstAttempt) },
+			[]string{"want 2"},
+			[]broker.Event{neverSent(firstAttempt)},
+		},
+		"engine drains": {
+			func(p *enginePool) { p.cancelUnsent("e1") },
+			nil,
+			[]broker.Event{neverSent(firstAttempt), neverSent(secondAttempt)},
+		},
+		"another engine drains": {
+			func(p *enginePool) { p.cancelUnsent("e2") },
+			[]string{"want 1", "want 2", "hurry 1"},
+			nil,
 		},
-		"another engine drained": {func(n *Server) { n.pool.cancelUnsent("e2") }, []string{"want 1", "want 2", "hurry 1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, l, far := newIdleServer(t)
-			for i, a := range []broker.AttemptID{one, two} {
-				n.pool.startAttempt(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(i + 1), Class: "lookup", Timeout: time.Second, Priority: 1})
-			}
-			n.pool.setPriority(broker.SetPriority{Attempt: one, Priority: 3})
-			c.do(n)
-			l.closeAfterSent(&endError{Reason: Shutdown})
-			go l.writeLoop(t.Context())
-			all, _ := io.ReadAll(far)
-			var left []string
-			for len(all) > 0 {
-				parts, size, err := resp.Parse(all)
-				if err != nil || size == 0 {
-					t.Fatalf("the engine can't read %q", all)
-				}
-				left = append(left, string(parts[0])+" "+string(parts[1]))
-				all = all[size:]
+			s, transport, far := newIdleServer(t)
+			startAttempt(s, firstAttempt, "lookup", time.Second)
+			startAttempt(s, secondAttempt, "lookup", time.Second)
+			s.pool.setPriority(broker.SetPriority{Attempt: firstAttempt, Priority: 3})
+			tt.act(&s.pool)
+			if diff := cmp.Diff(tt.sent, sentCommands(t, transport, far)); diff != "" {
+				t.Errorf("sent: %s", diff)
 			}
-			if fmt.Sprint(left) != fmt.Sprint(c.left) {
-				t.Errorf("left: %q, want %q", left, c.left)
-			}
-			if fmt.Sprint(n.pendingEvents) != fmt.Sprint(c.end) {
-				t.Errorf("told: %v, want %v", n.pendingEvents, c.end)
+			if diff := cmp.Diff(tt.events, s.pendingEvents); diff != "" {
+				t.Errorf("events of the reducer: %s", diff)
 			}
 		})
 	}
@@ -77,93 +101,82 @@
 // A connection that its engine may close any moment, as it was idle for long, takes nothing new, however seldom idle
 // ones are looked for: a request put on it would cross the close, and nobody would know whether it ran.
 func TestIdleEngineConnectionIsNotUsed(t *testing.T) {
-	const limit = time.Second
+	const idleTimeout = time.Second
 	e := newFakeEngine(t)
-	s := startConfigured(t, nopMeter{}, limit, 1024, func(*config.Config) {}, endpointJSON("e1", e.addr, "in_service", 0))
-	inLoop(s, func(n *Server) bool { n.sweepInterval = time.Hour; return true })
-	ask := func(n int) engineMessage {
-		c := s.connect(statement("lookup", n, longTimeout, ""))
-		w := e.expect(t, "want")
-		w.reply(w.requestID(), "OK", "-", "")
-		c.expect("rows ")
-		return w
-	}
-	first := ask(1)
-	if ask(2).conn != first.conn {
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	inLoop(s, func(server *Server) bool { server.sweepInterval = time.Hour; return true })
+	first := s.serveOn(e, 1)
+	if s.serveOn(e, 2).conn != first.conn {
 		t.Fatal("a fresh connection was not used again")
 	}
-	inLoop(s, func(n *Server) bool {
-		for _, c := range n.pool.connsByEngine["e1"] {
-			c.lastUsed = c.lastUsed.Add(-limit * 7 / 10)
+	inLoop(s, func(server *Server) bool {
+		for _, c := range server.pool.connsByEngine["e1"] {
+			c.lastUsed = c.lastUsed.Add(-idleTimeout * 7 / 10)
 		}
 		return true
 	})
-	if ask(3).conn == first.conn {
+	if s.serveOn(e, 3).conn == first.conn {
 		t.Fatal("an idle connection was used")
 	}
 }
 
-// Idle limits shorter than the usual period of the sweep are kept as well.
+// Idle timeouts shorter than the usual interval of the sweep are kept as well.
 func TestSweepIntervalFollowsIdleTimeout(t *testing.T) {
-	const limit = 300 * time.Millisecond
+	const idleTimeout = 300 * time.Millisecond
 	e := newFakeEngine(t)
-	s := startWithLimits(t, limit, 1024, endpointJSON("e1", e.addr, "in_service", 0))
-	c := s.connect(statement("lookup", 1, longTimeout, ""))
-	w := e.expect(t, "want")
-	w.reply(w.requestID(), "OK", "-", "")
-	c.expect("rows ")
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	s.serveOn(e, 1)
 	receive(t, e.closed, "the end of the idle connection")
-	if got := s.endReasons(e.addr); got != string(Idle) {
-		t.Fatalf("it ended as %s", got)
-	}
-	if every := inLoop(s, func(n *Server) time.Duration { return n.sweepInterval }); every >= limit {
-		t.Fatalf("idle connections are looked for every %v, and engines close them after %v", every, limit)
+	s.expectEnd(e.addr, Idle)
+	interval := inLoop(s, func(server *Server) time.Duration { return server.sweepInterval })
+	if interval >= idleTimeout {
+		t.Fatalf("idle connections are looked for every %v, and engines close them after %v", interval, idleTimeout)
 	}
 }
 
-// Where the limit of sockets allows no more connections to engines, the one idle longest makes room: engines that have
-// none would else be held for out of order.
+// Where the limit of sockets allows no more connections to engines, the one idle longest is evicted: engines without
+// any would else be held for out of order.
 func TestIdleConnectionIsEvictedForAnotherEngine(t *testing.T) {
-	e, o := newFakeEngine(t), newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
-	a := s.connect(statement("lookup", 1, longTimeout, ""))
-	w := e.expect(t, "want")
-	w.reply(w.requestID(), "OK", "-", "")
-	a.expect("rows ")
-	inLoop(s, func(n *Server) bool { n.pool.connCount = n.cfg.Sockets / engineSocketDivisor; return true })
-	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), endpointJSON("e2", o.addr, "in_service", 0)), 2)
+	e, other := newFakeEngine(t), newFakeEngine(t)
+	s := startServer(t, listed("e1", e))
+	s.serveOn(e, 1)
+	inLoop(s, func(server *Server) bool {
+		server.pool.connCount = server.cfg.Sockets / engineSocketDivisor
+		return true
+	})
+	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
-	w = o.expect(t, "want")
+	attempt := other.expect(t, "want")
 	receive(t, e.closed, "the end of the idle connection")
-	if got := s.endReasons(e.addr); got != string(EvictedIdle) {
-		t.Fatalf("it ended as %s", got)
-	}
-	w.reply(w.requestID(), "OK", "-", "")
+	s.expectEnd(e.addr, EvictedIdle)
+	attempt.replyOK()
 	b.expect("rows ")
 }
 
-// With no idle connection to make room, an attempt never leaves, which says nothing against its engine.
+// With no idle connection to evict, an attempt never leaves, which says nothing against its engine.
 func TestNoCapacityForAnotherConnection(t *testing.T) {
-	n, _, _ := newIdleServer(t)
-	one, two := broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
-	n.pool.startAttempt(broker.StartAttempt{Attempt: one, Engine: "e1", Addr: "a", RequestID: "1", Class: "lookup", Timeout: time.Second, Priority: 1})
-	n.pool.connCount = n.cfg.Sockets / engineSocketDivisor
-	n.pool.startAttempt(broker.StartAttempt{Attempt: two, Engine: "e2", Addr: "b", RequestID: "2", Class: "lookup", Timeout: time.Second, Priority: 1})
-	if got, want := fmt.Sprint(n.pendingEvents), fmt.Sprint([]broker.Event{broker.AttemptEnded{Attempt: two, Status: control.AtCapacity}}); got != want {
-		t.Fatalf("told: %s, want %s", got, want)
+	s, _, _ := newIdleServer(t)
+	startAttempt(s, firstAttempt, "lookup", time.Second)
+	s.pool.connCount = s.cfg.Sockets / engineSocketDivisor
+	s.pool.startAttempt(broker.StartAttempt{
+		Attempt: secondAttempt, Engine: "e2", Addr: "b", RequestID: "2", Class: "lookup", Timeout: time.Second, Priority: 1,
+	})
+	want := []broker.Event{broker.AttemptEnded{Attempt: secondAttempt, Status: control.AtCapacity}}
+	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
+		t.Fatalf("events of the reducer: %s", diff)
 	}
 }
 
-// A deployment may let a connection take one attempt only. An engine still gets as many at once as it is sent.
+// Settings may let a connection take one attempt only. An engine still gets as many at once as it is sent.
 func TestAttemptsWithOneStreamPerConnection(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startConfigured(t, nopMeter{}, 30*time.Second, 1024, func(c *config.Config) { c.Settings.MaxStreams = 1 },
-		endpointJSON("e1", e.addr, "in_service", 0))
+	oneStream := func(c *config.Config) { c.Settings.MaxStreams = 1 }
+	s := startServerWith(t, serverOptions{configure: oneStream}, listed("e1", e))
 	const clients = 2 * defaultConnsPerEngine
-	conns := map[net.Conn]bool{}
 	for i := range clients {
 		s.connect(statement("lookup", i+1, longTimeout, ""))
 	}
+	conns := map[net.Conn]bool{}
 	for range clients {
 		conns[e.expect(t, "want").conn] = true
 	}
@@ -172,26 +185,26 @@
 	}
 }
 
-// A connection is closed from here as a request is on its way to the goroutine that writes: what is said never to have left,
-// and may be sent elsewhere for that, does not leave any more. What has begun to leave counts as that.
+// A connection is closed by the broker as a request is on its way to the goroutine that writes: what is reported as
+// never sent, and may be sent elsewhere for that, does not leave any more. What has begun to leave counts as sent.
 func TestClosedConnectionSendsNothing(t *testing.T) {
-	n, l, far := newIdleServer(t)
-	one, two := broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
-	ask := func(a broker.AttemptID) {
-		n.pool.startAttempt(broker.StartAttempt{Attempt: a, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(a.Request), Class: "once", Timeout: time.Second, Priority: 1})
+	s, transport, far := newIdleServer(t)
+	startAttempt(s, firstAttempt, "once", time.Second)
+	firstBytes := int(transport.queuedBytes)
+	transport.nextBytes() // it is being written as the connection is closed
+	startAttempt(s, secondAttempt, "once", time.Second)
+	s.pool.closeConnections("e1", 0)
+	want := []broker.Event{
+		broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset},
+		broker.AttemptEnded{Attempt: secondAttempt, Status: control.ConnectFailed, SharedCause: true},
 	}
-	ask(one)
-	first := int(l.queuedBytes)
-	l.nextBytes() // it is being written as the connection is closed
-	ask(two)
-	n.pool.closeConnections("e1", 0)
-	want := fmt.Sprint([]broker.Event{broker.AttemptEnded{Attempt: one, Status: control.ConnectionReset}, broker.AttemptEnded{Attempt: two, Status: control.ConnectFailed, SharedCause: true}})
-	if got := fmt.Sprint(n.pendingEvents); got != want {
-		t.Errorf("told: %s, want %s", got, want)
+	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
+		t.Errorf("events of the reducer: %s", diff)
 	}
-	l.closeAfterSent(&endError{Reason: Shutdown}) // the goroutine that writes comes to it ahead of the close
-	go l.writeLoop(t.Context())
-	if all, _ := io.ReadAll(far); len(all) != first {
-		t.Errorf("the engine got %q", all)
+	transport.closeAfterSent(&endError{Reason: Shutdown}) // the goroutine that writes comes to it ahead of the close
+	ended := make(chan error, 1)
+	go func() { ended <- transport.writeLoop(t.Context()) }()
+	if sent, err := io.ReadAll(far); err != nil || len(sent) != firstBytes {
+		t.Errorf("the engine got %q, %v", sent, err)
 	}
 }
--- a/internal/server/fakechangelog_test.go
+++ b/internal/server/fakechangelog_test.go
@@ -2,19 +2,65 @@
 
 import (
 	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
 	"strings"
+	"testing"
 )
 
-// fakeChangelog is a change log that a test plays.
+// fakeChangelog is a change log whose answers a test gives.
 type fakeChangelog struct {
+	addr  string
 	polls chan string // queries that came
 	pages chan string // answers to give
 }
 
-func endpointJSON(id, addr, health string, born int64) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":%d}`, id, addr, health, born)
+// newFakeChangelog serves a change log until the test ends.
+func newFakeChangelog(t *testing.T) *fakeChangelog {
+	t.Helper()
+	l := &fakeChangelog{polls: make(chan string, 1000), pages: make(chan string)}
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		l.polls <- r.URL.RawQuery
+		select {
+		case page := <-l.pages:
+			_, _ = io.WriteString(w, page) // a broker that is gone reads none
+		case <-r.Context().Done():
+		}
+	}))
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	l.addr = s.Listener.Addr().String()
+	return l
 }
 
-func pageJSON(seq int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`, seq, seq, whole, strings.Join(hosts, ","))
+// serveConns calls serve with each connection to a listener and its number, one after the other, until the listener is
+// closed. Connections are closed as the test ends.
+func serveConns(t *testing.T, listener net.Listener, serve func(number int, conn net.Conn)) {
+	t.Helper()
+	go func() {
+		for number := 0; ; number++ {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { _ = conn.Close() }) // serve may have closed it
+			serve(number, conn)
+		}
+	}()
+}
+
+func endpointJSON(id, addr, health string, bornMS int64) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":%d}`, id, addr, health, bornMS)
+}
+
+// listed is an endpoint in service that started long ago.
+func listed(id string, e *fakeEngine) string { return endpointJSON(id, e.addr, "in_service", 0) }
+
+func pageJSON(revision int, snapshot bool, endpoints ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
+		revision, revision, snapshot, strings.Join(endpoints, ","))
 }
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -10,114 +10,141 @@
 	"wheatlane/internal/resp"
 )
 
-// fakeEngine is one that a test plays: it shows what comes and says what the test tells it to.
+// fakeEngine is an engine whose answers a test gives.
 type fakeEngine struct {
 	addr            string
 	listener        net.Listener
-	messages        chan engineMessage
-	closed          chan struct{} // a connection ended
-	answeredCommand string        // a kind of probe that is only answered
+	messages        chan engineMessage // that came
+	closed          chan struct{}      // one for each connection that ended
+	answeredCommand string             // a kind of probe that is answered at once and not shown to the test
 }
 
+// engineMessage is a message of the broker to an engine.
 type engineMessage struct {
 	conn  net.Conn
 	words []string
 }
 
-func (s engineMessage) reply(parts ...string) { s.conn.Write(resp.Append(nil, parts...)) }
-func (s engineMessage) requestID() string     { return s.words[1] }
+func (m engineMessage) requestID() string { return m.words[1] }
 
+// write answers with bytes. A connection that has ended takes none, which the test sees elsewhere.
+func (m engineMessage) write(answer []byte) { _, _ = m.conn.Write(answer) }
+
+func (m engineMessage) reply(parts ...string) { m.write(resp.Append(nil, parts...)) }
+
+// replyOK answers without rows.
+func (m engineMessage) replyOK() { m.reply(m.requestID(), "OK", "-", "") }
+
+// replyRows answers with a result of one page.
+func (m engineMessage) replyRows(rows string) { m.write(resultMessage(m.requestID(), rows)) }
+
+// closeConn closes the connection on which the message came.
+func (m engineMessage) closeConn() { _ = m.conn.Close() }
+
+// resultMessage is an answer with a result of one page.
+func resultMessage(requestID, rows string) []byte {
+	return resp.Append(nil, requestID, "OK", "sheets=1", rows)
+}
+
+// newFakeEngine serves an engine until the test ends.
 func newFakeEngine(t *testing.T) *fakeEngine {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	e := &fakeEngine{addr: ln.Addr().String()}
-	e.acceptOn(t, ln)
+	t.Helper()
+	listener := listenTCP(t)
+	e := &fakeEngine{addr: listener.Addr().String()}
+	e.acceptOn(t, listener)
 	return e
 }
 
-// acceptOn shows what comes to a listener.
-func (e *fakeEngine) acceptOn(t *testing.T, ln net.Listener) {
-	e.listener, e.messages, e.closed = ln, make(chan engineMessage, 1000), make(chan struct{}, 1000)
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { nc.Close() })
-			go func() {
-				defer func() { nc.Close(); e.closed <- struct{}{} }()
-				for buf, b := []byte(nil), make([]byte, 4096); ; {
-					n, err := nc.Read(b)
-					if err != nil {
-						return
-					}
-					buf = append(buf, b[:n]...)
-					for {
-						parts, n, _ := resp.Parse(buf)
-						if n == 0 {
-							break
-						}
-						s := engineMessage{conn: nc}
-						for _, p := range parts {
-							s.words = append(s.words, string(p))
-						}
-						e.messages <- s
-						buf = buf[n:]
-					}
-				}
-			}()
-		}
+// acceptOn reads what comes to a listener.
+func (e *fakeEngine) acceptOn(t *testing.T, listener net.Listener) {
+	t.Helper()
+	e.listener, e.messages, e.closed = listener, make(chan engineMessage, 1000), make(chan struct{}, 1000)
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	serveConns(t, listener, func(_ int, conn net.Conn) { go e.read(conn) })
+}
+
+// read shows the messages of a connection until it ends.
+func (e *fakeEngine) read(conn net.Conn) {
+	defer func() {
+		_ = conn.Close() // the test may have closed it
+		e.closed <- struct{}{}
 	}()
+	var unread []byte
+	buf := make([]byte, 4096)
+	for {
+		n, err := conn.Read(buf)
+		if err != nil {
+			return
+		}
+		unread = e.show(conn, append(unread, buf[:n]...))
+	}
+}
+
+// show shows the complete messages of a connection and returns the bytes after them.
+func (e *fakeEngine) show(conn net.Conn, unread []byte) []byte {
+	for {
+		parts, n, _ := resp.Parse(unread) // what can't be parsed never comes to the test, which waits for it
+		if n == 0 {
+			return unread
+		}
+		words := make([]string, 0, len(parts))
+		for _, p := range parts {
+			words = append(words, string(p))
+		}
+		e.messages <- engineMessage{conn: conn, words: words}
+		unread = unread[n:]
+	}
 }
 
-// expect is the next message, which must be of a kind.
+// expect returns the next message, which must be of a kind.
 func (e *fakeEngine) expect(t *testing.T, word string) engineMessage {
 	t.Helper()
-	s := receive(t, e.messages, word)
-	for s.words[0] == e.answeredCommand {
-		s.reply(s.requestID(), "UP", "-", "")
-		s = receive(t, e.messages, word)
+	m := receive(t, e.messages, word)
+	for m.words[0] == e.answeredCommand {
+		m.reply(m.requestID(), "UP", "-", "")
+		m = receive(t, e.messages, word)
+	}
+	if m.words[0] != word {
+		t.Fatalf("engine got %q, want %s", m.words, word)
 	}
-	if s.words[0] != word {
-		t.Fatalf("engine got %q, want %s", s.words, word)
+	return m
+}
+
+// expectCancel expects that an attempt is cancelled.
+func (e *fakeEngine) expectCancel(t *testing.T, attempt engineMessage) {
+	t.Helper()
+	if m := e.expect(t, "never_mind"); m.requestID() != attempt.requestID() {
+		t.Fatalf("cancelled %s, want %s", m.requestID(), attempt.requestID())
 	}
-	return s
 }
 
-// newUnconnectableEngine listens, but connections to it come up only once open is called, as its queue is full until then.
+// newUnconnectableEngine returns an engine that listens, but to which connections come up only once open is called, as
+// its queue is full until then.
 func newUnconnectableEngine(t *testing.T) (e *fakeEngine, open func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
+	file := os.NewFile(uintptr(fd), "listener")
+	t.Cleanup(func() { _ = file.Close() }) // the listener of open has a duplicate
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	name, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	filler, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	file := os.NewFile(uintptr(fd), "listener")
-	t.Cleanup(func() { filler.Close(); file.Close() })
-	e = &fakeEngine{addr: addr}
+	e = &fakeEngine{addr: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)}
+	dialTCP(t, e.addr) // fills the queue
 	return e, func() {
-		ln, err := net.FileListener(file)
+		listener, err := net.FileListener(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.acceptOn(t, ln)
+		e.acceptOn(t, listener)
 	}
 }
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -12,57 +12,78 @@
 	"wheatlane/internal/gossip"
 )
 
-// A broker of many tells on what another told it of an engine. What comes from no broker's address or can't be read
-// is not taken, and is logged once.
-func TestGossip(t *testing.T) {
-	other, stranger := listenUDP(t), listenUDP(t)
-	s := startConfigured(t, nopMeter{}, 30*time.Second, 1024, func(c *config.Config) {
+// withBrokers makes a broker one of so many that engines are pooled; all others are at one address.
+func withBrokers(other net.Addr) func(*config.Config) {
+	return func(c *config.Config) {
 		c.PeerListen = "127.0.0.1:0"
 		c.Settings.Control.Limits.Gossip = true
-		c.Settings.Control.Brokers = 40 // so many that engines are pooled; the test is all the others
+		c.Settings.Control.Brokers = 40
 		for range c.Settings.Control.Brokers {
-			c.Peers = append(c.Peers, other.LocalAddr().String())
+			c.Peers = append(c.Peers, other.String())
 		}
-	}, endpointJSON("e1", "127.0.0.1:1", "in_service", 0))
-	broker := s.server.gossip.conn.LocalAddr()
-	say := func(from net.PacketConn, text []byte) {
-		if _, err := from.WriteTo(text, broker); err != nil {
+	}
+}
+
+// A broker of many passes on what another one reported of an engine. What comes from no broker's address or can't be
+// parsed is dropped, and is logged once.
+func TestGossip(t *testing.T) {
+	other, stranger := listenUDP(t), listenUDP(t)
+	s := startServerWith(t, serverOptions{configure: withBrokers(other.LocalAddr())},
+		endpointJSON("e1", "127.0.0.1:1", "in_service", 0))
+	brokerAddr := s.server.gossip.conn.LocalAddr()
+	send := func(from net.PacketConn, datagram []byte) {
+		if _, err := from.WriteTo(datagram, brokerAddr); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for range 3 { // all of these come before what is heard, as a broker's socket keeps their order
-		say(stranger, gossip.Append(nil, []control.LoadReport{{Engine: control.EngineHash("e1"), Load: 2.5}}))
-		say(other, []byte("GET / HTTP/1.1"))
-	}
-	say(other, gossip.Append(nil, []control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}))
-	buf := make([]byte, gossip.MaxBytes+1)
-	if err := other.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
-		t.Fatal(err)
+	report := func(load float64, age time.Duration) []byte {
+		return gossip.Append(nil, []control.LoadReport{{Engine: control.EngineHash("e1"), Load: load, Age: age}})
 	}
-	size, _, err := other.ReadFrom(buf)
-	if err != nil {
-		t.Fatal(err)
+	for range 3 { // all of these come before the report that counts, as a broker's socket keeps their order
+		send(stranger, report(2.5, 0))
+		send(other, []byte("GET / HTTP/1.1"))
 	}
-	got, err := gossip.Parse(buf[:size])
-	if err != nil || len(got) != 1 || got[0].Age < time.Second {
-		t.Fatalf("told %+v, %v", got, err)
+	send(other, report(0.5, time.Second))
+	got := receiveGossip(t, other)
+	if len(got) != 1 || got[0].Age < time.Second {
+		t.Fatalf("passed on %+v", got)
 	}
 	got[0].Age = 0
 	if diff := cmp.Diff([]control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5}}, got); diff != "" {
 		t.Fatal(diff)
 	}
-	for _, line := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
-		if n := s.logs.FilterMessage(line).Len(); n != 1 {
-			t.Errorf("%q logged %d times", line, n)
+	for _, message := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
+		if n := s.logs.FilterMessage(message).Len(); n != 1 {
+			t.Errorf("%q logged %d times", message, n)
 		}
 	}
 }
 
+// receiveGossip returns the reports of the next datagram.
+func receiveGossip(t *testing.T, conn net.PacketConn) []control.LoadReport {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	buf := make([]byte, gossip.MaxBytes+1)
+	size, _, err := conn.ReadFrom(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reports, err := gossip.Parse(buf[:size])
+	if err != nil {
+		t.Fatal(err)
+	}
+	return reports
+}
+
+// listenUDP returns a socket on loopback that is closed as the test ends.
 func listenUDP(t *testing.T) net.PacketConn {
-	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	t.Helper()
+	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() }) // nothing is to be sent any more
 	return conn
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -3,10 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
-	"net/http/httptest"
 	"runtime"
 	"strings"
 	"testing"
@@ -16,113 +13,133 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
+	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
 )
 
-const testTimeout = 20 * time.Second // a test that waits so long has failed
+const (
+	testTimeout     = 20 * time.Second // a test that waits so long has failed
+	longTimeout     = 15 * time.Second // of a request that is to be served
+	testIdleTimeout = 30 * time.Second // of connections to engines
+	testSockets     = 1024
+)
 
-// receive takes from a channel, or fails.
-func receive[T any](t *testing.T, c <-chan T, what string) T {
+// settingsJSON are the settings of tests; the verb is ConnIdleNs.
+const settingsJSON = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
+ "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false]},
+ "Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,
+  "ConnIdleNs":%d},
+ "Rules":{"ColdFrom":0.33,"WarmAfterNs":15000000000,"FallMultiple":2.5,"FallNs":1000000000},
+ "RequestClasses":[
+  {"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":20000000000,"Worth":1},
+  {"Name":"load","Effect":"by_key","PromiseNs":3000000000,"GiveUpNs":20000000000,"WindowNs":15000000000,"Worth":20,
+   "ByArrival":true,"LateWorth":0.5},
+  {"Name":"once","Effect":"once","PromiseNs":3000000000,"GiveUpNs":20000000000,"Worth":1,"LateWorth":0.5}]}`
+
+// testSettings returns the settings of tests with an idle timeout of connections to engines.
+func testSettings(t *testing.T, idleTimeout time.Duration) config.Settings {
 	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(testTimeout):
-		t.Fatalf("%s did not come", what)
-		panic("unreachable")
+	settings, err := config.DecodeSettings(fmt.Appendf(nil, settingsJSON, idleTimeout))
+	if err != nil {
+		t.Fatal(err)
 	}
+	return settings
 }
 
-// testServer is a broker with what is round it.
+// testServer is a running broker with a fake change log.
 type testServer struct {
 	t          *testing.T
 	server     *Server
 	addr       string
-	changelog  fakeChangelog
+	changelog  *fakeChangelog
 	logs       *observer.ObservedLogs
 	stopSignal chan struct{}
-	ended      chan error
-}
-
-const settingsJSON = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
- "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false]},
- "Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,"ConnIdleNs":%d},
- "Rules":{"ColdFrom":0.33,"WarmAfterNs":15000000000,"FallMultiple":2.5,"FallNs":1000000000},
- "RequestClasses":[{"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"GiveUpNs":20000000000,"Worth":1},
- {"Name":"load","Effect":"by_key","PromiseNs":3000000000,"GiveUpNs":20000000000,"WindowNs":15000000000,"Worth":20,"ByArrival":true,"LateWorth":0.5},
- {"Name":"once","Effect":"once","PromiseNs":3000000000,"GiveUpNs":20000000000,"Worth":1,"LateWorth":0.5}]}`
-
-func startServer(t *testing.T, hosts ...string) *testServer {
-	return startWithLimits(t, 30*time.Second, 1024, hosts...)
+	ended      chan error // what Run returned
 }
 
-func startWithLimits(t *testing.T, idle time.Duration, sockets int, hosts ...string) *testServer {
-	t.Helper()
-	return startMeasured(t, nopMeter{}, idle, sockets, hosts...)
+// serverOptions are what a test may change of a broker; zero values are the usual ones.
+type serverOptions struct {
+	meter       Meter
+	idleTimeout time.Duration // of connections to engines
+	sockets     int
+	configure   func(*config.Config)
 }
 
-func startMeasured(t *testing.T, m Meter, idle time.Duration, sockets int, hosts ...string) *testServer {
+// startServer runs a broker whose change log lists endpoints, until the test ends.
+func startServer(t *testing.T, endpoints ...string) *testServer {
 	t.Helper()
-	return startConfigured(t, m, idle, sockets, func(*config.Config) {}, hosts...)
+	return startServerWith(t, serverOptions{}, endpoints...)
 }
 
-// startConfigured starts a broker on a configuration that change has had its way with.
-func startConfigured(t *testing.T, m Meter, idle time.Duration, sockets int, change func(*config.Config), hosts ...string) *testServer {
+func startServerWith(t *testing.T, o serverOptions, endpoints ...string) *testServer {
 	t.Helper()
-	set, err := config.DecodeSettings(fmt.Appendf(nil, settingsJSON, idle))
-	if err != nil {
-		t.Fatal(err)
+	if o.idleTimeout == 0 {
+		o.idleTimeout = testIdleTimeout
 	}
-	known, err := changelog.ParsePage([]byte(pageJSON(1, true, hosts...)))
+	if o.sockets == 0 {
+		o.sockets = testSockets
+	}
+	known, err := changelog.ParsePage([]byte(pageJSON(1, true, endpoints...)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testServer{t: t, changelog: fakeChangelog{make(chan string, 1000), make(chan string)}, stopSignal: make(chan struct{}), ended: make(chan error, 1)}
-	changes := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.changelog.polls <- r.URL.RawQuery
-		select {
-		case text := <-s.changelog.pages:
-			io.WriteString(w, text)
-		case <-r.Context().Done():
-		}
-	}))
-	core, logs := observer.New(zapcore.InfoLevel)
-	s.logs = logs
-	ctx, cancel := context.WithCancel(context.Background())
+	s := &testServer{t: t, changelog: newFakeChangelog(t), stopSignal: make(chan struct{}), ended: make(chan error, 1)}
 	cfg := config.Config{
-		Listen: "127.0.0.1:0", Changelog: changes.Listener.Addr().String(), Sockets: sockets,
-		Known: known, Settings: set,
+		Listen: "127.0.0.1:0", Changelog: s.changelog.addr, Sockets: o.sockets,
+		Known: known, Settings: testSettings(t, o.idleTimeout),
+	}
+	if o.configure != nil {
+		o.configure(&cfg)
 	}
-	change(&cfg)
-	n, err := New(ctx, cfg, zap.New(core))
+	core, logs := observer.New(zapcore.InfoLevel)
+	s.logs = logs
+	ctx, cancel := context.WithCancel(t.Context())
+	s.server, err = New(ctx, cfg, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.SetMeter(m)
-	s.server = n
-	s.addr = n.Addr().String()
-	go func() { s.ended <- n.Run(ctx, s.stopSignal) }()
+	if o.meter != nil {
+		s.server.SetMeter(o.meter)
+	}
+	s.addr = s.server.Addr().String()
+	go func() { s.ended <- s.server.Run(ctx, s.stopSignal) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := receive(t, s.ended, "the broker's end"); err != nil {
-			t.Error(err)
-		}
-		changes.CloseClientConnections()
-		changes.Close()
+		s.waitForEnd()
 	})
 	return s
 }
 
-// publish has the change log tell something, and waits until the broker has taken it.
-func (s *testServer) publish(page string, seq int) {
+// waitForEnd waits until Run has returned without an error. It may be called more than once.
+func (s *testServer) waitForEnd() {
+	s.t.Helper()
+	err := receive(s.t, s.ended, "the broker's end")
+	s.ended <- err
+	if err != nil {
+		s.t.Error(err)
+	}
+}
+
+// endAcceptWindow begins a shutdown in the loop, with the time for new requests over already.
+func (s *testServer) endAcceptWindow() {
+	s.server.inbox <- func() {
+		s.server.beginShutdown()
+		s.server.shutdown.requestedAt = time.Now().Add(-s.server.shutdown.acceptWindow)
+	}
+}
+
+// publish has the change log answer with a page, and waits until the broker polls from its revision on.
+func (s *testServer) publish(page string, revision int) {
 	s.t.Helper()
 	select {
 	case s.changelog.pages <- page:
 	case <-time.After(testTimeout):
 		s.t.Fatal("nobody polls")
 	}
-	for since := fmt.Sprintf("since=%d&", seq); !strings.Contains(receive(s.t, s.changelog.polls, "a poll"), since); {
+	since := fmt.Sprintf("since=%d&", revision)
+	for poll := ""; !strings.Contains(poll, since); {
+		poll = receive(s.t, s.changelog.polls, "a poll")
 	}
 }
 
@@ -130,87 +147,124 @@
 func (s *testServer) endReasons(peer string) string {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		lines := s.logs.FilterField(zap.String("peer", peer)).All()
-		if len(lines) > 0 {
-			var codes []string
-			for _, l := range lines {
-				codes = append(codes, l.ContextMap()["reason"].(string))
-			}
-			return strings.Join(codes, ",")
+		if len(lines) == 0 {
+			continue
+		}
+		codes := make([]string, 0, len(lines))
+		for _, line := range lines {
+			codes = append(codes, fmt.Sprint(line.ContextMap()["reason"]))
 		}
+		return strings.Join(codes, ",")
 	}
 	return "none"
 }
 
-// connectedPair is a connection on loopback.
-func connectedPair(t *testing.T) (near, far *net.TCPConn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	other, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
+// expectEnd waits for the log line of an ended connection, which must have one reason.
+func (s *testServer) expectEnd(peer string, want Reason) {
+	s.t.Helper()
+	if got := s.endReasons(peer); got != string(want) {
+		s.t.Errorf("the connection of %s ended as %s, want %s", peer, got, want)
 	}
-	t.Cleanup(func() { nc.Close(); other.Close() })
-	return nc.(*net.TCPConn), other.(*net.TCPConn)
 }
 
-// waitUntil waits for something to be so.
-func waitUntil(t *testing.T, what string, so func() bool) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); !so(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("%s is never so", what)
+// streamCount returns how many attempts and probes are on connections to an engine.
+func (s *testServer) streamCount(engine string) int {
+	return inLoop(s, func(server *Server) (sum int) {
+		for _, c := range server.pool.connsByEngine[engine] {
+			sum += len(c.streams)
 		}
-	}
+		return sum
+	})
 }
 
-// inLoop asks something of the goroutine that owns the reducer.
-func inLoop[T any](s *testServer, of func(n *Server) T) T {
+// inLoop returns what f returns in the broker's loop.
+func inLoop[T any](s *testServer, f func(*Server) T) T {
 	s.t.Helper()
 	got := make(chan T, 1)
-	s.server.inbox <- func() { got <- of(s.server) }
-	return receive(s.t, got, "the reducer's goroutine")
+	s.server.inbox <- func() { got <- f(s.server) }
+	return receive(s.t, got, "the loop's answer")
 }
 
-// streamCount is how many attempts and probes are on connections to an engine.
-func (s *testServer) streamCount(engine string) int {
-	return inLoop(s, func(n *Server) (sum int) {
-		for _, c := range n.pool.connsByEngine[engine] {
-			sum += len(c.streams)
+// receive takes from a channel, or fails.
+func receive[T any](t *testing.T, c <-chan T, what string) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("%s did not come", what)
+		panic("unreachable")
+	}
+}
+
+// waitUntil waits for a condition, or fails.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("never so: %s", what)
 		}
-		return sum
-	})
+	}
+}
+
+// listenTCP returns a listener on loopback that is closed as the test ends.
+func listenTCP(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
 }
 
-func withCancellation(cancel bool) func(*config.Config) {
-	return func(c *config.Config) {
-		c.Settings.ConnectTimeout = testTimeout
-		c.Settings.Control.Limits.Cancellation = cancel
+// dialTCP returns a connection that is closed as the test ends.
+func dialTCP(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
 	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return conn.(*net.TCPConn)
 }
 
-// newIdleServer is a node that does not run, with a connection to engine e1 that nothing has left on yet, and its other side.
-func newIdleServer(t *testing.T) (n *Server, l *bufferedConn, far *net.TCPConn) {
+// connectedPair returns both ends of a connection on loopback.
+func connectedPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
-	set, err := config.DecodeSettings(fmt.Appendf(nil, settingsJSON, 30*time.Second))
+	listener := listenTCP(t)
+	near = dialTCP(t, listener.Addr().String())
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
+	return near, accepted.(*net.TCPConn)
+}
+
+// newIdleServer returns a server that does not run, the connection of its pool to engine e1, on which nothing was sent
+// yet, and the engine's end of that.
+func newIdleServer(t *testing.T) (s *Server, transport *bufferedConn, far *net.TCPConn) {
+	t.Helper()
 	near, far := connectedPair(t)
-	n = &Server{cfg: config.Config{Settings: set, Sockets: 1024}, meter: nopMeter{}}
-	n.pool = newEnginePool(n)
-	l = newBufferedConn(near, maxEngineSendDelay, maxEngineReceiveBytes, maxEngineSendBytes)
+	s = &Server{
+		cfg:   config.Config{Settings: testSettings(t, testIdleTimeout), Sockets: testSockets},
+		meter: nopMeter{},
+	}
+	s.pool = newEnginePool(s)
+	transport = newBufferedConn(near, maxEngineSendDelay, maxEngineReceiveBytes, maxEngineSendBytes)
 	c := &engineConn{
-		engine: "e1", addr: "a", transport: l, cancel: func() {}, streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
+		engine: "e1", addr: "a", transport: transport, cancel: func() {},
+		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
 		lastUsed: time.Now(), lastReceived: time.Now(),
 	}
-	n.pool.connsByEngine["e1"], n.pool.connCount = []*engineConn{c}, 1
-	return n, l, far
+	s.pool.connsByEngine["e1"], s.pool.connCount = []*engineConn{c}, 1
+	return s, transport, far
+}
+
+// startAttempt starts an attempt of a class at engine e1 of an idle server.
+func startAttempt(s *Server, id broker.AttemptID, class string, timeout time.Duration) {
+	s.pool.startAttempt(broker.StartAttempt{
+		Attempt: id, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(id.Request), Class: class, Timeout: timeout, Priority: 1,
+	})
 }
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -2,118 +2,146 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"runtime"
 	"testing"
-
-	"wheatlane/internal/resp"
 )
 
-// Whatever an engine answers and however a client goes, the request has one answer or none is owed, the next one is served,
-// and no goroutine and no descriptor is left behind.
-func TestFaultsLeakNothing(t *testing.T) {
-	e := newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
-	n := 0
-	ask := func() (*testClient, engineMessage) {
-		n++
-		c := s.connect(statement("lookup", n, longTimeout, ""))
-		return c, e.expect(t, "want")
-	}
-	whole := func(id string) []byte { return resp.Append(nil, id, "OK", "sheets=1", "x\ty\tz\n") }
-	faults := map[string]func(){
-		"ids unknown and known, twice": func() {
-			c, w := ask()
-			w.conn.Write(whole("00000000000000ff"))
-			w.conn.Write(append(whole(w.requestID()), whole(w.requestID())...))
-			c.expect("rows x|y|z|")
-			c.socket.Close()
-		},
-		"a page ahead of its answer, and then none": func() {
-			c, w := ask()
-			w.reply(w.requestID(), "ROWS", "sheet=1", "x\ty\tz\n")
-			w.conn.Close()
-			again := e.expect(t, "want")
-			again.conn.Write(whole(again.requestID()))
-			c.expect("rows x|y|z|")
-			c.socket.Close()
-		},
-		"an answer that never ends": func() {
-			c, w := ask()
-			stop := make(chan struct{})
-			go func() {
-				defer close(stop)
-				for chunk := []byte("*4\r\n$90000\r\n"); ; chunk = make([]byte, 100) {
-					if _, err := w.conn.Write(chunk); err != nil {
-						return
-					}
-				}
-			}()
-			again := e.expect(t, "want")
-			again.conn.Write(whole(again.requestID()))
-			c.expect("rows x|y|z|")
-			receive(t, stop, "the end of the connection")
-			c.socket.Close()
-		},
-		"a client that sends much and goes": func() {
-			nc, err := net.Dial("tcp", s.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			nc.Write(loginPacket("app"))
-			for range 20 {
-				nc.Write(make([]byte, 64<<10))
-			}
-			nc.Close()
-		},
-		"a client that asks, half asks and resets": func() {
-			c, w := ask()
-			c.socket.Write(packetBytes(0, "\x03SELECT")[:6])
-			c.socket.(*net.TCPConn).SetLinger(0)
-			c.socket.Close()
-			if m := e.expect(t, "never_mind"); m.requestID() != w.requestID() {
-				t.Fatalf("called off %s", m.requestID())
+// leakTest injects faults into one broker and looks for what they leave behind.
+type leakTest struct {
+	t        *testing.T
+	server   *testServer
+	engine   *fakeEngine
+	requests int
+}
+
+// start sends a request and returns its client and its attempt.
+func (l *leakTest) start() (*testClient, engineMessage) {
+	l.t.Helper()
+	l.requests++
+	c := l.server.connect(statement("lookup", l.requests, longTimeout, ""))
+	return c, l.engine.expect(l.t, "want")
+}
+
+// finish answers the retry of a request and closes its client.
+func (l *leakTest) finish(c *testClient) {
+	l.t.Helper()
+	l.engine.expect(l.t, "want").replyRows(testRow)
+	c.expect(testRows)
+	c.close()
+}
+
+func (l *leakTest) duplicateAndUnknownResponses() {
+	c, attempt := l.start()
+	attempt.write(resultMessage("00000000000000ff", testRow))
+	result := resultMessage(attempt.requestID(), testRow)
+	attempt.write(append(result, result...))
+	c.expect(testRows)
+	c.close()
+}
+
+func (l *leakTest) pageBeforeItsResult() {
+	c, attempt := l.start()
+	attempt.reply(attempt.requestID(), "ROWS", "sheet=1", testRow)
+	attempt.closeConn()
+	l.finish(c)
+}
+
+func (l *leakTest) endlessResponse() {
+	c, attempt := l.start()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for chunk := []byte("*4\r\n$90000\r\n"); ; chunk = make([]byte, 100) {
+			if _, err := attempt.conn.Write(chunk); err != nil {
+				return
 			}
-		},
-	}
-	for cut := range whole("0000000000000000") {
-		faults[fmt.Sprintf("an answer cut after %d bytes", cut)] = func() {
-			c, w := ask()
-			w.conn.Write(whole(w.requestID())[:cut])
-			w.conn.Close()
-			again := e.expect(t, "want")
-			again.conn.Write(whole(again.requestID()))
-			c.expect("rows x|y|z|")
-			c.socket.Close()
 		}
+	}()
+	l.engine.expect(l.t, "want").replyRows(testRow)
+	c.expect(testRows)
+	receive(l.t, ended, "the end of the connection")
+	c.close()
+}
+
+func (l *leakTest) clientSendsMuchAndLeaves() {
+	c := l.server.dial()
+	c.send(loginPacket("app"))
+	for range 20 {
+		c.send(make([]byte, 64<<10))
 	}
-	// What is there while nobody asks: the broker's connections to the engine are dropped for the count.
-	count := func() (goroutines, descriptors int) {
-		inLoop(s, func(n *Server) bool { n.pool.closeConnections("e1", 0); return true })
-		all, err := os.ReadDir("/proc/self/fd")
-		if err != nil {
-			t.Fatal(err)
-		}
-		return runtime.NumGoroutine(), len(all)
+	c.close()
+}
+
+func (l *leakTest) clientResetsInAMessage() {
+	c, attempt := l.start()
+	c.send(queryPacket("SELECT")[:6])
+	c.reset()
+	l.engine.expectCancel(l.t, attempt)
+}
+
+// truncatedResponse cuts a response after some bytes and closes its connection.
+func (l *leakTest) truncatedResponse(length int) {
+	c, attempt := l.start()
+	attempt.write(resultMessage(attempt.requestID(), testRow)[:length])
+	attempt.closeConn()
+	l.finish(c)
+}
+
+// count returns the goroutines and open descriptors without the broker's connections to the engine.
+func (l *leakTest) count() (goroutines, descriptors int) {
+	l.t.Helper()
+	inLoop(l.server, func(s *Server) bool {
+		s.pool.closeConnections("e1", 0)
+		return true
+	})
+	all, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		l.t.Fatal(err)
 	}
-	c, w := ask()
-	w.conn.Write(whole(w.requestID()))
-	c.expect("rows x|y|z|")
-	c.socket.Close()
-	var goroutines, descriptors int
-	waitUntil(t, "the first client and connection have gone", func() bool {
-		goroutines, descriptors = count()
-		return inLoop(s, func(n *Server) bool { return len(n.clients) == 0 && n.pool.connCount == 0 && len(n.clientSlots) == 0 })
+	return runtime.NumGoroutine(), len(all)
+}
+
+// baseline returns what count gives while nothing is open, after a first request.
+func (l *leakTest) baseline() (goroutines, descriptors int) {
+	l.t.Helper()
+	c, attempt := l.start()
+	attempt.replyRows(testRow)
+	c.expect(testRows)
+	c.close()
+	waitUntil(l.t, "the first client and connection have gone", func() bool {
+		goroutines, descriptors = l.count()
+		return inLoop(l.server, func(s *Server) bool {
+			return len(s.clients) == 0 && s.pool.connCount == 0 && len(s.clientSlots) == 0
+		})
 	})
 	for range 200 { // what ends in the background ends
-		g, d := count()
+		g, d := l.count()
 		goroutines, descriptors = min(goroutines, g), min(descriptors, d)
 	}
+	return goroutines, descriptors
+}
+
+// Whatever an engine answers and however a client leaves, the request has one answer or none is owed, the next one is
+// served, and no goroutine and no descriptor is left behind.
+func TestFaultsLeakNothing(t *testing.T) {
+	e := newFakeEngine(t)
+	l := &leakTest{t: t, server: startServer(t, listed("e1", e)), engine: e}
+	faults := map[string]func(){
+		"responses for unknown and known ids, twice": l.duplicateAndUnknownResponses,
+		"a page before its result":                   l.pageBeforeItsResult,
+		"a response that never ends":                 l.endlessResponse,
+		"a client that sends much and leaves":        l.clientSendsMuchAndLeaves,
+		"a client that resets in a message":          l.clientResetsInAMessage,
+	}
+	for length := range resultMessage("0000000000000000", testRow) {
+		faults[fmt.Sprintf("a response cut after %d bytes", length)] = func() { l.truncatedResponse(length) }
+	}
+	goroutines, descriptors := l.baseline()
 	for name, fault := range faults {
 		fault()
-		waitUntil(t, "all is gone after "+name, func() bool {
-			g, d := count()
+		waitUntil(t, "nothing is left after "+name, func() bool {
+			g, d := l.count()
 			return g <= goroutines && d <= descriptors
 		})
 	}
--- a/internal/server/maintenance_test.go
+++ b/internal/server/maintenance_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"context"
 	"os"
 	"path/filepath"
 	"testing"
@@ -12,60 +11,55 @@
 	"wheatlane/internal/handover"
 )
 
-// An engine left out by hand gets nothing new on its socket, the other takes all, and an id never listed is told.
-func TestMaintenanceOnSockets(t *testing.T) {
-	e, o := newFakeEngine(t), newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0), endpointJSON("e2", o.addr, "in_service", 0))
-	ctx := context.Background()
-	if listed, done := s.server.SetMaintenance(ctx, "e1", true); !listed || !done {
-		t.Fatalf("listed %v, done %v", listed, done)
-	}
-	if listed, done := s.server.SetMaintenance(ctx, "e9", true); listed || !done {
-		t.Fatalf("e9: listed %v, done %v", listed, done)
+// setMaintenance changes the maintenance mode of an engine and expects whether it was ever listed.
+func (s *testServer) setMaintenance(id string, enabled, wantListed bool) {
+	s.t.Helper()
+	if listed, done := s.server.SetMaintenance(s.t.Context(), id, enabled); listed != wantListed || !done {
+		s.t.Fatalf("%s: listed %v, done %v", id, listed, done)
 	}
+}
+
+// An engine in maintenance mode gets nothing new, the other takes all, and an id that was never listed is reported.
+func TestMaintenanceOnSockets(t *testing.T) {
+	e, other := newFakeEngine(t), newFakeEngine(t)
+	s := startServer(t, listed("e1", e), listed("e2", other))
+	s.setMaintenance("e1", true, true)
+	s.setMaintenance("e9", true, false)
 	for i := range 6 {
-		c := s.connect(statement("lookup", 10+i, longTimeout, ""))
-		m := o.expect(t, "want")
-		m.reply(m.requestID(), "OK", "-", "")
-		c.expect("rows ")
+		s.serveOn(other, 10+i)
 	}
 	select {
-	case w := <-e.messages:
-		t.Fatalf("the engine left out got %q", w.words)
+	case m := <-e.messages:
+		t.Fatalf("the engine in maintenance mode got %q", m.words)
 	default:
 	}
-	if listed, done := s.server.SetMaintenance(ctx, "e1", false); !listed || !done {
-		t.Fatalf("listed %v, done %v", listed, done)
-	}
+	s.setMaintenance("e1", false, true)
 }
 
-// The bans of one process hold in the next that starts where it wrote them, and a spoilt file is passed over.
+// The maintenance mode of engines holds in the next process that starts where the one before wrote it, and a corrupt
+// file is passed over.
 func TestMaintenanceIsHandedOver(t *testing.T) {
 	dir := t.TempDir()
-	e, o := newFakeEngine(t), newFakeEngine(t)
-	hosts := []string{endpointJSON("e1", e.addr, "in_service", 0), endpointJSON("e2", o.addr, "in_service", 0)}
-	old := startServer(t, hosts...)
-	old.server.cfg.HandoverPath = dir
-	if _, done := old.server.SetMaintenance(context.Background(), "e1", true); !done {
-		t.Fatal("not done")
-	}
-	s := startServer(t, hosts...)
+	e, other := newFakeEngine(t), newFakeEngine(t)
+	endpoints := []string{listed("e1", e), listed("e2", other)}
+	previous := startServer(t, endpoints...)
+	previous.server.cfg.HandoverPath = dir
+	previous.setMaintenance("e1", true, true)
+
+	s := startServer(t, endpoints...)
 	s.server.cfg.HandoverPath = dir
-	bans := s.server.readHandover()
-	if !cmp.Equal(bans, []string{"e1"}) {
-		t.Fatalf("taken over: %v", bans)
+	engines := s.server.readHandover()
+	if diff := cmp.Diff([]string{"e1"}, engines); diff != "" {
+		t.Fatal(diff)
 	}
-	s.server.post(context.Background(), func() { s.server.apply(broker.RestoreMaintenance{Engines: bans}) })
+	s.server.post(t.Context(), func() { s.server.apply(broker.RestoreMaintenance{Engines: engines}) })
 	for i := range 6 {
-		c := s.connect(statement("lookup", 10+i, longTimeout, ""))
-		m := o.expect(t, "want")
-		m.reply(m.requestID(), "OK", "-", "")
-		c.expect("rows ")
+		s.serveOn(other, 10+i)
 	}
 	if err := os.WriteFile(filepath.Join(dir, handover.FileName), []byte("7\n{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if bans := s.server.readHandover(); bans != nil {
-		t.Fatalf("taken from a spoilt file: %v", bans)
+	if engines := s.server.readHandover(); engines != nil {
+		t.Fatalf("read from a corrupt file: %v", engines)
 	}
 }
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -1,89 +1,89 @@
 package server
 
 import (
-	"context"
 	"testing"
 	"time"
 
 	"wheatlane/internal/broker"
 )
 
-// recordingMeter hands on what a meter is told.
+// recordingMeter passes on what it is notified of.
 type recordingMeter struct {
 	nopMeter
 	events chan string
 }
 
-func (m recordingMeter) RequestAccepted(r *broker.Request)    { m.events <- "taken " + r.Class }
-func (m recordingMeter) RequestEnded(o broker.RequestSummary) { m.events <- "over " + o.Class }
-func (m recordingMeter) DuplicateResponse(engine string)      { m.events <- "second copy from " + engine }
-func (m recordingMeter) DrainStarted()                        { m.events <- "drain told" }
-func (m recordingMeter) DrainCompleted(took time.Duration)    { m.events <- "drained" }
+func (m recordingMeter) RequestAccepted(r *broker.Request)    { m.events <- "accepted " + r.Class }
+func (m recordingMeter) RequestEnded(r broker.RequestSummary) { m.events <- "ended " + r.Class }
+func (m recordingMeter) DuplicateResponse(engine string) {
+	m.events <- "duplicate response from " + engine
+}
+func (m recordingMeter) DrainStarted()                { m.events <- "drain started" }
+func (m recordingMeter) DrainCompleted(time.Duration) { m.events <- "drain completed" }
 
-func (m recordingMeter) expect(t *testing.T, all ...string) {
+func (m recordingMeter) expect(t *testing.T, events ...string) {
 	t.Helper()
-	for _, w := range all {
-		if got := receive(t, m.events, w); got != w {
-			t.Fatalf("told %q, want %q", got, w)
+	for _, want := range events {
+		if got := receive(t, m.events, want); got != want {
+			t.Fatalf("notified of %q, want %q", got, want)
 		}
 	}
 }
 
-// The meter is told of what only sockets know: answers that nothing waits for, and drains, once each however often the
+// endCount returns how many connections of a side ended for one of some reasons.
+func (s *testServer) endCount(side Side, reasons ...Reason) (sum uint64) {
+	s.t.Helper()
+	inspected := s.server.Inspect(s.t.Context(), func(_ *broker.Broker, counts ConnectionCounts) {
+		counts.EachEndReason(side, func(r Reason, n uint64) {
+			for _, reason := range reasons {
+				if r == reason {
+					sum += n
+				}
+			}
+		})
+	})
+	if !inspected {
+		s.t.Fatal("the server can't be inspected")
+	}
+	return sum
+}
+
+// The meter is notified of what only the connections know: duplicate responses, and drains, once each however often the
 // change log repeats them. Connections that ended are counted by their reasons.
 func TestMeterEvents(t *testing.T) {
 	e := newFakeEngine(t)
-	m := recordingMeter{events: make(chan string, 100)}
-	s := startMeasured(t, m, 30*time.Second, 1024, endpointJSON("e1", e.addr, "in_service", 0))
+	meter := recordingMeter{events: make(chan string, 100)}
+	s := startServerWith(t, serverOptions{meter: meter}, listed("e1", e))
 	c := s.connect(statement("lookup", 7, longTimeout, ""))
-	w := e.expect(t, "want")
-	w.reply(w.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	c.expect("rows x|y|z|")
-	m.expect(t, "taken lookup", "over lookup")
-	w.reply(w.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	m.expect(t, "second copy from e1")
+	attempt := e.expect(t, "want")
+	attempt.replyRows(testRow)
+	c.expect(testRows)
+	meter.expect(t, "accepted lookup", "ended lookup")
+	attempt.replyRows(testRow)
+	meter.expect(t, "duplicate response from e1")
 	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0)), 2)
 	s.publish(pageJSON(3, false, endpointJSON("e1", e.addr, "terminating", 0)), 3)
-	m.expect(t, "drain told", "drained")
-	c.socket.Close()
+	meter.expect(t, "drain started", "drain completed")
+	c.close()
 	s.publish(pageJSON(4, false, endpointJSON("e1", "", "terminated", 0)), 4)
-	for end := time.Now().Add(testTimeout); ; {
-		ended := map[Side]uint64{}
-		if !s.server.Inspect(context.Background(), func(_ *broker.Broker, sockets ConnectionCounts) {
-			for _, side := range allSides {
-				sockets.EachEndReason(side, func(r Reason, n uint64) {
-					if r == PeerClosed || r == EngineGone {
-						ended[side] += n
-					}
-				})
-			}
-		}) {
-			t.Fatal("it can't be looked at")
-		}
-		if ended[ClientSide] == 1 && ended[EngineSide] == 1 {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatalf("connections ended: %v", ended)
-		}
-	}
+	waitUntil(t, "one connection of each side is counted", func() bool {
+		return s.endCount(ClientSide, PeerClosed, EngineGone) == 1 && s.endCount(EngineSide, PeerClosed, EngineGone) == 1
+	})
 	select {
-	case more := <-m.events:
-		t.Fatalf("told %q as well", more)
+	case event := <-meter.events:
+		t.Fatalf("notified of %q as well", event)
 	default:
 	}
 }
 
-// A node that has ended can be looked at still, for the last figures.
+// A server whose Run has returned can still be inspected, for the last figures.
 func TestInspectAfterRun(t *testing.T) {
 	s := startServer(t)
 	close(s.stopSignal)
-	if err := receive(t, s.ended, "the end"); err != nil {
-		t.Fatal(err)
-	}
-	s.ended <- nil // for the cleanup
-	looked := false
-	if !s.server.Inspect(context.Background(), func(*broker.Broker, ConnectionCounts) { looked = true }) || !looked {
-		t.Fatal("it can't be looked at")
+	s.waitForEnd()
+	called := false
+	inspected := s.server.Inspect(t.Context(), func(*broker.Broker, ConnectionCounts) { called = true })
+	if !inspected || !called {
+		t.Fatal("the server can't be inspected")
 	}
 }
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -6,79 +6,80 @@
 	"wheatlane/internal/resp"
 )
 
-// An answer that stops short on a connection that stays open costs all that is out there, and no more time than an
-// answer may take to come. What is safe to repeat is, on another connection.
+const (
+	testRow  = "x\ty\tz\n"    // a row of an engine's result
+	testRows = "rows x|y|z|"  // as a client reads it
+	otherRow = "no\tno\tno\n" // one that no client may get
+)
+
+// A response that stops short on a connection that stays open costs all that is in flight there, after a time-out of its
+// own. What is idempotent is retried, on another connection.
 func TestPartialResponseTimeout(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
-	a, b := s.connect(statement("load", 1, longTimeout, "")), s.connect(statement("load", 2, longTimeout, ""))
+	s := startServer(t, listed("e1", e))
+	a := s.connect(statement("load", 1, longTimeout, ""))
+	b := s.connect(statement("load", 2, longTimeout, ""))
 	first, second := e.expect(t, "want"), e.expect(t, "want")
 	if first.conn != second.conn {
 		t.Fatal("they are on two connections")
 	}
-	second.conn.Write(resp.Append(nil, second.requestID(), "OK", "sheets=1", "x\ty\tz\n")[:40])
+	second.write(resultMessage(second.requestID(), testRow)[:40])
 	receive(t, e.closed, "the end of the connection")
 	for range 2 {
-		w := e.expect(t, "want")
-		w.reply(w.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	}
-	a.expect("rows x|y|z|")
-	b.expect("rows x|y|z|")
-	if got := s.endReasons(e.addr); got != string(Stalled) {
-		t.Fatalf("it ended as %s", got)
+		e.expect(t, "want").replyRows(testRow)
 	}
+	a.expect(testRows)
+	b.expect(testRows)
+	s.expectEnd(e.addr, Stalled)
 }
 
-// A second copy of an answer, or one for an id that nobody knows, changes nothing; above all it is none for the
-// next attempt of its request.
+// A duplicate response, or one for an unknown id, changes nothing; above all it does not answer the next attempt of its
+// request.
 func TestDuplicateResponsesAreIgnored(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
+	s := startServer(t, listed("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	first := e.expect(t, "want")
-	first.reply("00000000000000ff", "OK", "sheets=1", "no\tno\tno\n")
+	first.write(resultMessage("00000000000000ff", otherRow))
 	first.reply(first.requestID(), "ERR", "-", "")
-	again := e.expect(t, "want")
+	retry := e.expect(t, "want")
 	first.reply(first.requestID(), "ERR", "-", "")
-	first.reply(first.requestID(), "OK", "sheets=1", "no\tno\tno\n")
-	again.reply(again.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	again.reply(again.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	c.expect("rows x|y|z|")
-	c.socket.Write(packetBytes(0, "\x0e"))
-	c.expect("ok") // no second answer came in between
-	if first.conn == again.conn {
+	first.replyRows(otherRow)
+	retry.replyRows(testRow)
+	retry.replyRows(testRow)
+	c.expect(testRows)
+	c.ping() // no second answer came in between
+	if first.conn == retry.conn {
 		t.Fatal("an id was twice on one connection")
 	}
 }
 
-// What came whole counts, also if what follows it on the connection can't be read.
+// A complete response counts also where what follows it on the connection can't be parsed.
 func TestCompleteResponseBeforeMalformedOneCounts(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
-	c := s.connect(statement("once", 1, longTimeout, "")) // may not be sent again
-	w := e.expect(t, "want")
-	w.conn.Write(append(resp.Append(nil, w.requestID(), "OK", "-", "x\ty\tz\n"), "?"...))
-	c.expect("rows x|y|z|")
-	if got := s.endReasons(e.addr); got != string(Malformed) {
-		t.Fatalf("it ended as %s", got)
-	}
+	s := startServer(t, listed("e1", e))
+	c := s.connect(statement("once", 1, longTimeout, "")) // may not be retried
+	attempt := e.expect(t, "want")
+	attempt.write(append(resp.Append(nil, attempt.requestID(), "OK", "-", testRow), "?"...))
+	c.expect(testRows)
+	s.expectEnd(e.addr, Malformed)
 }
 
-// An id that a client uses again, once its request is over, goes on another connection: a second copy of the first
-// answer, which comes late, is none to it.
+// A request id that a client uses again, once its request is over, goes on another connection: a late duplicate of the
+// first response does not answer it.
 func TestDuplicateResponseDoesNotAnswerLaterRequest(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, endpointJSON("e1", e.addr, "in_service", 0))
+	s := startServer(t, listed("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
 	first := e.expect(t, "want")
-	first.reply(first.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	a.expect("rows x|y|z|")
+	first.replyRows(testRow)
+	a.expect(testRows)
 	b := s.connect(statement("lookup", 1, longTimeout, ""))
-	w := e.expect(t, "want")
-	first.reply(first.requestID(), "OK", "sheets=1", "x\ty\tz\n")
-	w.reply(w.requestID(), "OK", "sheets=1", "u\tv\tw\n")
+	second := e.expect(t, "want")
+	first.replyRows(testRow)
+	second.replyRows("u\tv\tw\n")
 	b.expect("rows u|v|w|")
-	if w.conn == first.conn {
+	if second.conn == first.conn {
 		t.Fatal("an id was twice on one connection")
 	}
 }
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -8,49 +8,71 @@
 	"io"
 	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
 	"wheatlane/internal/mysql"
 )
 
-// testClient plays a MySQL client.
+// Commands of the MySQL protocol.
+const (
+	commandQuit  = "\x01"
+	commandQuery = "\x03"
+	commandPing  = "\x0e"
+)
+
+// testClient is a MySQL client.
 type testClient struct {
 	t       *testing.T
 	socket  net.Conn
 	reader  *bufio.Reader
-	session uint32
+	session uint32 // of its greeting
 }
 
-func newTestClient(t *testing.T, nc net.Conn) *testClient {
-	return &testClient{t: t, socket: nc, reader: bufio.NewReader(nc)}
+func newTestClient(t *testing.T, socket net.Conn) *testClient {
+	t.Helper()
+	return &testClient{t: t, socket: socket, reader: bufio.NewReader(socket)}
 }
 
+// packetBytes is a packet of the MySQL protocol.
 func packetBytes(seq byte, payload string) []byte {
 	n := len(payload)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
 }
 
+// loginPacket is the answer to a greeting.
 func loginPacket(user string) []byte {
 	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+user+"\x00\x00main\x00")
 }
 
-// connect connects and, in the same write, logs in and asks a first thing.
-func (s *testServer) connect(first ...string) *testClient {
-	s.t.Helper()
-	nc, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		s.t.Fatal(err)
+// queryPacket is the command for a statement.
+func queryPacket(text string) []byte { return packetBytes(0, commandQuery+text) }
+
+// statement is the text of a request; its id is made of a number.
+func statement(class string, n int, timeout time.Duration, orderKey string) string {
+	text := fmt.Sprintf("service=%s,ref=%016x,allow=%d,replay=op%d", class, n, timeout.Milliseconds(), n)
+	if orderKey != "" {
+		text += ",lookup=" + orderKey
 	}
-	s.t.Cleanup(func() { nc.Close() })
-	c := newTestClient(s.t, nc)
+	return "/* " + text + " */ SELECT a FROM s_1.t"
+}
+
+// dial connects a client that sends nothing yet.
+func (s *testServer) dial() *testClient {
+	s.t.Helper()
+	return newTestClient(s.t, dialTCP(s.t, s.addr))
+}
+
+// connect connects and, in the same write, logs in and sends statements.
+func (s *testServer) connect(statements ...string) *testClient {
+	s.t.Helper()
+	c := s.dial()
 	out := loginPacket("app")
-	for _, text := range first {
-		out = append(out, packetBytes(0, "\x03"+text)...)
-	}
-	if _, err := nc.Write(out); err != nil {
-		s.t.Fatal(err)
+	for _, text := range statements {
+		out = append(out, queryPacket(text)...)
 	}
+	c.send(out)
 	greeting := c.readPacket()
 	_, rest, _ := strings.Cut(greeting[1:], "\x00")
 	c.session = binary.LittleEndian.Uint32([]byte(rest))
@@ -60,11 +82,39 @@
 	return c
 }
 
+func (c *testClient) localAddr() string { return c.socket.LocalAddr().String() }
+
+// send writes bytes. A connection that the broker has ended takes none, which the test sees as it reads.
+func (c *testClient) send(data []byte) { _, _ = c.socket.Write(data) }
+
+func (c *testClient) query(text string) { c.send(queryPacket(text)) }
+
+func (c *testClient) close() { _ = c.socket.Close() } // the broker may have ended it
+
+// reset closes the connection with a reset.
+func (c *testClient) reset() {
+	c.t.Helper()
+	if err := c.socket.(*net.TCPConn).SetLinger(0); err != nil {
+		c.t.Fatal(err)
+	}
+	c.close()
+}
+
+// closeWrite ends the direction to the broker.
+func (c *testClient) closeWrite() {
+	c.t.Helper()
+	if err := c.socket.(*net.TCPConn).CloseWrite(); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
 // readPacket reads one packet; empty at the end of the connection.
 func (c *testClient) readPacket() string {
 	c.t.Helper()
-	c.socket.SetReadDeadline(time.Now().Add(testTimeout))
-	head := make([]byte, 4)
+	if err := c.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		c.t.Fatal(err)
+	}
+	head := make([]byte, mysql.HeaderLen)
 	if _, err := io.ReadFull(c.reader, head); err != nil {
 		if errors.Is(err, io.EOF) {
 			return ""
@@ -78,9 +128,18 @@
 	return string(payload)
 }
 
-func (c *testClient) query(text string) { c.socket.Write(packetBytes(0, "\x03"+text)) }
+// discardAll reads until the broker ends the connection, in order or by a reset.
+func (c *testClient) discardAll() {
+	c.t.Helper()
+	if err := c.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		c.t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, c.reader); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+		c.t.Fatal(err)
+	}
+}
 
-// readAnswer reads the answer: "ok", the code of an error, or the rows of a result.
+// readAnswer reads an answer: "ok", the code of an error, or the rows of a result; "closed" at the end.
 func (c *testClient) readAnswer() string {
 	c.t.Helper()
 	switch p := c.readPacket(); {
@@ -105,20 +164,18 @@
 	return "rows " + rows.String()
 }
 
-func (c *testClient) expect(answer string) {
+func (c *testClient) expect(answers ...string) {
 	c.t.Helper()
-	if got := c.readAnswer(); got != answer {
-		c.t.Fatalf("client got %s, want %s", got, answer)
+	for _, want := range answers {
+		if got := c.readAnswer(); got != want {
+			c.t.Fatalf("client got %s, want %s", got, want)
+		}
 	}
 }
 
-// statement words a request; its id is made of a number.
-func statement(class string, n int, allow time.Duration, key string) string {
-	text := fmt.Sprintf("service=%s,ref=%016x,allow=%d,replay=op%d", class, n, allow.Milliseconds(), n)
-	if key != "" {
-		text += ",lookup=" + key
-	}
-	return "/* " + text + " */ SELECT a FROM s_1.t"
+// ping expects the answer to a ping, so that nothing else was sent before it.
+func (c *testClient) ping() {
+	c.t.Helper()
+	c.send(packetBytes(0, commandPing))
+	c.expect("ok")
 }
-
-const longTimeout = 15 * time.Second
