--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -37,9 +37,9 @@
 	s.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := make(chan error, 1)
 	go func() { drained <- transport.writeLoop(s.ctx) }()
-	waitUntil(t, "all has left, so that what follows takes nothing back", transport.allSent)
+	waitUntil(t, "all has left, so that nothing can be withdrawn", transport.allSent)
 	s.pool.cancelAttempt(attempt(1))
-	s.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // given up: nothing is sent
+	s.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // cancelled: nothing is sent
 	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
 	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
 	s.pool.suspect(s.pool.connsByEngine["e1"][0], time.Now())
--- a/internal/server/engineconn.go
+++ b/internal/server/engineconn.go
@@ -5,8 +5,6 @@
 	"maps"
 	"slices"
 	"time"
-
-	"wheatlane/internal/broker"
 )
 
 const (
@@ -24,7 +22,7 @@
 	closeReason  *endError            // why the broker closed it
 	streams      map[string]*stream   // by id
 	retiredIDs   map[string]time.Time // until when ids may be answered that nothing waits for
-	closing      bool                 // it takes no new streams and closes with the last
+	closing      bool                 // it accepts no new streams and closes with the last
 	closed       bool
 	dialStarted  time.Time
 	lastUsed     time.Time   // when the last stream was put on it
@@ -42,29 +40,6 @@
 	}
 }
 
-// stream is an attempt or a load probe on its connection.
-type stream struct {
-	conn         *engineConn
-	id           string
-	attemptID    broker.AttemptID
-	probeID      uint64  // of a load probe; 0 for an attempt
-	unsent       []byte  // its message while the connection is being established; nil: it was queued
-	offset       int64   // of its message in the send queue
-	followUps    []int64 // offsets of later commands that change nothing unless the message was sent
-	startedAt    time.Time
-	overdueAfter time.Duration // from startedAt: its response is not missed before
-	responding   bool          // the first page of its result came
-	cancelling   bool          // it was cancelled, and the engine is being notified
-	done         bool          // it has ended for the reducer
-}
-
-// isProbe reports whether the stream is a load probe.
-func (s *stream) isProbe() bool { return s.probeID != 0 }
-
-// neverSent reports whether no byte of the stream is among the first bytes of its connection that may have
-// left.
-func (s *stream) neverSent(leftBytes int64) bool { return s.unsent != nil || s.offset >= leftBytes }
-
 // accepts reports whether a stream of this id can be put on the connection. An id is used once only: a late
 // response for the attempt before could not be told from one for this.
 func (c *engineConn) accepts(id, addr string, maxStreams int) bool {
@@ -104,8 +79,8 @@
 	return len(c.streams) == 0 && now.Sub(c.lastUsed) > time.Duration(idleCloseFraction*float64(timeout))
 }
 
-// withdraw takes back a stream of which no byte has left, and the commands that followed it. It reports
-// false if a byte may have left. The stream stays on the connection.
+// withdraw removes a stream's message and the commands that followed it from the send queue. It returns
+// false if a byte of the message may have left. The stream stays on the connection.
 func (c *engineConn) withdraw(s *stream) bool {
 	if c.transport == nil {
 		return true
