--- a/control/controller.go
+++ b/control/controller.go
@@ -3,9 +3,9 @@
 //
 // Each concern has its file. Those that decide are named by "policy" in deploy/balancer.toml: admission and
 // load shedding, eligibility, slow start, engine selection, dispatch under the concurrency limit, attempts,
-// hedging, outlier detection, regulators, optimizer and gossip. The others keep state and estimates; generic
-// estimators and the fair queue are packages of their own (internal/estimate, internal/fairqueue,
-// internal/rls).
+// hedging, outlier detection, regulators with their optimizer, and gossip. The others keep state and
+// estimates; generic estimators and the fair queue are packages of their own (internal/estimate,
+// internal/fairqueue, internal/rls).
 package control
 
 import (
@@ -118,6 +118,7 @@
 	return disconnected
 }
 
+// handleRequestsAndTimers takes new requests, but for those whose clients are gone already, and timers.
 func (c *Controller) handleRequestsAndTimers(events []Event, disconnected map[string]bool) {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// tick looks at what waits, and once an interval runs the regulators.
+// tick does what is due at regular times: it looks at what waits, and once an interval runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.expire(c.now)
--- a/control/workload.go
+++ b/control/workload.go
@@ -61,8 +61,7 @@
 		k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll
 }
 
-// closeInterval updates the arrival rate and returns the class's outputs, the answers of the interval among
-// them.
+// closeInterval updates the class's arrival rate and outputs, and returns the answers of the interval.
 func (k *class) closeInterval(elapsed time.Duration, gain float64) (answered float64) {
 	k.arrivalRate = estimate.Toward(k.arrivalRate, float64(k.arrivals)/elapsed.Seconds(), gain)
 	k.arrivals = 0
