--- a/internal/broker/admission.go
+++ b/internal/broker/admission.go
@@ -6,14 +6,14 @@
 	"wheatlane/control"
 )
 
-// timeoutSlack is how much longer than their class's timeout clients may wait for a request.
+// timeoutSlack is the time by which a request's timeout may exceed the timeout of its class.
 const timeoutSlack = time.Second
 
 // admissionRules are the settings by which requests are checked before they are accepted.
 type admissionRules struct {
 	classes map[string]control.Class
-	// longestTimeouts holds the longest timeout that each class ever had. After a reload, clients still write
-	// requests by the settings before it for a while, which are not to be rejected for that.
+	// longestTimeouts holds the longest timeout that each class ever had. For a while after a reload, clients
+	// still send requests with the timeouts before it; these are accepted.
 	longestTimeouts map[string]time.Duration
 	tenants         map[string]bool // empty: any tenant
 }
--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -6,7 +6,7 @@
 	"wheatlane/control"
 )
 
-// settleDelay is how long after it was sent a cancel has certainly reached its engine.
+// settleDelay is the time after which a cancel that was sent has reached its engine.
 const settleDelay = 10 * time.Millisecond
 
 // attempt is one attempt of a request.
@@ -17,18 +17,18 @@
 	startedAt      time.Duration
 	inFlight       bool
 	mayHaveRun     bool
-	answeredClient bool           // its result is the client's answer
-	cancelStatus   control.Status // the status that it ends with as it was cancelled; OK: it was not
+	answeredClient bool           // its result was the client's answer
+	cancelStatus   control.Status // the status that its cancel ends it with; OK: not cancelled
 	result         *result        // nil before the first page
 }
 
 func (a *attempt) cancelled() bool { return a.cancelStatus != control.OK }
 
-// awaitsFirstPage tells whether an attempt is in flight, not cancelled and without any part of a result.
+// awaitsFirstPage reports whether an attempt is in flight, not cancelled and without any part of a result.
 func (a *attempt) awaitsFirstPage() bool { return a.inFlight && !a.cancelled() && a.result == nil }
 
-// startAttempt starts an attempt as the decision module asks, or ends it at once if it can't be sent any
-// more.
+// startAttempt starts an attempt for the decision module. It ends the attempt at once if the request, its
+// time or the engine has ended meanwhile.
 func (b *Broker) startAttempt(now time.Duration, send control.SendAttempt) {
 	r := b.requests.byModuleID(send.RequestID)
 	if r == nil {
@@ -49,7 +49,7 @@
 		until = min(until, now+send.Timeout)
 	}
 	if r.closed || until <= now || !listed || endpoint.State != control.Ready {
-		// The module decided this before it could know.
+		// The module is not notified of it yet.
 		b.endAttempt(now, a, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt. It stays in flight until the cancel was sent to its engine, as only then
-// the next request of its order key may go.
+// cancelAttempt cancels an attempt. The attempt stays in flight until the cancel was sent to its engine:
+// until then, the next request of its order key must wait.
 func (b *Broker) cancelAttempt(a *attempt, status control.Status) {
 	if !a.inFlight || a.cancelled() {
 		return
@@ -95,7 +95,7 @@
 	b.emit(CancelAttempt{a.id})
 }
 
-// attemptEnded takes the end of an attempt that brought no result.
+// attemptEnded handles the end of an attempt without a result.
 func (b *Broker) attemptEnded(now time.Duration, ev AttemptEnded) {
 	a := b.requests.attemptInFlight(ev.Attempt)
 	if a == nil {
@@ -110,7 +110,7 @@
 	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
 }
 
-// endStatus is the status of an attempt that its engine or its connection ended with another one.
+// endStatus is the status for the decision module of an attempt whose end was reported with another one.
 func endStatus(a *attempt, reported control.Status) control.Status {
 	status := reported
 	if status == control.Cancelled && a.cancelled() {
@@ -127,9 +127,9 @@
 	return status == control.Cancelled || status == control.TimedOut
 }
 
-// mustSettle tells whether an attempt that has ended counts as in flight for another settleDelay. Its cancel
-// was sent, or its connection has ended, but the next request of its order key, or the next attempt where
-// hedging is forbidden, could still overtake that on the way to another engine.
+// mustSettle reports whether an attempt that has ended counts as in flight for another settleDelay. Its
+// cancel was sent, or its connection ended, but its engine may not know that yet: the next request of its
+// order key, or the next attempt where hedging is forbidden, could reach another engine earlier.
 func (b *Broker) mustSettle(a *attempt, status control.Status) bool {
 	switch {
 	case isCancel(status):
--- a/internal/broker/attempts_test.go
+++ b/internal/broker/attempts_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// An attempt has ended and a retry is due. What comes at that moment is respected: a client that leaves,
-// engines that drain, the final answers.
+// An attempt has ended and a retry is due. Events at that moment prevent it: a client that leaves, engines
+// that drain, the final answers.
 func TestEventsThatCrossARetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		event    Event
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -69,7 +69,7 @@
 	expectAllKinds(t, seen)
 }
 
-// expectAllKinds fails if a kind of effect, reply or close never came: a hash says nothing of what never
+// expectAllKinds fails if a kind of effect, reply or close never came: a hash does not cover what never
 // happened.
 func expectAllKinds(t *testing.T, seen map[string]int) {
 	t.Helper()
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,11 +1,11 @@
-// Package broker holds all state of a broker in one reducer: Apply takes one event, Tick runs a batch of the
-// decision module (package control), and both return the effects to carry out. It performs no I/O, reads no
-// clock and starts no goroutine, so that the same events at the same times give the same effects. Times are
-// those of the system's Unix clock.
+// Package broker is the functional core of a broker: a reducer that holds all of its state. Apply handles one
+// event, Tick runs a batch of the decision module (package control), and both return the effects to carry
+// out. It performs no I/O, reads no clock and starts no goroutine, so that the same events at the same times
+// give the same effects. Times are those of the system's Unix clock.
 //
-// Events and effects are neutral as to protocols: a front protocol turns its messages into SubmitRequest,
-// Ping and Kill, and turns a Reply into its own answer, so that a second front protocol would share every
-// decision and rule.
+// Events and effects do not depend on a protocol: a front protocol translates its messages into
+// SubmitRequest, Ping and Kill, and a Reply into its own answer, so that a second front protocol would share
+// all decisions.
 package broker
 
 import (
@@ -17,7 +17,7 @@
 // Broker is the reducer. It is not safe for concurrent use.
 type Broker struct {
 	module  *control.Controller // decides when and where attempts go
-	batch   moduleBatch         // what the module is notified of next
+	batch   moduleBatch         // what the module is notified of in its next call
 	timers  timerQueue
 	effects []Effect // of the call under way
 	meter   Meter
@@ -27,38 +27,36 @@
 	requests         requestTable
 	keyBursts        keyBurstTable
 	endpoints        endpointList
-	maintenance      map[string]bool // engines in maintenance mode
 	probes           map[uint64]loadProbe
 	admission        admissionRules
 	shutdown         shutdownState
 
 	hedging bool         // two attempts of a request may be in flight at once
-	view    control.View // its memory is used again by UnavailableEngines
+	view    control.View // reused by UnavailableEngines
 }
 
-// New returns a broker that knows no engines yet and allows maxSessions sessions at a time. It fails if the
-// decision module can't work by the settings.
+// New returns a broker that knows no engines yet and allows maxSessions sessions at a time. It returns the
+// error of the decision module if the settings are invalid. The seed determines all random choices.
 func New(settings control.Settings, seed uint64, maxSessions int) (*Broker, error) {
 	module, err := control.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Broker{
-		module:      module,
-		batch:       moduleBatch{minInterval: settings.MinBatchInterval},
-		meter:       NopMeter{},
-		sessions:    newSessionTable(maxSessions),
-		requests:    newRequestTable(),
-		keyBursts:   newKeyBurstTable(),
-		endpoints:   newEndpointList(),
-		maintenance: map[string]bool{},
-		probes:      map[uint64]loadProbe{},
-		admission:   newAdmissionRules(settings),
-		hedging:     settings.Limits.Hedging,
+		module:    module,
+		batch:     moduleBatch{minInterval: settings.MinBatchInterval},
+		meter:     NopMeter{},
+		sessions:  newSessionTable(maxSessions),
+		requests:  newRequestTable(),
+		keyBursts: newKeyBurstTable(),
+		endpoints: newEndpointList(),
+		probes:    map[uint64]loadProbe{},
+		admission: newAdmissionRules(settings),
+		hedging:   settings.Limits.Hedging,
 	}, nil
 }
 
-// Apply takes one event and returns the effects to carry out, in their order.
+// Apply handles one event and returns the effects to carry out, in their order.
 func (b *Broker) Apply(now time.Duration, event Event) []Effect {
 	switch event := event.(type) {
 	case command:
@@ -86,7 +84,7 @@
 	return b.takeEffects()
 }
 
-// applyFleetEvent takes an event of the fleet or of operators.
+// applyFleetEvent handles an event of the fleet or of operators.
 func (b *Broker) applyFleetEvent(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case GossipReceived:
@@ -136,7 +134,7 @@
 	return at, ok
 }
 
-// Ready tells whether the broker can serve: it is not shutting down, and an engine is in service and not in
+// Ready reports whether the broker can serve: it is not shutting down, and an engine is in service and not in
 // maintenance.
 func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.ready > 0 }
 
--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxQueuedCommands is the number of commands that a session may have queued behind its open request.
+// maxQueuedCommands is the largest number of commands queued behind the open request of a session.
 const maxQueuedCommands = 2
 
-// command is an event that a session's client sent and that is answered in its turn.
+// command is an event whose answer keeps the order of the commands of its session.
 type command interface {
 	Event
 	// sender is the session that is to be answered.
@@ -88,8 +88,8 @@
 }
 
 // resumeAnsweredSessions executes the queued commands of the sessions that were answered in the call under
-// way. That comes last: a queued command may end a request of which the same batch of the decision module
-// starts an attempt next, and the module would wait for the end of that attempt for ever.
+// way. This comes last in a call: a queued KILL may end a request for which the same batch of the decision
+// module has an attempt to start, and the module would wait for the end of that attempt for ever.
 func (b *Broker) resumeAnsweredSessions(now time.Duration) {
 	for len(b.answeredSessions) > 0 {
 		id := b.answeredSessions[0]
@@ -98,7 +98,7 @@
 	}
 }
 
-// resumeSession executes the commands that a session has queued, up to the first that opens a request.
+// resumeSession executes the queued commands of a session, up to the first that opens a request.
 func (b *Broker) resumeSession(now time.Duration, id Session) {
 	s := b.sessions.byID[id]
 	if s == nil {
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -6,7 +6,7 @@
 	"wheatlane/control"
 )
 
-// Effect is one thing to do; its types are in this file.
+// Effect is an action for the owner of the reducer. All effects are declared in this file.
 type Effect interface{ effect() }
 
 // ReplyKind is the kind of a reply.
@@ -15,11 +15,11 @@
 // The kinds of reply.
 const (
 	ReplyResult          ReplyKind = iota // served: Pages hold the rows
-	ReplyOK                               // the command succeeded and has no result
-	ReplyRejected                         // a retry is harmless, after RetryAfter
-	ReplyFailed                           // the request may have run
+	ReplyOK                               // success of a command without a result
+	ReplyRejected                         // not run, or idempotent: may be retried, after RetryAfter
+	ReplyFailed                           // it may have run
 	ReplyInterrupted                      // killed by a client
-	ReplyNotReady                         // the broker can't serve
+	ReplyNotReady                         // no engine is ready, or the broker shuts down
 	ReplyInvalidFields                    // a field of the request can't be used
 	ReplyUnknownCommand                   // the front protocol does not know the command
 	ReplyUnknownSession                   // the session to kill does not exist
@@ -47,9 +47,9 @@
 		Text       string
 		RetryAfter time.Duration
 	}
-	// AdmitSession admits a client: it is greeted, and read from then on.
+	// AdmitSession admits a client: its connection is greeted and read.
 	AdmitSession struct{ Session Session }
-	// CloseSession closes a client's connection, once what was written to it has been sent.
+	// CloseSession closes a client's connection after the bytes written to it were sent.
 	CloseSession struct {
 		Session Session
 		Reason  CloseReason
@@ -79,11 +79,11 @@
 	}
 	// CancelAttempt cancels an attempt. AttemptEnded follows once the cancel was sent to the engine.
 	CancelAttempt struct{ Attempt AttemptID }
-	// WithdrawUnsent takes back an attempt whose request is closed, if no byte of it was sent; AttemptEnded
-	// follows then. One that is partly sent goes on.
+	// WithdrawUnsent withdraws an attempt whose request is closed, if no byte of it was sent; AttemptEnded
+	// follows in that case. A partly sent attempt continues.
 	WithdrawUnsent struct{ Attempt AttemptID }
-	// ReleaseAttempt forgets an attempt whose result is complete or not wanted. With PagesLeft, the engine
-	// still holds pages of it.
+	// ReleaseAttempt forgets an attempt whose result is complete or discarded. With PagesLeft, the engine
+	// still holds pages of the result.
 	ReleaseAttempt struct {
 		Attempt   AttemptID
 		PagesLeft bool
@@ -98,11 +98,11 @@
 		ProbeID      uint64
 		Engine, Addr string
 	}
-	// CancelUnsent ends the attempts that wait for a connection to an engine that takes no new work.
+	// CancelUnsent ends the attempts that wait for a connection to an engine that drains or is in
+	// maintenance.
 	CancelUnsent struct{ Engine string }
-	// CloseEngineConnections closes the connections to an engine that was removed, has restarted or lost its
-	// address: those dialled before a time, as later ones are to the new process, or all of them if that is
-	// 0.
+	// CloseEngineConnections closes connections to an engine that was removed, restarted or lost its address.
+	// With DialedBefore, later connections stay open: they are to the restarted process.
 	CloseEngineConnections struct {
 		Engine       string
 		DialedBefore time.Duration
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -8,42 +8,50 @@
 	"wheatlane/internal/changelog"
 )
 
-// maxEverListed is how many ids of engines that were ever listed are kept, so that the maintenance of an
-// engine that was removed can be told from that of one that never existed. Beyond it, those that are neither
-// listed nor in maintenance are forgotten.
+// maxEverListed is the number of ids of engines that were ever listed at which those neither listed nor in
+// maintenance are forgotten. The ids serve to reject the maintenance of an engine that never existed.
 const maxEverListed = 4096
 
-// endpointList holds the engines as the change log lists them.
+// endpointList holds the engines as the change log lists them, and the ones in maintenance mode.
 type endpointList struct {
-	byID       map[string]changelog.Endpoint
-	everListed map[string]bool // ids, as far as they are kept
-	revision   int64           // of the last change that was applied
-	ready      int             // engines that are in service and not in maintenance
+	byID          map[string]changelog.Endpoint
+	inMaintenance map[string]bool // ids, listed or not
+	everListed    map[string]bool // ids, as far as they are kept
+	revision      int64           // of the last change that was applied
+	ready         int             // engines that are in service and not in maintenance
 }
 
 func newEndpointList() endpointList {
-	return endpointList{byID: map[string]changelog.Endpoint{}, everListed: map[string]bool{}}
+	return endpointList{
+		byID:          map[string]changelog.Endpoint{},
+		inMaintenance: map[string]bool{},
+		everListed:    map[string]bool{},
+	}
 }
 
 // ids are the listed engines, sorted.
 func (l *endpointList) ids() []string { return slices.Sorted(maps.Keys(l.byID)) }
 
+func (l *endpointList) listed(id string) bool {
+	_, listed := l.byID[id]
+	return listed
+}
+
 // rememberListed keeps that an engine was listed.
-func (l *endpointList) rememberListed(id string, inMaintenance map[string]bool) {
+func (l *endpointList) rememberListed(id string) {
 	if len(l.everListed) >= maxEverListed {
 		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
-			_, listed := l.byID[known]
-			return !listed && !inMaintenance[known]
+			return !l.listed(known) && !l.inMaintenance[known]
 		})
 	}
 	l.everListed[id] = true
 }
 
 // countReady counts the engines that can serve.
-func (l *endpointList) countReady(inMaintenance map[string]bool) {
+func (l *endpointList) countReady() {
 	l.ready = 0
 	for id, endpoint := range l.byID {
-		if endpoint.State == control.Ready && !inMaintenance[id] {
+		if endpoint.State == control.Ready && !l.inMaintenance[id] {
 			l.ready++
 		}
 	}
@@ -52,10 +60,10 @@
 // LastRevision is the revision of the last change of the endpoint list that was applied.
 func (b *Broker) LastRevision() int64 { return b.endpoints.revision }
 
-// EverListed tells whether an engine was ever in the endpoint list, as far as that is kept.
+// EverListed reports whether an engine was ever in the endpoint list. Old ids may be forgotten.
 func (b *Broker) EverListed(id string) bool { return b.endpoints.everListed[id] }
 
-// EndpointCount is how many engines are listed.
+// EndpointCount is the number of listed engines.
 func (b *Broker) EndpointCount() int { return len(b.endpoints.byID) }
 
 // applyChanges applies a page of the change log. Changes that were applied before are skipped, so that a page
@@ -67,7 +75,7 @@
 		}
 	}
 	b.endpoints.revision = max(b.endpoints.revision, page.Revision)
-	b.endpoints.countReady(b.maintenance)
+	b.endpoints.countReady()
 }
 
 func (b *Broker) applyChange(change changelog.Change) {
@@ -99,8 +107,8 @@
 	}
 }
 
-// removeReplaced removes the engines whose address another engine has taken over, and returns their ids:
-// their answers and the attempts for them are not to be taken for those of the new one.
+// removeReplaced removes the engines whose address an endpoint has taken over, and returns their ids:
+// attempts for them must not reach the new engine, and their answers must not pass for its own.
 func (b *Broker) removeReplaced(endpoint changelog.Endpoint) (replaced []string) {
 	if endpoint.State == control.Removed {
 		return nil
@@ -119,7 +127,7 @@
 	delete(b.endpoints.byID, id)
 }
 
-// applyEndpoint applies what the change log says of one engine.
+// applyEndpoint applies the listed state of one engine.
 func (b *Broker) applyEndpoint(endpoint changelog.Endpoint) {
 	if endpoint.State == control.Removed {
 		b.removeEngine(endpoint.ID)
@@ -131,13 +139,14 @@
 	case moved:
 		b.emit(CloseEngineConnections{Engine: endpoint.ID})
 	case listed && endpoint.StartedAt > old.StartedAt:
-		// The change log reports a restart seconds late. Attempts that went to the new process meanwhile
-		// would fail if their connections were closed, those of a non-idempotent class for good.
+		// The change log reports a restart seconds late. Attempts that were sent to the new process meanwhile
+		// would fail if their connections were closed, and those of a non-idempotent class could not be
+		// retried.
 		b.emit(CloseEngineConnections{Engine: endpoint.ID, DialedBefore: endpoint.StartedAt})
 	}
 	if endpoint.State == control.Draining && !moved {
 		b.emit(CancelUnsent{endpoint.ID})
 	}
 	b.endpoints.byID[endpoint.ID] = endpoint
-	b.endpoints.rememberListed(endpoint.ID, b.maintenance)
+	b.endpoints.rememberListed(endpoint.ID)
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -63,7 +63,7 @@
 }
 
 // A page of the change log may drain, remove and return one engine, and let another one take over its
-// address: all changes are applied in their order, and attempts go where the last one says.
+// address: all changes are applied in their order, and attempts follow the last one.
 func TestSeveralChangesOfOneEngineInOnePage(t *testing.T) {
 	change := func(revision int64, endpoint changelog.Endpoint) changelog.Change {
 		return changelog.Change{Revision: revision, Endpoints: []changelog.Endpoint{endpoint}}
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -16,7 +16,7 @@
 	Number  int // from 0
 }
 
-// Request is what a client asks for.
+// Request is a query that a client sends, with what its statement says of it.
 type Request struct {
 	RequestID         string // the client's id for it
 	Class             string
@@ -26,14 +26,14 @@
 	DataSet           int           // the group of tables that it reads
 	EstimatedWork     time.Duration // the client's estimate, on one thread; 0: none
 	EstimatedMemoryMB float64       // the client's estimate; 0: none
-	SentAt            time.Duration // when the client wrote it, as far as is known
+	SentAt            time.Duration // when the client wrote it, as far as it is known
 	FirstOnConnection bool          // nothing came on its connection before
 	Timeout           time.Duration // how long the client waits from SentAt
 	IsRetry           bool          // the client marked it as a retry
 	Body              string
 }
 
-// Event is one thing that happened; its types are in this file.
+// Event is something that happened. All events are declared in this file.
 type Event interface{ event() }
 
 // Events of clients.
@@ -42,30 +42,31 @@
 	SessionOpened struct{ Session Session }
 	// SessionAuthenticated says that a client has logged in and may send commands.
 	SessionAuthenticated struct{ Session Session }
-	// SubmitRequest is the command to serve a request.
+	// SubmitRequest is the command to run a request.
 	SubmitRequest struct {
 		Session Session
 		Request Request
 	}
-	// Ping is the command to answer whether the broker can serve.
+	// Ping is the command to report whether the broker can serve.
 	Ping struct{ Session Session }
-	// Kill is the command to end what another session has open or queued and, with CloseConnection, the
-	// session too. What that session sends after SentAt is not meant.
+	// Kill is the command to end the open and the queued requests of another session and, with
+	// CloseConnection, the session too. Requests that the session sends after SentAt are not affected.
 	Kill struct {
 		RequestedBy, Target Session
 		CloseConnection     bool
 		SentAt              time.Duration
 	}
-	// InvalidRequest is a message that can't be used, with its answer, which is sent in the message's turn.
+	// InvalidRequest is a message that the front protocol can't use, with its answer. The answer keeps the
+	// order of the session's commands.
 	InvalidRequest struct {
 		Session Session
 		Reply   Reply
 	}
 	// SessionClosed says that a client's connection ended.
 	SessionClosed struct{ Session Session }
-	// SessionHalfClosed says that a client will write nothing more. That can't be distinguished from one that
-	// has left, so nothing more is done for it; but as it may still read, what it waits for is answered. Its
-	// connection is to end after that.
+	// SessionHalfClosed says that a client has closed its sending direction. Such a client may have left or
+	// may still read: its requests are not run any further, but they are answered. Its connection is closed
+	// after that.
 	SessionHalfClosed struct{ Session Session }
 )
 
@@ -87,8 +88,9 @@
 		Number  int // from 0
 		Body    []byte
 	}
-	// AttemptEnded says how an attempt ended without a result, and by that whether it may have run.
-	// SharedCause: it ended with its connection, and another attempt that did was reported already.
+	// AttemptEnded says that an attempt ended without a result. The status determines whether it may have
+	// run. With SharedCause, it ended with its connection, and the end of another attempt on that was
+	// reported before.
 	AttemptEnded struct {
 		Attempt     AttemptID
 		Status      control.Status
@@ -105,7 +107,7 @@
 
 // Events of the fleet and of operators.
 type (
-	// GossipReceived holds the load reports that another broker sent.
+	// GossipReceived holds load reports that another broker sent.
 	GossipReceived struct {
 		Broker  int // its index
 		Reports []control.LoadReport
@@ -121,13 +123,12 @@
 	// whether listed or not.
 	RestoreMaintenance struct{ Engines []string }
 	// UpdateSettings puts the classes and limits of reloaded settings in force. Requests under way keep the
-	// class that they were accepted with; a class that is missing accepts no new request.
+	// class that they were accepted with; requests of a class that was removed are rejected.
 	UpdateSettings struct{ Settings control.Settings }
-	// Shutdown asks the broker to finish what it has accepted within a time; what is left then gets a final
-	// answer.
+	// Shutdown starts a graceful shutdown: after the given time, all open requests get a final answer.
 	Shutdown struct{ Within time.Duration }
-	// SendFinalAnswers says that all sessions are about to be closed. What is open is answered now, and what
-	// comes later is rejected and never forwarded.
+	// SendFinalAnswers says that all sessions are about to be closed. Open requests get their final answer
+	// now, and later requests are rejected.
 	SendFinalAnswers struct{}
 )
 
--- a/internal/broker/key_bursts.go
+++ b/internal/broker/key_bursts.go
@@ -6,7 +6,7 @@
 )
 
 // Clients write requests of one order key no closer than keySpacing, or than keySpacingNewConnection after
-// one that came on a new connection. The slack is for the time to here.
+// one that came on a new connection. The slack is for transit.
 const (
 	keySpacing              = 60 * time.Millisecond
 	keySpacingNewConnection = 250 * time.Millisecond
@@ -14,22 +14,23 @@
 )
 
 const (
-	// answerMargin is more than the time of a request to here and of its answer back, both processes' delays
-	// included.
+	// answerMargin is an upper bound of the transit time of a request and of its answer together, with the
+	// delays of both processes.
 	answerMargin = 12 * time.Millisecond
-	// answerMarginFraction is the largest part of a client's timeout that is kept as a margin.
+	// answerMarginFraction is the largest fraction of a client's timeout that is kept as the margin.
 	answerMarginFraction = 0.15
-	// minBurstsToSweep is the number of bursts from which those that are over are looked for.
+	// minBurstsToSweep is the smallest number of bursts at which old ones are removed.
 	minBurstsToSweep = 32
 )
 
-// keyBurst is a run of requests of one order key, each written as soon after the one before as clients do.
+// keyBurst is a run of requests of one order key, each written as soon after the previous one as the protocol
+// allows.
 type keyBurst struct {
 	startedAt, lastSentAt time.Duration
 	lastOnNewConnection   bool // the last request was the first on its connection
 }
 
-// covers tells whether a request written at a time may have been held back by its client for this burst.
+// covers reports whether a request sent at a time may have been held back by its client for this burst.
 func (k *keyBurst) covers(sentAt time.Duration) bool {
 	spacing := keySpacing
 	if k.lastOnNewConnection {
@@ -41,7 +42,7 @@
 // keyBurstTable holds the last burst of each order key.
 type keyBurstTable struct {
 	byKey   map[string]*keyBurst
-	sweepAt int // with so many bursts, those that are over are removed
+	sweepAt int // number of bursts at which old ones are removed
 }
 
 func newKeyBurstTable() keyBurstTable {
@@ -49,8 +50,8 @@
 }
 
 // clientWaitStart is the earliest time at which a client may have begun to wait for a request. Clients hold a
-// request back while another of its key was written just before, but count their wait from when they meant to
-// send it. Of a request in a burst it is only certain that it was not meant before the first of the burst.
+// request back for the spacing of its key, but count their wait from before that. For a request in a burst,
+// the only bound known is the first request of the burst.
 func (t *keyBurstTable) clientWaitStart(r Request) time.Duration {
 	if r.OrderKey == "" {
 		return r.SentAt
@@ -66,7 +67,7 @@
 	return min(burst.startedAt, r.SentAt)
 }
 
-// sweep removes the bursts that are over, once there are many: order keys may always be new.
+// sweep removes old bursts once there are many: clients may use each order key once.
 func (t *keyBurstTable) sweep(now time.Duration) {
 	if len(t.byKey) < t.sweepAt {
 		return
@@ -75,13 +76,13 @@
 	t.sweepAt = max(minBurstsToSweep, 2*len(t.byKey))
 }
 
-// answerMarginOf is how long before a request's timeout its final answer must be sent. The client's wait
-// began before its bytes came here, and the answer must arrive within it. (Measured where engines hang:
-// clients gave up 3 to 7 ms before the time that was known here, and with an order key 34 to 98 ms.)
+// answerMarginOf is the time between the final answer of a request and its timeout. The client's wait began
+// before the request was read here, and the answer must arrive before its end. (Measured where engines hang:
+// clients gave up 3 to 7 ms before the timeout as it was known here, those with an order key 34 to 98 ms.)
 func answerMarginOf(r Request, waitStart time.Duration) time.Duration {
 	margin := answerMargin
 	if r.OrderKey != "" && waitStart == r.SentAt {
-		// The client may have held it back for another request of its key that went to another broker.
+		// The client may have held it back for a request of the same key that went to another broker.
 		margin = keySpacingNewConnection + keySpacingSlack
 	}
 	return min(margin, time.Duration(answerMarginFraction*float64(r.Timeout)))
--- a/internal/broker/maintenance.go
+++ b/internal/broker/maintenance.go
@@ -8,18 +8,18 @@
 )
 
 // EnginesInMaintenance are the engines in maintenance mode, sorted.
-func (b *Broker) EnginesInMaintenance() []string { return slices.Sorted(maps.Keys(b.maintenance)) }
+func (b *Broker) EnginesInMaintenance() []string {
+	return slices.Sorted(maps.Keys(b.endpoints.inMaintenance))
+}
 
-// UnavailableEngines is how many listed engines get no new attempts now: they are in maintenance, not in
-// service, or the decision module has ejected them.
+// UnavailableEngines is the number of listed engines that get no new attempts: they are in maintenance, not
+// in service, or ejected by the decision module.
 func (b *Broker) UnavailableEngines() int {
 	b.module.View(&b.view)
 	count := 0
 	for _, e := range b.view.Engines {
-		if _, listed := b.endpoints.byID[e.ID]; !listed {
-			continue
-		}
-		if b.maintenance[e.ID] || e.Ejected || e.State != control.Ready {
+		unavailable := b.endpoints.inMaintenance[e.ID] || e.Ejected || e.State != control.Ready
+		if unavailable && b.endpoints.listed(e.ID) {
 			count++
 		}
 	}
@@ -29,29 +29,30 @@
 // restoreMaintenance sets the maintenance mode of engines that the previous process handed over.
 func (b *Broker) restoreMaintenance(engines []string) {
 	for _, id := range engines {
-		b.endpoints.rememberListed(id, b.maintenance)
+		b.endpoints.rememberListed(id)
 		b.startMaintenance(id)
 	}
 }
 
-// startMaintenance keeps new attempts from an engine, and ends those that wait for a connection to it.
+// startMaintenance starts the maintenance mode of an engine that was ever listed, and cancels the attempts
+// that wait for a connection to it.
 func (b *Broker) startMaintenance(id string) {
-	if b.maintenance[id] || !b.endpoints.everListed[id] {
+	if b.endpoints.inMaintenance[id] || !b.endpoints.everListed[id] {
 		return
 	}
-	b.maintenance[id] = true
+	b.endpoints.inMaintenance[id] = true
 	b.batch.add(control.SetMaintenance{Engine: id, Enabled: true})
-	if _, listed := b.endpoints.byID[id]; listed {
+	if b.endpoints.listed(id) {
 		b.emit(CancelUnsent{id})
 	}
-	b.endpoints.countReady(b.maintenance)
+	b.endpoints.countReady()
 }
 
 func (b *Broker) endMaintenance(id string) {
-	if !b.maintenance[id] {
+	if !b.endpoints.inMaintenance[id] {
 		return
 	}
-	delete(b.maintenance, id)
+	delete(b.endpoints.inMaintenance, id)
 	b.batch.add(control.SetMaintenance{Engine: id, Enabled: false})
-	b.endpoints.countReady(b.maintenance)
+	b.endpoints.countReady()
 }
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -6,33 +6,34 @@
 	"wheatlane/control"
 )
 
-// Meter is notified of what becomes of requests and attempts as it happens, on the goroutine that owns the
-// reducer. It must not call back, and must copy text that it keeps, as that may be part of a long statement.
+// Meter is notified of requests and attempts as they proceed, on the goroutine that owns the reducer. It must
+// not call the broker, and must copy strings that it keeps: they may be parts of a large statement.
 type Meter interface {
-	// RequestAccepted: a request was accepted.
+	// RequestAccepted is called when a request was accepted.
 	RequestAccepted(r *Request)
-	// RequestRejected: something was answered without being accepted, or rejected later.
+	// RequestRejected is called when a command is answered with an error or a request is rejected, before or
+	// after it was accepted.
 	RequestRejected(kind ReplyKind)
-	// AttemptStarted: an attempt of a class goes to an engine.
+	// AttemptStarted is called when an attempt of a request of a class is sent to an engine.
 	AttemptStarted(class string)
-	// RequestEnded: a request was answered, or its client is gone.
+	// RequestEnded is called when an accepted request was answered or abandoned.
 	RequestEnded(r RequestSummary)
-	// AttemptEnded: an attempt has ended.
+	// AttemptEnded is called when an attempt has ended.
 	AttemptEnded(a AttemptSummary)
 }
 
-// RequestSummary is how a request ended.
+// RequestSummary describes a request that has ended.
 type RequestSummary struct {
 	Class, Tenant string
 	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; not set if ClientLeft
-	ClientLeft    bool          // its client did not wait for the answer
+	ClientLeft    bool          // its client left or killed it
 	Duration      time.Duration // from when the client sent it
 	Objective     time.Duration // the latency objective for it; 0: none
 	QueueTime     time.Duration // from its acceptance to its first attempt, or to its end without one
 	Attempts      int
 }
 
-// AttemptSummary is how an attempt ended.
+// AttemptSummary describes an attempt that has ended.
 type AttemptSummary struct {
 	Class, Engine string
 	Status        control.Status
@@ -71,7 +72,7 @@
 	b.meter.RequestEnded(summary)
 }
 
-// reportAbandoned notifies the meter that the client of a request is gone.
+// reportAbandoned notifies the meter that a request was abandoned.
 func (b *Broker) reportAbandoned(now time.Duration, r *request) {
 	summary := b.summarize(now, r)
 	summary.Kind, summary.ClientLeft = ReplyInterrupted, true
@@ -90,7 +91,7 @@
 		Attempts:  len(r.attempts),
 	}
 	if class.LatencyObjective > 0 {
-		// As in the decision module, but by the client's own estimate of the work.
+		// As in the decision module, but with the client's estimate of the work.
 		work := float64(r.EstimatedWork) / float64(max(1, class.Threads))
 		summary.Objective += time.Duration(class.ObjectivePerWork * work)
 	}
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -30,9 +30,8 @@
 	return ok && now >= at
 }
 
-// take returns the events of a call that happens now. Requests that were read late and together are put in
-// the order in which they were sent: those of one key must run in that order, whichever connections they came
-// on.
+// take returns the events of a call that happens now. Requests are put in the order in which they were sent:
+// those of one order key must run in that order, whichever connections they were read from.
 func (m *moduleBatch) take(now time.Duration) []control.Event {
 	events := m.events
 	m.lastAt, m.events = now, nil
@@ -40,7 +39,7 @@
 	return events
 }
 
-// requestWithSentTime is a control.RequestReceived until it is handed to the decision module.
+// requestWithSentTime is an event for the decision module that waits in a batch.
 type requestWithSentTime struct {
 	control.RequestReceived
 	sentAt time.Duration
--- a/internal/broker/probes.go
+++ b/internal/broker/probes.go
@@ -6,10 +6,10 @@
 	"wheatlane/control"
 )
 
-// loadProbeTimeout is how long an engine may take to answer a load probe.
+// loadProbeTimeout is the timeout of a load probe.
 const loadProbeTimeout = 250 * time.Millisecond
 
-// loadProbe is a question for an engine's load that has no answer yet.
+// loadProbe is a load probe in flight.
 type loadProbe struct {
 	engine string
 	sentAt time.Duration
@@ -27,7 +27,7 @@
 	b.timers.set(now+loadProbeTimeout, probeTimedOut{id})
 }
 
-// probeEnded takes the end of a load probe; only its first one counts.
+// probeEnded handles the result of a load probe, or its timeout; only the first of them counts.
 func (b *Broker) probeEnded(now time.Duration, ev ProbeResult) {
 	probe, ok := b.probes[ev.ProbeID]
 	if !ok {
--- a/internal/broker/replies.go
+++ b/internal/broker/replies.go
@@ -25,8 +25,7 @@
 	errDuplicateRequestID    = errors.New("the id of the request is in use")
 )
 
-// reply answers a session. All kinds count as rejections but a result, an OK and a failure, which only an
-// accepted request gets.
+// reply answers a session. It counts as a rejection, but for a result, an OK and a failure.
 func (b *Broker) reply(id Session, reply Reply) {
 	reply.Session = id
 	if reply.Kind != ReplyResult && reply.Kind != ReplyOK && reply.Kind != ReplyFailed {
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -13,11 +13,11 @@
 type request struct {
 	Request
 	id         uint64
-	moduleID   string // id in the words of the decision module
+	moduleID   string // its id in the decision module
 	session    Session
 	acceptedAt time.Duration
-	deadline   time.Duration // its final answer is due
-	closed     bool          // it was answered, or its client is gone
+	deadline   time.Duration // of the final answer
+	closed     bool          // it was answered or abandoned
 	grantMB    float64       // of its next attempt
 	priority   int           // of its attempts
 	class      control.Class // as it was when the request was accepted
@@ -43,7 +43,7 @@
 	return Reply{Kind: ReplyFailed, Text: text}
 }
 
-// requestTable holds the requests that are open or still have an attempt in flight.
+// requestTable holds the requests that are open or have an attempt in flight.
 type requestTable struct {
 	byID      map[uint64]*request
 	clientIDs map[string]bool // the clients' ids of the requests in byID
@@ -115,13 +115,13 @@
 	}
 	switch {
 	case in.SentAt < s.killedAt:
-		// The query and its KILL come on two connections, and may be read in the other order.
+		// The query and its KILL come on two connections, and the KILL may be read first.
 		b.reply(s.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
 		b.reply(s.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
 	case in.Timeout <= answerMargin && in.Timeout < class.LatencyObjective:
-		// This may be a client's last retry in the little that is left of its time: only an answer that is
-		// sent now can arrive before the client gives up.
+		// This may be a client's last retry, with too little time left to run it: only an immediate answer
+		// arrives before the client gives up.
 		b.reply(s.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
 		b.accept(now, s, class, in)
@@ -138,7 +138,7 @@
 	return class, err
 }
 
-// accept takes a request and hands it to the decision module.
+// accept opens a request and hands it to the decision module.
 func (b *Broker) accept(now time.Duration, s *session, class control.Class, in Request) {
 	waitStart := b.keyBursts.clientWaitStart(in)
 	r := &request{
@@ -179,7 +179,7 @@
 	}
 }
 
-// abandon closes a request whose client does not wait any more, without an answer.
+// abandon closes a request without an answer, as its client has left or killed it.
 func (b *Broker) abandon(now time.Duration, r *request) {
 	if r.closed {
 		return
@@ -192,12 +192,12 @@
 // closeRequest closes an open request.
 func (b *Broker) closeRequest(r *request) {
 	r.closed = true
-	r.Body = "" // timers refer to the request until its deadline, and the texts would add up
+	r.Body = "" // timers refer to the request until its deadline, and bodies may be large
 	b.requests.open--
 	for _, a := range r.attempts {
 		if a.awaitsFirstPage() {
-			// It may still wait for a connection or behind other bytes, and the decision module can't cancel
-			// it where the deployment forbids that.
+			// It may still wait for a connection or in a write buffer, and the decision module may not be
+			// allowed to cancel it.
 			b.emit(WithdrawUnsent{a.id})
 		}
 	}
--- a/internal/broker/requests_test.go
+++ b/internal/broker/requests_test.go
@@ -75,8 +75,8 @@
 	testNextOfKeyWaitsForCancel(t, h)
 }
 
-// testNextOfKeyWaitsForCancel: the next request of a key goes only once the cancel of the one before has
-// reached its engine.
+// testNextOfKeyWaitsForCancel tests that the next request of a key starts only once the cancel of the
+// previous one has reached its engine.
 func testNextOfKeyWaitsForCancel(t *testing.T, h *harness) {
 	t.Helper()
 	h.submit(4, "load", "k2", 9*time.Second)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A request with a field that can't be used gets an error, and its session goes on.
+// A request with an invalid field gets an error, and its session stays open.
 func TestInvalidRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(r *Request)
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -15,9 +15,9 @@
 const (
 	rowColumns   = 3    // of every row
 	maxPageBytes = 6000 // of a page
-	maxPages     = 64   // of a result: engines fill pages, so that two in a row hold more than maxPageBytes
+	maxPages     = 64   // of a result: engines fill pages, so that two in a row hold more than one can
 
-	// pageTimeout is how long no page may come while some are missing.
+	// pageTimeout is the longest time between two pages of a result.
 	pageTimeout = 500 * time.Millisecond
 )
 
@@ -28,11 +28,11 @@
 	errMissingPage      = errors.New("timeout of a page of a result")
 )
 
-// result is a result of which not all pages may have come.
+// result assembles the pages of a result, which may come in any order.
 type result struct {
-	pages    [][]byte // nil where a page has not come
-	missing  int      // pages that have not come
-	bytes    int      // of the pages that came
+	pages    [][]byte // nil: not received
+	missing  int      // number of pages not received
+	bytes    int      // of the pages received
 	work     time.Duration
 	memoryMB float64
 	report   []float64
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// add adds a page that follows the first. A duplicate of one that came before is ignored.
+// add adds a page that follows the first. An equal duplicate is ignored.
 func (r *result) add(number int, body []byte) error {
 	if number < 0 || number >= len(r.pages) {
 		return errInvalidPage
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// nonNil makes an empty page differ from one that has not come.
+// nonNil distinguishes an empty page from one that was not received.
 func nonNil(page []byte) []byte {
 	if page == nil {
 		return []byte{}
@@ -80,7 +80,7 @@
 	return page
 }
 
-// validPage tells whether a page is text in complete rows, as engines send it.
+// validPage reports whether a page is text in complete rows, as engines send it.
 func validPage(page []byte) bool {
 	if len(page) > maxPageBytes || !utf8.Valid(page) {
 		return false
@@ -95,8 +95,8 @@
 	return true
 }
 
-// attemptServed takes the first page of a result. The attempt counts as served only with its last page, so
-// that an engine that dies between two pages costs another attempt and not the answer.
+// attemptServed handles the first page of a result. The attempt succeeds only with the last page: if the
+// engine dies between two pages, the request is retried.
 func (b *Broker) attemptServed(now time.Duration, ev AttemptServed) {
 	a := b.requests.attemptInFlight(ev.Attempt)
 	if a == nil || !a.awaitsFirstPage() {
@@ -118,7 +118,7 @@
 	b.timers.set(now+pageTimeout, pageOverdue{a, first.missing})
 }
 
-// pageReceived takes a further page of a result.
+// pageReceived handles a further page of a result.
 func (b *Broker) pageReceived(now time.Duration, ev PageReceived) {
 	a := b.requests.attemptInFlight(ev.Attempt)
 	if a == nil || a.cancelled() || a.result == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkPages discards a result of which no page came within pageTimeout, when so many were missing.
+// checkPages discards a result if no page was received since as many as given were missing, pageTimeout ago.
 func (b *Broker) checkPages(now time.Duration, a *attempt, missing int) {
 	switch {
 	case !a.inFlight || a.cancelled():
@@ -144,7 +144,7 @@
 	}
 }
 
-// discardResult ends an attempt whose result can't be completed.
+// discardResult fails an attempt because of its result.
 func (b *Broker) discardResult(now time.Duration, a *attempt, err error) {
 	b.emit(LogLine{"engine " + a.engine + ": " + err.Error()})
 	b.emit(ReleaseAttempt{Attempt: a.id, PagesLeft: true})
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// loginGrace is how long a client that has just connected may take to log in before it is evicted ahead of
-// idle sessions. Clients log in as they connect; the time is for a broker that is slow to read it.
+// loginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients
+// log in when they connect; the time allows for a broker that is slow to read.
 const loginGrace = 250 * time.Millisecond
 
 // session is a client's connection.
@@ -14,7 +14,7 @@
 	id             Session
 	openRequest    *request      // it waits for the answer to it
 	queuedCommands []command     // that came meanwhile
-	killedAt       time.Duration // what was sent before it is killed
+	killedAt       time.Duration // requests sent before it are killed
 
 	lastCommandInvalid bool // the command executed last could not be used
 
@@ -23,12 +23,12 @@
 	evictionElement *list.Element
 }
 
-// sessionTable holds the clients' connections, and which of them are evicted to let others in: clients that
-// connect and send nothing, or send one command and stay, are not to keep the others out.
+// sessionTable holds the clients' sessions and the order in which they are evicted when their limit is
+// reached: clients that connect and send nothing, or stay connected after a command, must not exclude others.
 type sessionTable struct {
 	max  int
 	byID map[Session]*session
-	// Sessions that may be evicted, first the one to evict first.
+	// Sessions that may be evicted, in the order of eviction.
 	unauthenticated list.List
 	idle            list.List // they wait for no answer
 }
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -6,20 +6,20 @@
 	"wheatlane/control"
 )
 
-// shutdownState is how far a graceful shutdown has come.
+// shutdownState is the progress of a graceful shutdown.
 type shutdownState struct {
 	started          bool
-	finalAnswersSent bool // what comes from then on is rejected
+	finalAnswersSent bool // later requests are rejected
 }
 
-// startShutdown lets the broker finish what it has accepted within a time.
+// startShutdown lets the broker finish its open requests within a time.
 func (b *Broker) startShutdown(now, within time.Duration) {
 	b.shutdown.started = true
 	b.timers.set(now+within, shutdownOver{})
 }
 
-// sendFinalAnswers answers what could not be finished, shortly before the broker must end: clients would
-// learn nothing from a broken connection.
+// sendFinalAnswers answers all open requests, shortly before the process must end: a closed connection alone
+// would not show clients whether a retry is harmless.
 func (b *Broker) sendFinalAnswers(now time.Duration) {
 	b.shutdown.finalAnswersSent = true
 	for _, r := range b.requests.openRequests() {
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -23,8 +23,8 @@
 	return settings
 }
 
-// The final answers of a shutdown are true of each request, and what comes after them is rejected at once and
-// never started.
+// The final answer of a request depends on whether it may have run and its idempotency. Later requests are
+// rejected at once and never started.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   string
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -37,8 +37,8 @@
 	event Event
 }
 
-// newSimulation starts a broker with so many engines and as many clients as it allows sessions. It records
-// into sum.
+// newSimulation starts a broker with a number of engines and a client for each session that it allows. It
+// records into sum.
 func newSimulation(
 	t *testing.T, settings control.Settings, seed uint64, maxSessions, engines int, sum hash.Hash,
 ) *simulation {
@@ -68,7 +68,7 @@
 	return s
 }
 
-// chance is true with a probability of so many percent.
+// chance is true with a probability in percent.
 func (s *simulation) chance(percent int) bool { return s.rng.IntN(100) < percent }
 
 // between is a random time from low to high.
@@ -76,7 +76,7 @@
 	return low + time.Duration(s.rng.Int64N(int64(high-low)+1))
 }
 
-// run takes so many random steps, then shuts the broker down and waits until it is done.
+// run takes a number of random steps, then shuts the broker down and waits until it is done.
 func (s *simulation) run(steps int) {
 	s.t.Helper()
 	for range steps {
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -7,29 +7,30 @@
 	"wheatlane/control"
 )
 
-// timerEvent is what a timer stands for; its types are in this file.
+// timerEvent is what happens when a timer expires. All are declared in this file.
 type timerEvent interface {
 	expire(b *Broker, now time.Duration)
 }
 
 type (
-	// moduleTimer is one that the decision module has set.
+	// moduleTimer is a timer of the decision module.
 	moduleTimer struct{ token uint64 }
-	// attemptTimedOut: an attempt has had its time.
+	// attemptTimedOut is the timeout of an attempt.
 	attemptTimedOut struct{ attempt *attempt }
-	// attemptSettled: an attempt that has ended counts as such, as nothing of it can be overtaken any more.
+	// attemptSettled is the end of an attempt after settleDelay (see mustSettle).
 	attemptSettled struct {
 		attempt *attempt
 		end     control.AttemptEnded
 	}
-	// pageOverdue: so many pages were missing pageTimeout ago.
+	// pageOverdue is the timeout of the next page of a result, with the number of pages missing when it was
+	// set.
 	pageOverdue struct {
 		attempt *attempt
 		missing int
 	}
-	// probeTimedOut: a load probe has had its time.
+	// probeTimedOut is the timeout of a load probe.
 	probeTimedOut struct{ probeID uint64 }
-	// shutdownOver: the time of a graceful shutdown is over.
+	// shutdownOver is the end of the time for a graceful shutdown.
 	shutdownOver struct{}
 )
 
@@ -48,7 +49,8 @@
 }
 func (shutdownOver) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
 
-// timerQueue holds the timers by time and, within one time, by the order in which they were set.
+// timerQueue is a priority queue of timers by time. Timers of one time expire in the order in which they were
+// set.
 type timerQueue struct {
 	heap        timerHeap
 	lastOrdinal uint64
@@ -64,7 +66,7 @@
 	heap.Push(&q.heap, timer{at, q.nextOrdinal(), event})
 }
 
-// nextOrdinal returns a number that neither a timer nor a load probe had before.
+// nextOrdinal returns a number that no timer and no load probe has yet.
 func (q *timerQueue) nextOrdinal() uint64 {
 	q.lastOrdinal++
 	return q.lastOrdinal
