--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -7,8 +7,9 @@
 	"wheatlane/control"
 )
 
-// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh controllers:
-// equal settings, seeds and events give equal actions, so the loop stays closed and only the module is measured.
+// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh
+// controllers: equal settings, seeds and events give equal actions, so the loop stays closed and only the
+// module is measured.
 type recorded struct {
 	settings control.Settings
 	seed     uint64
@@ -19,8 +20,8 @@
 	b.Helper()
 	r := recorded{settings: settings, seed: 1}
 	w := newWorld(b, settings, r.seed, engines)
-	w.calm, w.load = true, load
-	w.seen = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
+	w.faultless, w.load = true, load
+	w.observe = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
 	w.run(length)
 	return r
 }
@@ -34,8 +35,8 @@
 	return n
 }
 
-// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part of the
-// timers and intervals, at three quarters and at one and a half times the engines' capacity.
+// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part
+// of the timers and intervals, at three quarters and at one and a half times the engines' capacity.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name    string
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -16,8 +16,8 @@
 	return s
 }
 
-// What is heard of an engine counts where it is younger than what is known, and for no engine that is not listed; a
-// report of a time before the engine started is of another process.
+// What is heard of an engine counts where it is younger than what is known, and for no engine that is not
+// listed; a report of a time before the engine started is of another process.
 func TestHeardReportsCountWhereTheyAreYounger(t *testing.T) {
 	started := eng("e03")
 	started.StartedAt = 99 * time.Second
@@ -25,16 +25,20 @@
 	r.feed(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}}, ProbeResult{Engine: "e01", Report: []float64{0.4}})
 	r.now += time.Second
 	r.feed(GossipReceived{Reports: []LoadReport{
-		{EngineHash("e01"), 0.9, 1500 * ms}, {EngineHash("e02"), 0.9, 1500 * ms}, {EngineHash("e03"), 0.9, 5 * time.Second},
-		{EngineHash("e04"), -3, -time.Hour}, {EngineHash("no such"), 0.9, 0}}})
+		{EngineHash("e01"), 0.9, 1500 * ms},
+		{EngineHash("e02"), 0.9, 1500 * ms},
+		{EngineHash("e03"), 0.9, 5 * time.Second},
+		{EngineHash("e04"), -3, -time.Hour},
+		{EngineHash("no such"), 0.9, 0},
+	}})
 	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
-		if got := r.c.engineOf[id].report; math.Abs(got-wanted) > 1e-9 {
+		if got := r.c.endpoints.byID[id].load; math.Abs(got-wanted) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
-	want(t, "e04's report, in the future", r.c.engineOf["e04"].reportAt, r.now)
+	want(t, "e04's report, in the future", r.c.endpoints.byID["e04"].loadReportedAt, r.now)
 	r.feed(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
-	want(t, "a younger report", r.c.engineOf["e01"].report, 0.7)
+	want(t, "a younger report", r.c.endpoints.byID["e01"].load, 0.7)
 }
 
 // A gateway tells one other at a time, never itself, what it knows, the youngest first, and no oftener than
@@ -48,7 +52,7 @@
 	r.now += 50 * ms
 	r.feed(ProbeResult{Engine: "e02", Report: []float64{0.8}})
 	told := pickOf[SendGossip](r.run(4 * time.Second))
-	if len(told) < 10 || len(told) > int(4*time.Second/tellEvery) {
+	if len(told) < 10 || len(told) > int(4*time.Second/gossipInterval) {
 		t.Fatalf("told %d times in 4 s", len(told))
 	}
 	for range 20 { // news at every second, so that it goes on telling
@@ -66,15 +70,16 @@
 	if first := told[0].Reports; len(first) != 2 || first[0].Engine != EngineHash("e02") || first[1].Age-first[0].Age != 50*ms {
 		t.Fatalf("told %+v first", first)
 	}
-	want(t, "tells of what is old", len(pickOf[SendGossip](r.run(10*time.Second))) < int(6*time.Second/tellEvery), true)
+	want(t, "tells of what is old", len(pickOf[SendGossip](r.run(10*time.Second))) < int(6*time.Second/gossipInterval), true)
 	s.Limits.Gossip = false
 	r = pooledRig(t, s, 10)
 	r.feed(ProbeResult{Engine: "e01", Report: []float64{0.4}})
 	want(t, "tells without leave", len(pickOf[SendGossip](r.run(time.Second))), 0)
 }
 
-// Gateways that know the same choose different engines, the emptier the oftener: seen on a day with 80 gateways that
-// told one another and each took the engine with most room, and served less than when none told (G 0.33 after 0.46).
+// Gateways that know the same choose different engines, the emptier the oftener: seen on a day with 80
+// gateways that told one another and each took the engine with most room, and served less than when none told
+// (G 0.33 after 0.46).
 func TestGatewaysThatKnowTheSameSpread(t *testing.T) {
 	sent := map[string]int{}
 	for seed := range 300 {
@@ -105,30 +110,30 @@
 	}
 }
 
-// A heavy query that may leave is sent to the emptiest of the engines asked for it, once they have answered; its
-// threads are taken meanwhile, and given back when its client goes away first.
+// A heavy query that may leave is sent to the emptiest of the engines asked for it, once they have answered;
+// its threads are taken meanwhile, and given back when its client goes away first.
 func TestAHeavyQueryLeavesForTheEmptiestAsked(t *testing.T) {
 	r := pooledRig(t, fleetBase(), 60)
-	r.run(2 * interval)
+	r.run(2 * controlInterval)
 	id, got := r.ask("long")
 	asked := pickOf[ProbeLoad](got)
 	if len(asked) < 2 || len(pickOf[SendAttempt](got)) > 0 {
 		t.Fatalf("%d engines asked, %d sends", len(asked), len(pickOf[SendAttempt](got)))
 	}
-	want(t, "threads while it leaves", r.c.pool.threads, 2)
+	want(t, "threads while it leaves", r.c.endpoints.pool.threadsInFlight, 2)
 	for i, a := range asked {
 		r.feed(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
 	}
-	sent := pickOf[SendAttempt](r.run(probeWait*5*ms + 5*ms))
+	sent := pickOf[SendAttempt](r.run(probeWaitBatches*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
 		t.Fatalf("asked %v, sent %v", asked, sent)
 	}
-	want(t, "threads once it left", r.c.pool.threads, 2)
+	want(t, "threads once it left", r.c.endpoints.pool.threadsInFlight, 2)
 	gone, _ := r.ask("long")
 	r.feed(ClientDisconnected{RequestID: gone})
 	r.run(time.Second)
-	want(t, "threads after a client left", r.c.pool.threads, 2)
-	want(t, "class's count", r.c.classes[1].leaving, 0)
+	want(t, "threads after a client left", r.c.endpoints.pool.threadsInFlight, 2)
+	want(t, "class's count", r.c.workload.classes[1].awaitingProbes, 0)
 }
 
 // The pool's load is what its threads meet: crowded engines are no better off for others that stand empty.
@@ -140,24 +145,24 @@
 		if i < 4 {
 			load = 1.8
 		}
-		reports = append(reports, LoadReport{r.c.engines[i].mark, load, 0})
+		reports = append(reports, LoadReport{r.c.endpoints.all[i].gossipID, load, 0})
 	}
 	r.feed(GossipReceived{Reports: reports})
-	r.run(tick + 5*ms)
-	if got := r.c.pool.report; got < 1.6 || got > 1.8 {
+	r.run(tickInterval + 5*ms)
+	if got := r.c.endpoints.pool.load; got < 1.6 || got > 1.8 {
 		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
 	}
 }
 
-// Short of room, the heaviest of queries of the same worth are refused first, and light ones get what they would have
-// taken; seen on a day with 80 gateways: the refused were as heavy as the served. Where worth
+// Short of room, the heaviest of queries of the same worth are refused first, and light ones get what they
+// would have taken; seen on a day with 80 gateways: the refused were as heavy as the served. Where worth
 // grows with work, there is no such price; and once there is room again, it is forgotten.
 func TestTheHeaviestAreRefusedFirst(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := fleetBase()
 		s.WeightByWork, s.Limits.LoadProbes = byWork, false
 		r := pooledRig(t, s, 60)
-		r.run(2 * interval)
+		r.run(2 * controlInterval)
 		weight := func(i int) time.Duration { return time.Duration(100<<(i%6)) * ms } // 0.1 to 3.2 s
 		out, refused := map[string]time.Duration{}, [6]int{}
 		works := map[string]int{}
@@ -187,13 +192,13 @@
 		if !byWork && refused[5] < 4*(refused[0]+1) {
 			t.Errorf("refused, from the lightest to the heaviest: %v", refused)
 		}
-		if byWork && r.c.costly(&query{work: 1e6}) {
+		if byWork && r.c.belowAdmissionPrice(&request{class: r.c.workload.classes[0], expectedWork: 1e6}) {
 			t.Error("where worth grows with work, a query was too much work for its worth")
 		}
-		dear := r.c.price
-		r.run(100 * interval)
-		want(t, "price forgotten", r.c.price, leastPrice)
-		if dear <= leastPrice {
+		dear := r.c.admission.price
+		r.run(100 * controlInterval)
+		want(t, "price forgotten", r.c.admission.price, minAdmissionPrice)
+		if dear <= minAdmissionPrice {
 			t.Errorf("the price never rose: %v", dear)
 		}
 	}
