--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -41,8 +41,7 @@
 func (t *sessionTable) add(now time.Duration, id Session) {
 	s := &session{id: id}
 	t.byID[id] = s
-	s.evictableSince, s.evictionQueue = now, &t.unauthenticated
-	s.evictionElement = t.unauthenticated.PushBack(s)
+	s.markEvictable(now, &t.unauthenticated, t.unauthenticated.PushBack(s))
 }
 
 func (t *sessionTable) remove(s *session) {
@@ -53,15 +52,18 @@
 // markIdle makes a session the last of the idle ones to evict.
 func (t *sessionTable) markIdle(now time.Duration, s *session) {
 	s.markBusy()
-	s.evictableSince, s.evictionQueue = now, &t.idle
-	s.evictionElement = t.idle.PushBack(s)
+	s.markEvictable(now, &t.idle, t.idle.PushBack(s))
 }
 
 // markFirstToEvict makes a session the first of the idle ones to evict.
 func (t *sessionTable) markFirstToEvict(now time.Duration, s *session) {
 	s.markBusy()
-	s.evictableSince, s.evictionQueue = now, &t.idle
-	s.evictionElement = t.idle.PushFront(s)
+	s.markEvictable(now, &t.idle, t.idle.PushFront(s))
+}
+
+// markEvictable keeps the place of a session in an eviction queue.
+func (s *session) markEvictable(now time.Duration, queue *list.List, element *list.Element) {
+	s.evictableSince, s.evictionQueue, s.evictionElement = now, queue, element
 }
 
 // markBusy keeps a session from being evicted.
