--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -139,22 +139,24 @@
 	p.server.apply(broker.ProbeResult{ProbeID: s.probeID, Status: status, Report: report})
 }
 
-// statusOfWord is what a response without a result proves of its attempt. Any other word means that the
-// attempt failed.
-var statusOfWord = map[resp.Word]control.Status{
-	resp.Busy: control.AtCapacity,
-	resp.Void: control.NeverSent,
+// statusOf is what the word of a response without a result proves of its attempt.
+func statusOf(word resp.Word) control.Status {
+	switch word {
+	case resp.Busy:
+		return control.AtCapacity
+	case resp.Void:
+		return control.NeverSent
+	case resp.Err, resp.Down, resp.Up, resp.OK, resp.Rows:
+		return control.Failed
+	}
+	return control.Failed
 }
 
 // attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
 // mistaken for the response to a retry, so the id is retired.
 func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report []float64) {
-	status, ok := statusOfWord[r.Word]
-	if !ok {
-		status = control.Failed
-	}
 	s.done = true
 	delete(p.inFlight, s.attemptID)
 	p.retireUntilClientTimeout(s)
-	p.server.apply(broker.AttemptEnded{Attempt: s.attemptID, Status: status, Report: report})
+	p.server.apply(broker.AttemptEnded{Attempt: s.attemptID, Status: statusOf(r.Word), Report: report})
 }
