--- /dev/null
+++ b/internal/server/enginepool_test.go
@@ -0,0 +1,210 @@
+package server
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/config"
+	"wheatlane/internal/resp"
+)
+
+var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
+
+// Idle connections to engines are closed by the broker, before the engines do.
+func TestIdleEngineConnectionsAreClosed(t *testing.T) {
+	e := newFakeEngine(t)
+	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, listed("e1", e))
+	c := s.connect(statement("lookup", 1, longTimeout, ""))
+	e.expect(t, "want").replyOK()
+	c.expect("rows ")
+	receive(t, e.closed, "the end of an idle connection")
+	c.query(statement("lookup", 2, longTimeout, ""))
+	e.expect(t, "want").replyOK()
+	c.expect("rows ")
+}
+
+// sentCommands ends a connection and returns what leaves on it, as command and request id.
+func sentCommands(t *testing.T, transport *bufferedConn, far io.Reader) (commands []string) {
+	t.Helper()
+	transport.closeAfterSent(&endError{Reason: Shutdown})
+	ended := make(chan error, 1)
+	go func() { ended <- transport.writeLoop(t.Context()) }()
+	sent, err := io.ReadAll(far)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for len(sent) > 0 {
+		parts, size, err := resp.Parse(sent)
+		if err != nil || size == 0 {
+			t.Fatalf("the engine can't parse %q", sent)
+		}
+		commands = append(commands, string(parts[0])+" "+string(parts[1]))
+		sent = sent[size:]
+	}
+	return commands
+}
+
+// What waits behind other bytes on its way to an engine is withdrawn, with its later commands, when its client has left,
+// it is cancelled, or its engine drains; its neighbours leave.
+func TestUnsentAttemptsAreWithdrawn(t *testing.T) {
+	neverSent := func(id broker.AttemptID) broker.Event {
+		return broker.AttemptEnded{Attempt: id, Status: control.NeverSent}
+	}
+	for name, tt := range map[string]struct {
+		act    func(p *enginePool)
+		sent   []string
+		events []broker.Event
+	}{
+		"client left": {
+			func(p *enginePool) { p.withdrawAttempt(firstAttempt) },
+			[]string{"want 2"},
+			[]broker.Event{neverSent(firstAttempt)},
+		},
+		"cancelled": {
+			func(p *enginePool) { p.cancelAttempt(firstAttempt) },
+			[]string{"want 2"},
+			[]broker.Event{neverSent(firstAttempt)},
+		},
+		"engine drains": {
+			func(p *enginePool) { p.cancelUnsent("e1") },
+			nil,
+			[]broker.Event{neverSent(firstAttempt), neverSent(secondAttempt)},
+		},
+		"another engine drains": {
+			func(p *enginePool) { p.cancelUnsent("e2") },
+			[]string{"want 1", "want 2", "hurry 1"},
+			nil,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, transport, far := newIdleServer(t)
+			startAttempt(s, firstAttempt, "lookup", time.Second)
+			startAttempt(s, secondAttempt, "lookup", time.Second)
+			s.pool.setPriority(broker.SetPriority{Attempt: firstAttempt, Priority: 3})
+			tt.act(&s.pool)
+			if diff := cmp.Diff(tt.sent, sentCommands(t, transport, far)); diff != "" {
+				t.Errorf("sent: %s", diff)
+			}
+			if diff := cmp.Diff(tt.events, s.pendingEvents); diff != "" {
+				t.Errorf("events of the reducer: %s", diff)
+			}
+		})
+	}
+}
+
+// A connection that its engine may close any moment, as it was idle for long, takes nothing new, however seldom idle
+// ones are looked for: a request put on it would cross the close, and nobody would know whether it ran.
+func TestIdleEngineConnectionIsNotUsed(t *testing.T) {
+	const idleTimeout = time.Second
+	e := newFakeEngine(t)
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	inLoop(s, func(server *Server) bool { server.sweepInterval = time.Hour; return true })
+	first := s.serveOn(e, 1)
+	if s.serveOn(e, 2).conn != first.conn {
+		t.Fatal("a fresh connection was not used again")
+	}
+	inLoop(s, func(server *Server) bool {
+		for _, c := range server.pool.connsByEngine["e1"] {
+			c.lastUsed = c.lastUsed.Add(-idleTimeout * 7 / 10)
+		}
+		return true
+	})
+	if s.serveOn(e, 3).conn == first.conn {
+		t.Fatal("an idle connection was used")
+	}
+}
+
+// Idle timeouts shorter than the usual interval of the sweep are kept as well.
+func TestSweepIntervalFollowsIdleTimeout(t *testing.T) {
+	const idleTimeout = 300 * time.Millisecond
+	e := newFakeEngine(t)
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	s.serveOn(e, 1)
+	receive(t, e.closed, "the end of the idle connection")
+	s.expectEnd(e.addr, Idle)
+	interval := inLoop(s, func(server *Server) time.Duration { return server.sweepInterval })
+	if interval >= idleTimeout {
+		t.Fatalf("idle connections are looked for every %v, and engines close them after %v", interval, idleTimeout)
+	}
+}
+
+// Where the limit of sockets allows no more connections to engines, the one idle longest is evicted: engines without
+// any would else be held for out of order.
+func TestIdleConnectionIsEvictedForAnotherEngine(t *testing.T) {
+	e, other := newFakeEngine(t), newFakeEngine(t)
+	s := startServer(t, listed("e1", e))
+	s.serveOn(e, 1)
+	inLoop(s, func(server *Server) bool {
+		server.pool.connCount = server.cfg.Sockets / engineSocketDivisor
+		return true
+	})
+	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
+	b := s.connect(statement("lookup", 2, longTimeout, ""))
+	attempt := other.expect(t, "want")
+	receive(t, e.closed, "the end of the idle connection")
+	s.expectEnd(e.addr, EvictedIdle)
+	attempt.replyOK()
+	b.expect("rows ")
+}
+
+// With no idle connection to evict, an attempt never leaves, which says nothing against its engine.
+func TestNoCapacityForAnotherConnection(t *testing.T) {
+	s, _, _ := newIdleServer(t)
+	startAttempt(s, firstAttempt, "lookup", time.Second)
+	s.pool.connCount = s.cfg.Sockets / engineSocketDivisor
+	s.pool.startAttempt(broker.StartAttempt{
+		Attempt: secondAttempt, Engine: "e2", Addr: "b", RequestID: "2", Class: "lookup", Timeout: time.Second, Priority: 1,
+	})
+	want := []broker.Event{broker.AttemptEnded{Attempt: secondAttempt, Status: control.AtCapacity}}
+	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
+		t.Fatalf("events of the reducer: %s", diff)
+	}
+}
+
+// Settings may let a connection take one attempt only. An engine still gets as many at once as it is sent.
+func TestAttemptsWithOneStreamPerConnection(t *testing.T) {
+	e := newFakeEngine(t)
+	oneStream := func(c *config.Config) { c.Settings.MaxStreams = 1 }
+	s := startServerWith(t, serverOptions{configure: oneStream}, listed("e1", e))
+	const clients = 2 * defaultConnsPerEngine
+	for i := range clients {
+		s.connect(statement("lookup", i+1, longTimeout, ""))
+	}
+	conns := map[net.Conn]bool{}
+	for range clients {
+		conns[e.expect(t, "want").conn] = true
+	}
+	if len(conns) != clients {
+		t.Fatalf("%d attempts on %d connections", clients, len(conns))
+	}
+}
+
+// A connection is closed by the broker as a request is on its way to the goroutine that writes: what is reported as
+// never sent, and may be sent elsewhere for that, does not leave any more. What has begun to leave counts as sent.
+func TestClosedConnectionSendsNothing(t *testing.T) {
+	s, transport, far := newIdleServer(t)
+	startAttempt(s, firstAttempt, "once", time.Second)
+	firstBytes := int(transport.queuedBytes)
+	transport.nextBytes() // it is being written as the connection is closed
+	startAttempt(s, secondAttempt, "once", time.Second)
+	s.pool.closeConnections("e1", 0)
+	want := []broker.Event{
+		broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset},
+		broker.AttemptEnded{Attempt: secondAttempt, Status: control.ConnectFailed, SharedCause: true},
+	}
+	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
+		t.Errorf("events of the reducer: %s", diff)
+	}
+	transport.closeAfterSent(&endError{Reason: Shutdown}) // the goroutine that writes comes to it ahead of the close
+	ended := make(chan error, 1)
+	go func() { ended <- transport.writeLoop(t.Context()) }()
+	if sent, err := io.ReadAll(far); err != nil || len(sent) != firstBytes {
+		t.Errorf("the engine got %q, %v", sent, err)
+	}
+}
