--- /dev/null
+++ b/internal/report/page.go
@@ -0,0 +1,117 @@
+package report
+
+import (
+	_ "embed"
+	"fmt"
+	"html/template"
+	"io"
+	"time"
+
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/metrics"
+)
+
+//go:embed page.html
+var pageTemplate string
+
+var layout = template.Must(template.New("page").Parse(pageTemplate))
+
+// pageData is what the template shows.
+type pageData struct {
+	Title               string
+	OK                  bool
+	Samples, Duplicated int
+	Violations          []string
+	Unknown, Malformed  map[string]int
+	Runs                []runData
+}
+
+// runData is what the template shows of one run of a broker.
+type runData struct {
+	Broker, Started, Length  string
+	Intervals                int    // that came
+	Represented, Last        uint64 // intervals that those stand for, and the highest number
+	Missing                  int64
+	Requests, Late, Unserved float64
+	Sections                 []Section
+}
+
+// Write writes the page of what a collector received.
+func Write(w io.Writer, title string, f *collector.Findings) error {
+	data := pageData{
+		Title:      title,
+		OK:         f.OK(),
+		Samples:    f.Samples,
+		Duplicated: f.Duplicated,
+		Violations: f.Faults,
+		Unknown:    f.Unknown,
+		Malformed:  f.Malformed,
+	}
+	for _, r := range f.Runs {
+		if len(r.Intervals) == 0 {
+			continue
+		}
+		run, err := newRunData(r)
+		if err != nil {
+			return err
+		}
+		data.Runs = append(data.Runs, run)
+	}
+	if err := layout.Execute(w, data); err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	return nil
+}
+
+// newRunData summarizes a run that has intervals, and renders its charts.
+func newRunData(r *collector.Run) (runData, error) {
+	first, last := timeRange(r)
+	late, unserved := lateAndUnserved(r)
+	d := runData{
+		Broker:      r.Broker,
+		Started:     time.UnixMilli(r.Started).UTC().Format(time.RFC3339),
+		Length:      (time.Duration(last-first) * time.Second).String(),
+		Intervals:   len(r.Intervals),
+		Represented: r.Of,
+		Last:        r.Last,
+		Missing:     r.Missing(),
+		Requests:    r.Total(metrics.Requests),
+		Late:        late,
+		Unserved:    unserved,
+		Sections:    Sections(r, first),
+	}
+	for i := range d.Sections {
+		for j := range d.Sections[i].Charts {
+			c := &d.Sections[i].Charts[j]
+			c.Length = float64(last - first)
+			svg, err := c.render()
+			if err != nil {
+				return runData{}, err
+			}
+			c.SVG = svg
+		}
+	}
+	return d, nil
+}
+
+// timeRange is that of a run's intervals, in seconds of Unix time.
+func timeRange(r *collector.Run) (first, last int64) {
+	first, last = r.Intervals[0].At, r.Intervals[0].At
+	for _, v := range r.Intervals {
+		first, last = min(first, v.At), max(last, v.At)
+	}
+	return first, last
+}
+
+// lateAndUnserved are how many requests were served late, and how many were rejected or failed.
+func lateAndUnserved(r *collector.Run) (late, unserved float64) {
+	for s, n := range r.Totals(metrics.Answers) {
+		switch s.Part {
+		case metrics.Late:
+			late += n
+		case metrics.Rejected, metrics.Failed:
+			unserved += n
+		}
+	}
+	return late, unserved
+}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -10,12 +10,14 @@
 	"wheatlane/internal/metrics"
 )
 
-// night is a broker's minute in which route reports go late and refusals come.
+// night is a minute of a broker in which route reports go late and requests are rejected.
 func night() *collector.Findings {
 	var all []collector.Sample
 	add := func(at int64, id metrics.ID, name, stat string, part int, v float64) {
-		all = append(all, collector.Sample{Name: graphite.Name{Broker: "n1", Series: metrics.Series{Figure: id, Name: name, Part: part}, Stat: stat},
-			Value: v, At: at})
+		series := metrics.Series{Figure: id, Name: name, Part: part}
+		all = append(all, collector.Sample{
+			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, At: at,
+		})
 	}
 	for i := range 6 {
 		at, n := int64(1000+10*i), float64(i)
@@ -34,12 +36,14 @@
 	return collector.Reconcile(all, 0, nil, nil)
 }
 
-// What is worst comes first: the class that is late ahead of the one that is not, latency ahead of what is calm.
+// What is worst comes first: the class that is late ahead of the one that is not, latency ahead of what is
+// calm.
 func TestWorstFirst(t *testing.T) {
 	f := night()
 	sections := Sections(f.Runs[0], 1000)
-	if got := sections[0]; got.Title != "Latency against the wanted time" || got.Charts[0].Title != "route-report" {
-		t.Fatalf("first is %s, %s", got.Title, got.Charts[0].Title)
+	first := sections[0]
+	if first.Title != "Latency against the wanted time" || first.Charts[0].Title != "route-report" {
+		t.Fatalf("first is %s, %s", first.Title, first.Charts[0].Title)
 	}
 	for i := 1; i < len(sections); i++ {
 		if sections[i].severity > sections[i-1].severity {
@@ -48,7 +52,7 @@
 	}
 }
 
-// A rate is what a counter grew by over the time that the interval stands for.
+// A rate is what a counter grew by over the time that the interval represents.
 func TestRates(t *testing.T) {
 	f := night()
 	lines := runView{f.Runs[0], 1000}.rates(metrics.Rejections, nil)
@@ -62,8 +66,8 @@
 	}
 }
 
-// The page stands by itself: nothing in it is fetched from elsewhere. Texts from outside can't become markup.
-func TestThePageStandsByItself(t *testing.T) {
+// Nothing in the page is fetched from elsewhere, and texts from outside can't become markup.
+func TestPageIsSelfContained(t *testing.T) {
 	f := night()
 	f.Faults = []string{"<script>alert(1)</script>"}
 	var b bytes.Buffer
@@ -83,7 +87,7 @@
 	}
 }
 
-func TestAnEmptyRecording(t *testing.T) {
+func TestEmptyRecording(t *testing.T) {
 	var b bytes.Buffer
 	if err := Write(&b, "Nothing", collector.Reconcile(nil, 0, nil, nil)); err != nil {
 		t.Fatal(err)
