--- a/internal/emulator/cluster/config.go
+++ b/internal/emulator/cluster/config.go
@@ -7,33 +7,58 @@
 	"wheatlane/internal/emulator/changelogserver"
 )
 
-// deploymentSettings words the deployment as the platform does.
+// deploymentSettings are the settings of the deployment, in the platform's form.
 const deploymentSettings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + Kind + `"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,4,2],"ClassLoad":[false,false,true],
   "YieldsToLoads":[true,false,false],"SaysCost":true},
  "Stats":{"Fields":["queue","x1","x0"]},
- "Limits":{"Cancel":true,"MaxAttempts":4,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,"Probing":true,
-  "ConnectTimeoutNs":250000000,"ConnIdleNs":30000000000,"MaxStreams":100},
+ "Limits":{"Cancel":true,"MaxAttempts":4,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,
+  "Probing":true,"ConnectTimeoutNs":250000000,"ConnIdleNs":30000000000,"MaxStreams":100},
  "Rules":{"ColdFrom":0.33,"WarmAfterNs":15000000000,"FallMultiple":2.5,"FallNs":1000000000},
  "Tenants":[{"Name":"fishing-fleet","Share":0.59},{"Name":"harbour-office","Share":0.41}],
  "RequestClasses":[
-  {"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"AimStretch":1.5,"GiveUpNs":2000000000,"Worth":1,"LateWorth":0.3},
-  {"Name":"route-report","Effect":"repeatable","PromiseNs":2000000000,"AimStretch":2.5,"GiveUpNs":20000000000,"Worth":15,"LateWorth":0.3},
-  {"Name":"survey-load","Effect":"by_key","WindowNs":15000000000,"PromiseNs":3000000000,"AimStretch":3,"GiveUpNs":25000000000,
-   "Worth":20,"LateWorth":0.3,"ByArrival":true}]}`
+  {"Name":"lookup","Effect":"repeatable","PromiseNs":400000000,"AimStretch":1.5,"GiveUpNs":2000000000,
+   "Worth":1,"LateWorth":0.3},
+  {"Name":"route-report","Effect":"repeatable","PromiseNs":2000000000,"AimStretch":2.5,"GiveUpNs":20000000000,
+   "Worth":15,"LateWorth":0.3},
+  {"Name":"survey-load","Effect":"by_key","WindowNs":15000000000,"PromiseNs":3000000000,"AimStretch":3,
+   "GiveUpNs":25000000000,"Worth":20,"LateWorth":0.3,"ByArrival":true}]}`
 
-// Tenants are the customers of these settings.
+// Tenants are the tenants of these settings.
 var Tenants = []string{"fishing-fleet", "harbour-office"}
 
-// Configuration is the file of a broker beside these engines, in the platform's form. It listens at any port.
+// limits are the broker's limits in a configuration.
+type limits struct {
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"`
+}
+
+// configuration is a broker's configuration in the platform's form.
+type configuration struct {
+	Changelog string          `json:"changelog"`
+	Known     json.RawMessage `json:"known"`
+	Limits    limits          `json:"limits"`
+	Listen    string          `json:"listen"`
+	Name      string          `json:"name"`
+	Seed      string          `json:"seed"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+// Configuration returns the configuration file of a broker for these engines. The broker listens at any loopback port.
 func Configuration(name string, seed uint64, changes *changelogserver.ChangeLog) ([]byte, error) {
 	known, err := changes.Known()
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.MarshalIndent(map[string]any{"name": name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%x", seed),
-		"changelog": changes.Addr(), "known": known, "settings": json.RawMessage(deploymentSettings),
-		"limits": map[string]int{"memory_mb": 192, "sockets": 1024}}, "", "  ")
+	text, err := json.MarshalIndent(configuration{
+		Changelog: changes.Addr(),
+		Known:     known,
+		Limits:    limits{MemoryMB: 192, Sockets: 1024},
+		Listen:    "127.0.0.1:0",
+		Name:      name,
+		Seed:      fmt.Sprintf("%x", seed),
+		Settings:  json.RawMessage(deploymentSettings),
+	}, "", "  ")
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -55,8 +55,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
-	return &Carbon{Form: form, Pickle: pickle, reconciler: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
-		modeChanged: make(chan struct{}), conns: map[net.Conn]bool{}}, nil
+	return &Carbon{
+		Form: form, Pickle: pickle, reconciler: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
+		modeChanged: make(chan struct{}), conns: map[net.Conn]bool{},
+	}, nil
 }
 
 // Addr is where it listens.
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -42,8 +42,10 @@
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
 	defer pc.Close()
-	return &Collectd{reader: reader, reconciler: ledger, rng: rand.New(rand.NewPCG(seed, 0)), addr: pc.LocalAddr().String(),
-		mode: Serve}, nil
+	return &Collectd{
+		reader: reader, reconciler: ledger, rng: rand.New(rand.NewPCG(seed, 0)), addr: pc.LocalAddr().String(),
+		mode: Serve,
+	}, nil
 }
 
 // Addr is where it listens.
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -83,8 +83,10 @@
 func TestQuantilesOutOfOrderAreFound(t *testing.T) {
 	all := intervalSamples("n1", 100, 110, 1, 1, 5)
 	for i, stat := range metrics.Stats {
-		all = append(all, Sample{Name: graphite.Name{Broker: "n1", Series: metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}, Stat: stat},
-			Value: float64(10 - i), At: 110})
+		all = append(all, Sample{
+			Name:  graphite.Name{Broker: "n1", Series: metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}, Stat: stat},
+			Value: float64(10 - i), At: 110,
+		})
 	}
 	if f := Reconcile(all, 0, nil, nil); len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
 		t.Fatalf("%q", f.Faults)
--- a/internal/emulator/collector/golden_test.go
+++ b/internal/emulator/collector/golden_test.go
@@ -26,13 +26,19 @@
 	at                                       int64
 }{
 	{"0 open_requests;broker=n1 17 1750000000", "open_requests", "n1", "", "", "", false, 0, 17, 1750000000},
-	{"12 answers;broker=n_201;class=lookup;outcome=late 3 1750000000", "answers", "n 1", "lookup", "", "late", false,
-		12 * time.Millisecond, 3, 1750000000},
-	{"1500 answer_ms.p99;broker=n1;class=re_2eport 12.75 1750000010", "answer_ms", "n1", "re.port", "p99", "", false,
-		1500 * time.Millisecond, 12.75, 1750000010},
+	{
+		"12 answers;broker=n_201;class=lookup;outcome=late 3 1750000000", "answers", "n 1", "lookup", "", "late", false,
+		12 * time.Millisecond, 3, 1750000000,
+	},
+	{
+		"1500 answer_ms.p99;broker=n1;class=re_2eport 12.75 1750000010", "answer_ms", "n1", "re.port", "p99", "", false,
+		1500 * time.Millisecond, 12.75, 1750000010,
+	},
 	{"3600000 queued;broker=n1;engine=other 1e+21 1750000010", "queued", "n1", "", "", "", true, time.Hour, 1e21, 1750000010},
-	{"3600001 client_connections_ended;broker=_;reason=peer_reset 0.125 1750000020", "client_connections_ended", "", "", "",
-		"peer_reset", false, time.Hour + time.Millisecond, 0.125, 1750000020},
+	{
+		"3600001 client_connections_ended;broker=_;reason=peer_reset 0.125 1750000020", "client_connections_ended", "", "", "",
+		"peer_reset", false, time.Hour + time.Millisecond, 0.125, 1750000020,
+	},
 }
 
 // unpacked is the content of a recording.
--- a/internal/emulator/collector/ledger.go
+++ b/internal/emulator/collector/ledger.go
@@ -43,8 +43,10 @@
 
 // NewReconciler returns an empty one. onSample, if there is one, is given each sample as it comes.
 func NewReconciler(onSample func(Sample)) *Reconciler {
-	return &Reconciler{startedAt: time.Now(), unknown: map[string]int{}, malformed: map[string]int{}, onSample: onSample,
-		changed: make(chan struct{})}
+	return &Reconciler{
+		startedAt: time.Now(), unknown: map[string]int{}, malformed: map[string]int{}, onSample: onSample,
+		changed: make(chan struct{}),
+	}
 }
 
 // Take keeps a sample.
@@ -199,8 +201,10 @@
 		k := key{s.Name.Broker, s.At}
 		st := stamps[k]
 		if st == nil {
-			st = &timestampGroup{broker: k.broker, timestamp: k.at, arrivedAfter: s.Arrived, values: map[metrics.Series]float64{},
-				distributions: map[metrics.Series]map[string]float64{}}
+			st = &timestampGroup{
+				broker: k.broker, timestamp: k.at, arrivedAfter: s.Arrived, values: map[metrics.Series]float64{},
+				distributions: map[metrics.Series]map[string]float64{},
+			}
 			stamps[k] = st
 		}
 		if metrics.Catalogue[s.Name.Series.Figure].Kind != metrics.DistributionKind {
@@ -235,8 +239,10 @@
 		if runs[k] == nil {
 			runs[k] = &Run{Broker: k.broker, Started: k.started}
 		}
-		runs[k].Intervals = append(runs[k].Intervals, &Interval{Number: uint64(number), At: st.timestamp, Arrived: st.arrivedAfter, Of: uint64(of),
-			Values: st.values, Spreads: st.distributions})
+		runs[k].Intervals = append(runs[k].Intervals, &Interval{
+			Number: uint64(number), At: st.timestamp, Arrived: st.arrivedAfter, Of: uint64(of),
+			Values: st.values, Spreads: st.distributions,
+		})
 	}
 	f.Runs = slices.SortedFunc(maps.Values(runs), func(a, b *Run) int {
 		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.Started, b.Started))
