--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -13,59 +13,60 @@
 	"wheatlane/internal/graphite"
 )
 
-// Mode is how a stand-in behaves.
-type Mode string
-
-// The modes of stand-ins.
-const (
-	Serve       Mode = "serve"
-	Unreachable Mode = "gone"    // nothing listens, and open connections are reset
-	Silent      Mode = "mute"    // connections are accepted and never read
-	Slow        Mode = "slow"    // read at some 2 KB a second
-	Truncating  Mode = "tear"    // each connection is reset in the middle of a line
-	Lossy       Mode = "lossy"   // a third of the datagrams is lost
-	Reordering  Mode = "shuffle" // datagrams come out of order
-)
-
 const (
 	slowReadBytes      = 256
 	slowReadInterval   = 125 * time.Millisecond
-	truncateAfterBytes = 10_000 // bytes; the connection is reset at the next byte that is inside of a line
+	truncateAfterBytes = 10_000 // a connection is reset at the next byte that is inside of a line
 	maxUnreadBytes     = 2 << 20
+	readBufferBytes    = 16 << 10
 )
 
-// Carbon is a stand-in for a carbon server.
+var errMessageTooLong = errors.New("a message without end")
+
+// Carbon emulates a carbon server.
 type Carbon struct {
 	Form       graphite.Form
-	Pickle     bool
+	Pickle     bool // it reads the pickle protocol, not lines
 	reconciler *Reconciler
+	addr       string
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards what follows
 	mode        Mode
-	addr        string
-	ln          net.Listener  // nil while it is Gone
 	modeChanged chan struct{} // closed when the mode changes
+	listener    net.Listener  // nil while it is Unreachable
 	conns       map[net.Conn]bool
 }
 
-// NewCarbon returns one that listens at an address; port 0 is any, and the one taken is kept when it comes back.
-// Connections that come before Run wait for it.
-func NewCarbon(address string, form graphite.Form, pickle bool, ledger *Reconciler) (*Carbon, error) {
-	ln, err := net.Listen("tcp", address)
+// NewCarbon returns a server that listens at an address already; port 0 is any, and the one taken is kept when it becomes
+// reachable again. Connections that come before Run wait for it.
+func NewCarbon(address string, form graphite.Form, pickle bool, reconciler *Reconciler) (*Carbon, error) {
+	listener, err := listenTCP(address)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, err
 	}
 	return &Carbon{
-		Form: form, Pickle: pickle, reconciler: ledger, mode: Serve, addr: ln.Addr().String(), ln: ln,
-		modeChanged: make(chan struct{}), conns: map[net.Conn]bool{},
+		Form: form, Pickle: pickle, reconciler: reconciler, addr: listener.Addr().String(),
+		mode: Serve, modeChanged: make(chan struct{}), listener: listener, conns: map[net.Conn]bool{},
 	}, nil
 }
 
-// Addr is where it listens.
+func listenTCP(address string) (net.Listener, error) {
+	addr, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("carbon emulator: %w", err)
+	}
+	listener, err := net.ListenTCP("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("carbon emulator: %w", err)
+	}
+	return listener, nil
+}
+
+// Addr returns where the server listens.
 func (c *Carbon) Addr() string { return c.addr }
 
-// Set changes how it behaves. Once it has returned from a change to Gone, nothing listens, and from one that ends Tear,
-// no connection is torn.
+// Set changes the mode. Once it has returned from a change to Unreachable, nothing listens, and from one that ends
+// Truncating, no connection is truncated.
 func (c *Carbon) Set(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,188 +74,204 @@
 	close(c.modeChanged)
 	c.modeChanged = make(chan struct{})
 	if m == Unreachable {
-		c.shut()
-		for nc := range c.conns {
-			reset(nc)
+		c.closeListener()
+		for conn := range c.conns {
+			reset(conn)
 		}
 	}
 }
 
-// shut closes the listener. The caller holds the lock.
-func (c *Carbon) shut() {
-	if c.ln != nil {
-		c.ln.Close()
-		c.ln = nil
+// closeListener closes the listener; c.mu is held.
+func (c *Carbon) closeListener() {
+	if c.listener != nil {
+		_ = c.listener.Close() // what accepts sees the end
+		c.listener = nil
 	}
 }
 
-// listener is the one there is, or another at the same address; nil while it is Gone, and at the end.
-func (c *Carbon) listener(ctx context.Context) (ln net.Listener, err error) {
+// currentListener returns the listener, opened again where the mode asks for one; nil while the server is Unreachable, and
+// once ctx has ended.
+func (c *Carbon) currentListener(ctx context.Context) (net.Listener, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.mode != Unreachable && c.ln == nil && ctx.Err() == nil {
-		if c.ln, err = net.Listen("tcp", c.addr); err != nil {
-			return nil, fmt.Errorf("stand-in: %w", err)
-		}
+	if c.mode == Unreachable || ctx.Err() != nil || c.listener != nil {
+		return c.listener, nil
 	}
-	return c.ln, nil
+	listener, err := listenTCP(c.addr)
+	if err != nil {
+		return nil, err
+	}
+	c.listener = listener
+	return listener, nil
 }
 
-func (c *Carbon) currentMode() (Mode, <-chan struct{}) {
+func (c *Carbon) currentMode() (mode Mode, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.mode, c.modeChanged
 }
 
-// reset closes a connection as a process does that is killed.
-func reset(nc net.Conn) {
-	if tcp, ok := nc.(*net.TCPConn); ok {
-		tcp.SetLinger(0) //nolint:errcheck // it is closed next
-	}
-	nc.Close()
-}
-
 // Run serves until ctx ends.
 func (c *Carbon) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.shut()
+		c.closeListener()
 	})
 	defer stop()
 	g.Go(func() error {
 		for ctx.Err() == nil {
-			_, turn := c.currentMode()
-			ln, err := c.listener(ctx)
+			_, changed := c.currentMode()
+			listener, err := c.currentListener(ctx)
 			if err != nil {
 				return err
 			}
-			if ln == nil {
-				select {
-				case <-ctx.Done():
-				case <-turn:
-				}
+			if listener == nil {
+				wait(ctx, changed)
 				continue
 			}
-			c.accept(ctx, g, ln)
+			c.accept(ctx, g, listener)
 		}
 		return nil
 	})
 	return g.Wait()
 }
 
-// accept takes connections until the listener is closed.
-func (c *Carbon) accept(ctx context.Context, g *errgroup.Group, ln net.Listener) {
+// wait waits for a change of the mode or the end of ctx.
+func wait(ctx context.Context, changed <-chan struct{}) {
+	select {
+	case <-ctx.Done():
+	case <-changed:
+	}
+}
+
+// accept reads each connection in a goroutine of g, until the listener is closed.
+func (c *Carbon) accept(ctx context.Context, g *errgroup.Group, listener net.Listener) {
 	for {
-		nc, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c.mu.Lock()
-		c.conns[nc] = true
-		if c.mode == Unreachable {
-			reset(nc)
-		}
-		c.mu.Unlock()
+		c.register(conn)
 		g.Go(func() error {
-			stop := context.AfterFunc(ctx, func() { nc.Close() })
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the reader sees the end
 			defer stop()
-			c.read(ctx, nc)
-			nc.Close()
-			c.mu.Lock()
-			delete(c.conns, nc)
-			c.mu.Unlock()
+			c.read(ctx, conn)
+			_ = conn.Close() // it may have been reset
+			c.unregister(conn)
 			return nil
 		})
 	}
 }
 
-// tear resets a connection unless the mode has changed meanwhile: what comes under another mode is not torn.
-func (c *Carbon) tear(nc net.Conn) bool {
+func (c *Carbon) register(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conns[conn] = true
+	if c.mode == Unreachable { // accepted as the mode changed
+		reset(conn)
+	}
+}
+
+func (c *Carbon) unregister(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.conns, conn)
+}
+
+// truncate resets a connection unless the mode has changed meanwhile: what comes under another mode is not truncated.
+func (c *Carbon) truncate(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.mode != Truncating {
 		return false
 	}
-	reset(nc)
+	reset(conn)
 	return true
 }
 
-// read reads a connection as the mode has it.
-func (c *Carbon) read(ctx context.Context, nc net.Conn) {
-	var buf []byte
-	b := make([]byte, 16<<10)
+// readSize returns how many bytes the next read takes, after so many in all, and waits as the mode has it; 0 while nothing
+// may be read.
+func readSize(ctx context.Context, mode Mode, changed <-chan struct{}, total int) int {
+	switch mode {
+	case Silent:
+		wait(ctx, changed)
+		return 0
+	case Slow:
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		case <-time.After(slowReadInterval):
+		}
+		return slowReadBytes
+	case Truncating:
+		if total < truncateAfterBytes {
+			return min(readBufferBytes, truncateAfterBytes-total)
+		}
+		return 1
+	case Serve, Unreachable, Lossy, Reordering:
+	}
+	return readBufferBytes
+}
+
+// read reads a connection as the mode has it, until it ends.
+func (c *Carbon) read(ctx context.Context, conn net.Conn) {
+	var unread []byte
+	buf := make([]byte, readBufferBytes)
 	total := 0
 	for ctx.Err() == nil {
-		mode, turn := c.currentMode()
-		part := b
-		switch mode {
-		case Silent:
-			select {
-			case <-ctx.Done():
-			case <-turn:
-			}
+		mode, changed := c.currentMode()
+		size := readSize(ctx, mode, changed, total)
+		if size == 0 {
 			continue
-		case Slow:
-			part = b[:slowReadBytes]
-			select {
-			case <-ctx.Done():
-			case <-turn:
-			case <-time.After(slowReadInterval):
-			}
-		case Truncating:
-			part = b[:1]
-			if total < truncateAfterBytes {
-				part = b[:min(len(b), truncateAfterBytes-total)]
-			}
 		}
-		n, err := nc.Read(part)
+		n, readErr := conn.Read(buf[:size])
 		total += n
-		buf = append(buf, part[:n]...)
-		rest, bad := c.consume(buf)
-		buf = append(buf[:0], rest...)
+		unread = append(unread, buf[:n]...)
+		rest, err := c.consume(unread)
+		unread = append(unread[:0], rest...)
 		switch {
-		case bad != nil:
-			c.reconciler.Broken(bad.Error())
-			return
 		case err != nil:
+			c.reconciler.Broken(err.Error())
+			return
+		case readErr != nil:
 			return // what is left of a line is dropped, as carbon does
-		case mode == Truncating && total >= truncateAfterBytes && len(buf) > 0 && c.tear(nc):
+		case mode == Truncating && total >= truncateAfterBytes && len(unread) > 0 && c.truncate(conn):
 			return
 		}
 	}
 }
 
-// consume takes what came whole off buf.
-func (c *Carbon) consume(buf []byte) ([]byte, error) {
+// consume takes the complete messages at the start of unread and returns the rest.
+func (c *Carbon) consume(unread []byte) ([]byte, error) {
 	for {
-		var all []graphite.Sample
-		var size int
-		var err error
-		if c.Pickle {
-			all, size, err = graphite.ParsePickle(buf)
-		} else {
-			var s graphite.Sample
-			s, size, err = graphite.ParseLine(buf)
-			all = []graphite.Sample{s}
-		}
+		samples, size, err := c.parse(unread)
 		switch {
 		case err != nil:
 			return nil, err
-		case size == 0 && len(buf) > maxUnreadBytes:
-			return nil, errors.New("a message without end")
+		case size == 0 && len(unread) > maxUnreadBytes:
+			return nil, errMessageTooLong
 		case size == 0:
-			return buf, nil
+			return unread, nil
 		}
-		buf = buf[size:]
-		for _, s := range all {
-			n, err := c.Form.Parse(s.Path)
+		unread = unread[size:]
+		for _, s := range samples {
+			name, err := c.Form.Parse(s.Path)
 			if err != nil {
 				c.reconciler.Unknown(s.Path)
 				continue
 			}
-			c.reconciler.Take(n, s.Value, s.At)
+			c.reconciler.Take(name, s.Value, s.At)
 		}
 	}
 }
+
+// parse parses the first message; size is 0 if it is not complete.
+func (c *Carbon) parse(unread []byte) (samples []graphite.Sample, size int, err error) {
+	if c.Pickle {
+		return graphite.ParsePickle(unread)
+	}
+	s, size, err := graphite.ParseLine(unread)
+	return []graphite.Sample{s}, size, err
+}
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -17,48 +17,71 @@
 )
 
 const (
-	lossDivisor       = 3 // one datagram of so many is lost in Lossy
-	reorderWindow     = 8 // datagrams that Shuffle puts out of order at a time
+	lossDivisor       = 3 // in mode Lossy one datagram of so many is lost
+	reorderWindow     = 8 // in mode Reordering so many datagrams are shuffled at a time
 	modeCheckInterval = 20 * time.Millisecond
+	maxDatagramBytes  = 1 << 16
 )
 
-// Collectd is a stand-in for a collectd with the network plugin.
+// Collectd emulates a collectd with the network plugin.
 type Collectd struct {
 	reader     collectd.Reader
 	reconciler *Reconciler
-	rng        *rand.Rand
+	rng        *rand.Rand // of the goroutine that runs
 	addr       string
+	held       [][]byte // datagrams to shuffle; of the goroutine that runs
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	mode    Mode
 	packets int
 	lost    int
 }
 
-// NewCollectd returns one that listens at an address, as NewCarbon does. Losses are drawn from a seed.
-func NewCollectd(address string, reader collectd.Reader, seed uint64, ledger *Reconciler) (*Collectd, error) {
-	pc, err := net.ListenPacket("udp", address)
+// NewCollectd returns one for an address, as NewCarbon does; it listens from Run on. Losses are drawn from a seed.
+func NewCollectd(address string, reader collectd.Reader, seed uint64, reconciler *Reconciler) (*Collectd, error) {
+	conn, err := listenUDP(address)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, err
 	}
-	defer pc.Close()
-	return &Collectd{
-		reader: reader, reconciler: ledger, rng: rand.New(rand.NewPCG(seed, 0)), addr: pc.LocalAddr().String(),
-		mode: Serve,
-	}, nil
+	c := &Collectd{
+		reader: reader, reconciler: reconciler, rng: rand.New(rand.NewPCG(seed, 0)), mode: Serve,
+		addr: conn.LocalAddr().String(),
+	}
+	if err := conn.Close(); err != nil {
+		return nil, fmt.Errorf("collectd emulator: %w", err)
+	}
+	return c, nil
 }
 
-// Addr is where it listens.
+func listenUDP(address string) (*net.UDPConn, error) {
+	addr, err := net.ResolveUDPAddr("udp", address)
+	if err != nil {
+		return nil, fmt.Errorf("collectd emulator: %w", err)
+	}
+	conn, err := net.ListenUDP("udp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("collectd emulator: %w", err)
+	}
+	return conn, nil
+}
+
+// Addr returns where it listens.
 func (c *Collectd) Addr() string { return c.addr }
 
-// Set changes how it behaves.
+// Set changes the mode.
 func (c *Collectd) Set(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode = m
 }
 
-// Packets are how many datagrams came and how many of those were lost on purpose.
+func (c *Collectd) currentMode() Mode {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.mode
+}
+
+// Packets returns how many datagrams came and how many of those were lost on purpose.
 func (c *Collectd) Packets() (came, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,75 +90,76 @@
 
 // Run serves until ctx ends.
 func (c *Collectd) Run(ctx context.Context) error {
-	var pc net.PacketConn
-	defer func() {
-		if pc != nil {
-			pc.Close()
-		}
-	}()
-	b := make([]byte, 1<<16)
-	var held [][]byte
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		mode := c.mode
-		c.mu.Unlock()
-		switch {
-		case mode == Unreachable && pc != nil:
-			pc.Close()
-			pc = nil
-			continue
-		case mode == Unreachable:
+		if c.currentMode() == Unreachable {
 			select {
 			case <-ctx.Done():
 			case <-time.After(modeCheckInterval):
 			}
 			continue
-		case pc == nil:
-			var err error
-			if pc, err = net.ListenPacket("udp", c.addr); err != nil {
-				return fmt.Errorf("stand-in: %w", err)
-			}
 		}
-		if err := pc.SetReadDeadline(time.Now().Add(modeCheckInterval)); err != nil {
-			return fmt.Errorf("stand-in: %w", err)
+		conn, err := listenUDP(c.addr)
+		if err != nil {
+			return err
 		}
-		n, _, err := pc.ReadFrom(b)
+		err = c.receive(ctx, conn)
+		_ = conn.Close() // nothing was written to it
 		if err != nil {
-			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				return fmt.Errorf("stand-in: %w", err)
-			}
-			c.flushHeld(&held) // nothing more comes for now
-			continue
+			return err
 		}
-		c.mu.Lock()
-		c.packets++
-		lose := mode == Lossy && c.rng.IntN(lossDivisor) == 0
-		if lose {
-			c.lost++
+	}
+	return nil
+}
+
+// receive receives datagrams until the mode is Unreachable or ctx ends.
+func (c *Collectd) receive(ctx context.Context, conn *net.UDPConn) error {
+	buf := make([]byte, maxDatagramBytes)
+	for ctx.Err() == nil {
+		mode := c.currentMode()
+		if mode == Unreachable {
+			return nil
 		}
-		c.mu.Unlock()
-		if lose {
-			continue
+		if err := conn.SetReadDeadline(time.Now().Add(modeCheckInterval)); err != nil {
+			return fmt.Errorf("collectd emulator: %w", err)
 		}
-		held = append(held, slices.Clone(b[:n]))
-		if mode == Reordering && len(held) < reorderWindow {
-			continue
+		n, _, err := conn.ReadFrom(buf)
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			c.flushHeld() // nothing more comes for now
+		case err != nil:
+			return fmt.Errorf("collectd emulator: %w", err)
+		case !c.lose(mode):
+			c.held = append(c.held, slices.Clone(buf[:n]))
+			if mode != Reordering || len(c.held) >= reorderWindow {
+				c.flushHeld()
+			}
 		}
-		c.flushHeld(&held)
 	}
 	return nil
 }
 
-// flushHeld takes what is held, in another order where it is several.
-func (c *Collectd) flushHeld(held *[][]byte) {
-	c.rng.Shuffle(len(*held), func(i, j int) { (*held)[i], (*held)[j] = (*held)[j], (*held)[i] })
-	for _, packet := range *held {
+// lose counts a datagram and tells whether it is to be lost.
+func (c *Collectd) lose(mode Mode) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.packets++
+	if mode != Lossy || c.rng.IntN(lossDivisor) != 0 {
+		return false
+	}
+	c.lost++
+	return true
+}
+
+// flushHeld consumes the datagrams that are held, in a random order.
+func (c *Collectd) flushHeld() {
+	c.rng.Shuffle(len(c.held), func(i, j int) { c.held[i], c.held[j] = c.held[j], c.held[i] })
+	for _, packet := range c.held {
 		c.consume(packet)
 	}
-	*held = nil
+	c.held = nil
 }
 
-// consume reads a datagram.
+// consume parses a datagram. What precedes a malformed part counts.
 func (c *Collectd) consume(packet []byte) {
 	if len(packet) > collectd.MaxPacket {
 		c.reconciler.Broken(fmt.Sprintf("a packet of %d bytes", len(packet)))
@@ -144,23 +168,23 @@
 	if err != nil {
 		c.reconciler.Broken(err.Error())
 	}
-	for _, l := range lists {
-		broker, s, err := collectd.Figure(l)
+	for _, list := range lists {
+		broker, series, err := collectd.Figure(list)
 		if err != nil {
 			c.reconciler.Unknown(err.Error())
 			continue
 		}
-		n := graphite.Name{Broker: broker, Series: s}
-		at := int64(l.Time / time.Second)
-		for i, v := range l.Values {
-			x := v.Gauge
+		name := graphite.Name{Broker: broker, Series: series}
+		timestamp := int64(list.Time / time.Second)
+		for i, v := range list.Values {
+			value := v.Gauge
 			if v.Kind != collectd.Gauge {
-				x = float64(v.Count)
+				value = float64(v.Count)
 			}
-			if metrics.Catalogue[s.Figure].Kind == metrics.DistributionKind {
-				n.Stat = metrics.Stats[i]
+			if metrics.Catalogue[series.Figure].Kind == metrics.DistributionKind {
+				name.Stat = metrics.Stats[i]
 			}
-			c.reconciler.Take(n, x, at)
+			c.reconciler.Take(name, value, timestamp)
 		}
 	}
 }
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"net"
+	"slices"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -19,152 +17,105 @@
 	"wheatlane/internal/metrics"
 )
 
-// intervalSamples are the samples of an interval: its number, what it stands for, and a counter.
-func intervalSamples(broker string, started, at int64, number, of, requests float64) []Sample {
-	var all []Sample
-	for _, v := range []struct {
-		id metrics.ID
-		x  float64
-	}{{metrics.Requests, requests}, {metrics.Started, float64(started)}, {metrics.Sequence, number}, {metrics.Folded, of}} {
-		s := metrics.Series{Figure: v.id}
-		if metrics.Catalogue[v.id].By != metrics.NoDimension {
-			s.Name = "lookup"
+// intervalSamples are the samples of an interval: its sequence number, for how many it stands, and a counter.
+func intervalSamples(broker string, started, timestamp int64, sequence, folded, requests float64) []Sample {
+	figures := []struct {
+		id    metrics.ID
+		value float64
+	}{
+		{metrics.Requests, requests},
+		{metrics.Started, float64(started)},
+		{metrics.Sequence, sequence},
+		{metrics.Folded, folded},
+	}
+	samples := make([]Sample, 0, len(figures))
+	for _, f := range figures {
+		series := metrics.Series{Figure: f.id}
+		if metrics.Catalogue[f.id].By != metrics.NoDimension {
+			series.Name = "lookup"
 		}
-		all = append(all, Sample{Name: graphite.Name{Broker: broker, Series: s}, Value: v.x, At: at})
+		name := graphite.Name{Broker: broker, Series: series}
+		samples = append(samples, Sample{Name: name, Value: f.value, At: timestamp})
 	}
-	return all
+	return samples
 }
 
-func concat(parts ...[]Sample) (all []Sample) {
-	for _, p := range parts {
-		all = append(all, p...)
-	}
-	return all
+// interval is one of broker n1, which started at 100 s.
+func interval(timestamp int64, sequence, folded, requests float64) []Sample {
+	return intervalSamples("n1", 100, timestamp, sequence, folded, requests)
 }
 
-// Each rule finds the breach that is planted for it; what is no breach is not found.
-func TestReconcile(t *testing.T) {
-	first, second, third := intervalSamples("n1", 100, 110, 1, 1, 5), intervalSamples("n1", 100, 120, 2, 1, 9), intervalSamples("n1", 100, 130, 3, 1, 12)
-	for _, c := range []struct {
-		name    string
-		samples []Sample
-		want    string // in the one fault
-		missing int64
-	}{
-		{"in order", concat(first, second, third), "", 0},
-		{"the newest first", concat(third, first, second), "", 0},
-		{"twice", concat(first, second, second, third), "", 0},
-		{"folded", concat(first, intervalSamples("n1", 100, 130, 3, 2, 12)), "", 0},
-		{"a gap", concat(first, third), "", 1},
-		{"a restart", concat(first, second, intervalSamples("n1", 125, 135, 1, 1, 0), intervalSamples("n1", 125, 145, 2, 1, 3)), "", 0},
-		{"two brokers", concat(first, intervalSamples("n2", 100, 110, 1, 1, 77)), "", 0},
-		{"the clock set back", concat(first, intervalSamples("n1", 100, 50, 2, 1, 9), intervalSamples("n1", 100, 60, 3, 1, 10)), "", 0},
-		{"a counter that fell", concat(first, second, intervalSamples("n1", 100, 130, 3, 1, 8)), "requests of \"lookup\" fell from 9 to 8", 0},
-		{"a number under two times", concat(first, intervalSamples("n1", 100, 115, 1, 1, 6)), "interval 1 came under the times", -1},
-		{"more than there were", concat(first, intervalSamples("n1", 100, 120, 2, 5, 9)), "more than the 2 there were", -4},
-	} {
-		f := Reconcile(c.samples, 0, nil, nil)
-		got := strings.Join(f.Faults, "; ")
-		if c.want == "" && got != "" || c.want != "" && !strings.Contains(got, c.want) {
-			t.Errorf("%s: found %q, want %q", c.name, got, c.want)
-		}
-		if m := f.Runs[0].Missing(); m != c.missing {
-			t.Errorf("%s: %d missing, want %d", c.name, m, c.missing)
-		}
-	}
-	if f := Reconcile(concat(first, second, second), 0, nil, nil); f.Duplicated != 4 {
-		t.Errorf("%d came twice", f.Duplicated)
-	}
-	if f := Reconcile(first[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
-		t.Errorf("an interval without its number: %+v", f)
-	}
-}
+var firstInterval, secondInterval, thirdInterval = interval(110, 1, 1, 5), interval(120, 2, 1, 9), interval(130, 3, 1, 12)
 
-func TestQuantilesOutOfOrderAreFound(t *testing.T) {
-	all := intervalSamples("n1", 100, 110, 1, 1, 5)
-	for i, stat := range metrics.Stats {
-		all = append(all, Sample{
-			Name:  graphite.Name{Broker: "n1", Series: metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}, Stat: stat},
-			Value: float64(10 - i), At: 110,
-		})
-	}
-	if f := Reconcile(all, 0, nil, nil); len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
-		t.Fatalf("%q", f.Faults)
-	}
+var reconcileCases = []struct {
+	name    string
+	samples []Sample
+	want    string // in the one violation
+	missing int64
+}{
+	{"in order", slices.Concat(firstInterval, secondInterval, thirdInterval), "", 0},
+	{"the newest first", slices.Concat(thirdInterval, firstInterval, secondInterval), "", 0},
+	{"twice", slices.Concat(firstInterval, secondInterval, secondInterval, thirdInterval), "", 0},
+	{"folded", slices.Concat(firstInterval, interval(130, 3, 2, 12)), "", 0},
+	{"a gap", slices.Concat(firstInterval, thirdInterval), "", 1},
+	{
+		"a restart",
+		slices.Concat(firstInterval, secondInterval,
+			intervalSamples("n1", 125, 135, 1, 1, 0), intervalSamples("n1", 125, 145, 2, 1, 3)),
+		"", 0,
+	},
+	{"two brokers", slices.Concat(firstInterval, intervalSamples("n2", 100, 110, 1, 1, 77)), "", 0},
+	{"the clock set back", slices.Concat(firstInterval, interval(50, 2, 1, 9), interval(60, 3, 1, 10)), "", 0},
+	{
+		"a counter that fell", slices.Concat(firstInterval, secondInterval, interval(130, 3, 1, 8)),
+		"requests of \"lookup\" fell from 9 to 8", 0,
+	},
+	{
+		"a number under two times", slices.Concat(firstInterval, interval(115, 1, 1, 6)),
+		"interval 1 came under the times", -1,
+	},
+	{
+		"more than there were", slices.Concat(firstInterval, interval(120, 2, 5, 9)),
+		"more than the 2 there were", -4,
+	},
 }
 
-// A collector that is to be there is there from the start, and one that is gone is so at once: a test that goes on sees
-// no other order.
-func TestComesAndGoesAtOnce(t *testing.T) {
-	dial := func(c *Carbon) error {
-		nc, err := net.Dial("tcp", c.Addr())
-		if err == nil {
-			nc.Close()
-		}
-		return err
+// Each rule finds the violation that is injected for it; what is none is not found.
+func TestReconcile(t *testing.T) {
+	for _, tt := range reconcileCases {
+		t.Run(tt.name, func(t *testing.T) {
+			f := Reconcile(tt.samples, 0, nil, nil)
+			got := strings.Join(f.Faults, "; ")
+			if tt.want == "" && got != "" || !strings.Contains(got, tt.want) {
+				t.Errorf("found %q, want %q", got, tt.want)
+			}
+			if missing := f.Runs[0].Missing(); missing != tt.missing {
+				t.Errorf("%d missing, want %d", missing, tt.missing)
+			}
+		})
 	}
-	for range 200 { // no run may depend on which goroutine comes first
-		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, NewReconciler(nil))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := dial(c); err != nil {
-			t.Fatal("before it runs:", err)
-		}
-		ctx, cancel := context.WithCancel(t.Context())
-		done := make(chan error, 1)
-		go func() { done <- c.Run(ctx) }()
-		if err := dial(c); err != nil {
-			t.Fatal("as it runs:", err)
-		}
-		c.Set(Unreachable)
-		if err := dial(c); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatal("gone:", err)
+	t.Run("duplicates are counted", func(t *testing.T) {
+		f := Reconcile(slices.Concat(firstInterval, secondInterval, secondInterval), 0, nil, nil)
+		if f.Duplicated != 4 {
+			t.Errorf("%d came twice", f.Duplicated)
 		}
-		cancel()
-		if err := <-done; err != nil {
-			t.Fatal(err)
+	})
+	t.Run("an interval without its number", func(t *testing.T) {
+		if f := Reconcile(firstInterval[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
+			t.Errorf("%+v", f)
 		}
-	}
-}
-
-// turning is a connection under which the mode changes while it is being read.
-type turning struct {
-	net.Conn
-	rest   io.Reader
-	turn   func()
-	closed bool
+	})
 }
 
-func (c *turning) Read(p []byte) (int, error) {
-	c.turn()
-	if c.closed {
-		return 0, net.ErrClosed
+func TestQuantilesOutOfOrderAreFound(t *testing.T) {
+	samples := slices.Clone(firstInterval)
+	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
+	for i, stat := range metrics.Stats {
+		name := graphite.Name{Broker: "n1", Series: series, Stat: stat}
+		samples = append(samples, Sample{Name: name, Value: float64(10 - i), At: 110})
 	}
-	return io.ReadFull(c.rest, p)
-}
-
-func (c *turning) Close() error {
-	c.closed = true
-	return nil
-}
-
-// A connection that is being read as Tear ends is not torn any more, so what is written from then on comes whole.
-func TestNothingIsTornUnderAnotherMode(t *testing.T) {
-	const lines = 3000 // of 6 bytes: tearAfter is inside of one
-	for mode, want := range map[Mode]int{Truncating: truncateAfterBytes / 6, Serve: lines} {
-		ledger := NewReconciler(nil)
-		c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, ledger)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.Set(Truncating)
-		nc := &turning{rest: strings.NewReader(strings.Repeat("x 1 1\n", lines)), turn: func() { c.Set(mode) }}
-		c.read(t.Context(), nc)
-		c.Set(Unreachable)
-		if got := ledger.Reconcile().Unknown["x"]; got != want {
-			t.Errorf("%s: %d lines came, want %d", mode, got, want)
-		}
+	if f := Reconcile(samples, 0, nil, nil); len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
+		t.Fatalf("%q", f.Faults)
 	}
 }
 
--- a/internal/emulator/collector/record.go
+++ b/internal/emulator/collector/recording.go
@@ -19,12 +19,15 @@
 // recordedForm is the form of names in a recording.
 var recordedForm = graphite.Form{Tags: true}
 
-// ErrRecording is returned for a file that is no recording.
+// ErrRecording is returned for a file that is no recording, or one that breaks off in a line.
 var ErrRecording = errors.New("not a recording of figures")
 
 // recordingHeader is the first line of a recording.
 const recordingHeader = "wheatlane figures 1"
 
+// recordedFields are those of a line: arrival, path, value and timestamp.
+const recordedFields = 4
+
 // Recording writes samples to a file: lines of arrival in milliseconds, path, value and time, compressed with zstd.
 // It may be used from several goroutines.
 type Recording struct {
@@ -35,20 +38,20 @@
 	err     error
 }
 
-// flushInterval is how long samples may stay here before they are in the file, where a collector that is killed leaves them.
+// flushInterval is how long samples may stay in memory; a collector that is killed leaves those before it in the file.
 const flushInterval = time.Second
 
-// NewRecording begins one.
-func NewRecording(to io.WriteCloser) (*Recording, error) {
-	z, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1))
+// NewRecording begins a recording. Close closes the file as well.
+func NewRecording(file io.WriteCloser) (*Recording, error) {
+	encoder, err := zstd.NewWriter(file, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	r := &Recording{file: to, encoder: z}
-	if _, err := fmt.Fprintln(z, recordingHeader); err != nil {
+	r := &Recording{file: file, encoder: encoder}
+	if _, err := fmt.Fprintln(encoder, recordingHeader); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	if err := z.Flush(); err != nil {
+	if err := encoder.Flush(); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
 	return r, nil
@@ -68,15 +71,15 @@
 	_, r.err = r.encoder.Write(r.line)
 }
 
-// Run brings what is added to the file each second, until ctx ends.
+// Run flushes the samples to the file each flushInterval, until ctx ends.
 func (r *Recording) Run(ctx context.Context) error {
-	tick := time.NewTicker(flushInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(flushInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		if err := r.flush(); err != nil {
 			return err
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// Close ends the recording.
+// Close ends the recording and closes its file. It returns the first error of all writes.
 func (r *Recording) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,49 +109,50 @@
 	return nil
 }
 
-// ReadRecording reads one. What stands ahead of a place where it breaks off is returned along with the error, as a
-// recording may be of a collector that was killed.
+// ReadRecording reads a recording. The samples before a place where it breaks off are returned along with the error, as
+// the collector may have been killed.
 func ReadRecording(from io.Reader) ([]Sample, error) {
-	z, err := zstd.NewReader(from, zstd.WithDecoderConcurrency(1))
+	decoder, err := zstd.NewReader(from, zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	defer z.Close()
-	lines := bufio.NewScanner(z)
+	defer decoder.Close()
+	lines := bufio.NewScanner(decoder)
 	if !lines.Scan() || lines.Text() != recordingHeader {
 		return nil, errors.Join(ErrRecording, lines.Err())
 	}
-	var all []Sample
+	var samples []Sample
 	for lines.Scan() {
 		s, err := parseRecorded(lines.Text())
 		if err != nil {
-			return all, err
+			return samples, err
 		}
-		all = append(all, s)
+		samples = append(samples, s)
 	}
 	if err := lines.Err(); err != nil {
-		return all, fmt.Errorf("%w: %w", ErrRecording, err)
+		return samples, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	return all, nil
+	return samples, nil
 }
 
+// parseRecorded parses a line of a recording.
 func parseRecorded(line string) (s Sample, err error) {
-	f := strings.Split(line, " ")
-	if len(f) != 4 {
+	fields := strings.Split(line, " ")
+	if len(fields) != recordedFields {
 		return s, fmt.Errorf("%w: %.80q", ErrRecording, line)
 	}
-	arrived, err := strconv.ParseInt(f[0], 10, 64)
+	arrived, err := strconv.ParseInt(fields[0], 10, 64)
 	if err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	s.Arrived = time.Duration(arrived) * time.Millisecond
-	if s.Name, err = recordedForm.Parse(f[1]); err != nil {
+	if s.Name, err = recordedForm.Parse(fields[1]); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	if s.Value, err = strconv.ParseFloat(f[2], 64); err != nil {
+	if s.Value, err = strconv.ParseFloat(fields[2], 64); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	if s.At, err = strconv.ParseInt(f[3], 10, 64); err != nil {
+	if s.At, err = strconv.ParseInt(fields[3], 10, 64); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	return s, nil
--- /dev/null
+++ b/internal/emulator/collector/run.go
@@ -0,0 +1,107 @@
+package collector
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"wheatlane/internal/metrics"
+)
+
+// Run is one incarnation of a broker, from its start to its end or the next start.
+type Run struct {
+	Broker  string
+	Started int64 // milliseconds of Unix time
+	// Intervals are those that came completely, by their sequence numbers. One that waited may stand for several.
+	Intervals []*Interval
+	Last      uint64 // the highest sequence number
+	Of        uint64 // intervals for which those that came stand
+	Series    int    // of counters
+}
+
+// Interval is what came of one interval.
+type Interval struct {
+	Number  uint64 // sequence number
+	At      int64  // timestamp in seconds of Unix time
+	Arrived time.Duration
+	Of      uint64                                // intervals for which it stands
+	Values  map[metrics.Series]float64            // counters and gauges
+	Spreads map[metrics.Series]map[string]float64 // distributions, by statistic
+}
+
+// Missing returns how many intervals were numbered for which none that came stands.
+func (r *Run) Missing() int64 { return int64(r.Last) - int64(r.Of) }
+
+// Total returns a counter of the run summed over its names and parts: the last value of each of its series.
+func (r *Run) Total(id metrics.ID) (sum float64) {
+	for _, v := range r.Totals(id) {
+		sum += v
+	}
+	return sum
+}
+
+// Totals returns the last values of a counter's series.
+func (r *Run) Totals(id metrics.ID) map[metrics.Series]float64 {
+	last := map[metrics.Series]float64{}
+	for _, interval := range r.Intervals {
+		for series, value := range interval.Values {
+			if series.Figure == id {
+				last[series] = value
+			}
+		}
+	}
+	return last
+}
+
+// check orders the run's intervals and checks them against the rules.
+func (r *Run) check(f *Findings) {
+	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Number, b.Number) })
+	counters := map[metrics.Series]float64{}
+	for i, interval := range r.Intervals {
+		if i > 0 && interval.Number == r.Intervals[i-1].Number {
+			f.violation("%s, start %d: interval %d came under the times %d and %d",
+				r.Broker, r.Started, interval.Number, r.Intervals[i-1].At, interval.At)
+		}
+		r.Last = max(r.Last, interval.Number)
+		r.Of += interval.Of
+		r.checkCounters(f, interval, counters)
+		r.checkDistributions(f, interval)
+	}
+	if r.Of > r.Last {
+		f.violation("%s, start %d: intervals that came stand for %d, more than the %d there were",
+			r.Broker, r.Started, r.Of, r.Last)
+	}
+	r.Series = len(counters)
+}
+
+// checkCounters checks that no counter falls, and updates their last values.
+func (r *Run) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
+	for series, value := range interval.Values {
+		figure := metrics.Catalogue[series.Figure]
+		if figure.Kind != metrics.Counter {
+			continue
+		}
+		if before, known := last[series]; known && value < before {
+			f.violation("%s, start %d: %s of %q fell from %v to %v at interval %d",
+				r.Broker, r.Started, figure.Name, series.Name, before, value, interval.Number)
+		}
+		last[series] = value
+	}
+}
+
+// checkDistributions checks that the statistics of complete distributions are in order.
+func (r *Run) checkDistributions(f *Findings, interval *Interval) {
+	for series, stats := range interval.Spreads {
+		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
+			f.violation("%s, start %d: the quantiles of %s of %q are out of order: %v",
+				r.Broker, r.Started, metrics.Catalogue[series.Figure].Name, series.Name, stats)
+		}
+	}
+}
+
+// inOrder tells whether quantiles rise, as far as their accuracy tells.
+func inOrder(stats map[string]float64) bool {
+	const tolerance = 1 + 2*metrics.Accuracy
+	return stats["min"] <= stats["p50"] && stats["p50"] <= stats["p95"] &&
+		stats["p95"] <= stats["p99"]*tolerance && stats["p99"] <= stats["max"]*tolerance
+}
