--- a/internal/cardinality/table.go
+++ b/internal/cardinality/table.go
@@ -128,7 +128,7 @@
 	return Other
 }
 
-// availableSlot is a slot for a new name, or Other if each is taken or was retired too lately.
+// availableSlot is a slot for a new name, or Other if each has an active name or one that retired too lately.
 func (t *Table) availableSlot(now time.Duration) int {
 	best := Other
 	for i := 1; i < len(t.slots); i++ {
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// A connection that comes up and takes nothing is no success: the pause goes on growing.
+// A connection that is established and makes no progress is no success: the backoff keeps growing.
 func TestBackoffOfAConnectionWithoutProgress(t *testing.T) {
 	r := newRig(config())
 	r.offer(1)
@@ -212,7 +212,7 @@
 	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
 }
 
-// What is going on now goes ahead of what has waited, which goes at a pace that grows.
+// The newest interval is written ahead of the backlog, which is replayed at a growing rate.
 func TestNewestIntervalPrecedesTheBacklog(t *testing.T) {
 	cfg := config()
 	cfg.Budget, cfg.ReplayRate = 1<<20, 2<<10
@@ -257,19 +257,19 @@
 	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.Lost != 0 || st.LostSamples != 0 {
 		t.Fatalf("%+v", st)
 	}
-	least, most, samples := uint64(1000), uint64(0), 0.0
+	fewest, largest, samples := uint64(1000), uint64(0), 0.0
 	for i, it := range r.machine.queue.intervals {
 		samples += it.interval.SampleCount()
 		if i < len(r.machine.queue.intervals)-2 {
-			least, most = min(least, it.interval.FoldedCount), max(most, it.interval.FoldedCount)
+			fewest, largest = min(fewest, it.interval.FoldedCount), max(largest, it.interval.FoldedCount)
 		}
 	}
-	if most > 4*least || samples != 360 {
-		t.Fatalf("intervals of %d to %d in one, %v samples", least, most, samples)
+	if largest > 4*fewest || samples != 360 {
+		t.Fatalf("intervals of %d to %d in one, %v samples", fewest, largest, samples)
 	}
 }
 
-// What even folding can't hold is counted, to the last value.
+// What even folding can't hold is counted lost, to the last value.
 func TestLossesAreCounted(t *testing.T) {
 	cfg := config()
 	cfg.Budget = 4 << 10 // room for two intervals or so
@@ -288,7 +288,7 @@
 	}
 }
 
-// collectd takes nothing that is older than the last: one interval waits, which has all.
+// collectd accepts nothing older than the last: one interval waits, which has all.
 func TestMaxWaitingOfOne(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaiting = 1
--- a/internal/delivery/pace.go
+++ b/internal/delivery/pace.go
@@ -54,7 +54,7 @@
 	p.next, p.increaseAt = now, now+slowStartStep
 }
 
-// sent takes note of a written interval.
+// sent records a written interval.
 func (p *replayPacer) sent(now time.Duration, bytes int) {
 	if now >= p.increaseAt {
 		p.rate, p.increaseAt = min(2*p.rate, p.maxRate), now+slowStartStep
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -75,10 +75,10 @@
 // The bytes that are sent of every figure are what they were, in each form.
 func TestSentBytes(t *testing.T) {
 	v := everyFigure()
-	for _, c := range []struct {
-		name    string
-		encoder Encoder
-		most    int // bytes that are asked for at a time
+	for _, tt := range []struct {
+		name     string
+		encoder  Encoder
+		maxBytes int // that are asked for at a time
 	}{
 		{"lines", Encoder{Form: Form{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
 		{"lines-in-parts", Encoder{Form: Form{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
@@ -87,22 +87,22 @@
 		{"pickle", Encoder{Form: Form{Prefix: "wheatlane"}, Broker: "n1", Pickle: true}, 4000},
 		{"pickle-tags", Encoder{Form: Form{Tags: true}, Broker: "n1", Pickle: true}, 1 << 20},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			var all strings.Builder
-			for next := 0; next < c.encoder.Records(v); {
+			for next := 0; next < tt.encoder.Records(v); {
 				var text []byte
 				var err error
-				if text, next, err = c.encoder.Append(nil, v, next, c.most); err != nil {
+				if text, next, err = tt.encoder.Append(nil, v, next, tt.maxBytes); err != nil {
 					t.Fatal(err)
 				}
-				if c.encoder.Pickle {
+				if tt.encoder.Pickle {
 					text = append([]byte(hex.EncodeToString(text)), '\n')
-				} else if next < c.encoder.Records(v) {
+				} else if next < tt.encoder.Records(v) {
 					text = append(text, '\n') // shows where one part ends
 				}
 				all.Write(text)
 			}
-			golden(t, filepath.Join("testdata", c.name+".golden"), all.String())
+			golden(t, filepath.Join("testdata", tt.name+".golden"), all.String())
 		})
 	}
 }
--- a/internal/telemetry/acks.go
+++ b/internal/telemetry/acks.go
@@ -20,7 +20,7 @@
 	pending []sentPiece // those not acknowledged completely, oldest first
 }
 
-// add takes a piece that is to be sent behind those before.
+// add appends a piece that is to be sent behind those before.
 func (a *ackTracker) add(p sentPiece) {
 	p.offset = a.end
 	a.end += int64(len(p.data))
@@ -30,7 +30,7 @@
 // outstanding tells whether anything is not acknowledged yet.
 func (a *ackTracker) outstanding() bool { return len(a.pending) > 0 }
 
-// acknowledge takes note that the bytes before an offset are acknowledged.
+// acknowledge records that the bytes before an offset are acknowledged.
 func (a *ackTracker) acknowledge(upTo int64) {
 	for a.outstanding() {
 		p := &a.pending[0]
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// settle takes note of what is acknowledged.
+// settle records what is acknowledged.
 func (s *carbonSession) settle(progress func(int)) {
 	acked, err := ackedBytes(s.conn)
 	if err != nil {
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -29,7 +29,7 @@
 	return r.Cut(rigStart, rigInterval)
 }
 
-// awaitBlocked waits until a socket has more to send and the other side takes nothing: all that was sent is
+// awaitBlocked waits until a socket has more to send and the other side reads nothing: all that was sent is
 // acknowledged.
 func awaitBlocked(t *testing.T, conn *net.TCPConn) {
 	t.Helper()
@@ -51,7 +51,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other side takes all")
+			t.Fatal("the other side reads all")
 		}
 		time.Sleep(time.Millisecond) // the kernel notifies of no change
 	}
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -83,7 +83,7 @@
 		zap.Float64("lost_samples", stats.LostSamples),
 		zap.Uint64("breaks", stats.ConnectionFailures))
 	if ctx.Err() != nil {
-		return nil // it was told to end, or its machine has stopped
+		return nil // its context was cancelled, or its machine has stopped
 	}
 	return err
 }
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// intervalWithoutDestinations is the length of an interval that nothing is to be told of.
+	// intervalWithoutDestinations is the length of an interval where there is no destination.
 	intervalWithoutDestinations = time.Hour
 	// stopTimeout is how long a destination that ends may take to write what waits; the rest is counted
 	// lost.
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -48,7 +48,7 @@
 	return r.Cut(now, now, b, server.ConnectionCounts{}, nil)
 }
 
-// setGauge sets a figure of the whole broker.
+// setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
 func (r *Recorder) setGauge(id metrics.ID, part int, value float64) {
 	r.registry.Set(id, cardinality.Other, part, value)
 }
