--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -15,17 +15,17 @@
 type Config struct {
 	Budget       int           // bytes of intervals held, with the one being written
 	MaxWaiting   int           // intervals that may wait; 0: as many as the budget takes
-	LeastPause   time.Duration // the initial backoff; doubled with each further failure
-	MostPause    time.Duration // the maximum backoff
+	LeastPause   time.Duration // between connections after a failure; doubled with each further one
+	MostPause    time.Duration // that it is doubled to
 	WriteTimeout time.Duration // of a connection, without progress
 	ReplayRate   int           // bytes a second of a backlog, at full speed
 }
 
-// Stats are counts of a destination, and what it holds.
+// Stats are counts of a destination, and what it holds. Of folded intervals each that was folded counts.
 type Stats struct {
 	Held               int     // bytes
-	WaitingIntervals   uint64  // each of those folded into one counted, as in the next two
-	DeliveredIntervals uint64  //
+	WaitingIntervals   uint64  // held, with the one being written
+	DeliveredIntervals uint64  // written completely
 	Lost               uint64  // intervals that will never be written
 	LostSamples        float64 // values of distributions that will never be written
 	ConnectionFailures uint64  // connections that broke or were not established
