--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -11,21 +11,22 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// The whole of it, as a newcomer starts it: requests of all classes are served, faults happen, no rule is broken, and the
-// report is there.
+// The whole demo, as a newcomer starts it: requests of all classes are served, faults happen, no rule is violated, and
+// the report is there.
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
 	steps, err := scenario.Parse("300ms:slow:2,500ms:drain:1,600ms:collector-gone,900ms:collector-serve", Verbs(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
+	options := Options{Dir: dir, Engines: 3, Rate: 40, Seed: 7, For: 1500 * time.Millisecond, Script: steps}
 	var out bytes.Buffer
-	if err := Run(t.Context(), &lockedWriter{w: &out}, Options{Dir: dir, Engines: 3, Rate: 40, Seed: 7, For: 1500 * time.Millisecond, Script: steps}); err != nil {
+	if err := Run(t.Context(), &lockedWriter{w: &out}, options); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, want := range []string{"--- 300ms slow 2", "served", "report: " + filepath.Join(dir, reportFile)} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not said:\n%s", want, out.String())
+			t.Errorf("%q is not printed:\n%s", want, out.String())
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, reportFile))
--- /dev/null
+++ b/internal/demo/setup.go
@@ -0,0 +1,203 @@
+package demo
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
+	"wheatlane/internal/config"
+	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/client"
+	"wheatlane/internal/emulator/cluster"
+	"wheatlane/internal/emulator/collector"
+	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/engine"
+	"wheatlane/internal/graphite"
+	"wheatlane/internal/operatorconfig"
+	"wheatlane/internal/service"
+)
+
+// The files that the demo leaves.
+const (
+	configFile   = "config.json"
+	operatorFile = "operator.json"
+	figuresFile  = "figures.zst"
+	reportFile   = "report.html"
+	logFile      = "broker.log"
+)
+
+const (
+	folderPermissions = 0o755
+	filePermissions   = 0o644
+)
+
+// configVariable names the configuration file in the environment of a broker.
+const configVariable = "RELAY_CONFIG"
+
+// classes are the classes of the load. Their rates are parts of all requests, their times those of the deployment.
+var classes = []client.Class{
+	{Engine: cluster.Classes[0], Rate: 0.80, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second},
+	{Engine: cluster.Classes[1], Rate: 0.14, LatencyObjective: 3875 * time.Millisecond, Timeout: 20 * time.Second},
+	{Engine: cluster.Classes[2], Rate: 0.06, LatencyObjective: 8700 * time.Millisecond, Timeout: 25 * time.Second, Keys: 40},
+}
+
+const (
+	dataSets        = 24
+	maxOpenRequests = 256
+	retries         = 2
+)
+
+// rules are those that the checker applies.
+var rules = conformance.Rules{DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond, MaxAttempts: 4}
+
+// engineObserver passes what engines see on to the checker.
+type engineObserver struct{ checker *conformance.Checker }
+
+func (o engineObserver) AttemptReceived(r engine.Run) {
+	o.checker.AttemptReceived(r.Engine, r.Ref, r.At)
+}
+
+func (o engineObserver) AttemptEnded(engine, requestID string, at time.Time) {
+	o.checker.AttemptEnded(engine, requestID, at)
+}
+
+// endpointPublished passes what the change log delivers on to the checker.
+func (d *demonstration) endpointPublished(endpoint changelogserver.Host, at time.Time) {
+	if endpoint.Health == changelogserver.InService {
+		d.checker.EngineInService(endpoint.ID)
+	} else {
+		d.checker.EngineDraining(endpoint.ID, at)
+	}
+}
+
+// emulate sets up all that a broker talks to.
+func (d *demonstration) emulate() error {
+	if err := os.MkdirAll(d.options.Dir, folderPermissions); err != nil {
+		return fmt.Errorf("demo: %w", err)
+	}
+	d.checker = conformance.New(rules)
+	var err error
+	d.engines, err = cluster.New(d.options.Engines, engineObserver{d.checker}, func(endpoint changelogserver.Host) error {
+		d.changes.Change(endpoint)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	if d.changes, err = changelogserver.New("127.0.0.1:0", d.engines.Hosts(), d.endpointPublished); err != nil {
+		return err
+	}
+	figures, err := d.create(figuresFile)
+	if err != nil {
+		return err
+	}
+	if d.figures, err = collector.NewRecording(figures); err != nil {
+		return err
+	}
+	d.reconciler = collector.NewReconciler(d.figures.Add)
+	form := graphite.Form{Prefix: "wheatlane", Tags: true}
+	d.carbon, err = collector.NewCarbon("127.0.0.1:0", form, false, d.reconciler)
+	return err
+}
+
+// startBroker writes the broker's files, reads them as a broker does, and sets up the broker and its load.
+func (d *demonstration) startBroker(ctx context.Context, logs io.Writer) error {
+	cfg, err := d.writeConfig()
+	if err != nil {
+		return err
+	}
+	operator, err := d.writeOperatorConfig()
+	if err != nil {
+		return err
+	}
+	if d.broker, err = service.New(ctx, cfg, operator, zap.New(newLogCore(logs))); err != nil {
+		return err
+	}
+	scaled := make([]client.Class, len(classes))
+	for i, c := range classes {
+		c.Rate *= d.options.Rate
+		scaled[i] = c
+	}
+	d.load = client.New(client.Config{
+		Addr: d.broker.Server.Addr().String(), Classes: scaled, Tenants: cluster.Tenants, DataSets: dataSets,
+		Seed: d.options.Seed, MaxOpen: maxOpenRequests, Retries: retries,
+	}, d.checker)
+	return nil
+}
+
+func (d *demonstration) writeConfig() (config.Config, error) {
+	text, err := cluster.Configuration("demo", d.options.Seed, d.changes)
+	if err != nil {
+		return config.Config{}, err
+	}
+	path, err := d.write(configFile, text)
+	if err != nil {
+		return config.Config{}, err
+	}
+	return config.Load(func(name string) string {
+		if name == configVariable {
+			return path
+		}
+		return ""
+	})
+}
+
+const operatorText = `{
+  "telemetry": {
+    "interval_ms": 1000,
+    "graphite": [{"name": "demo", "address": %q, "tags": true}]
+  }
+}
+`
+
+func (d *demonstration) writeOperatorConfig() (*operatorconfig.File, error) {
+	path, err := d.write(operatorFile, fmt.Appendf(nil, operatorText, d.carbon.Addr()))
+	if err != nil {
+		return nil, err
+	}
+	return operatorconfig.Load(path)
+}
+
+func (d *demonstration) path(name string) string { return filepath.Join(d.options.Dir, name) }
+
+// write writes a file of the demo and returns its path.
+func (d *demonstration) write(name string, text []byte) (path string, err error) {
+	if err := os.WriteFile(d.path(name), text, filePermissions); err != nil {
+		return "", fmt.Errorf("demo: %w", err)
+	}
+	return d.path(name), nil
+}
+
+// create creates a file of the demo.
+func (d *demonstration) create(name string) (*os.File, error) {
+	file, err := os.Create(d.path(name))
+	if err != nil {
+		return nil, fmt.Errorf("demo: %w", err)
+	}
+	return file, nil
+}
+
+// lockedWriter lets goroutines share a writer.
+type lockedWriter struct {
+	mu sync.Mutex
+	w  io.Writer
+}
+
+func (l *lockedWriter) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.w.Write(p)
+}
+
+// newLogCore writes the broker's log as the program writes it to standard error.
+func newLogCore(w io.Writer) zapcore.Core {
+	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
+	return zapcore.NewCore(encoder, zapcore.AddSync(&lockedWriter{w: w}), zap.InfoLevel)
+}
