--- /dev/null
+++ b/internal/broker/shutdown.go
@@ -0,0 +1,29 @@
+package broker
+
+import (
+	"time"
+
+	"wheatlane/control"
+)
+
+// shutdownState is the progress of a graceful shutdown.
+type shutdownState struct {
+	started          bool
+	finalAnswersSent bool // later requests are rejected
+}
+
+// startShutdown lets the broker finish its open requests within a time.
+func (b *Broker) startShutdown(now, within time.Duration) {
+	b.shutdown.started = true
+	b.timers.set(now+within, shutdownOver{})
+}
+
+// sendFinalAnswers answers all open requests, shortly before the process must end: a closed connection alone
+// would not show clients whether a retry is harmless.
+func (b *Broker) sendFinalAnswers(now time.Duration) {
+	b.shutdown.finalAnswersSent = true
+	for _, r := range b.requests.openRequests() {
+		b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
+		b.answer(now, r, r.finalAnswer(shuttingDownText))
+	}
+}
