--- a/internal/cardinality/table.go
+++ b/internal/cardinality/table.go
@@ -17,10 +17,10 @@
 
 // Config bounds a table.
 type Config struct {
-	Most    int           // names admitted at a time
-	Resting int           // slots that are kept for retired names, should they come back
-	Idle    time.Duration // a name that did not come for so long retires
-	Rest    time.Duration // a slot is kept at least so long after its name has retired
+	MaxNames         int           // names admitted at a time
+	RetiredSlots     int           // slots that are kept for retired names, should they come back
+	IdleTimeout      time.Duration // a name that did not come for so long retires
+	RetiredRetention time.Duration // a slot is kept at least so long after its name has retired
 }
 
 const (
@@ -74,9 +74,9 @@
 func New(cfg Config, onReuse func(slot int)) *Table {
 	return &Table{
 		cfg:        cfg,
-		slots:      make([]slot, 1+cfg.Most+cfg.Resting),
-		slotByName: make(map[string]int, cfg.Most+cfg.Resting),
-		candidates: NewSpaceSaving(max(1, candidatesPerName*cfg.Most)),
+		slots:      make([]slot, 1+cfg.MaxNames+cfg.RetiredSlots),
+		slotByName: make(map[string]int, cfg.MaxNames+cfg.RetiredSlots),
+		candidates: NewSpaceSaving(max(1, candidatesPerName*cfg.MaxNames)),
 		onReuse:    onReuse,
 	}
 }
@@ -112,7 +112,7 @@
 
 // activeSlot is the slot of a name that is admitted or can be, else Other.
 func (t *Table) activeSlot(name string, now time.Duration) int {
-	full := t.counts.Active >= t.cfg.Most
+	full := t.counts.Active >= t.cfg.MaxNames
 	i, known := t.slotByName[name]
 	switch {
 	case known && t.slots[i].state == slotActive:
@@ -136,7 +136,7 @@
 		if s.state == slotFree {
 			return i
 		}
-		expired := s.state == slotRetired && now-s.retiredAt >= t.cfg.Rest
+		expired := s.state == slotRetired && now-s.retiredAt >= t.cfg.RetiredRetention
 		if expired && (best == Other || s.retiredAt < t.slots[best].retiredAt) {
 			best = i
 		}
@@ -184,7 +184,7 @@
 		if known && t.slots[i].state == slotActive || !known && t.availableSlot(now) == Other {
 			continue
 		}
-		if t.counts.Active >= t.cfg.Most {
+		if t.counts.Active >= t.cfg.MaxNames {
 			if len(rarest) == 0 || candidate.MinCount <= displaceFactor*t.slots[rarest[0]].decayedCount {
 				break
 			}
@@ -213,7 +213,7 @@
 		}
 		s.decayedCount = s.decayedCount/2 + s.recentCount
 		s.recentCount = 0
-		if now-s.lastSeen >= t.cfg.Idle {
+		if now-s.lastSeen >= t.cfg.IdleTimeout {
 			t.retire(i, now)
 			continue
 		}
--- a/internal/cardinality/table_test.go
+++ b/internal/cardinality/table_test.go
@@ -9,7 +9,7 @@
 )
 
 func smallConfig() Config {
-	return Config{Most: 4, Resting: 8, Idle: time.Minute, Rest: 2 * time.Hour}
+	return Config{MaxNames: 4, RetiredSlots: 8, IdleTimeout: time.Minute, RetiredRetention: 2 * time.Hour}
 }
 
 // counter counts under slots as figures do.
@@ -59,11 +59,11 @@
 }
 
 func (o *observer) read(t *rapid.T, counts map[string]uint64, now time.Duration) {
-	if len(counts) > o.cfg.Most {
-		t.Fatalf("%d names, %d at most", len(counts), o.cfg.Most)
+	if len(counts) > o.cfg.MaxNames {
+		t.Fatalf("%d names, %d at most", len(counts), o.cfg.MaxNames)
 	}
 	for name, n := range counts {
-		if n < o.last[name] && now-o.lastRead[name] < o.cfg.Rest {
+		if n < o.last[name] && now-o.lastRead[name] < o.cfg.RetiredRetention {
 			t.Fatalf("%s fell from %d to %d after %v", name, o.last[name], n, now-o.lastRead[name])
 		}
 		if n > o.truth[name] {
@@ -78,10 +78,10 @@
 func TestTotalsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
-			Most:    rapid.IntRange(1, 6).Draw(t, "max names"),
-			Resting: rapid.IntRange(0, 6).Draw(t, "retired slots"),
-			Idle:    time.Minute,
-			Rest:    time.Hour,
+			MaxNames:         rapid.IntRange(1, 6).Draw(t, "max names"),
+			RetiredSlots:     rapid.IntRange(0, 6).Draw(t, "retired slots"),
+			IdleTimeout:      time.Minute,
+			RetiredRetention: time.Hour,
 		}
 		c := newCounter(cfg)
 		o := &observer{
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -14,7 +14,7 @@
 
 // namedInterval has figures under each kind of name.
 func namedInterval() *metrics.Interval {
-	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
 	for _, name := range []string{"lookup", "other", strings.Repeat(".", 30), "a-b"} {
 		slot := r.Slot(metrics.Class, name)
@@ -30,7 +30,7 @@
 func TestFiguresAreOneToOne(t *testing.T) {
 	v := namedInterval()
 	got := map[metrics.Series][]Value{}
-	err := Lists(v, "n.1", func(l List) error {
+	err := EachList(v, "n.1", func(l List) error {
 		for _, p := range pack(t, Security{}, l) {
 			lists, err := (&Reader{}).Parse(p)
 			if err != nil {
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -131,7 +131,7 @@
 }
 
 func BenchmarkPack(b *testing.B) {
-	limits := metrics.Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
 	for i := range 32 {
 		slot := r.Slot(metrics.Engine, string(rune('a'+i)))
@@ -150,7 +150,7 @@
 				Emit:     func([]byte) error { packets++; return nil },
 			}
 			for b.Loop() {
-				if err := Lists(v, "n1", p.Add); err != nil {
+				if err := EachList(v, "n1", p.Add); err != nil {
 					b.Fatal(err)
 				}
 				if err := p.Flush(); err != nil {
--- a/internal/delivery/event.go
+++ b/internal/delivery/event.go
@@ -11,8 +11,8 @@
 type Event interface{ event() }
 
 type (
-	// Offer is a new interval to deliver.
-	Offer struct{ Interval *metrics.Interval }
+	// IntervalAdded is a new interval to deliver.
+	IntervalAdded struct{ Interval *metrics.Interval }
 	// Connected says that a connection is established.
 	Connected struct{ Conn int }
 	// Progress says how many records in all of the interval being written were sent.
@@ -29,7 +29,7 @@
 	StopRequested struct{ Timeout time.Duration }
 )
 
-func (Offer) event()          {}
+func (IntervalAdded) event()  {}
 func (Connected) event()      {}
 func (Progress) event()       {}
 func (WriteCompleted) event() {}
--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -13,20 +13,20 @@
 
 // Config is how a destination is delivered to.
 type Config struct {
-	Budget       int           // bytes of intervals held, with the one being written
-	MaxWaiting   int           // intervals that may wait; 0: as many as the budget takes
-	LeastPause   time.Duration // between connections after a failure; doubled with each further one
-	MostPause    time.Duration // that it is doubled to
-	WriteTimeout time.Duration // of a connection, without progress
-	ReplayRate   int           // bytes a second of a backlog, at full speed
+	MemoryBudget   int           // bytes of intervals held, with the one being written
+	MaxWaiting     int           // intervals that may wait; 0: as many as the budget takes
+	InitialBackoff time.Duration // between connections after a failure; doubled with each further one
+	MaxBackoff     time.Duration // that it is doubled to
+	WriteTimeout   time.Duration // of a connection, without progress
+	ReplayRate     int           // bytes a second of a backlog, at full speed
 }
 
 // Stats are counts of a destination, and what it holds. Of folded intervals each that was folded counts.
 type Stats struct {
-	Held               int     // bytes
+	HeldBytes          int     // bytes
 	WaitingIntervals   uint64  // held, with the one being written
 	DeliveredIntervals uint64  // written completely
-	Lost               uint64  // intervals that will never be written
+	LostIntervals      uint64  // intervals that will never be written
 	LostSamples        float64 // values of distributions that will never be written
 	ConnectionFailures uint64  // connections that broke or were not established
 }
@@ -64,8 +64,8 @@
 func New(cfg Config, seed uint64) *Machine {
 	return &Machine{
 		writeTimeout: cfg.WriteTimeout,
-		queue:        queue{memoryBudget: cfg.Budget, maxWaiting: cfg.MaxWaiting},
-		backoff:      backoff{initial: cfg.LeastPause, max: cfg.MostPause, rng: rand.New(rand.NewPCG(seed, 0))},
+		queue:        queue{memoryBudget: cfg.MemoryBudget, maxWaiting: cfg.MaxWaiting},
+		backoff:      backoff{initial: cfg.InitialBackoff, max: cfg.MaxBackoff, rng: rand.New(rand.NewPCG(seed, 0))},
 		replay:       replayPacer{maxRate: float64(cfg.ReplayRate)},
 	}
 }
@@ -73,10 +73,10 @@
 // Stats are the counts as they stand.
 func (m *Machine) Stats() Stats {
 	return Stats{
-		Held:               m.queue.heldBytes(),
+		HeldBytes:          m.queue.heldBytes(),
 		WaitingIntervals:   m.queue.foldedCount(),
 		DeliveredIntervals: m.delivered,
-		Lost:               m.queue.lostIntervals,
+		LostIntervals:      m.queue.lostIntervals,
 		LostSamples:        m.queue.lostSamples,
 		ConnectionFailures: m.failures,
 	}
@@ -115,7 +115,7 @@
 // Apply takes an event and returns the actions that follow.
 func (m *Machine) Apply(now time.Duration, event Event) []Action {
 	switch ev := event.(type) {
-	case Offer:
+	case IntervalAdded:
 		m.offer(ev.Interval)
 	case Connected:
 		if ev.Conn == m.conn && m.state == connecting {
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -15,11 +15,11 @@
 
 func config() Config {
 	return Config{
-		Budget:       64 << 10,
-		LeastPause:   200 * ms,
-		MostPause:    15 * time.Second,
-		WriteTimeout: 5 * time.Second,
-		ReplayRate:   64 << 10,
+		MemoryBudget:   64 << 10,
+		InitialBackoff: 200 * ms,
+		MaxBackoff:     15 * time.Second,
+		WriteTimeout:   5 * time.Second,
+		ReplayRate:     64 << 10,
 	}
 }
 
@@ -31,7 +31,7 @@
 }
 
 func newIntervalSource() *intervalSource {
-	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	return &intervalSource{registry: metrics.NewRegistry(limits, 0, 0)}
 }
 
@@ -78,7 +78,7 @@
 
 func (r *rig) offer(n int) {
 	for range n {
-		r.apply(Offer{r.source.next()})
+		r.apply(IntervalAdded{r.source.next()})
 	}
 }
 
@@ -120,7 +120,7 @@
 	r.expect(t)
 	r.offer(1)
 	r.expect(t, "write 2 of 1 from 0")
-	if st := r.machine.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.Lost != 0 {
+	if st := r.machine.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.LostIntervals != 0 {
 		t.Fatalf("%+v", st)
 	}
 }
@@ -130,7 +130,7 @@
 	for seed := range uint64(8) {
 		m := New(config(), seed)
 		src := newIntervalSource()
-		m.Apply(0, Offer{src.next()})
+		m.Apply(0, IntervalAdded{src.next()})
 		now := time.Duration(0)
 		for attempt := range 10 {
 			m.Apply(now, Disconnected{Conn: attempt + 1})
@@ -215,7 +215,7 @@
 // The newest interval is written ahead of the backlog, which is replayed at a growing rate.
 func TestNewestIntervalPrecedesTheBacklog(t *testing.T) {
 	cfg := config()
-	cfg.Budget, cfg.ReplayRate = 1<<20, 2<<10
+	cfg.MemoryBudget, cfg.ReplayRate = 1<<20, 2<<10
 	r := newRig(cfg)
 	r.offer(6)
 	r.apply(Connected{1})
@@ -250,11 +250,11 @@
 	r := newRig(cfg)
 	for range 360 {
 		r.offer(1)
-		if held := r.machine.Stats().Held; held > cfg.Budget {
+		if held := r.machine.Stats().HeldBytes; held > cfg.MemoryBudget {
 			t.Fatalf("holds %d bytes", held)
 		}
 	}
-	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.Lost != 0 || st.LostSamples != 0 {
+	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.LostIntervals != 0 || st.LostSamples != 0 {
 		t.Fatalf("%+v", st)
 	}
 	fewest, largest, samples := uint64(1000), uint64(0), 0.0
@@ -272,11 +272,11 @@
 // What even folding can't hold is counted lost, to the last value.
 func TestLossesAreCounted(t *testing.T) {
 	cfg := config()
-	cfg.Budget = 4 << 10 // room for two intervals or so
+	cfg.MemoryBudget = 4 << 10 // room for two intervals or so
 	r := newRig(cfg)
 	r.offer(2000) // five hours and more: longer than may be folded into one
 	st := r.machine.Stats()
-	if st.Held > cfg.Budget || st.Lost == 0 || st.Lost+st.WaitingIntervals != 2000 {
+	if st.HeldBytes > cfg.MemoryBudget || st.LostIntervals == 0 || st.LostIntervals+st.WaitingIntervals != 2000 {
 		t.Fatalf("%+v", st)
 	}
 	held := 0.0
@@ -302,7 +302,7 @@
 	r.offer(2) // while that is under way
 	r.apply(WriteCompleted{2})
 	r.expect(t, "write 12 of 2 from 0")
-	if st := r.machine.Stats(); st.Lost != 0 {
+	if st := r.machine.Stats(); st.LostIntervals != 0 {
 		t.Fatalf("%+v", st)
 	}
 }
@@ -362,7 +362,7 @@
 			r := newRig(config())
 			c.do(r)
 			r.expect(t, c.want...)
-			if st := r.machine.Stats(); st.Lost != c.lost || st.WaitingIntervals != 0 {
+			if st := r.machine.Stats(); st.LostIntervals != c.lost || st.WaitingIntervals != 0 {
 				t.Fatalf("%+v", st)
 			}
 		})
--- a/internal/delivery/property_test.go
+++ b/internal/delivery/property_test.go
@@ -91,7 +91,7 @@
 	m.tick()
 	switch rapid.IntRange(0, 5).Draw(m.t, "what") {
 	case 0, 1:
-		m.apply(Offer{m.rig.source.next()})
+		m.apply(IntervalAdded{m.rig.source.next()})
 	case 2:
 		m.connect()
 	case 3:
@@ -109,12 +109,12 @@
 // be.
 func (m *model) checkStats() {
 	stats, made := m.rig.machine.Stats(), m.rig.source.made
-	total := stats.DeliveredIntervals + stats.Lost + stats.WaitingIntervals
+	total := stats.DeliveredIntervals + stats.LostIntervals + stats.WaitingIntervals
 	if m.delivered != stats.DeliveredIntervals || total != made {
 		m.t.Fatalf("%d made, %d written: %+v", made, m.delivered, stats)
 	}
-	if stats.Held > m.cfg.Budget {
-		m.t.Fatalf("%d bytes held, %d may be", stats.Held, m.cfg.Budget)
+	if stats.HeldBytes > m.cfg.MemoryBudget {
+		m.t.Fatalf("%d bytes held, %d may be", stats.HeldBytes, m.cfg.MemoryBudget)
 	}
 }
 
@@ -146,7 +146,7 @@
 func TestMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.Budget = rapid.SampledFrom([]int{3 << 10, 16 << 10, 1 << 20}).Draw(t, "budget")
+		cfg.MemoryBudget = rapid.SampledFrom([]int{3 << 10, 16 << 10, 1 << 20}).Draw(t, "budget")
 		cfg.MaxWaiting = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "max waiting")
 		m := &model{t: t, rig: newRig(cfg), cfg: cfg, sent: map[*metrics.Interval]int{}}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -155,7 +155,7 @@
 		}
 		m.serve()
 		stats := m.rig.machine.Stats()
-		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.Lost != m.rig.source.made {
+		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != m.rig.source.made {
 			t.Fatalf("still waiting: %+v", stats)
 		}
 	})
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -12,7 +12,7 @@
 
 // smallInterval has a counter and two distributions by name, beside the figures of every broker.
 func smallInterval() *metrics.Interval {
-	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
 	r.Add(metrics.Answers, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "lookup"), 12.5)
--- a/internal/metrics/cut_test.go
+++ b/internal/metrics/cut_test.go
@@ -43,7 +43,7 @@
 }
 
 func BenchmarkCut(b *testing.B) {
-	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}, 0, 0)
+	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 32 {
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -140,7 +140,7 @@
 }
 
 func BenchmarkFold(b *testing.B) {
-	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}, 0, 0)
+	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}, 0, 0)
 	cut := func() *Interval {
 		for i := range 32 {
 			for v := range 50 {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -9,7 +9,7 @@
 // Limits bound the names that a registry keeps.
 type Limits struct {
 	Classes, Tenants, Engines, DataSets int           // names that have series of their own, at a time
-	Idle                                time.Duration // after which a name that did not come retires
+	IdleTimeout                         time.Duration // after which a name that did not come retires
 }
 
 const (
@@ -46,10 +46,10 @@
 	}
 	for i, names := range maxNames {
 		r.tables[i] = cardinality.New(cardinality.Config{
-			Most:    names,
-			Resting: retiredSlotsPerName * names,
-			Idle:    l.Idle,
-			Rest:    retiredSlotRetention,
+			MaxNames:         names,
+			RetiredSlots:     retiredSlotsPerName * names,
+			IdleTimeout:      l.IdleTimeout,
+			RetiredRetention: retiredSlotRetention,
 		}, func(slot int) { r.resetSlot(Dimension(i), slot) })
 	}
 	for i := range Catalogue {
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -7,11 +7,11 @@
 )
 
 func smallLimits() Limits {
-	return Limits{Classes: 3, Tenants: 3, Engines: 3, DataSets: 3, Idle: time.Minute}
+	return Limits{Classes: 3, Tenants: 3, Engines: 3, DataSets: 3, IdleTimeout: time.Minute}
 }
 
 func TestRecordingAllocatesNothing(t *testing.T) {
-	r := NewRegistry(Limits{Classes: 8, Tenants: 8, Engines: 8, DataSets: 8, Idle: time.Hour}, 0, 0)
+	r := NewRegistry(Limits{Classes: 8, Tenants: 8, Engines: 8, DataSets: 8, IdleTimeout: time.Hour}, 0, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	record := func() {
 		class, tenant := r.Slot(Class, "lookup"), r.Slot(Tenant, "acme")
@@ -33,7 +33,7 @@
 }
 
 func BenchmarkRecordOneRequest(b *testing.B) {
-	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: time.Hour}, 0, 0)
+	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}, 0, 0)
 	b.ReportAllocs()
 	for i := range b.N {
 		class, tenant := r.Slot(Class, "lookup"), r.Slot(Tenant, "acme")
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -18,7 +18,7 @@
 // largeInterval is one of more lines than the buffers of two sockets hold.
 func largeInterval() *metrics.Interval {
 	const tenants = 4000
-	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
 	for i := range tenants {
 		slot := r.Slot(metrics.Tenant, fmt.Sprintf("a-tenant-with-a-long-name-%06d", i))
--- a/internal/telemetry/collectd_transport.go
+++ b/internal/telemetry/collectd_transport.go
@@ -53,7 +53,7 @@
 			return errors.Join(err, ctx.Err())
 		},
 	}
-	if err := collectd.Lists(v, s.transport.host, packer.Add); err != nil {
+	if err := collectd.EachList(v, s.transport.host, packer.Add); err != nil {
 		return 0, err
 	}
 	if err := packer.Flush(); err != nil {
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -79,7 +79,7 @@
 	stats := d.stats.Load()
 	d.log.Info("destination ended",
 		zap.Uint64("delivered", stats.DeliveredIntervals),
-		zap.Uint64("lost", stats.Lost),
+		zap.Uint64("lost", stats.LostIntervals),
 		zap.Float64("lost_samples", stats.LostSamples),
 		zap.Uint64("breaks", stats.ConnectionFailures))
 	if ctx.Err() != nil {
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -127,7 +127,7 @@
 	r.intervals(200) // more than the sockets take
 	r.finish()
 	stats := r.reporter.destinations["carbon"].stats.Load()
-	if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.Lost != r.cuts() || stats.Lost == 0 {
+	if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != r.cuts() || stats.LostIntervals == 0 {
 		t.Fatalf("%d intervals ended: %+v", r.cuts(), stats)
 	}
 }
--- a/internal/telemetry/plan.go
+++ b/internal/telemetry/plan.go
@@ -52,11 +52,11 @@
 			Pickle: g.Protocol == "pickle",
 		}},
 		delivery: delivery.Config{
-			Budget:       g.BudgetKB << 10,
-			LeastPause:   initialBackoff,
-			MostPause:    maxBackoff,
-			WriteTimeout: time.Duration(g.WriteTimeoutMS) * time.Millisecond,
-			ReplayRate:   g.ReplayKBps << 10,
+			MemoryBudget:   g.BudgetKB << 10,
+			InitialBackoff: initialBackoff,
+			MaxBackoff:     maxBackoff,
+			WriteTimeout:   time.Duration(g.WriteTimeoutMS) * time.Millisecond,
+			ReplayRate:     g.ReplayKBps << 10,
 		},
 	}
 }
@@ -80,12 +80,12 @@
 			security: collectd.Security{Level: securityLevels[c.Security], User: c.User, Password: c.Password},
 		},
 		delivery: delivery.Config{
-			Budget:       c.BudgetKB << 10,
-			MaxWaiting:   1, // collectd accepts nothing older than the last: what waits is folded into the newest
-			LeastPause:   initialBackoff,
-			MostPause:    maxBackoff,
-			WriteTimeout: dialTimeout,
-			ReplayRate:   c.BudgetKB << 10,
+			MemoryBudget:   c.BudgetKB << 10,
+			MaxWaiting:     1, // collectd accepts nothing older than the last: what waits is folded into the newest
+			InitialBackoff: initialBackoff,
+			MaxBackoff:     maxBackoff,
+			WriteTimeout:   dialTimeout,
+			ReplayRate:     c.BudgetKB << 10,
 		},
 	}
 }
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/relay_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewRecorder(metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, Idle: time.Hour}, 0, 0)
+	r := NewRecorder(metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}, 0, 0)
 	r.Reloaded(true)
 	r.Reloaded(false)
 	r.Reloaded(false)
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -51,7 +51,7 @@
 				defer time.AfterFunc(2*stopTimeout, func() { c.Set(collector.Serve) }).Stop()
 			}
 			r.finish()
-			if s := stopped.stats.Load(); s.DeliveredIntervals != 2 || s.Lost != 0 || s.WaitingIntervals != 0 {
+			if s := stopped.stats.Load(); s.DeliveredIntervals != 2 || s.LostIntervals != 0 || s.WaitingIntervals != 0 {
 				t.Fatalf("the first destination ended with %+v", s)
 			}
 			r.awaitAllCounted(receivedSecond)
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -50,11 +50,11 @@
 // Limits are the bounds of the names that have series of their own, as the operator's file has them.
 func Limits(n operatorconfig.CardinalityLimits) metrics.Limits {
 	return metrics.Limits{
-		Classes:  n.Classes,
-		Tenants:  n.Tenants,
-		Engines:  n.Engines,
-		DataSets: n.DataSets,
-		Idle:     time.Duration(n.IdleS) * time.Second,
+		Classes:     n.Classes,
+		Tenants:     n.Tenants,
+		Engines:     n.Engines,
+		DataSets:    n.DataSets,
+		IdleTimeout: time.Duration(n.IdleS) * time.Second,
 	}
 }
 
@@ -194,6 +194,6 @@
 		return
 	}
 	for _, d := range r.sortedDestinations() {
-		d.send(ctx, message{event: delivery.Offer{Interval: interval}})
+		d.send(ctx, message{event: delivery.IntervalAdded{Interval: interval}})
 	}
 }
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/rig_test.go
@@ -194,7 +194,7 @@
 }
 
 // held is how much memory a destination holds, in bytes. It must be one that is configured.
-func (r *rig) held(name string) int { return r.reporter.destinations[name].stats.Load().Held }
+func (r *rig) held(name string) int { return r.reporter.destinations[name].stats.Load().HeldBytes }
 
 // finish stops the reporter as a broker does that has answered everything.
 func (r *rig) finish() {
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -78,10 +78,10 @@
 
 func (r *Recorder) recordDestination(name string, stats *delivery.Stats) {
 	slot := r.registry.Slot(metrics.Destination, name)
-	r.registry.Set(metrics.Held, slot, 0, float64(stats.Held))
+	r.registry.Set(metrics.Held, slot, 0, float64(stats.HeldBytes))
 	r.registry.Set(metrics.HeldIntervals, slot, 0, float64(stats.WaitingIntervals))
 	r.registry.Set(metrics.Delivered, slot, 0, float64(stats.DeliveredIntervals))
-	r.registry.Set(metrics.Lost, slot, 0, float64(stats.Lost))
+	r.registry.Set(metrics.Lost, slot, 0, float64(stats.LostIntervals))
 	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
 	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
 }
--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -90,19 +90,19 @@
 		return err
 	}
 	m := delivery.New(delivery.Config{
-		Budget:       budget,
-		LeastPause:   time.Second,
-		MostPause:    time.Second,
-		WriteTimeout: time.Second,
-		ReplayRate:   1,
+		MemoryBudget:   budget,
+		InitialBackoff: time.Second,
+		MaxBackoff:     time.Second,
+		WriteTimeout:   time.Second,
+		ReplayRate:     1,
 	}, 1)
 	fullAt, slowest := 0, time.Duration(0)
 	for i := range intervalsAnHour {
 		interval := t.nextInterval()
 		start := time.Now()
-		m.Apply(0, delivery.Offer{Interval: interval})
+		m.Apply(0, delivery.IntervalAdded{Interval: interval})
 		slowest = max(slowest, time.Since(start))
-		held := m.Stats().Held
+		held := m.Stats().HeldBytes
 		if i == intervalsAMinute-1 {
 			printResult("backlog_first_minute", float64(held)/bytesPerKilobyte, "KB")
 		}
@@ -112,8 +112,8 @@
 	}
 	stats := m.Stats()
 	printResult("backlog_unfolded_for", float64(fullAt)/intervalsAMinute, "minutes of 512 KB")
-	printResult("backlog_after_an_hour", float64(stats.Held)/bytesPerKilobyte, "KB")
-	printResult("lost_after_an_hour", float64(stats.Lost)+stats.LostSamples, "intervals and values")
+	printResult("backlog_after_an_hour", float64(stats.HeldBytes)/bytesPerKilobyte, "KB")
+	printResult("lost_after_an_hour", float64(stats.LostIntervals)+stats.LostSamples, "intervals and values")
 	printResult("longest_fold", float64(slowest.Microseconds()), "us")
 	return nil
 }
@@ -153,7 +153,7 @@
 	}
 	start := time.Now()
 	for time.Since(start) < packFor {
-		if err := collectd.Lists(interval, "n1", packer.Add); err != nil {
+		if err := collectd.EachList(interval, "n1", packer.Add); err != nil {
 			return 0, err
 		}
 		if err := packer.Flush(); err != nil {
--- a/measure/telemetry/main.go
+++ b/measure/telemetry/main.go
@@ -36,6 +36,6 @@
 }
 
 // limits are the default ones of the operator's configuration.
-var limits = metrics.Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, Idle: 10 * time.Minute}
+var limits = metrics.Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: 10 * time.Minute}
 
 const bytesPerKilobyte = 1024
--- a/measure/telemetry/sketches.go
+++ b/measure/telemetry/sketches.go
@@ -52,7 +52,7 @@
 			names[i] = fmt.Sprintf("tenant-%08d", i)
 		}
 		table := cardinality.New(
-			cardinality.Config{Most: 32, Resting: 64, Idle: time.Hour, Rest: time.Hour},
+			cardinality.Config{MaxNames: 32, RetiredSlots: 64, IdleTimeout: time.Hour, RetiredRetention: time.Hour},
 			func(int) {},
 		)
 		counts := make([]uint64, table.Slots())
