--- a/cmd/wheatlane/demo.go
+++ b/cmd/wheatlane/demo.go
@@ -35,8 +35,8 @@
 	flags.IntVar(&options.Engines, "engines", 4, "engines")
 	flags.Float64Var(&options.Rate, "rate", 28, "requests a second")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the random numbers")
-	flags.DurationVar(&options.For, "for", 45*time.Second, "end after this time")
-	flags.StringVar(&faults, "faults", demo.Faults, "scenario of faults, as in 8s:slow:2; empty: none")
+	flags.DurationVar(&options.Duration, "for", 45*time.Second, "end after this time")
+	flags.StringVar(&faults, "faults", demo.DefaultScenario, "scenario of faults, as in 8s:slow:2; empty: none")
 	return c
 }
 
@@ -49,7 +49,7 @@
 		)
 	}
 	var err error
-	if options.Script, err = scenario.Parse(faults, demo.Verbs(), options.Engines); err != nil {
+	if options.Scenario, err = scenario.Parse(faults, demo.Actions(), options.Engines); err != nil {
 		return newUsageError(c, err)
 	}
 	ctx, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/wheatlane/emulate.go
+++ b/cmd/wheatlane/emulate.go
@@ -49,7 +49,7 @@
 	}
 	out := stdout(c)
 	g.Go(func() error {
-		return scenario.Play(ctx, e.steps, func(step scenario.Step) error {
+		return scenario.Run(ctx, e.steps, func(step scenario.Step) error {
 			out.println(step)
 			return errors.Join(out.err(), e.apply(ctx, step))
 		})
--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -54,7 +54,7 @@
 // emulatedCollector is a carbon or collectd server.
 type emulatedCollector interface {
 	Addr() string
-	Set(mode collector.Mode)
+	SetMode(mode collector.Mode)
 	Run(ctx context.Context) error
 }
 
@@ -83,10 +83,10 @@
 		steps:    steps,
 		servers:  []func(context.Context) error{server.Run, recording.run},
 		apply: func(_ context.Context, step scenario.Step) error {
-			if step.Do == clearAction {
-				reconciler.Empty()
+			if step.Action == clearAction {
+				reconciler.Clear()
 			} else {
-				server.Set(collector.Mode(step.Do))
+				server.SetMode(collector.Mode(step.Action))
 			}
 			return nil
 		},
@@ -138,10 +138,10 @@
 	out.printf(
 		"%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete,
 	)
-	for _, r := range f.Runs {
-		started := time.UnixMilli(r.Started).UTC().Format(time.RFC3339)
+	for _, r := range f.Incarnations {
+		started := time.UnixMilli(r.StartedMS).UTC().Format(time.RFC3339)
 		out.printf("broker %q started %s: %d intervals stand for %d of %d, %d series of counters\n",
-			r.Broker, started, len(r.Intervals), r.Of, r.Last, r.Series)
+			r.Broker, started, len(r.Intervals), r.Represented, r.LastSequence, r.Series)
 	}
 	if f.OK() {
 		return out.err()
@@ -150,7 +150,7 @@
 		Faults  []string       `json:"faults"`
 		Unknown map[string]int `json:"unknown"`
 		Broken  map[string]int `json:"broken"`
-	}{f.Faults, f.Unknown, f.Malformed}, "", "  ")
+	}{f.Violations, f.Unknown, f.Malformed}, "", "  ")
 	if err != nil {
 		return err
 	}
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -41,18 +41,18 @@
 }
 
 func (f *engineFlags) run(c *cobra.Command) error {
-	steps, err := scenario.Parse(f.faults, cluster.Verbs, f.count)
+	steps, err := scenario.Parse(f.faults, cluster.Actions, f.count)
 	if err != nil {
 		return newUsageError(c, err)
 	}
 	var engines *cluster.Cluster
-	writeList := func(changelogserver.Host) error {
-		return changelogserver.WriteFile(f.list, engines.Hosts())
+	writeList := func(changelogserver.Endpoint) error {
+		return changelogserver.WriteFile(f.list, engines.Endpoints())
 	}
 	if engines, err = cluster.New(f.count, nil, writeList); err != nil {
 		return err
 	}
-	if err := changelogserver.WriteFile(f.list, engines.Hosts()); err != nil {
+	if err := changelogserver.WriteFile(f.list, engines.Endpoints()); err != nil {
 		return err
 	}
 	out := stdout(c)
@@ -61,17 +61,17 @@
 		duration: f.duration,
 		steps:    steps,
 		servers:  []func(context.Context) error{engines.Run},
-		apply:    engines.Do,
+		apply:    engines.Apply,
 	}
 	return errors.Join(out.err(), e.run(c))
 }
 
 // changelogActions are the actions of a change log's scenario. None of them names a target.
 var changelogActions = map[string]bool{
-	string(changelogserver.Serve):  false,
-	string(changelogserver.Break):  false,
-	string(changelogserver.Stall):  false,
-	string(changelogserver.Refuse): false,
+	string(changelogserver.Serve):       false,
+	string(changelogserver.Truncating):  false,
+	string(changelogserver.Stalling):    false,
+	string(changelogserver.Unavailable): false,
 }
 
 // changelogFlags are the flags of an emulated change log.
@@ -115,16 +115,16 @@
 	if err != nil {
 		return err
 	}
-	changelog.Late(f.delay)
+	changelog.SetDelay(f.delay)
 	out := stdout(c)
 	out.printf("listening on %s, %d engines\n", changelog.Addr(), len(hosts))
-	followList := func(ctx context.Context) error { return changelog.Follow(ctx, f.list, hosts) }
+	followList := func(ctx context.Context) error { return changelog.FollowFile(ctx, f.list, hosts) }
 	e := emulation{
 		duration: f.duration,
 		steps:    steps,
 		servers:  []func(context.Context) error{changelog.Run, followList},
 		apply: func(_ context.Context, step scenario.Step) error {
-			changelog.Set(changelogserver.Mode(step.Do))
+			changelog.SetMode(changelogserver.Mode(step.Action))
 			return nil
 		},
 	}
--- a/cmd/wheatlane/telemetry_test.go
+++ b/cmd/wheatlane/telemetry_test.go
@@ -76,7 +76,9 @@
 	return p, replace
 }
 
-func isOneRunOfN1(f *collector.Findings) bool { return len(f.Runs) == 1 && f.Runs[0].Broker == "n1" }
+func isOneRunOfN1(f *collector.Findings) bool {
+	return len(f.Incarnations) == 1 && f.Incarnations[0].Broker == "n1"
+}
 
 // The program reports to a collector; at SIGHUP an invalid operator's configuration changes nothing, and a
 // valid one moves the reports to another collector; at SIGTERM the last interval is sent.
@@ -105,12 +107,12 @@
 	}
 	waitForFindings(t, secondReceived, "the last interval", func(f *collector.Findings) bool {
 		return isOneRunOfN1(f) && strings.Contains(
-			ended, fmt.Sprintf(`"delivered":%d,`, f.Runs[0].Last),
+			ended, fmt.Sprintf(`"delivered":%d,`, f.Incarnations[0].LastSequence),
 		)
 	})
 	for _, received := range []*collector.Reconciler{firstReceived, secondReceived} {
 		if f := received.Reconcile(); !f.OK() {
-			t.Errorf("%v %v %v", f.Faults, f.Unknown, f.Malformed)
+			t.Errorf("%v %v %v", f.Violations, f.Unknown, f.Malformed)
 		}
 	}
 }
@@ -125,11 +127,11 @@
 			t.Fatal(err)
 		}
 		waitForFindings(t, received, "an interval", func(f *collector.Findings) bool {
-			return len(f.Runs) == incarnation+1
+			return len(f.Incarnations) == incarnation+1
 		})
 		p.kill(t)
 	}
-	if f := received.Reconcile(); !f.OK() || f.Runs[0].Started >= f.Runs[1].Started {
+	if f := received.Reconcile(); !f.OK() || f.Incarnations[0].StartedMS >= f.Incarnations[1].StartedMS {
 		t.Fatalf("%+v", f)
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,12 +22,12 @@
 
 // Options are what the demo shows.
 type Options struct {
-	Dir     string  // of the files that it leaves
-	Engines int     // how many there are
-	Rate    float64 // requests a second, all classes together
-	Seed    uint64
-	For     time.Duration   // the demo ends by itself after this time
-	Script  []scenario.Step // faults of engines and of the collector
+	Dir      string  // of the files that it leaves
+	Engines  int     // how many there are
+	Rate     float64 // requests a second, all classes together
+	Seed     uint64
+	Duration time.Duration   // the demo ends by itself after this time
+	Scenario []scenario.Step // faults of engines and of the collector
 }
 
 // The actions on the collector, as scenarios word them.
@@ -37,20 +37,20 @@
 	actionCollectorServe  = "collector-serve"
 )
 
-// Verbs returns the actions of a scenario: those on engines, which take the number of one, and those on the
+// Actions returns the actions of a scenario: those on engines, which take the number of one, and those on the
 // collector.
-func Verbs() map[string]bool {
+func Actions() map[string]bool {
 	verbs := map[string]bool{
 		actionCollectorGone: false, actionCollectorSilent: false, actionCollectorServe: false,
 	}
-	for v := range cluster.Verbs {
+	for v := range cluster.Actions {
 		verbs[v] = true
 	}
 	return verbs
 }
 
-// Faults is the scenario of a demo without another one.
-const Faults = "8s:slow:2,14s:quick:2,16s:collector-gone,20s:drain:3,24s:moved:3,28s:crash:1,33s:back:1," +
+// DefaultScenario is the scenario of a demo without another one.
+const DefaultScenario = "8s:slow:2,14s:quick:2,16s:collector-gone,20s:drain:3,24s:moved:3,28s:crash:1,33s:back:1," +
 	"36s:collector-serve"
 
 // demonstration is a demo that runs.
@@ -97,7 +97,7 @@
 
 // run runs all parts. The load ends first, then the broker, then what that talks to.
 func (d *demonstration) run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.options.For)
+	ctx, cancel := context.WithTimeout(ctx, d.options.Duration)
 	defer cancel()
 	outer, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -111,7 +111,7 @@
 	broker.Go(func() error { return d.broker.Run(inner, stop) })
 
 	err := d.runLoad(ctx)
-	d.carbon.Set(collector.Serve) // so that what waits is delivered
+	d.carbon.SetMode(collector.Serve) // so that what waits is delivered
 	close(stop)
 	err = errors.Join(err, broker.Wait())
 	end()
@@ -123,7 +123,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return d.load.Run(ctx) })
 	g.Go(func() error {
-		return scenario.Play(ctx, d.options.Script, func(step scenario.Step) error {
+		return scenario.Run(ctx, d.options.Scenario, func(step scenario.Step) error {
 			d.printf("--- %v\n", step)
 			return d.applyStep(ctx, step)
 		})
@@ -136,15 +136,15 @@
 }
 
 func (d *demonstration) applyStep(ctx context.Context, step scenario.Step) error {
-	switch step.Do {
+	switch step.Action {
 	case actionCollectorGone:
-		d.carbon.Set(collector.Unreachable)
+		d.carbon.SetMode(collector.Unreachable)
 	case actionCollectorSilent:
-		d.carbon.Set(collector.Silent)
+		d.carbon.SetMode(collector.Silent)
 	case actionCollectorServe:
-		d.carbon.Set(collector.Serve)
+		d.carbon.SetMode(collector.Serve)
 	default:
-		return d.engines.Do(ctx, step)
+		return d.engines.Apply(ctx, step)
 	}
 	return nil
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -16,11 +16,11 @@
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
 	const faults = "300ms:slow:2,500ms:drain:1,600ms:collector-gone,900ms:collector-serve"
-	steps, err := scenario.Parse(faults, Verbs(), 3)
+	steps, err := scenario.Parse(faults, Actions(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := Options{Dir: dir, Engines: 3, Rate: 40, Seed: 7, For: 1500 * time.Millisecond, Script: steps}
+	options := Options{Dir: dir, Engines: 3, Rate: 40, Seed: 7, Duration: 1500 * time.Millisecond, Scenario: steps}
 	var out bytes.Buffer
 	if err := Run(t.Context(), &lockedWriter{w: &out}, options); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -26,13 +26,13 @@
 			return
 		case <-ticker.C:
 		}
-		d.printOutcomes(second, d.load.Tally())
+		d.printOutcomes(second, d.load.TakeCounts())
 	}
 }
 
 // printOutcomes prints one line of progress.
-func (d *demonstration) printOutcomes(second int, byClass map[string]client.Tally) {
-	var all client.Tally
+func (d *demonstration) printOutcomes(second int, byClass map[string]client.Counts) {
+	var all client.Counts
 	unserved := 0
 	for _, c := range byClass {
 		all.InTime += c.InTime
@@ -43,7 +43,7 @@
 	}
 	var slowest strings.Builder
 	for _, c := range classes {
-		fmt.Fprintf(&slowest, " %6s", byClass[c.Engine.Name].Worst.Round(time.Millisecond))
+		fmt.Fprintf(&slowest, " %6s", byClass[c.Engine.Name].Slowest.Round(time.Millisecond))
 	}
 	d.printf("%6d  %7d %6d %7d %6d %5d  %s\n",
 		second, all.InTime, all.Late, all.Rejected, all.Failed, unserved, slowest.String())
@@ -65,15 +65,15 @@
 	d.printf("%d requests: %d served, %d refused, %d failed; %d attempts at engines\n",
 		checked.Requests, checked.Outcomes[conformance.Served], checked.Outcomes[conformance.Rejected],
 		checked.Outcomes[conformance.Failed], checked.Attempts)
-	for _, r := range findings.Runs {
-		d.printf("the collector has %d intervals, which stand for %d of %d\n", len(r.Intervals), r.Of, r.Last)
+	for _, r := range findings.Incarnations {
+		d.printf("the collector has %d intervals, which stand for %d of %d\n", len(r.Intervals), r.Represented, r.LastSequence)
 	}
 	d.printf("report: %s\n", d.path(reportFile))
-	violations := make([]error, 0, len(checked.Breaches)+len(findings.Faults))
-	for _, text := range checked.Breaches {
+	violations := make([]error, 0, len(checked.Violations)+len(findings.Violations))
+	for _, text := range checked.Violations {
 		violations = append(violations, errors.New(text))
 	}
-	for _, text := range findings.Faults {
+	for _, text := range findings.Violations {
 		violations = append(violations, errors.New(text))
 	}
 	return errors.Join(violations...)
--- a/internal/demo/setup.go
+++ b/internal/demo/setup.go
@@ -54,7 +54,7 @@
 	},
 	{
 		Engine: cluster.Classes[2], Rate: 0.06,
-		LatencyObjective: 8700 * time.Millisecond, Timeout: 25 * time.Second, Keys: 40,
+		LatencyObjective: 8700 * time.Millisecond, Timeout: 25 * time.Second, OrderKeys: 40,
 	},
 }
 
@@ -72,8 +72,8 @@
 // engineObserver passes what engines see on to the checker.
 type engineObserver struct{ checker *conformance.Checker }
 
-func (o engineObserver) AttemptReceived(r engine.Run) {
-	o.checker.AttemptReceived(r.Engine, r.Ref, r.At)
+func (o engineObserver) AttemptReceived(r engine.Attempt) {
+	o.checker.AttemptReceived(r.Engine, r.RequestID, r.ReceivedAt)
 }
 
 func (o engineObserver) AttemptEnded(engine, requestID string, at time.Time) {
@@ -81,7 +81,7 @@
 }
 
 // endpointPublished passes what the change log delivers on to the checker.
-func (d *demonstration) endpointPublished(endpoint changelogserver.Host, at time.Time) {
+func (d *demonstration) endpointPublished(endpoint changelogserver.Endpoint, at time.Time) {
 	if endpoint.Health == changelogserver.InService {
 		d.checker.EngineInService(endpoint.ID)
 	} else {
@@ -96,15 +96,15 @@
 	}
 	d.checker = conformance.New(rules)
 	var err error
-	publish := func(endpoint changelogserver.Host) error {
-		d.changes.Change(endpoint)
+	publish := func(endpoint changelogserver.Endpoint) error {
+		d.changes.Publish(endpoint)
 		return nil
 	}
 	d.engines, err = cluster.New(d.options.Engines, engineObserver{d.checker}, publish)
 	if err != nil {
 		return err
 	}
-	if d.changes, err = changelogserver.New("127.0.0.1:0", d.engines.Hosts(), d.endpointPublished); err != nil {
+	if d.changes, err = changelogserver.New("127.0.0.1:0", d.engines.Endpoints(), d.endpointPublished); err != nil {
 		return err
 	}
 	figures, err := d.create(figuresFile)
--- a/internal/emulator/changelogserver/changelog.go
+++ b/internal/emulator/changelogserver/changelog.go
@@ -17,8 +17,8 @@
 	Terminated  = "terminated"
 )
 
-// Host is an engine as the change log lists it.
-type Host struct {
+// Endpoint is an engine as the change log lists it.
+type Endpoint struct {
 	ID     string `json:"host"`
 	Addr   string `json:"dial"`
 	Site   string `json:"site"`
@@ -33,9 +33,9 @@
 type event struct {
 	Revision int64 `json:"seq"`
 	Fleet    struct {
-		Revision  int64  `json:"seq"`
-		Snapshot  bool   `json:"whole"`
-		Endpoints []Host `json:"hosts"`
+		Revision  int64      `json:"seq"`
+		Snapshot  bool       `json:"whole"`
+		Endpoints []Endpoint `json:"hosts"`
 	} `json:"fleet"`
 	visibleAt time.Time // polls see it from then on
 }
@@ -45,16 +45,16 @@
 
 // The modes.
 const (
-	Serve  Mode = "serve"
-	Break  Mode = "break"  // each answer breaks off in the middle, and its connection ends
-	Stall  Mode = "stall"  // each answer stops in the middle, and its connection stays open
-	Refuse Mode = "refuse" // status 503
+	Serve       Mode = "serve"
+	Truncating  Mode = "break"  // each answer breaks off in the middle, and its connection ends
+	Stalling    Mode = "stall"  // each answer stops in the middle, and its connection stays open
+	Unavailable Mode = "refuse" // status 503
 )
 
 // ChangeLog is the change log. It may be used from several goroutines.
 type ChangeLog struct {
 	listener    net.Listener
-	onDelivered func(e Host, at time.Time)
+	onDelivered func(e Endpoint, at time.Time)
 
 	mu      sync.Mutex // guards what follows
 	events  []event
@@ -65,7 +65,7 @@
 
 // New returns a change log that listens at an address already and whose first event is a snapshot of the
 // list. onDelivered, if there is one, is called with each endpoint of an event whenever that is delivered.
-func New(address string, endpoints []Host, onDelivered func(e Host, at time.Time)) (*ChangeLog, error) {
+func New(address string, endpoints []Endpoint, onDelivered func(e Endpoint, at time.Time)) (*ChangeLog, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("change log emulator: %w", err)
@@ -82,14 +82,14 @@
 // Addr returns where the change log listens.
 func (l *ChangeLog) Addr() string { return l.listener.Addr().String() }
 
-func (l *ChangeLog) appendSnapshot(endpoints []Host) {
+func (l *ChangeLog) appendSnapshot(endpoints []Endpoint) {
 	var ev event
 	ev.Fleet.Snapshot, ev.Fleet.Endpoints = true, slices.Clone(endpoints)
 	l.appendEvent(ev)
 }
 
-// Change adds an event with the endpoints that have changed.
-func (l *ChangeLog) Change(endpoints ...Host) {
+// Publish adds an event with the endpoints that have changed.
+func (l *ChangeLog) Publish(endpoints ...Endpoint) {
 	var ev event
 	ev.Fleet.Endpoints = slices.Clone(endpoints)
 	l.appendEvent(ev)
@@ -116,15 +116,15 @@
 	l.changed = make(chan struct{})
 }
 
-// Late makes each later event visible so long after it is published.
-func (l *ChangeLog) Late(d time.Duration) {
+// SetDelay makes each later event visible so long after it is published.
+func (l *ChangeLog) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Set changes the behaviour from the next answer on.
-func (l *ChangeLog) Set(m Mode) {
+// SetMode changes the behaviour from the next answer on.
+func (l *ChangeLog) SetMode(m Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode = m
--- a/internal/emulator/changelogserver/changelog_test.go
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -16,7 +16,7 @@
 )
 
 // newServer runs a change log with endpoints until the test ends.
-func newServer(t *testing.T, endpoints ...Host) *ChangeLog {
+func newServer(t *testing.T, endpoints ...Endpoint) *ChangeLog {
 	t.Helper()
 	l, err := New("127.0.0.1:0", endpoints, nil)
 	if err != nil {
@@ -53,8 +53,8 @@
 
 // A broker reads the pages: first the snapshot, then what changed, by revision.
 func TestPagesParseAsBrokersReadThem(t *testing.T) {
-	l := newServer(t, Host{ID: "a", Addr: "127.0.0.1:1"}, Host{ID: "b", Addr: "127.0.0.1:2"})
-	known, err := l.Known()
+	l := newServer(t, Endpoint{ID: "a", Addr: "127.0.0.1:1"}, Endpoint{ID: "b", Addr: "127.0.0.1:2"})
+	known, err := l.KnownPage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		text, _ := poll(t, l, 1, 5000) // waits
 		answer <- text
 	}()
-	l.Change(Host{ID: "a", Addr: "127.0.0.1:1", Health: Terminating})
+	l.Publish(Endpoint{ID: "a", Addr: "127.0.0.1:1", Health: Terminating})
 	p, err = changelog.ParsePage([]byte(<-answer))
 	if err != nil || p.Revision != 2 || p.Changes[0].Snapshot || p.Changes[0].Endpoints[0].ID != "a" {
 		t.Fatalf("%+v, %v", p, err)
@@ -78,18 +78,18 @@
 }
 
 func TestInjectedFaults(t *testing.T) {
-	l := newServer(t, Host{ID: "a", Addr: "127.0.0.1:1"})
-	l.Set(Break)
+	l := newServer(t, Endpoint{ID: "a", Addr: "127.0.0.1:1"})
+	l.SetMode(Truncating)
 	if text, err := poll(t, l, 0, 10); err == nil || !strings.HasPrefix(text, `{"seq":1`) {
 		t.Errorf("truncated: %q, %v", text, err)
 	}
-	l.Set(Refuse)
+	l.SetMode(Unavailable)
 	if text, err := poll(t, l, 0, 10); err != nil || !strings.Contains(text, "not now") {
 		t.Errorf("unavailable: %q, %v", text, err)
 	}
-	l.Set(Serve)
-	l.Late(time.Hour)
-	l.Change(Host{ID: "b", Addr: "127.0.0.1:2"})
+	l.SetMode(Serve)
+	l.SetDelay(time.Hour)
+	l.Publish(Endpoint{ID: "b", Addr: "127.0.0.1:2"})
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
 		t.Errorf("visible ahead of its time: %q, %v", text, err)
 	}
@@ -97,7 +97,7 @@
 
 func TestEndpointListFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "engines.json")
-	earlier := []Host{
+	earlier := []Endpoint{
 		{ID: "a", Addr: "x:1", Health: InService},
 		{ID: "b", Addr: "x:2", Health: InService},
 		{ID: "c", Addr: "x:3", Health: InService},
@@ -110,13 +110,13 @@
 		t.Fatal(diff, err)
 	}
 	current[0].Health = Terminating
-	current = append(current[:1], current[2], Host{ID: "d", Addr: "x:4", Health: InService})
-	want := []Host{
+	current = append(current[:1], current[2], Endpoint{ID: "d", Addr: "x:4", Health: InService})
+	want := []Endpoint{
 		{ID: "a", Addr: "x:1", Health: Terminating},
 		{ID: "d", Addr: "x:4", Health: InService},
 		{ID: "b", Addr: "x:2", Health: Terminated},
 	}
-	if diff := cmp.Diff(want, Changed(earlier, current)); diff != "" {
+	if diff := cmp.Diff(want, Diff(earlier, current)); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/emulator/changelogserver/file.go
+++ b/internal/emulator/changelogserver/file.go
@@ -16,12 +16,12 @@
 )
 
 // ReadFile reads an endpoint list that WriteFile wrote.
-func ReadFile(path string) ([]Host, error) {
+func ReadFile(path string) ([]Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("endpoint list: %w", err)
 	}
-	var endpoints []Host
+	var endpoints []Endpoint
 	if err := json.Unmarshal(text, &endpoints); err != nil {
 		return nil, fmt.Errorf("endpoint list: %s: %w", path, err)
 	}
@@ -29,7 +29,7 @@
 }
 
 // WriteFile replaces an endpoint list atomically: readers find the old or the new one complete.
-func WriteFile(path string, endpoints []Host) error {
+func WriteFile(path string, endpoints []Endpoint) error {
 	text, err := json.MarshalIndent(endpoints, "", "  ")
 	if err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Follow publishes whatever changes in a file from a known list on, until ctx ends.
-func (l *ChangeLog) Follow(ctx context.Context, path string, known []Host) error {
+// FollowFile publishes whatever changes in a file from a known list on, until ctx ends.
+func (l *ChangeLog) FollowFile(ctx context.Context, path string, known []Endpoint) error {
 	ticker := time.NewTicker(fileCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -61,17 +61,17 @@
 		if err != nil {
 			return err
 		}
-		if changed := Changed(known, current); len(changed) > 0 {
-			l.Change(changed...)
+		if changed := Diff(known, current); len(changed) > 0 {
+			l.Publish(changed...)
 		}
 		known = current
 	}
 }
 
-// Changed returns the endpoints of a list that differ from those of an earlier one, followed by those that
+// Diff returns the endpoints of a list that differ from those of an earlier one, followed by those that
 // it lacks, as terminated.
-func Changed(earlier, current []Host) (changed []Host) {
-	before, listed := map[string]Host{}, map[string]bool{}
+func Diff(earlier, current []Endpoint) (changed []Endpoint) {
+	before, listed := map[string]Endpoint{}, map[string]bool{}
 	for _, e := range earlier {
 		before[e.ID] = e
 	}
--- a/internal/emulator/changelogserver/server.go
+++ b/internal/emulator/changelogserver/server.go
@@ -21,8 +21,8 @@
 	Results  []event `json:"results"`
 }
 
-// Known returns the page of all events so far, as a broker's configuration holds it.
-func (l *ChangeLog) Known() (json.RawMessage, error) {
+// KnownPage returns the page of all events so far, as a broker's configuration holds it.
+func (l *ChangeLog) KnownPage() (json.RawMessage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return encodePage(0, l.events)
@@ -97,7 +97,7 @@
 
 // writePage writes the page of a view as its mode has it.
 func (l *ChangeLog) writePage(w http.ResponseWriter, r *http.Request, since int64, v view) {
-	if v.mode == Refuse {
+	if v.mode == Unavailable {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if v.mode == Break || v.mode == Stall {
+	if v.mode == Truncating || v.mode == Stalling {
 		truncate(w, r, text, v.mode)
 	}
 	if l.onDelivered != nil {
@@ -128,7 +128,7 @@
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
 	}
-	if mode == Stall {
+	if mode == Stalling {
 		<-r.Context().Done()
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/emulator/changelogserver/stored_list_test.go
+++ b/internal/emulator/changelogserver/stored_list_test.go
@@ -14,7 +14,7 @@
 // A list of engines that an earlier release wrote is read, and the same list is written in the same bytes.
 func TestStoredList(t *testing.T) {
 	const golden = "testdata/engines.json"
-	hosts := []Host{
+	hosts := []Endpoint{
 		{"e1", "127.0.0.1:7001", "north", "std-8core", 2, "in_service", 100, 1750000000000},
 		{"e2", "127.0.0.1:7002", "south", "big-16core", 0, "terminating", 50, 0},
 		{"e3", "", "", "", 0, "terminated", 0, 0},
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -26,7 +26,7 @@
 	Rate             float64       // requests a second
 	LatencyObjective time.Duration // later answers are late
 	Timeout          time.Duration // the client stops waiting after it
-	Keys             int           // order keys in use; 0: the class keeps no order
+	OrderKeys        int           // order keys in use; 0: the class keeps no order
 }
 
 func (c *Class) orderKey(n int) string {
@@ -43,19 +43,19 @@
 	Seed     uint64
 	MaxOpen  int // requests at a time; more are not sent, and counted
 	Retries  int // of a request that was rejected, after the time that the rejection names
-	// OnEnd, if there is one, is called for each attempt as it ends.
-	OnEnd func(class string, outcome conformance.Outcome, took time.Duration)
+	// OnRequestEnded, if there is one, is called for each attempt as it ends.
+	OnRequestEnded func(class string, outcome conformance.Outcome, took time.Duration)
 }
 
-// Tally are the outcomes of requests.
-type Tally struct {
-	Sent, InTime, Late, Rejected, Failed, ClientLeft, Unanswered, WrongAnswers, Held int
+// Counts are the outcomes of requests.
+type Counts struct {
+	Sent, InTime, Late, Rejected, Failed, ClientLeft, Unanswered, WrongAnswers, NotSent int
 
-	Worst time.Duration // of those served
+	Slowest time.Duration // of those served
 }
 
 // add counts an attempt that was sent.
-func (n *Tally) add(outcome conformance.Outcome, took, objective time.Duration) {
+func (n *Counts) add(outcome conformance.Outcome, took, objective time.Duration) {
 	n.Sent++
 	switch outcome {
 	case conformance.Served:
@@ -64,7 +64,7 @@
 		} else {
 			n.Late++
 		}
-		n.Worst = max(n.Worst, took)
+		n.Slowest = max(n.Slowest, took)
 	case conformance.Rejected:
 		n.Rejected++
 	case conformance.Failed:
@@ -88,7 +88,7 @@
 	mu           sync.Mutex // guards what follows
 	rng          *rand.Rand
 	idle         []driver.Conn
-	counts       map[string]*Tally // by class
+	counts       map[string]*Counts // by class
 	requestCount uint64
 }
 
@@ -99,25 +99,25 @@
 		keyLocks: map[string]*sync.Mutex{},
 		slots:    make(chan struct{}, max(1, cfg.MaxOpen)),
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		counts:   map[string]*Tally{},
+		counts:   map[string]*Counts{},
 	}
 	for _, c := range cfg.Classes {
-		l.counts[c.Engine.Name] = &Tally{}
-		for k := range c.Keys {
+		l.counts[c.Engine.Name] = &Counts{}
+		for k := range c.OrderKeys {
 			l.keyLocks[c.orderKey(k)] = &sync.Mutex{}
 		}
 	}
 	return l
 }
 
-// Tally returns the outcomes of each class since the last call.
-func (l *Load) Tally() map[string]Tally {
+// TakeCounts returns the outcomes of each class since the last call.
+func (l *Load) TakeCounts() map[string]Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string]Tally{}
+	out := map[string]Counts{}
 	for name, n := range l.counts {
 		out[name] = *n
-		*n = Tally{}
+		*n = Counts{}
 	}
 	return out
 }
@@ -170,5 +170,5 @@
 func (l *Load) countNotSent(c *Class) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[c.Engine.Name].Held++
+	l.counts[c.Engine.Name].NotSent++
 }
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -37,8 +37,8 @@
 		tenant:         l.cfg.Tenants[l.rng.IntN(len(l.cfg.Tenants))],
 		idempotencyKey: fmt.Sprintf("%016x%016x", l.rng.Uint64(), l.rng.Uint64()),
 	}
-	if c.Keys > 0 {
-		r.orderKey = c.orderKey(l.rng.IntN(c.Keys))
+	if c.OrderKeys > 0 {
+		r.orderKey = c.orderKey(l.rng.IntN(c.OrderKeys))
 	}
 	return r
 }
@@ -71,8 +71,8 @@
 	return fmt.Sprintf("%08x%08x", uint32(l.rng.Uint64()), uint32(l.requestCount))
 }
 
-// Text returns the statement of a request, with its fields in a comment.
-func (c *Class) Text(requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool) string {
+// Statement returns the statement of a request, with its fields in a comment.
+func (c *Class) Statement(requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool) string {
 	var b strings.Builder
 	workMS := float64(c.Engine.Cost(requestID)) / float64(time.Millisecond)
 	fmt.Fprintf(&b, "/* service=%s,ref=%s,allow=%d,project=%s,replay=%s,effort=%.1f,ram=%d",
@@ -97,12 +97,12 @@
 	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout)
 	defer cancel()
-	statement := c.Text(requestID, r.tenant, r.idempotencyKey, r.orderKey, r.dataSet, isRetry)
+	statement := c.Statement(requestID, r.tenant, r.idempotencyKey, r.orderKey, r.dataSet, isRetry)
 	rows, err := l.query(ctx, statement, func() {
 		sentAt = time.Now()
 		if l.checker != nil {
 			l.checker.RequestSent(conformance.Request{
-				ID: requestID, Class: c.Engine.Name, Key: r.orderKey, SentAt: sentAt, Timeout: c.Timeout,
+				ID: requestID, Class: c.Engine.Name, OrderKey: r.orderKey, SentAt: sentAt, Timeout: c.Timeout,
 			})
 		}
 	})
@@ -121,8 +121,8 @@
 	if l.checker != nil {
 		l.checker.RequestEnded(requestID, outcome, time.Now())
 	}
-	if l.cfg.OnEnd != nil {
-		l.cfg.OnEnd(c.Engine.Name, outcome, took)
+	if l.cfg.OnRequestEnded != nil {
+		l.cfg.OnRequestEnded(c.Engine.Name, outcome, took)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/cluster/cluster.go
+++ b/internal/emulator/cluster/cluster.go
@@ -28,8 +28,8 @@
 	actionMove    = "moved" // a restart at another address
 )
 
-// Verbs are the actions on engines; all of them take the number of one.
-var Verbs = map[string]bool{
+// Actions are the actions on engines; all of them take the number of one.
+var Actions = map[string]bool{
 	actionSlow: true, actionNormal: true, actionSilence: true, actionSpeak: true, actionDrain: true,
 	actionCrash: true, actionRestart: true, actionMove: true,
 }
@@ -40,50 +40,50 @@
 	firstEngineNumber   = 0xe0000001
 )
 
-// Kind is the kind of the engines, as settings name it.
-const Kind = "std-8core"
+// EngineKind is the kind of the engines, as settings name it.
+const EngineKind = "std-8core"
 
 // Classes are the classes of the chart service, as its engines run them.
 var Classes = []engine.Class{
-	{Name: "lookup", Work: 65 * time.Millisecond, Threads: 1, Rows: 4, BlockedByDataSetLock: true},
-	{Name: "route-report", Work: 3 * time.Second, Threads: 4, Rows: 250},
-	{Name: "survey-load", Work: 3800 * time.Millisecond, Threads: 2, Rows: 1, HoldsDataSetLock: true},
+	{Name: "lookup", MeanWork: 65 * time.Millisecond, Threads: 1, MeanRows: 4, BlockedByDataSetLock: true},
+	{Name: "route-report", MeanWork: 3 * time.Second, Threads: 4, MeanRows: 250},
+	{Name: "survey-load", MeanWork: 3800 * time.Millisecond, Threads: 2, MeanRows: 1, HoldsDataSetLock: true},
 }
 
-// Size is the size of an engine of the chart service.
-var Size = engine.Config{
-	Cores: 8, SaturationPoint: 1.9, Sessions: 64, DedupWindow: 15 * time.Second,
+// EngineSize is the size of an engine of the chart service.
+var EngineSize = engine.Config{
+	Cores: 8, SaturationPoint: 1.9, MaxQueries: 64, DedupWindow: 15 * time.Second,
 	SlowStartDuration: 15 * time.Second, SlowStartInitial: 0.33,
 }
 
 // Cluster is several engines.
 type Cluster struct {
 	engines []*engine.Server
-	publish func(changelogserver.Host) error
+	publish func(changelogserver.Endpoint) error
 
 	mu        sync.Mutex // guards what follows
-	endpoints []changelogserver.Host
+	endpoints []changelogserver.Endpoint
 }
 
 // New returns n engines that are in service and past their slow start. publish is called with each endpoint
 // that changes.
-func New(n int, observer engine.Observer, publish func(changelogserver.Host) error) (*Cluster, error) {
+func New(n int, observer engine.Observer, publish func(changelogserver.Endpoint) error) (*Cluster, error) {
 	c := &Cluster{publish: publish}
 	for i := range n {
-		e, err := engine.NewServer(fmt.Sprintf("s-%08x", firstEngineNumber+i), Classes, Size, observer)
+		e, err := engine.NewServer(fmt.Sprintf("s-%08x", firstEngineNumber+i), Classes, EngineSize, observer)
 		if err != nil {
 			return nil, err
 		}
 		c.engines = append(c.engines, e)
-		c.endpoints = append(c.endpoints, changelogserver.Host{
-			ID: e.ID, Addr: e.Addr(), Site: "east", Class: Kind, Share: 4, Health: changelogserver.InService,
+		c.endpoints = append(c.endpoints, changelogserver.Endpoint{
+			ID: e.ID, Addr: e.Addr(), Site: "east", Class: EngineKind, Share: 4, Health: changelogserver.InService,
 		})
 	}
 	return c, nil
 }
 
-// Hosts returns the endpoint list as it is now.
-func (c *Cluster) Hosts() []changelogserver.Host {
+// Endpoints returns the endpoint list as it is now.
+func (c *Cluster) Endpoints() []changelogserver.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.endpoints)
@@ -99,7 +99,7 @@
 }
 
 // updateEndpoint changes an endpoint and publishes it.
-func (c *Cluster) updateEndpoint(i int, change func(*changelogserver.Host)) error {
+func (c *Cluster) updateEndpoint(i int, change func(*changelogserver.Endpoint)) error {
 	c.mu.Lock()
 	change(&c.endpoints[i])
 	endpoint := c.endpoints[i]
@@ -107,26 +107,26 @@
 	return c.publish(endpoint)
 }
 
-// Do carries out a step of a scenario. It returns once the change, if it is one of the endpoint list, is
+// Apply carries out a step of a scenario. It returns once the change, if it is one of the endpoint list, is
 // published.
-func (c *Cluster) Do(ctx context.Context, step scenario.Step) error {
+func (c *Cluster) Apply(ctx context.Context, step scenario.Step) error {
 	i := step.Target - 1
 	e := c.engines[i]
-	switch step.Do {
+	switch step.Action {
 	case actionSlow:
-		e.Slow(slowdownFactor)
+		e.SetSlowdown(slowdownFactor)
 	case actionNormal:
-		e.Slow(1)
+		e.SetSlowdown(1)
 	case actionSilence:
-		e.Silence(true)
+		e.SetSilent(true)
 	case actionSpeak:
-		e.Silence(false)
+		e.SetSilent(false)
 	case actionDrain:
-		return c.updateEndpoint(i, func(h *changelogserver.Host) { h.Health = changelogserver.Terminating })
+		return c.updateEndpoint(i, func(h *changelogserver.Endpoint) { h.Health = changelogserver.Terminating })
 	case actionCrash:
 		return c.crash(ctx, i)
 	case actionRestart, actionMove:
-		return c.restart(i, step.Do == actionMove)
+		return c.restart(i, step.Action == actionMove)
 	}
 	return nil
 }
@@ -139,34 +139,34 @@
 		return nil
 	case <-time.After(crashDetectionDelay):
 	}
-	return c.updateEndpoint(i, func(h *changelogserver.Host) { h.Health = changelogserver.Terminated })
+	return c.updateEndpoint(i, func(h *changelogserver.Endpoint) { h.Health = changelogserver.Terminated })
 }
 
 // restart starts an engine again, at another address if it is to move. One that only drains crashes first.
 func (c *Cluster) restart(i int, move bool) error {
 	e := c.engines[i]
 	e.Crash()
-	if err := e.Return(move); err != nil {
+	if err := e.Restart(move); err != nil {
 		return err
 	}
-	return c.updateEndpoint(i, func(h *changelogserver.Host) {
+	return c.updateEndpoint(i, func(h *changelogserver.Endpoint) {
 		h.Health, h.Addr, h.BornMS = changelogserver.InService, e.Addr(), time.Now().UnixMilli()
 	})
 }
 
-// Plain starts n engines of the chart service's size that run classes and have no faults, and a change log
+// StartHealthy starts n engines of the chart service's size that run classes and have no faults, and a change log
 // that lists them. Each runs in g until ctx ends.
-func Plain(
+func StartHealthy(
 	ctx context.Context, g *errgroup.Group, n int, classes []engine.Class,
-) (*changelogserver.ChangeLog, []changelogserver.Host, error) {
-	endpoints := make([]changelogserver.Host, 0, n)
+) (*changelogserver.ChangeLog, []changelogserver.Endpoint, error) {
+	endpoints := make([]changelogserver.Endpoint, 0, n)
 	for i := range n {
-		e, err := engine.NewServer(fmt.Sprint("s-", i), classes, Size, nil)
+		e, err := engine.NewServer(fmt.Sprint("s-", i), classes, EngineSize, nil)
 		if err != nil {
 			return nil, nil, err
 		}
 		g.Go(func() error { return e.Run(ctx) })
-		endpoints = append(endpoints, changelogserver.Host{ID: e.ID, Addr: e.Addr(), Class: Kind})
+		endpoints = append(endpoints, changelogserver.Endpoint{ID: e.ID, Addr: e.Addr(), Class: EngineKind})
 	}
 	changes, err := changelogserver.New("127.0.0.1:0", endpoints, nil)
 	if err != nil {
--- a/internal/emulator/cluster/config.go
+++ b/internal/emulator/cluster/config.go
@@ -8,7 +8,7 @@
 )
 
 // deploymentSettings are the settings of the deployment, in the platform's form.
-const deploymentSettings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + Kind + `"],
+const deploymentSettings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + EngineKind + `"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,4,2],"ClassLoad":[false,false,true],
   "YieldsToLoads":[true,false,false],"SaysCost":true},
  "Stats":{"Fields":["queue","x1","x0"]},
@@ -47,7 +47,7 @@
 // Configuration returns the configuration file of a broker for these engines. The broker listens at any
 // loopback port.
 func Configuration(name string, seed uint64, changes *changelogserver.ChangeLog) ([]byte, error) {
-	known, err := changes.Known()
+	known, err := changes.KnownPage()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -65,9 +65,9 @@
 // Addr returns where the server listens.
 func (c *Carbon) Addr() string { return c.addr }
 
-// Set changes the mode. Once it has returned from a change to Unreachable, nothing listens, and from one
+// SetMode changes the mode. Once it has returned from a change to Unreachable, nothing listens, and from one
 // that ends Truncating, no connection is truncated.
-func (c *Carbon) Set(m Mode) {
+func (c *Carbon) SetMode(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode = m
@@ -234,7 +234,7 @@
 		unread = append(unread[:0], rest...)
 		switch {
 		case err != nil:
-			c.reconciler.Broken(err.Error())
+			c.reconciler.AddMalformed(err.Error())
 			return
 		case readErr != nil:
 			return // what is left of a line is dropped, as carbon does
@@ -260,10 +260,10 @@
 		for _, s := range samples {
 			name, err := c.Form.Parse(s.Path)
 			if err != nil {
-				c.reconciler.Unknown(s.Path)
+				c.reconciler.AddUnknown(s.Path)
 				continue
 			}
-			c.reconciler.Take(name, s.Value, s.At)
+			c.reconciler.Add(name, s.Value, s.At)
 		}
 	}
 }
--- a/internal/emulator/collector/carbon_test.go
+++ b/internal/emulator/collector/carbon_test.go
@@ -52,7 +52,7 @@
 	if err := connect(t, c); err != nil {
 		t.Fatal("as it runs:", err)
 	}
-	c.Set(Unreachable)
+	c.SetMode(Unreachable)
 	if err := connect(t, c); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatal("unreachable:", err)
 	}
@@ -94,11 +94,11 @@
 		t.Run(string(mode), func(t *testing.T) {
 			reconciler := NewReconciler(nil)
 			c := newTestCarbon(t, reconciler)
-			c.Set(Truncating)
+			c.SetMode(Truncating)
 			c.read(t.Context(), &modeChangingConn{
-				rest: strings.NewReader(strings.Repeat(line, lines)), changeMode: func() { c.Set(mode) },
+				rest: strings.NewReader(strings.Repeat(line, lines)), changeMode: func() { c.SetMode(mode) },
 			})
-			c.Set(Unreachable)
+			c.SetMode(Unreachable)
 			if got := reconciler.Reconcile().Unknown["x"]; got != want {
 				t.Errorf("%d lines came, want %d", got, want)
 			}
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -71,8 +71,8 @@
 // Addr returns where it listens.
 func (c *Collectd) Addr() string { return c.addr }
 
-// Set changes the mode.
-func (c *Collectd) Set(m Mode) {
+// SetMode changes the mode.
+func (c *Collectd) SetMode(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mode = m
@@ -165,16 +165,16 @@
 // consume parses a datagram. What precedes a malformed part counts.
 func (c *Collectd) consume(packet []byte) {
 	if len(packet) > collectd.MaxPacket {
-		c.reconciler.Broken(fmt.Sprintf("a packet of %d bytes", len(packet)))
+		c.reconciler.AddMalformed(fmt.Sprintf("a packet of %d bytes", len(packet)))
 	}
 	lists, err := c.reader.Parse(packet)
 	if err != nil {
-		c.reconciler.Broken(err.Error())
+		c.reconciler.AddMalformed(err.Error())
 	}
 	for _, list := range lists {
 		broker, series, err := collectd.Figure(list)
 		if err != nil {
-			c.reconciler.Unknown(err.Error())
+			c.reconciler.AddUnknown(err.Error())
 			continue
 		}
 		name := graphite.Name{Broker: broker, Series: series}
@@ -187,7 +187,7 @@
 			if metrics.Catalogue[series.Figure].Kind == metrics.DistributionKind {
 				name.Stat = metrics.Stats[i]
 			}
-			c.reconciler.Take(name, value, timestamp)
+			c.reconciler.Add(name, value, timestamp)
 		}
 	}
 }
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -35,7 +35,7 @@
 			series.Name = "lookup"
 		}
 		name := graphite.Name{Broker: broker, Series: series}
-		samples = append(samples, Sample{Name: name, Value: f.value, At: timestamp})
+		samples = append(samples, Sample{Name: name, Value: f.value, Timestamp: timestamp})
 	}
 	return samples
 }
@@ -89,11 +89,11 @@
 	for _, tt := range reconcileCases {
 		t.Run(tt.name, func(t *testing.T) {
 			f := Reconcile(tt.samples, 0, nil, nil)
-			got := strings.Join(f.Faults, "; ")
+			got := strings.Join(f.Violations, "; ")
 			if tt.want == "" && got != "" || !strings.Contains(got, tt.want) {
 				t.Errorf("found %q, want %q", got, tt.want)
 			}
-			if missing := f.Runs[0].Missing(); missing != tt.missing {
+			if missing := f.Incarnations[0].Missing(); missing != tt.missing {
 				t.Errorf("%d missing, want %d", missing, tt.missing)
 			}
 		})
@@ -105,7 +105,7 @@
 		}
 	})
 	t.Run("an interval without its number", func(t *testing.T) {
-		if f := Reconcile(firstInterval[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Runs) != 0 {
+		if f := Reconcile(firstInterval[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Incarnations) != 0 {
 			t.Errorf("%+v", f)
 		}
 	})
@@ -116,11 +116,11 @@
 	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
 	for i, stat := range metrics.Stats {
 		name := graphite.Name{Broker: "n1", Series: series, Stat: stat}
-		samples = append(samples, Sample{Name: name, Value: float64(10 - i), At: 110})
+		samples = append(samples, Sample{Name: name, Value: float64(10 - i), Timestamp: 110})
 	}
 	f := Reconcile(samples, 0, nil, nil)
-	if len(f.Faults) != 1 || !strings.Contains(f.Faults[0], "out of order") {
-		t.Fatalf("%q", f.Faults)
+	if len(f.Violations) != 1 || !strings.Contains(f.Violations[0], "out of order") {
+		t.Fatalf("%q", f.Violations)
 	}
 }
 
@@ -139,7 +139,7 @@
 	for i := range 3000 {
 		broker := fmt.Sprintf("n %d", i%3)
 		for _, s := range intervalSamples(broker, 100, int64(100+i), float64(i), 1, float64(i)*1.5) {
-			s.Arrived = time.Duration(i) * time.Millisecond
+			s.ArrivedAfter = time.Duration(i) * time.Millisecond
 			want = append(want, s)
 			r.Add(s)
 		}
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -17,18 +17,18 @@
 	Duplicated         int // samples that came twice
 	Incomplete         int // timestamps without a start or a sequence number: parts of intervals
 	Unknown, Malformed map[string]int
-	Runs               []*Run // by broker and start
-	Faults             []string
+	Incarnations       []*Incarnation // by broker and start
+	Violations         []string
 }
 
 // OK reports whether no rule was violated.
 func (f *Findings) OK() bool {
-	return len(f.Faults) == 0 && len(f.Unknown) == 0 && len(f.Malformed) == 0
+	return len(f.Violations) == 0 && len(f.Unknown) == 0 && len(f.Malformed) == 0
 }
 
 func (f *Findings) violation(format string, args ...any) {
-	if len(f.Faults) < maxViolations {
-		f.Faults = append(f.Faults, fmt.Sprintf(format, args...))
+	if len(f.Violations) < maxViolations {
+		f.Violations = append(f.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -70,8 +70,8 @@
 	f := &Findings{
 		Samples: len(samples), Dropped: dropped, Unknown: maps.Clone(unknown), Malformed: maps.Clone(malformed),
 	}
-	f.Runs = f.runsOf(f.group(samples))
-	for _, r := range f.Runs {
+	f.Incarnations = f.runsOf(f.group(samples))
+	for _, r := range f.Incarnations {
 		r.check(f)
 	}
 	return f
@@ -81,11 +81,11 @@
 func (f *Findings) group(samples []Sample) map[intervalKey]*timestampGroup {
 	groups := map[intervalKey]*timestampGroup{}
 	for _, s := range samples {
-		key := intervalKey{s.Name.Broker, s.At}
+		key := intervalKey{s.Name.Broker, s.Timestamp}
 		g := groups[key]
 		if g == nil {
 			g = &timestampGroup{
-				intervalKey: key, arrivedAfter: s.Arrived,
+				intervalKey: key, arrivedAfter: s.ArrivedAfter,
 				values: map[metrics.Series]float64{}, distributions: map[metrics.Series]map[string]float64{},
 			}
 			groups[key] = g
@@ -98,12 +98,12 @@
 }
 
 // runsOf returns the incarnations of brokers to which complete groups belong.
-func (f *Findings) runsOf(groups map[intervalKey]*timestampGroup) []*Run {
+func (f *Findings) runsOf(groups map[intervalKey]*timestampGroup) []*Incarnation {
 	type runKey struct {
 		broker    string
 		startedMS int64
 	}
-	runs := map[runKey]*Run{}
+	runs := map[runKey]*Incarnation{}
 	for _, g := range groups {
 		interval, startedMS, ok := g.interval()
 		if !ok {
@@ -112,12 +112,12 @@
 		}
 		key := runKey{g.broker, startedMS}
 		if runs[key] == nil {
-			runs[key] = &Run{Broker: g.broker, Started: startedMS}
+			runs[key] = &Incarnation{Broker: g.broker, StartedMS: startedMS}
 		}
 		runs[key].Intervals = append(runs[key].Intervals, interval)
 	}
-	return slices.SortedFunc(maps.Values(runs), func(a, b *Run) int {
-		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.Started, b.Started))
+	return slices.SortedFunc(maps.Values(runs), func(a, b *Incarnation) int {
+		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.StartedMS, b.StartedMS))
 	})
 }
 
@@ -131,8 +131,8 @@
 		return nil, 0, false
 	}
 	interval = &Interval{
-		Number: uint64(sequence), At: g.timestamp, Arrived: g.arrivedAfter, Of: uint64(folded),
-		Values: g.values, Spreads: g.distributions,
+		Sequence: uint64(sequence), Timestamp: g.timestamp, Arrived: g.arrivedAfter, Represented: uint64(folded),
+		Values: g.values, Distributions: g.distributions,
 	}
 	return interval, int64(math.Round(started * 1000)), true
 }
--- a/internal/emulator/collector/reconciler.go
+++ b/internal/emulator/collector/reconciler.go
@@ -17,10 +17,10 @@
 
 // Sample is one value as a collector received it.
 type Sample struct {
-	Arrived time.Duration // since the collector's start
-	Name    graphite.Name
-	Value   float64
-	At      int64 // the broker's timestamp in seconds of Unix time
+	ArrivedAfter time.Duration // since the collector's start
+	Name         graphite.Name
+	Value        float64
+	Timestamp    int64 // the broker's timestamp in seconds of Unix time
 }
 
 // Reconciler keeps samples. It may be used from several goroutines.
@@ -44,11 +44,11 @@
 	}
 }
 
-// Take keeps a sample.
-func (r *Reconciler) Take(name graphite.Name, value float64, timestamp int64) {
+// Add keeps a sample.
+func (r *Reconciler) Add(name graphite.Name, value float64, timestamp int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Sample{Arrived: time.Since(r.startedAt), Name: name, Value: value, At: timestamp}
+	s := Sample{ArrivedAfter: time.Since(r.startedAt), Name: name, Value: value, Timestamp: timestamp}
 	if len(r.samples) >= maxSamples {
 		half := len(r.samples) / 2
 		r.dropped += half
@@ -74,11 +74,11 @@
 	return r.changed
 }
 
-// Unknown counts a name that is not in the catalogue.
-func (r *Reconciler) Unknown(name string) { r.countIn(r.unknown, name) }
+// AddUnknown counts a name that is not in the catalogue.
+func (r *Reconciler) AddUnknown(name string) { r.countIn(r.unknown, name) }
 
-// Broken counts something that could not be parsed, by the reason.
-func (r *Reconciler) Broken(reason string) { r.countIn(r.malformed, reason) }
+// AddMalformed counts something that could not be parsed, by the reason.
+func (r *Reconciler) AddMalformed(reason string) { r.countIn(r.malformed, reason) }
 
 func (r *Reconciler) countIn(counts map[string]int, text string) {
 	r.mu.Lock()
@@ -89,8 +89,8 @@
 	r.notifyWaiters()
 }
 
-// Empty forgets all samples, as a collector does that restarts without its disk.
-func (r *Reconciler) Empty() {
+// Clear forgets all samples, as a collector does that restarts without its disk.
+func (r *Reconciler) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.samples = nil
--- a/internal/emulator/collector/recording.go
+++ b/internal/emulator/collector/recording.go
@@ -65,10 +65,10 @@
 	if r.err != nil {
 		return
 	}
-	r.line = append(strconv.AppendInt(r.line[:0], s.Arrived.Milliseconds(), 10), ' ')
+	r.line = append(strconv.AppendInt(r.line[:0], s.ArrivedAfter.Milliseconds(), 10), ' ')
 	r.line = append(recordedForm.Append(r.line, s.Name), ' ')
 	r.line = append(strconv.AppendFloat(r.line, s.Value, 'g', -1, 64), ' ')
-	r.line = append(strconv.AppendInt(r.line, s.At, 10), '\n')
+	r.line = append(strconv.AppendInt(r.line, s.Timestamp, 10), '\n')
 	_, r.err = r.encoder.Write(r.line)
 }
 
@@ -146,14 +146,14 @@
 	if err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	s.Arrived = time.Duration(arrived) * time.Millisecond
+	s.ArrivedAfter = time.Duration(arrived) * time.Millisecond
 	if s.Name, err = recordedForm.Parse(fields[1]); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	if s.Value, err = strconv.ParseFloat(fields[2], 64); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
-	if s.At, err = strconv.ParseInt(fields[3], 10, 64); err != nil {
+	if s.Timestamp, err = strconv.ParseInt(fields[3], 10, 64); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	return s, nil
--- a/internal/emulator/collector/run.go
+++ b/internal/emulator/collector/run.go
@@ -8,33 +8,33 @@
 	"wheatlane/internal/metrics"
 )
 
-// Run is one incarnation of a broker, from its start to its end or the next start.
-type Run struct {
-	Broker  string
-	Started int64 // milliseconds of Unix time
+// Incarnation is one incarnation of a broker, from its start to its end or the next start.
+type Incarnation struct {
+	Broker    string
+	StartedMS int64 // milliseconds of Unix time
 	// Intervals are those that came completely, by their sequence numbers. One that waited may stand for
 	// several.
-	Intervals []*Interval
-	Last      uint64 // the highest sequence number
-	Of        uint64 // intervals for which those that came stand
-	Series    int    // of counters
+	Intervals    []*Interval
+	LastSequence uint64 // the highest sequence number
+	Represented  uint64 // intervals for which those that came stand
+	Series       int    // of counters
 }
 
 // Interval is what came of one interval.
 type Interval struct {
-	Number  uint64 // sequence number
-	At      int64  // timestamp in seconds of Unix time
-	Arrived time.Duration
-	Of      uint64                                // intervals for which it stands
-	Values  map[metrics.Series]float64            // counters and gauges
-	Spreads map[metrics.Series]map[string]float64 // distributions, by statistic
+	Sequence      uint64 // sequence number
+	Timestamp     int64  // timestamp in seconds of Unix time
+	Arrived       time.Duration
+	Represented   uint64                                // intervals for which it stands
+	Values        map[metrics.Series]float64            // counters and gauges
+	Distributions map[metrics.Series]map[string]float64 // distributions, by statistic
 }
 
 // Missing returns how many intervals were numbered for which none that came stands.
-func (r *Run) Missing() int64 { return int64(r.Last) - int64(r.Of) }
+func (r *Incarnation) Missing() int64 { return int64(r.LastSequence) - int64(r.Represented) }
 
 // Total returns a counter of the run summed over its names and parts: the last value of each of its series.
-func (r *Run) Total(id metrics.ID) (sum float64) {
+func (r *Incarnation) Total(id metrics.ID) (sum float64) {
 	for _, v := range r.Totals(id) {
 		sum += v
 	}
@@ -42,7 +42,7 @@
 }
 
 // Totals returns the last values of a counter's series.
-func (r *Run) Totals(id metrics.ID) map[metrics.Series]float64 {
+func (r *Incarnation) Totals(id metrics.ID) map[metrics.Series]float64 {
 	last := map[metrics.Series]float64{}
 	for _, interval := range r.Intervals {
 		for series, value := range interval.Values {
@@ -55,28 +55,28 @@
 }
 
 // check orders the run's intervals and checks them against the rules.
-func (r *Run) check(f *Findings) {
-	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Number, b.Number) })
+func (r *Incarnation) check(f *Findings) {
+	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	counters := map[metrics.Series]float64{}
 	for i, interval := range r.Intervals {
-		if i > 0 && interval.Number == r.Intervals[i-1].Number {
+		if i > 0 && interval.Sequence == r.Intervals[i-1].Sequence {
 			f.violation("%s, start %d: interval %d came under the times %d and %d",
-				r.Broker, r.Started, interval.Number, r.Intervals[i-1].At, interval.At)
+				r.Broker, r.StartedMS, interval.Sequence, r.Intervals[i-1].Timestamp, interval.Timestamp)
 		}
-		r.Last = max(r.Last, interval.Number)
-		r.Of += interval.Of
+		r.LastSequence = max(r.LastSequence, interval.Sequence)
+		r.Represented += interval.Represented
 		r.checkCounters(f, interval, counters)
 		r.checkDistributions(f, interval)
 	}
-	if r.Of > r.Last {
+	if r.Represented > r.LastSequence {
 		f.violation("%s, start %d: intervals that came stand for %d, more than the %d there were",
-			r.Broker, r.Started, r.Of, r.Last)
+			r.Broker, r.StartedMS, r.Represented, r.LastSequence)
 	}
 	r.Series = len(counters)
 }
 
 // checkCounters checks that no counter falls, and updates their last values.
-func (r *Run) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
+func (r *Incarnation) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
 	for series, value := range interval.Values {
 		figure := metrics.Catalogue[series.Figure]
 		if figure.Kind != metrics.Counter {
@@ -84,18 +84,18 @@
 		}
 		if before, known := last[series]; known && value < before {
 			f.violation("%s, start %d: %s of %q fell from %v to %v at interval %d",
-				r.Broker, r.Started, figure.Name, series.Name, before, value, interval.Number)
+				r.Broker, r.StartedMS, figure.Name, series.Name, before, value, interval.Sequence)
 		}
 		last[series] = value
 	}
 }
 
 // checkDistributions checks that the statistics of complete distributions are in order.
-func (r *Run) checkDistributions(f *Findings, interval *Interval) {
-	for series, stats := range interval.Spreads {
+func (r *Incarnation) checkDistributions(f *Findings, interval *Interval) {
+	for series, stats := range interval.Distributions {
 		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
 			f.violation("%s, start %d: the quantiles of %s of %q are out of order: %v",
-				r.Broker, r.Started, metrics.Catalogue[series.Figure].Name, series.Name, stats)
+				r.Broker, r.StartedMS, metrics.Catalogue[series.Figure].Name, series.Name, stats)
 		}
 	}
 }
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -83,7 +83,7 @@
 			}
 		}
 		name := graphite.Name{Broker: l.broker, Series: s, Stat: l.stat}
-		r.Add(Sample{Arrived: l.arrived, Name: name, Value: l.value, At: l.at})
+		r.Add(Sample{ArrivedAfter: l.arrived, Name: name, Value: l.value, Timestamp: l.at})
 		want += l.line + "\n"
 	}
 	if err := r.Close(); err != nil {
@@ -117,7 +117,7 @@
 		}
 		if fig.Name != l.figure || s.Name.Broker != l.broker || s.Name.Series.Name != l.name ||
 			s.Name.Stat != l.stat || detail != l.detail ||
-			s.Name.Series.Other != l.other || s.Arrived != l.arrived || s.Value != l.value || s.At != l.at {
+			s.Name.Series.Other != l.other || s.ArrivedAfter != l.arrived || s.Value != l.value || s.Timestamp != l.at {
 			t.Errorf("%s: read %+v", l.line, s)
 		}
 	}
--- a/internal/emulator/conformance/checker.go
+++ b/internal/emulator/conformance/checker.go
@@ -36,12 +36,12 @@
 
 // Request is what a client sent.
 type Request struct {
-	ID, Class, Key string
-	NonIdempotent  bool // it may not run twice
-	SentAt         time.Time
-	Timeout        time.Duration
-	Outcome        Outcome // empty while the request is open
-	EndedAt        time.Time
+	ID, Class, OrderKey string
+	NonIdempotent       bool // it may not run twice
+	SentAt              time.Time
+	Timeout             time.Duration
+	Outcome             Outcome // empty while the request is open
+	EndedAt             time.Time
 }
 
 // attempt is a request at an engine.
@@ -127,28 +127,28 @@
 	delete(c.drainingSince, engine)
 }
 
-// Verdict is what a check found.
-type Verdict struct {
-	Requests int
-	Outcomes map[Outcome]int
-	Attempts int
-	Waited   int // requests that no engine had when their clients left
-	SentLate int // of these, those that an engine got after the grace
-	Breaches []string
+// Report is what a check found.
+type Report struct {
+	Requests            int
+	Outcomes            map[Outcome]int
+	Attempts            int
+	UnsentAtDisconnect  int // requests that no engine had when their clients left
+	SentAfterDisconnect int // of these, those that an engine got after the grace
+	Violations          []string
 }
 
-func (r *Verdict) violation(format string, args ...any) {
-	if len(r.Breaches) < maxViolations {
-		r.Breaches = append(r.Breaches, fmt.Sprintf(format, args...))
+func (r *Report) violation(format string, args ...any) {
+	if len(r.Violations) < maxViolations {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // Check checks all that happened up to now against the rules. An open request is a violation only once its
 // timeout has passed.
-func (c *Checker) Check(now time.Time) Verdict {
+func (c *Checker) Check(now time.Time) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := Verdict{Requests: len(c.requests), Outcomes: map[Outcome]int{}, Attempts: len(c.attempts)}
+	r := Report{Requests: len(c.requests), Outcomes: map[Outcome]int{}, Attempts: len(c.attempts)}
 	c.checkOutcomes(&r, now)
 	c.checkAttempts(&r)
 	c.checkKeyOrder(&r)
--- a/internal/emulator/conformance/checker_test.go
+++ b/internal/emulator/conformance/checker_test.go
@@ -14,11 +14,11 @@
 
 // conformingDay records a day without a violation.
 func conformingDay(c *Checker) {
-	c.RequestSent(Request{ID: "a", Class: "load", Key: "k", SentAt: at(0), Timeout: time.Second})
+	c.RequestSent(Request{ID: "a", Class: "load", OrderKey: "k", SentAt: at(0), Timeout: time.Second})
 	c.AttemptReceived("e1", "a", at(10*ms))
 	c.AttemptEnded("e1", "a", at(50*ms))
 	c.RequestEnded("a", Served, at(60*ms))
-	c.RequestSent(Request{ID: "b", Class: "load", Key: "k", SentAt: at(70 * ms), Timeout: time.Second})
+	c.RequestSent(Request{ID: "b", Class: "load", OrderKey: "k", SentAt: at(70 * ms), Timeout: time.Second})
 	c.AttemptReceived("e2", "b", at(80*ms))
 	c.AttemptEnded("e2", "b", at(90*ms))
 	c.AttemptReceived("e1", "b", at(100*ms)) // another attempt
@@ -41,7 +41,7 @@
 	})
 	conformingDay(c)
 	inject(c)
-	return c.Check(at(2 * time.Second)).Breaches
+	return c.Check(at(2 * time.Second)).Violations
 }
 
 var violationCases = []struct {
@@ -96,16 +96,16 @@
 		c.AttemptEnded("e3", "d", at(1530*ms))
 	}, "d was in flight at e1 and e3 at once"},
 	{"two of a key at once", func(c *Checker) {
-		c.RequestSent(Request{ID: "x", Key: "k", SentAt: at(1500 * ms), Timeout: time.Second})
-		c.RequestSent(Request{ID: "y", Key: "k", SentAt: at(1510 * ms), Timeout: time.Second})
+		c.RequestSent(Request{ID: "x", OrderKey: "k", SentAt: at(1500 * ms), Timeout: time.Second})
+		c.RequestSent(Request{ID: "y", OrderKey: "k", SentAt: at(1510 * ms), Timeout: time.Second})
 		c.AttemptReceived("e1", "x", at(1520*ms))
 		c.AttemptReceived("e2", "y", at(1530*ms))
 		c.AttemptEnded("e1", "x", at(1540*ms))
 		c.AttemptEnded("e2", "y", at(1550*ms))
 	}, "y ran at e2 while x ran at e1"},
 	{"a key out of order", func(c *Checker) {
-		c.RequestSent(Request{ID: "x", Key: "k", SentAt: at(1500 * ms), Timeout: time.Second})
-		c.RequestSent(Request{ID: "y", Key: "k", SentAt: at(1510 * ms), Timeout: time.Second})
+		c.RequestSent(Request{ID: "x", OrderKey: "k", SentAt: at(1500 * ms), Timeout: time.Second})
+		c.RequestSent(Request{ID: "y", OrderKey: "k", SentAt: at(1510 * ms), Timeout: time.Second})
 		c.AttemptReceived("e1", "y", at(1520*ms))
 		c.AttemptEnded("e1", "y", at(1540*ms))
 		c.AttemptReceived("e2", "x", at(1560*ms))
--- a/internal/emulator/conformance/rules.go
+++ b/internal/emulator/conformance/rules.go
@@ -11,7 +11,7 @@
 func (c *Checker) requestIDs() []string { return slices.Sorted(maps.Keys(c.requests)) }
 
 // checkOutcomes checks that each request has the answer that it is owed.
-func (c *Checker) checkOutcomes(report *Verdict, now time.Time) {
+func (c *Checker) checkOutcomes(report *Report, now time.Time) {
 	for _, id := range c.requestIDs() {
 		r := c.requests[id]
 		report.Outcomes[r.Outcome]++
@@ -26,7 +26,7 @@
 }
 
 // checkAttempts checks each attempt by itself and the number of attempts of each request.
-func (c *Checker) checkAttempts(report *Verdict) {
+func (c *Checker) checkAttempts(report *Report) {
 	count := map[string]int{}
 	for _, a := range c.attempts {
 		count[a.requestID]++
@@ -52,11 +52,11 @@
 
 // checkKeyOrder checks that requests of one order key run one at a time, in the order in which they were
 // sent.
-func (c *Checker) checkKeyOrder(report *Verdict) {
+func (c *Checker) checkKeyOrder(report *Report) {
 	byKey := map[string][]*attempt{}
 	for _, a := range c.attempts {
-		if r := c.requests[a.requestID]; r != nil && r.Key != "" {
-			byKey[r.Key] = append(byKey[r.Key], a)
+		if r := c.requests[a.requestID]; r != nil && r.OrderKey != "" {
+			byKey[r.OrderKey] = append(byKey[r.OrderKey], a)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(byKey)) {
@@ -73,7 +73,7 @@
 }
 
 // checkKeyPair checks two attempts of one order key.
-func (c *Checker) checkKeyPair(report *Verdict, key string, earlier, later *attempt) {
+func (c *Checker) checkKeyPair(report *Report, key string, earlier, later *attempt) {
 	if earlier.requestID == later.requestID {
 		return
 	}
@@ -89,7 +89,7 @@
 
 // checkDisconnects checks the requests that no engine had when their clients left: none may get them after
 // the grace.
-func (c *Checker) checkDisconnects(report *Verdict) {
+func (c *Checker) checkDisconnects(report *Report) {
 	firstAttempt := map[string]time.Time{}
 	for _, a := range c.attempts {
 		if at, known := firstAttempt[a.requestID]; !known || a.startedAt.Before(at) {
@@ -102,16 +102,16 @@
 		if r.Outcome != ClientLeft || sent && !startedAt.After(r.EndedAt) {
 			continue
 		}
-		report.Waited++
+		report.UnsentAtDisconnect++
 		if late := startedAt.Sub(r.EndedAt); sent && late > c.rules.DisconnectGrace {
-			report.SentLate++
+			report.SentAfterDisconnect++
 			report.violation("request %s of %s was sent to an engine %v after its client had left", id, r.Class, late)
 		}
 	}
 }
 
 // checkHedging checks that no request has two attempts in flight.
-func (c *Checker) checkHedging(report *Verdict) {
+func (c *Checker) checkHedging(report *Report) {
 	byRequest := map[string][]*attempt{}
 	for _, a := range c.attempts {
 		byRequest[a.requestID] = append(byRequest[a.requestID], a)
--- a/internal/emulator/engine/class.go
+++ b/internal/emulator/engine/class.go
@@ -17,9 +17,9 @@
 // Class is how the queries of one class behave.
 type Class struct {
 	Name                 string
-	Work                 time.Duration // CPU time of a query on one thread
+	MeanWork             time.Duration // CPU time of a query on one thread
 	Threads              int
-	Rows                 int  // rows of a result
+	MeanRows             int  // rows of a result
 	HoldsDataSetLock     bool // until it ends; one such query of a data set runs at a time
 	BlockedByDataSetLock bool // makes no progress while another query holds the lock of its data set
 }
@@ -36,14 +36,14 @@
 // distribution with mean MeanWork.
 func (c *Class) Cost(requestID string) time.Duration {
 	exponent := workLogStdDev*randomFor(requestID, c.Name).NormFloat64() - workLogStdDev*workLogStdDev/2
-	return time.Duration(float64(c.Work) * math.Exp(exponent))
+	return time.Duration(float64(c.MeanWork) * math.Exp(exponent))
 }
 
 // Result returns the answer to the query of a request id, in pages of complete rows.
 func (c *Class) Result(requestID string) (pages []string) {
 	rng := randomFor(requestID+"rows", c.Name)
 	var page strings.Builder
-	for i := range 1 + rng.IntN(2*max(1, c.Rows)) {
+	for i := range 1 + rng.IntN(2*max(1, c.MeanRows)) {
 		row := fmt.Sprintf("%d\t%s\t%x\n", i, c.Name, rng.Uint64())
 		if page.Len()+len(row) > maxPageBytes {
 			pages = append(pages, page.String())
--- a/internal/emulator/engine/commands.go
+++ b/internal/emulator/engine/commands.go
@@ -97,7 +97,7 @@
 // loadReport is the answer to a load probe; s.mu is held.
 func (s *Server) loadReport() string {
 	jobs, threads := s.model.Running()
-	queued := max(0, jobs-s.cfg.Sessions/2)
+	queued := max(0, jobs-s.cfg.MaxQueries/2)
 	busy := threads / s.cfg.Cores
 	return fmt.Sprintf("l=queue:%d;x1:%.3f;x0:%.3f", queued, min(1, busy), min(1, busy/2))
 }
@@ -106,8 +106,8 @@
 func (s *Server) startQuery(c *brokerConn, id, fields, statement string) {
 	values := parseFields(fields)
 	className, key := values["sort"], values["op"]
-	s.observer.AttemptReceived(Run{
-		Engine: s.ID, Ref: id, Class: className, Op: key, Body: statement, At: time.Now(),
+	s.observer.AttemptReceived(Attempt{
+		Engine: s.ID, RequestID: id, Class: className, IdempotencyKey: key, Statement: statement, ReceivedAt: time.Now(),
 	})
 	defer func() {
 		if s.owners[id] == nil { // it is over already
--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Cores             float64
 	SaturationPoint   float64       // threads per core beyond which work is lost to switching
-	Sessions          int           // queries in flight; more are answered as busy
+	MaxQueries        int           // queries in flight; more are answered as busy
 	DedupWindow       time.Duration // a query with an idempotency key seen within it does not run again
 	SlowStartDuration time.Duration // after its start the engine reaches full speed within it
 	SlowStartInitial  float64       // fraction of full speed at the start
@@ -85,8 +85,8 @@
 	}
 }
 
-// Slow makes everything take factor times as long from now on.
-func (m *Model) Slow(now time.Duration, factor float64) {
+// SetSlowdown makes everything take factor times as long from now on.
+func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.runUntil(now)
 	m.slowdown = max(1, factor)
 }
@@ -122,7 +122,7 @@
 	if m.seenKey(j.IdempotencyKey) {
 		return Duplicate
 	}
-	if len(m.jobs) >= m.cfg.Sessions || m.jobs[j.RequestID] != nil {
+	if len(m.jobs) >= m.cfg.MaxQueries || m.jobs[j.RequestID] != nil {
 		return AtCapacity
 	}
 	if j.IdempotencyKey != "" {
@@ -146,7 +146,7 @@
 
 func (m *Model) rememberKey(key string) {
 	m.keySubmittedAt[key] = m.now
-	if len(m.keySubmittedAt) <= keysPerQuery*m.cfg.Sessions {
+	if len(m.keySubmittedAt) <= keysPerQuery*m.cfg.MaxQueries {
 		return
 	}
 	for k, at := range m.keySubmittedAt {
--- a/internal/emulator/engine/model_test.go
+++ b/internal/emulator/engine/model_test.go
@@ -11,12 +11,12 @@
 
 var (
 	lookupClass = &Class{
-		Name: "lookup", Work: 100 * time.Millisecond, Threads: 1, Rows: 3, BlockedByDataSetLock: true,
+		Name: "lookup", MeanWork: 100 * time.Millisecond, Threads: 1, MeanRows: 3, BlockedByDataSetLock: true,
 	}
 	loadClass = &Class{
-		Name: "load", Work: 500 * time.Millisecond, Threads: 2, Rows: 1, HoldsDataSetLock: true,
+		Name: "load", MeanWork: 500 * time.Millisecond, Threads: 2, MeanRows: 1, HoldsDataSetLock: true,
 	}
-	modelConfig = Config{Cores: 4, SaturationPoint: 2, Sessions: 16, DedupWindow: 15 * time.Second}
+	modelConfig = Config{Cores: 4, SaturationPoint: 2, MaxQueries: 16, DedupWindow: 15 * time.Second}
 )
 
 // runToCompletion runs a model until nothing is in flight and returns when each query ended.
@@ -49,7 +49,7 @@
 func makespan(t *testing.T, n int, slowdown float64) time.Duration {
 	t.Helper()
 	m := NewModel(modelConfig, 0)
-	m.Slow(0, slowdown)
+	m.SetSlowdown(0, slowdown)
 	work := time.Duration(0)
 	for i := range n {
 		requestID := fmt.Sprint(i)
@@ -132,7 +132,7 @@
 
 func TestAdmissionAtCapacity(t *testing.T) {
 	m := NewModel(modelConfig, 0)
-	for i := range modelConfig.Sessions {
+	for i := range modelConfig.MaxQueries {
 		m.Submit(0, Job{RequestID: fmt.Sprint(i), Class: loadClass})
 	}
 	if got := m.Submit(0, Job{RequestID: "more", Class: lookupClass}); got != AtCapacity {
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -21,17 +21,17 @@
 	memoryPerThreadMB = 16 // that a query reports
 )
 
-// Run is a query as the engine received it.
-type Run struct {
-	Engine, Ref, Class, Op, Body string
-	At                           time.Time
+// Attempt is a query as the engine received it.
+type Attempt struct {
+	Engine, RequestID, Class, IdempotencyKey, Statement string
+	ReceivedAt                                          time.Time
 }
 
 // Observer is notified of what an engine sees, for the conformance checker. Its methods must not call the
 // server.
 type Observer interface {
 	// AttemptReceived says that a complete query came.
-	AttemptReceived(a Run)
+	AttemptReceived(a Attempt)
 	// AttemptEnded says that a query was answered or cancelled.
 	AttemptEnded(engine, requestID string, at time.Time)
 }
@@ -39,7 +39,7 @@
 // nopObserver ignores everything.
 type nopObserver struct{}
 
-func (nopObserver) AttemptReceived(Run)                    {}
+func (nopObserver) AttemptReceived(Attempt)                {}
 func (nopObserver) AttemptEnded(string, string, time.Time) {}
 
 // Server emulates an engine on sockets.
@@ -111,17 +111,17 @@
 // now is the model's time.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// Slow makes everything take factor times as long from now on.
-func (s *Server) Slow(factor float64) {
+// SetSlowdown makes everything take factor times as long from now on.
+func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.Slow(s.now(), factor)
+	s.model.SetSlowdown(s.now(), factor)
 	s.notifyWorker()
 }
 
-// Silence makes the engine send nothing while its connections stay open, or send again. Answers of the
+// SetSilent makes the engine send nothing while its connections stay open, or send again. Answers of the
 // silent time are dropped.
-func (s *Server) Silence(silent bool) {
+func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
@@ -146,8 +146,8 @@
 	s.results, s.resultOrder, s.owners = map[string]result{}, nil, map[string]*brokerConn{}
 }
 
-// Return starts the engine again after a crash, in slow start, at its old address or at a new one.
-func (s *Server) Return(newAddress bool) error {
+// Restart starts the engine again after a crash, in slow start, at its old address or at a new one.
+func (s *Server) Restart(newAddress bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.crashed {
--- a/internal/emulator/engine/server_test.go
+++ b/internal/emulator/engine/server_test.go
@@ -25,10 +25,10 @@
 	ended    []string
 }
 
-func (o *recordingObserver) AttemptReceived(a Run) {
+func (o *recordingObserver) AttemptReceived(a Attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.received = append(o.received, a.Ref+" "+a.Class)
+	o.received = append(o.received, a.RequestID+" "+a.Class)
 }
 
 func (o *recordingObserver) AttemptEnded(_, requestID string, _ time.Time) {
@@ -118,15 +118,15 @@
 }
 
 var (
-	quickClass = Class{Name: "lookup", Work: time.Millisecond, Threads: 1, Rows: 3}
-	wideClass  = Class{Name: "report", Work: time.Millisecond, Threads: 4, Rows: 2000}
-	slowClass  = Class{Name: "slow", Work: time.Hour, Threads: 1, Rows: 1}
+	quickClass = Class{Name: "lookup", MeanWork: time.Millisecond, Threads: 1, MeanRows: 3}
+	wideClass  = Class{Name: "report", MeanWork: time.Millisecond, Threads: 4, MeanRows: 2000}
+	slowClass  = Class{Name: "slow", MeanWork: time.Hour, Threads: 1, MeanRows: 1}
 )
 
 // startServer runs an engine that takes two queries at a time, until the test ends.
 func startServer(t *testing.T, observer Observer) *Server {
 	t.Helper()
-	cfg := Config{Cores: 4, SaturationPoint: 2, Sessions: 2, DedupWindow: time.Minute}
+	cfg := Config{Cores: 4, SaturationPoint: 2, MaxQueries: 2, DedupWindow: time.Minute}
 	s, err := NewServer("e1", []Class{quickClass, wideClass, slowClass}, cfg, observer)
 	if err != nil {
 		t.Fatal(err)
@@ -196,7 +196,7 @@
 		_ = socket.Close() // it should not be there
 		t.Fatal("the engine listens after its crash")
 	}
-	if err := s.Return(true); err != nil {
+	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
 	}
 	again := dial(t, s)
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -14,15 +14,15 @@
 // Step is one action at a time.
 type Step struct {
 	At     time.Duration // since the beginning
-	Do     string        // the action
+	Action string        // the action
 	Target int           // number of its object, from 1; 0: the action has none
 }
 
 func (s Step) String() string {
 	if s.Target == 0 {
-		return fmt.Sprintf("%v %s", s.At, s.Do)
+		return fmt.Sprintf("%v %s", s.At, s.Action)
 	}
-	return fmt.Sprintf("%v %s %d", s.At, s.Do, s.Target)
+	return fmt.Sprintf("%v %s %d", s.At, s.Action, s.Target)
 }
 
 // Parse reads steps written as TIME:ACTION or TIME:ACTION:NUMBER, with commas between, in the order of
@@ -56,10 +56,10 @@
 	if err != nil || at < 0 {
 		return Step{}, fmt.Errorf("%q begins with no time, as 1.5s is", text)
 	}
-	step := Step{At: at, Do: fields[1]}
-	numbered, known := verbs[step.Do]
+	step := Step{At: at, Action: fields[1]}
+	numbered, known := verbs[step.Action]
 	if !known {
-		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Do, strings.Join(sortedNames(verbs), ", "))
+		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Action, strings.Join(sortedNames(verbs), ", "))
 	}
 	if numbered != (len(fields) == 3) {
 		return Step{}, fmt.Errorf(
@@ -76,8 +76,8 @@
 
 func sortedNames(verbs map[string]bool) []string { return slices.Sorted(maps.Keys(verbs)) }
 
-// Play calls do with each step at its time, until ctx ends. An error of do names its step.
-func Play(ctx context.Context, steps []Step, do func(Step) error) error {
+// Run calls do with each step at its time, until ctx ends. An error of do names its step.
+func Run(ctx context.Context, steps []Step, do func(Step) error) error {
 	start := time.Now()
 	for _, step := range steps {
 		select {
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -46,10 +46,10 @@
 func TestPlayRunsStepsInOrder(t *testing.T) {
 	var actions []string
 	record := func(s Step) error {
-		actions = append(actions, s.Do)
+		actions = append(actions, s.Action)
 		return nil
 	}
-	if err := Play(t.Context(), []Step{{0, "gone", 0}, {time.Millisecond, "slow", 1}}, record); err != nil {
+	if err := Run(t.Context(), []Step{{0, "gone", 0}, {time.Millisecond, "slow", 1}}, record); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"gone", "slow"}, actions); diff != "" {
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -43,11 +43,11 @@
 		OK:         f.OK(),
 		Samples:    f.Samples,
 		Duplicated: f.Duplicated,
-		Violations: f.Faults,
+		Violations: f.Violations,
 		Unknown:    f.Unknown,
 		Malformed:  f.Malformed,
 	}
-	for _, r := range f.Runs {
+	for _, r := range f.Incarnations {
 		if len(r.Intervals) == 0 {
 			continue
 		}
@@ -64,16 +64,16 @@
 }
 
 // newRunData summarizes a run that has intervals, and renders its charts.
-func newRunData(r *collector.Run) (runData, error) {
+func newRunData(r *collector.Incarnation) (runData, error) {
 	first, last := timeRange(r)
 	late, unserved := lateAndUnserved(r)
 	d := runData{
 		Broker:      r.Broker,
-		Started:     time.UnixMilli(r.Started).UTC().Format(time.RFC3339),
+		Started:     time.UnixMilli(r.StartedMS).UTC().Format(time.RFC3339),
 		Length:      (time.Duration(last-first) * time.Second).String(),
 		Intervals:   len(r.Intervals),
-		Represented: r.Of,
-		Last:        r.Last,
+		Represented: r.Represented,
+		Last:        r.LastSequence,
 		Missing:     r.Missing(),
 		Requests:    r.Total(metrics.Requests),
 		Late:        late,
@@ -95,16 +95,16 @@
 }
 
 // timeRange is that of a run's intervals, in seconds of Unix time.
-func timeRange(r *collector.Run) (first, last int64) {
-	first, last = r.Intervals[0].At, r.Intervals[0].At
+func timeRange(r *collector.Incarnation) (first, last int64) {
+	first, last = r.Intervals[0].Timestamp, r.Intervals[0].Timestamp
 	for _, v := range r.Intervals {
-		first, last = min(first, v.At), max(last, v.At)
+		first, last = min(first, v.Timestamp), max(last, v.Timestamp)
 	}
 	return first, last
 }
 
 // lateAndUnserved are how many requests were served late, and how many were rejected or failed.
-func lateAndUnserved(r *collector.Run) (late, unserved float64) {
+func lateAndUnserved(r *collector.Incarnation) (late, unserved float64) {
 	for s, n := range r.Totals(metrics.Answers) {
 		switch s.Part {
 		case metrics.Late:
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -16,7 +16,7 @@
 	add := func(at int64, id metrics.ID, name, stat string, part int, v float64) {
 		series := metrics.Series{Figure: id, Name: name, Part: part}
 		all = append(all, collector.Sample{
-			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, At: at,
+			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
 		})
 	}
 	for i := range 6 {
@@ -40,7 +40,7 @@
 // calm.
 func TestWorstFirst(t *testing.T) {
 	f := night()
-	sections := Sections(f.Runs[0], 1000)
+	sections := Sections(f.Incarnations[0], 1000)
 	first := sections[0]
 	if first.Title != "Latency against the wanted time" || first.Charts[0].Title != "route-report" {
 		t.Fatalf("first is %s, %s", first.Title, first.Charts[0].Title)
@@ -55,7 +55,7 @@
 // A rate is what a counter grew by over the time that the interval represents.
 func TestRates(t *testing.T) {
 	f := night()
-	lines := runView{f.Runs[0], 1000}.rates(metrics.Rejections, nil)
+	lines := runView{f.Incarnations[0], 1000}.rates(metrics.Rejections, nil)
 	if len(lines) != 1 || lines[0].Name != "no room" || len(lines[0].X) != 6 {
 		t.Fatalf("%+v", lines)
 	}
@@ -69,7 +69,7 @@
 // Nothing in the page is fetched from elsewhere, and texts from outside can't become markup.
 func TestPageIsSelfContained(t *testing.T) {
 	f := night()
-	f.Faults = []string{"<script>alert(1)</script>"}
+	f.Violations = []string{"<script>alert(1)</script>"}
 	var b bytes.Buffer
 	if err := Write(&b, "A <b>night</b>", f); err != nil {
 		t.Fatal(err)
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -26,7 +26,7 @@
 
 // Sections are the charts of a run whose time starts at start, seconds of Unix time; those that look worst
 // come first.
-func Sections(r *collector.Run, start int64) []Section {
+func Sections(r *collector.Incarnation, start int64) []Section {
 	view := runView{r, start}
 	all := []Section{
 		view.latency(),
@@ -163,17 +163,17 @@
 // deliveries shows how late intervals came, and how many were folded into one.
 func (r runView) deliveries() Section {
 	delay, folded := Line{Name: "late by, s"}, Line{Name: "intervals in one"}
-	delayOf := func(v *collector.Interval) float64 { return v.Arrived.Seconds() - float64(v.At) }
+	delayOf := func(v *collector.Interval) float64 { return v.Arrived.Seconds() - float64(v.Timestamp) }
 	shortest := math.Inf(1)
 	for _, v := range r.Intervals {
 		shortest = min(shortest, delayOf(v))
 	}
 	for _, v := range r.Intervals {
 		delay.add(r.seconds(v), delayOf(v)-shortest)
-		folded.add(r.seconds(v), float64(v.Of))
+		folded.add(r.seconds(v), float64(v.Represented))
 	}
 	note := fmt.Sprintf("How long after the quickest each interval came, and how many are folded into one. "+
-		"%d of %d intervals are accounted for.", r.Of, r.Last)
+		"%d of %d intervals are accounted for.", r.Represented, r.LastSequence)
 	return single("Delivery", note, Chart{Lines: []Line{delay, folded}}, 0.01)
 }
 
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -15,12 +15,12 @@
 
 // runView is a run with the time that its charts start at.
 type runView struct {
-	*collector.Run
+	*collector.Incarnation
 	start int64 // seconds of Unix time
 }
 
 // seconds is the time of an interval in the charts.
-func (r runView) seconds(v *collector.Interval) float64 { return float64(v.At - r.start) }
+func (r runView) seconds(v *collector.Interval) float64 { return float64(v.Timestamp - r.start) }
 
 // seriesTitle names a series beside its figure.
 func seriesTitle(s metrics.Series) string {
@@ -107,9 +107,9 @@
 	v := r.Intervals[i]
 	switch {
 	case i > 0:
-		return math.Abs(float64(v.At - r.Intervals[i-1].At))
-	case len(r.Intervals) > 1 && v.Number == 1:
-		return math.Abs(float64(r.Intervals[1].At - v.At))
+		return math.Abs(float64(v.Timestamp - r.Intervals[i-1].Timestamp))
+	case len(r.Intervals) > 1 && v.Sequence == 1:
+		return math.Abs(float64(r.Intervals[1].Timestamp - v.Timestamp))
 	}
 	return 0
 }
@@ -131,7 +131,7 @@
 func (r runView) quantiles(id metrics.ID, stats ...string) map[metrics.Series][]Line {
 	out := map[metrics.Series][]Line{}
 	for _, v := range r.Intervals {
-		for s, reported := range v.Spreads {
+		for s, reported := range v.Distributions {
 			if s.Figure != id {
 				continue
 			}
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -18,21 +18,21 @@
 	r := startRig(t, telemetryFile(g))
 	r.intervals(3)
 	await(t, received, "the first intervals", completeTo(3))
-	c.Set(collector.Unreachable)
+	c.SetMode(collector.Unreachable)
 	for range 60 {
 		r.intervals(1)
 		if held := r.held("carbon"); held > 64<<10 {
 			t.Fatalf("%d bytes are held", held)
 		}
 	}
-	c.Set(collector.Serve)
+	c.SetMode(collector.Serve)
 	await(t, received, "the backlog", completeTo(63))
 	r.finish()
 	f := r.awaitAllCounted(received)
 	folded, samples := false, 0.0
-	for _, v := range f.Runs[0].Intervals {
-		folded = folded || v.Of > 1
-		samples += v.Spreads[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}]["count"]
+	for _, v := range f.Incarnations[0].Intervals {
+		folded = folded || v.Represented > 1
+		samples += v.Distributions[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}]["count"]
 	}
 	if !folded {
 		t.Error("the budget held all without folding: the test shows nothing")
@@ -47,7 +47,7 @@
 func TestMemoryIsBoundedWhileACollectorReadsNothing(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64
-	c.Set(collector.Silent)
+	c.SetMode(collector.Silent)
 	r := startRig(t, telemetryFile(g))
 	for range 100 {
 		r.intervals(1)
@@ -55,10 +55,10 @@
 			t.Fatalf("%d bytes are held", held)
 		}
 	}
-	c.Set(collector.Serve)
+	c.SetMode(collector.Serve)
 	r.intervals(2)
 	await(t, received, "a new interval", func(f *collector.Findings) bool {
-		return len(f.Runs) == 1 && f.Runs[0].Last == 102
+		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == 102
 	})
 	r.finish()
 	r.awaitAllCounted(received)
@@ -70,9 +70,9 @@
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			c, received, g := startCarbon(t, pickle)
 			r := startRig(t, telemetryFile(g))
-			c.Set(collector.Truncating)
+			c.SetMode(collector.Truncating)
 			r.intervals(40)
-			c.Set(collector.Serve)
+			c.SetMode(collector.Serve)
 			r.intervals(2)
 			r.finish()
 			if f := r.awaitAllCounted(received); f.Duplicated > 0 {
@@ -85,9 +85,9 @@
 func TestBacklogOfASlowCollectorIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	r := startRig(t, telemetryFile(g))
-	c.Set(collector.Slow)
+	c.SetMode(collector.Slow)
 	r.intervals(20)
-	c.Set(collector.Serve)
+	c.SetMode(collector.Serve)
 	r.intervals(2)
 	await(t, received, "the backlog", completeTo(22))
 	r.finish()
@@ -97,7 +97,7 @@
 // Two destinations, one of which reads nothing: the other misses nothing, and gets each interval by itself.
 func TestDestinationsAreIndependent(t *testing.T) {
 	c, _, unread := startCarbon(t, false)
-	c.Set(collector.Silent)
+	c.SetMode(collector.Silent)
 	unread.Name = "unread"
 	_, received, g := startCarbon(t, false)
 	r := startRig(t, telemetryFile(unread, g))
@@ -106,8 +106,8 @@
 	r.finish()
 	r.awaitAllCounted(received)
 	f := await(t, received, "the last one", complete)
-	if len(f.Runs[0].Intervals) != int(f.Runs[0].Last) {
-		t.Fatalf("%d intervals of %d", len(f.Runs[0].Intervals), f.Runs[0].Last)
+	if len(f.Incarnations[0].Intervals) != int(f.Incarnations[0].LastSequence) {
+		t.Fatalf("%d intervals of %d", len(f.Incarnations[0].Intervals), f.Incarnations[0].LastSequence)
 	}
 }
 
@@ -122,7 +122,7 @@
 	r.awaitAllCounted(received)
 	await(t, received, "each interval", complete)
 
-	c.Set(collector.Silent)
+	c.SetMode(collector.Silent)
 	r = startRigAt(t, telemetryFile(g), rigStart, stopTimeout)
 	r.intervals(200) // more than the sockets take
 	r.finish()
@@ -143,13 +143,13 @@
 	second.intervals(3)
 	second.finish()
 	f := await(t, received, "both runs", func(f *collector.Findings) bool {
-		return len(f.Runs) == 2 && f.Runs[0].Last == first.cuts() && f.Runs[1].Last == second.cuts()
+		return len(f.Incarnations) == 2 && f.Incarnations[0].LastSequence == first.cuts() && f.Incarnations[1].LastSequence == second.cuts()
 	})
 	if !f.OK() {
 		t.Fatalf("%+v", f)
 	}
 	for i, r := range []*rig{first, second} {
-		if got := f.Runs[i].Total(metrics.Requests); got != float64(r.requests["lookup"]) {
+		if got := f.Incarnations[i].Total(metrics.Requests); got != float64(r.requests["lookup"]) {
 			t.Errorf("run %d: %v of %d", i, got, r.requests["lookup"])
 		}
 	}
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -12,14 +12,14 @@
 	c, old, g := startCarbon(t, false)
 	r := startRig(t, telemetryFile(g))
 	r.intervals(3)
-	await(t, old, "a first interval", func(f *collector.Findings) bool { return len(f.Runs) == 1 })
-	c.Set(collector.Unreachable)
+	await(t, old, "a first interval", func(f *collector.Findings) bool { return len(f.Incarnations) == 1 })
+	c.SetMode(collector.Unreachable)
 	r.intervals(10)
 	_, received, moved := startCarbon(t, false)
 	r.reporter.Reload(t.Context(), telemetryFile(moved))
 	r.intervals(2)
 	await(t, received, "what waited", func(f *collector.Findings) bool {
-		return len(f.Runs) == 1 && f.Runs[0].Of >= 10
+		return len(f.Incarnations) == 1 && f.Incarnations[0].Represented >= 10
 	})
 	r.finish()
 	r.awaitAllCounted(received)
@@ -39,7 +39,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c, receivedFirst, first := startCarbon(t, false)
-			c.Set(tt.mode)
+			c.SetMode(tt.mode)
 			_, receivedSecond, second := startCarbon(t, true)
 			second.Name = "second"
 			r := startRig(t, telemetryFile(first))
@@ -48,7 +48,7 @@
 			r.reporter.Reload(t.Context(), telemetryFile(second))
 			r.intervals(3)
 			if tt.mode == collector.Unreachable {
-				defer time.AfterFunc(2*stopTimeout, func() { c.Set(collector.Serve) }).Stop()
+				defer time.AfterFunc(2*stopTimeout, func() { c.SetMode(collector.Serve) }).Stop()
 			}
 			r.finish()
 			if s := stopped.stats.Load(); s.DeliveredIntervals != 2 || s.LostIntervals != 0 || s.WaitingIntervals != 0 {
@@ -59,13 +59,13 @@
 				if f := receivedFirst.Reconcile(); f.Samples != 0 {
 					t.Fatalf("a collector that does not read has %d samples", f.Samples)
 				}
-				c.Set(collector.Serve)
+				c.SetMode(collector.Serve)
 			}
 			f := await(t, receivedFirst, "what came before the reload", func(f *collector.Findings) bool {
-				return complete(f) && f.Runs[0].Of == 2
+				return complete(f) && f.Incarnations[0].Represented == 2
 			})
-			if f.Runs[0].Last != 2 || receivedSecond.Reconcile().Runs[0].Last != r.cuts() {
-				t.Fatalf("the first destination sent %+v", f.Runs)
+			if f.Incarnations[0].LastSequence != 2 || receivedSecond.Reconcile().Incarnations[0].LastSequence != r.cuts() {
+				t.Fatalf("the first destination sent %+v", f.Incarnations)
 			}
 		})
 	}
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -26,11 +26,11 @@
 			r.finish()
 			r.awaitAllCounted(received)
 			f := await(t, received, "each interval", complete)
-			if f.Duplicated > 0 || len(f.Runs[0].Intervals) < 5 {
+			if f.Duplicated > 0 || len(f.Incarnations[0].Intervals) < 5 {
 				t.Fatalf("%+v", f)
 			}
-			last := f.Runs[0].Intervals[len(f.Runs[0].Intervals)-2]
-			got := sortedKeys(last.Spreads[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}])
+			last := f.Incarnations[0].Intervals[len(f.Incarnations[0].Intervals)-2]
+			got := sortedKeys(last.Distributions[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}])
 			if diff := cmp.Diff([]string{"count", "max", "min", "p50", "p95", "p99", "sum"}, got); diff != "" {
 				t.Fatal(diff)
 			}
@@ -59,8 +59,8 @@
 	await(t, received, "each interval", completeTo(15))
 	r.finish()
 	r.awaitAllCounted(received)
-	if f := await(t, received, "each interval", complete); f.Runs[0].Last != 16 {
-		t.Fatalf("%+v", f.Runs[0])
+	if f := await(t, received, "each interval", complete); f.Incarnations[0].LastSequence != 16 {
+		t.Fatalf("%+v", f.Incarnations[0])
 	}
 }
 
@@ -87,21 +87,21 @@
 			}
 		}
 	}
-	c.Set(collector.Lossy)
+	c.SetMode(collector.Lossy)
 	intervalsUntil("no datagram is lost", func() bool { _, lost := c.Packets(); return lost > 5 })
-	c.Set(collector.Reordering)
+	c.SetMode(collector.Reordering)
 	before, _ := c.Packets()
 	intervalsUntil("no datagram comes", func() bool { now, _ := c.Packets(); return now > before+20 })
-	c.Set(collector.Unreachable)
+	c.SetMode(collector.Unreachable)
 	intervalsUntil("it is not noticed that nothing listens", func() bool {
 		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
 	})
 	r.intervals(10)
-	c.Set(collector.Serve)
+	c.SetMode(collector.Serve)
 	r.intervals(1)
 	last := r.cuts()
 	await(t, received, "an interval after its return", func(f *collector.Findings) bool {
-		return len(f.Runs) == 1 && f.Runs[0].Last == last
+		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == last
 	})
 	r.finish()
 	r.awaitAllCounted(received)
@@ -128,7 +128,7 @@
 	r.intervals(2)
 	r.finish()
 	f := r.awaitAllCounted(received)
-	for _, v := range f.Runs[0].Intervals {
+	for _, v := range f.Incarnations[0].Intervals {
 		tenants := map[string]bool{}
 		for s := range v.Values {
 			if s.Figure == metrics.RequestsByTenant && !s.Other {
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/rig_test.go
@@ -261,7 +261,7 @@
 			case <-timeout:
 			}
 		case <-timeout:
-			t.Fatalf("%s: not seen: %d samples, %d runs, %v", what, f.Samples, len(f.Runs), f.Faults)
+			t.Fatalf("%s: not seen: %d samples, %d runs, %v", what, f.Samples, len(f.Incarnations), f.Violations)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	r.t.Helper()
 	want := float64(r.requests["lookup"])
 	f := await(r.t, received, "every count", func(f *collector.Findings) bool {
-		if len(f.Runs) != 1 || f.Runs[0].Last != r.cuts() {
+		if len(f.Incarnations) != 1 || f.Incarnations[0].LastSequence != r.cuts() {
 			return false
 		}
 		// The newest interval comes first: an earlier one may have the last values of a name that has
@@ -281,7 +281,7 @@
 			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet,
 			metrics.Answers, metrics.AnswersByTenant,
 		} {
-			if got := f.Runs[0].Total(id); got > want {
+			if got := f.Incarnations[0].Total(id); got > want {
 				r.t.Fatalf("%s: %v of %v", metrics.Catalogue[id].Name, got, want)
 			} else if got < want {
 				return false
@@ -290,17 +290,17 @@
 		return true
 	})
 	if !f.OK() {
-		r.t.Fatalf("faults %v, unknown %v, malformed %v", f.Faults, f.Unknown, f.Malformed)
+		r.t.Fatalf("faults %v, unknown %v, malformed %v", f.Violations, f.Unknown, f.Malformed)
 	}
 	return f
 }
 
 // complete tells whether a collector has every interval that it knows of.
 func complete(f *collector.Findings) bool {
-	return len(f.Runs) == 1 && f.Runs[0].Missing() == 0 && f.Incomplete == 0
+	return len(f.Incarnations) == 1 && f.Incarnations[0].Missing() == 0 && f.Incomplete == 0
 }
 
 // completeTo tells whether a collector has every interval up to the last.
 func completeTo(last uint64) func(*collector.Findings) bool {
-	return func(f *collector.Findings) bool { return complete(f) && f.Runs[0].Last == last }
+	return func(f *collector.Findings) bool { return complete(f) && f.Incarnations[0].LastSequence == last }
 }
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -102,14 +102,14 @@
 		}
 	}
 	id := c.newRequestID()
-	statement := class.Text(id, cluster.Tenants[c.draw(2)], "op"+id, key, c.draw(dataSetCount), false)
+	statement := class.Statement(id, cluster.Tenants[c.draw(2)], "op"+id, key, c.draw(dataSetCount), false)
 	s, err := connect(ctx, c.address, statement, func(at time.Time) {
 		c.checker.RequestSent(conformance.Request{
-			ID:      id,
-			Class:   class.Engine.Name,
-			Key:     key,
-			SentAt:  at,
-			Timeout: class.Timeout,
+			ID:       id,
+			Class:    class.Engine.Name,
+			OrderKey: key,
+			SentAt:   at,
+			Timeout:  class.Timeout,
 		})
 	})
 	if err != nil {
@@ -225,5 +225,5 @@
 	})
 	// A request that crosses a close is owed no answer.
 	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
-	s.sendLast(class.Text(id, cluster.Tenants[0], "op"+id, "", 0, false))
+	s.sendLast(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
--- a/measure/edgecases/main.go
+++ b/measure/edgecases/main.go
@@ -57,11 +57,11 @@
 }
 
 // AttemptReceived records an attempt that an engine has received.
-func (o *engineObserver) AttemptReceived(r engine.Run) {
-	o.checker.AttemptReceived(r.Engine, r.Ref, r.At)
+func (o *engineObserver) AttemptReceived(r engine.Attempt) {
+	o.checker.AttemptReceived(r.Engine, r.RequestID, r.ReceivedAt)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.late[r.Ref] {
+	if o.late[r.RequestID] {
 		o.forwarded++
 	}
 }
@@ -98,22 +98,22 @@
 func printCount(name string, n int) { fmt.Printf("%s %d requests\n", name, n) }
 
 // printVerdict prints what was counted; the error holds all violations.
-func printVerdict(v conformance.Verdict, observer *engineObserver) error {
+func printVerdict(v conformance.Report, observer *engineObserver) error {
 	printCount("asked", v.Requests)
 	for _, outcome := range outcomes {
 		printCount(string(outcome), v.Outcomes[outcome])
 	}
-	printCount("left_while_waiting", v.Waited)
-	printCount("sent_on_0.3s_after_leaving", v.SentLate)
+	printCount("left_while_waiting", v.UnsentAtDisconnect)
+	printCount("sent_on_0.3s_after_leaving", v.SentAfterDisconnect)
 	sent, forwarded := observer.lateCounts()
 	printCount("asked_after_the_shutdown", sent)
 	printCount("sent_on_after_the_shutdown", forwarded)
-	fmt.Printf("breaches %d\n", len(v.Breaches))
+	fmt.Printf("breaches %d\n", len(v.Violations))
 	var violations []error
-	for _, breach := range v.Breaches {
+	for _, breach := range v.Violations {
 		violations = append(violations, errors.New(breach))
 	}
-	if v.Waited == 0 || sent == 0 {
+	if v.UnsentAtDisconnect == 0 || sent == 0 {
 		violations = append(violations, errors.New("no client left while its request was queued, "+
 			"or none sent one after the shutdown: nothing was checked"))
 	}
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -47,7 +47,7 @@
 		Rate:             1,
 		LatencyObjective: 9 * time.Second,
 		Timeout:          25 * time.Second,
-		Keys:             8,
+		OrderKeys:        8,
 	},
 }
 
@@ -73,19 +73,19 @@
 		observer: &engineObserver{checker: checker, late: map[string]bool{}},
 	}
 	var err error
-	e.engines, err = cluster.New(engineCount, e.observer, func(h changelogserver.Host) error {
-		e.changelog.Change(h)
+	e.engines, err = cluster.New(engineCount, e.observer, func(h changelogserver.Endpoint) error {
+		e.changelog.Publish(h)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	e.changelog, err = changelogserver.New("127.0.0.1:0", e.engines.Hosts(), e.listed)
+	e.changelog, err = changelogserver.New("127.0.0.1:0", e.engines.Endpoints(), e.listed)
 	return e, err
 }
 
 // listed tells the checker what the change log has reported of an engine.
-func (e *environment) listed(h changelogserver.Host, at time.Time) {
+func (e *environment) listed(h changelogserver.Endpoint, at time.Time) {
 	if h.Health == "in_service" {
 		e.checker.EngineInService(h.ID)
 	} else {
@@ -103,12 +103,12 @@
 
 // runFaults applies the scenario of faults.
 func (e *environment) runFaults(ctx context.Context) error {
-	steps, err := scenario.Parse(faults, cluster.Verbs, engineCount)
+	steps, err := scenario.Parse(faults, cluster.Actions, engineCount)
 	if err != nil {
 		return err
 	}
 	return ignoreCanceled(
-		scenario.Play(ctx, steps, func(s scenario.Step) error { return e.engines.Do(ctx, s) }),
+		scenario.Run(ctx, steps, func(s scenario.Step) error { return e.engines.Apply(ctx, s) }),
 	)
 }
 
--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	changelog, hosts, err := cluster.Plain(ctx, g, engineCount, cluster.Classes)
+	changelog, hosts, err := cluster.StartHealthy(ctx, g, engineCount, cluster.Classes)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	endLoad()
 	close(stop)
 	replies.print()
-	printResult("lookups_sent", float64(load.Tally()["lookup"].Sent), "requests")
+	printResult("lookups_sent", float64(load.TakeCounts()["lookup"].Sent), "requests")
 	cancel()
 	return ignoreCanceled(g.Wait())
 }
--- a/measure/telemetry/endtoend.go
+++ b/measure/telemetry/endtoend.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	emulators, ctx := errgroup.WithContext(ctx)
-	changelog, _, err := cluster.Plain(ctx, emulators, engineCount, classes)
+	changelog, _, err := cluster.StartHealthy(ctx, emulators, engineCount, classes)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		return err
 	}
 	if name == deadCollector {
-		server.Set(collector.Silent)
+		server.SetMode(collector.Silent)
 	}
 	c.collectors[name] = server
 	emulators.Go(func() error { return server.Run(ctx) })
@@ -178,33 +178,33 @@
 // measureOutage makes a broker's collector unreachable under load and compares the counts in the end.
 func (c *comparison) measureOutage(ctx context.Context, b *brokerProcess) error {
 	server := c.collectors[withMetrics]
-	server.Set(collector.Unreachable)
+	server.SetMode(collector.Unreachable)
 	if err := b.load(ctx, 2, outageRounds); err != nil {
 		return err
 	}
-	server.Set(collector.Serve)
+	server.SetMode(collector.Serve)
 	b.terminate()
 	deadline := time.Now().Add(reconnectLimit)
 	for {
 		expired := time.Now().After(deadline)
 		findings := c.received.Reconcile()
-		if len(findings.Runs) == 1 && (expired || isComplete(findings.Runs[0], b.sent)) {
-			printOutage(findings.Runs[0], b.sent)
+		if len(findings.Incarnations) == 1 && (expired || isComplete(findings.Incarnations[0], b.sent)) {
+			printOutage(findings.Incarnations[0], b.sent)
 			return nil
 		}
 		if expired {
-			return fmt.Errorf("the collector has %d runs", len(findings.Runs))
+			return fmt.Errorf("the collector has %d runs", len(findings.Incarnations))
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
 // isComplete reports whether a collector has all intervals and requests of a run.
-func isComplete(run *collector.Run, sent int) bool {
+func isComplete(run *collector.Incarnation, sent int) bool {
 	return run.Missing() == 0 && run.Total(metrics.Requests) >= float64(sent)
 }
 
-func printOutage(run *collector.Run, sent int) {
+func printOutage(run *collector.Incarnation, sent int) {
 	printResult("requests_counted_by_the_client", float64(sent), "requests")
 	lost := float64(sent) - run.Total(metrics.Requests)
 	printResult("requests_lost_by_the_collector_after_an_outage", lost, "requests")
@@ -261,7 +261,7 @@
 	if err := load.Run(loadCtx); err != nil {
 		return err
 	}
-	printResult(prefix+"_requests", float64(load.Tally()[classes[0].Name].Sent), "requests")
+	printResult(prefix+"_requests", float64(load.TakeCounts()[classes[0].Name].Sent), "requests")
 	memory, err := b.memoryMB()
 	if err != nil {
 		return err
--- a/measure/telemetry/process.go
+++ b/measure/telemetry/process.go
@@ -30,7 +30,7 @@
 // classes are those of the engines. A lookup takes so little work there that its time in the broker shows.
 var classes = func() []engine.Class {
 	all := slices.Clone(cluster.Classes)
-	all[0].Work = 500 * time.Microsecond
+	all[0].MeanWork = 500 * time.Microsecond
 	return all
 }()
 
@@ -139,7 +139,7 @@
 		DataSets: 24,
 		Seed:     seed,
 		MaxOpen:  maxOpen,
-		OnEnd: func(_ string, outcome conformance.Outcome, d time.Duration) {
+		OnRequestEnded: func(_ string, outcome conformance.Outcome, d time.Duration) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.sent++
