--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -72,80 +72,102 @@
 	}
 }
 
+// workKinds is how many kinds of requests a mixedLoad has: kind n takes 0.1 s of work times two to the power of n.
+const workKinds = 6
+
+func workOf(kind int) time.Duration { return time.Duration(100<<kind) * ms }
+
+// mixedLoad is a rig whose requests are light and heavy, and whose engines serve all attempts.
+type mixedLoad struct {
+	*rig
+	kinds    map[string]int           // of requests, by ID
+	endAt    map[string]time.Duration // of attempts in flight, by the ID of their request
+	rejected [workKinds]int
+}
+
+// submitKind submits a request and lets time pass until the next one.
+func (l *mixedLoad) submitKind(kind int) {
+	id, got := l.submit("long", func(q *Request) {
+		q.EstimatedWork, q.Deadline = workOf(kind), l.now+20*time.Second
+	})
+	l.kinds[id] = kind
+	l.record(got)
+	l.record(l.advance(100 * ms))
+	for _, id := range slices.Sorted(maps.Keys(l.endAt)) {
+		if l.endAt[id] <= l.now {
+			delete(l.endAt, id)
+			work := workOf(l.kinds[id])
+			l.record(l.succeed(id, 0, work/2, work))
+		}
+	}
+}
+
+func (l *mixedLoad) record(actions []Action) {
+	for _, action := range actions {
+		switch a := action.(type) {
+		case SendAttempt:
+			l.endAt[a.RequestID] = l.now + workOf(l.kinds[a.RequestID])/2
+		case Reject:
+			l.rejected[l.kinds[a.RequestID]]++
+		}
+	}
+}
+
 // Short of capacity, the heaviest of requests with the same weight are rejected first, by the admission
 // price. Where the weight grows with the work there is no such price, and with headroom it falls back to its
 // minimum. Seen on a day with 80 brokers: rejected requests were as heavy as served ones.
 func TestHeaviestRequestsAreRejectedFirst(t *testing.T) {
-	for _, byWork := range []bool{false, true} {
-		s := fleetSettings()
-		s.WeightByWork, s.Limits.LoadProbes = byWork, false
-		r := newPooledRig(t, s, 60)
-		r.advance(2 * controlInterval)
-		weight := func(i int) time.Duration { return time.Duration(100<<(i%6)) * ms } // 0.1 to 3.2 s
-		out, rejected := map[string]time.Duration{}, [6]int{}
-		works := map[string]int{}
-		take := func(got []Action) {
-			for _, a := range got {
-				switch a := a.(type) {
-				case SendAttempt:
-					out[a.RequestID] = r.now + weight(works[a.RequestID])/2
-				case Reject:
-					rejected[works[a.RequestID]]++
-				}
+	for name, byWork := range map[string]bool{"weights by class": false, "weights by work": true} {
+		t.Run(name, func(t *testing.T) {
+			s := fleetSettings()
+			s.WeightByWork, s.Limits.LoadProbes = byWork, false
+			r := newPooledRig(t, s, 60)
+			r.advance(2 * controlInterval)
+			load := &mixedLoad{rig: r, kinds: map[string]int{}, endAt: map[string]time.Duration{}}
+			for i := range 1200 { // 10 s of work a second on two threads, for a broker with capacity for a tenth
+				load.submitKind(i * 5 % workKinds)
 			}
-		}
-		for i := range 1200 { // 10 s of work a second on two threads each, for a broker with capacity for a tenth
-			kind := i * 5 % 6
-			id, got := r.submit("long", func(q *Request) {
-				q.EstimatedWork, q.Deadline = weight(kind), r.now+20*time.Second
-			})
-			works[id] = kind
-			take(got)
-			take(r.advance(100 * ms))
-			for _, id := range slices.Sorted(maps.Keys(out)) {
-				if out[id] <= r.now {
-					delete(out, id)
-					take(r.succeed(id, 0, weight(works[id])/2, weight(works[id])))
-				}
+			rejected := load.rejected
+			if !byWork && rejected[5] < 4*(rejected[0]+1) {
+				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
 			}
-		}
-		if !byWork && rejected[5] < 4*(rejected[0]+1) {
-			t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
-		}
-		heaviest := &request{class: r.controller.workload.classes[0], expectedWork: 1e6}
-		if byWork && r.controller.belowAdmissionPrice(heaviest) {
-			t.Error("where worth grows with work, a request was too much work for its worth")
-		}
-		dear := r.controller.admission.price
-		r.advance(100 * controlInterval)
-		requireEqual(t, "price forgotten", r.controller.admission.price, minAdmissionPrice)
-		if dear <= minAdmissionPrice {
-			t.Errorf("the price never rose: %v", dear)
-		}
+			heaviest := &request{class: r.controller.workload.classes[0], expectedWork: 1e6}
+			if byWork && r.controller.belowAdmissionPrice(heaviest) {
+				t.Error("where the weight grows with the work, a request was below the admission price")
+			}
+			highest := r.controller.admission.price
+			r.advance(100 * controlInterval)
+			requireEqual(t, "price with headroom", r.controller.admission.price, minAdmissionPrice)
+			if highest <= minAdmissionPrice {
+				t.Errorf("the price never rose: %v", highest)
+			}
+		})
 	}
 }
 
 // Rejected clients are given times of return that are spread over the allowed range: those that a fleet
 // rejects at one moment would return at one moment. Seen: 71 in 100 were given the maximum of 500 ms.
 func TestRetryAfterIsSpread(t *testing.T) {
-	for _, most := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
-		s := baseSettings()
-		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, most
-		r := newRig(t, s, readyEngine("e1"))
-		hi := min(most, time.Second)
-		atTop := 0
-		for range 1000 {
-			in := r.controller.retryAfter()
-			if in < min(300*ms, hi/2) || in > hi {
-				t.Fatalf("told %v where clients follow up to %v", in, most)
+	for _, maxRetryAfter := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
+		t.Run(maxRetryAfter.String(), func(t *testing.T) {
+			s := baseSettings()
+			s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, maxRetryAfter
+			r := newRig(t, s, readyEngine("e1"))
+			limit := min(maxRetryAfter, time.Second)
+			nearLimit := 0
+			for range 1000 {
+				retryAfter := r.controller.retryAfter()
+				if retryAfter < min(300*ms, limit/2) || retryAfter > limit {
+					t.Fatalf("%v where clients follow up to %v", retryAfter, maxRetryAfter)
+				}
+				if limit-retryAfter < limit/50 {
+					nearLimit++
+				}
 			}
-			if hi-in < hi/50 {
-				atTop++
+			if nearLimit > 50 {
+				t.Fatalf("%d of 1000 are within 2%% of %v", nearLimit, limit)
 			}
-		}
-		if atTop > 50 {
-			t.Fatalf("%d of 1000 told to come back within 2%% of %v", atTop, hi)
-		}
+		})
 	}
 }
 
@@ -153,13 +175,13 @@
 // begun under pressure, and is urgent. Clients that stay make it forget.
 func TestClientPatienceIsLearned(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
-	aim := func() time.Duration {
+	objective := func() time.Duration {
 		id, _ := r.submit("quick")
 		left := r.controller.requests.byID[id].objectiveAt - r.now
 		r.endAttempt(id, 0, OK)
 		return left
 	}
-	before := aim()
+	before := objective()
 	leave := func() {
 		id, _ := r.submit("quick")
 		r.advance(200 * ms)
@@ -171,7 +193,7 @@
 	for range 50 {
 		leave()
 		for range 9 {
-			if got := aim(); got < 500*ms {
+			if got := objective(); got < 500*ms {
 				t.Fatalf("objective in %v, though most clients stay", got)
 			}
 		}
@@ -179,13 +201,13 @@
 	for range 50 {
 		leave()
 	}
-	if got := aim(); got < 150*ms || got > 250*ms {
+	if got := objective(); got < 150*ms || got > 250*ms {
 		t.Fatalf("objective in %v, want the 200ms that clients stay (before %v)", got, before)
 	}
 	for range 200 {
-		aim()
+		objective()
 	}
-	if got := aim(); got < 500*ms {
+	if got := objective(); got < 500*ms {
 		t.Fatalf("objective in %v, want it as set: clients stay", got)
 	}
 }
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -23,7 +23,7 @@
 		sent += countOf[SendAttempt](r.advance(5 * ms))
 	}
 	if sent-early > 4 {
-		t.Fatalf("%d more sent into a jam (%d before it showed)", sent-early, early)
+		t.Fatalf("%d more sent to an overloaded engine (%d before it showed)", sent-early, early)
 	}
 }
 
@@ -33,11 +33,12 @@
 func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
 	r := newRigUnderPressure(t)
 	for range 10 {
-		r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		r.submit("long", r.deadlineIn(20*time.Second))
 	}
 	e := r.controller.endpoints.all[0]
-	if room := e.limit - float64(e.threadsInFlight); room >= 2 || !r.controller.underPressure(e) {
-		t.Fatalf("the long ones leave %.1f threads", room)
+	headroom := e.limit - float64(e.threadsInFlight)
+	if headroom >= 2 || !r.controller.underPressure(e) {
+		t.Fatalf("the long ones leave %.1f threads", headroom)
 	}
 	quick := 0
 	for range 20 {
@@ -57,7 +58,7 @@
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	e := r.controller.endpoints.all[0]
 	for range 100 {
-		r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		r.submit("long", r.deadlineIn(20*time.Second))
 	}
 	calmLimit, threads := calmLimitFactor*e.limit, float64(e.threadsInFlight)
 	if r.controller.underPressure(e) || threads < e.limit || threads > calmLimit {
@@ -74,7 +75,7 @@
 	r.controller.endpoints.all[0].limit = 4
 	sent := 0
 	for range 4 {
-		_, got := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		_, got := r.submit("long", r.deadlineIn(20*time.Second))
 		sent += countOf[SendAttempt](got)
 	}
 	requireEqual(t, "wide requests sent", sent, 2)
@@ -93,7 +94,7 @@
 			t.Fatalf("%d threads in flight, over %.1f", pool.threadsInFlight, maxThreads)
 		}
 	}
-	requireEqual(t, "pressed", r.controller.underPressure(r.controller.endpoints.pool), true)
+	requireEqual(t, "under pressure", r.controller.underPressure(r.controller.endpoints.pool), true)
 }
 
 // Worked example of start-time fair queueing: shares 3 to 1, equal costs, both backlogged: the first class
@@ -109,7 +110,7 @@
 			tenantIndex: i / 2 % 2, expectedWork: 1,
 		})
 	}
-	requireEqual(t, "threads of what waits", e.queue.Threads(), 20+20*2)
+	requireEqual(t, "threads of the requests that wait", e.queue.Threads(), 20+20*2)
 	var classes, tenants [2]int
 	for range 16 {
 		head, _ := e.queue.Head(nil)
--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -22,35 +22,37 @@
 }
 
 func TestIdempotentWithKeyStaysInDedupScopeAndWindow(t *testing.T) {
-	for _, scope := range []DedupScope{DedupScopeZone, DedupScopeCell} {
-		s := baseSettings()
-		class := &s.Classes[0]
-		class.Idempotency, class.DedupScope, class.DedupWindow = IdempotentWithKey, scope, time.Second
-		b, far := readyEngine("e2"), readyEngine("e3")
-		b.Cell, far.Zone, far.Cell = 0, "b", 1
-		r := newRig(t, s, readyEngine("e1"), b, far)
-		id, got := r.submit("quick")
-		first := actionsOf[SendAttempt](got)[0].Engine
-		again := actionsOf[SendAttempt](r.endAttempt(id, 0, Failed))
-		if first == "e3" {
-			requireEqual(t, "engine", again[0].Engine, "e3")
-		} else if again[0].Engine == "e3" {
-			t.Fatal("left its group")
-		}
-		r.advance(1100 * ms)
-		got = append(r.endAttempt(id, 1, Failed), r.advance(3*time.Second)...)
-		requireEqual(t, "sends after the window", countOf[SendAttempt](got), 0)
-		requireEqual(t, "failures", countOf[Fail](got), 1)
+	for name, scope := range map[string]DedupScope{"zone": DedupScopeZone, "cell": DedupScopeCell} {
+		t.Run(name, func(t *testing.T) {
+			s := baseSettings()
+			class := &s.Classes[0]
+			class.Idempotency, class.DedupScope, class.DedupWindow = IdempotentWithKey, scope, time.Second
+			outside := readyEngine("e3")
+			outside.Zone, outside.Cell = "b", 1
+			r := newRig(t, s, readyEngine("e1"), readyEngine("e2"), outside)
+			id, got := r.submit("quick")
+			first := actionsOf[SendAttempt](got)[0].Engine
+			again := actionsOf[SendAttempt](r.endAttempt(id, 0, Failed))
+			if first == "e3" {
+				requireEqual(t, "engine", again[0].Engine, "e3")
+			} else if again[0].Engine == "e3" {
+				t.Fatal("left its dedup scope")
+			}
+			r.advance(1100 * ms)
+			got = append(r.endAttempt(id, 1, Failed), r.advance(3*time.Second)...)
+			requireEqual(t, "sends after the window", countOf[SendAttempt](got), 0)
+			requireEqual(t, "failures", countOf[Fail](got), 1)
+		})
 	}
 }
 
 // A request of which no retry is permitted is answered at once, not held until its deadline.
 func TestRequestWithoutPermittedRetryIsAnsweredAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		class        func(k *Class)
-		after        time.Duration // from the first attempt to its end
-		status       Status
-		fail, refuse int
+		class                func(k *Class)
+		after                time.Duration // from the first attempt to its end
+		status               Status
+		failures, rejections int
 	}{
 		"non-idempotent, reset":     {func(k *Class) { k.Idempotency = NonIdempotent }, 0, ConnectionReset, 1, 0},
 		"non-idempotent, timed out": {func(k *Class) { k.Idempotency = NonIdempotent }, 0, TimedOut, 1, 0},
@@ -64,17 +66,20 @@
 			k.Idempotency, k.DedupWindow = IdempotentWithKey, time.Second
 		}, 750 * ms, Failed, 0, 1},
 	} {
-		s := baseSettings()
-		s.MaxSendDelay = 300 * ms // so a retry after 750 ms might leave past the window
-		s.Classes[1].Idempotency = Idempotent
-		c.class(&s.Classes[1])
-		r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-		id, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
-		r.advance(c.after)
-		got := r.endAttempt(id, 0, c.status)
-		requireEqual(t, name+": failures", countOf[Fail](got), c.fail)
-		requireEqual(t, name+": rejections", countOf[Reject](got), c.refuse)
-		requireEqual(t, name+": retries", countOf[SendAttempt](append(got, r.advance(time.Second)...)), 0)
+		t.Run(name, func(t *testing.T) {
+			s := baseSettings()
+			s.MaxSendDelay = 300 * ms // so a retry after 750 ms might leave past the window
+			s.Classes[1].Idempotency = Idempotent
+			c.class(&s.Classes[1])
+			r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+			id, _ := r.submit("long", r.deadlineIn(20*time.Second))
+			r.advance(c.after)
+			got := r.endAttempt(id, 0, c.status)
+			requireEqual(t, "failures", countOf[Fail](got), c.failures)
+			requireEqual(t, "rejections", countOf[Reject](got), c.rejections)
+			got = append(got, r.advance(time.Second)...)
+			requireEqual(t, "retries", countOf[SendAttempt](got), 0)
+		})
 	}
 }
 
@@ -82,10 +87,10 @@
 func TestLoweredMaxAttemptsEndsWaitingRequests(t *testing.T) {
 	s := baseSettings()
 	r := newRig(t, s, readyEngine("e1"))
-	id, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
-	gone := readyEngine("e1")
-	gone.State = Draining
-	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{gone}})
+	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
+	draining := readyEngine("e1")
+	draining.State = Draining
+	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{draining}})
 	got := append(r.endAttempt(id, 0, Failed), r.advance(300*ms)...)
 	requireEqual(t, "answers while there may be another engine", countOf[Reject](got)+countOf[Fail](got), 0)
 	s.Limits.MaxAttempts = 1
@@ -98,17 +103,17 @@
 	s.Classes[0].Ordered, s.Rules.KeyCooldown = true, 400*ms
 	key := func(q *Request) { q.OrderKey = "k" }
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	one, got := r.submit("quick", key)
+	first, got := r.submit("quick", key)
 	requireEqual(t, "first", countOf[SendAttempt](got), 1)
 	_, got = r.submit("quick", key)
 	requireEqual(t, "second waits", countOf[SendAttempt](got), 0)
 	_, got = r.submit("quick", func(q *Request) { q.OrderKey = "other" })
 	requireEqual(t, "another key", countOf[SendAttempt](got), 1)
-	r.handle(ClientDisconnected{RequestID: one}) // its attempt is still in flight
-	requireEqual(t, "while out", countOf[SendAttempt](r.advance(300*ms)), 0)
-	r.endAttempt(one, 0, TimedOut)
-	requireEqual(t, "at rest", countOf[SendAttempt](r.advance(350*ms)), 0)
-	requireEqual(t, "after the rest", countOf[SendAttempt](r.advance(300*ms)), 1)
+	r.handle(ClientDisconnected{RequestID: first}) // its attempt is still in flight
+	requireEqual(t, "while in flight", countOf[SendAttempt](r.advance(300*ms)), 0)
+	r.endAttempt(first, 0, TimedOut)
+	requireEqual(t, "during the cooldown", countOf[SendAttempt](r.advance(350*ms)), 0)
+	requireEqual(t, "after the cooldown", countOf[SendAttempt](r.advance(300*ms)), 1)
 }
 
 func TestPlacementHoldsOnEveryAttempt(t *testing.T) {
@@ -137,7 +142,7 @@
 
 func TestNoHedgingAndAtMostMaxAttempts(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	id, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
 	requireEqual(t, "hedged attempts", countOf[SendAttempt](r.advance(10*time.Second)), 0)
 	sends := 1
 	for n := range 4 {
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -31,7 +31,7 @@
 	}
 	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].loadReportedAt, r.now)
 	r.handle(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
-	requireEqual(t, "a younger report", r.controller.endpoints.byID["e01"].load, 0.7)
+	requireEqual(t, "a fresher report", r.controller.endpoints.byID["e01"].load, 0.7)
 }
 
 // A broker sends its reports to one other at a time, never to itself, the freshest first, and no oftener than
@@ -59,7 +59,7 @@
 	for _, a := range sent {
 		to[a.Broker] = true
 		if a.Broker == s.BrokerIndex || a.Broker < 0 || a.Broker >= s.Brokers {
-			t.Fatalf("sent broker %d of %d, being %d", a.Broker, s.Brokers, s.BrokerIndex)
+			t.Fatalf("sent to broker %d of %d, being %d", a.Broker, s.Brokers, s.BrokerIndex)
 		}
 	}
 	requireEqual(t, "brokers sent to", len(to), s.Brokers-1)
--- a/control/hedging_test.go
+++ b/control/hedging_test.go
@@ -11,17 +11,17 @@
 	s.Limits.Cancellation, s.ProgressInterval, s.Classes[0].LateWeight = true, time.Second, 0.1
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
 	id, got := r.submit("quick")
-	hung := actionsOf[SendAttempt](got)[0].Engine
+	silent := actionsOf[SendAttempt](got)[0].Engine
 	for range 40 {
 		other, got := r.submit("quick")
-		if actionsOf[SendAttempt](got)[0].Engine != hung {
+		if actionsOf[SendAttempt](got)[0].Engine != silent {
 			r.endAttempt(other, 0, OK)
 		}
 		if got = r.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
-			lossRate := r.controller.lossRate(r.controller.endpoints.byID[hung])
+			lossRate := r.controller.lossRate(r.controller.endpoints.byID[silent])
 			requireEqual(t, "believed to lose answers", lossRate > 10*priorLossRate, true)
-			again := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
-			requireEqual(t, "sent elsewhere", len(again) == 1 && again[0].Engine != hung, true)
+			retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+			requireEqual(t, "retried elsewhere", len(retries) == 1 && retries[0].Engine != silent, true)
 			return
 		}
 	}
@@ -34,16 +34,16 @@
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
 	id, got := r.submit("quick")
 	first := actionsOf[SendAttempt](got)[0].Engine
-	copies := actionsOf[SendAttempt](r.advance(2900 * ms))
-	requireEqual(t, "hedged attempts", len(copies), 1)
-	requireEqual(t, "elsewhere", copies[0].RequestID == id && copies[0].Engine != first, true)
+	hedged := actionsOf[SendAttempt](r.advance(2900 * ms))
+	requireEqual(t, "hedged attempts", len(hedged), 1)
+	requireEqual(t, "elsewhere", hedged[0].RequestID == id && hedged[0].Engine != first, true)
 }
 
 func TestAttemptWithLittleProgressIsCancelled(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.ProgressInterval = true, time.Second
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
 	r.now += time.Second
 	progress := func(fraction float64) []Action {
 		return r.handle(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: fraction})
@@ -78,9 +78,7 @@
 	s := pooledSettings()
 	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
 	r := newPooledRig(t, s, 60)
-	answer := func(id string, n int) {
-		r.succeed(id, n, 100*ms, 100*ms)
-	}
+	answer := func(id string, number int) { r.succeed(id, number, 100*ms, 100*ms) }
 	var waited []time.Duration
 	for i := range 120 {
 		id, got := r.submit("quick")
@@ -94,8 +92,8 @@
 		}
 		from := r.now
 		for r.now < from+2*time.Second {
-			if copies := actionsOf[SendAttempt](r.advance(10 * ms)); len(copies) > 0 {
-				requireEqual(t, "elsewhere", copies[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
+			if hedged := actionsOf[SendAttempt](r.advance(10 * ms)); len(hedged) > 0 {
+				requireEqual(t, "elsewhere", hedged[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
 				waited = append(waited, r.now-from)
 				answer(id, 1)
 				break
@@ -108,9 +106,9 @@
 	for i := range 60 { // now no answer comes
 		r.controller.estimates.loss.Lost, r.controller.estimates.loss.Answers = float64(30+i), float64(40+i)
 		r.submit("quick")
-		for _, snd := range actionsOf[SendAttempt](r.advance(100 * ms)) {
-			if q := r.controller.requests.byID[snd.RequestID]; q != nil && len(q.attempts) > 1 {
-				t.Fatal("a copy in a jam")
+		for _, sent := range actionsOf[SendAttempt](r.advance(100 * ms)) {
+			if q := r.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
+				t.Fatal("a hedged attempt under overload")
 			}
 		}
 	}
@@ -123,19 +121,19 @@
 	s := baseSettings()
 	s.Limits.Cancellation = true
 	r := newRig(t, s, readyEngine("e1"))
-	lost, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 5*time.Minute })
+	lost, _ := r.submit("long", r.deadlineIn(5*time.Minute))
 	sent := r.now
 	for r.now < sent+2*time.Minute {
 		id, _ := r.submit("quick")
 		r.advance(50 * ms)
 		r.endAttempt(id, 0, OK)
 		for _, a := range r.actions {
-			if x, ok := a.(CancelAttempt); ok && x.RequestID == lost {
+			if cancel, ok := a.(CancelAttempt); ok && cancel.RequestID == lost {
 				return
 			}
 		}
 	}
-	t.Fatal("it was waited for while others were answered")
+	t.Fatal("the lost answer was not detected")
 }
 
 // The age at which an attempt is lost is known after a few answers. Seen on a day on which one long answer in
@@ -145,25 +143,24 @@
 	s := baseSettings()
 	s.Limits.Cancellation = true
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	long := func(q *Request) { q.Deadline = r.now + 20*time.Second }
 	r.controller.workload.classes[1].meanWork = 0.8
 	for i := range 20 {
-		id, _ := r.submit("long", long)
+		id, _ := r.submit("long", r.deadlineIn(20*time.Second))
 		took := time.Duration(300+i*37%200) * ms
 		r.advance(took)
 		r.succeed(id, 0, took, 800*ms)
 	}
-	id, got := r.submit("long", long)
+	id, got := r.submit("long", r.deadlineIn(20*time.Second))
 	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
 	for sent := r.now; r.now < sent+3*time.Second; { // its objective is 3.8 s
 		other, _ := r.submit("quick")
 		got := r.advance(50 * ms)
-		if off := actionsOf[CancelAttempt](got); len(off) > 0 && off[0].RequestID == id {
+		if cancelled := actionsOf[CancelAttempt](got); len(cancelled) > 0 && cancelled[0].RequestID == id {
 			return
 		}
 		r.endAttempt(other, 0, OK)
 	}
-	t.Fatal("there was no time left to try again")
+	t.Fatal("the attempt was not cancelled in time for a retry")
 }
 
 // An attempt that is cancelled early counts as lost only as far as that is likelier than late. Seen on a day
@@ -178,7 +175,7 @@
 	for _, e := range r.controller.endpoints.all {
 		e.loss.Lost, e.loss.Answers = 15, 50
 	}
-	off := 0
+	cancelled := 0
 	for i := range 600 { // each is answered, one in ten several times as slowly as the rest
 		id, _ := r.submit("quick")
 		took := time.Duration(20+i*37%61) * ms
@@ -187,7 +184,7 @@
 		}
 		got := r.advance(took)
 		if i >= 300 {
-			off += countOf[CancelAttempt](got)
+			cancelled += countOf[CancelAttempt](got)
 		}
 		q := r.controller.requests.byID[id]
 		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
@@ -198,8 +195,8 @@
 			r.succeed(id, n, took, 40*ms)
 		}
 	}
-	if off > 40 { // the slow tenth and not many more
-		t.Fatalf("%d of the last 300 were cancelled, and none was lost", off)
+	if cancelled > 40 { // the slow tenth and not many more
+		t.Fatalf("%d of the last 300 were cancelled, and none was lost", cancelled)
 	}
 }
 
@@ -235,33 +232,33 @@
 		r.endAttempt(id, 0, OK)
 	}
 	id, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
-	stuck := actionsOf[SendAttempt](got)[0].Engine
-	var off time.Duration
-	for from := r.now; off == 0 && r.now < from+2*time.Second; {
+	blocking := actionsOf[SendAttempt](got)[0].Engine
+	var cancelledAfter time.Duration
+	for from := r.now; cancelledAfter == 0 && r.now < from+2*time.Second; {
 		other, _ := r.submit("quick", func(q *Request) { q.DataSet = 3 })
 		if got := r.advance(20 * ms); countOf[CancelAttempt](got) > 0 {
 			requireEqual(t, "cancelled", actionsOf[CancelAttempt](got)[0].RequestID, id)
-			off = r.now - from
+			cancelledAfter = r.now - from
 		}
 		r.endAttempt(other, 0, OK)
 	}
-	if off == 0 || off > 400*ms {
-		t.Fatalf("cancelled after %v, which leaves no time for another try", off)
+	if cancelledAfter == 0 || cancelledAfter > 400*ms {
+		t.Fatalf("cancelled after %v, which leaves no time for a retry", cancelledAfter)
 	}
-	requireEqual(t, "threads that count", r.controller.endpoints.byID[stuck].threadsInFlight, 0)
+	requireEqual(t, "threads in flight", r.controller.endpoints.byID[blocking].threadsInFlight, 0)
 	requireEqual(t, "losses", r.controller.estimates.loss.Lost, 0)
-	again := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
-	if len(again) != 1 || again[0].Engine == stuck {
-		t.Fatalf("tried again: %v, not at %s", again, stuck)
+	retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+	if len(retries) != 1 || retries[0].Engine == blocking {
+		t.Fatalf("retries: %v, want one, and not at %s", retries, blocking)
 	}
 	for range 4 {
 		_, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
-		if s := actionsOf[SendAttempt](got); len(s) > 0 && s[0].Engine == stuck {
-			t.Fatal("more went where a load holds the data set")
+		if sent := actionsOf[SendAttempt](got); len(sent) > 0 && sent[0].Engine == blocking {
+			t.Fatal("another request went where the data set is locked")
 		}
 	}
 	r.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
-	requireEqual(t, "held", r.controller.endpoints.byID[stuck].dataSetLocked(r.now, 7), true)
+	requireEqual(t, "locked", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), true)
 	r.advance(10 * time.Second)
-	requireEqual(t, "held for good", r.controller.endpoints.byID[stuck].dataSetLocked(r.now, 7), false)
+	requireEqual(t, "locked for good", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), false)
 }
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -7,22 +7,23 @@
 )
 
 func TestDrainingOrRemovedEngineGetsNoAttempts(t *testing.T) {
-	for _, state := range []EngineState{Draining, Removed} {
-		r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-		e := readyEngine("e1")
-		e.State = state
-		r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}})
-		for range 20 {
-			id, got := r.submit("quick")
-			requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
-			r.endAttempt(id, 0, OK)
-		}
+	draining, removed := readyEngine("e1"), readyEngine("e1")
+	draining.State, removed.State = Draining, Removed
+	for name, update := range map[string]EndpointUpdate{
+		"draining":                {Kind: EndpointDelta, Engines: []Engine{draining}},
+		"removed":                 {Kind: EndpointDelta, Engines: []Engine{removed}},
+		"missing from a snapshot": {Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e2")}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+			r.handle(update)
+			for range 20 {
+				id, got := r.submit("quick")
+				requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
+				r.endAttempt(id, 0, OK)
+			}
+		})
 	}
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	// What a snapshot lacks is removed.
-	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e2")}})
-	_, got := r.submit("quick")
-	requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
 }
 
 func TestEndpointListIsPolledAgainAfterAFailure(t *testing.T) {
@@ -40,12 +41,12 @@
 	e := r.controller.endpoints.byID["e1"]
 	r.controller.eject(e, "failing")
 	e.failureRate = 1
-	back := readyEngine("e1")
-	back.StartedAt = r.now
-	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{back}})
-	requireEqual(t, "down", e.ejected, false)
-	requireEqual(t, "fails", e.failureRate, 0.0)
-	requireEqual(t, "cold", r.controller.inSlowStart(e), true)
+	restarted := readyEngine("e1")
+	restarted.StartedAt = r.now
+	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
+	requireEqual(t, "ejected", e.ejected, false)
+	requireEqual(t, "failure rate", e.failureRate, 0.0)
+	requireEqual(t, "in slow start", r.controller.inSlowStart(e), true)
 }
 
 // State of removed engines does not add up where engines are replaced by new ones all day.
--- a/control/regulators_test.go
+++ b/control/regulators_test.go
@@ -22,7 +22,7 @@
 	}
 	s := c.optimizeShares(100)
 	if math.Abs(s[0]+s[1]-1) > 1e-6 || s[1] < 0.8 {
-		t.Fatalf("shares %v: the class worth eight times as much should have most", s)
+		t.Fatalf("shares %v: the class with eight times the weight should have most", s)
 	}
 	c.workload.classes[1].arrivalRate = 0 // without traffic it gains nothing
 	if s = c.optimizeShares(100); s[0] < 0.8 {
@@ -37,7 +37,7 @@
 	limit := r.controller.endpoints.all[0].limit
 	for i := range 60 {
 		id, _ := r.submit("quick")
-		long, _ := r.submit("long", func(q *Request) { q.Deadline = r.now + 20*time.Second })
+		long, _ := r.submit("long", r.deadlineIn(20*time.Second))
 		r.advance(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
 			if q := r.controller.requests.byID[id]; q != nil && len(q.attempts) > 0 {
@@ -73,7 +73,7 @@
 	shares, limit := slices.Clone(r.controller.shares.weights), r.controller.endpoints.pool.limit
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
-			id, got := r.submit(class, func(q *Request) { q.Deadline = r.now + 20*time.Second })
+			id, got := r.submit(class, r.deadlineIn(20*time.Second))
 			got = append(got, r.advance(time.Duration(50+i*5)*ms)...)
 			if countOf[SendAttempt](got) > 0 {
 				r.succeed(id, 0, time.Duration(50+i*20)*ms, 100*ms)
@@ -81,7 +81,7 @@
 		}
 	}
 	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == r.controller.endpoints.pool.limit {
-		t.Fatalf("shares %v, limit %v did not move", r.controller.shares.weights, r.controller.endpoints.pool.limit)
+		t.Fatalf("shares %v and limit %v did not move", shares, limit)
 	}
 }
 
@@ -114,14 +114,14 @@
 	even := 1 / float64(s.Brokers)
 	for range 3 * 24 { // 24 a second: six times the even share of a quota of 1,200 a second
 		id, got := r.submit("quick")
-		for _, snd := range actionsOf[SendAttempt](got) {
-			if snd.RequestID == id {
+		for _, sent := range actionsOf[SendAttempt](got) {
+			if sent.RequestID == id {
 				r.endAttempt(id, 0, OK)
 			}
 		}
 		r.advance(time.Second / 24)
 	}
-	if part := r.controller.workload.trafficShare / even; part < 4.5 || part > 7.5 {
-		t.Fatalf("after 3 s its part is %.1f even parts, want about 6", part)
+	if share := r.controller.workload.trafficShare / even; share < 4.5 || share > 7.5 {
+		t.Fatalf("after 3 s its share is %.1f even shares, want about 6", share)
 	}
 }
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -36,9 +36,9 @@
 	t          *testing.T
 	controller *Controller
 	now        time.Duration
-	timers     map[uint64]time.Duration
-	actions    []Action
-	submitted  int
+	timers     map[uint64]time.Duration // when they are due, by their tokens
+	actions    []Action                 // all so far
+	submitted  int                      // requests so far
 }
 
 func newRig(t *testing.T, s Settings, engines ...Engine) *rig {
@@ -63,8 +63,9 @@
 
 func readyEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "std"} }
 
-func (r *rig) handle(evs ...Event) []Action {
-	out := r.controller.Handle(r.now, evs)
+// handle gives the controller events and returns what was done.
+func (r *rig) handle(events ...Event) []Action {
+	out := r.controller.Handle(r.now, events)
 	for _, a := range out {
 		if s, ok := a.(SetTimer); ok {
 			r.timers[s.Token] = r.now + s.After
@@ -79,16 +80,16 @@
 	from := len(r.actions)
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
-		var fire []uint64
-		for tok, at := range r.timers {
-			if at <= r.now {
-				fire = append(fire, tok)
-				delete(r.timers, tok)
+		var fired []uint64
+		for token, dueAt := range r.timers {
+			if dueAt <= r.now {
+				fired = append(fired, token)
+				delete(r.timers, token)
 			}
 		}
-		slices.Sort(fire)
-		for _, tok := range fire {
-			r.handle(TimerFired{Token: tok})
+		slices.Sort(fired)
+		for _, token := range fired {
+			r.handle(TimerFired{Token: token})
 		}
 	}
 	return r.actions[from:]
@@ -104,9 +105,15 @@
 	return q.ID, r.handle(RequestReceived{Request: q})
 }
 
-func actionsOf[T Action](as []Action) []T {
+// deadlineIn changes the deadline of a request that is submitted now.
+func (r *rig) deadlineIn(d time.Duration) func(*Request) {
+	return func(q *Request) { q.Deadline = r.now + d }
+}
+
+// actionsOf are the actions of one type.
+func actionsOf[T Action](all []Action) []T {
 	var out []T
-	for _, a := range as {
+	for _, a := range all {
 		if v, ok := a.(T); ok {
 			out = append(out, v)
 		}
@@ -117,9 +124,9 @@
 func countOf[T Action](all []Action) int { return len(actionsOf[T](all)) }
 
 // endAttempt ends an attempt; an answer closes its request.
-func (r *rig) endAttempt(id string, n int, s Status) []Action {
+func (r *rig) endAttempt(id string, number int, status Status) []Action {
 	return r.handle(AttemptEnded{
-		RequestID: id, Number: n, Status: s, Duration: 100 * ms, RequestClosed: s == OK,
+		RequestID: id, Number: number, Status: status, Duration: 100 * ms, RequestClosed: status == OK,
 		Work: 100 * ms, MemoryMB: 100,
 	})
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -11,17 +11,17 @@
 func TestLockHoldersKeepAwayFromWhatTheyBlock(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
-	for tables := range 20 {
-		at := map[string]string{}
-		for gateway, class := range []string{"quick", "long"} {
-			s.BrokerIndex = gateway
+	for dataSet := range 20 {
+		engines := map[string]string{} // by class
+		for brokerIndex, class := range []string{"quick", "long"} {
+			s.BrokerIndex = brokerIndex
 			r := newRig(t, s, readyEngines(5)...)
 			r.controller.workload.meanWork = 100 // so that no candidates are probed
-			_, got := r.submit(class, func(q *Request) { q.DataSet = tables })
-			at[class] = actionsOf[SendAttempt](got)[0].Engine
+			_, got := r.submit(class, func(q *Request) { q.DataSet = dataSet })
+			engines[class] = actionsOf[SendAttempt](got)[0].Engine
 		}
-		if at["quick"] == at["long"] {
-			t.Errorf("both classes of data set %d go to %s", tables, at["quick"])
+		if engines["quick"] == engines["long"] {
+			t.Errorf("both classes of data set %d go to %s", dataSet, engines["quick"])
 		}
 	}
 }
@@ -44,9 +44,9 @@
 			}
 			probed[p.Engine] = r.now
 		}
-		for _, snd := range actionsOf[SendAttempt](got) {
+		for _, sent := range actionsOf[SendAttempt](got) {
 			sends++
-			r.endAttempt(snd.RequestID, 0, OK)
+			r.endAttempt(sent.RequestID, 0, OK)
 		}
 	}
 	if len(probed) != 2 || sends < 250 {
@@ -82,7 +82,7 @@
 		}
 	}
 	if sent["e00"] > 150 || sent["e00"] < 2*sent["e09"] || sent["e05"] == 0 {
-		t.Fatalf("sends from 300 brokers, from the emptiest engine to the fullest: %v", sent)
+		t.Fatalf("sends from 300 brokers, from the least loaded engine to the most loaded: %v", sent)
 	}
 }
 
@@ -92,22 +92,22 @@
 	r := newPooledRig(t, fleetSettings(), 60)
 	r.advance(2 * controlInterval)
 	id, got := r.submit("long")
-	asked := actionsOf[ProbeLoad](got)
-	if len(asked) < 2 || countOf[SendAttempt](got) > 0 {
-		t.Fatalf("%d engines asked, %d sends", len(asked), countOf[SendAttempt](got))
+	probes := actionsOf[ProbeLoad](got)
+	if len(probes) < 2 || countOf[SendAttempt](got) > 0 {
+		t.Fatalf("%d engines probed, %d sends", len(probes), countOf[SendAttempt](got))
 	}
-	requireEqual(t, "threads while it leaves", r.controller.endpoints.pool.threadsInFlight, 2)
-	for i, a := range asked {
+	requireEqual(t, "threads while it waits for its probes", r.controller.endpoints.pool.threadsInFlight, 2)
+	for i, a := range probes {
 		r.handle(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
 	}
 	sent := actionsOf[SendAttempt](r.advance(probeWaitBatches*5*ms + 5*ms))
-	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != asked[len(asked)-1].Engine {
-		t.Fatalf("asked %v, sent %v", asked, sent)
+	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
+		t.Fatalf("probed %v, sent %v", probes, sent)
 	}
-	requireEqual(t, "threads once it left", r.controller.endpoints.pool.threadsInFlight, 2)
-	gone, _ := r.submit("long")
-	r.handle(ClientDisconnected{RequestID: gone})
+	requireEqual(t, "threads once it is sent", r.controller.endpoints.pool.threadsInFlight, 2)
+	abandoned, _ := r.submit("long")
+	r.handle(ClientDisconnected{RequestID: abandoned})
 	r.advance(time.Second)
 	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.threadsInFlight, 2)
-	requireEqual(t, "class's count", r.controller.workload.classes[1].awaitingProbes, 0)
+	requireEqual(t, "requests of the class that await probes", r.controller.workload.classes[1].awaitingProbes, 0)
 }
