--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -18,7 +18,7 @@
 // largeInterval is one of more lines than the buffers of two sockets hold.
 func largeInterval() *metrics.Interval {
 	const tenants = 4000
-	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, Idle: time.Hour}
+	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
 	for i := range tenants {
 		slot := r.Slot(metrics.Tenant, fmt.Sprintf("a-tenant-with-a-long-name-%06d", i))
@@ -29,7 +29,7 @@
 	return r.Cut(rigStart, rigInterval)
 }
 
-// awaitBlocked waits until a socket has more to send and the other side takes nothing: all that was sent is
+// awaitBlocked waits until a socket has more to send and the other side reads nothing: all that was sent is
 // acknowledged.
 func awaitBlocked(t *testing.T, conn *net.TCPConn) {
 	t.Helper()
@@ -51,7 +51,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other side takes all")
+			t.Fatal("the other side reads all")
 		}
 		time.Sleep(time.Millisecond) // the kernel notifies of no change
 	}
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -48,7 +48,7 @@
 	return r.Cut(now, now, b, server.ConnectionCounts{}, nil)
 }
 
-// setGauge sets a figure of the whole broker.
+// setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
 func (r *Recorder) setGauge(id metrics.ID, part int, value float64) {
 	r.registry.Set(id, cardinality.Other, part, value)
 }
@@ -78,10 +78,10 @@
 
 func (r *Recorder) recordDestination(name string, stats *delivery.Stats) {
 	slot := r.registry.Slot(metrics.Destination, name)
-	r.registry.Set(metrics.Held, slot, 0, float64(stats.Held))
+	r.registry.Set(metrics.Held, slot, 0, float64(stats.HeldBytes))
 	r.registry.Set(metrics.HeldIntervals, slot, 0, float64(stats.WaitingIntervals))
 	r.registry.Set(metrics.Delivered, slot, 0, float64(stats.DeliveredIntervals))
-	r.registry.Set(metrics.Lost, slot, 0, float64(stats.Lost))
+	r.registry.Set(metrics.Lost, slot, 0, float64(stats.LostIntervals))
 	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
 	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
 }
