--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -118,17 +118,15 @@
 	silent := s.dial()
 	silent.readPacket() // the greeting
 	idle := s.connect()
+	attempts := merge(engines[0].messages, engines[1].messages, engines[2].messages)
 	for i := range maxSessions {
 		s.connect(statement("lookup", 1+i, longTimeout, ""))
+		receive(t, attempts, "its attempt") // so that it is busy before the next one connects
 	}
 	silent.expect("closed")
 	idle.expect("closed")
 	s.expectEnd(silent.localAddr(), EvictedIdle)
 	s.expectEnd(idle.localAddr(), EvictedIdle)
-	attempts := merge(engines[0].messages, engines[1].messages, engines[2].messages)
-	for range maxSessions {
-		receive(t, attempts, "an attempt of each")
-	}
 	s.dial().expect("1040")
 }
 
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -154,14 +154,20 @@
 		c.readPacket()
 	}
 	var rows strings.Builder
-	for p := c.readPacket(); p[0] != 0xfe; p = c.readPacket() {
+	for {
+		p := c.readPacket()
+		switch {
+		case p == "":
+			c.t.Fatal("the connection ended in a result")
+		case p[0] == 0xfe:
+			return "rows " + rows.String()
+		}
 		for len(p) > 0 {
 			n := int(p[0])
 			rows.WriteString(p[1:1+n] + "|")
 			p = p[1+n:]
 		}
 	}
-	return "rows " + rows.String()
 }
 
 func (c *testClient) expect(answers ...string) {
