--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -40,18 +40,18 @@
 // Actions returns the actions of a scenario: those on engines, which take the number of one, and those on the
 // collector.
 func Actions() map[string]bool {
-	verbs := map[string]bool{
+	actions := map[string]bool{
 		actionCollectorGone: false, actionCollectorSilent: false, actionCollectorServe: false,
 	}
 	for v := range cluster.Actions {
-		verbs[v] = true
+		actions[v] = true
 	}
-	return verbs
+	return actions
 }
 
 // DefaultScenario is the scenario of a demo without another one.
-const DefaultScenario = "8s:slow:2,14s:quick:2,16s:collector-gone,20s:drain:3,24s:moved:3,28s:crash:1,33s:back:1," +
-	"36s:collector-serve"
+const DefaultScenario = "8s:slow:2,14s:quick:2,16s:collector-gone,20s:drain:3,24s:moved:3,28s:crash:1," +
+	"33s:back:1,36s:collector-serve"
 
 // demonstration is a demo that runs.
 type demonstration struct {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -20,7 +20,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := Options{Dir: dir, Engines: 3, Rate: 40, Seed: 7, Duration: 1500 * time.Millisecond, Scenario: steps}
+	options := Options{
+		Dir: dir, Engines: 3, Rate: 40, Seed: 7, Duration: 1500 * time.Millisecond, Scenario: steps,
+	}
 	var out bytes.Buffer
 	if err := Run(t.Context(), &lockedWriter{w: &out}, options); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -66,7 +66,8 @@
 		checked.Requests, checked.Outcomes[conformance.Served], checked.Outcomes[conformance.Rejected],
 		checked.Outcomes[conformance.Failed], checked.Attempts)
 	for _, r := range findings.Incarnations {
-		d.printf("the collector has %d intervals, which stand for %d of %d\n", len(r.Intervals), r.Represented, r.LastSequence)
+		d.printf("the collector has %d intervals, which stand for %d of %d\n",
+			len(r.Intervals), r.Represented, r.LastSequence)
 	}
 	d.printf("report: %s\n", d.path(reportFile))
 	violations := make([]error, 0, len(checked.Violations)+len(findings.Violations))
--- a/internal/demo/setup.go
+++ b/internal/demo/setup.go
@@ -104,7 +104,8 @@
 	if err != nil {
 		return err
 	}
-	if d.changes, err = changelogserver.New("127.0.0.1:0", d.engines.Endpoints(), d.endpointPublished); err != nil {
+	d.changes, err = changelogserver.New("127.0.0.1:0", d.engines.Endpoints(), d.endpointPublished)
+	if err != nil {
 		return err
 	}
 	figures, err := d.create(figuresFile)
--- a/internal/emulator/changelogserver/changelog.go
+++ b/internal/emulator/changelogserver/changelog.go
@@ -65,7 +65,9 @@
 
 // New returns a change log that listens at an address already and whose first event is a snapshot of the
 // list. onDelivered, if there is one, is called with each endpoint of an event whenever that is delivered.
-func New(address string, endpoints []Endpoint, onDelivered func(e Endpoint, at time.Time)) (*ChangeLog, error) {
+func New(
+	address string, endpoints []Endpoint, onDelivered func(e Endpoint, at time.Time),
+) (*ChangeLog, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("change log emulator: %w", err)
--- a/internal/emulator/changelogserver/stored_list_test.go
+++ b/internal/emulator/changelogserver/storedlist_test.go
@@ -14,13 +14,13 @@
 // A list of engines that an earlier release wrote is read, and the same list is written in the same bytes.
 func TestStoredList(t *testing.T) {
 	const golden = "testdata/engines.json"
-	hosts := []Endpoint{
+	endpoints := []Endpoint{
 		{"e1", "127.0.0.1:7001", "north", "std-8core", 2, "in_service", 100, 1750000000000},
 		{"e2", "127.0.0.1:7002", "south", "big-16core", 0, "terminating", 50, 0},
 		{"e3", "", "", "", 0, "terminated", 0, 0},
 	}
 	path := filepath.Join(t.TempDir(), "engines.json")
-	if err := WriteFile(path, hosts); err != nil {
+	if err := WriteFile(path, endpoints); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(hosts, got); diff != "" {
+	if diff := cmp.Diff(endpoints, got); diff != "" {
 		t.Errorf("read: %s", diff)
 	}
 }
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -72,7 +72,9 @@
 }
 
 // Statement returns the statement of a request, with its fields in a comment.
-func (c *Class) Statement(requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool) string {
+func (c *Class) Statement(
+	requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool,
+) string {
 	var b strings.Builder
 	workMS := float64(c.Engine.Cost(requestID)) / float64(time.Millisecond)
 	fmt.Fprintf(&b, "/* service=%s,ref=%s,allow=%d,project=%s,replay=%s,effort=%.1f,ram=%d",
--- a/internal/emulator/cluster/cluster.go
+++ b/internal/emulator/cluster/cluster.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// StartHealthy starts n engines of the chart service's size that run classes and have no faults, and a change log
-// that lists them. Each runs in g until ctx ends.
+// StartHealthy starts n engines of the chart service's size that run classes and have no faults, and a
+// change log that lists them. Each runs in g until ctx ends.
 func StartHealthy(
 	ctx context.Context, g *errgroup.Group, n int, classes []engine.Class,
 ) (*changelogserver.ChangeLog, []changelogserver.Endpoint, error) {
--- a/internal/emulator/collector/run.go
+++ b/internal/emulator/collector/incarnation.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/metrics"
 )
 
-// Incarnation is one incarnation of a broker, from its start to its end or the next start.
+// Incarnation is one life of a broker's process, from its start to its end or the next start.
 type Incarnation struct {
 	Broker    string
 	StartedMS int64 // milliseconds of Unix time
@@ -22,9 +22,9 @@
 
 // Interval is what came of one interval.
 type Interval struct {
-	Sequence      uint64 // sequence number
-	Timestamp     int64  // timestamp in seconds of Unix time
-	Arrived       time.Duration
+	Sequence      uint64
+	Timestamp     int64                                 // seconds of Unix time, as the broker says
+	Arrived       time.Duration                         // since the collector's start, of its first sample
 	Represented   uint64                                // intervals for which it stands
 	Values        map[metrics.Series]float64            // counters and gauges
 	Distributions map[metrics.Series]map[string]float64 // distributions, by statistic
@@ -33,7 +33,7 @@
 // Missing returns how many intervals were numbered for which none that came stands.
 func (r *Incarnation) Missing() int64 { return int64(r.LastSequence) - int64(r.Represented) }
 
-// Total returns a counter of the run summed over its names and parts: the last value of each of its series.
+// Total returns a counter of the incarnation summed over its names and parts: the last value of each of its series.
 func (r *Incarnation) Total(id metrics.ID) (sum float64) {
 	for _, v := range r.Totals(id) {
 		sum += v
@@ -54,7 +54,7 @@
 	return last
 }
 
-// check orders the run's intervals and checks them against the rules.
+// check orders the intervals and checks them against the rules.
 func (r *Incarnation) check(f *Findings) {
 	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	counters := map[metrics.Series]float64{}
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -117,7 +117,8 @@
 		}
 		if fig.Name != l.figure || s.Name.Broker != l.broker || s.Name.Series.Name != l.name ||
 			s.Name.Stat != l.stat || detail != l.detail ||
-			s.Name.Series.Other != l.other || s.ArrivedAfter != l.arrived || s.Value != l.value || s.Timestamp != l.at {
+			s.Name.Series.Other != l.other || s.ArrivedAfter != l.arrived ||
+			s.Value != l.value || s.Timestamp != l.at {
 			t.Errorf("%s: read %+v", l.line, s)
 		}
 	}
--- a/internal/emulator/engine/commands.go
+++ b/internal/emulator/engine/commands.go
@@ -107,7 +107,8 @@
 	values := parseFields(fields)
 	className, key := values["sort"], values["op"]
 	s.observer.AttemptReceived(Attempt{
-		Engine: s.ID, RequestID: id, Class: className, IdempotencyKey: key, Statement: statement, ReceivedAt: time.Now(),
+		Engine: s.ID, RequestID: id, Class: className, IdempotencyKey: key, Statement: statement,
+		ReceivedAt: time.Now(),
 	})
 	defer func() {
 		if s.owners[id] == nil { // it is over already
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -26,16 +26,16 @@
 }
 
 // Parse reads steps written as TIME:ACTION or TIME:ACTION:NUMBER, with commas between, in the order of
-// their times. verbs are the actions, and whether they take a number, which is from 1 to targets. Errors
+// their times. actions are the actions, and whether they take a number, which is from 1 to targets. Errors
 // quote the step.
-func Parse(text string, verbs map[string]bool, targets int) ([]Step, error) {
+func Parse(text string, actions map[string]bool, targets int) ([]Step, error) {
 	if text == "" {
 		return nil, nil
 	}
 	parts := strings.Split(text, ",")
 	steps := make([]Step, 0, len(parts))
 	for _, part := range parts {
-		step, err := parseStep(part, verbs, targets)
+		step, err := parseStep(part, actions, targets)
 		if err != nil {
 			return nil, err
 		}
@@ -47,7 +47,7 @@
 	return steps, nil
 }
 
-func parseStep(text string, verbs map[string]bool, targets int) (Step, error) {
+func parseStep(text string, actions map[string]bool, targets int) (Step, error) {
 	fields := strings.Split(text, ":")
 	if len(fields) < 2 || len(fields) > 3 {
 		return Step{}, fmt.Errorf("%q is no TIME:WHAT or TIME:WHAT:NUMBER", text)
@@ -57,9 +57,10 @@
 		return Step{}, fmt.Errorf("%q begins with no time, as 1.5s is", text)
 	}
 	step := Step{At: at, Action: fields[1]}
-	numbered, known := verbs[step.Action]
+	numbered, known := actions[step.Action]
 	if !known {
-		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Action, strings.Join(sortedNames(verbs), ", "))
+		names := strings.Join(slices.Sorted(maps.Keys(actions)), ", ")
+		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Action, names)
 	}
 	if numbered != (len(fields) == 3) {
 		return Step{}, fmt.Errorf(
@@ -74,8 +75,6 @@
 	return step, nil
 }
 
-func sortedNames(verbs map[string]bool) []string { return slices.Sorted(maps.Keys(verbs)) }
-
 // Run calls do with each step at its time, until ctx ends. An error of do names its step.
 func Run(ctx context.Context, steps []Step, do func(Step) error) error {
 	start := time.Now()
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -8,10 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var testVerbs = map[string]bool{"slow": true, "gone": false}
+var testActions = map[string]bool{"slow": true, "gone": false}
 
 func TestParse(t *testing.T) {
-	got, err := Parse("1s:gone,1.5s:slow:2,90s:gone", testVerbs, 3)
+	got, err := Parse("1s:gone,1.5s:slow:2,90s:gone", testActions, 3)
 	want := []Step{
 		{time.Second, "gone", 0},
 		{1500 * time.Millisecond, "slow", 2},
@@ -36,7 +36,7 @@
 		"2s:gone,1s:gone": "comes before",
 	} {
 		t.Run(text, func(t *testing.T) {
-			if got, err := Parse(text, testVerbs, 3); err == nil || !strings.Contains(err.Error(), want) {
+			if got, err := Parse(text, testActions, 3); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, %v, want %q", got, err, want)
 			}
 		})
