--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -18,13 +18,13 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
-	attempt := e.expect(t, "want")
+	attempt := e.expectAttempt(t)
 	s.connect(fmt.Sprintf("KILL QUERY %d", c.session)).expect("ok")
 	c.expect("1317")
 	e.expectCancel(t, attempt)
 
 	leaver := s.connect(statement("lookup", 2, longTimeout, ""))
-	attempt = e.expect(t, "want")
+	attempt = e.expectAttempt(t)
 	leaver.close()
 	e.expectCancel(t, attempt)
 }
@@ -53,7 +53,7 @@
 		answers: []string{"ok", "1153", "closed"}, reason: TooLarge,
 	},
 	"packet of a wrong number": {
-		login: loginPacket("app"), command: packetBytes(9, commandPing),
+		login: loginPacket("app"), command: packetBytes(9, mysqlPing),
 		answers: []string{"ok", "1156", "closed"}, reason: Malformed,
 	},
 	"empty packet": {
@@ -91,7 +91,7 @@
 				answers = append(answers, c.readAnswer())
 			}
 			if tt.quit {
-				c.send(packetBytes(0, commandQuit))
+				c.send(packetBytes(0, mysqlQuit))
 			}
 			answers = append(answers, c.readAnswer())
 			if diff := cmp.Diff(tt.answers, answers); diff != "" {
@@ -189,7 +189,7 @@
 				leave(s, leaver)
 				waitUntil(t, "only the second does", func() bool { return s.streamCount("e1") == 1 })
 				open()
-				attempt := e.expect(t, "want")
+				attempt := e.expectAttempt(t)
 				if attempt.requestID() != "0000000000000002" {
 					t.Fatalf("the engine got %q", attempt.words)
 				}
@@ -257,13 +257,13 @@
 			return inLoop(s, func(server *Server) bool { return server.reducer.OpenRequests() == 1 })
 		})
 		if tt.inFlight {
-			e.expect(t, "want")
+			e.expectAttempt(t)
 		}
 	}
 	c.closeWrite()
 	c.expect(tt.answers...)
 	if tt.inFlight {
-		e.expect(t, "never_mind")
+		e.expect(t, commandCancel)
 	}
 	waitUntil(t, "the session has ended", func() bool {
 		return inLoop(s, func(server *Server) bool {
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -21,11 +21,11 @@
 	e := newFakeEngine(t)
 	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, listed("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
-	e.expect(t, "want").replyOK()
+	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
 	receive(t, e.closed, "the end of an idle connection")
 	c.query(statement("lookup", 2, longTimeout, ""))
-	e.expect(t, "want").replyOK()
+	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
 }
 
@@ -147,7 +147,7 @@
 	})
 	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
-	attempt := other.expect(t, "want")
+	attempt := other.expectAttempt(t)
 	receive(t, e.closed, "the end of the idle connection")
 	s.expectEnd(e.addr, EvictedIdle)
 	attempt.replyOK()
@@ -180,7 +180,7 @@
 	}
 	conns := map[net.Conn]bool{}
 	for range clients {
-		conns[e.expect(t, "want").conn] = true
+		conns[e.expectAttempt(t).conn] = true
 	}
 	if len(conns) != clients {
 		t.Fatalf("%d attempts on %d connections", clients, len(conns))
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -16,7 +16,7 @@
 	listener        net.Listener
 	messages        chan engineMessage // that came
 	closed          chan struct{}      // one for each connection that ended
-	answeredCommand string             // a kind of probe that is answered at once and not shown to the test
+	answeredCommand command            // a probe that is answered at once and not shown to the test
 }
 
 // engineMessage is a message of the broker to an engine.
@@ -25,8 +25,13 @@
 	words []string
 }
 
+func (m engineMessage) command() command  { return command(m.words[0]) }
 func (m engineMessage) requestID() string { return m.words[1] }
 
+// fields and body are those of an attempt.
+func (m engineMessage) fields() string { return m.words[2] }
+func (m engineMessage) body() string   { return m.words[3] }
+
 // write answers with bytes. A connection that has ended takes none, which the test sees elsewhere.
 func (m engineMessage) write(answer []byte) { _, _ = m.conn.Write(answer) }
 
@@ -96,24 +101,30 @@
 	}
 }
 
-// expect returns the next message, which must be of a kind.
-func (e *fakeEngine) expect(t *testing.T, word string) engineMessage {
+// expect returns the next message, which must be of a command.
+func (e *fakeEngine) expect(t *testing.T, want command) engineMessage {
 	t.Helper()
-	m := receive(t, e.messages, word)
-	for m.words[0] == e.answeredCommand {
+	m := receive(t, e.messages, string(want))
+	for m.command() == e.answeredCommand {
 		m.reply(m.requestID(), "UP", "-", "")
-		m = receive(t, e.messages, word)
+		m = receive(t, e.messages, string(want))
 	}
-	if m.words[0] != word {
-		t.Fatalf("engine got %q, want %s", m.words, word)
+	if m.command() != want {
+		t.Fatalf("engine got %q, want %s", m.words, want)
 	}
 	return m
 }
 
+// expectAttempt returns the next message, which must start an attempt.
+func (e *fakeEngine) expectAttempt(t *testing.T) engineMessage {
+	t.Helper()
+	return e.expect(t, commandStart)
+}
+
 // expectCancel expects that an attempt is cancelled.
 func (e *fakeEngine) expectCancel(t *testing.T, attempt engineMessage) {
 	t.Helper()
-	if m := e.expect(t, "never_mind"); m.requestID() != attempt.requestID() {
+	if m := e.expect(t, commandCancel); m.requestID() != attempt.requestID() {
 		t.Fatalf("cancelled %s, want %s", m.requestID(), attempt.requestID())
 	}
 }
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -20,13 +20,13 @@
 	l.t.Helper()
 	l.requests++
 	c := l.server.connect(statement("lookup", l.requests, longTimeout, ""))
-	return c, l.engine.expect(l.t, "want")
+	return c, l.engine.expectAttempt(l.t)
 }
 
 // finish answers the retry of a request and closes its client.
 func (l *leakTest) finish(c *testClient) {
 	l.t.Helper()
-	l.engine.expect(l.t, "want").replyRows(testRow)
+	l.engine.expectAttempt(l.t).replyRows(testRow)
 	c.expect(testRows)
 	c.close()
 }
@@ -58,7 +58,7 @@
 			}
 		}
 	}()
-	l.engine.expect(l.t, "want").replyRows(testRow)
+	l.engine.expectAttempt(l.t).replyRows(testRow)
 	c.expect(testRows)
 	receive(l.t, ended, "the end of the connection")
 	c.close()
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -23,16 +23,16 @@
 	e := newFakeEngine(t)
 	withProbes := func(c *config.Config) { c.Settings.Control.Limits.LoadProbes = true }
 	s := startServerWith(t, serverOptions{configure: withProbes}, listed("e1", e))
-	e.answeredCommand = "busy"
+	e.answeredCommand = commandLoadProbe
 	a := s.connect(statement("load", 1, longTimeout, ""))
-	attempt := e.expect(t, "want")
+	attempt := e.expectAttempt(t)
 	// Both follow from the same timeout, and either may come first.
 	cancel, probe := receive(t, e.messages, "the cancellation"), receive(t, e.messages, "the probe")
-	if cancel.words[0] == "there" {
+	if cancel.command() == commandLiveness {
 		cancel, probe = probe, cancel
 	}
-	if cancel.words[0] != "never_mind" || cancel.requestID() != attempt.requestID() ||
-		probe.words[0] != "there" {
+	if cancel.command() != commandCancel || cancel.requestID() != attempt.requestID() ||
+		probe.command() != commandLiveness {
 		t.Fatalf("engine got %q and %q", cancel.words, probe.words)
 	}
 	if alive {
@@ -40,7 +40,7 @@
 	} else {
 		receive(t, e.closed, "the end of the silent connection")
 	}
-	retry := e.expect(t, "want")
+	retry := e.expectAttempt(t)
 	if retry.requestID() != attempt.requestID() || retry.conn == attempt.conn {
 		t.Fatal("the cancelled attempt was not retried on a new connection")
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	b := s.connect(statement("load", 3, longTimeout, ""))
-	e.expect(t, "want").replyRows(testRow)
+	e.expectAttempt(t).replyRows(testRow)
 	b.expect(testRows)
 }
 
@@ -61,12 +61,12 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	a := s.connect(statement("lookup", 1, silenceThreshold+200*time.Millisecond, ""))
-	first := e.expect(t, "want")
+	first := e.expectAttempt(t)
 	a.expect("1226")
 	e.expectCancel(t, first)
 	receive(t, e.closed, "the end of the silent connection")
 	s.expectEnd(e.addr, Retired)
-	if second := s.serveOn(e, 2); second.conn == first.conn { // and no "there" came before
+	if second := s.serveOn(e, 2); second.conn == first.conn { // and no liveness probe came before
 		t.Fatal("the silent connection was used again")
 	}
 }
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -55,7 +55,7 @@
 	meter := recordingMeter{events: make(chan string, 100)}
 	s := startServerWith(t, serverOptions{meter: meter}, listed("e1", e))
 	c := s.connect(statement("lookup", 7, longTimeout, ""))
-	attempt := e.expect(t, "want")
+	attempt := e.expectAttempt(t)
 	attempt.replyRows(testRow)
 	c.expect(testRows)
 	meter.expect(t, "accepted lookup", "ended lookup")
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -15,15 +15,15 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	c := s.connect(statement("lookup", 7, longTimeout, ""))
-	attempt := e.expect(t, "want")
-	fields, body := attempt.words[2], attempt.words[3]
-	if attempt.requestID() != "0000000000000007" || body != "SELECT a FROM s_1.t" ||
-		!strings.HasPrefix(fields, "sort=lookup,patience=1") || !strings.Contains(fields, ",op=op7") {
+	attempt := e.expectAttempt(t)
+	if attempt.requestID() != "0000000000000007" || attempt.body() != "SELECT a FROM s_1.t" ||
+		!strings.HasPrefix(attempt.fields(), "sort=lookup,patience=1") ||
+		!strings.Contains(attempt.fields(), ",op=op7") {
 		t.Fatalf("engine got %q", attempt.words)
 	}
 	attempt.reply(attempt.requestID(), "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n")
 	for range 2 {
-		e.expect(t, "turn")
+		e.expect(t, commandFetchPage)
 	}
 	attempt.reply(attempt.requestID(), "ROWS", "sheet=2", "7\t8\t9\n")
 	attempt.reply(attempt.requestID(), "ROWS", "sheet=1", "4\t\t6\n")
@@ -36,7 +36,7 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	c := s.connect(statement("lookup", 1, 300*time.Millisecond, ""))
-	attempt := e.expect(t, "want")
+	attempt := e.expectAttempt(t)
 	c.expect("1226")
 	e.expectCancel(t, attempt)
 }
@@ -67,7 +67,7 @@
 			tt.end(attempt)
 			if tt.retried {
 				retry := receive(t, messages, "another attempt")
-				if retry.requestID() != attempt.requestID() || !strings.Contains(retry.words[2], "op=op1") {
+				if retry.requestID() != attempt.requestID() || !strings.Contains(retry.fields(), "op=op1") {
 					t.Fatalf("got %q", retry.words)
 				}
 				retry.replyOK()
@@ -111,7 +111,7 @@
 	e, other := newFakeEngine(t), newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
-	attempt := e.expect(t, "want")
+	attempt := e.expectAttempt(t)
 	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
 	for i := range 5 {
 		s.serveOn(other, 10+i)
@@ -130,7 +130,7 @@
 	}
 	s.publish(pageJSON(4, false, endpointJSON("e2", other.addr, "terminated", 0),
 		endpointJSON("e3", e.addr, "terminated", 0), listed("e4", e)), 4)
-	retry := e.expect(t, "want") // its attempt was lost with the engine
+	retry := e.expectAttempt(t) // its attempt was lost with the engine
 	if retry.requestID() != attempt.requestID() {
 		t.Fatalf("got %q", retry.words)
 	}
@@ -142,7 +142,7 @@
 func (s *testServer) serveOn(e *fakeEngine, number int) engineMessage {
 	s.t.Helper()
 	c := s.connect(statement("lookup", number, longTimeout, ""))
-	attempt := e.expect(s.t, "want")
+	attempt := e.expectAttempt(s.t)
 	attempt.replyOK()
 	c.expect("rows ")
 	return attempt
@@ -164,7 +164,7 @@
 	}
 	attempts := 0
 	for len(e.messages) > 0 {
-		if m := <-e.messages; m.words[0] == "want" {
+		if m := <-e.messages; m.command() == commandStart {
 			attempts++
 		}
 	}
@@ -180,10 +180,10 @@
 	s := startServer(t, listed("e1", e))
 	const key = "7f3a9c21e0b4d655"
 	a := s.connect(statement("load", 1, longTimeout, key))
-	first := e.expect(t, "want")
+	first := e.expectAttempt(t)
 	b := s.connect(statement("load", 2, longTimeout, key))
 	c := s.connect(statement("lookup", 3, longTimeout, "")) // accepted after it, and sent while that waits
-	other := e.expect(t, "want")
+	other := e.expectAttempt(t)
 	if other.requestID() != fmt.Sprintf("%016x", 3) {
 		t.Fatalf("%s was sent while its key was busy", other.requestID())
 	}
@@ -191,7 +191,7 @@
 	c.expect("rows ")
 	first.replyOK()
 	a.expect("rows ")
-	e.expect(t, "want").replyOK()
+	e.expectAttempt(t).replyOK()
 	b.expect("rows ")
 }
 
@@ -235,12 +235,12 @@
 			e := newFakeEngine(t)
 			s := startServer(t, listed("e1", e))
 			a := s.connect(statement("lookup", 1, longTimeout, ""))
-			attempt := e.expect(t, "want")
+			attempt := e.expectAttempt(t)
 			bornMS := time.Now().Add(tt.startedAfter).UnixMilli()
 			s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "in_service", bornMS)), 2)
 			if !tt.kept {
 				receive(t, e.closed, "the end of the old process's connection")
-				attempt = e.expect(t, "want")
+				attempt = e.expectAttempt(t)
 			}
 			attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n")
 			a.expect("rows x|y|z|")
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -14,10 +14,10 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
-	first := e.expect(t, "want")
+	first := e.expectAttempt(t)
 	close(s.stopSignal)
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
-	second := e.expect(t, "want")
+	second := e.expectAttempt(t)
 	first.replyOK()
 	second.replyOK()
 	a.expect("rows ")
@@ -41,7 +41,7 @@
 	s.endAcceptWindow()
 	close(hold)
 	for range clients {
-		e.expect(t, "want").replyOK()
+		e.expectAttempt(t).replyOK()
 	}
 	for _, c := range clients {
 		c.readPacket() // the greeting
@@ -76,7 +76,7 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
-	e.expect(t, "want").replyOK()
+	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
 	s.endAcceptWindow()
 	c.expect("closed")
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -17,9 +17,9 @@
 
 // Commands of the MySQL protocol.
 const (
-	commandQuit  = "\x01"
-	commandQuery = "\x03"
-	commandPing  = "\x0e"
+	mysqlQuit  = "\x01"
+	mysqlQuery = "\x03"
+	mysqlPing  = "\x0e"
 )
 
 // testClient is a MySQL client.
@@ -47,7 +47,7 @@
 }
 
 // queryPacket is the command for a statement.
-func queryPacket(text string) []byte { return packetBytes(0, commandQuery+text) }
+func queryPacket(text string) []byte { return packetBytes(0, mysqlQuery+text) }
 
 // statement is the text of a request; its id is made of a number.
 func statement(class string, n int, timeout time.Duration, orderKey string) string {
@@ -182,6 +182,6 @@
 // ping expects the answer to a ping, so that nothing else was sent before it.
 func (c *testClient) ping() {
 	c.t.Helper()
-	c.send(packetBytes(0, commandPing))
+	c.send(packetBytes(0, mysqlPing))
 	c.expect("ok")
 }
