--- a/cmd/adapter/host_test.go
+++ b/cmd/adapter/host_test.go
@@ -66,8 +66,10 @@
 	const begun = "CLOCK SimTimeNs=1\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown instance": {begun + "SWITCH_TO Who=9\nWAKE Mark=1\nGO\n", "instance 9"},
-		"no classes":       {begun + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes"},
-		"unknown message":  {begun + "NONSENSE\n", "unknown message"},
+		"no classes": {
+			begun + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes",
+		},
+		"unknown message": {begun + "NONSENSE\n", "unknown message"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := run(strings.NewReader(c.text), io.Discard)
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -34,9 +34,11 @@
 	for name, c := range map[string]struct{ text, key string }{
 		"unknown state": {fmt.Sprintf(pageWithHealth, "ill"), "results[0].fleet.hosts[0].health"},
 		"no id":         {`{"results":[{"fleet":{"hosts":[{"health":"in_service"}]}}]}`, "hosts[0].host"},
-		"no address":    {`{"results":[{"fleet":{"hosts":[{"host":"a","health":"in_service"}]}}]}`, "hosts[0].dial"},
-		"another type":  {`{"results":7}`, "results"},
-		"no JSON":       {`{`, "page"},
+		"no address": {
+			`{"results":[{"fleet":{"hosts":[{"host":"a","health":"in_service"}]}}]}`, "hosts[0].dial",
+		},
+		"another type": {`{"results":7}`, "results"},
+		"no JSON":      {`{`, "page"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParsePage([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.key) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	return Load(func(key string) string {
-		if key == envConfig {
+		if key == "RELAY_CONFIG" {
 			return path
 		}
 		return env[key]
@@ -44,7 +44,7 @@
 		"in environment": {validFile, "127.0.0.4:7001", "127.0.0.4:7001"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg, err := load(t, c.text, map[string]string{envAdminListen: c.env})
+			cfg, err := load(t, c.text, map[string]string{"RELAY_OPERATOR": c.env})
 			if err != nil || cfg.AdminListen != c.want {
 				t.Errorf("got %q, %v, want %q", cfg.AdminListen, err, c.want)
 			}
@@ -80,7 +80,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, validFile, map[string]string{envName: "n4"})
+	c, err := load(t, validFile, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,8 @@
 			}
 		})
 	}
-	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), envConfig) {
+	_, err := Load(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("got %v without a file", err)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -131,22 +131,23 @@
 		if err := os.WriteFile(path, changed, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Load(func(key string) string { return map[string]string{"RELAY_CONFIG": path, "TMPDIR": "/tmp"}[key] })
+		env := map[string]string{"RELAY_CONFIG": path, "TMPDIR": "/tmp"}
+		c, err := Load(func(key string) string { return env[key] })
 		if err != nil {
 			return []string{"rejected"}
 		}
-		c.Keys = nil // of them TestParsedValues tells
+		c.Keys = nil // TestParsedValues covers them
 		return values(reflect.ValueOf(c))
 	}
 	var doc any
 	if err := json.Unmarshal(text, &doc); err != nil {
 		t.Fatal(err)
 	}
-	whole := parsed(doc)
+	complete := parsed(doc)
 	var out strings.Builder
 	without(doc, "", func(key string) {
 		fmt.Fprintf(&out, "without %s:\n", key)
-		for _, line := range differences(whole, parsed(doc)) {
+		for _, line := range differences(complete, parsed(doc)) {
 			fmt.Fprintf(&out, "\t%s\n", line)
 		}
 	})
@@ -269,7 +270,8 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Load(func(key string) string { return map[string]string{"RELAY_CONFIG": file, "TMPDIR": "/tmp"}[key] })
+	env := map[string]string{"RELAY_CONFIG": file, "TMPDIR": "/tmp"}
+	c, err := Load(func(key string) string { return env[key] })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -50,10 +50,14 @@
 		"a class more": {
 			change{`{"Name":"a",`, `{"Name":"b","Effect":"once","GiveUpNs":3000000000},{"Name":"a",`}, "",
 		},
-		"fewer attempts":    {change{`"MaxAttempts":3`, `"MaxAttempts":1`}, ""},
-		"attempts 0":        {change{`"MaxAttempts":3`, `"MaxAttempts":0`}, "settings.Limits.MaxAttempts" + notOver0},
-		"attempts missing":  {change{`"MaxAttempts":3`, `"MaxStreams":3`}, "settings.Limits.MaxAttempts" + missing},
-		"client timeout 0":  {change{`"GiveUpNs":2000000000`, `"GiveUpNs":0`}, "settings.RequestClasses[0].GiveUpNs" + notOver0},
+		"fewer attempts": {change{`"MaxAttempts":3`, `"MaxAttempts":1`}, ""},
+		"attempts 0": {
+			change{`"MaxAttempts":3`, `"MaxAttempts":0`}, "settings.Limits.MaxAttempts" + notOver0,
+		},
+		"attempts missing": {change{`"MaxAttempts":3`, `"MaxStreams":3`}, "settings.Limits.MaxAttempts" + missing},
+		"client timeout 0": {
+			change{`"GiveUpNs":2000000000`, `"GiveUpNs":0`}, "settings.RequestClasses[0].GiveUpNs" + notOver0,
+		},
 		"endpoints missing": {change{`"known"`, `"unknown"`}, "known" + missing},
 		"no classes": {
 			change{`[{"Name":"a","Effect":"repeatable","GiveUpNs":2000000000}]`, `[]`},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,7 +18,7 @@
 	ConnIdleTimeout  time.Duration // engines close connections that are idle for so long
 	MaxStreams       int           // attempts that share a connection
 	MaxClientTimeout time.Duration // the longest of all classes
-	DrainGrace       time.Duration // how long after the notice sends to a draining engine may leave; 0: not given
+	DrainGrace       time.Duration // sends to a draining engine must leave within this; 0: not given
 }
 
 // Defaults of settings that a broker on real sockets needs and a deployment may leave out.
--- a/internal/mysql/handshake_test.go
+++ b/internal/mysql/handshake_test.go
@@ -21,12 +21,18 @@
 		err     error
 	}{
 		"with database": {
-			loginPayload(protocol41|secureConnection|connectWithDB, "app\x00\x00main\x00"), Login{"app", "main", false}, nil,
+			loginPayload(protocol41|secureConnection|connectWithDB, "app\x00\x00main\x00"),
+			Login{"app", "main", false},
+			nil,
+		},
+		"without": {loginPayload(protocol41|secureConnection, "app\x00\x00"), Login{User: "app"}, nil},
+		"with plugin": {
+			loginPayload(pluginFlags, "app\x00\x00main\x00x\x00"), Login{"app", "main", false}, nil,
+		},
+		"old password": {loginPayload(protocol41, "app\x00pw\x00"), Login{"app", "", true}, nil},
+		"password": {
+			loginPayload(protocol41|secureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil,
 		},
-		"without":          {loginPayload(protocol41|secureConnection, "app\x00\x00"), Login{User: "app"}, nil},
-		"with plugin":      {loginPayload(pluginFlags, "app\x00\x00main\x00x\x00"), Login{"app", "main", false}, nil},
-		"old password":     {loginPayload(protocol41, "app\x00pw\x00"), Login{"app", "", true}, nil},
-		"password":         {loginPayload(protocol41|secureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil},
 		"cut password":     {loginPayload(protocol41|secureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
 		"user without end": {loginPayload(protocol41, "app"), Login{}, ErrHandshake},
 		"old protocol":     {loginPayload(0, "app\x00\x00"), Login{}, ErrHandshake},
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -16,8 +16,8 @@
 		faultyName string
 	}{
 		"all fields": {
-			text: "/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1,replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211," +
-				"effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ INSERT INTO sales_17.orders VALUES (1)",
+			text: "/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1," +
+				"replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ INSERT INTO sales_17.orders VALUES (1)",
 			want: Statement{
 				Class: "load", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Tenant: "acme",
 				IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", OrderKey: "7f3a9c21e0b4d655",
@@ -29,16 +29,18 @@
 			text: requiredFields + ",new=1*/\n SELECT 1",
 			want: Statement{Class: "report", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Text: "SELECT 1"},
 		},
-		"no comment":       {text: "SELECT 1", faultyName: "service"},
-		"open comment":     {text: requiredFields + " SELECT 1", faultyName: "service"},
-		"no statement":     {text: requiredFields + " */ ", faultyName: "service"},
-		"no value":         {text: requiredFields + ",dup */ SELECT 1", faultyName: `"dup"`},
-		"no class":         {text: "/* ref=9b1f03aa5c7e2d41,allow=1 */ SELECT 1", faultyName: "service"},
-		"no id":            {text: "/* service=a,allow=1 */ SELECT 1", faultyName: "ref"},
-		"short id":         {text: "/* service=a,ref=9b1f,allow=1 */ SELECT 1", faultyName: "ref"},
-		"no timeout":       {text: "/* service=a,ref=9b1f03aa5c7e2d41 */ SELECT 1", faultyName: "allow"},
-		"timeout of 0":     {text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=0 */ SELECT 1", faultyName: "allow"},
-		"endless timeout":  {text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=99999999999 */ SELECT 1", faultyName: "allow"},
+		"no comment":   {text: "SELECT 1", faultyName: "service"},
+		"open comment": {text: requiredFields + " SELECT 1", faultyName: "service"},
+		"no statement": {text: requiredFields + " */ ", faultyName: "service"},
+		"no value":     {text: requiredFields + ",dup */ SELECT 1", faultyName: `"dup"`},
+		"no class":     {text: "/* ref=9b1f03aa5c7e2d41,allow=1 */ SELECT 1", faultyName: "service"},
+		"no id":        {text: "/* service=a,allow=1 */ SELECT 1", faultyName: "ref"},
+		"short id":     {text: "/* service=a,ref=9b1f,allow=1 */ SELECT 1", faultyName: "ref"},
+		"no timeout":   {text: "/* service=a,ref=9b1f03aa5c7e2d41 */ SELECT 1", faultyName: "allow"},
+		"timeout of 0": {text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=0 */ SELECT 1", faultyName: "allow"},
+		"endless timeout": {
+			text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=99999999999 */ SELECT 1", faultyName: "allow",
+		},
 		"work no number":   {text: requiredFields + ",effort=NaN */ SELECT 1", faultyName: "effort"},
 		"memory below 0":   {text: requiredFields + ",ram=-1 */ SELECT 1", faultyName: "ram"},
 		"order key no hex": {text: requiredFields + ",lookup=xyz */ SELECT 1", faultyName: "lookup"},
--- a/internal/resp/answer_test.go
+++ b/internal/resp/answer_test.go
@@ -24,7 +24,9 @@
 			parts: []string{"7", "ROWS", "sheet=2", "x"},
 			want:  Answer{RequestID: "7", Word: Rows, PageCount: 1, Page: 2, Body: []byte("x")},
 		},
-		"no fields":      {parts: []string{"7", "VOID", "-"}, want: Answer{RequestID: "7", Word: Void, PageCount: 1}},
+		"no fields": {
+			parts: []string{"7", "VOID", "-"}, want: Answer{RequestID: "7", Word: Void, PageCount: 1},
+		},
 		"short":          {parts: []string{"7", "BUSY"}, want: Answer{RequestID: "7", Word: Busy, PageCount: 1}},
 		"one part":       {parts: []string{"7"}, err: ErrMalformed},
 		"unknown word":   {parts: []string{"7", "WHAT", "-", ""}, err: ErrMalformed},
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -60,7 +60,9 @@
 		{ID: "10.18.74.7:11203", Zone: "room-a", Kind: "std-16", Cell: 4},
 		{ID: "b:1", Zone: "room-b", Kind: "std-16", State: control.Draining, StartedAt: 6100000000},
 	}},
-	control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{{ID: "b:1", State: control.Removed}}},
+	control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{
+		{ID: "b:1", State: control.Removed},
+	}},
 	control.EndpointUpdate{Kind: control.EndpointPollFailed},
 	control.RequestReceived{Request: control.Request{
 		ID: "rq_b", Class: "lookup", Tenant: "alpen", OrderKey: "91f03b7c55d20a64", DataSet: 11, Deadline: 9,
@@ -69,11 +71,13 @@
 	control.RequestReceived{Request: control.Request{ID: "rq_c", Class: "lookup", Deadline: 9}},
 	control.ClientDisconnected{RequestID: "rq_a"},
 	control.ResponseStarted{RequestID: "rq_b"},
-	control.AttemptProgress{RequestID: "rq_b", Number: 1, Engine: "b:1", Kind: control.ProgressFraction, Value: 0.5},
+	control.AttemptProgress{
+		RequestID: "rq_b", Number: 1, Engine: "b:1", Kind: control.ProgressFraction, Value: 0.5,
+	},
 	control.ProbeResult{Engine: "b:1", Duration: 14, Report: []float64{0.62, 3}},
 	control.AttemptEnded{
-		RequestID: "rq_b", Number: 2, Engine: "b:1", Duration: 185, RequestClosed: true, Work: 17 * time.Millisecond,
-		MemoryMB: 384, Report: []float64{0.62, 3, 1.25, 0.4},
+		RequestID: "rq_b", Number: 2, Engine: "b:1", Duration: 185, RequestClosed: true,
+		Work: 17 * time.Millisecond, MemoryMB: 384, Report: []float64{0.62, 3, 1.25, 0.4},
 	},
 	control.TimerFired{Token: 77},
 }
@@ -114,12 +118,12 @@
 	}
 	settings := create.Settings
 	lookup, load := settings.Classes[0], settings.Classes[1]
-	if lookup.LatencyObjective != 600*time.Millisecond || !lookup.Ordered || lookup.AllowedZones[0] != "room-a" ||
-		!lookup.BlockedByDataSetLock {
+	if lookup.LatencyObjective != 600*time.Millisecond || !lookup.Ordered ||
+		lookup.AllowedZones[0] != "room-a" || !lookup.BlockedByDataSetLock {
 		t.Errorf("lookup %+v", lookup)
 	}
-	if load.Idempotency != control.IdempotentWithKey || load.DedupScope != control.DedupScopeCell || load.Threads != 4 ||
-		!load.HoldsDataSetLock || load.AllowedKinds[0] != "std-16" {
+	if load.Idempotency != control.IdempotentWithKey || load.DedupScope != control.DedupScopeCell ||
+		load.Threads != 4 || !load.HoldsDataSetLock || load.AllowedKinds[0] != "std-16" {
 		t.Errorf("load %+v", load)
 	}
 	if kind := settings.EngineKinds["std-16"]; !settings.PollEndpointList ||
@@ -146,19 +150,22 @@
 func TestMalformedInputIsReportedWithItsLine(t *testing.T) {
 	const begun = "CLOCK SimTimeNs=1\nSWITCH_TO Who=1\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"no clock":         {"GO\n", "line 1: expected CLOCK"},
-		"no time":          {"CLOCK\nGO\n", "SimTimeNs is missing"},
-		"time no number":   {"CLOCK SimTimeNs=x\nGO\n", "not a whole number"},
-		"no end":           {"CLOCK SimTimeNs=1\n", "GO is missing"},
-		"half a line":      {"CLOCK SimTimeNs=1\nGO", "has no end"},
-		"unknown message":  {"CLOCK SimTimeNs=1\nHELLO A=1\n", "line 2: unknown message"},
-		"no instance":      {"CLOCK SimTimeNs=1\nWAKE Mark=1\n", "before any SWITCH_TO"},
-		"field no value":   {begun + "WAKE Mark\n", "not a name=value pair"},
-		"unknown list":     {begun + "DISCOVERY Sheet=4 Kind=full\n", "no SHEET 4"},
-		"unknown status":   {begun + "ANSWER Rid=a Reason=odd\n", "unknown Reason"},
-		"no request id":    {begun + "INGRESS Profile=a DropDeadNs=1\n", "Rid is missing"},
-		"list cut off":     {"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nGO\n", "expected ROW"},
-		"unknown state":    {"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nROW Executor=a Availability=maybe\n", "unknown Availability"},
+		"no clock":        {"GO\n", "line 1: expected CLOCK"},
+		"no time":         {"CLOCK\nGO\n", "SimTimeNs is missing"},
+		"time no number":  {"CLOCK SimTimeNs=x\nGO\n", "not a whole number"},
+		"no end":          {"CLOCK SimTimeNs=1\n", "GO is missing"},
+		"half a line":     {"CLOCK SimTimeNs=1\nGO", "has no end"},
+		"unknown message": {"CLOCK SimTimeNs=1\nHELLO A=1\n", "line 2: unknown message"},
+		"no instance":     {"CLOCK SimTimeNs=1\nWAKE Mark=1\n", "before any SWITCH_TO"},
+		"field no value":  {begun + "WAKE Mark\n", "not a name=value pair"},
+		"unknown list":    {begun + "DISCOVERY Sheet=4 Kind=full\n", "no SHEET 4"},
+		"unknown status":  {begun + "ANSWER Rid=a Reason=odd\n", "unknown Reason"},
+		"no request id":   {begun + "INGRESS Profile=a DropDeadNs=1\n", "Rid is missing"},
+		"list cut off":    {"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nGO\n", "expected ROW"},
+		"unknown state": {
+			"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nROW Executor=a Availability=maybe\n",
+			"unknown Availability",
+		},
 		"datagram no hex":  {begun + "NEIGHBOUR_SAYS SrcPeer=1 Octets=7\n", "Octets"},
 		"settings no JSON": {begun + "CREATE RngSeed=1 ProfileData={\n", "settings"},
 	} {
