--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"go.uber.org/zap"
 
@@ -10,33 +11,42 @@
 	"wheatlane/internal/handover"
 )
 
-// SetMaintenance puts an engine into maintenance mode, or ends that. listed reports whether the engine was
-// ever listed; done is false if ctx ended before the loop took the change.
-func (s *Server) SetMaintenance(ctx context.Context, id string, enabled bool) (listed, done bool) {
-	result := make(chan bool, 1)
-	if !s.post(ctx, func() { result <- s.applyMaintenance(id, enabled) }) {
-		return false, false
+// ErrNotListed is the error of maintenance of an engine that was never in the endpoint list.
+var ErrNotListed = errors.New("server: the engine was never listed")
+
+// StartMaintenance puts an engine into maintenance mode. The error is ErrNotListed, or that of ctx if it ended
+// before the loop took the change.
+func (s *Server) StartMaintenance(ctx context.Context, id string) error {
+	return s.changeMaintenance(ctx, id, broker.StartMaintenance{Engine: id})
+}
+
+// EndMaintenance ends the maintenance mode of an engine; its errors are those of StartMaintenance.
+func (s *Server) EndMaintenance(ctx context.Context, id string) error {
+	return s.changeMaintenance(ctx, id, broker.EndMaintenance{Engine: id})
+}
+
+// changeMaintenance gives the reducer an event about an engine, in the loop, and waits for that.
+func (s *Server) changeMaintenance(ctx context.Context, id string, change broker.Event) error {
+	result := make(chan error, 1)
+	if !s.post(ctx, func() { result <- s.applyMaintenance(id, change) }) {
+		return ctx.Err()
 	}
 	select {
-	case listed = <-result:
-		return listed, true
+	case err := <-result:
+		return err
 	case <-ctx.Done():
-		return false, false
+		return ctx.Err()
 	}
 }
 
-// applyMaintenance does SetMaintenance's part in the loop.
-func (s *Server) applyMaintenance(id string, enabled bool) (listed bool) {
+// applyMaintenance does changeMaintenance's part in the loop.
+func (s *Server) applyMaintenance(id string, change broker.Event) error {
 	if !s.reducer.EverListed(id) {
-		return false
-	}
-	if enabled {
-		s.apply(broker.StartMaintenance{Engine: id})
-	} else {
-		s.apply(broker.EndMaintenance{Engine: id})
+		return fmt.Errorf("%w: %s", ErrNotListed, id)
 	}
+	s.apply(change)
 	s.writeHandover()
-	return true
+	return nil
 }
 
 // writeHandover writes the engines in maintenance mode for the next process.
--- a/internal/server/maintenance_test.go
+++ b/internal/server/maintenance_test.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"context"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -11,11 +13,11 @@
 	"wheatlane/internal/handover"
 )
 
-// setMaintenance changes the maintenance mode of an engine and expects whether it was ever listed.
-func (s *testServer) setMaintenance(id string, enabled, wantListed bool) {
+// startMaintenance puts an engine into maintenance mode.
+func (s *testServer) startMaintenance(id string) {
 	s.t.Helper()
-	if listed, done := s.server.SetMaintenance(s.t.Context(), id, enabled); listed != wantListed || !done {
-		s.t.Fatalf("%s: listed %v, done %v", id, listed, done)
+	if err := s.server.StartMaintenance(s.t.Context(), id); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
@@ -24,8 +26,14 @@
 func TestMaintenanceOnSockets(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
 	s := startServer(t, listed("e1", e), listed("e2", other))
-	s.setMaintenance("e1", true, true)
-	s.setMaintenance("e9", true, false)
+	s.startMaintenance("e1")
+	for name, change := range map[string]func(context.Context, string) error{
+		"start": s.server.StartMaintenance, "end": s.server.EndMaintenance,
+	} {
+		if err := change(t.Context(), "e9"); !errors.Is(err, ErrNotListed) {
+			t.Fatalf("%s of an engine that was never listed: %v", name, err)
+		}
+	}
 	for i := range 6 {
 		s.serveOn(other, 10+i)
 	}
@@ -34,7 +42,9 @@
 		t.Fatalf("the engine in maintenance mode got %q", m.words)
 	default:
 	}
-	s.setMaintenance("e1", false, true)
+	if err := s.server.EndMaintenance(t.Context(), "e1"); err != nil {
+		t.Fatal(err)
+	}
 }
 
 // The maintenance mode of engines holds in the next process that starts where the one before wrote it, and
@@ -45,7 +55,7 @@
 	endpoints := []string{listed("e1", e), listed("e2", other)}
 	previous := startServer(t, endpoints...)
 	previous.server.cfg.HandoverPath = dir
-	previous.setMaintenance("e1", true, true)
+	previous.startMaintenance("e1")
 
 	s := startServer(t, endpoints...)
 	s.server.cfg.HandoverPath = dir
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 
 	"wheatlane/internal/adminapi"
 	"wheatlane/internal/broker"
@@ -30,20 +31,21 @@
 }
 
 func (c adminCalls) StartMaintenance(ctx context.Context, id string) error {
-	return maintenanceError(c.s.Server.SetMaintenance(ctx, id, true))
+	return maintenanceError(c.s.Server.StartMaintenance(ctx, id))
 }
 
 func (c adminCalls) EndMaintenance(ctx context.Context, id string) error {
-	return maintenanceError(c.s.Server.SetMaintenance(ctx, id, false))
+	return maintenanceError(c.s.Server.EndMaintenance(ctx, id))
 }
 
-// maintenanceError is the error of a change of an engine's maintenance mode, or nil.
-func maintenanceError(listed, done bool) error {
+// maintenanceError translates an error of the server into one of the admin endpoint: what was not applied in
+// time is ErrBusy.
+func maintenanceError(err error) error {
 	switch {
-	case !done:
-		return adminapi.ErrBusy
-	case !listed:
+	case err == nil:
+		return nil
+	case errors.Is(err, server.ErrNotListed):
 		return adminapi.ErrNotListed
 	}
-	return nil
+	return adminapi.ErrBusy
 }
