--- /dev/null
+++ b/internal/server/scriptedloop_test.go
@@ -0,0 +1,64 @@
+package server
+
+import (
+	"testing"
+	"time"
+)
+
+// untilFar is longer than any test.
+const untilFar = time.Hour
+
+// freshMeter keeps the connections to engines from ever counting as silent. The loop calls LoopLag ahead of
+// each round, on its own goroutine, so no check of liveness can come between.
+type freshMeter struct {
+	Meter
+	pool *enginePool
+}
+
+func (m freshMeter) LoopLag(d time.Duration) {
+	m.Meter.LoopLag(d)
+	for _, conns := range m.pool.connsByEngine {
+		for _, c := range conns {
+			c.lastReceived = time.Now().Add(untilFar)
+			c.lastUsed = c.lastReceived
+		}
+	}
+}
+
+// KeepConnectionsFresh has a running broker take no connection to an engine for dead or idle, nor give one up
+// while it is established, however long the other end or this process stands still.
+func KeepConnectionsFresh(s *Server) {
+	s.inbox <- func() {
+		s.meter = freshMeter{s.meter, &s.pool}
+		s.cfg.Settings.ConnectTimeout = untilFar
+	}
+}
+
+// HeldLoop is the loop of a broker that stands still, so that no timer expires while what came to the
+// sockets gathers in its inbox. All of that is applied in its order, ahead of the next round.
+type HeldLoop struct {
+	t        *testing.T
+	server   *Server
+	released chan struct{}
+}
+
+// HoldLoop holds the loop of a broker until Release.
+func HoldLoop(t *testing.T, s *Server) *HeldLoop {
+	t.Helper()
+	held, h := make(chan struct{}), &HeldLoop{t, s, make(chan struct{})}
+	s.inbox <- func() {
+		close(held)
+		<-h.released
+	}
+	receive(t, held, "the loop")
+	return h
+}
+
+// WaitForEvents waits until the inbox holds a number of events.
+func (h *HeldLoop) WaitForEvents(count int) {
+	h.t.Helper()
+	waitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.inbox) >= count })
+}
+
+// Release lets the loop go on.
+func (h *HeldLoop) Release() { close(h.released) }
