--- a/internal/cardinality/escape.go
+++ b/internal/cardinality/escape.go
@@ -18,12 +18,12 @@
 // ErrEscape is returned for a text that Escape never makes.
 var ErrEscape = errors.New("cardinality: not an escaped name")
 
-// isSafe tells whether a byte means nothing to Graphite, collectd or a shell.
+// isSafe reports whether a byte means nothing to Graphite, collectd or a shell.
 func isSafe(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-'
 }
 
-// Admissible tells whether a name can have series of its own.
+// Admissible reports whether a name can have series of its own.
 func Admissible(name string) bool {
 	if len(name) > maxNameBytes {
 		return false
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -117,7 +117,7 @@
 
 func (q *queue) overBudget() bool { return q.heldBytes() > q.memoryBudget }
 
-// unchangeable tells whether records of an interval were sent, or are being sent: their numbers count in the
+// unchangeable reports whether records of an interval were sent, or are being sent: their numbers count in the
 // interval as it is.
 func (q *queue) unchangeable(it *queuedInterval) bool { return it == q.writing || it.recordsSent > 0 }
 
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,14 +15,14 @@
 func TestStoredFile(t *testing.T) {
 	for _, c := range []struct {
 		file, broker string
-		bans         []string
+		engines      []string
 	}{
 		{"two-engines", "n3", []string{"e1", "engine 7\"é"}},
 		{"none", "broker of ours", nil},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			path := filepath.Join("testdata", c.file)
-			written := Encode(State{Broker: c.broker, MaintenanceEngines: c.bans})
+			written := Encode(State{Broker: c.broker, MaintenanceEngines: c.engines})
 			if *update {
 				if err := os.WriteFile(path, written, 0o600); err != nil {
 					t.Fatal(err)
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Broker != c.broker || !cmp.Equal(got.MaintenanceEngines, c.bans) {
+			if got.Broker != c.broker || !cmp.Equal(got.MaintenanceEngines, c.engines) {
 				t.Errorf("read: %q, %q", got.Broker, got.MaintenanceEngines)
 			}
 		})
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// reported tells whether a gauge was set, or a counter has counted. A counter of a single series is always
+// reported reports whether a gauge was set, or a counter has counted. A counter of a single series is always
 // reported; of many series each is from when it has counted: a series that is new in a collector began at
 // zero.
 func (r *Registry) reported(id ID, slot, part int) bool {
--- a/internal/telemetry/acks.go
+++ b/internal/telemetry/acks.go
@@ -27,7 +27,7 @@
 	a.pending = append(a.pending, p)
 }
 
-// outstanding tells whether anything is not acknowledged yet.
+// outstanding reports whether anything is not acknowledged yet.
 func (a *ackTracker) outstanding() bool { return len(a.pending) > 0 }
 
 // acknowledge records that the bytes before an offset are acknowledged.
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/rig_test.go
@@ -295,12 +295,12 @@
 	return f
 }
 
-// complete tells whether a collector has every interval that it knows of.
+// complete reports whether a collector has every interval that it knows of.
 func complete(f *collector.Findings) bool {
 	return len(f.Incarnations) == 1 && f.Incarnations[0].Missing() == 0 && f.Incomplete == 0
 }
 
-// completeTo tells whether a collector has every interval up to the last.
+// completeTo reports whether a collector has every interval up to the last.
 func completeTo(last uint64) func(*collector.Findings) bool {
 	return func(f *collector.Findings) bool { return complete(f) && f.Incarnations[0].LastSequence == last }
 }
