--- a/control/attempts.go
+++ b/control/attempts.go
@@ -43,7 +43,7 @@
 		needed := r.EstimatedMemoryMB * r.class.memoryQuantile
 		options.GrantMB = math.Ceil(min(needed, c.settings.MaxGrantFraction*e.memoryMB))
 	}
-	if c.settings.Priorities && r.classIndex == c.workload.mostValuable {
+	if c.settings.Priorities && r.classIndex == c.workload.highestValueClass {
 		options.Priority = maxPriority
 	}
 	if options.GrantMB != 0 || options.Priority != r.priority {
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -49,7 +49,7 @@
 		limit = max(calmLimitFactor*limit, calmWideRequests*c.workload.maxThreads)
 	}
 	share := c.shares.weights[classIndex]
-	if classIndex == c.workload.mostValuable {
+	if classIndex == c.workload.highestValueClass {
 		share = 1
 	}
 	return e.threadsInFlight == 0 || float64(e.threadsInFlight)+width <= limit ||
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -14,7 +14,7 @@
 	poolOnly       []*engine // the pool alone, if there is one
 	inMaintenance  map[string]bool
 	ready          int  // listed as ready, at least 1
-	mostLookFaulty bool // most of them are ejected
+	majorityFaulty bool // most of them are ejected
 }
 
 func newEndpointSet() endpointSet {
--- a/control/membership.go
+++ b/control/membership.go
@@ -99,7 +99,7 @@
 		}
 		ready++
 	}
-	c.endpoints.mostLookFaulty, c.endpoints.ready = ejected > ready-ejected, max(1, ready)
+	c.endpoints.majorityFaulty, c.endpoints.ready = ejected > ready-ejected, max(1, ready)
 	if pool := c.endpoints.pool; pool != nil {
 		previous := pool.cores
 		pool.cores, pool.memoryMB = max(1, cores), max(1, memoryMB)
--- a/control/selection.go
+++ b/control/selection.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
-		if e.ejected && !c.endpoints.mostLookFaulty {
+		if e.ejected && !c.endpoints.majorityFaulty {
 			if !c.mayProbeHalfOpen(e, r) {
 				continue
 			}
--- a/control/workload.go
+++ b/control/workload.go
@@ -96,7 +96,7 @@
 	heaviestWork        float64 // mean work of the heaviest class
 	longestLock         float64 // usual seconds of the longest class that holds its data set's lock
 	lowestWeightPerWork float64 // least priority weight per thread-second of a class
-	mostValuable        int     // index of the class with the most of it
+	highestValueClass   int     // index of the class with the most of it
 	maxThreads          float64 // of a request of the widest class
 	lowestWeight        float64 // priority weight of the least class
 	tightest            *class  // the one with the shortest latency objective
@@ -228,8 +228,8 @@
 		if k.HoldsDataSetLock {
 			w.longestLock = max(w.longestLock, k.meanWork/float64(k.Threads))
 		}
-		if k.weightPerWork() > w.classes[w.mostValuable].weightPerWork() {
-			w.mostValuable = i
+		if k.weightPerWork() > w.classes[w.highestValueClass].weightPerWork() {
+			w.highestValueClass = i
 		}
 	}
 }
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -168,7 +168,7 @@
 func violationFinding(f *check.File, v schema.Violation) check.Finding {
 	c := checkOf[v.Kind]
 	if v.Kind == schema.UnknownKey {
-		if similar := mostSimilar(v.Path[len(v.Path)-1], v.KnownKeys); similar != "" {
+		if similar := closestName(v.Path[len(v.Path)-1], v.KnownKeys); similar != "" {
 			c.Remedy = similar
 		}
 	}
@@ -178,9 +178,9 @@
 // maxEditDistance is the Levenshtein distance up to which two keys are similar.
 const maxEditDistance = 2
 
-// mostSimilar returns the known key with the least Levenshtein distance to a key, empty if none is similar.
+// closestName returns the known key with the least Levenshtein distance to a key, empty if none is similar.
 // In short keys at most half of the letters may differ.
-func mostSimilar(key string, known []string) string {
+func closestName(key string, known []string) string {
 	similar, least := "", maxEditDistance+1
 	for _, candidate := range known {
 		distance := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(candidate))
@@ -205,7 +205,7 @@
 		keyPath := extend(path, m.Key)
 		if property := s.Properties[m.Key]; property != nil {
 			findings = append(findings, similarKeys(f, property, m.Value, keyPath)...)
-		} else if similar := mostSimilar(m.Key, absent); similar != "" {
+		} else if similar := closestName(m.Key, absent); similar != "" {
 			c := SimilarKey
 			c.Remedy = similar
 			findings = append(findings, f.NewFinding(c, "not read", keyPath...))
--- a/internal/collectd/security.go
+++ b/internal/collectd/security.go
@@ -4,7 +4,7 @@
 	"crypto/aes"
 	"crypto/cipher"
 	"crypto/hmac"
-	"crypto/sha1" //nolint:gosec // the protocol prescribes it
+	"crypto/sha1" // the protocol prescribes it
 	"crypto/sha256"
 	"crypto/subtle"
 	"encoding/binary"
@@ -70,7 +70,7 @@
 	if err := random(iv[:]); err != nil {
 		return nil, fmt.Errorf("collectd: initial vector: %w", err)
 	}
-	checksum := sha1.Sum(content) //nolint:gosec // the protocol prescribes it
+	checksum := sha1.Sum(content) // the protocol prescribes it
 	packet := appendHeader(nil, partEncryption, s.overhead()-partHeaderLen+len(content))
 	packet = binary.BigEndian.AppendUint16(packet, uint16(len(s.User)))
 	packet = append(append(packet, s.User...), iv[:]...)
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	content := plain[checksumLen:]
-	checksum := sha1.Sum(content) //nolint:gosec // the protocol prescribes it
+	checksum := sha1.Sum(content) // the protocol prescribes it
 	if subtle.ConstantTimeCompare(checksum[:], plain[:checksumLen]) != 1 {
 		return nil, ErrSignature
 	}
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -4,7 +4,7 @@
 
 import (
 	"context"
-	"crypto/md5" //nolint:gosec // it makes names, not secrets
+	"crypto/md5" // it makes names, not secrets
 	"database/sql/driver"
 	"fmt"
 	"math/rand/v2"
@@ -30,7 +30,7 @@
 }
 
 func (c *Class) orderKey(n int) string {
-	sum := md5.Sum(fmt.Appendf(nil, "%s %d", c.Engine.Name, n)) //nolint:gosec // it makes a name, not a secret
+	sum := md5.Sum(fmt.Appendf(nil, "%s %d", c.Engine.Name, n)) // it makes a name, not a secret
 	return fmt.Sprintf("%x", sum[:8])
 }
 
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -138,5 +138,5 @@
 	if start := bytes.Index(svg, []byte("<svg")); start > 0 {
 		svg = svg[start:] // an XML declaration has no place inside of a page
 	}
-	return template.HTML(svg), nil //nolint:gosec // the canvas escapes texts
+	return template.HTML(svg), nil // the canvas escapes texts
 }
