--- /dev/null
+++ b/control/mayattempt_test.go
@@ -0,0 +1,42 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+// Every send passes mayAttempt, which holds each rule by itself, whatever its callers have ruled out already.
+func TestMayAttemptHoldsEachRule(t *testing.T) {
+	for name, violate := range map[string]func(*Controller, *request, *engine){
+		"nothing is violated":         nil,
+		"the request is closed":       func(_ *Controller, r *request, _ *engine) { r.closed = true },
+		"its response has started":    func(_ *Controller, r *request, _ *engine) { r.responseStarted = true },
+		"its deadline has passed":     func(c *Controller, r *request, _ *engine) { c.now = r.Deadline },
+		"its attempts are exhausted":  func(c *Controller, _ *request, _ *engine) { c.settings.Limits.MaxAttempts = 1 },
+		"the engine is not listed":    func(_ *Controller, _ *request, e *engine) { e.listed = false },
+		"the engine is draining":      func(_ *Controller, _ *request, e *engine) { e.State = Draining },
+		"its zone is not allowed":     func(_ *Controller, r *request, _ *engine) { r.class.AllowedZones = []string{"b"} },
+		"its kind is not allowed":     func(_ *Controller, r *request, _ *engine) { r.class.AllowedKinds = []string{"big"} },
+		"its effect could come twice": func(_ *Controller, r *request, _ *engine) { r.class.Idempotency = NonIdempotent },
+	} {
+		t.Run(name, func(t *testing.T) {
+			c, err := New(Settings{
+				Brokers: 1, Classes: []Class{{Name: "quick", LatencyObjective: time.Second}},
+				EngineKinds: map[string]EngineKind{"std": {Cores: 8}}, Limits: Limits{MaxAttempts: 2},
+			}, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			e := c.newEngine(Engine{ID: "e"}, EngineKind{Cores: 8})
+			e.listed, e.State, e.Zone, e.Kind = true, Ready, "a", "std"
+			r := newRequest(Request{ID: "r", Deadline: time.Minute}, c.workload.classes[0], 0, 0, c.now)
+			r.addAttempt(e, c.now).inFlight = false
+			if violate != nil {
+				violate(c, r, e)
+			}
+			if got, want := c.mayAttempt(r, e), violate == nil; got != want {
+				t.Fatalf("mayAttempt is %v, want %v", got, want)
+			}
+		})
+	}
+}
