--- /dev/null
+++ b/control/units/units_test.go
@@ -0,0 +1,38 @@
+package units
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestDurationIsBounded(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name    string
+		seconds float64
+		want    time.Duration
+	}{
+		{"fraction of a second", 0.25, 250 * time.Millisecond},
+		{"none", 0, 0},
+		{"longer than the bound", 1e12, maxSeconds * time.Second},
+		{"infinite", math.Inf(1), maxSeconds * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			if got := Duration(c.seconds); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestLogRatioIsTheInverseOfItsRatio(t *testing.T) {
+	t.Parallel()
+	if got := LogOf(1); got != 0 {
+		t.Errorf("the logarithm of 1 is %v, want 0", got)
+	}
+	if got := LogOf(2).Ratio(); math.Abs(got-2) > 1e-12 {
+		t.Errorf("the ratio of the logarithm of 2 is %v", got)
+	}
+}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -8,7 +8,9 @@
 )
 
 // Toward moves an exponentially weighted moving average by one sample that has the weight gain.
-func Toward(average, sample, gain float64) float64 { return average + gain*(sample-average) }
+func Toward[F ~float64](average, sample F, gain float64) F {
+	return average + F(gain)*(sample-average)
+}
 
 // Gain is the weight of a sample that makes an average the mean of all n samples so far, until that weight falls below
 // the least one. It spares an average a long way from its first guess.
