--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -15,8 +15,9 @@
 		rejected += countOf[Reject](got)
 	}
 	e := r.controller.endpoints.all[0]
-	if float64(e.threadsInFlight) > e.limit || rejected == 0 {
-		t.Fatalf("%d threads under a limit of %.1f, %d rejected", e.threadsInFlight, e.limit, rejected)
+	inFlight, limit := e.concurrency.InFlight(), e.concurrency.Limit()
+	if float64(inFlight) > limit || rejected == 0 {
+		t.Fatalf("%d threads under a limit of %.1f, %d rejected", inFlight, limit, rejected)
 	}
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -97,9 +97,9 @@
 		return
 	}
 	if status == TimedOut && !c.settings.Limits.Cancellation {
-		c.startTimer(c.now-a.sentAt, func() { a.engine.addThreads(-a.request.class.Threads) })
+		c.startTimer(c.now-a.sentAt, func() { a.engine.releaseThreads(a.request.class.Threads) })
 	} else {
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
 
--- /dev/null
+++ b/control/concurrency/concurrency_test.go
@@ -0,0 +1,169 @@
+package concurrency
+
+import (
+	"math"
+	"testing"
+)
+
+const (
+	testCores = 8
+	testShare = 0.5
+)
+
+// newLimiter returns a limiter of 6 threads: half of 8 cores at 1.5 threads each.
+func newLimiter() Limiter { return New(DefaultConfig(), testCores, testShare) }
+
+func TestAllows(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name     string
+		inFlight int
+		request  Request
+		want     bool
+	}{
+		{"an engine without requests takes one of any size", 0, Request{Threads: 20, UnderPressure: true}, true},
+		{"up to the limit", 4, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, true},
+		{"not over it under pressure", 5, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, false},
+		{"up to a multiple of it without pressure", 7, Request{Threads: 2, ClassInFlight: 7}, true},
+		{"not over the multiple", 8, Request{Threads: 2, ClassInFlight: 8}, false},
+		{"two of the widest class without pressure", 9, Request{Threads: 9, ClassInFlight: 9, WidestThreads: 9}, true},
+		{
+			"a class in its own share", 12,
+			Request{Threads: 1, ClassInFlight: 2, ClassShare: 0.5, UnderPressure: true},
+			true,
+		},
+		{
+			"not beyond its share", 12,
+			Request{Threads: 1, ClassInFlight: 3, ClassShare: 0.5, UnderPressure: true},
+			false,
+		},
+		{"one request of each class", 12, Request{Threads: 4, ClassShare: 0.1, UnderPressure: true}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			l := newLimiter()
+			l.Acquire(c.inFlight)
+			if got := l.Allows(c.request); got != c.want {
+				t.Errorf("got %v, want %v, with %d threads in flight and a limit of %v", got, c.want, c.inFlight, l.Limit())
+			}
+		})
+	}
+}
+
+func TestUnderPressure(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name    string
+		signals Signals
+		want    bool
+	}{
+		{"no signal", Signals{LoadKnown: true, SlowdownKnown: true}, false},
+		{"at capacity", Signals{AtCapacity: true}, true},
+		{"what is in flight is overdue", Signals{OverdueRatio: 3.1}, true},
+		{"what is in flight is not overdue yet", Signals{OverdueRatio: 3}, false},
+		{"load", Signals{LoadKnown: true, Load: 0.91}, true},
+		{"load that is not current", Signals{Load: 5}, false},
+		{"slowdown", Signals{SlowdownKnown: true, Slowdown: 0.46}, true},
+		{"slowdown by few answers", Signals{Slowdown: 3}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			config := DefaultPressureConfig()
+			if got := config.UnderPressure(c.signals); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// quiet is an interval without answers, pressure or a shortage of memory.
+func quiet() Interval {
+	return Interval{
+		Regular: true, TargetTime: 0.8, Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
+		RequestThreads: 1, RequestMB: 100, MinThreads: 1,
+	}
+}
+
+func TestLimitIsBoundedByMemoryAndByTheLeastLimit(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name   string
+		change func(*Interval)
+		want   float64
+	}{
+		{"neither", func(*Interval) {}, 6},
+		{"memory for four threads", func(in *Interval) { in.MemoryMB = 800 }, 4},
+		{"the least limit", func(in *Interval) { in.MinThreads = 9 }, 9},
+		{"the least limit before memory", func(in *Interval) { in.MemoryMB, in.MinThreads = 800, 5 }, 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			l, in := newLimiter(), quiet()
+			c.change(&in)
+			l.CloseInterval(in)
+			if got := l.Limit(); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("limit %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestLimitBacksOffUnderOverloadAndRecovers(t *testing.T) {
+	t.Parallel()
+	l := newLimiter()
+	overload := quiet()
+	overload.UnderPressure, overload.Load, overload.MinThreads = true, 1.3, 0
+	l.CloseInterval(overload)
+	if got := l.Limit(); math.Abs(got-0.8*6) > 1e-9 {
+		t.Errorf("limit %v after an interval of overload, want %v", got, 0.8*6)
+	}
+	for range 100 {
+		l.CloseInterval(overload)
+	}
+	if got := l.Limit(); math.Abs(got-0.15*6) > 1e-9 {
+		t.Errorf("limit %v after long overload, want %v", got, 0.15*6)
+	}
+	for range 100 {
+		l.CloseInterval(quiet())
+	}
+	if got := l.Limit(); math.Abs(got-6) > 1e-9 {
+		t.Errorf("limit %v after the overload, want 6", got)
+	}
+	loaded := quiet()
+	loaded.Load, loaded.Slowdown = 1.3, 2 // without pressure
+	l.CloseInterval(loaded)
+	if got := l.Limit(); math.Abs(got-6) > 1e-9 {
+		t.Errorf("limit %v under load without pressure, want 6", got)
+	}
+}
+
+func TestPoolBacksOffAtASmallerSlowdown(t *testing.T) {
+	t.Parallel()
+	slowed := quiet()
+	slowed.UnderPressure, slowed.Slowdown = true, 1
+	one, pool := newLimiter(), New(PoolConfig(), testCores, testShare)
+	one.CloseInterval(slowed)
+	pool.CloseInterval(slowed)
+	if one.Limit() != 6 || pool.Limit() >= 6 {
+		t.Errorf("limits %v and %v, want that of the pool alone below 6", one.Limit(), pool.Limit())
+	}
+}
+
+func TestLimitFollowsServiceTimes(t *testing.T) {
+	t.Parallel()
+	final := func(relativeTime float64) float64 {
+		l := newLimiter()
+		for range 50 {
+			l.RecordAnswer(relativeTime)
+			l.CloseInterval(quiet())
+		}
+		return l.Limit()
+	}
+	fast, slow := final(0.2), final(2)
+	if lowest, highest := testCores*testShare*1.0, testCores*testShare*1.7; slow < lowest || fast > highest {
+		t.Errorf("limits %v and %v, want them from %v to %v", slow, fast, lowest, highest)
+	}
+	if slow >= fast {
+		t.Errorf("limit %v for slow answers, %v for fast ones", slow, fast)
+	}
+}
--- /dev/null
+++ b/control/concurrency/limiter.go
@@ -0,0 +1,151 @@
+// Package concurrency limits the threads that one broker has in flight at an engine, or at a pool of engines.
+// The limit follows the service times of answers: a fitted linear model gives the threads per core at which
+// they meet a target. It backs off while the engine is overloaded. Each broker keeps its share of the limit.
+package concurrency
+
+import (
+	"wheatlane/control/units"
+	"wheatlane/internal/rls"
+)
+
+// MaxThreadsPerCore is the largest limit: beyond it the queries of an engine slow one another down.
+const MaxThreadsPerCore = 1.7
+
+// Config holds the constants of a limit.
+type Config struct {
+	InitialThreadsPerCore float64        // limit at the start
+	MinThreadsPerCore     float64        // smallest limit
+	MaxThreadsPerCore     float64        // largest limit
+	ChangePenalty         float64        // of the model's input: the larger, the slower the limit moves
+	BackoffLoad           float64        // reported load beyond which the limit backs off
+	BackoffSlowdown       units.LogRatio // slowdown beyond which it does
+	BackoffDecrease       float64        // factor of the limit in an interval of overload
+	BackoffIncrease       float64        // factor in any other interval
+	MinBackoffFactor      units.Fraction // fraction of the limit that the backoff leaves at least
+	UnloadedMultiple      float64        // limits that are allowed without pressure, which shows late
+	UnloadedRequests      float64        // requests of the widest class that are allowed then at least
+}
+
+// DefaultConfig is for a limit at one engine.
+func DefaultConfig() Config {
+	return Config{
+		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: MaxThreadsPerCore, ChangePenalty: 2,
+		BackoffLoad: 1.2, BackoffSlowdown: 1.6, BackoffDecrease: 0.8, BackoffIncrease: 1.1,
+		MinBackoffFactor: 0.15, UnloadedMultiple: 1.5, UnloadedRequests: 2,
+	}
+}
+
+// PoolConfig is for the one limit at a pool of engines, whose mean slowdown varies less than an engine's.
+func PoolConfig() Config {
+	config := DefaultConfig()
+	config.BackoffSlowdown = 0.8
+	return config
+}
+
+// Limiter is a concurrency limit with the threads in flight that count against it.
+type Limiter struct {
+	config          Config
+	threads         float64 // the limit
+	inFlight        int     // threads
+	model           *rls.Regulator
+	backoffFactor   units.Fraction
+	relativeTimeSum float64 // of this interval's answers: service times over latency objectives
+	answers         float64 // in this interval
+}
+
+// New returns a limiter for an engine with so many cores, of which this broker has a share.
+func New(config Config, cores float64, share units.Fraction) Limiter {
+	initial := config.InitialThreadsPerCore
+	model := rls.DefaultConfig()
+	model.OutputsPerGroup, model.Groups, model.InputPenalty = 1, 1, config.ChangePenalty
+	return Limiter{
+		config: config, threads: initial * cores * float64(share),
+		model: rls.New(model, []float64{initial}), backoffFactor: 1,
+	}
+}
+
+// Limit is the number of threads that may be in flight.
+func (l *Limiter) Limit() float64 { return l.threads }
+
+// InFlight is the number of threads in flight.
+func (l *Limiter) InFlight() int { return l.inFlight }
+
+// Acquire counts threads as in flight.
+func (l *Limiter) Acquire(threads int) { l.inFlight += threads }
+
+// Release counts threads as in flight no more.
+func (l *Limiter) Release(threads int) { l.inFlight -= threads }
+
+// Scale multiplies the limit until the end of the interval, as where a pool gains or loses engines.
+func (l *Limiter) Scale(factor float64) { l.threads *= factor }
+
+// RecordAnswer takes the service time of an answer over the latency objective of its class.
+func (l *Limiter) RecordAnswer(relativeTime float64) {
+	l.relativeTimeSum += relativeTime
+	l.answers++
+}
+
+// Request is what the limiter is asked to allow: the next request of a class.
+type Request struct {
+	Threads       int
+	ClassInFlight int            // threads of its class in flight
+	ClassShare    units.Fraction // share of the limit that its class has to itself
+	WidestThreads float64        // threads of a request of the widest class
+	UnderPressure bool           // the engine has more to do than it keeps up with
+}
+
+// Allows reports whether a request may be sent: while nothing is in flight, under the limit or, so that long
+// requests keep no quick ones out, while its class has less than its share in flight.
+func (l *Limiter) Allows(r Request) bool {
+	threads, limit := float64(r.Threads), l.threads
+	if !r.UnderPressure {
+		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*r.WidestThreads)
+	}
+	return l.inFlight == 0 || float64(l.inFlight)+threads <= limit ||
+		float64(r.ClassInFlight)+threads <= max(threads, float64(r.ClassShare)*limit)
+}
+
+// Interval is what a limiter decides its next limit by.
+type Interval struct {
+	Regular        bool           // it was as long as planned, so the model may be fitted to it
+	TargetTime     float64        // service time to reach, over the latency objective
+	Cores          float64        // of the engine, or of the whole pool
+	MemoryMB       float64        // likewise; infinite if not known
+	Share          units.Fraction // this broker's share of them
+	RequestThreads float64        // mean threads of a request in service
+	RequestMB      float64        // its mean memory; 0: not known
+	MinThreads     float64        // smallest limit; 0: none
+	UnderPressure  bool           // the engine has more to do than it keeps up with
+	Load           float64        // as reported, over the engine's capacity
+	Slowdown       units.LogRatio // of its answers and of what is in flight
+}
+
+// CloseInterval sets the limit of the next interval.
+func (l *Limiter) CloseInterval(in Interval) {
+	if l.answers > 0 && in.Regular {
+		l.model.Observe([]float64{l.relativeTimeSum / l.answers}, []bool{true})
+		l.model.Decide([]float64{in.TargetTime}, l.config.MinThreadsPerCore, l.config.MaxThreadsPerCore)
+	} else {
+		l.model.Skip(nil)
+	}
+	l.relativeTimeSum, l.answers = 0, 0
+	l.updateBackoff(in)
+	share, factor := float64(in.Share), float64(l.backoffFactor)
+	l.threads = l.model.Input()[0] * in.Cores * share * factor
+	if in.RequestMB > 0 { // no more threads than there is memory for
+		l.threads = min(l.threads, in.MemoryMB*share*factor/in.RequestMB*in.RequestThreads)
+	}
+	l.threads = max(l.threads, in.MinThreads)
+}
+
+// updateBackoff lowers the limit of an engine that is overloaded in spite of it, as in a surge of retries:
+// this broker's share was overestimated then. It raises the limit again by and by.
+func (l *Limiter) updateBackoff(in Interval) {
+	overloaded := in.Load > l.config.BackoffLoad || in.Slowdown > l.config.BackoffSlowdown
+	if in.UnderPressure && overloaded {
+		decreased := l.backoffFactor * units.Fraction(l.config.BackoffDecrease)
+		l.backoffFactor = max(l.config.MinBackoffFactor, decreased)
+	} else {
+		l.backoffFactor = min(1, l.backoffFactor*units.Fraction(l.config.BackoffIncrease))
+	}
+}
--- a/control/controller.go
+++ b/control/controller.go
@@ -13,6 +13,8 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"wheatlane/control/concurrency"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -35,6 +37,7 @@
 	retries      retryBudget
 	admission    admissionPrice
 	shares       classShares
+	pressure     concurrency.PressureConfig
 	gossip       gossipSchedule
 }
 
@@ -56,10 +59,11 @@
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
 		endpoints: newEndpointSet(), workload: newWorkload(settings),
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
+		pressure: concurrency.DefaultPressureConfig(),
 	}
 	c.shares = newClassShares(len(c.workload.classes))
 	if c.poolsEngines() {
-		c.endpoints.setPool(c.newEngine(Engine{}, EngineKind{}))
+		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
 }
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -1,12 +1,8 @@
 package control
 
-// Tuned values of dispatch under the concurrency limit.
-const (
-	pressureSlowdown = 0.45 // log of slowdown that is pressure
-	pressureLoad     = 0.90 // reported load that is pressure
-	pressureOverdue  = 3.0  // age of what is in flight over its usual time that is pressure
-	calmLimitFactor  = 1.5  // limits that an engine gets without pressure, as pressure shows late
-	calmWideRequests = 2    // requests of the widest class that it gets at least then
+import (
+	"wheatlane/control/concurrency"
+	"wheatlane/control/units"
 )
 
 // dispatch sends waiting requests in start-tag order while the concurrency limit allows it.
@@ -40,28 +36,32 @@
 	}
 }
 
-// withinConcurrencyLimit says whether a class's next request may be sent: without pressure, under the limit
-// or, so that long requests keep no quick ones out, while the class has less than its share in flight. For
-// the class with the most priority weight per work that share is all.
+// withinConcurrencyLimit reports whether a class's next request may be sent to an engine. For the class with
+// the most priority weight per work the whole limit is its share.
 func (c *Controller) withinConcurrencyLimit(e *engine, classIndex int) bool {
-	width, limit := float64(c.workload.classes[classIndex].Threads), e.limit
-	if !c.underPressure(e) {
-		limit = max(calmLimitFactor*limit, calmWideRequests*c.workload.maxThreads)
-	}
 	share := c.shares.weights[classIndex]
 	if classIndex == c.workload.highestValueClass {
 		share = 1
 	}
-	return e.threadsInFlight == 0 || float64(e.threadsInFlight)+width <= limit ||
-		c.threadsOfClass(e, classIndex)+width <= max(width, share*limit)
+	return e.concurrency.Allows(concurrency.Request{
+		Threads:       c.workload.classes[classIndex].Threads,
+		ClassInFlight: c.threadsOfClass(e, classIndex),
+		ClassShare:    units.Fraction(share),
+		WidestThreads: c.workload.maxThreads,
+		UnderPressure: c.underPressure(e),
+	})
 }
 
-// underPressure says whether an engine, or the pool, has more to do than it keeps up with. Where engines
+// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Where engines
 // report their load but not the work of answers, reports say more than noisy times.
 func (c *Controller) underPressure(e *engine) bool {
-	loadCounts := e.threadsInFlight > 0 || c.now-e.loadReportedAt < controlInterval
-	timesCount := (c.settings.ReportsCost || len(c.settings.ReportFields) == 0) &&
-		e.slowdownSamples > minSlowdownSamples
-	return e.atCapacity(c.now) || e.overdueRatio > pressureOverdue ||
-		loadCounts && e.load > pressureLoad || timesCount && c.estimatedSlowdown(e) > pressureSlowdown
+	timesCount := c.settings.ReportsCost || len(c.settings.ReportFields) == 0
+	return c.pressure.UnderPressure(concurrency.Signals{
+		AtCapacity:    e.atCapacity(c.now),
+		OverdueRatio:  e.overdueRatio,
+		LoadKnown:     e.concurrency.InFlight() > 0 || c.now-e.loadReportedAt < controlInterval,
+		Load:          e.load,
+		SlowdownKnown: timesCount && e.slowdownSamples > minSlowdownSamples,
+		Slowdown:      units.LogRatio(c.estimatedSlowdown(e)),
+	})
 }
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"wheatlane/control/concurrency"
 )
 
 // An overloaded engine sends no answers. Without the age of attempts in flight its pressure would lapse, and
@@ -36,7 +38,7 @@
 		r.submit("long", r.deadlineIn(20*time.Second))
 	}
 	e := r.controller.endpoints.all[0]
-	headroom := e.limit - float64(e.threadsInFlight)
+	headroom := e.concurrency.Limit() - float64(e.concurrency.InFlight())
 	if headroom >= 2 || !r.controller.underPressure(e) {
 		t.Fatalf("the long ones leave %.1f threads", headroom)
 	}
@@ -45,9 +47,10 @@
 		_, got := r.submit("quick")
 		quick += countOf[SendAttempt](got)
 	}
-	if float64(quick) <= r.controller.shares.weights[0]*e.limit || float64(quick) > e.limit {
+	limit := e.concurrency.Limit()
+	if float64(quick) <= r.controller.shares.weights[0]*limit || float64(quick) > limit {
 		t.Fatalf("%d quick requests were sent, want over their share of the limit of %.1f, and at most the limit",
-			quick, e.limit)
+			quick, limit)
 	}
 }
 
@@ -60,9 +63,10 @@
 	for range 100 {
 		r.submit("long", r.deadlineIn(20*time.Second))
 	}
-	calmLimit, threads := calmLimitFactor*e.limit, float64(e.threadsInFlight)
-	if r.controller.underPressure(e) || threads < e.limit || threads > calmLimit {
-		t.Fatalf("%v threads in flight, want between the limit of %.1f and %.1f", threads, e.limit, calmLimit)
+	limit, threads := e.concurrency.Limit(), float64(e.concurrency.InFlight())
+	unloadedLimit := concurrency.DefaultConfig().UnloadedMultiple * limit
+	if r.controller.underPressure(e) || threads < limit || threads > unloadedLimit {
+		t.Fatalf("%v threads in flight, want between the limit of %.1f and %.1f", threads, limit, unloadedLimit)
 	}
 }
 
@@ -72,7 +76,8 @@
 	s := baseSettings()
 	s.Brokers, s.Classes[1].Threads = 3, 4
 	r := newRig(t, s, readyEngine("e1"))
-	r.controller.endpoints.all[0].limit = 4
+	limiter := &r.controller.endpoints.all[0].concurrency
+	limiter.Scale(4 / limiter.Limit())
 	sent := 0
 	for range 4 {
 		_, got := r.submit("long", r.deadlineIn(20*time.Second))
@@ -89,9 +94,10 @@
 		r.submit("quick")
 		r.advance(20 * ms)
 		pool := r.controller.endpoints.pool
-		maxThreads := calmLimitFactor*max(pool.limit, r.controller.workload.maxThreads) + 2
-		if float64(pool.threadsInFlight) > maxThreads {
-			t.Fatalf("%d threads in flight, over %.1f", pool.threadsInFlight, maxThreads)
+		widest := r.controller.workload.maxThreads
+		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
+		if float64(pool.concurrency.InFlight()) > maxThreads {
+			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.InFlight(), maxThreads)
 		}
 	}
 	requireEqual(t, "under pressure", r.controller.underPressure(r.controller.endpoints.pool), true)
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -56,9 +56,9 @@
 	if owners := set.queueOwners(); len(owners) != 1 || owners[0] != pool || !e.pooled() || pool.pooled() {
 		t.Errorf("%d queue owners; engine pooled: %v, pool pooled: %v", len(owners), e.pooled(), pool.pooled())
 	}
-	e.addThreads(3)
+	e.acquireThreads(3)
 	e.addAttempt(&attempt{})
-	if pool.threadsInFlight != 3 || len(pool.attempts) != 1 {
-		t.Errorf("the pool counts %d threads, %d attempts", pool.threadsInFlight, len(pool.attempts))
+	if pool.concurrency.InFlight() != 3 || len(pool.attempts) != 1 {
+		t.Errorf("the pool counts %d threads, %d attempts", pool.concurrency.InFlight(), len(pool.attempts))
 	}
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -5,35 +5,31 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/concurrency"
+	"wheatlane/control/units"
 	"wheatlane/internal/estimate"
 	"wheatlane/internal/fairqueue"
-	"wheatlane/internal/rls"
 )
 
 // engine is an engine of the endpoint list with all that is known of it. The pool, where there is one, is an
 // engine of its own that owns the queue and the concurrency limit of all.
 type engine struct {
 	Engine
-	idHash      int            // of its ID, for ranks
-	gossipID    uint32         // EngineHash of its ID
-	queueOwner  *engine        // whose queue and concurrency limit apply: itself, or the pool
-	listed      bool           // it is in the endpoint list
-	listedState EngineState    // its state there; State is the one that applies
-	cores       float64        // at least 1
-	memoryMB    float64        // infinite if not known
-	limit       float64        // concurrency limit: threads that this broker may have in flight here
-	limitFit    *rls.Regulator // of the limit, in threads a core
-	limitFactor float64        // part of the limit that the backoff leaves
+	idHash      int         // of its ID, for ranks
+	gossipID    uint32      // EngineHash of its ID
+	queueOwner  *engine     // whose queue and concurrency limit apply: itself, or the pool
+	listed      bool        // it is in the endpoint list
+	listedState EngineState // its state there; State is the one that applies
+	cores       float64     // at least 1
+	memoryMB    float64     // infinite if not known
+	concurrency concurrency.Limiter
 	queue       fairqueue.Queue[*request]
 
-	attempts        []*attempt // in flight
-	threadsInFlight int        // of those that count against the limit
+	attempts []*attempt // in flight
 
 	logSlowdown     float64       // log of service time over work, averaged
 	slowdownSamples int           // answers behind it
 	sampledAt       time.Duration // of the last one
-	relativeTimeSum float64       // sum of service times over objectives, in this interval
-	answered        float64       // answers of this interval
 	overdueRatio    float64       // age of what is in flight over its usual time
 
 	lastResponseAt time.Duration // when it last answered anything
@@ -68,7 +64,7 @@
 
 func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
 	e := &engine{
-		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID), limitFactor: 1,
+		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID),
 		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, atCapacityAt: -1,
 		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
 	}
@@ -79,19 +75,34 @@
 		e.idHash = (e.idHash*31 + int(b)) % idHashSize
 	}
 	e.queueOwner = e
-	e.limit = initialThreadsPerCore * e.cores * c.workload.trafficShare
-	e.limitFit = newRegulator(1, 1, limitMoveCost, []float64{initialThreadsPerCore})
+	e.concurrency = concurrency.New(concurrency.DefaultConfig(), e.cores, units.Fraction(c.workload.trafficShare))
 	return e
 }
 
+// newPool returns the engine that stands for all where they are pooled.
+func (c *Controller) newPool() *engine {
+	pool := c.newEngine(Engine{}, EngineKind{})
+	pool.concurrency = concurrency.New(
+		concurrency.PoolConfig(), pool.cores, units.Fraction(c.workload.trafficShare))
+	return pool
+}
+
 // pooled says whether it shares its queue and concurrency limit with other engines.
 func (e *engine) pooled() bool { return e.queueOwner != e }
 
-// addThreads counts threads here and where the concurrency limit is.
-func (e *engine) addThreads(threads int) {
-	e.threadsInFlight += threads
+// acquireThreads counts threads as in flight here and where the concurrency limit is.
+func (e *engine) acquireThreads(threads int) {
+	e.concurrency.Acquire(threads)
+	if e.pooled() {
+		e.queueOwner.concurrency.Acquire(threads)
+	}
+}
+
+// releaseThreads counts them as in flight no more.
+func (e *engine) releaseThreads(threads int) {
+	e.concurrency.Release(threads)
 	if e.pooled() {
-		e.queueOwner.threadsInFlight += threads
+		e.queueOwner.concurrency.Release(threads)
 	}
 }
 
@@ -112,7 +123,7 @@
 
 // threadsOfClass is the threads of a class's attempts that count against an engine's limit; at the pool also
 // of those requests that are about to leave it.
-func (c *Controller) threadsOfClass(e *engine, classIndex int) float64 {
+func (c *Controller) threadsOfClass(e *engine, classIndex int) int {
 	threads, k := 0, c.workload.classes[classIndex]
 	for _, a := range e.attempts {
 		if a.request.classIndex == classIndex && !a.released {
@@ -122,7 +133,7 @@
 	if e == c.endpoints.pool {
 		threads += k.awaitingProbes * k.Threads
 	}
-	return float64(threads)
+	return threads
 }
 
 // atCapacity says whether it did not admit an attempt lately.
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -161,8 +161,7 @@
 	gain = estimate.Gain(weight, float64(owner.slowdownSamples+1))
 	owner.logSlowdown = estimate.Toward(owner.logSlowdown, logSlowdown, gain)
 	owner.slowdownSamples, owner.sampledAt = owner.slowdownSamples+1, c.now
-	owner.relativeTimeSum += took / k.LatencyObjective.Seconds()
-	owner.answered++
+	owner.concurrency.RecordAnswer(took / k.LatencyObjective.Seconds())
 	k.latencySum += (c.now - r.receivedAt).Seconds()
 	k.answered++
 }
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/concurrency"
 	"wheatlane/internal/estimate"
 )
 
@@ -41,7 +42,7 @@
 		case "util", "x1", "x0":
 			load = max(load, report[i])
 		case "inflight":
-			byThreads := report[i] * threads / (maxThreadsPerCore * e.cores)
+			byThreads := report[i] * threads / (concurrency.MaxThreadsPerCore * e.cores)
 			load = max(load, byThreads, report[i]*memoryMB/e.memoryMB)
 		}
 	}
--- a/control/membership.go
+++ b/control/membership.go
@@ -103,6 +103,6 @@
 	if pool := c.endpoints.pool; pool != nil {
 		previous := pool.cores
 		pool.cores, pool.memoryMB = max(1, cores), max(1, memoryMB)
-		pool.limit *= pool.cores / previous
+		pool.concurrency.Scale(pool.cores / previous)
 	}
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -72,6 +72,6 @@
 // mayProbeHalfOpen says whether a request may be an ejected engine's next half-open probe: one at a time, a
 // first attempt, and of a class with the least priority weight.
 func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
-	return c.now >= e.halfOpenAt && (e.pooled() || e.threadsInFlight == 0) && len(r.attempts) == 0 &&
+	return c.now >= e.halfOpenAt && (e.pooled() || e.concurrency.InFlight() == 0) && len(r.attempts) == 0 &&
 		r.class.PriorityWeight <= c.workload.lowestWeight
 }
--- a/control/regulators.go
+++ b/control/regulators.go
@@ -6,24 +6,18 @@
 	"time"
 
 	"gonum.org/v1/gonum/floats"
+
+	"wheatlane/control/concurrency"
+	"wheatlane/control/units"
 )
 
 // Tuned values of the regulators and the optimizer.
 const (
-	controlInterval       = time.Second // between two runs of the regulators
-	initialThreadsPerCore = 1.5         // concurrency limit at the start
-	minThreadsPerCore     = 1.0         // least concurrency limit
-	maxThreadsPerCore     = 1.7         // largest one: beyond it engines lose more than they gain
-	minServiceTarget      = 0.5         // least target of service time, in latency objectives
-	minShare              = 0.05        // no class falls under this share
-	backoffLoad           = 1.2         // reported load at which a concurrency limit backs off
-	backoffSlowdown       = 1.6         // log of slowdown at which it does
-	poolBackoffSlowdown   = 0.8         // the same for a pool, whose mean moves less
-	backoffDecrease       = 0.8         // factor of the limit in each interval under such pressure
-	backoffIncrease       = 1.1         // factor in each interval without
-	optimizerSteps        = 50          // the optimizer hands out the shares in so many steps at most
-	shareTolerance        = 1e-9        // shares and utilities closer than this are equal
-	minLimitFactor        = 0.15        // part of the limit that the backoff always leaves
+	controlInterval  = time.Second // between two runs of the regulators
+	minServiceTarget = 0.5         // least target of service time, in latency objectives
+	minShare         = 0.05        // no class falls under this share
+	optimizerSteps   = 50          // the optimizer hands out the shares in so many steps at most
+	shareTolerance   = 1e-9        // shares and utilities closer than this are equal
 )
 
 // runInterval runs once an interval: measurements go to the regulators, whose targets the optimizer sets.
@@ -49,48 +43,24 @@
 	s := &c.shares
 	s.weights = s.regulator.Decide(s.regulator.Predict(c.optimizeShares(answered)), minShare, 1)
 	floats.Scale(1/floats.Sum(s.weights), s.weights)
-	s.regulator.U = s.weights
+	s.regulator.SetInput(s.weights)
 }
 
 // moveLimits moves the concurrency limits toward a service time that leaves the tightest class time to wait.
-func (c *Controller) moveLimits(steady bool) {
+func (c *Controller) moveLimits(regular bool) {
 	tightest := c.workload.tightest
 	target := max(minServiceTarget, 1-tightest.meanWait/tightest.LatencyObjective.Seconds())
 	threads, memoryMB := c.workload.meanDemand()
-	part := max(1/float64(c.settings.Brokers), c.workload.trafficShare)
+	share, minThreads := max(1/float64(c.settings.Brokers), c.workload.trafficShare), c.workload.maxThreads
 	if c.endpoints.pool != nil {
-		part = c.workload.trafficShare
+		share, minThreads = c.workload.trafficShare, 0
 	}
 	for _, e := range c.endpoints.queueOwners() {
-		if e.answered > 0 && steady {
-			e.limitFit.Observe([]float64{e.relativeTimeSum / e.answered}, []bool{true})
-			e.limitFit.Decide([]float64{target}, minThreadsPerCore, maxThreadsPerCore)
-		} else {
-			e.limitFit.Skip(nil)
-		}
-		e.relativeTimeSum, e.answered = 0, 0
-		c.backOffLimit(e)
-		e.limit = e.limitFit.U[0] * e.cores * part * e.limitFactor
-		if memoryMB > 0 { // no more threads than there is memory for
-			e.limit = min(e.limit, e.memoryMB*part*e.limitFactor/memoryMB*threads)
-		}
-		if c.endpoints.pool == nil {
-			e.limit = max(e.limit, c.workload.maxThreads)
-		}
-	}
-}
-
-// backOffLimit lowers a limit that leaves the engine overloaded, as in a surge of retries: this broker's part
-// was taken too large then. It raises it again little by little.
-func (c *Controller) backOffLimit(e *engine) {
-	slowdown := backoffSlowdown
-	if e == c.endpoints.pool {
-		slowdown = poolBackoffSlowdown
-	}
-	if c.underPressure(e) && (e.load > backoffLoad || c.slowdown(e) > slowdown) {
-		e.limitFactor = max(minLimitFactor, e.limitFactor*backoffDecrease)
-	} else {
-		e.limitFactor = min(1, e.limitFactor*backoffIncrease)
+		e.concurrency.CloseInterval(concurrency.Interval{
+			Regular: regular, TargetTime: target, Cores: e.cores, MemoryMB: e.memoryMB,
+			Share: units.Fraction(share), RequestThreads: threads, RequestMB: memoryMB, MinThreads: minThreads,
+			UnderPressure: c.underPressure(e), Load: e.load, Slowdown: units.LogRatio(c.slowdown(e)),
+		})
 	}
 }
 
@@ -132,8 +102,8 @@
 // step.
 func (c *Controller) utility(class int, shares []float64, step float64) float64 {
 	shares[class] += step
-	inverseLatency := c.shares.regulator.Row(2*class, shares)
-	throughput := c.shares.regulator.Row(2*class+1, shares)
+	inverseLatency := c.shares.regulator.PredictOutput(2*class, shares)
+	throughput := c.shares.regulator.PredictOutput(2*class+1, shares)
 	shares[class] -= step
 	k := c.workload.classes[class]
 	onTime := min(1, max(0, inverseLatency))
--- a/control/regulators_test.go
+++ b/control/regulators_test.go
@@ -14,11 +14,11 @@
 	c.workload.classes[0].arrivalRate, c.workload.classes[1].arrivalRate = 10, 10
 	for i := range 4 {
 		for j := range 6 {
-			c.shares.regulator.Theta.Set(i, j, 0)
+			c.shares.regulator.SetCoefficient(i, j, 0)
 		}
 	}
 	for i := range 4 { // each class's outputs equal its own share
-		c.shares.regulator.Theta.Set(i, 4+i/2, 1)
+		c.shares.regulator.SetCoefficient(i, 4+i/2, 1)
 	}
 	s := c.optimizeShares(100)
 	if math.Abs(s[0]+s[1]-1) > 1e-6 || s[1] < 0.8 {
@@ -34,7 +34,7 @@
 func TestSharesAndLimitFollowObservations(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 	shares := slices.Clone(r.controller.shares.weights)
-	limit := r.controller.endpoints.all[0].limit
+	limit := r.controller.endpoints.all[0].concurrency.Limit()
 	for i := range 60 {
 		id, _ := r.submit("quick")
 		long, _ := r.submit("long", r.deadlineIn(20*time.Second))
@@ -48,7 +48,8 @@
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == r.controller.endpoints.all[0].limit {
+	limiter := &r.controller.endpoints.all[0].concurrency
+	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == limiter.Limit() {
 		t.Fatalf("shares %v and limit %v did not move", shares, limit)
 	}
 }
@@ -60,17 +61,17 @@
 	r.advance(1500 * ms)
 	id, _ = r.submit("quick")
 	r.endAttempt(id, 0, OK)
-	fit := r.controller.shares.regulator.Theta.At(0, 0)
+	fit := r.controller.shares.regulator.Coefficients()[0]
 	r.now += 5 * time.Second
 	r.handle(TimerFired{Token: 1})
-	requireEqual(t, "fit", r.controller.shares.regulator.Theta.At(0, 0), fit)
+	requireEqual(t, "fit", r.controller.shares.regulator.Coefficients()[0], fit)
 }
 
 // Shares, limit and targets follow what a broker observes over all engines, though it observes each one
 // rarely.
 func TestPooledBrokersRegulatorsMove(t *testing.T) {
 	r := newPooledRig(t, pooledSettings(), 60)
-	shares, limit := slices.Clone(r.controller.shares.weights), r.controller.endpoints.pool.limit
+	shares, limit := slices.Clone(r.controller.shares.weights), r.controller.endpoints.pool.concurrency.Limit()
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
 			id, got := r.submit(class, r.deadlineIn(20*time.Second))
@@ -80,7 +81,8 @@
 			}
 		}
 	}
-	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == r.controller.endpoints.pool.limit {
+	limiter := &r.controller.endpoints.pool.concurrency
+	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == limiter.Limit() {
 		t.Fatalf("shares %v and limit %v did not move", shares, limit)
 	}
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -43,7 +43,7 @@
 	}
 	r.attempts = append(r.attempts, a)
 	e.addAttempt(a)
-	e.addThreads(r.class.Threads)
+	e.acquireThreads(r.class.Threads)
 	return a
 }
 
@@ -218,6 +218,6 @@
 func (c *Controller) releaseThreads(a *attempt) {
 	if !a.released {
 		a.released = true
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"wheatlane/control/concurrency"
 )
 
 // Tuned values of engine selection. Penalties are in parts of a concurrency limit, as scores are.
@@ -31,7 +33,7 @@
 	for _, kind := range c.settings.EngineKinds {
 		cores = max(cores, kind.Cores)
 	}
-	return maxThreadsPerCore*cores < c.workload.maxThreads*float64(c.settings.Brokers)
+	return concurrency.MaxThreadsPerCore*cores < c.workload.maxThreads*float64(c.settings.Brokers)
 }
 
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
@@ -79,7 +81,7 @@
 
 // score ranks engines for a request: the headroom under the limit, less what speaks against an engine.
 func (c *Controller) score(e *engine, r *request) float64 {
-	score := 1 - (float64(e.threadsInFlight)+e.queue.Threads())/(e.limit*c.slowStartFraction(e))
+	score := 1 - (float64(e.concurrency.InFlight())+e.queue.Threads())/(e.concurrency.Limit()*c.slowStartFraction(e))
 	score -= slowdownPenalty*c.slowdown(e) + failurePenalty*(e.failureRate+c.lossRate(e))
 	if !e.pooled() { // in a pool, an engine that answered of late is better than an untried one
 		score += failurePenalty * min(c.lossRate(e), c.overallLossRate())
@@ -157,10 +159,10 @@
 		return false
 	}
 	k.awaitingProbes++ // its threads are taken meanwhile
-	c.endpoints.pool.threadsInFlight += k.Threads
+	c.endpoints.pool.concurrency.Acquire(k.Threads)
 	c.startTimer(probeWaitBatches*c.settings.MinBatchInterval, func() {
 		k.awaitingProbes--
-		c.endpoints.pool.threadsInFlight -= k.Threads
+		c.endpoints.pool.concurrency.Release(k.Threads)
 		if !r.closed {
 			c.dispatchToBestCandidate(r)
 		}
--- a/control/shares.go
+++ b/control/shares.go
@@ -6,15 +6,8 @@
 	"wheatlane/internal/rls"
 )
 
-// Settings of the fits behind the regulators. Section numbers are those of the paper named in internal/rls.
-const (
-	forgettingFactor     = 0.98 // section 3.2: of the least-squares fit
-	maxCovarianceTrace   = 1e4  // keeps the covariance bounded without measurements
-	initialFitGain       = 0.5  // section 3.2: signs of the fit's diagonals are known
-	initialFitCovariance = 10.0 // before any measurement
-	shareMoveCost        = 0.5  // section 3.2: price of moving the classes' shares
-	limitMoveCost        = 2.0  // section 3.3: a concurrency limit moves less readily than the shares
-)
+// shareMoveCost is the penalty on moving the classes' shares.
+const shareMoveCost = 0.5
 
 // classShares are the classes' weights in the fair queues, and the regulator that moves them.
 type classShares struct {
@@ -28,7 +21,7 @@
 	for range classes {
 		s.weights = append(s.weights, 1/float64(classes))
 	}
-	s.regulator = newRegulator(2, classes, shareMoveCost, s.weights)
+	s.regulator = newShareModel(s.weights)
 	return s
 }
 
@@ -52,13 +45,11 @@
 	for i := range s.weights {
 		s.weights[i] /= sum
 	}
-	s.regulator = newRegulator(2, len(s.weights), shareMoveCost, s.weights)
+	s.regulator = newShareModel(s.weights)
 }
 
-func newRegulator(outputs, groups int, moveCost float64, inputs []float64) *rls.Regulator {
-	return rls.New(rls.Config{
-		OutputsPerGroup: outputs, Groups: groups, InputPenalty: moveCost, InitialGain: initialFitGain,
-		InitialCovariance: initialFitCovariance, ForgettingFactor: forgettingFactor,
-		MaxTrace: maxCovarianceTrace,
-	}, inputs)
+func newShareModel(weights []float64) *rls.Regulator {
+	config := rls.DefaultConfig()
+	config.OutputsPerGroup, config.Groups, config.InputPenalty = 2, len(weights), shareMoveCost
+	return rls.New(config, weights)
 }
--- /dev/null
+++ b/control/units/seconds.go
@@ -0,0 +1,13 @@
+package units
+
+import "time"
+
+// Seconds is a time that takes part in floating-point estimates, where rounding it to a time.Duration would
+// change what follows from it.
+type Seconds float64
+
+// SecondsOf converts a duration.
+func SecondsOf(d time.Duration) Seconds { return Seconds(d.Seconds()) }
+
+// Duration converts a time, bounded as by the function of that name.
+func (s Seconds) Duration() time.Duration { return Duration(float64(s)) }
--- /dev/null
+++ b/control/units/seconds_test.go
@@ -0,0 +1,19 @@
+package units
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSecondsConvertBothWays(t *testing.T) {
+	t.Parallel()
+	if got := SecondsOf(1500 * time.Millisecond); got != 1.5 {
+		t.Errorf("1.5 s are %v seconds", float64(got))
+	}
+	if got := Seconds(0.25).Duration(); got != 250*time.Millisecond {
+		t.Errorf("0.25 seconds are %v", got)
+	}
+	if got := Seconds(1e12).Duration(); got != maxSeconds*time.Second {
+		t.Errorf("a time over the bound is %v", got)
+	}
+}
--- a/control/view.go
+++ b/control/view.go
@@ -34,7 +34,7 @@
 		}
 		view := EngineView{
 			ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.ejected,
-			ConcurrencyLimit: e.queueOwner.limit, ThreadsInFlight: e.threadsInFlight,
+			ConcurrencyLimit: e.queueOwner.concurrency.Limit(), ThreadsInFlight: e.concurrency.InFlight(),
 			Queued: e.queueOwner.queue.Len(),
 		}
 		if pool != nil && pool.cores > 0 {
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -22,27 +22,33 @@
 	MaxTrace          float64 // forgetting doesn't let the trace of a covariance grow over this
 }
 
-// Regulator is one fit with its last output Y and input U.
+// DefaultConfig returns the constants of section 3.2; the groups and the penalty are its caller's.
+func DefaultConfig() Config {
+	return Config{InitialGain: 0.5, InitialCovariance: 10, ForgettingFactor: 0.98, MaxTrace: 1e4}
+}
+
+// Regulator is one fit with its last output and input.
 type Regulator struct {
-	Config
-	Y, U       []float64
-	Theta      *mat.Dense   // [A B]
-	covariance []*mat.Dense // of the coefficients, one for each group
-	observed   bool         // Y was observed in the interval before
+	config       Config
+	output       []float64    // y
+	input        []float64    // u
+	coefficients *mat.Dense   // [A B]
+	covariance   []*mat.Dense // of the coefficients, one for each group
+	observed     bool         // the output was observed in the interval before
 }
 
 // New returns a regulator that starts at the input u.
 func New(cfg Config, u []float64) *Regulator {
 	outputs, inputs := cfg.OutputsPerGroup*cfg.Groups, len(u)
 	r := &Regulator{
-		Config: cfg,
-		Theta:  mat.NewDense(outputs, outputs+inputs, nil),
-		Y:      make([]float64, outputs),
-		U:      slices.Clone(u),
+		config:       cfg,
+		coefficients: mat.NewDense(outputs, outputs+inputs, nil),
+		output:       make([]float64, outputs),
+		input:        slices.Clone(u),
 	}
 	for i := range outputs {
-		r.Theta.Set(i, i, cfg.InitialGain)
-		r.Theta.Set(i, outputs+i/cfg.OutputsPerGroup, cfg.InitialGain)
+		r.coefficients.Set(i, i, cfg.InitialGain)
+		r.coefficients.Set(i, outputs+i/cfg.OutputsPerGroup, cfg.InitialGain)
 	}
 	for range cfg.Groups {
 		p := mat.NewDense(outputs+inputs, outputs+inputs, nil)
@@ -54,23 +60,39 @@
 	return r
 }
 
-// Row predicts output i at the input u.
-func (r *Regulator) Row(i int, u []float64) float64 {
+// Input is the input of the current interval.
+func (r *Regulator) Input() []float64 { return r.input }
+
+// SetInput replaces the input that the last Decide returned by the one that is applied.
+func (r *Regulator) SetInput(u []float64) { r.input = slices.Clone(u) }
+
+// Coefficients returns a copy of the fitted [A B], row by row.
+func (r *Regulator) Coefficients() []float64 {
+	return slices.Clone(r.coefficients.RawMatrix().Data)
+}
+
+// SetCoefficient sets one value of [A B].
+func (r *Regulator) SetCoefficient(row, column int, value float64) {
+	r.coefficients.Set(row, column, value)
+}
+
+// PredictOutput predicts output i at the input u.
+func (r *Regulator) PredictOutput(i int, u []float64) float64 {
 	sum := 0.0
-	for j, v := range r.Y {
-		sum += r.Theta.At(i, j) * v
+	for j, v := range r.output {
+		sum += r.coefficients.At(i, j) * v
 	}
 	for j, v := range u {
-		sum += r.Theta.At(i, len(r.Y)+j) * v
+		sum += r.coefficients.At(i, len(r.output)+j) * v
 	}
 	return sum
 }
 
 // Predict predicts all outputs at the input u.
 func (r *Regulator) Predict(u []float64) []float64 {
-	out := make([]float64, len(r.Y))
+	out := make([]float64, len(r.output))
 	for i := range out {
-		out[i] = r.Row(i, u)
+		out[i] = r.PredictOutput(i, u)
 	}
 	return out
 }
@@ -80,21 +102,21 @@
 func (r *Regulator) Skip(y []float64) {
 	r.observed = y != nil
 	if y != nil {
-		r.Y = y
+		r.output = y
 	}
 }
 
 // Observe takes the outputs of one interval and fits the groups that were seen to them.
 func (r *Regulator) Observe(y []float64, seen []bool) {
 	if r.observed {
-		phi := mat.NewVecDense(len(r.Y)+len(r.U), append(slices.Clone(r.Y), r.U...))
+		phi := mat.NewVecDense(len(r.output)+len(r.input), append(slices.Clone(r.output), r.input...))
 		for group := range r.covariance {
 			if seen[group] {
 				r.fitGroup(group, phi, y)
 			}
 		}
 	}
-	r.Y, r.observed = y, true
+	r.output, r.observed = y, true
 }
 
 // fitGroup is the step of recursive least squares for one group: phi holds the outputs and inputs of the
@@ -103,41 +125,41 @@
 	p := r.covariance[group]
 	var pPhi, gain mat.VecDense
 	pPhi.MulVec(p, phi)
-	gain.ScaleVec(1/(r.ForgettingFactor+mat.Dot(phi, &pPhi)), &pPhi)
-	for i := group * r.OutputsPerGroup; i < (group+1)*r.OutputsPerGroup; i++ {
-		coefficients := r.Theta.RowView(i)
-		residual := y[i] - mat.Dot(coefficients, phi)
+	gain.ScaleVec(1/(r.config.ForgettingFactor+mat.Dot(phi, &pPhi)), &pPhi)
+	for i := group * r.config.OutputsPerGroup; i < (group+1)*r.config.OutputsPerGroup; i++ {
+		row := r.coefficients.RowView(i)
+		residual := y[i] - mat.Dot(row, phi)
 		for j := range phi.Len() {
-			r.Theta.Set(i, j, coefficients.AtVec(j)+gain.AtVec(j)*residual)
+			r.coefficients.Set(i, j, row.AtVec(j)+gain.AtVec(j)*residual)
 		}
 	}
 	var update mat.Dense
 	update.Outer(1, &gain, &pPhi)
 	p.Sub(p, &update)
-	if mat.Trace(p)/r.ForgettingFactor < r.MaxTrace {
-		p.Scale(1/r.ForgettingFactor, p)
+	if mat.Trace(p)/r.config.ForgettingFactor < r.config.MaxTrace {
+		p.Scale(1/r.config.ForgettingFactor, p)
 	}
 }
 
-// Decide solves (B'B + Q'Q) u = B'(yref - A y) + Q'Q u(k-1), where want is yref, and clamps u to [low, high].
+// Decide solves (B'B + Q'Q) u = B'(yref - A y) + Q'Q u(k-1), where target is yref, and clamps u to [low, high].
 // What can't be solved keeps the input before.
-func (r *Regulator) Decide(want []float64, low, high float64) []float64 {
-	outputs, inputs := len(r.Y), len(r.U)
-	b := r.Theta.Slice(0, outputs, outputs, outputs+inputs)
+func (r *Regulator) Decide(target []float64, low, high float64) []float64 {
+	outputs, inputs := len(r.output), len(r.input)
+	b := r.coefficients.Slice(0, outputs, outputs, outputs+inputs)
 	gap := mat.NewVecDense(outputs, nil) // yref - A y
 	noInput := make([]float64, inputs)
 	for i := range outputs {
-		gap.SetVec(i, want[i]-r.Row(i, noInput))
+		gap.SetVec(i, target[i]-r.PredictOutput(i, noInput))
 	}
 	var left mat.Dense
 	var right, u mat.VecDense
 	left.Mul(b.T(), b)
 	right.MulVec(b.T(), gap)
 	for j := range inputs {
-		left.Set(j, j, left.At(j, j)+r.InputPenalty*r.InputPenalty)
-		right.SetVec(j, right.AtVec(j)+r.InputPenalty*r.InputPenalty*r.U[j])
+		left.Set(j, j, left.At(j, j)+r.config.InputPenalty*r.config.InputPenalty)
+		right.SetVec(j, right.AtVec(j)+r.config.InputPenalty*r.config.InputPenalty*r.input[j])
 	}
-	next := slices.Clone(r.U)
+	next := slices.Clone(r.input)
 	if err := u.SolveVec(&left, &right); err == nil {
 		for j := range inputs {
 			if v := u.AtVec(j); !math.IsNaN(v) {
@@ -145,6 +167,6 @@
 			}
 		}
 	}
-	r.U = next
+	r.input = next
 	return slices.Clone(next)
 }
--- a/internal/rls/rls_test.go
+++ b/internal/rls/rls_test.go
@@ -17,11 +17,11 @@
 	step := func(u float64) { y = 0.6*y + 0.8*u }
 	regulator.Observe([]float64{y}, []bool{true})
 	for range 60 {
-		regulator.U = []float64{rng.Float64()}
-		step(regulator.U[0])
+		regulator.input = []float64{rng.Float64()}
+		step(regulator.input[0])
 		regulator.Observe([]float64{y}, []bool{true})
 	}
-	a, b := regulator.Theta.At(0, 0), regulator.Theta.At(0, 1)
+	a, b := regulator.coefficients.At(0, 0), regulator.coefficients.At(0, 1)
 	if math.Abs(a-0.6) > 0.01 || math.Abs(b-0.8) > 0.01 {
 		t.Fatalf("fit A=%.3f B=%.3f, want 0.6 and 0.8", a, b)
 	}
@@ -33,8 +33,8 @@
 		t.Fatalf("y=%.3f, want 1", y)
 	}
 	// The closed form of Decide: u = (B r + q^2 u') / (B^2 + q^2) with r = target - A y.
-	a, b = regulator.Theta.At(0, 0), regulator.Theta.At(0, 1)
-	before := regulator.U[0]
+	a, b = regulator.coefficients.At(0, 0), regulator.coefficients.At(0, 1)
+	before := regulator.input[0]
 	wanted := (b*(1.3-a*y) + 0.01*before) / (b*b + 0.01)
 	if got := regulator.Decide([]float64{1.3}, 0, 9)[0]; math.Abs(got-wanted) > 1e-9 {
 		t.Fatalf("u=%v, want %v", got, wanted)
@@ -53,9 +53,9 @@
 		if i%7 == 0 {
 			regulator.Skip(y)
 		} else {
-			fit := regulator.Theta.At(2, 2)
+			fit := regulator.coefficients.At(2, 2)
 			regulator.Observe(y, []bool{true, i < 50}) // the second group is not seen any more
-			if i > 50 && regulator.Theta.At(2, 2) != fit {
+			if i > 50 && regulator.coefficients.At(2, 2) != fit {
 				t.Fatal("a group that was not seen was updated")
 			}
 		}
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, p := range regulator.covariance {
-		if tr := p.At(0, 0) + p.At(1, 1); math.IsNaN(tr) || tr > regulator.MaxTrace {
+		if tr := p.At(0, 0) + p.At(1, 1); math.IsNaN(tr) || tr > regulator.config.MaxTrace {
 			t.Fatalf("covariance %v", tr)
 		}
 	}
