--- a/control/admission.go
+++ b/control/admission.go
@@ -101,7 +101,7 @@
 	if c.withinConcurrencyLimit(e, r.classIndex) {
 		return false
 	}
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
 	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
 		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
 	wait := seconds(ahead / e.concurrency.Limit() * math.Exp(c.estimatedSlowdown(e)))
--- a/control/controller.go
+++ b/control/controller.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/shares"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -22,23 +23,24 @@
 
 // Controller decides for one broker. It is not safe for concurrent use.
 type Controller struct {
-	settings     Settings
-	rng          *rand.Rand
-	now          time.Duration
-	started      bool
-	actions      []Action // what Handle is about to return
-	timers       timerSet
-	log          logThrottle
-	requests     requestTable
-	endpoints    endpointSet
-	subscription subscription
-	workload     workload
-	estimates    fleetEstimates
-	retries      retryBudget
-	admission    admissionPrice
-	shares       classShares
-	pressure     concurrency.PressureConfig
-	gossip       gossipSchedule
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	started       bool
+	actions       []Action // what Handle is about to return
+	timers        timerSet
+	log           logThrottle
+	requests      requestTable
+	endpoints     endpointSet
+	subscription  subscription
+	workload      workload
+	estimates     fleetEstimates
+	retries       retryBudget
+	admission     admissionPrice
+	shares        shares.Regulator
+	intervalStart time.Duration // of the current control interval
+	pressure      concurrency.PressureConfig
+	gossip        gossipSchedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -61,7 +63,7 @@
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
 		pressure: concurrency.DefaultPressureConfig(),
 	}
-	c.shares = newClassShares(len(c.workload.classes))
+	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
 	if c.poolsEngines() {
 		c.endpoints.setPool(c.newPool())
 	}
@@ -78,7 +80,7 @@
 	}
 	if !c.started {
 		c.started = true
-		c.shares.intervalStart = c.now
+		c.intervalStart = c.now
 		c.emit(SetTimer{tickInterval, tickToken})
 	}
 	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
@@ -149,8 +151,8 @@
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
-	if elapsed := c.now - c.shares.intervalStart; elapsed >= controlInterval {
-		c.shares.intervalStart = c.now
+	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
+		c.intervalStart = c.now
 		c.runInterval(elapsed)
 	}
 }
@@ -163,7 +165,7 @@
 	added := 0
 	for _, k := range classes {
 		if c.workload.updateClass(k.withDefaults()) {
-			c.shares.addClass()
+			c.shares.AddClass()
 			added++
 		}
 	}
@@ -171,7 +173,7 @@
 	if added == 0 {
 		return
 	}
-	c.shares.restart()
+	c.shares.Restart()
 	c.workload.updateExtremes()
 	for _, e := range c.endpoints.all {
 		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -39,14 +39,14 @@
 // withinConcurrencyLimit reports whether a class's next request may be sent to an engine. For the class with
 // the most priority weight per work the whole limit is its share.
 func (c *Controller) withinConcurrencyLimit(e *engine, classIndex int) bool {
-	share := c.shares.weights[classIndex]
+	share := c.shares.Share(classIndex)
 	if classIndex == c.workload.highestValueClass {
 		share = 1
 	}
 	return e.concurrency.Allows(concurrency.Request{
 		Threads:       c.workload.classes[classIndex].Threads,
 		ClassInFlight: c.threadsOfClass(e, classIndex),
-		ClassShare:    units.Fraction(share),
+		ClassShare:    share,
 		WidestThreads: c.workload.maxThreads,
 		UnderPressure: c.underPressure(e),
 	})
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/shares"
 )
 
 // An overloaded engine sends no answers. Without the age of attempts in flight its pressure would lapse, and
@@ -48,7 +49,7 @@
 		quick += countOf[SendAttempt](got)
 	}
 	limit := e.concurrency.Limit()
-	if float64(quick) <= r.controller.shares.weights[0]*limit || float64(quick) > limit {
+	if float64(quick) <= float64(r.controller.shares.Share(0))*limit || float64(quick) > limit {
 		t.Fatalf("%d quick requests were sent, want over their share of the limit of %.1f, and at most the limit",
 			quick, limit)
 	}
@@ -108,7 +109,7 @@
 func TestFairQueueingFollowsShares(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	c, e := r.controller, r.controller.endpoints.all[0]
-	c.shares.weights = []float64{0.75, 0.25}
+	c.shares = shares.New(shares.DefaultConfig(), []float64{0.75, 0.25})
 	for i := range 40 {
 		k := c.workload.classes[i%2]
 		c.enqueueOn(e, &request{
--- a/control/regulators_test.go
+++ b/control/interval_test.go
@@ -1,39 +1,15 @@
 package control
 
 import (
-	"math"
-	"reflect"
 	"slices"
 	"testing"
 	"time"
 )
 
-// Worked example: only the second class gains by its share, so it gets nearly all.
-func TestOptimizerGivesShareToTheClassThatGains(t *testing.T) {
-	c := newRig(t, baseSettings()).controller
-	c.workload.classes[0].arrivalRate, c.workload.classes[1].arrivalRate = 10, 10
-	for i := range 4 {
-		for j := range 6 {
-			c.shares.regulator.SetCoefficient(i, j, 0)
-		}
-	}
-	for i := range 4 { // each class's outputs equal its own share
-		c.shares.regulator.SetCoefficient(i, 4+i/2, 1)
-	}
-	s := c.optimizeShares(100)
-	if math.Abs(s[0]+s[1]-1) > 1e-6 || s[1] < 0.8 {
-		t.Fatalf("shares %v: the class with eight times the weight should have most", s)
-	}
-	c.workload.classes[1].arrivalRate = 0 // without traffic it gains nothing
-	if s = c.optimizeShares(100); s[0] < 0.8 {
-		t.Fatalf("shares %v: the class with traffic should have most", s)
-	}
-}
-
 // What is observed moves shares and limits, and these change what is dispatched next.
 func TestSharesAndLimitFollowObservations(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	shares := slices.Clone(r.controller.shares.weights)
+	share := r.controller.shares.Share(0)
 	limit := r.controller.endpoints.all[0].concurrency.Limit()
 	for i := range 60 {
 		id, _ := r.submit("quick")
@@ -49,8 +25,8 @@
 		}
 	}
 	limiter := &r.controller.endpoints.all[0].concurrency
-	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == limiter.Limit() {
-		t.Fatalf("shares %v and limit %v did not move", shares, limit)
+	if share == r.controller.shares.Share(0) || limit == limiter.Limit() {
+		t.Fatalf("share %v and limit %v did not move", share, limit)
 	}
 }
 
@@ -61,17 +37,19 @@
 	r.advance(1500 * ms)
 	id, _ = r.submit("quick")
 	r.endAttempt(id, 0, OK)
-	fit := r.controller.shares.regulator.Coefficients()[0]
+	fit := r.controller.shares.Coefficients()
 	r.now += 5 * time.Second
 	r.handle(TimerFired{Token: 1})
-	requireEqual(t, "fit", r.controller.shares.regulator.Coefficients()[0], fit)
+	if got := r.controller.shares.Coefficients(); !slices.Equal(got, fit) {
+		t.Fatalf("coefficients %v, want %v", got, fit)
+	}
 }
 
 // Shares, limit and targets follow what a broker observes over all engines, though it observes each one
 // rarely.
 func TestPooledBrokersRegulatorsMove(t *testing.T) {
 	r := newPooledRig(t, pooledSettings(), 60)
-	shares, limit := slices.Clone(r.controller.shares.weights), r.controller.endpoints.pool.concurrency.Limit()
+	share, limit := r.controller.shares.Share(0), r.controller.endpoints.pool.concurrency.Limit()
 	for i := range 60 {
 		for _, class := range []string{"quick", "long"} {
 			id, got := r.submit(class, r.deadlineIn(20*time.Second))
@@ -82,8 +60,8 @@
 		}
 	}
 	limiter := &r.controller.endpoints.pool.concurrency
-	if reflect.DeepEqual(shares, r.controller.shares.weights) || limit == limiter.Limit() {
-		t.Fatalf("shares %v and limit %v did not move", shares, limit)
+	if share == r.controller.shares.Share(0) || limit == limiter.Limit() {
+		t.Fatalf("share %v and limit %v did not move", share, limit)
 	}
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -192,7 +192,7 @@
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
 func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
 	e.queue.Pop(r.classIndex, r.tenantIndex, classShare, tenantShare)
 	r.queuedOn = nil
 }
--- a/control/view.go
+++ b/control/view.go
@@ -43,6 +43,6 @@
 		v.Engines = append(v.Engines, view)
 	}
 	for i, k := range c.workload.classes {
-		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: c.shares.weights[i]})
+		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: float64(c.shares.Share(i))})
 	}
 }
--- a/control/workload.go
+++ b/control/workload.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/shares"
+	"wheatlane/control/units"
 	"wheatlane/internal/estimate"
 )
 
@@ -41,7 +43,7 @@
 	arrivals         int             // in this interval
 	latencySum       float64         // seconds, over the answers of this interval
 	answered         float64         // in this interval
-	lastOutputs      [2]float64      // inverse latency and throughput when last seen
+	output           shares.Output   // of the last interval with answers
 }
 
 func newClass(k Class) *class {
@@ -67,9 +69,9 @@
 	k.arrivals = 0
 	answered = k.answered
 	if answered > 0 {
-		k.lastOutputs = [2]float64{
-			min(maxInverseLatency, k.LatencyObjective.Seconds()*answered/max(k.latencySum, 1e-6)),
-			answered / elapsed.Seconds() / (k.arrivalRate + minThroughputRate),
+		k.output = shares.Output{
+			InverseLatency: min(maxInverseLatency, k.LatencyObjective.Seconds()*answered/max(k.latencySum, 1e-6)),
+			Throughput:     answered / elapsed.Seconds() / (k.arrivalRate + minThroughputRate),
 		}
 	}
 	k.answered, k.latencySum = 0, 0
@@ -201,22 +203,21 @@
 	return min(1, max(minTrafficShare*even, rate/quota)), true
 }
 
-// measureClasses closes an interval of all classes. Outputs are two per class, inverse latency and
-// throughput; seen tells which classes had answers.
-func (w *workload) measureClasses(elapsed time.Duration) (outputs []float64, seen []bool, answered float64) {
+// measureClasses closes an interval of all classes and returns what it showed of them.
+func (w *workload) measureClasses(elapsed time.Duration) []shares.Class {
 	work, rate := 0.0, minClassRate
-	n := len(w.classes)
-	outputs, seen = make([]float64, 2*n), make([]bool, n)
-	for i, k := range w.classes {
-		ended := k.closeInterval(elapsed, w.gain(rateGain))
-		seen[i] = ended > 0
-		answered += ended
+	measured := make([]shares.Class, 0, len(w.classes))
+	for _, k := range w.classes {
+		answers := k.closeInterval(elapsed, w.gain(rateGain))
 		work, rate = work+k.arrivalRate*k.meanWork, rate+k.arrivalRate
-		outputs[2*i], outputs[2*i+1] = k.lastOutputs[0], k.lastOutputs[1]
+		measured = append(measured, shares.Class{
+			Output: k.output, Answers: answers, ArrivalRate: k.arrivalRate,
+			PriorityWeight: k.PriorityWeight, LateWeight: units.Fraction(k.LateWeight),
+		})
 	}
 	w.arrivalRate, w.meanWork = rate, work/rate
 	w.rankClasses()
-	return outputs, seen, answered
+	return measured
 }
 
 // rankClasses finds the extremes among the classes by their mean work.
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -71,11 +71,6 @@
 	return slices.Clone(r.coefficients.RawMatrix().Data)
 }
 
-// SetCoefficient sets one value of [A B].
-func (r *Regulator) SetCoefficient(row, column int, value float64) {
-	r.coefficients.Set(row, column, value)
-}
-
 // PredictOutput predicts output i at the input u.
 func (r *Regulator) PredictOutput(i int, u []float64) float64 {
 	sum := 0.0
