--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -165,5 +165,5 @@
 		count, _ := spent.Count(name) // all field names have one
 		fields = append(fields, zap.Uint64(name, count))
 	}
-	s.log.Info("costs", fields...)
+	s.log.Info(usage.LogMessage, fields...)
 }
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/usage"
 )
 
 // Rule 1: a request gets its one complete answer, also where login and query come ahead of the greeting and
@@ -204,7 +206,7 @@
 	close(s.stopSignal)
 	s.waitForEnd()
 	got := map[string]uint64{}
-	for _, line := range s.logs.FilterMessage("costs").All() {
+	for _, line := range s.logs.FilterMessage(usage.LogMessage).All() {
 		for name, v := range line.ContextMap() {
 			got[name] += v.(uint64)
 		}
@@ -214,7 +216,8 @@
 	}
 	delete(got, "polls")
 	want := map[string]uint64{
-		"taken": 1, "first": 1, "further": 0, "refused": 0, "probes": 0, "doubts": 0, "dials": 1, "tells": 0,
+		"requests": 1, "first_attempts": 1, "retries": 0, "rejections": 0, "load_probes": 0, "liveness_probes": 0,
+		"dials": 1, "gossip_sent": 0,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -17,10 +17,13 @@
 	GossipSent     uint64 // datagrams sent to other brokers
 }
 
-// FieldNames are the names of the counters in the log line `costs`, in the order of the fields of Counters.
+// LogMessage is the message of the log line that holds counters.
+const LogMessage = "fleet usage"
+
+// FieldNames are the names of the counters in that log line, in the order of the fields of Counters.
 var FieldNames = [...]string{
-	"taken", "first", "further", "refused", "probes", "doubts",
-	"dials", "polls", "tells",
+	"requests", "first_attempts", "retries", "rejections", "load_probes", "liveness_probes",
+	"dials", "polls", "gossip_sent",
 }
 
 // values points to the counters in the order of FieldNames.
--- a/measure/fleet/main.go
+++ b/measure/fleet/main.go
@@ -1,7 +1,8 @@
 // Command fleet counts what a fleet of brokers spent of the resources that they share, from their logs: the
-// lines costs that each broker writes every 5 s and at its end, summed over all logs of a directory, one file
-// a broker. Each line that it prints is a name, a value and a unit: the counts of the day, and each over the
-// accepted requests, as the settings price them.
+// lines `fleet usage` that each broker writes every 5 s and at its end, summed over all logs of a directory,
+// one file a broker. Logs of earlier versions, whose line was `costs`, are read too. Each line that it prints
+// is a name, a value and a unit: the counts of the day, and each over the accepted requests, as the settings
+// price them.
 package main
 
 import (
@@ -17,12 +18,16 @@
 	"wheatlane/internal/usage"
 )
 
-const (
-	// costsMessage is the message of the log lines that are counted.
-	costsMessage = "costs"
-	// maxLineBytes is the longest line of a log that is read; a log with a longer one is read up to it.
-	maxLineBytes = 1 << 20
-)
+// maxLineBytes is the longest line of a log that is read; a log with a longer one is read up to it.
+const maxLineBytes = 1 << 20
+
+// earlierMessage is the message of the log line in earlier versions.
+const earlierMessage = "costs"
+
+// earlierFieldNames are the names of the counters in that line, in the order of usage.FieldNames.
+var earlierFieldNames = [len(usage.FieldNames)]string{
+	"taken", "first", "further", "refused", "probes", "doubts", "dials", "polls", "tells",
+}
 
 func main() {
 	if len(os.Args) != 2 {
@@ -104,12 +109,21 @@
 		return counters, false
 	}
 	var fields map[string]any
-	if json.Unmarshal(line[start:], &fields) != nil || fields["msg"] != costsMessage {
+	if json.Unmarshal(line[start:], &fields) != nil {
 		return counters, false
 	}
-	for _, name := range usage.FieldNames {
+	var names [len(usage.FieldNames)]string
+	switch fields["msg"] {
+	case usage.LogMessage:
+		names = usage.FieldNames
+	case earlierMessage:
+		names = earlierFieldNames
+	default:
+		return counters, false
+	}
+	for i, name := range names {
 		if count, ok := fields[name].(float64); ok {
-			counters.Set(name, uint64(count))
+			counters.Set(usage.FieldNames[i], uint64(count))
 		}
 	}
 	return counters, true
