--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -13,25 +12,19 @@
 	"strings"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/google/jsonschema-go/jsonschema"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"wheatlane/internal/goldenfile"
+)
 
 // golden compares a text with that of a file.
 func golden(t *testing.T, path, got string) {
 	t.Helper()
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
+	diff, err := goldenfile.Diff(path, got)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
+	if diff != "" {
 		t.Errorf("%s: %s", path, diff)
 	}
 }
--- a/internal/description/golden_test.go
+++ b/internal/description/golden_test.go
@@ -1,16 +1,13 @@
 package description
 
 import (
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
+	"wheatlane/internal/goldenfile"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // The files that are generated from a description are what they were, byte by byte.
 func TestWrittenFiles(t *testing.T) {
 	for _, c := range []struct{ name, path string }{
@@ -39,16 +36,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *update {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
+	diff, err := goldenfile.Diff(path, string(got))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(want), string(got)); diff != "" {
+	if diff != "" {
 		t.Errorf("%s: %s", path, diff)
 	}
 }
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"wheatlane/internal/goldenfile"
+)
 
 const (
 	storedSnapshot = "a snapshot: [1 2 3]"
@@ -56,12 +55,7 @@
 func goldenStore(t *testing.T) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", storedFile)
-	if *update {
-		if err := os.WriteFile(path, writeStored(t, t.TempDir()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(path)
+	stored, err := goldenfile.Content(path, func() ([]byte, error) { return writeStored(t, t.TempDir()), nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/changelogserver/storedlist_test.go
+++ b/internal/emulator/changelogserver/storedlist_test.go
@@ -1,15 +1,14 @@
 package changelogserver
 
 import (
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"wheatlane/internal/goldenfile"
+)
 
 // A list of engines that an earlier release wrote is read, and the same list is written in the same bytes.
 func TestStoredList(t *testing.T) {
@@ -27,12 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *update {
-		if err := os.WriteFile(golden, written, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(golden)
+	stored, err := goldenfile.Content(golden, func() ([]byte, error) { return written, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -2,21 +2,18 @@
 
 import (
 	"bytes"
-	"flag"
 	"io"
-	"os"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/klauspost/compress/zstd"
 
+	"wheatlane/internal/goldenfile"
 	"wheatlane/internal/graphite"
 	"wheatlane/internal/metrics"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // storedLines are the lines of a recording, and what each of them says.
 var storedLines = []struct {
 	line, figure, broker, name, stat, detail string
@@ -92,12 +89,7 @@
 	if diff := cmp.Diff(want, unpacked(t, f.Bytes())); diff != "" {
 		t.Errorf("written: %s", diff)
 	}
-	if *update {
-		if err := os.WriteFile(golden, f.Bytes(), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(golden)
+	stored, err := goldenfile.Content(golden, func() ([]byte, error) { return f.Bytes(), nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -1,15 +1,14 @@
 package handover
 
 import (
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"wheatlane/internal/goldenfile"
+)
 
 // A file that an earlier release left is read, and the same state is written in the same bytes.
 func TestStoredFile(t *testing.T) {
@@ -23,12 +22,7 @@
 		t.Run(c.file, func(t *testing.T) {
 			path := filepath.Join("testdata", c.file)
 			written := Encode(State{Broker: c.broker, MaintenanceEngines: c.engines})
-			if *update {
-				if err := os.WriteFile(path, written, 0o600); err != nil {
-					t.Fatal(err)
-				}
-			}
-			stored, err := os.ReadFile(path)
+			stored, err := goldenfile.Content(path, func() ([]byte, error) { return written, nil })
 			if err != nil {
 				t.Fatal(err)
 			}
--- /dev/null
+++ b/internal/metrics/metricstest/metricstest.go
@@ -0,0 +1,47 @@
+// Package metricstest makes intervals of figures for the tests of encoders.
+package metricstest
+
+import (
+	"time"
+
+	"wheatlane/internal/metrics"
+)
+
+// EveryFigure is an interval with every figure, each of its details, and values of their own for two names
+// and all others. It lasts a duration.
+func EveryFigure(duration time.Duration) *metrics.Interval {
+	v := &metrics.Interval{
+		Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
+	}
+	value := 0.0
+	for i, f := range metrics.Catalogue {
+		id := metrics.ID(i)
+		all := []metrics.Series{{Figure: id}}
+		if f.By != metrics.NoDimension {
+			all = []metrics.Series{
+				{Figure: id, Name: "fishing-fleet"},
+				{Figure: id, Name: "re.port;x=1 é"},
+				{Figure: id, Other: true},
+			}
+		}
+		for _, s := range all {
+			if f.Kind == metrics.DistributionKind {
+				d := metrics.NewSketch()
+				for n := range 100 {
+					value += 0.25
+					d.Add(value * float64(n))
+				}
+				v.Distributions = append(v.Distributions, metrics.Distribution{
+					Series: s, Count: d.Count(), EncodedSketch: d.Encode(nil),
+				})
+				continue
+			}
+			for part := range id.Parts() {
+				value += 1.125
+				s.Part = part
+				v.Points = append(v.Points, metrics.Point{Series: s, Value: value})
+			}
+		}
+	}
+	return v
+}
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -3,29 +3,20 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
 	"path/filepath"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
+	"wheatlane/internal/goldenfile"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // golden compares a text with that of a file.
 func golden(t *testing.T, path, got string) {
 	t.Helper()
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
+	diff, err := goldenfile.Diff(path, got)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
+	if diff != "" {
 		t.Errorf("%s: %s", path, diff)
 	}
 }
