--- a/cmd/wheatlane/emulate.go
+++ b/cmd/wheatlane/emulate.go
@@ -13,16 +13,18 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// standinCommand groups the emulators. The command has had its name since before they were called that.
-func standinCommand() *cobra.Command {
-	return commandGroup(
-		"standin",
+// emulateCommand groups the emulators. `standin` is accepted in its place.
+func emulateCommand() *cobra.Command {
+	group := commandGroup(
+		"emulate",
 		"Emulate a system that the broker talks to, with faults",
 		emulateGraphiteCommand(),
 		emulateCollectdCommand(),
 		emulateEnginesCommand(),
 		emulateChangelogCommand(),
 	)
+	group.Aliases = []string{"standin"}
+	return group
 }
 
 // maxEmulation is how long an emulator runs unless a flag says otherwise.
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -27,7 +27,7 @@
 	var flags engineFlags
 	c := &cobra.Command{
 		Use:   "engines",
-		Short: "Query engines, and a list of them for 'wheatlane standin changelog'",
+		Short: "Query engines, and a list of them for 'wheatlane emulate changelog'",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE:  func(c *cobra.Command, _ []string) error { return flags.run(c) },
 	}
@@ -92,7 +92,7 @@
 		RunE:  func(c *cobra.Command, _ []string) error { return flags.run(c) },
 	}
 	c.Flags().StringVar(
-		&flags.list, "list", defaultListFile, "the list, as 'wheatlane standin engines' writes it",
+		&flags.list, "list", defaultListFile, "the list, as 'wheatlane emulate engines' writes it",
 	)
 	c.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:4222", "address and port")
 	c.Flags().StringVar(&flags.faults, "faults", "",
--- a/cmd/wheatlane/main.go
+++ b/cmd/wheatlane/main.go
@@ -80,7 +80,7 @@
 	}
 	runServe(serve)
 	c.AddCommand(
-		serve, metricsCommand(), configCommand(), standinCommand(), reportCommand(), demoCommand(),
+		serve, metricsCommand(), configCommand(), emulateCommand(), reportCommand(), demoCommand(),
 	)
 	return c
 }
