--- a/control/admission.go
+++ b/control/admission.go
@@ -75,7 +75,7 @@
 	if r.closed || r.responseStarted {
 		return
 	}
-	if !r.mayHaveRun() || r.class.safeToRepeatAnywhere() {
+	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		reject := Reject{RequestID: r.ID}
 		if c.settings.Limits.RetryAfter {
 			reject.RetryAfter = c.retryAfter()
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -65,7 +65,7 @@
 		c.recoverLoss(e, a.lossConfidence)
 	}
 	c.releaseEnded(a, end.Status)
-	a.mayHaveRun = !end.Status.provesNotRun()
+	a.mayHaveRun = end.Status.MayHaveRun()
 	if r.keyQueue != nil && end.Status.mayStillRun() {
 		r.keyQueue.cooldownUntil = max(r.keyQueue.cooldownUntil, c.now+c.settings.Rules.KeyCooldown)
 	}
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -1,6 +1,10 @@
 package control
 
-import "slices"
+import (
+	"slices"
+
+	"wheatlane/control/idempotency"
+)
 
 // mayAttempt says whether an attempt of a request may go to an engine now. Every send passes it; it holds the
 // seven rules of the deployment, in their order.
@@ -15,32 +19,32 @@
 		(len(r.attempts) == 0 || c.mayRetry())
 }
 
-// cannotRunTwice says whether an attempt at an engine leaves the request's effect happening once at most.
+// cannotRunTwice reports whether an attempt at an engine leaves the request's effect happening once at most.
 func (c *Controller) cannotRunTwice(r *request, e *engine) bool {
-	k := r.class
+	at := idempotency.Location{Zone: e.Zone, Cell: e.Cell}
 	for _, a := range r.attempts {
-		if a.inFlight && (!c.settings.Limits.Hedging || k.Idempotency == NonIdempotent) {
+		if a.inFlight && !c.settings.Limits.Hedging {
 			return false
 		}
-		if !a.mayHaveRun || k.Idempotency == Idempotent { // an attempt in flight may have run
-			continue
-		}
-		sameScope := k.DedupScope == DedupScopeAll ||
-			k.DedupScope == DedupScopeZone && e.Zone == a.engine.Zone ||
-			k.DedupScope == DedupScopeCell && e.Cell == a.engine.Cell
-		if !sameScope || c.retryForbidden(a) {
+		if !r.class.Idempotency.AllowsRetry(c.earlierAttempt(a), at) {
 			return false
 		}
 	}
 	return true
 }
 
-// retryForbidden says whether an attempt allows no other one of its request, at whichever engine.
+// earlierAttempt is an attempt as it will stand when the next one leaves the broker, at the latest.
+func (c *Controller) earlierAttempt(a *attempt) idempotency.Attempt {
+	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
+	return idempotency.Attempt{
+		Location: idempotency.Location{Zone: a.engine.Zone, Cell: a.engine.Cell},
+		Age:      latestSend - a.sentAt, MayHaveRun: a.mayHaveRun,
+	}
+}
+
+// retryForbidden reports whether an attempt allows no other one of its request, at whichever engine.
 func (c *Controller) retryForbidden(a *attempt) bool {
-	k := a.request.class
-	window := k.DedupWindow - c.settings.MinBatchInterval - c.settings.MaxSendDelay
-	return a.mayHaveRun && (k.Idempotency == NonIdempotent ||
-		k.Idempotency == IdempotentWithKey && c.now-a.sentAt >= window)
+	return a.request.class.Idempotency.ForbidsRetry(c.earlierAttempt(a))
 }
 
 // attemptsExhausted says whether a request can have no further attempt, whatever becomes of the engines.
--- a/control/events.go
+++ b/control/events.go
@@ -61,10 +61,10 @@
 // String returns the name of the status.
 func (s Status) String() string { return statusNames[s] }
 
-// provesNotRun says whether an attempt that ended so surely did not run.
-func (s Status) provesNotRun() bool { return s == AtCapacity || s == ConnectFailed || s == NeverSent }
+// MayHaveRun reports whether an attempt that ended so may have run.
+func (s Status) MayHaveRun() bool { return s != AtCapacity && s != ConnectFailed && s != NeverSent }
 
-// mayStillRun says whether an engine may go on with an attempt that ended so for the broker.
+// mayStillRun reports whether an engine may go on with an attempt that ended so for the broker.
 func (s Status) mayStillRun() bool { return s == TimedOut || s == ConnectionReset || s == Cancelled }
 
 // ProgressKind is the subject of an AttemptProgress.
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -104,6 +104,6 @@
 
 // mayHedge says whether another attempt of a request is allowed, and its answer would still count.
 func (c *Controller) mayHedge(r *request) bool {
-	return len(r.attempts) < c.settings.Limits.MaxAttempts && r.class.safeToRepeatAnywhere() &&
+	return len(r.attempts) < c.settings.Limits.MaxAttempts && r.class.Idempotency.RepeatableAnywhere() &&
 		c.now+seconds(r.expectedWork) <= r.Deadline && !c.isWorthless(r)
 }
--- /dev/null
+++ b/control/idempotency/idempotency.go
@@ -0,0 +1,83 @@
+// Package idempotency holds the one rule that keeps the effect of a request from happening twice: which
+// attempt may follow an earlier one, at which engine, and when a client may be invited to retry.
+package idempotency
+
+import "time"
+
+// Kind says what running a request again does.
+type Kind int
+
+// The kinds of idempotency.
+const (
+	Idempotent    Kind = iota // may run any number of times
+	WithKey                   // duplicates are dropped within a scope for a time
+	NonIdempotent             // must not run twice
+)
+
+// Scope is the group of engines that drops duplicates of a request that is idempotent with a key.
+type Scope int
+
+// The scopes of duplicate detection.
+const (
+	ScopeAll  Scope = iota // every engine
+	ScopeZone              // the engines of one zone
+	ScopeCell              // the engines of one cell
+)
+
+// includes reports whether two engines drop each other's duplicates.
+func (s Scope) includes(a, b Location) bool {
+	switch s {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return a.Zone == b.Zone
+	case ScopeCell:
+		return a.Cell == b.Cell
+	}
+	return false
+}
+
+// Location is where an engine stands among the scopes.
+type Location struct {
+	Zone string
+	Cell int
+}
+
+// Policy is the idempotency of a class of request. The zero value is that of an idempotent class.
+type Policy struct {
+	Kind        Kind
+	DedupScope  Scope         // where duplicates are dropped, if idempotent with a key
+	DedupWindow time.Duration // how long they are dropped, from the first attempt on
+}
+
+// Attempt is an earlier attempt, as it is known when a further one is about to be sent.
+type Attempt struct {
+	Location   Location      // of its engine
+	Age        time.Duration // since it was sent, at the latest time at which the further one may be sent
+	MayHaveRun bool          // it ran, may have run or is in flight
+}
+
+// AllowsRetry reports whether a further attempt may be sent to an engine after an earlier one.
+func (p Policy) AllowsRetry(earlier Attempt, at Location) bool {
+	if !earlier.MayHaveRun || p.Kind == Idempotent {
+		return true
+	}
+	return p.DedupScope.includes(earlier.Location, at) && !p.ForbidsRetry(earlier)
+}
+
+// ForbidsRetry reports whether an earlier attempt rules out a further one at every engine, from now on.
+func (p Policy) ForbidsRetry(earlier Attempt) bool {
+	if !earlier.MayHaveRun {
+		return false
+	}
+	return p.Kind == NonIdempotent || p.Kind == WithKey && earlier.Age >= p.DedupWindow
+}
+
+// RepeatableAnywhere reports whether a request may run again at whichever engine.
+func (p Policy) RepeatableAnywhere() bool {
+	return p.Kind == Idempotent || p.Kind == WithKey && p.DedupScope == ScopeAll
+}
+
+// AllowsRejection reports whether a request may be rejected, which invites its client to retry at an engine
+// that nobody can foresee. Else it has to fail.
+func (p Policy) AllowsRejection(mayHaveRun bool) bool { return !mayHaveRun || p.RepeatableAnywhere() }
--- a/control/settings.go
+++ b/control/settings.go
@@ -1,25 +1,9 @@
 package control
 
-import "time"
+import (
+	"time"
 
-// Idempotency says what running a request again does.
-type Idempotency int
-
-// The kinds of idempotency.
-const (
-	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // duplicates are dropped within a scope for a time
-	NonIdempotent                        // must not run twice
-)
-
-// DedupScope is the group of engines that drops duplicates of a request that is idempotent with a key.
-type DedupScope int
-
-// The scopes of duplicate detection.
-const (
-	DedupScopeAll  DedupScope = iota // every engine
-	DedupScopeZone                   // the engines of one zone
-	DedupScopeCell                   // the engines of one cell
+	"wheatlane/control/idempotency"
 )
 
 // Class describes one class of request.
@@ -30,15 +14,13 @@
 	ObjectivePerWork     float64       // the objective grows by this times the work per thread
 	PriorityWeight       float64       // what an answer within the objective counts for
 	LateWeight           float64       // part of PriorityWeight that a later answer counts for
-	Idempotency          Idempotency
-	DedupScope           DedupScope    // where duplicates are dropped, if idempotent with a key
-	DedupWindow          time.Duration // how long they are dropped
-	Ordered              bool          // requests of one key run one at a time, in order of arrival
-	AllowedZones         []string      // empty: any zone
-	AllowedKinds         []string      // empty: any kind of engine
-	Threads              int           // threads that a request runs on, at least 1
-	HoldsDataSetLock     bool          // locks its data set on its engine while it runs
-	BlockedByDataSetLock bool          // does not progress while another request holds that lock
+	Idempotency          idempotency.Policy
+	Ordered              bool     // requests of one key run one at a time, in order of arrival
+	AllowedZones         []string // empty: any zone
+	AllowedKinds         []string // empty: any kind of engine
+	Threads              int      // threads that a request runs on, at least 1
+	HoldsDataSetLock     bool     // locks its data set on its engine while it runs
+	BlockedByDataSetLock bool     // does not progress while another request holds that lock
 }
 
 // defaultLatencyObjective is the objective of a class that has neither an objective nor a client timeout.
--- a/control/workload.go
+++ b/control/workload.go
@@ -55,12 +55,6 @@
 // weightPerWork is the class's priority weight per thread-second.
 func (k *class) weightPerWork() float64 { return k.PriorityWeight / k.meanWork }
 
-// safeToRepeatAnywhere says whether a request may run again at whichever engine.
-func (k *class) safeToRepeatAnywhere() bool {
-	return k.Idempotency == Idempotent ||
-		k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll
-}
-
 // closeInterval updates the class's arrival rate and outputs, and returns the answers of the interval.
 func (k *class) closeInterval(elapsed time.Duration, gain float64) (answered float64) {
 	k.arrivalRate = estimate.Toward(k.arrivalRate, float64(k.arrivals)/elapsed.Seconds(), gain)
--- a/internal/broker/admission.go
+++ b/internal/broker/admission.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/idempotency"
 )
 
 // timeoutSlack is the time by which a request's timeout may exceed the timeout of its class.
@@ -50,7 +51,7 @@
 		return class, errUnknownTenant
 	case class.ClientTimeout > 0 && r.Timeout > rules.longestTimeouts[r.Class]+timeoutSlack:
 		return class, errTimeoutTooLong
-	case class.Idempotency == control.IdempotentWithKey && r.IdempotencyKey == "":
+	case class.Idempotency.Kind == idempotency.WithKey && r.IdempotencyKey == "":
 		// Without the key an engine could not drop a repeat, and its effect might come twice.
 		return class, errMissingIdempotencyKey
 	}
--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/idempotency"
 	"wheatlane/internal/invariant"
 )
 
@@ -85,7 +86,7 @@
 		return false
 	}
 	repeat := invariant.Repeat{
-		NonIdempotent: r.class.Idempotency == control.NonIdempotent,
+		NonIdempotent: r.class.Idempotency.Kind == idempotency.NonIdempotent,
 		Hedging:       b.hedging,
 		InFlight:      r.hasAttemptInFlight(),
 		MayHaveRun:    r.mayHaveRun(),
@@ -171,8 +172,7 @@
 func (b *Broker) endAttempt(now time.Duration, a *attempt, end control.AttemptEnded) {
 	a.inFlight = false
 	a.result = nil
-	a.mayHaveRun = end.Status != control.ConnectFailed && end.Status != control.AtCapacity &&
-		end.Status != control.NeverSent
+	a.mayHaveRun = end.Status.MayHaveRun()
 	end.RequestID, end.Number, end.Engine = a.request.moduleID, a.id.Number, a.engine
 	end.Duration, end.RequestClosed = now-a.startedAt, a.request.closed
 	b.meter.AttemptEnded(AttemptSummary{
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -35,9 +35,7 @@
 // finalAnswer is the answer to a request that can't be finished: rejected where a retry is harmless, else
 // failed.
 func (r *request) finalAnswer(text string) Reply {
-	harmless := r.class.Idempotency == control.Idempotent ||
-		r.class.Idempotency == control.IdempotentWithKey && r.class.DedupScope == control.DedupScopeAll
-	if harmless || !r.mayHaveRun() {
+	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		return Reply{Kind: ReplyRejected, Text: text}
 	}
 	return Reply{Kind: ReplyFailed, Text: text}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/idempotency"
 )
 
 // Settings is the settings object of a deployment.
@@ -40,17 +41,17 @@
 	keyDedupScope  = "KeyScope"
 )
 
-var idempotencies = map[string]control.Idempotency{
-	"repeatable": control.Idempotent,
-	"by_key":     control.IdempotentWithKey,
-	"once":       control.NonIdempotent,
+var idempotencies = map[string]idempotency.Kind{
+	"repeatable": idempotency.Idempotent,
+	"by_key":     idempotency.WithKey,
+	"once":       idempotency.NonIdempotent,
 }
 
-var dedupScopes = map[string]control.DedupScope{
-	"":     control.DedupScopeAll,
-	"all":  control.DedupScopeAll,
-	"zone": control.DedupScopeZone,
-	"cell": control.DedupScopeCell,
+var dedupScopes = map[string]idempotency.Scope{
+	"":     idempotency.ScopeAll,
+	"all":  idempotency.ScopeAll,
+	"zone": idempotency.ScopeZone,
+	"cell": idempotency.ScopeCell,
 }
 
 // settingsObject is the part of the settings object that is used. Its fields are named as its keys; those
@@ -213,7 +214,7 @@
 
 // decode checks the class at a position of RequestClasses. The error begins with its key at fault.
 func (c *classObject) decode(domain domainObject, position int) (control.Class, error) {
-	idempotency, ok := idempotencies[c.Effect]
+	kind, ok := idempotencies[c.Effect]
 	if !ok {
 		return control.Class{}, fmt.Errorf("%s: unknown effect %q", keyIdempotency, c.Effect)
 	}
@@ -222,15 +223,15 @@
 		return control.Class{}, fmt.Errorf("%s: unknown scope %q", keyDedupScope, c.KeyScope)
 	}
 	return control.Class{
-		Name:                 c.Name,
-		LatencyObjective:     c.PromiseNs,
-		ClientTimeout:        c.GiveUpNs,
-		ObjectivePerWork:     c.AimStretch,
-		PriorityWeight:       c.Worth,
-		LateWeight:           c.LateWorth,
-		Idempotency:          idempotency,
-		DedupScope:           scope,
-		DedupWindow:          c.WindowNs,
+		Name:             c.Name,
+		LatencyObjective: c.PromiseNs,
+		ClientTimeout:    c.GiveUpNs,
+		ObjectivePerWork: c.AimStretch,
+		PriorityWeight:   c.Worth,
+		LateWeight:       c.LateWorth,
+		Idempotency: idempotency.Policy{
+			Kind: kind, DedupScope: scope, DedupWindow: c.WindowNs,
+		},
 		Ordered:              c.ByArrival,
 		AllowedZones:         c.AllowedIn,
 		AllowedKinds:         c.AllowedOn,
