--- a/control/admission.go
+++ b/control/admission.go
@@ -34,7 +34,7 @@
 		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
 	}
 	c.workload.countArrival(classIndex, tenantIndex)
-	c.retries.requestReceived(c.now)
+	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
 	c.requests.add(r)
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -15,7 +15,7 @@
 	k := r.class
 	c.setAttemptOptions(r, e)
 	if len(r.attempts) > 0 {
-		c.retries.retrySent(c.now)
+		c.retries.RetrySent(c.now)
 	} else {
 		k.learnWait(c.now - r.receivedAt)
 	}
@@ -67,7 +67,7 @@
 	c.releaseEnded(a, end.Status)
 	a.mayHaveRun = end.Status.MayHaveRun()
 	if r.keyQueue != nil && end.Status.mayStillRun() {
-		r.keyQueue.cooldownUntil = max(r.keyQueue.cooldownUntil, c.now+c.settings.Rules.KeyCooldown)
+		r.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
 	}
 	c.loadReported(e, end.Report)
 	if !end.SharedCause && (!a.presumedLost || end.Status != TimedOut) {
--- a/control/controller.go
+++ b/control/controller.go
@@ -13,6 +13,8 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"wheatlane/control/retrybudget"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -32,7 +34,7 @@
 	subscription subscription
 	workload     workload
 	estimates    fleetEstimates
-	retries      retryBudget
+	retries      retrybudget.Budget
 	admission    admissionPrice
 	shares       classShares
 	gossip       gossipSchedule
@@ -55,7 +57,7 @@
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
 		endpoints: newEndpointSet(), workload: newWorkload(settings),
-		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
+		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
 	}
 	c.shares = newClassShares(len(c.workload.classes))
 	if c.poolsEngines() {
@@ -64,6 +66,13 @@
 	return c, nil
 }
 
+func retryBudgetConfig(s Settings) retrybudget.Config {
+	return retrybudget.Config{
+		Window: s.Rules.RetryBudgetWindow, Ratio: s.Rules.RetryBudgetRatio, Reserve: s.Rules.RetryBudgetReserve,
+		MinBatchInterval: s.MinBatchInterval, MaxSendDelay: s.MaxSendDelay,
+	}
+}
+
 // Handle takes what happened at one time, in order, and returns what to do, in order. A time before that of
 // the last call counts as the last call's.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
@@ -139,7 +148,7 @@
 // tick does what is due at regular times: it looks at what waits, and once an interval runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
-	c.retries.expire(c.now)
+	c.retries.Expire(c.now)
 	c.pollEndpoints()
 	c.fadeEvidence()
 	c.updatePoolLoad()
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"wheatlane/control/idempotency"
 )
@@ -14,9 +15,9 @@
 		c.cannotRunTwice(r, e) &&
 		e.listed && e.State == Ready && // stricter than the drain's grace period
 		(!c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class)) &&
-		c.isTurnOfKey(r) &&
+		r.isTurnOfKey(c.now) &&
 		isPlacementAllowed(r.class, e) &&
-		(len(r.attempts) == 0 || c.mayRetry())
+		(len(r.attempts) == 0 || c.retries.Allows(c.now))
 }
 
 // cannotRunTwice reports whether an attempt at an engine leaves the request's effect happening once at most.
@@ -53,25 +54,12 @@
 		slices.ContainsFunc(r.attempts, c.retryForbidden)
 }
 
-// isTurnOfKey says whether a request is not ordered or the first of its key, past the key's cooldown.
-func (c *Controller) isTurnOfKey(r *request) bool {
-	q := r.keyQueue
-	return q == nil || q.requests[0] == r && (len(r.attempts) > 0 || c.now >= q.cooldownUntil)
+// isTurnOfKey reports whether a request is not ordered or the first of its key, past the key's cooldown.
+func (r *request) isTurnOfKey(now time.Duration) bool {
+	return r.keyQueue == nil || r.keyQueue.IsTurn(r, len(r.attempts) > 0, now)
 }
 
 func isPlacementAllowed(k *class, e *engine) bool {
 	return (len(k.AllowedZones) == 0 || slices.Contains(k.AllowedZones, e.Zone)) &&
 		(len(k.AllowedKinds) == 0 || slices.Contains(k.AllowedKinds, e.Kind))
 }
-
-// mayRetry says whether the retry budget, a reserve and a ratio of the requests received within a window, has
-// room for one more retry or hedged request.
-func (c *Controller) mayRetry() bool {
-	rules := &c.settings.Rules
-	if rules.RetryBudgetWindow <= 0 {
-		return true
-	}
-	c.retries.expire(c.now)
-	allowed := rules.RetryBudgetReserve + rules.RetryBudgetRatio*float64(len(c.retries.requests))
-	return float64(len(c.retries.retries)+1) <= allowed
-}
--- a/control/requests.go
+++ b/control/requests.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"wheatlane/control/keyorder"
 )
 
 // request is a request that is not over, or of which an attempt is still in flight.
@@ -17,12 +19,12 @@
 	attempts        []*attempt    // by number
 	closed          bool          // it has its final answer, or its client is gone
 	responseStarted bool
-	queuedOn        *engine   // whose queue it waits in, if any
-	avoid           *engine   // where it failed last, if it did
-	keyQueue        *keyQueue // of its order key, if its class is ordered
-	probed          bool      // engines were probed for it before it was queued
-	candidates      []*engine // drawn for it, to be compared once their load is known
-	priority        int       // set last
+	queuedOn        *engine                   // whose queue it waits in, if any
+	avoid           *engine                   // where it failed last, if it did
+	keyQueue        *keyorder.Queue[*request] // of its order key, if its class is ordered
+	probed          bool                      // engines were probed for it before it was queued
+	candidates      []*engine                 // drawn for it, to be compared once their load is known
+	priority        int                       // set last
 }
 
 func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
@@ -62,12 +64,6 @@
 	lastProgressAt time.Duration // of its last progress report
 }
 
-// keyQueue holds the open requests of one key of ordered classes, in order of arrival.
-type keyQueue struct {
-	requests      []*request
-	cooldownUntil time.Duration // no first attempt before it, as an earlier one may still run
-}
-
 // hasAttemptInFlight says whether an attempt of the request is in flight.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
@@ -82,11 +78,11 @@
 type requestTable struct {
 	byID      map[string]*request
 	waiting   []*request // for an eligible engine
-	keyQueues map[string]*keyQueue
+	keyQueues keyorder.Queues[*request]
 }
 
 func newRequestTable() requestTable {
-	return requestTable{byID: map[string]*request{}, keyQueues: map[string]*keyQueue{}}
+	return requestTable{byID: map[string]*request{}, keyQueues: keyorder.New[*request]()}
 }
 
 // add stores a request; one of an ordered class goes to the end of its key's queue.
@@ -95,13 +91,7 @@
 	if !r.class.Ordered || r.OrderKey == "" {
 		return
 	}
-	q := t.keyQueues[r.OrderKey]
-	if q == nil {
-		q = &keyQueue{}
-		t.keyQueues[r.OrderKey] = q
-	}
-	q.requests = append(q.requests, r)
-	r.keyQueue = q
+	r.keyQueue = t.keyQueues.Add(r.OrderKey, r)
 }
 
 // attemptInFlight finds an attempt; nil if it is over or was never made.
@@ -123,25 +113,11 @@
 	return waiting
 }
 
-// remove drops a request. It returns its key's queue if that is empty now, which may be dropped once its
-// cooldown is over.
-func (t *requestTable) remove(r *request) (emptied *keyQueue) {
+// remove drops a request that is over.
+func (t *requestTable) remove(r *request) {
 	delete(t.byID, r.ID)
-	q := r.keyQueue
-	if q == nil {
-		return nil
-	}
-	q.requests = slices.DeleteFunc(q.requests, func(o *request) bool { return o == r })
-	if len(q.requests) > 0 {
-		return nil
-	}
-	return q
-}
-
-// removeKeyQueue drops a key's queue if it is empty and its cooldown is over.
-func (t *requestTable) removeKeyQueue(key string, q *keyQueue, now time.Duration) {
-	if len(q.requests) == 0 && t.keyQueues[key] == q && q.cooldownUntil <= now {
-		delete(t.keyQueues, key)
+	if r.keyQueue != nil {
+		r.keyQueue.Remove(r)
 	}
 }
 
@@ -178,9 +154,9 @@
 	if !r.closed || r.hasAttemptInFlight() {
 		return
 	}
-	if q := c.requests.remove(r); q != nil {
-		cooldown := max(0, q.cooldownUntil-c.now)
-		c.startTimer(cooldown, func() { c.requests.removeKeyQueue(r.OrderKey, q, c.now) })
+	c.requests.remove(r)
+	if queue := r.keyQueue; queue != nil && queue.Empty() {
+		c.startTimer(queue.CooldownLeft(c.now), func() { c.requests.keyQueues.Release(queue, c.now) })
 	}
 }
 
