--- a/control/admission.go
+++ b/control/admission.go
@@ -34,7 +34,7 @@
 		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
 	}
 	c.workload.countArrival(classIndex, tenantIndex)
-	c.retries.requestReceived(c.now)
+	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
 	c.requests.add(r)
@@ -75,7 +75,7 @@
 	if r.closed || r.responseStarted {
 		return
 	}
-	if !r.mayHaveRun() || r.class.safeToRepeatAnywhere() {
+	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		reject := Reject{RequestID: r.ID}
 		if c.settings.Limits.RetryAfter {
 			reject.RetryAfter = c.retryAfter()
