--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // duplicateWindow is how long duplicates of a response may follow it; by the protocol that is milliseconds.
@@ -77,7 +78,7 @@
 	if c.closed {
 		return
 	}
-	c.transport.afterSent(func() { p.post(func() { p.cancelled(s) }) })
+	c.transport.AfterSent(func() { p.post(func() { p.cancelled(s) }) })
 }
 
 // cancelled ends an attempt whose cancellation has been sent.
@@ -113,7 +114,7 @@
 func (p *enginePool) cancelUnsent(engine string) {
 	for _, c := range slices.Clone(p.connsByEngine[engine]) {
 		if c.transport == nil {
-			p.close(c, EngineGone)
+			p.close(c, netconn.EngineGone)
 			continue
 		}
 		for _, s := range c.inOrder() {
--- a/internal/server/changelog.go
+++ b/internal/server/changelog.go
@@ -7,6 +7,8 @@
 	"net"
 	"time"
 
+	"wheatlane/internal/server/netconn"
+
 	"github.com/cenkalti/backoff/v4"
 )
 
@@ -28,12 +30,12 @@
 		err := s.poll(target, addr, &revision, &waits)
 		addressChanged := target.Err() != nil && ctx.Err() == nil
 		if addressChanged {
-			err = &endError{AddressChanged, err}
+			err = &netconn.EndError{Reason: netconn.AddressChanged, Err: err}
 		}
 		if lostToWait(err) {
 			waits.lost()
 		}
-		s.connectionEnded(ChangelogSide, addr, openedAt, err)
+		s.connectionEnded(netconn.ChangelogSide, addr, openedAt, err)
 		if addressChanged || revision > before || time.Since(openedAt) > pollTimeout {
 			pause = 0
 			retry.Reset()
@@ -51,8 +53,8 @@
 
 // lostToWait reports whether a poll ended because something took longer than it waits.
 func lostToWait(err error) bool {
-	if reason := reasonOf(err); reason != ConnectFailed {
-		return reason == PollTimeout || reason == Stalled
+	if reason := netconn.ReasonOf(err); reason != netconn.ConnectFailed {
+		return reason == netconn.PollTimeout || reason == netconn.Stalled
 	}
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/server/changelog_test.go
+++ b/internal/server/changelog_test.go
@@ -13,6 +13,7 @@
 
 	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
 )
 
 // httpPage is an HTTP response with a page of the change log.
@@ -49,7 +50,7 @@
 	addr := answerOnce(t, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":2,")
 	revision := int64(1)
 	err := (&Server{}).poll(t.Context(), addr, &revision, &pollWaits{})
-	if got := reasonOf(err); got != Stalled || revision != 1 {
+	if got := netconn.ReasonOf(err); got != netconn.Stalled || revision != 1 {
 		t.Fatalf("ended as %s, the next poll is from %d on", got, revision)
 	}
 }
@@ -100,7 +101,7 @@
 	s.publish(pageJSON(41, false, endpointJSON("e2", "127.0.0.1:1", "terminating", 0)), 41)
 	s.changelog.pages <- pageJSON(3, true, endpointJSON("e9", "127.0.0.1:1", "in_service", 0))
 	waitUntil(t, "the connection has ended as malformed", func() bool {
-		return s.logs.FilterField(zap.String("reason", string(Malformed))).Len() > 0
+		return s.logs.FilterField(zap.String("reason", string(netconn.Malformed))).Len() > 0
 	})
 	s.publish(pageJSON(42, false, endpointJSON("e2", "127.0.0.1:1", "terminated", 0)), 42)
 	if got := inLoop(s, func(server *Server) int { return server.reducer.EndpointCount() }); got != 1 {
--- a/internal/server/changelogpoll.go
+++ b/internal/server/changelogpoll.go
@@ -9,6 +9,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -24,7 +25,7 @@
 type changelogPoll struct {
 	server   *Server
 	addr     string
-	conn     *bufferedConn
+	conn     *netconn.Conn
 	waits    *pollWaits
 	revision *int64                      // of the last page that the reducer was given
 	pause    *backoff.ExponentialBackOff // between polls that were answered early with nothing new
@@ -35,13 +36,15 @@
 func (s *Server) poll(ctx context.Context, addr string, revision *int64, waits *pollWaits) error {
 	socket, err := (&net.Dialer{Timeout: waits.current().connect}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return &endError{ConnectFailed, err}
+		return &netconn.EndError{Reason: netconn.ConnectFailed, Err: err}
 	}
 	p := &changelogPoll{
 		server: s, addr: addr, waits: waits, revision: revision, pause: newPollBackoff(),
-		conn: newBufferedConn(socket, 0, maxChangelogReceiveBytes, maxChangelogSendBytes),
+		conn: netconn.New(socket, netconn.Options{
+			MaxReceiveBytes: maxChangelogReceiveBytes, MaxSendBytes: maxChangelogSendBytes,
+		}),
 	}
-	return p.conn.run(ctx, p.run)
+	return p.conn.Run(ctx, p.run)
 }
 
 func (p *changelogPoll) run(ctx context.Context) error {
@@ -68,7 +71,7 @@
 		err = &revisionError{page.Revision, *p.revision}
 	}
 	if err != nil {
-		return &endError{Malformed, err}
+		return &netconn.EndError{Reason: netconn.Malformed, Err: err}
 	}
 	if err := p.pace(ctx, page, sentAt); err != nil {
 		return err
@@ -79,17 +82,17 @@
 		*p.revision = page.Revision
 	}
 	if response.Close {
-		return &endError{Reason: PeerClosed}
+		return &netconn.EndError{Reason: netconn.PeerClosed}
 	}
 	return nil
 }
 
 func (p *changelogPoll) send() error {
 	p.server.endpointPolls.Add(1)
-	if _, err := p.conn.write(changelog.Request(p.addr, *p.revision, pollTimeout)); err != nil {
+	if _, err := p.conn.Write(changelog.Request(p.addr, *p.revision, pollTimeout)); err != nil {
 		return err
 	}
-	return p.conn.socket.SetReadDeadline(time.Now().Add(pollTimeout + p.waits.current().grace))
+	return p.conn.SetReadDeadline(time.Now().Add(pollTimeout + p.waits.current().grace))
 }
 
 // receive reads one response. From its first bytes on it has partialPageTimeout: what a change log that
@@ -97,26 +100,26 @@
 func (p *changelogPoll) receive() (changelog.Response, error) {
 	begun := false
 	for {
-		if _, err := p.conn.received.ReadOnce(p.conn.socket); err != nil {
+		if err := p.conn.ReadOnce(); err != nil {
 			switch {
-			case isTimeout(err) && begun:
-				return changelog.Response{}, &endError{Stalled, err}
-			case isTimeout(err):
-				return changelog.Response{}, &endError{PollTimeout, err}
+			case netconn.IsTimeout(err) && begun:
+				return changelog.Response{}, &netconn.EndError{Reason: netconn.Stalled, Err: err}
+			case netconn.IsTimeout(err):
+				return changelog.Response{}, &netconn.EndError{Reason: netconn.PollTimeout, Err: err}
 			}
 			return changelog.Response{}, err
 		}
-		response, size, err := changelog.ParseResponse(p.conn.received.Bytes())
+		response, size, err := changelog.ParseResponse(p.conn.Received.Bytes())
 		if err != nil {
 			return changelog.Response{}, err
 		}
 		if size > 0 {
-			p.conn.received.Discard(size)
+			p.conn.Received.Discard(size)
 			return response, nil
 		}
 		if !begun {
 			begun = true
-			if err := p.conn.socket.SetReadDeadline(time.Now().Add(p.waits.current().partial)); err != nil {
+			if err := p.conn.SetReadDeadline(time.Now().Add(p.waits.current().partial)); err != nil {
 				return changelog.Response{}, err
 			}
 		}
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -11,6 +11,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -32,7 +33,7 @@
 type client struct {
 	server   *Server
 	id       broker.Session
-	conn     *bufferedConn
+	conn     *netconn.Conn
 	admitted chan struct{} // closed once the client may be greeted
 
 	loggedIn      bool
@@ -49,14 +50,16 @@
 	stopReading atomic.Bool // the reader is to stop and to say so; set by the loop
 
 	// Owned by the loop.
-	closeReason *endError // why the connection is being closed from this side; nil: it is not
-	fullyRead   bool      // the final reads are complete and all that came is with the reducer
+	closeReason *netconn.EndError // why the connection is being closed from this side; nil: it is not
+	fullyRead   bool              // the final reads are complete and all that came is with the reducer
 }
 
 func newClient(s *Server, id broker.Session, socket net.Conn) *client {
 	return &client{
 		server: s, id: id, admitted: make(chan struct{}),
-		conn: newBufferedConn(socket, 0, maxClientReceiveBytes, maxClientSendBytes),
+		conn: netconn.New(socket, netconn.Options{
+			MaxReceiveBytes: maxClientReceiveBytes, MaxSendBytes: maxClientSendBytes,
+		}),
 	}
 }
 
@@ -95,11 +98,11 @@
 // receive reads once and reports whether bytes came. The error is why the connection ends.
 func (c *client) receive(ctx context.Context) (received bool, err error) {
 	calledAt := now()
-	if _, err := c.conn.received.ReadOnce(c.conn.socket); err != nil {
+	if err := c.conn.ReadOnce(); err != nil {
 		return false, c.readFailed(ctx, err)
 	}
 	c.noteReceived(calledAt, now())
-	if c.conn.finishedFor() != nil { // this side is shut down: what was read can't be answered
+	if c.conn.FinishedFor() != nil { // this side is shut down: what was read can't be answered
 		c.server.post(ctx, func() { c.server.violated(invariant.NoReadAfterShutdown) })
 	}
 	return true, nil
@@ -108,17 +111,17 @@
 // readFailed returns why the connection ends, or nil where the reader is to go on.
 func (c *client) readFailed(ctx context.Context, err error) error {
 	switch {
-	case isTimeout(err) && c.stopReading.Load():
+	case netconn.IsTimeout(err) && c.stopReading.Load():
 		return c.stoppedReading(ctx)
-	case isTimeout(err) && time.Now().Before(c.readDeadline): // a shutdown looks whether something has come
+	case netconn.IsTimeout(err) && time.Now().Before(c.readDeadline): // a shutdown looks whether something has come
 		return c.finalRead()
-	case isTimeout(err) && !c.lastLook:
+	case netconn.IsTimeout(err) && !c.lastLook:
 		c.lastLook = true
-		return c.conn.socket.SetReadDeadline(time.Now().Add(lastLookTimeout))
-	case isTimeout(err) && !c.loggedIn:
-		return &endError{LoginTimeout, err}
-	case isTimeout(err) && c.begun.Load():
-		return &endError{ReadTimeout, err}
+		return c.conn.SetReadDeadline(time.Now().Add(lastLookTimeout))
+	case netconn.IsTimeout(err) && !c.loggedIn:
+		return &netconn.EndError{Reason: netconn.LoginTimeout, Err: err}
+	case netconn.IsTimeout(err) && c.begun.Load():
+		return &netconn.EndError{Reason: netconn.ReadTimeout, Err: err}
 	case errors.Is(err, io.EOF):
 		return c.halfClosed(ctx, err)
 	}
@@ -128,9 +131,9 @@
 // handlePackets handles the complete packets that were received.
 func (c *client) handlePackets(ctx context.Context) error {
 	// The process may have stood still between the read and the question.
-	newest := min(c.lastReadAt, now()-c.server.sinceReceived(c.conn.socket))
+	newest := min(c.lastReadAt, now()-c.server.sinceReceived(c.conn.Socket()))
 	for {
-		seq, payload, size, err := mysql.ParsePacket(c.conn.received.Bytes())
+		seq, payload, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
 		if err != nil {
 			return c.failProtocol(ctx, 1, mysql.CodeTooLarge, err)
 		}
@@ -139,14 +142,14 @@
 		}
 		if c.loggedIn {
 			sent := sendTime{sentAt: newest}
-			if size < c.conn.received.Len() {
+			if size < c.conn.Received.Len() {
 				sent.waitingSince = min(newest, c.receivedFrom)
 			}
 			err = c.handleCommand(ctx, seq, payload, sent)
 		} else {
 			err = c.login(ctx, seq, payload)
 		}
-		c.conn.received.Discard(size)
+		c.conn.Received.Discard(size)
 		if err != nil {
 			return err
 		}
@@ -156,7 +159,7 @@
 // updateReadTimeout sets the time by which more must come. It runs on until the login, or a message that
 // has begun, is complete, however slowly more comes.
 func (c *client) updateReadTimeout() error {
-	partial := c.conn.received.Len() > 0
+	partial := c.conn.Received.Len() > 0
 	if !c.loggedIn || partial && c.begun.Load() {
 		return nil
 	}
@@ -177,14 +180,14 @@
 	defer c.server.mu.Unlock()
 	c.readDeadline = time.Now().Add(within)
 	deadline := c.readDeadline
-	if c.server.readingOut && c.finalTimeouts < finalReads && c.conn.received.Len() == 0 {
+	if c.server.readingOut && c.finalTimeouts < finalReads && c.conn.Received.Len() == 0 {
 		deadline = time.Now().Add(min(within, finalReadTimeout))
 	}
-	if err := c.conn.socket.SetReadDeadline(deadline); err != nil {
+	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return err
 	}
 	if c.stopReading.Load() { // set meanwhile
-		return c.conn.socket.SetReadDeadline(time.Now())
+		return c.conn.SetReadDeadline(time.Now())
 	}
 	return nil
 }
@@ -192,7 +195,7 @@
 // finalRead goes on after a timeout ahead of the client's own, by which a shutdown looks whether something has come:
 // a message that has begun keeps its time, and an empty socket is counted.
 func (c *client) finalRead() error {
-	if c.conn.received.Len() == 0 && c.finalTimeouts < finalReads {
+	if c.conn.Received.Len() == 0 && c.finalTimeouts < finalReads {
 		c.finalTimeouts++
 		if c.finalTimeouts == finalReads {
 			c.server.post(c.server.ctx, func() { c.fullyRead = true })
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -10,6 +10,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
 )
 
 // A client that kills its query is told so, and its engine that the attempt is cancelled; so is that of one
@@ -32,45 +33,45 @@
 // invalidInput is what a client sends after the greeting, and what comes of it.
 type invalidInput struct {
 	login   []byte
-	command []byte   // nil: the connection ends with the login
-	quit    bool     // the client ends the connection itself, after the answer
-	answers []string // after the greeting
-	reason  Reason   // why the connection ends
+	command []byte         // nil: the connection ends with the login
+	quit    bool           // the client ends the connection itself, after the answer
+	answers []string       // after the greeting
+	reason  netconn.Reason // why the connection ends
 }
 
 var invalidInputs = map[string]invalidInput{
 	"wrong user": {
-		login: loginPacket("root"), answers: []string{"1045", "closed"}, reason: AccessDenied,
+		login: loginPacket("root"), answers: []string{"1045", "closed"}, reason: netconn.AccessDenied,
 	},
 	"no login": {
-		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: Malformed,
+		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: netconn.Malformed,
 	},
 	"login of a wrong number": {
-		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: Malformed,
+		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: netconn.Malformed,
 	},
 	"huge packet": {
 		login: loginPacket("app"), command: []byte("\x00\x00\xff\x00\x03SELECT"),
-		answers: []string{"ok", "1153", "closed"}, reason: TooLarge,
+		answers: []string{"ok", "1153", "closed"}, reason: netconn.TooLarge,
 	},
 	"packet of a wrong number": {
 		login: loginPacket("app"), command: packetBytes(9, mysqlPing),
-		answers: []string{"ok", "1156", "closed"}, reason: Malformed,
+		answers: []string{"ok", "1156", "closed"}, reason: netconn.Malformed,
 	},
 	"empty packet": {
 		login: loginPacket("app"), command: packetBytes(0, ""),
-		answers: []string{"ok", "1835", "closed"}, reason: Malformed,
+		answers: []string{"ok", "1835", "closed"}, reason: netconn.Malformed,
 	},
 	"unknown command": {
 		login: loginPacket("app"), command: packetBytes(0, "\x1d"), quit: true,
-		answers: []string{"ok", "1047", "closed"}, reason: Quit,
+		answers: []string{"ok", "1047", "closed"}, reason: netconn.Quit,
 	},
 	"unknown database": {
 		login: loginPacket("app"), command: packetBytes(0, "\x02x"), quit: true,
-		answers: []string{"ok", "1049", "closed"}, reason: Quit,
+		answers: []string{"ok", "1049", "closed"}, reason: netconn.Quit,
 	},
 	"statement without fields": {
 		login: loginPacket("app"), command: queryPacket("SELECT 1"), quit: true,
-		answers: []string{"ok", "1210", "closed"}, reason: Quit,
+		answers: []string{"ok", "1210", "closed"}, reason: netconn.Quit,
 	},
 }
 
@@ -125,8 +126,8 @@
 	}
 	silent.expect("closed")
 	idle.expect("closed")
-	s.expectEnd(silent.localAddr(), EvictedIdle)
-	s.expectEnd(idle.localAddr(), EvictedIdle)
+	s.expectEnd(silent.localAddr(), netconn.EvictedIdle)
+	s.expectEnd(idle.localAddr(), netconn.EvictedIdle)
 	s.dial().expect("1040")
 }
 
@@ -136,11 +137,11 @@
 	s := startServer(t)
 	for name, tt := range map[string]struct {
 		sent []byte
-		want Reason
+		want netconn.Reason
 	}{
-		"nothing":         {nil, LoginTimeout},
-		"part of login":   {loginPacket("app")[:9], LoginTimeout},
-		"part of a query": {append(loginPacket("app"), queryPacket("SELECT")[:8]...), ReadTimeout},
+		"nothing":         {nil, netconn.LoginTimeout},
+		"part of login":   {loginPacket("app")[:9], netconn.LoginTimeout},
+		"part of a query": {append(loginPacket("app"), queryPacket("SELECT")[:8]...), netconn.ReadTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -203,12 +204,15 @@
 // The session of a client that does not read its answers ends at once for the reducer as well: what it asks
 // while its connection ends could not be answered, and is not forwarded.
 func TestSessionEndsWhenSendBufferIsFull(t *testing.T) {
-	near, _ := connectedPair(t)
-	c := &client{id: 7, conn: newBufferedConn(near, 0, 10, 10)}
+	near, far := connectedPair(t)
+	c := &client{id: 7, conn: netconn.New(near, netconn.Options{MaxReceiveBytes: 10, MaxSendBytes: 10})}
 	s := &Server{clients: map[broker.Session]*client{7: c}}
 	s.sendReply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "more than there is room for"})
-	if c.conn.closeReason == nil || c.conn.closeReason.Reason != BufferFull {
-		t.Errorf("the connection ends as %v", c.conn.closeReason)
+	if err := far.Close(); err != nil { // so that the other end needs not wait for it
+		t.Fatal(err)
+	}
+	if ended := receive(t, runConn(t, c.conn), "the end"); netconn.ReasonOf(ended) != netconn.BufferFull {
+		t.Errorf("the connection ends as %v", ended)
 	}
 	want := []broker.Event{broker.SessionClosed{Session: 7}}
 	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
@@ -270,7 +274,7 @@
 			return server.reducer.OpenRequests()+len(server.clients) == 0
 		})
 	})
-	s.expectEnd(c.localAddr(), PeerClosed)
+	s.expectEnd(c.localAddr(), netconn.PeerClosed)
 }
 
 // A client that sends many requests at once gets an answer to each, in order: those beyond what may wait behind
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -67,7 +67,7 @@
 				client := s.server.clients[broker.Session(c.session)]
 				closeSession(s.server, c, other)
 				for range 100_000 { // the writer has every chance to end the connection too early
-					if client.conn.finishedFor() != nil {
+					if client.conn.FinishedFor() != nil {
 						return
 					}
 					runtime.Gosched()
@@ -111,7 +111,7 @@
 	if _, err := far.Write(loginPacket("app")); err != nil {
 		t.Fatal(err)
 	}
-	for c.conn.received.Len() == 0 {
+	for c.conn.Received.Len() == 0 {
 		if _, err := c.receive(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/clientcommand.go
+++ b/internal/server/clientcommand.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/netconn"
 )
 
 // handleCommand hands one command to the reducer, which answers it in its turn.
@@ -31,7 +32,7 @@
 ) (broker.Event, error) {
 	switch command {
 	case mysql.Quit:
-		return nil, &endError{Reason: Quit}
+		return nil, &netconn.EndError{Reason: netconn.Quit}
 	case mysql.Ping:
 		return broker.Ping{Session: c.id}, nil
 	case mysql.Query:
--- a/internal/server/command_test.go
+++ b/internal/server/command_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // Each command to an engine, byte for byte, with each field that it can have.
@@ -35,15 +36,14 @@
 	s.pool.fetchPage(broker.FetchPage{Attempt: attempt(2), Page: 12345})
 	s.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 0})
 	s.pool.setPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
-	drained := make(chan error, 1)
-	go func() { drained <- transport.writeLoop(s.ctx) }()
-	waitUntil(t, "all has left, so that nothing can be withdrawn", transport.allSent)
+	drained := runConn(t, transport)
+	waitUntil(t, "all has left, so that nothing can be withdrawn", transport.AllSent)
 	s.pool.cancelAttempt(attempt(1))
 	s.pool.setPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // cancelled: nothing is sent
 	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
 	s.pool.releaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
 	s.pool.suspect(s.pool.connsByEngine["e1"][0], time.Now())
-	transport.closeAfterSent(&endError{Reason: Shutdown})
+	transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown})
 	all, err := io.ReadAll(far)
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	if err := far.Close(); err != nil {
 		t.Error(err)
 	}
-	if got := reasonOf(receive(t, drained, "the end of the connection")); got != Shutdown {
+	if got := netconn.ReasonOf(receive(t, drained, "the end of the connection")); got != netconn.Shutdown {
 		t.Errorf("it ended as %s", got)
 	}
 	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // a command a line
--- a/internal/server/crossingstable_test.go
+++ b/internal/server/crossingstable_test.go
@@ -7,14 +7,13 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
 
-const (
-	serverDir = "."
-	brokerDir = "../broker"
-)
+// testDirs are the packages whose tests the page names.
+var testDirs = []string{"../broker", "../handover", "../../control", "../../cmd/wheatlane"}
 
 // docs/design/crossings.md keeps up with the code: the tests that it names exist, and each constant of the
 // server and the reducer that meets other customers' settings has its source in it.
@@ -23,13 +22,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	constantDirs := append(serverDirs(t), "../broker")
 	functions := map[string]bool{}
-	for _, dir := range []string{serverDir, brokerDir, "../handover", "../../control", "../../cmd/wheatlane"} {
+	for _, dir := range append(serverDirs(t), testDirs...) {
 		for path, file := range parseDir(t, dir) {
 			for _, name := range functionNames(file) {
 				functions[name] = true
 			}
-			if strings.HasSuffix(path, "_test.go") || dir != serverDir && dir != brokerDir {
+			if strings.HasSuffix(path, "_test.go") || !slices.Contains(constantDirs, dir) {
 				continue
 			}
 			for _, name := range constantNames(file) {
@@ -46,6 +46,22 @@
 	}
 }
 
+// serverDirs are the folders of the server and of the packages below it.
+func serverDirs(t *testing.T) []string {
+	t.Helper()
+	entries, err := os.ReadDir(".")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dirs := []string{"."}
+	for _, entry := range entries {
+		if entry.IsDir() && entry.Name() != "testdata" {
+			dirs = append(dirs, entry.Name())
+		}
+	}
+	return dirs
+}
+
 // parseDir returns the files of a package by their paths.
 func parseDir(t *testing.T, dir string) map[string]*ast.File {
 	t.Helper()
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -5,7 +5,9 @@
 	"net"
 	"time"
 
+	"wheatlane/internal/invariant"
 	"wheatlane/internal/resp"
+	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/transient"
 )
 
@@ -43,7 +45,7 @@
 	if ctx.Err() != nil && p.server.ctx.Err() == nil {
 		err = c.closeReason // set before ctx ended
 	}
-	p.server.connectionEnded(EngineSide, c.addr, started, err)
+	p.server.connectionEnded(netconn.EngineSide, c.addr, started, err)
 }
 
 // serveConn establishes a connection, reads it and returns why it ended.
@@ -51,13 +53,21 @@
 	settings := &p.server.cfg.Settings
 	socket, err := connect(ctx, c.addr, settings.ConnectTimeout)
 	if err != nil {
-		return &endError{ConnectFailed, err}
+		return &netconn.EndError{Reason: netconn.ConnectFailed, Err: err}
 	}
-	maxDelay := engineSendDelay(settings.DrainGrace)
-	transport := newBufferedConn(socket, maxDelay, maxEngineReceiveBytes, maxEngineSendBytes)
-	transport.onExpired = func() { p.writesExpired.Store(true) }
+	transport := netconn.New(socket, p.connOptions())
 	p.server.post(ctx, func() { p.connected(c, transport) })
-	return transport.run(ctx, func(context.Context) error { return p.readResponses(c, transport) })
+	return transport.Run(ctx, func(context.Context) error { return p.readResponses(c, transport) })
+}
+
+// connOptions are the limits of connections to engines.
+func (p *enginePool) connOptions() netconn.Options {
+	return netconn.Options{
+		MaxReceiveBytes: maxEngineReceiveBytes, MaxSendBytes: maxEngineSendBytes,
+		MaxSendDelay: engineSendDelay(p.server.cfg.Settings.DrainGrace),
+		LateAfter:    invariant.TimeoutSlack - staleAfter,
+		OnExpired:    func() { p.writesExpired.Store(true) },
+	}
 }
 
 // connect establishes a connection within a time. It tries again for a while where this machine lacks descriptors,
@@ -74,7 +84,7 @@
 }
 
 // connected sends what waited for a connection.
-func (p *enginePool) connected(c *engineConn, transport *bufferedConn) {
+func (p *enginePool) connected(c *engineConn, transport *netconn.Conn) {
 	if c.closed {
 		return
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -42,12 +42,12 @@
 	t.byEngine[engine] = drain
 	t.meter().DrainStarted()
 	for _, c := range conns {
-		if c.transport == nil || c.transport.allSent() {
+		if c.transport == nil || c.transport.AllSent() {
 			continue
 		}
 		drain.pendingConns++
 		c.drain = drain
-		c.transport.afterSent(func() {
+		c.transport.AfterSent(func() {
 			sentAt := time.Now()
 			notify(func() { t.connSent(c, sentAt) })
 		})
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -4,6 +4,7 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // execute carries out effects in their order.
@@ -56,7 +57,7 @@
 
 func (s *Server) closeSession(e broker.CloseSession) {
 	if c := s.clients[e.Session]; c != nil {
-		c.close(&endError{Reason: closeReasons[e.Reason]})
+		c.close(&netconn.EndError{Reason: closeReasons[e.Reason]})
 	}
 }
 
--- a/internal/server/engineconn.go
+++ b/internal/server/engineconn.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -18,10 +19,10 @@
 // under an id of its own. The goroutine that owns the reducer owns it.
 type engineConn struct {
 	engine, addr string
-	transport    *bufferedConn   // nil while it is being established
+	transport    *netconn.Conn   // nil while it is being established
 	ctx          context.Context // of its goroutines; ends with that of Run
 	cancel       context.CancelFunc
-	closeReason  *endError            // why the broker closed it
+	closeReason  *netconn.EndError    // why the broker closed it
 	streams      map[string]*stream   // by id
 	retiredIDs   map[string]time.Time // until when ids may be answered that nothing waits for
 	closing      bool                 // it accepts no new streams and closes with the last
@@ -97,11 +98,11 @@
 	if c.transport == nil {
 		return true
 	}
-	if !c.transport.withdraw(s.offset) {
+	if !c.transport.Withdraw(s.offset) {
 		return false
 	}
 	for _, offset := range s.followUps {
-		c.transport.withdraw(offset) // it is queued behind the stream's message, so it has not left either
+		c.transport.Withdraw(offset) // it is queued behind the stream's message, so it has not left either
 	}
 	return true
 }
--- a/internal/server/enginepool.go
+++ b/internal/server/enginepool.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -101,7 +102,7 @@
 	if longest == nil {
 		return false
 	}
-	p.close(longest, EvictedIdle)
+	p.close(longest, netconn.EvictedIdle)
 	return true
 }
 
@@ -113,7 +114,7 @@
 		p.endStream(s, streamEnd{status: control.NeverSent})
 		return
 	}
-	offset, err := s.conn.transport.writeExpiring(s.message(now), s.expiresAt(now, p.maxSendDelay()))
+	offset, err := s.conn.transport.WriteExpiring(s.message(now), s.expiresAt(now, p.maxSendDelay()))
 	s.offset, s.queued = offset, true
 	if err != nil { // the queue is full, so nothing of it leaves
 		p.removeStream(s)
@@ -145,7 +146,7 @@
 }
 
 func (p *enginePool) resendExpiredOn(c *engineConn) {
-	expired := c.transport.takeExpired()
+	expired := c.transport.TakeExpired()
 	if len(expired) == 0 {
 		return
 	}
@@ -154,7 +155,7 @@
 			continue
 		}
 		for _, offset := range s.followUps {
-			c.transport.withdraw(offset) // the new message has its own
+			c.transport.Withdraw(offset) // the new message has its own
 		}
 		s.followUps, s.queued = nil, false
 		p.send(s, time.Now())
@@ -164,9 +165,9 @@
 // sendCommand queues a command that nothing answers, or whose answer belongs to a stream, and returns its
 // offset.
 func (p *enginePool) sendCommand(c *engineConn, cmd command, id string, args ...string) int64 {
-	offset, err := c.transport.write(appendCommand(nil, cmd, id, args...))
+	offset, err := c.transport.Write(appendCommand(nil, cmd, id, args...))
 	if err != nil {
-		p.close(c, BufferFull)
+		p.close(c, netconn.BufferFull)
 	}
 	return offset
 }
@@ -177,7 +178,7 @@
 	delete(c.streams, s.id)
 	suspected := !c.suspectSince.IsZero() && !p.mayCloseSilent()
 	if len(c.streams) == 0 && (c.closing || suspected) {
-		p.close(c, Retired)
+		p.close(c, netconn.Retired)
 	}
 }
 
@@ -206,11 +207,11 @@
 
 // close ends a connection from this side. All that is in flight on it ends at once, so that no response
 // that is on its way can be mistaken for one to another stream.
-func (p *enginePool) close(c *engineConn, reason Reason) {
+func (p *enginePool) close(c *engineConn, reason netconn.Reason) {
 	if c.closed {
 		return
 	}
-	c.closeReason = &endError{Reason: reason}
+	c.closeReason = &netconn.EndError{Reason: reason}
 	c.cancel()
 	p.disconnected(c)
 }
@@ -221,7 +222,7 @@
 	p.drains.forget(engine)
 	for _, c := range slices.Clone(p.connsByEngine[engine]) {
 		if dialledBefore == 0 || reducerTime(c.dialStarted) < dialledBefore {
-			p.close(c, EngineGone)
+			p.close(c, netconn.EngineGone)
 		}
 	}
 }
@@ -247,7 +248,7 @@
 	leftBytes := int64(-1)
 	var expired []int64
 	if c.transport != nil {
-		leftBytes, expired = c.transport.withdrawAll(), c.transport.takeExpired()
+		leftBytes, expired = c.transport.WithdrawAll(), c.transport.TakeExpired()
 	}
 	streams := c.inOrder()
 	clear(c.streams)
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -18,6 +18,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/resp"
+	"wheatlane/internal/server/netconn"
 )
 
 var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
@@ -36,11 +37,10 @@
 }
 
 // sentCommands ends a connection and returns what leaves on it, as command and request id.
-func sentCommands(t *testing.T, transport *bufferedConn, far io.Reader) (commands []string) {
+func sentCommands(t *testing.T, transport *netconn.Conn, far io.Reader) (commands []string) {
 	t.Helper()
-	transport.closeAfterSent(&endError{Reason: Shutdown})
-	ended := make(chan error, 1)
-	go func() { ended <- transport.writeLoop(t.Context()) }()
+	transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown})
+	runConn(t, transport)
 	sent, err := io.ReadAll(far)
 	if err != nil {
 		t.Fatal(err)
@@ -134,7 +134,7 @@
 	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
 	s.serveOn(e, 1)
 	receive(t, e.closed, "the end of the idle connection")
-	s.expectEnd(e.addr, Idle)
+	s.expectEnd(e.addr, netconn.Idle)
 	interval := inLoop(s, func(server *Server) time.Duration { return server.sweepInterval })
 	if interval >= idleTimeout {
 		t.Fatalf("idle connections are looked for every %v, and engines close them after %v", interval, idleTimeout)
@@ -155,7 +155,7 @@
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
 	attempt := other.expectAttempt(t)
 	receive(t, e.closed, "the end of the idle connection")
-	s.expectEnd(e.addr, EvictedIdle)
+	s.expectEnd(e.addr, netconn.EvictedIdle)
 	attempt.replyOK()
 	b.expect("rows ")
 }
@@ -199,8 +199,7 @@
 func TestClosedConnectionSendsNothing(t *testing.T) {
 	s, transport, far := newIdleServer(t)
 	startAttempt(s, firstAttempt, "once", time.Second)
-	firstBytes := int(transport.queuedBytes)
-	transport.nextBytes() // it is being written as the connection is closed
+	firstBytes := len(transport.NextBytes()) // they are being written as the connection is closed
 	startAttempt(s, secondAttempt, "once", time.Second)
 	s.pool.closeConnections("e1", 0)
 	want := []broker.Event{
@@ -210,9 +209,8 @@
 	if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
 		t.Errorf("events of the reducer: %s", diff)
 	}
-	transport.closeAfterSent(&endError{Reason: Shutdown}) // the writer comes to it ahead of the close
-	ended := make(chan error, 1)
-	go func() { ended <- transport.writeLoop(t.Context()) }()
+	transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown}) // the writer comes to it ahead of the close
+	runConn(t, transport)
 	if sent, err := io.ReadAll(far); err != nil || len(sent) != firstBytes {
 		t.Errorf("the engine got %q, %v", sent, err)
 	}
@@ -265,7 +263,8 @@
 // time that is left and the priority of now; one whose time is over does not leave.
 func TestExpiredMessagesAreMadeAnew(t *testing.T) {
 	const timeout, waited = time.Second, 300 * time.Millisecond
-	s, transport, far := newIdleServer(t)
+	clock := time.Now
+	s, transport, far := newIdleServerWithClock(t, func() time.Time { return clock() })
 	s.cfg.Settings.ConnectTimeout = timeout
 	startAttempt(s, firstAttempt, "lookup", timeout)
 	startAttempt(s, secondAttempt, "lookup", waited)
@@ -274,14 +273,12 @@
 		stream := s.pool.inFlight[id]
 		stream.startedAt = stream.startedAt.Add(-waited)
 	}
-	transport.mu.Lock()
-	for i := range transport.writes {
-		transport.writes[i].expiresAt = transport.writes[i].expiresAt.Add(-waited)
-	}
-	transport.mu.Unlock()
-	if next := transport.nextBytes(); strings.Contains(string(next), "want") {
+	clock = func() time.Time { return time.Now().Add(waited) }
+	if next := transport.NextBytes(); strings.Contains(string(next), "want") {
 		t.Fatalf("%q leaves though it is out of date", next)
 	}
+	transport.MarkSent(0) // the system takes nothing of what is left
+	clock = time.Now      // what is made anew has not waited
 	s.pool.resendExpired()
 	ended := []broker.Event{broker.AttemptEnded{Attempt: secondAttempt, Status: control.NeverSent}}
 	if diff := cmp.Diff(ended, s.pendingEvents); diff != "" {
@@ -302,10 +299,11 @@
 		"withdrawn": func(s *Server) { s.pool.withdrawAttempt(firstAttempt) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, transport, _ := newIdleServer(t)
+			clock := time.Now
+			s, transport, _ := newIdleServerWithClock(t, func() time.Time { return clock() })
 			startAttempt(s, firstAttempt, "lookup", time.Second)
-			transport.writes[0].expiresAt = time.Now()
-			transport.nextBytes()
+			clock = func() time.Time { return time.Now().Add(staleAfter) }
+			transport.NextBytes()
 			end(s)
 			want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.NeverSent}}
 			if diff := cmp.Diff(want, s.pendingEvents); diff != "" {
--- a/internal/server/handshake.go
+++ b/internal/server/handshake.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/netconn"
 )
 
 // The login that the protocol prescribes.
@@ -26,7 +27,7 @@
 	for i := range salt {
 		salt[i] = salt[i]%printableLength + firstPrintable
 	}
-	_, err := c.conn.write(mysql.AppendGreeting(nil, uint32(c.id), salt))
+	_, err := c.conn.Write(mysql.AppendGreeting(nil, uint32(c.id), salt))
 	return err
 }
 
@@ -40,14 +41,14 @@
 		return c.failProtocol(ctx, seq+1, mysql.CodeHandshake, err)
 	}
 	if l.User != loginUser || l.Password {
-		denied := &endError{AccessDenied, fmt.Errorf("access denied for user %.40q", l.User)}
+		denied := &netconn.EndError{Reason: netconn.AccessDenied, Err: fmt.Errorf("access denied for user %.40q", l.User)}
 		return c.failProtocol(ctx, seq+1, mysql.CodeAccessDenied, denied)
 	}
 	if l.Database != "" && l.Database != loginDatabase {
-		denied := &endError{AccessDenied, fmt.Errorf("unknown database %.40q", l.Database)}
+		denied := &netconn.EndError{Reason: netconn.AccessDenied, Err: fmt.Errorf("unknown database %.40q", l.Database)}
 		return c.failProtocol(ctx, seq+1, mysql.CodeUnknownDB, denied)
 	}
-	if _, err := c.conn.write(mysql.AppendOK(nil, seq+1)); err != nil {
+	if _, err := c.conn.Write(mysql.AppendOK(nil, seq+1)); err != nil {
 		return err
 	}
 	c.loggedIn = true
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -16,6 +16,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -162,7 +163,7 @@
 }
 
 // expectEnd waits for the log line of an ended connection, which must have one reason.
-func (s *testServer) expectEnd(peer string, want Reason) {
+func (s *testServer) expectEnd(peer string, want netconn.Reason) {
 	s.t.Helper()
 	if got := s.endReasons(peer); got != string(want) {
 		s.t.Errorf("the connection of %s ended as %s, want %s", peer, got, want)
@@ -246,7 +247,15 @@
 
 // newIdleServer returns a server that does not run, the connection of its pool to engine e1, on which
 // nothing was sent yet, and the engine's end of that.
-func newIdleServer(t *testing.T) (s *Server, transport *bufferedConn, far *net.TCPConn) {
+func newIdleServer(t *testing.T) (s *Server, transport *netconn.Conn, far *net.TCPConn) {
+	t.Helper()
+	return newIdleServerWithClock(t, time.Now)
+}
+
+// newIdleServerWithClock returns an idle server, the clock of whose send queue is given.
+func newIdleServerWithClock(
+	t *testing.T, clock func() time.Time,
+) (s *Server, transport *netconn.Conn, far *net.TCPConn) {
 	t.Helper()
 	near, far := connectedPair(t)
 	s = &Server{
@@ -254,8 +263,9 @@
 		meter: nopMeter{},
 	}
 	s.pool = newEnginePool(s)
-	transport = newBufferedConn(near, maxEngineSendDelay, maxEngineReceiveBytes, maxEngineSendBytes)
-	transport.onExpired = func() { s.pool.writesExpired.Store(true) }
+	options := s.pool.connOptions()
+	options.Now = clock
+	transport = netconn.New(near, options)
 	c := &engineConn{
 		engine: "e1", addr: "a", transport: transport, cancel: func() {},
 		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
@@ -265,6 +275,19 @@
 	return s, transport, far
 }
 
+// runConn serves a connection on which nothing is read, until the test ends, and returns its end.
+func runConn(t *testing.T, conn *netconn.Conn) <-chan error {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() {
+		ended <- conn.Run(t.Context(), func(ctx context.Context) error {
+			<-ctx.Done()
+			return ctx.Err()
+		})
+	}()
+	return ended
+}
+
 // startAttempt starts an attempt of a class at engine e1 of an idle server.
 func startAttempt(s *Server, id broker.AttemptID, class string, timeout time.Duration) {
 	s.pool.startAttempt(broker.StartAttempt{
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -12,6 +12,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -29,7 +30,7 @@
 		switch {
 		case err == nil:
 			s.acceptClient(ctx, socket)
-		case isTimeout(err) && s.closingListeners():
+		case netconn.IsTimeout(err) && s.closingListeners():
 			if finalTimeouts++; s.listenerTimedOut(finalTimeouts) {
 				return nil
 			}
@@ -62,7 +63,7 @@
 		// It must not be left waiting in the kernel: what is written there counts as taken, and later
 		// requests of the same order key would overtake it.
 		s.rejectConnection(socket, func() {
-			s.connectionEnded(ClientSide, peer, openedAt, &endError{Reason: TooManyConnections})
+			s.connectionEnded(netconn.ClientSide, peer, openedAt, &netconn.EndError{Reason: netconn.TooManyConnections})
 		})
 		return
 	}
@@ -75,7 +76,7 @@
 	})
 	s.group.Go(func() error {
 		defer func() { <-s.clientSlots }()
-		s.connectionEnded(ClientSide, peer, openedAt, c.conn.run(ctx, c.read))
+		s.connectionEnded(netconn.ClientSide, peer, openedAt, c.conn.Run(ctx, c.read))
 		s.post(ctx, func() {
 			delete(s.clients, c.id)
 			s.apply(broker.SessionClosed{Session: c.id})
@@ -97,7 +98,7 @@
 	case s.rejectSlots <- struct{}{}:
 		s.group.Go(func() error {
 			defer func() { <-s.rejectSlots }()
-			shutDown(socket)
+			netconn.Linger(socket)
 			end()
 			return nil
 		})
--- a/internal/server/liveness.go
+++ b/internal/server/liveness.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -45,7 +47,7 @@
 		p.suspect(c, now)
 	case livenessLost:
 		if p.mayCloseSilent() {
-			p.close(c, Retired)
+			p.close(c, netconn.Retired)
 		}
 	}
 }
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -7,6 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
 )
 
 // An engine whose machine vanished, or that stops answering for good, leaves its connection open and
@@ -47,7 +48,7 @@
 	retry.replyRows(testRow)
 	a.expect(testRows)
 	if !alive {
-		s.expectEnd(e.addr, Retired)
+		s.expectEnd(e.addr, netconn.Retired)
 		return
 	}
 	b := s.connect(statement("load", 3, longTimeout, ""))
@@ -65,7 +66,7 @@
 	a.expect("1226")
 	e.expectCancel(t, first)
 	receive(t, e.closed, "the end of the silent connection")
-	s.expectEnd(e.addr, Retired)
+	s.expectEnd(e.addr, netconn.Retired)
 	if second := s.serveOn(e, 2); second.conn == first.conn { // and no liveness probe came before
 		t.Fatal("the silent connection was used again")
 	}
@@ -86,7 +87,7 @@
 			limits := &s.cfg.Settings.Control.Limits
 			limits.LoadProbes, limits.Hedging = tt.probes, tt.hedging
 			startAttempt(s, firstAttempt, "lookup", time.Minute)
-			transport.markSent(int(transport.queuedBytes)) // all of it has left
+			transport.MarkSent(len(transport.NextBytes())) // all of it has left
 			c := s.pool.connsByEngine["e1"][0]
 			c.lastReceived, c.suspectSince = time.Now().Add(-time.Minute), time.Now().Add(-2*livenessTimeout)
 			s.pool.checkLiveness()
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // Meter is notified of what happens on connections, beside what the reducer notifies it of. Its methods are
@@ -40,10 +41,10 @@
 
 // Inspect calls f on the goroutine that owns the reducer and waits for it; once Run has ended, it calls f
 // itself. It returns false if ctx ended before.
-func (s *Server) Inspect(ctx context.Context, f func(*broker.Broker, ConnectionCounts)) bool {
+func (s *Server) Inspect(ctx context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool {
 	done := make(chan struct{})
 	inspect := func() {
-		f(s.reducer, ConnectionCounts{Clients: len(s.clients), Engines: s.pool.connCount, ends: &s.endCounts})
+		f(s.reducer, netconn.ConnectionCounts{Clients: len(s.clients), Engines: s.pool.connCount, Ends: &s.endCounts})
 		close(done)
 	}
 	inbox := s.inbox
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // recordingMeter passes on what it is notified of.
@@ -31,10 +32,10 @@
 }
 
 // endCount returns how many connections of a side ended for one of some reasons.
-func (s *testServer) endCount(side Side, reasons ...Reason) (sum uint64) {
+func (s *testServer) endCount(side netconn.Side, reasons ...netconn.Reason) (sum uint64) {
 	s.t.Helper()
-	inspected := s.server.Inspect(s.t.Context(), func(_ *broker.Broker, counts ConnectionCounts) {
-		counts.EachEndReason(side, func(r Reason, n uint64) {
+	inspected := s.server.Inspect(s.t.Context(), func(_ *broker.Broker, counts netconn.ConnectionCounts) {
+		counts.EachEndReason(side, func(r netconn.Reason, n uint64) {
 			for _, reason := range reasons {
 				if r == reason {
 					sum += n
@@ -67,8 +68,8 @@
 	c.close()
 	s.publish(pageJSON(4, false, endpointJSON("e1", "", "terminated", 0)), 4)
 	waitUntil(t, "one connection of each side is counted", func() bool {
-		return s.endCount(ClientSide, PeerClosed, EngineGone) == 1 &&
-			s.endCount(EngineSide, PeerClosed, EngineGone) == 1
+		return s.endCount(netconn.ClientSide, netconn.PeerClosed, netconn.EngineGone) == 1 &&
+			s.endCount(netconn.EngineSide, netconn.PeerClosed, netconn.EngineGone) == 1
 	})
 	select {
 	case event := <-meter.events:
@@ -83,7 +84,7 @@
 	close(s.stopSignal)
 	s.waitForEnd()
 	called := false
-	inspected := s.server.Inspect(t.Context(), func(*broker.Broker, ConnectionCounts) { called = true })
+	inspected := s.server.Inspect(t.Context(), func(*broker.Broker, netconn.ConnectionCounts) { called = true })
 	if !inspected || !called {
 		t.Fatal("the server can't be inspected")
 	}
--- a/internal/server/bufferedconn.go
+++ b/internal/server/netconn/conn.go
@@ -1,4 +1,8 @@
-package server
+// Package netconn has the buffered connection that clients, engines and the change log are served on: a receive
+// buffer, a queue of bytes to send that can be withdrawn, a close that lets the last answer arrive, and the reasons
+// why connections end. Each connection has one goroutine that reads and one that writes; both end with the context
+// of Run.
+package netconn
 
 import (
 	"context"
@@ -16,45 +20,58 @@
 )
 
 const (
-	// maxEngineSendDelay bounds how long bytes for an engine may wait before they leave, in the buffer or behind
-	// others that the system does not take. The rule on draining needs it: a send that was decided on before the
-	// drain was known must not leave after the grace period. engineSendDelay has the bound of a deployment.
-	maxEngineSendDelay = 400 * time.Millisecond
-	drainGraceFraction = 0.8 // of the deployment's grace period; the rest is for the network
-	// writeTimeout bounds a write to anybody else. Bytes that waited in the buffer are still written: after a
-	// standstill of this process a late answer is better than none.
+	// writeTimeout bounds a single write on a connection without a maximum send delay. Bytes that waited in the
+	// queue are still written: after a standstill of this process a late answer is better than none.
 	writeTimeout = 5 * time.Second
 	// bufferRetryDelay is the pause after a write for which the system had no buffers.
 	bufferRetryDelay = 5 * time.Millisecond
 )
 
-// engineSendDelay is how long bytes for an engine may wait in a deployment that wants them sent within
-// grace after a drain. Without a grace period the bound is maxEngineSendDelay.
-func engineSendDelay(grace time.Duration) time.Duration {
-	if grace <= 0 {
-		return maxEngineSendDelay
-	}
-	return min(maxEngineSendDelay, time.Duration(drainGraceFraction*float64(grace)))
+// Options are the limits of a connection.
+type Options struct {
+	MaxReceiveBytes int           // received and not consumed yet
+	MaxSendBytes    int           // queued and not accepted by the system yet
+	MaxSendDelay    time.Duration // bytes queued for longer never leave, the connection ends; 0: any may leave
+	// LateAfter is how long after its expiry a write that still leaves counts as late.
+	LateAfter time.Duration
+	// OnExpired is called, on the goroutine that writes and under the queue's lock, when a write has expired or
+	// left late; nil: nobody is notified.
+	OnExpired func()
+	Now       func() time.Time // the clock of the send queue; nil: time.Now
 }
 
-// bufferedConn is a connection with a buffer for what was received, which belongs to the goroutine that
-// reads, and a queue of what is to be sent. run owns the goroutines that read and write.
-type bufferedConn struct {
+// Conn is a connection with a buffer for what was received and a queue of what is to be sent.
+type Conn struct {
+	// Received holds what was read and not consumed. It belongs to the goroutine that reads.
+	Received *ring.Buffer
+	SendQueue
 	socket       net.Conn
-	maxSendDelay time.Duration // bytes that waited longer must not leave; 0: any may
-	received     *ring.Buffer
-	sendQueue
+	maxSendDelay time.Duration // 0: any bytes may leave
 }
 
-func newBufferedConn(socket net.Conn, maxSendDelay time.Duration, maxReceive, maxSend int) *bufferedConn {
-	return &bufferedConn{
-		socket: socket, maxSendDelay: maxSendDelay,
-		received: ring.New(maxReceive), sendQueue: newSendQueue(maxSend),
+// New returns a connection on a socket. Run owns its goroutines.
+func New(socket net.Conn, options Options) *Conn {
+	return &Conn{
+		socket: socket, maxSendDelay: options.MaxSendDelay,
+		Received: ring.New(options.MaxReceiveBytes), SendQueue: newSendQueue(options),
 	}
 }
 
-// run reads and writes until either ends or ctx does, closes the socket and returns why.
-func (c *bufferedConn) run(ctx context.Context, read func(context.Context) error) error {
+// Socket returns the socket of the connection.
+func (c *Conn) Socket() net.Conn { return c.socket }
+
+// ReadOnce appends to Received what one read of the socket gives. A full buffer is ring.ErrFull.
+func (c *Conn) ReadOnce() error {
+	_, err := c.Received.ReadOnce(c.socket)
+	return err
+}
+
+// SetReadDeadline sets when reads fail with an error that IsTimeout reports; the zero time removes the deadline.
+func (c *Conn) SetReadDeadline(deadline time.Time) error { return c.socket.SetReadDeadline(deadline) }
+
+// Run reads and writes until either ends or ctx does, closes the socket and returns why; ReasonOf gives the reason of
+// the error. read is called once, on a goroutine of its own.
+func (c *Conn) Run(ctx context.Context, read func(context.Context) error) error {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, c.closeSocket)
 	defer stop()
@@ -62,24 +79,24 @@
 		if err := read(ctx); err != nil {
 			return err
 		}
-		return &endError{Reason: PeerClosed}
+		return &EndError{Reason: PeerClosed}
 	})
 	g.Go(func() error { return c.writeLoop(ctx) })
 	err := g.Wait()
 	c.closeSocket()
-	if finished := c.finishedFor(); finished != nil { // even if the peer closed first, once it had got all
+	if finished := c.FinishedFor(); finished != nil { // even if the peer closed first, once it had got all
 		return finished
 	}
 	return err
 }
 
 // closeSocket closes the socket.
-func (c *bufferedConn) closeSocket() {
+func (c *Conn) closeSocket() {
 	_ = c.socket.Close() // the reason for the end is known already, and nothing is left to be flushed
 }
 
 // writeLoop sends what is queued, until the connection ends.
-func (c *bufferedConn) writeLoop(ctx context.Context) error {
+func (c *Conn) writeLoop(ctx context.Context) error {
 	conn, ok := c.socket.(syscall.Conn)
 	if !ok {
 		return fmt.Errorf("%T has no socket", c.socket)
@@ -99,7 +116,7 @@
 		}
 		if reason := c.finished(); reason != nil {
 			if c.mustLinger(raw, reason.Reason) {
-				shutDown(c.socket)
+				Linger(c.socket)
 			}
 			return reason
 		}
@@ -108,7 +125,7 @@
 
 // mustLinger reports whether the last answer could be destroyed by the close. The place of an evicted client is
 // wanted at once: it is given time only if it has just been answered and has sent more since.
-func (c *bufferedConn) mustLinger(raw syscall.RawConn, reason Reason) bool {
+func (c *Conn) mustLinger(raw syscall.RawConn, reason Reason) bool {
 	if reason != EvictedIdle {
 		return true
 	}
@@ -119,10 +136,10 @@
 
 // flush writes until nothing is left. It waits for the socket outside of the calls that write, so that
 // bytes that the system does not take can still be withdrawn, and are known never to have left.
-func (c *bufferedConn) flush(raw syscall.RawConn) error {
+func (c *Conn) flush(raw syscall.RawConn) error {
 	for {
 		deadline, ok := c.nextDeadline()
-		c.markSent(0) // hooks that wait for nothing but withdrawn bytes are due
+		c.MarkSent(0) // hooks that wait for nothing but withdrawn bytes are due
 		if !ok {
 			return nil
 		}
@@ -135,25 +152,25 @@
 			time.Sleep(bufferRetryDelay)
 		case failed != nil:
 			return failed
-		case err != nil && !isTimeout(err):
+		case err != nil && !IsTimeout(err):
 			return err
 		case err != nil && c.overdue():
-			return &endError{WriteTimeout, err}
+			return &EndError{WriteTimeout, err}
 		}
 	}
 }
 
 // writeReady writes until nothing is left or the write deadline passes. The first error is that of a write,
 // the second that of waiting for the socket.
-func (c *bufferedConn) writeReady(raw syscall.RawConn) (failed, waited error) {
+func (c *Conn) writeReady(raw syscall.RawConn) (failed, waited error) {
 	waited = raw.Write(func(fd uintptr) (done bool) {
 		for {
-			next := c.nextBytes()
+			next := c.NextBytes()
 			if len(next) == 0 {
 				return true
 			}
 			n, err := syscall.Write(int(fd), next)
-			c.markSent(max(n, 0))
+			c.MarkSent(max(n, 0))
 			switch {
 			case errors.Is(err, syscall.EAGAIN):
 				return false
@@ -167,7 +184,7 @@
 }
 
 // nextDeadline is when the bytes that are next to be sent must have left; false if nothing is left.
-func (c *bufferedConn) nextDeadline() (deadline time.Time, ok bool) {
+func (c *Conn) nextDeadline() (deadline time.Time, ok bool) {
 	queuedAt, ok := c.oldestWrite()
 	switch {
 	case !ok:
@@ -181,7 +198,7 @@
 // overdue reports, after a write deadline has passed, whether the connection is to end for it. Where the
 // deadline is that of single writes, the oldest may have been withdrawn meanwhile, and those behind it have
 // more time.
-func (c *bufferedConn) overdue() bool {
+func (c *Conn) overdue() bool {
 	deadline, ok := c.nextDeadline()
 	return c.maxSendDelay == 0 || ok && !time.Now().Before(deadline)
 }
--- a/internal/server/bufferedconn_test.go
+++ b/internal/server/netconn/conn_test.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"context"
@@ -16,21 +16,21 @@
 		want         Reason
 	}{
 		"client": {0, KilledByClient},
-		"engine": {maxEngineSendDelay, WriteTimeout},
+		"engine": {400 * time.Millisecond, WriteTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := connectedPair(t)
-			c := newBufferedConn(near, tt.maxSendDelay, 100, 100)
-			if _, err := c.write([]byte("late")); err != nil {
+			c := New(near, Options{MaxSendDelay: tt.maxSendDelay, MaxReceiveBytes: 100, MaxSendBytes: 100})
+			if _, err := c.Write([]byte("late")); err != nil {
 				t.Fatal(err)
 			}
 			c.writes[0].queuedAt = time.Now().Add(-time.Second)
-			c.closeAfterSent(&endError{Reason: KilledByClient})
+			c.CloseAfterSent(&EndError{Reason: KilledByClient})
 			go func() {
 				_, _ = io.Copy(io.Discard, far) // until the connection ends
 				_ = far.Close()                 // so that the other end needs not wait for it
 			}()
-			if got := reasonOf(c.writeLoop(t.Context())); got != tt.want {
+			if got := ReasonOf(c.writeLoop(t.Context())); got != tt.want {
 				t.Errorf("ended as %s, want %s", got, tt.want)
 			}
 		})
@@ -45,7 +45,7 @@
 
 // newBlockedConn returns a connection with blockingBytes queued whose other end reads nothing, and the end
 // of its write loop.
-func newBlockedConn(t *testing.T) (c *bufferedConn, far *net.TCPConn, ended chan error) {
+func newBlockedConn(t *testing.T) (c *Conn, far *net.TCPConn, ended chan error) {
 	t.Helper()
 	near, far := connectedPair(t)
 	if err := near.SetWriteBuffer(socketBufferSize); err != nil {
@@ -54,8 +54,8 @@
 	if err := far.SetReadBuffer(socketBufferSize); err != nil {
 		t.Fatal(err)
 	}
-	c = newBufferedConn(near, 0, 100, 2*blockingBytes)
-	if _, err := c.write(make([]byte, blockingBytes)); err != nil {
+	c = New(near, Options{MaxReceiveBytes: 100, MaxSendBytes: 2 * blockingBytes})
+	if _, err := c.Write(make([]byte, blockingBytes)); err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan error, 1)
@@ -64,7 +64,7 @@
 }
 
 // handedBytes returns the number of bytes that may have left.
-func handedBytes(c *bufferedConn) int64 {
+func handedBytes(c *Conn) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.handedBytes
@@ -85,7 +85,7 @@
 	if err := receive(t, ended, "the end of the writes"); err == nil {
 		t.Error("the writes ended without an error")
 	}
-	sent := c.withdrawAll()
+	sent := c.WithdrawAll()
 	received, err := io.Copy(io.Discard, far)
 	if err != nil {
 		t.Fatal(err)
@@ -101,26 +101,26 @@
 	var offsets [3]int64
 	for i, text := range []string{"one", "two", "six"} {
 		var err error
-		if offsets[i], err = c.write([]byte(text)); err != nil {
+		if offsets[i], err = c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	waitUntil(t, "a part has left", func() bool { return handedBytes(c) > 0 })
-	if c.withdraw(0) {
+	if c.Withdraw(0) {
 		t.Fatal("what has begun to leave was withdrawn")
 	}
 	// While a write is under way all that it was given counts as sent; none is under way for long.
-	waitUntil(t, "what waits is withdrawn", func() bool { return c.withdraw(offsets[1]) })
-	if c.withdraw(offsets[1] + 1) {
+	waitUntil(t, "what waits is withdrawn", func() bool { return c.Withdraw(offsets[1]) })
+	if c.Withdraw(offsets[1] + 1) {
 		t.Fatal("what was never queued was withdrawn")
 	}
 	sent := make(chan struct{})
-	c.afterSent(func() { close(sent) })
+	c.AfterSent(func() { close(sent) })
 	if got := readAfter(t, far, blockingBytes, len("onesix")); got != "onesix" {
 		t.Fatalf("the other end got %q", got)
 	}
 	receive(t, sent, "the hook behind what was withdrawn")
-	if c.withdraw(offsets[2]) {
+	if c.Withdraw(offsets[2]) {
 		t.Fatal("what has left was withdrawn")
 	}
 }
@@ -148,14 +148,14 @@
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	c := newBufferedConn(near, 0, 100, 100)
-	if _, err := c.write([]byte("last answer")); err != nil {
+	c := New(near, Options{MaxReceiveBytes: 100, MaxSendBytes: 100})
+	if _, err := c.Write([]byte("last answer")); err != nil {
 		t.Fatal(err)
 	}
-	c.closeAfterSent(&endError{Reason: Shutdown})
+	c.CloseAfterSent(&EndError{Reason: Shutdown})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- c.run(t.Context(), func(ctx context.Context) error {
+		ended <- c.Run(t.Context(), func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		})
@@ -166,21 +166,7 @@
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := reasonOf(receive(t, ended, "the end")); got != Shutdown {
+	if got := ReasonOf(receive(t, ended, "the end")); got != Shutdown {
 		t.Fatalf("ended as %s", got)
 	}
 }
-
-// The limit on late bytes for engines follows the drain grace of the settings.
-func TestEngineSendDelayFollowsDrainGrace(t *testing.T) {
-	for grace, want := range map[time.Duration]time.Duration{
-		0:                      maxEngineSendDelay,
-		200 * time.Millisecond: 160 * time.Millisecond,
-		500 * time.Millisecond: maxEngineSendDelay,
-		5 * time.Second:        maxEngineSendDelay,
-	} {
-		if got := engineSendDelay(grace); got != want {
-			t.Errorf("grace %v: %v, want %v", grace, got, want)
-		}
-	}
-}
--- a/internal/server/endcounts.go
+++ b/internal/server/netconn/endcounts.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"slices"
@@ -17,11 +17,11 @@
 
 var allSides = []Side{ClientSide, EngineSide, ChangelogSide}
 
-// endCounts counts ended connections by side and reason. All goroutines may use it.
-type endCounts struct{ counts [3][32]atomic.Uint64 }
+// EndCounts counts ended connections by side and reason. All goroutines may use it.
+type EndCounts struct{ counts [3][32]atomic.Uint64 }
 
-// add counts a connection that ended.
-func (e *endCounts) add(side Side, reason Reason) {
+// Add counts a connection that ended.
+func (e *EndCounts) Add(side Side, reason Reason) {
 	i, j := slices.Index(allSides, side), slices.Index(Reasons, reason)
 	if i >= 0 && j >= 0 {
 		e.counts[i][j].Add(1)
@@ -31,17 +31,17 @@
 // ConnectionCounts is what a server knows of its connections.
 type ConnectionCounts struct {
 	Clients, Engines int        // open connections
-	ends             *endCounts // nil: there is no server behind it
+	Ends             *EndCounts // nil: there is no server behind it
 }
 
 // EachEndReason calls f with each reason, in the order of Reasons, and the number of connections of a side
 // that ended for it since the start.
 func (c *ConnectionCounts) EachEndReason(side Side, f func(reason Reason, n uint64)) {
 	i := slices.Index(allSides, side)
-	if i < 0 || c.ends == nil {
+	if i < 0 || c.Ends == nil {
 		return
 	}
 	for j, reason := range Reasons {
-		f(reason, c.ends.counts[i][j].Load())
+		f(reason, c.Ends.counts[i][j].Load())
 	}
 }
--- a/internal/server/linger.go
+++ b/internal/server/netconn/linger.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"errors"
@@ -10,11 +10,11 @@
 // lingerDuration is how long the other end of a connection is given to read its last answer before the close.
 const lingerDuration = 200 * time.Millisecond
 
-// shutDown ends this direction of a connection and waits, for a while, until the peer has ended the other one.
+// Linger ends this direction of a connection and waits, for a while, until the peer has ended the other one.
 // Nothing is read: a request that crosses the end must stay unread, so that its client learns that nobody took it.
 // A close over unread bytes resets the connection, which could destroy the last answer on its way, so that has to
 // arrive first.
-func shutDown(socket net.Conn) {
+func Linger(socket net.Conn) {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
--- a/internal/server/reason.go
+++ b/internal/server/netconn/reason.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"context"
@@ -51,14 +51,14 @@
 	PollTimeout, AddressChanged, HTTPStatus, Shutdown, OtherError,
 }
 
-// endError is the error of a connection that this package ended, or whose end it knows the reason for.
-type endError struct {
+// EndError is the error of a connection that this package ended, or whose end it knows the reason for.
+type EndError struct {
 	Reason Reason
 	Err    error // what led to it; nil: nothing but the reason
 }
 
 // Error is the reason code, and the error behind it if there is one.
-func (e *endError) Error() string {
+func (e *EndError) Error() string {
 	if e.Err == nil {
 		return string(e.Reason)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Unwrap returns the error behind the reason.
-func (e *endError) Unwrap() error { return e.Err }
+func (e *EndError) Unwrap() error { return e.Err }
 
 // reasonsOfErrors are the reasons for errors of other packages, by errors.Is in this order.
 var reasonsOfErrors = []struct {
@@ -91,13 +91,13 @@
 	{context.Canceled, Shutdown},
 }
 
-// reasonOf is the reason code of the error that ended a connection: that of an endError in its chain, or
+// ReasonOf is the reason code of the error that ended a connection: that of an EndError in its chain, or
 // else that of the first known error in it. No error means that the peer closed the connection.
-func reasonOf(err error) Reason {
+func ReasonOf(err error) Reason {
 	if err == nil {
 		return PeerClosed
 	}
-	var ended *endError
+	var ended *EndError
 	if errors.As(err, &ended) {
 		return ended.Reason
 	}
@@ -109,6 +109,6 @@
 	return OtherError
 }
 
-// isTimeout reports whether a deadline of this program has passed. A connection that the system gives up with
+// IsTimeout reports whether a deadline of this program has passed. A connection that the system gives up with
 // ETIMEDOUT is no such error.
-func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/server/reason_test.go
+++ b/internal/server/netconn/reason_test.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"context"
@@ -42,29 +42,29 @@
 		{"closed socket", &net.OpError{Op: "read", Err: net.ErrClosed}, "shutdown"},
 		{"context ended", context.Canceled, "shutdown"},
 		{"any other", errors.New("other"), "failed"},
-		{"typed", &endError{Reason: Stalled}, "stalled"},
-		{"typed, over a known error", &endError{Reason: ReadTimeout, Err: os.ErrDeadlineExceeded}, "read_timeout"},
-		{"typed, wrapped", fmt.Errorf("read: %w", &endError{Reason: Idle, Err: io.EOF}), "idle"},
-		{"typed, joined", errors.Join(&endError{Reason: AccessDenied}, io.EOF), "access_denied"},
+		{"typed", &EndError{Reason: Stalled}, "stalled"},
+		{"typed, over a known error", &EndError{Reason: ReadTimeout, Err: os.ErrDeadlineExceeded}, "read_timeout"},
+		{"typed, wrapped", fmt.Errorf("read: %w", &EndError{Reason: Idle, Err: io.EOF}), "idle"},
+		{"typed, joined", errors.Join(&EndError{Reason: AccessDenied}, io.EOF), "access_denied"},
 		{"known, wrapped", fmt.Errorf("read: %w", resp.ErrMalformed), "malformed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := reasonOf(c.err); got != c.want {
+			if got := ReasonOf(c.err); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// The text of an endError goes to clients and to the log.
+// The text of an EndError goes to clients and to the log.
 func TestEndErrorText(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		err  *endError
+		err  *EndError
 		want string
 	}{
-		{"reason alone", &endError{Reason: Quit}, "quit"},
-		{"with its cause", &endError{Reason: TooLarge, Err: io.ErrUnexpectedEOF}, "too_large: unexpected EOF"},
+		{"reason alone", &EndError{Reason: Quit}, "quit"},
+		{"with its cause", &EndError{Reason: TooLarge, Err: io.ErrUnexpectedEOF}, "too_large: unexpected EOF"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.err.Error(); got != c.want {
@@ -76,19 +76,19 @@
 
 // Each reason has a place of its own in the counts of each side, in the order of the list.
 func TestEndCounts(t *testing.T) {
-	var counts endCounts
+	var counts EndCounts
 	for i, side := range allSides {
 		for j, reason := range Reasons {
 			for range 100*i + j {
-				counts.add(side, reason)
+				counts.Add(side, reason)
 			}
 		}
 	}
-	counts.add("nobody", Quit)       // no such side
-	counts.add(ClientSide, "nobody") // no such reason
+	counts.Add("nobody", Quit)       // no such side
+	counts.Add(ClientSide, "nobody") // no such reason
 	for i, side := range allSides {
 		j := 0
-		(&ConnectionCounts{ends: &counts}).EachEndReason(side, func(reason Reason, n uint64) {
+		(&ConnectionCounts{Ends: &counts}).EachEndReason(side, func(reason Reason, n uint64) {
 			if reason != Reasons[j] || n != uint64(100*i+j) {
 				t.Errorf("%s: %d of reason %s at place %d", side, n, reason, j)
 			}
--- a/internal/server/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -1,4 +1,4 @@
-package server
+package netconn
 
 import (
 	"cmp"
@@ -6,14 +6,13 @@
 	"sync"
 	"time"
 
-	"wheatlane/internal/invariant"
 	"wheatlane/internal/ring"
 )
 
-// sendQueue holds the bytes that wait to be sent on a connection, in order, and knows how many of them the
+// SendQueue holds the bytes that wait to be sent on a connection, in order, and knows how many of them the
 // system has accepted. Offsets count bytes from the start of the connection. Bytes that have not been handed
 // to the system can be withdrawn; they are then never sent. All methods may be called from any goroutine.
-type sendQueue struct {
+type SendQueue struct {
 	mu          sync.Mutex
 	pending     *ring.Buffer
 	queuedBytes int64 // ever written to pending
@@ -22,11 +21,13 @@
 	writes      []queuedWrite
 	lastWriteAt time.Time // of the last call of write
 	hooks       []sentHook
-	closeReason *endError // why the connection is to end once pending is empty; nil: it is not
-	closedFor   *endError // closeReason, once pending was empty
-	lateWrites  int       // of which the first byte left after they expired
-	expired     []int64   // offsets of the writes that were withdrawn as they expired, until they are taken
-	onExpired   func()    // called, under the lock, when expired or lateWrites changes; nil: nobody asks
+	closeReason *EndError     // why the connection is to end once pending is empty; nil: it is not
+	closedFor   *EndError     // closeReason, once pending was empty
+	lateWrites  int           // of which the first byte left after they expired
+	expired     []int64       // offsets of the writes that were withdrawn as they expired, until they are taken
+	lateAfter   time.Duration // from the expiry of a write: it counts as late if it leaves then
+	onExpired   func()        // called, under the lock, when expired or lateWrites changes; nil: nobody is notified
+	now         func() time.Time
 	wakeup      chan struct{}
 }
 
@@ -44,15 +45,22 @@
 	call   func()
 }
 
-func newSendQueue(maxBytes int) sendQueue {
-	return sendQueue{pending: ring.New(maxBytes), wakeup: make(chan struct{}, 1)}
+func newSendQueue(options Options) SendQueue {
+	now := options.Now
+	if now == nil {
+		now = time.Now
+	}
+	return SendQueue{
+		pending: ring.New(options.MaxSendBytes), lateAfter: options.LateAfter, onExpired: options.OnExpired, now: now,
+		wakeup: make(chan struct{}, 1),
+	}
 }
 
-// write queues p and returns the offset of its first byte. It never blocks: a full queue is ring.ErrFull.
-func (q *sendQueue) write(p []byte) (int64, error) { return q.writeExpiring(p, time.Time{}) }
+// Write queues p and returns the offset of its first byte. It never blocks: a full queue is ring.ErrFull.
+func (q *SendQueue) Write(p []byte) (int64, error) { return q.WriteExpiring(p, time.Time{}) }
 
-// writeExpiring queues p, which is out of date from a time on.
-func (q *sendQueue) writeExpiring(p []byte, expiresAt time.Time) (int64, error) {
+// WriteExpiring queues p, which is out of date from a time on.
+func (q *SendQueue) WriteExpiring(p []byte, expiresAt time.Time) (int64, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if _, err := q.pending.Write(p); err != nil {
@@ -60,7 +68,7 @@
 	}
 	start := q.queuedBytes
 	q.queuedBytes += int64(len(p))
-	q.lastWriteAt = time.Now()
+	q.lastWriteAt = q.now()
 	q.writes = append(q.writes, queuedWrite{
 		start: start, end: q.queuedBytes, queuedAt: q.lastWriteAt, expiresAt: expiresAt,
 	})
@@ -68,8 +76,8 @@
 	return start, nil
 }
 
-// withdraw removes the write that begins at an offset. It returns false if a byte of it may have left.
-func (q *sendQueue) withdraw(offset int64) bool {
+// Withdraw removes the write that begins at an offset. It returns false if a byte of it may have left.
+func (q *SendQueue) Withdraw(offset int64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	i, found := slices.BinarySearchFunc(q.writes, offset, func(w queuedWrite, offset int64) int {
@@ -87,10 +95,10 @@
 	return true
 }
 
-// withdrawAll removes every write of which no byte can have left, and returns the number of bytes that may
+// WithdrawAll removes every write of which no byte can have left, and returns the number of bytes that may
 // have: what is beyond that offset is reported as never sent, so it must not leave while the connection
 // closes.
-func (q *sendQueue) withdrawAll() int64 {
+func (q *SendQueue) WithdrawAll() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := range q.writes {
@@ -99,16 +107,16 @@
 	return q.handedBytes
 }
 
-// afterSent calls a function, on the goroutine that writes, once all that is queued now has been sent.
-func (q *sendQueue) afterSent(call func()) {
+// AfterSent calls a function, on the goroutine that writes, once all that is queued now has been sent.
+func (q *SendQueue) AfterSent(call func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.hooks = append(q.hooks, sentHook{q.queuedBytes, call})
 	q.wake()
 }
 
-// closeAfterSent ends the connection once all that is queued has been sent. The first reason counts.
-func (q *sendQueue) closeAfterSent(reason *endError) {
+// CloseAfterSent ends the connection once all that is queued has been sent. The first reason counts.
+func (q *SendQueue) CloseAfterSent(reason *EndError) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closeReason == nil {
@@ -118,29 +126,29 @@
 }
 
 // wroteWithin reports whether something was queued within a time.
-func (q *sendQueue) wroteWithin(d time.Duration) bool {
+func (q *SendQueue) wroteWithin(d time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return time.Since(q.lastWriteAt) < d
+	return q.now().Sub(q.lastWriteAt) < d
 }
 
 // wake lets the goroutine that writes look at the queue.
-func (q *sendQueue) wake() {
+func (q *SendQueue) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
 	default: // it is awake already
 	}
 }
 
-// allSent reports whether nothing is left to send.
-func (q *sendQueue) allSent() bool {
+// AllSent reports whether nothing is left to send.
+func (q *SendQueue) AllSent() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.pending.Len() == 0
 }
 
 // oldestWrite is when the bytes that are next to be sent were queued; false if nothing is.
-func (q *sendQueue) oldestWrite() (queuedAt time.Time, ok bool) {
+func (q *SendQueue) oldestWrite() (queuedAt time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.skipWithdrawn()
@@ -150,9 +158,9 @@
 	return q.writes[0].queuedAt, true
 }
 
-// nextBytes returns the bytes to send next, up to the first write that was withdrawn. Until markSent they
+// NextBytes returns the bytes to send next, up to the first write that was withdrawn. Until MarkSent they
 // count as if they had left. Writes that have expired are withdrawn.
-func (q *sendQueue) nextBytes() []byte {
+func (q *SendQueue) NextBytes() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.withdrawExpired()
@@ -165,15 +173,15 @@
 	return next
 }
 
-// markSent removes n bytes that the system has accepted, and calls the hooks that waited for them.
-func (q *sendQueue) markSent(n int) {
+// MarkSent removes n bytes that the system has accepted, and calls the hooks that waited for them.
+func (q *SendQueue) MarkSent(n int) {
 	for _, hook := range q.advanceSent(n) { // not under the lock: a hook may wait for the broker's loop
 		hook.call()
 	}
 }
 
 // advanceSent moves on by n bytes and returns the hooks that are due.
-func (q *sendQueue) advanceSent(n int) []sentHook {
+func (q *SendQueue) advanceSent(n int) []sentHook {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.advance(n)
@@ -188,7 +196,7 @@
 }
 
 // finished returns the reason for which the connection ends now, nil while something is left to send.
-func (q *sendQueue) finished() *endError {
+func (q *SendQueue) finished() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closedFor = q.closeReason
@@ -198,85 +206,22 @@
 	return q.closedFor
 }
 
-// finishedFor returns what finished returned last.
-func (q *sendQueue) finishedFor() *endError {
+// FinishedFor returns what finished returned last.
+func (q *SendQueue) FinishedFor() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.closedFor
 }
 
 // skipWithdrawn drops the writes at the front that were withdrawn. The lock is held.
-func (q *sendQueue) skipWithdrawn() {
+func (q *SendQueue) skipWithdrawn() {
 	for len(q.writes) > 0 && q.writes[0].withdrawn {
 		q.advance(int(q.writes[0].end - q.sentBytes))
 	}
 }
 
-// takeExpired returns the offsets of the writes that were withdrawn as they expired, since the last call.
-func (q *sendQueue) takeExpired() []int64 {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	expired := q.expired
-	q.expired = nil
-	return expired
-}
-
-// withdrawExpired withdraws the writes that have expired, but for one that has begun to leave. The lock is held.
-func (q *sendQueue) withdrawExpired() {
-	var now time.Time
-	for i := range q.writes {
-		w := &q.writes[i]
-		if w.expiresAt.IsZero() || w.withdrawn || w.start < q.sentBytes {
-			continue
-		}
-		if now.IsZero() {
-			now = time.Now()
-		}
-		if !now.Before(w.expiresAt) {
-			w.withdrawn = true
-			q.expired = append(q.expired, w.start)
-			q.notifyExpired()
-		}
-	}
-}
-
-func (q *sendQueue) notifyExpired() {
-	if q.onExpired != nil {
-		q.onExpired()
-	}
-}
-
-// takeLateWrites returns how many writes began to leave after they had expired, since the last call.
-func (q *sendQueue) takeLateWrites() int {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	late := q.lateWrites
-	q.lateWrites = 0
-	return late
-}
-
-// countLate counts the expired writes among the next n bytes, which have left. The lock is held.
-func (q *sendQueue) countLate(n int) {
-	var now time.Time
-	for _, w := range q.writes {
-		if w.start >= q.sentBytes+int64(n) {
-			return
-		}
-		if w.expiresAt.IsZero() || w.withdrawn || w.start < q.sentBytes {
-			continue
-		}
-		if now.IsZero() {
-			now = time.Now()
-		}
-		if now.After(w.expiresAt.Add(invariant.TimeoutSlack - staleAfter)) {
-			q.lateWrites++
-			q.notifyExpired()
-		}
-	}
-}
-
 // advance drops the first n bytes. The lock is held.
-func (q *sendQueue) advance(n int) {
+func (q *SendQueue) advance(n int) {
 	if n == 0 {
 		return
 	}
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -10,6 +10,7 @@
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/mysql"
 	"wheatlane/internal/ring"
+	"wheatlane/internal/server/netconn"
 )
 
 // errorCodes are the MySQL codes of the replies that are errors.
@@ -25,10 +26,10 @@
 }
 
 // closeReasons are the reason codes for which the reducer closes sessions.
-var closeReasons = map[broker.CloseReason]Reason{
-	broker.CloseKilled:          KilledByClient,
-	broker.CloseEvictedIdle:     EvictedIdle,
-	broker.CloseTooManySessions: TooManyConnections,
+var closeReasons = map[broker.CloseReason]netconn.Reason{
+	broker.CloseKilled:          netconn.KilledByClient,
+	broker.CloseEvictedIdle:     netconn.EvictedIdle,
+	broker.CloseTooManySessions: netconn.TooManyConnections,
 }
 
 // sendReply sends a reply to its client, if that is still connected. A client that doesn't read its answers
@@ -41,13 +42,13 @@
 	if c == nil {
 		return
 	}
-	if c.conn.finishedFor() != nil { // this side is shut down: the answer can't leave
+	if c.conn.FinishedFor() != nil { // this side is shut down: the answer can't leave
 		s.violated(invariant.AnswerBeforeClose, zap.Uint32("session", uint32(r.Session)))
 		return
 	}
 	s.replyBuffer = appendReply(s.replyBuffer[:0], r)
-	if _, err := c.conn.write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
-		c.close(&endError{Reason: BufferFull})
+	if _, err := c.conn.Write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
+		c.close(&netconn.EndError{Reason: netconn.BufferFull})
 		s.enqueue(broker.SessionClosed{Session: r.Session})
 	}
 }
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -7,6 +7,7 @@
 	"wheatlane/control"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/resp"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -17,13 +18,13 @@
 // responseReader reads the responses on a connection to an engine. The goroutine that reads the connection
 // owns it.
 type responseReader struct {
-	transport *bufferedConn
+	transport *netconn.Conn
 	partial   bool // a response has begun, and its timeout runs
 	finalRead bool // the timeout has passed, and what came meanwhile is read
 }
 
 // readResponses posts the responses of an engine to the owner of the pool until the connection ends.
-func (p *enginePool) readResponses(c *engineConn, transport *bufferedConn) error {
+func (p *enginePool) readResponses(c *engineConn, transport *netconn.Conn) error {
 	r := responseReader{transport: transport}
 	for {
 		if err := r.read(); err != nil {
@@ -46,17 +47,17 @@
 // read waits for bytes. It fails if a response that has begun is not completed in time.
 func (r *responseReader) read() error {
 	for {
-		_, err := r.transport.received.ReadOnce(r.transport.socket)
+		err := r.transport.ReadOnce()
 		switch {
 		case err == nil:
 			return nil
-		case !isTimeout(err):
+		case !netconn.IsTimeout(err):
 			return err
 		case r.finalRead:
-			return &endError{Stalled, err}
+			return &netconn.EndError{Reason: netconn.Stalled, Err: err}
 		}
 		r.finalRead = true
-		if err := r.transport.socket.SetReadDeadline(time.Now().Add(finalReadWait)); err != nil {
+		if err := r.transport.SetReadDeadline(time.Now().Add(finalReadWait)); err != nil {
 			return err
 		}
 	}
@@ -66,23 +67,23 @@
 // it all that is in flight would wait for nothing on a connection whose engine stops in the middle and
 // leaves it open.
 func (r *responseReader) setDeadline(completed int) error {
-	partial := r.transport.received.Len() > 0
+	partial := r.transport.Received.Len() > 0
 	var err error
 	switch {
 	case !partial && r.partial:
-		err = r.transport.socket.SetReadDeadline(time.Time{})
+		err = r.transport.SetReadDeadline(time.Time{})
 	case partial && (!r.partial || completed > 0):
-		err = r.transport.socket.SetReadDeadline(time.Now().Add(partialResponseTimeout))
+		err = r.transport.SetReadDeadline(time.Now().Add(partialResponseTimeout))
 	}
 	r.partial, r.finalRead = partial, r.finalRead && completed == 0
 	return err
 }
 
 // parseResponses consumes the complete responses in the receive buffer, up to one that is malformed.
-func parseResponses(transport *bufferedConn) ([]resp.Answer, error) {
+func parseResponses(transport *netconn.Conn) ([]resp.Answer, error) {
 	var responses []resp.Answer
 	for {
-		parts, size, err := resp.Parse(transport.received.Bytes())
+		parts, size, err := resp.Parse(transport.Received.Bytes())
 		if err != nil || size == 0 {
 			return responses, err
 		}
@@ -92,7 +93,7 @@
 		}
 		response.Body = bytes.Clone(response.Body) // it points into the buffer
 		responses = append(responses, response)
-		transport.received.Discard(size)
+		transport.Received.Discard(size)
 	}
 }
 
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"wheatlane/internal/resp"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -30,7 +31,7 @@
 	}
 	a.expect(testRows)
 	b.expect(testRows)
-	s.expectEnd(e.addr, Stalled)
+	s.expectEnd(e.addr, netconn.Stalled)
 }
 
 // A duplicate response, or one for an unknown id, changes nothing; above all it does not answer the next
@@ -62,7 +63,7 @@
 	attempt := e.expectAttempt(t)
 	attempt.write(append(resp.Append(nil, attempt.requestID(), "OK", "-", testRow), "?"...))
 	c.expect(testRows)
-	s.expectEnd(e.addr, Malformed)
+	s.expectEnd(e.addr, netconn.Malformed)
 }
 
 // A request id that a client uses again, once its request is over, goes on another connection: a late
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,6 +19,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/transient"
 	"wheatlane/internal/usage"
 )
@@ -75,7 +76,7 @@
 	endpointPolls      atomic.Uint64
 	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
 	tcpInfoRefused     atomic.Bool  // the system refused TCP_INFO, which was logged
-	endCounts          endCounts
+	endCounts          netconn.EndCounts
 
 	mu             sync.Mutex // guards what follows
 	changelogAddr  string
@@ -222,14 +223,14 @@
 }
 
 // connectionEnded counts a connection that ended and writes its log line.
-func (s *Server) connectionEnded(side Side, peer string, openedAt time.Time, err error) {
-	reason := reasonOf(err)
-	s.endCounts.add(side, reason)
+func (s *Server) connectionEnded(side netconn.Side, peer string, openedAt time.Time, err error) {
+	reason := netconn.ReasonOf(err)
+	s.endCounts.Add(side, reason)
 	fields := []zap.Field{
 		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
 		zap.Duration("lasted", time.Since(openedAt)),
 	}
-	if reason == OtherError || reason == Malformed || reason == HTTPStatus || reason == ConnectFailed {
+	if reason == netconn.OtherError || reason == netconn.Malformed || reason == netconn.HTTPStatus || reason == netconn.ConnectFailed {
 		fields = append(fields, zap.Error(err))
 	}
 	s.log.Info("connection ended", fields...)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -6,6 +6,7 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
 )
 
 // A graceful shutdown has three steps.
@@ -86,7 +87,7 @@
 func (s *Server) closeSessions() {
 	s.apply(broker.SendFinalAnswers{})
 	for _, c := range s.clients {
-		c.close(&endError{Reason: Shutdown})
+		c.close(&netconn.EndError{Reason: netconn.Shutdown})
 	}
 }
 
@@ -97,7 +98,7 @@
 	s.mu.Unlock()
 	s.setFinalAcceptDeadline()
 	for _, c := range s.clients {
-		_ = c.conn.socket.SetReadDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
+		_ = c.conn.SetReadDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
 	}
 }
 
@@ -115,7 +116,7 @@
 		return false
 	}
 	for _, c := range s.clients {
-		if !c.fullyRead || !c.conn.allSent() {
+		if !c.fullyRead || !c.conn.AllSent() {
 			return false
 		}
 	}
--- a/internal/server/stage_test.go
+++ b/internal/server/stage_test.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/service"
 )
 
@@ -89,7 +89,7 @@
 }
 
 // finish waits for the end of the broker and records why its connections to these sides ended.
-func (s *stage) finish(sides ...server.Side) {
+func (s *stage) finish(sides ...netconn.Side) {
 	s.tr.t.Helper()
 	err := receive(s.tr.t, s.done, "the broker's end")
 	if err != nil {
@@ -100,11 +100,11 @@
 }
 
 // reasons records why connections ended, with their counts.
-func (s *stage) reasons(sides []server.Side) {
+func (s *stage) reasons(sides []netconn.Side) {
 	s.tr.t.Helper()
-	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets server.ConnectionCounts) {
+	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets netconn.ConnectionCounts) {
 		for _, side := range sides {
-			sockets.EachEndReason(side, func(reason server.Reason, count uint64) {
+			sockets.EachEndReason(side, func(reason netconn.Reason, count uint64) {
 				if count > 0 {
 					s.tr.line("ended: %s %s %d", side, reason, count)
 				}
--- a/internal/server/sweep.go
+++ b/internal/server/sweep.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"wheatlane/internal/server/netconn"
 )
 
 // sweep expires load probes and retired ids, and closes connections that are idle before their engines do.
@@ -21,6 +23,6 @@
 func (p *enginePool) closeIfIdle(c *engineConn, now time.Time) {
 	finished := c.closing && len(c.streams) == 0
 	if finished || c.idleTooLong(now, p.server.cfg.Settings.ConnIdleTimeout) {
-		p.close(c, Idle)
+		p.close(c, netconn.Idle)
 	}
 }
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -13,7 +13,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/gossip"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 // The change log is polled from the last revision, on one connection as long as that lasts.
@@ -21,8 +21,8 @@
 	for range maxStalledPolls {
 		tr := &transcript{t: t}
 		playChangeLog(tr)
-		if text := tr.text.String(); !strings.Contains(text, "ended: changelog "+string(server.PollTimeout)) &&
-			!strings.Contains(text, "ended: changelog "+string(server.ConnectFailed)) {
+		if text := tr.text.String(); !strings.Contains(text, "ended: changelog "+string(netconn.PollTimeout)) &&
+			!strings.Contains(text, "ended: changelog "+string(netconn.ConnectFailed)) {
 			tr.check("changelog")
 			return
 		}
@@ -61,7 +61,7 @@
 	for range requests {
 		l.record(tr)
 	}
-	s.finish(server.ChangelogSide)
+	s.finish(netconn.ChangelogSide)
 }
 
 var unhealthyFigure = regexp.MustCompile(`relay_cluster_unhealthy \d`)
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -13,6 +13,7 @@
 
 	"wheatlane/internal/resp"
 	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 // The tests of this file hold every byte on the sockets of a broker to the golden files in testdata: what
@@ -149,7 +150,7 @@
 	c.send(packetOf(0, comQuit))
 	c.packet()
 	s.cancel()
-	s.finish(server.ClientSide, server.EngineSide)
+	s.finish(netconn.ClientSide, netconn.EngineSide)
 	tr.check("served")
 }
 
@@ -276,7 +277,7 @@
 		}
 		client.result()
 		s.cancel()
-		s.finish(server.ClientSide, server.EngineSide)
+		s.finish(netconn.ClientSide, netconn.EngineSide)
 	}
 	tr.check("faults")
 }
@@ -300,7 +301,7 @@
 	other.answer(other.next("want"), "OK", "-", "")
 	client.result()
 	s.cancel()
-	s.finish(server.ClientSide, server.EngineSide)
+	s.finish(netconn.ClientSide, netconn.EngineSide)
 	tr.check("gone")
 }
 
@@ -364,7 +365,7 @@
 		client.packet() // the end
 	}
 	s.cancel()
-	s.finish(server.ClientSide)
+	s.finish(netconn.ClientSide)
 	tr.check("malformed")
 }
 
@@ -388,7 +389,7 @@
 	a.result()
 	a.packet()
 	b.packet()
-	s.finish(server.ClientSide, server.EngineSide)
+	s.finish(netconn.ClientSide, netconn.EngineSide)
 	tr.check("shutdown")
 }
 
--- a/internal/server/violations.go
+++ b/internal/server/violations.go
@@ -25,7 +25,7 @@
 
 // reportLateWrites reports the attempts that left on a connection with a timeout that was too long by then.
 func (p *enginePool) reportLateWrites(c *engineConn) {
-	for range c.transport.takeLateWrites() {
+	for range c.transport.TakeLateWrites() {
 		p.server.violated(invariant.TimeoutWithinClient, zap.String("engine", c.engine))
 	}
 }
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -7,13 +7,14 @@
 	"wheatlane/internal/adminapi"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 // adminCalls carries out the calls at the admin endpoint, on the reducer's goroutine.
 type adminCalls struct{ s *Service }
 
 func (c adminCalls) Ready(ctx context.Context) (ready bool, err error) {
-	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ server.ConnectionCounts) { ready = b.Ready() })
+	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ netconn.ConnectionCounts) { ready = b.Ready() })
 	if !inspected {
 		return false, adminapi.ErrBusy
 	}
@@ -21,7 +22,7 @@
 }
 
 func (c adminCalls) Vars(ctx context.Context, to []byte) (out []byte, err error) {
-	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ server.ConnectionCounts) {
+	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ netconn.ConnectionCounts) {
 		out = c.s.recorder.RelayFigures(to, b)
 	})
 	if !inspected {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -16,6 +16,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/telemetry"
 )
 
@@ -90,14 +91,14 @@
 func (s *Service) Reload(ctx context.Context, cfg config.Config) {
 	s.Server.Reload(ctx, cfg)
 	if s.recorder != nil {
-		s.Server.Inspect(ctx, func(*broker.Broker, server.ConnectionCounts) { s.recorder.Reloaded(true) })
+		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(true) })
 	}
 }
 
 // RejectReload counts a configuration file that was rejected at SIGHUP.
 func (s *Service) RejectReload(ctx context.Context) {
 	if s.recorder != nil {
-		s.Server.Inspect(ctx, func(*broker.Broker, server.ConnectionCounts) { s.recorder.Reloaded(false) })
+		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(false) })
 	}
 }
 
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/delivery"
 	"wheatlane/internal/metrics"
 	"wheatlane/internal/operatorconfig"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -28,7 +28,7 @@
 // Inspector lets a function read the reducer and the sockets on the goroutine that owns them. It returns
 // false if the function was not called, as there is no such goroutine any more; see server.Server.Inspect.
 type Inspector interface {
-	Inspect(ctx context.Context, f func(*broker.Broker, server.ConnectionCounts)) bool
+	Inspect(ctx context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool
 }
 
 // Reporter ends intervals and hands them to destinations.
@@ -188,7 +188,7 @@
 		stats[name] = *d.stats.Load()
 	}
 	var interval *metrics.Interval
-	if !r.inspector.Inspect(ctx, func(b *broker.Broker, connections server.ConnectionCounts) {
+	if !r.inspector.Inspect(ctx, func(b *broker.Broker, connections netconn.ConnectionCounts) {
 		interval = r.recorder.Cut(r.clock.Wall(), r.clock.Monotonic(), b, connections, stats)
 	}) {
 		return
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/emulator/collector"
 	"wheatlane/internal/metrics"
 	"wheatlane/internal/operatorconfig"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 func TestIntervalsAreDelivered(t *testing.T) {
@@ -150,8 +150,8 @@
 
 // The reasons of the catalogue are those of the log.
 func TestEndReasonsAreTheServers(t *testing.T) {
-	got := make([]string, 0, len(server.Reasons))
-	for _, r := range server.Reasons {
+	got := make([]string, 0, len(netconn.Reasons))
+	for _, r := range netconn.Reasons {
 		got = append(got, string(r))
 	}
 	if diff := cmp.Diff(metrics.EndReasons, got); diff != "" {
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/rig_test.go
@@ -18,7 +18,7 @@
 	"wheatlane/internal/graphite"
 	"wheatlane/internal/metrics"
 	"wheatlane/internal/operatorconfig"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 const (
@@ -39,10 +39,10 @@
 	cuts     uint64 // how often it was inspected: once an interval
 }
 
-func (i *inspector) Inspect(_ context.Context, f func(*broker.Broker, server.ConnectionCounts)) bool {
+func (i *inspector) Inspect(_ context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	f(i.broker, server.ConnectionCounts{})
+	f(i.broker, netconn.ConnectionCounts{})
 	i.cuts++
 	return true
 }
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/cardinality"
 	"wheatlane/internal/delivery"
 	"wheatlane/internal/metrics"
-	"wheatlane/internal/server"
+	"wheatlane/internal/server/netconn"
 )
 
 // The places of the samples that newRuntimeSamples asks for.
@@ -29,7 +29,7 @@
 
 // Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states
 // of the reducer, the sockets, the runtime and the destinations are read into gauges before.
-func (r *Recorder) Cut(wall, monotonic time.Duration, b *broker.Broker, connections server.ConnectionCounts,
+func (r *Recorder) Cut(wall, monotonic time.Duration, b *broker.Broker, connections netconn.ConnectionCounts,
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
 	r.recordView(b)
@@ -45,7 +45,7 @@
 
 // CutAlone ends an interval of a reducer that has no sockets and no destinations.
 func (r *Recorder) CutAlone(now time.Duration, b *broker.Broker) *metrics.Interval {
-	return r.Cut(now, now, b, server.ConnectionCounts{}, nil)
+	return r.Cut(now, now, b, netconn.ConnectionCounts{}, nil)
 }
 
 // setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
@@ -53,16 +53,16 @@
 	r.registry.Set(id, cardinality.Other, part, value)
 }
 
-func (r *Recorder) recordConnections(connections *server.ConnectionCounts) {
+func (r *Recorder) recordConnections(connections *netconn.ConnectionCounts) {
 	r.setGauge(metrics.Connections, metrics.ClientSide, float64(connections.Clients))
 	r.setGauge(metrics.Connections, metrics.EngineSide, float64(connections.Engines))
-	for side, id := range map[server.Side]metrics.ID{
-		server.ClientSide:    metrics.ClientEnds,
-		server.EngineSide:    metrics.EngineEnds,
-		server.ChangelogSide: metrics.ChangelogEnds,
+	for side, id := range map[netconn.Side]metrics.ID{
+		netconn.ClientSide:    metrics.ClientEnds,
+		netconn.EngineSide:    metrics.EngineEnds,
+		netconn.ChangelogSide: metrics.ChangelogEnds,
 	} {
 		part := 0
-		connections.EachEndReason(side, func(_ server.Reason, n uint64) {
+		connections.EachEndReason(side, func(_ netconn.Reason, n uint64) {
 			r.setGauge(id, part, float64(n))
 			part++
 		})
