--- a/internal/server/netconn/conn_test.go
+++ b/internal/server/netconn/conn_test.go
@@ -142,8 +142,15 @@
 }
 
 // Bytes of a client that nobody has read don't turn the close into a reset, which could destroy its last
-// answer.
+// answer; also where its place is wanted.
 func TestLastAnswerSurvivesUnreadBytes(t *testing.T) {
+	for _, reason := range []Reason{Shutdown, EvictedIdle} {
+		t.Run(string(reason), func(t *testing.T) { testLastAnswer(t, reason) })
+	}
+}
+
+func testLastAnswer(t *testing.T, reason Reason) {
+	t.Helper()
 	near, far := connectedPair(t)
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
@@ -152,7 +159,7 @@
 	if _, err := c.Write([]byte("last answer")); err != nil {
 		t.Fatal(err)
 	}
-	c.CloseAfterSent(&EndError{Reason: Shutdown})
+	c.CloseAfterSent(&EndError{Reason: reason})
 	ended := make(chan error, 1)
 	go func() {
 		ended <- c.Run(t.Context(), func(ctx context.Context) error {
@@ -166,7 +173,7 @@
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := ReasonOf(receive(t, ended, "the end")); got != Shutdown {
+	if got := ReasonOf(receive(t, ended, "the end")); got != reason {
 		t.Fatalf("ended as %s", got)
 	}
 }
