--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
 	"wheatlane/internal/invariant"
 )
 
@@ -27,7 +28,7 @@
 	sessions         sessionTable
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
-	keyBursts        keyBurstTable
+	clientWaits      *clientwait.Estimator
 	endpoints        endpointList
 	probes           map[uint64]loadProbe
 	admission        admissionRules
@@ -46,16 +47,16 @@
 		return nil, err
 	}
 	return &Broker{
-		module:    module,
-		batch:     moduleBatch{minInterval: settings.MinBatchInterval},
-		meter:     NopMeter{},
-		sessions:  newSessionTable(maxSessions),
-		requests:  newRequestTable(),
-		keyBursts: newKeyBurstTable(),
-		endpoints: newEndpointList(),
-		probes:    map[uint64]loadProbe{},
-		admission: newAdmissionRules(settings),
-		hedging:   settings.Limits.Hedging,
+		module:      module,
+		batch:       moduleBatch{minInterval: settings.MinBatchInterval},
+		meter:       NopMeter{},
+		sessions:    newSessionTable(maxSessions),
+		requests:    newRequestTable(),
+		clientWaits: clientwait.New(),
+		endpoints:   newEndpointList(),
+		probes:      map[uint64]loadProbe{},
+		admission:   newAdmissionRules(settings),
+		hedging:     settings.Limits.Hedging,
 	}, nil
 }
 
--- /dev/null
+++ b/internal/broker/clientwait/clientwait_test.go
@@ -0,0 +1,86 @@
+package clientwait
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const (
+	ms        = time.Millisecond
+	startTime = time.Hour
+)
+
+// A client holds a request back when another of its key was written just before, but counts its wait from
+// when it meant to send it.
+func TestClientWaitStartsWithItsKeyBurst(t *testing.T) {
+	type write struct {
+		at                time.Duration
+		firstOnConnection bool
+		key               string
+	}
+	for name, c := range map[string]struct {
+		writes []write
+		want   time.Duration // when the last one's wait started
+	}{
+		"alone":                  {[]write{{0, false, "k"}}, 0},
+		"long after":             {[]write{{0, false, "k"}, {200 * ms, false, "k"}}, 200 * ms},
+		"close behind":           {[]write{{0, false, "k"}, {60 * ms, false, "k"}}, 0},
+		"third of a burst":       {[]write{{0, false, "k"}, {60 * ms, false, "k"}, {120 * ms, false, "k"}}, 0},
+		"after a new connection": {[]write{{0, true, "k"}, {250 * ms, false, "k"}}, 0},
+		"another key":            {[]write{{0, false, "k"}, {60 * ms, false, "other"}}, 60 * ms},
+		"no key":                 {[]write{{0, false, ""}, {60 * ms, false, ""}}, 60 * ms},
+	} {
+		t.Run(name, func(t *testing.T) {
+			estimator := New()
+			var got time.Duration
+			for _, w := range c.writes {
+				got = estimator.waitStart(Request{
+					OrderKey: w.key, SentAt: startTime + w.at, FirstOnConnection: w.firstOnConnection,
+				})
+			}
+			if got != startTime+c.want {
+				t.Errorf("counted from %v, want %v", got-startTime, c.want)
+			}
+		})
+	}
+}
+
+// Memory does not grow where order keys are always new.
+func TestKeyBurstsAreSwept(t *testing.T) {
+	estimator := New()
+	for n := range 10 * minBurstsToSweep {
+		sentAt := startTime + time.Duration(n)*time.Second
+		estimator.waitStart(Request{OrderKey: fmt.Sprint(n), SentAt: sentAt})
+	}
+	if len(estimator.byKey) > minBurstsToSweep {
+		t.Fatalf("%d keys are kept", len(estimator.byKey))
+	}
+}
+
+func TestDeadlines(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		request          Request
+		deadline, queued time.Duration
+	}{
+		"margin for transit":          {Request{Timeout: time.Second}, 988 * ms, 988 * ms},
+		"part of a short timeout":     {Request{Timeout: 40 * ms}, 34 * ms, 34 * ms},
+		"order key":                   {Request{OrderKey: "k", Timeout: 2 * time.Second}, 1735 * ms, 1735 * ms},
+		"order key, short timeout":    {Request{OrderKey: "k", Timeout: 200 * ms}, 170 * ms, 170 * ms},
+		"waiting since before":        {Request{WaitingSince: startTime - 50*ms, Timeout: time.Second}, 938 * ms, 950 * ms},
+		"waiting since an instant":    {Request{WaitingSince: startTime - ms, Timeout: time.Second}, 987 * ms, 988 * ms},
+		"waiting since, it says, now": {Request{WaitingSince: startTime, Timeout: time.Second}, 988 * ms, 988 * ms},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			c.request.SentAt = startTime
+			if got := New().Deadline(c.request) - startTime; got != c.deadline {
+				t.Errorf("deadline after %v, want %v", got, c.deadline)
+			}
+			if got := QueuedDeadline(c.request) - startTime; got != c.queued {
+				t.Errorf("deadline of a queued request after %v, want %v", got, c.queued)
+			}
+		})
+	}
+}
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
 )
 
 // Clients may write commands ahead of the answer to a request. Each is answered, in order: what was read must
@@ -43,10 +44,7 @@
 		requestID := strings.Clone(submit.Request.RequestID)
 		c = s.queueRequest(submit, requestID)
 		if r := submit.Request; r.Timeout > 0 {
-			due := r.SentAt + r.Timeout - answerMarginOf(r, r.SentAt)
-			if submit.WaitingSince > 0 {
-				due = min(due, submit.WaitingSince+r.Timeout)
-			}
+			due := clientwait.QueuedDeadline(submit.wait())
 			b.timers.set(max(due, now), queuedRequestDue{s, requestID})
 		}
 	}
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
 )
 
 // request is an accepted request.
@@ -118,7 +119,7 @@
 		b.reply(s.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
 		b.reply(s.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
-	case in.Timeout <= answerMargin && in.Timeout < class.LatencyObjective:
+	case in.Timeout <= clientwait.MinMargin && in.Timeout < class.LatencyObjective:
 		// This may be a client's last retry, with too little time left to run it: only an immediate answer
 		// arrives before the client gives up.
 		b.reply(s.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
@@ -137,19 +138,24 @@
 	return class, err
 }
 
+// wait is what is known of how long the client of a request has been waiting.
+func (c SubmitRequest) wait() clientwait.Request {
+	return clientwait.Request{
+		SentAt:            c.Request.SentAt,
+		WaitingSince:      c.WaitingSince,
+		Timeout:           c.Request.Timeout,
+		OrderKey:          c.Request.OrderKey,
+		FirstOnConnection: c.Request.FirstOnConnection,
+	}
+}
+
 // accept opens a request and hands it to the decision module.
 func (b *Broker) accept(now time.Duration, s *session, class control.Class, c SubmitRequest) {
-	in := c.Request
-	waitStart := b.keyBursts.clientWaitStart(in)
-	margin := answerMarginOf(in, waitStart)
-	if c.WaitingSince > 0 {
-		waitStart = min(waitStart, c.WaitingSince)
-	}
 	r := &request{
-		Request:    in,
+		Request:    c.Request,
 		session:    s.id,
 		acceptedAt: now,
-		deadline:   waitStart + in.Timeout - margin,
+		deadline:   b.clientWaits.Deadline(c.wait()),
 		priority:   1,
 		class:      class,
 	}
--- a/internal/broker/requests_test.go
+++ b/internal/broker/requests_test.go
@@ -8,6 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
 )
 
 // Every request gets one answer before its client gives up, whatever its attempt does, and none after a kill.
@@ -169,9 +170,9 @@
 		class, key      string
 		timeout, margin time.Duration
 	}{
-		{"lookup", "", time.Second, answerMargin},
+		{"lookup", "", time.Second, clientwait.MinMargin},
 		{"lookup", "", 40 * ms, 6 * ms},
-		{"load", "k", 2 * time.Second, keySpacingNewConnection + keySpacingSlack},
+		{"load", "k", 2 * time.Second, 265 * ms},
 		{"load", "k", 200 * ms, 30 * ms},
 	} {
 		t.Run(fmt.Sprintf("%s with %v", c.class, c.timeout), func(t *testing.T) {
@@ -198,9 +199,9 @@
 		replies            []ReplyKind
 		attempts           int
 	}{
-		"no time left":    {400 * ms, answerMargin, []ReplyKind{ReplyRejected}, 0},
-		"some time left":  {400 * ms, answerMargin + 5*ms, nil, 1},
-		"short objective": {answerMargin, answerMargin, nil, 1},
+		"no time left":    {400 * ms, clientwait.MinMargin, []ReplyKind{ReplyRejected}, 0},
+		"some time left":  {400 * ms, clientwait.MinMargin + 5*ms, nil, 1},
+		"short objective": {clientwait.MinMargin, clientwait.MinMargin, nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
