--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -69,7 +69,7 @@
 		Priority:       r.priority,
 		Body:           r.Body,
 	})
-	b.timers.set(until, attemptTimedOut{a})
+	b.timers.Set(until, attemptTimedOut{a})
 }
 
 // mayStart is the one guard of all attempts, first ones, retries and hedged requests. The request or the engine may
@@ -132,7 +132,7 @@
 	status := endStatus(a, ev.Status)
 	if b.mustSettle(a, status) {
 		end := control.AttemptEnded{Status: status, Report: ev.Report}
-		b.timers.set(now+settleDelay, attemptSettled{a, end})
+		b.timers.Set(now+settleDelay, attemptSettled{a, end})
 		return
 	}
 	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -13,6 +13,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/timerqueue"
 	"wheatlane/internal/invariant"
 )
 
@@ -20,7 +21,7 @@
 type Broker struct {
 	module  *control.Controller // decides when and where attempts go
 	batch   moduleBatch         // what the module is notified of in its next call
-	timers  timerQueue
+	timers  timerqueue.Queue[timerEvent]
 	effects []Effect // of the call under way
 	meter   Meter
 	tracer  Tracer // nil: none
@@ -117,7 +118,7 @@
 func (b *Broker) Tick(now time.Duration) []Effect {
 	b.checkTime(now)
 	for {
-		event, ok := b.timers.popDue(now)
+		event, ok := b.timers.PopDue(now)
 		if !ok {
 			break
 		}
@@ -143,7 +144,7 @@
 // NextDeadline is the time at which Tick has something to do; ok is false if there is nothing.
 func (b *Broker) NextDeadline() (at time.Duration, ok bool) {
 	at, ok = b.batch.nextAt()
-	if timerAt, set := b.timers.nextAt(); set && (!ok || timerAt < at) {
+	if timerAt, set := b.timers.NextAt(); set && (!ok || timerAt < at) {
 		return timerAt, true
 	}
 	return at, ok
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -45,7 +45,7 @@
 		c = s.queueRequest(submit, requestID)
 		if r := submit.Request; r.Timeout > 0 {
 			due := clientwait.QueuedDeadline(submit.wait())
-			b.timers.set(max(due, now), queuedRequestDue{s, requestID})
+			b.timers.Set(max(due, now), queuedRequestDue{s, requestID})
 		}
 	}
 	s.queuedCommands = append(s.queuedCommands, c)
@@ -123,5 +123,5 @@
 		b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
 		b.answer(now, r, r.finalAnswer(endCauseTexts[EndQueuedRequestDue]), EndQueuedRequestDue)
 	}
-	b.timers.set(now+queueDueRetry, queuedRequestDue{s, requestID})
+	b.timers.Set(now+queueDueRetry, queuedRequestDue{s, requestID})
 }
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -86,7 +86,7 @@
 			b.setAttemptOptions(r, action)
 		}
 	case control.SetTimer:
-		b.timers.set(now+action.After, moduleTimer{action.Token})
+		b.timers.Set(now+action.After, moduleTimer{action.Token})
 	case control.ProbeLoad:
 		b.probeLoad(now, action.Engine)
 	case control.SendGossip:
--- a/internal/broker/probes.go
+++ b/internal/broker/probes.go
@@ -21,10 +21,10 @@
 		b.batch.add(control.ProbeResult{Engine: engine, Status: control.ConnectFailed})
 		return
 	}
-	id := b.timers.nextOrdinal()
+	id := b.timers.NextOrdinal()
 	b.probes[id] = loadProbe{engine: engine, sentAt: now}
 	b.emit(ProbeLoad{ProbeID: id, Engine: engine, Addr: endpoint.Addr})
-	b.timers.set(now+loadProbeTimeout, probeTimedOut{id})
+	b.timers.Set(now+loadProbeTimeout, probeTimedOut{id})
 }
 
 // probeEnded handles the result of a load probe, or its timeout; only the first of them counts.
--- a/internal/broker/results_test.go
+++ b/internal/broker/results_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/resultpages"
 )
 
 // resultCases are what an engine may send for an attempt, and what becomes of the request.
@@ -56,15 +57,15 @@
 		return []Event{firstPage(a, 1, []byte("a\tb\xff\tc\n"))}
 	}, nil, 2, 1},
 	"page too long": {func(a AttemptID) []Event {
-		return []Event{firstPage(a, 1, bytes.Repeat(row, maxPageBytes/len(row)+1))}
+		return []Event{firstPage(a, 1, bytes.Repeat(row, resultpages.MaxPageBytes/len(row)+1))}
 	}, nil, 2, 1},
 	"too many pages": {func(a AttemptID) []Event {
-		return []Event{firstPage(a, maxPages+1, row)}
+		return []Event{firstPage(a, resultpages.MaxPages+1, row)}
 	}, nil, 2, 1},
 	"result too large": {func(a AttemptID) []Event {
 		events := []Event{firstPage(a, 10, nil)}
 		for n := 1; n < 10; n++ {
-			events = append(events, PageReceived{a, n, bytes.Repeat(row, maxPageBytes/len(row))})
+			events = append(events, PageReceived{a, n, bytes.Repeat(row, resultpages.MaxPageBytes/len(row))})
 		}
 		return events
 	}, nil, 2, 1},
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -1,13 +1,10 @@
 package broker
 
 import (
-	"container/list"
 	"time"
-)
 
-// loginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients
-// log in when they connect; the time allows for a broker that is slow to read.
-const loginGrace = 250 * time.Millisecond
+	"wheatlane/internal/broker/eviction"
+)
 
 // session is a client's connection.
 type session struct {
@@ -19,21 +16,16 @@
 
 	lastCommandInvalid bool // the command executed last could not be used
 
-	evictableSince  time.Duration
-	evictionQueue   *list.List // nil while the session waits for an answer
-	evictionElement *list.Element
+	evictionPlace eviction.Place // busy while the session waits for an answer
 }
 
-// sessionTable holds the clients' sessions and the order in which they are evicted when their limit is
-// reached: clients that connect and send nothing, or stay connected after a command, must not exclude others.
+// sessionTable holds the clients' sessions and the order in which they are evicted when their limit is reached.
 type sessionTable struct {
 	max  int
 	byID map[Session]*session
 	// closedHere are the sessions that were closed from this side and whose connections have not ended yet.
-	closedHere map[Session]bool
-	// Sessions that may be evicted, in the order of eviction.
-	unauthenticated list.List
-	idle            list.List // they wait for no answer
+	closedHere    map[Session]bool
+	evictionOrder eviction.Order[*session]
 }
 
 func newSessionTable(maxSessions int) sessionTable {
@@ -44,7 +36,7 @@
 func (t *sessionTable) add(now time.Duration, id Session) {
 	s := &session{id: id}
 	t.byID[id] = s
-	s.markEvictable(now, &t.unauthenticated, t.unauthenticated.PushBack(s))
+	t.evictionOrder.AddUnauthenticated(now, &s.evictionPlace, s)
 }
 
 func (t *sessionTable) remove(s *session) {
@@ -54,48 +46,24 @@
 
 // markIdle makes a session the last of the idle ones to evict.
 func (t *sessionTable) markIdle(now time.Duration, s *session) {
-	s.markBusy()
-	s.markEvictable(now, &t.idle, t.idle.PushBack(s))
+	t.evictionOrder.MarkIdle(now, &s.evictionPlace, s)
 }
 
 // markFirstToEvict makes a session the first of the idle ones to evict.
 func (t *sessionTable) markFirstToEvict(now time.Duration, s *session) {
-	s.markBusy()
-	s.markEvictable(now, &t.idle, t.idle.PushFront(s))
-}
-
-// markEvictable keeps the place of a session in an eviction queue.
-func (s *session) markEvictable(now time.Duration, queue *list.List, element *list.Element) {
-	s.evictableSince, s.evictionQueue, s.evictionElement = now, queue, element
+	t.evictionOrder.MarkFirst(now, &s.evictionPlace, s)
 }
 
 // markBusy keeps a session from being evicted.
-func (s *session) markBusy() {
-	if s.evictionQueue != nil {
-		s.evictionQueue.Remove(s.evictionElement)
-	}
-	s.evictionQueue, s.evictionElement = nil, nil
-}
+func (s *session) markBusy() { s.evictionPlace.MarkBusy() }
 
-// evictionCandidate is the session to evict: one that did not authenticate within loginGrace, else the one
-// idle longest, else one that may be about to authenticate; nil if all are busy.
+// evictionCandidate is the session to evict; nil if all are busy.
 func (t *sessionTable) evictionCandidate(now time.Duration) *session {
-	unauthenticated, idle := first(&t.unauthenticated), first(&t.idle)
-	switch {
-	case unauthenticated == nil:
-		return idle
-	case idle == nil || now-unauthenticated.evictableSince >= loginGrace:
-		return unauthenticated
-	}
-	return idle
-}
-
-// first is the first session of a queue; nil if that is empty.
-func first(queue *list.List) *session {
-	if queue.Len() == 0 {
+	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Place { return &s.evictionPlace })
+	if !ok {
 		return nil
 	}
-	return queue.Front().Value.(*session)
+	return candidate
 }
 
 // SessionCount is the number of clients that are connected.
--- a/internal/broker/sessions_test.go
+++ b/internal/broker/sessions_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/broker/eviction"
 )
 
 // With the limit of sessions reached, the first to be evicted is one that had time to log in and did not;
@@ -14,10 +16,10 @@
 	h := newHarness(t, engine1())
 	h.broker.sessions.max = 5 // as many as are open
 	h.submit(1, "lookup", "", time.Second)
-	h.run(loginGrace)
+	h.run(eviction.LoginGrace)
 	h.apply(Ping{2}, SubmitRequest{Session: 3, Request: Request{Class: "nonsense"}}, Ping{4})
 	h.apply(SessionOpened{10}) // evicts 3
-	h.run(loginGrace)
+	h.run(eviction.LoginGrace)
 	h.apply(SessionOpened{11})                           // evicts 10
 	h.apply(SessionOpened{12}, SessionAuthenticated{12}) // evicts 5, as 11 may be about to log in
 	for _, id := range []Session{2, 4, 12} {
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -15,7 +15,7 @@
 // startShutdown lets the broker finish its open requests within a time.
 func (b *Broker) startShutdown(now, within time.Duration) {
 	b.shutdown.started = true
-	b.timers.set(now+within, shutdownOver{})
+	b.timers.Set(now+within, shutdownOver{})
 }
 
 // sendFinalAnswers answers all open requests, shortly before the process must end: a closed connection alone
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -1,7 +1,6 @@
 package broker
 
 import (
-	"container/heap"
 	"time"
 
 	"wheatlane/control"
@@ -58,63 +57,3 @@
 }
 
 func (shutdownOver) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
-
-// timerQueue is a priority queue of timers by time. Timers of one time expire in the order in which they were
-// set.
-type timerQueue struct {
-	heap        timerHeap
-	lastOrdinal uint64
-}
-
-type timer struct {
-	at      time.Duration
-	ordinal uint64
-	event   timerEvent
-}
-
-func (q *timerQueue) set(at time.Duration, event timerEvent) {
-	heap.Push(&q.heap, timer{at, q.nextOrdinal(), event})
-}
-
-// nextOrdinal returns a number that no timer and no load probe has yet.
-func (q *timerQueue) nextOrdinal() uint64 {
-	q.lastOrdinal++
-	return q.lastOrdinal
-}
-
-// nextAt is the time of the first timer; ok is false if there is none.
-func (q *timerQueue) nextAt() (at time.Duration, ok bool) {
-	if len(q.heap) == 0 {
-		return 0, false
-	}
-	return q.heap[0].at, true
-}
-
-// popDue removes the first timer; ok is false if it is not due.
-func (q *timerQueue) popDue(now time.Duration) (event timerEvent, ok bool) {
-	if at, set := q.nextAt(); !set || at > now {
-		return nil, false
-	}
-	return heap.Pop(&q.heap).(timer).event, true
-}
-
-// timerHeap implements heap.Interface.
-type timerHeap []timer
-
-func (h timerHeap) Len() int { return len(h) }
-
-func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].ordinal < h[j].ordinal
-}
-
-func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
-
-func (h *timerHeap) Pop() any {
-	last := len(*h) - 1
-	popped := (*h)[last]
-	(*h)[last] = timer{} // so that what it refers to can be freed
-	*h = (*h)[:last]
-	return popped
-}
