--- a/control/attempts.go
+++ b/control/attempts.go
@@ -1,6 +1,10 @@
 package control
 
-import "math"
+import (
+	"math"
+
+	"wheatlane/control/units"
+)
 
 // Tuned values of attempts and retries.
 const (
@@ -20,7 +24,7 @@
 		k.learnWait(c.now - r.receivedAt)
 	}
 	if c.inSlowStart(e) {
-		e.slowStartSends = append(e.slowStartSends, slowStartSend{c.now, k.meanWork})
+		e.sentInSlowStart.Add(c.now, units.ThreadSeconds(k.meanWork))
 	}
 	a := r.addAttempt(e, c.now)
 	if e.ejected {
--- a/control/controller.go
+++ b/control/controller.go
@@ -13,6 +13,8 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"wheatlane/control/slowstart"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -29,6 +31,7 @@
 	log          logThrottle
 	requests     requestTable
 	endpoints    endpointSet
+	slowStart    slowstart.Policy
 	subscription subscription
 	workload     workload
 	estimates    fleetEstimates
@@ -54,7 +57,7 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), workload: newWorkload(settings),
+		endpoints: newEndpointSet(), slowStart: newSlowStart(settings), workload: newWorkload(settings),
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
 	}
 	c.shares = newClassShares(len(c.workload.classes))
--- a/control/engine.go
+++ b/control/engine.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/slowstart"
 	"wheatlane/internal/estimate"
 	"wheatlane/internal/fairqueue"
 	"wheatlane/internal/rls"
@@ -43,11 +44,11 @@
 	ejected        bool          // an outlier that gets no requests but half-open probes
 	halfOpenAt     time.Duration // when it may get the next of these
 
-	load           float64       // as reported
-	loadReportedAt time.Duration // 0: never
-	probedAt       time.Duration // when it was last asked for a report
-	dataSetLocks   []dataSetLock // that requests of other brokers seem to hold
-	slowStartSends []slowStartSend
+	load            float64       // as reported
+	loadReportedAt  time.Duration // 0: never
+	probedAt        time.Duration // when it was last asked for a report
+	dataSetLocks    []dataSetLock // that requests of other brokers seem to hold
+	sentInSlowStart slowstart.SendLog
 }
 
 // dataSetLock is a data set that another broker's request seems to have locked, and until when that is
@@ -57,12 +58,6 @@
 	expiresAt time.Duration
 }
 
-// slowStartSend is work that was sent to an engine in slow start.
-type slowStartSend struct {
-	sentAt time.Duration
-	work   float64
-}
-
 // idHashSize keeps the hash of an ID small enough for products with a data set's number.
 const idHashSize = 1000003
 
@@ -145,17 +140,6 @@
 	return float64(uint32(e.idHash*31+dataSet)*knuth>>bits) / (1 << bits)
 }
 
-// slowStartWork is the work that was sent here in slow start since a time, and that of one more request.
-func (e *engine) slowStartWork(since time.Duration, next float64) float64 {
-	tooOld := func(s slowStartSend) bool { return s.sentAt <= since }
-	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, tooOld)
-	work := next
-	for _, s := range e.slowStartSends {
-		work += s.work
-	}
-	return work
-}
-
 // dataSetLocked says whether a data set is locked here: by a request of this broker's, or as others seem to
 // hold it.
 func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
--- a/control/selection.go
+++ b/control/selection.go
@@ -71,8 +71,7 @@
 	}
 	gumbel := -math.Log(c.rng.ExpFloat64())
 	if c.inSlowStart(e) {
-		turns, _ := c.slowStartTurns(e)
-		gumbel += math.Log(c.slowStartFraction(e) * float64(c.settings.Brokers) / float64(turns))
+		gumbel += math.Log(c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now))
 	}
 	return tieBreakScale * gumbel
 }
--- /dev/null
+++ b/control/slowstart/slowstart.go
@@ -0,0 +1,135 @@
+// Package slowstart limits the work that an engine is sent while it warms up. Too much of it within a window
+// would overload the engine, so all brokers of a fleet together keep to a budget, of which each has a share.
+package slowstart
+
+import (
+	"math"
+	"time"
+
+	"wheatlane/control/units"
+)
+
+const (
+	clockError        = time.Second // the clock of the endpoint list may be so far off
+	usedBudget        = 0.7         // fraction of the tolerated work that is sent
+	trustedWarmUp     = 0.7         // fraction of the expected warm-up that is counted on
+	targetUtilization = 0.85        // of the cores, at capacity
+
+	// evenShareWeight is how much a broker's share of a budget depends on the number of brokers; the rest
+	// depends on its share of the traffic.
+	evenShareWeight = 0.5
+	turnBudget      = 0.5  // fraction of a budget for the brokers of one turn: a window can touch two turns
+	lightShare      = 0.25 // fraction of a turn's budget that brokers may use up with requests of mean work
+
+	minHeavyWork units.ThreadSeconds = 1e-3 // least work of a heavy request
+)
+
+// Config is what a deployment says of engines that start.
+type Config struct {
+	InitialFraction  units.Fraction // of its capacity that an engine has when it starts
+	Duration         time.Duration  // until an engine has its full capacity
+	OverloadMultiple float64        // an engine that warms up fails beyond so many times its capacity
+	OverloadWindow   time.Duration  // over which that is measured
+	Brokers          int            // that share the engines
+	BrokerIndex      int            // of this broker, from 0
+}
+
+// Engine is what the policy has to know of an engine.
+type Engine struct {
+	StartedAt time.Duration // 0: long ago
+	Cores     float64
+	FirstTurn int // index, modulo the number of brokers, of the first broker to have a turn
+}
+
+// Demand is the demand at this broker.
+type Demand struct {
+	ArrivalRate  float64             // requests a second
+	MeanWork     units.ThreadSeconds // of a request
+	HeaviestWork units.ThreadSeconds // of the class with the most work
+	TrafficShare units.Fraction      // of the fleet's traffic
+	ReadyEngines int                 // at least 1
+}
+
+// Policy decides how much an engine that warms up is sent.
+type Policy struct{ config Config }
+
+// New returns a policy. It limits nothing where the deployment does not say what overloads an engine.
+func New(config Config) Policy { return Policy{config} }
+
+// Active reports whether an engine warms up.
+func (p Policy) Active(engine Engine, now time.Duration) bool {
+	overloads := p.config.OverloadWindow > 0 && p.config.OverloadMultiple > 0
+	return overloads && engine.StartedAt > 0 && now-engine.StartedAt < p.config.Duration+clockError
+}
+
+// Fraction is the fraction of its capacity that an engine has.
+func (p Policy) Fraction(engine Engine, now time.Duration) units.Fraction {
+	if !p.Active(engine, now) {
+		return 1
+	}
+	initial, age := p.config.InitialFraction, units.Fraction(now-engine.StartedAt)
+	return initial + (1-initial)*trustedWarmUp*min(1, age/units.Fraction(p.config.Duration))
+}
+
+// FleetBudget is the work that all brokers together may send an engine within an overload window.
+func (p Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
+	return units.ThreadSeconds(p.config.OverloadMultiple * float64(p.Fraction(engine, now)) * targetUtilization *
+		engine.Cores * p.config.OverloadWindow.Seconds() * usedBudget)
+}
+
+// Allows reports whether this broker's share of the budget has capacity for a request of some work more.
+func (p Policy) Allows(
+	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
+) bool {
+	evenShare := evenShareWeight / units.Fraction(p.config.Brokers)
+	share := evenShare + (1-evenShareWeight)*demand.TrafficShare
+	return p.within(engine, sent, share, work, now)
+}
+
+// AllowsInTurn decides the same where the even shares of the brokers are less than a request: they take turns
+// by index, each as long as an overload window, as many at a time as the budget has capacity for.
+func (p Policy) AllowsInTurn(
+	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
+) bool {
+	turn := p.turn(engine, demand, now)
+	return p.hasTurn(engine, turn, now) && p.within(engine, sent, turnBudget/turn.heavyRequests, work, now)
+}
+
+// within reports whether a share of the fleet's budget covers what was sent and some work more.
+func (p Policy) within(
+	engine Engine, sent *SendLog, share units.Fraction, work units.ThreadSeconds, now time.Duration,
+) bool {
+	budget := p.FleetBudget(engine, now) * units.ThreadSeconds(share)
+	return sent.WorkSince(now-p.config.OverloadWindow, work) <= budget
+}
+
+// turn is the brokers that may send to an engine at a time.
+type turn struct {
+	brokers       int
+	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
+}
+
+func (p Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
+	budget := p.FleetBudget(engine, now) * turnBudget
+	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
+	// used is what an engine is sent by one broker within a window.
+	used := demand.ArrivalRate * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
+		float64(demand.ReadyEngines)
+	lightRequests := lightShare * float64(budget) / used
+	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
+	return turn{brokers, units.Fraction(heavyRequests)}
+}
+
+// hasTurn reports whether it is this broker's turn at an engine.
+func (p Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
+	brokers := p.config.Brokers
+	first := engine.FirstTurn + int((now-engine.StartedAt)/p.config.OverloadWindow)*turn.brokers
+	return (p.config.BrokerIndex+brokers-first%brokers)%brokers < turn.brokers
+}
+
+// FleetWeight is by how much more a broker whose turn it is has to choose an engine, so that the fleet uses
+// the engine by its capacity.
+func (p Policy) FleetWeight(engine Engine, demand Demand, now time.Duration) float64 {
+	turn := p.turn(engine, demand, now)
+	return float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers)
+}
--- /dev/null
+++ b/control/slowstart/slowstart_test.go
@@ -0,0 +1,105 @@
+package slowstart
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"wheatlane/control/units"
+)
+
+func config() Config {
+	return Config{
+		InitialFraction: 0.4, Duration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
+		Brokers: 2,
+	}
+}
+
+var engine = Engine{StartedAt: 100 * time.Second, Cores: 8}
+
+func TestFractionGrowsWhileAnEngineWarmsUp(t *testing.T) {
+	t.Parallel()
+	unlimited := config()
+	unlimited.OverloadMultiple = 0
+	for name, c := range map[string]struct {
+		config Config
+		engine Engine
+		age    time.Duration
+		want   units.Fraction
+	}{
+		"at its start":                      {config(), engine, 0, 0.4},
+		"half way":                          {config(), engine, 5 * time.Second, 0.4 + 0.6*trustedWarmUp/2},
+		"its clock may be off":              {config(), engine, 10 * time.Second, 0.4 + 0.6*trustedWarmUp},
+		"warm":                              {config(), engine, 11 * time.Second, 1},
+		"started long ago":                  {config(), Engine{Cores: 8}, 0, 1},
+		"nothing overloads it, as is known": {unlimited, engine, 0, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			got := New(c.config).Fraction(c.engine, c.engine.StartedAt+c.age)
+			if math.Abs(float64(got-c.want)) > 1e-12 {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestBrokerKeepsToItsShareOfTheBudget(t *testing.T) {
+	t.Parallel()
+	policy, now := New(config()), engine.StartedAt
+	budget := policy.FleetBudget(engine, now)
+	if want := units.ThreadSeconds(2 * 0.4 * targetUtilization * 8 * 2 * usedBudget); math.Abs(float64(budget-want)) > 1e-9 {
+		t.Fatalf("budget %v, want %v", budget, want)
+	}
+	demand := Demand{TrafficShare: 0.3, ReadyEngines: 1} // its share is between 1/2 and 0.3
+	var sent SendLog
+	sent.Add(now, 0.39*budget)
+	if !policy.Allows(engine, &sent, demand, 0.009*budget, now) {
+		t.Error("0.399 of the budget is not allowed")
+	}
+	if policy.Allows(engine, &sent, demand, 0.011*budget, now) {
+		t.Error("0.401 of the budget is allowed")
+	}
+	if !policy.Allows(engine, &sent, demand, 0.2*budget, now+2*time.Second) {
+		t.Error("work sent before the window counts")
+	}
+}
+
+// Of many brokers, each has its turn, and those that have it keep within half of the budget together.
+func TestBrokersTakeTurns(t *testing.T) {
+	t.Parallel()
+	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
+	const brokers = 10
+	turns := map[int]bool{}
+	for second := 0; second < 8; second += 2 {
+		now := engine.StartedAt + time.Duration(second)*time.Second
+		inTurn, budget := 0, units.ThreadSeconds(0)
+		for index := range brokers {
+			c := config()
+			c.Brokers, c.BrokerIndex = brokers, index
+			policy := New(c)
+			budget = policy.FleetBudget(engine, now)
+			if policy.AllowsInTurn(engine, &SendLog{}, demand, demand.HeaviestWork, now) {
+				inTurn++
+				turns[index] = true
+			}
+		}
+		if inTurn == 0 || units.ThreadSeconds(inTurn)*demand.HeaviestWork > budget*turnBudget {
+			t.Errorf("at %v, %d brokers send 1 thread-second each, of a budget of %v", now, inTurn, budget)
+		}
+	}
+	if len(turns) != brokers {
+		t.Errorf("%d of %d brokers had a turn", len(turns), brokers)
+	}
+}
+
+func TestFleetWeightMakesUpForTheTurnsOfOthers(t *testing.T) {
+	t.Parallel()
+	c := config()
+	c.Brokers = 100
+	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
+	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
+	if got, want := New(c).FleetWeight(engine, demand, engine.StartedAt), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
+		t.Errorf("weight %v, want %v", got, want)
+	}
+}
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -17,7 +17,8 @@
 	}
 	s := r.controller.settings.Rules
 	const cores = 8
-	capacity := s.SlowStartInitial * 1.1 * slowStartUtilization * cores
+	const targetUtilization = 0.85 // of the cores, at capacity
+	capacity := s.SlowStartInitial * 1.1 * targetUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
 	maxSent := budget / r.controller.workload.classes[0].meanWork
 	if sent == 0 || float64(sent) > maxSent {
