--- a/control/attempts.go
+++ b/control/attempts.go
@@ -27,13 +27,13 @@
 		e.sentInSlowStart.Add(c.now, units.ThreadSeconds(k.meanWork))
 	}
 	a := r.addAttempt(e, c.now)
-	if e.ejected {
-		e.halfOpenAt = c.now + c.ejectionBackoff()
+	if e.health.Ejected() {
+		e.health.ProbeSent(c.now, c.ejectionBackoff())
 	}
 	// Only a half-open probe times out early, to be retried: work that is cut off is lost.
 	overdueAfter := c.attemptTimeout(r, e)
 	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: overdueAfter}
-	if e.ejected && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
+	if e.health.Ejected() && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
 		send.Timeout = overdueAfter
 	}
 	c.emit(send)
@@ -113,7 +113,7 @@
 	r := a.request
 	stillRuns := status == TimedOut && !c.settings.Limits.Cancellation
 	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || c.isWorthless(r)
-	if tooLate || stillRuns && !a.engine.ejected && c.underPressure(a.engine) {
+	if tooLate || stillRuns && !a.engine.health.Ejected() && c.underPressure(a.engine) {
 		c.rejectOrFail(r)
 	} else {
 		c.enqueue(r, a.engine)
@@ -132,7 +132,8 @@
 	if a == nil {
 		return
 	}
-	a.lastProgressAt, a.engine.lastResponseAt = c.now, c.now
+	a.lastProgressAt = c.now
+	a.engine.health.Responded(c.now)
 	if report.Kind != ProgressFraction {
 		return
 	}
--- a/control/controller.go
+++ b/control/controller.go
@@ -14,6 +14,7 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/outlier"
 	"wheatlane/control/slowstart"
 )
 
@@ -32,6 +33,7 @@
 	requests     requestTable
 	endpoints    endpointSet
 	slowStart    slowstart.Policy
+	outliers     outlier.Detector
 	subscription subscription
 	workload     workload
 	estimates    fleetEstimates
@@ -57,7 +59,8 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), slowStart: newSlowStart(settings), workload: newWorkload(settings),
+		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()), workload: newWorkload(settings),
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
 	}
 	c.shares = newClassShares(len(c.workload.classes))
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -112,7 +112,7 @@
 	got = r.handle(evs...)
 	sends := actionsOf[SendAttempt](got)
 	requireEqual(t, "sends", len(sends) == 1 && sends[0].RequestID == "open", true)
-	requireEqual(t, "answers thought lost", r.controller.estimates.loss.Lost, 0.0)
+	requireEqual(t, "answers thought lost", r.controller.outliers.Losses(), 0.0)
 	answers := actionsOf[Reject](append(got, r.advance(50*ms)...))
 	requireEqual(t, "rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/outlier"
 	"wheatlane/control/slowstart"
-	"wheatlane/internal/estimate"
 	"wheatlane/internal/fairqueue"
 	"wheatlane/internal/rls"
 )
@@ -37,12 +37,7 @@
 	answered        float64       // answers of this interval
 	overdueRatio    float64       // age of what is in flight over its usual time
 
-	lastResponseAt time.Duration // when it last answered anything
-	atCapacityAt   time.Duration // when it last did not admit an attempt; negative: never
-	failureRate    float64       // averaged
-	loss           estimate.Loss // answers that never came
-	ejected        bool          // an outlier that gets no requests but half-open probes
-	halfOpenAt     time.Duration // when it may get the next of these
+	health outlier.Health
 
 	load            float64       // as reported
 	loadReportedAt  time.Duration // 0: never
@@ -64,7 +59,7 @@
 func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
 	e := &engine{
 		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID), limitFactor: 1,
-		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, atCapacityAt: -1,
+		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, health: outlier.NewHealth(c.now),
 		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
 	}
 	if e.memoryMB <= 0 { // not known, so it bounds nothing
@@ -120,10 +115,8 @@
 	return float64(threads)
 }
 
-// atCapacity says whether it did not admit an attempt lately.
-func (e *engine) atCapacity(now time.Duration) bool {
-	return e.atCapacityAt >= 0 && now-e.atCapacityAt < atCapacityRest
-}
+// atCapacity reports whether it did not admit an attempt lately.
+func (e *engine) atCapacity(now time.Duration) bool { return e.health.AtCapacity(now) }
 
 // hasLoadReport says whether it takes requests and reported its load within a time.
 func (e *engine) hasLoadReport(now, within time.Duration) bool {
@@ -160,6 +153,6 @@
 
 // restarted drops what was believed of the process that ran before.
 func (e *engine) restarted(bestLogSlowdown float64) {
-	e.ejected, e.failureRate, e.logSlowdown, e.slowdownSamples = false, 0, bestLogSlowdown, 0
-	e.atCapacityAt, e.loss = -1, estimate.Loss{}
+	e.health.Restarted()
+	e.logSlowdown, e.slowdownSamples = bestLogSlowdown, 0
 }
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -10,7 +10,6 @@
 const (
 	workGain           = 0.02 // weight of an answer in a class's work and memory
 	waitGain           = 0.05 // weight of a request in its class's mean wait
-	failureGain        = 0.2  // least weight of one outcome in a failure rate
 	spreadGain         = 0.02 // weight of an answer in the spread of service times
 	spreadPriorWeight  = 5.0  // answers that the first guess of the spread weighs as much as
 	floorGain          = 0.5  // weight of an answer in the floor of service times, in weights in the work
@@ -22,16 +21,11 @@
 	minSlowdownSamples = 10   // answers before an engine's slowdown is believed
 	minUsualSeconds    = 0.1  // that any answer may take
 	minServiceSeconds  = 1e-4 // least service time that is taken as measured
-	failureFade        = 0.98 // part of the failure rate left each tick
-	evidenceFade       = 0.99 // part of an engine's evidence left each tick
 	poolWeight         = 3.0  // answers of its own that weigh as much as the pool's
-	priorLossRate      = 0.01 // expected share of answers lost
-	priorLossWeight    = 20.0 // answers that this weighs as much as
 )
 
 // fleetEstimates is what is believed of all engines together.
 type fleetEstimates struct {
-	loss            estimate.Loss
 	bestLogSlowdown float64 // log of the least slowdown of an engine
 }
 
@@ -53,7 +47,7 @@
 	slowdown := e.logSlowdown
 	if e.pooled() {
 		pool := e.queueOwner.logSlowdown
-		slowdown = pool + (e.logSlowdown-pool)*e.loss.Answers/(e.loss.Answers+poolWeight)
+		slowdown = pool + (e.logSlowdown-pool)*e.health.Answers()/(e.health.Answers()+poolWeight)
 	}
 	if c.settings.ReportsCost {
 		return max(0, slowdown-c.estimates.bestLogSlowdown)
@@ -66,32 +60,11 @@
 	return max(c.estimatedSlowdown(e), math.Log(max(1, e.overdueRatio/2)))
 }
 
-// lossRate is the share of an engine's answers that never come, shrunk to that of all engines, and that to
-// the prior.
-func (c *Controller) lossRate(e *engine) float64 { return e.loss.Rate(c.overallLossRate(), poolWeight) }
-
-func (c *Controller) overallLossRate() float64 {
-	return c.estimates.loss.Rate(priorLossRate, priorLossWeight)
-}
-
-// recordLoss counts an answer that never came, as far as that is sure.
-func (c *Controller) recordLoss(e *engine, confidence float64) {
-	e.loss.Lose(confidence)
-	c.estimates.loss.Lose(confidence)
-}
-
-// recoverLoss takes that back, as the answer came after all.
-func (c *Controller) recoverLoss(e *engine, confidence float64) {
-	e.loss.Recover(confidence)
-	c.estimates.loss.Recover(confidence)
-}
-
 // fadeEvidence lets what was seen count for less as it ages, once a tick.
 func (c *Controller) fadeEvidence() {
-	c.estimates.loss.Fade(evidenceFade)
+	c.outliers.DecayFleet()
 	for _, e := range c.endpoints.all {
-		e.loss.Fade(evidenceFade)
-		e.failureRate *= failureFade
+		e.health.Decay()
 	}
 	for _, e := range c.endpoints.queueOwners() {
 		e.updateOverdue(c.now)
@@ -102,13 +75,6 @@
 	}
 }
 
-// recordAnswer counts an attempt that the engine answered, or could not be reached for, in its failure rate.
-func (c *Controller) recordAnswer(e *engine, failed float64) {
-	e.loss.Answer()
-	c.estimates.loss.Answer()
-	e.failureRate = estimate.Toward(e.failureRate, failed, estimate.Gain(failureGain, e.loss.Answers+1))
-}
-
 // updateOverdue sets the age of what is in flight over its usual time: the median, which one long request
 // can't move.
 func (e *engine) updateOverdue(now time.Duration) {
@@ -127,7 +93,7 @@
 func (c *Controller) updateBestSlowdown() {
 	least := math.Inf(1)
 	for _, e := range c.endpoints.queueOwners() {
-		if e.slowdownSamples > minSlowdownSamples && e.listed && !e.ejected {
+		if e.slowdownSamples > minSlowdownSamples && e.listed && !e.health.Ejected() {
 			least = min(least, e.logSlowdown)
 		}
 	}
@@ -155,7 +121,7 @@
 	}
 	owner := e.queueOwner
 	if e.pooled() {
-		gain = estimate.Gain(weight, e.loss.Answers)
+		gain = estimate.Gain(weight, e.health.Answers())
 		e.logSlowdown = estimate.Toward(e.logSlowdown, logSlowdown, gain)
 	}
 	gain = estimate.Gain(weight, float64(owner.slowdownSamples+1))
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"wheatlane/control/outlier"
 )
 
 // Tuned values of hedging: when an attempt is overdue, and what is done then.
@@ -46,7 +48,7 @@
 	least := seconds(minLossWait.Seconds() * math.Sqrt(minLateQuantile/c.lateQuantile(e)))
 	if k.BlockedByDataSetLock { // it may wait for a lock, which is no loss, but takes too long
 		least = seconds(minLockWait * k.LatencyObjective.Seconds())
-		engineAnswers := c.now-e.lastResponseAt < minLossWait
+		engineAnswers := e.health.RespondedWithin(minLossWait, c.now)
 		if engineAnswers && !a.released && silence >= max(limit, least) {
 			c.blockedByLock(a)
 		}
@@ -74,8 +76,8 @@
 	})
 	a.lossConfidence = c.lossRate(e) / (c.lossRate(e) + c.lateQuantile(e))
 	c.recordLoss(e, a.lossConfidence)
-	if c.lossRate(e) > ejectLossRate {
-		c.eject(e, "silent")
+	if c.outliers.Silent(&e.health) {
+		c.eject(e, outlier.Silent)
 	}
 	c.hedgeOrCancel(a)
 }
--- a/control/hedging_test.go
+++ b/control/hedging_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"wheatlane/control/outlier"
 )
 
 func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
@@ -19,7 +21,8 @@
 		}
 		if got = r.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
 			lossRate := r.controller.lossRate(r.controller.endpoints.byID[silent])
-			requireEqual(t, "believed to lose answers", lossRate > 10*priorLossRate, true)
+			const expectedLossRate = 0.01 // of an engine of which nothing is known
+			requireEqual(t, "estimated to lose answers", lossRate > 10*expectedLossRate, true)
 			retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
 			requireEqual(t, "retried elsewhere", len(retries) == 1 && retries[0].Engine != silent, true)
 			return
@@ -104,7 +107,8 @@
 		t.Fatalf("waited %v before hedged attempts", waited)
 	}
 	for i := range 60 { // now no answer comes
-		r.controller.estimates.loss.Lost, r.controller.estimates.loss.Answers = float64(30+i), float64(40+i)
+		r.controller.outliers = outlier.NewDetector(outlier.DefaultConfig())
+		recordAnswers(r.controller, &outlier.Health{}, 30+i, 10)
 		r.submit("quick")
 		for _, sent := range actionsOf[SendAttempt](r.advance(100 * ms)) {
 			if q := r.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
@@ -163,6 +167,16 @@
 	t.Fatal("the attempt was not cancelled in time for a retry")
 }
 
+// recordAnswers records answers of an engine, some lost and some not.
+func recordAnswers(c *Controller, engine *outlier.Health, lost, served int) {
+	for range lost {
+		c.outliers.Lost(engine, 1)
+	}
+	for range served {
+		c.outliers.Succeeded(engine, c.now, 0)
+	}
+}
+
 // An attempt that is cancelled early counts as lost only as far as that is likelier than late. Seen on a day
 // without a lost answer: 40 of 100 attempts were cancelled, each counted as a loss and shortened the
 // timeouts, until they were below the usual time.
@@ -171,9 +185,8 @@
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
 	s.Classes[0].LateWeight = 0.5
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	r.controller.estimates.loss.Lost, r.controller.estimates.loss.Answers = 30, 100 // as after many losses
-	for _, e := range r.controller.endpoints.all {
-		e.loss.Lost, e.loss.Answers = 15, 50
+	for _, e := range r.controller.endpoints.all { // as after many losses
+		recordAnswers(r.controller, &e.health, 15, 35)
 	}
 	cancelled := 0
 	for i := range 600 { // each is answered, one in ten several times as slowly as the rest
@@ -216,7 +229,7 @@
 		r.submit("quick")
 	}
 	r.advance(minLossWait - 50*ms)
-	requireEqual(t, "losses", r.controller.estimates.loss.Lost, 0)
+	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
 }
 
 // An attempt that stands behind another broker's lock on its data set is cancelled and retried elsewhere,
@@ -246,7 +259,7 @@
 		t.Fatalf("cancelled after %v, which leaves no time for a retry", cancelledAfter)
 	}
 	requireEqual(t, "threads in flight", r.controller.endpoints.byID[blocking].threadsInFlight, 0)
-	requireEqual(t, "losses", r.controller.estimates.loss.Lost, 0)
+	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
 	retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
 	if len(retries) != 1 || retries[0].Engine == blocking {
 		t.Fatalf("retries: %v, want one, and not at %s", retries, blocking)
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -23,7 +23,7 @@
 // probeEnded takes the answer to a load probe.
 func (c *Controller) probeEnded(result ProbeResult) {
 	if e := c.endpoints.byID[result.Engine]; e != nil && result.Status == OK {
-		e.lastResponseAt = c.now
+		e.health.Responded(c.now)
 		c.loadReported(e, result.Report)
 	}
 }
--- a/control/membership.go
+++ b/control/membership.go
@@ -46,7 +46,6 @@
 	e := c.endpoints.byID[listed.ID]
 	if e == nil {
 		e = c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
-		e.lastResponseAt = c.now // so that it is not called silent before it had time to answer
 		c.endpoints.add(e)
 	} else if listed.StartedAt > e.StartedAt {
 		e.restarted(c.estimates.bestLogSlowdown)
@@ -91,7 +90,7 @@
 		switch {
 		case !e.listed || e.State != Ready:
 			continue
-		case e.ejected:
+		case e.health.Ejected():
 			ejected++
 		default:
 			cores += e.cores * c.slowStartFraction(e)
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"wheatlane/control/outlier"
 )
 
 func TestDrainingOrRemovedEngineGetsNoAttempts(t *testing.T) {
@@ -39,13 +41,16 @@
 func TestRestartResetsOutlierState(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 	e := r.controller.endpoints.byID["e1"]
-	r.controller.eject(e, "failing")
-	e.failureRate = 1
+	r.controller.eject(e, outlier.Failing)
+	for range 20 {
+		r.controller.outliers.Failed(&e.health, true)
+	}
+	requireEqual(t, "failure rate before", e.health.FailureRate() > 0.9, true)
 	restarted := readyEngine("e1")
 	restarted.StartedAt = r.now
 	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
-	requireEqual(t, "ejected", e.ejected, false)
-	requireEqual(t, "failure rate", e.failureRate, 0.0)
+	requireEqual(t, "ejected", e.health.Ejected(), false)
+	requireEqual(t, "failure rate", e.health.FailureRate(), 0.0)
 	requireEqual(t, "in slow start", r.controller.inSlowStart(e), true)
 }
 
--- /dev/null
+++ b/control/outlier/health.go
@@ -0,0 +1,90 @@
+package outlier
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+// atCapacityRest is how long an engine that was at capacity gets nothing new.
+const atCapacityRest = 2 * time.Second
+
+// Health is what is known of one engine's attempts.
+type Health struct {
+	failureRate    units.Fraction
+	loss           estimate.Loss
+	ejected        bool
+	halfOpenAt     time.Duration // when an ejected engine may get its next half-open probe
+	lastResponseAt time.Duration
+	rejected       bool          // it did not admit an attempt for lack of capacity
+	rejectedAt     time.Duration // the last time that it did not
+}
+
+// NewHealth returns the health of an engine that is known from now on. It counts as having responded now, so
+// that it is not taken for silent before it had time to.
+func NewHealth(now time.Duration) Health { return Health{lastResponseAt: now} }
+
+// Restarted drops what is known of an engine's earlier process.
+func (h *Health) Restarted() {
+	h.ejected, h.failureRate, h.rejected, h.loss = false, 0, false, estimate.Loss{}
+}
+
+// Responded records that an engine responded, whatever it did.
+func (h *Health) Responded(now time.Duration) { h.lastResponseAt = now }
+
+// RespondedWithin reports whether an engine responded less than so long ago.
+func (h *Health) RespondedWithin(within, now time.Duration) bool {
+	return now-h.lastResponseAt < within
+}
+
+// Rejected records that an engine did not admit an attempt for lack of capacity.
+func (h *Health) Rejected(now time.Duration) {
+	h.rejected, h.rejectedAt, h.lastResponseAt = true, now, now
+}
+
+// AtCapacity reports whether an engine lacked capacity of late.
+func (h *Health) AtCapacity(now time.Duration) bool {
+	return h.rejected && now-h.rejectedAt < atCapacityRest
+}
+
+// Decay lets older attempts count for less, once a tick.
+func (h *Health) Decay() {
+	h.loss.Fade(answerDecay)
+	h.failureRate *= failureDecay
+}
+
+// FailureRate is the fraction of attempts that fail, averaged.
+func (h *Health) FailureRate() units.Fraction { return h.failureRate }
+
+// Answers is the number of answers that the estimates rest on. It decays, so it is no integer.
+func (h *Health) Answers() float64 { return h.loss.Answers }
+
+// Ejected reports whether an engine is ejected.
+func (h *Health) Ejected() bool { return h.ejected }
+
+// Eject ejects an engine, which gets its first half-open probe after the backoff. It reports whether that is a
+// change.
+func (h *Health) Eject(now, backoff time.Duration) (changed bool) {
+	if h.ejected {
+		return false
+	}
+	h.ejected, h.halfOpenAt = true, now+backoff
+	return true
+}
+
+// ProbeSent records a half-open probe: the next one is due after the backoff.
+func (h *Health) ProbeSent(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
+
+// Probe is a request that may be a half-open probe.
+type Probe struct {
+	EngineIdle     bool // nothing else is in flight at the engine
+	FirstAttempt   bool
+	LowestPriority bool // no class has less priority weight
+}
+
+// MayProbe reports whether a request may be an ejected engine's next half-open probe: one at a time, and of
+// the requests that lose least if it fails.
+func (h *Health) MayProbe(probe Probe, now time.Duration) bool {
+	return now >= h.halfOpenAt && probe.EngineIdle && probe.FirstAttempt && probe.LowestPriority
+}
--- /dev/null
+++ b/control/outlier/outlier.go
@@ -0,0 +1,134 @@
+// Package outlier detects engines that fail, can't be reached or lose answers, and ejects them: an ejected
+// engine gets no requests but half-open probes, until it succeeds again.
+package outlier
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+// Reason is why an engine is ejected.
+type Reason int
+
+// The reasons for an ejection.
+const (
+	Failing     Reason = iota + 1 // most of its attempts fail
+	Unreachable                   // it can't be connected to
+	Silent                        // its answers are lost
+)
+
+// reasonNames are the names of the reasons in logs.
+var reasonNames = [...]string{Failing: "failing", Unreachable: "unreachable", Silent: "silent"}
+
+// String returns the name of the reason.
+func (r Reason) String() string { return reasonNames[r] }
+
+// Config holds the limits beyond which an engine is an outlier.
+type Config struct {
+	MaxFailureRate            units.Fraction // of attempts
+	MaxUnreachableFailureRate units.Fraction // of attempts, where the last one could not connect
+	MaxLossRate               units.Fraction // of answers
+	MinBackoff, MaxBackoff    time.Duration  // bounds of the time between half-open probes
+}
+
+// DefaultConfig returns the limits in use.
+func DefaultConfig() Config {
+	return Config{
+		MaxFailureRate: 0.6, MaxUnreachableFailureRate: 0.3, MaxLossRate: 0.5,
+		MinBackoff: 500 * time.Millisecond, MaxBackoff: 8 * time.Second,
+	}
+}
+
+const (
+	failureWeight = 0.2  // least weight of one attempt in a failure rate
+	failureDecay  = 0.98 // fraction of a failure rate that a tick leaves
+	answerDecay   = 0.99 // fraction of the answers that a tick leaves
+
+	priorLossRate    = 0.01 // expected fraction of answers lost
+	priorLossAnswers = 20.0 // answers of the fleet that this weighs as much as
+	fleetLossAnswers = 3.0  // answers of an engine that the fleet's loss rate weighs as much as
+
+	backoffRounds = 0.5 // backoff in rounds, each a request of this broker's to every engine
+)
+
+// Detector detects outliers among the engines of a fleet.
+type Detector struct {
+	config Config
+	fleet  estimate.Loss // answers of all engines
+}
+
+// NewDetector returns a detector.
+func NewDetector(config Config) Detector { return Detector{config: config} }
+
+// Succeeded records an attempt that succeeded, and reports whether that restores an ejected engine. The next
+// half-open probe is due after the backoff at the latest.
+func (d *Detector) Succeeded(engine *Health, now, backoff time.Duration) (restored bool) {
+	d.recordAnswer(engine, 0)
+	engine.halfOpenAt = min(engine.halfOpenAt, now+backoff)
+	restored = engine.ejected && engine.failureRate < d.config.MaxFailureRate
+	if restored {
+		engine.ejected = false
+	}
+	return restored
+}
+
+// Failed records an attempt that failed; connected is false if it could not connect. It returns the reason
+// for which the engine is to be ejected, if any.
+func (d *Detector) Failed(engine *Health, connected bool) (reason Reason, eject bool) {
+	d.recordAnswer(engine, 1)
+	switch {
+	case engine.failureRate > d.config.MaxFailureRate:
+		return Failing, true
+	case !connected && engine.failureRate > d.config.MaxUnreachableFailureRate:
+		return Unreachable, true
+	}
+	return 0, false
+}
+
+func (d *Detector) recordAnswer(engine *Health, failed units.Fraction) {
+	engine.loss.Answer()
+	d.fleet.Answer()
+	weight := estimate.Gain(failureWeight, engine.loss.Answers+1)
+	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
+}
+
+// Lost records an answer that never came, as far as that is certain.
+func (d *Detector) Lost(engine *Health, certainty units.Fraction) {
+	engine.loss.Lose(float64(certainty))
+	d.fleet.Lose(float64(certainty))
+}
+
+// Recovered takes Lost back, as the answer came after all.
+func (d *Detector) Recovered(engine *Health, certainty units.Fraction) {
+	engine.loss.Recover(float64(certainty))
+	d.fleet.Recover(float64(certainty))
+}
+
+// Silent reports whether an engine loses so many answers that it is to be ejected.
+func (d *Detector) Silent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
+
+// LossRate is the fraction of an engine's answers that never come. The fewer its answers, the closer it is to
+// that of the fleet.
+func (d *Detector) LossRate(engine *Health) units.Fraction {
+	return units.Fraction(engine.loss.Rate(float64(d.FleetLossRate()), fleetLossAnswers))
+}
+
+// FleetLossRate is the fraction of all engines' answers that never come.
+func (d *Detector) FleetLossRate() units.Fraction {
+	return units.Fraction(d.fleet.Rate(priorLossRate, priorLossAnswers))
+}
+
+// Losses is the number of answers of all engines that count as lost. It decays, so it is no integer.
+func (d *Detector) Losses() float64 { return d.fleet.Lost }
+
+// DecayFleet lets older answers of the fleet count for less, once a tick.
+func (d *Detector) DecayFleet() { d.fleet.Fade(answerDecay) }
+
+// Backoff is the time between half-open probes of an engine, by the number of engines and the requests that
+// this broker receives a second. It is longer for a broker of many, as their probes add up.
+func (d *Detector) Backoff(engines int, arrivalRate float64) time.Duration {
+	rounds := units.Duration(float64(engines) / arrivalRate * backoffRounds)
+	return min(d.config.MaxBackoff, max(d.config.MinBackoff, rounds))
+}
--- /dev/null
+++ b/control/outlier/outlier_test.go
@@ -0,0 +1,151 @@
+package outlier
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"wheatlane/control/units"
+)
+
+func TestEngineIsEjectedForItsReason(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		succeeded, failed int
+		connected         bool
+		reason            Reason
+		eject             bool
+	}{
+		"most attempts fail":          {10, 6, true, Failing, true},
+		"a few attempts fail":         {10, 3, true, 0, false},
+		"the same, none connected":    {10, 3, false, Unreachable, true},
+		"one attempt did not connect": {10, 1, false, 0, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			d, engine := NewDetector(DefaultConfig()), NewHealth(0)
+			for range c.succeeded {
+				d.Succeeded(&engine, 0, time.Second)
+			}
+			reason, eject := Reason(0), false
+			for range c.failed {
+				reason, eject = d.Failed(&engine, c.connected)
+			}
+			if reason != c.reason || eject != c.eject {
+				t.Errorf("got %d, %v; want %d, %v", reason, eject, c.reason, c.eject)
+			}
+		})
+	}
+}
+
+func TestEjectedEngineIsRestoredOnceItFailsLittle(t *testing.T) {
+	t.Parallel()
+	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
+	for range 50 {
+		d.Failed(&engine, true)
+	}
+	if !engine.Eject(0, time.Second) || engine.Eject(0, time.Second) {
+		t.Error("an engine is ejected other than once")
+	}
+	successes := 0
+	for restored := false; !restored; successes++ {
+		restored = d.Succeeded(&engine, time.Second, time.Second)
+	}
+	if rate := engine.FailureRate(); successes < 2 || rate >= 0.6 || engine.Ejected() {
+		t.Errorf("restored after %d successes with a failure rate of %v", successes, rate)
+	}
+}
+
+func TestHalfOpenProbes(t *testing.T) {
+	t.Parallel()
+	probe := Probe{EngineIdle: true, FirstAttempt: true, LowestPriority: true}
+	for name, c := range map[string]struct {
+		probe Probe
+		now   time.Duration
+		want  bool
+	}{
+		"after the backoff":     {probe, time.Second, true},
+		"before":                {probe, time.Second - 1, false},
+		"another one in flight": {Probe{FirstAttempt: true, LowestPriority: true}, time.Second, false},
+		"a retry":               {Probe{EngineIdle: true, LowestPriority: true}, time.Second, false},
+		"an important request":  {Probe{EngineIdle: true, FirstAttempt: true}, time.Second, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			engine := NewHealth(0)
+			engine.Eject(0, time.Second)
+			if got := engine.MayProbe(c.probe, c.now); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestLossRateStartsAtThatOfTheFleet(t *testing.T) {
+	t.Parallel()
+	d, silent, other := NewDetector(DefaultConfig()), NewHealth(0), NewHealth(0)
+	if rate := d.LossRate(&other); math.Abs(float64(rate-priorLossRate)) > 1e-12 {
+		t.Errorf("without an answer: %v", rate)
+	}
+	for range 6 {
+		d.Lost(&silent, 0.9)
+	}
+	if !d.Silent(&silent) || d.Silent(&other) {
+		t.Errorf("loss rates %v and %v", d.LossRate(&silent), d.LossRate(&other))
+	}
+	if own, fleet := d.LossRate(&other), d.FleetLossRate(); math.Abs(float64(own-fleet)) > 1e-12 || own < 0.1 {
+		t.Errorf("an engine without answers: %v, the fleet: %v", own, fleet)
+	}
+	for range 6 {
+		d.Recovered(&silent, 0.9)
+	}
+	if rate := d.LossRate(&silent); rate > priorLossRate {
+		t.Errorf("after the answers came: %v", rate)
+	}
+}
+
+func TestBackoffGrowsWithTheFleet(t *testing.T) {
+	t.Parallel()
+	d := NewDetector(DefaultConfig())
+	for _, c := range []struct {
+		engines     int
+		arrivalRate float64
+		want        time.Duration
+	}{
+		{5, 100, 500 * time.Millisecond},
+		{40, 10, 2 * time.Second},
+		{40, 1, 8 * time.Second},
+		{40, 0, 8 * time.Second},
+	} {
+		if got := d.Backoff(c.engines, c.arrivalRate); got != c.want {
+			t.Errorf("%d engines, %v requests a second: got %v, want %v", c.engines, c.arrivalRate, got, c.want)
+		}
+	}
+}
+
+func TestAtCapacityEndsAfterARestOrARestart(t *testing.T) {
+	t.Parallel()
+	engine, now := NewHealth(0), time.Second
+	if engine.AtCapacity(now) {
+		t.Error("at capacity from the start")
+	}
+	engine.Rejected(now)
+	if !engine.AtCapacity(now+atCapacityRest-1) || engine.AtCapacity(now+atCapacityRest) {
+		t.Errorf("at capacity for other than %v", atCapacityRest)
+	}
+	engine.Restarted()
+	if engine.AtCapacity(now) {
+		t.Error("at capacity after a restart")
+	}
+}
+
+func TestDecayLeavesFewerAnswers(t *testing.T) {
+	t.Parallel()
+	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
+	d.Failed(&engine, true)
+	before := engine.FailureRate()
+	engine.Decay()
+	if engine.Answers() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
+		t.Errorf("%v answers, failure rate %v of %v", engine.Answers(), engine.FailureRate(), before)
+	}
+}
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -1,77 +1,78 @@
 package control
 
-import "time"
+import (
+	"time"
 
-// Tuned values of outlier detection and ejection.
-const (
-	ejectFailureRate       = 0.6                    // an engine that fails more is ejected
-	unreachableFailureRate = 0.3                    // and one that can't be connected to and fails more
-	ejectLossRate          = 0.5                    // share of answers lost at which an engine is silent
-	minEjectionBackoff     = 500 * time.Millisecond // shortest wait between half-open probes
-	maxEjectionBackoff     = 8 * time.Second        // longest
+	"wheatlane/control/outlier"
+	"wheatlane/control/units"
 )
 
-// recordOutcome follows an engine's health from how an attempt ended.
+// recordOutcome records how an attempt ended in its engine's health.
 func (c *Controller) recordOutcome(e *engine, status Status) {
-	failed := 1.0
 	switch status {
 	case NeverSent, Cancelled:
-		return
 	case TimedOut:
 		if !c.underPressure(e.queueOwner) {
-			c.recordLoss(e, 1)
+			c.outliers.Lost(&e.health, 1)
 		}
-		return
 	case AtCapacity:
-		e.atCapacityAt, e.lastResponseAt, e.queueOwner.atCapacityAt = c.now, c.now, c.now
-		return
+		e.health.Rejected(c.now)
+		e.queueOwner.health.Rejected(c.now)
 	case OK:
-		failed, e.lastResponseAt = 0, c.now
+		e.health.Responded(c.now)
+		if c.outliers.Succeeded(&e.health, c.now, c.ejectionBackoff()) {
+			c.updateFleet()
+			c.logf(restoredSubject(e.ID), "engine %s is restored", e.ID)
+		}
 	case Failed, ConnectionReset:
-		e.lastResponseAt = c.now
+		e.health.Responded(c.now)
+		c.recordFailure(e, true)
 	case ConnectFailed:
-	}
-	c.recordAnswer(e, failed)
-	switch {
-	case status == OK:
-		c.answered(e)
-	case e.failureRate > ejectFailureRate:
-		c.eject(e, "failing")
-	case status == ConnectFailed && e.failureRate > unreachableFailureRate:
-		c.eject(e, "unreachable")
+		c.recordFailure(e, false)
 	}
 }
 
-// answered brings an ejected engine's next half-open probe forward, and restores it once it fails little.
-func (c *Controller) answered(e *engine) {
-	e.halfOpenAt = min(e.halfOpenAt, c.now+c.ejectionBackoff())
-	if e.ejected && e.failureRate < ejectFailureRate {
-		e.ejected = false
-		c.updateFleet()
-		c.logf(restoredSubject(e.ID), "engine %s is restored", e.ID)
+func (c *Controller) recordFailure(e *engine, connected bool) {
+	if reason, eject := c.outliers.Failed(&e.health, connected); eject {
+		c.eject(e, reason)
 	}
 }
 
 // eject takes an outlier out of service, but for half-open probes.
-func (c *Controller) eject(e *engine, reason string) {
-	if e.ejected {
+func (c *Controller) eject(e *engine, reason outlier.Reason) {
+	if !e.health.Eject(c.now, c.ejectionBackoff()) {
 		return
 	}
-	e.ejected, e.halfOpenAt = true, c.now+c.ejectionBackoff()
 	c.updateFleet()
 	c.logf(ejectedSubject(e.ID), "engine %s is ejected: %s", e.ID, reason)
 	c.requeueWaiting(e)
 }
 
-// ejectionBackoff is the wait between half-open probes, longer for brokers of many: their probes add up.
 func (c *Controller) ejectionBackoff() time.Duration {
-	perEngine := seconds(float64(len(c.endpoints.all)) / c.workload.arrivalRate / 2)
-	return min(maxEjectionBackoff, max(minEjectionBackoff, perEngine))
+	return c.outliers.Backoff(len(c.endpoints.all), c.workload.arrivalRate)
 }
 
-// mayProbeHalfOpen says whether a request may be an ejected engine's next half-open probe: one at a time, a
-// first attempt, and of a class with the least priority weight.
+// mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
 func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
-	return c.now >= e.halfOpenAt && (e.pooled() || e.threadsInFlight == 0) && len(r.attempts) == 0 &&
-		r.class.PriorityWeight <= c.workload.lowestWeight
+	return e.health.MayProbe(outlier.Probe{
+		EngineIdle:     e.pooled() || e.threadsInFlight == 0,
+		FirstAttempt:   len(r.attempts) == 0,
+		LowestPriority: r.class.PriorityWeight <= c.workload.lowestWeight,
+	}, c.now)
+}
+
+// lossRate is the fraction of an engine's answers that never come.
+func (c *Controller) lossRate(e *engine) float64 { return float64(c.outliers.LossRate(&e.health)) }
+
+// overallLossRate is the fraction of all engines' answers that never come.
+func (c *Controller) overallLossRate() float64 { return float64(c.outliers.FleetLossRate()) }
+
+// recordLoss counts an answer that never came, as far as that is certain.
+func (c *Controller) recordLoss(e *engine, certainty float64) {
+	c.outliers.Lost(&e.health, units.Fraction(certainty))
+}
+
+// recoverLoss takes that back, as the answer came after all.
+func (c *Controller) recoverLoss(e *engine, certainty float64) {
+	c.outliers.Recovered(&e.health, units.Fraction(certainty))
 }
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"wheatlane/control/outlier"
 )
 
 // An engine that fails fast looks idle; it must not attract the traffic, and half-open probes must return it.
@@ -40,8 +42,8 @@
 
 func TestEjectedEnginesAreUsedWhenTheyAreMost(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
-	r.controller.eject(r.controller.endpoints.byID["e1"], "failing")
-	r.controller.eject(r.controller.endpoints.byID["e2"], "failing")
+	r.controller.eject(r.controller.endpoints.byID["e1"], outlier.Failing)
+	r.controller.eject(r.controller.endpoints.byID["e2"], outlier.Failing)
 	seen := map[string]bool{}
 	for range 20 {
 		_, got := r.submit("quick")
@@ -75,7 +77,7 @@
 					RequestID: s.RequestID, Engine: "e1", Status: ConnectionReset, SharedCause: c.shared && i > 0,
 				})
 			}
-			if len(sent["e1"]) < 3 || r.controller.endpoints.byID["e1"].ejected != c.ejected {
+			if len(sent["e1"]) < 3 || r.controller.endpoints.byID["e1"].health.Ejected() != c.ejected {
 				t.Errorf("%d were in flight, ejected is %v", len(sent["e1"]), !c.ejected)
 			}
 		})
--- a/control/selection.go
+++ b/control/selection.go
@@ -8,7 +8,6 @@
 
 // Tuned values of engine selection. Penalties are in parts of a concurrency limit, as scores are.
 const (
-	atCapacityRest     = 2 * time.Second        // an engine at capacity gets nothing new so long
 	failurePenalty     = 3.0                    // for each failure or loss an attempt
 	slowdownPenalty    = 0.3                    // for each unit of the log of slowdown
 	dataSetLockPenalty = 1.5                    // what a lock blocks is late for sure
@@ -49,7 +48,7 @@
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
-		if e.ejected && !c.endpoints.majorityFaulty {
+		if e.health.Ejected() && !c.endpoints.majorityFaulty {
 			if !c.mayProbeHalfOpen(e, r) {
 				continue
 			}
@@ -79,7 +78,7 @@
 // score ranks engines for a request: the headroom under the limit, less what speaks against an engine.
 func (c *Controller) score(e *engine, r *request) float64 {
 	score := 1 - (float64(e.threadsInFlight)+e.queue.Threads())/(e.limit*c.slowStartFraction(e))
-	score -= slowdownPenalty*c.slowdown(e) + failurePenalty*(e.failureRate+c.lossRate(e))
+	score -= slowdownPenalty*c.slowdown(e) + failurePenalty*(float64(e.health.FailureRate())+c.lossRate(e))
 	if !e.pooled() { // in a pool, an engine that answered of late is better than an untried one
 		score += failurePenalty * min(c.lossRate(e), c.overallLossRate())
 	}
@@ -117,7 +116,7 @@
 	for n := 0; n < probeCount && len(c.endpoints.all) > 0; n++ {
 		e := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
 		fresh := e.probedAt > 0 && c.now-e.probedAt < probeFreshness
-		if e.listed && e.State == Ready && !e.ejected && !fresh {
+		if e.listed && e.State == Ready && !e.health.Ejected() && !fresh {
 			c.probeLoad(e)
 			probed = true
 		}
--- a/control/view.go
+++ b/control/view.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		view := EngineView{
-			ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.ejected,
+			ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.health.Ejected(),
 			ConcurrencyLimit: e.queueOwner.limit, ThreadsInFlight: e.threadsInFlight,
 			Queued: e.queueOwner.queue.Len(),
 		}
