--- a/control/admission.go
+++ b/control/admission.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Tuned values of admission and load shedding.
 const (
@@ -104,7 +101,7 @@
 	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
 	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
 		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
-	wait := seconds(ahead / e.limit * math.Exp(c.estimatedSlowdown(e)))
+	wait := seconds(ahead / e.limit * c.estimatedSlowdown(e).Ratio())
 	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
 }
 
--- a/control/controller.go
+++ b/control/controller.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"wheatlane/control/outlier"
+	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
 )
 
@@ -34,9 +35,9 @@
 	endpoints    endpointSet
 	slowStart    slowstart.Policy
 	outliers     outlier.Detector
+	slowdowns    slowdown.Estimator
 	subscription subscription
 	workload     workload
-	estimates    fleetEstimates
 	retries      retryBudget
 	admission    admissionPrice
 	shares       classShares
@@ -61,6 +62,9 @@
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
 		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
 		outliers: outlier.NewDetector(outlier.DefaultConfig()), workload: newWorkload(settings),
+		slowdowns: slowdown.NewEstimator(slowdown.Config{
+			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
+		}),
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
 	}
 	c.shares = newClassShares(len(c.workload.classes))
@@ -147,7 +151,7 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.expire(c.now)
 	c.pollEndpoints()
-	c.fadeEvidence()
+	c.decayEvidence()
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -61,7 +61,7 @@
 func (c *Controller) underPressure(e *engine) bool {
 	loadCounts := e.threadsInFlight > 0 || c.now-e.loadReportedAt < controlInterval
 	timesCount := (c.settings.ReportsCost || len(c.settings.ReportFields) == 0) &&
-		e.slowdownSamples > minSlowdownSamples
-	return e.atCapacity(c.now) || e.overdueRatio > pressureOverdue ||
+		e.slowdown.Trusted()
+	return e.atCapacity(c.now) || e.slowdown.OverdueRatio() > pressureOverdue ||
 		loadCounts && e.load > pressureLoad || timesCount && c.estimatedSlowdown(e) > pressureSlowdown
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control/outlier"
+	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
 	"wheatlane/internal/fairqueue"
 	"wheatlane/internal/rls"
@@ -30,14 +31,11 @@
 	attempts        []*attempt // in flight
 	threadsInFlight int        // of those that count against the limit
 
-	logSlowdown     float64       // log of service time over work, averaged
-	slowdownSamples int           // answers behind it
-	sampledAt       time.Duration // of the last one
-	relativeTimeSum float64       // sum of service times over objectives, in this interval
-	answered        float64       // answers of this interval
-	overdueRatio    float64       // age of what is in flight over its usual time
+	relativeTimeSum float64 // sum of service times over objectives, in this interval
+	answered        float64 // answers of this interval
 
-	health outlier.Health
+	health   outlier.Health
+	slowdown slowdown.Engine
 
 	load            float64       // as reported
 	loadReportedAt  time.Duration // 0: never
@@ -150,9 +148,3 @@
 	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
 	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, isOf)
 }
-
-// restarted drops what was believed of the process that ran before.
-func (e *engine) restarted(bestLogSlowdown float64) {
-	e.health.Restarted()
-	e.logSlowdown, e.slowdownSamples = bestLogSlowdown, 0
-}
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -4,34 +4,22 @@
 	"math"
 	"time"
 
+	"wheatlane/control/units"
 	"wheatlane/internal/estimate"
 )
 
 const (
-	workGain           = 0.02 // weight of an answer in a class's work and memory
-	waitGain           = 0.05 // weight of a request in its class's mean wait
-	spreadGain         = 0.02 // weight of an answer in the spread of service times
-	spreadPriorWeight  = 5.0  // answers that the first guess of the spread weighs as much as
-	floorGain          = 0.5  // weight of an answer in the floor of service times, in weights in the work
-	slowdownGain       = 0.25 // weight of an answer in an engine's slowdown
-	unknownWorkDivisor = 3.0  // answers that don't report their work weigh so much less there
-	slowdownFade       = 0.02 // lost of a slowdown with each tick without answers
-	bestSlowdownGain   = 0.02 // weight of an interval in the best slowdown when it gets worse
-	workScatter        = 0.5  // log of slowdown that the spread of unreported work explains
-	minSlowdownSamples = 10   // answers before an engine's slowdown is believed
-	minUsualSeconds    = 0.1  // that any answer may take
-	minServiceSeconds  = 1e-4 // least service time that is taken as measured
-	poolWeight         = 3.0  // answers of its own that weigh as much as the pool's
+	workGain          = 0.02 // weight of an answer in a class's work and memory
+	waitGain          = 0.05 // weight of a request in its class's mean wait
+	spreadGain        = 0.02 // weight of an answer in the spread of service times
+	spreadPriorWeight = 5.0  // answers that the first guess of the spread weighs as much as
+	floorGain         = 0.5  // weight of an answer in the floor of service times, in weights in the work
+	minServiceSeconds = 1e-4 // least service time that is taken as measured
 )
 
-// fleetEstimates is what is believed of all engines together.
-type fleetEstimates struct {
-	bestLogSlowdown float64 // log of the least slowdown of an engine
-}
-
 // expectedServiceTime is the service time expected of a request on an engine, in seconds.
 func (c *Controller) expectedServiceTime(r *request, e *engine) float64 {
-	return r.expectedWork / float64(r.class.Threads) * math.Exp(c.estimatedSlowdown(e))
+	return r.expectedWork / float64(r.class.Threads) * c.estimatedSlowdown(e).Ratio()
 }
 
 // likelyServiceTime corrects that by what the request's class takes over what is expected of all: priorities
@@ -40,73 +28,6 @@
 	return seconds(c.expectedServiceTime(r, e) * math.Exp(r.class.spread.Mean))
 }
 
-// estimatedSlowdown is the log of an engine's slowdown over the best seen. Where answers don't report work,
-// only what stands out from the scatter counts. In a pool, the fewer an engine's own answers, the more the
-// pool's count.
-func (c *Controller) estimatedSlowdown(e *engine) float64 {
-	slowdown := e.logSlowdown
-	if e.pooled() {
-		pool := e.queueOwner.logSlowdown
-		slowdown = pool + (e.logSlowdown-pool)*e.health.Answers()/(e.health.Answers()+poolWeight)
-	}
-	if c.settings.ReportsCost {
-		return max(0, slowdown-c.estimates.bestLogSlowdown)
-	}
-	return max(0, slowdown-c.estimates.bestLogSlowdown-workScatter)
-}
-
-// slowdown is the log of an engine's slowdown, from answers or, if worse, from the age of what is in flight.
-func (c *Controller) slowdown(e *engine) float64 {
-	return max(c.estimatedSlowdown(e), math.Log(max(1, e.overdueRatio/2)))
-}
-
-// fadeEvidence lets what was seen count for less as it ages, once a tick.
-func (c *Controller) fadeEvidence() {
-	c.outliers.DecayFleet()
-	for _, e := range c.endpoints.all {
-		e.health.Decay()
-	}
-	for _, e := range c.endpoints.queueOwners() {
-		e.updateOverdue(c.now)
-		if c.now-e.sampledAt > controlInterval { // without answers trust returns little by little
-			best := c.estimates.bestLogSlowdown
-			e.logSlowdown = estimate.Toward(e.logSlowdown, best, slowdownFade)
-		}
-	}
-}
-
-// updateOverdue sets the age of what is in flight over its usual time: the median, which one long request
-// can't move.
-func (e *engine) updateOverdue(now time.Duration) {
-	ages := make([]float64, 0, len(e.attempts))
-	for _, a := range e.attempts {
-		if a.released {
-			continue
-		}
-		usual := a.request.expectedWork/float64(a.request.class.Threads) + minUsualSeconds
-		ages = append(ages, (now-a.sentAt).Seconds()/usual)
-	}
-	e.overdueRatio = estimate.Median(ages)
-}
-
-// updateBestSlowdown follows the least slowdown of the engines that are well: at once down, slowly up.
-func (c *Controller) updateBestSlowdown() {
-	least := math.Inf(1)
-	for _, e := range c.endpoints.queueOwners() {
-		if e.slowdownSamples > minSlowdownSamples && e.listed && !e.health.Ejected() {
-			least = min(least, e.logSlowdown)
-		}
-	}
-	best := &c.estimates.bestLogSlowdown
-	switch {
-	case math.IsInf(least, 1):
-	case least < *best || *best == 0:
-		*best = least
-	default:
-		*best = estimate.Toward(*best, least, bestSlowdownGain)
-	}
-}
-
 // learnFromAnswer takes what an answer shows: its class's work and memory, the spread of service times, its
 // engine's slowdown.
 func (c *Controller) learnFromAnswer(a *attempt, end AttemptEnded) {
@@ -115,18 +36,8 @@
 	logSlowdown := c.learnWork(r, e, end, took)
 	gain := estimate.Gain(spreadGain, k.answersSeen+spreadPriorWeight)
 	k.spread.Observe(math.Log(took/c.expectedServiceTime(r, e)), gain)
-	weight := slowdownGain
-	if !c.settings.ReportsCost {
-		weight /= unknownWorkDivisor
-	}
+	c.observeSlowdown(e, units.LogRatio(logSlowdown))
 	owner := e.queueOwner
-	if e.pooled() {
-		gain = estimate.Gain(weight, e.health.Answers())
-		e.logSlowdown = estimate.Toward(e.logSlowdown, logSlowdown, gain)
-	}
-	gain = estimate.Gain(weight, float64(owner.slowdownSamples+1))
-	owner.logSlowdown = estimate.Toward(owner.logSlowdown, logSlowdown, gain)
-	owner.slowdownSamples, owner.sampledAt = owner.slowdownSamples+1, c.now
 	owner.relativeTimeSum += took / k.LatencyObjective.Seconds()
 	owner.answered++
 	k.latencySum += (c.now - r.receivedAt).Seconds()
@@ -141,7 +52,7 @@
 	k.answersSeen++
 	gain := estimate.Gain(workGain, k.answersSeen+1)
 	if !c.settings.ReportsCost || end.Work <= 0 {
-		k.meanWork = estimate.Toward(k.meanWork, took*threads/math.Exp(c.estimatedSlowdown(e)), gain)
+		k.meanWork = estimate.Toward(k.meanWork, took*threads/c.estimatedSlowdown(e).Ratio(), gain)
 		return k.serviceTimeFloor.Observe(math.Log(took), gain*floorGain)
 	}
 	work := end.Work.Seconds()
--- a/control/membership.go
+++ b/control/membership.go
@@ -48,7 +48,8 @@
 		e = c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
 		c.endpoints.add(e)
 	} else if listed.StartedAt > e.StartedAt {
-		e.restarted(c.estimates.bestLogSlowdown)
+		e.health.Restarted()
+		c.slowdowns.Restarted(&e.slowdown)
 	}
 	e.Engine, e.listed, e.listedState = listed, listed.State != Removed, listed.State
 	c.applyListedState(e)
--- a/control/regulators.go
+++ b/control/regulators.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"gonum.org/v1/gonum/floats"
+
+	"wheatlane/control/units"
 )
 
 // Tuned values of the regulators and the optimizer.
@@ -83,7 +85,7 @@
 // backOffLimit lowers a limit that leaves the engine overloaded, as in a surge of retries: this broker's part
 // was taken too large then. It raises it again little by little.
 func (c *Controller) backOffLimit(e *engine) {
-	slowdown := backoffSlowdown
+	slowdown := units.LogRatio(backoffSlowdown)
 	if e == c.endpoints.pool {
 		slowdown = poolBackoffSlowdown
 	}
--- /dev/null
+++ b/control/slowdown/slowdown.go
@@ -0,0 +1,119 @@
+// Package slowdown estimates how much longer engines take for requests than the best engine of their fleet,
+// from answers and from the age of what is in flight.
+package slowdown
+
+import (
+	"math"
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+// Config is what a deployment says of answers.
+type Config struct {
+	ReportsWork bool          // answers carry the work that they took
+	IdleAfter   time.Duration // time without an answer after which a slowdown recovers
+}
+
+const (
+	answerWeight       = 0.25 // least weight of an answer in an engine's slowdown
+	unknownWorkDivisor = 3.0  // an answer that does not report its work weighs so much less
+	poolAnswers        = 3.0  // answers of an engine's own that the pool's slowdown weighs as much as
+	recovery           = 0.02 // fraction of a slowdown that recovers with a tick without an answer
+	worseBestWeight    = 0.02 // weight of an interval in the best slowdown when that gets worse
+	minSamples         = 10   // answers after which a slowdown is trusted
+
+	workScatter units.LogRatio = 0.5 // slowdown that the scatter of work explains where it is not reported
+)
+
+// Engine is the slowdown of an engine, or of a pool of engines.
+type Engine struct {
+	log       units.LogRatio // service time over work, averaged
+	samples   int            // answers behind it
+	sampledAt time.Duration  // of the last answer
+	overdue   float64        // age of what is in flight over its usual time
+}
+
+// Trusted reports whether a slowdown rests on enough answers.
+func (e *Engine) Trusted() bool { return e.samples > minSamples }
+
+// OverdueRatio is the age of what is in flight over its usual time.
+func (e *Engine) OverdueRatio() float64 { return e.overdue }
+
+// SetInFlight updates the overdue ratio.
+func (e *Engine) SetInFlight(attempts []InFlight, now time.Duration) {
+	e.overdue = overdueRatio(attempts, now)
+}
+
+// Estimator estimates the slowdown of the engines of a fleet.
+type Estimator struct {
+	config Config
+	best   units.LogRatio // least slowdown of an engine; 0: not known
+}
+
+// NewEstimator returns an estimator.
+func NewEstimator(config Config) Estimator { return Estimator{config: config} }
+
+// Estimated is an engine's slowdown over the best one, as its answers show it.
+func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.log) }
+
+// EstimatedInPool is the same of an engine of a pool: the fewer its answers, the more those of the pool count.
+func (s *Estimator) EstimatedInPool(engine, pool *Engine, answers float64) units.LogRatio {
+	own := (engine.log - pool.log) * units.LogRatio(answers) / units.LogRatio(answers+poolAnswers)
+	return s.overBest(pool.log + own)
+}
+
+func (s *Estimator) overBest(log units.LogRatio) units.LogRatio {
+	if s.config.ReportsWork {
+		return max(0, log-s.best)
+	}
+	return max(0, log-s.best-workScatter)
+}
+
+// Observe takes an answer: the logarithm of its service time over its work.
+func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
+	weight := estimate.Gain(s.leastWeight(), float64(engine.samples+1))
+	engine.log = estimate.Toward(engine.log, sample, weight)
+	engine.samples, engine.sampledAt = engine.samples+1, now
+}
+
+// ObserveInPool takes an answer of an engine of a pool, one of so many. The pool observes the answer as well.
+func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, answers float64) {
+	engine.log = estimate.Toward(engine.log, sample, estimate.Gain(s.leastWeight(), answers))
+}
+
+// leastWeight is the least weight of an answer.
+func (s *Estimator) leastWeight() float64 {
+	if s.config.ReportsWork {
+		return answerWeight
+	}
+	return answerWeight / unknownWorkDivisor
+}
+
+// Recover lets an engine without answers approach the best slowdown, once a tick.
+func (s *Estimator) Recover(engine *Engine, now time.Duration) {
+	if now-engine.sampledAt > s.config.IdleAfter {
+		engine.log = estimate.Toward(engine.log, s.best, recovery)
+	}
+}
+
+// Restarted drops what is known of an engine's earlier process.
+func (s *Estimator) Restarted(engine *Engine) { engine.log, engine.samples = s.best, 0 }
+
+// UpdateBest follows the least slowdown of the healthy engines, once an interval: at once down, slowly up.
+func (s *Estimator) UpdateBest(healthy []*Engine) {
+	least := units.LogRatio(math.Inf(1))
+	for _, engine := range healthy {
+		if engine.Trusted() {
+			least = min(least, engine.log)
+		}
+	}
+	switch {
+	case math.IsInf(float64(least), 1):
+	case least < s.best || s.best == 0:
+		s.best = least
+	default:
+		s.best = estimate.Toward(s.best, least, worseBestWeight)
+	}
+}
--- /dev/null
+++ b/control/slowdown/slowdown_test.go
@@ -0,0 +1,109 @@
+package slowdown
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"wheatlane/control/units"
+)
+
+func near(a, b units.LogRatio) bool { return math.Abs(float64(a-b)) < 1e-9 }
+
+// observed returns an engine whose answers all showed one slowdown.
+func observed(s *Estimator, sample units.LogRatio, answers int) Engine {
+	var engine Engine
+	for range answers {
+		s.Observe(&engine, sample, time.Second)
+	}
+	return engine
+}
+
+func TestSlowdownIsOverTheBestEngine(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		reportsWork bool
+		slow, want  units.LogRatio
+	}{
+		"work is reported":                 {true, 1.2, 1.1},
+		"work is not reported":             {false, 1.2, 1.1 - workScatter},
+		"less than the scatter of work":    {false, 0.4, 0},
+		"better than the best one was yet": {true, 0.05, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s := NewEstimator(Config{ReportsWork: c.reportsWork})
+			best, slow := observed(&s, 0.1, minSamples+1), observed(&s, c.slow, minSamples+1)
+			s.UpdateBest([]*Engine{&best})
+			if got := s.Estimated(&slow); !near(got, c.want) {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestBestSlowdownFallsAtOnceAndRisesSlowly(t *testing.T) {
+	t.Parallel()
+	s := NewEstimator(Config{ReportsWork: true})
+	few, better, worse := observed(&s, 0.01, minSamples), observed(&s, 0.1, 20), observed(&s, 1.1, 20)
+	for _, step := range []struct {
+		healthy []*Engine
+		want    units.LogRatio
+	}{
+		{[]*Engine{&few}, 0},
+		{[]*Engine{&worse}, 1.1},
+		{[]*Engine{&few, &worse, &better}, 0.1},
+		{[]*Engine{&worse}, 0.1 + worseBestWeight},
+		{nil, 0.1 + worseBestWeight},
+	} {
+		if s.UpdateBest(step.healthy); !near(s.best, step.want) {
+			t.Fatalf("got %v, want %v", s.best, step.want)
+		}
+	}
+}
+
+func TestEngineOfAPoolStartsAtThePoolsSlowdown(t *testing.T) {
+	t.Parallel()
+	s := NewEstimator(Config{ReportsWork: true})
+	pool, engine := observed(&s, 0.2, 20), observed(&s, 0.8, 20)
+	for answers, want := range map[float64]units.LogRatio{0: 0.2, poolAnswers: 0.5, 1e12: 0.8} {
+		if got := s.EstimatedInPool(&engine, &pool, answers); !near(got, want) {
+			t.Errorf("after %v answers: got %v, want %v", answers, got, want)
+		}
+	}
+}
+
+func TestSlowdownRecoversWithoutAnswers(t *testing.T) {
+	t.Parallel()
+	s := NewEstimator(Config{ReportsWork: true, IdleAfter: time.Second})
+	engine := observed(&s, 1, 20) // the last answer is of the first second
+	if s.Recover(&engine, 2*time.Second); !near(engine.log, 1) {
+		t.Errorf("%v while it answers", engine.log)
+	}
+	if s.Recover(&engine, 2*time.Second+1); !near(engine.log, 1-recovery) {
+		t.Errorf("%v after a second without answers", engine.log)
+	}
+	if s.Restarted(&engine); engine.log != s.best || engine.Trusted() {
+		t.Errorf("%v after a restart", engine.log)
+	}
+}
+
+func TestOverdueRatioIsAMedian(t *testing.T) {
+	t.Parallel()
+	var engine Engine
+	now := 10 * time.Second
+	ofAge := func(age time.Duration) InFlight { return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2} }
+	engine.SetInFlight([]InFlight{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)}, now)
+	if got := engine.OverdueRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
+		t.Errorf("ratio %v, want 4", got)
+	}
+	if got, want := engine.OrOverdue(0.1), units.LogOf(2); !near(got, want) {
+		t.Errorf("slowdown %v, want %v", got, want)
+	}
+	if got := engine.OrOverdue(3); got != 3 {
+		t.Errorf("slowdown %v, want 3", got)
+	}
+	if engine.SetInFlight(nil, now); engine.OverdueRatio() != 0 {
+		t.Errorf("ratio %v with nothing in flight", engine.OverdueRatio())
+	}
+}
