--- a/control/actions.go
+++ b/control/actions.go
@@ -41,7 +41,7 @@
 	// SendGossip sends another broker load reports; no answer is expected.
 	SendGossip struct {
 		Broker  int
-		Reports []LoadReport
+		Reports []GossipedLoad
 	}
 	// WatchEndpoints subscribes to changes of the endpoint list.
 	WatchEndpoints struct{}
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -53,7 +53,7 @@
 // probe. Seen on a day with 80 brokers: two probes in three were for requests that were then rejected.
 func TestRejectedRequestIsNotProbedFor(t *testing.T) {
 	s := pooledSettings()
-	s.Limits.LoadProbes, s.ReportFields = true, []string{"util"}
+	s.Limits.LoadProbes, s.ReportsLoad = true, true
 	r := newPooledRig(t, s, 60)
 	r.advance(2 * controlInterval)
 	rejected, probedFor := 0, 0
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -17,6 +17,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/config"
+	"wheatlane/internal/loadfields"
 )
 
 // encoder hashes what the module does without any name of a type or field: kinds by the numbers given here,
@@ -100,8 +101,14 @@
 	panic(fmt.Sprintf("no number for %T", action))
 }
 
+// deployment is the settings of a deployment and the layout of its engines' load reports.
+type deployment struct {
+	control.Settings
+	loadReport loadfields.Layout
+}
+
 // siteSettings reads the settings that a broker of a deployment is given.
-func siteSettings(tb testing.TB, name string) control.Settings {
+func siteSettings(tb testing.TB, name string) deployment {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings", name+".json"))
 	if err != nil {
@@ -111,14 +118,14 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return settings.Control
+	return deployment{settings.Control, settings.LoadReport}
 }
 
 // drawnSettings draws every switch that a deployment may set.
-func drawnSettings(seed uint64) control.Settings {
+func drawnSettings(seed uint64) deployment {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func() bool { return rng.IntN(2) == 0 }
-	s := control.Settings{
+	s := deployment{Settings: control.Settings{
 		Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
 		MemoryGrants: flip(), Priorities: flip(), ReportsCost: flip(), WeightByWork: flip(),
 		PollEndpointList: flip(),
@@ -131,7 +138,7 @@
 			MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
 			OverloadMultiple: 2, OverloadWindow: 2 * time.Second, KeyCooldown: 300 * millisecond,
 		},
-	}
+	}}
 	if flip() { // so many that engines are pooled
 		s.Brokers = 40 + rng.IntN(300)
 	}
@@ -140,7 +147,7 @@
 		s.ProgressInterval = time.Second
 	}
 	if flip() {
-		s.ReportFields = []string{"util", "inflight", "queue"}
+		s.ReportsLoad, s.loadReport = true, loadfields.Layout{"util", "inflight", "queue"}
 	}
 	if flip() {
 		s.MaxSendDelay = 40 * millisecond
@@ -186,7 +193,7 @@
 
 type recordedCase struct {
 	name     string
-	settings func(tb testing.TB) control.Settings
+	settings func(tb testing.TB) deployment
 	engines  int
 	seeds    uint64 // so many worlds, each with its seed
 	length   time.Duration
@@ -194,19 +201,19 @@
 	lossy    bool   // engines lose many answers and have faults often
 }
 
-func site(name string, change func(s *control.Settings)) func(testing.TB) control.Settings {
-	return func(tb testing.TB) control.Settings {
+func site(name string, change func(s *control.Settings)) func(testing.TB) deployment {
+	return func(tb testing.TB) deployment {
 		tb.Helper()
 		s := siteSettings(tb, name)
 		if change != nil {
-			change(&s)
+			change(&s.Settings)
 		}
 		return s
 	}
 }
 
-func drawn(seed uint64) func(testing.TB) control.Settings {
-	return func(testing.TB) control.Settings { return drawnSettings(seed) }
+func drawn(seed uint64) func(testing.TB) deployment {
+	return func(testing.TB) deployment { return drawnSettings(seed) }
 }
 
 // fleetOf has a site's engines shared by so many brokers that they are pooled.
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -11,12 +11,12 @@
 // controllers: equal settings, seeds and events give equal actions, so the loop stays closed and only the
 // module is measured.
 type recorded struct {
-	settings control.Settings
+	settings deployment
 	seed     uint64
 	batches  []batch
 }
 
-func record(b *testing.B, settings control.Settings, engines int, load float64, length time.Duration) recorded {
+func record(b *testing.B, settings deployment, engines int, load float64, length time.Duration) recorded {
 	b.Helper()
 	r := recorded{settings: settings, seed: 1}
 	w := newWorld(b, settings, r.seed, engines)
@@ -58,7 +58,7 @@
 			b.ResetTimer()
 			for done := 0; done < b.N; {
 				b.StopTimer()
-				module, err := control.New(r.settings, r.seed)
+				module, err := control.New(r.settings.Settings, r.seed)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/control/controller.go
+++ b/control/controller.go
@@ -14,6 +14,7 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/gossip"
 	"wheatlane/control/outlier"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
@@ -41,7 +42,7 @@
 	retries      retryBudget
 	admission    admissionPrice
 	shares       classShares
-	gossip       gossipSchedule
+	gossip       gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -65,6 +66,9 @@
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
+		gossip: gossip.NewSchedule(gossip.Config{
+			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
+		}),
 		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
 	}
 	c.shares = newClassShares(len(c.workload.classes))
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -59,9 +59,9 @@
 // underPressure says whether an engine, or the pool, has more to do than it keeps up with. Where engines
 // report their load but not the work of answers, reports say more than noisy times.
 func (c *Controller) underPressure(e *engine) bool {
-	loadCounts := e.threadsInFlight > 0 || c.now-e.loadReportedAt < controlInterval
-	timesCount := (c.settings.ReportsCost || len(c.settings.ReportFields) == 0) &&
+	loadCounts := e.threadsInFlight > 0 || e.load.Age(c.now) < controlInterval
+	timesCount := (c.settings.ReportsCost || !c.settings.ReportsLoad) &&
 		e.slowdown.Trusted()
 	return e.atCapacity(c.now) || e.slowdown.OverdueRatio() > pressureOverdue ||
-		loadCounts && e.load > pressureLoad || timesCount && c.estimatedSlowdown(e) > pressureSlowdown
+		loadCounts && e.load.Load() > pressureLoad || timesCount && c.estimatedSlowdown(e) > pressureSlowdown
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/loadreport"
 	"wheatlane/control/outlier"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
@@ -37,9 +38,7 @@
 	health   outlier.Health
 	slowdown slowdown.Engine
 
-	load            float64       // as reported
-	loadReportedAt  time.Duration // 0: never
-	probedAt        time.Duration // when it was last asked for a report
+	load            loadreport.Estimate
 	dataSetLocks    []dataSetLock // that requests of other brokers seem to hold
 	sentInSlowStart slowstart.SendLog
 }
@@ -116,9 +115,9 @@
 // atCapacity reports whether it did not admit an attempt lately.
 func (e *engine) atCapacity(now time.Duration) bool { return e.health.AtCapacity(now) }
 
-// hasLoadReport says whether it takes requests and reported its load within a time.
-func (e *engine) hasLoadReport(now, within time.Duration) bool {
-	return e.listed && e.State == Ready && e.loadReportedAt > 0 && now-e.loadReportedAt <= within
+// loadKnown reports whether it takes requests and its load is known.
+func (e *engine) loadKnown(now time.Duration) bool {
+	return e.listed && e.State == Ready && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
 // dataSetRank is the rank, from 0 to 1, of the engine among all for a data set: by hash, so that every broker
--- a/control/events.go
+++ b/control/events.go
@@ -3,6 +3,8 @@
 import (
 	"hash/fnv"
 	"time"
+
+	"wheatlane/control/loadreport"
 )
 
 // Request is a request received from a client.
@@ -87,10 +89,10 @@
 	EndpointPollFailed                           // the subscription failed or ended
 )
 
-// LoadReport is an engine's load as it reported it to one of the brokers, and how long ago.
-type LoadReport struct {
-	Engine uint32 // EngineHash of its ID
-	Load   float64
+// GossipedLoad is an engine's load as it reported it to one of the brokers, and how long ago.
+type GossipedLoad struct {
+	Engine uint32  // EngineHash of its ID
+	Load   float64 // fraction of its capacity in use, over 1 beyond it
 	Age    time.Duration
 }
 
@@ -120,7 +122,7 @@
 		SharedCause   bool // it ended by a cause that another attempt's end was reported for already
 		Work          time.Duration
 		MemoryMB      float64
-		Report        []float64 // the engine's load by Settings.ReportFields, if it reported it
+		Report        loadreport.Report
 	}
 	// ResponseStarted says that the client began to receive its answer; its deadline no longer applies.
 	ResponseStarted struct{ RequestID string }
@@ -137,12 +139,12 @@
 		Engine   string
 		Status   Status
 		Duration time.Duration
-		Report   []float64
+		Report   loadreport.Report
 	}
 	// GossipReceived holds load reports that another broker sent.
 	GossipReceived struct {
 		Broker  int
-		Reports []LoadReport
+		Reports []GossipedLoad
 	}
 	// EndpointUpdate is a change of the endpoint list.
 	EndpointUpdate struct {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -1,37 +1,40 @@
 package control
 
-import "time"
+import (
+	"cmp"
+	"slices"
 
-// gossipInterval is the time between two messages to other brokers; a message is cheap.
-const gossipInterval = 200 * time.Millisecond
+	"wheatlane/control/units"
+)
 
-// gossipSchedule says when to gossip.
-type gossipSchedule struct{ sentAt time.Duration }
-
-// sendGossip sends another broker, drawn by chance, the engines' loads, reported here or received by gossip:
-// so reports reach all brokers within seconds, at a price that does not grow with their number.
+// sendGossip sends another broker the engines' loads, reported here or received by gossip.
 func (c *Controller) sendGossip() {
-	brokers := c.settings.Brokers
-	due := c.now-c.gossip.sentAt >= gossipInterval
-	if !c.settings.Limits.Gossip || c.endpoints.pool == nil || brokers < 2 || !due {
+	if c.endpoints.pool == nil || !c.gossip.Due(c.now) {
 		return
 	}
-	if reports := c.recentLoadReports(seconds(loadReportDecay)); len(reports) > 0 {
-		c.gossip.sentAt = c.now
-		c.emit(SendGossip{(c.settings.BrokerIndex + 1 + c.rng.IntN(brokers-1)) % brokers, reports})
+	if reports := c.knownLoads(); len(reports) > 0 {
+		c.emit(SendGossip{c.gossip.Send(c.now, c.rng), reports})
+	}
+}
+
+// knownLoads returns the known loads of engines that take requests, the youngest first.
+func (c *Controller) knownLoads() []GossipedLoad {
+	var loads []GossipedLoad
+	for _, e := range c.endpoints.all {
+		if e.loadKnown(c.now) {
+			load := GossipedLoad{Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(c.now)}
+			loads = append(loads, load)
+		}
 	}
+	slices.SortStableFunc(loads, func(a, b GossipedLoad) int { return cmp.Compare(a.Age, b.Age) })
+	return loads
 }
 
-// gossipReceived takes the load reports that are younger than what is known. Without them a broker of many,
-// which sees an engine once in many seconds, sends to it by the load that it had then.
+// gossipReceived takes the loads that are younger than what is known.
 func (c *Controller) gossipReceived(gossip GossipReceived) {
 	for _, report := range gossip.Reports {
-		e := c.endpoints.byGossipID(report.Engine)
-		if e == nil {
-			continue
-		}
-		if at := c.now - max(0, report.Age); at > max(e.loadReportedAt, e.StartedAt) {
-			e.load, e.loadReportedAt = max(0, report.Load), at
+		if e := c.endpoints.byGossipID(report.Engine); e != nil {
+			e.load.Receive(units.Fraction(report.Load), c.now-max(0, report.Age), e.StartedAt)
 		}
 	}
 }
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"wheatlane/control/units"
 )
 
 // A gossiped load report counts where it is fresher than the one known, and for listed engines only; one from
@@ -14,44 +16,45 @@
 	r := newPooledRig(t, fleetSettings(), 10)
 	r.handle(
 		EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}},
-		ProbeResult{Engine: "e01", Report: []float64{0.4}},
+		ProbeResult{Engine: "e01", Report: utilization(0.4)},
 	)
 	r.now += time.Second
-	r.handle(GossipReceived{Reports: []LoadReport{
+	r.handle(GossipReceived{Reports: []GossipedLoad{
 		{EngineHash("e01"), 0.9, 1500 * ms},
 		{EngineHash("e02"), 0.9, 1500 * ms},
 		{EngineHash("e03"), 0.9, 5 * time.Second},
 		{EngineHash("e04"), -3, -time.Hour},
 		{EngineHash("no such"), 0.9, 0},
 	}})
-	for id, wanted := range map[string]float64{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
-		if got := r.controller.endpoints.byID[id].load; math.Abs(got-wanted) > 1e-9 {
+	for id, wanted := range map[string]units.Fraction{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
+		if got := r.controller.endpoints.byID[id].load.Load(); math.Abs(float64(got-wanted)) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
-	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].loadReportedAt, r.now)
-	r.handle(GossipReceived{Reports: []LoadReport{{EngineHash("e01"), 0.7, 100 * ms}}})
-	requireEqual(t, "a fresher report", r.controller.endpoints.byID["e01"].load, 0.7)
+	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].load.Age(r.now), 0)
+	r.handle(GossipReceived{Reports: []GossipedLoad{{EngineHash("e01"), 0.7, 100 * ms}}})
+	requireEqual(t, "a fresher report", r.controller.endpoints.byID["e01"].load.Load(), 0.7)
 }
 
 // A broker sends its reports to one other at a time, never to itself, the freshest first, and no oftener than
-// gossipInterval; where gossip is off, or without other brokers, it sends none.
+// the interval; where gossip is off, or without other brokers, it sends none.
 func TestGossipIsSentToOneBrokerAtATime(t *testing.T) {
+	const gossipInterval = 200 * ms
 	s := fleetSettings()
 	s.Brokers, s.BrokerIndex = 8, 3
 	r := newPooledRig(t, s, 10)
 	requireEqual(t, "sent without reports", countOf[SendGossip](r.advance(time.Second)), 0)
-	r.handle(ProbeResult{Engine: "e01", Report: []float64{0.4}})
+	r.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
 	r.now += 50 * ms
-	r.handle(ProbeResult{Engine: "e02", Report: []float64{0.8}})
+	r.handle(ProbeResult{Engine: "e02", Report: utilization(0.8)})
 	sent := actionsOf[SendGossip](r.advance(4 * time.Second))
 	if len(sent) < 10 || len(sent) > int(4*time.Second/gossipInterval) {
 		t.Fatalf("sent %d times in 4 s", len(sent))
 	}
 	for range 20 { // fresh reports every second, so that it goes on gossiping
 		r.handle(
-			ProbeResult{Engine: "e02", Report: []float64{0.8}},
-			ProbeResult{Engine: "e01", Report: []float64{0.4}},
+			ProbeResult{Engine: "e02", Report: utilization(0.8)},
+			ProbeResult{Engine: "e01", Report: utilization(0.4)},
 		)
 		sent = append(sent, actionsOf[SendGossip](r.advance(time.Second))...)
 	}
@@ -71,6 +74,6 @@
 	requireEqual(t, "sends less of old reports", old < int(6*time.Second/gossipInterval), true)
 	s.Limits.Gossip = false
 	r = newPooledRig(t, s, 10)
-	r.handle(ProbeResult{Engine: "e01", Report: []float64{0.4}})
+	r.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
 	requireEqual(t, "sent where gossip is off", countOf[SendGossip](r.advance(time.Second)), 0)
 }
--- /dev/null
+++ b/control/loadreport/estimate.go
@@ -0,0 +1,103 @@
+package loadreport
+
+import (
+	"math"
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+const (
+	reportWeight     = 0.5         // of a report in an engine's load
+	poolReportWeight = 0.1         // of one engine's report in the pool's load
+	averagedWithin   = time.Second // a report older than this has no part in the average
+	recentFor        = 2 * time.Second
+	probeFreshFor    = 250 * time.Millisecond // a report younger than this is as good as a new one
+
+	// Lifetime is the time in which a report loses most of its weight.
+	Lifetime = 5 * time.Second
+)
+
+// Estimate is the load of an engine, or of a pool of engines. The zero value is that of an engine that never
+// reported.
+type Estimate struct {
+	load       units.Fraction
+	reportedAt time.Duration // 0: never
+	probedAt   time.Duration // 0: never
+}
+
+// Observe takes the load that an engine reports now.
+func (e *Estimate) Observe(load units.Fraction, now time.Duration) {
+	if now-e.reportedAt > averagedWithin {
+		e.load = load
+	}
+	e.load = estimate.Toward(e.load, load, reportWeight)
+	e.reportedAt = now
+}
+
+// ObserveOfPool takes the load that one of a pool's engines reports now as a sample of the pool's.
+func (e *Estimate) ObserveOfPool(load units.Fraction, now time.Duration) {
+	e.load = estimate.Toward(e.load, load, poolReportWeight)
+	e.reportedAt = now
+}
+
+// Receive takes the load that an engine reported to another broker at a time, if no later report is known.
+// Reports from before the engine started are of its earlier process.
+func (e *Estimate) Receive(load units.Fraction, reportedAt, engineStartedAt time.Duration) {
+	if reportedAt > max(e.reportedAt, engineStartedAt) {
+		e.load, e.reportedAt = max(0, load), reportedAt
+	}
+}
+
+// Load is the load, as far as it is known.
+func (e *Estimate) Load() units.Fraction { return e.load }
+
+// Age is the time since the last report.
+func (e *Estimate) Age(now time.Duration) time.Duration { return now - e.reportedAt }
+
+// KnownWithin reports whether an engine reported its load no longer ago than a time.
+func (e *Estimate) KnownWithin(within, now time.Duration) bool {
+	return e.reportedAt > 0 && e.Age(now) <= within
+}
+
+// IfRecent is the load of an engine that reported it a moment ago, else 0.
+func (e *Estimate) IfRecent(now time.Duration) units.Fraction {
+	if e.Age(now) < recentFor {
+		return e.load
+	}
+	return 0
+}
+
+// InPool is the load expected of an engine of a pool: the older its report, the more the pool's load counts.
+func (e *Estimate) InPool(pool *Estimate, now time.Duration) units.Fraction {
+	trust := units.Fraction(math.Exp(-e.Age(now).Seconds() / Lifetime.Seconds()))
+	return pool.load + trust*(e.load-pool.load)
+}
+
+// Probed records that the engine is asked for its load now.
+func (e *Estimate) Probed(now time.Duration) { e.probedAt = now }
+
+// ProbedLately reports whether the engine was asked for its load a moment ago.
+func (e *Estimate) ProbedLately(now time.Duration) bool {
+	return e.probedAt > 0 && now-e.probedAt < probeFreshFor
+}
+
+// Fresh reports whether the engine reported its load, or was asked for it, a moment ago.
+func (e *Estimate) Fresh(now time.Duration) bool {
+	return now-max(e.probedAt, e.reportedAt) < probeFreshFor
+}
+
+// OfPool is the load of a pool by those of its engines: their mean, weighed by themselves, as loaded engines
+// fare no better for others that are idle. It stays as it was if no engine has load.
+func (e *Estimate) OfPool(engines []*Estimate) {
+	var loads estimate.SelfWeighted
+	youngest := time.Duration(0)
+	for _, engine := range engines {
+		loads.Add(float64(engine.load))
+		youngest = max(youngest, engine.reportedAt)
+	}
+	if load, ok := loads.Mean(); ok {
+		e.load, e.reportedAt = units.Fraction(load), youngest
+	}
+}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -7,6 +7,9 @@
 	"slices"
 	"testing"
 	"time"
+
+	"wheatlane/control/loadreport"
+	"wheatlane/control/units"
 )
 
 // drawSettings draws settings: every switch that a deployment may set.
@@ -27,7 +30,7 @@
 		s.ProgressInterval = time.Second
 	}
 	if flip() {
-		s.ReportFields = []string{"util", "inflight", "queue"}
+		s.ReportsLoad = true
 	}
 	if flip() {
 		s.Tenants = nil
@@ -342,9 +345,12 @@
 	closed := !q.open() || status == OK
 	q.over = q.over || status == OK
 	work := time.Duration(c.rng.IntN(300)) * ms
+	report := loadreport.Report{
+		Reported: c.settings.ReportsLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), InFlight: 3,
+	}
 	c.check(c.handle(AttemptEnded{
 		RequestID: q.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
-		Work: work, MemoryMB: 100, Report: []float64{c.rng.Float64() * 1.2, 3, 1},
+		Work: work, MemoryMB: 100, Report: report,
 	}))
 	return true
 }
--- a/control/regulators.go
+++ b/control/regulators.go
@@ -89,7 +89,7 @@
 	if e == c.endpoints.pool {
 		slowdown = poolBackoffSlowdown
 	}
-	if c.underPressure(e) && (e.load > backoffLoad || c.slowdown(e) > slowdown) {
+	if c.underPressure(e) && (e.load.Load() > backoffLoad || c.slowdown(e) > slowdown) {
 		e.limitFactor = max(minLimitFactor, e.limitFactor*backoffDecrease)
 	} else {
 		e.limitFactor = min(1, e.limitFactor*backoffIncrease)
--- a/control/regulators_test.go
+++ b/control/regulators_test.go
@@ -90,17 +90,17 @@
 func TestPoolLoadIsWeightedByThreads(t *testing.T) {
 	r := newPooledRig(t, fleetSettings(), 10)
 	const engines = 10
-	reports := make([]LoadReport, 0, engines)
+	reports := make([]GossipedLoad, 0, engines)
 	for i := range engines {
 		load := 0.1
 		if i < 4 {
 			load = 1.8
 		}
-		reports = append(reports, LoadReport{r.controller.endpoints.all[i].gossipID, load, 0})
+		reports = append(reports, GossipedLoad{r.controller.endpoints.all[i].gossipID, load, 0})
 	}
 	r.handle(GossipReceived{Reports: reports})
 	r.advance(tickInterval + 5*ms)
-	if got := r.controller.endpoints.pool.load; got < 1.6 || got > 1.8 {
+	if got := r.controller.endpoints.pool.load.Load(); got < 1.6 || got > 1.8 {
 		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
 	}
 }
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 	"time"
+
+	"wheatlane/control/loadreport"
+	"wheatlane/control/units"
 )
 
 const ms = time.Millisecond
@@ -145,15 +148,20 @@
 	})
 }
 
+// utilization is a load report of an engine.
+func utilization(fraction units.Fraction) loadreport.Report {
+	return loadreport.Report{Reported: true, Utilization: fraction}
+}
+
 // newRigUnderPressure is a rig whose one engine has reported far more load than its capacity.
 func newRigUnderPressure(t *testing.T) *rig {
 	t.Helper()
 	s := baseSettings()
-	s.ReportFields = []string{"util"}
+	s.ReportsLoad = true
 	r := newRig(t, s, readyEngine("e1"))
 	id, _ := r.submit("quick")
 	r.handle(AttemptEnded{
-		RequestID: id, Status: OK, Duration: 100 * ms, RequestClosed: true, Work: 100 * ms, Report: []float64{3},
+		RequestID: id, Status: OK, Duration: 100 * ms, RequestClosed: true, Work: 100 * ms, Report: utilization(3),
 	})
 	return r
 }
@@ -174,6 +182,6 @@
 // fleetSettings is a pooled deployment whose brokers probe and gossip.
 func fleetSettings() Settings {
 	s := pooledSettings()
-	s.Limits.LoadProbes, s.Limits.Gossip, s.ReportFields = true, true, []string{"util"}
+	s.Limits.LoadProbes, s.Limits.Gossip, s.ReportsLoad = true, true, true
 	return s
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -3,23 +3,20 @@
 import (
 	"math"
 	"slices"
-	"time"
 )
 
 // Tuned values of engine selection. Penalties are in parts of a concurrency limit, as scores are.
 const (
-	failurePenalty     = 3.0                    // for each failure or loss an attempt
-	slowdownPenalty    = 0.3                    // for each unit of the log of slowdown
-	dataSetLockPenalty = 1.5                    // what a lock blocks is late for sure
-	dataSetRankPenalty = 0.5                    // keeps locks away from what they block
-	crossZonePenalty   = 0.05                   // for another zone
-	halfOpenBonus      = 100.0                  // a half-open probe that is due comes before everything
-	tieBreakScale      = 0.6                    // difference of scores that makes a factor e in choice
-	tieBreakJitter     = 0.02                   // where engines are not pooled: it only breaks ties
-	probeCount         = 3                      // engines probed for a request
-	probeWaitBatches   = 4                      // batch intervals that a request waits for probes
-	probeFreshness     = 250 * time.Millisecond // a younger load report is as good as a new one
-	loadReportLife     = 2 * controlInterval    // an older one says nothing, where engines are not pooled
+	failurePenalty     = 3.0   // for each failure or loss an attempt
+	slowdownPenalty    = 0.3   // for each unit of the log of slowdown
+	dataSetLockPenalty = 1.5   // what a lock blocks is late for sure
+	dataSetRankPenalty = 0.5   // keeps locks away from what they block
+	crossZonePenalty   = 0.05  // for another zone
+	halfOpenBonus      = 100.0 // a half-open probe that is due comes before everything
+	tieBreakScale      = 0.6   // difference of scores that makes a factor e in choice
+	tieBreakJitter     = 0.02  // where engines are not pooled: it only breaks ties
+	probeCount         = 3     // engines probed for a request
+	probeWaitBatches   = 4     // batch intervals that a request waits for probes
 )
 
 // poolsEngines says whether all engines share one queue and one concurrency limit: where this broker's part
@@ -82,11 +79,10 @@
 	if !e.pooled() { // in a pool, an engine that answered of late is better than an untried one
 		score += failurePenalty * min(c.lossRate(e), c.overallLossRate())
 	}
-	if age := c.now - e.loadReportedAt; e.pooled() { // the older a report, the more the pool's counts
-		pool := e.queueOwner.load
-		score -= pool + math.Exp(-age.Seconds()/loadReportDecay)*(e.load-pool)
-	} else if age < loadReportLife {
-		score -= e.load
+	if e.pooled() {
+		score -= float64(e.load.InPool(&e.queueOwner.load, c.now))
+	} else {
+		score -= float64(e.load.IfRecent(c.now))
 	}
 	if e.Zone != c.settings.Zone {
 		score -= crossZonePenalty
@@ -115,8 +111,7 @@
 	probed := false
 	for n := 0; n < probeCount && len(c.endpoints.all) > 0; n++ {
 		e := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
-		fresh := e.probedAt > 0 && c.now-e.probedAt < probeFreshness
-		if e.listed && e.State == Ready && !e.health.Ejected() && !fresh {
+		if e.listed && e.State == Ready && !e.health.Ejected() && !e.load.ProbedLately(c.now) {
 			c.probeLoad(e)
 			probed = true
 		}
@@ -146,7 +141,7 @@
 			continue
 		}
 		r.candidates = append(r.candidates, e)
-		if c.now-max(e.probedAt, e.loadReportedAt) >= probeFreshness {
+		if !e.load.Fresh(c.now) {
 			c.probeLoad(e)
 			probed = true
 		}
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"wheatlane/control/units"
 )
 
 // Requests that lock a data set keep away from those that the lock blocks, those of other brokers too: all
@@ -30,7 +32,7 @@
 // probe has its price. Seen: 0.86 probes a request.
 func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
 	s := baseSettings()
-	s.Limits.LoadProbes, s.ReportFields = true, []string{"x1"}
+	s.Limits.LoadProbes, s.ReportsLoad = true, true
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
 	r.advance(2 * controlInterval)
 	probed := map[string]time.Duration{}
@@ -39,7 +41,7 @@
 		_, got := r.submit("long")
 		got = append(got, r.advance(10*ms)...)
 		for _, p := range actionsOf[ProbeLoad](got) {
-			if last, ok := probed[p.Engine]; ok && r.now-last < probeFreshness-20*ms {
+			if last, ok := probed[p.Engine]; ok && r.now-last < 250*ms-20*ms {
 				t.Fatalf("%s was probed again after %v", p.Engine, r.now-last)
 			}
 			probed[p.Engine] = r.now
@@ -69,9 +71,9 @@
 		}
 		r := &rig{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
 		engines := readyEngines(10)
-		reports := make([]LoadReport, 0, len(engines))
+		reports := make([]GossipedLoad, 0, len(engines))
 		for i, e := range engines {
-			reports = append(reports, LoadReport{EngineHash(e.ID), 0.1 + 0.15*float64(i), 0})
+			reports = append(reports, GossipedLoad{EngineHash(e.ID), 0.1 + 0.15*float64(i), 0})
 		}
 		r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
 		r.handle(GossipReceived{Reports: reports})
@@ -98,7 +100,7 @@
 	}
 	requireEqual(t, "threads while it waits for its probes", r.controller.endpoints.pool.threadsInFlight, 2)
 	for i, a := range probes {
-		r.handle(ProbeResult{Engine: a.Engine, Report: []float64{0.8 - 0.2*float64(i)}})
+		r.handle(ProbeResult{Engine: a.Engine, Report: utilization(0.8 - 0.2*units.Fraction(i))})
 	}
 	sent := actionsOf[SendAttempt](r.advance(probeWaitBatches*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
--- a/control/settings.go
+++ b/control/settings.go
@@ -110,7 +110,7 @@
 	ProgressInterval time.Duration // engines report progress so often; 0: never
 	ReportsCost      bool          // answers carry the work and memory that they took
 	WeightByWork     bool          // the priority weight of a request grows with its work
-	ReportFields     []string      // names of the values in a load report, in their order
+	ReportsLoad      bool          // engines report their load
 	MaxSendDelay     time.Duration // an attempt may leave the broker so long after SendAttempt
 	PollEndpointList bool          // the endpoint list has to be subscribed to
 	Limits           Limits
--- a/control/world_engines_test.go
+++ b/control/world_engines_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 )
 
 // modelEngine is a model of an engine: enough for the module to meet every kind of answer, no more.
@@ -75,16 +76,16 @@
 }
 
 // report is an engine's load by the fields that the settings name.
-func (w *world) report(e *modelEngine) []float64 {
-	row := make([]float64, 0, len(w.settings.ReportFields))
-	for _, field := range w.settings.ReportFields {
+func (w *world) report(e *modelEngine) loadreport.Report {
+	row := make([]float64, 0, len(w.settings.loadReport))
+	for _, field := range w.settings.loadReport {
 		v := e.background * (0.9 + 0.2*w.rng.Float64()) * math.Sqrt(e.slowdown)
 		if field == "queue" || field == "inflight" {
 			v = float64(e.inFlight) + math.Floor(4*v)
 		}
 		row = append(row, v)
 	}
-	return row
+	return w.settings.loadReport.Report(row)
 }
 
 // send models what becomes of an attempt.
--- a/control/world_faults_test.go
+++ b/control/world_faults_test.go
@@ -97,7 +97,7 @@
 	received := control.GossipReceived{Broker: w.rng.IntN(w.settings.Brokers)}
 	for range 1 + w.rng.IntN(8) {
 		e := w.engines[w.rng.IntN(len(w.engines))]
-		received.Reports = append(received.Reports, control.LoadReport{
+		received.Reports = append(received.Reports, control.GossipedLoad{
 			Engine: control.EngineHash(e.ID), Load: e.background, Age: w.between(0, 3*time.Second),
 		})
 	}
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -49,7 +49,7 @@
 type world struct {
 	tb        testing.TB
 	module    *control.Controller
-	settings  control.Settings
+	settings  deployment
 	rng       *rand.Rand
 	now       time.Duration
 	faultless bool // nothing goes wrong
@@ -66,9 +66,9 @@
 	numbered  int     // requests so far
 }
 
-func newWorld(tb testing.TB, settings control.Settings, seed uint64, engines int) *world {
+func newWorld(tb testing.TB, settings deployment, seed uint64, engines int) *world {
 	tb.Helper()
-	module, err := control.New(settings, seed)
+	module, err := control.New(settings.Settings, seed)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -11,6 +11,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/config"
+	"wheatlane/internal/loadfields"
 )
 
 // behaviors are the deployments for which the behaviour of the reducer, with the real decision module behind
@@ -20,7 +21,7 @@
 // the order of a map.
 var behaviors = []struct {
 	name     string
-	settings func(t *testing.T) control.Settings
+	settings func(t *testing.T) deployment
 	sessions int // that the broker allows; more clients connect
 	engines  int
 	want     string // sha256
@@ -91,9 +92,15 @@
 	}
 }
 
+// deployment is the settings of a deployment and the layout of its engines' load reports.
+type deployment struct {
+	control.Settings
+	loadReport loadfields.Layout
+}
+
 // fromFile reads the settings object of a deployment from testdata, as a broker does.
-func fromFile(name string) func(t *testing.T) control.Settings {
-	return func(t *testing.T) control.Settings {
+func fromFile(name string) func(t *testing.T) deployment {
+	return func(t *testing.T) deployment {
 		t.Helper()
 		text, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
@@ -103,16 +110,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return settings.Control
+		return deployment{settings.Control, settings.LoadReport}
 	}
 }
 
 // smallDeployment is one broker with two small engines, where nearly everything is allowed.
-func smallDeployment(*testing.T) control.Settings {
-	return control.Settings{
+func smallDeployment(*testing.T) deployment {
+	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 2 * ms,
 		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, ReportsCost: true, WeightByWork: true,
-		ReportFields: []string{"util", "queue"},
+		ReportsLoad: true,
 		Classes: []control.Class{
 			{
 				Name: "lookup", LatencyObjective: 300 * ms, ClientTimeout: time.Second, ObjectivePerWork: 1,
@@ -146,16 +153,17 @@
 			RetryBudgetWindow: 5 * time.Second, RetryBudgetRatio: 0.3, RetryBudgetReserve: 10,
 		},
 	}
+	return deployment{settings, loadfields.Layout{"util", "queue"}}
 }
 
 // largeDeployment is one of sixty brokers with many engines of two kinds in three zones and six tenants,
 // where attempts can't be cancelled.
-func largeDeployment(*testing.T) control.Settings {
+func largeDeployment(*testing.T) deployment {
 	const tenants = 6
 	settings := control.Settings{
 		Brokers: 60, BrokerIndex: 7, Zone: "zone-1", MinBatchInterval: 10 * ms,
 		ReportsCost: true, ProgressInterval: time.Second, Priorities: true,
-		ReportFields: []string{"util", "inflight"},
+		ReportsLoad: true,
 		Classes: []control.Class{
 			{
 				Name: "view", LatencyObjective: 500 * ms, ClientTimeout: 2 * time.Second, ObjectivePerWork: 1.5,
@@ -193,5 +201,5 @@
 			Name: fmt.Sprint("tenant-", n), Share: float64(n+1) / 21, Quota: float64(10 * (n + 1)),
 		})
 	}
-	return settings
+	return deployment{settings, loadfields.Layout{"util", "inflight"}}
 }
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/changelog"
 )
 
@@ -48,7 +49,7 @@
 func newClosedLoop(b *testing.B, clients, engines int) *closedLoop {
 	b.Helper()
 	settings := testSettings()
-	settings.ReportFields = []string{"util"}
+	settings.ReportsLoad = true
 	reducer, err := New(settings, 1, clients)
 	if err != nil {
 		b.Fatal(err)
@@ -95,7 +96,7 @@
 		id := l.running[0].id
 		l.running = l.running[1:]
 		l.react(l.broker.Apply(l.now, AttemptServed{
-			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: []float64{0.5},
+			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: loadreport.Report{Reported: true, Utilization: 0.5},
 			Body: []byte("1\t2\t3\n"),
 		}))
 	}
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -115,7 +115,7 @@
 	// SendGossip sends load reports to another broker, by its index.
 	SendGossip struct {
 		Broker  int
-		Reports []control.LoadReport
+		Reports []control.GossipedLoad
 	}
 	// LogLine writes a line to the log.
 	LogLine struct{ Text string }
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/changelog"
 )
 
@@ -81,7 +82,7 @@
 		PageCount int
 		Work      time.Duration // measured by the engine, on one thread
 		MemoryMB  float64       // measured by the engine
-		Report    []float64     // the engine's load
+		Report    loadreport.Report
 		Body      []byte
 	}
 	// PageReceived is a further page of a result.
@@ -96,14 +97,14 @@
 	AttemptEnded struct {
 		Attempt     AttemptID
 		Status      control.Status
-		Report      []float64
+		Report      loadreport.Report
 		SharedCause bool
 	}
 	// ProbeResult is the answer to a load probe, or its failure.
 	ProbeResult struct {
 		ProbeID uint64
 		Status  control.Status
-		Report  []float64
+		Report  loadreport.Report
 	}
 )
 
@@ -112,7 +113,7 @@
 	// GossipReceived holds load reports that another broker sent.
 	GossipReceived struct {
 		Broker  int // its index
-		Reports []control.LoadReport
+		Reports []control.GossipedLoad
 	}
 	// EndpointChanges is a page of the change log. WallOffset is by how much the wall clock is ahead of the time
 	// that the reducer is given: 0 unless it was stepped.
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -7,6 +7,7 @@
 	"unicode/utf8"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 )
 
 // MaxResultBytes is the size of the largest result, all its pages together.
@@ -35,7 +36,7 @@
 	bytes    int      // of the pages received
 	work     time.Duration
 	memoryMB float64
-	report   []float64
+	report   loadreport.Report
 }
 
 // newResult returns a result with its first page.
--- a/internal/broker/simulated_clients_test.go
+++ b/internal/broker/simulated_clients_test.go
@@ -49,7 +49,7 @@
 
 // crowd makes all clients wait for an answer and connects two more.
 func (s *simulation) crowd() {
-	s.apply(UpdateSettings{s.settings})
+	s.apply(UpdateSettings{s.settings.Settings})
 	for s.broker.SessionCount() < s.maxSessions {
 		s.connect()
 	}
--- a/internal/broker/simulated_engines_test.go
+++ b/internal/broker/simulated_engines_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/changelog"
 )
 
@@ -167,9 +168,9 @@
 	return [][]byte{missingColumn, incompleteRow, invalidText, tooLong}[s.rng.IntN(4)]
 }
 
-func (s *simulation) report() []float64 {
+func (s *simulation) report() loadreport.Report {
 	if s.chance(10) {
-		return nil
+		return loadreport.Report{}
 	}
-	return []float64{s.rng.Float64() * 1.3, s.rng.Float64() * 4}
+	return s.settings.loadReport.Report([]float64{s.rng.Float64() * 1.3, s.rng.Float64() * 4})
 }
--- a/internal/broker/simulated_fleet_test.go
+++ b/internal/broker/simulated_fleet_test.go
@@ -71,10 +71,10 @@
 
 // receiveGossip delivers load reports of another broker.
 func (s *simulation) receiveGossip() {
-	reports := make([]control.LoadReport, 1+s.rng.IntN(3))
+	reports := make([]control.GossipedLoad, 1+s.rng.IntN(3))
 	for i := range reports {
 		e := s.engines[s.rng.IntN(len(s.engines))]
-		reports[i] = control.LoadReport{
+		reports[i] = control.GossipedLoad{
 			Engine: control.EngineHash(e.ID),
 			Load:   s.rng.Float64(),
 			Age:    s.between(0, 200*ms),
@@ -113,5 +113,5 @@
 	default:
 		settings.Limits.MaxAttempts = 1 + s.rng.IntN(4)
 	}
-	s.apply(UpdateSettings{settings})
+	s.apply(UpdateSettings{settings.Settings})
 }
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -18,7 +18,7 @@
 	t           *testing.T
 	rng         *rand.Rand
 	broker      *Broker
-	settings    control.Settings
+	settings    deployment
 	now         time.Duration
 	maxSessions int
 	clients     []*simulatedClient
@@ -40,10 +40,10 @@
 // newSimulation starts a broker with a number of engines and a client for each session that it allows. It
 // records into sum.
 func newSimulation(
-	t *testing.T, settings control.Settings, seed uint64, maxSessions, engines int, sum hash.Hash,
+	t *testing.T, settings deployment, seed uint64, maxSessions, engines int, sum hash.Hash,
 ) *simulation {
 	t.Helper()
-	b, err := New(settings, seed, maxSessions)
+	b, err := New(settings.Settings, seed, maxSessions)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -123,3 +123,19 @@
 		t.Errorf("got %v without a file", err)
 	}
 }
+
+func TestEnginesReportTheirLoadIfSettingsNameItsFields(t *testing.T) {
+	for text, want := range map[string]int{
+		`{"Stats": {"Fields": ["queue", "x1"]}}`: 2,
+		`{"Stats": {"Fields": []}}`:              0,
+		`{}`:                                     0,
+	} {
+		settings, err := DecodeSettings([]byte(text))
+		if err != nil {
+			t.Fatalf("%s: %v", text, err)
+		}
+		if settings.Control.ReportsLoad != (want > 0) || len(settings.LoadReport) != want {
+			t.Errorf("%s: %v, fields %q", text, settings.Control.ReportsLoad, settings.LoadReport)
+		}
+	}
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -45,6 +45,9 @@
 		}
 		return values(v.Elem())
 	}
+	if v.Type() == reflect.TypeFor[Settings]() {
+		return settingsValues(v)
+	}
 	if v.Kind() == reflect.Struct {
 		var all []string
 		for i := range v.NumField() {
@@ -71,6 +74,25 @@
 	return []string{scalar(v)}
 }
 
+// settingsValues lists the values of Settings. The fields of load reports stand where the decision module is
+// told whether there are any: at the place that they have in the files.
+func settingsValues(v reflect.Value) (all []string) {
+	module, fields := v.FieldByName("Control"), v.FieldByName("LoadReport")
+	for i := range module.NumField() {
+		if module.Type().Field(i).Name == "ReportsLoad" {
+			all = append(all, values(fields)...)
+		} else {
+			all = append(all, values(module.Field(i))...)
+		}
+	}
+	for i := range v.NumField() {
+		if name := v.Type().Field(i).Name; name != "Control" && name != "LoadReport" {
+			all = append(all, values(v.Field(i))...)
+		}
+	}
+	return all
+}
+
 // scalar is a value that holds no others.
 func scalar(v reflect.Value) string {
 	switch {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,11 +7,13 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/loadfields"
 )
 
 // Settings is the settings object of a deployment.
 type Settings struct {
-	Control control.Settings // what the decision module decides by
+	Control    control.Settings  // what the decision module decides by
+	LoadReport loadfields.Layout // of the load reports of engines
 
 	// What only a broker on real sockets needs.
 	ConnectTimeout   time.Duration // for a connection to an engine
@@ -124,6 +126,7 @@
 	}
 	s := Settings{
 		Control:         object.control(),
+		LoadReport:      object.Stats.Fields,
 		ConnectTimeout:  withDefault(object.Limits.ConnectTimeoutNs, defaultConnectTimeout),
 		ConnIdleTimeout: withDefault(object.Limits.ConnIdleNs, defaultConnIdleTimeout),
 		MaxStreams:      withDefault(object.Limits.MaxStreams, defaultMaxStreams),
@@ -176,7 +179,7 @@
 		Priorities:       o.Domain.Priorities,
 		ProgressInterval: o.Domain.ProgressPaceNs,
 		ReportsCost:      o.Domain.SaysCost,
-		ReportFields:     o.Stats.Fields,
+		ReportsLoad:      len(o.Stats.Fields) > 0,
 		PollEndpointList: o.Discovery == discoveryOnRequest,
 		WeightByWork:     o.ValueBy == valueByWork,
 		Limits: control.Limits{
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -42,7 +42,7 @@
 )
 
 // Append adds a datagram with the first MaxReports of the reports that are not older than MaxAge to buf.
-func Append(buf []byte, reports []control.LoadReport) []byte {
+func Append(buf []byte, reports []control.GossipedLoad) []byte {
 	buf = append(buf, header...)
 	written := 0
 	for _, report := range reports {
@@ -59,7 +59,7 @@
 }
 
 // Parse decodes a datagram. Its error is ErrTooLong, ErrVersion or ErrTruncated.
-func Parse(datagram []byte) ([]control.LoadReport, error) {
+func Parse(datagram []byte) ([]control.GossipedLoad, error) {
 	if len(datagram) > MaxBytes {
 		return nil, ErrTooLong
 	}
@@ -70,9 +70,9 @@
 	if len(rest)%reportBytes != 0 {
 		return nil, ErrTruncated
 	}
-	reports := make([]control.LoadReport, 0, len(rest)/reportBytes)
+	reports := make([]control.GossipedLoad, 0, len(rest)/reportBytes)
 	for ; len(rest) > 0; rest = rest[reportBytes:] {
-		reports = append(reports, control.LoadReport{
+		reports = append(reports, control.GossipedLoad{
 			Engine: binary.BigEndian.Uint32(rest),
 			Load:   float64(rest[loadOffset]) * loadStep,
 			Age:    time.Duration(rest[ageOffset]) * ageStep,
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,9 +17,9 @@
 func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		reports := make([]control.LoadReport, rapid.IntRange(0, 60).Draw(t, "reports"))
+		reports := make([]control.GossipedLoad, rapid.IntRange(0, 60).Draw(t, "reports"))
 		for i := range reports {
-			reports[i] = control.LoadReport{
+			reports[i] = control.GossipedLoad{
 				Engine: rng.Uint32(), Load: 4*rng.Float64() - 0.5,
 				Age: time.Duration(rng.Int64N(int64(7 * time.Second))),
 			}
@@ -54,7 +54,7 @@
 }
 
 // sameReport reports whether a decoded report is the encoded one, but for rounding and clamping.
-func sameReport(encoded, decoded control.LoadReport) bool {
+func sameReport(encoded, decoded control.GossipedLoad) bool {
 	const maxLoad, loadError = 2.55, 0.0051
 	load := min(maxLoad, max(0, encoded.Load))
 	return decoded.Engine == encoded.Engine &&
@@ -64,7 +64,7 @@
 
 // What is no datagram of a broker gives a named error, whatever it is.
 func TestInvalidDatagrams(t *testing.T) {
-	valid := Append(nil, []control.LoadReport{{Engine: 7, Load: 0.5, Age: time.Second}})
+	valid := Append(nil, []control.GossipedLoad{{Engine: 7, Load: 0.5, Age: time.Second}})
 	for name, c := range map[string]struct {
 		datagram []byte
 		want     error
@@ -85,7 +85,7 @@
 		})
 	}
 	got, err := Parse(valid)
-	want := []control.LoadReport{{Engine: 7, Load: 0.5, Age: time.Second}}
+	want := []control.GossipedLoad{{Engine: 7, Load: 0.5, Age: time.Second}}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
--- /dev/null
+++ b/internal/loadfields/loadfields_test.go
@@ -0,0 +1,37 @@
+package loadfields
+
+import (
+	"testing"
+
+	"wheatlane/control/loadreport"
+)
+
+func TestReport(t *testing.T) {
+	t.Parallel()
+	none := loadreport.Report{}
+	for name, c := range map[string]struct {
+		layout Layout
+		values []float64
+		want   loadreport.Report
+	}{
+		"the busiest resource": {
+			Layout{"util", "x1", "x0"}, []float64{0.2, 0.9, 0.4}, loadreport.Report{Reported: true, Utilization: 0.9},
+		},
+		"requests in flight": {
+			Layout{"util", "inflight"}, []float64{0.2, 7}, loadreport.Report{Reported: true, Utilization: 0.2, InFlight: 7},
+		},
+		"other fields":         {Layout{"queue", "new"}, []float64{3, 9}, loadreport.Report{Reported: true}},
+		"too few values":       {Layout{"util", "x1"}, []float64{0.2}, none},
+		"too many values":      {Layout{"util"}, []float64{0.2, 0.9}, none},
+		"no values":            {Layout{"util"}, nil, none},
+		"nothing reports load": {nil, []float64{0.2}, none},
+		"nothing at all":       {nil, nil, none},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			if got := c.layout.Report(c.values); got != c.want {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -4,6 +4,9 @@
 	"fmt"
 	"strconv"
 	"strings"
+
+	"wheatlane/control/loadreport"
+	"wheatlane/internal/loadfields"
 )
 
 // Word says what an answer means.
@@ -109,25 +112,22 @@
 	return v, err
 }
 
-// Report reads a load report into the order of the fields that the settings name; nil if one of them is
-// missing or can't be used.
-func Report(load string, fields []string) []float64 {
-	if load == "" {
-		return nil
-	}
-	report := make([]float64, 0, len(fields))
-	for _, field := range fields {
+// Report reads a load report; there is none if one of the fields that the settings name is missing or can't be
+// used.
+func Report(load string, layout loadfields.Layout) loadreport.Report {
+	values := make([]float64, 0, len(layout))
+	for _, field := range layout {
 		value, ok := reportField(load, field)
 		if !ok {
-			return nil
+			return loadreport.Report{}
 		}
 		v, err := parseFigure(value)
 		if err != nil {
-			return nil
+			return loadreport.Report{}
 		}
-		report = append(report, v)
+		values = append(values, v)
 	}
-	return report
+	return layout.Report(values)
 }
 
 // reportField finds the value of a field in a load report.
--- a/internal/resp/answer_test.go
+++ b/internal/resp/answer_test.go
@@ -5,6 +5,9 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/control/loadreport"
+	"wheatlane/internal/loadfields"
 )
 
 func TestParseAnswer(t *testing.T) {
@@ -54,19 +57,20 @@
 }
 
 func TestReport(t *testing.T) {
-	fields := []string{"queue", "x1"}
-	for load, want := range map[string][]float64{
-		"queue:2;x1:0.5":       {2, 0.5},
-		"x1:0.5;new:9;queue:2": {2, 0.5},
-		"queue:2":              nil,
-		"queue:2;x1:?":         nil,
-		"":                     nil,
-		"queue:NaN;x1:0.5":     nil,
-		"queue:2;x1:-1":        nil,
-		"queue:2;x1:1e300":     nil,
+	layout := loadfields.Layout{"queue", "inflight", "x1"}
+	complete := loadreport.Report{Reported: true, InFlight: 2, Utilization: 0.5}
+	for load, want := range map[string]loadreport.Report{
+		"queue:9;inflight:2;x1:0.5":       complete,
+		"x1:0.5;new:9;queue:9;inflight:2": complete,
+		"queue:2;inflight:2":              {},
+		"queue:2;inflight:2;x1:?":         {},
+		"":                                {},
+		"queue:NaN;inflight:2;x1:0.5":     {},
+		"queue:2;inflight:2;x1:-1":        {},
+		"queue:2;inflight:2;x1:1e300":     {},
 	} {
 		t.Run(load, func(t *testing.T) {
-			if diff := cmp.Diff(want, Report(load, fields)); diff != "" {
+			if diff := cmp.Diff(want, Report(load, layout)); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/resp"
 )
@@ -111,7 +112,7 @@
 		p.server.meter.DuplicateResponse(c.engine)
 		return
 	}
-	report := resp.Report(r.Load, p.server.cfg.Settings.Control.ReportFields)
+	report := resp.Report(r.Load, p.server.cfg.Settings.LoadReport)
 	switch {
 	case s.isProbe():
 		p.probeAnswered(s, r, report)
@@ -129,7 +130,7 @@
 }
 
 // probeAnswered passes the answer to a load probe to the reducer.
-func (p *enginePool) probeAnswered(s *stream, r *resp.Answer, report []float64) {
+func (p *enginePool) probeAnswered(s *stream, r *resp.Answer, report loadreport.Report) {
 	s.done = true
 	p.removeStream(s)
 	status := control.OK
@@ -154,7 +155,7 @@
 
 // attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
 // mistaken for the response to a retry, so the id is retired.
-func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report []float64) {
+func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report loadreport.Report) {
 	s.done = true
 	delete(p.inFlight, s.attemptID)
 	p.retireUntilClientTimeout(s)
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -177,12 +177,12 @@
 // The datagrams that brokers of a fleet send one another, and how ones that can't be read are rejected.
 func TestTranscriptOfDatagrams(t *testing.T) {
 	tr := &transcript{t: t}
-	many := make([]control.LoadReport, 100)
+	many := make([]control.GossipedLoad, 100)
 	for i := range many {
 		age := time.Duration(i) * 20 * time.Millisecond
-		many[i] = control.LoadReport{Engine: uint32(i), Load: float64(i) / 100, Age: age}
+		many[i] = control.GossipedLoad{Engine: uint32(i), Load: float64(i) / 100, Age: age}
 	}
-	for _, reports := range [][]control.LoadReport{
+	for _, reports := range [][]control.GossipedLoad{
 		nil,
 		{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}},
 		{
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -8,6 +8,7 @@
 	"wheatlane/control"
 	"wheatlane/internal/config"
 	"wheatlane/internal/gossip"
+	"wheatlane/internal/loadfields"
 )
 
 var engineStates = map[string]control.EngineState{
@@ -48,29 +49,31 @@
 )
 
 // decode reads what happened to an instance. The item is empty for what is passed over.
-func (r *Reader) decode(m *message) (Item, error) {
+func (r *Reader) decode(m *message, instance int) (Item, error) {
 	switch m.name {
 	case messageCreate:
-		create, err := decodeCreate(m)
+		create, layout, err := decodeCreate(m)
+		r.layouts[instance] = layout
 		return Item{Create: create}, err
 	case messageCrash:
 		return Item{Crash: true}, nil
 	default:
-		event, err := r.decodeEvent(m)
+		event, err := r.decodeEvent(m, r.layouts[instance])
 		return Item{Event: event}, err
 	}
 }
 
-func decodeCreate(m *message) (*Create, error) {
+// decodeCreate also returns the layout of the load reports of the new instance's engines.
+func decodeCreate(m *message) (*Create, loadfields.Layout, error) {
 	settings, err := config.DecodeSettings([]byte(m.text(fieldSettings)))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", messageCreate, err)
+		return nil, nil, fmt.Errorf("%s: %w", messageCreate, err)
 	}
-	return &Create{Seed: m.unsigned(fieldSeed), Settings: settings.Control}, nil
+	return &Create{Seed: m.unsigned(fieldSeed), Settings: settings.Control}, settings.LoadReport, nil
 }
 
 // decodeEvent reads an event; it is nil for what is passed over.
-func (r *Reader) decodeEvent(m *message) (control.Event, error) {
+func (r *Reader) decodeEvent(m *message, layout loadfields.Layout) (control.Event, error) {
 	switch m.name {
 	case messageEndpointUpdate:
 		return r.decodeEndpointUpdate(m)
@@ -85,9 +88,9 @@
 	case messageGossipReceived:
 		return decodeGossipReceived(m)
 	case messageProbeResult:
-		return decodeProbeResult(m), nil
+		return decodeProbeResult(m, layout), nil
 	case messageAttemptEnded:
-		return decodeAttemptEnded(m), nil
+		return decodeAttemptEnded(m, layout), nil
 	case messageTimerFired:
 		return control.TimerFired{Token: m.unsigned(fieldTimerToken)}, nil
 	}
@@ -169,21 +172,21 @@
 }
 
 // loadReports are the reports of a datagram; ok is false for what is none of a broker of this program.
-func loadReports(datagram []byte) (reports []control.LoadReport, ok bool) {
+func loadReports(datagram []byte) (reports []control.GossipedLoad, ok bool) {
 	reports, err := gossip.Parse(datagram)
 	return reports, err == nil
 }
 
-func decodeProbeResult(m *message) control.Event {
+func decodeProbeResult(m *message, layout loadfields.Layout) control.Event {
 	return control.ProbeResult{
 		Engine:   m.requiredText(fieldEngine),
 		Status:   decodeStatus(m),
 		Duration: m.duration(fieldDuration),
-		Report:   m.report(fieldReport),
+		Report:   layout.Report(m.numbers(fieldReport)),
 	}
 }
 
-func decodeAttemptEnded(m *message) control.Event {
+func decodeAttemptEnded(m *message, layout loadfields.Layout) control.Event {
 	ended := control.AttemptEnded{
 		RequestID:     m.requiredText(fieldRequestID),
 		Number:        int(m.integer(fieldAttempt)),
@@ -191,7 +194,7 @@
 		Status:        decodeStatus(m),
 		Duration:      m.duration(fieldDuration),
 		RequestClosed: m.text(fieldRequestClosed) == yes,
-		Report:        m.report(fieldReport),
+		Report:        layout.Report(m.numbers(fieldReport)),
 	}
 	if cost := m.integer(fieldCost); cost > 0 {
 		ended.Work = time.Duration(cost/costWorkFactor) * time.Millisecond
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -115,13 +115,13 @@
 	return v
 }
 
-// noReport stands where a message has no report.
-const noReport = "-"
+// noNumbers stands where a message has no row of numbers.
+const noNumbers = "-"
 
-// report is the numbers of a field between commas; nil without any.
-func (m *message) report(key string) []float64 {
+// numbers is the numbers of a field between commas; nil without any.
+func (m *message) numbers(key string) []float64 {
 	text := m.text(key)
-	if text == "" || text == noReport {
+	if text == "" || text == noNumbers {
 		return nil
 	}
 	numbers := make([]float64, 0, strings.Count(text, ",")+1)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/loadfields"
 )
 
 const bufferBytes = 1 << 20 // of a Reader or Writer
@@ -35,14 +36,18 @@
 
 // Reader decodes batches. Its errors name the line at fault.
 type Reader struct {
-	in    *bufio.Reader
-	line  int                        // number of the last line read
-	lists map[int64][]control.Engine // endpoint lists by their numbers
+	in      *bufio.Reader
+	line    int                        // number of the last line read
+	lists   map[int64][]control.Engine // endpoint lists by their numbers
+	layouts map[int]loadfields.Layout  // of load reports, by the instances that they are for
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, bufferBytes), lists: map[int64][]control.Engine{}}
+	return &Reader{
+		in:    bufio.NewReaderSize(r, bufferBytes),
+		lists: map[int64][]control.Engine{}, layouts: map[int]loadfields.Layout{},
+	}
 }
 
 // Read returns the next batch, or io.EOF when the input ends between batches.
@@ -69,7 +74,7 @@
 				return batch, err
 			}
 		default:
-			item, err := r.decode(m)
+			item, err := r.decode(m, instance)
 			if err == nil && instance < 0 {
 				err = fmt.Errorf("%s comes before any %s", m.name, messageInstance)
 			}
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 )
 
 const settingsJSON = `{"PeersTotal": 3, "Zone": "room-b", "RoundNs": 5000000, "Unknown": {"x": [1]},
@@ -74,10 +75,10 @@
 	control.AttemptProgress{
 		RequestID: "rq_b", Number: 1, Engine: "b:1", Kind: control.ProgressFraction, Value: 0.5,
 	},
-	control.ProbeResult{Engine: "b:1", Duration: 14, Report: []float64{0.62, 3}},
+	control.ProbeResult{Engine: "b:1", Duration: 14, Report: loadreport.Report{Reported: true, Utilization: 3}},
 	control.AttemptEnded{
 		RequestID: "rq_b", Number: 2, Engine: "b:1", Duration: 185, RequestClosed: true,
-		Work: 17 * time.Millisecond, MemoryMB: 384, Report: []float64{0.62, 3, 1.25, 0.4},
+		Work: 17 * time.Millisecond, MemoryMB: 384, // no report, as its values are not those of the settings
 	},
 	control.TimerFired{Token: 77},
 }
@@ -185,7 +186,7 @@
 	}{
 		"of a broker": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=77010a0b0c0d3202\n", []control.Event{control.GossipReceived{
 			Broker:  4,
-			Reports: []control.LoadReport{{Engine: 0x0a0b0c0d, Load: 0.5, Age: 40 * time.Millisecond}},
+			Reports: []control.GossipedLoad{{Engine: 0x0a0b0c0d, Load: 0.5, Age: 40 * time.Millisecond}},
 		}}},
 		"of another program": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=68692037\n", []control.Event{}},
 	} {
--- a/internal/wire/writer_test.go
+++ b/internal/wire/writer_test.go
@@ -22,7 +22,7 @@
 		control.SetAttemptOptions{RequestID: "q", GrantMB: 640, Priority: 2},
 		control.SetTimer{After: 500, Token: 77},
 		control.ProbeLoad{Engine: "e:1"},
-		control.SendGossip{Broker: 2, Reports: []control.LoadReport{
+		control.SendGossip{Broker: 2, Reports: []control.GossipedLoad{
 			{Engine: 0x0a0b0c0d, Load: 0.5, Age: 40 * time.Millisecond},
 		}},
 		control.WatchEndpoints{},
