--- a/control/admission.go
+++ b/control/admission.go
@@ -31,7 +31,7 @@
 		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
 	}
 	c.workload.countArrival(classIndex, tenantIndex)
-	c.retries.requestReceived(c.now)
+	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
 	c.requests.add(r)
@@ -72,7 +72,7 @@
 	if r.closed || r.responseStarted {
 		return
 	}
-	if !r.mayHaveRun() || r.class.safeToRepeatAnywhere() {
+	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		reject := Reject{RequestID: r.ID}
 		if c.settings.Limits.RetryAfter {
 			reject.RetryAfter = c.retryAfter()
@@ -98,10 +98,10 @@
 	if c.withinConcurrencyLimit(e, r.classIndex) {
 		return false
 	}
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
 	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
 		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
-	wait := seconds(ahead / e.limit * c.estimatedSlowdown(e).Ratio())
+	wait := seconds(ahead / e.concurrency.Limit() * c.estimatedSlowdown(e).Ratio())
 	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -19,7 +19,7 @@
 	k := r.class
 	c.setAttemptOptions(r, e)
 	if len(r.attempts) > 0 {
-		c.retries.retrySent(c.now)
+		c.retries.RetrySent(c.now)
 	} else {
 		k.learnWait(c.now - r.receivedAt)
 	}
@@ -69,9 +69,9 @@
 		c.recoverLoss(e, a.lossConfidence)
 	}
 	c.releaseEnded(a, end.Status)
-	a.mayHaveRun = !end.Status.provesNotRun()
+	a.mayHaveRun = end.Status.MayHaveRun()
 	if r.keyQueue != nil && end.Status.mayStillRun() {
-		r.keyQueue.cooldownUntil = max(r.keyQueue.cooldownUntil, c.now+c.settings.Rules.KeyCooldown)
+		r.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
 	}
 	c.loadReported(e, end.Report)
 	if !end.SharedCause && (!a.presumedLost || end.Status != TimedOut) {
@@ -101,9 +101,9 @@
 		return
 	}
 	if status == TimedOut && !c.settings.Limits.Cancellation {
-		c.startTimer(c.now-a.sentAt, func() { a.engine.addThreads(-a.request.class.Threads) })
+		c.startTimer(c.now-a.sentAt, func() { a.engine.releaseThreads(a.request.class.Threads) })
 	} else {
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
 
--- a/control/controller.go
+++ b/control/controller.go
@@ -14,8 +14,11 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
 	"wheatlane/control/outlier"
+	"wheatlane/control/retrybudget"
+	"wheatlane/control/shares"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
 )
@@ -25,24 +28,26 @@
 
 // Controller decides for one broker. It is not safe for concurrent use.
 type Controller struct {
-	settings     Settings
-	rng          *rand.Rand
-	now          time.Duration
-	started      bool
-	actions      []Action // what Handle is about to return
-	timers       timerSet
-	log          logThrottle
-	requests     requestTable
-	endpoints    endpointSet
-	slowStart    slowstart.Policy
-	outliers     outlier.Detector
-	slowdowns    slowdown.Estimator
-	subscription subscription
-	workload     workload
-	retries      retryBudget
-	admission    admissionPrice
-	shares       classShares
-	gossip       gossip.Schedule
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	started       bool
+	actions       []Action // what Handle is about to return
+	timers        timerSet
+	log           logThrottle
+	requests      requestTable
+	endpoints     endpointSet
+	slowStart     slowstart.Policy
+	outliers      outlier.Detector
+	slowdowns     slowdown.Estimator
+	subscription  subscription
+	workload      workload
+	retries       retrybudget.Budget
+	admission     admissionPrice
+	shares        shares.Regulator
+	intervalStart time.Duration // of the current control interval
+	pressure      concurrency.PressureConfig
+	gossip        gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -69,15 +74,23 @@
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
-		retries: newRetryBudget(settings), admission: admissionPrice{price: minAdmissionPrice},
+		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
+		pressure: concurrency.DefaultPressureConfig(),
 	}
-	c.shares = newClassShares(len(c.workload.classes))
+	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
 	if c.poolsEngines() {
-		c.endpoints.setPool(c.newEngine(Engine{}, EngineKind{}))
+		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
 }
 
+func retryBudgetConfig(s Settings) retrybudget.Config {
+	return retrybudget.Config{
+		Window: s.Rules.RetryBudgetWindow, Ratio: s.Rules.RetryBudgetRatio, Reserve: s.Rules.RetryBudgetReserve,
+		MinBatchInterval: s.MinBatchInterval, MaxSendDelay: s.MaxSendDelay,
+	}
+}
+
 // Handle takes what happened at one time, in order, and returns what to do, in order. A time before that of
 // the last call counts as the last call's.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
@@ -88,7 +101,7 @@
 	}
 	if !c.started {
 		c.started = true
-		c.shares.intervalStart = c.now
+		c.intervalStart = c.now
 		c.emit(SetTimer{tickInterval, tickToken})
 	}
 	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
@@ -153,14 +166,14 @@
 // tick does what is due at regular times: it looks at what waits, and once an interval runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
-	c.retries.expire(c.now)
+	c.retries.Expire(c.now)
 	c.pollEndpoints()
 	c.decayEvidence()
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
-	if elapsed := c.now - c.shares.intervalStart; elapsed >= controlInterval {
-		c.shares.intervalStart = c.now
+	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
+		c.intervalStart = c.now
 		c.runInterval(elapsed)
 	}
 }
@@ -173,7 +186,7 @@
 	added := 0
 	for _, k := range classes {
 		if c.workload.updateClass(k.withDefaults()) {
-			c.shares.addClass()
+			c.shares.AddClass()
 			added++
 		}
 	}
@@ -181,7 +194,7 @@
 	if added == 0 {
 		return
 	}
-	c.shares.restart()
+	c.shares.Restart()
 	c.workload.updateExtremes()
 	for _, e := range c.endpoints.all {
 		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
--- a/control/estimators.go
+++ b/control/estimators.go
@@ -38,8 +38,7 @@
 	k.spread.Observe(math.Log(took/c.expectedServiceTime(r, e)), gain)
 	c.observeSlowdown(e, units.LogRatio(logSlowdown))
 	owner := e.queueOwner
-	owner.relativeTimeSum += took / k.LatencyObjective.Seconds()
-	owner.answered++
+	owner.concurrency.RecordAnswer(took / k.LatencyObjective.Seconds())
 	k.latencySum += (c.now - r.receivedAt).Seconds()
 	k.answered++
 }
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -1,6 +1,9 @@
 package control
 
-import "wheatlane/control/loadreport"
+import (
+	"wheatlane/control/concurrency"
+	"wheatlane/control/loadreport"
+)
 
 // probeLoad asks an engine for its load.
 func (c *Controller) probeLoad(e *engine) {
@@ -24,7 +27,7 @@
 	threads, memoryMB := c.workload.meanDemand()
 	load := report.Load(
 		loadreport.Demand{Threads: threads, MemoryMB: memoryMB},
-		loadreport.Capacity{Threads: maxThreadsPerCore * e.cores, MemoryMB: e.memoryMB},
+		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * e.cores, MemoryMB: e.memoryMB},
 	)
 	e.load.Observe(load, c.now)
 	if e.pooled() && !c.settings.Limits.Gossip {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -55,7 +55,7 @@
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
 func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
 	return e.health.MayProbe(outlier.Probe{
-		EngineIdle:     e.pooled() || e.threadsInFlight == 0,
+		EngineIdle:     e.pooled() || e.concurrency.InFlight() == 0,
 		FirstAttempt:   len(r.attempts) == 0,
 		LowestPriority: r.class.PriorityWeight <= c.workload.lowestWeight,
 	}, c.now)
