--- a/internal/server/changelogpoll.go
+++ b/internal/server/changelogpoll.go
@@ -9,6 +9,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
+	"wheatlane/internal/server/clock"
 )
 
 const (
@@ -74,7 +75,7 @@
 		return err
 	}
 	// The revision stays where the poll ends before the reducer has the page, so that it is polled again.
-	event := broker.EndpointChanges{Page: page, WallOffset: wallOffset()}
+	event := broker.EndpointChanges{Page: page, WallOffset: clock.WallOffset()}
 	if page.Revision > *p.revision && p.server.post(ctx, func() { p.server.apply(event) }) {
 		*p.revision = page.Revision
 	}
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -11,6 +11,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/clock"
 )
 
 const (
@@ -71,7 +72,7 @@
 	if err := c.greet(); err != nil {
 		return err
 	}
-	c.readTimeout, c.lastReadAt = loginTimeout, now()
+	c.readTimeout, c.lastReadAt = loginTimeout, clock.Now()
 	if err := c.setReadTimeout(c.readTimeout); err != nil {
 		return err
 	}
@@ -94,11 +95,11 @@
 
 // receive reads once and reports whether bytes came. The error is why the connection ends.
 func (c *client) receive(ctx context.Context) (received bool, err error) {
-	calledAt := now()
+	calledAt := clock.Now()
 	if _, err := c.conn.received.ReadOnce(c.conn.socket); err != nil {
 		return false, c.readFailed(ctx, err)
 	}
-	c.noteReceived(calledAt, now())
+	c.noteReceived(calledAt, clock.Now())
 	if c.conn.finishedFor() != nil { // this side is shut down: what was read can't be answered
 		c.server.post(ctx, func() { c.server.violated(invariant.NoReadAfterShutdown) })
 	}
@@ -128,7 +129,7 @@
 // handlePackets handles the complete packets that were received.
 func (c *client) handlePackets(ctx context.Context) error {
 	// The process may have stood still between the read and the question.
-	newest := min(c.lastReadAt, now()-c.server.sinceReceived(c.conn.socket))
+	newest := min(c.lastReadAt, clock.Now()-c.server.sinceReceived(c.conn.socket))
 	for {
 		seq, payload, size, err := mysql.ParsePacket(c.conn.received.Bytes())
 		if err != nil {
--- a/internal/server/crossingstable_test.go
+++ b/internal/server/crossingstable_test.go
@@ -7,14 +7,28 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
 
-const (
-	serverDir = "."
-	brokerDir = "../broker"
-)
+const brokerDir = "../broker"
+
+// serverDirs returns the folder of this package and those of the packages that it is made of.
+func serverDirs(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("*/*.go")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%d files of other packages, %v", len(files), err)
+	}
+	dirs := []string{"."}
+	for _, file := range files {
+		if dir := filepath.Dir(file); !slices.Contains(dirs, dir) {
+			dirs = append(dirs, dir)
+		}
+	}
+	return dirs
+}
 
 // docs/design/crossings.md keeps up with the code: the tests that it names exist, and each constant of the
 // server and the reducer that meets other customers' settings has its source in it.
@@ -24,12 +38,13 @@
 		t.Fatal(err)
 	}
 	functions := map[string]bool{}
-	for _, dir := range []string{serverDir, brokerDir, "../handover", "../../control", "../../cmd/wheatlane"} {
+	withSources := append(serverDirs(t), brokerDir)
+	for _, dir := range append(withSources, "../handover", "../../control", "../../cmd/wheatlane") {
 		for path, file := range parseDir(t, dir) {
 			for _, name := range functionNames(file) {
 				functions[name] = true
 			}
-			if strings.HasSuffix(path, "_test.go") || dir != serverDir && dir != brokerDir {
+			if strings.HasSuffix(path, "_test.go") || !slices.Contains(withSources, dir) {
 				continue
 			}
 			for _, name := range constantNames(file) {
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -76,7 +76,7 @@
 
 func (s *Server) sendGossip(e broker.SendGossip) {
 	s.usage.GossipSent++
-	s.gossip.send(e)
+	s.gossip.Send(e.Broker, e.Reports)
 }
 
 // cancelUnsent times the drain of an engine and withdraws what has not left for it.
--- a/internal/server/enginepool.go
+++ b/internal/server/enginepool.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/clock"
 )
 
 const (
@@ -220,7 +221,7 @@
 func (p *enginePool) closeConnections(engine string, dialledBefore time.Duration) {
 	p.drains.forget(engine)
 	for _, c := range slices.Clone(p.connsByEngine[engine]) {
-		if dialledBefore == 0 || reducerTime(c.dialStarted) < dialledBefore {
+		if dialledBefore == 0 || clock.At(c.dialStarted) < dialledBefore {
 			p.close(c, EngineGone)
 		}
 	}
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -30,7 +30,7 @@
 	other, stranger := listenUDP(t), listenUDP(t)
 	s := startServerWith(t, serverOptions{configure: withBrokers(other.LocalAddr())},
 		endpointJSON("e1", "127.0.0.1:1", "in_service", 0))
-	brokerAddr := s.server.gossip.conn.LocalAddr()
+	brokerAddr := s.server.gossip.Addr()
 	send := func(from net.PacketConn, datagram []byte) {
 		if _, err := from.WriteTo(datagram, brokerAddr); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/server/gossiptransport/transport.go
@@ -0,0 +1,126 @@
+// Package gossiptransport carries load reports between the brokers of a fleet, as datagrams. They may be late or
+// lost: none is acknowledged, waited for or sent again.
+package gossiptransport
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/control"
+	"wheatlane/internal/gossip"
+	"wheatlane/internal/server/netlisten"
+)
+
+const (
+	sendTimeout    = 5 * time.Millisecond // a datagram that can't leave at once is dropped
+	readRetryDelay = time.Second          // after an error of the socket
+)
+
+// Config is what a transport needs.
+type Config struct {
+	ListenAddr string
+	Brokers    []string // the addresses of all brokers of the fleet, by number
+	Log        *zap.Logger
+}
+
+// Receiver is notified of load reports.
+type Receiver interface {
+	// GossipReceived passes on the reports of another broker. It may wait, until ctx ends.
+	GossipReceived(ctx context.Context, broker int, reports []control.LoadReport)
+}
+
+// Transport sends and receives datagrams on one socket.
+type Transport struct {
+	conn         *net.UDPConn
+	log          *zap.Logger
+	brokers      []netip.AddrPort // by number
+	brokerByAddr map[netip.AddrPort]int
+	sendBuffer   []byte // of Send
+
+	// Each is logged once; owned by the goroutine of Run.
+	loggedUnknownSender, loggedMalformed bool
+}
+
+// Listen opens the socket. An error names the entry of peers that is no address, or is that of the system.
+func Listen(ctx context.Context, cfg Config) (*Transport, error) {
+	t := &Transport{log: cfg.Log, brokerByAddr: map[netip.AddrPort]int{}}
+	for i, text := range cfg.Brokers {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, fmt.Errorf("peers[%d]: %w", i, err)
+		}
+		t.brokers = append(t.brokers, addr)
+		t.brokerByAddr[addr] = i
+	}
+	conn, err := netlisten.UDP(ctx, netlisten.Shared(cfg.Log), cfg.ListenAddr)
+	if err != nil {
+		return nil, err
+	}
+	t.conn = conn
+	return t, nil
+}
+
+// Addr returns the address of the socket.
+func (t *Transport) Addr() net.Addr { return t.conn.LocalAddr() }
+
+// Send sends one datagram to a broker. One that can't be sent is dropped: the next one holds younger reports. It must
+// not be called by two goroutines at once.
+func (t *Transport) Send(broker int, reports []control.LoadReport) {
+	if broker < 0 || broker >= len(t.brokers) {
+		return
+	}
+	t.sendBuffer = gossip.Append(t.sendBuffer[:0], reports)
+	_ = t.conn.SetWriteDeadline(time.Now().Add(sendTimeout))          // a closed socket fails the write as well
+	_, _ = t.conn.WriteToUDPAddrPort(t.sendBuffer, t.brokers[broker]) // dropped, see above
+}
+
+// Run receives datagrams until ctx ends, and then closes the socket.
+func (t *Transport) Run(ctx context.Context, receiver Receiver) error {
+	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() }) // nobody waits for what is not sent yet
+	defer stop()
+	buf := make([]byte, gossip.MaxBytes+1)
+	for {
+		size, from, err := t.conn.ReadFromUDPAddrPort(buf)
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+		if err != nil {
+			t.log.Warn("reading gossip datagrams failed", zap.Error(err))
+			select { // a system that refuses every read must not make this loop spin
+			case <-ctx.Done():
+			case <-time.After(readRetryDelay):
+			}
+			continue
+		}
+		if broker, reports, ok := t.parse(buf[:size], from); ok {
+			receiver.GossipReceived(ctx, broker, reports)
+		}
+	}
+}
+
+// parse returns the reports of a datagram and the broker that sent it. It returns false if the sender is no broker of
+// the fleet, or if the datagram is malformed.
+func (t *Transport) parse(datagram []byte, from netip.AddrPort) (broker int, reports []control.LoadReport, ok bool) {
+	broker, ok = t.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	if !ok {
+		if !t.loggedUnknownSender {
+			t.loggedUnknownSender = true
+			t.log.Warn("gossip datagram from an unknown address", zap.Stringer("from", from))
+		}
+		return 0, nil, false
+	}
+	reports, err := gossip.Parse(datagram)
+	if err != nil {
+		if !t.loggedMalformed {
+			t.loggedMalformed = true
+			t.log.Warn("gossip datagram malformed", zap.Int("from", broker), zap.Error(err))
+		}
+		return 0, nil, false
+	}
+	return broker, reports, true
+}
--- /dev/null
+++ b/internal/server/gossiptransport/transport_test.go
@@ -0,0 +1,126 @@
+package gossiptransport_test
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+	"go.uber.org/zap/zaptest/observer"
+
+	"wheatlane/control"
+	"wheatlane/internal/gossip"
+	"wheatlane/internal/server/gossiptransport"
+)
+
+// received is what a receiver was notified of.
+type received struct {
+	Broker  int
+	Reports []control.LoadReport
+}
+
+type receiver chan received
+
+func (r receiver) GossipReceived(_ context.Context, broker int, reports []control.LoadReport) {
+	r <- received{broker, reports}
+}
+
+// Reports arrive with the number of the broker that sent them. What comes from an unknown address or is malformed is
+// dropped, and logged once.
+func TestTransport(t *testing.T) {
+	core, logs := observer.New(zapcore.InfoLevel)
+	first, second := listenUDP(t), listenUDP(t)
+	transport, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
+		ListenAddr: "127.0.0.1:0", Log: zap.New(core),
+		Brokers: []string{"127.0.0.1:1", first.LocalAddr().String()},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	notified, ended := make(receiver, 10), make(chan error, 1)
+	go func() { ended <- transport.Run(ctx, notified) }()
+	reports := []control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}
+	datagram := gossip.Append(nil, reports)
+	for range 2 { // of one socket and in order, ahead of the datagram that counts
+		send(t, second, transport.Addr(), datagram)
+		send(t, first, transport.Addr(), []byte("GET / HTTP/1.1"))
+	}
+	send(t, first, transport.Addr(), datagram)
+	if diff := cmp.Diff(received{1, reports}, <-notified); diff != "" {
+		t.Error(diff)
+	}
+	cancel()
+	if err := <-ended; !errors.Is(err, context.Canceled) {
+		t.Errorf("ended with %v", err)
+	}
+	for _, message := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
+		if n := logs.FilterMessage(message).Len(); n != 1 {
+			t.Errorf("%q logged %d times", message, n)
+		}
+	}
+}
+
+// A datagram goes to the broker of its number, and none to a number that no broker has.
+func TestSend(t *testing.T) {
+	other := listenUDP(t)
+	transport, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
+		ListenAddr: "127.0.0.1:0", Log: zap.NewNop(), Brokers: []string{other.LocalAddr().String()},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	report := func(load float64) []control.LoadReport {
+		return []control.LoadReport{{Engine: control.EngineHash("e1"), Load: load}}
+	}
+	transport.Send(-1, report(0.5))
+	transport.Send(1, report(1))
+	transport.Send(0, report(1.5))
+	if err := other.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
+		t.Fatal(err)
+	}
+	buf := make([]byte, gossip.MaxBytes+1)
+	size, _, err := other.ReadFrom(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := gossip.Parse(buf[:size])
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(report(1.5), got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// An entry of peers that is no address is named.
+func TestInvalidBrokerAddress(t *testing.T) {
+	_, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
+		ListenAddr: "127.0.0.1:0", Log: zap.NewNop(), Brokers: []string{"127.0.0.1:1", "nowhere"},
+	})
+	if err == nil || err.Error()[:len("peers[1]: ")] != "peers[1]: " {
+		t.Errorf("listening with an invalid address gives %v", err)
+	}
+}
+
+func send(t *testing.T, from net.PacketConn, to net.Addr, datagram []byte) {
+	t.Helper()
+	if _, err := from.WriteTo(datagram, to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// listenUDP returns a socket on loopback that is closed as the test ends.
+func listenUDP(t *testing.T) net.PacketConn {
+	t.Helper()
+	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // nothing is to be sent any more
+	return conn
+}
--- /dev/null
+++ b/internal/server/inputs.go
@@ -0,0 +1,16 @@
+package server
+
+import (
+	"context"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+)
+
+// inputs turns what other goroutines receive into events of the reducer. Its methods may be called on any goroutine.
+type inputs struct{ server *Server }
+
+// GossipReceived implements gossiptransport.Receiver.
+func (in inputs) GossipReceived(ctx context.Context, number int, reports []control.LoadReport) {
+	in.server.post(ctx, func() { in.server.apply(broker.GossipReceived{Broker: number, Reports: reports}) })
+}
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -4,11 +4,9 @@
 	"context"
 	"errors"
 	"net"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
-	"golang.org/x/sys/unix"
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/mysql"
@@ -105,19 +103,3 @@
 		end()
 	}
 }
-
-// reusePort returns a hook that lets a second process listen at the same address, so that a new version
-// takes clients beside the old one. A system that refuses it leaves the listener as it is, which is logged.
-func reusePort(log *zap.Logger) func(network, address string, c syscall.RawConn) error {
-	return func(_, address string, c syscall.RawConn) error {
-		var refused error
-		err := c.Control(func(fd uintptr) {
-			refused = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-		})
-		if err == nil && refused != nil {
-			log.Warn("SO_REUSEPORT refused: a second process can't listen beside this one",
-				zap.String("listen", address), zap.Error(refused))
-		}
-		return err
-	}
-}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/clock"
 	"wheatlane/internal/usage"
 )
 
@@ -62,9 +63,9 @@
 // loop owns the reducer until ctx ends or a shutdown, begun by a value on stop, is complete.
 func (s *Server) loop(ctx context.Context, stop <-chan struct{}) error {
 	defer func() { _ = s.listener.Close() }() // the shutdown may have closed it
-	s.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: wallOffset()})
+	s.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
 	s.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
-	pace := newPacer(now())
+	pace := newPacer(clock.Now())
 	defer pace.timer.Stop()
 	for {
 		select {
@@ -78,7 +79,7 @@
 		case <-pace.timer.C:
 		}
 		s.settle()
-		t := now()
+		t := clock.Now()
 		s.standstill.turn(t)
 		s.meter.LoopLag(t - pace.due)
 		if !pace.ready(t) {
@@ -90,7 +91,7 @@
 			return nil
 		}
 		wait := s.untilNextRound()
-		pace.wakeIn(now(), wait)
+		pace.wakeIn(clock.Now(), wait)
 	}
 }
 
@@ -106,7 +107,7 @@
 
 // round lets time pass in the reducer and does what is due.
 func (s *Server) round() {
-	s.execute(s.reducer.Tick(now()))
+	s.execute(s.reducer.Tick(clock.Now()))
 	s.settle()
 	s.pool.resendExpired()
 	s.pool.checkLiveness()
@@ -124,7 +125,7 @@
 func (s *Server) untilNextRound() time.Duration {
 	wait := maxLoopInterval
 	if at, ok := s.reducer.NextDeadline(); ok {
-		wait = min(wait, at-now())
+		wait = min(wait, at-clock.Now())
 	}
 	return max(wait, 0)
 }
@@ -134,7 +135,7 @@
 	if _, ok := ev.(broker.SubmitRequest); ok {
 		s.usage.Requests++
 	}
-	s.execute(s.reducer.Apply(now(), ev))
+	s.execute(s.reducer.Apply(clock.Now(), ev))
 	s.settle()
 }
 
@@ -143,7 +144,7 @@
 	for len(s.pendingEvents) > 0 {
 		ev := s.pendingEvents[0]
 		s.pendingEvents = s.pendingEvents[1:]
-		s.execute(s.reducer.Apply(now(), ev))
+		s.execute(s.reducer.Apply(clock.Now(), ev))
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,7 +19,9 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
-	"wheatlane/internal/transient"
+	"wheatlane/internal/server/clock"
+	"wheatlane/internal/server/gossiptransport"
+	"wheatlane/internal/server/netlisten"
 	"wheatlane/internal/usage"
 )
 
@@ -44,10 +46,10 @@
 	ctx      context.Context // of Run
 	group    *errgroup.Group // of Run
 	listener net.Listener
-	inbox    chan func()   // functions to call in the loop
-	done     chan struct{} // closed once Run returns
-	gossip   *gossipTransport
-	handover *handoverStore // nil: nothing is handed over
+	inbox    chan func()                // functions to call in the loop
+	done     chan struct{}              // closed once Run returns
+	gossip   *gossiptransport.Transport // nil: engines are not shared with other brokers
+	handover *handoverStore             // nil: nothing is handed over
 
 	standstill standstillWatch
 
@@ -94,7 +96,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	listener, err := Listen(ctx, net.ListenConfig{Control: reusePort(log)}, cfg.Listen)
+	listener, err := netlisten.TCP(ctx, netlisten.Shared(log), cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -116,7 +118,9 @@
 		reducer.SetTracer(s.logTransition)
 	}
 	if cfg.Settings.Control.Limits.Gossip {
-		if s.gossip, err = newGossipTransport(ctx, s); err != nil {
+		if s.gossip, err = gossiptransport.Listen(ctx, gossiptransport.Config{
+			ListenAddr: cfg.PeerListen, Brokers: cfg.Peers, Log: log,
+		}); err != nil {
 			_ = listener.Close() // the error that matters is the one above
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
@@ -136,18 +140,6 @@
 	return min(maxAdminSockets, cfg.Sockets/adminSocketDivisor)
 }
 
-// listenWithin bounds the tries to listen at the start.
-const listenWithin = 3 * time.Second
-
-// Listen listens at an address. It tries again while the system fails to for a moment.
-func Listen(ctx context.Context, config net.ListenConfig, addr string) (listener net.Listener, err error) {
-	err = transient.Retry(ctx, listenWithin, transient.IsListen, func() (err error) {
-		listener, err = config.Listen(ctx, "tcp", addr)
-		return err
-	})
-	return listener, err
-}
-
 // Addr returns where clients connect.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
@@ -168,7 +160,7 @@
 		s.group.Go(func() error { return s.handover.run(ctx) })
 	}
 	if s.gossip != nil {
-		s.group.Go(func() error { return s.gossip.listen(ctx) })
+		s.group.Go(func() error { return s.gossip.Run(ctx, inputs{s}) })
 	}
 	s.group.Go(func() error {
 		defer cancel()
@@ -196,7 +188,7 @@
 
 // applySettings does Reload's part in the loop.
 func (s *Server) applySettings(cfg config.Config) {
-	s.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: wallOffset()})
+	s.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: clock.WallOffset()})
 	s.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
 	s.cfg.Settings.Control.Classes = cfg.Settings.Control.Classes
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
--- a/internal/server/standstill_test.go
+++ b/internal/server/standstill_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"wheatlane/internal/server/clock"
 )
 
 func TestStandstillWatch(t *testing.T) {
@@ -41,14 +43,14 @@
 	c := s.connect()
 	c.ping()
 	since := inLoop(s, func(server *Server) time.Duration {
-		since := now() - stoodStill
+		since := clock.Now() - stoodStill
 		server.standstill.from.Store(int64(since))
-		server.standstill.to.Store(int64(now() + time.Hour)) // whatever is read next may have come within it
+		server.standstill.to.Store(int64(clock.Now() + time.Hour)) // whatever is read next may have come within it
 		return since
 	})
 	c.send(append(queryPacket(statement("lookup", 1, longTimeout, "")), queryPacket(statement("lookup", 2, longTimeout, ""))...))
 	first := e.expectAttempt(t)
-	deadline := inLoop(s, func(server *Server) time.Duration { return now() + toldTimeout(t, first) })
+	deadline := inLoop(s, func(server *Server) time.Duration { return clock.Now() + toldTimeout(t, first) })
 	if limit := since + longTimeout + time.Second; deadline > limit {
 		t.Errorf("the first request has until %v after its limit", deadline-limit)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -16,6 +16,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/server"
+	"wheatlane/internal/server/netlisten"
 	"wheatlane/internal/telemetry"
 )
 
@@ -48,7 +49,7 @@
 		srv.SetMeter(s.recorder)
 	}
 	if cfg.AdminListen != "" {
-		s.adminListener, err = server.Listen(ctx, net.ListenConfig{}, cfg.AdminListen)
+		s.adminListener, err = netlisten.TCP(ctx, net.ListenConfig{}, cfg.AdminListen)
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("operator: %w", err), srv.Close())
 		}
