--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -5,6 +5,8 @@
 	"errors"
 	"fmt"
 
+	"go.uber.org/zap"
+
 	"wheatlane/internal/broker"
 	"wheatlane/internal/handover"
 )
@@ -68,5 +70,18 @@
 	if s.handover == nil {
 		return nil, nil
 	}
-	return s.handover.record(change), nil
+	return s.handover.Record(change), nil
+}
+
+// adoptMaintenance applies changes of another process of this broker, in the loop.
+func (s *Server) adoptMaintenance(changes []handover.Change) {
+	for _, change := range changes {
+		s.log.Info("maintenance taken over from another process",
+			zap.String("engine", change.Engine), zap.Bool("enabled", change.Enabled))
+		if change.Enabled {
+			s.apply(broker.RestoreMaintenance{Engines: []string{change.Engine}})
+		} else {
+			s.apply(broker.EndMaintenance{Engine: change.Engine})
+		}
+	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,6 +21,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/clock"
 	"wheatlane/internal/server/gossiptransport"
+	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netlisten"
 	"wheatlane/internal/usage"
 )
@@ -49,7 +50,7 @@
 	inbox    chan func()                // functions to call in the loop
 	done     chan struct{}              // closed once Run returns
 	gossip   *gossiptransport.Transport // nil: engines are not shared with other brokers
-	handover *handoverStore             // nil: nothing is handed over
+	handover *handoverstore.Store       // nil: nothing is handed over
 
 	standstill standstillWatch
 
@@ -126,8 +127,8 @@
 		}
 	}
 	if cfg.HandoverPath != "" {
-		s.handover = newHandoverStore(s, cfg.HandoverPath)
-		s.restoredMaintenance = s.handover.restore(ctx)
+		s.handover = handoverstore.New(handoverstore.Config{Dir: cfg.HandoverPath, Broker: cfg.Name, Log: log})
+		s.restoredMaintenance = s.handover.Restore(ctx)
 	}
 	return s, nil
 }
@@ -157,7 +158,7 @@
 	s.group.Go(func() error { return s.accept(ctx) })
 	s.group.Go(func() error { return s.followChangelog(ctx, s.cfg.Known.Revision) })
 	if s.handover != nil {
-		s.group.Go(func() error { return s.handover.run(ctx) })
+		s.group.Go(func() error { return s.handover.Run(ctx, inputs{s}) })
 	}
 	if s.gossip != nil {
 		s.group.Go(func() error { return s.gossip.Run(ctx, inputs{s}) })
