--- a/internal/server/crossingstable_test.go
+++ b/internal/server/crossingstable_test.go
@@ -12,9 +12,6 @@
 	"testing"
 )
 
-// testDirs are the packages whose tests the page names.
-var testDirs = []string{"../broker", "../handover", "../../control", "../../cmd/wheatlane"}
-
 // docs/design/crossings.md keeps up with the code: the tests that it names exist, and each constant of the
 // server and the reducer that meets other customers' settings has its source in it.
 func TestCrossingsTable(t *testing.T) {
@@ -22,9 +19,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	constantDirs := append(serverDirs(t), "../broker")
+	constantDirs := slices.Concat(packageDirs(t, "."), packageDirs(t, "../broker"))
+	testDirs := slices.Concat(constantDirs, packageDirs(t, "../../control"),
+		[]string{"../handover", "../../cmd/wheatlane"})
 	functions := map[string]bool{}
-	for _, dir := range append(serverDirs(t), testDirs...) {
+	for _, dir := range testDirs {
 		for path, file := range parseDir(t, dir) {
 			for _, name := range functionNames(file) {
 				functions[name] = true
@@ -46,17 +45,17 @@
 	}
 }
 
-// serverDirs are the folders of the server and of the packages below it.
-func serverDirs(t *testing.T) []string {
+// packageDirs returns the folder of a package and those of the packages below it.
+func packageDirs(t *testing.T, root string) []string {
 	t.Helper()
-	entries, err := os.ReadDir(".")
+	entries, err := os.ReadDir(root)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dirs := []string{"."}
+	dirs := []string{root}
 	for _, entry := range entries {
 		if entry.IsDir() && entry.Name() != "testdata" {
-			dirs = append(dirs, entry.Name())
+			dirs = append(dirs, filepath.Join(root, entry.Name()))
 		}
 	}
 	return dirs
