--- a/control/controller.go
+++ b/control/controller.go
@@ -15,8 +15,12 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/gossip"
+	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/shares"
+	"wheatlane/control/slowdown"
+	"wheatlane/control/slowstart"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -33,15 +37,17 @@
 	log           logThrottle
 	requests      requestTable
 	endpoints     endpointSet
+	slowStart     slowstart.Policy
+	outliers      outlier.Detector
+	slowdowns     slowdown.Estimator
 	subscription  subscription
 	workload      workload
-	estimates     fleetEstimates
 	retries       retrybudget.Budget
 	admission     admissionPrice
 	shares        shares.Regulator
 	intervalStart time.Duration // of the current control interval
 	pressure      concurrency.PressureConfig
-	gossip        gossipSchedule
+	gossip        gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -60,7 +66,14 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), workload: newWorkload(settings),
+		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()), workload: newWorkload(settings),
+		slowdowns: slowdown.NewEstimator(slowdown.Config{
+			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
+		}),
+		gossip: gossip.NewSchedule(gossip.Config{
+			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
+		}),
 		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
 		pressure: concurrency.DefaultPressureConfig(),
 	}
@@ -155,7 +168,7 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
-	c.fadeEvidence()
+	c.decayEvidence()
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"wheatlane/control/concurrency"
-	"wheatlane/control/units"
-)
+import "wheatlane/control/concurrency"
 
 // dispatch sends waiting requests in start-tag order while the concurrency limit allows it.
 func (c *Controller) dispatch(e *engine) {
@@ -55,13 +52,13 @@
 // underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Where engines
 // report their load but not the work of answers, reports say more than noisy times.
 func (c *Controller) underPressure(e *engine) bool {
-	timesCount := c.settings.ReportsCost || len(c.settings.ReportFields) == 0
+	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
 	return c.pressure.UnderPressure(concurrency.Signals{
 		AtCapacity:    e.atCapacity(c.now),
-		OverdueRatio:  e.overdueRatio,
-		LoadKnown:     e.concurrency.InFlight() > 0 || c.now-e.loadReportedAt < controlInterval,
-		Load:          e.load,
-		SlowdownKnown: timesCount && e.slowdownSamples > minSlowdownSamples,
-		Slowdown:      units.LogRatio(c.estimatedSlowdown(e)),
+		OverdueRatio:  e.slowdown.OverdueRatio(),
+		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
+		Load:          float64(e.load.Load()),
+		SlowdownKnown: timesCount && e.slowdown.Trusted(),
+		Slowdown:      c.estimatedSlowdown(e),
 	})
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -6,8 +6,11 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/loadreport"
+	"wheatlane/control/outlier"
+	"wheatlane/control/slowdown"
+	"wheatlane/control/slowstart"
 	"wheatlane/control/units"
-	"wheatlane/internal/estimate"
 	"wheatlane/internal/fairqueue"
 )
 
@@ -27,23 +30,12 @@
 
 	attempts []*attempt // in flight
 
-	logSlowdown     float64       // log of service time over work, averaged
-	slowdownSamples int           // answers behind it
-	sampledAt       time.Duration // of the last one
-	overdueRatio    float64       // age of what is in flight over its usual time
-
-	lastResponseAt time.Duration // when it last answered anything
-	atCapacityAt   time.Duration // when it last did not admit an attempt; negative: never
-	failureRate    float64       // averaged
-	loss           estimate.Loss // answers that never came
-	ejected        bool          // an outlier that gets no requests but half-open probes
-	halfOpenAt     time.Duration // when it may get the next of these
-
-	load           float64       // as reported
-	loadReportedAt time.Duration // 0: never
-	probedAt       time.Duration // when it was last asked for a report
-	dataSetLocks   []dataSetLock // that requests of other brokers seem to hold
-	slowStartSends []slowStartSend
+	health   outlier.Health
+	slowdown slowdown.Engine
+
+	load            loadreport.Estimate
+	dataSetLocks    []dataSetLock // that requests of other brokers seem to hold
+	sentInSlowStart slowstart.SendLog
 }
 
 // dataSetLock is a data set that another broker's request seems to have locked, and until when that is
@@ -53,19 +45,13 @@
 	expiresAt time.Duration
 }
 
-// slowStartSend is work that was sent to an engine in slow start.
-type slowStartSend struct {
-	sentAt time.Duration
-	work   float64
-}
-
 // idHashSize keeps the hash of an ID small enough for products with a data set's number.
 const idHashSize = 1000003
 
 func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
 	e := &engine{
 		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID),
-		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, atCapacityAt: -1,
+		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, health: outlier.NewHealth(c.now),
 		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
 	}
 	if e.memoryMB <= 0 { // not known, so it bounds nothing
@@ -136,14 +122,12 @@
 	return threads
 }
 
-// atCapacity says whether it did not admit an attempt lately.
-func (e *engine) atCapacity(now time.Duration) bool {
-	return e.atCapacityAt >= 0 && now-e.atCapacityAt < atCapacityRest
-}
+// atCapacity reports whether it did not admit an attempt lately.
+func (e *engine) atCapacity(now time.Duration) bool { return e.health.AtCapacity(now) }
 
-// hasLoadReport says whether it takes requests and reported its load within a time.
-func (e *engine) hasLoadReport(now, within time.Duration) bool {
-	return e.listed && e.State == Ready && e.loadReportedAt > 0 && now-e.loadReportedAt <= within
+// loadKnown reports whether it takes requests and its load is known.
+func (e *engine) loadKnown(now time.Duration) bool {
+	return e.listed && e.State == Ready && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
 // dataSetRank is the rank, from 0 to 1, of the engine among all for a data set: by hash, so that every broker
@@ -156,17 +140,6 @@
 	return float64(uint32(e.idHash*31+dataSet)*knuth>>bits) / (1 << bits)
 }
 
-// slowStartWork is the work that was sent here in slow start since a time, and that of one more request.
-func (e *engine) slowStartWork(since time.Duration, next float64) float64 {
-	tooOld := func(s slowStartSend) bool { return s.sentAt <= since }
-	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, tooOld)
-	work := next
-	for _, s := range e.slowStartSends {
-		work += s.work
-	}
-	return work
-}
-
 // dataSetLocked says whether a data set is locked here: by a request of this broker's, or as others seem to
 // hold it.
 func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
@@ -184,9 +157,3 @@
 	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
 	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, isOf)
 }
-
-// restarted drops what was believed of the process that ran before.
-func (e *engine) restarted(bestLogSlowdown float64) {
-	e.ejected, e.failureRate, e.logSlowdown, e.slowdownSamples = false, 0, bestLogSlowdown, 0
-	e.atCapacityAt, e.loss = -1, estimate.Loss{}
-}
--- a/control/interval.go
+++ b/control/interval.go
@@ -40,7 +40,7 @@
 		e.concurrency.CloseInterval(concurrency.Interval{
 			Regular: regular, TargetTime: target, Cores: e.cores, MemoryMB: e.memoryMB,
 			Share: units.Fraction(share), RequestThreads: threads, RequestMB: memoryMB, MinThreads: minThreads,
-			UnderPressure: c.underPressure(e), Load: e.load, Slowdown: units.LogRatio(c.slowdown(e)),
+			UnderPressure: c.underPressure(e), Load: float64(e.load.Load()), Slowdown: c.slowdown(e),
 		})
 	}
 }
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/broker/resultpages"
 )
 
@@ -15,7 +16,7 @@
 	pages    *resultpages.Assembly
 	work     time.Duration
 	memoryMB float64
-	report   []float64
+	report   loadreport.Report
 }
 
 // newResult returns a result with its first page.
