--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -53,7 +53,7 @@
 		b.endAttempt(now, a, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
-	endpoint := b.endpoints.byID[send.Engine]
+	endpoint, _ := b.endpoints.Endpoint(send.Engine) // mayStart has found it
 	b.meter.AttemptStarted(r.Class)
 	b.trace(now, r, Transition{State: AttemptStartedState, Attempt: a.id.Number, Engine: endpoint.ID})
 	b.emit(StartAttempt{
@@ -76,11 +76,10 @@
 // have ended since the decision module was notified last; a repeat that must not be is a fault of the module, which is
 // prevented and reported.
 func (b *Broker) mayStart(r *request, engine string) bool {
-	endpoint, listed := b.endpoints.byID[engine]
 	start := invariant.Start{
 		RequestEnded:     r.closed,
 		FinalAnswersSent: b.shutdown.finalAnswersSent,
-		EndpointReady:    listed && endpoint.State == control.Ready && !b.endpoints.inMaintenance[engine],
+		EndpointReady:    b.endpoints.InService(engine),
 	}
 	if _, broken := start.Broken(); broken {
 		return false
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -13,6 +13,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/endpointlist"
 	"wheatlane/internal/broker/timerqueue"
 	"wheatlane/internal/invariant"
 )
@@ -30,7 +31,7 @@
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
 	clientWaits      *clientwait.Estimator
-	endpoints        endpointList
+	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
 	admission        admissionRules
 	shutdown         shutdownState
@@ -54,7 +55,7 @@
 		sessions:    newSessionTable(maxSessions),
 		requests:    newRequestTable(),
 		clientWaits: clientwait.New(),
-		endpoints:   newEndpointList(),
+		endpoints:   endpointlist.New(),
 		probes:      map[uint64]loadProbe{},
 		admission:   newAdmissionRules(settings),
 		hedging:     settings.Limits.Hedging,
@@ -152,7 +153,7 @@
 
 // Ready reports whether the broker can serve: it is not shutting down, and an engine is in service and not in
 // maintenance.
-func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.ready > 0 }
+func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.InServiceCount() > 0 }
 
 func (b *Broker) emit(effect Effect) { b.effects = append(b.effects, effect) }
 
--- a/internal/broker/processstart.go
+++ b/internal/broker/endpointlist/processstart.go
@@ -1,4 +1,4 @@
-package broker
+package endpointlist
 
 import "time"
 
--- a/internal/broker/probes.go
+++ b/internal/broker/probes.go
@@ -16,7 +16,7 @@
 }
 
 func (b *Broker) probeLoad(now time.Duration, engine string) {
-	endpoint, listed := b.endpoints.byID[engine]
+	endpoint, listed := b.endpoints.Endpoint(engine)
 	if !listed {
 		b.batch.add(control.ProbeResult{Engine: engine, Status: control.ConnectFailed})
 		return
