--- a/control/admission.go
+++ b/control/admission.go
@@ -1,19 +1,15 @@
 package control
 
 import (
-	"math"
 	"time"
+
+	"wheatlane/control/admission"
+	"wheatlane/control/units"
 )
 
-// Tuned values of admission and load shedding.
 const (
-	highAbandonRate     = 0.5      // share of clients leaving early at which the others are expected to
-	deadlineBatches     = 2        // batch intervals before its deadline at which a request is answered
-	minAdmissionPrice   = 1.0 / 16 // rejects no request under 16 times the mean work
-	admissionPriceRise  = 1.3      // growth of the price with each request that finds no capacity
-	admissionPriceFall  = 0.95     // part of the price left after an interval
-	maxRejectRetryAfter = time.Second
-	minRejectRetryAfter = 300 * time.Millisecond
+	highAbandonRate = 0.5 // share of clients leaving early at which the others are expected to
+	answerBatches   = 2   // batch intervals before its deadline at which a request is answered
 )
 
 // requestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
@@ -28,24 +24,28 @@
 	}
 	k, tenantIndex := c.workload.classes[classIndex], c.workload.tenantIndex(in.Tenant)
 	r := newRequest(in, k, classIndex, tenantIndex, c.now)
-	objective := k.LatencyObjective + seconds(k.ObjectivePerWork*r.expectedWork/float64(k.Threads))
-	r.objectiveAt = min(in.Deadline, c.now+objective)
-	if k.abandonRate > highAbandonRate {
-		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
-	}
 	c.workload.countArrival(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
-	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
+	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
 	c.requests.add(r)
 	c.enqueue(r, nil)
 }
 
+// objectiveEnd is when the latency objective of a request that is received now ends.
+func (k *class) objectiveEnd(now time.Duration, in Request, work float64) time.Duration {
+	end := now + k.LatencyObjective + seconds(k.ObjectivePerWork*work/float64(k.Threads))
+	if k.abandonRate > highAbandonRate {
+		end = min(end, now+seconds(k.abandonAfter))
+	}
+	return min(in.Deadline, end)
+}
+
 // enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
 // engine to avoid is taken only if there is no other.
 func (c *Controller) enqueue(r *request, avoid *engine) {
 	r.avoid = avoid
-	if len(r.attempts) > 0 && !r.hasAttemptInFlight() && c.attemptsExhausted(r) {
+	if c.attemptsExhausted(r) {
 		c.rejectOrFail(r)
 		return
 	}
@@ -59,18 +59,51 @@
 	switch {
 	case e == nil:
 		c.requests.waitForEngine(r)
-	case len(r.attempts) == 0 && c.belowAdmissionPrice(r):
-		c.rejectOrFail(r)
-	case len(r.attempts) == 0 && c.cannotMeetObjective(r, e):
-		c.admission.raise()
+	case len(r.attempts) == 0 && c.shed(r, e):
 		c.rejectOrFail(r)
 	default:
 		c.enqueueOn(e, r)
 	}
 }
 
-// rejectOrFail ends a request whose time is up or that nothing can help: rejected where trying again is
-// harmless, else failed.
+// shed reports whether a request is not worth a first attempt at an engine. The price rises with each request
+// that finds no capacity.
+func (c *Controller) shed(r *request, e *engine) bool {
+	if c.exceedsPrice(r) {
+		return true
+	}
+	if c.withinConcurrencyLimit(e, r.classIndex) {
+		return false
+	}
+	if !admission.CannotMeetObjective(c.backlog(r, e).Wait(), c.likelyServiceTime(r, e), r.objectiveAt-c.now) {
+		return false
+	}
+	c.price.Raise()
+	return true
+}
+
+// exceedsPrice reports whether a request is too much work for its priority weight. There is a price where
+// engines are pooled, unless the weight grows with the work.
+func (c *Controller) exceedsPrice(r *request) bool {
+	return c.endpoints.pool != nil && !c.settings.WeightByWork && c.price.Exceeds(
+		r.class.PriorityWeight, c.workload.lowestWeightPerWork, units.ThreadSeconds(r.expectedWork))
+}
+
+// backlog is the work that waits at an engine ahead of a request.
+func (c *Controller) backlog(r *request, e *engine) admission.Backlog {
+	return admission.Backlog{
+		All:         units.ThreadSeconds(e.queue.Work()),
+		Class:       units.ThreadSeconds(e.queue.ClassWork(r.classIndex)),
+		Tenant:      units.ThreadSeconds(e.queue.TenantWork(r.classIndex, r.tenantIndex)),
+		ClassShare:  units.Fraction(c.shares.weights[r.classIndex]),
+		TenantShare: units.Fraction(c.workload.tenants[r.tenantIndex].Share),
+		Threads:     e.limit,
+		Slowdown:    units.LogRatio(c.estimatedSlowdown(e)),
+	}
+}
+
+// rejectOrFail ends a request whose time is up or that nothing can help: rejected where a retry by its client
+// is harmless, else failed.
 func (c *Controller) rejectOrFail(r *request) {
 	if r.closed || r.responseStarted {
 		return
@@ -78,7 +111,7 @@
 	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		reject := Reject{RequestID: r.ID}
 		if c.settings.Limits.RetryAfter {
-			reject.RetryAfter = c.retryAfter()
+			reject.RetryAfter = admission.RetryAfter(c.settings.Limits.MaxRetryAfter, c.rng.Float64())
 		}
 		c.emit(reject)
 	} else {
@@ -86,38 +119,3 @@
 	}
 	c.closeRequest(r)
 }
-
-// retryAfter is when a rejected client is asked to come back: spread evenly up to the longest wait that
-// clients follow, as what a fleet rejects at once must not come back at once.
-func (c *Controller) retryAfter() time.Duration {
-	longest := min(c.settings.Limits.MaxRetryAfter, maxRejectRetryAfter)
-	shortest := min(minRejectRetryAfter, longest/2)
-	return shortest + time.Duration(c.rng.Float64()*float64(longest-shortest))
-}
-
-// cannotMeetObjective says whether a request that has to wait for the limit cannot meet its latency
-// objective: rejected early it costs nothing. Its class waits for its own share, and its tenant within that.
-func (c *Controller) cannotMeetObjective(r *request, e *engine) bool {
-	if c.withinConcurrencyLimit(e, r.classIndex) {
-		return false
-	}
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
-	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
-		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
-	wait := seconds(ahead / e.limit * math.Exp(c.estimatedSlowdown(e)))
-	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
-}
-
-// admissionPrice is the least priority weight per thread-second of an admitted request, as a multiple of that
-// of the class with the least. It rises while requests find no capacity.
-type admissionPrice struct{ price float64 }
-
-func (p *admissionPrice) raise() { p.price = min(1, p.price*admissionPriceRise) }
-func (p *admissionPrice) decay() { p.price = max(minAdmissionPrice, p.price*admissionPriceFall) }
-
-// belowAdmissionPrice says whether a request is too much work for its priority weight while the pool is short
-// of capacity: without it a few very heavy requests keep out many light ones of the same weight.
-func (c *Controller) belowAdmissionPrice(r *request) bool {
-	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
-		r.class.PriorityWeight < c.admission.price*c.workload.lowestWeightPerWork*r.expectedWork
-}
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"wheatlane/control/admission"
 )
 
 func TestPressureRejectsWhatCannotMeetItsObjective(t *testing.T) {
@@ -132,45 +134,19 @@
 				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
 			}
 			heaviest := &request{class: r.controller.workload.classes[0], expectedWork: 1e6}
-			if byWork && r.controller.belowAdmissionPrice(heaviest) {
-				t.Error("where the weight grows with the work, a request was below the admission price")
+			if byWork && r.controller.exceedsPrice(heaviest) {
+				t.Error("where the weight grows with the work, a request exceeded the admission price")
 			}
-			highest := r.controller.admission.price
+			highest := r.controller.price
 			r.advance(100 * controlInterval)
-			requireEqual(t, "price with headroom", r.controller.admission.price, minAdmissionPrice)
-			if highest <= minAdmissionPrice {
+			requireEqual(t, "price with headroom", r.controller.price, admission.NewPrice())
+			if highest == admission.NewPrice() {
 				t.Errorf("the price never rose: %v", highest)
 			}
 		})
 	}
 }
 
-// Rejected clients are given times of return that are spread over the allowed range: those that a fleet
-// rejects at one moment would return at one moment. Seen: 71 in 100 were given the maximum of 500 ms.
-func TestRetryAfterIsSpread(t *testing.T) {
-	for _, maxRetryAfter := range []time.Duration{500 * ms, 2 * time.Second, 100 * ms} {
-		t.Run(maxRetryAfter.String(), func(t *testing.T) {
-			s := baseSettings()
-			s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, maxRetryAfter
-			r := newRig(t, s, readyEngine("e1"))
-			limit := min(maxRetryAfter, time.Second)
-			nearLimit := 0
-			for range 1000 {
-				retryAfter := r.controller.retryAfter()
-				if retryAfter < min(300*ms, limit/2) || retryAfter > limit {
-					t.Fatalf("%v where clients follow up to %v", retryAfter, maxRetryAfter)
-				}
-				if limit-retryAfter < limit/50 {
-					nearLimit++
-				}
-			}
-			if nearLimit > 50 {
-				t.Fatalf("%d of 1000 are within 2%% of %v", nearLimit, limit)
-			}
-		})
-	}
-}
-
 // Clients that disconnect before their deadline teach how long they wait: what cannot be done by then is not
 // begun under pressure, and is urgent. Clients that stay make it forget.
 func TestClientPatienceIsLearned(t *testing.T) {
@@ -211,3 +187,21 @@
 		t.Fatalf("objective in %v, want it as set: clients stay", got)
 	}
 }
+
+// Where clients follow a time to retry after, each rejection gives one, within what the settings allow.
+func TestRejectionGivesATimeToRetryAfter(t *testing.T) {
+	for name, retryAfter := range map[string]bool{"where clients follow it": true, "where they don't": false} {
+		t.Run(name, func(t *testing.T) {
+			s := baseSettings()
+			s.Limits.RetryAfter, s.Limits.MaxRetryAfter = retryAfter, 500*ms
+			r := newRig(t, s) // without an engine
+			r.submit("quick")
+			rejected := actionsOf[Reject](r.advance(5 * time.Second))
+			requireEqual(t, "rejections", len(rejected), 1)
+			got := rejected[0].RetryAfter
+			if retryAfter && (got < 250*ms || got > 500*ms) || !retryAfter && got != 0 {
+				t.Errorf("retry after %v", got)
+			}
+		})
+	}
+}
--- a/control/controller.go
+++ b/control/controller.go
@@ -14,6 +14,7 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/admission"
 	"wheatlane/control/retrybudget"
 )
 
@@ -35,7 +36,7 @@
 	workload     workload
 	estimates    fleetEstimates
 	retries      retrybudget.Budget
-	admission    admissionPrice
+	price        admission.Price
 	shares       classShares
 	gossip       gossipSchedule
 }
@@ -57,7 +58,7 @@
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
 		endpoints: newEndpointSet(), workload: newWorkload(settings),
-		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
+		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
 	}
 	c.shares = newClassShares(len(c.workload.classes))
 	if c.poolsEngines() {
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -1,5 +1,7 @@
 package control
 
+import "wheatlane/control/admission"
+
 // Tuned values of dispatch under the concurrency limit.
 const (
 	pressureSlowdown = 0.45 // log of slowdown that is pressure
@@ -16,9 +18,9 @@
 		if !ok {
 			return
 		}
-		tooLate := c.now+c.likelyServiceTime(r, e) > r.objectiveAt
+		tooLate := admission.CannotMeetObjective(0, c.likelyServiceTime(r, e), r.objectiveAt-c.now)
 		if tooLate && len(r.attempts) == 0 && c.underPressure(e) {
-			c.admission.raise()
+			c.price.Raise()
 			c.rejectOrFail(r)
 			continue
 		}
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -1,65 +1,62 @@
 package control
 
 import (
-	"slices"
-	"time"
-
+	"wheatlane/control/eligibility"
 	"wheatlane/control/idempotency"
 )
 
-// mayAttempt says whether an attempt of a request may go to an engine now. Every send passes it; it holds the
-// seven rules of the deployment, in their order.
+// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes it.
 func (c *Controller) mayAttempt(r *request, e *engine) bool {
-	return !r.closed && !r.responseStarted && c.now < r.Deadline &&
-		len(r.attempts) < c.settings.Limits.MaxAttempts &&
-		c.cannotRunTwice(r, e) &&
-		e.listed && e.State == Ready && // stricter than the drain's grace period
-		(!c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class)) &&
-		r.isTurnOfKey(c.now) &&
-		isPlacementAllowed(r.class, e) &&
-		(len(r.attempts) == 0 || c.retries.Allows(c.now))
-}
-
-// cannotRunTwice reports whether an attempt at an engine leaves the request's effect happening once at most.
-func (c *Controller) cannotRunTwice(r *request, e *engine) bool {
-	at := idempotency.Location{Zone: e.Zone, Cell: e.Cell}
-	for _, a := range r.attempts {
-		if a.inFlight && !c.settings.Limits.Hedging {
-			return false
-		}
-		if !r.class.Idempotency.AllowsRetry(c.earlierAttempt(a), at) {
-			return false
-		}
-	}
-	return true
+	request := c.eligibilityOf(r)
+	return eligibility.Check(&request, eligibility.Engine{
+		Ready:           e.listed && e.State == Ready, // stricter than the drain's grace period
+		Location:        e.location(),
+		Kind:            e.Kind,
+		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
+	}) == eligibility.Eligible
 }
 
-// earlierAttempt is an attempt as it will stand when the next one leaves the broker, at the latest.
-func (c *Controller) earlierAttempt(a *attempt) idempotency.Attempt {
-	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
-	return idempotency.Attempt{
-		Location: idempotency.Location{Zone: a.engine.Zone, Cell: a.engine.Cell},
-		Age:      latestSend - a.sentAt, MayHaveRun: a.mayHaveRun,
+// eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
+func (c *Controller) eligibilityOf(r *request) eligibility.Request {
+	return eligibility.Request{
+		Closed:          r.closed,
+		ResponseStarted: r.responseStarted,
+		TimeLeft:        r.Deadline - c.now,
+		MaxAttempts:     c.settings.Limits.MaxAttempts,
+		Attempts:        c.earlierAttempts(r),
+		AttemptInFlight: r.hasAttemptInFlight(),
+		HedgingAllowed:  c.settings.Limits.Hedging,
+		Idempotency:     r.class.Idempotency,
+		TurnOfOrderKey:  r.keyQueue == nil || r.keyQueue.IsTurn(r, len(r.attempts) > 0, c.now),
+		AllowedZones:    r.class.AllowedZones,
+		AllowedKinds:    r.class.AllowedKinds,
+		WithinBudget:    len(r.attempts) == 0 || c.retries.Allows(c.now),
 	}
 }
 
-// retryForbidden reports whether an attempt allows no other one of its request, at whichever engine.
-func (c *Controller) retryForbidden(a *attempt) bool {
-	return a.request.class.Idempotency.ForbidsRetry(c.earlierAttempt(a))
-}
-
-// attemptsExhausted says whether a request can have no further attempt, whatever becomes of the engines.
+// attemptsExhausted reports whether a request that was attempted waits for an answer that no attempt can give.
 func (c *Controller) attemptsExhausted(r *request) bool {
-	return len(r.attempts) >= c.settings.Limits.MaxAttempts ||
-		slices.ContainsFunc(r.attempts, c.retryForbidden)
+	if len(r.attempts) == 0 || r.hasAttemptInFlight() {
+		return false
+	}
+	request := c.eligibilityOf(r)
+	return request.Exhausted()
 }
 
-// isTurnOfKey reports whether a request is not ordered or the first of its key, past the key's cooldown.
-func (r *request) isTurnOfKey(now time.Duration) bool {
-	return r.keyQueue == nil || r.keyQueue.IsTurn(r, len(r.attempts) > 0, now)
+// earlierAttempts are a request's attempts as they will stand when the next one leaves the broker, at the
+// latest.
+func (c *Controller) earlierAttempts(r *request) []idempotency.Attempt {
+	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
+	earlier := make([]idempotency.Attempt, 0, len(r.attempts))
+	for _, a := range r.attempts {
+		earlier = append(earlier, idempotency.Attempt{
+			Location: a.engine.location(), Age: latestSend - a.sentAt, MayHaveRun: a.mayHaveRun,
+		})
+	}
+	return earlier
 }
 
-func isPlacementAllowed(k *class, e *engine) bool {
-	return (len(k.AllowedZones) == 0 || slices.Contains(k.AllowedZones, e.Zone)) &&
-		(len(k.AllowedKinds) == 0 || slices.Contains(k.AllowedKinds, e.Kind))
+// location is where the engine stands among the scopes of duplicate detection.
+func (e *engine) location() idempotency.Location {
+	return idempotency.Location{Zone: e.Zone, Cell: e.Cell}
 }
--- /dev/null
+++ b/control/eligibility/eligibility_test.go
@@ -0,0 +1,89 @@
+package eligibility
+
+import (
+	"testing"
+	"time"
+
+	"wheatlane/control/idempotency"
+)
+
+// eligibleRetry is a retry that passes all rules.
+func eligibleRetry() (Request, Engine) {
+	request := Request{
+		TimeLeft: time.Second, MaxAttempts: 2, TurnOfOrderKey: true, WithinBudget: true,
+		Attempts:     []idempotency.Attempt{{MayHaveRun: true}},
+		AllowedZones: []string{"a"}, AllowedKinds: []string{"std"},
+	}
+	engine := Engine{
+		Ready: true, Location: idempotency.Location{Zone: "a"}, Kind: "std", SlowStartBudget: true,
+	}
+	return request, engine
+}
+
+func TestEachRuleIsChecked(t *testing.T) {
+	t.Parallel()
+	for want, violate := range map[Reason]func(*Request, *Engine){
+		Eligible:           func(*Request, *Engine) {},
+		RequestClosed:      func(r *Request, _ *Engine) { r.Closed = true },
+		ResponseStarted:    func(r *Request, _ *Engine) { r.ResponseStarted = true },
+		DeadlinePassed:     func(r *Request, _ *Engine) { r.TimeLeft = 0 },
+		MaxAttempts:        func(r *Request, _ *Engine) { r.MaxAttempts = 1 },
+		AttemptInFlight:    func(r *Request, _ *Engine) { r.AttemptInFlight = true },
+		DuplicateEffect:    func(r *Request, _ *Engine) { r.Idempotency.Kind = idempotency.NonIdempotent },
+		EngineNotReady:     func(_ *Request, e *Engine) { e.Ready = false },
+		SlowStartBudget:    func(_ *Request, e *Engine) { e.SlowStartBudget = false },
+		OrderKeyBusy:       func(r *Request, _ *Engine) { r.TurnOfOrderKey = false },
+		PlacementForbidden: func(r *Request, _ *Engine) { r.AllowedZones = []string{"b"} },
+		RetryBudget:        func(r *Request, _ *Engine) { r.WithinBudget = false },
+	} {
+		t.Run(want.String(), func(t *testing.T) {
+			t.Parallel()
+			request, engine := eligibleRetry()
+			violate(&request, &engine)
+			if got := Check(&request, engine); got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
+	}
+	t.Run("kind", func(t *testing.T) {
+		t.Parallel()
+		request, engine := eligibleRetry()
+		engine.Kind = "big"
+		if got := Check(&request, engine); got != PlacementForbidden {
+			t.Errorf("got %q, want %q", got, PlacementForbidden)
+		}
+	})
+	t.Run("hedging", func(t *testing.T) {
+		t.Parallel()
+		request, engine := eligibleRetry()
+		request.AttemptInFlight, request.HedgingAllowed = true, true
+		if got := Check(&request, engine); got != Eligible {
+			t.Errorf("got %q where hedging is allowed", got)
+		}
+	})
+	t.Run("any zone and kind", func(t *testing.T) {
+		t.Parallel()
+		request, engine := eligibleRetry()
+		request.AllowedZones, request.AllowedKinds = nil, nil
+		engine.Location.Zone, engine.Kind = "b", "big"
+		if got := Check(&request, engine); got != Eligible {
+			t.Errorf("got %q where every engine is allowed", got)
+		}
+	})
+}
+
+func TestExhausted(t *testing.T) {
+	t.Parallel()
+	request, _ := eligibleRetry()
+	if request.Exhausted() {
+		t.Error("exhausted with an attempt left")
+	}
+	request.Idempotency.Kind = idempotency.NonIdempotent
+	if !request.Exhausted() {
+		t.Error("not exhausted, though its only attempt may have run and it is not idempotent")
+	}
+	request.Idempotency.Kind, request.MaxAttempts = idempotency.Idempotent, 1
+	if !request.Exhausted() {
+		t.Error("not exhausted, though it has had all its attempts")
+	}
+}
--- a/control/regulators.go
+++ b/control/regulators.go
@@ -40,7 +40,7 @@
 	if answered > 0 && steady {
 		c.moveShares(answered)
 	}
-	c.admission.decay()
+	c.price.Decay()
 	c.moveLimits(steady)
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -35,6 +35,7 @@
 	if in.EstimatedWork > 0 {
 		r.expectedWork = in.EstimatedWork.Seconds() * k.workBias
 	}
+	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
 	return r
 }
 
