--- a/control/admission.go
+++ b/control/admission.go
@@ -95,9 +95,9 @@
 		All:         units.ThreadSeconds(e.queue.Work()),
 		Class:       units.ThreadSeconds(e.queue.ClassWork(r.classIndex)),
 		Tenant:      units.ThreadSeconds(e.queue.TenantWork(r.classIndex, r.tenantIndex)),
-		ClassShare:  units.Fraction(c.shares.weights[r.classIndex]),
+		ClassShare:  c.shares.Share(r.classIndex),
 		TenantShare: units.Fraction(c.workload.tenants[r.tenantIndex].Share),
-		Threads:     e.limit,
+		Threads:     e.concurrency.Limit(),
 		Slowdown:    units.LogRatio(c.estimatedSlowdown(e)),
 	}
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -46,7 +46,7 @@
 	}
 	r.attempts = append(r.attempts, a)
 	e.addAttempt(a)
-	e.addThreads(r.class.Threads)
+	e.acquireThreads(r.class.Threads)
 	return a
 }
 
@@ -169,7 +169,7 @@
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
 func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
 	e.queue.Pop(r.classIndex, r.tenantIndex, classShare, tenantShare)
 	r.queuedOn = nil
 }
@@ -195,6 +195,6 @@
 func (c *Controller) releaseThreads(a *attempt) {
 	if !a.released {
 		a.released = true
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
--- a/control/view.go
+++ b/control/view.go
@@ -34,7 +34,7 @@
 		}
 		view := EngineView{
 			ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.ejected,
-			ConcurrencyLimit: e.queueOwner.limit, ThreadsInFlight: e.threadsInFlight,
+			ConcurrencyLimit: e.queueOwner.concurrency.Limit(), ThreadsInFlight: e.concurrency.InFlight(),
 			Queued: e.queueOwner.queue.Len(),
 		}
 		if pool != nil && pool.cores > 0 {
@@ -43,6 +43,6 @@
 		v.Engines = append(v.Engines, view)
 	}
 	for i, k := range c.workload.classes {
-		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: c.shares.weights[i]})
+		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: float64(c.shares.Share(i))})
 	}
 }
