--- a/control/admission.go
+++ b/control/admission.go
@@ -98,7 +98,7 @@
 		ClassShare:  c.shares.Share(r.classIndex),
 		TenantShare: units.Fraction(c.workload.tenants[r.tenantIndex].Share),
 		Threads:     e.concurrency.Limit(),
-		Slowdown:    units.LogRatio(c.estimatedSlowdown(e)),
+		Slowdown:    c.estimatedSlowdown(e),
 	}
 }
 
