--- a/control/interval.go
+++ b/control/interval.go
@@ -23,7 +23,7 @@
 		c.updateTrafficShare(share)
 	}
 	c.shares.CloseInterval(c.workload.measureClasses(elapsed), regular)
-	c.admission.decay()
+	c.price.Decay()
 	c.moveLimits(regular)
 }
 
