--- a/control/attempts.go
+++ b/control/attempts.go
@@ -80,7 +80,7 @@
 	if end.Status == OK {
 		c.learnFromAnswer(a, end)
 		if r.class.BlockedByDataSetLock {
-			e.releaseDataSet(r.DataSet)
+			e.dataSetLocks.Release(r.DataSet)
 		}
 	}
 	if end.RequestClosed && !r.closed {
--- a/control/controller.go
+++ b/control/controller.go
@@ -18,6 +18,7 @@
 	"wheatlane/control/gossip"
 	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
+	"wheatlane/control/selection"
 	"wheatlane/control/shares"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
@@ -40,6 +41,7 @@
 	slowStart     slowstart.Policy
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
+	selection     selection.Config
 	subscription  subscription
 	workload      workload
 	retries       retrybudget.Budget
@@ -71,6 +73,7 @@
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
+		selection: selection.DefaultConfig(),
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
@@ -78,7 +81,7 @@
 		pressure: concurrency.DefaultPressureConfig(),
 	}
 	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
-	if c.poolsEngines() {
+	if poolsEngines(settings, c.workload.maxThreads) {
 		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -25,7 +25,7 @@
 			if !c.probeCandidates(r) {
 				c.dispatchToBestCandidate(r)
 			}
-		case c.mayAttempt(r, e) && !e.atCapacity(c.now):
+		case c.mayAttempt(r, e) && !e.health.AtCapacity(c.now):
 			c.sendAttempt(r, e)
 		default:
 			c.requests.waitForEngine(r)
@@ -54,7 +54,7 @@
 func (c *Controller) underPressure(e *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
 	return c.pressure.UnderPressure(concurrency.Signals{
-		AtCapacity:    e.atCapacity(c.now),
+		AtCapacity:    e.health.AtCapacity(c.now),
 		OverdueRatio:  e.slowdown.OverdueRatio(),
 		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
 		Load:          float64(e.load.Load()),
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"strings"
+
+	"wheatlane/control/concurrency"
 )
 
 // endpointSet is the set of engines that the endpoint list names, and those that still have something in
@@ -17,6 +19,17 @@
 	majorityFaulty bool // most of them are ejected
 }
 
+// poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's share
+// of an engine's limit is less than a request. One request of each broker would exceed the limits then, and
+// answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
+func poolsEngines(settings Settings, maxThreads float64) bool {
+	cores := 0.0
+	for _, kind := range settings.EngineKinds {
+		cores = max(cores, kind.Cores)
+	}
+	return concurrency.MaxThreadsPerCore*cores < maxThreads*float64(settings.Brokers)
+}
+
 func newEndpointSet() endpointSet {
 	return endpointSet{byID: map[string]*engine{}, inMaintenance: map[string]bool{}}
 }
--- a/control/engine.go
+++ b/control/engine.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/datasetlock"
 	"wheatlane/control/loadreport"
 	"wheatlane/control/outlier"
 	"wheatlane/control/slowdown"
@@ -34,32 +35,19 @@
 	slowdown slowdown.Engine
 
 	load            loadreport.Estimate
-	dataSetLocks    []dataSetLock // that requests of other brokers seem to hold
+	dataSetLocks    datasetlock.Locks // of other brokers' requests
 	sentInSlowStart slowstart.SendLog
 }
 
-// dataSetLock is a data set that another broker's request seems to have locked, and until when that is
-// believed.
-type dataSetLock struct {
-	dataSet   int
-	expiresAt time.Duration
-}
-
-// idHashSize keeps the hash of an ID small enough for products with a data set's number.
-const idHashSize = 1000003
-
 func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
 	e := &engine{
-		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID),
+		Engine: Engine{ID: in.ID}, idHash: datasetlock.HashEngine(in.ID), gossipID: EngineHash(in.ID),
 		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, health: outlier.NewHealth(c.now),
 		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
 	}
 	if e.memoryMB <= 0 { // not known, so it bounds nothing
 		e.memoryMB = math.Inf(1)
 	}
-	for _, b := range in.ID {
-		e.idHash = (e.idHash*31 + int(b)) % idHashSize
-	}
 	e.queueOwner = e
 	e.concurrency = concurrency.New(concurrency.DefaultConfig(), e.cores, units.Fraction(c.workload.trafficShare))
 	return e
@@ -73,7 +61,7 @@
 	return pool
 }
 
-// pooled says whether it shares its queue and concurrency limit with other engines.
+// pooled reports whether it shares its queue and concurrency limit with other engines.
 func (e *engine) pooled() bool { return e.queueOwner != e }
 
 // acquireThreads counts threads as in flight here and where the concurrency limit is.
@@ -122,38 +110,16 @@
 	return threads
 }
 
-// atCapacity reports whether it did not admit an attempt lately.
-func (e *engine) atCapacity(now time.Duration) bool { return e.health.AtCapacity(now) }
-
 // loadKnown reports whether it takes requests and its load is known.
 func (e *engine) loadKnown(now time.Duration) bool {
 	return e.listed && e.State == Ready && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
-// dataSetRank is the rank, from 0 to 1, of the engine among all for a data set: by hash, so that every broker
-// finds the same.
-func (e *engine) dataSetRank(dataSet int) float64 {
-	const (
-		knuth = 2654435761 // multiplicative hashing (Knuth): spreads neighbours over all values
-		bits  = 16
-	)
-	return float64(uint32(e.idHash*31+dataSet)*knuth>>bits) / (1 << bits)
-}
-
-// dataSetLocked says whether a data set is locked here: by a request of this broker's, or as others seem to
-// hold it.
+// dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by one
+// of another broker.
 func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
-	expired := func(l dataSetLock) bool { return l.expiresAt <= now }
-	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, expired)
-	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
 	locks := func(a *attempt) bool {
 		return a.request.class.HoldsDataSetLock && a.request.DataSet == dataSet
 	}
-	return slices.ContainsFunc(e.dataSetLocks, isOf) || slices.ContainsFunc(e.attempts, locks)
-}
-
-// releaseDataSet drops the belief that a data set is locked, as a request that the lock blocks was answered.
-func (e *engine) releaseDataSet(dataSet int) {
-	isOf := func(l dataSetLock) bool { return l.dataSet == dataSet }
-	e.dataSetLocks = slices.DeleteFunc(e.dataSetLocks, isOf)
+	return e.dataSetLocks.Locked(dataSet, now) || slices.ContainsFunc(e.attempts, locks)
 }
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -86,8 +86,7 @@
 // requests that the lock would block go elsewhere, and it is tried elsewhere while there is time.
 func (c *Controller) blockedByLock(a *attempt) {
 	c.releaseThreads(a)
-	lock := dataSetLock{a.request.DataSet, c.now + seconds(c.workload.longestLock)}
-	a.engine.dataSetLocks = append(a.engine.dataSetLocks, lock)
+	a.engine.dataSetLocks.Presume(a.request.DataSet, c.now+seconds(c.workload.longestLock))
 	c.hedgeOrCancel(a)
 }
 
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -5,20 +5,6 @@
 	"wheatlane/control/loadreport"
 )
 
-// probeLoad asks an engine for its load.
-func (c *Controller) probeLoad(e *engine) {
-	e.load.Probed(c.now)
-	c.emit(ProbeLoad{e.ID})
-}
-
-// probeEnded takes the answer to a load probe.
-func (c *Controller) probeEnded(result ProbeResult) {
-	if e := c.endpoints.byID[result.Engine]; e != nil && result.Status == OK {
-		e.health.Responded(c.now)
-		c.loadReported(e, result.Report)
-	}
-}
-
 // loadReported takes a load report of an engine. Without gossip, the pool's load is learned from it as well.
 func (c *Controller) loadReported(e *engine, report loadreport.Report) {
 	if !report.Reported {
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -102,7 +102,7 @@
 	for i, a := range probes {
 		r.handle(ProbeResult{Engine: a.Engine, Report: utilization(0.8 - 0.2*units.Fraction(i))})
 	}
-	sent := actionsOf[SendAttempt](r.advance(probeWaitBatches*5*ms + 5*ms))
+	sent := actionsOf[SendAttempt](r.advance(4*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
 		t.Fatalf("probed %v, sent %v", probes, sent)
 	}
