--- a/internal/server/gossiptransport/transport.go
+++ b/internal/server/gossiptransport/transport.go
@@ -31,7 +31,7 @@
 // Receiver is notified of load reports.
 type Receiver interface {
 	// GossipReceived passes on the reports of another broker. It may wait, until ctx ends.
-	GossipReceived(ctx context.Context, broker int, reports []control.LoadReport)
+	GossipReceived(ctx context.Context, broker int, reports []control.GossipedLoad)
 }
 
 // Transport sends and receives datagrams on one socket.
@@ -70,7 +70,7 @@
 
 // Send sends one datagram to a broker. One that can't be sent is dropped: the next one holds younger reports. It must
 // not be called by two goroutines at once.
-func (t *Transport) Send(broker int, reports []control.LoadReport) {
+func (t *Transport) Send(broker int, reports []control.GossipedLoad) {
 	if broker < 0 || broker >= len(t.brokers) {
 		return
 	}
@@ -105,7 +105,7 @@
 
 // parse returns the reports of a datagram and the broker that sent it. It returns false if the sender is no broker of
 // the fleet, or if the datagram is malformed.
-func (t *Transport) parse(datagram []byte, from netip.AddrPort) (broker int, reports []control.LoadReport, ok bool) {
+func (t *Transport) parse(datagram []byte, from netip.AddrPort) (broker int, reports []control.GossipedLoad, ok bool) {
 	broker, ok = t.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !ok {
 		if !t.loggedUnknownSender {
--- a/internal/server/gossiptransport/transport_test.go
+++ b/internal/server/gossiptransport/transport_test.go
@@ -20,12 +20,12 @@
 // received is what a receiver was notified of.
 type received struct {
 	Broker  int
-	Reports []control.LoadReport
+	Reports []control.GossipedLoad
 }
 
 type receiver chan received
 
-func (r receiver) GossipReceived(_ context.Context, broker int, reports []control.LoadReport) {
+func (r receiver) GossipReceived(_ context.Context, broker int, reports []control.GossipedLoad) {
 	r <- received{broker, reports}
 }
 
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	notified, ended := make(receiver, 10), make(chan error, 1)
 	go func() { ended <- transport.Run(ctx, notified) }()
-	reports := []control.LoadReport{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}
+	reports := []control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}
 	datagram := gossip.Append(nil, reports)
 	for range 2 { // of one socket and in order, ahead of the datagram that counts
 		send(t, second, transport.Addr(), datagram)
@@ -74,8 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report := func(load float64) []control.LoadReport {
-		return []control.LoadReport{{Engine: control.EngineHash("e1"), Load: load}}
+	report := func(load float64) []control.GossipedLoad {
+		return []control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: load}}
 	}
 	transport.Send(-1, report(0.5))
 	transport.Send(1, report(1))
--- a/internal/server/inputs.go
+++ b/internal/server/inputs.go
@@ -12,7 +12,7 @@
 type inputs struct{ server *Server }
 
 // GossipReceived implements gossiptransport.Receiver.
-func (in inputs) GossipReceived(ctx context.Context, number int, reports []control.LoadReport) {
+func (in inputs) GossipReceived(ctx context.Context, number int, reports []control.GossipedLoad) {
 	in.server.post(ctx, func() { in.server.apply(broker.GossipReceived{Broker: number, Reports: reports}) })
 }
 
