--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -128,8 +128,8 @@
 	if a == nil {
 		return
 	}
-	status := endStatus(a, ev.Status)
-	if b.mustSettle(a, status) {
+	status := endStatus(ev.Status, a.cancelStatus, a.result != nil)
+	if mustSettle(status, a.request.OrderKey != "", b.hedging) {
 		end := control.AttemptEnded{Status: status, Report: ev.Report}
 		b.timers.Set(now+settleDelay, attemptSettled{a, end})
 		return
@@ -137,14 +137,15 @@
 	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
 }
 
-// endStatus is the status for the decision module of an attempt whose end was reported with another one.
-func endStatus(a *attempt, reported control.Status) control.Status {
+// endStatus is the status for the decision module of an attempt whose end was reported with another one. It is that
+// of its cancel if it was cancelled (control.OK: it was not). Once a page of its result was received, the attempt has
+// run: BUSY or VOID for a further page proves nothing else.
+func endStatus(reported, cancelStatus control.Status, pageReceived bool) control.Status {
 	status := reported
-	if status == control.Cancelled && a.cancelled() {
-		status = a.cancelStatus
+	if status == control.Cancelled && cancelStatus != control.OK {
+		status = cancelStatus
 	}
-	if a.result != nil && !isCancel(status) {
-		// A BUSY or VOID for a page is no proof that the query never ran.
+	if pageReceived && !isCancel(status) {
 		status = control.Failed
 	}
 	return status
@@ -154,15 +155,15 @@
 	return status == control.Cancelled || status == control.TimedOut
 }
 
-// mustSettle reports whether an attempt that has ended counts as in flight for another settleDelay. Its
-// cancel was sent, or its connection ended, but its engine may not know that yet: the next request of its
-// order key, or the next attempt where hedging is forbidden, could reach another engine earlier.
-func (b *Broker) mustSettle(a *attempt, status control.Status) bool {
+// mustSettle reports whether an attempt that has ended counts as in flight for another settleDelay. Its cancel was
+// sent, or its connection ended, but its engine may not know that yet: the next request of its order key, or the next
+// attempt where hedging is forbidden, could reach another engine earlier.
+func mustSettle(status control.Status, ordered, hedging bool) bool {
 	switch {
 	case isCancel(status):
-		return a.request.OrderKey != "" || !b.hedging
+		return ordered || !hedging
 	case status == control.ConnectionReset:
-		return !b.hedging
+		return !hedging
 	}
 	return false
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -33,7 +33,7 @@
 	clientWaits      *clientwait.Estimator
 	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
-	admission        admissionRules
+	validator        *requestValidator
 	shutdown         shutdownState
 
 	lastNow time.Duration // of the last call
@@ -57,7 +57,7 @@
 		clientWaits: clientwait.New(),
 		endpoints:   endpointlist.New(),
 		probes:      map[uint64]loadProbe{},
-		admission:   newAdmissionRules(settings),
+		validator:   newRequestValidator(settings),
 		hedging:     settings.Limits.Hedging,
 	}, nil
 }
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -98,7 +98,7 @@
 
 // summarize fills in all of a summary but the kind of end.
 func (b *Broker) summarize(now time.Duration, r *request) RequestSummary {
-	class := b.admission.classes[r.Class]
+	class := b.validator.classes[r.Class]
 	summary := RequestSummary{
 		Class:     r.Class,
 		Tenant:    r.Tenant,
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -130,7 +130,7 @@
 
 // checkFields returns the class of a request, or the error of a field that can't be used.
 func (b *Broker) checkFields(in Request) (control.Class, error) {
-	class, err := b.admission.check(in)
+	class, err := b.validator.check(in)
 	if err == nil && b.requests.clientIDs[in.RequestID] {
 		// Engines know a request by this id alone, and an answer could pass for another request's.
 		err = errDuplicateRequestID
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant holds the rules of the protocol that a broker checks on itself while it runs. Each guard is
-// given what is known as an attempt starts or is repeated and says which rule would be broken there. The package does no I/O, reads no clock and keeps no state: the caller
-// prevents, counts and logs.
+// Package invariant holds the rules of the protocol that a broker checks on itself while it runs. A guard is given what
+// is known as an attempt starts or is repeated, and returns the rule that would be broken. The package does no I/O,
+// reads no clock and keeps no state: the caller prevents, counts and logs.
 package invariant
 
 import "time"
