--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -155,7 +155,7 @@
 // counted across all brokers from their logs (docs/operators/fleet-at-size.md).
 func (s *Server) logUsage() {
 	s.usageLoggedAt = time.Now()
-	s.usage.EndpointPolls = s.endpointPolls.Load()
+	s.usage.EndpointPolls = s.endpoints.Polls()
 	spent := s.usage.Since(s.loggedUsage)
 	s.loggedUsage = s.usage
 	if spent == (usage.Counters{}) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,6 +20,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/clock"
+	"wheatlane/internal/server/endpointwatch"
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netconn"
@@ -43,15 +44,16 @@
 
 // Server is a running broker.
 type Server struct {
-	cfg      config.Config
-	log      *zap.Logger
-	ctx      context.Context // of Run
-	group    *errgroup.Group // of Run
-	listener net.Listener
-	inbox    chan func()                // functions to call in the loop
-	done     chan struct{}              // closed once Run returns
-	gossip   *gossiptransport.Transport // nil: engines are not shared with other brokers
-	handover *handoverstore.Store       // nil: nothing is handed over
+	cfg       config.Config
+	log       *zap.Logger
+	ctx       context.Context // of Run
+	group     *errgroup.Group // of Run
+	listener  net.Listener
+	inbox     chan func()   // functions to call in the loop
+	done      chan struct{} // closed once Run returns
+	endpoints *endpointwatch.Watcher
+	gossip    *gossiptransport.Transport // nil: engines are not shared with other brokers
+	handover  *handoverstore.Store       // nil: nothing is handed over
 
 	standstill standstillWatch
 
@@ -76,15 +78,12 @@
 	// Used by several goroutines.
 	clientSlots        chan struct{} // one is taken for each client's socket
 	rejectSlots        chan struct{} // one is taken for each socket that is rejected and not closed yet
-	endpointPolls      atomic.Uint64
-	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
-	tcpInfoRefused     atomic.Bool  // the system refused TCP_INFO, which was logged
+	maxClientTimeoutNS atomic.Int64  // the longest client timeout of all classes ever in force
+	tcpInfoRefused     atomic.Bool   // the system refused TCP_INFO, which was logged
 	endCounts          netconn.EndCounts
 
-	mu             sync.Mutex // guards what follows
-	changelogAddr  string
-	leaveChangelog func() // ends the polls at an earlier address
-	readingOut     bool   // the sockets are read for the last time
+	mu         sync.Mutex // guards what follows
+	readingOut bool       // the sockets are read for the last time
 }
 
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
@@ -104,18 +103,18 @@
 	}
 	s := &Server{
 		cfg: cfg, log: log, listener: listener, reducer: reducer, meter: nopMeter{},
-		inbox:          make(chan func(), inboxSize),
-		done:           make(chan struct{}),
-		clients:        map[broker.Session]*client{},
-		lastSession:    broker.Session(cfg.Seed),
-		clientSlots:    make(chan struct{}, maxClients),
-		rejectSlots:    make(chan struct{}, rejectSockets),
-		sweepInterval:  sweepIntervalFor(cfg.Settings.ConnIdleTimeout),
-		changelogAddr:  cfg.Changelog,
-		leaveChangelog: func() {},
+		inbox:         make(chan func(), inboxSize),
+		done:          make(chan struct{}),
+		clients:       map[broker.Session]*client{},
+		lastSession:   broker.Session(cfg.Seed),
+		clientSlots:   make(chan struct{}, maxClients),
+		rejectSlots:   make(chan struct{}, rejectSockets),
+		sweepInterval: sweepIntervalFor(cfg.Settings.ConnIdleTimeout),
 	}
 	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
 	s.pool = newEnginePool(s)
+	s.endpoints = endpointwatch.New(
+		endpointwatch.Config{Addr: cfg.Changelog, Revision: cfg.Known.Revision}, inputs{s})
 	if log.Core().Enabled(zap.DebugLevel) {
 		reducer.SetTracer(s.logTransition)
 	}
@@ -157,7 +156,7 @@
 	s.group, ctx = errgroup.WithContext(ctx)
 	s.ctx = ctx
 	s.group.Go(func() error { return s.accept(ctx) })
-	s.group.Go(func() error { return s.followChangelog(ctx, s.cfg.Known.Revision) })
+	s.group.Go(func() error { return s.endpoints.Run(ctx) })
 	if s.handover != nil {
 		s.group.Go(func() error { return s.handover.Run(ctx, inputs{s}) })
 	}
@@ -179,12 +178,7 @@
 // known page, the classes and the limit of attempts. It logs the keys that differ otherwise, as they need a
 // restart. The caller has checked that the configuration may replace the one in force.
 func (s *Server) Reload(ctx context.Context, cfg config.Config) {
-	s.mu.Lock()
-	if s.changelogAddr != cfg.Changelog {
-		s.changelogAddr = cfg.Changelog
-		s.leaveChangelog()
-	}
-	s.mu.Unlock()
+	s.endpoints.SetAddr(cfg.Changelog)
 	s.post(ctx, func() { s.applySettings(cfg) })
 }
 
