--- a/control/controller.go
+++ b/control/controller.go
@@ -14,7 +14,14 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/admission"
+	"wheatlane/control/concurrency"
+	"wheatlane/control/gossip"
+	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
+	"wheatlane/control/shares"
+	"wheatlane/control/slowdown"
+	"wheatlane/control/slowstart"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -22,22 +29,26 @@
 
 // Controller decides for one broker. It is not safe for concurrent use.
 type Controller struct {
-	settings     Settings
-	rng          *rand.Rand
-	now          time.Duration
-	started      bool
-	actions      []Action // what Handle is about to return
-	timers       timerSet
-	log          logThrottle
-	requests     requestTable
-	endpoints    endpointSet
-	subscription subscription
-	workload     workload
-	estimates    fleetEstimates
-	retries      retrybudget.Budget
-	admission    admissionPrice
-	shares       classShares
-	gossip       gossipSchedule
+	settings      Settings
+	rng           *rand.Rand
+	now           time.Duration
+	started       bool
+	actions       []Action // what Handle is about to return
+	timers        timerSet
+	log           logThrottle
+	requests      requestTable
+	endpoints     endpointSet
+	slowStart     slowstart.Policy
+	outliers      outlier.Detector
+	slowdowns     slowdown.Estimator
+	subscription  subscription
+	workload      workload
+	retries       retrybudget.Budget
+	price         admission.Price
+	shares        shares.Regulator
+	intervalStart time.Duration // of the current control interval
+	pressure      concurrency.PressureConfig
+	gossip        gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -56,12 +67,20 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), workload: newWorkload(settings),
-		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
-	}
-	c.shares = newClassShares(len(c.workload.classes))
+		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()), workload: newWorkload(settings),
+		slowdowns: slowdown.NewEstimator(slowdown.Config{
+			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
+		}),
+		gossip: gossip.NewSchedule(gossip.Config{
+			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
+		}),
+		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
+		pressure: concurrency.DefaultPressureConfig(),
+	}
+	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
 	if c.poolsEngines() {
-		c.endpoints.setPool(c.newEngine(Engine{}, EngineKind{}))
+		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
 }
@@ -83,7 +102,7 @@
 	}
 	if !c.started {
 		c.started = true
-		c.shares.intervalStart = c.now
+		c.intervalStart = c.now
 		c.emit(SetTimer{tickInterval, tickToken})
 	}
 	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
@@ -150,12 +169,12 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
-	c.fadeEvidence()
+	c.decayEvidence()
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
-	if elapsed := c.now - c.shares.intervalStart; elapsed >= controlInterval {
-		c.shares.intervalStart = c.now
+	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
+		c.intervalStart = c.now
 		c.runInterval(elapsed)
 	}
 }
@@ -168,7 +187,7 @@
 	added := 0
 	for _, k := range classes {
 		if c.workload.updateClass(k.withDefaults()) {
-			c.shares.addClass()
+			c.shares.AddClass()
 			added++
 		}
 	}
@@ -176,7 +195,7 @@
 	if added == 0 {
 		return
 	}
-	c.shares.restart()
+	c.shares.Restart()
 	c.workload.updateExtremes()
 	for _, e := range c.endpoints.all {
 		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
 )
 
 // Clients may write commands ahead of the answer to a request. Each is answered, in order: what was read must
@@ -43,11 +44,8 @@
 		requestID := strings.Clone(submit.Request.RequestID)
 		c = s.queueRequest(submit, requestID)
 		if r := submit.Request; r.Timeout > 0 {
-			due := r.SentAt + r.Timeout - answerMarginOf(r, r.SentAt)
-			if submit.WaitingSince > 0 {
-				due = min(due, submit.WaitingSince+r.Timeout)
-			}
-			b.timers.set(max(due, now), queuedRequestDue{s, requestID})
+			due := clientwait.QueuedDeadline(submit.wait())
+			b.timers.Set(max(due, now), queuedRequestDue{s, requestID})
 		}
 	}
 	s.queuedCommands = append(s.queuedCommands, c)
@@ -125,5 +123,5 @@
 		b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
 		b.answer(now, r, r.finalAnswer(endCauseTexts[EndQueuedRequestDue]), EndQueuedRequestDue)
 	}
-	b.timers.set(now+queueDueRetry, queuedRequestDue{s, requestID})
+	b.timers.Set(now+queueDueRetry, queuedRequestDue{s, requestID})
 }
