--- a/control/controller.go
+++ b/control/controller.go
@@ -14,6 +14,7 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/admission"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
 	"wheatlane/control/outlier"
@@ -45,7 +46,7 @@
 	subscription  subscription
 	workload      workload
 	retries       retrybudget.Budget
-	admission     admissionPrice
+	price         admission.Price
 	shares        shares.Regulator
 	intervalStart time.Duration // of the current control interval
 	pressure      concurrency.PressureConfig
@@ -77,7 +78,7 @@
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
-		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
+		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
 		pressure: concurrency.DefaultPressureConfig(),
 	}
 	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -1,6 +1,9 @@
 package control
 
-import "wheatlane/control/concurrency"
+import (
+	"wheatlane/control/admission"
+	"wheatlane/control/concurrency"
+)
 
 // dispatch sends waiting requests in start-tag order while the concurrency limit allows it.
 func (c *Controller) dispatch(e *engine) {
@@ -9,9 +12,9 @@
 		if !ok {
 			return
 		}
-		tooLate := c.now+c.likelyServiceTime(r, e) > r.objectiveAt
+		tooLate := admission.CannotMeetObjective(0, c.likelyServiceTime(r, e), r.objectiveAt-c.now)
 		if tooLate && len(r.attempts) == 0 && c.underPressure(e) {
-			c.admission.raise()
+			c.price.Raise()
 			c.rejectOrFail(r)
 			continue
 		}
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -1,5 +1,5 @@
-// Package selection chooses an engine for a request: by a score, with a tie-break that spreads the requests of
-// brokers that know the same.
+// Package selection chooses an engine for a request: by a score, with a tie-break that spreads the requests
+// of brokers that know the same.
 package selection
 
 import (
@@ -18,11 +18,11 @@
 	FailurePenalty     Score // at a failure or loss rate of 1
 	SlowdownPenalty    Score // for each unit of the logarithm of slowdown
 	DataSetLockPenalty Score // where a lock would block the request: it is late for sure
-	DataSetRankPenalty Score // at the far end of the ranks, for holders of locks and those blocked by them
+	DataSetRankPenalty Score // at the far end of the ranks, for requests that locks concern
 	CrossZonePenalty   Score
 	HalfOpenBonus      Score         // of a half-open probe that is due: it comes before everything
 	Jitter             Score         // largest difference that a plain tie-break makes
-	NoiseScale         Score         // difference of scores that makes a factor e in the chance to be chosen
+	NoiseScale         Score         // difference of scores that makes a factor e in chances
 	Choices            int           // engines that are probed for a request before one is chosen
 	ProbeWaitBatches   time.Duration // batch intervals that a request waits for their answers
 }
@@ -31,7 +31,8 @@
 func DefaultConfig() Config {
 	return Config{
 		FailurePenalty: 3, SlowdownPenalty: 0.3, DataSetLockPenalty: 1.5, DataSetRankPenalty: 0.5,
-		CrossZonePenalty: 0.05, HalfOpenBonus: 100, Jitter: 0.02, NoiseScale: 0.6, Choices: 3, ProbeWaitBatches: 4,
+		CrossZonePenalty: 0.05, HalfOpenBonus: 100, Jitter: 0.02, NoiseScale: 0.6,
+		Choices: 3, ProbeWaitBatches: 4,
 	}
 }
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -7,7 +7,8 @@
 
 func newSlowStart(s Settings) slowstart.Policy {
 	return slowstart.New(slowstart.Config{
-		InitialFraction: units.Fraction(s.Rules.SlowStartInitial), Duration: s.Rules.SlowStartDuration,
+		InitialFraction:  units.Fraction(s.Rules.SlowStartInitial),
+		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
 		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex,
 	})
@@ -43,5 +44,6 @@
 	if e.pooled() {
 		allows = c.slowStart.AllowsInTurn
 	}
-	return allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), units.ThreadSeconds(k.meanWork), c.now)
+	work := units.ThreadSeconds(k.meanWork)
+	return allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), work, c.now)
 }
--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -53,7 +53,7 @@
 		b.endAttempt(now, a, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
-	endpoint := b.endpoints.byID[send.Engine]
+	endpoint, _ := b.endpoints.Endpoint(send.Engine) // mayStart has found it
 	b.meter.AttemptStarted(r.Class)
 	b.trace(now, r, Transition{State: AttemptStartedState, Attempt: a.id.Number, Engine: endpoint.ID})
 	b.emit(StartAttempt{
@@ -69,18 +69,17 @@
 		Priority:       r.priority,
 		Body:           r.Body,
 	})
-	b.timers.set(until, attemptTimedOut{a})
+	b.timers.Set(until, attemptTimedOut{a})
 }
 
 // mayStart is the one guard of all attempts, first ones, retries and hedged requests. The request or the engine may
 // have ended since the decision module was notified last; a repeat that must not be is a fault of the module, which is
 // prevented and reported.
 func (b *Broker) mayStart(r *request, engine string) bool {
-	endpoint, listed := b.endpoints.byID[engine]
 	start := invariant.Start{
 		RequestEnded:     r.closed,
 		FinalAnswersSent: b.shutdown.finalAnswersSent,
-		EndpointReady:    listed && endpoint.State == control.Ready && !b.endpoints.inMaintenance[engine],
+		EndpointReady:    b.endpoints.InService(engine),
 	}
 	if _, broken := start.Broken(); broken {
 		return false
@@ -132,7 +131,7 @@
 	status := endStatus(a, ev.Status)
 	if b.mustSettle(a, status) {
 		end := control.AttemptEnded{Status: status, Report: ev.Report}
-		b.timers.set(now+settleDelay, attemptSettled{a, end})
+		b.timers.Set(now+settleDelay, attemptSettled{a, end})
 		return
 	}
 	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
