--- a/control/gossip.go
+++ b/control/gossip.go
@@ -22,8 +22,9 @@
 	var loads []GossipedLoad
 	for _, e := range c.endpoints.all {
 		if e.loadKnown(c.now) {
-			load := GossipedLoad{Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(c.now)}
-			loads = append(loads, load)
+			loads = append(loads, GossipedLoad{
+				Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(c.now),
+			})
 		}
 	}
 	slices.SortStableFunc(loads, func(a, b GossipedLoad) int { return cmp.Compare(a.Age, b.Age) })
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -24,7 +24,7 @@
 	worseBestWeight    = 0.02 // weight of an interval in the best slowdown when that gets worse
 	minSamples         = 10   // answers after which a slowdown is trusted
 
-	workScatter units.LogRatio = 0.5 // slowdown that the scatter of work explains where it is not reported
+	workScatter units.LogRatio = 0.5 // that the scatter of work explains where it is not reported
 )
 
 // Engine is the slowdown of an engine, or of a pool of engines.
@@ -58,7 +58,8 @@
 // Estimated is an engine's slowdown over the best one, as its answers show it.
 func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.log) }
 
-// EstimatedInPool is the same of an engine of a pool: the fewer its answers, the more those of the pool count.
+// EstimatedInPool is the same of an engine of a pool: the fewer its answers, the more those of the pool
+// count.
 func (s *Estimator) EstimatedInPool(engine, pool *Engine, answers float64) units.LogRatio {
 	own := (engine.log - pool.log) * units.LogRatio(answers) / units.LogRatio(answers+poolAnswers)
 	return s.overBest(pool.log + own)
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -18,8 +18,8 @@
 	// evenShareWeight is how much a broker's share of a budget depends on the number of brokers; the rest
 	// depends on its share of the traffic.
 	evenShareWeight = 0.5
-	turnBudget      = 0.5  // fraction of a budget for the brokers of one turn: a window can touch two turns
-	lightShare      = 0.25 // fraction of a turn's budget that brokers may use up with requests of mean work
+	turnBudget      = 0.5  // fraction of a budget for one turn, as a window can touch two
+	lightShare      = 0.25 // fraction of a turn's budget for requests of mean work
 
 	minHeavyWork units.ThreadSeconds = 1e-3 // least work of a heavy request
 )
@@ -73,8 +73,9 @@
 
 // FleetBudget is the work that all brokers together may send an engine within an overload window.
 func (p Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
-	return units.ThreadSeconds(p.config.OverloadMultiple * float64(p.Fraction(engine, now)) * targetUtilization *
-		engine.Cores * p.config.OverloadWindow.Seconds() * usedBudget)
+	fraction := float64(p.Fraction(engine, now))
+	return units.ThreadSeconds(p.config.OverloadMultiple * fraction * targetUtilization * engine.Cores *
+		p.config.OverloadWindow.Seconds() * usedBudget)
 }
 
 // Allows reports whether this broker's share of the budget has capacity for a request of some work more.
@@ -92,7 +93,8 @@
 	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
 ) bool {
 	turn := p.turn(engine, demand, now)
-	return p.hasTurn(engine, turn, now) && p.within(engine, sent, turnBudget/turn.heavyRequests, work, now)
+	share := turnBudget / turn.heavyRequests
+	return p.hasTurn(engine, turn, now) && p.within(engine, sent, share, work, now)
 }
 
 // within reports whether a share of the fleet's budget covers what was sent and some work more.
