--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -46,6 +47,10 @@
 	"no login": {
 		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: netconn.Malformed,
 	},
+	"login to an unknown database": {
+		login:   packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00other\x00"),
+		answers: []string{"1049", "closed"}, reason: netconn.AccessDenied,
+	},
 	"login of a wrong number": {
 		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: netconn.Malformed,
 	},
