--- a/control/actions.go
+++ b/control/actions.go
@@ -1,6 +1,10 @@
 package control
 
-import "time"
+import (
+	"time"
+
+	"wheatlane/control/outlier"
+)
 
 // Action is one thing that the host is to do; see the types below.
 type Action interface{ action() }
@@ -45,8 +49,13 @@
 	}
 	// WatchEndpoints subscribes to changes of the endpoint list.
 	WatchEndpoints struct{}
-	// Log is a line for the operators.
-	Log struct{ Text string }
+	// EngineEjected reports to the operators that outlier detection ejected an engine.
+	EngineEjected struct {
+		Engine string
+		Reason outlier.Reason
+	}
+	// EngineRestored reports to the operators that an ejected engine succeeds again.
+	EngineRestored struct{ Engine string }
 )
 
 func (SendAttempt) action()       {}
@@ -58,4 +67,5 @@
 func (ProbeLoad) action()         {}
 func (SendGossip) action()        {}
 func (WatchEndpoints) action()    {}
-func (Log) action()               {}
+func (EngineEjected) action()     {}
+func (EngineRestored) action()    {}
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -28,7 +28,10 @@
 	kinds [numberOfKinds]int // actions seen of each kind
 }
 
-const numberOfKinds = 11
+const (
+	numberOfKinds = 11
+	logKind       = 10 // of all actions that are lines for the operators
+)
 
 func (e *encoder) number(v uint64) {
 	var b [8]byte
@@ -71,7 +74,7 @@
 	kind := kindOf(a)
 	e.kinds[kind]++
 	e.number(uint64(kind))
-	if _, ok := a.(control.Log); !ok { // the wording of a line is no decision; that there is one is
+	if kind != logKind { // the contents of a line are no decision; that there is one is
 		e.value(reflect.ValueOf(a))
 	}
 }
@@ -96,8 +99,8 @@
 		return 8
 	case control.WatchEndpoints:
 		return 9
-	case control.Log:
-		return 10
+	case control.EngineEjected, control.EngineRestored:
+		return logKind
 	}
 	panic(fmt.Sprintf("no number for %T", action))
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -215,9 +215,9 @@
 	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(callback)})
 }
 
-// logf emits a line for the operators, unless one about the same subject was emitted lately.
-func (c *Controller) logf(subject, format string, args ...any) {
+// emitThrottled emits an action for the operators, unless one about the same subject was emitted lately.
+func (c *Controller) emitThrottled(subject logSubject, action Action) {
 	if c.log.allows(subject, c.now) {
-		c.emit(Log{fmt.Sprintf(format, args...)})
+		c.emit(action)
 	}
 }
--- a/control/membership.go
+++ b/control/membership.go
@@ -83,8 +83,7 @@
 // size.
 func (c *Controller) updateFleet() {
 	for _, id := range c.endpoints.removeGone() {
-		c.log.forget(ejectedSubject(id))
-		c.log.forget(restoredSubject(id))
+		c.log.forgetEngine(id)
 	}
 	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
 	for _, e := range c.endpoints.all {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -22,7 +22,7 @@
 		e.health.Responded(c.now)
 		if c.outliers.Succeeded(&e.health, c.now, c.ejectionBackoff()) {
 			c.updateFleet()
-			c.logf(restoredSubject(e.ID), "engine %s is restored", e.ID)
+			c.emitThrottled(logSubject{restored, e.ID}, EngineRestored{e.ID})
 		}
 	case Failed, ConnectionReset:
 		e.health.Responded(c.now)
@@ -44,7 +44,7 @@
 		return
 	}
 	c.updateFleet()
-	c.logf(ejectedSubject(e.ID), "engine %s is ejected: %s", e.ID, reason)
+	c.emitThrottled(logSubject{ejected, e.ID}, EngineEjected{e.ID, reason})
 	c.requeueWaiting(e)
 }
 
--- a/control/timers.go
+++ b/control/timers.go
@@ -34,13 +34,27 @@
 	}
 }
 
+// logSubject is what a line for the operators is about.
+type logSubject struct {
+	event  engineEvent
+	engine string
+}
+
+// engineEvent is what happened to an engine.
+type engineEvent int
+
+const (
+	ejected engineEvent = iota
+	restored
+)
+
 // logThrottle keeps lines about one subject apart.
-type logThrottle struct{ lastAt map[string]time.Duration }
+type logThrottle struct{ lastAt map[logSubject]time.Duration }
 
-func newLogThrottle() logThrottle { return logThrottle{lastAt: map[string]time.Duration{}} }
+func newLogThrottle() logThrottle { return logThrottle{lastAt: map[logSubject]time.Duration{}} }
 
-// allows says whether a line about a subject may be logged now, and counts it as logged if so.
-func (l *logThrottle) allows(subject string, now time.Duration) bool {
+// allows reports whether a line about a subject may be logged now, and counts it as logged if so.
+func (l *logThrottle) allows(subject logSubject, now time.Duration) bool {
 	if at, logged := l.lastAt[subject]; logged && now-at < logInterval {
 		return false
 	}
@@ -48,9 +62,8 @@
 	return true
 }
 
-// forget drops what is known of a subject that is gone.
-func (l *logThrottle) forget(subject string) { delete(l.lastAt, subject) }
-
-// Subjects of the lines about an engine.
-func ejectedSubject(engine string) string  { return "ejected " + engine }
-func restoredSubject(engine string) string { return "restored " + engine }
+// forgetEngine drops what is known of an engine that is gone.
+func (l *logThrottle) forgetEngine(engine string) {
+	delete(l.lastAt, logSubject{ejected, engine})
+	delete(l.lastAt, logSubject{restored, engine})
+}
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -24,22 +24,22 @@
 	throttle := newLogThrottle()
 	for _, c := range []struct {
 		name    string
-		subject string
+		subject logSubject
 		at      time.Duration
 		want    bool
 	}{
-		{"the first of a subject", "ejected e1", 0, true},
-		{"of another subject", "restored e1", 0, true},
-		{"too soon again", "ejected e1", logInterval - 1, false},
-		{"after the interval", "ejected e1", logInterval, true},
-		{"too soon after that", "ejected e1", 2*logInterval - 1, false},
+		{"the first of a subject", logSubject{ejected, "e1"}, 0, true},
+		{"of another subject", logSubject{restored, "e1"}, 0, true},
+		{"too soon again", logSubject{ejected, "e1"}, logInterval - 1, false},
+		{"after the interval", logSubject{ejected, "e1"}, logInterval, true},
+		{"too soon after that", logSubject{ejected, "e1"}, 2*logInterval - 1, false},
 	} {
 		if got := throttle.allows(c.subject, c.at); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", c.name, got, c.want)
 		}
 	}
-	throttle.forget("ejected e1")
-	if !throttle.allows("ejected e1", 2*logInterval-1) {
+	throttle.forgetEngine("e1")
+	if !throttle.allows(logSubject{ejected, "e1"}, 2*logInterval-1) {
 		t.Error("a forgotten subject is still throttled")
 	}
 }
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/outlier"
 	"wheatlane/internal/invariant"
 )
 
@@ -117,8 +118,18 @@
 		Broker  int
 		Reports []control.GossipedLoad
 	}
-	// LogLine writes a line to the log.
-	LogLine struct{ Text string }
+	// EngineEjected logs that the decision module ejected an engine.
+	EngineEjected struct {
+		Engine string
+		Reason outlier.Reason
+	}
+	// EngineRestored logs that an ejected engine gets attempts again.
+	EngineRestored struct{ Engine string }
+	// ResultInvalid logs that an attempt failed because of its result.
+	ResultInvalid struct {
+		Engine string
+		Err    error // one of those of package resultpages
+	}
 	// InvariantViolation logs that a rule would have been, or was, broken for a request.
 	InvariantViolation struct {
 		Rule      invariant.Rule
@@ -140,5 +151,7 @@
 func (CancelUnsent) effect()           {}
 func (CloseEngineConnections) effect() {}
 func (SendGossip) effect()             {}
-func (LogLine) effect()                {}
+func (EngineEjected) effect()          {}
+func (EngineRestored) effect()         {}
+func (ResultInvalid) effect()          {}
 func (InvariantViolation) effect()     {}
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -91,8 +91,10 @@
 		b.probeLoad(now, action.Engine)
 	case control.SendGossip:
 		b.emit(SendGossip{Broker: action.Broker, Reports: action.Reports})
-	case control.Log:
-		b.emit(LogLine{action.Text})
+	case control.EngineEjected:
+		b.emit(EngineEjected(action))
+	case control.EngineRestored:
+		b.emit(EngineRestored(action))
 	case control.WatchEndpoints: // changes are pushed without a subscription
 	}
 }
--- a/internal/broker/recorder_test.go
+++ b/internal/broker/recorder_test.go
@@ -47,7 +47,7 @@
 		return 12
 	case CloseEngineConnections:
 		return 13
-	case LogLine:
+	case EngineEjected, EngineRestored, ResultInvalid:
 		return logLineKind
 	}
 	panic(fmt.Sprintf("effect %T has no number", e))
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -79,7 +79,7 @@
 
 // discardResult fails an attempt because of its result.
 func (b *Broker) discardResult(now time.Duration, a *attempt, err error) {
-	b.emit(LogLine{"engine " + a.engine + ": " + err.Error()})
+	b.emit(ResultInvalid{a.engine, err})
 	b.emit(ReleaseAttempt{Attempt: a.id, PagesLeft: true})
 	b.endAttempt(now, a, control.AttemptEnded{Status: control.Failed})
 }
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -44,8 +44,12 @@
 		s.pool.closeConnections(e.Engine, e.DialedBefore)
 	case broker.InvariantViolation:
 		s.logReducerViolation(e)
-	case broker.LogLine:
-		s.log.Info("note", zap.String("text", e.Text))
+	case broker.EngineEjected:
+		s.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
+	case broker.EngineRestored:
+		s.log.Info("engine restored", zap.String("engine", e.Engine))
+	case broker.ResultInvalid:
+		s.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
 	}
 }
 
--- /dev/null
+++ b/internal/server/effects_test.go
@@ -0,0 +1,46 @@
+package server
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+	"go.uber.org/zap/zaptest/observer"
+
+	"wheatlane/control/outlier"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/broker/resultpages"
+)
+
+func TestLinesAboutEngines(t *testing.T) {
+	t.Parallel()
+	for line, c := range map[string]struct {
+		effect broker.Effect
+		fields map[string]any
+	}{
+		"engine ejected": {
+			broker.EngineEjected{Engine: "e1", Reason: outlier.Unreachable},
+			map[string]any{"engine": "e1", "reason": "unreachable"},
+		},
+		"engine restored": {broker.EngineRestored{Engine: "e1"}, map[string]any{"engine": "e1"}},
+		"result page invalid": {
+			broker.ResultInvalid{Engine: "e1", Err: resultpages.ErrMissingPage},
+			map[string]any{"engine": "e1", "reason": "timeout of a page of a result"},
+		},
+	} {
+		t.Run(line, func(t *testing.T) {
+			t.Parallel()
+			core, logs := observer.New(zapcore.InfoLevel)
+			s := &Server{log: zap.New(core)}
+			s.execute([]broker.Effect{c.effect})
+			entries := logs.All()
+			if len(entries) != 1 || entries[0].Message != line || entries[0].Level != zapcore.InfoLevel {
+				t.Fatalf("logged %v", entries)
+			}
+			if diff := cmp.Diff(c.fields, entries[0].ContextMap()); diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -73,15 +73,22 @@
 	case control.WatchEndpoints:
 		w.name(messageWatchEndpoints)
 		w.text(fieldWatch, yes)
-	case control.Log:
-		w.name(messageLog)
-		w.text(fieldText, oneLine(a.Text))
+	case control.EngineEjected:
+		w.log("engine " + a.Engine + " is ejected: " + a.Reason.String())
+	case control.EngineRestored:
+		w.log("engine " + a.Engine + " is restored")
 	default:
 		panic(fmt.Sprintf("wire: unknown action %T", a))
 	}
 	w.endLine()
 }
 
+// log writes a line for the operators.
+func (w *Writer) log(text string) {
+	w.name(messageLog)
+	w.text(fieldText, oneLine(text))
+}
+
 // oneLine puts a text of several lines into one.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
--- a/internal/wire/writer_test.go
+++ b/internal/wire/writer_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/outlier"
 )
 
 func TestWriteEveryAction(t *testing.T) {
@@ -26,7 +27,8 @@
 			{Engine: 0x0a0b0c0d, Load: 0.5, Age: 40 * time.Millisecond},
 		}},
 		control.WatchEndpoints{},
-		control.Log{Text: "a\nb"},
+		control.EngineEjected{Engine: "e\n1", Reason: outlier.Silent},
+		control.EngineRestored{Engine: "e:1"},
 	} {
 		w.Action(action)
 	}
@@ -46,7 +48,8 @@
 SAMPLE Executor=e:1
 SHARE Dest=2 Octets=77010a0b0c0d3202
 TRACK Enable=1
-NOTE_DOWN What=a b
+NOTE_DOWN What=engine e 1 is ejected: silent
+NOTE_DOWN What=engine e:1 is restored
 INTERNAL_ERROR What=it broke
 OK
 `
--- a/measure/soak/shim_test.go
+++ b/measure/soak/shim_test.go
@@ -172,7 +172,7 @@
 	if err := g.Wait(); err != nil {
 		t.Error(err)
 	}
-	log.expectNone(t, "is ejected")
+	log.expectNone(t, "engine ejected")
 }
 
 // A client whose connection the system has taken before SIGTERM is served, though the broker can't accept it for a
