--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -12,6 +12,3 @@
 // wallOffset is by how much the wall clock is ahead of now: 0 until the wall clock is stepped. It serves to read
 // dates that other machines have written.
 func wallOffset() time.Duration { return time.Duration(time.Now().UnixNano()) - now() }
-
-// reducerTime is a moment in the reducer's terms.
-func reducerTime(t time.Time) time.Duration { return now() - time.Since(t) }
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"time"
+
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
@@ -25,23 +27,23 @@
 	case broker.StartAttempt:
 		s.startAttempt(e)
 	case broker.FetchPage:
-		s.pool.fetchPage(e)
+		s.pool.FetchPage(e)
 	case broker.CancelAttempt:
-		s.pool.cancelAttempt(e.Attempt)
+		s.pool.CancelAttempt(e.Attempt)
 	case broker.WithdrawUnsent:
-		s.pool.withdrawAttempt(e.Attempt)
+		s.pool.WithdrawAttempt(e.Attempt)
 	case broker.ReleaseAttempt:
-		s.pool.releaseAttempt(e)
+		s.pool.ReleaseAttempt(e)
 	case broker.SetPriority:
-		s.pool.setPriority(e)
+		s.pool.SetPriority(e)
 	case broker.ProbeLoad:
 		s.startProbe(e)
 	case broker.SendGossip:
 		s.sendGossip(e)
 	case broker.CancelUnsent:
-		s.cancelUnsent(e)
+		s.pool.Drain(e.Engine)
 	case broker.CloseEngineConnections:
-		s.pool.closeConnections(e.Engine, e.DialedBefore)
+		s.closeEngineConnections(e)
 	case broker.InvariantViolation:
 		s.logReducerViolation(e)
 	case broker.LogLine:
@@ -67,12 +69,12 @@
 	} else {
 		s.usage.Retries++
 	}
-	s.pool.startAttempt(e)
+	s.pool.StartAttempt(e)
 }
 
 func (s *Server) startProbe(e broker.ProbeLoad) {
 	s.usage.LoadProbes++
-	s.pool.startProbe(e)
+	s.pool.StartProbe(e)
 }
 
 func (s *Server) sendGossip(e broker.SendGossip) {
@@ -80,8 +82,11 @@
 	s.gossip.send(e)
 }
 
-// cancelUnsent times the drain of an engine and withdraws what has not left for it.
-func (s *Server) cancelUnsent(e broker.CancelUnsent) {
-	s.pool.startDrain(e.Engine)
-	s.pool.cancelUnsent(e.Engine)
+// closeEngineConnections closes connections to an engine, all of them without a time before which they were dialled.
+func (s *Server) closeEngineConnections(e broker.CloseEngineConnections) {
+	var dialledBefore time.Time
+	if e.DialedBefore != 0 {
+		dialledBefore = time.Now().Add(e.DialedBefore - now())
+	}
+	s.pool.CloseConnections(e.Engine, dialledBefore)
 }
--- a/internal/server/command.go
+++ b/internal/server/enginepool/command.go
@@ -1,4 +1,4 @@
-package server
+package enginepool
 
 import (
 	"fmt"
--- a/internal/server/senddelay_test.go
+++ b/internal/server/enginepool/config_test.go
@@ -1,4 +1,4 @@
-package server
+package enginepool
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 )
 
 // The limit on late bytes for engines follows the drain grace of the settings.
-func TestEngineSendDelayFollowsDrainGrace(t *testing.T) {
+func TestSendDelayFollowsDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
-		0:                      maxEngineSendDelay,
+		0:                      maxSendDelay,
 		200 * time.Millisecond: 160 * time.Millisecond,
-		500 * time.Millisecond: maxEngineSendDelay,
-		5 * time.Second:        maxEngineSendDelay,
+		500 * time.Millisecond: maxSendDelay,
+		5 * time.Second:        maxSendDelay,
 	} {
-		if got := engineSendDelay(grace); got != want {
+		if got := (&Config{DrainGrace: grace}).queueDelay(); got != want {
 			t.Errorf("grace %v: %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/server/dial.go
+++ b/internal/server/enginepool/dial.go
@@ -1,7 +1,8 @@
-package server
+package enginepool
 
 import (
 	"context"
+	"errors"
 	"net"
 	"time"
 
@@ -18,53 +19,53 @@
 	localRetryTime = 250 * time.Millisecond
 )
 
-// dial begins to establish a connection to an engine. The connection outlives the event that needs it, so its
-// context is derived from that of Run.
-func (p *enginePool) dial(engine, addr string) *engineConn {
-	c := newEngineConn(p.server.ctx, engine, addr)
-	p.server.usage.Dials++
-	p.connsByEngine[engine] = append(p.connsByEngine[engine], c)
+// dial begins to establish a connection to an engine. It outlives the event that needs it.
+func (p *Pool) dial(engine, addr string) *engineConn {
+	conn := newEngineConn(engine, addr)
+	p.dials++
+	p.connsByEngine[engine] = append(p.connsByEngine[engine], conn)
 	p.connCount++
-	p.server.group.Go(func() error {
-		defer c.cancel()
-		p.runConn(c.ctx, c)
-		return nil
-	})
-	return c
+	connectTimeout, options := p.config.ConnectTimeout, p.connOptions()
+	conn.cancel = p.loop.Start(func(ctx context.Context) { p.runConn(ctx, conn, connectTimeout, options) })
+	return conn
 }
 
 // runConn establishes a connection and reads it until it ends or ctx does, on a goroutine of its own.
-func (p *enginePool) runConn(ctx context.Context, c *engineConn) {
+func (p *Pool) runConn(
+	ctx context.Context, conn *engineConn, connectTimeout time.Duration, options netconn.Options,
+) {
 	started := time.Now()
-	err := p.serveConn(ctx, c)
+	err := p.serveConn(ctx, conn, connectTimeout, options)
 	localFault := transient.IsLocal(err)
-	p.post(func() {
-		c.localFault = localFault
-		p.disconnected(c)
+	p.loop.Post(func() {
+		conn.localFault = localFault
+		p.disconnected(conn)
 	})
-	if ctx.Err() != nil && p.server.ctx.Err() == nil {
-		err = c.closeReason // set before ctx ended
+	var closed *netconn.EndError
+	if errors.As(context.Cause(ctx), &closed) { // from this side
+		err = closed
 	}
-	p.server.connectionEnded(netconn.EngineSide, c.addr, started, err)
+	p.observer.ConnectionEnded(conn.addr, started, err)
 }
 
 // serveConn establishes a connection, reads it and returns why it ended.
-func (p *enginePool) serveConn(ctx context.Context, c *engineConn) error {
-	settings := &p.server.cfg.Settings
-	socket, err := connect(ctx, c.addr, settings.ConnectTimeout)
+func (p *Pool) serveConn(
+	ctx context.Context, conn *engineConn, connectTimeout time.Duration, options netconn.Options,
+) error {
+	socket, err := connect(ctx, conn.addr, connectTimeout)
 	if err != nil {
 		return &netconn.EndError{Reason: netconn.ConnectFailed, Err: err}
 	}
-	transport := netconn.New(socket, p.connOptions())
-	p.server.post(ctx, func() { p.connected(c, transport) })
-	return transport.Run(ctx, func(context.Context) error { return p.readResponses(c, transport) })
+	transport := netconn.New(socket, options)
+	p.loop.Post(func() { p.connected(conn, transport) })
+	return transport.Run(ctx, func(context.Context) error { return p.readResponses(conn, transport) })
 }
 
 // connOptions are the limits of connections to engines.
-func (p *enginePool) connOptions() netconn.Options {
+func (p *Pool) connOptions() netconn.Options {
 	return netconn.Options{
 		MaxReceiveBytes: maxEngineReceiveBytes, MaxSendBytes: maxEngineSendBytes,
-		MaxSendDelay: engineSendDelay(p.server.cfg.Settings.DrainGrace),
+		MaxSendDelay: p.config.queueDelay(),
 		LateAfter:    invariant.TimeoutSlack - staleAfter,
 		OnExpired:    func() { p.writesExpired.Store(true) },
 	}
@@ -84,15 +85,15 @@
 }
 
 // connected sends what waited for a connection.
-func (p *enginePool) connected(c *engineConn, transport *netconn.Conn) {
-	if c.closed {
+func (p *Pool) connected(conn *engineConn, transport *netconn.Conn) {
+	if conn.closed {
 		return
 	}
 	now := time.Now()
-	c.transport, c.lastReceived = transport, now
-	for _, s := range c.inOrder() {
-		if !s.done {
-			p.send(s, now)
+	conn.transport, conn.lastReceived = transport, now
+	for _, stream := range conn.inOrder() {
+		if !stream.done {
+			p.send(stream, now)
 		}
 	}
 }
--- a/internal/server/drain.go
+++ b/internal/server/enginepool/drain.go
@@ -1,4 +1,4 @@
-package server
+package enginepool
 
 import "time"
 
@@ -17,43 +17,38 @@
 	return d.pendingConns == 0
 }
 
-// drainTracker measures the drains of engines. The goroutine that owns the pool owns it.
+// drainTracker measures the drains of engines. The owner of the pool owns it.
 type drainTracker struct {
 	byEngine map[string]*drainTimer // until the engine is used again or removed
-	meter    func() Meter           // the one in use
+	observer Observer
 }
 
-func newDrainTracker(meter func() Meter) drainTracker {
-	return drainTracker{byEngine: map[string]*drainTimer{}, meter: meter}
-}
-
-// startDrain begins to measure the drain of an engine.
-func (p *enginePool) startDrain(engine string) {
-	p.drains.start(engine, p.connsByEngine[engine], p.post)
+func newDrainTracker(observer Observer) drainTracker {
+	return drainTracker{byEngine: map[string]*drainTimer{}, observer: observer}
 }
 
 // start begins to measure the drain of an engine with these connections, unless it drains already. notify
-// calls a function on the goroutine that owns the tracker.
+// calls a function as the owner of the tracker.
 func (t *drainTracker) start(engine string, conns []*engineConn, notify func(func())) {
 	if t.byEngine[engine] != nil {
 		return
 	}
 	drain := &drainTimer{startedAt: time.Now()}
 	t.byEngine[engine] = drain
-	t.meter().DrainStarted()
-	for _, c := range conns {
-		if c.transport == nil || c.transport.AllSent() {
+	t.observer.DrainStarted()
+	for _, conn := range conns {
+		if conn.transport == nil || conn.transport.AllSent() {
 			continue
 		}
 		drain.pendingConns++
-		c.drain = drain
-		c.transport.AfterSent(func() {
+		conn.drain = drain
+		conn.transport.AfterSent(func() {
 			sentAt := time.Now()
-			notify(func() { t.connSent(c, sentAt) })
+			notify(func() { t.connSent(conn, sentAt) })
 		})
 	}
 	if drain.pendingConns == 0 {
-		t.meter().DrainCompleted(0)
+		t.observer.DrainCompleted(0)
 	}
 }
 
@@ -62,24 +57,24 @@
 func (t *drainTracker) forget(engine string) { delete(t.byEngine, engine) }
 
 // connSent notes that a connection has sent all from before the drain of its engine.
-func (t *drainTracker) connSent(c *engineConn, sentAt time.Time) {
-	if c.drain != nil {
-		t.connDone(c, sentAt.Sub(c.drain.startedAt))
+func (t *drainTracker) connSent(conn *engineConn, sentAt time.Time) {
+	if conn.drain != nil {
+		t.connDone(conn, sentAt.Sub(conn.drain.startedAt))
 	}
 }
 
 // connClosed notes that a connection has closed: it sends nothing more, and its time does not count.
-func (t *drainTracker) connClosed(c *engineConn) {
-	if c.drain != nil {
-		t.connDone(c, 0)
+func (t *drainTracker) connClosed(conn *engineConn) {
+	if conn.drain != nil {
+		t.connDone(conn, 0)
 	}
 }
 
 // connDone ends the wait for a connection.
-func (t *drainTracker) connDone(c *engineConn, needed time.Duration) {
-	drain := c.drain
-	c.drain = nil
+func (t *drainTracker) connDone(conn *engineConn, needed time.Duration) {
+	drain := conn.drain
+	conn.drain = nil
 	if drain.connDone(needed) {
-		t.meter().DrainCompleted(drain.longest)
+		t.observer.DrainCompleted(drain.longest)
 	}
 }
--- a/internal/server/engineconn.go
+++ b/internal/server/enginepool/engineconn.go
@@ -1,4 +1,4 @@
-package server
+package enginepool
 
 import (
 	"context"
@@ -10,22 +10,17 @@
 	"wheatlane/internal/server/netconn"
 )
 
-const (
-	maxRetiredIDs     = 1024 // ids retired on one connection; it is replaced then
-	idleCloseFraction = 0.6  // of the engines' idle timeout: a connection is closed before the engine closes it
-)
+const maxRetiredIDs = 1024 // ids retired on one connection; it is replaced then
 
 // engineConn is a connection to an engine, or one that is being established. It multiplexes streams, each
-// under an id of its own. The goroutine that owns the reducer owns it.
+// under an id of its own. The owner of the pool owns it.
 type engineConn struct {
 	engine, addr string
-	transport    *netconn.Conn   // nil while it is being established
-	ctx          context.Context // of its goroutines; ends with that of Run
-	cancel       context.CancelFunc
-	closeReason  *netconn.EndError    // why the broker closed it
-	streams      map[string]*stream   // by id
-	retiredIDs   map[string]time.Time // until when ids may be answered that nothing waits for
-	closing      bool                 // it accepts no new streams and closes with the last
+	transport    *netconn.Conn           // nil while it is being established
+	cancel       context.CancelCauseFunc // ends its goroutines
+	streams      map[string]*stream      // by id
+	retiredIDs   map[string]time.Time    // until when ids may be answered that nothing waits for
+	closing      bool                    // it accepts no new streams and closes with the last
 	closed       bool
 	localFault   bool // it could not be established for a fault of this machine
 	dialStarted  time.Time
@@ -35,11 +30,10 @@
 	drain        *drainTimer // it has bytes queued from before its engine's drain; nil: it has none
 }
 
-// newEngineConn returns a connection that is yet to be established. Its context ends with ctx.
-func newEngineConn(ctx context.Context, engine, addr string) *engineConn {
-	ctx, cancel := context.WithCancel(ctx)
+// newEngineConn returns a connection that is yet to be established.
+func newEngineConn(engine, addr string) *engineConn {
 	return &engineConn{
-		engine: engine, addr: addr, ctx: ctx, cancel: cancel, dialStarted: time.Now(),
+		engine: engine, addr: addr, dialStarted: time.Now(),
 		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
 	}
 }
@@ -71,7 +65,7 @@
 	c.closing = c.closing || len(c.retiredIDs) >= maxRetiredIDs
 }
 
-// expireRetiredIDs forgets the retired ids whose time is over.
+// expireRetiredIDs removes the retired ids whose time is over.
 func (c *engineConn) expireRetiredIDs(now time.Time) {
 	maps.DeleteFunc(c.retiredIDs, func(_ string, until time.Time) bool { return now.After(until) })
 }
--- /dev/null
+++ b/internal/server/enginepool/host_test.go
@@ -0,0 +1,149 @@
+package enginepool
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"runtime"
+	"testing"
+	"time"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
+)
+
+const (
+	testTimeout     = 20 * time.Second // a test that waits so long has failed
+	testIdleTimeout = 30 * time.Second // of connections to engines
+	testSockets     = 256              // for connections to engines
+)
+
+var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
+
+// fakeHost is what a pool is run by. Posted functions are kept until the test calls them.
+type fakeHost struct {
+	t        *testing.T
+	posted   chan func()
+	events   []broker.Event // applied or enqueued
+	observed []string       // what the observer was notified of, on the owner's goroutine
+}
+
+func (h *fakeHost) Post(f func()) { h.posted <- f }
+
+func (h *fakeHost) Start(run func(ctx context.Context)) context.CancelCauseFunc {
+	ctx, cancel := context.WithCancelCause(h.t.Context())
+	go run(ctx)
+	return cancel
+}
+
+func (h *fakeHost) Apply(event broker.Event)   { h.events = append(h.events, event) }
+func (h *fakeHost) Enqueue(event broker.Event) { h.events = append(h.events, event) }
+
+func (h *fakeHost) DuplicateResponse(engine string) { h.observe("duplicate response of %s", engine) }
+func (h *fakeHost) DrainStarted()                   { h.observe("started") }
+func (h *fakeHost) DrainCompleted(took time.Duration) {
+	h.observe("completed, some bytes left late: %v", took > 0)
+}
+func (h *fakeHost) LateWrite(engine string) { h.observe("late write to %s", engine) }
+
+func (h *fakeHost) ConnectionEnded(string, time.Time, error) {}
+
+func (h *fakeHost) observe(format string, args ...any) {
+	h.observed = append(h.observed, fmt.Sprintf(format, args...))
+}
+
+// idlePool is a pool with one connection, to engine e1, on which nothing was sent yet.
+type idlePool struct {
+	*Pool
+	host      *fakeHost
+	conn      *engineConn
+	transport *netconn.Conn
+	far       *net.TCPConn     // the engine's end
+	clock     func() time.Time // of the send queue
+}
+
+func newIdlePool(t *testing.T) *idlePool {
+	t.Helper()
+	near, far := connectedPair(t)
+	host := &fakeHost{t: t, posted: make(chan func(), 10)}
+	p := &idlePool{host: host, far: far, clock: time.Now}
+	p.Pool = New(Config{
+		MaxConns: testSockets, MaxStreams: 10, ConnectTimeout: time.Second, IdleTimeout: testIdleTimeout,
+		SilenceThreshold: SilenceThreshold, MaxClientTimeout: time.Minute,
+	}, host, host, host)
+	options := p.connOptions()
+	options.Now = func() time.Time { return p.clock() }
+	p.transport = netconn.New(near, options)
+	p.conn = newEngineConn("e1", "a")
+	p.conn.transport, p.conn.cancel = p.transport, func(error) {}
+	p.conn.lastUsed, p.conn.lastReceived = time.Now(), time.Now()
+	p.connsByEngine["e1"], p.connCount = []*engineConn{p.conn}, 1
+	return p
+}
+
+// start starts an attempt of a class at engine e1.
+func (p *idlePool) start(id broker.AttemptID, class string, timeout time.Duration) {
+	p.StartAttempt(broker.StartAttempt{
+		Attempt: id, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(id.Request), Class: class,
+		Timeout: timeout, Priority: 1,
+	})
+}
+
+// sendAll has all that is queued leave.
+func (p *idlePool) sendAll() { p.transport.MarkSent(len(p.transport.NextBytes())) }
+
+// run serves the connection, on which nothing is read, until the test ends, and returns its end.
+func (p *idlePool) run(t *testing.T) <-chan error {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() {
+		ended <- p.transport.Run(t.Context(), func(ctx context.Context) error {
+			<-ctx.Done()
+			return ctx.Err()
+		})
+	}()
+	return ended
+}
+
+// connectedPair returns both ends of a connection on loopback.
+func connectedPair(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }() // both ends are connected
+	dialled, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = dialled.Close() }) // the test may have closed it
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
+	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
+}
+
+// receive takes from a channel, or fails.
+func receive[T any](t *testing.T, from <-chan T, what string) T {
+	t.Helper()
+	select {
+	case value := <-from:
+		return value
+	case <-time.After(testTimeout):
+		t.Fatalf("%s did not come", what)
+		panic("unreachable")
+	}
+}
+
+// waitUntil waits for a condition, or fails.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("never so: %s", what)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/enginepool/pool.go
@@ -0,0 +1,157 @@
+package enginepool
+
+import (
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
+)
+
+// Pool holds the connections to engines and the attempts in flight on them.
+type Pool struct {
+	config   Config
+	loop     Loop
+	events   EventSink
+	observer Observer
+
+	connsByEngine  map[string][]*engineConn
+	connCount      int // in connsByEngine
+	inFlight       map[broker.AttemptID]*stream
+	drains         drainTracker
+	sweptAt        time.Time
+	dials          uint64
+	livenessProbes uint64
+	writesExpired  atomic.Bool // on any connection, since resendExpired was called last; set by the writers
+}
+
+// New returns a pool without connections.
+func New(config Config, loop Loop, events EventSink, observer Observer) *Pool {
+	return &Pool{
+		config: config, loop: loop, events: events, observer: observer,
+		connsByEngine: map[string][]*engineConn{}, inFlight: map[broker.AttemptID]*stream{},
+		drains: newDrainTracker(observer),
+	}
+}
+
+// Config returns the configuration in force.
+func (p *Pool) Config() Config { return p.config }
+
+// Reconfigure replaces the configuration. Connections that were begun keep their timeouts.
+func (p *Pool) Reconfigure(config Config) { p.config = config }
+
+// Stats returns the counts.
+func (p *Pool) Stats() Stats {
+	stats := Stats{Connections: p.connCount, Dials: p.dials, LivenessProbes: p.livenessProbes}
+	for _, conns := range p.connsByEngine {
+		for _, conn := range conns {
+			stats.Streams += len(conn.streams)
+		}
+	}
+	return stats
+}
+
+// CheckConnections sends anew what waited too long to leave, and looks for connections that are dead.
+func (p *Pool) CheckConnections() {
+	p.resendExpired()
+	p.checkLiveness()
+}
+
+// CloseConnections closes the connections to an engine that were dialled before a time, all of them if it is zero.
+func (p *Pool) CloseConnections(engine string, dialledBefore time.Time) {
+	p.drains.forget(engine)
+	for _, conn := range slices.Clone(p.connsByEngine[engine]) {
+		if dialledBefore.IsZero() || conn.dialStarted.Before(dialledBefore) {
+			p.close(conn, netconn.EngineGone)
+		}
+	}
+}
+
+// assign puts a stream on a connection with capacity or on a new one. Where neither can be had, the stream
+// ends: it is this broker that has no capacity, so the engine is not to be ejected as one that can't be
+// reached.
+func (p *Pool) assign(engine, addr string, stream *stream) {
+	stream.startedAt = time.Now()
+	conn := p.connFor(engine, addr, stream)
+	if conn == nil {
+		if !p.mayDial(engine) {
+			p.endStream(stream, streamEnd{status: control.AtCapacity})
+			return
+		}
+		conn = p.dial(engine, addr)
+	}
+	conn.add(stream)
+	if conn.transport != nil {
+		p.send(stream, stream.startedAt)
+	}
+}
+
+// connFor returns a connection that accepts a stream, an established one if there is any; nil without one.
+func (p *Pool) connFor(engine, addr string, stream *stream) *engineConn {
+	var establishing *engineConn
+	for _, conn := range p.connsByEngine[engine] {
+		if !conn.accepts(stream.id, addr, p.config.MaxStreams) ||
+			conn.idleTooLong(stream.startedAt, p.config.IdleTimeout) {
+			continue
+		}
+		if conn.transport != nil {
+			return conn
+		}
+		establishing = conn
+	}
+	return establishing
+}
+
+// mayDial reports whether one more connection to an engine can be had, and evicts an idle one if it must.
+func (p *Pool) mayDial(engine string) bool {
+	if len(p.connsByEngine[engine]) >= p.config.maxConnsPerEngine() {
+		return false
+	}
+	return p.connCount < p.config.MaxConns || p.evictIdle()
+}
+
+// evictIdle closes the connection that has been idle longest and reports whether there was one: there may
+// be more engines than connections are allowed.
+func (p *Pool) evictIdle() bool {
+	var longest *engineConn
+	for _, conns := range p.connsByEngine {
+		for _, conn := range conns {
+			idle := conn.transport != nil && len(conn.streams) == 0
+			if idle && (longest == nil || conn.lastUsed.Before(longest.lastUsed)) {
+				longest = conn
+			}
+		}
+	}
+	if longest == nil {
+		return false
+	}
+	p.close(longest, netconn.EvictedIdle)
+	return true
+}
+
+// close ends a connection from this side. All that is in flight on it ends at once, so that no response
+// that is on its way can be mistaken for one to another stream.
+func (p *Pool) close(conn *engineConn, reason netconn.Reason) {
+	if conn.closed {
+		return
+	}
+	conn.cancel(&netconn.EndError{Reason: reason})
+	p.disconnected(conn)
+}
+
+// disconnected removes a connection that has ended from the pool and ends its streams.
+func (p *Pool) disconnected(conn *engineConn) {
+	if conn.closed {
+		return
+	}
+	conn.closed = true
+	p.drains.connClosed(conn)
+	p.connCount--
+	rest := slices.DeleteFunc(p.connsByEngine[conn.engine], func(other *engineConn) bool { return other == conn })
+	if p.connsByEngine[conn.engine] = rest; len(rest) == 0 {
+		delete(p.connsByEngine, conn.engine)
+	}
+	p.endStreams(conn)
+}
--- a/internal/server/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -1,4 +1,4 @@
-package server
+package enginepool
 
 import (
 	"bytes"
@@ -24,21 +24,21 @@
 }
 
 // readResponses posts the responses of an engine to the owner of the pool until the connection ends.
-func (p *enginePool) readResponses(c *engineConn, transport *netconn.Conn) error {
-	r := responseReader{transport: transport}
+func (p *Pool) readResponses(conn *engineConn, transport *netconn.Conn) error {
+	reader := responseReader{transport: transport}
 	for {
-		if err := r.read(); err != nil {
+		if err := reader.read(); err != nil {
 			return err
 		}
 		responses, malformed := parseResponses(transport)
 		// Complete responses count, whatever follows them or ends the connection meanwhile.
 		if len(responses) > 0 {
-			p.post(func() { p.handleResponses(c, responses) })
+			p.loop.Post(func() { p.handleResponses(conn, responses) })
 		}
 		if malformed != nil {
 			return malformed
 		}
-		if err := r.setDeadline(len(responses)); err != nil {
+		if err := reader.setDeadline(len(responses)); err != nil {
 			return err
 		}
 	}
@@ -98,46 +98,46 @@
 }
 
 // handleResponses passes the responses that came on a connection to the reducer.
-func (p *enginePool) handleResponses(c *engineConn, responses []resp.Answer) {
-	c.lastReceived = time.Now()
+func (p *Pool) handleResponses(conn *engineConn, responses []resp.Answer) {
+	conn.lastReceived = time.Now()
 	for i := range responses {
-		p.handleResponse(c, &responses[i])
+		p.handleResponse(conn, &responses[i])
 	}
 }
 
 // handleResponse passes one response to the reducer. Cancelled streams and retired ids are owed none.
-func (p *enginePool) handleResponse(c *engineConn, r *resp.Answer) {
-	s := c.streams[r.RequestID]
-	if s == nil || s.done || s.cancelling {
-		p.server.meter.DuplicateResponse(c.engine)
+func (p *Pool) handleResponse(conn *engineConn, response *resp.Answer) {
+	stream := conn.streams[response.RequestID]
+	if stream == nil || stream.done || stream.cancelling {
+		p.observer.DuplicateResponse(conn.engine)
 		return
 	}
-	report := resp.Report(r.Load, p.server.cfg.Settings.Control.ReportFields)
+	report := resp.Report(response.Load, p.config.ReportFields)
 	switch {
-	case s.isProbe():
-		p.probeAnswered(s, r, report)
-	case r.Word == resp.OK:
-		s.responding = true
-		p.server.apply(broker.AttemptServed{
-			Attempt: s.attemptID, PageCount: r.PageCount, Work: time.Duration(r.WorkMS * float64(time.Millisecond)),
-			MemoryMB: r.MemoryMB, Report: report, Body: r.Body,
+	case stream.isProbe():
+		p.probeAnswered(stream, response, report)
+	case response.Word == resp.OK:
+		stream.responding = true
+		p.events.Apply(broker.AttemptServed{
+			Attempt: stream.attemptID, PageCount: response.PageCount, Work: time.Duration(response.WorkMS * float64(time.Millisecond)),
+			MemoryMB: response.MemoryMB, Report: report, Body: response.Body,
 		})
-	case r.Word == resp.Rows:
-		p.server.apply(broker.PageReceived{Attempt: s.attemptID, Number: r.Page, Body: r.Body})
+	case response.Word == resp.Rows:
+		p.events.Apply(broker.PageReceived{Attempt: stream.attemptID, Number: response.Page, Body: response.Body})
 	default:
-		p.attemptFailed(s, r, report)
+		p.attemptFailed(stream, response, report)
 	}
 }
 
 // probeAnswered passes the answer to a load probe to the reducer.
-func (p *enginePool) probeAnswered(s *stream, r *resp.Answer, report []float64) {
-	s.done = true
-	p.removeStream(s)
+func (p *Pool) probeAnswered(stream *stream, response *resp.Answer, report []float64) {
+	stream.done = true
+	p.removeStream(stream)
 	status := control.OK
-	if r.Word != resp.Up {
+	if response.Word != resp.Up {
 		status = control.Failed
 	}
-	p.server.apply(broker.ProbeResult{ProbeID: s.probeID, Status: status, Report: report})
+	p.events.Apply(broker.ProbeResult{ProbeID: stream.probeID, Status: status, Report: report})
 }
 
 // statusOf is what the word of a response without a result proves of its attempt.
@@ -155,9 +155,9 @@
 
 // attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
 // mistaken for the response to a retry, so the id is retired.
-func (p *enginePool) attemptFailed(s *stream, r *resp.Answer, report []float64) {
-	s.done = true
-	delete(p.inFlight, s.attemptID)
-	p.retireUntilClientTimeout(s)
-	p.server.apply(broker.AttemptEnded{Attempt: s.attemptID, Status: statusOf(r.Word), Report: report})
+func (p *Pool) attemptFailed(stream *stream, response *resp.Answer, report []float64) {
+	stream.done = true
+	delete(p.inFlight, stream.attemptID)
+	p.retireUntilClientTimeout(stream)
+	p.events.Apply(broker.AttemptEnded{Attempt: stream.attemptID, Status: statusOf(response.Word), Report: report})
 }
--- /dev/null
+++ b/internal/server/enginepool/responses_test.go
@@ -0,0 +1,93 @@
+package enginepool
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/resp"
+)
+
+// Which attempts may be retried at no risk follows from what a response proves: only two words prove that
+// nothing ran.
+func TestStatusOf(t *testing.T) {
+	for _, c := range []struct {
+		word string
+		want control.Status
+	}{
+		{"BUSY", control.AtCapacity},
+		{"VOID", control.NeverSent},
+		{"ERR", control.Failed},
+		{"UP", control.Failed},
+		{"DOWN", control.Failed},
+	} {
+		t.Run(c.word, func(t *testing.T) {
+			answer, err := resp.ParseAnswer([][]byte{[]byte("id"), []byte(c.word)})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := statusOf(answer.Word); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Each kind of response becomes its event. What nothing waits for becomes none, and is counted.
+func TestEventsOfResponses(t *testing.T) {
+	const probeID = 7
+	for name, tt := range map[string]struct {
+		response []string
+		want     broker.Event // nil: a duplicate
+	}{
+		"load probe answered": {
+			[]string{"p7", "UP", "l=util:0.5"},
+			broker.ProbeResult{ProbeID: probeID, Status: control.OK, Report: []float64{0.5}},
+		},
+		"load probe answered as down": {
+			[]string{"p7", "DOWN"},
+			broker.ProbeResult{ProbeID: probeID, Status: control.Failed},
+		},
+		"busy": {
+			[]string{"1", "BUSY"},
+			broker.AttemptEnded{Attempt: firstAttempt, Status: control.AtCapacity},
+		},
+		"page": {
+			[]string{"1", "ROWS", "sheet=3", "row"},
+			broker.PageReceived{Attempt: firstAttempt, Number: 3, Body: []byte("row")},
+		},
+		"unknown id": {[]string{"2", "OK", "-", ""}, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newIdlePool(t)
+			p.config.ReportFields = []string{"util"}
+			p.start(firstAttempt, "lookup", time.Second)
+			p.StartProbe(broker.ProbeLoad{ProbeID: probeID, Engine: "e1", Addr: "a"})
+			parts := make([][]byte, 0, len(tt.response))
+			for _, part := range tt.response {
+				parts = append(parts, []byte(part))
+			}
+			response, err := resp.ParseAnswer(parts)
+			if err != nil {
+				t.Fatal(err)
+			}
+			p.handleResponses(p.conn, []resp.Answer{response})
+			var want []broker.Event
+			var observed []string
+			if tt.want != nil {
+				want = []broker.Event{tt.want}
+			} else {
+				observed = []string{"duplicate response of e1"}
+			}
+			if diff := cmp.Diff(want, p.host.events); diff != "" {
+				t.Error(diff)
+			}
+			if diff := cmp.Diff(observed, p.host.observed); diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
--- a/internal/server/stream.go
+++ b/internal/server/enginepool/stream.go
@@ -1,15 +1,14 @@
-package server
+package enginepool
 
 import (
 	"strconv"
 	"time"
 
-	"wheatlane/control"
 	"wheatlane/internal/broker"
 )
 
 // staleAfter is how long a message with a timeout may wait to leave; it is made anew then, with the time that is
-// left. By the operators' terms the timeout may exceed what the client has left by invariant.TimeoutSlack.
+// left. The timeout may exceed what the client has left by invariant.TimeoutSlack; the rest of that is for the network.
 const staleAfter = 100 * time.Millisecond
 
 // stream is an attempt or a load probe on its connection.
@@ -65,9 +64,3 @@
 	}
 	return expiresAt
 }
-
-// streamEnd is how a stream ended.
-type streamEnd struct {
-	status      control.Status
-	sharedCause bool // it ended with its connection, and another attempt has reported that already
-}
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -10,13 +10,22 @@
 	"wheatlane/internal/resp"
 )
 
+// Commands to engines.
+const (
+	commandStart     = "want"
+	commandFetchPage = "turn"
+	commandCancel    = "never_mind"
+	commandLoadProbe = "busy"
+	commandLiveness  = "there"
+)
+
 // fakeEngine is an engine whose answers a test gives.
 type fakeEngine struct {
 	addr            string
 	listener        net.Listener
 	messages        chan engineMessage // that came
 	closed          chan struct{}      // one for each connection that ended
-	answeredCommand command            // a probe that is answered at once and not shown to the test
+	answeredCommand string             // a probe that is answered at once and not shown to the test
 }
 
 // engineMessage is a message of the broker to an engine.
@@ -25,7 +34,7 @@
 	words []string
 }
 
-func (m engineMessage) command() command  { return command(m.words[0]) }
+func (m engineMessage) command() string   { return m.words[0] }
 func (m engineMessage) requestID() string { return m.words[1] }
 
 // fields and body are those of an attempt.
@@ -102,12 +111,12 @@
 }
 
 // expect returns the next message, which must be of a command.
-func (e *fakeEngine) expect(t *testing.T, want command) engineMessage {
+func (e *fakeEngine) expect(t *testing.T, want string) engineMessage {
 	t.Helper()
-	m := receive(t, e.messages, string(want))
+	m := receive(t, e.messages, want)
 	for m.command() == e.answeredCommand {
 		m.reply(m.requestID(), "UP", "-", "")
-		m = receive(t, e.messages, string(want))
+		m = receive(t, e.messages, want)
 	}
 	if m.command() != want {
 		t.Fatalf("engine got %q, want %s", m.words, want)
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -13,9 +13,9 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"wheatlane/internal/broker"
 	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
 )
 
@@ -170,13 +170,18 @@
 	}
 }
 
-// streamCount returns how many attempts and probes are on connections to an engine.
-func (s *testServer) streamCount(engine string) int {
-	return inLoop(s, func(server *Server) (sum int) {
-		for _, c := range server.pool.connsByEngine[engine] {
-			sum += len(c.streams)
-		}
-		return sum
+// streamCount returns how many attempts and probes are on connections to engines.
+func (s *testServer) streamCount() int {
+	return inLoop(s, func(server *Server) int { return server.pool.Stats().Streams })
+}
+
+// reconfigurePool changes the configuration of the pool of connections to engines.
+func (s *testServer) reconfigurePool(change func(*enginepool.Config)) {
+	inLoop(s, func(server *Server) bool {
+		poolConfig := server.pool.Config()
+		change(&poolConfig)
+		server.pool.Reconfigure(poolConfig)
+		return true
 	})
 }
 
@@ -245,36 +250,6 @@
 	return near, accepted.(*net.TCPConn)
 }
 
-// newIdleServer returns a server that does not run, the connection of its pool to engine e1, on which
-// nothing was sent yet, and the engine's end of that.
-func newIdleServer(t *testing.T) (s *Server, transport *netconn.Conn, far *net.TCPConn) {
-	t.Helper()
-	return newIdleServerWithClock(t, time.Now)
-}
-
-// newIdleServerWithClock returns an idle server, the clock of whose send queue is given.
-func newIdleServerWithClock(
-	t *testing.T, clock func() time.Time,
-) (s *Server, transport *netconn.Conn, far *net.TCPConn) {
-	t.Helper()
-	near, far := connectedPair(t)
-	s = &Server{
-		cfg:   config.Config{Settings: testSettings(t, testIdleTimeout), Sockets: testSockets},
-		meter: nopMeter{},
-	}
-	s.pool = newEnginePool(s)
-	options := s.pool.connOptions()
-	options.Now = clock
-	transport = netconn.New(near, options)
-	c := &engineConn{
-		engine: "e1", addr: "a", transport: transport, cancel: func() {},
-		streams: map[string]*stream{}, retiredIDs: map[string]time.Time{},
-		lastUsed: time.Now(), lastReceived: time.Now(),
-	}
-	s.pool.connsByEngine["e1"], s.pool.connCount = []*engineConn{c}, 1
-	return s, transport, far
-}
-
 // runConn serves a connection on which nothing is read, until the test ends, and returns its end.
 func runConn(t *testing.T, conn *netconn.Conn) <-chan error {
 	t.Helper()
@@ -287,11 +262,3 @@
 	}()
 	return ended
 }
-
-// startAttempt starts an attempt of a class at engine e1 of an idle server.
-func startAttempt(s *Server, id broker.AttemptID, class string, timeout time.Duration) {
-	s.pool.startAttempt(broker.StartAttempt{
-		Attempt: id, Engine: "e1", Addr: "a", RequestID: fmt.Sprint(id.Request), Class: class,
-		Timeout: timeout, Priority: 1,
-	})
-}
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"runtime"
 	"testing"
+	"time"
 )
 
 // leakTest injects faults into one broker and looks for what they leave behind.
@@ -92,7 +93,7 @@
 func (l *leakTest) count() (goroutines, descriptors int) {
 	l.t.Helper()
 	inLoop(l.server, func(s *Server) bool {
-		s.pool.closeConnections("e1", 0)
+		s.pool.CloseConnections("e1", time.Time{})
 		return true
 	})
 	all, err := os.ReadDir("/proc/self/fd")
@@ -112,7 +113,7 @@
 	waitUntil(l.t, "the first client and connection have gone", func() bool {
 		goroutines, descriptors = l.count()
 		return inLoop(l.server, func(s *Server) bool {
-			return len(s.clients) == 0 && s.pool.connCount == 0 && len(s.clientSlots) == 0
+			return len(s.clients) == 0 && s.pool.Stats().Connections == 0 && len(s.clientSlots) == 0
 		})
 	})
 	for range 200 { // what ends in the background ends
--- a/internal/server/listener_test.go
+++ b/internal/server/listener_test.go
@@ -23,7 +23,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { _ = s.Close() }) // nothing is served
-				parts := cap(s.clientSlots) + cap(s.rejectSlots) + AdminSockets(cfg) + sockets/engineSocketDivisor + ownSockets
+				parts := cap(s.clientSlots) + cap(s.rejectSlots) + AdminSockets(cfg) + maxEngineConns(sockets) + ownSockets
 				if parts > sockets || cap(s.clientSlots) < 1 {
 					t.Errorf("%d descriptors for %d, %d of them for clients", parts, sockets, cap(s.clientSlots))
 				}
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -4,9 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
-
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
 )
 
@@ -61,7 +60,7 @@
 func TestNoLivenessProbeWithoutLoadProbes(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
-	a := s.connect(statement("lookup", 1, silenceThreshold+200*time.Millisecond, ""))
+	a := s.connect(statement("lookup", 1, enginepool.SilenceThreshold+200*time.Millisecond, ""))
 	first := e.expectAttempt(t)
 	a.expect("1226")
 	e.expectCancel(t, first)
@@ -71,79 +70,3 @@
 		t.Fatal("the silent connection was used again")
 	}
 }
-
-// A connection that was probed and is silent is closed with attempts in flight only where hedging is
-// allowed: an engine that is cut off does not see the close and goes on, so that a retry would be a second
-// attempt in flight.
-func TestSilentConnectionClosesOnlyWithHedging(t *testing.T) {
-	for name, tt := range map[string]struct{ probes, hedging, closed bool }{
-		"probes and hedging": {true, true, true},
-		"probes":             {true, false, false},
-		"hedging":            {false, true, false},
-		"neither":            {false, false, false},
-	} {
-		t.Run(name, func(t *testing.T) {
-			s, transport, _ := newIdleServer(t)
-			limits := &s.cfg.Settings.Control.Limits
-			limits.LoadProbes, limits.Hedging = tt.probes, tt.hedging
-			startAttempt(s, firstAttempt, "lookup", time.Minute)
-			transport.MarkSent(len(transport.NextBytes())) // all of it has left
-			c := s.pool.connsByEngine["e1"][0]
-			c.lastReceived, c.suspectSince = time.Now().Add(-time.Minute), time.Now().Add(-2*livenessTimeout)
-			s.pool.checkLiveness()
-			if c.closed != tt.closed || (len(s.pendingEvents) > 0) != tt.closed {
-				t.Errorf("closed %v, events %v", c.closed, s.pendingEvents)
-			}
-			s.pool.withdrawAttempt(firstAttempt) // it has left, so it stays in flight
-			if over := len(s.pool.inFlight) == 0; over != tt.closed {
-				t.Errorf("the attempt is over: %v", over)
-			}
-		})
-	}
-}
-
-// A connection is probed only once an answer on it is overdue and nothing came for long: a long query costs
-// its engine no probe before its answer is due. (Every broker of a fleet used to probe each connection with
-// a route report in flight every half second.)
-func TestJudgeLiveness(t *testing.T) {
-	start := time.Unix(1000, 0)
-	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var never time.Time
-	for name, tt := range map[string]struct {
-		now, received, suspect time.Time
-		overdue                time.Time
-		want                   livenessVerdict
-	}{
-		"nothing in flight":                  {at(5000), at(0), never, never, livenessUnchanged},
-		"silent, nothing overdue":            {at(1900), at(0), never, at(2000), livenessUnchanged},
-		"silent and overdue":                 {at(2100), at(0), never, at(2000), livenessSuspected},
-		"overdue, received lately":           {at(2100), at(1700), never, at(2000), livenessUnchanged},
-		"overdue, silent just long enough":   {at(2100), at(1500), never, at(2000), livenessSuspected},
-		"probed, and something came":         {at(2200), at(2150), at(2100), at(2000), livenessConfirmed},
-		"probed, nothing yet":                {at(2300), at(0), at(2100), at(2000), livenessUnchanged},
-		"probed, nothing in time":            {at(2400), at(0), at(2100), at(2000), livenessLost},
-		"probed, nothing in flight any more": {at(2400), at(0), at(2100), never, livenessLost},
-	} {
-		t.Run(name, func(t *testing.T) {
-			if got := judgeLiveness(tt.now, tt.received, tt.suspect, tt.overdue); got != tt.want {
-				t.Errorf("%v, want %v", got, tt.want)
-			}
-		})
-	}
-}
-
-// The first answer due on a connection is the earliest of its streams, each waited for at least as long as
-// the silence that makes a connection suspect.
-func TestFirstOverdueAt(t *testing.T) {
-	start := time.Unix(1000, 0)
-	c := &engineConn{streams: map[string]*stream{
-		"a": {startedAt: start, overdueAfter: 3 * time.Second},
-		"b": {startedAt: start.Add(time.Second), overdueAfter: silenceThreshold},
-	}}
-	if diff := cmp.Diff(start.Add(time.Second+silenceThreshold), c.firstOverdueAt()); diff != "" {
-		t.Fatal(diff)
-	}
-	if got := (&engineConn{}).firstOverdueAt(); !got.IsZero() {
-		t.Fatalf("nothing is in flight, and due at %v", got)
-	}
-}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -13,8 +13,6 @@
 const (
 	maxInboxBatch    = 512             // functions taken from the inbox before a round
 	usageLogInterval = 5 * time.Second // between log lines of what the broker spent
-	// maxSweepInterval is the time between searches for idle connections, less where engines close them soon.
-	maxSweepInterval = time.Second
 	// maxLoopInterval is the longest time between rounds, so that a standstill of the process is noticed.
 	maxLoopInterval = 20 * time.Millisecond
 	// standstillThreshold is the lag of the loop that means that the whole process stood still.
@@ -23,11 +21,6 @@
 	catchUpDuration = 5 * time.Millisecond
 )
 
-// sweepIntervalFor returns how often idle connections are looked for where engines close them after a time.
-func sweepIntervalFor(connIdleTimeout time.Duration) time.Duration {
-	return min(maxSweepInterval, time.Duration((1-idleCloseFraction)/2*float64(connIdleTimeout)))
-}
-
 // pacer decides when the loop runs a round. After a standstill of the process it first leaves time to read
 // what came meanwhile: no timeout may be judged before the answers that came within it are read, and
 // requests of one order key, which clients write at least 60 ms apart, must not be taken in another order.
@@ -108,13 +101,9 @@
 func (s *Server) round() {
 	s.execute(s.reducer.Tick(now()))
 	s.settle()
-	s.pool.resendExpired()
-	s.pool.checkLiveness()
+	s.pool.CheckConnections()
 	s.settle()
-	if time.Since(s.sweptAt) > s.sweepInterval {
-		s.sweptAt = time.Now()
-		s.pool.sweep()
-	}
+	s.pool.Sweep()
 	if time.Since(s.usageLoggedAt) > usageLogInterval {
 		s.logUsage()
 	}
@@ -155,6 +144,8 @@
 func (s *Server) logUsage() {
 	s.usageLoggedAt = time.Now()
 	s.usage.EndpointPolls = s.endpointPolls.Load()
+	pool := s.pool.Stats()
+	s.usage.Dials, s.usage.LivenessProbes = pool.Dials, pool.LivenessProbes
 	spent := s.usage.Since(s.loggedUsage)
 	s.loggedUsage = s.usage
 	if spent == (usage.Counters{}) {
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -44,7 +44,8 @@
 func (s *Server) Inspect(ctx context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool {
 	done := make(chan struct{})
 	inspect := func() {
-		f(s.reducer, netconn.ConnectionCounts{Clients: len(s.clients), Engines: s.pool.connCount, Ends: &s.endCounts})
+		engines := s.pool.Stats().Connections
+		f(s.reducer, netconn.ConnectionCounts{Clients: len(s.clients), Engines: engines, Ends: &s.endCounts})
 		close(done)
 	}
 	inbox := s.inbox
--- a/internal/server/scriptedloop_test.go
+++ b/internal/server/scriptedloop_test.go
@@ -8,29 +8,13 @@
 // untilFar is longer than any test.
 const untilFar = time.Hour
 
-// freshMeter keeps the connections to engines from ever counting as silent. The loop calls LoopLag ahead of
-// each round, on its own goroutine, so no check of liveness can come between.
-type freshMeter struct {
-	Meter
-	pool *enginePool
-}
-
-func (m freshMeter) LoopLag(d time.Duration) {
-	m.Meter.LoopLag(d)
-	for _, conns := range m.pool.connsByEngine {
-		for _, c := range conns {
-			c.lastReceived = time.Now().Add(untilFar)
-			c.lastUsed = c.lastReceived
-		}
-	}
-}
-
 // KeepConnectionsFresh has a running broker take no connection to an engine for dead or idle, nor give one up
 // while it is established, however long the other end or this process stands still.
 func KeepConnectionsFresh(s *Server) {
 	s.inbox <- func() {
-		s.meter = freshMeter{s.meter, s.pool}
-		s.cfg.Settings.ConnectTimeout = untilFar
+		poolConfig := s.pool.Config()
+		poolConfig.SilenceThreshold, poolConfig.IdleTimeout, poolConfig.ConnectTimeout = untilFar, untilFar, untilFar
+		s.pool.Reconfigure(poolConfig)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,6 +19,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
+	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/transient"
 	"wheatlane/internal/usage"
@@ -30,6 +31,7 @@
 	// The limit of sockets is shared: connections to engines and ownSockets come first, the rest is for
 	// clients. One part in closingSocketDivisor of that is for connections that are about to end, the
 	// others bound the sessions.
+	engineSocketDivisor  = 4  // connections to engines get the limit of sockets divided by this
 	ownSockets           = 16 // listener, change log, log, configuration file, the runtime's own
 	rejectSockets        = 4  // of clients that were rejected and have not read that yet
 	closingSocketDivisor = 8
@@ -57,12 +59,10 @@
 	meter               Meter
 	pendingEvents       []broker.Event // events that effects gave
 	clients             map[broker.Session]*client
-	pool                *enginePool
-	sweptAt             time.Time
-	sweepInterval       time.Duration // how often idle connections to engines are looked for
+	pool                *enginepool.Pool
 	shutdown            shutdownState
 	replyBuffer         []byte
-	usage               usage.Counters // what was spent since the start, without endpointPolls
+	usage               usage.Counters // what was spent since the start, the counts of the pool and of polls as of the last log line
 	loggedUsage         usage.Counters // costs at the last log line
 	usageLoggedAt       time.Time
 	restoredMaintenance []string // engines that the previous process had in maintenance mode
@@ -87,10 +87,10 @@
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
 // setting that can't be used.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
-	maxClients := cfg.Sockets - cfg.Sockets/engineSocketDivisor - ownSockets - rejectSockets - AdminSockets(cfg)
+	maxClients := cfg.Sockets - maxEngineConns(cfg.Sockets) - ownSockets - rejectSockets - AdminSockets(cfg)
 	settings := cfg.Settings.Control
-	// An attempt may wait for its connection, and then behind other bytes.
-	settings.MaxSendDelay = cfg.Settings.ConnectTimeout + engineSendDelay(cfg.Settings.DrainGrace)
+	poolConfig := enginePoolConfig(cfg)
+	settings.MaxSendDelay = poolConfig.MaxSendDelay()
 	reducer, err := broker.New(settings, cfg.Seed, maxClients-maxClients/closingSocketDivisor)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -107,12 +107,12 @@
 		lastSession:    broker.Session(cfg.Seed),
 		clientSlots:    make(chan struct{}, maxClients),
 		rejectSlots:    make(chan struct{}, rejectSockets),
-		sweepInterval:  sweepIntervalFor(cfg.Settings.ConnIdleTimeout),
 		changelogAddr:  cfg.Changelog,
 		leaveChangelog: func() {},
 	}
 	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
-	s.pool = newEnginePool(s)
+	host := engineHost{s}
+	s.pool = enginepool.New(poolConfig, host, host, host)
 	if log.Core().Enabled(zap.DebugLevel) {
 		reducer.SetTracer(s.logTransition)
 	}
@@ -203,6 +203,9 @@
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
 	s.cfg.Settings.MaxClientTimeout = cfg.Settings.MaxClientTimeout
 	s.maxClientTimeoutNS.Store(max(s.maxClientTimeoutNS.Load(), int64(cfg.Settings.MaxClientTimeout)))
+	poolConfig := s.pool.Config()
+	poolConfig.MaxClientTimeout = s.maxClientTimeout()
+	s.pool.Reconfigure(poolConfig)
 	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
 		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
 }
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -247,7 +247,7 @@
 			}
 			attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n")
 			a.expect("rows x|y|z|")
-			conns := inLoop(s, func(server *Server) int { return server.pool.connCount })
+			conns := inLoop(s, func(server *Server) int { return server.pool.Stats().Connections })
 			if conns != 1 || len(e.messages)+len(e.closed) > 0 {
 				t.Fatalf("%d connections, %d more messages and %d more ends", conns, len(e.messages), len(e.closed))
 			}
--- a/internal/server/violations.go
+++ b/internal/server/violations.go
@@ -23,13 +23,6 @@
 	s.logViolation(v.Rule, zap.Uint32("session", uint32(v.Session)), zap.String("request", v.RequestID))
 }
 
-// reportLateWrites reports the attempts that left on a connection with a timeout that was too long by then.
-func (p *enginePool) reportLateWrites(c *engineConn) {
-	for range c.transport.TakeLateWrites() {
-		p.server.violated(invariant.TimeoutWithinClient, zap.String("engine", c.engine))
-	}
-}
-
 // logTransition writes a line at debug level for each transition of a request, so that a request can be
 // followed by its ids.
 func (s *Server) logTransition(t broker.Transition) {
