--- a/control/attempts.go
+++ b/control/attempts.go
@@ -1,6 +1,10 @@
 package control
 
-import "math"
+import (
+	"math"
+
+	"wheatlane/control/units"
+)
 
 // Tuned values of attempts and retries.
 const (
@@ -20,16 +24,16 @@
 		k.learnWait(c.now - r.receivedAt)
 	}
 	if c.inSlowStart(e) {
-		e.slowStartSends = append(e.slowStartSends, slowStartSend{c.now, k.meanWork})
+		e.sentInSlowStart.Add(c.now, units.ThreadSeconds(k.meanWork))
 	}
 	a := r.addAttempt(e, c.now)
-	if e.ejected {
-		e.halfOpenAt = c.now + c.ejectionBackoff()
+	if e.health.Ejected() {
+		e.health.ProbeSent(c.now, c.ejectionBackoff())
 	}
 	// Only a half-open probe times out early, to be retried: work that is cut off is lost.
 	overdueAfter := c.attemptTimeout(r, e)
 	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: overdueAfter}
-	if e.ejected && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
+	if e.health.Ejected() && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
 		send.Timeout = overdueAfter
 	}
 	c.emit(send)
@@ -97,9 +101,9 @@
 		return
 	}
 	if status == TimedOut && !c.settings.Limits.Cancellation {
-		c.startTimer(c.now-a.sentAt, func() { a.engine.addThreads(-a.request.class.Threads) })
+		c.startTimer(c.now-a.sentAt, func() { a.engine.releaseThreads(a.request.class.Threads) })
 	} else {
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
 
@@ -109,7 +113,7 @@
 	r := a.request
 	stillRuns := status == TimedOut && !c.settings.Limits.Cancellation
 	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || c.isWorthless(r)
-	if tooLate || stillRuns && !a.engine.ejected && c.underPressure(a.engine) {
+	if tooLate || stillRuns && !a.engine.health.Ejected() && c.underPressure(a.engine) {
 		c.rejectOrFail(r)
 	} else {
 		c.enqueue(r, a.engine)
@@ -128,7 +132,8 @@
 	if a == nil {
 		return
 	}
-	a.lastProgressAt, a.engine.lastResponseAt = c.now, c.now
+	a.lastProgressAt = c.now
+	a.engine.health.Responded(c.now)
 	if report.Kind != ProgressFraction {
 		return
 	}
--- a/control/requests.go
+++ b/control/requests.go
@@ -35,6 +35,7 @@
 	if in.EstimatedWork > 0 {
 		r.expectedWork = in.EstimatedWork.Seconds() * k.workBias
 	}
+	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
 	return r
 }
 
@@ -45,7 +46,7 @@
 	}
 	r.attempts = append(r.attempts, a)
 	e.addAttempt(a)
-	e.addThreads(r.class.Threads)
+	e.acquireThreads(r.class.Threads)
 	return a
 }
 
@@ -168,7 +169,7 @@
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
 func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := c.shares.weights[r.classIndex], c.workload.tenants[r.tenantIndex].Share
+	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
 	e.queue.Pop(r.classIndex, r.tenantIndex, classShare, tenantShare)
 	r.queuedOn = nil
 }
@@ -194,6 +195,6 @@
 func (c *Controller) releaseThreads(a *attempt) {
 	if !a.released {
 		a.released = true
-		a.engine.addThreads(-a.request.class.Threads)
+		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"time"
-
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
@@ -43,7 +41,7 @@
 	case broker.CancelUnsent:
 		s.pool.Drain(e.Engine)
 	case broker.CloseEngineConnections:
-		s.closeEngineConnections(e)
+		s.pool.CloseConnections(e.Engine, e.DialedBefore)
 	case broker.InvariantViolation:
 		s.logReducerViolation(e)
 	case broker.LogLine:
@@ -79,14 +77,5 @@
 
 func (s *Server) sendGossip(e broker.SendGossip) {
 	s.usage.GossipSent++
-	s.gossip.send(e)
-}
-
-// closeEngineConnections closes connections to an engine, all of them without a time before which they were dialled.
-func (s *Server) closeEngineConnections(e broker.CloseEngineConnections) {
-	var dialledBefore time.Time
-	if e.DialedBefore != 0 {
-		dialledBefore = time.Now().Add(e.DialedBefore - now())
-	}
-	s.pool.CloseConnections(e.Engine, dialledBefore)
+	s.gossip.Send(e.Broker, e.Reports)
 }
--- a/internal/server/enginehost.go
+++ b/internal/server/enginehost.go
@@ -27,7 +27,7 @@
 		MaxClientTimeout: cfg.Settings.MaxClientTimeout,
 		LoadProbes:       limits.LoadProbes,
 		Hedging:          limits.Hedging,
-		ReportFields:     cfg.Settings.Control.ReportFields,
+		LoadReport:       cfg.Settings.LoadReport,
 	}
 }
 
--- a/internal/server/enginepool/config.go
+++ b/internal/server/enginepool/config.go
@@ -1,6 +1,10 @@
 package enginepool
 
-import "time"
+import (
+	"time"
+
+	"wheatlane/internal/loadfields"
+)
 
 const (
 	// SilenceThreshold is how long a connection with an overdue response may receive nothing before it is suspect.
@@ -25,17 +29,17 @@
 
 // Config is what a pool knows of its deployment.
 type Config struct {
-	MaxConns         int           // connections to all engines together
-	MaxStreams       int           // attempts and load probes at once on one connection
-	ConnectTimeout   time.Duration // of a new connection
-	IdleTimeout      time.Duration // after which engines close an idle connection
-	SweepInterval    time.Duration // between searches for idle connections
-	DrainGrace       time.Duration // after a drain, in which decided sends may still arrive; 0: not limited
-	SilenceThreshold time.Duration // usually SilenceThreshold
-	MaxClientTimeout time.Duration // the longest client timeout that was ever in force
-	LoadProbes       bool          // engines may be probed
-	Hedging          bool          // two attempts of one request may be in flight
-	ReportFields     []string      // of a load report, in their order
+	MaxConns         int               // connections to all engines together
+	MaxStreams       int               // attempts and load probes at once on one connection
+	ConnectTimeout   time.Duration     // of a new connection
+	IdleTimeout      time.Duration     // after which engines close an idle connection
+	SweepInterval    time.Duration     // between searches for idle connections
+	DrainGrace       time.Duration     // after a drain, in which decided sends may still arrive; 0: not limited
+	SilenceThreshold time.Duration     // usually SilenceThreshold
+	MaxClientTimeout time.Duration     // the longest client timeout that was ever in force
+	LoadProbes       bool              // engines may be probed
+	Hedging          bool              // two attempts of one request may be in flight
+	LoadReport       loadfields.Layout // of the load reports of engines
 }
 
 // SweepInterval returns how often idle connections are looked for where engines close them after a time: often
--- a/internal/server/enginepool/pool.go
+++ b/internal/server/enginepool/pool.go
@@ -7,6 +7,7 @@
 
 	"wheatlane/control"
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/clock"
 	"wheatlane/internal/server/netconn"
 )
 
@@ -59,11 +60,12 @@
 	p.checkLiveness()
 }
 
-// CloseConnections closes the connections to an engine that were dialled before a time, all of them if it is zero.
-func (p *Pool) CloseConnections(engine string, dialledBefore time.Time) {
+// CloseConnections closes the connections to an engine that were dialled before a time of the reducer, all of them if
+// it is 0.
+func (p *Pool) CloseConnections(engine string, dialledBefore time.Duration) {
 	p.drains.forget(engine)
 	for _, conn := range slices.Clone(p.connsByEngine[engine]) {
-		if dialledBefore.IsZero() || conn.dialStarted.Before(dialledBefore) {
+		if dialledBefore == 0 || clock.At(conn.dialStarted) < dialledBefore {
 			p.close(conn, netconn.EngineGone)
 		}
 	}
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/loadreport"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/resp"
 	"wheatlane/internal/server/netconn"
@@ -112,7 +113,7 @@
 		p.observer.DuplicateResponse(conn.engine)
 		return
 	}
-	report := resp.Report(response.Load, p.config.ReportFields)
+	report := resp.Report(response.Load, p.config.LoadReport)
 	switch {
 	case stream.isProbe():
 		p.probeAnswered(stream, response, report)
@@ -130,7 +131,7 @@
 }
 
 // probeAnswered passes the answer to a load probe to the reducer.
-func (p *Pool) probeAnswered(stream *stream, response *resp.Answer, report []float64) {
+func (p *Pool) probeAnswered(stream *stream, response *resp.Answer, report loadreport.Report) {
 	stream.done = true
 	p.removeStream(stream)
 	status := control.OK
@@ -155,7 +156,7 @@
 
 // attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
 // mistaken for the response to a retry, so the id is retired.
-func (p *Pool) attemptFailed(stream *stream, response *resp.Answer, report []float64) {
+func (p *Pool) attemptFailed(stream *stream, response *resp.Answer, report loadreport.Report) {
 	stream.done = true
 	delete(p.inFlight, stream.attemptID)
 	p.retireUntilClientTimeout(stream)
