--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,6 +21,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/clock"
 	"wheatlane/internal/server/endpointwatch"
+	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netconn"
@@ -34,6 +35,7 @@
 	// The limit of sockets is shared: connections to engines and ownSockets come first, the rest is for
 	// clients. One part in closingSocketDivisor of that is for connections that are about to end, the
 	// others bound the sessions.
+	engineSocketDivisor  = 4  // connections to engines get the limit of sockets divided by this
 	ownSockets           = 16 // listener, change log, log, configuration file, the runtime's own
 	rejectSockets        = 4  // of clients that were rejected and have not read that yet
 	closingSocketDivisor = 8
@@ -62,12 +64,10 @@
 	meter               Meter
 	pendingEvents       []broker.Event // events that effects gave
 	clients             map[broker.Session]*client
-	pool                *enginePool
-	sweptAt             time.Time
-	sweepInterval       time.Duration // how often idle connections to engines are looked for
+	pool                *enginepool.Pool
 	shutdown            shutdownState
 	replyBuffer         []byte
-	usage               usage.Counters // what was spent since the start, without endpointPolls
+	usage               usage.Counters // what was spent since the start, the counts of the pool and of polls as of the last log line
 	loggedUsage         usage.Counters // costs at the last log line
 	usageLoggedAt       time.Time
 	restoredMaintenance []string // engines that the previous process had in maintenance mode
@@ -89,10 +89,10 @@
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
 // setting that can't be used.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
-	maxClients := cfg.Sockets - cfg.Sockets/engineSocketDivisor - ownSockets - rejectSockets - AdminSockets(cfg)
+	maxClients := cfg.Sockets - maxEngineConns(cfg.Sockets) - ownSockets - rejectSockets - AdminSockets(cfg)
 	settings := cfg.Settings.Control
-	// An attempt may wait for its connection, and then behind other bytes.
-	settings.MaxSendDelay = cfg.Settings.ConnectTimeout + engineSendDelay(cfg.Settings.DrainGrace)
+	poolConfig := enginePoolConfig(cfg)
+	settings.MaxSendDelay = poolConfig.MaxSendDelay()
 	reducer, err := broker.New(settings, cfg.Seed, maxClients-maxClients/closingSocketDivisor)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -103,16 +103,16 @@
 	}
 	s := &Server{
 		cfg: cfg, log: log, listener: listener, reducer: reducer, meter: nopMeter{},
-		inbox:         make(chan func(), inboxSize),
-		done:          make(chan struct{}),
-		clients:       map[broker.Session]*client{},
-		lastSession:   broker.Session(cfg.Seed),
-		clientSlots:   make(chan struct{}, maxClients),
-		rejectSlots:   make(chan struct{}, rejectSockets),
-		sweepInterval: sweepIntervalFor(cfg.Settings.ConnIdleTimeout),
+		inbox:       make(chan func(), inboxSize),
+		done:        make(chan struct{}),
+		clients:     map[broker.Session]*client{},
+		lastSession: broker.Session(cfg.Seed),
+		clientSlots: make(chan struct{}, maxClients),
+		rejectSlots: make(chan struct{}, rejectSockets),
 	}
 	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
-	s.pool = newEnginePool(s)
+	host := engineHost{s}
+	s.pool = enginepool.New(poolConfig, host, host, host)
 	s.endpoints = endpointwatch.New(
 		endpointwatch.Config{Addr: cfg.Changelog, Revision: cfg.Known.Revision}, inputs{s})
 	if log.Core().Enabled(zap.DebugLevel) {
@@ -190,6 +190,9 @@
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
 	s.cfg.Settings.MaxClientTimeout = cfg.Settings.MaxClientTimeout
 	s.maxClientTimeoutNS.Store(max(s.maxClientTimeoutNS.Load(), int64(cfg.Settings.MaxClientTimeout)))
+	poolConfig := s.pool.Config()
+	poolConfig.MaxClientTimeout = s.maxClientTimeout()
+	s.pool.Reconfigure(poolConfig)
 	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
 		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
 }
