--- a/control/admission.go
+++ b/control/admission.go
@@ -27,7 +27,7 @@
 	c.workload.countArrival(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
-	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
+	c.startTimer(answerIn, answerDue{r})
 	c.requests.add(r)
 	c.enqueue(r, nil)
 }
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"wheatlane/control/overdue"
 	"wheatlane/control/units"
 )
 
@@ -37,7 +38,7 @@
 		send.Timeout = overdueAfter
 	}
 	c.emit(send)
-	c.startTimer(overdueAfter, func() { c.checkOverdue(a) })
+	c.startTimer(overdueAfter, attemptOverdue{a})
 }
 
 // setAttemptOptions sets memory and priority where engines heed them.
@@ -66,9 +67,13 @@
 	a.inFlight = false
 	e.removeAttempt(a)
 	if a.presumedLost && end.Status == OK {
-		c.recoverLoss(e, a.lossConfidence)
+		c.outliers.Recovered(&e.health, a.lossConfidence)
+	}
+	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !a.released {
+		c.startTimer(c.now-a.sentAt, endedAttemptStopped{a}) // it may still run: as long again, by its age
+	} else {
+		a.releaseThreads()
 	}
-	c.releaseEnded(a, end.Status)
 	a.mayHaveRun = end.Status.MayHaveRun()
 	if r.keyQueue != nil && end.Status.mayStillRun() {
 		r.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
@@ -94,25 +99,12 @@
 	}
 }
 
-// releaseEnded counts an ended attempt no more against the concurrency limit. One that timed out and cannot
-// be cancelled may still run: as long again, by its age.
-func (c *Controller) releaseEnded(a *attempt, status Status) {
-	if a.released {
-		return
-	}
-	if status == TimedOut && !c.settings.Limits.Cancellation {
-		c.startTimer(c.now-a.sentAt, func() { a.engine.releaseThreads(a.request.class.Threads) })
-	} else {
-		a.engine.releaseThreads(a.request.class.Threads)
-	}
-}
-
 // retry enqueues a request again, elsewhere, while there is time, unless its attempt may still run on an
 // engine under pressure: more would be harmful there.
 func (c *Controller) retry(a *attempt, status Status) {
 	r := a.request
 	stillRuns := status == TimedOut && !c.settings.Limits.Cancellation
-	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || c.isWorthless(r)
+	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || r.isWorthless(c.now)
 	if tooLate || stillRuns && !a.engine.health.Ejected() && c.underPressure(a.engine) {
 		c.rejectOrFail(r)
 	} else {
@@ -120,13 +112,7 @@
 	}
 }
 
-// isWorthless says whether an answer earns nothing any more.
-func (c *Controller) isWorthless(r *request) bool {
-	return r.class.LateWeight == 0 && c.now > r.objectiveAt
-}
-
-// attemptProgress takes a progress report. Little progress for much time is a runaway: it is cancelled where
-// a fresh attempt should end sooner.
+// attemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
 func (c *Controller) attemptProgress(report AttemptProgress) {
 	a := c.requests.attemptInFlight(report.RequestID, report.Number)
 	if a == nil {
@@ -137,9 +123,9 @@
 	if report.Kind != ProgressFraction {
 		return
 	}
-	spent, usual := (c.now - a.sentAt).Seconds(), c.expectedServiceTime(a.request, a.engine)
-	left := spent * (1 - report.Value) / max(report.Value, minProgress)
-	if c.settings.Limits.Cancellation && left > runawayFactor*usual {
+	spent, progress := units.SecondsOf(c.now-a.sentAt), units.Fraction(report.Value)
+	usual := units.Seconds(c.expectedServiceTime(a.request, a.engine))
+	if c.settings.Limits.Cancellation && overdue.IsRunaway(spent, progress, usual) {
 		c.hedgeOrCancel(a)
 	}
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -160,8 +160,8 @@
 		case TimerFired:
 			if event.Token == tickToken {
 				c.tick()
-			} else {
-				c.timers.fire(event.Token)
+			} else if expired := c.timers.take(event.Token); expired != nil {
+				expired.expire(c)
 			}
 		}
 	}
@@ -210,9 +210,9 @@
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// startTimer calls a function after a time, at the next batch at the earliest.
-func (c *Controller) startTimer(after time.Duration, callback func()) {
-	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(callback)})
+// startTimer has a timer expire after a time, at the next batch at the earliest.
+func (c *Controller) startTimer(after time.Duration, t timer) {
+	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(t)})
 }
 
 // logf emits a line for the operators, unless one about the same subject was emitted lately.
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// attemptsExhausted reports whether a request that was attempted waits for an answer that no attempt can give.
+// attemptsExhausted reports whether a request was attempted and no attempt is left that could answer it.
 func (c *Controller) attemptsExhausted(r *request) bool {
 	if len(r.attempts) == 0 || r.hasAttemptInFlight() {
 		return false
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -1,83 +1,69 @@
 package control
 
 import (
-	"math"
 	"time"
 
 	"wheatlane/control/outlier"
+	"wheatlane/control/overdue"
+	"wheatlane/control/units"
 )
 
-// Tuned values of hedging: when an attempt is overdue, and what is done then.
-const (
-	minLateQuantile  = 0.003                  // least share of answers later than the attempt timeout
-	maxLateQuantile  = 0.03                   // largest
-	maxLossOdds      = 0.9                    // loss rate beyond which the odds of a loss are not trusted
-	minLossWait      = 600 * time.Millisecond // no attempt is presumed lost sooner, where losses are rare
-	minLockWait      = 0.25                   // part of the objective at which an attempt may be blocked
-	missedProgress   = 1.75                   // progress intervals without a report that are overdue
-	maxHedgeLossRate = 0.4                    // where more looks lost it is an overload: more would harm
-	runawayFactor    = 4.0                    // times its usual time that a runaway has left
-	minProgress      = 0.005                  // progress taken as made at least
-)
-
-// attemptTimeout is how long an attempt is waited for: until it is likelier lost than late, by the spread of
-// service times and the share of answers lost.
+// attemptTimeout is how long an attempt of a request at an engine is waited for.
 func (c *Controller) attemptTimeout(r *request, e *engine) time.Duration {
-	late := r.class.spread.UpperQuantile(c.lateQuantile(e))
-	return seconds(c.expectedServiceTime(r, e) * math.Exp(late))
-}
-
-// lateQuantile is the share of answers that come later than an attempt is waited for.
-func (c *Controller) lateQuantile(e *engine) float64 {
-	lost := c.lossRate(e)
-	return min(maxLateQuantile, max(minLateQuantile, lost/(1-min(lost, maxLossOdds))))
+	expected := units.Seconds(c.expectedServiceTime(r, e))
+	return overdue.Timeout(expected, r.class.spread, c.outliers.LossRate(&e.health))
 }
 
-// checkOverdue looks at an attempt that takes longer than nearly all answers: lost, blocked, or only late.
+// checkOverdue judges an attempt that takes longer than nearly all answers, until it is over or cancelled.
 func (c *Controller) checkOverdue(a *attempt) {
 	if !a.inFlight || a.request.closed || a.cancelled || a.presumedLost {
 		return
 	}
-	k, e := a.request.class, a.engine
-	limit := c.attemptTimeout(a.request, e)
-	if interval := c.settings.ProgressInterval; interval > 0 {
-		limit = min(limit, seconds(missedProgress*interval.Seconds()))
+	state := c.overdueStateOf(a)
+	verdict, again := overdue.Judge(state)
+	if verdict == overdue.Blocked {
+		c.blockedByLock(a)
+		state.Lock.Released = a.released
+		verdict, again = overdue.Judge(state)
 	}
-	silence := c.now - max(a.sentAt, a.lastProgressAt)
-	// The likelier a loss, the sooner it is presumed.
-	least := seconds(minLossWait.Seconds() * math.Sqrt(minLateQuantile/c.lateQuantile(e)))
-	if k.BlockedByDataSetLock { // it may wait for a lock, which is no loss, but takes too long
-		least = seconds(minLockWait * k.LatencyObjective.Seconds())
-		engineAnswers := e.health.RespondedWithin(minLossWait, c.now)
-		if engineAnswers && !a.released && silence >= max(limit, least) {
-			c.blockedByLock(a)
-		}
-		if a.released {
-			limit += seconds(c.workload.longestLock)
-		}
+	switch verdict {
+	case overdue.InTime:
+		c.startTimer(again, attemptOverdue{a})
+	case overdue.Lost:
+		c.attemptLost(a)
+	case overdue.Blocked, overdue.Overload:
 	}
-	if left := max(limit, least) - silence; left > 0 {
-		c.startTimer(left, func() { c.checkOverdue(a) })
-		return
+}
+
+// overdueStateOf is what an attempt is judged by.
+func (c *Controller) overdueStateOf(a *attempt) overdue.Attempt {
+	state := overdue.Attempt{
+		Silence:          c.now - max(a.sentAt, a.lastProgressAt),
+		Timeout:          c.attemptTimeout(a.request, a.engine),
+		ProgressInterval: c.settings.ProgressInterval,
+		LossRate:         c.outliers.LossRate(&a.engine.health),
+		FleetLossRate:    c.outliers.FleetLossRate(),
 	}
-	if a.presumedLost = c.overallLossRate() < maxHedgeLossRate; a.presumedLost {
-		c.attemptLost(a)
+	if k := a.request.class; k.BlockedByDataSetLock {
+		state.Lock = &overdue.Lock{
+			Objective:      k.LatencyObjective,
+			LongestHold:    seconds(c.workload.longestLock),
+			EngineResponds: a.engine.health.RespondedWithin(overdue.MinLossWait, c.now),
+			Released:       a.released,
+		}
 	}
+	return state
 }
 
-// attemptLost takes an attempt as lost. It may be only late, which never shows if it is cancelled: it counts
-// as far as a loss is sure, or the belief in losses would feed on itself, as it shortens the timeouts.
+// attemptLost takes an attempt as lost, as far as that is certain. It may still run, for as long again.
 func (c *Controller) attemptLost(a *attempt) {
-	e := a.engine
-	c.startTimer(c.now-a.sentAt, func() { // it may still run: as long again, by its age
-		if a.inFlight {
-			c.releaseThreads(a)
-		}
-	})
-	a.lossConfidence = c.lossRate(e) / (c.lossRate(e) + c.lateQuantile(e))
-	c.recordLoss(e, a.lossConfidence)
-	if c.outliers.Silent(&e.health) {
-		c.eject(e, outlier.Silent)
+	a.presumedLost = true
+	c.startTimer(c.now-a.sentAt, lostAttemptStopped{a})
+	health := &a.engine.health
+	a.lossConfidence = overdue.LossConfidence(c.outliers.LossRate(health))
+	c.outliers.Lost(health, a.lossConfidence)
+	if c.outliers.Silent(health) {
+		c.eject(a.engine, outlier.Silent)
 	}
 	c.hedgeOrCancel(a)
 }
@@ -85,26 +71,21 @@
 // blockedByLock takes an attempt that waits for a lock, of whichever broker: it needs no threads then,
 // requests that the lock would block go elsewhere, and it is tried elsewhere while there is time.
 func (c *Controller) blockedByLock(a *attempt) {
-	c.releaseThreads(a)
+	a.releaseThreads()
 	a.engine.dataSetLocks.Presume(a.request.DataSet, c.now+seconds(c.workload.longestLock))
 	c.hedgeOrCancel(a)
 }
 
-// hedgeOrCancel cancels an attempt, to be retried, or hedges it where attempts can't be cancelled.
+// hedgeOrCancel cancels an attempt, to be retried, or hedges it where attempts can't be cancelled, if another
+// attempt is allowed and its answer would still count.
 func (c *Controller) hedgeOrCancel(a *attempt) {
-	r := a.request
-	if a.cancelled || r.queuedOn != nil || !c.mayHedge(r) {
+	r, limits := a.request, &c.settings.Limits
+	if a.cancelled || r.queuedOn != nil || len(r.attempts) >= limits.MaxAttempts || !r.isWorthHedging(c.now) {
 		return
 	}
-	if c.settings.Limits.Cancellation {
+	if limits.Cancellation {
 		c.cancelAttempt(a)
-	} else if e := c.selectEngine(r, a.engine); c.settings.Limits.Hedging && e != nil && e != a.engine {
+	} else if e := c.selectEngine(r, a.engine); limits.Hedging && e != nil && e != a.engine {
 		c.sendAttempt(r, e)
 	}
 }
-
-// mayHedge says whether another attempt of a request is allowed, and its answer would still count.
-func (c *Controller) mayHedge(r *request) bool {
-	return len(r.attempts) < c.settings.Limits.MaxAttempts && r.class.Idempotency.RepeatableAnywhere() &&
-		c.now+seconds(r.expectedWork) <= r.Deadline && !c.isWorthless(r)
-}
--- a/control/hedging_test.go
+++ b/control/hedging_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wheatlane/control/outlier"
+	"wheatlane/control/overdue"
 )
 
 func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
@@ -20,7 +21,7 @@
 			r.endAttempt(other, 0, OK)
 		}
 		if got = r.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
-			lossRate := r.controller.lossRate(r.controller.endpoints.byID[silent])
+			lossRate := float64(r.controller.outliers.LossRate(&r.controller.endpoints.byID[silent].health))
 			const expectedLossRate = 0.01 // of an engine of which nothing is known
 			requireEqual(t, "estimated to lose answers", lossRate > 10*expectedLossRate, true)
 			retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
@@ -228,7 +229,7 @@
 	for range 4 {
 		r.submit("quick")
 	}
-	r.advance(minLossWait - 50*ms)
+	r.advance(overdue.MinLossWait - 50*ms)
 	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
 }
 
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -37,11 +37,7 @@
 		}
 	}
 	if probed {
-		c.startTimer(c.probeWait(), func() {
-			if !r.closed {
-				c.enqueue(r, avoid)
-			}
-		})
+		c.startTimer(c.probeWait(), loadProbesDue{r, avoid})
 	}
 	return probed
 }
@@ -85,13 +81,16 @@
 	class := r.class
 	class.awaitingProbes++
 	c.endpoints.pool.concurrency.Acquire(class.Threads)
-	c.startTimer(c.probeWait(), func() {
-		class.awaitingProbes--
-		c.endpoints.pool.concurrency.Release(class.Threads)
-		if !r.closed {
-			c.dispatchToBestCandidate(r)
-		}
-	})
+	c.startTimer(c.probeWait(), candidateProbesDue{r})
+}
+
+// candidatesProbed ends that wait.
+func (c *Controller) candidatesProbed(r *request) {
+	r.class.awaitingProbes--
+	c.endpoints.pool.concurrency.Release(r.class.Threads)
+	if !r.closed {
+		c.dispatchToBestCandidate(r)
+	}
 }
 
 // dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, without any
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"wheatlane/control/outlier"
-	"wheatlane/control/units"
 )
 
 // recordOutcome records how an attempt ended in its engine's health.
@@ -60,19 +59,3 @@
 		LowestPriority: r.class.PriorityWeight <= c.workload.lowestWeight,
 	}, c.now)
 }
-
-// lossRate is the fraction of an engine's answers that never come.
-func (c *Controller) lossRate(e *engine) float64 { return float64(c.outliers.LossRate(&e.health)) }
-
-// overallLossRate is the fraction of all engines' answers that never come.
-func (c *Controller) overallLossRate() float64 { return float64(c.outliers.FleetLossRate()) }
-
-// recordLoss counts an answer that never came, as far as that is certain.
-func (c *Controller) recordLoss(e *engine, certainty float64) {
-	c.outliers.Lost(&e.health, units.Fraction(certainty))
-}
-
-// recoverLoss takes that back, as the answer came after all.
-func (c *Controller) recoverLoss(e *engine, certainty float64) {
-	c.outliers.Recovered(&e.health, units.Fraction(certainty))
-}
--- /dev/null
+++ b/control/overdue/overdue.go
@@ -0,0 +1,116 @@
+// Package overdue judges an attempt in flight by its silence: it is still in time, blocked by a data-set
+// lock, or lost. An answer is waited for until a loss is likelier than that it is only late.
+package overdue
+
+import (
+	"math"
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+// MinLossWait is the shortest silence of an attempt that is presumed lost, where losses are rare. An engine
+// that answered anything within it counts as responding.
+const MinLossWait = 600 * time.Millisecond
+
+const (
+	minLateQuantile  = 0.003 // least fraction of answers later than the timeout
+	maxLateQuantile  = 0.03  // largest one
+	maxOddsLossRate  = 0.9   // the odds of a loss don't grow beyond this loss rate
+	blockedObjective = 0.25  // fraction of the objective after which an attempt may be blocked
+	missedProgress   = 1.75  // progress intervals without a report that are overdue
+	overloadLossRate = 0.4   // loss rate that is an overload, which more attempts would make worse
+	runawayRatio     = 4.0   // time left over the usual time of an attempt that is better started anew
+	minProgress      = 0.005 // progress that is taken as made at least
+)
+
+// LateQuantile is the fraction of answers that come later than they are waited for: the odds that an answer
+// is lost, within bounds.
+func LateQuantile(lossRate units.Fraction) units.Fraction {
+	odds := lossRate / (1 - min(lossRate, maxOddsLossRate))
+	return min(maxLateQuantile, max(minLateQuantile, odds))
+}
+
+// Timeout is the time for which an attempt is waited for, given its expected service time and the spread of
+// the logarithm of service times over those expected.
+func Timeout(expected units.Seconds, spread estimate.Spread, lossRate units.Fraction) time.Duration {
+	late := spread.UpperQuantile(float64(LateQuantile(lossRate)))
+	return (expected * units.Seconds(math.Exp(late))).Duration()
+}
+
+// LossConfidence is how far it is certain that an overdue answer is lost. It may be only late, which never
+// shows if the attempt is cancelled. A loss that counted in full would shorten the timeouts, and so make
+// further losses of what is late.
+func LossConfidence(lossRate units.Fraction) units.Fraction {
+	return lossRate / (lossRate + LateQuantile(lossRate))
+}
+
+// IsRunaway reports whether an attempt has made so little progress that a fresh one should end sooner, given
+// the time spent on it, the fraction of it that is done, and the usual time.
+func IsRunaway(spent units.Seconds, progress units.Fraction, usual units.Seconds) bool {
+	left := spent * units.Seconds(1-progress) / units.Seconds(max(progress, minProgress))
+	return left > runawayRatio*usual
+}
+
+// Verdict is what an attempt's silence means.
+type Verdict int
+
+// The verdicts.
+const (
+	InTime   Verdict = iota // its answer may yet come
+	Blocked                 // it waits for a data-set lock, which needs no threads
+	Lost                    // its answer is presumed lost
+	Overload                // it is overdue, but so are too many others for a loss of its own
+)
+
+// Attempt is what is known of an attempt in flight.
+type Attempt struct {
+	Silence          time.Duration  // since it was sent or last reported progress
+	Timeout          time.Duration  // see Timeout
+	ProgressInterval time.Duration  // engines report progress so often; 0: never
+	LossRate         units.Fraction // of its engine's answers
+	FleetLossRate    units.Fraction // of all engines' answers
+	Lock             *Lock          // nil: data-set locks don't block it
+}
+
+// Lock is what is known of the data-set lock that may block an attempt.
+type Lock struct {
+	Objective      time.Duration // latency objective of the attempt's class
+	LongestHold    time.Duration // usual time of the longest hold of a lock
+	EngineResponds bool          // the engine answered something within MinLossWait
+	Released       bool          // the attempt was found blocked already, and its threads released
+}
+
+// Judge returns the verdict on an attempt and, if it is in time, when to judge it again.
+func Judge(attempt Attempt) (verdict Verdict, again time.Duration) {
+	limit := attempt.Timeout
+	if interval := attempt.ProgressInterval; interval > 0 {
+		limit = min(limit, scale(interval, missedProgress))
+	}
+	var least time.Duration
+	if lock := attempt.Lock; lock != nil {
+		least = scale(lock.Objective, blockedObjective)
+		if lock.EngineResponds && !lock.Released && attempt.Silence >= max(limit, least) {
+			return Blocked, 0
+		}
+		if lock.Released {
+			limit += lock.LongestHold
+		}
+	} else { // the likelier a loss, the sooner it is presumed
+		least = scale(MinLossWait, math.Sqrt(minLateQuantile/float64(LateQuantile(attempt.LossRate))))
+	}
+	switch left := max(limit, least) - attempt.Silence; {
+	case left > 0:
+		return InTime, left
+	case attempt.FleetLossRate < overloadLossRate:
+		return Lost, 0
+	default:
+		return Overload, 0
+	}
+}
+
+// scale multiplies a time by a factor.
+func scale(d time.Duration, factor float64) time.Duration {
+	return units.Duration(factor * d.Seconds())
+}
--- a/control/requests.go
+++ b/control/requests.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/control/keyorder"
+	"wheatlane/control/units"
 )
 
 // request is a request that is not over, or of which an attempt is still in flight.
@@ -58,19 +59,39 @@
 	sentAt         time.Duration
 	inFlight       bool
 	mayHaveRun     bool
-	cancelled      bool          // its cancellation was asked for
-	presumedLost   bool          // its answer is not waited for
-	lossConfidence float64       // from 0 to 1, if presumed lost
-	released       bool          // its threads count no more against the concurrency limit
-	lastProgressAt time.Duration // of its last progress report
+	cancelled      bool           // its cancellation was asked for
+	presumedLost   bool           // its answer is not waited for
+	lossConfidence units.Fraction // of the presumption
+	released       bool           // its threads count no more against the concurrency limit
+	lastProgressAt time.Duration  // of its last progress report
 }
 
-// hasAttemptInFlight says whether an attempt of the request is in flight.
+// releaseThreads counts the attempt's threads no more against the concurrency limit, once.
+func (a *attempt) releaseThreads() {
+	if !a.released {
+		a.released = true
+		a.engine.releaseThreads(a.request.class.Threads)
+	}
+}
+
+// isWorthless reports whether an answer would earn nothing any more.
+func (r *request) isWorthless(now time.Duration) bool {
+	return r.class.LateWeight == 0 && now > r.objectiveAt
+}
+
+// isWorthHedging reports whether a further attempt, of its usual work, would end in time to earn something.
+// A request that a further attempt could only reach within its dedup scope is not hedged.
+func (r *request) isWorthHedging(now time.Duration) bool {
+	return r.class.Idempotency.RepeatableAnywhere() &&
+		now+seconds(r.expectedWork) <= r.Deadline && !r.isWorthless(now)
+}
+
+// hasAttemptInFlight reports whether an attempt of the request is in flight.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
 }
 
-// mayHaveRun says whether an attempt of the request may have run.
+// mayHaveRun reports whether an attempt of the request may have run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
@@ -157,7 +178,7 @@
 	}
 	c.requests.remove(r)
 	if queue := r.keyQueue; queue != nil && queue.Empty() {
-		c.startTimer(queue.CooldownLeft(c.now), func() { c.requests.keyQueues.Release(queue, c.now) })
+		c.startTimer(queue.CooldownLeft(c.now), orderKeyIdle{queue})
 	}
 }
 
@@ -190,11 +211,3 @@
 		}
 	}
 }
-
-// releaseThreads counts an attempt's threads no more against the concurrency limit, once.
-func (c *Controller) releaseThreads(a *attempt) {
-	if !a.released {
-		a.released = true
-		a.engine.releaseThreads(a.request.class.Threads)
-	}
-}
--- a/control/timers.go
+++ b/control/timers.go
@@ -1,6 +1,10 @@
 package control
 
-import "time"
+import (
+	"time"
+
+	"wheatlane/control/keyorder"
+)
 
 const (
 	tickInterval = 100 * time.Millisecond // time between two looks at what waits
@@ -9,29 +13,69 @@
 	logInterval  = 5 * time.Second        // no line about one subject is logged sooner again
 )
 
-// timerSet holds what is to be called when a timer fires, by token.
+// timer is what is due when a timer expires. All are declared in this file.
+type timer interface{ expire(c *Controller) }
+
+type (
+	// answerDue is the end of the time in which a request has to be answered.
+	answerDue struct{ request *request }
+	// attemptOverdue is the time at which an attempt in flight is to be judged.
+	attemptOverdue struct{ attempt *attempt }
+	// lostAttemptStopped is the time at which an attempt that is presumed lost should not run any more.
+	lostAttemptStopped struct{ attempt *attempt }
+	// endedAttemptStopped is the same for an attempt that timed out and can't be cancelled.
+	endedAttemptStopped struct{ attempt *attempt }
+	// orderKeyIdle is the end of the cooldown of an order key without requests.
+	orderKeyIdle struct{ queue *keyorder.Queue[*request] }
+	// loadProbesDue is the end of the wait for the load probes of a request that is not queued yet.
+	loadProbesDue struct {
+		request *request
+		avoid   *engine
+	}
+	// candidateProbesDue is the end of the wait for the load probes of a request that leaves the pool.
+	candidateProbesDue struct{ request *request }
+)
+
+func (t answerDue) expire(c *Controller)      { c.rejectOrFail(t.request) }
+func (t attemptOverdue) expire(c *Controller) { c.checkOverdue(t.attempt) }
+func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.Release(t.queue, c.now) }
+
+func (t lostAttemptStopped) expire(*Controller) {
+	if t.attempt.inFlight {
+		t.attempt.releaseThreads()
+	}
+}
+
+func (t endedAttemptStopped) expire(*Controller) { t.attempt.releaseThreads() }
+
+func (t loadProbesDue) expire(c *Controller) {
+	if !t.request.closed {
+		c.enqueue(t.request, t.avoid)
+	}
+}
+
+func (t candidateProbesDue) expire(c *Controller) { c.candidatesProbed(t.request) }
+
+// timerSet holds the timers that have not expired, by their tokens.
 type timerSet struct {
-	callbacks map[uint64]func()
+	byToken   map[uint64]timer
 	lastToken uint64
 }
 
-func newTimerSet() timerSet {
-	return timerSet{callbacks: map[uint64]func(){}, lastToken: lastOwnToken}
-}
+func newTimerSet() timerSet { return timerSet{byToken: map[uint64]timer{}, lastToken: lastOwnToken} }
 
-// add stores a callback and returns its token.
-func (t *timerSet) add(callback func()) uint64 {
-	t.lastToken++
-	t.callbacks[t.lastToken] = callback
-	return t.lastToken
+// add stores a timer and returns its token.
+func (s *timerSet) add(t timer) uint64 {
+	s.lastToken++
+	s.byToken[s.lastToken] = t
+	return s.lastToken
 }
 
-// fire calls what was stored under a token, once; unknown tokens are passed over.
-func (t *timerSet) fire(token uint64) {
-	if callback := t.callbacks[token]; callback != nil {
-		delete(t.callbacks, token)
-		callback()
-	}
+// take removes the timer of a token; nil if there is none.
+func (s *timerSet) take(token uint64) timer {
+	t := s.byToken[token]
+	delete(s.byToken, token)
+	return t
 }
 
 // logThrottle keeps lines about one subject apart.
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-func TestATimerFiresOnceAndOnlyUnderItsToken(t *testing.T) {
-	timers, fired := newTimerSet(), 0
-	token := timers.add(func() { fired++ })
-	other := timers.add(func() { t.Error("the other timer fired") })
+func TestATimerIsTakenOnceAndOnlyByItsToken(t *testing.T) {
+	timers := newTimerSet()
+	first, second := answerDue{&request{}}, answerDue{&request{}}
+	token, other := timers.add(first), timers.add(second)
 	if token <= lastOwnToken || token == other {
 		t.Errorf("tokens %d and %d: want two different ones over %d", token, other, lastOwnToken)
 	}
-	timers.fire(other + 1) // unknown
-	timers.fire(token)
-	timers.fire(token)
-	if fired != 1 {
-		t.Errorf("fired %d times, want once", fired)
+	if got := timers.take(other + 1); got != nil {
+		t.Errorf("got %v for a token that was never given", got)
+	}
+	if got := timers.take(token); got != timer(first) {
+		t.Errorf("got %v, want %v", got, first)
+	}
+	if got := timers.take(token); got != nil {
+		t.Errorf("got %v for a token that was taken already", got)
 	}
 }
 
