--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -86,13 +86,15 @@
 			b.setAttemptOptions(r, action)
 		}
 	case control.SetTimer:
-		b.timers.set(now+action.After, moduleTimer{action.Token})
+		b.timers.Set(now+action.After, moduleTimer{action.Token})
 	case control.ProbeLoad:
 		b.probeLoad(now, action.Engine)
 	case control.SendGossip:
 		b.emit(SendGossip{Broker: action.Broker, Reports: action.Reports})
-	case control.Log:
-		b.emit(LogLine{action.Text})
+	case control.EngineEjected:
+		b.emit(EngineEjected(action))
+	case control.EngineRestored:
+		b.emit(EngineRestored(action))
 	case control.WatchEndpoints: // changes are pushed without a subscription
 	}
 }
