--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -63,8 +63,8 @@
 // Ejected reports whether an engine is ejected.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// Eject ejects an engine, which gets its first half-open probe after the backoff. It reports whether that is a
-// change.
+// Eject ejects an engine, which gets its first half-open probe after the backoff. It reports whether that is
+// a change.
 func (h *Health) Eject(now, backoff time.Duration) (changed bool) {
 	if h.ejected {
 		return false
