--- a/control/controller.go
+++ b/control/controller.go
@@ -17,6 +17,7 @@
 	"wheatlane/control/admission"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
+	"wheatlane/control/membership"
 	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/selection"
@@ -43,7 +44,7 @@
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
 	selection     selection.Config
-	subscription  subscription
+	subscription  membership.Subscription
 	workload      workload
 	retries       retrybudget.Budget
 	price         admission.Price
@@ -75,6 +76,9 @@
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
 		selection: selection.DefaultConfig(),
+		subscription: membership.NewSubscription(membership.SubscriptionConfig{
+			Required: settings.PollEndpointList, MaxPollInterval: settings.Rules.MaxPollInterval,
+		}),
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -9,7 +9,7 @@
 func (c *Controller) mayAttempt(r *request, e *engine) bool {
 	request := c.eligibilityOf(r)
 	return eligibility.Check(&request, eligibility.Engine{
-		Ready:           e.listed && e.State == Ready, // stricter than the drain's grace period
+		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
 		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -3,8 +3,10 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/slowstart"
 )
 
 // endpointSet is the set of engines that the endpoint list names, and those that still have something in
@@ -44,7 +46,7 @@
 
 // setPool makes an engine the queue owner of all that are added from now on.
 func (s *endpointSet) setPool(pool *engine) {
-	pool.listed = true
+	pool.member.Update(Ready)
 	s.pool, s.poolOnly = pool, []*engine{pool}
 }
 
@@ -64,7 +66,7 @@
 // gone.
 func (s *endpointSet) removeGone() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(e *engine) bool {
-		if e.listed || len(e.attempts) > 0 || e.queue.Len() > 0 {
+		if e.member.Listed() || len(e.attempts) > 0 || e.queue.Len() > 0 {
 			return false
 		}
 		delete(s.byID, e.ID)
@@ -74,6 +76,30 @@
 	return removed
 }
 
+// summarize sums up after a change of engines: how many are ready, whether most are faulty, and the pool's
+// size.
+func (s *endpointSet) summarize(slowStart *slowstart.Policy, now time.Duration) {
+	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
+	for _, e := range s.all {
+		if !e.member.TakesRequests() {
+			continue
+		}
+		ready++
+		if e.health.Ejected() {
+			ejected++
+			continue
+		}
+		cores += e.cores * float64(slowStart.Fraction(e.slowStartInput(), now))
+		memoryMB += e.memoryMB
+	}
+	s.majorityFaulty, s.ready = ejected > ready-ejected, max(1, ready)
+	if s.pool != nil {
+		previous := s.pool.cores
+		s.pool.cores, s.pool.memoryMB = max(1, cores), max(1, memoryMB)
+		s.pool.concurrency.Scale(s.pool.cores / previous)
+	}
+}
+
 // byGossipID finds an engine by the short form of its ID; nil if there is none.
 func (s *endpointSet) byGossipID(id uint32) *engine {
 	i := slices.IndexFunc(s.all, func(e *engine) bool { return e.gossipID == id })
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -21,7 +21,7 @@
 	set := newEndpointSet()
 	for _, id := range []string{"e2", "e10", "e1"} {
 		e := c.newEngine(Engine{ID: id}, EngineKind{})
-		e.listed = true
+		e.member.Update(Ready)
 		set.add(e)
 	}
 	if got := engineIDs(set.all); !slices.Equal(got, []string{"e1", "e10", "e2"}) {
@@ -33,8 +33,8 @@
 	if e := set.byGossipID(EngineHash("none")); e != nil {
 		t.Errorf("by an unknown hash: %s", e.ID)
 	}
-	set.byID["e1"].listed = false
-	set.byID["e2"].listed = false
+	set.byID["e1"].member.Unlist()
+	set.byID["e2"].member.Unlist()
 	set.byID["e2"].attempts = []*attempt{{}}
 	if got := set.removeGone(); !slices.Equal(got, []string{"e1"}) {
 		t.Errorf("removed %v, want e1 alone: e2 has an attempt in flight", got)
--- a/control/engine.go
+++ b/control/engine.go
@@ -8,6 +8,7 @@
 	"wheatlane/control/concurrency"
 	"wheatlane/control/datasetlock"
 	"wheatlane/control/loadreport"
+	"wheatlane/control/membership"
 	"wheatlane/control/outlier"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
@@ -19,13 +20,12 @@
 // engine of its own that owns the queue and the concurrency limit of all.
 type engine struct {
 	Engine
-	idHash      int         // of its ID, for ranks
-	gossipID    uint32      // EngineHash of its ID
-	queueOwner  *engine     // whose queue and concurrency limit apply: itself, or the pool
-	listed      bool        // it is in the endpoint list
-	listedState EngineState // its state there; State is the one that applies
-	cores       float64     // at least 1
-	memoryMB    float64     // infinite if not known
+	idHash      int               // of its ID, for ranks
+	gossipID    uint32            // EngineHash of its ID
+	queueOwner  *engine           // whose queue and concurrency limit apply: itself, or the pool
+	member      membership.Member // what the endpoint list and the operators say of it
+	cores       float64           // at least 1
+	memoryMB    float64           // infinite if not known
 	concurrency concurrency.Limiter
 	queue       fairqueue.Queue[*request]
 
@@ -112,7 +112,7 @@
 
 // loadKnown reports whether it takes requests and its load is known.
 func (e *engine) loadKnown(now time.Duration) bool {
-	return e.listed && e.State == Ready && e.load.KnownWithin(loadreport.Lifetime, now)
+	return e.member.TakesRequests() && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
 // dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by one
--- a/control/events.go
+++ b/control/events.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/control/loadreport"
+	"wheatlane/control/membership"
 )
 
 // Request is a request received from a client.
@@ -20,13 +21,13 @@
 }
 
 // EngineState is the state of an engine in the endpoint list.
-type EngineState int
+type EngineState = membership.State
 
 // The states of an engine.
 const (
-	Ready    EngineState = iota
-	Draining             // finishes what it has and takes nothing new
-	Removed
+	Ready    = membership.Ready
+	Draining = membership.Draining // finishes what it has and takes nothing new
+	Removed  = membership.Removed
 )
 
 // Engine is one entry of the endpoint list.
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -31,7 +31,7 @@
 	probed := false
 	for n := 0; n < c.selection.Choices && len(c.endpoints.all) > 0; n++ {
 		e := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
-		if e.listed && e.State == Ready && !e.health.Ejected() && !e.load.ProbedLately(c.now) {
+		if e.member.TakesRequests() && !e.health.Ejected() && !e.load.ProbedLately(c.now) {
 			c.probeLoad(e)
 			probed = true
 		}
--- a/control/mayattempt_test.go
+++ b/control/mayattempt_test.go
@@ -15,8 +15,8 @@
 		"its response has started":    func(_ *Controller, r *request, _ *engine) { r.responseStarted = true },
 		"its deadline has passed":     func(c *Controller, r *request, _ *engine) { c.now = r.Deadline },
 		"its attempts are exhausted":  func(c *Controller, _ *request, _ *engine) { c.settings.Limits.MaxAttempts = 1 },
-		"the engine is not listed":    func(_ *Controller, _ *request, e *engine) { e.listed = false },
-		"the engine is draining":      func(_ *Controller, _ *request, e *engine) { e.State = Draining },
+		"the engine is not listed":    func(_ *Controller, _ *request, e *engine) { e.member.Unlist() },
+		"the engine is draining":      func(_ *Controller, _ *request, e *engine) { e.member.Update(Draining) },
 		"its zone is not allowed":     func(_ *Controller, r *request, _ *engine) { r.class.AllowedZones = []string{"b"} },
 		"its kind is not allowed":     func(_ *Controller, r *request, _ *engine) { r.class.AllowedKinds = []string{"big"} },
 		"its effect could come twice": func(_ *Controller, r *request, _ *engine) { r.class.Idempotency.Kind = idempotency.NonIdempotent },
@@ -30,7 +30,8 @@
 				t.Fatal(err)
 			}
 			e := c.newEngine(Engine{ID: "e"}, EngineKind{Cores: 8})
-			e.listed, e.State, e.Zone, e.Kind = true, Ready, "a", "std"
+			e.Zone, e.Kind = "a", "std"
+			e.member.Update(Ready)
 			r := newRequest(Request{ID: "r", Deadline: time.Minute}, c.workload.classes[0], 0, 0, c.now)
 			r.addAttempt(e, c.now).inFlight = false
 			if violate != nil {
--- a/control/membership.go
+++ b/control/membership.go
@@ -1,20 +1,8 @@
 package control
 
-import "time"
-
-// resubscribeAfter is the least time between a subscription that failed or ended and the next one.
-const resubscribeAfter = 2 * time.Second
-
-// subscription is the state of the subscription to the endpoint list, where it has to be asked for.
-type subscription struct {
-	active bool
-	nextAt time.Duration // when it may be asked for again
-}
-
 // pollEndpoints subscribes to the endpoint list where that is needed.
 func (c *Controller) pollEndpoints() {
-	if c.settings.PollEndpointList && !c.subscription.active && c.now >= c.subscription.nextAt {
-		c.subscription.active = true
+	if c.subscription.Begin(c.now) {
 		c.emit(WatchEndpoints{})
 	}
 }
@@ -22,8 +10,7 @@
 // endpointsUpdated follows the endpoint list.
 func (c *Controller) endpointsUpdated(update EndpointUpdate) {
 	if update.Kind == EndpointPollFailed {
-		c.subscription.active = false
-		c.subscription.nextAt = c.now + min(resubscribeAfter, c.settings.Rules.MaxPollInterval/2)
+		c.subscription.Ended(c.now)
 		return
 	}
 	named := map[string]bool{}
@@ -33,8 +20,8 @@
 	}
 	if update.Kind == EndpointSnapshot {
 		for _, e := range c.endpoints.all {
-			if !named[e.ID] && e.listed {
-				e.listed = false
+			if !named[e.ID] && e.member.Listed() {
+				e.member.Unlist()
 				c.requeueWaiting(e)
 			}
 		}
@@ -51,8 +38,10 @@
 		e.health.Restarted()
 		c.slowdowns.Restarted(&e.slowdown)
 	}
-	e.Engine, e.listed, e.listedState = listed, listed.State != Removed, listed.State
-	c.applyListedState(e)
+	e.Engine = listed
+	e.member.SetMaintenance(c.endpoints.inMaintenance[e.ID])
+	e.member.Update(listed.State)
+	c.requeueUnlessReady(e)
 }
 
 // setMaintenance puts an engine into maintenance mode, or takes it out.
@@ -63,45 +52,23 @@
 		delete(c.endpoints.inMaintenance, event.Engine)
 	}
 	if e := c.endpoints.byID[event.Engine]; e != nil {
-		c.applyListedState(e)
+		e.member.SetMaintenance(event.Enabled)
+		c.requeueUnlessReady(e)
 		c.updateFleet()
 	}
 }
 
-// applyListedState follows an engine's listed state. One in maintenance mode is treated as draining.
-func (c *Controller) applyListedState(e *engine) {
-	e.State = e.listedState
-	if c.endpoints.inMaintenance[e.ID] && e.State == Ready {
-		e.State = Draining
-	}
-	if e.State != Ready {
+// requeueUnlessReady takes the requests out of the queue of an engine that takes no new ones.
+func (c *Controller) requeueUnlessReady(e *engine) {
+	if e.member.State() != Ready {
 		c.requeueWaiting(e)
 	}
 }
 
-// updateFleet sums up after a change of engines: how many are ready, whether most look faulty, and the pool's
-// size.
+// updateFleet follows a change of the engines.
 func (c *Controller) updateFleet() {
 	for _, id := range c.endpoints.removeGone() {
 		c.log.forgetEngine(id)
 	}
-	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
-	for _, e := range c.endpoints.all {
-		switch {
-		case !e.listed || e.State != Ready:
-			continue
-		case e.health.Ejected():
-			ejected++
-		default:
-			cores += e.cores * c.slowStartFraction(e)
-			memoryMB += e.memoryMB
-		}
-		ready++
-	}
-	c.endpoints.majorityFaulty, c.endpoints.ready = ejected > ready-ejected, max(1, ready)
-	if pool := c.endpoints.pool; pool != nil {
-		previous := pool.cores
-		pool.cores, pool.memoryMB = max(1, cores), max(1, memoryMB)
-		pool.concurrency.Scale(pool.cores / previous)
-	}
+	c.endpoints.summarize(&c.slowStart, c.now)
 }
--- /dev/null
+++ b/control/membership/membership_test.go
@@ -0,0 +1,72 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+func TestMember(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		change        func(*Member)
+		state         State
+		listed, takes bool
+	}{
+		"ready":    {func(m *Member) { m.Update(Ready) }, Ready, true, true},
+		"draining": {func(m *Member) { m.Update(Draining) }, Draining, true, false},
+		"removed":  {func(m *Member) { m.Update(Removed) }, Removed, false, false},
+		"missing from a snapshot": {func(m *Member) {
+			m.Update(Ready)
+			m.Unlist()
+		}, Ready, false, false},
+		"in maintenance": {func(m *Member) {
+			m.SetMaintenance(true)
+			m.Update(Ready)
+		}, Draining, true, false},
+		"removed in maintenance": {func(m *Member) {
+			m.SetMaintenance(true)
+			m.Update(Removed)
+		}, Removed, false, false},
+		"after maintenance": {func(m *Member) {
+			m.SetMaintenance(true)
+			m.Update(Ready)
+			m.SetMaintenance(false)
+		}, Ready, true, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var m Member
+			c.change(&m)
+			if m.State() != c.state || m.Listed() != c.listed || m.TakesRequests() != c.takes {
+				t.Errorf("state %d, listed %v, takes requests %v", m.State(), m.Listed(), m.TakesRequests())
+			}
+		})
+	}
+}
+
+func TestSubscriptionBeginsAgainAfterADelay(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		maxPollInterval, delay time.Duration
+	}{
+		"short poll interval": {time.Second, 500 * time.Millisecond},
+		"long poll interval":  {time.Minute, 2 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s := NewSubscription(SubscriptionConfig{Required: true, MaxPollInterval: c.maxPollInterval})
+			now := time.Second
+			if !s.Begin(now) || s.Begin(now+time.Hour) {
+				t.Error("begun other than once")
+			}
+			s.Ended(now)
+			if s.Begin(now+c.delay-1) || !s.Begin(now+c.delay) {
+				t.Errorf("begun again other than after %v", c.delay)
+			}
+		})
+	}
+	none := NewSubscription(SubscriptionConfig{})
+	if none.Begin(time.Second) {
+		t.Error("begun where it is not required")
+	}
+}
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -32,7 +32,7 @@
 func (c *Controller) updateBestSlowdown() {
 	var healthy []*slowdown.Engine
 	for _, e := range c.endpoints.queueOwners() {
-		if e.listed && !e.health.Ejected() {
+		if e.member.Listed() && !e.health.Ejected() {
 			healthy = append(healthy, &e.slowdown)
 		}
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -33,11 +33,6 @@
 	return c.slowStart.Active(e.slowStartInput(), c.now)
 }
 
-// slowStartFraction is the fraction of its capacity that an engine has.
-func (c *Controller) slowStartFraction(e *engine) float64 {
-	return float64(c.slowStart.Fraction(e.slowStartInput(), c.now))
-}
-
 // withinSlowStartBudget reports whether an engine that warms up may be sent a request of a class.
 func (c *Controller) withinSlowStartBudget(e *engine, k *class) bool {
 	allows := c.slowStart.Allows
--- a/control/view.go
+++ b/control/view.go
@@ -29,11 +29,11 @@
 	v.Engines, v.Classes = v.Engines[:0], v.Classes[:0]
 	pool := c.endpoints.pool
 	for _, e := range c.endpoints.all {
-		if !e.listed {
+		if !e.member.Listed() {
 			continue
 		}
 		view := EngineView{
-			ID: e.ID, State: e.State, SlowStart: c.inSlowStart(e), Ejected: e.health.Ejected(),
+			ID: e.ID, State: e.member.State(), SlowStart: c.inSlowStart(e), Ejected: e.health.Ejected(),
 			ConcurrencyLimit: e.queueOwner.concurrency.Limit(), ThreadsInFlight: e.concurrency.InFlight(),
 			Queued: e.queueOwner.queue.Len(),
 		}
