--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -9,7 +9,7 @@
 func (c *Controller) mayAttempt(r *request, e *engine) bool {
 	request := c.eligibilityOf(r)
 	return eligibility.Check(&request, eligibility.Engine{
-		Ready:           e.listed && e.State == Ready, // stricter than the drain's grace period
+		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
 		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
@@ -34,7 +34,7 @@
 	}
 }
 
-// attemptsExhausted reports whether a request that was attempted waits for an answer that no attempt can give.
+// attemptsExhausted reports whether a request was attempted and no attempt is left that could answer it.
 func (c *Controller) attemptsExhausted(r *request) bool {
 	if len(r.attempts) == 0 || r.hasAttemptInFlight() {
 		return false
