--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -8,58 +8,22 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server/clock"
+	"wheatlane/internal/server/standstill"
 	"wheatlane/internal/usage"
 )
 
 const (
 	maxInboxBatch    = 512             // functions taken from the inbox before a round
 	usageLogInterval = 5 * time.Second // between log lines of what the broker spent
-	// maxLoopInterval is the longest time between rounds, so that a standstill of the process is noticed.
-	maxLoopInterval = 20 * time.Millisecond
-	// standstillThreshold is the lag of the loop that means that the whole process stood still.
-	standstillThreshold = 25 * time.Millisecond
-	// catchUpDuration is how long the sockets are read after a standstill before any timeout is judged.
-	catchUpDuration = 5 * time.Millisecond
 )
 
-// pacer decides when the loop runs a round. After a standstill of the process it first leaves time to read
-// what came meanwhile: no timeout may be judged before the answers that came within it are read, and
-// requests of one order key, which clients write at least 60 ms apart, must not be taken in another order.
-type pacer struct {
-	timer      *time.Timer
-	due        time.Duration // when the next wake-up is due
-	catchingUp bool
-}
-
-func newPacer(t time.Duration) *pacer { return &pacer{timer: time.NewTimer(0), due: t} }
-
-// ready reports whether a wake-up at time t may run a round.
-func (p *pacer) ready(t time.Duration) bool {
-	switch {
-	case !p.catchingUp && t-p.due > standstillThreshold:
-		p.catchingUp = true
-		p.wakeIn(t, catchUpDuration)
-		return false
-	case p.catchingUp && t < p.due:
-		return false
-	}
-	p.catchingUp = false
-	return true
-}
-
-// wakeIn sets the next wake-up to a time after t.
-func (p *pacer) wakeIn(t, wait time.Duration) {
-	p.due = t + wait
-	p.timer.Reset(wait)
-}
-
 // loop owns the reducer until ctx ends or a shutdown, begun by a value on stop, is complete.
 func (s *Server) loop(ctx context.Context, stop <-chan struct{}) error {
 	defer func() { _ = s.listener.Close() }() // the shutdown may have closed it
 	s.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
 	s.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
-	pace := newPacer(clock.Now())
-	defer pace.timer.Stop()
+	pacer := standstill.NewPacer(clock.Now())
+	defer pacer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -69,13 +33,13 @@
 			s.beginShutdown()
 		case f := <-s.inbox:
 			s.runInbox(f)
-		case <-pace.timer.C:
+		case <-pacer.WakeUps():
 		}
 		s.settle()
-		t := clock.Now()
-		s.standstill.turn(t)
-		s.meter.LoopLag(t - pace.due)
-		if !pace.ready(t) {
+		now := clock.Now()
+		s.standstills.LoopTurn(now)
+		s.meter.LoopLag(pacer.Lag(now))
+		if !pacer.Ready(now) {
 			continue
 		}
 		s.round()
@@ -84,7 +48,7 @@
 			return nil
 		}
 		wait := s.untilNextRound()
-		pace.wakeIn(clock.Now(), wait)
+		pacer.WakeIn(clock.Now(), wait)
 	}
 }
 
@@ -112,7 +76,7 @@
 
 // untilNextRound returns how long the loop may wait if nothing happens.
 func (s *Server) untilNextRound() time.Duration {
-	wait := maxLoopInterval
+	wait := standstill.MaxTurnInterval
 	if at, ok := s.reducer.NextDeadline(); ok {
 		wait = min(wait, at-clock.Now())
 	}
--- a/internal/server/receivetime.go
+++ b/internal/server/receivetime.go
@@ -50,7 +50,7 @@
 // noteReceived notes when bytes were read: at once, so that they may have come since the read before, or after a
 // wait for them.
 func (c *client) noteReceived(calledAt, returnedAt time.Duration) {
-	c.receivedFrom = c.server.standstill.earliest(returnedAt)
+	c.receivedFrom = c.server.standstills.EarliestArrival(returnedAt)
 	if returnedAt-calledAt < immediateRead {
 		c.receivedFrom = min(c.receivedFrom, c.lastReadAt)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -26,6 +26,7 @@
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/server/netlisten"
+	"wheatlane/internal/server/standstill"
 	"wheatlane/internal/usage"
 )
 
@@ -57,7 +58,7 @@
 	gossip    *gossiptransport.Transport // nil: engines are not shared with other brokers
 	handover  *handoverstore.Store       // nil: nothing is handed over
 
-	standstill standstillWatch
+	standstills standstill.Detector
 
 	// Owned by the loop.
 	reducer             *broker.Broker
