--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -4,7 +4,6 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
-	"wheatlane/internal/server/netconn"
 )
 
 // execute carries out effects in their order.
@@ -19,9 +18,9 @@
 	case broker.Reply:
 		s.sendReply(e)
 	case broker.AdmitSession:
-		s.admitSession(e)
+		s.frontend.Admit(e.Session)
 	case broker.CloseSession:
-		s.closeSession(e)
+		s.frontend.CloseSession(e.Session, e.Reason)
 	case broker.StartAttempt:
 		s.startAttempt(e)
 	case broker.FetchPage:
@@ -53,16 +52,11 @@
 	}
 }
 
-func (s *Server) admitSession(e broker.AdmitSession) {
-	if c := s.clients[e.Session]; c != nil {
-		close(c.admitted)
-	}
-}
-
-func (s *Server) closeSession(e broker.CloseSession) {
-	if c := s.clients[e.Session]; c != nil {
-		c.close(&netconn.EndError{Reason: closeReasons[e.Reason]})
+func (s *Server) sendReply(e broker.Reply) {
+	if e.Kind == broker.ReplyRejected {
+		s.usage.Rejections++
 	}
+	s.frontend.Reply(e)
 }
 
 func (s *Server) startAttempt(e broker.StartAttempt) {
--- a/internal/server/endpointwatch/watcher.go
+++ b/internal/server/endpointwatch/watcher.go
@@ -19,7 +19,7 @@
 	// EndpointsChanged passes on a page and reports whether it was taken. It may wait, until ctx ends.
 	EndpointsChanged(ctx context.Context, page changelog.Page) bool
 	// ConnectionEnded reports the end of a connection, or that it was not established.
-	ConnectionEnded(side netconn.Side, peer string, openedAt time.Time, err error)
+	ConnectionEnded(addr string, openedAt time.Time, err error)
 }
 
 // Config is where a watcher begins.
@@ -75,7 +75,7 @@
 		if isTooSlow(err) {
 			w.timeouts.exceeded()
 		}
-		w.sink.ConnectionEnded(netconn.ChangelogSide, addr, openedAt, err)
+		w.sink.ConnectionEnded(addr, openedAt, err)
 		if addrChanged || w.revision > revisionBefore || time.Since(openedAt) > pollTimeout {
 			pause = 0
 			retry.Reset()
--- a/internal/server/enginehost.go
+++ b/internal/server/enginehost.go
@@ -14,10 +14,10 @@
 )
 
 // enginePoolConfig returns what the pool of connections to engines takes of the configuration.
-func enginePoolConfig(cfg config.Config) enginepool.Config {
+func enginePoolConfig(cfg config.Config, maxConns int) enginepool.Config {
 	limits := &cfg.Settings.Control.Limits
 	return enginepool.Config{
-		MaxConns:         maxEngineConns(cfg.Sockets),
+		MaxConns:         maxConns,
 		MaxStreams:       cfg.Settings.MaxStreams,
 		ConnectTimeout:   cfg.Settings.ConnectTimeout,
 		IdleTimeout:      cfg.Settings.ConnIdleTimeout,
@@ -31,9 +31,6 @@
 	}
 }
 
-// maxEngineConns returns how many of the sockets of a broker are for connections to engines.
-func maxEngineConns(sockets int) int { return sockets / engineSocketDivisor }
-
 // engineHost runs the pool of connections to engines in the loop of a server.
 type engineHost struct{ server *Server }
 
--- /dev/null
+++ b/internal/server/frontend/accept_test.go
@@ -0,0 +1,81 @@
+package frontend
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/mysql"
+)
+
+// failingListener fails some calls ahead of those that its listener answers.
+type failingListener struct {
+	net.Listener
+	failures int
+}
+
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
+		return nil, errors.New("no descriptors")
+	}
+	return l.Listener.Accept()
+}
+
+// A listener that fails for a moment goes on to accept.
+func TestAcceptGoesOnAfterFailures(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(&failingListener{Listener: listenTCP(t), failures: 3}, host, 0)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- f.Serve(ctx) }()
+	dialTCP(t, f.Addr())
+	receive(t, host.inbox, "the client")
+	cancel()
+	if err := receive(t, ended, "the end"); !errors.Is(err, context.Canceled) {
+		t.Errorf("ended with %v", err)
+	}
+	if len(f.slots) > 0 {
+		t.Errorf("%d slots are taken at the end", len(f.slots))
+	}
+}
+
+// A client that is rejected for want of sockets gets its answer and an orderly end, though it has written
+// already and nobody has read that.
+func TestRejectionSurvivesUnreadBytes(t *testing.T) {
+	near, far := connectedPair(t)
+	if _, err := far.Write(append(loginPacket(), packetBytes(0, "\x03SELECT 1")...)); err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan struct{})
+	newTestFrontend(nil, newFakeHost(), 1).reject(&errgroup.Group{}, near, func() { close(ended) })
+	if err := far.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(far)
+	if want := mysql.AppendError(nil, 0, mysql.CodeConnections, "too many connections"); err != nil || !bytes.Equal(answer, want) {
+		t.Errorf("answered %q, want %q; ended with %v", answer, want, err)
+	}
+	receive(t, ended, "the end of the connection")
+	// It was closed over bytes that nobody had read: the connection was reset, so that it takes no more.
+	if _, err := far.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		t.Errorf("the connection takes bytes: %v", err)
+	}
+}
+
+// With too many rejected clients that have not read their answers, the next one is closed at once.
+func TestRejectionWithoutASlotClosesAtOnce(t *testing.T) {
+	near, _ := connectedPair(t)
+	ended := false
+	newTestFrontend(nil, newFakeHost(), 0).reject(&errgroup.Group{}, near, func() { ended = true })
+	if _, err := near.Write([]byte("x")); !ended || !errors.Is(err, net.ErrClosed) {
+		t.Errorf("ended %v, a write gives %v", ended, err)
+	}
+}
--- a/internal/server/receivetime.go
+++ b/internal/server/frontend/arrival.go
@@ -1,4 +1,4 @@
-package server
+package frontend
 
 import (
 	"net"
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceReceived returns how long ago the kernel received the last bytes of a connection: a client's timeout
-// runs from when it sent them, not from when a busy broker comes to read them. A system that refuses
-// TCP_INFO (a filter of system calls may answer ENOSYS) gives 0, which is logged once.
-func (s *Server) sinceReceived(socket net.Conn) time.Duration {
+// sinceReceived returns how long ago the kernel received the last bytes of a connection: a client's timeout runs from
+// when it sent them, not from when a busy broker reads them. Where the system refuses TCP_INFO (a filter of system calls
+// may answer ENOSYS) it returns 0, which is logged once.
+func (f *Frontend) sinceReceived(socket net.Conn) time.Duration {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
 		return 0
@@ -30,8 +30,8 @@
 	}); err != nil {
 		return 0
 	}
-	if refused != nil && s.tcpInfoRefused.CompareAndSwap(false, true) {
-		s.log.Warn("TCP_INFO refused: a client's timeout runs from when its bytes are read", zap.Error(refused))
+	if refused != nil && f.tcpInfoRefused.CompareAndSwap(false, true) {
+		f.cfg.Log.Warn("TCP_INFO refused: a client's timeout runs from when its bytes are read", zap.Error(refused))
 	}
 	return since
 }
@@ -47,12 +47,12 @@
 // immediateRead is the time within which a read returns that finds bytes in the socket.
 const immediateRead = time.Millisecond
 
-// noteReceived notes when bytes were read: at once, so that they may have come since the read before, or after a
+// recordArrival records when bytes were read: at once, so that they may have arrived since the read before, or after a
 // wait for them.
-func (c *client) noteReceived(calledAt, returnedAt time.Duration) {
-	c.receivedFrom = c.server.standstills.EarliestArrival(returnedAt)
+func (c *client) recordArrival(calledAt, returnedAt time.Duration) {
+	c.earliestArrival = c.frontend.cfg.EarliestArrival(returnedAt)
 	if returnedAt-calledAt < immediateRead {
-		c.receivedFrom = min(c.receivedFrom, c.lastReadAt)
+		c.earliestArrival = min(c.earliestArrival, c.lastReadAt)
 	}
 	c.lastReadAt = returnedAt
 }
--- /dev/null
+++ b/internal/server/frontend/client.go
@@ -0,0 +1,155 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/invariant"
+	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/clock"
+	"wheatlane/internal/server/netconn"
+)
+
+const (
+	maxClientReceiveBytes = mysql.MaxPacket + mysql.HeaderLen // a complete packet
+	maxClientSendBytes    = 256 << 10                         // several complete results
+)
+
+// client is a client's connection. Without another note a field belongs to the goroutine that reads.
+type client struct {
+	frontend *Frontend
+	session  broker.Session
+	conn     *netconn.Conn
+	admitted chan struct{} // closed once the client may be greeted
+
+	loggedIn       bool
+	readDeadline   time.Time // by which more must arrive
+	lateRead       bool      // the deadline has passed, and what arrived before it is read
+	hasSubmitted   bool      // a request came on it
+	emptyFinalRead int       // final reads that found the socket empty
+
+	lastReadAt      time.Duration // when the last read returned bytes
+	earliestArrival time.Duration // of these bytes
+
+	messageBegun atomic.Bool // a part of a message was received
+	stopReading  atomic.Bool // the reader is to stop; set by the loop
+
+	// Owned by the loop.
+	closeReason *netconn.EndError // why the connection is being closed from this side; nil: it is not
+	fullyRead   bool              // the final reads are complete and all that arrived is with the reducer
+}
+
+func newClient(f *Frontend, session broker.Session, socket net.Conn) *client {
+	return &client{
+		frontend: f, session: session, admitted: make(chan struct{}),
+		conn: netconn.New(socket, netconn.Options{
+			MaxReceiveBytes: maxClientReceiveBytes, MaxSendBytes: maxClientSendBytes,
+		}),
+	}
+}
+
+// post hands a function to the loop.
+func (c *client) post(ctx context.Context, f func()) { c.frontend.loop.Post(ctx, f) }
+
+// apply hands an event to the reducer.
+func (c *client) apply(ctx context.Context, event broker.Event) {
+	c.post(ctx, func() { c.frontend.events.Apply(event) })
+}
+
+// read greets a client once it is admitted, logs it in and hands its commands to the reducer, until its
+// connection ends.
+func (c *client) read(ctx context.Context) error {
+	select {
+	case <-c.admitted:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if err := c.greet(); err != nil {
+		return err
+	}
+	c.lastReadAt = clock.Now()
+	if err := c.setReadTimeout(loginTimeout); err != nil {
+		return err
+	}
+	for {
+		received, err := c.receive(ctx)
+		if err != nil {
+			return err
+		}
+		if !received {
+			continue
+		}
+		if err := c.handlePackets(ctx); err != nil {
+			return err
+		}
+		if err := c.updateReadTimeout(); err != nil {
+			return err
+		}
+	}
+}
+
+// receive reads once and reports whether bytes arrived. The error is why the connection ends.
+func (c *client) receive(ctx context.Context) (received bool, err error) {
+	calledAt := clock.Now()
+	if err := c.conn.ReadOnce(); err != nil {
+		return false, c.readFailed(ctx, err)
+	}
+	c.recordArrival(calledAt, clock.Now())
+	if c.conn.FinishedFor() != nil { // this side is shut down: what was read can't be answered
+		c.post(ctx, func() { c.frontend.observer.Violated(invariant.NoReadAfterShutdown) })
+	}
+	return true, nil
+}
+
+// readFailed returns why the connection ends, or nil where the reader is to go on.
+func (c *client) readFailed(ctx context.Context, err error) error {
+	switch {
+	case netconn.IsTimeout(err) && c.stopReading.Load():
+		return c.stoppedReading(ctx)
+	case netconn.IsTimeout(err) && time.Now().Before(c.readDeadline): // the deadline of a final read
+		return c.finalRead(ctx)
+	case netconn.IsTimeout(err) && !c.lateRead:
+		c.lateRead = true
+		return c.conn.SetReadDeadline(time.Now().Add(lateReadTimeout))
+	case netconn.IsTimeout(err) && !c.loggedIn:
+		return &netconn.EndError{Reason: netconn.LoginTimeout, Err: err}
+	case netconn.IsTimeout(err) && c.messageBegun.Load():
+		return &netconn.EndError{Reason: netconn.ReadTimeout, Err: err}
+	case errors.Is(err, io.EOF):
+		return c.halfClosed(ctx, err)
+	}
+	return err
+}
+
+// handlePackets handles the complete packets that were received.
+func (c *client) handlePackets(ctx context.Context) error {
+	// The process may have stood still between the read and the question.
+	newest := min(c.lastReadAt, clock.Now()-c.frontend.sinceReceived(c.conn.Socket()))
+	for {
+		seq, payload, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
+		if err != nil {
+			return c.failProtocol(ctx, 1, mysql.CodeTooLarge, err)
+		}
+		if size == 0 {
+			return nil
+		}
+		if c.loggedIn {
+			sent := sendTime{sentAt: newest}
+			if size < c.conn.Received.Len() {
+				sent.waitingSince = min(newest, c.earliestArrival)
+			}
+			err = c.handleCommand(ctx, seq, payload, sent)
+		} else {
+			err = c.login(ctx, seq, payload)
+		}
+		c.conn.Received.Discard(size)
+		if err != nil {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/frontend/client_test.go
@@ -0,0 +1,181 @@
+package frontend
+
+import (
+	"context"
+	"runtime"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/invariant"
+	"wheatlane/internal/mysql"
+	"wheatlane/internal/server/netconn"
+)
+
+// The session of a client that does not read its answers ends at once for the reducer as well: what it asks
+// while its connection ends could not be answered, and is not forwarded.
+func TestSessionEndsWhenSendBufferIsFull(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(nil, host, 0)
+	near, _ := connectedPair(t)
+	c := &client{
+		frontend: f, session: 7, conn: netconn.New(near, netconn.Options{MaxReceiveBytes: 10, MaxSendBytes: 10}),
+	}
+	f.clients[7] = c
+	f.Reply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "more than there is capacity for"})
+	if c.closeReason == nil || c.closeReason.Reason != netconn.BufferFull {
+		t.Errorf("the connection ends as %v", c.closeReason)
+	}
+	want := []broker.Event{broker.SessionClosed{Session: 7}}
+	if diff := cmp.Diff(want, host.events); diff != "" {
+		t.Errorf("events of the reducer: %s", diff)
+	}
+}
+
+// What came while the process stood still is read before a timeout that passed meanwhile is judged.
+func TestBytesThatCameInAStandstillAreRead(t *testing.T) {
+	c, far := newTestClient(t, newTestFrontend(nil, newFakeHost(), 0))
+	c.readDeadline = time.Now()
+	if err := c.conn.SetReadDeadline(c.readDeadline); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := far.Write(loginPacket()); err != nil {
+		t.Fatal(err)
+	}
+	for c.conn.Received.Len() == 0 {
+		if _, err := c.receive(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// An answer to a client whose connection has been shut down is a violation, as it can't leave; one to a client that has
+// gone is none.
+func TestAnswerAfterTheEndIsAViolation(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(nil, host, 0)
+	c, far := newTestClient(t, f)
+	_ = far.Close() // so that the end of the other side is waited for no longer
+	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.Quit})
+	err := c.conn.Run(t.Context(), func(ctx context.Context) error {
+		<-ctx.Done()
+		return ctx.Err()
+	})
+	if reason := netconn.ReasonOf(err); reason != netconn.Quit {
+		t.Fatalf("ended as %s", reason)
+	}
+	f.clients[7] = c
+	f.Reply(broker.Reply{Session: 8, Kind: broker.ReplyOK})
+	if len(host.violations) > 0 {
+		t.Errorf("an answer to a client that has gone is a violation of %v", host.violations)
+	}
+	f.Reply(broker.Reply{Session: 7, Kind: broker.ReplyOK})
+	host.expectViolation(t, invariant.AnswerBeforeClose)
+}
+
+// Bytes that are read on a connection that has been shut down are a violation, as they can't be answered.
+func TestReadAfterTheEndIsAViolation(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(nil, host, 0)
+	waitUntil(t, "bytes are read ahead of the close", func() bool { return readAfterTheEnd(t, f) })
+	host.runOne(t, "the violation")
+	host.expectViolation(t, invariant.NoReadAfterShutdown)
+}
+
+// readAfterTheEnd has a client's bytes read once its connection has been shut down. It returns false if the socket was
+// closed before.
+func readAfterTheEnd(t *testing.T, f *Frontend) (read bool) {
+	t.Helper()
+	c, far := newTestClient(t, f)
+	if _, err := far.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.Quit})
+	_ = c.conn.Run(t.Context(), func(ctx context.Context) error { // its error is the reason above
+		for c.conn.FinishedFor() == nil {
+			runtime.Gosched()
+		}
+		received, err := c.receive(ctx)
+		read = received
+		return err
+	})
+	return read
+}
+
+// The first reason to close a client's connection counts, and one that was not greeted yet ends at once.
+func TestFirstReasonToCloseCounts(t *testing.T) {
+	c, _ := newTestClient(t, newTestFrontend(nil, newFakeHost(), 0))
+	c.close(&netconn.EndError{Reason: netconn.EvictedIdle})
+	c.close(&netconn.EndError{Reason: netconn.Shutdown})
+	err := c.conn.Run(t.Context(), c.read)
+	if reason := netconn.ReasonOf(err); reason != netconn.EvictedIdle {
+		t.Errorf("ended as %s", reason)
+	}
+}
+
+// The final reads of a client are complete only once a message that has begun is complete.
+func TestFinalReadsWaitForABegunMessage(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(listenTCP(t), host, 0)
+	serve(t, f)
+	socket := dialTCP(t, f.Addr())
+	host.runUntil(t, "the client is open", func() bool { return f.Len() == 1 })
+	var c *client
+	for _, c = range f.clients {
+		f.Admit(c.session)
+	}
+	ping := packetBytes(0, "\x0e")
+	if _, err := socket.Write(append(loginPacket(), ping[:2]...)); err != nil {
+		t.Fatal(err)
+	}
+	host.runUntil(t, "a part of a message was read", c.messageBegun.Load)
+	f.BeginFinalReads()
+	host.runUntil(t, "the listener is closed", f.ListenerClosed)
+	if f.AllRead() {
+		t.Error("all was read with a part of a message outstanding")
+	}
+	if _, err := socket.Write(ping[2:]); err != nil {
+		t.Fatal(err)
+	}
+	host.runUntil(t, "all was read", f.AllRead)
+	want := []broker.Event{
+		broker.SessionOpened{Session: c.session},
+		broker.SessionAuthenticated{Session: c.session},
+		broker.Ping{Session: c.session},
+	}
+	if diff := cmp.Diff(want, host.events); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// Each kind of reply has its form in the MySQL protocol.
+func TestAppendReply(t *testing.T) {
+	for name, tt := range map[string]struct {
+		reply broker.Reply
+		want  []byte
+	}{
+		"OK": {broker.Reply{Kind: broker.ReplyOK}, mysql.AppendOK(nil, 1)},
+		"in place of the greeting": {
+			broker.Reply{Kind: broker.ReplyTooManySessions, Text: "full"},
+			mysql.AppendError(nil, 0, mysql.CodeConnections, "full"),
+		},
+		"rejected": {
+			broker.Reply{Kind: broker.ReplyRejected, Text: "late"}, mysql.AppendError(nil, 1, mysql.CodeUserLimit, "late"),
+		},
+		"rejected with a time to retry": {
+			broker.Reply{Kind: broker.ReplyRejected, Text: "late", RetryAfter: 250 * time.Millisecond},
+			mysql.AppendError(nil, 1, mysql.CodeUserLimit, "late; cooldown=250"),
+		},
+		"failed": {
+			broker.Reply{Kind: broker.ReplyFailed, Text: "no"}, mysql.AppendError(nil, 1, mysql.CodeUnknown, "no"),
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if diff := cmp.Diff(tt.want, appendReply(nil, tt.reply)); diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
--- a/internal/server/clientclose.go
+++ b/internal/server/frontend/close.go
@@ -1,4 +1,4 @@
-package server
+package frontend
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 // halfClosed has the last answers sent before the connection ends, as a client that writes nothing more may
 // still read.
 func (c *client) halfClosed(ctx context.Context, err error) error {
-	c.server.post(ctx, func() {
-		c.server.apply(broker.SessionHalfClosed{Session: c.id})
+	c.post(ctx, func() {
+		c.frontend.events.Apply(broker.SessionHalfClosed{Session: c.session})
 		c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.PeerClosed})
 	})
 	<-ctx.Done()
@@ -31,8 +31,8 @@
 	return err
 }
 
-// close ends the connection from this side, once all that was read from it is with the reducer and answered. It
-// runs in the loop. The first reason counts.
+// close ends the connection from this side, once all that was read from it is answered. It runs in the loop. The first
+// reason counts.
 func (c *client) close(reason *netconn.EndError) {
 	if c.closeReason != nil {
 		return
@@ -57,7 +57,7 @@
 
 // stoppedReading has the connection end behind all that was read from it.
 func (c *client) stoppedReading(ctx context.Context) error {
-	c.server.post(ctx, func() { c.conn.CloseAfterSent(c.closeReason) })
+	c.post(ctx, func() { c.conn.CloseAfterSent(c.closeReason) })
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/server/clientcommand.go
+++ b/internal/server/frontend/command.go
@@ -1,4 +1,4 @@
-package server
+package frontend
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	c.server.post(ctx, func() { c.server.apply(event) })
+	c.apply(ctx, event)
 	return nil
 }
 
@@ -34,7 +34,7 @@
 	case mysql.Quit:
 		return nil, &netconn.EndError{Reason: netconn.Quit}
 	case mysql.Ping:
-		return broker.Ping{Session: c.id}, nil
+		return broker.Ping{Session: c.session}, nil
 	case mysql.Query:
 		return c.parseQuery(text, sent), nil
 	case mysql.Reset:
@@ -52,14 +52,14 @@
 
 // immediateReply is a command that the reducer answers with a given reply, in its turn.
 func (c *client) immediateReply(kind broker.ReplyKind, text string) broker.Event {
-	return broker.InvalidRequest{Session: c.id, Reply: broker.Reply{Kind: kind, Text: text}}
+	return broker.InvalidRequest{Session: c.session, Reply: broker.Reply{Kind: kind, Text: text}}
 }
 
 // parseQuery translates a statement.
 func (c *client) parseQuery(text string, sent sendTime) broker.Event {
 	if id, closeConnection, ok := mysql.ParseKill(text); ok {
 		return broker.Kill{
-			RequestedBy: c.id, Target: broker.Session(id), CloseConnection: closeConnection, SentAt: sent.sentAt,
+			RequestedBy: c.session, Target: broker.Session(id), CloseConnection: closeConnection, SentAt: sent.sentAt,
 		}
 	}
 	statement, err := mysql.ParseStatement(text)
@@ -68,7 +68,7 @@
 	}
 	first := !c.hasSubmitted
 	c.hasSubmitted = true
-	return broker.SubmitRequest{Session: c.id, WaitingSince: sent.waitingSince, Request: broker.Request{
+	return broker.SubmitRequest{Session: c.session, WaitingSince: sent.waitingSince, Request: broker.Request{
 		RequestID:         statement.RequestID,
 		Class:             statement.Class,
 		Tenant:            statement.Tenant,
--- /dev/null
+++ b/internal/server/frontend/helpers_test.go
@@ -0,0 +1,176 @@
+package frontend
+
+import (
+	"context"
+	"net"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/invariant"
+	"wheatlane/internal/server/netconn"
+)
+
+const testTimeout = 20 * time.Second // a test that waits so long has failed
+
+// fakeHost is the loop, the reducer and the observer of a frontend. Functions wait in its inbox until a test runs them.
+type fakeHost struct {
+	inbox chan func()
+
+	// Owned by the test, which is the loop.
+	events     []broker.Event
+	violations []invariant.Rule
+
+	mu   sync.Mutex // guards what follows
+	ends []netconn.Reason
+}
+
+func newFakeHost() *fakeHost { return &fakeHost{inbox: make(chan func(), 100)} }
+
+func (h *fakeHost) Post(ctx context.Context, f func()) bool {
+	select {
+	case h.inbox <- f:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (h *fakeHost) Apply(event broker.Event)   { h.events = append(h.events, event) }
+func (h *fakeHost) Enqueue(event broker.Event) { h.events = append(h.events, event) }
+
+func (h *fakeHost) Violated(rule invariant.Rule, _ ...zap.Field) {
+	h.violations = append(h.violations, rule)
+}
+
+func (h *fakeHost) ConnectionEnded(_ string, _ time.Time, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ends = append(h.ends, netconn.ReasonOf(err))
+}
+
+// runOne runs the next function of the inbox.
+func (h *fakeHost) runOne(t *testing.T, what string) {
+	t.Helper()
+	receive(t, h.inbox, what)()
+}
+
+// runUntil runs the functions of the inbox until a condition holds.
+func (h *fakeHost) runUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	waitUntil(t, what, func() bool {
+		for len(h.inbox) > 0 {
+			(<-h.inbox)()
+		}
+		return condition()
+	})
+}
+
+// expectViolation expects that one rule was broken, once.
+func (h *fakeHost) expectViolation(t *testing.T, want invariant.Rule) {
+	t.Helper()
+	if len(h.violations) != 1 || h.violations[0] != want {
+		t.Errorf("violations %v, want %v", h.violations, want)
+	}
+}
+
+// newTestFrontend returns a frontend for a listener, or for none, that a host runs.
+func newTestFrontend(listener net.Listener, host *fakeHost, maxRejected int) *Frontend {
+	return New(listener, Config{
+		MaxConns: 1, MaxRejected: maxRejected, Log: zap.NewNop(),
+		MaxClientTimeout: func() time.Duration { return testTimeout },
+		EarliestArrival:  func(readAt time.Duration) time.Duration { return readAt },
+	}, host, host, host)
+}
+
+// newTestClient returns a client of a frontend and the client's end of its connection.
+func newTestClient(t *testing.T, f *Frontend) (c *client, far *net.TCPConn) {
+	t.Helper()
+	near, far := connectedPair(t)
+	return newClient(f, 7, near), far
+}
+
+// serve serves the clients of a frontend until the test ends.
+func serve(t *testing.T, f *Frontend) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- f.Serve(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		_ = receive(t, ended, "the frontend's end") // that of its context, or none after the final reads
+	})
+}
+
+// packetBytes is a packet of the MySQL protocol.
+func packetBytes(seq byte, payload string) []byte {
+	n := len(payload)
+	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
+}
+
+// loginPacket is the answer to a greeting.
+func loginPacket() []byte {
+	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00main\x00")
+}
+
+// receive takes from a channel, or fails.
+func receive[T any](t *testing.T, c <-chan T, what string) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("%s did not come", what)
+		panic("unreachable")
+	}
+}
+
+// waitUntil waits for a condition, or fails.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("never so: %s", what)
+		}
+	}
+}
+
+// listenTCP returns a listener on loopback that is closed as the test ends.
+func listenTCP(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// dialTCP returns a connection that is closed as the test ends.
+func dialTCP(t *testing.T, addr net.Addr) *net.TCPConn {
+	t.Helper()
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return conn.(*net.TCPConn)
+}
+
+// connectedPair returns both ends of a connection on loopback.
+func connectedPair(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	listener := listenTCP(t)
+	near = dialTCP(t, listener.Addr())
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
+	return near, accepted.(*net.TCPConn)
+}
--- a/internal/server/reply.go
+++ b/internal/server/frontend/reply.go
@@ -1,4 +1,4 @@
-package server
+package frontend
 
 import (
 	"errors"
@@ -32,24 +32,21 @@
 	broker.CloseTooManySessions: netconn.TooManyConnections,
 }
 
-// sendReply sends a reply to its client, if that is still connected. A client that doesn't read its answers
-// is closed, and its session ends at once: what it asks from then on could not be answered.
-func (s *Server) sendReply(r broker.Reply) {
-	if r.Kind == broker.ReplyRejected {
-		s.usage.Rejections++
-	}
-	c := s.clients[r.Session]
+// Reply sends a reply to its client, if that is still connected. A client that doesn't read its answers is closed, and
+// its session ends at once: what it asks from then on could not be answered.
+func (f *Frontend) Reply(r broker.Reply) {
+	c := f.clients[r.Session]
 	if c == nil {
 		return
 	}
 	if c.conn.FinishedFor() != nil { // this side is shut down: the answer can't leave
-		s.violated(invariant.AnswerBeforeClose, zap.Uint32("session", uint32(r.Session)))
+		f.observer.Violated(invariant.AnswerBeforeClose, zap.Uint32("session", uint32(r.Session)))
 		return
 	}
-	s.replyBuffer = appendReply(s.replyBuffer[:0], r)
-	if _, err := c.conn.Write(s.replyBuffer); errors.Is(err, ring.ErrFull) {
+	f.replyBuffer = appendReply(f.replyBuffer[:0], r)
+	if _, err := c.conn.Write(f.replyBuffer); errors.Is(err, ring.ErrFull) {
 		c.close(&netconn.EndError{Reason: netconn.BufferFull})
-		s.enqueue(broker.SessionClosed{Session: r.Session})
+		f.events.Enqueue(broker.SessionClosed{Session: r.Session})
 	}
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -19,7 +19,7 @@
 
 // loop owns the reducer until ctx ends or a shutdown, begun by a value on stop, is complete.
 func (s *Server) loop(ctx context.Context, stop <-chan struct{}) error {
-	defer func() { _ = s.listener.Close() }() // the shutdown may have closed it
+	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
 	s.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
 	s.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
 	pacer := standstill.NewPacer(clock.Now())
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -45,7 +45,7 @@
 	done := make(chan struct{})
 	inspect := func() {
 		engines := s.pool.Stats().Connections
-		f(s.reducer, netconn.ConnectionCounts{Clients: len(s.clients), Engines: engines, Ends: &s.endCounts})
+		f(s.reducer, netconn.ConnectionCounts{Clients: s.frontend.Len(), Engines: engines, Ends: &s.endCounts})
 		close(done)
 	}
 	inbox := s.inbox
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -10,7 +10,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -22,6 +21,7 @@
 	"wheatlane/internal/server/clock"
 	"wheatlane/internal/server/endpointwatch"
 	"wheatlane/internal/server/enginepool"
+	"wheatlane/internal/server/frontend"
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netconn"
@@ -30,20 +30,8 @@
 	"wheatlane/internal/usage"
 )
 
-const (
-	// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
-	inboxSize = 256
-	// The limit of sockets is shared: connections to engines and ownSockets come first, the rest is for
-	// clients. One part in closingSocketDivisor of that is for connections that are about to end, the
-	// others bound the sessions.
-	engineSocketDivisor  = 4  // connections to engines get the limit of sockets divided by this
-	ownSockets           = 16 // listener, change log, log, configuration file, the runtime's own
-	rejectSockets        = 4  // of clients that were rejected and have not read that yet
-	closingSocketDivisor = 8
-	// Callers of the admin endpoint get up to maxAdminSockets, and a part of the limit at most.
-	maxAdminSockets    = 32
-	adminSocketDivisor = 16
-)
+// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
+const inboxSize = 256
 
 // Server is a running broker.
 type Server struct {
@@ -51,9 +39,9 @@
 	log       *zap.Logger
 	ctx       context.Context // of Run
 	group     *errgroup.Group // of Run
-	listener  net.Listener
-	inbox     chan func()   // functions to call in the loop
-	done      chan struct{} // closed once Run returns
+	inbox     chan func()     // functions to call in the loop
+	done      chan struct{}   // closed once Run returns
+	frontend  *frontend.Frontend
 	endpoints *endpointwatch.Watcher
 	gossip    *gossiptransport.Transport // nil: engines are not shared with other brokers
 	handover  *handoverstore.Store       // nil: nothing is handed over
@@ -64,37 +52,26 @@
 	reducer             *broker.Broker
 	meter               Meter
 	pendingEvents       []broker.Event // events that effects gave
-	clients             map[broker.Session]*client
 	pool                *enginepool.Pool
 	shutdown            shutdownState
-	replyBuffer         []byte
 	usage               usage.Counters // what was spent since the start, the counts of the pool and of polls as of the last log line
 	loggedUsage         usage.Counters // costs at the last log line
 	usageLoggedAt       time.Time
 	restoredMaintenance []string // engines that the previous process had in maintenance mode
 
-	// Owned by the goroutine that accepts.
-	lastSession broker.Session
-
 	// Used by several goroutines.
-	clientSlots        chan struct{} // one is taken for each client's socket
-	rejectSlots        chan struct{} // one is taken for each socket that is rejected and not closed yet
-	maxClientTimeoutNS atomic.Int64  // the longest client timeout of all classes ever in force
-	tcpInfoRefused     atomic.Bool   // the system refused TCP_INFO, which was logged
+	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
 	endCounts          netconn.EndCounts
-
-	mu         sync.Mutex // guards what follows
-	readingOut bool       // the sockets are read for the last time
 }
 
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
 // setting that can't be used.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
-	maxClients := cfg.Sockets - maxEngineConns(cfg.Sockets) - ownSockets - rejectSockets - AdminSockets(cfg)
+	budget := newSocketBudget(cfg)
 	settings := cfg.Settings.Control
-	poolConfig := enginePoolConfig(cfg)
+	poolConfig := enginePoolConfig(cfg, budget.Engines)
 	settings.MaxSendDelay = poolConfig.MaxSendDelay()
-	reducer, err := broker.New(settings, cfg.Seed, maxClients-maxClients/closingSocketDivisor)
+	reducer, err := broker.New(settings, cfg.Seed, budget.Sessions)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -103,19 +80,19 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	s := &Server{
-		cfg: cfg, log: log, listener: listener, reducer: reducer, meter: nopMeter{},
-		inbox:       make(chan func(), inboxSize),
-		done:        make(chan struct{}),
-		clients:     map[broker.Session]*client{},
-		lastSession: broker.Session(cfg.Seed),
-		clientSlots: make(chan struct{}, maxClients),
-		rejectSlots: make(chan struct{}, rejectSockets),
+		cfg: cfg, log: log, reducer: reducer, meter: nopMeter{},
+		inbox: make(chan func(), inboxSize),
+		done:  make(chan struct{}),
 	}
 	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
 	host := engineHost{s}
 	s.pool = enginepool.New(poolConfig, host, host, host)
+	s.frontend = frontend.New(listener, frontend.Config{
+		MaxConns: budget.Clients, MaxRejected: budget.Rejected, LastSession: broker.Session(cfg.Seed), Log: log,
+		MaxClientTimeout: s.maxClientTimeout, EarliestArrival: s.standstills.EarliestArrival,
+	}, frontendHost{s}, frontendHost{s}, frontendHost{s})
 	s.endpoints = endpointwatch.New(
-		endpointwatch.Config{Addr: cfg.Changelog, Revision: cfg.Known.Revision}, inputs{s})
+		endpointwatch.Config{Addr: cfg.Changelog, Revision: cfg.Known.Revision}, changelogHost{s})
 	if log.Core().Enabled(zap.DebugLevel) {
 		reducer.SetTracer(s.logTransition)
 	}
@@ -134,19 +111,11 @@
 	return s, nil
 }
 
-// AdminSockets is how many callers the admin endpoint may serve at once: their sockets count against the limit.
-func AdminSockets(cfg config.Config) int {
-	if cfg.AdminListen == "" {
-		return 0
-	}
-	return min(maxAdminSockets, cfg.Sockets/adminSocketDivisor)
-}
-
 // Addr returns where clients connect.
-func (s *Server) Addr() net.Addr { return s.listener.Addr() }
+func (s *Server) Addr() net.Addr { return s.frontend.Addr() }
 
 // Close closes the listener of a server that is not to run.
-func (s *Server) Close() error { return s.listener.Close() }
+func (s *Server) Close() error { return s.frontend.Close() }
 
 // Run serves until ctx ends or, after a value on stop, until the shutdown is complete. It returns nil in
 // both cases.
@@ -156,13 +125,13 @@
 	defer cancel()
 	s.group, ctx = errgroup.WithContext(ctx)
 	s.ctx = ctx
-	s.group.Go(func() error { return s.accept(ctx) })
+	s.group.Go(func() error { return s.frontend.Serve(ctx) })
 	s.group.Go(func() error { return s.endpoints.Run(ctx) })
 	if s.handover != nil {
-		s.group.Go(func() error { return s.handover.Run(ctx, inputs{s}) })
+		s.group.Go(func() error { return s.handover.Run(ctx, handoverHost{s}) })
 	}
 	if s.gossip != nil {
-		s.group.Go(func() error { return s.gossip.Run(ctx, inputs{s}) })
+		s.group.Go(func() error { return s.gossip.Run(ctx, gossipHost{s}) })
 	}
 	s.group.Go(func() error {
 		defer cancel()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -20,17 +20,12 @@
 //     waits for the client to end the other, as closing a socket with bytes unread could destroy the last
 //     answers.
 
-// finalReads is how many timeouts show that a socket is empty: the read that a timeout ends does not see
-// what comes in that moment, and the next one looks first.
-const finalReads = 2
-
 // shutdownState is how far a graceful shutdown has come. The goroutine that owns the reducer owns it.
 type shutdownState struct {
 	requestedAt          time.Time     // zero: no shutdown was requested
 	answerWithin         time.Duration // from requestedAt: what is left then gets its final answer
 	acceptWindow         time.Duration // from requestedAt: until then new requests are served
 	closingListeners     bool
-	listenerClosed       bool // and all connections that had come to it are served
 	closingSessionsSince time.Time
 }
 
@@ -67,78 +62,24 @@
 	elapsed := time.Since(state.requestedAt)
 	if !state.closingListeners && elapsed >= state.acceptWindow {
 		state.closingListeners = true
-		s.closeListeners()
+		s.frontend.BeginFinalReads()
 	}
 	open := s.reducer.OpenRequests() > 0
 	if !open && elapsed >= state.answerWithin+finalFlushTimeout {
 		return true // SIGKILL is near
 	}
-	if !state.closingListeners || open || !s.allRead() {
+	if !state.closingListeners || open || !s.frontend.ListenerClosed() || !s.frontend.AllRead() {
 		return false
 	}
 	if state.closingSessionsSince.IsZero() {
 		state.closingSessionsSince = time.Now()
 		s.closeSessions()
 	}
-	return len(s.clients) == 0
+	return s.frontend.Len() == 0
 }
 
 // closeSessions ends all clients' connections. The reducer rejects what is read until their readers stop.
 func (s *Server) closeSessions() {
 	s.apply(broker.SendFinalAnswers{})
-	for _, c := range s.clients {
-		c.close(&netconn.EndError{Reason: netconn.Shutdown})
-	}
-}
-
-// closeListeners lets the listener and the reader of each client read once more what has come.
-func (s *Server) closeListeners() {
-	s.mu.Lock()
-	s.readingOut = true
-	s.mu.Unlock()
-	s.setFinalAcceptDeadline()
-	for _, c := range s.clients {
-		_ = c.conn.SetReadDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
-	}
-}
-
-// closingListeners reports whether the listeners are closing. All goroutines may call it.
-func (s *Server) closingListeners() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.readingOut
-}
-
-// allRead reports whether the listener has closed, each client's socket was found empty since, and all that
-// is addressed to the clients has been sent.
-func (s *Server) allRead() bool {
-	if !s.shutdown.listenerClosed {
-		return false
-	}
-	for _, c := range s.clients {
-		if !c.fullyRead || !c.conn.AllSent() {
-			return false
-		}
-	}
-	return true
-}
-
-// listenerTimedOut handles a timeout of the listener while the listeners close, by the number of them so
-// far. It returns true once nothing more comes and the listener is closed; until then it is to accept
-// again.
-func (s *Server) listenerTimedOut(timeouts int) bool {
-	if timeouts < finalReads {
-		s.setFinalAcceptDeadline()
-		return false
-	}
-	_ = s.listener.Close() // nothing is lost by a failure: the process is about to end
-	s.post(s.ctx, func() { s.shutdown.listenerClosed = true })
-	return true
-}
-
-// setFinalAcceptDeadline bounds the wait of the listener for connections that have come.
-func (s *Server) setFinalAcceptDeadline() {
-	if ln, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = ln.SetDeadline(time.Now().Add(finalReadTimeout)) // fails only on one that has closed
-	}
+	s.frontend.CloseAll(netconn.Shutdown)
 }
--- a/internal/server/shutdownlimits.go
+++ b/internal/server/shutdownlimits.go
@@ -9,5 +9,4 @@
 	shutdownExtra        = 700 * time.Millisecond // protocol: and so much more
 	finalAnswerMargin    = 250 * time.Millisecond // ours: what is open is answered so long before SIGKILL
 	finalFlushTimeout    = 200 * time.Millisecond // the final answers leave within it, before SIGKILL
-	finalReadTimeout     = 20 * time.Millisecond  // what has come to the sockets is read within it
 )
