--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -46,6 +47,10 @@
 	"no login": {
 		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: netconn.Malformed,
 	},
+	"login to an unknown database": {
+		login:   packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00other\x00"),
+		answers: []string{"1049", "closed"}, reason: netconn.AccessDenied,
+	},
 	"login of a wrong number": {
 		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: netconn.Malformed,
 	},
@@ -184,11 +189,11 @@
 				e, open := newUnconnectableEngine(t)
 				s := startServerWith(t, serverOptions{configure: withCancellation(cancellation)}, listed("e1", e))
 				leaver := s.connect(statement("lookup", 1, longTimeout, ""))
-				waitUntil(t, "the first waits for the connection", func() bool { return s.streamCount("e1") == 1 })
+				waitUntil(t, "the first waits for the connection", func() bool { return s.streamCount() == 1 })
 				stays := s.connect(statement("lookup", 2, longTimeout, ""))
-				waitUntil(t, "the second does, too", func() bool { return s.streamCount("e1") == 2 })
+				waitUntil(t, "the second does, too", func() bool { return s.streamCount() == 2 })
 				leave(s, leaver)
-				waitUntil(t, "only the second does", func() bool { return s.streamCount("e1") == 1 })
+				waitUntil(t, "only the second does", func() bool { return s.streamCount() == 1 })
 				open()
 				attempt := e.expectAttempt(t)
 				if attempt.requestID() != "0000000000000002" {
