--- a/control/controller.go
+++ b/control/controller.go
@@ -143,7 +143,7 @@
 		case ProbeResult:
 			c.probeEnded(event)
 		case GossipReceived:
-			c.gossipReceived(event)
+			c.endpoints.receiveLoads(event.Reports, c.now)
 		case EndpointUpdate:
 			c.endpointsUpdated(event)
 		case SetMaintenance:
@@ -177,7 +177,9 @@
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
 	c.decayEvidence()
-	c.updatePoolLoad()
+	if c.settings.Limits.Gossip {
+		c.endpoints.updatePoolLoad(c.now)
+	}
 	c.retryWaiting()
 	c.sendGossip()
 	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"wheatlane/control/units"
 )
@@ -12,18 +13,18 @@
 	if c.endpoints.pool == nil || !c.gossip.Due(c.now) {
 		return
 	}
-	if reports := c.knownLoads(); len(reports) > 0 {
-		c.emit(SendGossip{c.gossip.Send(c.now, c.rng), reports})
+	if loads := c.endpoints.knownLoads(c.now); len(loads) > 0 {
+		c.emit(SendGossip{c.gossip.Send(c.now, c.rng), loads})
 	}
 }
 
 // knownLoads returns the known loads of engines that take requests, the youngest first.
-func (c *Controller) knownLoads() []GossipedLoad {
+func (s *endpointSet) knownLoads(now time.Duration) []GossipedLoad {
 	var loads []GossipedLoad
-	for _, e := range c.endpoints.all {
-		if e.loadKnown(c.now) {
+	for _, e := range s.all {
+		if e.loadKnown(now) {
 			loads = append(loads, GossipedLoad{
-				Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(c.now),
+				Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(now),
 			})
 		}
 	}
@@ -31,11 +32,11 @@
 	return loads
 }
 
-// gossipReceived takes the loads that are younger than what is known.
-func (c *Controller) gossipReceived(gossip GossipReceived) {
-	for _, report := range gossip.Reports {
-		if e := c.endpoints.byGossipID(report.Engine); e != nil {
-			e.load.Receive(units.Fraction(report.Load), c.now-max(0, report.Age), e.StartedAt)
+// receiveLoads takes the loads that are younger than what is known.
+func (s *endpointSet) receiveLoads(loads []GossipedLoad, now time.Duration) {
+	for _, gossiped := range loads {
+		if e := s.byGossipID(gossiped.Engine); e != nil {
+			e.load.Receive(units.Fraction(gossiped.Load), now-max(0, gossiped.Age), e.StartedAt)
 		}
 	}
 }
--- a/control/interval.go
+++ b/control/interval.go
@@ -16,7 +16,7 @@
 // runInterval runs once an interval: measurements go to the regulators, whose targets the optimizer sets.
 func (c *Controller) runInterval(elapsed time.Duration) {
 	c.updateFleet()
-	c.updateBestSlowdown()
+	c.slowdowns.UpdateBest(c.endpoints.healthySlowdowns())
 	regular := elapsed < maxRegularInterval
 	c.workload.intervals++
 	if share, known := c.workload.measureTenants(elapsed); known {
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"time"
+
 	"wheatlane/control/concurrency"
 	"wheatlane/control/loadreport"
 )
@@ -22,15 +24,15 @@
 }
 
 // updatePoolLoad follows the pool's load by those of its engines, as gossip brings them.
-func (c *Controller) updatePoolLoad() {
-	if c.endpoints.pool == nil || !c.settings.Limits.Gossip {
+func (s *endpointSet) updatePoolLoad(now time.Duration) {
+	if s.pool == nil {
 		return
 	}
 	var known []*loadreport.Estimate
-	for _, e := range c.endpoints.all {
-		if e.loadKnown(c.now) {
+	for _, e := range s.all {
+		if e.loadKnown(now) {
 			known = append(known, &e.load)
 		}
 	}
-	c.endpoints.pool.load.OfPool(known)
+	s.pool.load.OfPool(known)
 }
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -28,15 +28,15 @@
 	c.slowdowns.Observe(&e.queueOwner.slowdown, sample, c.now)
 }
 
-// updateBestSlowdown follows the least slowdown of the engines that are healthy.
-func (c *Controller) updateBestSlowdown() {
+// healthySlowdowns are the slowdowns of the engines that are healthy.
+func (s *endpointSet) healthySlowdowns() []*slowdown.Engine {
 	var healthy []*slowdown.Engine
-	for _, e := range c.endpoints.queueOwners() {
+	for _, e := range s.queueOwners() {
 		if e.member.Listed() && !e.health.Ejected() {
 			healthy = append(healthy, &e.slowdown)
 		}
 	}
-	c.slowdowns.UpdateBest(healthy)
+	return healthy
 }
 
 // decayEvidence lets what was seen of engines count for less as it ages, once a tick.
