--- a/control/admission.go
+++ b/control/admission.go
@@ -7,7 +7,6 @@
 
 // Tuned values of admission and load shedding.
 const (
-	highAbandonRate     = 0.5      // share of clients leaving early at which the others are expected to
 	deadlineBatches     = 2        // batch intervals before its deadline at which a request is answered
 	minAdmissionPrice   = 1.0 / 16 // rejects no request under 16 times the mean work
 	admissionPriceRise  = 1.3      // growth of the price with each request that finds no capacity
@@ -21,19 +20,18 @@
 	if c.requests.byID[in.ID] != nil {
 		return
 	}
-	classIndex, known := c.workload.classByName[in.Class]
+	classIndex, known := c.classes.byName[in.Class]
 	if !known {
 		c.emit(Fail{in.ID})
 		return
 	}
-	k, tenantIndex := c.workload.classes[classIndex], c.workload.tenantIndex(in.Tenant)
+	k, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
 	r := newRequest(in, k, classIndex, tenantIndex, c.now)
-	objective := k.LatencyObjective + seconds(k.ObjectivePerWork*r.expectedWork/float64(k.Threads))
-	r.objectiveAt = min(in.Deadline, c.now+objective)
-	if k.abandonRate > highAbandonRate {
-		r.objectiveAt = min(r.objectiveAt, c.now+seconds(k.abandonAfter))
+	r.objectiveAt = min(in.Deadline, c.now+k.objectiveOf(r.expectedWork))
+	if patience, known := k.Abandonment.Patience(); known {
+		r.objectiveAt = min(r.objectiveAt, c.now+patience)
 	}
-	c.workload.countArrival(classIndex, tenantIndex)
+	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - deadlineBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
@@ -101,7 +99,8 @@
 	if c.withinConcurrencyLimit(e, r.classIndex) {
 		return false
 	}
-	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
+	classShare := float64(c.shares.Share(r.classIndex))
+	tenantShare := float64(c.workload.Tenants().Share(r.tenantIndex))
 	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
 		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
 	wait := seconds(ahead / e.concurrency.Limit() * math.Exp(c.estimatedSlowdown(e)))
@@ -119,5 +118,6 @@
 // of capacity: without it a few very heavy requests keep out many light ones of the same weight.
 func (c *Controller) belowAdmissionPrice(r *request) bool {
 	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
-		r.class.PriorityWeight < c.admission.price*c.workload.lowestWeightPerWork*r.expectedWork
+		r.class.PriorityWeight <
+			c.admission.price*c.workload.Summary().LowestWeightPerThreadSecond*float64(r.expectedWork)
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -44,10 +44,11 @@
 		_, got := r.submit("quick", func(q *Request) { q.Tenant = name })
 		requireEqual(t, "sent for "+name, countOf[SendAttempt](got), 1)
 	}
-	requireEqual(t, "charged to t0", r.controller.workload.tenants[0].arrivals, 1)
-	requireEqual(t, "charged to t1", r.controller.workload.tenants[1].arrivals, 0)
-	requireEqual(t, "charged to the unknown", r.controller.workload.tenants[2].arrivals, 2)
-	requireEqual(t, "share of the unknown", r.controller.workload.tenants[2].Share, 0.25)
+	tenants := r.controller.workload.Tenants()
+	requireEqual(t, "charged to t0", tenants.Arrivals(0), 1)
+	requireEqual(t, "charged to t1", tenants.Arrivals(1), 0)
+	requireEqual(t, "charged to the unknown", tenants.Arrivals(2), 2)
+	requireEqual(t, "share of the unknown", tenants.Share(2), 0.25)
 }
 
 // Where engines are pooled, a request that cannot meet its objective is rejected at once and without a load
@@ -132,7 +133,7 @@
 			if !byWork && rejected[5] < 4*(rejected[0]+1) {
 				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
 			}
-			heaviest := &request{class: r.controller.workload.classes[0], expectedWork: 1e6}
+			heaviest := &request{class: r.controller.classes.all[0], expectedWork: 1e6}
 			if byWork && r.controller.belowAdmissionPrice(heaviest) {
 				t.Error("where the weight grows with the work, a request was below the admission price")
 			}
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -17,10 +17,10 @@
 	if len(r.attempts) > 0 {
 		c.retries.RetrySent(c.now)
 	} else {
-		k.learnWait(c.now - r.receivedAt)
+		k.Wait.Observe(c.now - r.receivedAt)
 	}
 	if c.inSlowStart(e) {
-		e.slowStartSends = append(e.slowStartSends, slowStartSend{c.now, k.meanWork})
+		e.slowStartSends = append(e.slowStartSends, slowStartSend{c.now, float64(k.Cost.MeanWork())})
 	}
 	a := r.addAttempt(e, c.now)
 	if e.ejected {
@@ -40,10 +40,10 @@
 func (c *Controller) setAttemptOptions(r *request, e *engine) {
 	options := SetAttemptOptions{RequestID: r.ID, Priority: minPriority}
 	if c.settings.MemoryGrants && c.settings.ReportsCost && r.EstimatedMemoryMB > 0 {
-		needed := r.EstimatedMemoryMB * r.class.memoryQuantile
+		needed := r.class.Cost.MemoryMB(r.EstimatedMemoryMB)
 		options.GrantMB = math.Ceil(min(needed, c.settings.MaxGrantFraction*e.memoryMB))
 	}
-	if c.settings.Priorities && r.classIndex == c.workload.highestValueClass {
+	if c.settings.Priorities && r.classIndex == c.workload.Summary().HighestValueClass {
 		options.Priority = maxPriority
 	}
 	if options.GrantMB != 0 || options.Priority != r.priority {
@@ -80,7 +80,7 @@
 		}
 	}
 	if end.RequestClosed && !r.closed {
-		r.class.clientStayed()
+		r.class.Abandonment.ClientStayed()
 		c.closeRequest(r)
 	}
 	if r.closed {
@@ -132,7 +132,7 @@
 	if report.Kind != ProgressFraction {
 		return
 	}
-	spent, usual := (c.now - a.sentAt).Seconds(), c.expectedServiceTime(a.request, a.engine)
+	spent, usual := (c.now - a.sentAt).Seconds(), float64(c.expectedServiceTime(a.request, a.engine))
 	left := spent * (1 - report.Value) / max(report.Value, minProgress)
 	if c.settings.Limits.Cancellation && left > runawayFactor*usual {
 		c.hedgeOrCancel(a)
--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -3,6 +3,9 @@
 import (
 	"math"
 	"testing"
+	"time"
+
+	"wheatlane/control/units"
 )
 
 const (
@@ -79,7 +82,7 @@
 // quiet is an interval without answers, pressure or a shortage of memory.
 func quiet() Interval {
 	return Interval{
-		Regular: true, TargetTime: 0.8, Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
+		Regular: true, Objective: time.Second, Wait: 0.2, Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
 		RequestThreads: 1, RequestMB: 100, MinThreads: 1,
 	}
 }
@@ -149,6 +152,16 @@
 	}
 }
 
+func TestTargetTimeLeavesTimeToWait(t *testing.T) {
+	t.Parallel()
+	l := newLimiter()
+	for wait, want := range map[units.Seconds]float64{0: 1, 0.5: 0.75, 1: 0.5, 9: 0.5} {
+		if got := l.targetTime(wait, 2*time.Second); got != want {
+			t.Errorf("target %v after a wait of %v s, want %v", got, float64(wait), want)
+		}
+	}
+}
+
 func TestLimitFollowsServiceTimes(t *testing.T) {
 	t.Parallel()
 	final := func(relativeTime float64) float64 {
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -4,6 +4,8 @@
 package concurrency
 
 import (
+	"time"
+
 	"wheatlane/control/units"
 	"wheatlane/internal/rls"
 )
@@ -16,6 +18,7 @@
 	InitialThreadsPerCore float64        // limit at the start
 	MinThreadsPerCore     float64        // smallest limit
 	MaxThreadsPerCore     float64        // largest limit
+	MinTargetTime         float64        // smallest target of service times, in latency objectives
 	ChangePenalty         float64        // of the model's input: the larger, the slower the limit moves
 	BackoffLoad           float64        // reported load beyond which the limit backs off
 	BackoffSlowdown       units.LogRatio // slowdown beyond which it does
@@ -29,7 +32,8 @@
 // DefaultConfig is for a limit at one engine.
 func DefaultConfig() Config {
 	return Config{
-		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: MaxThreadsPerCore, ChangePenalty: 2,
+		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: MaxThreadsPerCore,
+		MinTargetTime: 0.5, ChangePenalty: 2,
 		BackoffLoad: 1.2, BackoffSlowdown: 1.6, BackoffDecrease: 0.8, BackoffIncrease: 1.1,
 		MinBackoffFactor: 0.15, UnloadedMultiple: 1.5, UnloadedRequests: 2,
 	}
@@ -108,7 +112,8 @@
 // Interval is what a limiter decides its next limit by.
 type Interval struct {
 	Regular        bool           // it was as long as planned, so the model may be fitted to it
-	TargetTime     float64        // service time to reach, over the latency objective
+	Objective      time.Duration  // latency objective of the tightest class
+	Wait           units.Seconds  // mean wait of its requests, which the objective has to leave time for
 	Cores          float64        // of the engine, or of the whole pool
 	MemoryMB       float64        // likewise; infinite if not known
 	Share          units.Fraction // this broker's share of them
@@ -124,7 +129,8 @@
 func (l *Limiter) CloseInterval(in Interval) {
 	if l.answers > 0 && in.Regular {
 		l.model.Observe([]float64{l.relativeTimeSum / l.answers}, []bool{true})
-		l.model.Decide([]float64{in.TargetTime}, l.config.MinThreadsPerCore, l.config.MaxThreadsPerCore)
+		target := l.targetTime(in.Wait, in.Objective)
+		l.model.Decide([]float64{target}, l.config.MinThreadsPerCore, l.config.MaxThreadsPerCore)
 	} else {
 		l.model.Skip(nil)
 	}
@@ -138,6 +144,11 @@
 	l.threads = max(l.threads, in.MinThreads)
 }
 
+// targetTime is the service time to reach, over the latency objective.
+func (l *Limiter) targetTime(wait units.Seconds, objective time.Duration) float64 {
+	return max(l.config.MinTargetTime, 1-float64(wait/units.SecondsOf(objective)))
+}
+
 // updateBackoff lowers the limit of an engine that is overloaded in spite of it, as in a surge of retries:
 // this broker's share was overestimated then. It raises the limit again by and by.
 func (l *Limiter) updateBackoff(in Interval) {
--- a/control/controller.go
+++ b/control/controller.go
@@ -17,6 +17,7 @@
 	"wheatlane/control/concurrency"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/shares"
+	"wheatlane/control/workload"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -34,7 +35,8 @@
 	requests      requestTable
 	endpoints     endpointSet
 	subscription  subscription
-	workload      workload
+	classes       classTable
+	workload      workload.Workload
 	estimates     fleetEstimates
 	retries       retrybudget.Budget
 	admission     admissionPrice
@@ -60,11 +62,15 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), workload: newWorkload(settings),
+		endpoints: newEndpointSet(), classes: newClassTable(),
 		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
 		pressure: concurrency.DefaultPressureConfig(),
 	}
-	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
+	c.workload = workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers)
+	for _, class := range settings.Classes {
+		c.classes.add(class.withDefaults(), &c.workload)
+	}
+	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
 	if c.poolsEngines() {
 		c.endpoints.setPool(c.newPool())
 	}
@@ -171,8 +177,9 @@
 // settings are those of the start.
 func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
 	added := 0
-	for _, k := range classes {
-		if c.workload.updateClass(k.withDefaults()) {
+	for _, class := range classes {
+		if class = class.withDefaults(); !c.classes.contains(class) {
+			c.classes.add(class, &c.workload)
 			c.shares.AddClass()
 			added++
 		}
@@ -182,12 +189,11 @@
 		return
 	}
 	c.shares.Restart()
-	c.workload.updateExtremes()
 	for _, e := range c.endpoints.all {
-		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+		e.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
 	}
 	if pool := c.endpoints.pool; pool != nil {
-		pool.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+		pool.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
 	}
 }
 
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -40,14 +40,14 @@
 // the most priority weight per work the whole limit is its share.
 func (c *Controller) withinConcurrencyLimit(e *engine, classIndex int) bool {
 	share := c.shares.Share(classIndex)
-	if classIndex == c.workload.highestValueClass {
+	if classIndex == c.workload.Summary().HighestValueClass {
 		share = 1
 	}
 	return e.concurrency.Allows(concurrency.Request{
-		Threads:       c.workload.classes[classIndex].Threads,
+		Threads:       c.classes.all[classIndex].Threads,
 		ClassInFlight: c.threadsOfClass(e, classIndex),
 		ClassShare:    share,
-		WidestThreads: c.workload.maxThreads,
+		WidestThreads: c.classes.maxThreads,
 		UnderPressure: c.underPressure(e),
 	})
 }
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -95,7 +95,7 @@
 		r.submit("quick")
 		r.advance(20 * ms)
 		pool := r.controller.endpoints.pool
-		widest := r.controller.workload.maxThreads
+		widest := r.controller.classes.maxThreads
 		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
 		if float64(pool.concurrency.InFlight()) > maxThreads {
 			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.InFlight(), maxThreads)
@@ -111,7 +111,7 @@
 	c, e := r.controller, r.controller.endpoints.all[0]
 	c.shares = shares.New(shares.DefaultConfig(), []float64{0.75, 0.25})
 	for i := range 40 {
-		k := c.workload.classes[i%2]
+		k := c.classes.all[i%2]
 		c.enqueueOn(e, &request{
 			Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
 			tenantIndex: i / 2 % 2, expectedWork: 1,
--- a/control/engine.go
+++ b/control/engine.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"wheatlane/control/concurrency"
-	"wheatlane/control/units"
 	"wheatlane/internal/estimate"
 	"wheatlane/internal/fairqueue"
 )
@@ -66,7 +65,7 @@
 	e := &engine{
 		Engine: Engine{ID: in.ID}, gossipID: EngineHash(in.ID),
 		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, atCapacityAt: -1,
-		queue: fairqueue.New[*request](len(c.workload.classes), len(c.workload.tenants)),
+		queue: fairqueue.New[*request](len(c.classes.all), c.workload.Tenants().Len()),
 	}
 	if e.memoryMB <= 0 { // not known, so it bounds nothing
 		e.memoryMB = math.Inf(1)
@@ -75,7 +74,7 @@
 		e.idHash = (e.idHash*31 + int(b)) % idHashSize
 	}
 	e.queueOwner = e
-	e.concurrency = concurrency.New(concurrency.DefaultConfig(), e.cores, units.Fraction(c.workload.trafficShare))
+	e.concurrency = concurrency.New(concurrency.DefaultConfig(), e.cores, c.workload.TrafficShare())
 	return e
 }
 
@@ -83,7 +82,7 @@
 func (c *Controller) newPool() *engine {
 	pool := c.newEngine(Engine{}, EngineKind{})
 	pool.concurrency = concurrency.New(
-		concurrency.PoolConfig(), pool.cores, units.Fraction(c.workload.trafficShare))
+		concurrency.PoolConfig(), pool.cores, c.workload.TrafficShare())
 	return pool
 }
 
@@ -124,7 +123,7 @@
 // threadsOfClass is the threads of a class's attempts that count against an engine's limit; at the pool also
 // of those requests that are about to leave it.
 func (c *Controller) threadsOfClass(e *engine, classIndex int) int {
-	threads, k := 0, c.workload.classes[classIndex]
+	threads, k := 0, c.classes.all[classIndex]
 	for _, a := range e.attempts {
 		if a.request.classIndex == classIndex && !a.released {
 			threads += k.Threads
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"wheatlane/control/units"
 )
 
 // Tuned values of hedging: when an attempt is overdue, and what is done then.
@@ -21,8 +23,7 @@
 // attemptTimeout is how long an attempt is waited for: until it is likelier lost than late, by the spread of
 // service times and the share of answers lost.
 func (c *Controller) attemptTimeout(r *request, e *engine) time.Duration {
-	late := r.class.spread.UpperQuantile(c.lateQuantile(e))
-	return seconds(c.expectedServiceTime(r, e) * math.Exp(late))
+	return r.class.ServiceTime.Quantile(c.expectedServiceTime(r, e), units.Fraction(c.lateQuantile(e)))
 }
 
 // lateQuantile is the share of answers that come later than an attempt is waited for.
@@ -51,7 +52,7 @@
 			c.blockedByLock(a)
 		}
 		if a.released {
-			limit += seconds(c.workload.longestLock)
+			limit += c.workload.Summary().LongestLock
 		}
 	}
 	if left := max(limit, least) - silence; left > 0 {
@@ -84,7 +85,7 @@
 // requests that the lock would block go elsewhere, and it is tried elsewhere while there is time.
 func (c *Controller) blockedByLock(a *attempt) {
 	c.releaseThreads(a)
-	lock := dataSetLock{a.request.DataSet, c.now + seconds(c.workload.longestLock)}
+	lock := dataSetLock{a.request.DataSet, c.now + c.workload.Summary().LongestLock}
 	a.engine.dataSetLocks = append(a.engine.dataSetLocks, lock)
 	c.hedgeOrCancel(a)
 }
@@ -105,5 +106,5 @@
 // mayHedge says whether another attempt of a request is allowed, and its answer would still count.
 func (c *Controller) mayHedge(r *request) bool {
 	return len(r.attempts) < c.settings.Limits.MaxAttempts && r.class.Idempotency.RepeatableAnywhere() &&
-		c.now+seconds(r.expectedWork) <= r.Deadline && !c.isWorthless(r)
+		c.now+seconds(float64(r.expectedWork)) <= r.Deadline && !c.isWorthless(r)
 }
--- a/control/hedging_test.go
+++ b/control/hedging_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"wheatlane/control/workload"
 )
 
 func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
@@ -143,7 +145,7 @@
 	s := baseSettings()
 	s.Limits.Cancellation = true
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	r.controller.workload.classes[1].meanWork = 0.8
+	r.controller.classes.all[1].Cost = workload.NewCost(0.8)
 	for i := range 20 {
 		id, _ := r.submit("long", r.deadlineIn(20*time.Second))
 		took := time.Duration(300+i*37%200) * ms
--- a/control/interval.go
+++ b/control/interval.go
@@ -5,12 +5,12 @@
 
 	"wheatlane/control/concurrency"
 	"wheatlane/control/units"
+	"wheatlane/control/workload"
 )
 
 const (
 	controlInterval    = time.Second             // between two runs of the regulators
 	maxRegularInterval = controlInterval * 3 / 2 // a stall made a longer one irregular
-	minServiceTarget   = 0.5                     // smallest target of service time, in latency objectives
 )
 
 // runInterval runs once an interval: measurements go to the regulators, whose targets the optimizer sets.
@@ -18,28 +18,28 @@
 	c.updateFleet()
 	c.updateBestSlowdown()
 	regular := elapsed < maxRegularInterval
-	c.workload.intervals++
-	if share, known := c.workload.measureTenants(elapsed); known {
-		c.updateTrafficShare(share)
-	}
-	c.shares.CloseInterval(c.workload.measureClasses(elapsed), regular)
+	pool := c.endpoints.pool
+	measured := c.workload.CloseInterval(workload.Interval{
+		Elapsed: elapsed, Pooled: pool != nil, HoldShare: pool != nil && c.underPressure(pool),
+	})
+	c.shares.CloseInterval(measured, regular)
 	c.admission.decay()
 	c.moveLimits(regular)
 }
 
 // moveLimits moves the concurrency limits toward a service time that leaves the tightest class time to wait.
 func (c *Controller) moveLimits(regular bool) {
-	tightest := c.workload.tightest
-	target := max(minServiceTarget, 1-tightest.meanWait/tightest.LatencyObjective.Seconds())
-	threads, memoryMB := c.workload.meanDemand()
-	share, minThreads := max(1/float64(c.settings.Brokers), c.workload.trafficShare), c.workload.maxThreads
-	if c.endpoints.pool != nil {
-		share, minThreads = c.workload.trafficShare, 0
+	tightest := c.classes.tightest
+	demand := c.workload.MeanDemand()
+	share, minThreads := c.workload.TrafficShare(), 0.0
+	if c.endpoints.pool == nil {
+		share, minThreads = max(1/units.Fraction(c.settings.Brokers), share), c.classes.maxThreads
 	}
 	for _, e := range c.endpoints.queueOwners() {
 		e.concurrency.CloseInterval(concurrency.Interval{
-			Regular: regular, TargetTime: target, Cores: e.cores, MemoryMB: e.memoryMB,
-			Share: units.Fraction(share), RequestThreads: threads, RequestMB: memoryMB, MinThreads: minThreads,
+			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
+			Cores: e.cores, MemoryMB: e.memoryMB, Share: share, MinThreads: minThreads,
+			RequestThreads: demand.Threads, RequestMB: demand.MemoryMB,
 			UnderPressure: c.underPressure(e), Load: e.load, Slowdown: units.LogRatio(c.slowdown(e)),
 		})
 	}
--- a/control/interval_test.go
+++ b/control/interval_test.go
@@ -101,7 +101,7 @@
 		}
 		r.advance(time.Second / 24)
 	}
-	if share := r.controller.workload.trafficShare / even; share < 4.5 || share > 7.5 {
+	if share := float64(r.controller.workload.TrafficShare()) / even; share < 4.5 || share > 7.5 {
 		t.Fatalf("after 3 s its share is %.1f even shares, want about 6", share)
 	}
 }
--- /dev/null
+++ b/control/learning.go
@@ -0,0 +1,54 @@
+package control
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/control/workload"
+	"wheatlane/internal/estimate"
+)
+
+// expectedServiceTime is the service time expected of a request on an engine.
+func (c *Controller) expectedServiceTime(r *request, e *engine) units.Seconds {
+	slowdown := units.LogRatio(c.estimatedSlowdown(e)).Ratio()
+	return units.Seconds(float64(r.expectedWork) / float64(r.class.Threads) * slowdown)
+}
+
+// likelyServiceTime corrects that by what the request's class takes over what is expected of all.
+func (c *Controller) likelyServiceTime(r *request, e *engine) time.Duration {
+	return r.class.ServiceTime.Likely(c.expectedServiceTime(r, e))
+}
+
+// learnFromAnswer takes what an answer shows of its class and its engine.
+func (c *Controller) learnFromAnswer(a *attempt, end AttemptEnded) {
+	r, e := a.request, a.engine
+	took := workload.Measured(end.Duration)
+	answer := workload.Answer{
+		ServiceTime: took, Threads: r.class.Threads, EngineSlowdown: units.LogRatio(c.estimatedSlowdown(e)),
+		MemoryMB: end.MemoryMB, EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB,
+	}
+	if c.settings.ReportsCost {
+		answer.Work = end.Work
+	}
+	slowdown := r.class.Cost.Observe(answer)
+	r.class.ServiceTime.Observe(took, c.expectedServiceTime(r, e))
+	r.class.Traffic.Answered(c.now - r.receivedAt)
+	c.observeSlowdown(e, float64(slowdown))
+	e.queueOwner.concurrency.RecordAnswer(float64(took / units.SecondsOf(r.class.LatencyObjective)))
+}
+
+// observeSlowdown takes what an answer shows of its engine's slowdown.
+func (c *Controller) observeSlowdown(e *engine, logSlowdown float64) {
+	weight := slowdownGain
+	if !c.settings.ReportsCost {
+		weight /= unknownWorkDivisor
+	}
+	if e.pooled() {
+		gain := estimate.Gain(weight, e.loss.Answers)
+		e.logSlowdown = estimate.Toward(e.logSlowdown, logSlowdown, gain)
+	}
+	owner := e.queueOwner
+	gain := estimate.Gain(weight, float64(owner.slowdownSamples+1))
+	owner.logSlowdown = estimate.Toward(owner.logSlowdown, logSlowdown, gain)
+	owner.slowdownSamples, owner.sampledAt = owner.slowdownSamples+1, c.now
+}
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -36,14 +36,14 @@
 		return
 	}
 	load := 0.0
-	threads, memoryMB := c.workload.meanDemand()
+	demand := c.workload.MeanDemand()
 	for i, field := range c.settings.ReportFields {
 		switch field {
 		case "util", "x1", "x0":
 			load = max(load, report[i])
 		case "inflight":
-			byThreads := report[i] * threads / (concurrency.MaxThreadsPerCore * e.cores)
-			load = max(load, byThreads, report[i]*memoryMB/e.memoryMB)
+			byThreads := report[i] * demand.Threads / (concurrency.MaxThreadsPerCore * e.cores)
+			load = max(load, byThreads, report[i]*demand.MemoryMB/e.memoryMB)
 		}
 	}
 	if c.now-e.loadReportedAt > controlInterval {
--- a/control/mayattempt_test.go
+++ b/control/mayattempt_test.go
@@ -31,7 +31,7 @@
 			}
 			e := c.newEngine(Engine{ID: "e"}, EngineKind{Cores: 8})
 			e.listed, e.State, e.Zone, e.Kind = true, Ready, "a", "std"
-			r := newRequest(Request{ID: "r", Deadline: time.Minute}, c.workload.classes[0], 0, 0, c.now)
+			r := newRequest(Request{ID: "r", Deadline: time.Minute}, c.classes.all[0], 0, 0, c.now)
 			r.addAttempt(e, c.now).inFlight = false
 			if violate != nil {
 				violate(c, r, e)
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -65,7 +65,7 @@
 
 // ejectionBackoff is the wait between half-open probes, longer for brokers of many: their probes add up.
 func (c *Controller) ejectionBackoff() time.Duration {
-	perEngine := seconds(float64(len(c.endpoints.all)) / c.workload.arrivalRate / 2)
+	perEngine := seconds(float64(len(c.endpoints.all)) / float64(c.workload.Summary().ArrivalRate) / 2)
 	return min(maxEjectionBackoff, max(minEjectionBackoff, perEngine))
 }
 
@@ -73,5 +73,5 @@
 // first attempt, and of a class with the least priority weight.
 func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
 	return c.now >= e.halfOpenAt && (e.pooled() || e.concurrency.InFlight() == 0) && len(r.attempts) == 0 &&
-		r.class.PriorityWeight <= c.workload.lowestWeight
+		r.class.PriorityWeight <= c.classes.lowestWeight
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wheatlane/control/keyorder"
+	"wheatlane/control/units"
 )
 
 // request is a request that is not over, or of which an attempt is still in flight.
@@ -15,9 +16,9 @@
 	tenantIndex     int
 	receivedAt      time.Duration
 	objectiveAt     time.Duration // when its latency objective ends
-	expectedWork    float64       // thread-seconds
-	attempts        []*attempt    // by number
-	closed          bool          // it has its final answer, or its client is gone
+	expectedWork    units.ThreadSeconds
+	attempts        []*attempt // by number
+	closed          bool       // it has its final answer, or its client is gone
 	responseStarted bool
 	queuedOn        *engine                   // whose queue it waits in, if any
 	avoid           *engine                   // where it failed last, if it did
@@ -28,14 +29,10 @@
 }
 
 func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
-	r := &request{
+	return &request{
 		Request: in, class: k, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
-		expectedWork: k.meanWork, priority: minPriority,
+		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: minPriority,
 	}
-	if in.EstimatedWork > 0 {
-		r.expectedWork = in.EstimatedWork.Seconds() * k.workBias
-	}
-	return r
 }
 
 // addAttempt starts the next attempt of the request, at an engine.
@@ -124,7 +121,7 @@
 // clientDisconnected closes the request of a client that is gone.
 func (c *Controller) clientDisconnected(id string) {
 	if r := c.requests.byID[id]; r != nil && !r.closed {
-		r.class.clientLeft(c.now - r.receivedAt)
+		r.class.Abandonment.ClientLeft(c.now - r.receivedAt)
 		c.closeRequest(r)
 	}
 }
@@ -163,13 +160,13 @@
 // enqueueOn puts a request into an engine's queue.
 func (c *Controller) enqueueOn(e *engine, r *request) {
 	r.queuedOn = e
-	e.queue.Push(r.classIndex, r.tenantIndex, r, r.expectedWork, float64(r.class.Threads))
+	e.queue.Push(r.classIndex, r.tenantIndex, r, float64(r.expectedWork), float64(r.class.Threads))
 }
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
 func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
-	e.queue.Pop(r.classIndex, r.tenantIndex, classShare, tenantShare)
+	classShare, tenantShare := c.shares.Share(r.classIndex), c.workload.Tenants().Share(r.tenantIndex)
+	e.queue.Pop(r.classIndex, r.tenantIndex, float64(classShare), float64(tenantShare))
 	r.queuedOn = nil
 }
 
--- a/control/selection.go
+++ b/control/selection.go
@@ -33,7 +33,7 @@
 	for _, kind := range c.settings.EngineKinds {
 		cores = max(cores, kind.Cores)
 	}
-	return concurrency.MaxThreadsPerCore*cores < c.workload.maxThreads*float64(c.settings.Brokers)
+	return concurrency.MaxThreadsPerCore*cores < c.classes.maxThreads*float64(c.settings.Brokers)
 }
 
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
@@ -111,7 +111,7 @@
 // probeBeforeEnqueue asks a few engines for their load before a request that is more work than the mean is
 // enqueued. It says whether the request waits for that.
 func (c *Controller) probeBeforeEnqueue(r *request, avoid *engine) bool {
-	heavy := r.class.meanWork > c.workload.meanWork
+	heavy := r.class.Cost.MeanWork() > c.workload.Summary().MeanWork
 	if !c.settings.Limits.LoadProbes || r.probed || !heavy || c.endpoints.pool != nil {
 		return false
 	}
@@ -141,7 +141,7 @@
 func (c *Controller) probeCandidates(r *request) bool {
 	k, probed := r.class, false
 	r.candidates = nil
-	if !c.settings.Limits.LoadProbes || k.meanWork <= c.workload.meanWork {
+	if !c.settings.Limits.LoadProbes || k.Cost.MeanWork() <= c.workload.Summary().MeanWork {
 		return false
 	}
 	for range probeCount {
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -16,7 +16,6 @@
 		for brokerIndex, class := range []string{"quick", "long"} {
 			s.BrokerIndex = brokerIndex
 			r := newRig(t, s, readyEngines(5)...)
-			r.controller.workload.meanWork = 100 // so that no candidates are probed
 			_, got := r.submit(class, func(q *Request) { q.DataSet = dataSet })
 			engines[class] = actionsOf[SendAttempt](got)[0].Engine
 		}
@@ -109,5 +108,5 @@
 	r.handle(ClientDisconnected{RequestID: abandoned})
 	r.advance(time.Second)
 	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.concurrency.InFlight(), 2)
-	requireEqual(t, "requests of the class that await probes", r.controller.workload.classes[1].awaitingProbes, 0)
+	requireEqual(t, "requests of the class that await probes", r.controller.classes.all[1].awaitingProbes, 0)
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"wheatlane/control/idempotency"
+	"wheatlane/control/units"
+	"wheatlane/control/workload"
 )
 
 // Class describes one class of request.
@@ -40,13 +42,14 @@
 	return k
 }
 
-// Tenant describes one customer with a share of the service.
-type Tenant struct {
-	Name  string
-	Share float64 // weight of the tenant in each class's queue
-	Quota float64 // requests a second within its share, over all brokers
+// objectiveOf is the latency objective of a request with so much work.
+func (k *Class) objectiveOf(work units.ThreadSeconds) time.Duration {
+	return k.LatencyObjective + units.Duration(k.ObjectivePerWork*float64(work)/float64(k.Threads))
 }
 
+// Tenant describes one customer with a share of the service.
+type Tenant = workload.Tenant
+
 // EngineKind describes one kind of engine. What is 0 is not known and bounds nothing.
 type EngineKind struct {
 	Cores    float64
--- a/control/shares/optimizer.go
+++ b/control/shares/optimizer.go
@@ -71,6 +71,6 @@
 	o.shares[class] -= step
 	onTime := min(1, max(0, predicted.InverseLatency))
 	late := float64(k.LateWeight)
-	return k.PriorityWeight * k.ArrivalRate * min(1, max(0, predicted.Throughput)) *
+	return k.PriorityWeight * float64(k.ArrivalRate) * min(1, max(0, predicted.Throughput)) *
 		(late + (1-late)*onTime*onTime)
 }
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -36,8 +36,8 @@
 // Class is what an interval showed of a class, with what its answers earn.
 type Class struct {
 	Output
-	Answers        float64        // in the interval
-	ArrivalRate    float64        // requests a second
+	Answers        float64 // in the interval
+	ArrivalRate    units.PerSecond
 	PriorityWeight float64        // what an answer within the latency objective counts for
 	LateWeight     units.Fraction // fraction of it that a later answer counts for
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -37,7 +37,7 @@
 // overload window long; as many at a time as half the budget (a window can touch two turns) has capacity for.
 func (c *Controller) withinSlowStartBudget(e *engine, k *class) bool {
 	window := c.settings.Rules.OverloadWindow
-	part, budget := 0.5/float64(c.settings.Brokers)+0.5*c.workload.trafficShare, c.slowStartBudget(e)
+	part, budget := 0.5/float64(c.settings.Brokers)+0.5*float64(c.workload.TrafficShare()), c.slowStartBudget(e)
 	if c.endpoints.pool != nil {
 		brokers := c.settings.Brokers
 		turns, heavyRequests := c.slowStartTurns(e)
@@ -47,7 +47,7 @@
 		}
 		part = 0.5 / heavyRequests
 	}
-	return e.slowStartWork(c.now-window, k.meanWork) <= budget*part
+	return e.slowStartWork(c.now-window, float64(k.Cost.MeanWork())) <= budget*part
 }
 
 // slowStartBudget is the work, in thread-seconds, that all brokers together may send an engine in a window.
@@ -60,9 +60,10 @@
 // slowStartTurns is how many brokers have a turn at an engine at a time, and how many heavy requests fit.
 func (c *Controller) slowStartTurns(e *engine) (turns int, heavyRequests float64) {
 	budget := c.slowStartBudget(e)
-	heavyRequests = max(1, math.Floor(budget/2/max(c.workload.heaviestWork, minHeavyWork)))
+	summary := c.workload.Summary()
+	heavyRequests = max(1, math.Floor(budget/2/max(float64(summary.HeaviestWork), minHeavyWork)))
 	window := c.settings.Rules.OverloadWindow.Seconds()
-	use := c.workload.arrivalRate * c.workload.meanWork * window / float64(c.endpoints.ready)
+	use := float64(summary.ArrivalRate) * float64(summary.MeanWork) * window / float64(c.endpoints.ready)
 	turns = int(min(float64(c.settings.Brokers), max(heavyRequests, slowStartRandomShare*budget/2/use)))
 	return turns, heavyRequests
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -19,7 +19,7 @@
 	const cores = 8
 	capacity := s.SlowStartInitial * 1.1 * slowStartUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
-	maxSent := budget / r.controller.workload.classes[0].meanWork
+	maxSent := budget / float64(r.controller.classes.all[0].Cost.MeanWork())
 	if sent == 0 || float64(sent) > maxSent {
 		t.Fatalf("%d sent to an engine in slow start, at most %.0f by all brokers", sent, maxSent)
 	}
@@ -48,8 +48,8 @@
 			for _, class := range []string{"quick", "long"} {
 				id, got := r.submit(class)
 				if countOf[SendAttempt](got) > 0 {
-					workload := r.controller.workload
-					all = append(all, sent{r.now, workload.classes[workload.classByName[class]].meanWork})
+					classes := r.controller.classes
+					all = append(all, sent{r.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
 					turns[g] = true
 					r.endAttempt(id, 0, OK)
 				}
--- a/control/units/seconds.go
+++ b/control/units/seconds.go
@@ -11,3 +11,11 @@
 
 // Duration converts a time, bounded as by the function of that name.
 func (s Seconds) Duration() time.Duration { return Duration(float64(s)) }
+
+// PerSecond is a rate: so many events in a second.
+type PerSecond float64
+
+// Rate is the rate at which a number of events happened within a time.
+func Rate(events int, within time.Duration) PerSecond {
+	return PerSecond(float64(events) / within.Seconds())
+}
--- a/control/units/seconds_test.go
+++ b/control/units/seconds_test.go
@@ -17,3 +17,10 @@
 		t.Errorf("a time over the bound is %v", got)
 	}
 }
+
+func TestRate(t *testing.T) {
+	t.Parallel()
+	if got := Rate(3, 500*time.Millisecond); got != 6 {
+		t.Errorf("3 events in half a second are %v a second, want 6", got)
+	}
+}
--- a/control/view.go
+++ b/control/view.go
@@ -42,7 +42,7 @@
 		}
 		v.Engines = append(v.Engines, view)
 	}
-	for i, k := range c.workload.classes {
+	for i, k := range c.classes.all {
 		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: float64(c.shares.Share(i))})
 	}
 }
--- /dev/null
+++ b/control/workload/clients.go
@@ -0,0 +1,47 @@
+package workload
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+const (
+	waitWeight        = 0.05                 // weight of a request in the mean wait
+	abandonWeight     = 0.02                 // weight of a request in the rate of abandonment
+	likelyAbandonRate = units.Fraction(0.5)  // beyond it a client is expected to leave
+	minAbandonRate    = units.Fraction(1e-9) // keeps a quotient finite
+)
+
+// Wait estimates how long requests wait at the broker before their first attempt.
+type Wait struct{ mean units.Seconds }
+
+// Observe takes one request's wait.
+func (w *Wait) Observe(wait time.Duration) {
+	w.mean = estimate.Toward(w.mean, units.SecondsOf(wait), waitWeight)
+}
+
+// Mean is the mean wait.
+func (w *Wait) Mean() units.Seconds { return w.mean }
+
+// Abandonment estimates how many clients leave before their deadline, and how long those wait.
+type Abandonment struct {
+	rate  units.Fraction
+	after units.Seconds
+}
+
+// ClientLeft takes a client that left after a time. While few have left, the last one counts most.
+func (a *Abandonment) ClientLeft(after time.Duration) {
+	a.rate = estimate.Toward(a.rate, 1, abandonWeight)
+	weight := min(1, likelyAbandonRate/max(a.rate, minAbandonRate))
+	a.after = estimate.Toward(a.after, units.SecondsOf(after), float64(weight))
+}
+
+// ClientStayed takes a client that waited for its answer.
+func (a *Abandonment) ClientStayed() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
+
+// Patience is how long clients wait; ok is false where most of them wait until their deadline.
+func (a *Abandonment) Patience() (patience time.Duration, ok bool) {
+	return a.after.Duration(), a.rate > likelyAbandonRate
+}
--- /dev/null
+++ b/control/workload/servicetime.go
@@ -0,0 +1,52 @@
+package workload
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+const (
+	spreadWeight    = 0.02                // weight of an answer in the spread of service times
+	priorAnswers    = 5                   // answers that the first guess of the spread weighs as much as
+	initialVariance = 1                   // of the logarithm of the ratio, before any answer
+	minServiceTime  = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
+)
+
+// Measured is a service time as measured, of at least 0.1 ms.
+func Measured(serviceTime time.Duration) units.Seconds {
+	return max(units.SecondsOf(serviceTime), minServiceTime)
+}
+
+// ServiceTime estimates the spread of a class's service times: the ratio of each to what was expected of its
+// request, as priorities and locks differ by class.
+type ServiceTime struct {
+	spread  estimate.Spread // of the logarithm of the ratio
+	answers float64
+}
+
+// NewServiceTime returns an estimate without answers.
+func NewServiceTime() ServiceTime {
+	return ServiceTime{spread: estimate.Spread{Variance: initialVariance}}
+}
+
+// Observe takes the service time of an answer and what was expected of it.
+func (s *ServiceTime) Observe(took, expected units.Seconds) {
+	s.answers++
+	s.spread.Observe(float64(units.LogOf(float64(took/expected))), estimate.Gain(spreadWeight, s.answers+priorAnswers))
+}
+
+// Likely is the service time of a typical request of which some time is expected.
+func (s *ServiceTime) Likely(expected units.Seconds) time.Duration {
+	return s.scaled(expected, s.spread.Mean)
+}
+
+// Quantile is the service time that a fraction of such requests exceeds.
+func (s *ServiceTime) Quantile(expected units.Seconds, exceeding units.Fraction) time.Duration {
+	return s.scaled(expected, s.spread.UpperQuantile(float64(exceeding)))
+}
+
+func (s *ServiceTime) scaled(expected units.Seconds, logRatio float64) time.Duration {
+	return (expected * units.Seconds(units.LogRatio(logRatio).Ratio())).Duration()
+}
--- /dev/null
+++ b/control/workload/traffic.go
@@ -0,0 +1,51 @@
+package workload
+
+import (
+	"time"
+
+	"wheatlane/control/shares"
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+const (
+	minThroughputRate = units.PerSecond(1)  // added to the rate that throughput is divided by
+	maxInverseLatency = 4                   // the most that a latency under the objective counts for
+	minLatencySum     = units.Seconds(1e-6) // keeps a quotient finite
+)
+
+// Traffic counts a class's requests and answers by intervals.
+type Traffic struct {
+	arrivals   int // in this interval
+	rate       units.PerSecond
+	latencySum units.Seconds // over the answers of this interval
+	answers    float64       // in this interval
+	output     shares.Output // of the last interval with answers
+}
+
+// RequestReceived counts a request.
+func (t *Traffic) RequestReceived() { t.arrivals++ }
+
+// Answered counts an answer and the latency of its request.
+func (t *Traffic) Answered(latency time.Duration) {
+	t.latencySum += units.SecondsOf(latency)
+	t.answers++
+}
+
+// closeInterval updates the rate and the output, and returns the number of answers in the interval.
+func (t *Traffic) closeInterval(
+	elapsed time.Duration, weight float64, objective time.Duration,
+) (answers float64) {
+	t.rate = estimate.Toward(t.rate, units.Rate(t.arrivals, elapsed), weight)
+	t.arrivals = 0
+	answers = t.answers
+	if answers > 0 {
+		inverse := objective.Seconds() * answers / float64(max(t.latencySum, minLatencySum))
+		t.output = shares.Output{
+			InverseLatency: min(maxInverseLatency, inverse),
+			Throughput:     answers / elapsed.Seconds() / float64(t.rate+minThroughputRate),
+		}
+	}
+	t.answers, t.latencySum = 0, 0
+	return answers
+}
--- /dev/null
+++ b/control/workload/workload_test.go
@@ -0,0 +1,215 @@
+package workload
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"wheatlane/control/units"
+)
+
+func near[F ~float64](t *testing.T, what string, got, want, within F) {
+	t.Helper()
+	if math.Abs(float64(got-want)) > float64(within) || math.IsNaN(float64(got)) {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+// quickSettings are of a class whose requests are expected to take 0.25 thread-seconds at first.
+func quickSettings() ClassSettings {
+	return ClassSettings{LatencyObjective: time.Second, Threads: 1, PriorityWeight: 1}
+}
+
+func longSettings() ClassSettings {
+	return ClassSettings{LatencyObjective: 4 * time.Second, Threads: 2, PriorityWeight: 4, HoldsDataSetLock: true}
+}
+
+func TestCostStartsAtItsGuessAndLearnsFromReports(t *testing.T) {
+	t.Parallel()
+	cost := NewClassEstimates(longSettings()).Cost
+	near(t, "work before any answer", cost.MeanWork(), 2, 1e-9)
+	near(t, "work by the client's estimate", cost.ExpectedWork(time.Second), 1, 1e-9)
+	near(t, "memory before any answer", cost.MemoryMB(100), 125, 1e-9)
+	answer := Answer{
+		ServiceTime: 2, Threads: 2, Work: 3 * time.Second, EstimatedWork: time.Second,
+		MemoryMB: 400, EstimatedMemoryMB: 100,
+	}
+	for range 400 {
+		near(t, "slowdown", cost.Observe(answer).Ratio(), 4.0/3, 1e-9)
+	}
+	near(t, "mean work", cost.MeanWork(), 3, 0.01)
+	near(t, "work without an estimate", cost.ExpectedWork(0), cost.MeanWork(), 0)
+	near(t, "work by an estimate of a third", cost.ExpectedWork(2*time.Second), 6, 0.01)
+	near(t, "memory by an estimate of a quarter", cost.MemoryMB(100), 400, 20)
+}
+
+func TestCostWithoutReportsLearnsFromServiceTimes(t *testing.T) {
+	t.Parallel()
+	cost := NewCost(1)
+	usual := Answer{ServiceTime: 0.5, Threads: 2}
+	for range 400 {
+		cost.Observe(usual)
+	}
+	near(t, "mean work", cost.MeanWork(), 1, 0.01)
+	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogOf(2)}
+	near(t, "slowdown of an answer of twice the time", cost.Observe(slowed).Ratio(), 2, 0.1)
+	near(t, "mean work after an answer of a slow engine", cost.MeanWork(), 1, 0.01)
+}
+
+func TestServiceTimeQuantilesCoverTheAnswers(t *testing.T) {
+	t.Parallel()
+	rng := rand.New(rand.NewPCG(1, 2))
+	s := NewServiceTime()
+	sample := func() units.Seconds { return units.Seconds(2 * math.Exp(0.5*rng.NormFloat64())) }
+	for range 5000 {
+		s.Observe(sample(), 1)
+	}
+	near(t, "likely time", s.Likely(1).Seconds(), 2, 0.2)
+	later := 0.0
+	for range 5000 {
+		if sample().Duration() > s.Quantile(1, 0.05) {
+			later++
+		}
+	}
+	near(t, "fraction over its quantile", later/5000, 0.05, 0.03)
+	if got := Measured(0); got != minServiceTime {
+		t.Errorf("a service time of 0 counts as %v", got)
+	}
+}
+
+func TestPatienceIsKnownWhereMostClientsLeave(t *testing.T) {
+	t.Parallel()
+	var a Abandonment
+	for range 30 {
+		a.ClientLeft(2 * time.Second)
+	}
+	if _, ok := a.Patience(); ok {
+		t.Error("known after 30 clients")
+	}
+	for range 30 {
+		a.ClientLeft(2 * time.Second)
+	}
+	patience, ok := a.Patience()
+	if !ok || patience != 2*time.Second {
+		t.Errorf("patience %v, known: %v", patience, ok)
+	}
+	for range 30 {
+		a.ClientStayed()
+	}
+	if _, ok := a.Patience(); ok {
+		t.Error("known after 30 clients that stayed")
+	}
+}
+
+func TestWaitIsAMovingMean(t *testing.T) {
+	t.Parallel()
+	var w Wait
+	w.Observe(2 * time.Second)
+	near(t, "mean after one request", w.Mean(), 0.1, 1e-9)
+	for range 200 {
+		w.Observe(2 * time.Second)
+	}
+	near(t, "mean after many", w.Mean(), 2, 0.01)
+}
+
+func TestTenantsAreChargedByName(t *testing.T) {
+	t.Parallel()
+	w := New(DefaultConfig(), []Tenant{{Name: "large", Share: 0.75}, {Name: "small", Share: 0.25}, {Name: "none"}}, 1)
+	w.AddClass(quickSettings())
+	tenants := w.Tenants()
+	for _, name := range []string{"nobody", "", "large"} {
+		w.RequestReceived(0, tenants.Index(name))
+	}
+	for i, want := range []struct {
+		arrivals int
+		share    units.Fraction
+	}{{1, 0.75}, {0, 0.25}, {0, 1e-3}, {2, 1e-3}} {
+		if got := tenants.Arrivals(i); got != want.arrivals {
+			t.Errorf("tenant %d: %d requests, want %d", i, got, want.arrivals)
+		}
+		if got := tenants.Share(i); got != want.share {
+			t.Errorf("tenant %d: share %v, want %v", i, got, want.share)
+		}
+	}
+	w.CloseInterval(Interval{Elapsed: time.Second})
+	if tenants.Len() != 4 || tenants.Arrivals(3) != 0 {
+		t.Errorf("%d tenants, %d unknown requests in a new interval", tenants.Len(), tenants.Arrivals(3))
+	}
+}
+
+func TestTrafficShareFollowsTheQuotasThatAreUsed(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name     string
+		requests int
+		interval Interval
+		want     units.Fraction
+	}{
+		{"the first interval counts in full", 50, Interval{}, 0.5},
+		{"no traffic", 0, Interval{}, 0.25 / 4},
+		{"more than the quotas of all brokers", 1000, Interval{}, 1},
+		{"the share is held", 50, Interval{HoldShare: true}, 0.25},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			w := New(DefaultConfig(), []Tenant{{Share: 1, Quota: 100}}, 4)
+			w.AddClass(quickSettings())
+			near(t, "share at the start", w.TrafficShare(), 0.25, 1e-12)
+			for range c.requests {
+				w.RequestReceived(0, 0)
+			}
+			c.interval.Elapsed = time.Second
+			w.CloseInterval(c.interval)
+			near(t, "share", w.TrafficShare(), c.want, 1e-12)
+		})
+	}
+}
+
+func TestIntervalsShowEachClass(t *testing.T) {
+	t.Parallel()
+	w := New(DefaultConfig(), nil, 1)
+	quick := w.AddClass(quickSettings())
+	w.AddClass(longSettings())
+	for range 3 {
+		w.RequestReceived(0, 0)
+		quick.Traffic.Answered(500 * time.Millisecond)
+	}
+	got := w.CloseInterval(Interval{Elapsed: time.Second})
+	near(t, "arrival rate", got[0].ArrivalRate, 3, 1e-9)
+	near(t, "answers", got[0].Answers, 3, 1e-9)
+	near(t, "inverse latency", got[0].InverseLatency, 2, 1e-9)
+	near(t, "throughput", got[0].Throughput, 0.75, 1e-9)
+	near(t, "answers of the other class", got[1].Answers, 0, 0)
+	got = w.CloseInterval(Interval{Elapsed: time.Second})
+	near(t, "answers in an interval without", got[0].Answers, 0, 0)
+	near(t, "output kept", got[0].InverseLatency, 2, 1e-9)
+}
+
+func TestSummary(t *testing.T) {
+	t.Parallel()
+	w := New(DefaultConfig(), nil, 1)
+	w.AddClass(quickSettings())        // 0.25 thread-seconds, weight 4 for each
+	long := w.AddClass(longSettings()) // 2 thread-seconds, weight 2 for each
+	for range 9 {
+		w.RequestReceived(0, 0)
+	}
+	w.RequestReceived(1, 0)
+	w.CloseInterval(Interval{Elapsed: time.Second})
+	s := w.Summary()
+	near(t, "arrival rate", s.ArrivalRate, 10, 0.02)
+	near(t, "mean work", s.MeanWork, 0.425, 0.001)
+	near(t, "heaviest work", s.HeaviestWork, 2, 1e-9)
+	near(t, "lowest weight", s.LowestWeightPerThreadSecond, 2, 1e-9)
+	if s.LongestLock != time.Second || s.HighestValueClass != 0 {
+		t.Errorf("longest lock %v, highest value: class %d", s.LongestLock, s.HighestValueClass)
+	}
+	demand := w.MeanDemand() // in service: 2.25 of one thread, 1 of two
+	near(t, "threads", demand.Threads, (2.25+2)/3.25, 0.01)
+	near(t, "memory", demand.MemoryMB, 0, 0)
+	long.Cost = NewCost(0.5)
+	w.CloseInterval(Interval{Elapsed: time.Second})
+	if got := w.Summary().HighestValueClass; got != 1 {
+		t.Errorf("highest value: class %d, want 1", got)
+	}
+}
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -11,6 +11,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
+	"wheatlane/control/units"
 	"wheatlane/internal/config"
 )
 
@@ -192,7 +193,7 @@
 	}
 	for n := range tenants {
 		settings.Tenants = append(settings.Tenants, control.Tenant{
-			Name: fmt.Sprint("tenant-", n), Share: float64(n+1) / 21, Quota: float64(10 * (n + 1)),
+			Name: fmt.Sprint("tenant-", n), Share: units.Fraction(n+1) / 21, Quota: units.PerSecond(10 * (n + 1)),
 		})
 	}
 	return settings
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,6 +8,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
+	"wheatlane/control/units"
 )
 
 // Settings is the settings object of a deployment.
@@ -207,7 +208,9 @@
 		}
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, control.Tenant{
+			Name: t.Name, Share: units.Fraction(t.Share), Quota: units.PerSecond(t.QuotaPerS),
+		})
 	}
 	return s
 }
