--- a/control/attempts.go
+++ b/control/attempts.go
@@ -41,7 +41,7 @@
 	options := SetAttemptOptions{RequestID: r.ID, Priority: minPriority}
 	if c.settings.MemoryGrants && c.settings.ReportsCost && r.EstimatedMemoryMB > 0 {
 		needed := r.class.Cost.MemoryMB(r.EstimatedMemoryMB)
-		options.GrantMB = math.Ceil(min(needed, c.settings.MaxGrantFraction*e.memoryMB))
+		options.GrantMB = math.Ceil(min(needed, float64(c.settings.MaxGrantFraction)*e.memoryMB))
 	}
 	if c.settings.Priorities && r.classIndex == c.workload.Summary().HighestValueClass {
 		options.Priority = maxPriority
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -17,6 +17,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
+	"wheatlane/control/units"
 	"wheatlane/internal/config"
 )
 
@@ -165,7 +166,7 @@
 	k := control.Class{
 		Name: name, LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
 		ObjectivePerWork: 2 * rng.Float64(), PriorityWeight: 1 + 10*rng.Float64(),
-		LateWeight: float64(rng.IntN(2)) * 0.4,
+		LateWeight: units.Fraction(rng.IntN(2)) * 0.4,
 		Idempotency: idempotency.Policy{
 			Kind: idempotency.Kind(rng.IntN(3)), DedupScope: idempotency.Scope(rng.IntN(3)),
 			DedupWindow: time.Duration(1+rng.IntN(4)) * time.Second,
--- a/control/classes.go
+++ b/control/classes.go
@@ -5,7 +5,6 @@
 	"reflect"
 	"slices"
 
-	"wheatlane/control/units"
 	"wheatlane/control/workload"
 )
 
@@ -31,7 +30,7 @@
 func (t *classTable) add(settings Class, w *workload.Workload) {
 	estimates := w.AddClass(workload.ClassSettings{
 		LatencyObjective: settings.LatencyObjective, Threads: settings.Threads,
-		PriorityWeight: settings.PriorityWeight, LateWeight: units.Fraction(settings.LateWeight),
+		PriorityWeight: settings.PriorityWeight, LateWeight: settings.LateWeight,
 		HoldsDataSetLock: settings.HoldsDataSetLock,
 	})
 	t.byName[settings.Name] = len(t.all)
