--- a/control/admission.go
+++ b/control/admission.go
@@ -1,8 +1,9 @@
 package control
 
 import (
-	"math"
 	"time"
+
+	"wheatlane/control/units"
 )
 
 // Tuned values of admission and load shedding.
@@ -103,7 +104,7 @@
 	tenantShare := float64(c.workload.Tenants().Share(r.tenantIndex))
 	ahead := min(e.queue.Work(), e.queue.ClassWork(r.classIndex)/classShare,
 		e.queue.TenantWork(r.classIndex, r.tenantIndex)/classShare/tenantShare)
-	wait := seconds(ahead / e.concurrency.Limit() * math.Exp(c.estimatedSlowdown(e)))
+	wait := units.Duration(ahead / e.concurrency.Limit() * c.estimatedSlowdown(e).Ratio())
 	return c.now+wait+c.likelyServiceTime(r, e) > r.objectiveAt
 }
 
--- a/control/controller.go
+++ b/control/controller.go
@@ -15,8 +15,12 @@
 	"time"
 
 	"wheatlane/control/concurrency"
+	"wheatlane/control/gossip"
+	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/shares"
+	"wheatlane/control/slowdown"
+	"wheatlane/control/slowstart"
 	"wheatlane/control/workload"
 )
 
@@ -34,16 +38,18 @@
 	log           logThrottle
 	requests      requestTable
 	endpoints     endpointSet
+	slowStart     slowstart.Policy
+	outliers      outlier.Detector
+	slowdowns     slowdown.Estimator
 	subscription  subscription
 	classes       classTable
 	workload      workload.Workload
-	estimates     fleetEstimates
 	retries       retrybudget.Budget
 	admission     admissionPrice
 	shares        shares.Regulator
 	intervalStart time.Duration // of the current control interval
 	pressure      concurrency.PressureConfig
-	gossip        gossipSchedule
+	gossip        gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -62,7 +68,14 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), classes: newClassTable(),
+		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()), classes: newClassTable(),
+		slowdowns: slowdown.NewEstimator(slowdown.Config{
+			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
+		}),
+		gossip: gossip.NewSchedule(gossip.Config{
+			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
+		}),
 		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
 		pressure: concurrency.DefaultPressureConfig(),
 	}
@@ -161,7 +174,7 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
-	c.fadeEvidence()
+	c.decayEvidence()
 	c.updatePoolLoad()
 	c.retryWaiting()
 	c.sendGossip()
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"wheatlane/control/outlier"
 	"wheatlane/control/units"
 )
 
@@ -40,14 +41,14 @@
 	k, e := a.request.class, a.engine
 	limit := c.attemptTimeout(a.request, e)
 	if interval := c.settings.ProgressInterval; interval > 0 {
-		limit = min(limit, seconds(missedProgress*interval.Seconds()))
+		limit = min(limit, units.Duration(missedProgress*interval.Seconds()))
 	}
 	silence := c.now - max(a.sentAt, a.lastProgressAt)
 	// The likelier a loss, the sooner it is presumed.
-	least := seconds(minLossWait.Seconds() * math.Sqrt(minLateQuantile/c.lateQuantile(e)))
+	least := units.Duration(minLossWait.Seconds() * math.Sqrt(minLateQuantile/c.lateQuantile(e)))
 	if k.BlockedByDataSetLock { // it may wait for a lock, which is no loss, but takes too long
-		least = seconds(minLockWait * k.LatencyObjective.Seconds())
-		engineAnswers := c.now-e.lastResponseAt < minLossWait
+		least = units.Duration(minLockWait * k.LatencyObjective.Seconds())
+		engineAnswers := e.health.RespondedWithin(minLossWait, c.now)
 		if engineAnswers && !a.released && silence >= max(limit, least) {
 			c.blockedByLock(a)
 		}
@@ -75,8 +76,8 @@
 	})
 	a.lossConfidence = c.lossRate(e) / (c.lossRate(e) + c.lateQuantile(e))
 	c.recordLoss(e, a.lossConfidence)
-	if c.lossRate(e) > ejectLossRate {
-		c.eject(e, "silent")
+	if c.outliers.Silent(&e.health) {
+		c.eject(e, outlier.Silent)
 	}
 	c.hedgeOrCancel(a)
 }
@@ -106,5 +107,5 @@
 // mayHedge says whether another attempt of a request is allowed, and its answer would still count.
 func (c *Controller) mayHedge(r *request) bool {
 	return len(r.attempts) < c.settings.Limits.MaxAttempts && r.class.Idempotency.RepeatableAnywhere() &&
-		c.now+seconds(float64(r.expectedWork)) <= r.Deadline && !c.isWorthless(r)
+		c.now+units.Duration(float64(r.expectedWork)) <= r.Deadline && !c.isWorthless(r)
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -3,26 +3,22 @@
 import (
 	"math"
 	"slices"
-	"time"
 
 	"wheatlane/control/concurrency"
 )
 
 // Tuned values of engine selection. Penalties are in parts of a concurrency limit, as scores are.
 const (
-	atCapacityRest     = 2 * time.Second        // an engine at capacity gets nothing new so long
-	failurePenalty     = 3.0                    // for each failure or loss an attempt
-	slowdownPenalty    = 0.3                    // for each unit of the log of slowdown
-	dataSetLockPenalty = 1.5                    // what a lock blocks is late for sure
-	dataSetRankPenalty = 0.5                    // keeps locks away from what they block
-	crossZonePenalty   = 0.05                   // for another zone
-	halfOpenBonus      = 100.0                  // a half-open probe that is due comes before everything
-	tieBreakScale      = 0.6                    // difference of scores that makes a factor e in choice
-	tieBreakJitter     = 0.02                   // where engines are not pooled: it only breaks ties
-	probeCount         = 3                      // engines probed for a request
-	probeWaitBatches   = 4                      // batch intervals that a request waits for probes
-	probeFreshness     = 250 * time.Millisecond // a younger load report is as good as a new one
-	loadReportLife     = 2 * controlInterval    // an older one says nothing, where engines are not pooled
+	failurePenalty     = 3.0   // for each failure or loss an attempt
+	slowdownPenalty    = 0.3   // for each unit of the log of slowdown
+	dataSetLockPenalty = 1.5   // what a lock blocks is late for sure
+	dataSetRankPenalty = 0.5   // keeps locks away from what they block
+	crossZonePenalty   = 0.05  // for another zone
+	halfOpenBonus      = 100.0 // a half-open probe that is due comes before everything
+	tieBreakScale      = 0.6   // difference of scores that makes a factor e in choice
+	tieBreakJitter     = 0.02  // where engines are not pooled: it only breaks ties
+	probeCount         = 3     // engines probed for a request
+	probeWaitBatches   = 4     // batch intervals that a request waits for probes
 )
 
 // poolsEngines says whether all engines share one queue and one concurrency limit: where this broker's part
@@ -51,7 +47,7 @@
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
-		if e.ejected && !c.endpoints.majorityFaulty {
+		if e.health.Ejected() && !c.endpoints.majorityFaulty {
 			if !c.mayProbeHalfOpen(e, r) {
 				continue
 			}
@@ -73,8 +69,7 @@
 	}
 	gumbel := -math.Log(c.rng.ExpFloat64())
 	if c.inSlowStart(e) {
-		turns, _ := c.slowStartTurns(e)
-		gumbel += math.Log(c.slowStartFraction(e) * float64(c.settings.Brokers) / float64(turns))
+		gumbel += math.Log(c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now))
 	}
 	return tieBreakScale * gumbel
 }
@@ -82,15 +77,14 @@
 // score ranks engines for a request: the headroom under the limit, less what speaks against an engine.
 func (c *Controller) score(e *engine, r *request) float64 {
 	score := 1 - (float64(e.concurrency.InFlight())+e.queue.Threads())/(e.concurrency.Limit()*c.slowStartFraction(e))
-	score -= slowdownPenalty*c.slowdown(e) + failurePenalty*(e.failureRate+c.lossRate(e))
+	score -= slowdownPenalty*float64(c.slowdown(e)) + failurePenalty*(float64(e.health.FailureRate())+c.lossRate(e))
 	if !e.pooled() { // in a pool, an engine that answered of late is better than an untried one
 		score += failurePenalty * min(c.lossRate(e), c.overallLossRate())
 	}
-	if age := c.now - e.loadReportedAt; e.pooled() { // the older a report, the more the pool's counts
-		pool := e.queueOwner.load
-		score -= pool + math.Exp(-age.Seconds()/loadReportDecay)*(e.load-pool)
-	} else if age < loadReportLife {
-		score -= e.load
+	if e.pooled() {
+		score -= float64(e.load.InPool(&e.queueOwner.load, c.now))
+	} else {
+		score -= float64(e.load.IfRecent(c.now))
 	}
 	if e.Zone != c.settings.Zone {
 		score -= crossZonePenalty
@@ -119,8 +113,7 @@
 	probed := false
 	for n := 0; n < probeCount && len(c.endpoints.all) > 0; n++ {
 		e := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
-		fresh := e.probedAt > 0 && c.now-e.probedAt < probeFreshness
-		if e.listed && e.State == Ready && !e.ejected && !fresh {
+		if e.listed && e.State == Ready && !e.health.Ejected() && !e.load.ProbedLately(c.now) {
 			c.probeLoad(e)
 			probed = true
 		}
@@ -150,7 +143,7 @@
 			continue
 		}
 		r.candidates = append(r.candidates, e)
-		if c.now-max(e.probedAt, e.loadReportedAt) >= probeFreshness {
+		if !e.load.Fresh(c.now) {
 			c.probeLoad(e)
 			probed = true
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,6 +17,7 @@
 	"wheatlane/internal/operatorconfig"
 	"wheatlane/internal/server"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/server/netlisten"
 	"wheatlane/internal/telemetry"
 )
 
@@ -49,7 +50,7 @@
 		srv.SetMeter(s.recorder)
 	}
 	if cfg.AdminListen != "" {
-		s.adminListener, err = server.Listen(ctx, net.ListenConfig{}, cfg.AdminListen)
+		s.adminListener, err = netlisten.TCP(ctx, net.ListenConfig{}, cfg.AdminListen)
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("operator: %w", err), srv.Close())
 		}
