--- a/control/admission.go
+++ b/control/admission.go
@@ -118,7 +118,7 @@
 // belowAdmissionPrice says whether a request is too much work for its priority weight while the pool is short
 // of capacity: without it a few very heavy requests keep out many light ones of the same weight.
 func (c *Controller) belowAdmissionPrice(r *request) bool {
+	lowest := c.workload.Summary().LowestWeightPerThreadSecond
 	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
-		r.class.PriorityWeight <
-			c.admission.price*c.workload.Summary().LowestWeightPerThreadSecond*float64(r.expectedWork)
+		r.class.PriorityWeight < c.admission.price*lowest*float64(r.expectedWork)
 }
--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -24,12 +24,12 @@
 		request  Request
 		want     bool
 	}{
-		{"an engine without requests takes one of any size", 0, Request{Threads: 20, UnderPressure: true}, true},
+		{"one of any size where there is none", 0, Request{Threads: 20, UnderPressure: true}, true},
 		{"up to the limit", 4, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, true},
-		{"not over it under pressure", 5, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, false},
+		{"not over it", 5, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, false},
 		{"up to a multiple of it without pressure", 7, Request{Threads: 2, ClassInFlight: 7}, true},
 		{"not over the multiple", 8, Request{Threads: 2, ClassInFlight: 8}, false},
-		{"two of the widest class without pressure", 9, Request{Threads: 9, ClassInFlight: 9, WidestThreads: 9}, true},
+		{"two of the widest class", 9, Request{Threads: 9, ClassInFlight: 9, WidestThreads: 9}, true},
 		{
 			"a class in its own share", 12,
 			Request{Threads: 1, ClassInFlight: 2, ClassShare: 0.5, UnderPressure: true},
@@ -47,7 +47,7 @@
 			l := newLimiter()
 			l.Acquire(c.inFlight)
 			if got := l.Allows(c.request); got != c.want {
-				t.Errorf("got %v, want %v, with %d threads in flight and a limit of %v", got, c.want, c.inFlight, l.Limit())
+				t.Errorf("got %v, want %v, with a limit of %v", got, c.want, l.Limit())
 			}
 		})
 	}
@@ -82,7 +82,8 @@
 // quiet is an interval without answers, pressure or a shortage of memory.
 func quiet() Interval {
 	return Interval{
-		Regular: true, Objective: time.Second, Wait: 0.2, Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
+		Regular: true, Objective: time.Second, Wait: 0.2,
+		Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
 		RequestThreads: 1, RequestMB: 100, MinThreads: 1,
 	}
 }
@@ -97,7 +98,7 @@
 		{"neither", func(*Interval) {}, 6},
 		{"memory for four threads", func(in *Interval) { in.MemoryMB = 800 }, 4},
 		{"the least limit", func(in *Interval) { in.MinThreads = 9 }, 9},
-		{"the least limit before memory", func(in *Interval) { in.MemoryMB, in.MinThreads = 800, 5 }, 5},
+		{"the least before memory", func(in *Interval) { in.MemoryMB, in.MinThreads = 800, 5 }, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -173,7 +174,8 @@
 		return l.Limit()
 	}
 	fast, slow := final(0.2), final(2)
-	if lowest, highest := testCores*testShare*1.0, testCores*testShare*1.7; slow < lowest || fast > highest {
+	lowest, highest := testCores*testShare*1.0, testCores*testShare*1.7
+	if slow < lowest || fast > highest {
 		t.Errorf("limits %v and %v, want them from %v to %v", slow, fast, lowest, highest)
 	}
 	if slow >= fast {
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -20,7 +20,7 @@
 	MaxThreadsPerCore     float64        // largest limit
 	MinTargetTime         float64        // smallest target of service times, in latency objectives
 	ChangePenalty         float64        // of the model's input: the larger, the slower the limit moves
-	BackoffLoad           float64        // reported load beyond which the limit backs off
+	BackoffLoad           units.Fraction // reported load beyond which the limit backs off
 	BackoffSlowdown       units.LogRatio // slowdown beyond which it does
 	BackoffDecrease       float64        // factor of the limit in an interval of overload
 	BackoffIncrease       float64        // factor in any other interval
@@ -121,7 +121,7 @@
 	RequestMB      float64        // its mean memory; 0: not known
 	MinThreads     float64        // smallest limit; 0: none
 	UnderPressure  bool           // the engine has more to do than it keeps up with
-	Load           float64        // as reported, over the engine's capacity
+	Load           units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
 	Slowdown       units.LogRatio // of its answers and of what is in flight
 }
 
@@ -132,7 +132,7 @@
 		target := l.targetTime(in.Wait, in.Objective)
 		l.model.Decide([]float64{target}, l.config.MinThreadsPerCore, l.config.MaxThreadsPerCore)
 	} else {
-		l.model.Skip(nil)
+		l.model.Interrupt()
 	}
 	l.relativeTimeSum, l.answers = 0, 0
 	l.updateBackoff(in)
--- a/control/concurrency/pressure.go
+++ b/control/concurrency/pressure.go
@@ -7,7 +7,7 @@
 	AtCapacity    bool           // it rejected an attempt a short time ago
 	OverdueRatio  float64        // age of what is in flight over its usual time
 	LoadKnown     bool           // Load is current
-	Load          float64        // as reported, over the engine's capacity
+	Load          units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
 	SlowdownKnown bool           // Slowdown rests on enough answers
 	Slowdown      units.LogRatio // of its answers
 }
@@ -15,7 +15,7 @@
 // PressureConfig holds the values beyond which a signal is pressure.
 type PressureConfig struct {
 	Slowdown     units.LogRatio
-	Load         float64
+	Load         units.Fraction
 	OverdueRatio float64
 }
 
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -57,7 +57,7 @@
 		AtCapacity:    e.atCapacity(c.now),
 		OverdueRatio:  e.slowdown.OverdueRatio(),
 		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
-		Load:          float64(e.load.Load()),
+		Load:          e.load.Load(),
 		SlowdownKnown: timesCount && e.slowdown.Trusted(),
 		Slowdown:      c.estimatedSlowdown(e),
 	})
--- a/control/learning.go
+++ b/control/learning.go
@@ -24,10 +24,10 @@
 	took := workload.Measured(end.Duration)
 	answer := workload.Answer{
 		ServiceTime: took, Threads: r.class.Threads, EngineSlowdown: c.estimatedSlowdown(e),
-		MemoryMB: end.MemoryMB, EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB,
+		EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB,
 	}
 	if c.settings.ReportsCost {
-		answer.Work = end.Work
+		answer.Work, answer.MemoryMB = end.Work, end.MemoryMB
 	}
 	slowdown := r.class.Cost.Observe(answer)
 	r.class.ServiceTime.Observe(took, c.expectedServiceTime(r, e))
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -50,7 +50,7 @@
 
 // Decay lets older attempts count for less, once a tick.
 func (h *Health) Decay() {
-	h.loss.Fade(answerDecay)
+	h.loss.Decay(answerDecay)
 	h.failureRate *= failureDecay
 }
 
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -90,7 +90,7 @@
 func (d *Detector) recordAnswer(engine *Health, failed units.Fraction) {
 	engine.loss.Answer()
 	d.fleet.Answer()
-	weight := estimate.Gain(failureWeight, engine.loss.Answers+1)
+	weight := estimate.SampleWeight(failureWeight, engine.loss.Answers+1)
 	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
 }
 
@@ -124,7 +124,7 @@
 func (d *Detector) Losses() float64 { return d.fleet.Lost }
 
 // DecayFleet lets older answers of the fleet count for less, once a tick.
-func (d *Detector) DecayFleet() { d.fleet.Fade(answerDecay) }
+func (d *Detector) DecayFleet() { d.fleet.Decay(answerDecay) }
 
 // Backoff is the time between half-open probes of an engine, by the number of engines and the requests that
 // this broker receives a second. It is longer for a broker of many, as their probes add up.
--- a/control/selection.go
+++ b/control/selection.go
@@ -76,7 +76,8 @@
 
 // score ranks engines for a request: the headroom under the limit, less what speaks against an engine.
 func (c *Controller) score(e *engine, r *request) float64 {
-	score := 1 - (float64(e.concurrency.InFlight())+e.queue.Threads())/(e.concurrency.Limit()*c.slowStartFraction(e))
+	threads := float64(e.concurrency.InFlight()) + e.queue.Threads()
+	score := 1 - threads/(e.concurrency.Limit()*c.slowStartFraction(e))
 	score -= slowdownPenalty*float64(c.slowdown(e)) + failurePenalty*(float64(e.health.FailureRate())+c.lossRate(e))
 	if !e.pooled() { // in a pool, an engine that answered of late is better than an untried one
 		score += failurePenalty * min(c.lossRate(e), c.overallLossRate())
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -79,7 +79,7 @@
 		answers += class.Answers
 	}
 	if !regular {
-		r.model.Skip(outputs)
+		r.model.Restart(outputs)
 		return
 	}
 	r.model.Observe(outputs, seen)
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -44,8 +44,8 @@
 // interval is one in which both classes have answers, the first better with more of the shares.
 func interval(share float64) []Class {
 	return []Class{
-		{Output: Output{InverseLatency: share, Throughput: share}, Answers: 10, ArrivalRate: 10, PriorityWeight: 5},
-		{Output: Output{InverseLatency: 1, Throughput: 1}, Answers: 10, ArrivalRate: 10, PriorityWeight: 1, LateWeight: 1},
+		{Output: Output{share, share}, Answers: 10, ArrivalRate: 10, PriorityWeight: 5},
+		{Output: Output{1, 1}, Answers: 10, ArrivalRate: 10, PriorityWeight: 1, LateWeight: 1},
 	}
 }
 
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -73,14 +73,14 @@
 
 // Observe takes an answer: the logarithm of its service time over its work.
 func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
-	weight := estimate.Gain(s.leastWeight(), float64(engine.samples+1))
+	weight := estimate.SampleWeight(s.leastWeight(), float64(engine.samples+1))
 	engine.log = estimate.Toward(engine.log, sample, weight)
 	engine.samples, engine.sampledAt = engine.samples+1, now
 }
 
 // ObserveInPool takes an answer of an engine of a pool, one of so many. The pool observes the answer as well.
 func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, answers float64) {
-	engine.log = estimate.Toward(engine.log, sample, estimate.Gain(s.leastWeight(), answers))
+	engine.log = estimate.Toward(engine.log, sample, estimate.SampleWeight(s.leastWeight(), answers))
 }
 
 // leastWeight is the least weight of an answer.
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -10,16 +10,16 @@
 
 const (
 	costWeight         = 0.02 // weight of an answer in the means of work and memory
-	floorWeight        = 0.5  // weight of an answer in the floor of service times, over its weight in the work
+	floorWeight        = 0.5  // weight of an answer in the floor of service times, over its costWeight
 	initialMemoryRatio = 1.25 // memory needed over the estimate, before any answer
 )
 
 // Cost estimates the work and memory of a class's requests from their answers.
 type Cost struct {
 	meanWork     units.ThreadSeconds
-	workBias     float64 // reported over estimated work
-	meanMemoryMB float64 // 0: not reported
-	memoryRatio  float64 // high quantile of needed over estimated memory
+	workBias     float64            // reported over estimated work
+	meanMemoryMB float64            // 0: not reported
+	memoryRatio  estimate.HighRatio // needed over estimated memory
 	answers      float64
 	floor        estimate.Floor // of the logarithm of service times, where answers don't report work
 }
@@ -42,7 +42,7 @@
 }
 
 // MemoryMB is the memory that most requests with a client's estimate need.
-func (c *Cost) MemoryMB(estimatedMB float64) float64 { return estimatedMB * c.memoryRatio }
+func (c *Cost) MemoryMB(estimatedMB float64) float64 { return estimatedMB * float64(c.memoryRatio) }
 
 // Answer is what an answer shows of its request's cost. What is 0 is not known.
 type Answer struct {
@@ -59,7 +59,7 @@
 // or, without a report, over the class's fastest answers.
 func (c *Cost) Observe(a Answer) units.LogRatio {
 	c.answers++
-	weight := estimate.Gain(costWeight, c.answers+1)
+	weight := estimate.SampleWeight(costWeight, c.answers+1)
 	took, threads := float64(a.ServiceTime), float64(a.Threads)
 	if a.Work <= 0 {
 		work := units.ThreadSeconds(took * threads / a.EngineSlowdown.Ratio())
@@ -72,7 +72,7 @@
 		c.workBias = estimate.Toward(c.workBias, work/a.EstimatedWork.Seconds(), weight)
 	}
 	if a.EstimatedMemoryMB > 0 && a.MemoryMB > 0 {
-		c.memoryRatio = estimate.HighRatio(c.memoryRatio, a.MemoryMB, a.EstimatedMemoryMB)
+		c.memoryRatio.Observe(a.MemoryMB, a.EstimatedMemoryMB)
 	}
 	c.meanMemoryMB = estimate.Toward(c.meanMemoryMB, a.MemoryMB, weight)
 	return units.LogOf(took * threads / work)
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -34,7 +34,8 @@
 // Observe takes the service time of an answer and what was expected of it.
 func (s *ServiceTime) Observe(took, expected units.Seconds) {
 	s.answers++
-	s.spread.Observe(float64(units.LogOf(float64(took/expected))), estimate.Gain(spreadWeight, s.answers+priorAnswers))
+	weight := estimate.SampleWeight(spreadWeight, s.answers+priorAnswers)
+	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
 }
 
 // Likely is the service time of a typical request of which some time is expected.
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -24,8 +24,8 @@
 // DefaultConfig returns the constants that brokers use.
 func DefaultConfig() Config {
 	return Config{
-		RateWeight: 0.3, ShareWeight: 0.2, PooledShareWeight: 0.05, MinShare: 0.25, MinTenantShare: 1e-3,
-		MinClassRate: 0.01,
+		RateWeight: 0.3, ShareWeight: 0.2, PooledShareWeight: 0.05,
+		MinShare: 0.25, MinTenantShare: 1e-3, MinClassRate: 0.01,
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // sampleWeight is the weight of this interval in an average, at first that of a mean of all intervals.
 func (w *Workload) sampleWeight(smallest float64) float64 {
-	return estimate.Gain(smallest, float64(w.intervals))
+	return estimate.SampleWeight(smallest, float64(w.intervals))
 }
 
 // Demand is the mean demand of a request in service.
@@ -127,8 +127,8 @@
 	var mean Demand
 	total := 0.0
 	for _, class := range w.classes {
-		threads := float64(class.settings.Threads)
-		inService := float64(class.Traffic.rate+w.config.MinClassRate) * float64(class.Cost.MeanWork()) / threads
+		threads, rate := float64(class.settings.Threads), class.Traffic.rate+w.config.MinClassRate
+		inService := float64(rate) * float64(class.Cost.MeanWork()) / threads
 		mean.Threads += inService * threads
 		mean.MemoryMB += inService * class.Cost.meanMemoryMB
 		total += inService
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -22,7 +22,9 @@
 }
 
 func longSettings() ClassSettings {
-	return ClassSettings{LatencyObjective: 4 * time.Second, Threads: 2, PriorityWeight: 4, HoldsDataSetLock: true}
+	return ClassSettings{
+		LatencyObjective: 4 * time.Second, Threads: 2, PriorityWeight: 4, HoldsDataSetLock: true,
+	}
 }
 
 func TestCostStartsAtItsGuessAndLearnsFromReports(t *testing.T) {
@@ -115,7 +117,8 @@
 
 func TestTenantsAreChargedByName(t *testing.T) {
 	t.Parallel()
-	w := New(DefaultConfig(), []Tenant{{Name: "large", Share: 0.75}, {Name: "small", Share: 0.25}, {Name: "none"}}, 1)
+	known := []Tenant{{Name: "large", Share: 0.75}, {Name: "small", Share: 0.25}, {Name: "none"}}
+	w := New(DefaultConfig(), known, 1)
 	w.AddClass(quickSettings())
 	tenants := w.Tenants()
 	for _, name := range []string{"nobody", "", "large"} {
@@ -134,7 +137,7 @@
 	}
 	w.CloseInterval(Interval{Elapsed: time.Second})
 	if tenants.Len() != 4 || tenants.Arrivals(3) != 0 {
-		t.Errorf("%d tenants, %d unknown requests in a new interval", tenants.Len(), tenants.Arrivals(3))
+		t.Errorf("%d tenants, %d requests in a new interval", tenants.Len(), tenants.Arrivals(3))
 	}
 }
 
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,5 +1,5 @@
-// Package estimate holds the estimators behind the decisions: moving averages, quantiles, the spread of logarithms and
-// the share of answers lost. It decides nothing: callers do, by the estimates.
+// Package estimate holds estimators: moving averages, quantiles, the spread of logarithms and the fraction of answers
+// lost. A weight is that of one sample in an average, from 0 to 1.
 package estimate
 
 import (
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Toward moves an exponentially weighted moving average by one sample that has the weight gain.
-func Toward[F ~float64](average, sample F, gain float64) F {
-	return average + F(gain)*(sample-average)
+// Toward moves an exponentially weighted moving average by one sample.
+func Toward[F ~float64](average, sample F, weight float64) F {
+	return average + F(weight)*(sample-average)
 }
 
-// Gain is the weight of a sample that makes an average the mean of all n samples so far, until that weight falls below
-// the least one. It spares an average a long way from its first guess.
-func Gain(least, n float64) float64 { return max(least, 1/n) }
+// SampleWeight is the weight of the last of some samples. At first it makes a moving average the plain mean of all
+// samples, which spares it a long way from its initial value; it never falls below the smallest weight.
+func SampleWeight(smallest, samples float64) float64 { return max(smallest, 1/samples) }
 
 // Median is the lower median of some values, 0 of none. It sorts them.
 func Median(values []float64) float64 {
@@ -25,82 +25,84 @@
 	return values[(len(values)-1)/2]
 }
 
-// Spread is the moving mean and variance of a logarithm, as of service times over what was expected of them.
+// Spread is the moving mean and variance of a logarithm.
 type Spread struct{ Mean, Variance float64 }
 
-// Observe takes a sample with the weight gain.
-func (s *Spread) Observe(sample, gain float64) {
-	s.Variance = Toward(s.Variance, (sample-s.Mean)*(sample-s.Mean), gain)
-	s.Mean = Toward(s.Mean, sample, gain)
+// Observe takes a sample.
+func (s *Spread) Observe(sample, weight float64) {
+	s.Variance = Toward(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
+	s.Mean = Toward(s.Mean, sample, weight)
 }
 
-// UpperQuantile is the value that a share of samples exceeds, if they are normally distributed.
-func (s *Spread) UpperQuantile(share float64) float64 {
-	z := math.Sqrt2 * math.Erfinv(1-2*share)
+// UpperQuantile is the value that a fraction of the samples exceeds, if they are normally distributed.
+func (s *Spread) UpperQuantile(exceeding float64) float64 {
+	z := math.Sqrt2 * math.Erfinv(1-2*exceeding)
 	return s.Mean + z*math.Sqrt(s.Variance)
 }
 
-// Loss counts answers and those of them that never came. Both fade, so they are not integers.
+// Loss counts answers and those of them that never came. Both decay, so they are not integers.
 type Loss struct{ Lost, Answers float64 }
 
 // Answer counts an answer that came.
 func (l *Loss) Answer() { l.Answers++ }
 
-// Lose counts an answer as lost, as far as that is sure: confidence is from 0 to 1.
-func (l *Loss) Lose(confidence float64) { l.Lost, l.Answers = l.Lost+confidence, l.Answers+1 }
+// Lose counts an answer as lost, with a certainty from 0 to 1.
+func (l *Loss) Lose(certainty float64) { l.Lost, l.Answers = l.Lost+certainty, l.Answers+1 }
 
 // Recover takes back what Lose counted, as the answer came after all.
-func (l *Loss) Recover(confidence float64) { l.Lost = max(0, l.Lost-confidence) }
+func (l *Loss) Recover(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
 
-// Fade leaves a part of the evidence, so that old answers count for less.
-func (l *Loss) Fade(left float64) { l.Answers, l.Lost = l.Answers*left, l.Lost*left }
+// Decay multiplies both counts by a factor below 1, so that old answers count for less.
+func (l *Loss) Decay(factor float64) { l.Answers, l.Lost = l.Answers*factor, l.Lost*factor }
 
-// Rate is the share of answers lost, shrunk to a prior share that weighs as much as so many answers.
-func (l *Loss) Rate(prior, weight float64) float64 {
-	return (l.Lost + prior*weight) / (l.Answers + weight)
+// Rate is the fraction of answers lost, shrunk to a prior one that weighs as much as some number of answers.
+func (l *Loss) Rate(prior, priorAnswers float64) float64 {
+	return (l.Lost + prior*priorAnswers) / (l.Answers + priorAnswers)
 }
 
-// Floor follows a low quantile of a logarithm in ever smaller steps, three times as fast down as up.
+// Floor follows a low quantile of a logarithm, in steps that shrink with the weight of the samples.
 type Floor struct {
-	Level float64
+	level float64
 	known bool
 }
 
 const (
-	floorDown    = 3.0   // steps down are so many times those up
-	floorBalance = 0.01  // what an upward step is less than the gain; keeps the level low while samples are few
-	floorStep    = 0.001 // least step: the pace of a floor that has seen much
+	floorDownFactor = 3.0   // steps down are larger than those up by it
+	floorUpOffset   = 0.01  // taken off a step up, which keeps the level low while samples are few
+	floorMinStep    = 0.001 // step of a floor that has seen many samples
 )
 
-// Observe takes a sample with the weight gain and returns how far it is over the level.
-func (f *Floor) Observe(sample, gain float64) float64 {
+// Observe takes a sample and returns how far it is over the level.
+func (f *Floor) Observe(sample, weight float64) float64 {
 	if !f.known {
-		f.Level, f.known = sample, true
+		f.level, f.known = sample, true
 	}
-	if sample < f.Level {
-		f.Level -= floorDown * max(gain, floorStep)
+	if sample < f.level {
+		f.level -= floorDownFactor * max(weight, floorMinStep)
 	} else {
-		f.Level += max(gain-floorBalance, floorStep)
+		f.level += max(weight-floorUpOffset, floorMinStep)
 	}
-	return sample - f.Level
+	return sample - f.level
 }
 
+// HighRatio follows the ratio of observed to estimated values that four in five samples stay below.
+type HighRatio float64
+
 const (
-	ratioStep     = 0.03 // relative size of a step
-	ratioQuantile = 0.8  // share of samples that the ratio is to cover
+	highRatioStep     = 0.03 // relative size of a step
+	highRatioQuantile = 0.8
 )
 
-// HighRatio moves a ratio of observed to estimated values toward its quantile that covers four samples in five.
-func HighRatio(ratio, observed, estimated float64) float64 {
-	direction := ratioQuantile - 1
-	if observed > estimated*ratio {
-		direction = ratioQuantile
+// Observe takes a sample.
+func (r *HighRatio) Observe(observed, estimated float64) {
+	direction := highRatioQuantile - 1
+	if observed > estimated*float64(*r) {
+		direction = highRatioQuantile
 	}
-	return ratio * (1 + ratioStep*direction)
+	*r *= HighRatio(1 + highRatioStep*direction)
 }
 
-// SelfWeighted is a mean in which each value weighs as much as itself: what a unit of load meets, where a plain mean is
-// what a machine meets.
+// SelfWeighted is a mean in which each value weighs as much as itself: the load that a unit of load meets.
 type SelfWeighted struct{ sum, squares float64 }
 
 // Add takes a value.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -17,11 +17,11 @@
 	average, sum := 100.0, 0.0
 	for i := range 10 {
 		sum += float64(i)
-		average = Toward(average, float64(i), Gain(0.05, float64(i+1)))
+		average = Toward(average, float64(i), SampleWeight(0.05, float64(i+1)))
 		near(t, "mean of the samples so far", average, sum/float64(i+1), 1e-12)
 	}
 	for range 200 {
-		average = Toward(average, 50, Gain(0.05, 1000))
+		average = Toward(average, 50, SampleWeight(0.05, 1000))
 	}
 	near(t, "average after many equal samples", average, 50, 0.01)
 }
@@ -69,7 +69,7 @@
 	l.Recover(100)
 	near(t, "lost is never less than none", l.Lost, 0, 0)
 	l.Lose(1)
-	l.Fade(0.5)
+	l.Decay(0.5)
 	near(t, "answers that are left", l.Answers, 50.5, 1e-12)
 	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
 }
@@ -77,27 +77,27 @@
 func TestFloorStaysNearTheLowSamples(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var f Floor
-	near(t, "first sample over the level", f.Observe(2, 0), -floorStep, 1e-12)
+	near(t, "first sample over the level", f.Observe(2, 0), -floorMinStep, 1e-12)
 	under := 0
 	for range 20000 {
 		if f.Observe(rng.Float64(), 0) < 0 {
 			under++
 		}
 	}
-	near(t, "share of samples under the level", float64(under)/20000, 0.25, 0.05)
+	near(t, "fraction of samples under the level", float64(under)/20000, 0.25, 0.05)
 }
 
 func TestHighRatioCoversFourInFive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	ratio, covered := 1.0, 0
+	ratio, covered := HighRatio(1), 0
 	for i := range 20000 {
 		observed := 10 * rng.Float64()
-		if i >= 1000 && observed <= 10*ratio {
+		if i >= 1000 && observed <= 10*float64(ratio) {
 			covered++
 		}
-		ratio = HighRatio(ratio, observed, 10)
+		ratio.Observe(observed, 10)
 	}
-	near(t, "share covered", float64(covered)/19000, 0.8, 0.05)
+	near(t, "fraction covered", float64(covered)/19000, 0.8, 0.05)
 }
 
 func TestSelfWeightedMeanIsWhatAUnitMeets(t *testing.T) {
@@ -118,5 +118,5 @@
 	}
 	s.Add(4)
 	mean, _ = s.Mean()
-	near(t, "mean with a crowded one", mean, (4*4+16)/12.0, 1e-12)
+	near(t, "mean with a loaded one", mean, (4*4+16)/12.0, 1e-12)
 }
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -1,6 +1,6 @@
 // Package fairqueue is a queue in start-time fair order (Goyal, Vin and Cheng, SIGCOMM 1996) on two levels: classes
-// share the service by their weights, and the tenants of a class share what the class gets. It holds no decision:
-// shares come with each Pop, and who may be served now comes with each Head.
+// share the service by their weights, and the tenants of a class share what the class gets. The caller gives the
+// shares with each Pop, and the classes that may be served with each Head. All work is in one unit of the caller's.
 package fairqueue
 
 import "slices"
@@ -8,25 +8,28 @@
 // Queue holds items of type T. Its zero value has no classes; use New.
 type Queue[T comparable] struct {
 	classes     []classFlow[T]
-	virtualTime float64
+	virtualTime float64 // start tag of the class served last
 	length      int
 	threads     float64
 	work        float64
 }
 
-// classFlow is what waits of one class, by tenant. Start is the start tag of its next item, finish the finish tag of
-// its last one served; virtualTime orders its tenants.
+// classFlow is what waits of one class.
 type classFlow[T comparable] struct {
-	start, finish     float64
-	tenants           []tenantFlow[T]
-	virtualTime, work float64
-	length            int
+	startTag    float64 // of its next item
+	finishTag   float64 // of its last item served
+	virtualTime float64 // start tag of the tenant served last
+	tenants     []tenantFlow[T]
+	work        float64
+	length      int
 }
 
+// tenantFlow is what waits of one tenant within a class, in order of arrival.
 type tenantFlow[T comparable] struct {
-	start, finish float64
-	work          float64
-	items         []item[T]
+	startTag  float64 // of its next item
+	finishTag float64 // of its last item served
+	work      float64
+	items     []item[T]
 }
 
 type item[T comparable] struct {
@@ -35,14 +38,14 @@
 	threads float64
 }
 
-// New returns an empty queue for so many classes and tenants.
+// New returns an empty queue for some numbers of classes and tenants.
 func New[T comparable](classes, tenants int) Queue[T] {
 	q := Queue[T]{}
 	q.Grow(classes, tenants)
 	return q
 }
 
-// Grow adds classes until there are so many; those that there are stay as they are.
+// Grow adds classes up to a number of them; those that exist stay as they are.
 func (q *Queue[T]) Grow(classes, tenants int) {
 	q.classes = slices.Grow(q.classes, max(0, classes-len(q.classes)))
 	for len(q.classes) < classes {
@@ -67,19 +70,19 @@
 	return q.classes[class].tenants[tenant].work
 }
 
-// Push adds an item at the end of its tenant's flow. Work is what it costs its flow when it is served. A flow that was
-// empty starts at the virtual time, so that it can't claim the service of the time it was idle.
+// Push adds an item at the end of its tenant's flow. Its work is what its service will count for. A flow that was
+// empty starts at the virtual time, so that it claims no service for the time it was idle.
 func (q *Queue[T]) Push(class, tenant int, value T, work, threads float64) {
 	flow := &q.classes[class]
-	sub := &flow.tenants[tenant]
+	subflow := &flow.tenants[tenant]
 	if flow.length == 0 {
-		flow.start = max(q.virtualTime, flow.finish)
+		flow.startTag = max(q.virtualTime, flow.finishTag)
 	}
-	if len(sub.items) == 0 {
-		sub.start = max(flow.virtualTime, sub.finish)
+	if len(subflow.items) == 0 {
+		subflow.startTag = max(flow.virtualTime, subflow.finishTag)
 	}
-	sub.items = append(sub.items, item[T]{value, work, threads})
-	sub.work += work
+	subflow.items = append(subflow.items, item[T]{value, work, threads})
+	subflow.work += work
 	flow.length++
 	q.length++
 	q.work += work
@@ -87,57 +90,59 @@
 	q.threads += threads
 }
 
-// Head returns the item with the least start tag: of the class first, of the tenant within it second. Classes that are
-// not eligible are passed over; nil means that all are.
+// Head returns the item with the smallest start tag: of the class first, of the tenant within it second. Classes that
+// are not eligible are skipped; nil stands for all classes.
 func (q *Queue[T]) Head(eligible func(class int) bool) (value T, ok bool) {
-	var best *classFlow[T]
+	var first *classFlow[T]
 	for i := range q.classes {
 		flow := &q.classes[i]
-		if flow.length > 0 && (best == nil || flow.start < best.start) && (eligible == nil || eligible(i)) {
-			best = flow
+		earlier := flow.length > 0 && (first == nil || flow.startTag < first.startTag)
+		if earlier && (eligible == nil || eligible(i)) {
+			first = flow
 		}
 	}
-	if best == nil {
+	if first == nil {
 		return value, false
 	}
-	var first *tenantFlow[T]
-	for i := range best.tenants {
-		if sub := &best.tenants[i]; len(sub.items) > 0 && (first == nil || sub.start < first.start) {
-			first = sub
+	var firstTenant *tenantFlow[T]
+	for i := range first.tenants {
+		subflow := &first.tenants[i]
+		if len(subflow.items) > 0 && (firstTenant == nil || subflow.startTag < firstTenant.startTag) {
+			firstTenant = subflow
 		}
 	}
-	return first.items[0].value, true
+	return firstTenant.items[0].value, true
 }
 
-// Pop serves the first item of a tenant's flow: it moves the tags on by its work over the share.
+// Pop serves the first item of a tenant's flow: the tags move by its work over the shares.
 func (q *Queue[T]) Pop(class, tenant int, classShare, tenantShare float64) {
 	flow := &q.classes[class]
-	sub := &flow.tenants[tenant]
-	work := sub.items[0].work
-	q.virtualTime, flow.virtualTime = max(q.virtualTime, flow.start), sub.start
-	flow.finish = flow.start + work/classShare
-	sub.finish = sub.start + work/tenantShare
-	flow.start, sub.start = flow.finish, sub.finish
-	q.take(flow, sub, 0)
+	subflow := &flow.tenants[tenant]
+	work := subflow.items[0].work
+	q.virtualTime, flow.virtualTime = max(q.virtualTime, flow.startTag), subflow.startTag
+	flow.finishTag = flow.startTag + work/classShare
+	subflow.finishTag = subflow.startTag + work/tenantShare
+	flow.startTag, subflow.startTag = flow.finishTag, subflow.finishTag
+	q.removeAt(flow, subflow, 0)
 }
 
-// Remove takes an item out that is not to be served any more; it costs its flow nothing. An item that does not wait is
-// passed over.
+// Remove takes an item out without service; the tags stay. It does nothing if the item does not wait.
 func (q *Queue[T]) Remove(class, tenant int, value T) {
 	flow := &q.classes[class]
-	sub := &flow.tenants[tenant]
-	if i := slices.IndexFunc(sub.items, func(it item[T]) bool { return it.value == value }); i >= 0 {
-		q.take(flow, sub, i)
+	subflow := &flow.tenants[tenant]
+	same := func(waiting item[T]) bool { return waiting.value == value }
+	if i := slices.IndexFunc(subflow.items, same); i >= 0 {
+		q.removeAt(flow, subflow, i)
 	}
 }
 
-func (q *Queue[T]) take(flow *classFlow[T], sub *tenantFlow[T], i int) {
-	taken := sub.items[i]
-	sub.items = slices.Delete(sub.items, i, i+1)
+func (q *Queue[T]) removeAt(flow *classFlow[T], subflow *tenantFlow[T], i int) {
+	removed := subflow.items[i]
+	subflow.items = slices.Delete(subflow.items, i, i+1)
 	flow.length--
 	q.length--
-	q.work -= taken.work
-	flow.work -= taken.work
-	sub.work -= taken.work
-	q.threads -= taken.threads
+	q.work -= removed.work
+	flow.work -= removed.work
+	subflow.work -= removed.work
+	q.threads -= removed.threads
 }
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -91,26 +91,26 @@
 		head, _ := q.Head(nil)
 		q.Pop(head/100, head/10%10, shares[head/100], shares[head/10%10])
 	}
-	before := q.classes[1].start
+	before := q.classes[1].startTag
 	head, _ := q.Head(nil)
 	q.Remove(head/100, head/10%10, head)
 	q.Push(1, 0, 100+10, 1, 1)
-	want(t, "start tag", q.classes[1].start, before)
+	want(t, "start tag", q.classes[1].startTag, before)
 }
 
 func TestRemovalCostsNothingAndIdleTimeGivesNoCredit(t *testing.T) {
 	q := New[int](2, 1)
 	q.Push(0, 0, 1, 1, 1)
-	before := q.classes[0].start
+	before := q.classes[0].startTag
 	q.Push(0, 0, 2, 1, 1)
 	q.Remove(0, 0, 1)
-	want(t, "start tag after a removal", q.classes[0].start, before)
+	want(t, "start tag after a removal", q.classes[0].startTag, before)
 	for range 5 {
 		q.Push(0, 0, 3, 1, 1)
 		q.Pop(0, 0, 0.5, 1)
 	}
 	q.Push(1, 0, 4, 1, 1)
-	if got := q.classes[1].start; got != q.virtualTime || got == 0 || math.IsInf(got, 0) {
+	if got := q.classes[1].startTag; got != q.virtualTime || got == 0 || math.IsInf(got, 0) {
 		t.Errorf("a class that was idle starts at %v, want the virtual time %v", got, q.virtualTime)
 	}
 }
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -1,7 +1,6 @@
-// Package rls fits the linear model y(k+1) = A y(k) + B u(k) by recursive least squares with exponential
-// forgetting and solves for the input that minimises J = |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2: the
-// self-tuning regulator of "Proteus" (Karlsson and Karamanolis, Middleware 2006, sections 3.1 and 3.2). It
-// holds the linear algebra only and decides nothing: each value and limit comes from its caller.
+// Package rls is a self-tuning regulator. It fits the linear model y(k+1) = A y(k) + B u(k) by recursive least squares
+// with exponential forgetting, and solves for the input that minimises |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2: see
+// "Proteus" (Karlsson and Karamanolis, Middleware 2006), sections 3.1 and 3.2.
 package rls
 
 import (
@@ -13,13 +12,13 @@
 
 // Config holds the constants of a regulator.
 type Config struct {
-	OutputsPerGroup   int     // outputs of one group; a group that was not observed keeps its fit
-	Groups            int     // groups of outputs
+	OutputsPerGroup   int     // a group without an observation keeps its fit
+	Groups            int     // of outputs
 	InputPenalty      float64 // q, the penalty on changes of the input
 	InitialGain       float64 // first value on the diagonals of A and B
 	InitialCovariance float64 // first variance of each coefficient
-	ForgettingFactor  float64 // weight of the past after one interval; at most 1
-	MaxTrace          float64 // forgetting doesn't let the trace of a covariance grow over this
+	ForgettingFactor  float64 // weight of the past after one interval, at most 1
+	MaxTrace          float64 // of a covariance: without observations, forgetting lets it grow no further
 }
 
 // DefaultConfig returns the constants of section 3.2; the groups and the penalty are its caller's.
@@ -92,14 +91,11 @@
 	return out
 }
 
-// Skip interrupts the sequence of intervals, so that the next Observe fits nothing; y, if not nil, is the
-// output at which the sequence starts again, so that the next Observe does.
-func (r *Regulator) Skip(y []float64) {
-	r.observed = y != nil
-	if y != nil {
-		r.output = y
-	}
-}
+// Interrupt ends the sequence of intervals: the next Observe starts a new one and fits nothing.
+func (r *Regulator) Interrupt() { r.observed = false }
+
+// Restart starts a new sequence of intervals at an output, without a fit to it.
+func (r *Regulator) Restart(y []float64) { r.output, r.observed = y, true }
 
 // Observe takes the outputs of one interval and fits the groups that were seen to them.
 func (r *Regulator) Observe(y []float64, seen []bool) {
@@ -111,7 +107,7 @@
 			}
 		}
 	}
-	r.output, r.observed = y, true
+	r.Restart(y)
 }
 
 // fitGroup is the step of recursive least squares for one group: phi holds the outputs and inputs of the
@@ -136,8 +132,8 @@
 	}
 }
 
-// Decide solves (B'B + Q'Q) u = B'(yref - A y) + Q'Q u(k-1), where target is yref, and clamps u to [low, high].
-// What can't be solved keeps the input before.
+// Decide solves (B'B + q^2) u = B'(yref - A y) + q^2 u(k-1) for the target yref, and clamps u to [low, high]. If there
+// is no solution the input stays.
 func (r *Regulator) Decide(target []float64, low, high float64) []float64 {
 	outputs, inputs := len(r.output), len(r.input)
 	b := r.coefficients.Slice(0, outputs, outputs, outputs+inputs)
--- a/internal/rls/rls_test.go
+++ b/internal/rls/rls_test.go
@@ -51,7 +51,7 @@
 	for i := range 5000 {
 		y := []float64{rng.NormFloat64(), rng.NormFloat64(), 1, 1}
 		if i%7 == 0 {
-			regulator.Skip(y)
+			regulator.Restart(y)
 		} else {
 			fit := regulator.coefficients.At(2, 2)
 			regulator.Observe(y, []bool{true, i < 50}) // the second group is not seen any more
