--- a/control/controller.go
+++ b/control/controller.go
@@ -14,10 +14,12 @@
 	"math/rand/v2"
 	"time"
 
+	"wheatlane/control/admission"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
 	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
+	"wheatlane/control/selection"
 	"wheatlane/control/shares"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
@@ -41,11 +43,12 @@
 	slowStart     slowstart.Policy
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
+	selection     selection.Config
 	subscription  subscription
 	classes       classTable
 	workload      workload.Workload
 	retries       retrybudget.Budget
-	admission     admissionPrice
+	price         admission.Price
 	shares        shares.Regulator
 	intervalStart time.Duration // of the current control interval
 	pressure      concurrency.PressureConfig
@@ -73,10 +76,11 @@
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
+		selection: selection.DefaultConfig(),
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
-		retries: retrybudget.New(retryBudgetConfig(settings)), admission: admissionPrice{price: minAdmissionPrice},
+		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
 		pressure: concurrency.DefaultPressureConfig(),
 	}
 	c.workload = workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers)
@@ -84,7 +88,7 @@
 		c.classes.add(class.withDefaults(), &c.workload)
 	}
 	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
-	if c.poolsEngines() {
+	if poolsEngines(settings, c.classes.maxThreads) {
 		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -1,6 +1,9 @@
 package control
 
-import "wheatlane/control/concurrency"
+import (
+	"wheatlane/control/admission"
+	"wheatlane/control/concurrency"
+)
 
 // dispatch sends waiting requests in start-tag order while the concurrency limit allows it.
 func (c *Controller) dispatch(e *engine) {
@@ -9,9 +12,9 @@
 		if !ok {
 			return
 		}
-		tooLate := c.now+c.likelyServiceTime(r, e) > r.objectiveAt
+		tooLate := admission.CannotMeetObjective(0, c.likelyServiceTime(r, e), r.objectiveAt-c.now)
 		if tooLate && len(r.attempts) == 0 && c.underPressure(e) {
-			c.admission.raise()
+			c.price.Raise()
 			c.rejectOrFail(r)
 			continue
 		}
@@ -25,7 +28,7 @@
 			if !c.probeCandidates(r) {
 				c.dispatchToBestCandidate(r)
 			}
-		case c.mayAttempt(r, e) && !e.atCapacity(c.now):
+		case c.mayAttempt(r, e) && !e.health.AtCapacity(c.now):
 			c.sendAttempt(r, e)
 		default:
 			c.requests.waitForEngine(r)
@@ -54,7 +57,7 @@
 func (c *Controller) underPressure(e *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
 	return c.pressure.UnderPressure(concurrency.Signals{
-		AtCapacity:    e.atCapacity(c.now),
+		AtCapacity:    e.health.AtCapacity(c.now),
 		OverdueRatio:  e.slowdown.OverdueRatio(),
 		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
 		Load:          e.load.Load(),
--- a/control/interval.go
+++ b/control/interval.go
@@ -23,7 +23,7 @@
 		Elapsed: elapsed, Pooled: pool != nil, HoldShare: pool != nil && c.underPressure(pool),
 	})
 	c.shares.CloseInterval(measured, regular)
-	c.admission.decay()
+	c.price.Decay()
 	c.moveLimits(regular)
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -29,10 +29,12 @@
 }
 
 func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
-	return &request{
+	r := &request{
 		Request: in, class: k, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
 		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: minPriority,
 	}
+	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
+	return r
 }
 
 // addAttempt starts the next attempt of the request, at an engine.
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -7,7 +7,8 @@
 
 func newSlowStart(s Settings) slowstart.Policy {
 	return slowstart.New(slowstart.Config{
-		InitialFraction: units.Fraction(s.Rules.SlowStartInitial), Duration: s.Rules.SlowStartDuration,
+		InitialFraction:  units.Fraction(s.Rules.SlowStartInitial),
+		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
 		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex,
 	})
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -12,6 +12,9 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/endpointlist"
+	"wheatlane/internal/broker/timerqueue"
 	"wheatlane/internal/invariant"
 )
 
@@ -19,7 +22,7 @@
 type Broker struct {
 	module  *control.Controller // decides when and where attempts go
 	batch   moduleBatch         // what the module is notified of in its next call
-	timers  timerQueue
+	timers  timerqueue.Queue[timerEvent]
 	effects []Effect // of the call under way
 	meter   Meter
 	tracer  Tracer // nil: none
@@ -27,10 +30,10 @@
 	sessions         sessionTable
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
-	keyBursts        keyBurstTable
-	endpoints        endpointList
+	clientWaits      *clientwait.Estimator
+	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
-	admission        admissionRules
+	validator        *requestValidator
 	shutdown         shutdownState
 
 	lastNow time.Duration // of the last call
@@ -46,16 +49,16 @@
 		return nil, err
 	}
 	return &Broker{
-		module:    module,
-		batch:     moduleBatch{minInterval: settings.MinBatchInterval},
-		meter:     NopMeter{},
-		sessions:  newSessionTable(maxSessions),
-		requests:  newRequestTable(),
-		keyBursts: newKeyBurstTable(),
-		endpoints: newEndpointList(),
-		probes:    map[uint64]loadProbe{},
-		admission: newAdmissionRules(settings),
-		hedging:   settings.Limits.Hedging,
+		module:      module,
+		batch:       moduleBatch{minInterval: settings.MinBatchInterval},
+		meter:       NopMeter{},
+		sessions:    newSessionTable(maxSessions),
+		requests:    newRequestTable(),
+		clientWaits: clientwait.New(),
+		endpoints:   endpointlist.New(),
+		probes:      map[uint64]loadProbe{},
+		validator:   newRequestValidator(settings),
+		hedging:     settings.Limits.Hedging,
 	}, nil
 }
 
@@ -116,7 +119,7 @@
 func (b *Broker) Tick(now time.Duration) []Effect {
 	b.checkTime(now)
 	for {
-		event, ok := b.timers.popDue(now)
+		event, ok := b.timers.PopDue(now)
 		if !ok {
 			break
 		}
@@ -142,7 +145,7 @@
 // NextDeadline is the time at which Tick has something to do; ok is false if there is nothing.
 func (b *Broker) NextDeadline() (at time.Duration, ok bool) {
 	at, ok = b.batch.nextAt()
-	if timerAt, set := b.timers.nextAt(); set && (!ok || timerAt < at) {
+	if timerAt, set := b.timers.NextAt(); set && (!ok || timerAt < at) {
 		return timerAt, true
 	}
 	return at, ok
@@ -150,7 +153,7 @@
 
 // Ready reports whether the broker can serve: it is not shutting down, and an engine is in service and not in
 // maintenance.
-func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.ready > 0 }
+func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.InServiceCount() > 0 }
 
 func (b *Broker) emit(effect Effect) { b.effects = append(b.effects, effect) }
 
