--- a/control/classes.go
+++ b/control/classes.go
@@ -19,7 +19,7 @@
 type classTable struct {
 	all          []*class
 	byName       map[string]int
-	maxThreads   float64 // of a request of the widest class
+	maxThreads   int     // of a request of the widest class
 	lowestWeight float64 // priority weight of the least class
 	tightest     *class  // the one with the shortest latency objective
 }
@@ -35,7 +35,7 @@
 	})
 	t.byName[settings.Name] = len(t.all)
 	t.all = append(t.all, &class{Class: settings, ClassEstimates: estimates})
-	t.maxThreads = max(t.maxThreads, float64(settings.Threads))
+	t.maxThreads = max(t.maxThreads, settings.Threads)
 	t.lowestWeight = slices.MinFunc(t.all, func(a, b *class) int {
 		return cmp.Compare(a.PriorityWeight, b.PriorityWeight)
 	}).PriorityWeight
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -54,7 +54,7 @@
 	model           *rls.Regulator
 	backoffFactor   units.Fraction
 	relativeTimeSum float64 // of this interval's answers: service times over latency objectives
-	answers         float64 // in this interval
+	answers         int     // in this interval
 }
 
 // New returns a limiter for an engine with so many cores, of which this broker has a share.
@@ -94,7 +94,7 @@
 	Threads       int
 	ClassInFlight int            // threads of its class in flight
 	ClassShare    units.Fraction // share of the limit that its class has to itself
-	WidestThreads float64        // threads of a request of the widest class
+	WidestThreads int            // threads of a request of the widest class
 	UnderPressure bool           // the engine has more to do than it keeps up with
 }
 
@@ -103,7 +103,7 @@
 func (l *Limiter) Allows(r Request) bool {
 	threads, limit := float64(r.Threads), l.threads
 	if !r.UnderPressure {
-		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*r.WidestThreads)
+		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*float64(r.WidestThreads))
 	}
 	return l.inFlight == 0 || float64(l.inFlight)+threads <= limit ||
 		float64(r.ClassInFlight)+threads <= max(threads, float64(r.ClassShare)*limit)
@@ -119,7 +119,7 @@
 	Share          units.Fraction // this broker's share of them
 	RequestThreads float64        // mean threads of a request in service
 	RequestMB      float64        // its mean memory; 0: not known
-	MinThreads     float64        // smallest limit; 0: none
+	MinThreads     int            // smallest limit; 0: none
 	UnderPressure  bool           // the engine has more to do than it keeps up with
 	Load           units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
 	Slowdown       units.LogRatio // of its answers and of what is in flight
@@ -128,7 +128,7 @@
 // CloseInterval sets the limit of the next interval.
 func (l *Limiter) CloseInterval(in Interval) {
 	if l.answers > 0 && in.Regular {
-		l.model.Observe([]float64{l.relativeTimeSum / l.answers}, []bool{true})
+		l.model.Observe([]float64{l.relativeTimeSum / float64(l.answers)}, []bool{true})
 		target := l.targetTime(in.Wait, in.Objective)
 		l.model.Decide([]float64{target}, l.config.MinThreadsPerCore, l.config.MaxThreadsPerCore)
 	} else {
@@ -141,7 +141,7 @@
 	if in.RequestMB > 0 { // no more threads than there is memory for
 		l.threads = min(l.threads, in.MemoryMB*share*factor/in.RequestMB*in.RequestThreads)
 	}
-	l.threads = max(l.threads, in.MinThreads)
+	l.threads = max(l.threads, float64(in.MinThreads))
 }
 
 // targetTime is the service time to reach, over the latency objective.
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -95,7 +95,7 @@
 		r.submit("quick")
 		r.advance(20 * ms)
 		pool := r.controller.endpoints.pool
-		widest := r.controller.classes.maxThreads
+		widest := float64(r.controller.classes.maxThreads)
 		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
 		if float64(pool.concurrency.InFlight()) > maxThreads {
 			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.InFlight(), maxThreads)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -22,12 +22,12 @@
 // poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's share
 // of an engine's limit is less than a request. One request of each broker would exceed the limits then, and
 // answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
-func poolsEngines(settings Settings, maxThreads float64) bool {
+func poolsEngines(settings Settings, maxThreads int) bool {
 	cores := 0.0
 	for _, kind := range settings.EngineKinds {
 		cores = max(cores, kind.Cores)
 	}
-	return concurrency.MaxThreadsPerCore*cores < maxThreads*float64(settings.Brokers)
+	return concurrency.MaxThreadsPerCore*cores < float64(maxThreads)*float64(settings.Brokers)
 }
 
 func newEndpointSet() endpointSet {
--- a/control/interval.go
+++ b/control/interval.go
@@ -31,7 +31,7 @@
 func (c *Controller) moveLimits(regular bool) {
 	tightest := c.classes.tightest
 	demand := c.workload.MeanDemand()
-	share, minThreads := c.workload.TrafficShare(), 0.0
+	share, minThreads := c.workload.TrafficShare(), 0
 	if c.endpoints.pool == nil {
 		share, minThreads = max(1/units.Fraction(c.settings.Brokers), share), c.classes.maxThreads
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -70,15 +70,15 @@
 
 // Rules holds the values of the deployment's rules.
 type Rules struct {
-	MaxPollInterval    time.Duration // longest time between polls of the endpoint list
-	SlowStartInitial   float64       // fraction of its capacity that an engine has when it starts
-	SlowStartDuration  time.Duration // time until an engine has its full capacity
-	OverloadMultiple   float64       // of its capacity, beyond which an engine in slow start fails
-	OverloadWindow     time.Duration // that it is measured over; 0: there is no slow start
-	KeyCooldown        time.Duration // pause of an order key after an attempt that may still run
-	RetryBudgetWindow  time.Duration // 0: retries have no budget
-	RetryBudgetRatio   float64       // retries allowed for each request received within the window
-	RetryBudgetReserve float64       // number of retries allowed beside these within the window
+	MaxPollInterval    time.Duration  // longest time between polls of the endpoint list
+	SlowStartInitial   units.Fraction // fraction of its capacity that an engine has when it starts
+	SlowStartDuration  time.Duration  // time until an engine has its full capacity
+	OverloadMultiple   float64        // of its capacity, beyond which an engine in slow start fails
+	OverloadWindow     time.Duration  // that it is measured over; 0: there is no slow start
+	KeyCooldown        time.Duration  // pause of an order key after an attempt that may still run
+	RetryBudgetWindow  time.Duration  // 0: retries have no budget
+	RetryBudgetRatio   float64        // retries allowed for each request received within the window
+	RetryBudgetReserve float64        // number of retries allowed beside these within the window
 }
 
 // Settings holds what a controller needs to know of its deployment.
--- a/control/shares/optimizer.go
+++ b/control/shares/optimizer.go
@@ -22,13 +22,13 @@
 
 // optimize returns the shares, 1 in sum, that earn most by the predictor. The number of answers of the
 // interval bounds the number of steps.
-func optimize(config Config, p predictor, classes []Class, answers float64) []float64 {
+func optimize(config Config, p predictor, classes []Class, answers int) []float64 {
 	n := len(classes)
 	o := optimizer{
 		config: config, predictor: p, classes: classes,
 		shares: make([]float64, n), utilities: slices.Repeat([]float64{math.Inf(-1)}, n),
 	}
-	unit := math.Ceil(answers/config.MaxSteps) / answers
+	unit := math.Ceil(float64(answers)/float64(config.MaxSteps)) / float64(answers)
 	for left := 1.0; left > config.Tolerance; {
 		left -= o.handOut(unit, left)
 	}
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -15,7 +15,7 @@
 type Config struct {
 	ChangePenalty float64        // of the model's input (section 3.2): the larger, the slower shares move
 	MinShare      units.Fraction // no class falls under it
-	MaxSteps      float64        // the optimizer hands out the shares in so many steps at most
+	MaxSteps      int            // the optimizer hands out the shares in so many steps at most
 	Tolerance     float64        // shares and utilities that differ by less are equal
 }
 
@@ -36,7 +36,7 @@
 // Class is what an interval showed of a class, with what its answers earn.
 type Class struct {
 	Output
-	Answers        float64 // in the interval
+	Answers        int // in the interval
 	ArrivalRate    units.PerSecond
 	PriorityWeight float64        // what an answer within the latency objective counts for
 	LateWeight     units.Fraction // fraction of it that a later answer counts for
@@ -72,7 +72,7 @@
 // regular, as a stall made it longer, breaks the sequence that the model is fitted to.
 func (r *Regulator) CloseInterval(classes []Class, regular bool) {
 	outputs, seen := make([]float64, 0, outputsPerClass*len(classes)), make([]bool, 0, len(classes))
-	answers := 0.0
+	answers := 0
 	for _, class := range classes {
 		outputs = append(outputs, class.InverseLatency, class.Throughput)
 		seen = append(seen, class.Answers > 0)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -1,13 +1,10 @@
 package control
 
-import (
-	"wheatlane/control/slowstart"
-	"wheatlane/control/units"
-)
+import "wheatlane/control/slowstart"
 
 func newSlowStart(s Settings) slowstart.Policy {
 	return slowstart.New(slowstart.Config{
-		InitialFraction:  units.Fraction(s.Rules.SlowStartInitial),
+		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
 		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex,
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -18,7 +18,7 @@
 	s := r.controller.settings.Rules
 	const cores = 8
 	const targetUtilization = 0.85 // of the cores, at capacity
-	capacity := s.SlowStartInitial * 1.1 * targetUtilization * cores
+	capacity := float64(s.SlowStartInitial) * 1.1 * targetUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
 	maxSent := budget / float64(r.controller.classes.all[0].Cost.MeanWork())
 	if sent == 0 || float64(sent) > maxSent {
@@ -69,7 +69,8 @@
 		}
 		warmedUp := float64(first.at-starting.StartedAt) / float64(s.Rules.SlowStartDuration)
 		// 8 cores, which warm up evenly.
-		capacity := 8 * (s.Rules.SlowStartInitial + (1-s.Rules.SlowStartInitial)*warmedUp)
+		initial := float64(s.Rules.SlowStartInitial)
+		capacity := 8 * (initial + (1-initial)*warmedUp)
 		if most := s.Rules.OverloadMultiple * capacity * window.Seconds(); sum > most {
 			t.Fatalf("%.1f thread-seconds from %v on, over %.1f", sum, first.at, most)
 		}
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -11,6 +11,7 @@
 const (
 	costWeight         = 0.02 // weight of an answer in the means of work and memory
 	floorWeight        = 0.5  // weight of an answer in the floor of service times, over its costWeight
+	guessAnswers       = 1    // answers that the first guess of the work weighs as much as
 	initialMemoryRatio = 1.25 // memory needed over the estimate, before any answer
 )
 
@@ -20,7 +21,7 @@
 	workBias     float64            // reported over estimated work
 	meanMemoryMB float64            // 0: not reported
 	memoryRatio  estimate.HighRatio // needed over estimated memory
-	answers      float64
+	answers      int
 	floor        estimate.Floor // of the logarithm of service times, where answers don't report work
 }
 
@@ -59,7 +60,7 @@
 // or, without a report, over the class's fastest answers.
 func (c *Cost) Observe(a Answer) units.LogRatio {
 	c.answers++
-	weight := estimate.SampleWeight(costWeight, c.answers+1)
+	weight := estimate.SampleWeight(costWeight, float64(c.answers+guessAnswers))
 	took, threads := float64(a.ServiceTime), float64(a.Threads)
 	if a.Work <= 0 {
 		work := units.ThreadSeconds(took * threads / a.EngineSlowdown.Ratio())
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	spreadWeight    = 0.02                // weight of an answer in the spread of service times
-	priorAnswers    = 5                   // answers that the first guess of the spread weighs as much as
-	initialVariance = 1                   // of the logarithm of the ratio, before any answer
-	minServiceTime  = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
+	spreadWeight       = 0.02                // weight of an answer in the spread of service times
+	spreadGuessAnswers = 5                   // answers that the first guess of the spread weighs as much as
+	initialVariance    = 1                   // of the logarithm of the ratio, before any answer
+	minServiceTime     = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
 )
 
 // Measured is a service time as measured, of at least 0.1 ms.
@@ -23,7 +23,7 @@
 // request, as priorities and locks differ by class.
 type ServiceTime struct {
 	spread  estimate.Spread // of the logarithm of the ratio
-	answers float64
+	answers int
 }
 
 // NewServiceTime returns an estimate without answers.
@@ -34,7 +34,7 @@
 // Observe takes the service time of an answer and what was expected of it.
 func (s *ServiceTime) Observe(took, expected units.Seconds) {
 	s.answers++
-	weight := estimate.SampleWeight(spreadWeight, s.answers+priorAnswers)
+	weight := estimate.SampleWeight(spreadWeight, float64(s.answers+spreadGuessAnswers))
 	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
 }
 
--- a/control/workload/traffic.go
+++ b/control/workload/traffic.go
@@ -19,7 +19,7 @@
 	arrivals   int // in this interval
 	rate       units.PerSecond
 	latencySum units.Seconds // over the answers of this interval
-	answers    float64       // in this interval
+	answers    int           // in this interval
 	output     shares.Output // of the last interval with answers
 }
 
@@ -35,15 +35,15 @@
 // closeInterval updates the rate and the output, and returns the number of answers in the interval.
 func (t *Traffic) closeInterval(
 	elapsed time.Duration, weight float64, objective time.Duration,
-) (answers float64) {
+) (answers int) {
 	t.rate = estimate.Toward(t.rate, units.Rate(t.arrivals, elapsed), weight)
 	t.arrivals = 0
 	answers = t.answers
 	if answers > 0 {
-		inverse := objective.Seconds() * answers / float64(max(t.latencySum, minLatencySum))
+		inverse := objective.Seconds() * float64(answers) / float64(max(t.latencySum, minLatencySum))
 		t.output = shares.Output{
 			InverseLatency: min(maxInverseLatency, inverse),
-			Throughput:     answers / elapsed.Seconds() / float64(t.rate+minThroughputRate),
+			Throughput:     float64(answers) / elapsed.Seconds() / float64(t.rate+minThroughputRate),
 		}
 	}
 	t.answers, t.latencySum = 0, 0
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -180,12 +180,12 @@
 	}
 	got := w.CloseInterval(Interval{Elapsed: time.Second})
 	near(t, "arrival rate", got[0].ArrivalRate, 3, 1e-9)
-	near(t, "answers", got[0].Answers, 3, 1e-9)
+	near(t, "answers", float64(got[0].Answers), 3, 0)
 	near(t, "inverse latency", got[0].InverseLatency, 2, 1e-9)
 	near(t, "throughput", got[0].Throughput, 0.75, 1e-9)
-	near(t, "answers of the other class", got[1].Answers, 0, 0)
+	near(t, "answers of the other class", float64(got[1].Answers), 0, 0)
 	got = w.CloseInterval(Interval{Elapsed: time.Second})
-	near(t, "answers in an interval without", got[0].Answers, 0, 0)
+	near(t, "answers in an interval without", float64(got[0].Answers), 0, 0)
 	near(t, "output kept", got[0].InverseLatency, 2, 1e-9)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -195,7 +195,7 @@
 		},
 		Rules: control.Rules{
 			MaxPollInterval:    o.Rules.AskEveryNs,
-			SlowStartInitial:   o.Rules.ColdFrom,
+			SlowStartInitial:   units.Fraction(o.Rules.ColdFrom),
 			SlowStartDuration:  o.Rules.WarmAfterNs,
 			OverloadMultiple:   o.Rules.FallMultiple,
 			OverloadWindow:     o.Rules.FallNs,
