--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -9,8 +9,7 @@
 	"wheatlane/control/shares"
 )
 
-// An overloaded engine sends no answers. Without the age of attempts in flight its pressure would lapse, and
-// the overload be fed.
+// An overloaded engine sends no answers: the age of what is in flight keeps up the pressure.
 func TestOverloadWithoutAnswersHoldsTheLimit(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	sent := 0
@@ -31,8 +30,7 @@
 }
 
 // Long requests fill the concurrency limit for seconds. Quick ones, whose weight is higher for their work,
-// must not wait or be rejected for it while they hold less than the limit by themselves. Seen on overloaded
-// days: they were kept to their share, and seven in ten were rejected though they are a twelfth of the work.
+// must not wait or be rejected for it while they hold less than the limit by themselves.
 func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
 	r := newRigUnderPressure(t)
 	for range 10 {
@@ -55,9 +53,8 @@
 	}
 }
 
-// In calm an engine takes a small multiple of its limit, no more. Seen on a day on which two of five engines
-// were lost: their requests came to the others at once, four times their limits before pressure showed, and
-// the overload lasted for seconds.
+// Without pressure an engine takes a small multiple of its limit, no more, so that the requests of a lost
+// engine do not overload the others before pressure shows.
 func TestLostEngineDoesNotOverloadTheOthers(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	e := r.controller.endpoints.all[0]
@@ -71,9 +68,8 @@
 	}
 }
 
-// In calm an engine has capacity for two wide requests. Seen on a day of small engines: a limit held one, and
-// a busy broker rejected the next though its engines were half idle.
-func TestCalmEngineTakesTwoWideRequests(t *testing.T) {
+// Without pressure an engine takes two requests of the widest class, also where its limit holds but one.
+func TestUnloadedEngineTakesTwoOfTheWidestRequests(t *testing.T) {
 	s := baseSettings()
 	s.Brokers, s.Classes[1].Threads = 3, 4
 	r := newRig(t, s, readyEngine("e1"))
@@ -84,7 +80,7 @@
 		_, got := r.submit("long", r.deadlineIn(20*time.Second))
 		sent += countOf[SendAttempt](got)
 	}
-	requireEqual(t, "wide requests sent", sent, 2)
+	requireEqual(t, "requests sent", sent, 2)
 }
 
 // The joint load of a fleet stays under control though no broker sees another: under pressure what each has
--- a/control/interval_test.go
+++ b/control/interval_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What is observed moves shares and limits, and these change what is dispatched next.
+// Answers move the shares and the limits.
 func TestSharesAndLimitFollowObservations(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 	share := r.controller.shares.Share(0)
@@ -30,6 +30,7 @@
 	}
 }
 
+// An interval that a standstill made longer leaves the model of the shares as it is.
 func TestStandstillSkipsTheFit(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	id, _ := r.submit("quick")
@@ -45,8 +46,7 @@
 	}
 }
 
-// Shares, limit and targets follow what a broker observes over all engines, though it observes each one
-// rarely.
+// The shares and the limit of a pool follow the answers of all its engines.
 func TestPooledBrokersRegulatorsMove(t *testing.T) {
 	r := newPooledRig(t, pooledSettings(), 60)
 	share, limit := r.controller.shares.Share(0), r.controller.endpoints.pool.concurrency.Limit()
@@ -85,14 +85,12 @@
 	}
 }
 
-// A broker with several times the mean traffic of its fleet knows its share after its first intervals, not
-// after a day. Seen on a day with 80 brokers: the busiest was held to an even share of the limits for 10 s
-// while the engines were calm, and rejected half of its requests.
+// A broker with several times the mean traffic of its fleet knows its share after its first intervals.
 func TestTrafficShareIsKnownFromTheStart(t *testing.T) {
 	s := pooledSettings()
 	r := newPooledRig(t, s, 60)
-	even := 1 / float64(s.Brokers)
-	for range 3 * 24 { // 24 a second: six times the even share of a quota of 1,200 a second
+	equal := 1 / float64(s.Brokers)
+	for range 3 * 24 { // 24 a second: six times the equal share of a quota of 1,200 a second
 		id, got := r.submit("quick")
 		for _, sent := range actionsOf[SendAttempt](got) {
 			if sent.RequestID == id {
@@ -101,7 +99,7 @@
 		}
 		r.advance(time.Second / 24)
 	}
-	if share := float64(r.controller.workload.TrafficShare()) / even; share < 4.5 || share > 7.5 {
-		t.Fatalf("after 3 s its share is %.1f even shares, want about 6", share)
+	if share := float64(r.controller.workload.TrafficShare()) / equal; share < 4.5 || share > 7.5 {
+		t.Fatalf("after 3 s its share is %.1f equal shares, want about 6", share)
 	}
 }
