--- a/control/controller.go
+++ b/control/controller.go
@@ -17,6 +17,7 @@
 	"wheatlane/control/admission"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
+	"wheatlane/control/membership"
 	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/selection"
@@ -44,7 +45,7 @@
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
 	selection     selection.Config
-	subscription  subscription
+	subscription  membership.Subscription
 	classes       classTable
 	workload      workload.Workload
 	retries       retrybudget.Budget
@@ -77,6 +78,9 @@
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
 		selection: selection.DefaultConfig(),
+		subscription: membership.NewSubscription(membership.SubscriptionConfig{
+			Required: settings.PollEndpointList, MaxPollInterval: settings.Rules.MaxPollInterval,
+		}),
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
