--- a/control/admission.go
+++ b/control/admission.go
@@ -7,24 +7,22 @@
 	"wheatlane/control/units"
 )
 
-const (
-	highAbandonRate = 0.5 // share of clients leaving early at which the others are expected to
-	answerBatches   = 2   // batch intervals before its deadline at which a request is answered
-)
+// answerBatches is the number of batch intervals before its deadline at which a request is answered.
+const answerBatches = 2
 
 // requestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
 func (c *Controller) requestReceived(in Request) {
 	if c.requests.byID[in.ID] != nil {
 		return
 	}
-	classIndex, known := c.workload.classByName[in.Class]
+	classIndex, known := c.classes.byName[in.Class]
 	if !known {
 		c.emit(Fail{in.ID})
 		return
 	}
-	k, tenantIndex := c.workload.classes[classIndex], c.workload.tenantIndex(in.Tenant)
+	k, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
 	r := newRequest(in, k, classIndex, tenantIndex, c.now)
-	c.workload.countArrival(classIndex, tenantIndex)
+	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, answerDue{r})
@@ -33,12 +31,12 @@
 }
 
 // objectiveEnd is when the latency objective of a request that is received now ends.
-func (k *class) objectiveEnd(now time.Duration, in Request, work float64) time.Duration {
-	end := now + k.LatencyObjective + seconds(k.ObjectivePerWork*work/float64(k.Threads))
-	if k.abandonRate > highAbandonRate {
-		end = min(end, now+seconds(k.abandonAfter))
+func (k *class) objectiveEnd(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
+	end := min(in.Deadline, now+k.objectiveOf(work))
+	if patience, known := k.Abandonment.Patience(); known {
+		end = min(end, now+patience)
 	}
-	return min(in.Deadline, end)
+	return end
 }
 
 // enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
@@ -85,8 +83,9 @@
 // exceedsPrice reports whether a request is too much work for its priority weight. There is a price where
 // engines are pooled, unless the weight grows with the work.
 func (c *Controller) exceedsPrice(r *request) bool {
-	return c.endpoints.pool != nil && !c.settings.WeightByWork && c.price.Exceeds(
-		r.class.PriorityWeight, c.workload.lowestWeightPerWork, units.ThreadSeconds(r.expectedWork))
+	lowest := c.workload.Summary().LowestWeightPerThreadSecond
+	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
+		c.price.Exceeds(r.class.PriorityWeight, lowest, r.expectedWork)
 }
 
 // backlog is the work that waits at an engine ahead of a request.
@@ -96,7 +95,7 @@
 		Class:       units.ThreadSeconds(e.queue.ClassWork(r.classIndex)),
 		Tenant:      units.ThreadSeconds(e.queue.TenantWork(r.classIndex, r.tenantIndex)),
 		ClassShare:  c.shares.Share(r.classIndex),
-		TenantShare: units.Fraction(c.workload.tenants[r.tenantIndex].Share),
+		TenantShare: c.workload.Tenants().Share(r.tenantIndex),
 		Threads:     e.concurrency.Limit(),
 		Slowdown:    c.estimatedSlowdown(e),
 	}
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -40,14 +40,14 @@
 // the most priority weight per work the whole limit is its share.
 func (c *Controller) withinConcurrencyLimit(e *engine, classIndex int) bool {
 	share := c.shares.Share(classIndex)
-	if classIndex == c.workload.highestValueClass {
+	if classIndex == c.workload.Summary().HighestValueClass {
 		share = 1
 	}
 	return e.concurrency.Allows(concurrency.Request{
-		Threads:       c.workload.classes[classIndex].Threads,
+		Threads:       c.classes.all[classIndex].Threads,
 		ClassInFlight: c.threadsOfClass(e, classIndex),
 		ClassShare:    share,
-		WidestThreads: c.workload.maxThreads,
+		WidestThreads: c.classes.maxThreads,
 		UnderPressure: c.underPressure(e),
 	})
 }
@@ -60,7 +60,7 @@
 		AtCapacity:    e.health.AtCapacity(c.now),
 		OverdueRatio:  e.slowdown.OverdueRatio(),
 		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
-		Load:          float64(e.load.Load()),
+		Load:          e.load.Load(),
 		SlowdownKnown: timesCount && e.slowdown.Trusted(),
 		Slowdown:      c.estimatedSlowdown(e),
 	})
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -18,9 +18,9 @@
 	s := r.controller.settings.Rules
 	const cores = 8
 	const targetUtilization = 0.85 // of the cores, at capacity
-	capacity := s.SlowStartInitial * 1.1 * targetUtilization * cores
+	capacity := float64(s.SlowStartInitial) * 1.1 * targetUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
-	maxSent := budget / r.controller.workload.classes[0].meanWork
+	maxSent := budget / float64(r.controller.classes.all[0].Cost.MeanWork())
 	if sent == 0 || float64(sent) > maxSent {
 		t.Fatalf("%d sent to an engine in slow start, at most %.0f by all brokers", sent, maxSent)
 	}
@@ -49,8 +49,8 @@
 			for _, class := range []string{"quick", "long"} {
 				id, got := r.submit(class)
 				if countOf[SendAttempt](got) > 0 {
-					workload := r.controller.workload
-					all = append(all, sent{r.now, workload.classes[workload.classByName[class]].meanWork})
+					classes := r.controller.classes
+					all = append(all, sent{r.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
 					turns[g] = true
 					r.endAttempt(id, 0, OK)
 				}
@@ -69,7 +69,8 @@
 		}
 		warmedUp := float64(first.at-starting.StartedAt) / float64(s.Rules.SlowStartDuration)
 		// 8 cores, which warm up evenly.
-		capacity := 8 * (s.Rules.SlowStartInitial + (1-s.Rules.SlowStartInitial)*warmedUp)
+		initial := float64(s.Rules.SlowStartInitial)
+		capacity := 8 * (initial + (1-initial)*warmedUp)
 		if most := s.Rules.OverloadMultiple * capacity * window.Seconds(); sum > most {
 			t.Fatalf("%.1f thread-seconds from %v on, over %.1f", sum, first.at, most)
 		}
