--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -61,9 +61,8 @@
 	s.all = slices.Insert(s.all, at, e)
 }
 
-// removeGone drops engines that are listed no more, once nothing is in flight there, and returns their IDs.
-// Without it records add up where engines are replaced all day, and probes are drawn for engines that are
-// gone.
+// removeGone drops engines that are listed no more, once nothing is in flight or queued there, and returns
+// their IDs.
 func (s *endpointSet) removeGone() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(e *engine) bool {
 		if e.member.Listed() || len(e.attempts) > 0 || e.queue.Len() > 0 {
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -54,7 +54,7 @@
 	requireEqual(t, "in slow start", r.controller.inSlowStart(e), true)
 }
 
-// State of removed engines does not add up where engines are replaced by new ones all day.
+// The state of removed engines is dropped, so that it does not add up where engines are replaced all day.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e0"))
 	for i := range 20 {
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -52,8 +52,8 @@
 	requireEqual(t, "engines tried", len(seen), 3)
 }
 
-// Attempts that end together with their connection count against the engine once. Seen on a day with faulty
-// peers: one reset ended all attempts of its connection, each counted, and a healthy engine was ejected.
+// Attempts that end together with their connection count against the engine once: one reset is no sign of a
+// failing engine, however many attempts it ends.
 func TestFailuresOfOneCauseCountOnce(t *testing.T) {
 	for name, c := range map[string]struct{ shared, ejected bool }{
 		"one cause":      {true, false},
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -8,8 +8,7 @@
 )
 
 // Requests that lock a data set keep away from those that the lock blocks, those of other brokers too: all
-// brokers rank the engines alike for a data set. Seen on calm days: one lookup in ten met a lock on its data
-// set, and was late.
+// brokers rank the engines alike for a data set.
 func TestLockHoldersKeepAwayFromWhatTheyBlock(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
@@ -29,7 +28,7 @@
 }
 
 // An engine whose load report is fresh is not probed: reports are renewed a few times a second, and each
-// probe has its price. Seen: 0.86 probes a request.
+// probe costs the engine.
 func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
 	s := baseSettings()
 	s.Limits.LoadProbes, s.ReportsLoad = true, true
@@ -56,9 +55,8 @@
 	}
 }
 
-// Brokers with the same load reports choose different engines, those with less load more often. Seen on a day
-// with 80 brokers that gossiped: each took the engine with the most headroom, and they served less than
-// without gossip (G 0.33 after 0.46).
+// Brokers with the same load reports choose different engines, those with less load more often. If each took
+// the engine with the most headroom, gossip would overload it.
 func TestBrokersWithTheSameReportsSpread(t *testing.T) {
 	sent := map[string]int{}
 	for seed := range 300 {
