--- a/control/hedging.go
+++ b/control/hedging.go
@@ -5,13 +5,12 @@
 
 	"wheatlane/control/outlier"
 	"wheatlane/control/overdue"
-	"wheatlane/control/units"
 )
 
 // attemptTimeout is how long an attempt of a request at an engine is waited for.
 func (c *Controller) attemptTimeout(r *request, e *engine) time.Duration {
-	expected := units.Seconds(c.expectedServiceTime(r, e))
-	return overdue.Timeout(expected, r.class.spread, c.outliers.LossRate(&e.health))
+	late := overdue.LateQuantile(c.outliers.LossRate(&e.health))
+	return r.class.ServiceTime.Quantile(c.expectedServiceTime(r, e), late)
 }
 
 // checkOverdue judges an attempt that takes longer than nearly all answers, until it is over or cancelled.
@@ -47,7 +46,7 @@
 	if k := a.request.class; k.BlockedByDataSetLock {
 		state.Lock = &overdue.Lock{
 			Objective:      k.LatencyObjective,
-			LongestHold:    seconds(c.workload.longestLock),
+			LongestHold:    c.workload.Summary().LongestLock,
 			EngineResponds: a.engine.health.RespondedWithin(overdue.MinLossWait, c.now),
 			Released:       a.released,
 		}
@@ -72,7 +71,7 @@
 // requests that the lock would block go elsewhere, and it is tried elsewhere while there is time.
 func (c *Controller) blockedByLock(a *attempt) {
 	a.releaseThreads()
-	a.engine.dataSetLocks.Presume(a.request.DataSet, c.now+seconds(c.workload.longestLock))
+	a.engine.dataSetLocks.Presume(a.request.DataSet, c.now+c.workload.Summary().LongestLock)
 	c.hedgeOrCancel(a)
 }
 
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -12,9 +12,8 @@
 	if !report.Reported {
 		return
 	}
-	threads, memoryMB := c.workload.meanDemand()
 	load := report.Load(
-		loadreport.Demand{Threads: threads, MemoryMB: memoryMB},
+		loadreport.Demand(c.workload.MeanDemand()),
 		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * e.cores, MemoryMB: e.memoryMB},
 	)
 	e.load.Observe(load, c.now)
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -57,7 +57,7 @@
 	for _, a := range e.attempts {
 		if !a.released {
 			attempts = append(attempts, slowdown.InFlight{
-				SentAt: a.sentAt, ExpectedWork: units.ThreadSeconds(a.request.expectedWork),
+				SentAt: a.sentAt, ExpectedWork: a.request.expectedWork,
 				Threads: a.request.class.Threads,
 			})
 		}
