--- a/internal/server/enginepool/attempts.go
+++ b/internal/server/enginepool/attempts.go
@@ -20,7 +20,7 @@
 		overdueAfter: max(p.config.SilenceThreshold, start.OverdueAfter),
 	}
 	p.inFlight[start.Attempt] = stream
-	p.drains.forget(start.Engine) // it is in service again
+	p.drains.end(start.Engine) // it is in service again
 	p.assign(start.Engine, start.Addr, stream)
 }
 
--- a/internal/server/enginepool/command.go
+++ b/internal/server/enginepool/command.go
@@ -3,12 +3,13 @@
 import (
 	"fmt"
 	"strconv"
+	"time"
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/resp"
 )
 
-// command is the first part of a message to an engine. Its second part is the id that answers carry.
+// command is the first part of a message to an engine. Its second part is the id that responses carry.
 type command string
 
 // The commands.
@@ -18,35 +19,51 @@
 	commandCancel      command = "never_mind" // stop an attempt
 	commandClose       command = "shut"       // send no more pages of a result
 	commandSetPriority command = "hurry"      // change the priority of an attempt: the new one
-	commandLoadProbe   command = "busy"       // answer with a load report
-	commandLiveness    command = "there"      // answer
+	commandLoadProbe   command = "busy"       // respond with a load report
+	commandLiveness    command = "there"      // respond
+)
+
+// startField is the name of a field of commandStart on the wire.
+type startField string
+
+// The fields of commandStart.
+const (
+	fieldClass          startField = "sort"
+	fieldTimeout        startField = "patience" // milliseconds
+	fieldIdempotencyKey startField = "op"
+	fieldGrant          startField = "allot" // MB
+	fieldPriority       startField = "urgency"
 )
 
 const (
 	probeIDPrefix   = "p" // of the ids of load probes; ids of requests are hex digits
-	livenessID      = "t" // the id of all liveness checks
+	livenessID      = "t" // the id of all liveness probes
 	defaultPriority = 1   // the priority that an engine assumes when none is given
+
+	minTimeout = time.Millisecond // that a message can carry
 )
 
-// appendCommand adds the message of a command.
-func appendCommand(dst []byte, c command, id string, args ...string) []byte {
-	return resp.Append(dst, append([]string{string(c), id}, args...)...)
+// appendCommand appends the message of a command.
+func appendCommand(dst []byte, cmd command, id string, args ...string) []byte {
+	return resp.Append(dst, append([]string{string(cmd), id}, args...)...)
 }
 
-// startCommand is the message that starts an attempt. Its timeout is in milliseconds, at least 1.
-func startCommand(a broker.StartAttempt) []byte {
-	fields := fmt.Appendf(nil, "sort=%s,patience=%d", a.Class, max(1, a.Timeout.Milliseconds()))
-	if a.IdempotencyKey != "" {
-		fields = append(append(fields, ",op="...), a.IdempotencyKey...)
+// startCommand returns the message that starts an attempt.
+func startCommand(start broker.StartAttempt) []byte {
+	timeoutMS := max(minTimeout, start.Timeout).Milliseconds()
+	fields := fmt.Appendf(nil, "%s=%s,%s=%d", fieldClass, start.Class, fieldTimeout, timeoutMS)
+	if start.IdempotencyKey != "" {
+		fields = fmt.Appendf(fields, ",%s=%s", fieldIdempotencyKey, start.IdempotencyKey)
 	}
-	if a.GrantMB > 0 {
-		fields = strconv.AppendFloat(append(fields, ",allot="...), a.GrantMB, 'f', -1, 64)
+	if start.GrantMB > 0 {
+		fields = fmt.Appendf(fields, ",%s=", fieldGrant)
+		fields = strconv.AppendFloat(fields, start.GrantMB, 'f', -1, 64)
 	}
-	if a.Priority != defaultPriority {
-		fields = strconv.AppendInt(append(fields, ",urgency="...), int64(a.Priority), 10)
+	if start.Priority != defaultPriority {
+		fields = fmt.Appendf(fields, ",%s=%d", fieldPriority, start.Priority)
 	}
-	return appendCommand(nil, commandStart, a.RequestID, string(fields), a.Body)
+	return appendCommand(nil, commandStart, start.RequestID, string(fields), start.Body)
 }
 
-// probeIDOnWire is the id of a load probe in messages.
+// probeIDOnWire returns the id of a load probe in messages.
 func probeIDOnWire(probeID uint64) string { return probeIDPrefix + strconv.FormatUint(probeID, 10) }
--- a/internal/server/enginepool/drain.go
+++ b/internal/server/enginepool/drain.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// drainTimer measures how long after the drain of an engine began the last byte queued for it by then is
-// sent.
+// drainTimer measures the drain of an engine: until the last byte that was queued for it as that began has left.
 type drainTimer struct {
 	startedAt    time.Time
 	pendingConns int           // connections with bytes from before the drain
-	longest      time.Duration // that one of them needed so far
+	longest      time.Duration // that one of them took so far
 }
 
-// connDone ends the wait for one connection, which needed a time, and reports whether it was the last.
-func (d *drainTimer) connDone(needed time.Duration) (last bool) {
-	d.longest = max(d.longest, needed)
+// connDone ends the wait for one connection, which took a time, and reports whether it was the last.
+func (d *drainTimer) connDone(took time.Duration) (last bool) {
+	d.longest = max(d.longest, took)
 	d.pendingConns--
 	return d.pendingConns == 0
 }
@@ -52,18 +51,17 @@
 	}
 }
 
-// forget ends the drain of an engine that is used again or was removed. Bytes from before it are still
-// waited for.
-func (t *drainTracker) forget(engine string) { delete(t.byEngine, engine) }
+// end ends the drain of an engine that is used again or was removed. Bytes from before it are still waited for.
+func (t *drainTracker) end(engine string) { delete(t.byEngine, engine) }
 
-// connSent notes that a connection has sent all from before the drain of its engine.
+// connSent ends the wait for a connection that has sent all from before the drain of its engine.
 func (t *drainTracker) connSent(conn *engineConn, sentAt time.Time) {
 	if conn.drain != nil {
 		t.connDone(conn, sentAt.Sub(conn.drain.startedAt))
 	}
 }
 
-// connClosed notes that a connection has closed: it sends nothing more, and its time does not count.
+// connClosed ends the wait for a connection that has closed: it sends nothing more, and its time does not count.
 func (t *drainTracker) connClosed(conn *engineConn) {
 	if conn.drain != nil {
 		t.connDone(conn, 0)
@@ -71,10 +69,10 @@
 }
 
 // connDone ends the wait for a connection.
-func (t *drainTracker) connDone(conn *engineConn, needed time.Duration) {
+func (t *drainTracker) connDone(conn *engineConn, took time.Duration) {
 	drain := conn.drain
 	conn.drain = nil
-	if drain.connDone(needed) {
+	if drain.connDone(took) {
 		t.observer.DrainCompleted(drain.longest)
 	}
 }
--- a/internal/server/enginepool/engineconn.go
+++ b/internal/server/enginepool/engineconn.go
@@ -19,7 +19,7 @@
 	transport    *netconn.Conn           // nil while it is being established
 	cancel       context.CancelCauseFunc // ends its goroutines
 	streams      map[string]*stream      // by id
-	retiredIDs   map[string]time.Time    // until when ids may be answered that nothing waits for
+	retiredIDs   map[string]time.Time    // until when a response may come for ids that nothing waits for
 	closing      bool                    // it accepts no new streams and closes with the last
 	closed       bool
 	localFault   bool // it could not be established for a fault of this machine
@@ -39,7 +39,7 @@
 }
 
 // accepts reports whether a stream of this id can be put on the connection. An id is used once only: a late
-// response for the attempt before could not be told from one for this.
+// response to an earlier attempt could not be told from one to this.
 func (c *engineConn) accepts(id, addr string, maxStreams int) bool {
 	_, retired := c.retiredIDs[id]
 	return !retired && c.streams[id] == nil && !c.closing && c.suspectSince.IsZero() && c.addr == addr &&
@@ -59,7 +59,7 @@
 	return slices.SortedFunc(maps.Values(c.streams), byStart)
 }
 
-// retireID notes that an id may be answered until a time though nothing waits for that.
+// retireID keeps an id from being used again until a time: a response to it may still come.
 func (c *engineConn) retireID(id string, until time.Time) {
 	c.retiredIDs[id] = until
 	c.closing = c.closing || len(c.retiredIDs) >= maxRetiredIDs
--- a/internal/server/enginepool/liveness.go
+++ b/internal/server/enginepool/liveness.go
@@ -10,20 +10,19 @@
 // livenessTimeout is how long an engine has to answer a liveness probe.
 const livenessTimeout = 250 * time.Millisecond
 
-// livenessVerdict is the result of a liveness check of an established connection.
+// livenessVerdict is what follows for an established connection from what was received on it.
 type livenessVerdict int
 
 const (
 	livenessUnchanged livenessVerdict = iota // nothing changes
 	livenessConfirmed                        // a response came since it was suspected: it is alive
-	livenessSuspected                        // it is suspected from now on, and checked
-	livenessLost                             // it was checked and did not answer in time
+	livenessSuspected                        // it is suspect from now on, and probed
+	livenessLost                             // it was probed and received nothing in time
 )
 
-// checkLiveness suspects connections on which a response is overdue and nothing was received for long, and
-// closes those that do not answer a check. Engines whose machine vanished, and responses that stop for
-// good, leave a connection open and silent; closing it lets a new one be established, or prove that nothing
-// ran.
+// checkLiveness probes connections on which a response is overdue and nothing was received for long, and closes those
+// that stay silent. Engines whose machine vanished, and responses that stop for good, leave a connection open and
+// silent. Closing it has a new one dialled, or proves that the engine can't be reached.
 func (p *Pool) checkLiveness() {
 	now := time.Now()
 	for _, conns := range p.connsByEngine {
@@ -79,9 +78,8 @@
 	return liveness{lastReceived: c.lastReceived, suspectSince: c.suspectSince, overdueAt: c.firstOverdueAt()}
 }
 
-// suspect notes that a connection may be dead, and checks that where it is allowed: it accepts no new
-// streams until something is received on it. A check is a probe by the protocol. Where probes are
-// forbidden, or hedging is, the connection stays until all in flight on it has ended.
+// suspect takes a connection for one that may be dead: it accepts no new streams until something is received on it. It
+// is probed where that is allowed. Where probes or hedging are not, it stays until all in flight on it has ended.
 func (p *Pool) suspect(conn *engineConn, now time.Time) {
 	conn.suspectSince = now
 	if p.livenessProbesAllowed() {
@@ -101,17 +99,13 @@
 	}
 }
 
-// livenessProbesAllowed reports whether an engine may be asked whether it is alive.
-func (p *Pool) livenessProbesAllowed() bool {
-	return p.config.LoadProbes
-}
+// livenessProbesAllowed reports whether engines may be probed for liveness: the protocol counts that as a load probe.
+func (p *Pool) livenessProbesAllowed() bool { return p.config.LoadProbes }
 
 // mayCloseSilent reports whether a connection may be closed for its silence with attempts in flight. An
 // engine that was cut off does not notice the close and goes on: a retry would run beside the attempt,
 // which the deployment must allow.
-func (p *Pool) mayCloseSilent() bool {
-	return p.livenessProbesAllowed() && p.config.Hedging
-}
+func (p *Pool) mayCloseSilent() bool { return p.livenessProbesAllowed() && p.config.Hedging }
 
 // firstOverdueAt is when the first response of those owed is overdue; zero if none is owed.
 func (c *engineConn) firstOverdueAt() time.Time {
--- a/internal/server/enginepool/pool.go
+++ b/internal/server/enginepool/pool.go
@@ -63,7 +63,7 @@
 // CloseConnections closes the connections to an engine that were dialled before a time of the reducer, all of them if
 // it is 0.
 func (p *Pool) CloseConnections(engine string, dialledBefore time.Duration) {
-	p.drains.forget(engine)
+	p.drains.end(engine)
 	for _, conn := range slices.Clone(p.connsByEngine[engine]) {
 		if dialledBefore == 0 || clock.At(conn.dialStarted) < dialledBefore {
 			p.close(conn, netconn.EngineGone)
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// setDeadline starts the timeout of a response that has begun, once some were completed before it. Without
-// it all that is in flight would wait for nothing on a connection whose engine stops in the middle and
-// leaves it open.
+// setDeadline starts the timeout of a response that has begun, anew where some were completed before it, and ends it
+// where none has begun. An engine that stops in the middle and leaves its connection open would otherwise hold all that
+// is in flight there.
 func (r *responseReader) setDeadline(completed int) error {
 	partial := r.transport.Received.Len() > 0
 	var err error
@@ -120,7 +120,8 @@
 	case response.Word == resp.OK:
 		stream.responding = true
 		p.events.Apply(broker.AttemptServed{
-			Attempt: stream.attemptID, PageCount: response.PageCount, Work: time.Duration(response.WorkMS * float64(time.Millisecond)),
+			Attempt: stream.attemptID, PageCount: response.PageCount,
+			Work:     time.Duration(response.WorkMS * float64(time.Millisecond)),
 			MemoryMB: response.MemoryMB, Report: report, Body: response.Body,
 		})
 	case response.Word == resp.Rows:
--- a/internal/server/enginepool/stream.go
+++ b/internal/server/enginepool/stream.go
@@ -36,10 +36,10 @@
 // left.
 func (s *stream) neverSent(leftBytes int64) bool { return !s.queued || s.offset >= leftBytes }
 
-// timeLeft is the time until the attempt times out.
+// timeLeft returns the time until the attempt times out.
 func (s *stream) timeLeft(now time.Time) time.Duration { return s.start.Timeout - now.Sub(s.startedAt) }
 
-// message is the message of the stream as it is at a time, with what was changed since the attempt was decided on.
+// message returns the message of the stream as it is at a time, with what was changed since the attempt was decided on.
 func (s *stream) message(now time.Time) []byte {
 	if s.isProbe() {
 		return appendCommand(nil, commandLoadProbe, s.id)
@@ -53,7 +53,7 @@
 	return message
 }
 
-// expiresAt is when a message made at a time must have left; zero: it may leave at any time.
+// expiresAt returns when a message made at a time must have left; zero: it may leave at any time.
 func (s *stream) expiresAt(now time.Time, maxDelay time.Duration) time.Time {
 	if s.isProbe() {
 		return time.Time{}
--- a/internal/server/netconn/conn.go
+++ b/internal/server/netconn/conn.go
@@ -183,7 +183,7 @@
 	return failed, waited
 }
 
-// nextDeadline is when the bytes that are next to be sent must have left; false if nothing is left.
+// nextDeadline returns when the bytes that are next to be sent must have left; false if nothing is left.
 func (c *Conn) nextDeadline() (deadline time.Time, ok bool) {
 	queuedAt, ok := c.oldestWrite()
 	switch {
--- a/internal/server/netconn/endcounts.go
+++ b/internal/server/netconn/endcounts.go
@@ -15,20 +15,22 @@
 	ChangelogSide Side = "changelog"
 )
 
-var allSides = []Side{ClientSide, EngineSide, ChangelogSide}
+var allSides = [...]Side{ClientSide, EngineSide, ChangelogSide}
 
 // EndCounts counts ended connections by side and reason. All goroutines may use it.
-type EndCounts struct{ counts [3][32]atomic.Uint64 }
+type EndCounts struct {
+	counts [len(allSides)][len(Reasons)]atomic.Uint64
+}
 
 // Add counts a connection that ended.
-func (e *EndCounts) Add(side Side, reason Reason) {
-	i, j := slices.Index(allSides, side), slices.Index(Reasons, reason)
+func (c *EndCounts) Add(side Side, reason Reason) {
+	i, j := slices.Index(allSides[:], side), slices.Index(Reasons[:], reason)
 	if i >= 0 && j >= 0 {
-		e.counts[i][j].Add(1)
+		c.counts[i][j].Add(1)
 	}
 }
 
-// ConnectionCounts is what a server knows of its connections.
+// ConnectionCounts counts the connections of a server.
 type ConnectionCounts struct {
 	Clients, Engines int        // open connections
 	Ends             *EndCounts // nil: there is no server behind it
@@ -36,8 +38,8 @@
 
 // EachEndReason calls f with each reason, in the order of Reasons, and the number of connections of a side
 // that ended for it since the start.
-func (c *ConnectionCounts) EachEndReason(side Side, f func(reason Reason, n uint64)) {
-	i := slices.Index(allSides, side)
+func (c *ConnectionCounts) EachEndReason(side Side, f func(reason Reason, count uint64)) {
+	i := slices.Index(allSides[:], side)
 	if i < 0 || c.Ends == nil {
 		return
 	}
--- a/internal/server/netconn/reason.go
+++ b/internal/server/netconn/reason.go
@@ -45,13 +45,13 @@
 )
 
 // Reasons are all reason codes, in the order in which the figures number them.
-var Reasons = []Reason{
+var Reasons = [...]Reason{
 	PeerClosed, PeerReset, Quit, Idle, LoginTimeout, ReadTimeout, AccessDenied, Malformed, TooLarge, BufferFull,
 	WriteTimeout, KilledByClient, EvictedIdle, TooManyConnections, ConnectFailed, EngineGone, Stalled, Retired,
 	PollTimeout, AddressChanged, HTTPStatus, Shutdown, OtherError,
 }
 
-// EndError is the error of a connection that this package ended, or whose end it knows the reason for.
+// EndError is the error of a connection whose end has a known reason.
 type EndError struct {
 	Reason Reason
 	Err    error // what led to it; nil: nothing but the reason
--- a/internal/server/netconn/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -125,11 +125,11 @@
 	q.wake()
 }
 
-// wroteWithin reports whether something was queued within a time.
-func (q *SendQueue) wroteWithin(d time.Duration) bool {
+// wroteWithin reports whether something was queued within a time before now.
+func (q *SendQueue) wroteWithin(within time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.now().Sub(q.lastWriteAt) < d
+	return q.now().Sub(q.lastWriteAt) < within
 }
 
 // wake lets the goroutine that writes look at the queue.
@@ -147,7 +147,7 @@
 	return q.pending.Len() == 0
 }
 
-// oldestWrite is when the bytes that are next to be sent were queued; false if nothing is.
+// oldestWrite returns when the bytes that are next to be sent were queued; false if nothing is.
 func (q *SendQueue) oldestWrite() (queuedAt time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
