--- a/control/outliers.go
+++ b/control/outliers.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"wheatlane/control/outlier"
-	"wheatlane/control/units"
 )
 
 // recordOutcome records how an attempt ended in its engine's health.
@@ -22,7 +21,7 @@
 		e.health.Responded(c.now)
 		if c.outliers.Succeeded(&e.health, c.now, c.ejectionBackoff()) {
 			c.updateFleet()
-			c.logf(restoredSubject(e.ID), "engine %s is restored", e.ID)
+			c.emitThrottled(logSubject{restored, e.ID}, EngineRestored{e.ID})
 		}
 	case Failed, ConnectionReset:
 		e.health.Responded(c.now)
@@ -44,7 +43,7 @@
 		return
 	}
 	c.updateFleet()
-	c.logf(ejectedSubject(e.ID), "engine %s is ejected: %s", e.ID, reason)
+	c.emitThrottled(logSubject{ejected, e.ID}, EngineEjected{e.ID, reason})
 	c.requeueWaiting(e)
 }
 
@@ -60,19 +59,3 @@
 		LowestPriority: r.class.PriorityWeight <= c.workload.lowestWeight,
 	}, c.now)
 }
-
-// lossRate is the fraction of an engine's answers that never come.
-func (c *Controller) lossRate(e *engine) float64 { return float64(c.outliers.LossRate(&e.health)) }
-
-// overallLossRate is the fraction of all engines' answers that never come.
-func (c *Controller) overallLossRate() float64 { return float64(c.outliers.FleetLossRate()) }
-
-// recordLoss counts an answer that never came, as far as that is certain.
-func (c *Controller) recordLoss(e *engine, certainty float64) {
-	c.outliers.Lost(&e.health, units.Fraction(certainty))
-}
-
-// recoverLoss takes that back, as the answer came after all.
-func (c *Controller) recoverLoss(e *engine, certainty float64) {
-	c.outliers.Recovered(&e.health, units.Fraction(certainty))
-}
--- a/control/timers.go
+++ b/control/timers.go
@@ -1,6 +1,10 @@
 package control
 
-import "time"
+import (
+	"time"
+
+	"wheatlane/control/keyorder"
+)
 
 const (
 	tickInterval = 100 * time.Millisecond // time between two looks at what waits
@@ -9,38 +13,92 @@
 	logInterval  = 5 * time.Second        // no line about one subject is logged sooner again
 )
 
-// timerSet holds what is to be called when a timer fires, by token.
+// timer is what is due when a timer expires. All are declared in this file.
+type timer interface{ expire(c *Controller) }
+
+type (
+	// answerDue is the end of the time in which a request has to be answered.
+	answerDue struct{ request *request }
+	// attemptOverdue is the time at which an attempt in flight is to be judged.
+	attemptOverdue struct{ attempt *attempt }
+	// lostAttemptStopped is the time at which an attempt that is presumed lost should not run any more.
+	lostAttemptStopped struct{ attempt *attempt }
+	// endedAttemptStopped is the same for an attempt that timed out and can't be cancelled.
+	endedAttemptStopped struct{ attempt *attempt }
+	// orderKeyIdle is the end of the cooldown of an order key without requests.
+	orderKeyIdle struct{ queue *keyorder.Queue[*request] }
+	// loadProbesDue is the end of the wait for the load probes of a request that is not queued yet.
+	loadProbesDue struct {
+		request *request
+		avoid   *engine
+	}
+	// candidateProbesDue is the end of the wait for the load probes of a request that leaves the pool.
+	candidateProbesDue struct{ request *request }
+)
+
+func (t answerDue) expire(c *Controller)      { c.rejectOrFail(t.request) }
+func (t attemptOverdue) expire(c *Controller) { c.checkOverdue(t.attempt) }
+func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.Release(t.queue, c.now) }
+
+func (t lostAttemptStopped) expire(*Controller) {
+	if t.attempt.inFlight {
+		t.attempt.releaseThreads()
+	}
+}
+
+func (t endedAttemptStopped) expire(*Controller) { t.attempt.releaseThreads() }
+
+func (t loadProbesDue) expire(c *Controller) {
+	if !t.request.closed {
+		c.enqueue(t.request, t.avoid)
+	}
+}
+
+func (t candidateProbesDue) expire(c *Controller) { c.candidatesProbed(t.request) }
+
+// timerSet holds the timers that have not expired, by their tokens.
 type timerSet struct {
-	callbacks map[uint64]func()
+	byToken   map[uint64]timer
 	lastToken uint64
 }
 
-func newTimerSet() timerSet {
-	return timerSet{callbacks: map[uint64]func(){}, lastToken: lastOwnToken}
+func newTimerSet() timerSet { return timerSet{byToken: map[uint64]timer{}, lastToken: lastOwnToken} }
+
+// add stores a timer and returns its token.
+func (s *timerSet) add(t timer) uint64 {
+	s.lastToken++
+	s.byToken[s.lastToken] = t
+	return s.lastToken
 }
 
-// add stores a callback and returns its token.
-func (t *timerSet) add(callback func()) uint64 {
-	t.lastToken++
-	t.callbacks[t.lastToken] = callback
-	return t.lastToken
+// take removes the timer of a token; nil if there is none.
+func (s *timerSet) take(token uint64) timer {
+	t := s.byToken[token]
+	delete(s.byToken, token)
+	return t
 }
 
-// fire calls what was stored under a token, once; unknown tokens are passed over.
-func (t *timerSet) fire(token uint64) {
-	if callback := t.callbacks[token]; callback != nil {
-		delete(t.callbacks, token)
-		callback()
-	}
+// logSubject is what a line for the operators is about.
+type logSubject struct {
+	event  engineEvent
+	engine string
 }
 
+// engineEvent is what happened to an engine.
+type engineEvent int
+
+const (
+	ejected engineEvent = iota
+	restored
+)
+
 // logThrottle keeps lines about one subject apart.
-type logThrottle struct{ lastAt map[string]time.Duration }
+type logThrottle struct{ lastAt map[logSubject]time.Duration }
 
-func newLogThrottle() logThrottle { return logThrottle{lastAt: map[string]time.Duration{}} }
+func newLogThrottle() logThrottle { return logThrottle{lastAt: map[logSubject]time.Duration{}} }
 
-// allows says whether a line about a subject may be logged now, and counts it as logged if so.
-func (l *logThrottle) allows(subject string, now time.Duration) bool {
+// allows reports whether a line about a subject may be logged now, and counts it as logged if so.
+func (l *logThrottle) allows(subject logSubject, now time.Duration) bool {
 	if at, logged := l.lastAt[subject]; logged && now-at < logInterval {
 		return false
 	}
@@ -48,9 +106,8 @@
 	return true
 }
 
-// forget drops what is known of a subject that is gone.
-func (l *logThrottle) forget(subject string) { delete(l.lastAt, subject) }
-
-// Subjects of the lines about an engine.
-func ejectedSubject(engine string) string  { return "ejected " + engine }
-func restoredSubject(engine string) string { return "restored " + engine }
+// forgetEngine drops what is known of an engine that is gone.
+func (l *logThrottle) forgetEngine(engine string) {
+	delete(l.lastAt, logSubject{ejected, engine})
+	delete(l.lastAt, logSubject{restored, engine})
+}
