--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -8,11 +8,16 @@
 // mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes it.
 func (c *Controller) mayAttempt(r *request, e *engine) bool {
 	request := c.eligibilityOf(r)
-	return eligibility.Check(&request, eligibility.Engine{
+	return c.isEligible(&request, r.class, e)
+}
+
+// isEligible reports whether a request of a class may be sent to an engine now.
+func (c *Controller) isEligible(request *eligibility.Request, k *class, e *engine) bool {
+	return eligibility.Check(request, eligibility.Engine{
 		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
-		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
+		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, k),
 	}) == eligibility.Eligible
 }
 
--- a/control/selection.go
+++ b/control/selection.go
@@ -3,6 +3,7 @@
 import (
 	"wheatlane/control/datasetlock"
 	"wheatlane/control/selection"
+	"wheatlane/control/units"
 )
 
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
@@ -15,8 +16,9 @@
 
 func (c *Controller) bestEngine(r *request, avoid *engine) *engine {
 	var best selection.Best[*engine]
+	request := c.eligibilityOf(r)
 	for _, e := range c.endpoints.all {
-		if e == avoid || e.health.AtCapacity(c.now) || !c.mayAttempt(r, e) {
+		if e == avoid || e.health.AtCapacity(c.now) || !c.isEligible(&request, r.class, e) {
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
@@ -37,11 +39,11 @@
 	if !e.pooled() {
 		return c.selection.TieBreak(c.rng)
 	}
-	weight := 1.0
+	preference := units.LogRatio(0)
 	if c.inSlowStart(e) {
-		weight = c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now)
+		preference = c.slowStart.FleetPreference(e.slowStartInput(), c.slowStartDemand(), c.now)
 	}
-	return c.selection.Noise(c.rng, weight)
+	return c.selection.Noise(c.rng, preference)
 }
 
 // score is an engine's score for a request.
--- a/control/selection/draw.go
+++ b/control/selection/draw.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"math/rand/v2"
+
+	"wheatlane/control/units"
 )
 
 // TieBreak is what chance adds to a score where this broker has its own part of each engine: too little to
@@ -11,10 +13,10 @@
 
 // Noise is what chance adds to a score where brokers share the engines: they know the same, late, and would
 // all choose the one idle engine. It is Gumbel noise, so that the best score is a draw of the engines with
-// chances of weight * exp(score/NoiseScale).
-func (c *Config) Noise(rng *rand.Rand, weight float64) Score {
+// chances of exp(preference + score/NoiseScale).
+func (c *Config) Noise(rng *rand.Rand, preference units.LogRatio) Score {
 	gumbel := -math.Log(rng.ExpFloat64())
-	gumbel += math.Log(weight)
+	gumbel += float64(preference)
 	return c.NoiseScale * Score(gumbel)
 }
 
--- a/control/selection/selection_test.go
+++ b/control/selection/selection_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"wheatlane/control/datasetlock"
+	"wheatlane/control/units"
 )
 
 func TestScore(t *testing.T) {
@@ -59,7 +60,7 @@
 	for range draws {
 		var best Best[int]
 		for i, candidate := range candidates {
-			best.Offer(i, candidate.score+config.Noise(rng, candidate.weight))
+			best.Offer(i, candidate.score+config.Noise(rng, units.LogOf(candidate.weight)))
 		}
 		counts[best.Candidate()]++
 	}
--- a/control/slowdown/overdue.go
+++ b/control/slowdown/overdue.go
@@ -35,5 +35,8 @@
 
 // OrOverdue is the larger of an engine's estimated slowdown and the one that its overdue attempts show.
 func (e *Engine) OrOverdue(estimated units.LogRatio) units.LogRatio {
-	return max(estimated, units.LogOf(max(1, e.overdue/overdueAllowed)))
+	if e.overdue <= overdueAllowed { // its logarithm is at most 0, as a slowdown is at least
+		return estimated
+	}
+	return max(estimated, units.LogOf(e.overdue/overdueAllowed))
 }
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -129,9 +129,9 @@
 	return (p.config.BrokerIndex+brokers-first%brokers)%brokers < turn.brokers
 }
 
-// FleetWeight is by how much more a broker whose turn it is has to choose an engine, so that the fleet uses
-// the engine by its capacity.
-func (p Policy) FleetWeight(engine Engine, demand Demand, now time.Duration) float64 {
+// FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
+// uses the engine by its capacity.
+func (p Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
 	turn := p.turn(engine, demand, now)
-	return float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers)
+	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers))
 }
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -93,13 +93,13 @@
 	}
 }
 
-func TestFleetWeightMakesUpForTheTurnsOfOthers(t *testing.T) {
+func TestFleetPreferenceMakesUpForTheTurnsOfOthers(t *testing.T) {
 	t.Parallel()
 	c := config()
 	c.Brokers = 100
 	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
 	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
-	if got, want := New(c).FleetWeight(engine, demand, engine.StartedAt), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
+	if got, want := New(c).FleetPreference(engine, demand, engine.StartedAt).Ratio(), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
 		t.Errorf("weight %v, want %v", got, want)
 	}
 }
