--- a/control/admission.go
+++ b/control/admission.go
@@ -25,7 +25,7 @@
 	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
-	c.startTimer(answerIn, func() { c.rejectOrFail(r) })
+	c.startTimer(answerIn, answerDue{r})
 	c.requests.add(r)
 	c.enqueue(r, nil)
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -17,6 +17,7 @@
 	"wheatlane/control/admission"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
+	"wheatlane/control/membership"
 	"wheatlane/control/outlier"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/selection"
@@ -44,7 +45,7 @@
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
 	selection     selection.Config
-	subscription  subscription
+	subscription  membership.Subscription
 	classes       classTable
 	workload      workload.Workload
 	retries       retrybudget.Budget
@@ -77,6 +78,9 @@
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
 		selection: selection.DefaultConfig(),
+		subscription: membership.NewSubscription(membership.SubscriptionConfig{
+			Required: settings.PollEndpointList, MaxPollInterval: settings.Rules.MaxPollInterval,
+		}),
 		gossip: gossip.NewSchedule(gossip.Config{
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
@@ -166,8 +170,8 @@
 		case TimerFired:
 			if event.Token == tickToken {
 				c.tick()
-			} else {
-				c.timers.fire(event.Token)
+			} else if expired := c.timers.take(event.Token); expired != nil {
+				expired.expire(c)
 			}
 		}
 	}
@@ -216,9 +220,9 @@
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// startTimer calls a function after a time, at the next batch at the earliest.
-func (c *Controller) startTimer(after time.Duration, callback func()) {
-	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(callback)})
+// startTimer has a timer expire after a time, at the next batch at the earliest.
+func (c *Controller) startTimer(after time.Duration, t timer) {
+	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(t)})
 }
 
 // emitThrottled emits an action for the operators, unless one about the same subject was emitted lately.
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -38,16 +38,11 @@
 	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
 }
 
+// Spread is the spread of the logarithm of the ratio.
+func (s *ServiceTime) Spread() estimate.Spread { return s.spread }
+
 // Likely is the service time of a typical request of which some time is expected.
 func (s *ServiceTime) Likely(expected units.Seconds) time.Duration {
-	return s.scaled(expected, s.spread.Mean)
-}
-
-// Quantile is the service time that a fraction of such requests exceeds.
-func (s *ServiceTime) Quantile(expected units.Seconds, exceeding units.Fraction) time.Duration {
-	return s.scaled(expected, s.spread.UpperQuantile(float64(exceeding)))
-}
-
-func (s *ServiceTime) scaled(expected units.Seconds, logRatio float64) time.Duration {
-	return (expected * units.Seconds(units.LogRatio(logRatio).Ratio())).Duration()
+	ratio := units.LogRatio(s.spread.Mean).Ratio()
+	return (expected * units.Seconds(ratio)).Duration()
 }
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -59,7 +59,7 @@
 	near(t, "mean work after an answer of a slow engine", cost.MeanWork(), 1, 0.01)
 }
 
-func TestServiceTimeQuantilesCoverTheAnswers(t *testing.T) {
+func TestServiceTimeSpreadCoversTheAnswers(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
 	s := NewServiceTime()
@@ -68,9 +68,10 @@
 		s.Observe(sample(), 1)
 	}
 	near(t, "likely time", s.Likely(1).Seconds(), 2, 0.2)
-	later := 0.0
+	spread, later := s.Spread(), 0.0
+	limit := units.Seconds(units.LogRatio(spread.UpperQuantile(0.05)).Ratio())
 	for range 5000 {
-		if sample().Duration() > s.Quantile(1, 0.05) {
+		if sample() > limit {
 			later++
 		}
 	}
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -25,23 +25,23 @@
 	case broker.StartAttempt:
 		s.startAttempt(e)
 	case broker.FetchPage:
-		s.pool.fetchPage(e)
+		s.pool.FetchPage(e)
 	case broker.CancelAttempt:
-		s.pool.cancelAttempt(e.Attempt)
+		s.pool.CancelAttempt(e.Attempt)
 	case broker.WithdrawUnsent:
-		s.pool.withdrawAttempt(e.Attempt)
+		s.pool.WithdrawAttempt(e.Attempt)
 	case broker.ReleaseAttempt:
-		s.pool.releaseAttempt(e)
+		s.pool.ReleaseAttempt(e)
 	case broker.SetPriority:
-		s.pool.setPriority(e)
+		s.pool.SetPriority(e)
 	case broker.ProbeLoad:
 		s.startProbe(e)
 	case broker.SendGossip:
 		s.sendGossip(e)
 	case broker.CancelUnsent:
-		s.cancelUnsent(e)
+		s.pool.Drain(e.Engine)
 	case broker.CloseEngineConnections:
-		s.pool.closeConnections(e.Engine, e.DialedBefore)
+		s.pool.CloseConnections(e.Engine, e.DialedBefore)
 	case broker.InvariantViolation:
 		s.logReducerViolation(e)
 	case broker.EngineEjected:
@@ -71,21 +71,15 @@
 	} else {
 		s.usage.Retries++
 	}
-	s.pool.startAttempt(e)
+	s.pool.StartAttempt(e)
 }
 
 func (s *Server) startProbe(e broker.ProbeLoad) {
 	s.usage.LoadProbes++
-	s.pool.startProbe(e)
+	s.pool.StartProbe(e)
 }
 
 func (s *Server) sendGossip(e broker.SendGossip) {
 	s.usage.GossipSent++
 	s.gossip.Send(e.Broker, e.Reports)
 }
-
-// cancelUnsent times the drain of an engine and withdraws what has not left for it.
-func (s *Server) cancelUnsent(e broker.CancelUnsent) {
-	s.pool.startDrain(e.Engine)
-	s.pool.cancelUnsent(e.Engine)
-}
