--- a/control/hedging.go
+++ b/control/hedging.go
@@ -9,8 +9,8 @@
 
 // attemptTimeout is how long an attempt of a request at an engine is waited for.
 func (c *Controller) attemptTimeout(r *request, e *engine) time.Duration {
-	expected := c.expectedServiceTime(r, e)
-	return overdue.Timeout(expected, r.class.ServiceTime.Spread(), c.outliers.LossRate(&e.health))
+	late := overdue.LateQuantile(c.outliers.LossRate(&e.health))
+	return r.class.ServiceTime.Quantile(c.expectedServiceTime(r, e), late)
 }
 
 // checkOverdue judges an attempt that takes longer than nearly all answers, until it is over or cancelled.
--- a/control/learning.go
+++ b/control/learning.go
@@ -9,8 +9,8 @@
 
 // expectedServiceTime is the service time expected of a request on an engine.
 func (c *Controller) expectedServiceTime(r *request, e *engine) units.Seconds {
-	slowdown := c.estimatedSlowdown(e).Ratio()
-	return units.Seconds(float64(r.expectedWork) / float64(r.class.Threads) * slowdown)
+	unloaded := r.expectedWork.OnThreads(r.class.Threads)
+	return unloaded * units.Seconds(c.estimatedSlowdown(e).Ratio())
 }
 
 // likelyServiceTime corrects that by what the request's class takes over what is expected of all.
--- a/control/requests.go
+++ b/control/requests.go
@@ -80,7 +80,7 @@
 // A request that a further attempt could only reach within its dedup scope is not hedged.
 func (r *request) isWorthHedging(now time.Duration) bool {
 	return r.class.Idempotency.RepeatableAnywhere() &&
-		now+units.Duration(float64(r.expectedWork)) <= r.Deadline && !r.isWorthless(now)
+		now+r.expectedWork.OnThreads(1).Duration() <= r.Deadline && !r.isWorthless(now)
 }
 
 // hasAttemptInFlight reports whether an attempt of the request is in flight.
--- a/control/units/seconds.go
+++ b/control/units/seconds.go
@@ -12,6 +12,11 @@
 // Duration converts a time, bounded as by the function of that name.
 func (s Seconds) Duration() time.Duration { return Duration(float64(s)) }
 
+// OnThreads is the time that the work takes on a number of threads.
+func (w ThreadSeconds) OnThreads(threads int) Seconds {
+	return Seconds(float64(w) / float64(threads))
+}
+
 // PerSecond is a rate: so many events in a second.
 type PerSecond float64
 
