--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -20,7 +20,7 @@
 func (c *Controller) slowStartDemand() slowstart.Demand {
 	summary := c.workload.Summary()
 	return slowstart.Demand{
-		ArrivalRate: float64(summary.ArrivalRate), MeanWork: summary.MeanWork,
+		ArrivalRate: summary.ArrivalRate, MeanWork: summary.MeanWork,
 		HeaviestWork: summary.HeaviestWork, TrafficShare: c.workload.TrafficShare(),
 		ReadyEngines: c.endpoints.ready,
 	}
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -40,14 +40,14 @@
 
 // Likely is the service time of a typical request of which some time is expected.
 func (s *ServiceTime) Likely(expected units.Seconds) time.Duration {
-	return s.scaled(expected, s.spread.Mean)
+	return scaled(expected, units.LogRatio(s.spread.Mean))
 }
 
 // Quantile is the service time that a fraction of such requests exceeds.
 func (s *ServiceTime) Quantile(expected units.Seconds, exceeding units.Fraction) time.Duration {
-	return s.scaled(expected, s.spread.UpperQuantile(float64(exceeding)))
+	return scaled(expected, units.LogRatio(s.spread.UpperQuantile(float64(exceeding))))
 }
 
-func (s *ServiceTime) scaled(expected units.Seconds, logRatio float64) time.Duration {
-	return (expected * units.Seconds(units.LogRatio(logRatio).Ratio())).Duration()
+func scaled(expected units.Seconds, ratio units.LogRatio) time.Duration {
+	return (expected * units.Seconds(ratio.Ratio())).Duration()
 }
--- a/control/workload/summary.go
+++ b/control/workload/summary.go
@@ -31,8 +31,7 @@
 		s.HeaviestWork = max(s.HeaviestWork, mean)
 		s.LowestWeightPerThreadSecond = min(s.LowestWeightPerThreadSecond, earned)
 		if class.settings.HoldsDataSetLock {
-			lockTime := units.Seconds(float64(mean) / float64(class.settings.Threads))
-			longestLock = max(longestLock, lockTime)
+			longestLock = max(longestLock, mean.OnThreads(class.settings.Threads))
 		}
 		if earned > classes[s.HighestValueClass].weightPerThreadSecond() {
 			s.HighestValueClass = i
