--- a/internal/emulator/engine/server_test.go
+++ b/internal/emulator/engine/server_test.go
@@ -84,11 +84,11 @@
 			b.t.Fatal(err)
 		}
 		if n > 0 {
-			a, err := resp.ParseAnswer(parts)
+			response, err := resp.ParseResponse(parts)
 			if err != nil {
 				b.t.Fatal(err)
 			}
-			answer := fmt.Sprintf("%s %s %d/%d", a.RequestID, parts[1], a.Page, a.PageCount)
+			answer := fmt.Sprintf("%s %s %d/%d", response.RequestID, parts[1], response.Page, response.PageCount)
 			b.unread = b.unread[n:]
 			return answer
 		}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,5 @@
-// Package resp encodes and decodes what brokers and engines send each other: RESP arrays of bulk strings, and
-// the answers and load reports in them. It works on bytes and does no I/O; of an incomplete message it takes
-// no bytes.
+// Package resp encodes and decodes what brokers and engines send each other: RESP arrays of bulk strings, and the
+// responses and load reports in them. It works on bytes and does no I/O; of an incomplete message it takes no bytes.
 package resp
 
 import (
@@ -21,16 +20,16 @@
 const MaxMessage = 96 << 10
 
 const (
-	maxParts     = 8
-	maxPartBytes = 64 << 10
-	maxDigits    = 10 // of a length
+	maxParts        = 8        // of a message
+	maxPartBytes    = 64 << 10 // of one part
+	maxLengthDigits = 10
 
 	arrayMark = '*'
 	bulkMark  = '$'
 	lineEnd   = "\r\n"
 )
 
-// Append adds a message of these parts to dst.
+// Append appends a message of these parts to dst.
 func Append(dst []byte, parts ...string) []byte {
 	dst = strconv.AppendInt(append(dst, arrayMark), int64(len(parts)), 10)
 	dst = append(dst, lineEnd...)
@@ -43,52 +42,53 @@
 	return dst
 }
 
-// Parse reads a message from the front of b: its parts, which point into b, and the bytes it takes, 0 while
-// it is incomplete. Its error is ErrMalformed or ErrTooLarge.
-func Parse(b []byte) (parts [][]byte, n int, err error) {
-	count, n, err := parseHeader(b, arrayMark, maxParts)
-	if n == 0 || err != nil {
+// Parse reads a message from the front of buf: its parts, which point into buf, and how many bytes it takes, 0 while it
+// is incomplete. Its error is ErrMalformed or ErrTooLarge.
+func Parse(buf []byte) (parts [][]byte, size int, err error) {
+	count, size, err := parseHeader(buf, arrayMark, maxParts)
+	if size == 0 || err != nil {
 		return nil, 0, err
 	}
 	parts = make([][]byte, 0, count)
 	for range count {
-		size, headerLen, err := parseHeader(b[n:], bulkMark, maxPartBytes)
-		if headerLen == 0 || err != nil {
+		length, headerSize, err := parseHeader(buf[size:], bulkMark, maxPartBytes)
+		if headerSize == 0 || err != nil {
 			return nil, 0, err
 		}
-		n += headerLen
-		end := n + size
+		begin := size + headerSize
+		end := begin + length
 		if end > MaxMessage {
 			return nil, 0, ErrTooLarge
 		}
-		if len(b) < end+len(lineEnd) {
+		if len(buf) < end+len(lineEnd) {
 			return nil, 0, nil
 		}
-		if string(b[end:end+len(lineEnd)]) != lineEnd {
-			return nil, 0, fmt.Errorf("%w: a bulk string does not end where it says", ErrMalformed)
+		if string(buf[end:end+len(lineEnd)]) != lineEnd {
+			return nil, 0, fmt.Errorf("%w: a bulk string is longer than its length", ErrMalformed)
 		}
-		parts = append(parts, b[n:end])
-		n = end + len(lineEnd)
+		parts = append(parts, buf[begin:end])
+		size = end + len(lineEnd)
 	}
-	return parts, n, nil
+	return parts, size, nil
 }
 
-// parseHeader reads a mark, a length of at most limit and a line end; n is 0 while they are incomplete.
-func parseHeader(b []byte, mark byte, limit int) (length, n int, err error) {
-	const maxHeader = 1 + maxDigits + len(lineEnd)
-	if len(b) > 0 && b[0] != mark {
-		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, b[0], mark)
+// parseHeader reads a mark, a length of at most limit and a line end; size is how many bytes they take, 0 while they are
+// incomplete.
+func parseHeader(buf []byte, mark byte, limit int) (length, size int, err error) {
+	const maxHeaderBytes = 1 + maxLengthDigits + len(lineEnd)
+	if len(buf) > 0 && buf[0] != mark {
+		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, buf[0], mark)
 	}
-	end := bytes.Index(b[:min(len(b), maxHeader)], []byte(lineEnd))
+	end := bytes.Index(buf[:min(len(buf), maxHeaderBytes)], []byte(lineEnd))
 	if end < 0 {
-		if len(b) >= maxHeader {
+		if len(buf) >= maxHeaderBytes {
 			return 0, 0, fmt.Errorf("%w: a length without end", ErrMalformed)
 		}
 		return 0, 0, nil
 	}
-	for _, digit := range b[1:end] {
+	for _, digit := range buf[1:end] {
 		if digit < '0' || digit > '9' {
-			return 0, 0, fmt.Errorf("%w: length %q", ErrMalformed, b[1:end])
+			return 0, 0, fmt.Errorf("%w: length %q", ErrMalformed, buf[1:end])
 		}
 		length = length*10 + int(digit-'0')
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -64,7 +64,7 @@
 	f.Add([]byte("*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if parts, _, err := Parse(b); err == nil {
-			_, _ = ParseAnswer(parts) // only whether it returns is tested here
+			_, _ = ParseResponse(parts) // only whether it returns is tested here
 		}
 	})
 }
--- a/internal/resp/answer_test.go
+++ b/internal/resp/response_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -10,32 +11,32 @@
 	"wheatlane/internal/loadfields"
 )
 
-func TestParseAnswer(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		parts []string
-		want  Answer
+		want  Response
 		err   error
 	}{
 		"ok": {
 			parts: []string{"7", "OK", "sheets=3,toil=12.5,room=96,new=1,l=queue:1;x1:0.5", "a\tb\tc\n"},
-			want: Answer{
-				RequestID: "7", Word: OK, PageCount: 3, WorkMS: 12.5, MemoryMB: 96, Load: "queue:1;x1:0.5",
+			want: Response{
+				RequestID: "7", Kind: OK, PageCount: 3, Work: 12500 * time.Microsecond, MemoryMB: 96, Load: "queue:1;x1:0.5",
 				Body: []byte("a\tb\tc\n"),
 			},
 		},
 		"page": {
 			parts: []string{"7", "ROWS", "sheet=2", "x"},
-			want:  Answer{RequestID: "7", Word: Rows, PageCount: 1, Page: 2, Body: []byte("x")},
+			want:  Response{RequestID: "7", Kind: Rows, PageCount: 1, Page: 2, Body: []byte("x")},
 		},
 		"no fields": {
-			parts: []string{"7", "VOID", "-"}, want: Answer{RequestID: "7", Word: Void, PageCount: 1},
+			parts: []string{"7", "VOID", "-"}, want: Response{RequestID: "7", Kind: Void, PageCount: 1},
 		},
-		"short":          {parts: []string{"7", "BUSY"}, want: Answer{RequestID: "7", Word: Busy, PageCount: 1}},
+		"short":          {parts: []string{"7", "BUSY"}, want: Response{RequestID: "7", Kind: Busy, PageCount: 1}},
 		"one part":       {parts: []string{"7"}, err: ErrMalformed},
 		"unknown word":   {parts: []string{"7", "WHAT", "-", ""}, err: ErrMalformed},
 		"field no value": {parts: []string{"7", "OK", "sheets", ""}, err: ErrMalformed},
 		"no page count":  {parts: []string{"7", "OK", "sheets=x", ""}, err: ErrMalformed},
-		// Figures that averages would never recover from.
+		// Quantities that averages would never recover from.
 		"work NaN":         {parts: []string{"7", "OK", "sheets=1,toil=NaN", ""}, err: ErrMalformed},
 		"work without end": {parts: []string{"7", "OK", "sheets=1,toil=+Inf", ""}, err: ErrMalformed},
 		"negative memory":  {parts: []string{"7", "OK", "sheets=1,room=-1", ""}, err: ErrMalformed},
@@ -45,7 +46,7 @@
 			for _, part := range c.parts {
 				parts = append(parts, []byte(part))
 			}
-			got, err := ParseAnswer(parts)
+			got, err := ParseResponse(parts)
 			if !errors.Is(err, c.err) {
 				t.Fatalf("got %v, want %v", err, c.err)
 			}
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -81,14 +81,14 @@
 }
 
 // parseResponses consumes the complete responses in the receive buffer, up to one that is malformed.
-func parseResponses(transport *netconn.Conn) ([]resp.Answer, error) {
-	var responses []resp.Answer
+func parseResponses(transport *netconn.Conn) ([]resp.Response, error) {
+	var responses []resp.Response
 	for {
 		parts, size, err := resp.Parse(transport.Received.Bytes())
 		if err != nil || size == 0 {
 			return responses, err
 		}
-		response, err := resp.ParseAnswer(parts)
+		response, err := resp.ParseResponse(parts)
 		if err != nil {
 			return responses, err
 		}
@@ -99,7 +99,7 @@
 }
 
 // handleResponses passes the responses that came on a connection to the reducer.
-func (p *Pool) handleResponses(conn *engineConn, responses []resp.Answer) {
+func (p *Pool) handleResponses(conn *engineConn, responses []resp.Response) {
 	conn.lastReceived = time.Now()
 	for i := range responses {
 		p.handleResponse(conn, &responses[i])
@@ -107,7 +107,7 @@
 }
 
 // handleResponse passes one response to the reducer. Cancelled streams and retired ids are owed none.
-func (p *Pool) handleResponse(conn *engineConn, response *resp.Answer) {
+func (p *Pool) handleResponse(conn *engineConn, response *resp.Response) {
 	stream := conn.streams[response.RequestID]
 	if stream == nil || stream.done || stream.cancelling {
 		p.observer.DuplicateResponse(conn.engine)
@@ -117,14 +117,13 @@
 	switch {
 	case stream.isProbe():
 		p.probeAnswered(stream, response, report)
-	case response.Word == resp.OK:
+	case response.Kind == resp.OK:
 		stream.responding = true
 		p.events.Apply(broker.AttemptServed{
-			Attempt: stream.attemptID, PageCount: response.PageCount,
-			Work:     time.Duration(response.WorkMS * float64(time.Millisecond)),
+			Attempt: stream.attemptID, PageCount: response.PageCount, Work: response.Work,
 			MemoryMB: response.MemoryMB, Report: report, Body: response.Body,
 		})
-	case response.Word == resp.Rows:
+	case response.Kind == resp.Rows:
 		p.events.Apply(broker.PageReceived{Attempt: stream.attemptID, Number: response.Page, Body: response.Body})
 	default:
 		p.attemptFailed(stream, response, report)
@@ -132,19 +131,19 @@
 }
 
 // probeAnswered passes the answer to a load probe to the reducer.
-func (p *Pool) probeAnswered(stream *stream, response *resp.Answer, report loadreport.Report) {
+func (p *Pool) probeAnswered(stream *stream, response *resp.Response, report loadreport.Report) {
 	stream.done = true
 	p.removeStream(stream)
 	status := control.OK
-	if response.Word != resp.Up {
+	if response.Kind != resp.Up {
 		status = control.Failed
 	}
 	p.events.Apply(broker.ProbeResult{ProbeID: stream.probeID, Status: status, Report: report})
 }
 
-// statusOf is what the word of a response without a result proves of its attempt.
-func statusOf(word resp.Word) control.Status {
-	switch word {
+// statusOf returns what the kind of a response without a result proves of its attempt.
+func statusOf(kind resp.Kind) control.Status {
+	switch kind {
 	case resp.Busy:
 		return control.AtCapacity
 	case resp.Void:
@@ -157,9 +156,9 @@
 
 // attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
 // mistaken for the response to a retry, so the id is retired.
-func (p *Pool) attemptFailed(stream *stream, response *resp.Answer, report loadreport.Report) {
+func (p *Pool) attemptFailed(stream *stream, response *resp.Response, report loadreport.Report) {
 	stream.done = true
 	delete(p.inFlight, stream.attemptID)
 	p.retireUntilClientTimeout(stream)
-	p.events.Apply(broker.AttemptEnded{Attempt: stream.attemptID, Status: statusOf(response.Word), Report: report})
+	p.events.Apply(broker.AttemptEnded{Attempt: stream.attemptID, Status: statusOf(response.Kind), Report: report})
 }
--- a/internal/server/enginepool/responses_test.go
+++ b/internal/server/enginepool/responses_test.go
@@ -27,11 +27,11 @@
 		{"DOWN", control.Failed},
 	} {
 		t.Run(c.word, func(t *testing.T) {
-			answer, err := resp.ParseAnswer([][]byte{[]byte("id"), []byte(c.word)})
+			response, err := resp.ParseResponse([][]byte{[]byte("id"), []byte(c.word)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := statusOf(answer.Word); got != c.want {
+			if got := statusOf(response.Kind); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -72,11 +72,11 @@
 			for _, part := range tt.response {
 				parts = append(parts, []byte(part))
 			}
-			response, err := resp.ParseAnswer(parts)
+			response, err := resp.ParseResponse(parts)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.handleResponses(p.conn, []resp.Answer{response})
+			p.handleResponses(p.conn, []resp.Response{response})
 			var want []broker.Event
 			var observed []string
 			if tt.want != nil {
