--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -11,12 +11,14 @@
 	"wheatlane/internal/loadfields"
 )
 
+// engineStates are the states of engines by their names on the wire.
 var engineStates = map[string]control.EngineState{
 	"on":     control.Ready,
 	"fading": control.Draining,
 	"off":    control.Removed,
 }
 
+// attemptStatuses are the statuses of attempts and load probes by their names on the wire.
 var attemptStatuses = map[string]control.Status{
 	"completed":    control.OK,
 	"errored":      control.Failed,
@@ -28,7 +30,7 @@
 	"superseded":   control.NeverSent,
 }
 
-// The kinds of an endpoint update.
+// The kinds of an endpoint update on the wire.
 const (
 	updateFailed = "failed"
 	updateDelta  = "delta"
@@ -37,87 +39,87 @@
 )
 
 const (
-	noTenant = "0" // of a request that belongs to none
-	yes      = "1"
+	noTenant = "0" // in place of the tenant of a request that belongs to none
+	yes      = "1" // value of a field that is true
 )
 
-// The cost of an attempt is one number: its work in milliseconds times costWorkFactor, plus its memory in
-// units.
+// The cost of an attempt is one whole number: its work in milliseconds times costPerMillisecond, plus its memory in
+// units of costMemoryUnitMB.
 const (
-	costWorkFactor   = 4096
-	costMemoryUnitMB = 4
+	costPerMillisecond = 4096
+	costMemoryUnitMB   = 4
 )
 
-// decode reads what happened to an instance. The item is empty for what is passed over.
-func (r *Reader) decode(m *message, instance int) (Item, error) {
-	switch m.name {
+// decode reads what happened to an instance. The item is empty for what is ignored.
+func (r *Reader) decode(msg *message, instance int) (Item, error) {
+	switch msg.name {
 	case messageCreate:
-		create, layout, err := decodeCreate(m)
+		create, layout, err := decodeCreate(msg)
 		r.layouts[instance] = layout
 		return Item{Create: create}, err
 	case messageCrash:
 		return Item{Crash: true}, nil
 	default:
-		event, err := r.decodeEvent(m, r.layouts[instance])
+		event, err := r.decodeEvent(msg, r.layouts[instance])
 		return Item{Event: event}, err
 	}
 }
 
-// decodeCreate also returns the layout of the load reports of the new instance's engines.
-func decodeCreate(m *message) (*Create, loadfields.Layout, error) {
-	settings, err := config.DecodeSettings([]byte(m.text(fieldSettings)))
+// decodeCreate reads the creation of an instance, and the layout of the load reports of its engines.
+func decodeCreate(msg *message) (*Create, loadfields.Layout, error) {
+	settings, err := config.DecodeSettings([]byte(msg.text(fieldSettings)))
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", messageCreate, err)
 	}
-	return &Create{Seed: m.unsigned(fieldSeed), Settings: settings.Control}, settings.LoadReport, nil
+	return &Create{Seed: msg.unsigned(fieldSeed), Settings: settings.Control}, settings.LoadReport, nil
 }
 
-// decodeEvent reads an event; it is nil for what is passed over.
-func (r *Reader) decodeEvent(m *message, layout loadfields.Layout) (control.Event, error) {
-	switch m.name {
+// decodeEvent reads an event; it is nil for what is ignored.
+func (r *Reader) decodeEvent(msg *message, layout loadfields.Layout) (control.Event, error) {
+	switch msg.name {
 	case messageEndpointUpdate:
-		return r.decodeEndpointUpdate(m)
+		return r.decodeEndpointUpdate(msg)
 	case messageRequestReceived:
-		return decodeRequestReceived(m), nil
+		return decodeRequestReceived(msg), nil
 	case messageClientDisconnected:
-		return control.ClientDisconnected{RequestID: m.requiredText(fieldRequestID)}, nil
+		return control.ClientDisconnected{RequestID: msg.requiredText(fieldRequestID)}, nil
 	case messageResponseStarted:
-		return control.ResponseStarted{RequestID: m.requiredText(fieldRequestID)}, nil
+		return control.ResponseStarted{RequestID: msg.requiredText(fieldRequestID)}, nil
 	case messageAttemptProgress:
-		return decodeAttemptProgress(m), nil
+		return decodeAttemptProgress(msg), nil
 	case messageGossipReceived:
-		return decodeGossipReceived(m)
+		return decodeGossipReceived(msg)
 	case messageProbeResult:
-		return decodeProbeResult(m, layout), nil
+		return decodeProbeResult(msg, layout), nil
 	case messageAttemptEnded:
-		return decodeAttemptEnded(m, layout), nil
+		return decodeAttemptEnded(msg, layout), nil
 	case messageTimerFired:
-		return control.TimerFired{Token: m.unsigned(fieldTimerToken)}, nil
+		return control.TimerFired{Token: msg.unsigned(fieldTimerToken)}, nil
 	}
-	return nil, fmt.Errorf("unknown message %.60q", m.name)
+	return nil, fmt.Errorf("unknown message %.60q", msg.name)
 }
 
-func decodeEndpoint(m *message) (control.Engine, error) {
-	state, ok := engineStates[m.text(fieldEngineState)]
+func decodeEndpoint(msg *message) (control.Engine, error) {
+	state, ok := engineStates[msg.text(fieldEngineState)]
 	if !ok {
-		return control.Engine{}, fmt.Errorf("unknown %s %q", fieldEngineState, m.text(fieldEngineState))
+		return control.Engine{}, fmt.Errorf("unknown %s %q", fieldEngineState, msg.text(fieldEngineState))
 	}
 	return control.Engine{
-		ID:        m.requiredText(fieldEngine),
-		Zone:      m.text(fieldZone),
-		Kind:      m.text(fieldEngineKind),
-		Cell:      int(m.integer(fieldCell)),
+		ID:        msg.requiredText(fieldEngine),
+		Zone:      msg.text(fieldZone),
+		Kind:      msg.text(fieldEngineKind),
+		Cell:      int(msg.integer(fieldCell)),
 		State:     state,
-		StartedAt: m.duration(fieldStartedAt),
-	}, m.err
+		StartedAt: msg.duration(fieldStartedAt),
+	}, msg.err
 }
 
-func (r *Reader) decodeEndpointUpdate(m *message) (control.Event, error) {
-	kind := m.text(fieldUpdateKind)
+func (r *Reader) decodeEndpointUpdate(msg *message) (control.Event, error) {
+	kind := msg.text(fieldUpdateKind)
 	if kind == updateFailed {
 		return control.EndpointUpdate{Kind: control.EndpointPollFailed}, nil
 	}
-	number := m.integer(fieldListNumber)
+	number := msg.integer(fieldListNumber)
 	engines, ok := r.lists[number]
 	if !ok {
 		return nil, fmt.Errorf("%s: no %s %d came before", messageEndpointUpdate, messageEndpointList, number)
@@ -131,82 +133,82 @@
 	return nil, fmt.Errorf("%s: unknown %s %q", messageEndpointUpdate, fieldUpdateKind, kind)
 }
 
-func decodeRequestReceived(m *message) control.Event {
-	tenant := m.text(fieldTenant)
+func decodeRequestReceived(msg *message) control.Event {
+	tenant := msg.text(fieldTenant)
 	if tenant == noTenant {
 		tenant = ""
 	}
 	return control.RequestReceived{Request: control.Request{
-		ID:                m.requiredText(fieldRequestID),
-		Class:             m.requiredText(fieldClass),
+		ID:                msg.requiredText(fieldRequestID),
+		Class:             msg.requiredText(fieldClass),
 		Tenant:            tenant,
-		OrderKey:          m.text(fieldOrderKey),
-		DataSet:           int(m.number(fieldDataSet)),
-		Deadline:          m.requiredDuration(fieldDeadline),
-		EstimatedWork:     m.duration(fieldEstimatedWork),
-		EstimatedMemoryMB: m.number(fieldEstimatedMemory),
+		OrderKey:          msg.text(fieldOrderKey),
+		DataSet:           int(msg.number(fieldDataSet)),
+		Deadline:          msg.requiredDuration(fieldDeadline),
+		EstimatedWork:     msg.duration(fieldEstimatedWork),
+		EstimatedMemoryMB: msg.number(fieldEstimatedMemory),
 	}}
 }
 
-func decodeAttemptProgress(m *message) control.Event {
+func decodeAttemptProgress(msg *message) control.Event {
 	return control.AttemptProgress{
-		RequestID: m.requiredText(fieldRequestID),
-		Number:    int(m.integer(fieldAttempt)),
-		Engine:    m.text(fieldEngine),
-		Kind:      control.ProgressKind(m.requiredInteger(fieldProgressKind)),
-		Value:     m.number(fieldProgressValue),
+		RequestID: msg.requiredText(fieldRequestID),
+		Number:    int(msg.integer(fieldAttempt)),
+		Engine:    msg.text(fieldEngine),
+		Kind:      control.ProgressKind(msg.requiredInteger(fieldProgressKind)),
+		Value:     msg.number(fieldProgressValue),
 	}
 }
 
-// decodeGossipReceived returns no event for a datagram that no broker of this program sent.
-func decodeGossipReceived(m *message) (control.Event, error) {
-	datagram, err := hex.DecodeString(m.text(fieldDatagram))
+// decodeGossipReceived reads a gossip datagram; it is nil for one that is not of this program.
+func decodeGossipReceived(msg *message) (control.Event, error) {
+	datagram, err := hex.DecodeString(msg.text(fieldDatagram))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %s: %w", messageGossipReceived, fieldDatagram, err)
 	}
-	reports, ok := loadReports(datagram)
+	reports, ok := parseGossip(datagram)
 	if !ok {
 		return nil, nil
 	}
-	return control.GossipReceived{Broker: int(m.integer(fieldFromBroker)), Reports: reports}, nil
+	return control.GossipReceived{Broker: int(msg.integer(fieldFromBroker)), Reports: reports}, nil
 }
 
-// loadReports are the reports of a datagram; ok is false for what is none of a broker of this program.
-func loadReports(datagram []byte) (reports []control.GossipedLoad, ok bool) {
+// parseGossip reads the reports of a datagram; ok is false for one of another program.
+func parseGossip(datagram []byte) (reports []control.GossipedLoad, ok bool) {
 	reports, err := gossip.Parse(datagram)
 	return reports, err == nil
 }
 
-func decodeProbeResult(m *message, layout loadfields.Layout) control.Event {
+func decodeProbeResult(msg *message, layout loadfields.Layout) control.Event {
 	return control.ProbeResult{
-		Engine:   m.requiredText(fieldEngine),
-		Status:   decodeStatus(m),
-		Duration: m.duration(fieldDuration),
-		Report:   layout.Report(m.numbers(fieldReport)),
+		Engine:   msg.requiredText(fieldEngine),
+		Status:   decodeStatus(msg),
+		Duration: msg.duration(fieldDuration),
+		Report:   layout.Report(msg.numbers(fieldReport)),
 	}
 }
 
-func decodeAttemptEnded(m *message, layout loadfields.Layout) control.Event {
+func decodeAttemptEnded(msg *message, layout loadfields.Layout) control.Event {
 	ended := control.AttemptEnded{
-		RequestID:     m.requiredText(fieldRequestID),
-		Number:        int(m.integer(fieldAttempt)),
-		Engine:        m.text(fieldEngine),
-		Status:        decodeStatus(m),
-		Duration:      m.duration(fieldDuration),
-		RequestClosed: m.text(fieldRequestClosed) == yes,
-		Report:        layout.Report(m.numbers(fieldReport)),
+		RequestID:     msg.requiredText(fieldRequestID),
+		Number:        int(msg.integer(fieldAttempt)),
+		Engine:        msg.text(fieldEngine),
+		Status:        decodeStatus(msg),
+		Duration:      msg.duration(fieldDuration),
+		RequestClosed: msg.text(fieldRequestClosed) == yes,
+		Report:        layout.Report(msg.numbers(fieldReport)),
 	}
-	if cost := m.integer(fieldCost); cost > 0 {
-		ended.Work = time.Duration(cost/costWorkFactor) * time.Millisecond
-		ended.MemoryMB = float64(cost%costWorkFactor) * costMemoryUnitMB
+	if cost := msg.integer(fieldCost); cost > 0 {
+		ended.Work = time.Duration(cost/costPerMillisecond) * time.Millisecond
+		ended.MemoryMB = float64(cost%costPerMillisecond) * costMemoryUnitMB
 	}
 	return ended
 }
 
-func decodeStatus(m *message) control.Status {
-	status, ok := attemptStatuses[m.text(fieldStatus)]
+func decodeStatus(msg *message) control.Status {
+	status, ok := attemptStatuses[msg.text(fieldStatus)]
 	if !ok {
-		m.fail("unknown %s %q", fieldStatus, m.text(fieldStatus))
+		msg.fail("unknown %s %q", fieldStatus, msg.text(fieldStatus))
 	}
 	return status
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// message is one line: a name and fields. Its methods read the fields; the first fault that they find stays
-// in err.
+// message is one line: a name and fields. Its methods read the fields and keep the first error in err.
 type message struct {
 	line   string
 	name   string
-	fields [][2]string // names and values
+	fields []field
 	err    error
 }
 
-// usualFields is about how many fields a message has.
-const usualFields = 12
+// field is a name and its value.
+type field struct{ name, value string }
+
+// typicalFieldCount is about how many fields a message has.
+const typicalFieldCount = 12
 
 // parseMessage splits a line into its name and its fields.
 func parseMessage(line string) (*message, error) {
 	name, rest, _ := strings.Cut(line, " ")
-	m := &message{line: line, name: name, fields: make([][2]string, 0, usualFields)}
+	msg := &message{line: line, name: name, fields: make([]field, 0, typicalFieldCount)}
 	for rest != "" {
 		key, after, ok := strings.Cut(rest, "=")
 		if !ok || strings.Contains(key, " ") {
@@ -33,29 +35,29 @@
 		if !textFields[key] {
 			value, rest, _ = strings.Cut(after, " ")
 		}
-		m.fields = append(m.fields, [2]string{key, value})
+		msg.fields = append(msg.fields, field{key, value})
 	}
-	return m, nil
+	return msg, nil
 }
 
-// fail keeps a fault unless there is one already.
+// fail keeps an error unless there is one already.
 func (m *message) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf(format, args...)
 	}
 }
 
-// text is the value of a field; empty without it.
+// text returns the value of a field; empty without it.
 func (m *message) text(key string) string {
-	for _, f := range m.fields {
-		if f[0] == key {
-			return f[1]
+	for _, field := range m.fields {
+		if field.name == key {
+			return field.value
 		}
 	}
 	return ""
 }
 
-// requiredText is the value of a field that must be there.
+// requiredText returns the value of a field that must be there.
 func (m *message) requiredText(key string) string {
 	text := m.text(key)
 	if text == "" {
@@ -64,61 +66,61 @@
 	return text
 }
 
-// integer is the value of a field; 0 without it.
+// integer returns the value of a field; 0 without it.
 func (m *message) integer(key string) int64 { return m.parseInteger(key, m.text(key)) }
 
-// requiredInteger is the value of a field that must be there.
+// requiredInteger returns the value of a field that must be there.
 func (m *message) requiredInteger(key string) int64 { return m.parseInteger(key, m.requiredText(key)) }
 
 func (m *message) parseInteger(key, text string) int64 {
 	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseInt(text, 10, 64)
+	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		m.fail("%s is not a whole number: %.40q", key, text)
 	}
-	return v
+	return value
 }
 
-// unsigned is the value of a field; 0 without it.
+// unsigned returns the value of a field; 0 without it.
 func (m *message) unsigned(key string) uint64 {
 	text := m.text(key)
 	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseUint(text, 10, 64)
+	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		m.fail("%s is not a whole number: %.40q", key, text)
 	}
-	return v
+	return value
 }
 
-// duration is the value of a field in nanoseconds; 0 without it.
+// duration returns the value of a field in nanoseconds; 0 without it.
 func (m *message) duration(key string) time.Duration { return time.Duration(m.integer(key)) }
 
-// requiredDuration is the value in nanoseconds of a field that must be there.
+// requiredDuration returns the value in nanoseconds of a field that must be there.
 func (m *message) requiredDuration(key string) time.Duration {
 	return time.Duration(m.requiredInteger(key))
 }
 
-// number is the value of a field; 0 without it.
+// number returns the value of a field; 0 without it.
 func (m *message) number(key string) float64 {
 	text := m.text(key)
 	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(text, 64)
+	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		m.fail("%s is not a number: %.40q", key, text)
 	}
-	return v
+	return value
 }
 
-// noNumbers stands where a message has no row of numbers.
+// noNumbers stands where a message has no list of numbers.
 const noNumbers = "-"
 
-// numbers is the numbers of a field between commas; nil without any.
+// numbers returns the numbers of a field, which commas separate; nil without any.
 func (m *message) numbers(key string) []float64 {
 	text := m.text(key)
 	if text == "" || text == noNumbers {
@@ -126,12 +128,12 @@
 	}
 	numbers := make([]float64, 0, strings.Count(text, ",")+1)
 	for part := range strings.SplitSeq(text, ",") {
-		v, err := strconv.ParseFloat(part, 64)
+		number, err := strconv.ParseFloat(part, 64)
 		if err != nil {
-			m.fail("%s is not a row of numbers: %.40q", key, text)
+			m.fail("%s is not a list of numbers: %.40q", key, text)
 			return nil
 		}
-		numbers = append(numbers, v)
+		numbers = append(numbers, number)
 	}
 	return numbers
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -14,7 +14,7 @@
 
 const bufferBytes = 1 << 20 // of a Reader or Writer
 
-// Create asks for a new instance.
+// Create is the creation of an instance.
 type Create struct {
 	Seed     uint64
 	Settings control.Settings
@@ -24,17 +24,20 @@
 type Item struct {
 	Instance int
 	Create   *Create
-	Crash    bool // the instance ends at once and loses all that it knows
+	Crash    bool // the instance ends at once and loses all its state
 	Event    control.Event
 }
 
+// noInstance stands for the instance of a batch ahead of the first that is named.
+const noInstance = -1
+
 // Batch is what happened at one time.
 type Batch struct {
 	Now   time.Duration // since the simulation began
 	Items []Item
 }
 
-// Reader decodes batches. Its errors name the line at fault.
+// Reader decodes batches. Its errors name the number of the line.
 type Reader struct {
 	in      *bufio.Reader
 	line    int                        // number of the last line read
@@ -57,26 +60,25 @@
 		return Batch{}, err
 	}
 	batch := Batch{Now: now}
-	const noInstance = -1
 	instance := noInstance
 	for {
-		m, err := r.nextInside("a batch, " + messageEndBatch + " is missing")
+		msg, err := r.nextInside("a batch, " + messageEndBatch + " is missing")
 		if err != nil {
 			return batch, err
 		}
-		switch m.name {
+		switch msg.name {
 		case messageEndBatch:
 			return batch, nil
 		case messageInstance:
-			instance = int(m.requiredInteger(fieldInstance))
+			instance = int(msg.requiredInteger(fieldInstance))
 		case messageEndpointList:
-			if err := r.readEndpointList(m); err != nil {
+			if err := r.readEndpointList(msg); err != nil {
 				return batch, err
 			}
 		default:
-			item, err := r.decode(m, instance)
+			item, err := r.decode(msg, instance)
 			if err == nil && instance < 0 {
-				err = fmt.Errorf("%s comes before any %s", m.name, messageInstance)
+				err = fmt.Errorf("%s comes before any %s", msg.name, messageInstance)
 			}
 			if err != nil {
 				return batch, r.errorf("%w", err)
@@ -84,13 +86,13 @@
 			item.Instance = instance
 			batch.add(item)
 		}
-		if m.err != nil {
-			return batch, r.errorf("%s: %w", m.name, m.err)
+		if msg.err != nil {
+			return batch, r.errorf("%s: %w", msg.name, msg.err)
 		}
 	}
 }
 
-// add appends an item, unless it was passed over.
+// add appends an item, unless it was ignored.
 func (b *Batch) add(item Item) {
 	if item.Create != nil || item.Crash || item.Event != nil {
 		b.Items = append(b.Items, item)
@@ -103,16 +105,16 @@
 	if err != nil {
 		return 0, err
 	}
-	m, err := parseMessage(line)
+	msg, err := parseMessage(line)
 	switch {
 	case err != nil:
 		return 0, r.errorf("%w", err)
-	case m.name != messageClock:
+	case msg.name != messageClock:
 		return 0, r.errorf("expected %s, got %.60q", messageClock, line)
 	}
-	now := m.requiredDuration(fieldNow)
-	if m.err != nil {
-		return 0, r.errorf("%w", m.err)
+	now := msg.requiredDuration(fieldNow)
+	if msg.err != nil {
+		return 0, r.errorf("%w", msg.err)
 	}
 	return now, nil
 }
@@ -126,14 +128,14 @@
 	}
 	var engines []control.Engine
 	for range members {
-		m, err := r.nextInside("a " + messageEndpointList)
+		msg, err := r.nextInside("a " + messageEndpointList)
 		if err != nil {
 			return err
 		}
-		if m.name != messageEndpoint {
-			return r.errorf("expected %s, got %.60q", messageEndpoint, m.line)
+		if msg.name != messageEndpoint {
+			return r.errorf("expected %s, got %.60q", messageEndpoint, msg.line)
 		}
-		engine, err := decodeEndpoint(m)
+		engine, err := decodeEndpoint(msg)
 		if err != nil {
 			return r.errorf("%s: %w", messageEndpoint, err)
 		}
@@ -165,11 +167,11 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := parseMessage(line)
+	msg, err := parseMessage(line)
 	if err != nil {
 		return nil, r.errorf("%w", err)
 	}
-	return m, nil
+	return msg, nil
 }
 
 func (r *Reader) errorf(format string, args ...any) error {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -26,7 +26,7 @@
 	w.endLine()
 }
 
-// InternalError says that an instance's decision code failed.
+// InternalError reports that an instance's decision code failed.
 func (w *Writer) InternalError(text string) {
 	w.name(messageInternalError)
 	w.text(fieldText, oneLine(text))
@@ -42,43 +42,43 @@
 
 // Action writes one action. It panics for a type that the protocol has no message for.
 func (w *Writer) Action(action control.Action) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case control.SendAttempt:
-		w.nameOfRequest(messageSendAttempt, a.RequestID)
-		w.text(fieldEngine, a.Engine)
-		w.positive(fieldTimeout, int64(a.Timeout))
+		w.nameOfRequest(messageSendAttempt, action.RequestID)
+		w.text(fieldEngine, action.Engine)
+		w.positive(fieldTimeout, int64(action.Timeout))
 	case control.Reject:
-		w.nameOfRequest(messageReject, a.RequestID)
-		w.positive(fieldRetryAfter, int64(a.RetryAfter))
+		w.nameOfRequest(messageReject, action.RequestID)
+		w.positive(fieldRetryAfter, int64(action.RetryAfter))
 	case control.Fail:
-		w.nameOfRequest(messageFail, a.RequestID)
+		w.nameOfRequest(messageFail, action.RequestID)
 	case control.CancelAttempt:
-		w.nameOfRequest(messageCancelAttempt, a.RequestID)
-		w.integer(fieldAttempt, int64(a.Number))
+		w.nameOfRequest(messageCancelAttempt, action.RequestID)
+		w.integer(fieldAttempt, int64(action.Number))
 	case control.SetAttemptOptions:
-		w.nameOfRequest(messageSetAttemptOptions, a.RequestID)
-		w.text(fieldGrant, strconv.FormatFloat(a.GrantMB, 'f', -1, 64))
-		w.integer(fieldPriority, int64(a.Priority))
+		w.nameOfRequest(messageSetAttemptOptions, action.RequestID)
+		w.text(fieldGrant, strconv.FormatFloat(action.GrantMB, 'f', -1, 64))
+		w.integer(fieldPriority, int64(action.Priority))
 	case control.SetTimer:
 		w.name(messageSetTimer)
-		w.integer(fieldTimerAfter, int64(a.After))
-		w.text(fieldTimerToken, strconv.FormatUint(a.Token, 10))
+		w.integer(fieldTimerAfter, int64(action.After))
+		w.text(fieldTimerToken, strconv.FormatUint(action.Token, 10))
 	case control.ProbeLoad:
 		w.name(messageProbeLoad)
-		w.text(fieldEngine, a.Engine)
+		w.text(fieldEngine, action.Engine)
 	case control.SendGossip:
 		w.name(messageSendGossip)
-		w.integer(fieldToBroker, int64(a.Broker))
-		w.text(fieldDatagram, hex.EncodeToString(gossip.Append(nil, a.Reports)))
+		w.integer(fieldToBroker, int64(action.Broker))
+		w.text(fieldDatagram, hex.EncodeToString(gossip.Append(nil, action.Reports)))
 	case control.WatchEndpoints:
 		w.name(messageWatchEndpoints)
 		w.text(fieldWatch, yes)
 	case control.EngineEjected:
-		w.log("engine " + a.Engine + " is ejected: " + a.Reason.String())
+		w.log("engine " + action.Engine + " is ejected: " + action.Reason.String())
 	case control.EngineRestored:
-		w.log("engine " + a.Engine + " is restored")
+		w.log("engine " + action.Engine + " is restored")
 	default:
-		panic(fmt.Sprintf("wire: unknown action %T", a))
+		panic(fmt.Sprintf("wire: unknown action %T", action))
 	}
 	w.endLine()
 }
@@ -104,7 +104,7 @@
 
 func (w *Writer) integer(key string, value int64) { w.text(key, strconv.FormatInt(value, 10)) }
 
-// positive writes a field that stands only where its value is over 0.
+// positive writes a field that is left out unless its value is over 0.
 func (w *Writer) positive(key string, value int64) {
 	if value > 0 {
 		w.integer(key, value)
