--- a/control/attempts.go
+++ b/control/attempts.go
@@ -22,10 +22,10 @@
 	if len(r.attempts) > 0 {
 		c.retries.RetrySent(c.now)
 	} else {
-		k.learnWait(c.now - r.receivedAt)
+		k.Wait.Observe(c.now - r.receivedAt)
 	}
 	if c.inSlowStart(e) {
-		e.sentInSlowStart.Add(c.now, units.ThreadSeconds(k.meanWork))
+		e.sentInSlowStart.Add(c.now, k.Cost.MeanWork())
 	}
 	a := r.addAttempt(e, c.now)
 	if e.health.Ejected() {
@@ -45,10 +45,10 @@
 func (c *Controller) setAttemptOptions(r *request, e *engine) {
 	options := SetAttemptOptions{RequestID: r.ID, Priority: minPriority}
 	if c.settings.MemoryGrants && c.settings.ReportsCost && r.EstimatedMemoryMB > 0 {
-		needed := r.EstimatedMemoryMB * r.class.memoryQuantile
-		options.GrantMB = math.Ceil(min(needed, c.settings.MaxGrantFraction*e.memoryMB))
+		needed := r.class.Cost.MemoryMB(r.EstimatedMemoryMB)
+		options.GrantMB = math.Ceil(min(needed, float64(c.settings.MaxGrantFraction)*e.memoryMB))
 	}
-	if c.settings.Priorities && r.classIndex == c.workload.highestValueClass {
+	if c.settings.Priorities && r.classIndex == c.workload.Summary().HighestValueClass {
 		options.Priority = maxPriority
 	}
 	if options.GrantMB != 0 || options.Priority != r.priority {
@@ -89,7 +89,7 @@
 		}
 	}
 	if end.RequestClosed && !r.closed {
-		r.class.clientStayed()
+		r.class.Abandonment.ClientStayed()
 		c.closeRequest(r)
 	}
 	if r.closed {
@@ -124,7 +124,7 @@
 		return
 	}
 	spent, progress := units.SecondsOf(c.now-a.sentAt), units.Fraction(report.Value)
-	usual := units.Seconds(c.expectedServiceTime(a.request, a.engine))
+	usual := c.expectedServiceTime(a.request, a.engine)
 	if c.settings.Limits.Cancellation && overdue.IsRunaway(spent, progress, usual) {
 		c.hedgeOrCancel(a)
 	}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -24,12 +24,12 @@
 // poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's share
 // of an engine's limit is less than a request. One request of each broker would exceed the limits then, and
 // answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
-func poolsEngines(settings Settings, maxThreads float64) bool {
+func poolsEngines(settings Settings, maxThreads int) bool {
 	cores := 0.0
 	for _, kind := range settings.EngineKinds {
 		cores = max(cores, kind.Cores)
 	}
-	return concurrency.MaxThreadsPerCore*cores < maxThreads*float64(settings.Brokers)
+	return concurrency.MaxThreadsPerCore*cores < float64(maxThreads)*float64(settings.Brokers)
 }
 
 func newEndpointSet() endpointSet {
@@ -61,9 +61,8 @@
 	s.all = slices.Insert(s.all, at, e)
 }
 
-// removeGone drops engines that are listed no more, once nothing is in flight there, and returns their IDs.
-// Without it records add up where engines are replaced all day, and probes are drawn for engines that are
-// gone.
+// removeGone drops engines that are listed no more, once nothing is in flight or queued there, and returns
+// their IDs.
 func (s *endpointSet) removeGone() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(e *engine) bool {
 		if e.member.Listed() || len(e.attempts) > 0 || e.queue.Len() > 0 {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -48,7 +48,7 @@
 }
 
 func (c *Controller) ejectionBackoff() time.Duration {
-	return c.outliers.Backoff(len(c.endpoints.all), c.workload.arrivalRate)
+	return c.outliers.Backoff(len(c.endpoints.all), float64(c.workload.Summary().ArrivalRate))
 }
 
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
@@ -56,6 +56,6 @@
 	return e.health.MayProbe(outlier.Probe{
 		EngineIdle:     e.pooled() || e.concurrency.InFlight() == 0,
 		FirstAttempt:   len(r.attempts) == 0,
-		LowestPriority: r.class.PriorityWeight <= c.workload.lowestWeight,
+		LowestPriority: r.class.PriorityWeight <= c.classes.lowestWeight,
 	}, c.now)
 }
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"wheatlane/control/units"
-	"wheatlane/internal/estimate"
 )
 
 // MinLossWait is the shortest silence of an attempt that is presumed lost, where losses are rare. An engine
@@ -25,20 +24,13 @@
 	minProgress      = 0.005 // progress that is taken as made at least
 )
 
-// LateQuantile is the fraction of answers that come later than they are waited for: the odds that an answer
-// is lost, within bounds.
+// LateQuantile is the fraction of answers that come later than an attempt is waited for: the odds that its
+// answer is lost, within bounds.
 func LateQuantile(lossRate units.Fraction) units.Fraction {
 	odds := lossRate / (1 - min(lossRate, maxOddsLossRate))
 	return min(maxLateQuantile, max(minLateQuantile, odds))
 }
 
-// Timeout is the time for which an attempt is waited for, given its expected service time and the spread of
-// the logarithm of service times over those expected.
-func Timeout(expected units.Seconds, spread estimate.Spread, lossRate units.Fraction) time.Duration {
-	late := spread.UpperQuantile(float64(LateQuantile(lossRate)))
-	return (expected * units.Seconds(math.Exp(late))).Duration()
-}
-
 // LossConfidence is how far it is certain that an overdue answer is lost. It may be only late, which never
 // shows if the attempt is cancelled. A loss that counted in full would shorten the timeouts, and so make
 // further losses of what is late.
@@ -67,7 +59,7 @@
 // Attempt is what is known of an attempt in flight.
 type Attempt struct {
 	Silence          time.Duration  // since it was sent or last reported progress
-	Timeout          time.Duration  // see Timeout
+	Timeout          time.Duration  // service time that the late quantile of answers exceeds
 	ProgressInterval time.Duration  // engines report progress so often; 0: never
 	LossRate         units.Fraction // of its engine's answers
 	FleetLossRate    units.Fraction // of all engines' answers
--- a/control/requests.go
+++ b/control/requests.go
@@ -16,9 +16,9 @@
 	tenantIndex     int
 	receivedAt      time.Duration
 	objectiveAt     time.Duration // when its latency objective ends
-	expectedWork    float64       // thread-seconds
-	attempts        []*attempt    // by number
-	closed          bool          // it has its final answer, or its client is gone
+	expectedWork    units.ThreadSeconds
+	attempts        []*attempt // by number
+	closed          bool       // it has its final answer, or its client is gone
 	responseStarted bool
 	queuedOn        *engine                   // whose queue it waits in, if any
 	avoid           *engine                   // where it failed last, if it did
@@ -31,10 +31,7 @@
 func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
 	r := &request{
 		Request: in, class: k, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
-		expectedWork: k.meanWork, priority: minPriority,
-	}
-	if in.EstimatedWork > 0 {
-		r.expectedWork = in.EstimatedWork.Seconds() * k.workBias
+		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: minPriority,
 	}
 	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
 	return r
@@ -83,7 +80,7 @@
 // A request that a further attempt could only reach within its dedup scope is not hedged.
 func (r *request) isWorthHedging(now time.Duration) bool {
 	return r.class.Idempotency.RepeatableAnywhere() &&
-		now+seconds(r.expectedWork) <= r.Deadline && !r.isWorthless(now)
+		now+units.Duration(float64(r.expectedWork)) <= r.Deadline && !r.isWorthless(now)
 }
 
 // hasAttemptInFlight reports whether an attempt of the request is in flight.
@@ -146,7 +143,7 @@
 // clientDisconnected closes the request of a client that is gone.
 func (c *Controller) clientDisconnected(id string) {
 	if r := c.requests.byID[id]; r != nil && !r.closed {
-		r.class.clientLeft(c.now - r.receivedAt)
+		r.class.Abandonment.ClientLeft(c.now - r.receivedAt)
 		c.closeRequest(r)
 	}
 }
@@ -185,13 +182,13 @@
 // enqueueOn puts a request into an engine's queue.
 func (c *Controller) enqueueOn(e *engine, r *request) {
 	r.queuedOn = e
-	e.queue.Push(r.classIndex, r.tenantIndex, r, r.expectedWork, float64(r.class.Threads))
+	e.queue.Push(r.classIndex, r.tenantIndex, r, float64(r.expectedWork), float64(r.class.Threads))
 }
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
 func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := float64(c.shares.Share(r.classIndex)), c.workload.tenants[r.tenantIndex].Share
-	e.queue.Pop(r.classIndex, r.tenantIndex, classShare, tenantShare)
+	classShare, tenantShare := c.shares.Share(r.classIndex), c.workload.Tenants().Share(r.tenantIndex)
+	e.queue.Pop(r.classIndex, r.tenantIndex, float64(classShare), float64(tenantShare))
 	r.queuedOn = nil
 }
 
--- a/control/shares/optimizer.go
+++ b/control/shares/optimizer.go
@@ -22,13 +22,13 @@
 
 // optimize returns the shares, 1 in sum, that earn most by the predictor. The number of answers of the
 // interval bounds the number of steps.
-func optimize(config Config, p predictor, classes []Class, answers float64) []float64 {
+func optimize(config Config, p predictor, classes []Class, answers int) []float64 {
 	n := len(classes)
 	o := optimizer{
 		config: config, predictor: p, classes: classes,
 		shares: make([]float64, n), utilities: slices.Repeat([]float64{math.Inf(-1)}, n),
 	}
-	unit := math.Ceil(answers/config.MaxSteps) / answers
+	unit := math.Ceil(float64(answers)/float64(config.MaxSteps)) / float64(answers)
 	for left := 1.0; left > config.Tolerance; {
 		left -= o.handOut(unit, left)
 	}
@@ -71,6 +71,6 @@
 	o.shares[class] -= step
 	onTime := min(1, max(0, predicted.InverseLatency))
 	late := float64(k.LateWeight)
-	return k.PriorityWeight * k.ArrivalRate * min(1, max(0, predicted.Throughput)) *
+	return k.PriorityWeight * float64(k.ArrivalRate) * min(1, max(0, predicted.Throughput)) *
 		(late + (1-late)*onTime*onTime)
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -1,13 +1,10 @@
 package control
 
-import (
-	"wheatlane/control/slowstart"
-	"wheatlane/control/units"
-)
+import "wheatlane/control/slowstart"
 
 func newSlowStart(s Settings) slowstart.Policy {
 	return slowstart.New(slowstart.Config{
-		InitialFraction:  units.Fraction(s.Rules.SlowStartInitial),
+		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
 		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex,
@@ -21,10 +18,11 @@
 
 // slowStartDemand is what slow start has to know of the traffic.
 func (c *Controller) slowStartDemand() slowstart.Demand {
+	summary := c.workload.Summary()
 	return slowstart.Demand{
-		ArrivalRate: c.workload.arrivalRate, MeanWork: units.ThreadSeconds(c.workload.meanWork),
-		HeaviestWork: units.ThreadSeconds(c.workload.heaviestWork),
-		TrafficShare: units.Fraction(c.workload.trafficShare), ReadyEngines: c.endpoints.ready,
+		ArrivalRate: float64(summary.ArrivalRate), MeanWork: summary.MeanWork,
+		HeaviestWork: summary.HeaviestWork, TrafficShare: c.workload.TrafficShare(),
+		ReadyEngines: c.endpoints.ready,
 	}
 }
 
@@ -39,6 +37,5 @@
 	if e.pooled() {
 		allows = c.slowStart.AllowsInTurn
 	}
-	work := units.ThreadSeconds(k.meanWork)
-	return allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), work, c.now)
+	return allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), k.Cost.MeanWork(), c.now)
 }
