--- a/internal/server/enginepool/config_test.go
+++ b/internal/server/enginepool/config_test.go
@@ -18,3 +18,17 @@
 		}
 	}
 }
+
+// Idle connections are looked for at least twice between their end here and that at their engine.
+func TestSweepInterval(t *testing.T) {
+	for idleTimeout, want := range map[time.Duration]time.Duration{
+		300 * time.Millisecond: 60 * time.Millisecond,
+		2 * time.Second:        400 * time.Millisecond,
+		5 * time.Second:        maxSweepInterval,
+		time.Minute:            maxSweepInterval,
+	} {
+		if got := SweepInterval(idleTimeout); got != want {
+			t.Errorf("idle timeout %v: %v, want %v", idleTimeout, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/enginepool/dial_test.go
@@ -0,0 +1,115 @@
+package enginepool
+
+import (
+	"bufio"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/control"
+	"wheatlane/internal/broker"
+	"wheatlane/internal/server/netconn"
+)
+
+// startAt starts the first attempt at engine e1 of an address.
+func startAt(pool *Pool, addr string) {
+	pool.StartAttempt(broker.StartAttempt{
+		Attempt: firstAttempt, Engine: "e1", Addr: addr, RequestID: "1", Class: "lookup", Timeout: testTimeout,
+		Priority: defaultPriority,
+	})
+}
+
+// listen returns a listener on loopback that is closed as the test ends.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// An attempt waits for its connection and leaves on it. A connection that is closed from this side ends with the
+// reason for that, and its attempt with it.
+func TestConnectionIsDialledAndClosed(t *testing.T) {
+	listener, host := listen(t), newFakeHost(t)
+	addr := listener.Addr().String()
+	pool := New(testConfig, host, host, host)
+	startAt(pool, addr)
+	engine, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = engine.Close() }) // the other end has closed it
+	host.runPosted("the connection")
+	if err := engine.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if line, err := bufio.NewReader(engine).ReadString('\n'); err != nil || line != "*4\r\n" {
+		t.Fatalf("the engine got %q, %v", line, err)
+	}
+	pool.CloseConnections("e1", 0)
+	host.runPosted("the end of the connection")
+	if diff := cmp.Diff(endedConn{addr, netconn.EngineGone}, receive(t, host.ended, "its report"),
+		cmp.AllowUnexported(endedConn{})); diff != "" {
+		t.Error(diff)
+	}
+	want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset}}
+	if diff := cmp.Diff(want, host.events); diff != "" {
+		t.Error(diff)
+	}
+	if stats := pool.Stats(); stats != (Stats{Dials: 1}) {
+		t.Errorf("%+v", stats)
+	}
+}
+
+// An engine that can't be reached never got the attempt.
+func TestRefusedConnection(t *testing.T) {
+	listener, host := listen(t), newFakeHost(t)
+	addr := listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	pool := New(testConfig, host, host, host)
+	startAt(pool, addr)
+	host.runPosted("the end of the connection")
+	if diff := cmp.Diff(endedConn{addr, netconn.ConnectFailed}, receive(t, host.ended, "its report"),
+		cmp.AllowUnexported(endedConn{})); diff != "" {
+		t.Error(diff)
+	}
+	want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectFailed}}
+	if diff := cmp.Diff(want, host.events); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// The end of an engine's process ends its connection as one that the peer closed.
+func TestConnectionClosedByItsEngine(t *testing.T) {
+	listener, host := listen(t), newFakeHost(t)
+	addr := listener.Addr().String()
+	pool := New(testConfig, host, host, host)
+	startAt(pool, addr)
+	engine, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	host.runPosted("the connection")
+	request := make([]byte, 4<<10)
+	if _, err := engine.Read(request); err != nil {
+		t.Fatal(err)
+	}
+	if err := engine.Close(); err != nil {
+		t.Fatal(err)
+	}
+	host.runPosted("the end of the connection")
+	if got := receive(t, host.ended, "its report"); got.reason != netconn.PeerClosed {
+		t.Errorf("it ended as %s", got.reason)
+	}
+	want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset}}
+	if diff := cmp.Diff(want, host.events); diff != "" {
+		t.Error(diff)
+	}
+}
--- a/internal/server/enginepool/host_test.go
+++ b/internal/server/enginepool/host_test.go
@@ -18,14 +18,37 @@
 	testSockets     = 256              // for connections to engines
 )
 
+var testConfig = Config{
+	MaxConns: testSockets, MaxStreams: 10, ConnectTimeout: testTimeout, IdleTimeout: testIdleTimeout,
+	SilenceThreshold: SilenceThreshold, MaxClientTimeout: time.Minute,
+}
+
 var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
 
+// endedConn is a connection that has ended.
+type endedConn struct {
+	addr   string
+	reason netconn.Reason
+}
+
 // fakeHost is what a pool is run by. Posted functions are kept until the test calls them.
 type fakeHost struct {
 	t        *testing.T
 	posted   chan func()
 	events   []broker.Event // applied or enqueued
 	observed []string       // what the observer was notified of, on the owner's goroutine
+	ended    chan endedConn
+}
+
+func newFakeHost(t *testing.T) *fakeHost {
+	t.Helper()
+	return &fakeHost{t: t, posted: make(chan func(), 10), ended: make(chan endedConn, 10)}
+}
+
+// runPosted calls the next function that is posted.
+func (h *fakeHost) runPosted(what string) {
+	h.t.Helper()
+	receive(h.t, h.posted, what)()
 }
 
 func (h *fakeHost) Post(f func()) { h.posted <- f }
@@ -46,7 +69,9 @@
 }
 func (h *fakeHost) LateWrite(engine string) { h.observe("late write to %s", engine) }
 
-func (h *fakeHost) ConnectionEnded(string, time.Time, error) {}
+func (h *fakeHost) ConnectionEnded(addr string, _ time.Time, err error) {
+	h.ended <- endedConn{addr, netconn.ReasonOf(err)}
+}
 
 func (h *fakeHost) observe(format string, args ...any) {
 	h.observed = append(h.observed, fmt.Sprintf(format, args...))
@@ -65,12 +90,9 @@
 func newIdlePool(t *testing.T) *idlePool {
 	t.Helper()
 	near, far := connectedPair(t)
-	host := &fakeHost{t: t, posted: make(chan func(), 10)}
+	host := newFakeHost(t)
 	p := &idlePool{host: host, far: far, clock: time.Now}
-	p.Pool = New(Config{
-		MaxConns: testSockets, MaxStreams: 10, ConnectTimeout: time.Second, IdleTimeout: testIdleTimeout,
-		SilenceThreshold: SilenceThreshold, MaxClientTimeout: time.Minute,
-	}, host, host, host)
+	p.Pool = New(testConfig, host, host, host)
 	options := p.connOptions()
 	options.Now = func() time.Time { return p.clock() }
 	p.transport = netconn.New(near, options)
--- a/internal/server/netconn/conn_test.go
+++ b/internal/server/netconn/conn_test.go
@@ -9,7 +9,6 @@
 )
 
 // After a standstill of the process, bytes for a client are still sent; only writes to engines expire.
-// (Seen on paper: bytes for a client that waited were dropped as expired, and its request was lost.)
 func TestOnlyEngineWritesExpire(t *testing.T) {
 	for name, tt := range map[string]struct {
 		maxSendDelay time.Duration
@@ -71,8 +70,7 @@
 }
 
 // Of a write that blocks, exactly the bytes that the system took count as sent: none that has left may
-// count as never sent. (Before, all of a write under way counted as sent, so nothing of it could be
-// withdrawn.)
+// count as never sent.
 func TestBytesTakenByTheSystemCountAsSent(t *testing.T) {
 	c, far, ended := newBlockedConn(t)
 	waitUntil(t, "a part has left", func() bool {
