--- a/control/controller.go
+++ b/control/controller.go
@@ -24,6 +24,7 @@
 	"wheatlane/control/shares"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
+	"wheatlane/control/workload"
 )
 
 // rngStream separates the controller's random numbers from others that are drawn with the same seed.
@@ -45,7 +46,8 @@
 	slowdowns     slowdown.Estimator
 	selection     selection.Config
 	subscription  membership.Subscription
-	workload      workload
+	classes       classTable
+	workload      workload.Workload
 	retries       retrybudget.Budget
 	price         admission.Price
 	shares        shares.Regulator
@@ -71,7 +73,7 @@
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
 		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
-		outliers: outlier.NewDetector(outlier.DefaultConfig()), workload: newWorkload(settings),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()), classes: newClassTable(),
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
@@ -85,8 +87,12 @@
 		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
 		pressure: concurrency.DefaultPressureConfig(),
 	}
-	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(c.workload.classes)))
-	if poolsEngines(settings, c.workload.maxThreads) {
+	c.workload = workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers)
+	for _, class := range settings.Classes {
+		c.classes.add(class.withDefaults(), &c.workload)
+	}
+	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
+	if poolsEngines(settings, c.classes.maxThreads) {
 		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
@@ -143,7 +149,7 @@
 		case ProbeResult:
 			c.probeEnded(event)
 		case GossipReceived:
-			c.gossipReceived(event)
+			c.endpoints.receiveLoads(event.Reports, c.now)
 		case EndpointUpdate:
 			c.endpointsUpdated(event)
 		case SetMaintenance:
@@ -177,7 +183,9 @@
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
 	c.decayEvidence()
-	c.updatePoolLoad()
+	if c.settings.Limits.Gossip {
+		c.endpoints.updatePoolLoad(c.now)
+	}
 	c.retryWaiting()
 	c.sendGossip()
 	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
@@ -192,8 +200,9 @@
 // settings are those of the start.
 func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
 	added := 0
-	for _, k := range classes {
-		if c.workload.updateClass(k.withDefaults()) {
+	for _, class := range classes {
+		if class = class.withDefaults(); !c.classes.contains(class) {
+			c.classes.add(class, &c.workload)
 			c.shares.AddClass()
 			added++
 		}
@@ -203,12 +212,11 @@
 		return
 	}
 	c.shares.Restart()
-	c.workload.updateExtremes()
 	for _, e := range c.endpoints.all {
-		e.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+		e.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
 	}
 	if pool := c.endpoints.pool; pool != nil {
-		pool.queue.Grow(len(c.workload.classes), len(c.workload.tenants))
+		pool.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
 	}
 }
 
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -43,7 +43,9 @@
 }
 
 // isHeavy reports whether a request is more work than the mean.
-func (c *Controller) isHeavy(r *request) bool { return r.class.meanWork > c.workload.meanWork }
+func (c *Controller) isHeavy(r *request) bool {
+	return r.class.Cost.MeanWork() > c.workload.Summary().MeanWork
+}
 
 // probeWait is how long a request waits for load probes.
 func (c *Controller) probeWait() time.Duration {
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"time"
+
 	"wheatlane/control/concurrency"
 	"wheatlane/control/loadreport"
 )
@@ -10,9 +12,8 @@
 	if !report.Reported {
 		return
 	}
-	threads, memoryMB := c.workload.meanDemand()
 	load := report.Load(
-		loadreport.Demand{Threads: threads, MemoryMB: memoryMB},
+		loadreport.Demand(c.workload.MeanDemand()),
 		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * e.cores, MemoryMB: e.memoryMB},
 	)
 	e.load.Observe(load, c.now)
@@ -22,15 +23,15 @@
 }
 
 // updatePoolLoad follows the pool's load by those of its engines, as gossip brings them.
-func (c *Controller) updatePoolLoad() {
-	if c.endpoints.pool == nil || !c.settings.Limits.Gossip {
+func (s *endpointSet) updatePoolLoad(now time.Duration) {
+	if s.pool == nil {
 		return
 	}
 	var known []*loadreport.Estimate
-	for _, e := range c.endpoints.all {
-		if e.loadKnown(c.now) {
+	for _, e := range s.all {
+		if e.loadKnown(now) {
 			known = append(known, &e.load)
 		}
 	}
-	c.endpoints.pool.load.OfPool(known)
+	s.pool.load.OfPool(known)
 }
--- a/control/units/seconds_test.go
+++ b/control/units/seconds_test.go
@@ -17,3 +17,17 @@
 		t.Errorf("a time over the bound is %v", got)
 	}
 }
+
+func TestRate(t *testing.T) {
+	t.Parallel()
+	if got := Rate(3, 500*time.Millisecond); got != 6 {
+		t.Errorf("3 events in half a second are %v a second, want 6", got)
+	}
+}
+
+func TestWorkIsSharedByThreads(t *testing.T) {
+	t.Parallel()
+	if got := ThreadSeconds(3).OnThreads(2); got != 1.5 {
+		t.Errorf("3 thread-seconds take %v s on 2 threads, want 1.5", float64(got))
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,6 +8,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
+	"wheatlane/control/units"
 	"wheatlane/internal/loadfields"
 )
 
@@ -175,7 +176,7 @@
 		Zone:             o.Zone,
 		MinBatchInterval: o.RoundNs,
 		EngineKinds:      map[string]control.EngineKind{},
-		MaxGrantFraction: o.Domain.GrantCap,
+		MaxGrantFraction: units.Fraction(o.Domain.GrantCap),
 		MemoryGrants:     o.Domain.Grants,
 		Priorities:       o.Domain.Priorities,
 		ProgressInterval: o.Domain.ProgressPaceNs,
@@ -194,7 +195,7 @@
 		},
 		Rules: control.Rules{
 			MaxPollInterval:    o.Rules.AskEveryNs,
-			SlowStartInitial:   o.Rules.ColdFrom,
+			SlowStartInitial:   units.Fraction(o.Rules.ColdFrom),
 			SlowStartDuration:  o.Rules.WarmAfterNs,
 			OverloadMultiple:   o.Rules.FallMultiple,
 			OverloadWindow:     o.Rules.FallNs,
@@ -210,7 +211,9 @@
 		}
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, control.Tenant{Name: t.Name, Share: t.Share, Quota: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, control.Tenant{
+			Name: t.Name, Share: units.Fraction(t.Share), Quota: units.PerSecond(t.QuotaPerS),
+		})
 	}
 	return s
 }
@@ -231,7 +234,7 @@
 		ClientTimeout:    c.GiveUpNs,
 		ObjectivePerWork: c.AimStretch,
 		PriorityWeight:   c.Worth,
-		LateWeight:       c.LateWorth,
+		LateWeight:       units.Fraction(c.LateWorth),
 		Idempotency: idempotency.Policy{
 			Kind: kind, DedupScope: scope, DedupWindow: c.WindowNs,
 		},
