--- a/internal/server/changelog_test.go
+++ b/internal/server/changelog_test.go
@@ -19,7 +19,7 @@
 		return s.logs.FilterField(zap.String("reason", string(netconn.Malformed))).Len() > 0
 	})
 	s.publish(pageJSON(42, false, endpointJSON("e2", "127.0.0.1:1", "terminated", 0)), 42)
-	if got := inLoop(s, func(server *Server) int { return server.reducer.EndpointCount() }); got != 1 {
+	if got := inLoop(s, func(server *Server) int { return server.loop.reducer.EndpointCount() }); got != 1 {
 		t.Fatalf("%d engines are known, want e1 alone", got)
 	}
 	s.serveOn(e, 1)
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -243,7 +243,7 @@
 			continue
 		}
 		waitUntil(t, "the first request is open", func() bool {
-			return inLoop(s, func(server *Server) bool { return server.reducer.OpenRequests() == 1 })
+			return inLoop(s, func(server *Server) bool { return server.loop.reducer.OpenRequests() == 1 })
 		})
 		if tt.inFlight {
 			e.expectAttempt(t)
@@ -256,7 +256,7 @@
 	}
 	waitUntil(t, "the session has ended", func() bool {
 		return inLoop(s, func(server *Server) bool {
-			return server.reducer.OpenRequests()+server.frontend.Len() == 0
+			return server.loop.reducer.OpenRequests()+server.frontend.Len() == 0
 		})
 	})
 	s.expectEnd(c.localAddr(), netconn.PeerClosed)
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -23,7 +23,7 @@
 func TestRequestReadAsItsSessionCloses(t *testing.T) {
 	for name, closeSession := range map[string]func(s *Server, c, other *testClient){
 		"killed": func(s *Server, c, other *testClient) {
-			s.apply(broker.Kill{
+			s.loop.apply(broker.Kill{
 				RequestedBy: broker.Session(other.session), Target: broker.Session(c.session), CloseConnection: true,
 			})
 		},
@@ -36,7 +36,7 @@
 			c.ping()
 			other.ping()
 			held := HoldLoop(t, s.server)
-			s.server.inbox <- func() {
+			s.server.loop.inbox <- func() {
 				closeSession(s.server, c, other)
 				for range 100_000 { // the writer has every chance to end the connection too early
 					runtime.Gosched()
--- /dev/null
+++ b/internal/server/connectionlog.go
@@ -0,0 +1,35 @@
+package server
+
+import (
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/server/netconn"
+)
+
+// explainedReasons are the reasons that say too little without the error behind them.
+var explainedReasons = []netconn.Reason{
+	netconn.OtherError, netconn.Malformed, netconn.HTTPStatus, netconn.ConnectFailed,
+}
+
+// connectionLog counts and logs connections that ended. Any goroutine may use it.
+type connectionLog struct {
+	log    *zap.Logger
+	counts netconn.EndCounts
+}
+
+// ended records the end of a connection, or that it was not established, for which err is the reason.
+func (l *connectionLog) ended(side netconn.Side, peer string, openedAt time.Time, err error) {
+	reason := netconn.ReasonOf(err)
+	l.counts.Add(side, reason)
+	fields := []zap.Field{
+		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
+		zap.Duration("lasted", time.Since(openedAt)),
+	}
+	if slices.Contains(explainedReasons, reason) {
+		fields = append(fields, zap.Error(err))
+	}
+	l.log.Info("connection ended", fields...)
+}
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -4,76 +4,73 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/server/enginepool"
+	"wheatlane/internal/server/frontend"
+	"wheatlane/internal/server/gossiptransport"
 )
 
-// execute carries out effects in their order.
-func (s *Server) execute(effects []broker.Effect) {
-	for _, effect := range effects {
-		s.executeOne(effect)
-	}
+// effects carries out what the reducer decided. The loop owns it.
+type effects struct {
+	frontend *frontend.Frontend
+	pool     *enginepool.Pool
+	gossip   *gossiptransport.Transport // nil: the reducer sends no gossip
+	usage    *usageLog
+	log      *zap.Logger
 }
 
-func (s *Server) executeOne(effect broker.Effect) {
+func (x *effects) execute(effect broker.Effect) {
 	switch e := effect.(type) {
 	case broker.Reply:
-		s.sendReply(e)
+		x.reply(e)
 	case broker.AdmitSession:
-		s.frontend.Admit(e.Session)
+		x.frontend.Admit(e.Session)
 	case broker.CloseSession:
-		s.frontend.CloseSession(e.Session, e.Reason)
+		x.frontend.CloseSession(e.Session, e.Reason)
 	case broker.StartAttempt:
-		s.startAttempt(e)
+		x.startAttempt(e)
 	case broker.FetchPage:
-		s.pool.FetchPage(e)
+		x.pool.FetchPage(e)
 	case broker.CancelAttempt:
-		s.pool.CancelAttempt(e.Attempt)
+		x.pool.CancelAttempt(e.Attempt)
 	case broker.WithdrawUnsent:
-		s.pool.WithdrawAttempt(e.Attempt)
+		x.pool.WithdrawAttempt(e.Attempt)
 	case broker.ReleaseAttempt:
-		s.pool.ReleaseAttempt(e)
+		x.pool.ReleaseAttempt(e)
 	case broker.SetPriority:
-		s.pool.SetPriority(e)
+		x.pool.SetPriority(e)
 	case broker.ProbeLoad:
-		s.startProbe(e)
+		x.usage.LoadProbes++
+		x.pool.StartProbe(e)
 	case broker.SendGossip:
-		s.sendGossip(e)
+		x.usage.GossipSent++
+		x.gossip.Send(e.Broker, e.Reports)
 	case broker.CancelUnsent:
-		s.pool.Drain(e.Engine)
+		x.pool.Drain(e.Engine)
 	case broker.CloseEngineConnections:
-		s.pool.CloseConnections(e.Engine, e.DialedBefore)
-	case broker.InvariantViolation:
-		s.logReducerViolation(e)
+		x.pool.CloseConnections(e.Engine, e.DialedBefore)
+	case broker.InvariantViolation: // which the reducer has counted
+		logViolation(x.log, e.Rule, zap.Uint32("session", uint32(e.Session)), zap.String("request", e.RequestID))
 	case broker.EngineEjected:
-		s.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
+		x.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
 	case broker.EngineRestored:
-		s.log.Info("engine restored", zap.String("engine", e.Engine))
+		x.log.Info("engine restored", zap.String("engine", e.Engine))
 	case broker.ResultInvalid:
-		s.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
+		x.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
 	}
 }
 
-func (s *Server) sendReply(e broker.Reply) {
+func (x *effects) reply(e broker.Reply) {
 	if e.Kind == broker.ReplyRejected {
-		s.usage.Rejections++
+		x.usage.Rejections++
 	}
-	s.frontend.Reply(e)
+	x.frontend.Reply(e)
 }
 
-func (s *Server) startAttempt(e broker.StartAttempt) {
+func (x *effects) startAttempt(e broker.StartAttempt) {
 	if e.Attempt.Number == 0 {
-		s.usage.FirstAttempts++
+		x.usage.FirstAttempts++
 	} else {
-		s.usage.Retries++
+		x.usage.Retries++
 	}
-	s.pool.StartAttempt(e)
-}
-
-func (s *Server) startProbe(e broker.ProbeLoad) {
-	s.usage.LoadProbes++
-	s.pool.StartProbe(e)
-}
-
-func (s *Server) sendGossip(e broker.SendGossip) {
-	s.usage.GossipSent++
-	s.gossip.Send(e.Broker, e.Reports)
+	x.pool.StartAttempt(e)
 }
--- a/internal/server/enginehost.go
+++ b/internal/server/enginehost.go
@@ -31,16 +31,20 @@
 	}
 }
 
-// engineHost runs the pool of connections to engines in the loop of a server.
-type engineHost struct{ server *Server }
+// engineHost runs the pool of connections to engines in the loop.
+type engineHost struct {
+	loop        *eventLoop
+	connections *connectionLog
+	scope       *runScope
+}
 
 // Post implements enginepool.Loop.
-func (h engineHost) Post(f func()) { h.server.post(h.server.ctx, f) }
+func (h engineHost) Post(f func()) { h.loop.post(h.scope.ctx, f) }
 
 // Start implements enginepool.Loop.
 func (h engineHost) Start(run func(ctx context.Context)) context.CancelCauseFunc {
-	ctx, cancel := context.WithCancelCause(h.server.ctx)
-	h.server.group.Go(func() error {
+	ctx, cancel := context.WithCancelCause(h.scope.ctx)
+	h.scope.group.Go(func() error {
 		defer cancel(nil)
 		run(ctx)
 		return nil
@@ -49,26 +53,26 @@
 }
 
 // Apply implements enginepool.EventSink.
-func (h engineHost) Apply(event broker.Event) { h.server.apply(event) }
+func (h engineHost) Apply(event broker.Event) { h.loop.apply(event) }
 
 // Enqueue implements enginepool.EventSink.
-func (h engineHost) Enqueue(event broker.Event) { h.server.enqueue(event) }
+func (h engineHost) Enqueue(event broker.Event) { h.loop.enqueue(event) }
 
 // DuplicateResponse implements enginepool.Observer.
-func (h engineHost) DuplicateResponse(engine string) { h.server.meter.DuplicateResponse(engine) }
+func (h engineHost) DuplicateResponse(engine string) { h.loop.meter.DuplicateResponse(engine) }
 
 // DrainStarted implements enginepool.Observer.
-func (h engineHost) DrainStarted() { h.server.meter.DrainStarted() }
+func (h engineHost) DrainStarted() { h.loop.meter.DrainStarted() }
 
 // DrainCompleted implements enginepool.Observer.
-func (h engineHost) DrainCompleted(took time.Duration) { h.server.meter.DrainCompleted(took) }
+func (h engineHost) DrainCompleted(took time.Duration) { h.loop.meter.DrainCompleted(took) }
 
 // LateWrite implements enginepool.Observer.
 func (h engineHost) LateWrite(engine string) {
-	h.server.violated(invariant.TimeoutWithinClient, zap.String("engine", engine))
+	h.loop.violated(invariant.TimeoutWithinClient, zap.String("engine", engine))
 }
 
 // ConnectionEnded implements enginepool.Observer.
 func (h engineHost) ConnectionEnded(addr string, openedAt time.Time, err error) {
-	h.server.connectionEnded(netconn.EngineSide, addr, openedAt, err)
+	h.connections.ended(netconn.EngineSide, addr, openedAt, err)
 }
--- a/internal/server/handoverstore_test.go
+++ b/internal/server/handoverstore_test.go
@@ -26,7 +26,7 @@
 // enginesInMaintenance are those of the reducer.
 func (s *testServer) enginesInMaintenance() []string {
 	s.t.Helper()
-	return inLoop(s, func(server *Server) []string { return server.reducer.EnginesInMaintenance() })
+	return inLoop(s, func(server *Server) []string { return server.loop.reducer.EnginesInMaintenance() })
 }
 
 // A call that could not be stored is not acknowledged, and in force all the same; it is stored once the folder takes
@@ -91,5 +91,5 @@
 	waitUntil(t, "the state is restored", func() bool {
 		return cmp.Equal(s.enginesInMaintenance(), []string{"e1"})
 	})
-	inLoop(s, func(server *Server) bool { server.apply(broker.EndMaintenance{Engine: "e1"}); return true })
+	inLoop(s, func(server *Server) bool { server.loop.apply(broker.EndMaintenance{Engine: "e1"}); return true })
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -126,7 +126,7 @@
 
 // endAcceptWindow begins a shutdown in the loop, with the time for new requests over already.
 func (s *testServer) endAcceptWindow() {
-	s.server.inbox <- func() {
+	s.server.loop.inbox <- func() {
 		s.server.beginShutdown()
 		s.server.shutdown.requestedAt = time.Now().Add(-s.server.shutdown.acceptWindow)
 	}
@@ -189,7 +189,7 @@
 func inLoop[T any](s *testServer, f func(*Server) T) T {
 	s.t.Helper()
 	got := make(chan T, 1)
-	s.server.inbox <- func() { got <- f(s.server) }
+	s.server.loop.inbox <- func() { got <- f(s.server) }
 	return receive(s.t, got, "the loop's answer")
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -2,124 +2,90 @@
 
 import (
 	"context"
-	"time"
 
 	"go.uber.org/zap"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/invariant"
 	"wheatlane/internal/server/clock"
-	"wheatlane/internal/server/standstill"
-	"wheatlane/internal/usage"
 )
 
 const (
-	maxInboxBatch    = 512             // functions taken from the inbox before a round
-	usageLogInterval = 5 * time.Second // between log lines of what the broker spent
+	// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
+	inboxSize = 256
+	// maxInboxBatch is how many functions the loop takes from the inbox ahead of a round.
+	maxInboxBatch = 512
 )
 
-// loop owns the reducer until ctx ends or a shutdown, begun by a value on stop, is complete.
-func (s *Server) loop(ctx context.Context, stop <-chan struct{}) error {
-	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
-	s.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
-	s.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
-	pacer := standstill.NewPacer(clock.Now())
-	defer pacer.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-stop:
-			stop = nil
-			s.beginShutdown()
-		case f := <-s.inbox:
-			s.runInbox(f)
-		case <-pacer.WakeUps():
-		}
-		s.settle()
-		now := clock.Now()
-		s.standstills.LoopTurn(now)
-		s.meter.LoopLag(pacer.Lag(now))
-		if !pacer.Ready(now) {
-			continue
-		}
-		s.round()
-		if s.shutdownComplete() {
-			s.logUsage()
-			return nil
-		}
-		wait := s.untilNextRound()
-		pacer.WakeIn(clock.Now(), wait)
+// eventLoop owns the reducer: it gives it events and has its effects carried out. All methods but post are called on one
+// goroutine, the loop.
+type eventLoop struct {
+	inbox   chan func() // functions to call in the loop
+	reducer *broker.Broker
+	execute func(broker.Effect)
+	meter   Meter
+	log     *zap.Logger
+	pending []broker.Event // that effects gave
+	usage   *usageLog
+}
+
+// post hands f to the loop and reports whether it was taken. It waits while the inbox is full, or until ctx
+// ends. Any goroutine may call it.
+func (l *eventLoop) post(ctx context.Context, f func()) bool {
+	select {
+	case l.inbox <- f:
+		return true
+	case <-ctx.Done():
+		return false
 	}
 }
 
 // runInbox calls the first function of a batch and those behind it.
-func (s *Server) runInbox(first func()) {
-	s.meter.InboxLength(len(s.inbox) + 1)
+func (l *eventLoop) runInbox(first func()) {
+	l.meter.InboxLength(len(l.inbox) + 1)
 	first()
-	for range min(len(s.inbox), maxInboxBatch) {
-		f := <-s.inbox
+	for range min(len(l.inbox), maxInboxBatch) {
+		f := <-l.inbox
 		f()
 	}
 }
 
-// round lets time pass in the reducer and does what is due.
-func (s *Server) round() {
-	s.execute(s.reducer.Tick(clock.Now()))
-	s.settle()
-	s.pool.CheckConnections()
-	s.settle()
-	s.pool.Sweep()
-	if time.Since(s.usageLoggedAt) > usageLogInterval {
-		s.logUsage()
+// apply gives the reducer an event and carries out the effects, and what follows from them.
+func (l *eventLoop) apply(event broker.Event) {
+	if _, ok := event.(broker.SubmitRequest); ok {
+		l.usage.Requests++
 	}
+	l.executeAll(l.reducer.Apply(clock.Now(), event))
+	l.settle()
 }
 
-// untilNextRound returns how long the loop may wait if nothing happens.
-func (s *Server) untilNextRound() time.Duration {
-	wait := standstill.MaxTurnInterval
-	if at, ok := s.reducer.NextDeadline(); ok {
-		wait = min(wait, at-clock.Now())
-	}
-	return max(wait, 0)
+// tick lets time pass in the reducer.
+func (l *eventLoop) tick() {
+	l.executeAll(l.reducer.Tick(clock.Now()))
+	l.settle()
 }
 
-// apply gives the reducer an event and carries out the effects, and what follows from them.
-func (s *Server) apply(ev broker.Event) {
-	if _, ok := ev.(broker.SubmitRequest); ok {
-		s.usage.Requests++
-	}
-	s.execute(s.reducer.Apply(clock.Now(), ev))
-	s.settle()
-}
+// enqueue keeps an event that carrying out an effect gave until the other effects are carried out.
+func (l *eventLoop) enqueue(event broker.Event) { l.pending = append(l.pending, event) }
 
 // settle applies the pending events.
-func (s *Server) settle() {
-	for len(s.pendingEvents) > 0 {
-		ev := s.pendingEvents[0]
-		s.pendingEvents = s.pendingEvents[1:]
-		s.execute(s.reducer.Apply(clock.Now(), ev))
+func (l *eventLoop) settle() {
+	for len(l.pending) > 0 {
+		event := l.pending[0]
+		l.pending = l.pending[1:]
+		l.executeAll(l.reducer.Apply(clock.Now(), event))
 	}
 }
 
-// enqueue keeps an event that carrying out an effect gave until the other effects are carried out.
-func (s *Server) enqueue(ev broker.Event) { s.pendingEvents = append(s.pendingEvents, ev) }
-
-// logUsage logs what the broker spent of what a fleet shares since the line before, so that a day can be
-// counted across all brokers from their logs (docs/operators/fleet-at-size.md).
-func (s *Server) logUsage() {
-	s.usageLoggedAt = time.Now()
-	s.usage.EndpointPolls = s.endpoints.Polls()
-	pool := s.pool.Stats()
-	s.usage.Dials, s.usage.LivenessProbes = pool.Dials, pool.LivenessProbes
-	spent := s.usage.Since(s.loggedUsage)
-	s.loggedUsage = s.usage
-	if spent == (usage.Counters{}) {
-		return
+// executeAll carries out effects in their order.
+func (l *eventLoop) executeAll(effects []broker.Effect) {
+	for _, effect := range effects {
+		l.execute(effect)
 	}
-	fields := make([]zap.Field, 0, len(usage.FieldNames))
-	for _, name := range usage.FieldNames {
-		count, _ := spent.Count(name) // all field names have one
-		fields = append(fields, zap.Uint64(name, count))
-	}
-	s.log.Info(usage.LogMessage, fields...)
+}
+
+// violated counts and logs that a rule would have been, or was, broken.
+func (l *eventLoop) violated(rule invariant.Rule, fields ...zap.Field) {
+	l.meter.InvariantViolated(rule)
+	logViolation(l.log, rule, fields...)
 }
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -35,8 +35,8 @@
 
 // SetMeter sets who is notified from now on. It is to be called ahead of Run.
 func (s *Server) SetMeter(m Meter) {
-	s.meter = m
-	s.reducer.SetMeter(m)
+	s.loop.meter = m
+	s.loop.reducer.SetMeter(m)
 }
 
 // Inspect calls f on the goroutine that owns the reducer and waits for it; once Run has ended, it calls f
@@ -45,10 +45,10 @@
 	done := make(chan struct{})
 	inspect := func() {
 		engines := s.pool.Stats().Connections
-		f(s.reducer, netconn.ConnectionCounts{Clients: s.frontend.Len(), Engines: engines, Ends: &s.endCounts})
+		f(s.loop.reducer, netconn.ConnectionCounts{Clients: s.frontend.Len(), Engines: engines, Ends: &s.connections.counts})
 		close(done)
 	}
-	inbox := s.inbox
+	inbox := s.loop.inbox
 	for {
 		select {
 		case inbox <- inspect:
--- /dev/null
+++ b/internal/server/rounds.go
@@ -0,0 +1,106 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/server/clock"
+	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/server/standstill"
+)
+
+// runLoop runs the loop until ctx ends or a shutdown, begun by a value on stop, is complete.
+func (s *Server) runLoop(ctx context.Context, stop <-chan struct{}) error {
+	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
+	s.loop.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
+	s.loop.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
+	pacer := standstill.NewPacer(clock.Now())
+	defer pacer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-stop:
+			stop = nil
+			s.beginShutdown()
+		case f := <-s.loop.inbox:
+			s.loop.runInbox(f)
+		case <-pacer.WakeUps():
+		}
+		s.loop.settle()
+		now := clock.Now()
+		s.standstills.LoopTurn(now)
+		s.loop.meter.LoopLag(pacer.Lag(now))
+		if !pacer.Ready(now) {
+			continue
+		}
+		s.round()
+		if s.advanceShutdown() {
+			s.logUsage()
+			return nil
+		}
+		wait := s.untilNextRound()
+		pacer.WakeIn(clock.Now(), wait)
+	}
+}
+
+// round lets time pass in the reducer and does what is due.
+func (s *Server) round() {
+	s.loop.tick()
+	s.pool.CheckConnections()
+	s.loop.settle()
+	s.pool.Sweep()
+	if s.loop.usage.isDue() {
+		s.logUsage()
+	}
+}
+
+// untilNextRound returns how long the loop may wait if nothing happens.
+func (s *Server) untilNextRound() time.Duration {
+	wait := standstill.MaxTurnInterval
+	if deadline, ok := s.loop.reducer.NextDeadline(); ok {
+		wait = min(wait, deadline-clock.Now())
+	}
+	return max(wait, 0)
+}
+
+// logUsage logs what was spent since the line before.
+func (s *Server) logUsage() { s.loop.usage.write(s.endpoints.Polls(), s.pool.Stats()) }
+
+// beginShutdown begins a graceful shutdown.
+func (s *Server) beginShutdown() {
+	s.shutdown = newGracefulShutdown(time.Now(), s.cfg.Settings.Control.Classes)
+	within := s.shutdown.answerWithin
+	s.log.Info("stopping", zap.Int("open", s.loop.reducer.OpenRequests()), zap.Duration("within", within))
+	s.loop.apply(broker.Shutdown{Within: within})
+}
+
+// advanceShutdown takes the steps of a shutdown that are due, and reports whether it is complete.
+func (s *Server) advanceShutdown() (complete bool) {
+	for s.shutdown.requested() {
+		switch s.shutdown.next(time.Now(), shutdownProgress{
+			openRequests: s.loop.reducer.OpenRequests(),
+			clients:      s.frontend.Len(),
+			allRead:      s.frontend.ListenerClosed() && s.frontend.AllRead(),
+		}) {
+		case shutdownWait:
+			return false
+		case shutdownBeginFinalReads:
+			s.frontend.BeginFinalReads()
+		case shutdownCloseSessions:
+			s.closeSessions()
+		case shutdownExit:
+			return true
+		}
+	}
+	return false
+}
+
+// closeSessions ends all clients' connections. The reducer rejects what is read until their readers stop.
+func (s *Server) closeSessions() {
+	s.loop.apply(broker.SendFinalAnswers{})
+	s.frontend.CloseAll(netconn.Shutdown)
+}
--- a/internal/server/scriptedloop_test.go
+++ b/internal/server/scriptedloop_test.go
@@ -11,7 +11,7 @@
 // KeepConnectionsFresh has a running broker take no connection to an engine for dead or idle, nor give one up
 // while it is established, however long the other end or this process stands still.
 func KeepConnectionsFresh(s *Server) {
-	s.inbox <- func() {
+	s.loop.inbox <- func() {
 		poolConfig := s.pool.Config()
 		poolConfig.SilenceThreshold, poolConfig.IdleTimeout, poolConfig.ConnectTimeout = untilFar, untilFar, untilFar
 		s.pool.Reconfigure(poolConfig)
@@ -30,7 +30,7 @@
 func HoldLoop(t *testing.T, s *Server) *HeldLoop {
 	t.Helper()
 	held, h := make(chan struct{}), &HeldLoop{t, s, make(chan struct{})}
-	s.inbox <- func() {
+	s.loop.inbox <- func() {
 		close(held)
 		<-h.released
 	}
@@ -41,7 +41,7 @@
 // WaitForEvents waits until the inbox holds a number of events.
 func (h *HeldLoop) WaitForEvents(count int) {
 	h.t.Helper()
-	waitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.inbox) >= count })
+	waitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.loop.inbox) >= count })
 }
 
 // Release lets the loop go on.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -10,8 +10,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"sync/atomic"
-	"time"
 
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
@@ -24,78 +22,64 @@
 	"wheatlane/internal/server/frontend"
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
-	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/server/netlisten"
 	"wheatlane/internal/server/standstill"
-	"wheatlane/internal/usage"
 )
 
-// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
-const inboxSize = 256
-
 // Server is a running broker.
 type Server struct {
-	cfg       config.Config
-	log       *zap.Logger
-	ctx       context.Context // of Run
-	group     *errgroup.Group // of Run
-	inbox     chan func()     // functions to call in the loop
-	done      chan struct{}   // closed once Run returns
-	frontend  *frontend.Frontend
-	endpoints *endpointwatch.Watcher
-	gossip    *gossiptransport.Transport // nil: engines are not shared with other brokers
-	handover  *handoverstore.Store       // nil: nothing is handed over
-
+	log         *zap.Logger
+	loop        *eventLoop
+	frontend    *frontend.Frontend
+	pool        *enginepool.Pool
+	endpoints   *endpointwatch.Watcher
+	gossip      *gossiptransport.Transport // nil: engines are not shared with other brokers
+	handover    *handoverstore.Store       // nil: nothing is handed over
+	maintenance *maintenanceModes
+	connections *connectionLog
 	standstills standstill.Detector
+	timeouts    longestTimeout // of the classes ever in force
+	scope       runScope
+	done        chan struct{} // closed once Run returns
 
 	// Owned by the loop.
-	reducer             *broker.Broker
-	meter               Meter
-	pendingEvents       []broker.Event // events that effects gave
-	pool                *enginepool.Pool
-	shutdown            shutdownState
-	usage               usage.Counters // what was spent since the start, the counts of the pool and of polls as of the last log line
-	loggedUsage         usage.Counters // costs at the last log line
-	usageLoggedAt       time.Time
+	cfg                 config.Config
+	shutdown            gracefulShutdown
 	restoredMaintenance []string // engines that the previous process had in maintenance mode
+}
 
-	// Used by several goroutines.
-	maxClientTimeoutNS atomic.Int64 // the longest client timeout of all classes ever in force
-	endCounts          netconn.EndCounts
+// runScope is what goroutines of the pool belong to. It is set as Run begins.
+type runScope struct {
+	ctx   context.Context // of Run: connections outlive the events that need them
+	group *errgroup.Group // of Run
 }
 
 // New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
 // setting that can't be used.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
 	budget := newSocketBudget(cfg)
-	settings := cfg.Settings.Control
 	poolConfig := enginePoolConfig(cfg, budget.Engines)
+	settings := cfg.Settings.Control
 	settings.MaxSendDelay = poolConfig.MaxSendDelay()
 	reducer, err := broker.New(settings, cfg.Seed, budget.Sessions)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
+	if log.Core().Enabled(zap.DebugLevel) {
+		reducer.SetTracer(logTransitions(log))
+	}
 	listener, err := netlisten.TCP(ctx, netlisten.Shared(log), cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	s := &Server{
-		cfg: cfg, log: log, reducer: reducer, meter: nopMeter{},
-		inbox: make(chan func(), inboxSize),
-		done:  make(chan struct{}),
-	}
-	s.maxClientTimeoutNS.Store(int64(cfg.Settings.MaxClientTimeout))
-	host := engineHost{s}
-	s.pool = enginepool.New(poolConfig, host, host, host)
-	s.frontend = frontend.New(listener, frontend.Config{
-		MaxConns: budget.Clients, MaxRejected: budget.Rejected, LastSession: broker.Session(cfg.Seed), Log: log,
-		MaxClientTimeout: s.maxClientTimeout, EarliestArrival: s.standstills.EarliestArrival,
-	}, frontendHost{s}, frontendHost{s}, frontendHost{s})
-	s.endpoints = endpointwatch.New(
-		endpointwatch.Config{Addr: cfg.Changelog, Revision: cfg.Known.Revision}, changelogHost{s})
-	if log.Core().Enabled(zap.DebugLevel) {
-		reducer.SetTracer(s.logTransition)
+		cfg: cfg, log: log, done: make(chan struct{}), connections: &connectionLog{log: log},
+		loop: &eventLoop{
+			inbox: make(chan func(), inboxSize), reducer: reducer, meter: nopMeter{}, log: log,
+			usage: &usageLog{log: log},
+		},
 	}
+	s.timeouts.raise(cfg.Settings.MaxClientTimeout)
 	if cfg.Settings.Control.Limits.Gossip {
 		if s.gossip, err = gossiptransport.Listen(ctx, gossiptransport.Config{
 			ListenAddr: cfg.PeerListen, Brokers: cfg.Peers, Log: log,
@@ -108,9 +92,28 @@
 		s.handover = handoverstore.New(handoverstore.Config{Dir: cfg.HandoverPath, Broker: cfg.Name, Log: log})
 		s.restoredMaintenance = s.handover.Restore(ctx)
 	}
+	s.maintenance = &maintenanceModes{loop: s.loop, store: s.handover, log: log}
+	s.connect(listener, budget, poolConfig)
 	return s, nil
 }
 
+// connect creates the parts that need the loop, and has it carry out effects by them.
+func (s *Server) connect(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
+	clients := frontendHost{s.loop, s.connections}
+	s.frontend = frontend.New(listener, frontend.Config{
+		MaxConns: budget.Clients, MaxRejected: budget.Rejected, LastSession: broker.Session(s.cfg.Seed), Log: s.log,
+		MaxClientTimeout: s.timeouts.load, EarliestArrival: s.standstills.EarliestArrival,
+	}, clients, clients, clients)
+	engines := engineHost{s.loop, s.connections, &s.scope}
+	s.pool = enginepool.New(poolConfig, engines, engines, engines)
+	s.endpoints = endpointwatch.New(
+		endpointwatch.Config{Addr: s.cfg.Changelog, Revision: s.cfg.Known.Revision},
+		changelogHost{s.loop, s.connections})
+	s.loop.execute = (&effects{
+		frontend: s.frontend, pool: s.pool, gossip: s.gossip, usage: s.loop.usage, log: s.log,
+	}).execute
+}
+
 // Addr returns where clients connect.
 func (s *Server) Addr() net.Addr { return s.frontend.Addr() }
 
@@ -123,21 +126,21 @@
 	defer close(s.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.group, ctx = errgroup.WithContext(ctx)
-	s.ctx = ctx
-	s.group.Go(func() error { return s.frontend.Serve(ctx) })
-	s.group.Go(func() error { return s.endpoints.Run(ctx) })
+	group, ctx := errgroup.WithContext(ctx)
+	s.scope = runScope{ctx, group}
+	group.Go(func() error { return s.frontend.Serve(ctx) })
+	group.Go(func() error { return s.endpoints.Run(ctx) })
 	if s.handover != nil {
-		s.group.Go(func() error { return s.handover.Run(ctx, handoverHost{s}) })
+		group.Go(func() error { return s.handover.Run(ctx, s.maintenance) })
 	}
 	if s.gossip != nil {
-		s.group.Go(func() error { return s.gossip.Run(ctx, gossipHost{s}) })
+		group.Go(func() error { return s.gossip.Run(ctx, gossipHost{s.loop}) })
 	}
-	s.group.Go(func() error {
+	group.Go(func() error {
 		defer cancel()
-		return s.loop(ctx, stop)
+		return s.runLoop(ctx, stop)
 	})
-	err := s.group.Wait()
+	err := group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -149,49 +152,20 @@
 // restart. The caller has checked that the configuration may replace the one in force.
 func (s *Server) Reload(ctx context.Context, cfg config.Config) {
 	s.endpoints.SetAddr(cfg.Changelog)
-	s.post(ctx, func() { s.applySettings(cfg) })
+	s.loop.post(ctx, func() { s.applySettings(cfg) })
 }
 
 // applySettings does Reload's part in the loop.
 func (s *Server) applySettings(cfg config.Config) {
-	s.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: clock.WallOffset()})
-	s.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
+	s.loop.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: clock.WallOffset()})
+	s.loop.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
 	s.cfg.Settings.Control.Classes = cfg.Settings.Control.Classes
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
 	s.cfg.Settings.MaxClientTimeout = cfg.Settings.MaxClientTimeout
-	s.maxClientTimeoutNS.Store(max(s.maxClientTimeoutNS.Load(), int64(cfg.Settings.MaxClientTimeout)))
+	s.timeouts.raise(cfg.Settings.MaxClientTimeout)
 	poolConfig := s.pool.Config()
-	poolConfig.MaxClientTimeout = s.maxClientTimeout()
+	poolConfig.MaxClientTimeout = s.timeouts.load()
 	s.pool.Reconfigure(poolConfig)
 	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
 		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
 }
-
-// maxClientTimeout returns the longest client timeout that a request can have. It may be called on any
-// goroutine.
-func (s *Server) maxClientTimeout() time.Duration { return time.Duration(s.maxClientTimeoutNS.Load()) }
-
-// post hands f to the loop and reports whether it was taken. It waits while the inbox is full, or until ctx
-// ends.
-func (s *Server) post(ctx context.Context, f func()) bool {
-	select {
-	case s.inbox <- f:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// connectionEnded counts a connection that ended and writes its log line.
-func (s *Server) connectionEnded(side netconn.Side, peer string, openedAt time.Time, err error) {
-	reason := netconn.ReasonOf(err)
-	s.endCounts.Add(side, reason)
-	fields := []zap.Field{
-		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
-		zap.Duration("lasted", time.Since(openedAt)),
-	}
-	if reason == netconn.OtherError || reason == netconn.Malformed || reason == netconn.HTTPStatus || reason == netconn.ConnectFailed {
-		fields = append(fields, zap.Error(err))
-	}
-	s.log.Info("connection ended", fields...)
-}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -3,83 +3,88 @@
 import (
 	"time"
 
-	"go.uber.org/zap"
+	"wheatlane/control"
+)
 
-	"wheatlane/internal/broker"
-	"wheatlane/internal/server/netconn"
+// Times of a planned restart.
+const (
+	shutdownAcceptWindow = time.Second            // requests go on coming after SIGTERM; protocol: up to 0.4 s
+	maxCountedTimeout    = 3 * time.Second        // protocol: longer client timeouts count as this until SIGKILL
+	shutdownExtra        = 700 * time.Millisecond // protocol: and so much more
+	finalAnswerMargin    = 250 * time.Millisecond // ours: what is open is answered so long before SIGKILL
+	finalFlushTimeout    = 200 * time.Millisecond // the final answers leave within it, before SIGKILL
 )
 
-// A graceful shutdown has three steps.
+// shutdownStep is what a graceful shutdown is to do next. Its steps are, in this order:
 //
 //  1. Requests go on coming for a while after SIGTERM and are served as before.
-//  2. The listeners close: connections that the system has accepted are served, the listener closes, and
-//     the socket of each client is read until it is empty once, so that nothing is left in the kernel or
-//     on its way to the reducer.
-//  3. Once all requests are answered and the answers have left, the sessions close: the reader of each stops
-//     first, so that all that was read is answered; then the broker ends its direction of the connection and
-//     waits for the client to end the other, as closing a socket with bytes unread could destroy the last
-//     answers.
+//  2. The final reads: connections that the system has accepted are served, the listener closes, and the socket of each
+//     client is read until it is empty once, so that nothing is left in the kernel or on its way to the reducer.
+//  3. Once all requests are answered and the answers have left, the sessions close: the reader of each stops first, so
+//     that all that was read is answered; then the broker ends its direction of the connection and waits for the
+//     client to end the other, as closing a socket with bytes unread could destroy the last answers.
+type shutdownStep int
 
-// shutdownState is how far a graceful shutdown has come. The goroutine that owns the reducer owns it.
-type shutdownState struct {
-	requestedAt          time.Time     // zero: no shutdown was requested
-	answerWithin         time.Duration // from requestedAt: what is left then gets its final answer
-	acceptWindow         time.Duration // from requestedAt: until then new requests are served
-	closingListeners     bool
-	closingSessionsSince time.Time
-}
+const (
+	shutdownWait            shutdownStep = iota // nothing until the next round
+	shutdownBeginFinalReads                     // once
+	shutdownCloseSessions                       // once
+	shutdownExit                                // all is done, or SIGKILL is near
+)
 
-// beginShutdown begins a graceful shutdown.
-func (s *Server) beginShutdown() {
-	within := s.answerWindow()
-	s.shutdown = shutdownState{
-		requestedAt: time.Now(), answerWithin: within, acceptWindow: min(shutdownAcceptWindow, within),
-	}
-	s.log.Info("stopping", zap.Int("open", s.reducer.OpenRequests()), zap.Duration("within", within))
-	s.apply(broker.Shutdown{Within: within})
+// gracefulShutdown decides the steps of a shutdown. The zero value is that none was requested.
+type gracefulShutdown struct {
+	requestedAt     time.Time
+	answerWithin    time.Duration // from requestedAt: what is left then gets its final answer
+	acceptWindow    time.Duration // from requestedAt: until then new requests are served
+	finalReads      bool          // they have begun
+	closingSessions bool
 }
 
-// answerWindow is how long after SIGTERM the last answers leave, ahead of SIGKILL. That follows from the
-// client timeouts of the classes in force; those from before a reload may have been longer.
-func (s *Server) answerWindow() time.Duration {
+// newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers leave
+// ahead of SIGKILL, which follows from the client timeouts; those from before a reload may have been longer.
+func newGracefulShutdown(requestedAt time.Time, classes []control.Class) gracefulShutdown {
 	longest := time.Duration(0)
-	for _, class := range s.cfg.Settings.Control.Classes {
+	for _, class := range classes {
 		longest = max(longest, class.ClientTimeout)
 	}
 	if longest == 0 || longest > maxCountedTimeout {
 		longest = maxCountedTimeout
 	}
-	return longest + shutdownExtra - finalAnswerMargin
+	within := longest + shutdownExtra - finalAnswerMargin
+	return gracefulShutdown{
+		requestedAt: requestedAt, answerWithin: within, acceptWindow: min(shutdownAcceptWindow, within),
+	}
 }
 
-// shutdownComplete moves a graceful shutdown to its next step where it can, and reports whether it has ended:
-// all requests are answered, and the last answers have left.
-func (s *Server) shutdownComplete() bool {
-	state := &s.shutdown
-	if state.requestedAt.IsZero() {
-		return false
-	}
-	elapsed := time.Since(state.requestedAt)
-	if !state.closingListeners && elapsed >= state.acceptWindow {
-		state.closingListeners = true
-		s.frontend.BeginFinalReads()
-	}
-	open := s.reducer.OpenRequests() > 0
-	if !open && elapsed >= state.answerWithin+finalFlushTimeout {
-		return true // SIGKILL is near
-	}
-	if !state.closingListeners || open || !s.frontend.ListenerClosed() || !s.frontend.AllRead() {
-		return false
-	}
-	if state.closingSessionsSince.IsZero() {
-		state.closingSessionsSince = time.Now()
-		s.closeSessions()
-	}
-	return s.frontend.Len() == 0
+// requested reports whether there is a shutdown.
+func (g *gracefulShutdown) requested() bool { return !g.requestedAt.IsZero() }
+
+// shutdownProgress is what a shutdown decides by.
+type shutdownProgress struct {
+	openRequests int
+	clients      int
+	allRead      bool // the final reads are complete, and all that is addressed to the clients has been sent
 }
 
-// closeSessions ends all clients' connections. The reducer rejects what is read until their readers stop.
-func (s *Server) closeSessions() {
-	s.apply(broker.SendFinalAnswers{})
-	s.frontend.CloseAll(netconn.Shutdown)
+// next returns the next step of a shutdown that was requested. It is called again until it returns shutdownWait or
+// shutdownExit.
+func (g *gracefulShutdown) next(now time.Time, progress shutdownProgress) shutdownStep {
+	elapsed := now.Sub(g.requestedAt)
+	answered := progress.openRequests == 0
+	switch {
+	case !g.finalReads && elapsed >= g.acceptWindow:
+		g.finalReads = true
+		return shutdownBeginFinalReads
+	case answered && elapsed >= g.answerWithin+finalFlushTimeout: // SIGKILL is near
+		return shutdownExit
+	case !g.finalReads || !answered || !progress.allRead:
+		return shutdownWait
+	case !g.closingSessions:
+		g.closingSessions = true
+		return shutdownCloseSessions
+	case progress.clients == 0:
+		return shutdownExit
+	}
+	return shutdownWait
 }
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -31,7 +31,7 @@
 	e := newFakeEngine(t)
 	s := startServer(t, listed("e1", e))
 	hold, held := make(chan struct{}), make(chan struct{})
-	s.server.inbox <- func() { close(held); <-hold }
+	s.server.loop.inbox <- func() { close(held); <-hold }
 	receive(t, held, "the standstill")
 	clients := make([]*testClient, 5)
 	for i := range clients {
