--- a/internal/server/enginepool/dependencies.go
+++ b/internal/server/enginepool/dependencies.go
@@ -32,7 +32,7 @@
 	DrainStarted()
 	// DrainCompleted reports how long after that the last byte left for the engine.
 	DrainCompleted(took time.Duration)
-	// LateWrite reports that an attempt left with a timeout that was too long by then.
+	// LateWrite reports that an attempt left with a timeout that had become too long.
 	LateWrite(engine string)
 	// ConnectionEnded reports the end of a connection, also of one that was never established. It is called on any
 	// goroutine.
--- a/internal/server/enginepool/engineconn.go
+++ b/internal/server/enginepool/engineconn.go
@@ -78,7 +78,7 @@
 }
 
 // neverSentStatus is the status of an attempt that never left on a connection that has ended. A fault of this machine
-// says nothing of the engine.
+// is no evidence against the engine.
 func (c *engineConn) neverSentStatus() control.Status {
 	if c.localFault {
 		return control.NeverSent
--- a/internal/server/enginepool/pool_test.go
+++ b/internal/server/enginepool/pool_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// With no idle connection to evict, an attempt never leaves, which says nothing against its engine.
+// With no idle connection to evict, an attempt never leaves, which is no evidence against its engine.
 func TestNoCapacityForAnotherConnection(t *testing.T) {
 	p := newIdlePool(t)
 	p.start(firstAttempt, "lookup", time.Second)
--- a/internal/server/enginepool/sending.go
+++ b/internal/server/enginepool/sending.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// reportLateWrites reports the attempts that left on a connection with a timeout that was too long by then.
+// reportLateWrites reports the attempts that left on a connection with a timeout that had become too long.
 func (p *Pool) reportLateWrites(conn *engineConn) {
 	for range conn.transport.TakeLateWrites() {
 		p.observer.LateWrite(conn.engine)
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// The timeout that an engine is told is what the client has left as the request leaves, also where it waited for
+// The timeout that an engine is sent is what the client has left as the request leaves, also where it waited for
 // its connection, or behind other bytes, since it was decided on.
 func TestTimeoutOfALateConnection(t *testing.T) {
 	const timeout = 15 * time.Second
@@ -109,8 +109,8 @@
 	open()
 	attempt := e.expectAttempt(t)
 	left := timeout - time.Since(sentAt)
-	if told := toldTimeout(t, attempt); told > left+invariant.TimeoutSlack {
-		t.Errorf("the engine was told %v, %v after the request, which leaves %v", told, time.Since(sentAt), left)
+	if sent := sentTimeout(t, attempt); sent > left+invariant.TimeoutSlack {
+		t.Errorf("the engine was sent %v, %v after the request, which leaves %v", sent, time.Since(sentAt), left)
 	}
 }
 
@@ -126,8 +126,8 @@
 	return strings.Contains(string(table), fmt.Sprintf("0100007F:%04X %s", port, synSent))
 }
 
-// toldTimeout is the timeout in an attempt's message.
-func toldTimeout(t *testing.T, attempt engineMessage) time.Duration {
+// sentTimeout returns the timeout in an attempt's message.
+func sentTimeout(t *testing.T, attempt engineMessage) time.Duration {
 	t.Helper()
 	_, rest, found := strings.Cut(attempt.fields(), "patience=")
 	text, _, _ := strings.Cut(rest, ",")
--- a/internal/server/netconn/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -35,7 +35,7 @@
 type queuedWrite struct {
 	start, end int64
 	queuedAt   time.Time
-	expiresAt  time.Time // what it says is out of date from then on; zero: never
+	expiresAt  time.Time // its content is out of date from then on; zero: never
 	withdrawn  bool
 }
 
--- a/internal/server/standstill_test.go
+++ b/internal/server/standstill_test.go
@@ -23,14 +23,14 @@
 	})
 	c.send(append(queryPacket(statement("lookup", 1, longTimeout, "")), queryPacket(statement("lookup", 2, longTimeout, ""))...))
 	first := e.expectAttempt(t)
-	deadline := inLoop(s, func(server *Server) time.Duration { return clock.Now() + toldTimeout(t, first) })
+	deadline := inLoop(s, func(server *Server) time.Duration { return clock.Now() + sentTimeout(t, first) })
 	if limit := since + longTimeout + time.Second; deadline > limit {
 		t.Errorf("the first request has until %v after its limit", deadline-limit)
 	}
 	first.replyOK()
 	second := e.expectAttempt(t)
-	if told := toldTimeout(t, second); told < longTimeout-stoodStill {
-		t.Errorf("the second request has %v only", told)
+	if sent := sentTimeout(t, second); sent < longTimeout-stoodStill {
+		t.Errorf("the second request has %v only", sent)
 	}
 	second.replyOK()
 	c.expect("rows ", "rows ")
