--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -43,7 +43,7 @@
 
 // Demand is the demand at this broker.
 type Demand struct {
-	ArrivalRate  float64             // requests a second
+	ArrivalRate  units.PerSecond     // of requests
 	MeanWork     units.ThreadSeconds // of a request
 	HeaviestWork units.ThreadSeconds // of the class with the most work
 	TrafficShare units.Fraction      // of the fleet's traffic
@@ -115,7 +115,7 @@
 	budget := p.FleetBudget(engine, now) * turnBudget
 	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
 	// used is what an engine is sent by one broker within a window.
-	used := demand.ArrivalRate * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
+	used := float64(demand.ArrivalRate) * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
 		float64(demand.ReadyEngines)
 	lightRequests := lightShare * float64(budget) / used
 	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
@@ -129,9 +129,9 @@
 	return (p.config.BrokerIndex+brokers-first%brokers)%brokers < turn.brokers
 }
 
-// FleetWeight is by how much more a broker whose turn it is has to choose an engine, so that the fleet uses
-// the engine by its capacity.
-func (p Policy) FleetWeight(engine Engine, demand Demand, now time.Duration) float64 {
+// FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
+// uses the engine by its capacity.
+func (p Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
 	turn := p.turn(engine, demand, now)
-	return float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers)
+	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers))
 }
