--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -84,7 +84,7 @@
 	return Interval{
 		Regular: true, Objective: time.Second, Wait: 0.2,
 		Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
-		RequestThreads: 1, RequestMB: 100, MinThreads: 1,
+		RequestThreads: 1, RequestMemoryMB: 100, MinThreads: 1,
 	}
 }
 
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -112,18 +112,18 @@
 
 // Interval is what a limiter decides its next limit by.
 type Interval struct {
-	Regular        bool           // it was as long as planned, so the model may be fitted to it
-	Objective      time.Duration  // latency objective of the tightest class
-	Wait           units.Seconds  // mean wait of its requests, which the objective has to leave time for
-	Cores          float64        // of the engine, or of the whole pool
-	MemoryMB       float64        // likewise; infinite if not known
-	Share          units.Fraction // this broker's share of them
-	RequestThreads float64        // mean threads of a request in service
-	RequestMB      float64        // its mean memory; 0: not known
-	MinThreads     int            // smallest limit; 0: none
-	UnderPressure  bool           // the engine has more to do than it keeps up with
-	Load           units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
-	Slowdown       units.LogRatio // of its answers and of what is in flight
+	Regular         bool           // it was as long as planned, so the model may be fitted to it
+	Objective       time.Duration  // latency objective of the tightest class
+	Wait            units.Seconds  // mean wait of its requests, which the objective has to leave time for
+	Cores           float64        // of the engine, or of the whole pool
+	MemoryMB        float64        // likewise; infinite if not known
+	Share           units.Fraction // this broker's share of them
+	RequestThreads  float64        // mean threads of a request in service
+	RequestMemoryMB float64        // its mean memory; 0: not known
+	MinThreads      int            // smallest limit; 0: none
+	UnderPressure   bool           // the engine has more to do than it keeps up with
+	Load            units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
+	Slowdown        units.LogRatio // of its answers and of what is in flight
 }
 
 // CloseInterval sets the limit of the next interval.
@@ -139,8 +139,8 @@
 	l.updateBackoff(in)
 	share, factor := float64(in.Share), float64(l.backoffFactor)
 	l.threads = l.model.Input()[0] * in.Cores * share * factor
-	if in.RequestMB > 0 { // no more threads than there is memory for
-		l.threads = min(l.threads, in.MemoryMB*share*factor/in.RequestMB*in.RequestThreads)
+	if in.RequestMemoryMB > 0 { // no more threads than there is memory for
+		l.threads = min(l.threads, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
 	}
 	l.threads = max(l.threads, float64(in.MinThreads))
 }
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Where engines
-// report their load but not the work of answers, reports say more than noisy times.
+// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Slowdowns do not
+// count where only load is reported: without the work of answers they are less precise than the load.
 func (c *Controller) underPressure(e *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
 	return c.pressure.UnderPressure(concurrency.Signals{
--- a/control/interval.go
+++ b/control/interval.go
@@ -13,7 +13,8 @@
 	maxRegularInterval = controlInterval * 3 / 2 // a stall made a longer one irregular
 )
 
-// runInterval runs once an interval: measurements go to the regulators, whose targets the optimizer sets.
+// runInterval runs once a control interval: it updates the estimates of the workload, and moves the classes'
+// shares and the concurrency limits by them.
 func (c *Controller) runInterval(elapsed time.Duration) {
 	c.updateFleet()
 	c.slowdowns.UpdateBest(c.endpoints.healthySlowdowns())
@@ -27,7 +28,8 @@
 	c.moveLimits(regular)
 }
 
-// moveLimits moves the concurrency limits toward a service time that leaves the tightest class time to wait.
+// moveLimits moves the concurrency limits. Where engines are not pooled this broker may use an equal share of
+// them, and send each one request of the widest class, however little traffic it has.
 func (c *Controller) moveLimits(regular bool) {
 	tightest := c.classes.tightest
 	demand := c.workload.MeanDemand()
@@ -39,7 +41,7 @@
 		e.concurrency.CloseInterval(concurrency.Interval{
 			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
 			Cores: e.cores, MemoryMB: e.memoryMB, Share: share, MinThreads: minThreads,
-			RequestThreads: demand.Threads, RequestMB: demand.MemoryMB,
+			RequestThreads: demand.Threads, RequestMemoryMB: demand.MemoryMB,
 			UnderPressure: c.underPressure(e), Load: e.load.Load(), Slowdown: c.slowdown(e),
 		})
 	}
