--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Slowdowns do not
+// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Slowdowns don't
 // count where only load is reported: without the work of answers they are less precise than the load.
 func (c *Controller) underPressure(e *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
