--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -10,11 +10,11 @@
 
 // The commands that are understood.
 const (
-	Quit   Command = 1
-	InitDB Command = 2
-	Query  Command = 3
-	Ping   Command = 14
-	Reset  Command = 31
+	ComQuit            Command = 1
+	ComInitDB          Command = 2
+	ComQuery           Command = 3
+	ComPing            Command = 14
+	ComResetConnection Command = 31
 )
 
 // The words of a KILL statement.
@@ -24,17 +24,25 @@
 	killQuery      = "QUERY"
 )
 
-// ParseKill reads KILL QUERY n or KILL [CONNECTION] n; connection is true where the connection is to end, not
-// just its query, and ok is false for any other statement.
-func ParseKill(text string) (id uint32, connection, ok bool) {
+// Kill is a KILL statement.
+type Kill struct {
+	ConnectionID    uint32
+	CloseConnection bool // else only the query that it runs is to end
+}
+
+// ParseKill reads KILL QUERY n or KILL [CONNECTION] n. It returns false for any other statement.
+func ParseKill(text string) (kill Kill, ok bool) {
 	words := strings.Fields(strings.TrimSuffix(strings.TrimSpace(text), ";"))
 	if len(words) < 2 || len(words) > 3 || !strings.EqualFold(words[0], killWord) {
-		return 0, false, false
+		return Kill{}, false
+	}
+	closeConnection := len(words) == 2 || strings.EqualFold(words[1], killConnection)
+	if !closeConnection && !strings.EqualFold(words[1], killQuery) {
+		return Kill{}, false
 	}
-	connection = len(words) == 2 || strings.EqualFold(words[1], killConnection)
-	if !connection && !strings.EqualFold(words[1], killQuery) {
-		return 0, false, false
+	id, err := strconv.ParseUint(words[len(words)-1], 10, 32)
+	if err != nil {
+		return Kill{}, false
 	}
-	n, err := strconv.ParseUint(words[len(words)-1], 10, 32)
-	return uint32(n), connection, err == nil
+	return Kill{uint32(id), closeConnection}, true
 }
--- a/internal/mysql/dataset.go
+++ b/internal/mysql/dataset.go
@@ -8,9 +8,8 @@
 // stagingSchema is a schema that belongs to no data set.
 const stagingSchema = "staging"
 
-// dataSet finds the number in the name of the schema that a statement reads or writes; 0 without one. Table
-// references, which stand behind certain words, go before other qualified names, which may be those of
-// columns.
+// dataSet returns the number in the name of the schema that a statement reads or writes; 0 without one. A table
+// reference, which follows certain words, takes precedence over other qualified names, which may be those of columns.
 func dataSet(text string) int {
 	other := 0
 	l := lexer{text: text}
@@ -50,7 +49,7 @@
 	return before
 }
 
-// schemaNumber is the number at the end of a schema's name, behind an underscore.
+// schemaNumber returns the number at the end of a schema's name, behind an underscore.
 func schemaNumber(name string) (int, bool) {
 	name = strings.Trim(name, "`")
 	i := strings.LastIndexByte(name, '_')
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -8,20 +8,21 @@
 
 // Capability flags of the protocol.
 const (
-	longPassword     = 1
-	connectWithDB    = 1 << 3
-	protocol41       = 1 << 9
-	useTLS           = 1 << 11
-	transactions     = 1 << 13
-	secureConnection = 1 << 15
-	pluginAuth       = 1 << 19
-	pluginAuthLenenc = 1 << 21
+	clientLongPassword         = 1
+	clientConnectWithDB        = 1 << 3
+	clientProtocol41           = 1 << 9
+	clientSSL                  = 1 << 11
+	clientTransactions         = 1 << 13
+	clientSecureConnection     = 1 << 15
+	clientPluginAuth           = 1 << 19
+	clientPluginAuthLenencData = 1 << 21
 
 	// capabilities are those that the greeting announces.
-	capabilities = longPassword | connectWithDB | protocol41 | transactions | secureConnection | pluginAuth
+	capabilities = clientLongPassword | clientConnectWithDB | clientProtocol41 | clientTransactions |
+		clientSecureConnection | clientPluginAuth
 )
 
-// What the greeting says of the server.
+// The parts of the greeting.
 const (
 	protocolVersion = 10
 	serverVersion   = "8.0.0-wheatlane"
@@ -29,14 +30,15 @@
 	autocommit      = 2 // status flag
 	authPlugin      = "mysql_native_password"
 
-	saltLen         = 20
-	firstSaltLen    = 8 // the rest of the salt stands further back
+	// SaltLen is the length of the salt of a greeting, in bytes.
+	SaltLen         = 20
+	firstSaltLen    = 8 // the rest of the salt follows further back
 	greetingPadding = 10
 )
 
 // AppendGreeting adds the greeting, which is the first packet of a connection. The salt must not hold zero
 // bytes.
-func AppendGreeting(dst []byte, connectionID uint32, salt [saltLen]byte) []byte {
+func AppendGreeting(dst []byte, connectionID uint32, salt [SaltLen]byte) []byte {
 	dst, start := beginPacket(dst)
 	dst = append(dst, protocolVersion)
 	dst = appendZeroTerminated(dst, serverVersion)
@@ -46,7 +48,7 @@
 	dst = append(dst, charsetUTF8MB4)
 	dst = binary.LittleEndian.AppendUint16(dst, autocommit)
 	dst = binary.LittleEndian.AppendUint16(dst, capabilities>>16)
-	dst = append(dst, saltLen+1) // with the zero byte at its end
+	dst = append(dst, SaltLen+1) // with the zero byte at its end
 	dst = append(dst, make([]byte, greetingPadding)...)
 	dst = appendZeroTerminated(dst, string(salt[firstSaltLen:]))
 	dst = appendZeroTerminated(dst, authPlugin)
@@ -55,10 +57,10 @@
 
 func appendZeroTerminated(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
 
-// Login is what a client's answer to the greeting holds.
+// Login is a client's response to the greeting.
 type Login struct {
 	User, Database string
-	Password       bool // it sent proof of a password
+	HasPassword    bool // it sent proof of a password
 }
 
 const (
@@ -66,13 +68,13 @@
 	maxProofLen    = 250
 )
 
-// ParseLogin reads the answer to the greeting. Its error is ErrHandshake, with what is at fault.
+// ParseLogin reads the response to the greeting. Its error is ErrHandshake, with the part at fault.
 func ParseLogin(payload []byte) (Login, error) {
 	if len(payload) < loginHeaderLen {
 		return Login{}, fmt.Errorf("%w: %d bytes", ErrHandshake, len(payload))
 	}
 	flags := binary.LittleEndian.Uint32(payload)
-	if flags&protocol41 == 0 || flags&useTLS != 0 {
+	if flags&clientProtocol41 == 0 || flags&clientSSL != 0 {
 		return Login{}, fmt.Errorf("%w: protocol 4.1 without TLS is spoken here", ErrHandshake)
 	}
 	user, rest, ok := bytes.Cut(payload[loginHeaderLen:], []byte{0})
@@ -83,8 +85,8 @@
 	if !ok {
 		return Login{User: string(user)}, fmt.Errorf("%w: password", ErrHandshake)
 	}
-	login := Login{User: string(user), Password: len(proof) > 0}
-	if flags&connectWithDB != 0 {
+	login := Login{User: string(user), HasPassword: len(proof) > 0}
+	if flags&clientConnectWithDB != 0 {
 		database, _, _ := bytes.Cut(rest, []byte{0})
 		login.Database = string(database)
 	}
@@ -93,7 +95,7 @@
 
 // cutProof splits the proof of a password from what follows it.
 func cutProof(b []byte, flags uint32) (proof, rest []byte, ok bool) {
-	if flags&(pluginAuthLenenc|secureConnection) == 0 {
+	if flags&(clientPluginAuthLenencData|clientSecureConnection) == 0 {
 		return bytes.Cut(b, []byte{0})
 	}
 	// A length of one byte; there are no proofs long enough for more.
--- a/internal/mysql/handshake_test.go
+++ b/internal/mysql/handshake_test.go
@@ -14,29 +14,29 @@
 }
 
 func TestParseLogin(t *testing.T) {
-	const pluginFlags = protocol41 | pluginAuth | pluginAuthLenenc | connectWithDB
+	const pluginFlags = clientProtocol41 | clientPluginAuth | clientPluginAuthLenencData | clientConnectWithDB
 	for name, c := range map[string]struct {
 		payload []byte
 		want    Login
 		err     error
 	}{
 		"with database": {
-			loginPayload(protocol41|secureConnection|connectWithDB, "app\x00\x00main\x00"),
+			loginPayload(clientProtocol41|clientSecureConnection|clientConnectWithDB, "app\x00\x00main\x00"),
 			Login{"app", "main", false},
 			nil,
 		},
-		"without": {loginPayload(protocol41|secureConnection, "app\x00\x00"), Login{User: "app"}, nil},
+		"without": {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x00"), Login{User: "app"}, nil},
 		"with plugin": {
 			loginPayload(pluginFlags, "app\x00\x00main\x00x\x00"), Login{"app", "main", false}, nil,
 		},
-		"old password": {loginPayload(protocol41, "app\x00pw\x00"), Login{"app", "", true}, nil},
+		"old password": {loginPayload(clientProtocol41, "app\x00pw\x00"), Login{"app", "", true}, nil},
 		"password": {
-			loginPayload(protocol41|secureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil,
+			loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil,
 		},
-		"cut password":     {loginPayload(protocol41|secureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
-		"user without end": {loginPayload(protocol41, "app"), Login{}, ErrHandshake},
+		"cut password":     {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
+		"user without end": {loginPayload(clientProtocol41, "app"), Login{}, ErrHandshake},
 		"old protocol":     {loginPayload(0, "app\x00\x00"), Login{}, ErrHandshake},
-		"TLS":              {loginPayload(protocol41|useTLS, ""), Login{}, ErrHandshake},
+		"TLS":              {loginPayload(clientProtocol41|clientSSL, ""), Login{}, ErrHandshake},
 		"short":            {[]byte("x"), Login{}, ErrHandshake},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/mysql/lexer.go
+++ b/internal/mysql/lexer.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// lexer splits a statement into words, marks and quoted names, without strings and comments.
+// lexer splits a statement into words, punctuation and quoted names; it skips strings and comments.
 type lexer struct {
 	text string
 	pos  int // index in text of the next byte to read
@@ -13,7 +13,7 @@
 	for l.pos < len(l.text) {
 		start, rest := l.pos, l.text[l.pos:]
 		switch c := rest[0]; {
-		case strings.IndexByte(space, c) >= 0:
+		case strings.IndexByte(whitespace, c) >= 0:
 			l.pos++
 		case c == '\'' || c == '"':
 			l.skipString(c)
@@ -63,10 +63,10 @@
 // skipQuotedName passes over a name with its backquotes, in which a backslash is a byte like others.
 func (l *lexer) skipQuotedName() { l.skipPast(1, "`") }
 
-// skipPast moves behind the next mark that begins skip bytes from here or later, or to the end without one.
-func (l *lexer) skipPast(skip int, mark string) {
-	if i := strings.Index(l.text[l.pos+skip:], mark); i >= 0 {
-		l.pos += skip + i + len(mark)
+// skipPast moves behind the next delimiter that begins skip bytes from here or later, or to the end without one.
+func (l *lexer) skipPast(skip int, delimiter string) {
+	if i := strings.Index(l.text[l.pos+skip:], delimiter); i >= 0 {
+		l.pos += skip + i + len(delimiter)
 	} else {
 		l.pos = len(l.text)
 	}
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -1,5 +1,5 @@
 // Package mysql is the server's side of the MySQL client protocol 4.1, as far as the clients of a broker
-// speak it: packets, greeting, login, commands, statements with their fields, and answers. It works on bytes
+// speak it: packets, greeting, login, commands, statements with their fields, and responses. It works on bytes
 // and does no I/O.
 package mysql
 
@@ -20,24 +20,31 @@
 	HeaderLen = 4
 )
 
-// ParsePacket reads a packet from the front of b. The payload points into b; n is the number of bytes that
+// Packet is one packet of a client.
+type Packet struct {
+	Sequence byte
+	Payload  []byte
+}
+
+// ParsePacket reads a packet from the front of b. Its payload points into b; n is the number of bytes that
 // the packet takes, 0 while it is incomplete. A packet over the limit gives ErrTooLarge as soon as its header
 // is there, so that it never grows a buffer.
-func ParsePacket(b []byte) (seq byte, payload []byte, n int, err error) {
+func ParsePacket(b []byte) (packet Packet, n int, err error) {
 	if len(b) < HeaderLen {
-		return 0, nil, 0, nil
+		return Packet{}, 0, nil
 	}
 	size := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
 	if size > MaxPacket {
-		return 0, nil, 0, ErrTooLarge
+		return Packet{}, 0, ErrTooLarge
 	}
-	if len(b) < HeaderLen+size {
-		return 0, nil, 0, nil
+	end := HeaderLen + size
+	if len(b) < end {
+		return Packet{}, 0, nil
 	}
-	return b[3], b[HeaderLen : HeaderLen+size], HeaderLen + size, nil
+	return Packet{Sequence: b[3], Payload: b[HeaderLen:end]}, end, nil
 }
 
-// beginPacket leaves space for a header; endPacket fills it in once the payload stands behind it.
+// beginPacket leaves space for a header; endPacket fills it in once the payload has been appended.
 func beginPacket(dst []byte) (begun []byte, start int) { return append(dst, 0, 0, 0, 0), len(dst) }
 
 func endPacket(dst []byte, start int, seq byte) []byte {
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -8,18 +8,18 @@
 // However the input is split, the packets are the same, and a packet too large is seen from its header.
 func TestPacketsSplitAnywhere(t *testing.T) {
 	first := AppendOK(nil, 7)
-	input := AppendError(first, 1, CodeUserLimit, "no room; cooldown=250")
+	input := AppendError(first, 1, CodeUserLimitReached, "no room; cooldown=250")
 	for cut := range input {
 		n := completePackets(t, input[:cut])
 		rest := input[n:]
 		if n > 0 {
 			rest = input[len(first):]
 		}
-		if seq, _, size, err := ParsePacket(rest); err != nil || size == 0 || n > 0 && seq != 1 {
-			t.Fatalf("cut at %d: seq %d, %d bytes, %v", cut, seq, size, err)
+		if packet, size, err := ParsePacket(rest); err != nil || size == 0 || n > 0 && packet.Sequence != 1 {
+			t.Fatalf("cut at %d: sequence %d, %d bytes, %v", cut, packet.Sequence, size, err)
 		}
 	}
-	if _, _, _, err := ParsePacket([]byte{1, 0, 1, 0}); !errors.Is(err, ErrTooLarge) {
+	if _, _, err := ParsePacket([]byte{1, 0, 1, 0}); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("got %v for a packet of 65,537 bytes", err)
 	}
 }
@@ -29,7 +29,7 @@
 	t.Helper()
 	n := 0
 	for {
-		_, _, size, err := ParsePacket(b[n:])
+		_, size, err := ParsePacket(b[n:])
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/mysql/response.go
+++ b/internal/mysql/response.go
@@ -6,41 +6,45 @@
 	"strconv"
 )
 
-// Codes of errors, as MySQL numbers them.
+// ErrorCode is the number of an error.
+type ErrorCode uint16
+
+// The codes of errors that clients are sent.
 const (
-	CodeConnections  = 1040 // too many connections
-	CodeHandshake    = 1043
-	CodeAccessDenied = 1045
-	CodeCommand      = 1047 // unknown command
-	CodeUnknownDB    = 1049
-	CodeShutdown     = 1053 // server shutdown in progress
-	CodeNoThread     = 1094 // unknown thread id
-	CodeUnknown      = 1105
-	CodeTooLarge     = 1153
-	CodeSequence     = 1156
-	CodeArguments    = 1210 // incorrect arguments
-	CodeUserLimit    = 1226 // a user has exceeded a resource
-	CodeInterrupted  = 1317
-	CodeMalformed    = 1835
+	CodeTooManyConnections ErrorCode = 1040
+	CodeHandshakeError     ErrorCode = 1043
+	CodeAccessDenied       ErrorCode = 1045
+	CodeUnknownCommand     ErrorCode = 1047
+	CodeUnknownDatabase    ErrorCode = 1049
+	CodeServerShutdown     ErrorCode = 1053
+	CodeNoSuchThread       ErrorCode = 1094
+	CodeUnknownError       ErrorCode = 1105
+	CodePacketTooLarge     ErrorCode = 1153
+	CodePacketsOutOfOrder  ErrorCode = 1156
+	CodeWrongArguments     ErrorCode = 1210
+	CodeUserLimitReached   ErrorCode = 1226
+	CodeQueryInterrupted   ErrorCode = 1317
+	CodeMalformedPacket    ErrorCode = 1835
 )
 
 // generalSQLState is the SQL state of the codes without one of their own.
 const generalSQLState = "HY000"
 
-var sqlStates = map[int]string{
-	CodeConnections:  "08004",
-	CodeHandshake:    "08S01",
-	CodeAccessDenied: "28000",
-	CodeCommand:      "08S01",
-	CodeUnknownDB:    "42000",
-	CodeShutdown:     "08S01",
-	CodeTooLarge:     "08S01",
-	CodeSequence:     "08S01",
-	CodeUserLimit:    "42000",
-	CodeInterrupted:  "70100",
+// sqlStates are the SQL states of the other codes.
+var sqlStates = map[ErrorCode]string{
+	CodeTooManyConnections: "08004",
+	CodeHandshakeError:     "08S01",
+	CodeAccessDenied:       "28000",
+	CodeUnknownCommand:     "08S01",
+	CodeUnknownDatabase:    "42000",
+	CodeServerShutdown:     "08S01",
+	CodePacketTooLarge:     "08S01",
+	CodePacketsOutOfOrder:  "08S01",
+	CodeUserLimitReached:   "42000",
+	CodeQueryInterrupted:   "70100",
 }
 
-// The first bytes of answers, and of their parts.
+// The first bytes of responses, and of their parts.
 const (
 	okHeader     = 0x00
 	eofHeader    = 0xfe
@@ -49,7 +53,7 @@
 )
 
 // AppendError adds an ERR packet with the code's SQL state and a text for the client.
-func AppendError(dst []byte, seq byte, code int, text string) []byte {
+func AppendError(dst []byte, seq byte, code ErrorCode, text string) []byte {
 	state, ok := sqlStates[code]
 	if !ok {
 		state = generalSQLState
@@ -80,7 +84,7 @@
 // Columns is the number of columns of every result.
 const Columns = 3
 
-// What a column's definition says.
+// The parts of a column's definition, and of a row of a page.
 const (
 	columnCatalog    = "def"
 	columnSchema     = "main"
--- a/internal/mysql/response_test.go
+++ b/internal/mysql/response_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestAppendError(t *testing.T) {
-	got := payloads(t, AppendError(nil, 1, CodeUserLimit, "no room; cooldown=250"))
+	got := payloads(t, AppendError(nil, 1, CodeUserLimitReached, "no room; cooldown=250"))
 	if want := "\xff\xca\x04#42000no room; cooldown=250"; string(got[0]) != want {
 		t.Fatalf("got %q, want %q", got[0], want)
 	}
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -6,21 +6,22 @@
 	"math"
 	"strconv"
 	"strings"
+	"time"
 )
 
 // Statement is a COM_QUERY with the fields of its comment read.
 type Statement struct {
 	Class             string
-	RequestID         string  // 16 hex digits
-	TimeoutMS         int64   // how long the client waits for the answer, counted from when it sent the request
-	Tenant            string  // empty: none
-	IdempotencyKey    string  // empty: none
-	OrderKey          string  // 16 hex digits; empty: none
-	EstimatedWorkMS   float64 // 0: not estimated
-	EstimatedMemoryMB float64 // 0: not estimated
-	IsRetry           bool    // marked as a client's retry
-	DataSet           int     // number of the data set that it reads or writes; 0: none
-	Text              string  // the statement without the comment
+	RequestID         string        // 16 hex digits
+	Timeout           time.Duration // how long the client waits for the answer, from when it sent the request
+	Tenant            string        // empty: none
+	IdempotencyKey    string        // empty: none
+	OrderKey          string        // 16 hex digits; empty: none
+	EstimatedWork     time.Duration // 0: not estimated
+	EstimatedMemoryMB float64       // 0: not estimated
+	IsRetry           bool          // marked as a client's retry
+	DataSet           int           // number of the data set that it reads or writes; 0: none
+	Text              string        // the statement without the comment
 }
 
 // FieldError names a field that can't be used, in words for the client.
@@ -44,14 +45,14 @@
 )
 
 const (
-	maxTimeoutMS      = 24 * 60 * 60 * 1000 // a day: no client can mean a longer wait
-	maxIdempotencyKey = 64                  // bytes
-	keyDigits         = 16                  // hex digits of a request id or an order key
-	maxEstimate       = 1e9                 // of work in milliseconds or memory in MB
-	maxQuotedBytes    = 40                  // of what a client sent, in the error that answers it
+	maxTimeout        = 24 * time.Hour // no client can mean a longer wait
+	maxIdempotencyKey = 64             // bytes
+	keyDigits         = 16             // hex digits of a request id or an order key
+	maxEstimate       = 1e9            // of work in milliseconds or memory in MB
+	maxQuotedBytes    = 40             // of what a client sent, in the error that answers it
 )
 
-// The faults of a field's value. A client is told only which value can't be used.
+// The faults of a field's value. The error for the client says only which value can't be used.
 var (
 	errOutOfRange = errors.New("out of range")
 	errCharacter  = errors.New("character that can't stand in a key")
@@ -59,19 +60,19 @@
 	errNoHex      = errors.New("not hex digits")
 )
 
-// space is what may stand ahead of a comment and between it and the statement.
-const space = " \t\r\n"
+// whitespace may precede a comment, and separate it from the statement.
+const whitespace = " \t\r\n"
 
-// ParseStatement reads the comment of fields ahead of a statement, and the statement. Unknown fields are
-// passed over; the error is a *FieldError.
+// ParseStatement reads the comment with the fields of a request, and the statement behind it. Unknown fields are
+// ignored; the error is a *FieldError.
 func ParseStatement(text string) (Statement, error) {
 	var s Statement
-	rest, opened := strings.CutPrefix(strings.TrimLeft(text, space), "/*")
+	rest, opened := strings.CutPrefix(strings.TrimLeft(text, whitespace), "/*")
 	fields, body, closed := strings.Cut(rest, "*/")
 	if !opened || !closed {
 		return s, &FieldError{fieldClass, "no comment with fields stands ahead of the statement"}
 	}
-	s.Text = strings.TrimLeft(body, space)
+	s.Text = strings.TrimLeft(body, whitespace)
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
@@ -96,7 +97,7 @@
 	case fieldRequestID:
 		s.RequestID, err = parseHexKey(value)
 	case fieldTimeout:
-		s.TimeoutMS, err = parseTimeout(value)
+		s.Timeout, err = parseTimeout(value)
 	case fieldTenant:
 		s.Tenant = value
 	case fieldIsRetry:
@@ -106,7 +107,7 @@
 	case fieldOrderKey:
 		s.OrderKey, err = parseHexKey(value)
 	case fieldEstimatedWork:
-		s.EstimatedWorkMS, err = parseEstimate(value)
+		s.EstimatedWork, err = parseWork(value)
 	case fieldEstimatedMemory:
 		s.EstimatedMemoryMB, err = parseEstimate(value)
 	}
@@ -120,7 +121,7 @@
 		return &FieldError{fieldClass, "is missing"}
 	case s.RequestID == "":
 		return &FieldError{fieldRequestID, "is missing"}
-	case s.TimeoutMS == 0:
+	case s.Timeout == 0:
 		return &FieldError{fieldTimeout, "is missing"}
 	case s.Text == "":
 		return &FieldError{fieldClass, "no statement follows the fields"}
@@ -131,12 +132,19 @@
 // clip shortens what a client sent for the error that answers it.
 func clip(s string) string { return s[:min(len(s), maxQuotedBytes)] }
 
-func parseTimeout(s string) (ms int64, err error) {
-	ms, err = strconv.ParseInt(s, 10, 64)
-	if err == nil && (ms <= 0 || ms > maxTimeoutMS) {
+// parseTimeout reads a number of milliseconds.
+func parseTimeout(s string) (time.Duration, error) {
+	ms, err := strconv.ParseInt(s, 10, 64)
+	if err == nil && (ms <= 0 || ms > maxTimeout.Milliseconds()) {
 		err = errOutOfRange
 	}
-	return ms, err
+	return time.Duration(ms) * time.Millisecond, err
+}
+
+// parseWork reads a number of milliseconds and fractions of them.
+func parseWork(s string) (time.Duration, error) {
+	ms, err := parseEstimate(s)
+	return time.Duration(ms * float64(time.Millisecond)), err
 }
 
 func parseEstimate(s string) (float64, error) {
@@ -147,8 +155,7 @@
 	return v, err
 }
 
-// parseIdempotencyKey accepts only what can stand in a field of an engine's request without changing its
-// meaning.
+// parseIdempotencyKey accepts only characters that need no quoting in a field of an engine's request.
 func parseIdempotencyKey(s string) (string, error) {
 	for _, c := range []byte(s) {
 		if !isWordByte(c) && c != '-' || c >= 0x80 {
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -19,15 +20,15 @@
 			text: "/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1," +
 				"replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ INSERT INTO sales_17.orders VALUES (1)",
 			want: Statement{
-				Class: "load", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Tenant: "acme",
+				Class: "load", RequestID: "9b1f03aa5c7e2d41", Timeout: 1500 * time.Millisecond, Tenant: "acme",
 				IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", OrderKey: "7f3a9c21e0b4d655",
-				EstimatedWorkMS: 820.5, EstimatedMemoryMB: 96, IsRetry: true, DataSet: 17,
+				EstimatedWork: 820_500 * time.Microsecond, EstimatedMemoryMB: 96, IsRetry: true, DataSet: 17,
 				Text: "INSERT INTO sales_17.orders VALUES (1)",
 			},
 		},
 		"unknown fields": {
 			text: requiredFields + ",new=1*/\n SELECT 1",
-			want: Statement{Class: "report", RequestID: "9b1f03aa5c7e2d41", TimeoutMS: 1500, Text: "SELECT 1"},
+			want: Statement{Class: "report", RequestID: "9b1f03aa5c7e2d41", Timeout: 1500 * time.Millisecond, Text: "SELECT 1"},
 		},
 		"no comment":   {text: "SELECT 1", faultyName: "service"},
 		"open comment": {text: requiredFields + " SELECT 1", faultyName: "service"},
@@ -65,10 +66,10 @@
 	f.Add([]byte(requiredFields + " */ SELECT 1 FROM s_1.t"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		// Only whether they return is tested here, not what.
-		_, _, _, _ = ParsePacket(b)
+		_, _, _ = ParsePacket(b)
 		_, _ = ParseLogin(b)
 		_, _ = ParseStatement(string(b))
-		_, _, _ = ParseKill(string(b))
+		_, _ = ParseKill(string(b))
 		_ = dataSet(string(b))
 	})
 }
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	answer, err := io.ReadAll(far)
-	if want := mysql.AppendError(nil, 0, mysql.CodeConnections, "too many connections"); err != nil || !bytes.Equal(answer, want) {
+	if want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections"); err != nil || !bytes.Equal(answer, want) {
 		t.Errorf("answered %q, want %q; ended with %v", answer, want, err)
 	}
 	receive(t, ended, "the end of the connection")
--- a/internal/server/frontend/client.go
+++ b/internal/server/frontend/client.go
@@ -131,9 +131,9 @@
 	// The process may have stood still between the read and the question.
 	newest := min(c.lastReadAt, clock.Now()-c.frontend.sinceReceived(c.conn.Socket()))
 	for {
-		seq, payload, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
+		packet, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
 		if err != nil {
-			return c.failProtocol(ctx, 1, mysql.CodeTooLarge, err)
+			return c.failProtocol(ctx, 1, mysql.CodePacketTooLarge, err)
 		}
 		if size == 0 {
 			return nil
@@ -143,9 +143,9 @@
 			if size < c.conn.Received.Len() {
 				sent.waitingSince = min(newest, c.earliestArrival)
 			}
-			err = c.handleCommand(ctx, seq, payload, sent)
+			err = c.handleCommand(ctx, packet, sent)
 		} else {
-			err = c.login(ctx, seq, payload)
+			err = c.login(ctx, packet)
 		}
 		c.conn.Received.Discard(size)
 		if err != nil {
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -159,17 +159,17 @@
 		"OK": {broker.Reply{Kind: broker.ReplyOK}, mysql.AppendOK(nil, 1)},
 		"in place of the greeting": {
 			broker.Reply{Kind: broker.ReplyTooManySessions, Text: "full"},
-			mysql.AppendError(nil, 0, mysql.CodeConnections, "full"),
+			mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "full"),
 		},
 		"rejected": {
-			broker.Reply{Kind: broker.ReplyRejected, Text: "late"}, mysql.AppendError(nil, 1, mysql.CodeUserLimit, "late"),
+			broker.Reply{Kind: broker.ReplyRejected, Text: "late"}, mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late"),
 		},
 		"rejected with a time to retry": {
 			broker.Reply{Kind: broker.ReplyRejected, Text: "late", RetryAfter: 250 * time.Millisecond},
-			mysql.AppendError(nil, 1, mysql.CodeUserLimit, "late; cooldown=250"),
+			mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late; cooldown=250"),
 		},
 		"failed": {
-			broker.Reply{Kind: broker.ReplyFailed, Text: "no"}, mysql.AppendError(nil, 1, mysql.CodeUnknown, "no"),
+			broker.Reply{Kind: broker.ReplyFailed, Text: "no"}, mysql.AppendError(nil, 1, mysql.CodeUnknownError, "no"),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/server/frontend/close.go
+++ b/internal/server/frontend/close.go
@@ -21,7 +21,7 @@
 }
 
 // failProtocol answers what can't be read and ends the connection, as nothing after it can be read.
-func (c *client) failProtocol(ctx context.Context, seq byte, code int, err error) error {
+func (c *client) failProtocol(ctx context.Context, seq byte, code mysql.ErrorCode, err error) error {
 	if _, full := c.conn.Write(mysql.AppendError(nil, seq, code, err.Error())); full != nil {
 		return full
 	}
--- a/internal/server/frontend/command.go
+++ b/internal/server/frontend/command.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"time"
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/mysql"
@@ -11,12 +10,13 @@
 )
 
 // handleCommand hands one command to the reducer, which answers it in its turn.
-func (c *client) handleCommand(ctx context.Context, seq byte, payload []byte, sent sendTime) error {
-	if seq != 0 {
-		return c.failProtocol(ctx, seq+1, mysql.CodeSequence, mysql.ErrSequence)
+func (c *client) handleCommand(ctx context.Context, packet mysql.Packet, sent sendTime) error {
+	payload := packet.Payload
+	if packet.Sequence != 0 {
+		return c.failProtocol(ctx, packet.Sequence+1, mysql.CodePacketsOutOfOrder, mysql.ErrSequence)
 	}
 	if len(payload) == 0 {
-		return c.failProtocol(ctx, 1, mysql.CodeMalformed, mysql.ErrMalformed)
+		return c.failProtocol(ctx, 1, mysql.CodeMalformedPacket, mysql.ErrMalformed)
 	}
 	event, err := c.parseCommand(mysql.Command(payload[0]), string(payload[1:]), sent)
 	if err != nil {
@@ -31,15 +31,15 @@
 	command mysql.Command, text string, sent sendTime,
 ) (broker.Event, error) {
 	switch command {
-	case mysql.Quit:
+	case mysql.ComQuit:
 		return nil, &netconn.EndError{Reason: netconn.Quit}
-	case mysql.Ping:
+	case mysql.ComPing:
 		return broker.Ping{Session: c.session}, nil
-	case mysql.Query:
+	case mysql.ComQuery:
 		return c.parseQuery(text, sent), nil
-	case mysql.Reset:
+	case mysql.ComResetConnection:
 		return c.immediateReply(broker.ReplyOK, ""), nil
-	case mysql.InitDB:
+	case mysql.ComInitDB:
 		if text != loginDatabase {
 			unknown := fmt.Sprintf("unknown database %.40q", text)
 			return c.immediateReply(broker.ReplyUnknownDatabase, unknown), nil
@@ -57,9 +57,10 @@
 
 // parseQuery translates a statement.
 func (c *client) parseQuery(text string, sent sendTime) broker.Event {
-	if id, closeConnection, ok := mysql.ParseKill(text); ok {
+	if kill, ok := mysql.ParseKill(text); ok {
 		return broker.Kill{
-			RequestedBy: c.session, Target: broker.Session(id), CloseConnection: closeConnection, SentAt: sent.sentAt,
+			RequestedBy: c.session, Target: broker.Session(kill.ConnectionID), CloseConnection: kill.CloseConnection,
+			SentAt: sent.sentAt,
 		}
 	}
 	statement, err := mysql.ParseStatement(text)
@@ -75,12 +76,12 @@
 		IdempotencyKey:    statement.IdempotencyKey,
 		OrderKey:          statement.OrderKey,
 		DataSet:           statement.DataSet,
-		EstimatedWork:     time.Duration(statement.EstimatedWorkMS * float64(time.Millisecond)),
+		EstimatedWork:     statement.EstimatedWork,
 		EstimatedMemoryMB: statement.EstimatedMemoryMB,
 		IsRetry:           statement.IsRetry,
 		SentAt:            sent.sentAt,
 		FirstOnConnection: first,
-		Timeout:           time.Duration(statement.TimeoutMS) * time.Millisecond,
+		Timeout:           statement.Timeout,
 		Body:              statement.Text,
 	}}
 }
--- a/internal/server/frontend/handshake.go
+++ b/internal/server/frontend/handshake.go
@@ -18,12 +18,11 @@
 	// The salt of a greeting is of printable characters.
 	firstPrintable  = '!'
 	printableLength = '~' - '!' + 1
-	saltLength      = 20
 )
 
 // greet sends the greeting, with a random salt of printable characters.
 func (c *client) greet() error {
-	var salt [saltLength]byte
+	var salt [mysql.SaltLen]byte
 	if _, err := rand.Read(salt[:]); err != nil {
 		return fmt.Errorf("salt: %w", err)
 	}
@@ -35,21 +34,22 @@
 }
 
 // login checks the answer to the greeting and passes the login on to the reducer.
-func (c *client) login(ctx context.Context, seq byte, payload []byte) error {
+func (c *client) login(ctx context.Context, packet mysql.Packet) error {
+	seq := packet.Sequence
 	if seq != 1 {
-		return c.failProtocol(ctx, seq+1, mysql.CodeSequence, mysql.ErrSequence)
+		return c.failProtocol(ctx, seq+1, mysql.CodePacketsOutOfOrder, mysql.ErrSequence)
 	}
-	login, err := mysql.ParseLogin(payload)
+	login, err := mysql.ParseLogin(packet.Payload)
 	if err != nil {
-		return c.failProtocol(ctx, seq+1, mysql.CodeHandshake, err)
+		return c.failProtocol(ctx, seq+1, mysql.CodeHandshakeError, err)
 	}
-	if login.User != loginUser || login.Password {
+	if login.User != loginUser || login.HasPassword {
 		denied := &netconn.EndError{Reason: netconn.AccessDenied, Err: fmt.Errorf("access denied for user %.40q", login.User)}
 		return c.failProtocol(ctx, seq+1, mysql.CodeAccessDenied, denied)
 	}
 	if login.Database != "" && login.Database != loginDatabase {
 		denied := &netconn.EndError{Reason: netconn.AccessDenied, Err: fmt.Errorf("unknown database %.40q", login.Database)}
-		return c.failProtocol(ctx, seq+1, mysql.CodeUnknownDB, denied)
+		return c.failProtocol(ctx, seq+1, mysql.CodeUnknownDatabase, denied)
 	}
 	if _, err := c.conn.Write(mysql.AppendOK(nil, seq+1)); err != nil {
 		return err
--- a/internal/server/frontend/reply.go
+++ b/internal/server/frontend/reply.go
@@ -14,15 +14,15 @@
 )
 
 // errorCodes are the MySQL codes of the replies that are errors.
-var errorCodes = map[broker.ReplyKind]int{
-	broker.ReplyRejected:        mysql.CodeUserLimit,
-	broker.ReplyFailed:          mysql.CodeUnknown,
-	broker.ReplyInterrupted:     mysql.CodeInterrupted,
-	broker.ReplyNotReady:        mysql.CodeShutdown,
-	broker.ReplyInvalidFields:   mysql.CodeArguments,
-	broker.ReplyUnknownCommand:  mysql.CodeCommand,
-	broker.ReplyUnknownSession:  mysql.CodeNoThread,
-	broker.ReplyUnknownDatabase: mysql.CodeUnknownDB,
+var errorCodes = map[broker.ReplyKind]mysql.ErrorCode{
+	broker.ReplyRejected:        mysql.CodeUserLimitReached,
+	broker.ReplyFailed:          mysql.CodeUnknownError,
+	broker.ReplyInterrupted:     mysql.CodeQueryInterrupted,
+	broker.ReplyNotReady:        mysql.CodeServerShutdown,
+	broker.ReplyInvalidFields:   mysql.CodeWrongArguments,
+	broker.ReplyUnknownCommand:  mysql.CodeUnknownCommand,
+	broker.ReplyUnknownSession:  mysql.CodeNoSuchThread,
+	broker.ReplyUnknownDatabase: mysql.CodeUnknownDatabase,
 }
 
 // closeReasons are the reason codes for which the reducer closes sessions.
@@ -58,7 +58,7 @@
 	case broker.ReplyOK:
 		return mysql.AppendOK(dst, 1)
 	case broker.ReplyTooManySessions: // in place of the greeting
-		return mysql.AppendError(dst, 0, mysql.CodeConnections, r.Text)
+		return mysql.AppendError(dst, 0, mysql.CodeTooManyConnections, r.Text)
 	case broker.ReplyRejected, broker.ReplyFailed, broker.ReplyInterrupted, broker.ReplyNotReady,
 		broker.ReplyInvalidFields, broker.ReplyUnknownCommand, broker.ReplyUnknownSession,
 		broker.ReplyUnknownDatabase: // errors, see below
