--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -1,6 +1,5 @@
-// Package changelog reads what the change log answers: HTTP/1.1 responses to a long poll, and the JSON page
-// in them, which is also the form of the endpoint list that a broker's configuration starts with. It works on
-// bytes and does no I/O.
+// Package changelog reads the responses of the change log to long polls: HTTP/1.1, with a page in JSON, which is also
+// the form of the endpoint list in a broker's configuration. It works on bytes and does no I/O.
 package changelog
 
 import (
@@ -26,7 +25,7 @@
 	Endpoints []Endpoint
 }
 
-// Page is an answer of the change log: the changes up to a revision.
+// Page is a part of the change log: the changes up to a revision.
 type Page struct {
 	Revision int64
 	Changes  []Change
@@ -39,6 +38,7 @@
 	healthTerminated  = "terminated"
 )
 
+// engineStates are the states of the decision module for those of the wire.
 var engineStates = map[string]control.EngineState{
 	healthInService:   control.Ready,
 	healthTerminating: control.Draining,
@@ -71,7 +71,7 @@
 	StartedMS float64 `json:"born_ms"` // since the change log's epoch
 }
 
-// ParsePage reads a page. Events of unknown kinds are passed over. An error names the key at fault.
+// ParsePage reads a page. Events of unknown kinds are ignored. An error names the key at fault.
 func ParsePage(text []byte) (Page, error) {
 	var document pageDocument
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/changelog/http.go
+++ b/internal/changelog/http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Errors of a response. Each costs the connection it came on and nothing else.
+// Errors of a response. The connection that it came on ends.
 var (
 	ErrMalformed = errors.New("changelog: malformed response")
 	ErrTooLarge  = errors.New("changelog: response too large")
@@ -25,7 +25,7 @@
 	maxChunkLine = 1 << 10  // bytes of a line with the size of a chunk
 )
 
-// What stands in responses.
+// The parts of a response.
 const (
 	lineEnd = "\r\n"
 	headEnd = lineEnd + lineEnd
@@ -41,11 +41,11 @@
 	connectionClose        = "close"
 )
 
-// Request is the long poll for the changes after a revision; the change log answers after wait at the latest.
-func Request(host string, since int64, wait time.Duration) []byte {
+// PollRequest returns the long poll for the changes after a revision. The change log answers after wait at the latest.
+func PollRequest(host string, revision int64, wait time.Duration) []byte {
 	return fmt.Appendf(nil,
 		"GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
-		since, wait.Milliseconds(), host)
+		revision, wait.Milliseconds(), host)
 }
 
 // Response is a complete HTTP response with status 200.
@@ -76,14 +76,14 @@
 	return Response{Body: body, Close: head.close}, start + n, nil
 }
 
-// noLength is the length of a head without Content-Length.
+// noLength is the length of a response without Content-Length.
 const noLength = -1
 
-// responseHead is what the status line and the headers say of the body.
+// responseHead is what the status line and the headers specify.
 type responseHead struct {
-	length  int
-	chunked bool
-	close   bool
+	length  int  // of the body in bytes, or noLength
+	chunked bool // the body is in chunks
+	close   bool // the connection ends with the response
 }
 
 // parseHead reads the status line and the headers, without the empty line behind them.
@@ -137,7 +137,7 @@
 	return parseSizedBody(b, h.length)
 }
 
-// parseSizedBody reads a body of a known length; it is nil while it is incomplete.
+// parseSizedBody reads a body of a length; it is nil while it is incomplete.
 func parseSizedBody(b []byte, length int) (body []byte, n int, err error) {
 	switch {
 	case length == noLength:
@@ -200,8 +200,8 @@
 	return int(parsed), len(line) + len(lineEnd), nil
 }
 
-// trailerLength is the length of the trailers behind the last chunk with the empty line that ends them, 0
-// while they are incomplete.
+// trailerLength returns the length of the trailers behind the last chunk and of the empty line that ends them, 0 while
+// they are incomplete.
 func trailerLength(b []byte) int {
 	n := 0
 	for {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip encodes and decodes the datagrams that brokers of one fleet send one another: each engine's
-// load as the sender knows it, and how old that is. A broker that sees few requests learns the load of most
-// engines this way long before it would from its own. The package does no I/O and reads no clock.
+// Package gossip encodes and decodes the datagrams that brokers of one fleet send one another: engines' loads as the
+// sender knows them, and their ages. So a broker that sees few requests knows the load of most engines as well. The
+// package does no I/O and reads no clock.
 //
 // A datagram holds a header of two bytes and then reports of 6 bytes each: the hash of the engine's id (4
 // bytes, big endian), its load in hundredths, and the report's age in steps of 20 ms when the datagram is
@@ -30,8 +30,8 @@
 	loadOffset  = hashBytes
 	ageOffset   = hashBytes + 1
 
-	loadStep = 0.01 // what a step of the load byte stands for
-	ageStep  = 20 * time.Millisecond
+	loadStep = 0.01                  // of the load byte
+	ageStep  = 20 * time.Millisecond // of the age byte
 )
 
 // Errors of Parse: why a datagram can't be decoded.
@@ -41,7 +41,7 @@
 	ErrTruncated = errors.New("gossip: report cut off")
 )
 
-// Append adds a datagram with the first MaxReports of the reports that are not older than MaxAge to buf.
+// Append appends a datagram to buf. It holds the first MaxReports of the reports that are not older than MaxAge.
 func Append(buf []byte, reports []control.GossipedLoad) []byte {
 	buf = append(buf, header...)
 	written := 0
--- a/internal/handover/change.go
+++ b/internal/handover/change.go
@@ -21,7 +21,7 @@
 	return State{Broker: s.Broker, MaintenanceEngines: engines}
 }
 
-// ChangesTo returns the changes that lead from engines in maintenance mode to those of a state.
+// ChangesTo returns the changes that lead from this state to the next.
 func (s State) ChangesTo(next State) []Change {
 	var changes []Change
 	for _, id := range s.MaintenanceEngines {
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -12,7 +12,7 @@
 // FileName is the name of the file in its folder.
 const FileName = "wheatlane-handover"
 
-// maxFileBytes bounds what is read: a longer file is none that Write made.
+// maxFileBytes bounds a file: Write makes no longer one.
 const maxFileBytes = 1 << 20
 
 // Write replaces the file in a folder atomically: a reader finds either the earlier state or this one.
@@ -41,18 +41,18 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// leftoverAge is the age from which a temporary file is one that a killed process has left behind.
-const leftoverAge = time.Minute
+// staleTempFileAge is the age from which a temporary file is of a process that was killed.
+const staleTempFileAge = time.Minute
 
-// RemoveLeftovers removes the temporary files of writes that a kill ended between the creation and the rename.
-func RemoveLeftovers(dir string) {
+// RemoveStaleTempFiles removes the temporary files of writes that a kill ended between the creation and the rename.
+func RemoveStaleTempFiles(dir string) {
 	paths, err := filepath.Glob(filepath.Join(dir, FileName+".*"))
 	if err != nil {
 		return // only of a pattern that can't be read
 	}
 	for _, path := range paths {
-		if info, err := os.Stat(path); err == nil && info.Mode().IsRegular() && time.Since(info.ModTime()) > leftoverAge {
-			_ = os.Remove(path) // what stays is looked at by the next process
+		if info, err := os.Stat(path); err == nil && info.Mode().IsRegular() && time.Since(info.ModTime()) > staleTempFileAge {
+			_ = os.Remove(path) // the next process tries again
 		}
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,6 @@
-// Package handover carries what a broker must not lose when an upgrade replaces its process: the engines in
-// maintenance mode. The old process writes the state to a file in $TMPDIR under another name and renames it,
-// so that a reader finds either the earlier file or the complete new one. The new process reads it at its
-// start and starts without it when the file is corrupt, of another broker or of another format version.
+// Package handover has the file by which a broker's process hands the engines in maintenance mode over to the next one.
+// It is written under another name and renamed, so that a reader finds either the earlier file or the complete new one.
+// A file that is corrupt, of another broker or of another format version is not used.
 package handover
 
 import (
@@ -37,7 +36,7 @@
 	MaintenanceEngines []string `json:"bans"`
 }
 
-// Encode is the content of a file: a line with the checksum of what follows, then the state as JSON.
+// Encode returns the content of a file: a line with the checksum of the rest, then the state as JSON.
 func Encode(s State) []byte {
 	body, _ := json.Marshal(document{ // a document holds strings and a number only, which can always be encoded
 		Version: formatVersion, Broker: s.Broker, MaintenanceEngines: s.MaintenanceEngines,
@@ -64,5 +63,5 @@
 	return State{Broker: d.Broker, MaintenanceEngines: slices.Compact(engines)}, nil
 }
 
-// checksum is the CRC-32C of a file's JSON.
+// checksum returns the CRC-32C of a file's JSON.
 func checksum(body []byte) uint32 { return crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)) }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -132,13 +132,13 @@
 	}
 }
 
-// What a kill left behind of a write is removed once it is old; a write that may be under way is not.
-func TestRemoveLeftovers(t *testing.T) {
+// The temporary file of a write that a kill ended is removed once it is old; that of a write that may be under way is not.
+func TestRemoveStaleTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, State{Broker: broker}); err != nil {
 		t.Fatal(err)
 	}
-	for name, age := range map[string]time.Duration{"old": 2 * leftoverAge, "new": 0} {
+	for name, age := range map[string]time.Duration{"old": 2 * staleTempFileAge, "new": 0} {
 		path := filepath.Join(dir, FileName+"."+name)
 		if err := os.WriteFile(path, []byte("half"), 0o600); err != nil {
 			t.Fatal(err)
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 	}
-	RemoveLeftovers(dir)
+	RemoveStaleTempFiles(dir)
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/endpointwatch/poll.go
+++ b/internal/server/endpointwatch/poll.go
@@ -93,7 +93,7 @@
 // send queues a poll and sets the deadline of its answer.
 func (c *connection) send() error {
 	c.watcher.polls.Add(1)
-	if _, err := c.conn.Write(changelog.Request(c.addr, c.watcher.revision, pollTimeout)); err != nil {
+	if _, err := c.conn.Write(changelog.PollRequest(c.addr, c.watcher.revision, pollTimeout)); err != nil {
 		return err
 	}
 	return c.conn.SetReadDeadline(time.Now().Add(pollTimeout + c.watcher.timeouts.current().grace))
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -71,7 +71,7 @@
 // Restore returns the engines that the previous process had in maintenance mode. Without a file that can be used there
 // are none, and what can be read later is adopted.
 func (s *Store) Restore(ctx context.Context) []string {
-	handover.RemoveLeftovers(s.dir)
+	handover.RemoveStaleTempFiles(s.dir)
 	err := transient.Retry(ctx, restoreWithin, transient.IsFile, s.read)
 	switch {
 	case errors.Is(err, handover.ErrNotFound):
