--- a/control/admission.go
+++ b/control/admission.go
@@ -39,31 +39,6 @@
 	return end
 }
 
-// enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
-// engine to avoid is taken only if there is no other.
-func (c *Controller) enqueue(r *request, avoid *engine) {
-	r.avoid = avoid
-	if c.attemptsExhausted(r) {
-		c.rejectOrFail(r)
-		return
-	}
-	if c.probeBeforeEnqueue(r, avoid) {
-		return
-	}
-	e := c.endpoints.pool
-	if e == nil {
-		e = c.selectEngine(r, avoid)
-	}
-	switch {
-	case e == nil:
-		c.requests.waitForEngine(r)
-	case len(r.attempts) == 0 && c.shed(r, e):
-		c.rejectOrFail(r)
-	default:
-		c.enqueueOn(e, r)
-	}
-}
-
 // shed reports whether a request is not worth a first attempt at an engine. The price rises with each request
 // that finds no capacity.
 func (c *Controller) shed(r *request, e *engine) bool {
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -1,59 +1,74 @@
 package control
 
 import (
-	"math"
+	"time"
 
+	"wheatlane/control/attemptoptions"
 	"wheatlane/control/overdue"
+	"wheatlane/control/retry"
 	"wheatlane/control/units"
 )
 
-// Tuned values of attempts and retries.
-const (
-	minPriority       = 1 // of engines that heed priorities
-	maxPriority       = 3
-	minRetryBatches   = 4 // batch intervals before its deadline from which a request is not retried
-	halfOpenTimeSpare = 2 // a half-open probe times out if there are so many times its usual time left
-)
+// attempt is one attempt of a request.
+type attempt struct {
+	request        *request
+	number         int
+	engine         *engine
+	sentAt         time.Duration
+	inFlight       bool
+	mayHaveRun     bool
+	cancelled      bool           // its cancellation was asked for
+	presumedLost   bool           // its answer is not waited for
+	lossConfidence units.Fraction // of the presumption
+	released       bool           // its threads count no more against the concurrency limit
+	lastProgressAt time.Duration  // of its last progress report
+}
+
+// releaseThreads counts the attempt's threads no more against the concurrency limit, once.
+func (a *attempt) releaseThreads() {
+	if !a.released {
+		a.released = true
+		a.engine.releaseThreads(a.request.class.Threads)
+	}
+}
+
+// cancel returns the action that cancels the attempt.
+func (a *attempt) cancel() CancelAttempt {
+	a.cancelled = true
+	return CancelAttempt{RequestID: a.request.ID, Number: a.number}
+}
 
 // sendAttempt sends a request's next attempt to an engine, as a first attempt, a retry or a hedged request.
 func (c *Controller) sendAttempt(r *request, e *engine) {
-	k := r.class
 	c.setAttemptOptions(r, e)
 	if len(r.attempts) > 0 {
 		c.retries.RetrySent(c.now)
 	} else {
-		k.Wait.Observe(c.now - r.receivedAt)
+		r.class.Wait.Observe(c.now - r.receivedAt)
 	}
 	if c.inSlowStart(e) {
-		e.sentInSlowStart.Add(c.now, k.Cost.MeanWork())
+		e.sentInSlowStart.Add(c.now, r.class.Cost.MeanWork())
 	}
 	a := r.addAttempt(e, c.now)
+	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: c.attemptTimeout(r, e)}
 	if e.health.Ejected() {
 		e.health.ProbeSent(c.now, c.ejectionBackoff())
-	}
-	// Only a half-open probe times out early, to be retried: work that is cut off is lost.
-	overdueAfter := c.attemptTimeout(r, e)
-	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: overdueAfter}
-	if e.health.Ejected() && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
-		send.Timeout = overdueAfter
+		send.Timeout = overdue.ProbeTimeout(send.OverdueAfter, r.Deadline-c.now)
 	}
 	c.emit(send)
-	c.startTimer(overdueAfter, attemptOverdue{a})
+	c.startTimer(send.OverdueAfter, attemptOverdue{a})
 }
 
-// setAttemptOptions sets memory and priority where engines heed them.
+// setAttemptOptions sets the options of a request's next attempt where they differ from those set last.
 func (c *Controller) setAttemptOptions(r *request, e *engine) {
-	options := SetAttemptOptions{RequestID: r.ID, Priority: minPriority}
-	if c.settings.MemoryGrants && c.settings.ReportsCost && r.EstimatedMemoryMB > 0 {
-		needed := r.class.Cost.MemoryMB(r.EstimatedMemoryMB)
-		options.GrantMB = math.Ceil(min(needed, float64(c.settings.MaxGrantFraction)*e.memoryMB))
-	}
-	if c.settings.Priorities && r.classIndex == c.workload.Summary().HighestValueClass {
-		options.Priority = maxPriority
-	}
+	options := c.attemptOptions.For(attemptoptions.Attempt{
+		NeededMB:          r.class.Cost.MemoryMB(r.EstimatedMemoryMB),
+		EngineMB:          e.memoryMB,
+		HighestValueClass: r.classIndex == c.workload.Summary().HighestValueClass,
+	})
 	if options.GrantMB != 0 || options.Priority != r.priority {
 		r.priority = options.Priority
-		c.emit(options)
+		c.emit(SetAttemptOptions{RequestID: r.ID, GrantMB: options.GrantMB, Priority: options.Priority})
 	}
 }
 
@@ -99,16 +114,17 @@
 	}
 }
 
-// retry enqueues a request again, elsewhere, while there is time, unless its attempt may still run on an
-// engine under pressure: more would be harmful there.
+// retry enqueues a request again, elsewhere, if that is worth it after an attempt that ended.
 func (c *Controller) retry(a *attempt, status Status) {
-	r := a.request
-	stillRuns := status == TimedOut && !c.settings.Limits.Cancellation
-	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || r.isWorthless(c.now)
-	if tooLate || stillRuns && !a.engine.health.Ejected() && c.underPressure(a.engine) {
-		c.rejectOrFail(r)
+	retries := c.retryPolicy.Retries(a.request.retryInput(c.now), retry.Ended{
+		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
+		EngineEjected:       a.engine.health.Ejected(),
+		EngineUnderPressure: c.underPressure(a.engine),
+	})
+	if retries {
+		c.enqueue(a.request, a.engine)
 	} else {
-		c.enqueue(r, a.engine)
+		c.rejectOrFail(a.request)
 	}
 }
 
--- a/control/controller.go
+++ b/control/controller.go
@@ -15,10 +15,12 @@
 	"time"
 
 	"wheatlane/control/admission"
+	"wheatlane/control/attemptoptions"
 	"wheatlane/control/concurrency"
 	"wheatlane/control/gossip"
 	"wheatlane/control/membership"
 	"wheatlane/control/outlier"
+	"wheatlane/control/retry"
 	"wheatlane/control/retrybudget"
 	"wheatlane/control/selection"
 	"wheatlane/control/shares"
@@ -32,28 +34,30 @@
 
 // Controller decides for one broker. It is not safe for concurrent use.
 type Controller struct {
-	settings      Settings
-	rng           *rand.Rand
-	now           time.Duration
-	started       bool
-	actions       []Action // what Handle is about to return
-	timers        timerSet
-	log           logThrottle
-	requests      requestTable
-	endpoints     endpointSet
-	slowStart     slowstart.Policy
-	outliers      outlier.Detector
-	slowdowns     slowdown.Estimator
-	selection     selection.Config
-	subscription  membership.Subscription
-	classes       classTable
-	workload      workload.Workload
-	retries       retrybudget.Budget
-	price         admission.Price
-	shares        shares.Regulator
-	intervalStart time.Duration // of the current control interval
-	pressure      concurrency.PressureConfig
-	gossip        gossip.Schedule
+	settings       Settings
+	rng            *rand.Rand
+	now            time.Duration
+	started        bool
+	actions        []Action // what Handle is about to return
+	timers         timerSet
+	log            logThrottle
+	requests       requestTable
+	endpoints      endpointSet
+	slowStart      slowstart.Policy
+	outliers       outlier.Detector
+	slowdowns      slowdown.Estimator
+	selection      selection.Config
+	subscription   membership.Subscription
+	classes        classTable
+	workload       workload.Workload
+	retries        retrybudget.Budget
+	price          admission.Price
+	retryPolicy    retry.Policy
+	attemptOptions attemptoptions.Config
+	shares         shares.Regulator
+	intervalStart  time.Duration // of the current control interval
+	pressure       concurrency.PressureConfig
+	gossip         gossip.Schedule
 }
 
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
@@ -85,6 +89,11 @@
 			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
 		}),
 		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
+		retryPolicy: retry.New(settings.MinBatchInterval),
+		attemptOptions: attemptoptions.Config{
+			MemoryGrants: settings.MemoryGrants && settings.ReportsCost, Priorities: settings.Priorities,
+			MaxGrantFraction: settings.MaxGrantFraction,
+		},
 		pressure: concurrency.DefaultPressureConfig(),
 	}
 	c.workload = workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers)
@@ -210,12 +219,7 @@
 		return
 	}
 	c.shares.Restart()
-	for _, e := range c.endpoints.all {
-		e.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
-	}
-	if pool := c.endpoints.pool; pool != nil {
-		pool.queue.Grow(len(c.classes.all), c.workload.Tenants().Len())
-	}
+	c.endpoints.growQueues(len(c.classes.all), c.workload.Tenants().Len())
 }
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -108,7 +108,7 @@
 	c.shares = shares.New(shares.DefaultConfig(), []float64{0.75, 0.25})
 	for i := range 40 {
 		k := c.classes.all[i%2]
-		c.enqueueOn(e, &request{
+		e.enqueue(&request{
 			Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
 			tenantIndex: i / 2 % 2, expectedWork: 1,
 		})
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -18,12 +18,13 @@
 
 // eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
 func (c *Controller) eligibilityOf(r *request) eligibility.Request {
+	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
 	return eligibility.Request{
 		Closed:          r.closed,
 		ResponseStarted: r.responseStarted,
 		TimeLeft:        r.Deadline - c.now,
 		MaxAttempts:     c.settings.Limits.MaxAttempts,
-		Attempts:        c.earlierAttempts(r),
+		Attempts:        r.earlierAttempts(latestSend),
 		AttemptInFlight: r.hasAttemptInFlight(),
 		HedgingAllowed:  c.settings.Limits.Hedging,
 		Idempotency:     r.class.Idempotency,
@@ -34,28 +35,6 @@
 	}
 }
 
-// attemptsExhausted reports whether a request was attempted and no attempt is left that could answer it.
-func (c *Controller) attemptsExhausted(r *request) bool {
-	if len(r.attempts) == 0 || r.hasAttemptInFlight() {
-		return false
-	}
-	request := c.eligibilityOf(r)
-	return request.Exhausted()
-}
-
-// earlierAttempts are a request's attempts as they will stand when the next one leaves the broker, at the
-// latest.
-func (c *Controller) earlierAttempts(r *request) []idempotency.Attempt {
-	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
-	earlier := make([]idempotency.Attempt, 0, len(r.attempts))
-	for _, a := range r.attempts {
-		earlier = append(earlier, idempotency.Attempt{
-			Location: a.engine.location(), Age: latestSend - a.sentAt, MayHaveRun: a.mayHaveRun,
-		})
-	}
-	return earlier
-}
-
 // location is where the engine stands among the scopes of duplicate detection.
 func (e *engine) location() idempotency.Location {
 	return idempotency.Location{Zone: e.Zone, Cell: e.Cell}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -61,6 +61,16 @@
 	s.all = slices.Insert(s.all, at, e)
 }
 
+// growQueues makes room in all queues for classes that are new.
+func (s *endpointSet) growQueues(classes, tenants int) {
+	for _, e := range s.all {
+		e.queue.Grow(classes, tenants)
+	}
+	if s.pool != nil {
+		s.pool.queue.Grow(classes, tenants)
+	}
+}
+
 // removeGone drops engines that are listed no more, once nothing is in flight there, and returns their IDs.
 // Without it records add up where engines are replaced all day, and probes are drawn for engines that are
 // gone.
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -5,6 +5,7 @@
 
 	"wheatlane/control/outlier"
 	"wheatlane/control/overdue"
+	"wheatlane/control/units"
 )
 
 // attemptTimeout is how long an attempt of a request at an engine is waited for.
@@ -79,11 +80,13 @@
 // attempt is allowed and its answer would still count.
 func (c *Controller) hedgeOrCancel(a *attempt) {
 	r, limits := a.request, &c.settings.Limits
-	if a.cancelled || r.queuedOn != nil || len(r.attempts) >= limits.MaxAttempts || !r.isWorthHedging(c.now) {
+	allowed := !a.cancelled && r.queuedOn == nil && len(r.attempts) < limits.MaxAttempts &&
+		r.class.Idempotency.RepeatableAnywhere()
+	if !allowed || !c.retryPolicy.Hedges(r.retryInput(c.now), units.Duration(float64(r.expectedWork))) {
 		return
 	}
 	if limits.Cancellation {
-		c.cancelAttempt(a)
+		c.emit(a.cancel())
 	} else if e := c.selectEngine(r, a.engine); limits.Hedging && e != nil && e != a.engine {
 		c.sendAttempt(r, e)
 	}
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -21,6 +21,7 @@
 	missedProgress   = 1.75  // progress intervals without a report that are overdue
 	overloadLossRate = 0.4   // loss rate that is an overload, which more attempts would make worse
 	runawayRatio     = 4.0   // time left over the usual time of an attempt that is better started anew
+	retrySpare       = 2     // times the timeout of a half-open probe that leaves time for a retry
 	minProgress      = 0.005 // progress that is taken as made at least
 )
 
@@ -31,6 +32,15 @@
 	return min(maxLateQuantile, max(minLateQuantile, odds))
 }
 
+// ProbeTimeout is the time after which a half-open probe is cut off, to be retried: when it is overdue, if
+// enough time is left then; 0: it isn't cut off.
+func ProbeTimeout(overdueAfter, timeLeft time.Duration) time.Duration {
+	if timeLeft > retrySpare*overdueAfter {
+		return overdueAfter
+	}
+	return 0
+}
+
 // LossConfidence is how far it is certain that an overdue answer is lost. It may be only late, which never
 // shows if the attempt is cancelled. A loss that counted in full would shorten the timeouts, and so make
 // further losses of what is late.
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -24,6 +24,16 @@
 	}
 }
 
+func TestProbeTimeoutLeavesTimeForARetry(t *testing.T) {
+	t.Parallel()
+	if got := ProbeTimeout(time.Second, 2*time.Second+1); got != time.Second {
+		t.Errorf("got %v with time for a retry, want 1s", got)
+	}
+	if got := ProbeTimeout(time.Second, 2*time.Second); got != 0 {
+		t.Errorf("got %v without time for a retry, want none", got)
+	}
+}
+
 func TestLossConfidence(t *testing.T) {
 	t.Parallel()
 	if got := LossConfidence(minLateQuantile / 3); math.Abs(float64(got-0.25)) > 1e-12 {
--- a/control/requests.go
+++ b/control/requests.go
@@ -4,7 +4,10 @@
 	"slices"
 	"time"
 
+	"wheatlane/control/attemptoptions"
+	"wheatlane/control/idempotency"
 	"wheatlane/control/keyorder"
+	"wheatlane/control/retry"
 	"wheatlane/control/units"
 )
 
@@ -31,7 +34,7 @@
 func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
 	r := &request{
 		Request: in, class: k, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
-		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: minPriority,
+		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: attemptoptions.MinPriority,
 	}
 	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
 	return r
@@ -48,39 +51,22 @@
 	return a
 }
 
-// attempt is one attempt of a request.
-type attempt struct {
-	request        *request
-	number         int
-	engine         *engine
-	sentAt         time.Duration
-	inFlight       bool
-	mayHaveRun     bool
-	cancelled      bool           // its cancellation was asked for
-	presumedLost   bool           // its answer is not waited for
-	lossConfidence units.Fraction // of the presumption
-	released       bool           // its threads count no more against the concurrency limit
-	lastProgressAt time.Duration  // of its last progress report
-}
-
-// releaseThreads counts the attempt's threads no more against the concurrency limit, once.
-func (a *attempt) releaseThreads() {
-	if !a.released {
-		a.released = true
-		a.engine.releaseThreads(a.request.class.Threads)
+// retryInput is what a further attempt of the request could yield.
+func (r *request) retryInput(now time.Duration) retry.Request {
+	return retry.Request{
+		TimeLeft: r.Deadline - now, ObjectiveLeft: r.objectiveAt - now, EarnsLate: r.class.LateWeight != 0,
 	}
 }
 
-// isWorthless reports whether an answer would earn nothing any more.
-func (r *request) isWorthless(now time.Duration) bool {
-	return r.class.LateWeight == 0 && now > r.objectiveAt
-}
-
-// isWorthHedging reports whether a further attempt, of its usual work, would end in time to earn something.
-// A request that a further attempt could only reach within its dedup scope is not hedged.
-func (r *request) isWorthHedging(now time.Duration) bool {
-	return r.class.Idempotency.RepeatableAnywhere() &&
-		now+units.Duration(float64(r.expectedWork)) <= r.Deadline && !r.isWorthless(now)
+// earlierAttempts are the request's attempts as they will stand when the next one leaves the broker.
+func (r *request) earlierAttempts(sendTime time.Duration) []idempotency.Attempt {
+	earlier := make([]idempotency.Attempt, 0, len(r.attempts))
+	for _, a := range r.attempts {
+		earlier = append(earlier, idempotency.Attempt{
+			Location: a.engine.location(), Age: sendTime - a.sentAt, MayHaveRun: a.mayHaveRun,
+		})
+	}
+	return earlier
 }
 
 // hasAttemptInFlight reports whether an attempt of the request is in flight.
@@ -153,7 +139,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if a.inFlight && !a.cancelled && c.settings.Limits.Cancellation && !r.responseStarted {
-			c.cancelAttempt(a)
+			c.emit(a.cancel())
 		}
 	}
 	if r.queuedOn != nil {
@@ -163,11 +149,6 @@
 	c.removeIfOver(r)
 }
 
-func (c *Controller) cancelAttempt(a *attempt) {
-	a.cancelled = true
-	c.emit(CancelAttempt{a.request.ID, a.number})
-}
-
 // removeIfOver drops a closed request once none of its attempts is in flight.
 func (c *Controller) removeIfOver(r *request) {
 	if !r.closed || r.hasAttemptInFlight() {
@@ -178,33 +159,3 @@
 		c.startTimer(queue.CooldownLeft(c.now), orderKeyIdle{queue})
 	}
 }
-
-// enqueueOn puts a request into an engine's queue.
-func (c *Controller) enqueueOn(e *engine, r *request) {
-	r.queuedOn = e
-	e.queue.Push(r.classIndex, r.tenantIndex, r, float64(r.expectedWork), float64(r.class.Threads))
-}
-
-// popFrom takes the request at the head of its flow out of an engine's queue, as served.
-func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := c.shares.Share(r.classIndex), c.workload.Tenants().Share(r.tenantIndex)
-	e.queue.Pop(r.classIndex, r.tenantIndex, float64(classShare), float64(tenantShare))
-	r.queuedOn = nil
-}
-
-// requeueWaiting takes all requests out of an engine's queue, to be enqueued elsewhere.
-func (c *Controller) requeueWaiting(e *engine) {
-	for r, ok := e.queue.Head(nil); ok; r, ok = e.queue.Head(nil) {
-		c.popFrom(e, r)
-		c.requests.waitForEngine(r)
-	}
-}
-
-// retryWaiting enqueues again what found no eligible engine.
-func (c *Controller) retryWaiting() {
-	for _, r := range c.requests.takeWaiting() {
-		if !r.closed {
-			c.enqueue(r, nil)
-		}
-	}
-}
--- /dev/null
+++ b/control/retry/retry.go
@@ -0,0 +1,47 @@
+// Package retry decides whether a further attempt of a request is worth its cost: a retry after an attempt
+// that ended without an answer, or one that hedges an attempt whose answer is overdue.
+package retry
+
+import "time"
+
+// minBatches is the number of batch intervals that a retry needs at least, to leave the broker and to answer.
+const minBatches = 4
+
+// Policy decides on further attempts. It leaves out whether they are allowed: see package eligibility.
+type Policy struct {
+	minTimeLeft time.Duration
+}
+
+// New returns a policy for the shortest time between two decisions.
+func New(minBatchInterval time.Duration) Policy {
+	return Policy{minTimeLeft: minBatches * minBatchInterval}
+}
+
+// Request is what a further attempt could yield.
+type Request struct {
+	TimeLeft      time.Duration // until the request's deadline
+	ObjectiveLeft time.Duration // of its latency objective; negative: it has passed
+	EarnsLate     bool          // an answer after the objective earns something
+}
+
+// worthless reports whether an answer would earn nothing any more.
+func (r Request) worthless() bool { return !r.EarnsLate && r.ObjectiveLeft < 0 }
+
+// Ended is an attempt that ended without an answer.
+type Ended struct {
+	StillRuns           bool // its engine may go on with it, as it can't be cancelled
+	EngineEjected       bool
+	EngineUnderPressure bool
+}
+
+// Retries reports whether a request is attempted again. While an attempt still runs at an engine under
+// pressure, one more would add to the overload.
+func (p Policy) Retries(request Request, ended Ended) bool {
+	addsToOverload := ended.StillRuns && !ended.EngineEjected && ended.EngineUnderPressure
+	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
+}
+
+// Hedges reports whether a further attempt that takes the usual time would end in time to earn something.
+func (p Policy) Hedges(request Request, usualTime time.Duration) bool {
+	return usualTime <= request.TimeLeft && !request.worthless()
+}
--- /dev/null
+++ b/control/retry/retry_test.go
@@ -0,0 +1,54 @@
+package retry
+
+import (
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+func TestRetries(t *testing.T) {
+	t.Parallel()
+	inTime := Request{TimeLeft: 20 * ms, ObjectiveLeft: 10 * ms}
+	overload := Ended{StillRuns: true, EngineUnderPressure: true}
+	for name, c := range map[string]struct {
+		request Request
+		ended   Ended
+		want    bool
+	}{
+		"in time":                       {inTime, Ended{EngineUnderPressure: true}, true},
+		"too close to the deadline":     {Request{TimeLeft: 20*ms - 1, ObjectiveLeft: 10 * ms}, Ended{}, false},
+		"after the objective":           {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, Ended{}, false},
+		"that earns late":               {Request{time.Second, -1, true}, Ended{}, true},
+		"on top of an overload":         {inTime, overload, false},
+		"of an engine without pressure": {inTime, Ended{StillRuns: true}, true},
+		"of an ejected engine":          {inTime, Ended{true, true, true}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			if got := New(5*ms).Retries(c.request, c.ended); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestHedges(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		request Request
+		want    bool
+	}{
+		"in time":             {Request{TimeLeft: 300 * ms}, true},
+		"too late to end":     {Request{TimeLeft: 300*ms - 1}, false},
+		"after the objective": {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, false},
+		"that earns late":     {Request{time.Second, -1, true}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			if got := New(5*ms).Hedges(c.request, 300*ms); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
