--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -54,7 +54,7 @@
 }
 
 // Where engines are pooled, a request that cannot meet its objective is rejected at once and without a load
-// probe. Seen on a day with 80 brokers: two probes in three were for requests that were then rejected.
+// probe.
 func TestRejectedRequestIsNotProbedFor(t *testing.T) {
 	s := pooledSettings()
 	s.Limits.LoadProbes, s.ReportsLoad = true, true
@@ -119,7 +119,7 @@
 
 // Short of capacity, the heaviest of requests with the same weight are rejected first, by the admission
 // price. Where the weight grows with the work there is no such price, and with headroom it falls back to its
-// minimum. Seen on a day with 80 brokers: rejected requests were as heavy as served ones.
+// minimum.
 func TestHeaviestRequestsAreRejectedFirst(t *testing.T) {
 	for name, byWork := range map[string]bool{"weights by class": false, "weights by work": true} {
 		t.Run(name, func(t *testing.T) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Clients that disconnect before their deadline teach how long they wait: what cannot be done by then is not
-// begun under pressure, and is urgent. Clients that stay make it forget.
+// Once most clients disconnect before their deadline, the objective ends when they do; it recovers once clients
+// stay.
 func TestClientPatienceIsLearned(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	objective := func() time.Duration {
@@ -166,8 +166,6 @@
 		r.handle(ClientDisconnected{RequestID: id})
 		r.endAttempt(id, 0, OK)
 	}
-	// Seen on a day on which one client in twelve left early: every objective was cut to the time that those had
-	// stayed, and a quarter of all requests was rejected that could have been served.
 	for range 50 {
 		leave()
 		for range 9 {
--- a/control/controller.go
+++ b/control/controller.go
@@ -26,6 +26,7 @@
 	"wheatlane/control/shares"
 	"wheatlane/control/slowdown"
 	"wheatlane/control/slowstart"
+	"wheatlane/control/throttle"
 	"wheatlane/control/workload"
 )
 
@@ -40,7 +41,7 @@
 	started        bool
 	actions        []Action // what Handle is about to return
 	timers         timerSet
-	log            logThrottle
+	log            throttle.Throttle[logSubject]
 	requests       requestTable
 	endpoints      endpointSet
 	slowStart      slowstart.Policy
@@ -75,7 +76,7 @@
 	settings.Limits.MaxAttempts = max(1, settings.Limits.MaxAttempts)
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
-		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
+		timers: newTimerSet(), log: throttle.New[logSubject](logInterval), requests: newRequestTable(),
 		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
 		outliers: outlier.NewDetector(outlier.DefaultConfig()), classes: newClassTable(),
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
@@ -233,7 +234,7 @@
 
 // emitThrottled emits an action for the operators, unless one about the same subject was emitted lately.
 func (c *Controller) emitThrottled(subject logSubject, action Action) {
-	if c.log.allows(subject, c.now) {
+	if c.log.Allows(subject, c.now) {
 		c.emit(action)
 	}
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -8,12 +8,17 @@
 // mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes it.
 func (c *Controller) mayAttempt(r *request, e *engine) bool {
 	request := c.eligibilityOf(r)
-	return eligibility.Check(&request, eligibility.Engine{
+	return eligibility.Check(&request, c.eligibilityAt(e, r.class)) == eligibility.Eligible
+}
+
+// eligibilityAt is what the rules need to know of an engine, for a request of a class.
+func (c *Controller) eligibilityAt(e *engine, class *class) eligibility.Engine {
+	return eligibility.Engine{
 		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
-		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
-	}) == eligibility.Eligible
+		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, class),
+	}
 }
 
 // eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
--- a/control/events.go
+++ b/control/events.go
@@ -43,7 +43,7 @@
 // Status is how an attempt ended.
 type Status int
 
-// The ways in which an attempt ends. After AtCapacity, ConnectFailed and NeverSent it surely did not run.
+// The ways in which an attempt ends. See MayHaveRun for those that prove that it did not run.
 const (
 	OK Status = iota
 	Failed
@@ -57,8 +57,8 @@
 
 // statusNames are the names of the statuses in logs.
 var statusNames = [...]string{
-	OK: "ok", Failed: "failed", AtCapacity: "at_capacity", TimedOut: "timed_out", ConnectFailed: "connect_failed",
-	ConnectionReset: "connection_reset", Cancelled: "cancelled", NeverSent: "never_sent",
+	OK: "ok", Failed: "failed", AtCapacity: "at_capacity", TimedOut: "timed_out",
+	ConnectFailed: "connect_failed", ConnectionReset: "connection_reset", Cancelled: "cancelled", NeverSent: "never_sent",
 }
 
 // String returns the name of the status.
@@ -75,7 +75,7 @@
 
 // The kinds of progress.
 const (
-	ProgressFraction ProgressKind = iota + 1 // Value is the part that is done, from 0 to 1
+	ProgressFraction ProgressKind = iota + 1 // Value is the fraction that is done
 	ProgressSpilled
 	ProgressBlocked
 )
--- a/control/hedging_test.go
+++ b/control/hedging_test.go
@@ -120,9 +120,7 @@
 	}
 }
 
-// By its age an attempt is lost whether its engine answers others or not, and is retried elsewhere. Seen in a
-// recorded incident: two answers never came from an engine that went on answering others, and these attempts
-// held its limit for many seconds.
+// By its age an attempt is lost whether its engine answers others or not, and is retried elsewhere.
 func TestLostAnswerIsDetectedByAgeAlone(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
@@ -142,9 +140,7 @@
 	t.Fatal("the lost answer was not detected")
 }
 
-// The age at which an attempt is lost is known after a few answers. Seen on a day on which one long answer in
-// ten was lost while its engine answered others: those requests were waited for until their clients gave up,
-// and held the limits meanwhile.
+// The age at which an attempt is lost is known after a few answers.
 func TestLostAnswerIsDetectedAfterFewAnswers(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
@@ -179,9 +175,8 @@
 	}
 }
 
-// An attempt that is cancelled early counts as lost only as far as that is likelier than late. Seen on a day
-// without a lost answer: 40 of 100 attempts were cancelled, each counted as a loss and shortened the
-// timeouts, until they were below the usual time.
+// An attempt that is cancelled early counts as lost only as far as that is likelier than late: else each
+// cancelled attempt would shorten the timeouts, and so have more attempts cancelled.
 func TestLossEstimateDoesNotFeedOnItself(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
@@ -215,8 +210,7 @@
 	}
 }
 
-// An engine that has not answered yet loses no attempts by age. Seen after a start: requests blocked by locks
-// counted as lost, a fifth of all answers was believed lost, and timeouts were short for seconds.
+// An engine that has not answered yet loses no attempts by age: they may be blocked by locks.
 func TestEngineHasTimeForItsFirstAnswer(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
@@ -236,7 +230,7 @@
 
 // An attempt that stands behind another broker's lock on its data set is cancelled and retried elsewhere,
 // does not count as threads in flight meanwhile, and no other request of the data set goes there while the
-// lock is believed held.
+// lock is presumed held.
 func TestAttemptBlockedByALockIsRetriedElsewhere(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
--- a/control/membership.go
+++ b/control/membership.go
@@ -68,7 +68,8 @@
 // updateFleet follows a change of the engines.
 func (c *Controller) updateFleet() {
 	for _, id := range c.endpoints.removeGone() {
-		c.log.forgetEngine(id)
+		c.log.Forget(logSubject{ejected, id})
+		c.log.Forget(logSubject{restored, id})
 	}
 	c.endpoints.summarize(&c.slowStart, c.now)
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -2,6 +2,7 @@
 
 import (
 	"wheatlane/control/datasetlock"
+	"wheatlane/control/eligibility"
 	"wheatlane/control/selection"
 )
 
@@ -15,8 +16,12 @@
 
 func (c *Controller) bestEngine(r *request, avoid *engine) *engine {
 	var best selection.Best[*engine]
+	request := c.eligibilityOf(r)
 	for _, e := range c.endpoints.all {
-		if e == avoid || e.health.AtCapacity(c.now) || !c.mayAttempt(r, e) {
+		if e == avoid || e.health.AtCapacity(c.now) {
+			continue
+		}
+		if eligibility.Check(&request, c.eligibilityAt(e, r.class)) != eligibility.Eligible {
 			continue
 		}
 		score := c.score(e, r) + c.tieBreak(e)
--- a/control/timers.go
+++ b/control/timers.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	tickInterval = 100 * time.Millisecond // time between two looks at what waits
-	tickToken    = 1                      // token of the controller's own tick
-	lastOwnToken = 16                     // tokens up to it are kept for the controller itself
-	logInterval  = 5 * time.Second        // no line about one subject is logged sooner again
+	tickInterval = 100 * time.Millisecond // between two ticks
+	tickToken    = 1                      // token of the tick's timer
+	lastOwnToken = 16                     // tokens up to it are reserved for the controller's own timers
+	logInterval  = 5 * time.Second        // between two lines about one event of an engine
 )
 
 // timer is what is due when a timer expires. All are declared in this file.
@@ -91,23 +91,3 @@
 	ejected engineEvent = iota
 	restored
 )
-
-// logThrottle keeps lines about one subject apart.
-type logThrottle struct{ lastAt map[logSubject]time.Duration }
-
-func newLogThrottle() logThrottle { return logThrottle{lastAt: map[logSubject]time.Duration{}} }
-
-// allows reports whether a line about a subject may be logged now, and counts it as logged if so.
-func (l *logThrottle) allows(subject logSubject, now time.Duration) bool {
-	if at, logged := l.lastAt[subject]; logged && now-at < logInterval {
-		return false
-	}
-	l.lastAt[subject] = now
-	return true
-}
-
-// forgetEngine drops what is known of an engine that is gone.
-func (l *logThrottle) forgetEngine(engine string) {
-	delete(l.lastAt, logSubject{ejected, engine})
-	delete(l.lastAt, logSubject{restored, engine})
-}
