--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -103,7 +103,8 @@
 func (l *Limiter) Allows(r Request) bool {
 	threads, limit := float64(r.Threads), l.threads
 	if !r.UnderPressure {
-		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*float64(r.WidestThreads))
+		widest := float64(r.WidestThreads)
+		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*widest)
 	}
 	return l.inFlight == 0 || float64(l.inFlight)+threads <= limit ||
 		float64(r.ClassInFlight)+threads <= max(threads, float64(r.ClassShare)*limit)
--- a/control/hedging.go
+++ b/control/hedging.go
@@ -5,7 +5,6 @@
 
 	"wheatlane/control/outlier"
 	"wheatlane/control/overdue"
-	"wheatlane/control/units"
 )
 
 // attemptTimeout is how long an attempt of a request at an engine is waited for.
@@ -82,7 +81,7 @@
 	r, limits := a.request, &c.settings.Limits
 	allowed := !a.cancelled && r.queuedOn == nil && len(r.attempts) < limits.MaxAttempts &&
 		r.class.Idempotency.RepeatableAnywhere()
-	if !allowed || !c.retryPolicy.Hedges(r.retryInput(c.now), units.Duration(float64(r.expectedWork))) {
+	if !allowed || !c.retryPolicy.Hedges(r.retryInput(c.now), r.expectedWork.OnThreads(1).Duration()) {
 		return
 	}
 	if limits.Cancellation {
--- a/control/shares/optimizer.go
+++ b/control/shares/optimizer.go
@@ -65,12 +65,12 @@
 
 // utility is the priority weight that a class earns a second at its share raised by a step.
 func (o *optimizer) utility(class int, step float64) float64 {
-	k := &o.classes[class]
+	earns := &o.classes[class]
 	o.shares[class] += step
 	predicted := o.predictor.Predict(class, o.shares)
 	o.shares[class] -= step
 	onTime := min(1, max(0, predicted.InverseLatency))
-	late := float64(k.LateWeight)
-	return k.PriorityWeight * float64(k.ArrivalRate) * min(1, max(0, predicted.Throughput)) *
+	late := float64(earns.LateWeight)
+	return earns.PriorityWeight * float64(earns.ArrivalRate) * min(1, max(0, predicted.Throughput)) *
 		(late + (1-late)*onTime*onTime)
 }
--- a/control/units/seconds_test.go
+++ b/control/units/seconds_test.go
@@ -24,3 +24,10 @@
 		t.Errorf("3 events in half a second are %v a second, want 6", got)
 	}
 }
+
+func TestWorkIsSharedByThreads(t *testing.T) {
+	t.Parallel()
+	if got := ThreadSeconds(3).OnThreads(2); got != 1.5 {
+		t.Errorf("3 thread-seconds take %v s on 2 threads, want 1.5", float64(got))
+	}
+}
