--- a/control/admission.go
+++ b/control/admission.go
@@ -97,7 +97,7 @@
 		ClassShare:  c.shares.Share(r.classIndex),
 		TenantShare: c.workload.Tenants().Share(r.tenantIndex),
 		Threads:     e.concurrency.Limit(),
-		Slowdown:    c.estimatedSlowdown(e),
+		Slowdown:    e.estimatedSlowdown(&c.slowdowns),
 	}
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -24,9 +24,7 @@
 	} else {
 		k.Wait.Observe(c.now - r.receivedAt)
 	}
-	if c.inSlowStart(e) {
-		e.sentInSlowStart.Add(c.now, k.Cost.MeanWork())
-	}
+	c.slowStart.RecordSend(e.slowStartInput(), &e.sentInSlowStart, k.Cost.MeanWork(), c.now)
 	a := r.addAttempt(e, c.now)
 	if e.health.Ejected() {
 		e.health.ProbeSent(c.now, c.ejectionBackoff())
--- a/control/controller.go
+++ b/control/controller.go
@@ -72,8 +72,8 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: newLogThrottle(), requests: newRequestTable(),
-		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
-		outliers: outlier.NewDetector(outlier.DefaultConfig()), classes: newClassTable(),
+		endpoints: newEndpointSet(), classes: newClassTable(),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()),
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
@@ -92,7 +92,9 @@
 		c.classes.add(class.withDefaults(), &c.workload)
 	}
 	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
-	if poolsEngines(settings, c.classes.maxThreads) {
+	pooled := poolsEngines(settings, c.classes.maxThreads)
+	c.slowStart = newSlowStart(settings, pooled)
+	if pooled {
 		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
@@ -182,7 +184,8 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
-	c.decayEvidence()
+	c.outliers.DecayFleet()
+	c.endpoints.decay(&c.slowdowns, c.now)
 	if c.settings.Limits.Gossip {
 		c.endpoints.updatePoolLoad(c.now)
 	}
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -62,6 +62,6 @@
 		LoadKnown:     e.concurrency.InFlight() > 0 || e.load.Age(c.now) < controlInterval,
 		Load:          e.load.Load(),
 		SlowdownKnown: timesCount && e.slowdown.Trusted(),
-		Slowdown:      c.estimatedSlowdown(e),
+		Slowdown:      e.estimatedSlowdown(&c.slowdowns),
 	})
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -12,7 +12,7 @@
 		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
-		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, r.class),
+		SlowStartBudget: c.withinSlowStartBudget(e, r),
 	}) == eligibility.Eligible
 }
 
--- a/control/learning.go
+++ b/control/learning.go
@@ -9,7 +9,7 @@
 
 // expectedServiceTime is the service time expected of a request on an engine.
 func (c *Controller) expectedServiceTime(r *request, e *engine) units.Seconds {
-	slowdown := c.estimatedSlowdown(e).Ratio()
+	slowdown := e.estimatedSlowdown(&c.slowdowns).Ratio()
 	return units.Seconds(float64(r.expectedWork) / float64(r.class.Threads) * slowdown)
 }
 
@@ -23,7 +23,7 @@
 	r, e := a.request, a.engine
 	took := workload.Measured(end.Duration)
 	answer := workload.Answer{
-		ServiceTime: took, Threads: r.class.Threads, EngineSlowdown: c.estimatedSlowdown(e),
+		ServiceTime: took, Threads: r.class.Threads, EngineSlowdown: e.estimatedSlowdown(&c.slowdowns),
 		EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB,
 	}
 	if c.settings.ReportsCost {
@@ -32,6 +32,6 @@
 	slowdown := r.class.Cost.Observe(answer)
 	r.class.ServiceTime.Observe(took, c.expectedServiceTime(r, e))
 	r.class.Traffic.Answered(c.now - r.receivedAt)
-	c.observeSlowdown(e, slowdown)
+	e.observeSlowdown(&c.slowdowns, slowdown, c.now)
 	e.queueOwner.concurrency.RecordAnswer(float64(took / units.SecondsOf(r.class.LatencyObjective)))
 }
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -51,7 +51,7 @@
 	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
 	requireEqual(t, "ejected", e.health.Ejected(), false)
 	requireEqual(t, "failure rate", e.health.FailureRate(), 0.0)
-	requireEqual(t, "in slow start", r.controller.inSlowStart(e), true)
+	requireEqual(t, "in slow start", r.controller.slowStart.Active(e.slowStartInput(), r.now), true)
 }
 
 // The state of removed engines is dropped, so that it does not add up where engines are replaced all day.
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -126,9 +126,9 @@
 // DecayFleet lets older answers of the fleet count for less, once a tick.
 func (d *Detector) DecayFleet() { d.fleet.Decay(answerDecay) }
 
-// Backoff is the time between half-open probes of an engine, by the number of engines and the requests that
-// this broker receives a second. It is longer for a broker of many, as their probes add up.
-func (d *Detector) Backoff(engines int, arrivalRate float64) time.Duration {
-	rounds := units.Duration(float64(engines) / arrivalRate * backoffRounds)
+// Backoff is the time between half-open probes of an engine, by the number of engines and the rate of the
+// requests that this broker receives. It is longer for a broker of many, as their probes add up.
+func (d *Detector) Backoff(engines int, arrivalRate units.PerSecond) time.Duration {
+	rounds := units.Duration(float64(engines) / float64(arrivalRate) * backoffRounds)
 	return min(d.config.MaxBackoff, max(d.config.MinBackoff, rounds))
 }
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -109,7 +109,7 @@
 	d := NewDetector(DefaultConfig())
 	for _, c := range []struct {
 		engines     int
-		arrivalRate float64
+		arrivalRate units.PerSecond
 		want        time.Duration
 	}{
 		{5, 100, 500 * time.Millisecond},
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -48,7 +48,7 @@
 }
 
 func (c *Controller) ejectionBackoff() time.Duration {
-	return c.outliers.Backoff(len(c.endpoints.all), float64(c.workload.Summary().ArrivalRate))
+	return c.outliers.Backoff(len(c.endpoints.all), c.workload.Summary().ArrivalRate)
 }
 
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
--- a/control/selection.go
+++ b/control/selection.go
@@ -37,10 +37,7 @@
 	if !e.pooled() {
 		return c.selection.TieBreak(c.rng)
 	}
-	weight := 1.0
-	if c.inSlowStart(e) {
-		weight = c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now)
-	}
+	weight := c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now)
 	return c.selection.Noise(c.rng, weight)
 }
 
@@ -52,7 +49,7 @@
 		ThreadsQueued:     e.queue.Threads(),
 		ConcurrencyLimit:  e.concurrency.Limit(),
 		SlowStartFraction: c.slowStart.Fraction(e.slowStartInput(), c.now),
-		Slowdown:          c.slowdown(e),
+		Slowdown:          e.worstSlowdown(&c.slowdowns),
 		FailureRate:       e.health.FailureRate(),
 		LossRate:          c.outliers.LossRate(&e.health),
 		Load:              e.load.IfRecent(c.now),
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -7,25 +7,25 @@
 	"wheatlane/control/units"
 )
 
-// estimatedSlowdown is an engine's slowdown over the best one, as its answers show it.
-func (c *Controller) estimatedSlowdown(e *engine) units.LogRatio {
+// estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
+func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
-		return c.slowdowns.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Answers())
+		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Answers())
 	}
-	return c.slowdowns.Estimated(&e.slowdown)
+	return estimator.Estimated(&e.slowdown)
 }
 
-// slowdown is an engine's slowdown, from answers or, if worse, from the age of what is in flight.
-func (c *Controller) slowdown(e *engine) units.LogRatio {
-	return e.slowdown.OrOverdue(c.estimatedSlowdown(e))
+// worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
+func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
+	return e.slowdown.OrOverdue(e.estimatedSlowdown(estimator))
 }
 
-// observeSlowdown takes what an answer shows of its engine's slowdown.
-func (c *Controller) observeSlowdown(e *engine, sample units.LogRatio) {
+// observeSlowdown takes what an answer of the engine shows of its slowdown.
+func (e *engine) observeSlowdown(estimator *slowdown.Estimator, sample units.LogRatio, now time.Duration) {
 	if e.pooled() {
-		c.slowdowns.ObserveInPool(&e.slowdown, sample, e.health.Answers())
+		estimator.ObserveInPool(&e.slowdown, sample, e.health.Answers())
 	}
-	c.slowdowns.Observe(&e.queueOwner.slowdown, sample, c.now)
+	estimator.Observe(&e.queueOwner.slowdown, sample, now)
 }
 
 // healthySlowdowns are the slowdowns of the engines that are healthy.
@@ -39,15 +39,14 @@
 	return healthy
 }
 
-// decayEvidence lets what was seen of engines count for less as it ages, once a tick.
-func (c *Controller) decayEvidence() {
-	c.outliers.DecayFleet()
-	for _, e := range c.endpoints.all {
+// decay lets what was seen of engines count for less as it ages, once a tick.
+func (s *endpointSet) decay(estimator *slowdown.Estimator, now time.Duration) {
+	for _, e := range s.all {
 		e.health.Decay()
 	}
-	for _, e := range c.endpoints.queueOwners() {
-		e.updateOverdue(c.now)
-		c.slowdowns.Recover(&e.slowdown, c.now)
+	for _, e := range s.queueOwners() {
+		e.updateOverdue(now)
+		estimator.Recover(&e.slowdown, now)
 	}
 }
 
--- a/control/slowdown/overdue.go
+++ b/control/slowdown/overdue.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	minUsualSeconds = 0.1 // that any answer may take
-	overdueAllowed  = 2   // overdue ratio up to which nothing is slow
+	overdueAllowed = 2 // overdue ratio up to which nothing is slow
+
+	minUsualTime units.Seconds = 0.1 // that any answer may take
 )
 
 // InFlight is an attempt that is in flight.
@@ -19,16 +20,17 @@
 	Threads      int
 }
 
-// usualSeconds is the time that an attempt takes on an engine that is not slow.
-func (a *InFlight) usualSeconds() float64 {
-	return float64(a.ExpectedWork)/float64(a.Threads) + minUsualSeconds
+// usualTime is the time that an attempt takes on an engine that is not slow.
+func (a *InFlight) usualTime() units.Seconds {
+	return units.Seconds(float64(a.ExpectedWork)/float64(a.Threads)) + minUsualTime
 }
 
 // overdueRatio is the age of attempts over their usual time: the median, which one long request can't move.
 func overdueRatio(attempts []InFlight, now time.Duration) float64 {
 	ratios := make([]float64, 0, len(attempts))
 	for i := range attempts {
-		ratios = append(ratios, (now-attempts[i].SentAt).Seconds()/attempts[i].usualSeconds())
+		age := units.SecondsOf(now - attempts[i].SentAt)
+		ratios = append(ratios, float64(age/attempts[i].usualTime()))
 	}
 	return estimate.Median(ratios)
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,12 +2,12 @@
 
 import "wheatlane/control/slowstart"
 
-func newSlowStart(s Settings) slowstart.Policy {
+func newSlowStart(s Settings, pooled bool) slowstart.Policy {
 	return slowstart.New(slowstart.Config{
 		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
-		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex,
+		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex, TakeTurns: pooled,
 	})
 }
 
@@ -20,22 +20,14 @@
 func (c *Controller) slowStartDemand() slowstart.Demand {
 	summary := c.workload.Summary()
 	return slowstart.Demand{
-		ArrivalRate: float64(summary.ArrivalRate), MeanWork: summary.MeanWork,
+		ArrivalRate: summary.ArrivalRate, MeanWork: summary.MeanWork,
 		HeaviestWork: summary.HeaviestWork, TrafficShare: c.workload.TrafficShare(),
 		ReadyEngines: c.endpoints.ready,
 	}
 }
 
-// inSlowStart reports whether an engine warms up.
-func (c *Controller) inSlowStart(e *engine) bool {
-	return c.slowStart.Active(e.slowStartInput(), c.now)
-}
-
-// withinSlowStartBudget reports whether an engine that warms up may be sent a request of a class.
-func (c *Controller) withinSlowStartBudget(e *engine, k *class) bool {
-	allows := c.slowStart.Allows
-	if e.pooled() {
-		allows = c.slowStart.AllowsInTurn
-	}
-	return allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), k.Cost.MeanWork(), c.now)
+// withinSlowStartBudget reports whether slow start lets an engine be sent a request.
+func (c *Controller) withinSlowStartBudget(e *engine, r *request) bool {
+	work := r.class.Cost.MeanWork()
+	return c.slowStart.Allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), work, c.now)
 }
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -32,6 +32,7 @@
 	OverloadWindow   time.Duration  // over which that is measured
 	Brokers          int            // that share the engines
 	BrokerIndex      int            // of this broker, from 0
+	TakeTurns        bool           // brokers send by turns, as the share of each is less than a request
 }
 
 // Engine is what the policy has to know of an engine.
@@ -43,7 +44,7 @@
 
 // Demand is the demand at this broker.
 type Demand struct {
-	ArrivalRate  float64             // requests a second
+	ArrivalRate  units.PerSecond     // of requests
 	MeanWork     units.ThreadSeconds // of a request
 	HeaviestWork units.ThreadSeconds // of the class with the most work
 	TrafficShare units.Fraction      // of the fleet's traffic
@@ -78,34 +79,36 @@
 		p.config.OverloadWindow.Seconds() * usedBudget)
 }
 
-// Allows reports whether this broker's share of the budget has capacity for a request of some work more.
+// Allows reports whether an engine may be sent some work more: whether it is warm, or this broker's share of
+// the budget covers that and what was sent.
 func (p Policy) Allows(
 	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
 ) bool {
+	if !p.Active(engine, now) {
+		return true
+	}
 	evenShare := evenShareWeight / units.Fraction(p.config.Brokers)
 	share := evenShare + (1-evenShareWeight)*demand.TrafficShare
-	return p.within(engine, sent, share, work, now)
-}
-
-// AllowsInTurn decides the same where the even shares of the brokers are less than a request: they take turns
-// by index, each as long as an overload window, as many at a time as the budget has capacity for.
-func (p Policy) AllowsInTurn(
-	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
-) bool {
-	turn := p.turn(engine, demand, now)
-	share := turnBudget / turn.heavyRequests
-	return p.hasTurn(engine, turn, now) && p.within(engine, sent, share, work, now)
-}
-
-// within reports whether a share of the fleet's budget covers what was sent and some work more.
-func (p Policy) within(
-	engine Engine, sent *SendLog, share units.Fraction, work units.ThreadSeconds, now time.Duration,
-) bool {
+	if p.config.TakeTurns {
+		turn := p.turn(engine, demand, now)
+		if !p.hasTurn(engine, turn, now) {
+			return false
+		}
+		share = turnBudget / turn.heavyRequests
+	}
 	budget := p.FleetBudget(engine, now) * units.ThreadSeconds(share)
 	return sent.WorkSince(now-p.config.OverloadWindow, work) <= budget
 }
 
-// turn is the brokers that may send to an engine at a time.
+// RecordSend records work that an engine is sent now.
+func (p Policy) RecordSend(engine Engine, sent *SendLog, work units.ThreadSeconds, now time.Duration) {
+	if p.Active(engine, now) {
+		sent.Add(now, work)
+	}
+}
+
+// turn is the brokers that may send to an engine at a time, for as long as an overload window. They take turns
+// by index, as many at a time as the budget has capacity for.
 type turn struct {
 	brokers       int
 	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
@@ -115,7 +118,7 @@
 	budget := p.FleetBudget(engine, now) * turnBudget
 	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
 	// used is what an engine is sent by one broker within a window.
-	used := demand.ArrivalRate * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
+	used := float64(demand.ArrivalRate) * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
 		float64(demand.ReadyEngines)
 	lightRequests := lightShare * float64(budget) / used
 	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
@@ -130,8 +133,11 @@
 }
 
 // FleetWeight is by how much more a broker whose turn it is has to choose an engine, so that the fleet uses
-// the engine by its capacity.
+// the engine by its capacity. It is 1 where no turns are taken.
 func (p Policy) FleetWeight(engine Engine, demand Demand, now time.Duration) float64 {
+	if !p.config.TakeTurns || !p.Active(engine, now) {
+		return 1
+	}
 	turn := p.turn(engine, demand, now)
 	return float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers)
 }
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -76,10 +76,10 @@
 		inTurn, budget := 0, units.ThreadSeconds(0)
 		for index := range brokers {
 			c := config()
-			c.Brokers, c.BrokerIndex = brokers, index
+			c.Brokers, c.BrokerIndex, c.TakeTurns = brokers, index, true
 			policy := New(c)
 			budget = policy.FleetBudget(engine, now)
-			if policy.AllowsInTurn(engine, &SendLog{}, demand, demand.HeaviestWork, now) {
+			if policy.Allows(engine, &SendLog{}, demand, demand.HeaviestWork, now) {
 				inTurn++
 				turns[index] = true
 			}
@@ -93,13 +93,35 @@
 	}
 }
 
+func TestWarmEngineHasNoBudget(t *testing.T) {
+	t.Parallel()
+	policy, now := New(config()), engine.StartedAt
+	var sent SendLog
+	policy.RecordSend(engine, &sent, 1000, now)
+	demand := Demand{TrafficShare: 0.3, ReadyEngines: 1}
+	if policy.Allows(engine, &sent, demand, 1, now) {
+		t.Error("an engine that warms up is sent more than its budget")
+	}
+	warm := Engine{Cores: 8}
+	if !policy.Allows(warm, &sent, demand, 1000, now) {
+		t.Error("an engine that is warm is not sent what it may be")
+	}
+	var none SendLog
+	if policy.RecordSend(warm, &none, 1000, now); none.WorkSince(0, 0) != 0 {
+		t.Error("work for an engine that is warm is recorded")
+	}
+}
+
 func TestFleetWeightMakesUpForTheTurnsOfOthers(t *testing.T) {
 	t.Parallel()
 	c := config()
-	c.Brokers = 100
+	c.Brokers, c.TakeTurns = 100, true
 	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
 	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
 	if got, want := New(c).FleetWeight(engine, demand, engine.StartedAt), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
 		t.Errorf("weight %v, want %v", got, want)
 	}
+	if got := New(c).FleetWeight(Engine{Cores: 8}, demand, engine.StartedAt); got != 1 {
+		t.Errorf("weight %v of an engine that is warm, want 1", got)
+	}
 }
--- a/control/view.go
+++ b/control/view.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		view := EngineView{
-			ID: e.ID, State: e.member.State(), SlowStart: c.inSlowStart(e), Ejected: e.health.Ejected(),
+			ID: e.ID, State: e.member.State(), SlowStart: c.slowStart.Active(e.slowStartInput(), c.now), Ejected: e.health.Ejected(),
 			ConcurrencyLimit: e.queueOwner.concurrency.Limit(), ThreadsInFlight: e.concurrency.InFlight(),
 			Queued: e.queueOwner.queue.Len(),
 		}
