--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -21,9 +21,9 @@
 	majorityFaulty bool // most of them are ejected
 }
 
-// poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's share
-// of an engine's limit is less than a request. One request of each broker would exceed the limits then, and
-// answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
+// poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's
+// share of an engine's limit is less than a request. One request of each broker would exceed the limits then,
+// and answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
 func poolsEngines(settings Settings, maxThreads int) bool {
 	cores := 0.0
 	for _, kind := range settings.EngineKinds {
@@ -51,25 +51,26 @@
 }
 
 // add puts an engine into the set.
-func (s *endpointSet) add(e *engine) {
+func (s *endpointSet) add(engine *engine) {
 	if s.pool != nil {
-		e.queueOwner = s.pool
+		engine.queueOwner = s.pool
 	}
-	s.byID[e.ID] = e
-	byID := func(o *engine, id string) int { return strings.Compare(o.ID, id) }
-	at, _ := slices.BinarySearchFunc(s.all, e.ID, byID)
-	s.all = slices.Insert(s.all, at, e)
+	s.byID[engine.ID] = engine
+	place, _ := slices.BinarySearchFunc(s.all, engine.ID, compareID)
+	s.all = slices.Insert(s.all, place, engine)
 }
 
+func compareID(engine *engine, id string) int { return strings.Compare(engine.ID, id) }
+
 // removeGone drops engines that are listed no more, once nothing is in flight or queued there, and returns
 // their IDs.
 func (s *endpointSet) removeGone() (removed []string) {
-	s.all = slices.DeleteFunc(s.all, func(e *engine) bool {
-		if e.member.Listed() || len(e.attempts) > 0 || e.queue.Len() > 0 {
+	s.all = slices.DeleteFunc(s.all, func(engine *engine) bool {
+		if engine.member.Listed() || len(engine.attempts) > 0 || engine.queue.Len() > 0 {
 			return false
 		}
-		delete(s.byID, e.ID)
-		removed = append(removed, e.ID)
+		delete(s.byID, engine.ID)
+		removed = append(removed, engine.ID)
 		return true
 	})
 	return removed
@@ -79,17 +80,17 @@
 // size.
 func (s *endpointSet) summarize(slowStart *slowstart.Policy, now time.Duration) {
 	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
-	for _, e := range s.all {
-		if !e.member.TakesRequests() {
+	for _, engine := range s.all {
+		if !engine.member.TakesRequests() {
 			continue
 		}
 		ready++
-		if e.health.Ejected() {
+		if engine.health.Ejected() {
 			ejected++
 			continue
 		}
-		cores += e.cores * float64(slowStart.Fraction(e.slowStartInput(), now))
-		memoryMB += e.memoryMB
+		cores += engine.cores * float64(slowStart.Fraction(engine.slowStartInput(), now))
+		memoryMB += engine.memoryMB
 	}
 	s.majorityFaulty, s.ready = ejected > ready-ejected, max(1, ready)
 	if s.pool != nil {
@@ -101,7 +102,7 @@
 
 // byGossipID finds an engine by the short form of its ID; nil if there is none.
 func (s *endpointSet) byGossipID(id uint32) *engine {
-	i := slices.IndexFunc(s.all, func(e *engine) bool { return e.gossipID == id })
+	i := slices.IndexFunc(s.all, func(engine *engine) bool { return engine.gossipID == id })
 	if i < 0 {
 		return nil
 	}
--- a/control/engine.go
+++ b/control/engine.go
@@ -30,33 +30,37 @@
 
 	attempts []*attempt // in flight
 
-	health   outlier.Health
-	slowdown slowdown.Engine
-
+	health          outlier.Health
+	slowdown        slowdown.Engine
 	load            loadreport.Estimate
 	dataSetLocks    datasetlock.Locks // of other brokers' requests
 	sentInSlowStart slowstart.SendLog
 }
 
-func (c *Controller) newEngine(in Engine, kind EngineKind) *engine {
-	e := &engine{
-		Engine: Engine{ID: in.ID}, idHash: datasetlock.HashEngine(in.ID), gossipID: EngineHash(in.ID),
-		cores: max(1, kind.Cores), memoryMB: kind.MemoryMB, health: outlier.NewHealth(c.now),
-		queue: fairqueue.New[*request](len(c.classes.all), c.workload.Tenants().Len()),
+// newEngine returns an engine that nothing is known of yet.
+func (c *Controller) newEngine(listed Engine, kind EngineKind) *engine {
+	created := &engine{
+		Engine:   Engine{ID: listed.ID},
+		idHash:   datasetlock.HashEngine(listed.ID),
+		gossipID: EngineHash(listed.ID),
+		cores:    max(1, kind.Cores),
+		memoryMB: kind.MemoryMB,
+		health:   outlier.NewHealth(c.now),
+		queue:    fairqueue.New[*request](len(c.classes.all), c.workload.Tenants().Len()),
 	}
-	if e.memoryMB <= 0 { // not known, so it bounds nothing
-		e.memoryMB = math.Inf(1)
+	if created.memoryMB <= 0 { // not known, so it bounds nothing
+		created.memoryMB = math.Inf(1)
 	}
-	e.queueOwner = e
-	e.concurrency = concurrency.New(concurrency.DefaultConfig(), e.cores, c.workload.TrafficShare())
-	return e
+	created.queueOwner = created
+	share := c.workload.TrafficShare()
+	created.concurrency = concurrency.New(concurrency.DefaultConfig(), created.cores, share)
+	return created
 }
 
 // newPool returns the engine that stands for all where they are pooled.
 func (c *Controller) newPool() *engine {
 	pool := c.newEngine(Engine{}, EngineKind{})
-	pool.concurrency = concurrency.New(
-		concurrency.PoolConfig(), pool.cores, c.workload.TrafficShare())
+	pool.concurrency = concurrency.New(concurrency.PoolConfig(), pool.cores, c.workload.TrafficShare())
 	return pool
 }
 
@@ -79,15 +83,15 @@
 	}
 }
 
-func (e *engine) addAttempt(a *attempt) {
-	e.attempts = append(e.attempts, a)
+func (e *engine) addAttempt(added *attempt) {
+	e.attempts = append(e.attempts, added)
 	if e.pooled() {
-		e.queueOwner.attempts = append(e.queueOwner.attempts, a)
+		e.queueOwner.attempts = append(e.queueOwner.attempts, added)
 	}
 }
 
-func (e *engine) removeAttempt(a *attempt) {
-	same := func(o *attempt) bool { return o == a }
+func (e *engine) removeAttempt(removed *attempt) {
+	same := func(other *attempt) bool { return other == removed }
 	e.attempts = slices.DeleteFunc(e.attempts, same)
 	if e.pooled() {
 		e.queueOwner.attempts = slices.DeleteFunc(e.queueOwner.attempts, same)
@@ -96,17 +100,17 @@
 
 // threadsOfClass is the threads of a class's attempts that count against an engine's limit; at the pool also
 // of those requests that are about to leave it.
-func (c *Controller) threadsOfClass(e *engine, classIndex int) int {
-	threads, k := 0, c.classes.all[classIndex]
-	for _, a := range e.attempts {
-		if a.request.classIndex == classIndex && !a.released {
-			threads += k.Threads
+func (c *Controller) threadsOfClass(engine *engine, classIndex int) int {
+	class, requests := c.classes.all[classIndex], 0
+	for _, attempt := range engine.attempts {
+		if attempt.request.classIndex == classIndex && !attempt.released {
+			requests++
 		}
 	}
-	if e == c.endpoints.pool {
-		threads += k.awaitingProbes * k.Threads
+	if engine == c.endpoints.pool {
+		requests += class.awaitingProbes
 	}
-	return threads
+	return requests * class.Threads
 }
 
 // loadKnown reports whether it takes requests and its load is known.
@@ -114,11 +118,11 @@
 	return e.member.TakesRequests() && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
-// dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by one
-// of another broker.
+// dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by
+// one of another broker.
 func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
-	locks := func(a *attempt) bool {
-		return a.request.class.HoldsDataSetLock && a.request.DataSet == dataSet
+	holdsLock := func(attempt *attempt) bool {
+		return attempt.request.class.HoldsDataSetLock && attempt.request.DataSet == dataSet
 	}
-	return e.dataSetLocks.Locked(dataSet, now) || slices.ContainsFunc(e.attempts, locks)
+	return e.dataSetLocks.Locked(dataSet, now) || slices.ContainsFunc(e.attempts, holdsLock)
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -21,11 +21,10 @@
 // knownLoads returns the known loads of engines that take requests, the youngest first.
 func (s *endpointSet) knownLoads(now time.Duration) []GossipedLoad {
 	var loads []GossipedLoad
-	for _, e := range s.all {
-		if e.loadKnown(now) {
-			loads = append(loads, GossipedLoad{
-				Engine: e.gossipID, Load: float64(e.load.Load()), Age: e.load.Age(now),
-			})
+	for _, engine := range s.all {
+		if engine.loadKnown(now) {
+			load, age := float64(engine.load.Load()), engine.load.Age(now)
+			loads = append(loads, GossipedLoad{Engine: engine.gossipID, Load: load, Age: age})
 		}
 	}
 	slices.SortStableFunc(loads, func(a, b GossipedLoad) int { return cmp.Compare(a.Age, b.Age) })
@@ -35,8 +34,9 @@
 // receiveLoads takes the loads that are younger than what is known.
 func (s *endpointSet) receiveLoads(loads []GossipedLoad, now time.Duration) {
 	for _, gossiped := range loads {
-		if e := s.byGossipID(gossiped.Engine); e != nil {
-			e.load.Receive(units.Fraction(gossiped.Load), now-max(0, gossiped.Age), e.StartedAt)
+		if engine := s.byGossipID(gossiped.Engine); engine != nil {
+			reportedAt := now - max(0, gossiped.Age)
+			engine.load.Receive(units.Fraction(gossiped.Load), reportedAt, engine.StartedAt)
 		}
 	}
 }
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -8,17 +8,17 @@
 )
 
 // loadReported takes a load report of an engine. Without gossip, the pool's load is learned from it as well.
-func (c *Controller) loadReported(e *engine, report loadreport.Report) {
+func (c *Controller) loadReported(engine *engine, report loadreport.Report) {
 	if !report.Reported {
 		return
 	}
 	load := report.Load(
 		loadreport.Demand(c.workload.MeanDemand()),
-		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * e.cores, MemoryMB: e.memoryMB},
+		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * engine.cores, MemoryMB: engine.memoryMB},
 	)
-	e.load.Observe(load, c.now)
-	if e.pooled() && !c.settings.Limits.Gossip {
-		e.queueOwner.load.ObserveOfPool(load, c.now)
+	engine.load.Observe(load, c.now)
+	if engine.pooled() && !c.settings.Limits.Gossip {
+		engine.queueOwner.load.ObserveOfPool(load, c.now)
 	}
 }
 
@@ -28,9 +28,9 @@
 		return
 	}
 	var known []*loadreport.Estimate
-	for _, e := range s.all {
-		if e.loadKnown(now) {
-			known = append(known, &e.load)
+	for _, engine := range s.all {
+		if engine.loadKnown(now) {
+			known = append(known, &engine.load)
 		}
 	}
 	s.pool.load.OfPool(known)
--- a/control/membership.go
+++ b/control/membership.go
@@ -19,10 +19,10 @@
 		c.endpointListed(listed)
 	}
 	if update.Kind == EndpointSnapshot {
-		for _, e := range c.endpoints.all {
-			if !named[e.ID] && e.member.Listed() {
-				e.member.Unlist()
-				c.requeueWaiting(e)
+		for _, engine := range c.endpoints.all {
+			if !named[engine.ID] && engine.member.Listed() {
+				engine.member.Unlist()
+				c.requeueWaiting(engine)
 			}
 		}
 	}
@@ -30,18 +30,18 @@
 }
 
 func (c *Controller) endpointListed(listed Engine) {
-	e := c.endpoints.byID[listed.ID]
-	if e == nil {
-		e = c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
-		c.endpoints.add(e)
-	} else if listed.StartedAt > e.StartedAt {
-		e.health.Restarted()
-		c.slowdowns.Restarted(&e.slowdown)
+	engine := c.endpoints.byID[listed.ID]
+	if engine == nil {
+		engine = c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
+		c.endpoints.add(engine)
+	} else if listed.StartedAt > engine.StartedAt {
+		engine.health.Restarted()
+		c.slowdowns.Restarted(&engine.slowdown)
 	}
-	e.Engine = listed
-	e.member.SetMaintenance(c.endpoints.inMaintenance[e.ID])
-	e.member.Update(listed.State)
-	c.requeueUnlessReady(e)
+	engine.Engine = listed
+	engine.member.SetMaintenance(c.endpoints.inMaintenance[engine.ID])
+	engine.member.Update(listed.State)
+	c.requeueUnlessReady(engine)
 }
 
 // setMaintenance puts an engine into maintenance mode, or takes it out.
@@ -51,17 +51,17 @@
 	} else {
 		delete(c.endpoints.inMaintenance, event.Engine)
 	}
-	if e := c.endpoints.byID[event.Engine]; e != nil {
-		e.member.SetMaintenance(event.Enabled)
-		c.requeueUnlessReady(e)
+	if engine := c.endpoints.byID[event.Engine]; engine != nil {
+		engine.member.SetMaintenance(event.Enabled)
+		c.requeueUnlessReady(engine)
 		c.updateFleet()
 	}
 }
 
 // requeueUnlessReady takes the requests out of the queue of an engine that takes no new ones.
-func (c *Controller) requeueUnlessReady(e *engine) {
-	if e.member.State() != Ready {
-		c.requeueWaiting(e)
+func (c *Controller) requeueUnlessReady(engine *engine) {
+	if engine.member.State() != Ready {
+		c.requeueWaiting(engine)
 	}
 }
 
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -7,44 +7,44 @@
 )
 
 // recordOutcome records how an attempt ended in its engine's health.
-func (c *Controller) recordOutcome(e *engine, status Status) {
+func (c *Controller) recordOutcome(engine *engine, status Status) {
 	switch status {
 	case NeverSent, Cancelled:
 	case TimedOut:
-		if !c.underPressure(e.queueOwner) {
-			c.outliers.Lost(&e.health, 1)
+		if !c.underPressure(engine.queueOwner) {
+			c.outliers.Lost(&engine.health, 1)
 		}
 	case AtCapacity:
-		e.health.Rejected(c.now)
-		e.queueOwner.health.Rejected(c.now)
+		engine.health.Rejected(c.now)
+		engine.queueOwner.health.Rejected(c.now)
 	case OK:
-		e.health.Responded(c.now)
-		if c.outliers.Succeeded(&e.health, c.now, c.ejectionBackoff()) {
+		engine.health.Responded(c.now)
+		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
 			c.updateFleet()
-			c.emitThrottled(logSubject{restored, e.ID}, EngineRestored{e.ID})
+			c.emitThrottled(logSubject{restored, engine.ID}, EngineRestored{engine.ID})
 		}
 	case Failed, ConnectionReset:
-		e.health.Responded(c.now)
-		c.recordFailure(e, true)
+		engine.health.Responded(c.now)
+		c.recordFailure(engine, true)
 	case ConnectFailed:
-		c.recordFailure(e, false)
+		c.recordFailure(engine, false)
 	}
 }
 
-func (c *Controller) recordFailure(e *engine, connected bool) {
-	if reason, eject := c.outliers.Failed(&e.health, connected); eject {
-		c.eject(e, reason)
+func (c *Controller) recordFailure(engine *engine, connected bool) {
+	if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
+		c.eject(engine, reason)
 	}
 }
 
 // eject takes an outlier out of service, but for half-open probes.
-func (c *Controller) eject(e *engine, reason outlier.Reason) {
-	if !e.health.Eject(c.now, c.ejectionBackoff()) {
+func (c *Controller) eject(engine *engine, reason outlier.Reason) {
+	if !engine.health.Eject(c.now, c.ejectionBackoff()) {
 		return
 	}
 	c.updateFleet()
-	c.emitThrottled(logSubject{ejected, e.ID}, EngineEjected{e.ID, reason})
-	c.requeueWaiting(e)
+	c.emitThrottled(logSubject{ejected, engine.ID}, EngineEjected{engine.ID, reason})
+	c.requeueWaiting(engine)
 }
 
 func (c *Controller) ejectionBackoff() time.Duration {
@@ -52,10 +52,10 @@
 }
 
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
-func (c *Controller) mayProbeHalfOpen(e *engine, r *request) bool {
-	return e.health.MayProbe(outlier.Probe{
-		EngineIdle:     e.pooled() || e.concurrency.InFlight() == 0,
-		FirstAttempt:   len(r.attempts) == 0,
-		LowestPriority: r.class.PriorityWeight <= c.classes.lowestWeight,
+func (c *Controller) mayProbeHalfOpen(engine *engine, request *request) bool {
+	return engine.health.MayProbe(outlier.Probe{
+		EngineIdle:     engine.pooled() || engine.concurrency.InFlight() == 0,
+		FirstAttempt:   len(request.attempts) == 0,
+		LowestPriority: request.class.PriorityWeight <= c.classes.lowestWeight,
 	}, c.now)
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -6,60 +6,61 @@
 )
 
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
-func (c *Controller) selectEngine(r *request, avoid *engine) *engine {
-	if e := c.bestEngine(r, avoid); e != nil {
-		return e
+func (c *Controller) selectEngine(request *request, avoid *engine) *engine {
+	if engine := c.bestEngine(request, avoid); engine != nil {
+		return engine
 	}
-	return c.bestEngine(r, nil)
+	return c.bestEngine(request, nil)
 }
 
-func (c *Controller) bestEngine(r *request, avoid *engine) *engine {
+func (c *Controller) bestEngine(request *request, avoid *engine) *engine {
 	var best selection.Best[*engine]
-	for _, e := range c.endpoints.all {
-		if e == avoid || e.health.AtCapacity(c.now) || !c.mayAttempt(r, e) {
+	for _, engine := range c.endpoints.all {
+		if engine == avoid || engine.health.AtCapacity(c.now) || !c.mayAttempt(request, engine) {
 			continue
 		}
-		score := c.score(e, r) + c.tieBreak(e)
-		if e.health.Ejected() && !c.endpoints.majorityFaulty {
-			if !c.mayProbeHalfOpen(e, r) {
+		score := c.score(engine, request) + c.tieBreak(engine)
+		if engine.health.Ejected() && !c.endpoints.majorityFaulty {
+			if !c.mayProbeHalfOpen(engine, request) {
 				continue
 			}
 			score += c.selection.HalfOpenBonus
 		}
-		best.Offer(e, score)
+		best.Offer(engine, score)
 	}
 	return best.Candidate()
 }
 
 // tieBreak is what chance adds to an engine's score. Brokers that have their turn at an engine that warms up
 // choose it for all.
-func (c *Controller) tieBreak(e *engine) selection.Score {
-	if !e.pooled() {
+func (c *Controller) tieBreak(engine *engine) selection.Score {
+	if !engine.pooled() {
 		return c.selection.TieBreak(c.rng)
 	}
-	weight := c.slowStart.FleetWeight(e.slowStartInput(), c.slowStartDemand(), c.now)
+	weight := c.slowStart.FleetWeight(engine.slowStartInput(), c.slowStartDemand(), c.now)
 	return c.selection.Noise(c.rng, weight)
 }
 
 // score is an engine's score for a request.
-func (c *Controller) score(e *engine, r *request) selection.Score {
-	role := datasetlock.RoleOf(r.class.HoldsDataSetLock, r.class.BlockedByDataSetLock)
+func (c *Controller) score(engine *engine, request *request) selection.Score {
+	role := datasetlock.RoleOf(request.class.HoldsDataSetLock, request.class.BlockedByDataSetLock)
+	locked := role != datasetlock.Unaffected && engine.dataSetLocked(c.now, request.DataSet)
 	candidate := selection.Candidate{
-		ThreadsInFlight:   e.concurrency.InFlight(),
-		ThreadsQueued:     e.queue.Threads(),
-		ConcurrencyLimit:  e.concurrency.Limit(),
-		SlowStartFraction: c.slowStart.Fraction(e.slowStartInput(), c.now),
-		Slowdown:          e.worstSlowdown(&c.slowdowns),
-		FailureRate:       e.health.FailureRate(),
-		LossRate:          c.outliers.LossRate(&e.health),
-		Load:              e.load.IfRecent(c.now),
-		OtherZone:         e.Zone != c.settings.Zone,
-		DataSetLocked:     role != datasetlock.Unaffected && e.dataSetLocked(c.now, r.DataSet),
-		DataSetRank:       datasetlock.Rank(e.idHash, r.DataSet),
+		ThreadsInFlight:   engine.concurrency.InFlight(),
+		ThreadsQueued:     engine.queue.Threads(),
+		ConcurrencyLimit:  engine.concurrency.Limit(),
+		SlowStartFraction: c.slowStart.Fraction(engine.slowStartInput(), c.now),
+		Slowdown:          engine.worstSlowdown(&c.slowdowns),
+		FailureRate:       engine.health.FailureRate(),
+		LossRate:          c.outliers.LossRate(&engine.health),
+		Load:              engine.load.IfRecent(c.now),
+		OtherZone:         engine.Zone != c.settings.Zone,
+		DataSetLocked:     locked,
+		DataSetRank:       datasetlock.Rank(engine.idHash, request.DataSet),
 		Role:              role,
 	}
-	if e.pooled() {
-		candidate.Load = e.load.InPool(&e.queueOwner.load, c.now)
+	if engine.pooled() {
+		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
 	} else { // in a pool, an engine that answered of late is better than an untried one
 		candidate.ExpectedLossRate = min(candidate.LossRate, c.outliers.FleetLossRate())
 	}
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -31,9 +31,9 @@
 // healthySlowdowns are the slowdowns of the engines that are healthy.
 func (s *endpointSet) healthySlowdowns() []*slowdown.Engine {
 	var healthy []*slowdown.Engine
-	for _, e := range s.queueOwners() {
-		if e.member.Listed() && !e.health.Ejected() {
-			healthy = append(healthy, &e.slowdown)
+	for _, engine := range s.queueOwners() {
+		if engine.member.Listed() && !engine.health.Ejected() {
+			healthy = append(healthy, &engine.slowdown)
 		}
 	}
 	return healthy
@@ -41,23 +41,23 @@
 
 // decay lets what was seen of engines count for less as it ages, once a tick.
 func (s *endpointSet) decay(estimator *slowdown.Estimator, now time.Duration) {
-	for _, e := range s.all {
-		e.health.Decay()
+	for _, engine := range s.all {
+		engine.health.Decay()
 	}
-	for _, e := range s.queueOwners() {
-		e.updateOverdue(now)
-		estimator.Recover(&e.slowdown, now)
+	for _, engine := range s.queueOwners() {
+		engine.updateOverdue(now)
+		estimator.Recover(&engine.slowdown, now)
 	}
 }
 
 // updateOverdue follows the age of what is in flight.
 func (e *engine) updateOverdue(now time.Duration) {
 	attempts := make([]slowdown.InFlight, 0, len(e.attempts))
-	for _, a := range e.attempts {
-		if !a.released {
+	for _, attempt := range e.attempts {
+		if !attempt.released {
 			attempts = append(attempts, slowdown.InFlight{
-				SentAt: a.sentAt, ExpectedWork: a.request.expectedWork,
-				Threads: a.request.class.Threads,
+				SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
+				Threads: attempt.request.class.Threads,
 			})
 		}
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -27,7 +27,7 @@
 }
 
 // withinSlowStartBudget reports whether slow start lets an engine be sent a request.
-func (c *Controller) withinSlowStartBudget(e *engine, r *request) bool {
-	work := r.class.Cost.MeanWork()
-	return c.slowStart.Allows(e.slowStartInput(), &e.sentInSlowStart, c.slowStartDemand(), work, c.now)
+func (c *Controller) withinSlowStartBudget(engine *engine, request *request) bool {
+	input, work := engine.slowStartInput(), request.class.Cost.MeanWork()
+	return c.slowStart.Allows(input, &engine.sentInSlowStart, c.slowStartDemand(), work, c.now)
 }
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// turn is the brokers that may send to an engine at a time, for as long as an overload window. They take turns
-// by index, as many at a time as the budget has capacity for.
+// turn is the brokers that may send to an engine at a time, for as long as an overload window. They take
+// turns by index, as many at a time as the budget has capacity for.
 type turn struct {
 	brokers       int
 	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
--- a/control/view.go
+++ b/control/view.go
@@ -10,7 +10,7 @@
 type EngineView struct {
 	ID               string
 	State            EngineState
-	SlowStart        bool    // it started lately
+	SlowStart        bool    // it warms up
 	Ejected          bool    // an outlier that gets no requests but half-open probes
 	ConcurrencyLimit float64 // threads that this broker may have in flight there
 	ThreadsInFlight  int     // threads of what is in flight there
@@ -23,26 +23,29 @@
 	Share float64 // its weight in the fair queues
 }
 
-// View fills v, whose memory is used again. Where engines are pooled, each has its part of the pool's limit
-// by cores.
+// View fills v, whose memory is used again. Where engines are pooled, each has a share of the pool's limit by
+// its cores.
 func (c *Controller) View(v *View) {
 	v.Engines, v.Classes = v.Engines[:0], v.Classes[:0]
 	pool := c.endpoints.pool
-	for _, e := range c.endpoints.all {
-		if !e.member.Listed() {
+	for _, engine := range c.endpoints.all {
+		if !engine.member.Listed() {
 			continue
 		}
 		view := EngineView{
-			ID: e.ID, State: e.member.State(), SlowStart: c.slowStart.Active(e.slowStartInput(), c.now), Ejected: e.health.Ejected(),
-			ConcurrencyLimit: e.queueOwner.concurrency.Limit(), ThreadsInFlight: e.concurrency.InFlight(),
-			Queued: e.queueOwner.queue.Len(),
+			ID: engine.ID, State: engine.member.State(),
+			SlowStart:        c.slowStart.Active(engine.slowStartInput(), c.now),
+			Ejected:          engine.health.Ejected(),
+			ConcurrencyLimit: engine.queueOwner.concurrency.Limit(),
+			ThreadsInFlight:  engine.concurrency.InFlight(),
+			Queued:           engine.queueOwner.queue.Len(),
 		}
 		if pool != nil && pool.cores > 0 {
-			view.ConcurrencyLimit *= e.cores / pool.cores
+			view.ConcurrencyLimit *= engine.cores / pool.cores
 		}
 		v.Engines = append(v.Engines, view)
 	}
-	for i, k := range c.classes.all {
-		v.Classes = append(v.Classes, ClassView{Name: k.Name, Share: float64(c.shares.Share(i))})
+	for i, class := range c.classes.all {
+		v.Classes = append(v.Classes, ClassView{Name: class.Name, Share: float64(c.shares.Share(i))})
 	}
 }
