--- a/control/selection.go
+++ b/control/selection.go
@@ -15,8 +15,10 @@
 
 func (c *Controller) bestEngine(request *request, avoid *engine) *engine {
 	var best selection.Best[*engine]
+	eligible := c.eligibilityOf(request)
 	for _, engine := range c.endpoints.all {
-		if engine == avoid || engine.health.AtCapacity(c.now) || !c.mayAttempt(request, engine) {
+		if engine == avoid || engine.health.AtCapacity(c.now) ||
+			!c.isEligible(&eligible, request.class, engine) {
 			continue
 		}
 		score := c.score(engine, request) + c.tieBreak(engine)
@@ -37,8 +39,8 @@
 	if !engine.pooled() {
 		return c.selection.TieBreak(c.rng)
 	}
-	weight := c.slowStart.FleetWeight(engine.slowStartInput(), c.slowStartDemand(), c.now)
-	return c.selection.Noise(c.rng, weight)
+	preference := c.slowStart.FleetPreference(engine.slowStartInput(), c.slowStartDemand(), c.now)
+	return c.selection.Noise(c.rng, preference)
 }
 
 // score is an engine's score for a request.
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// withinSlowStartBudget reports whether slow start lets an engine be sent a request.
-func (c *Controller) withinSlowStartBudget(engine *engine, request *request) bool {
-	input, work := engine.slowStartInput(), request.class.Cost.MeanWork()
+// withinSlowStartBudget reports whether slow start lets an engine be sent a request of a class.
+func (c *Controller) withinSlowStartBudget(engine *engine, class *class) bool {
+	input, work := engine.slowStartInput(), class.Cost.MeanWork()
 	return c.slowStart.Allows(input, &engine.sentInSlowStart, c.slowStartDemand(), work, c.now)
 }
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -112,16 +112,16 @@
 	}
 }
 
-func TestFleetWeightMakesUpForTheTurnsOfOthers(t *testing.T) {
+func TestFleetPreferenceMakesUpForTheTurnsOfOthers(t *testing.T) {
 	t.Parallel()
 	c := config()
 	c.Brokers, c.TakeTurns = 100, true
 	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
 	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
-	if got, want := New(c).FleetWeight(engine, demand, engine.StartedAt), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
+	if got, want := New(c).FleetPreference(engine, demand, engine.StartedAt).Ratio(), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
 		t.Errorf("weight %v, want %v", got, want)
 	}
-	if got := New(c).FleetWeight(Engine{Cores: 8}, demand, engine.StartedAt); got != 1 {
-		t.Errorf("weight %v of an engine that is warm, want 1", got)
+	if got := New(c).FleetPreference(Engine{Cores: 8}, demand, engine.StartedAt); got != 0 {
+		t.Errorf("preference %v of an engine that is warm, want 0", got)
 	}
 }
