--- a/control/engine.go
+++ b/control/engine.go
@@ -18,7 +18,7 @@
 // engine is an engine of the endpoint list with all that is known of it. The pool, where there is one, is an
 // engine of its own that owns the queue and the concurrency limit of all.
 type engine struct {
-	Engine
+	Engine                        // its entry of the endpoint list; member has the state that applies
 	idHash      int               // of its ID, for ranks
 	gossipID    uint32            // EngineHash of its ID
 	queueOwner  *engine           // whose queue and concurrency limit apply: itself, or the pool
--- a/control/membership.go
+++ b/control/membership.go
@@ -1,5 +1,7 @@
 package control
 
+import "wheatlane/control/slowdown"
+
 // pollEndpoints subscribes to the endpoint list where that is needed.
 func (c *Controller) pollEndpoints() {
 	if c.subscription.Begin(c.now) {
@@ -13,56 +15,73 @@
 		c.subscription.Ended(c.now)
 		return
 	}
-	named := map[string]bool{}
-	for _, listed := range update.Engines {
-		named[listed.ID] = true
-		c.endpointListed(listed)
+	create := func(listed Engine) *engine {
+		return c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
 	}
-	if update.Kind == EndpointSnapshot {
-		for _, engine := range c.endpoints.all {
-			if !named[engine.ID] && engine.member.Listed() {
-				engine.member.Unlist()
-				c.requeueWaiting(engine)
-			}
-		}
+	for _, engine := range c.endpoints.apply(update, create, &c.slowdowns) {
+		c.requeueWaiting(engine)
 	}
 	c.updateFleet()
 }
 
-func (c *Controller) endpointListed(listed Engine) {
-	engine := c.endpoints.byID[listed.ID]
-	if engine == nil {
-		engine = c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
-		c.endpoints.add(engine)
-	} else if listed.StartedAt > engine.StartedAt {
-		engine.health.Restarted()
-		c.slowdowns.Restarted(&engine.slowdown)
+// apply follows an update of the endpoint list. It returns the engines that take no new requests by it.
+func (s *endpointSet) apply(
+	update EndpointUpdate, create func(Engine) *engine, slowdowns *slowdown.Estimator,
+) (unavailable []*engine) {
+	named := map[string]bool{}
+	for _, listed := range update.Engines {
+		named[listed.ID] = true
+		engine := s.byID[listed.ID]
+		if engine == nil {
+			engine = create(listed)
+			s.add(engine)
+		} else if listed.StartedAt > engine.StartedAt {
+			engine.health.Restarted()
+			slowdowns.Restarted(&engine.slowdown)
+		}
+		engine.Engine = listed
+		engine.member.SetMaintenance(s.inMaintenance[listed.ID])
+		engine.member.Update(listed.State)
+		if !engine.member.TakesRequests() {
+			unavailable = append(unavailable, engine)
+		}
 	}
-	engine.Engine = listed
-	engine.member.SetMaintenance(c.endpoints.inMaintenance[engine.ID])
-	engine.member.Update(listed.State)
-	c.requeueUnlessReady(engine)
+	if update.Kind != EndpointSnapshot {
+		return unavailable
+	}
+	for _, engine := range s.all {
+		if !named[engine.ID] && engine.member.Listed() {
+			engine.member.Unlist()
+			unavailable = append(unavailable, engine)
+		}
+	}
+	return unavailable
 }
 
 // setMaintenance puts an engine into maintenance mode, or takes it out.
 func (c *Controller) setMaintenance(event SetMaintenance) {
-	if event.Enabled {
-		c.endpoints.inMaintenance[event.Engine] = true
-	} else {
-		delete(c.endpoints.inMaintenance, event.Engine)
+	engine := c.endpoints.setMaintenance(event.Engine, event.Enabled)
+	if engine == nil {
+		return
 	}
-	if engine := c.endpoints.byID[event.Engine]; engine != nil {
-		engine.member.SetMaintenance(event.Enabled)
-		c.requeueUnlessReady(engine)
-		c.updateFleet()
+	if !engine.member.TakesRequests() {
+		c.requeueWaiting(engine)
 	}
+	c.updateFleet()
 }
 
-// requeueUnlessReady takes the requests out of the queue of an engine that takes no new ones.
-func (c *Controller) requeueUnlessReady(engine *engine) {
-	if engine.member.State() != Ready {
-		c.requeueWaiting(engine)
+// setMaintenance records the mode, also of an engine that is not known, and returns the engine if it is.
+func (s *endpointSet) setMaintenance(id string, enabled bool) *engine {
+	if enabled {
+		s.inMaintenance[id] = true
+	} else {
+		delete(s.inMaintenance, id)
+	}
+	engine := s.byID[id]
+	if engine != nil {
+		engine.member.SetMaintenance(enabled)
 	}
+	return engine
 }
 
 // updateFleet follows a change of the engines.
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -23,17 +23,14 @@
 			c.updateFleet()
 			c.emitThrottled(logSubject{restored, engine.ID}, EngineRestored{engine.ID})
 		}
-	case Failed, ConnectionReset:
-		engine.health.Responded(c.now)
-		c.recordFailure(engine, true)
-	case ConnectFailed:
-		c.recordFailure(engine, false)
-	}
-}
-
-func (c *Controller) recordFailure(engine *engine, connected bool) {
-	if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
-		c.eject(engine, reason)
+	case Failed, ConnectionReset, ConnectFailed:
+		connected := status != ConnectFailed
+		if connected {
+			engine.health.Responded(c.now)
+		}
+		if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
+			c.eject(engine, reason)
+		}
 	}
 }
 
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -39,7 +39,7 @@
 type Engine struct {
 	StartedAt time.Duration // 0: long ago
 	Cores     float64
-	FirstTurn int // index, modulo the number of brokers, of the first broker to have a turn
+	FirstTurn int // index, modulo the number of brokers, of the broker whose turn is first
 }
 
 // Demand is the demand at this broker.
@@ -128,8 +128,10 @@
 // hasTurn reports whether it is this broker's turn at an engine.
 func (p Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
 	brokers := p.config.Brokers
-	first := engine.FirstTurn + int((now-engine.StartedAt)/p.config.OverloadWindow)*turn.brokers
-	return (p.config.BrokerIndex+brokers-first%brokers)%brokers < turn.brokers
+	turnsBefore := int((now - engine.StartedAt) / p.config.OverloadWindow)
+	first := (engine.FirstTurn + turnsBefore*turn.brokers) % brokers
+	behindFirst := (p.config.BrokerIndex + brokers - first) % brokers
+	return behindFirst < turn.brokers
 }
 
 // FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
