--- a/control/attempts.go
+++ b/control/attempts.go
@@ -46,9 +46,7 @@
 	} else {
 		r.class.Wait.Observe(c.now - r.receivedAt)
 	}
-	if c.inSlowStart(e) {
-		e.sentInSlowStart.Add(c.now, r.class.Cost.MeanWork())
-	}
+	c.slowStart.RecordSend(e.slowStartInput(), &e.sentInSlowStart, r.class.Cost.MeanWork(), c.now)
 	a := r.addAttempt(e, c.now)
 	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: c.attemptTimeout(r, e)}
 	if e.health.Ejected() {
--- a/control/controller.go
+++ b/control/controller.go
@@ -77,8 +77,8 @@
 	c := &Controller{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
 		timers: newTimerSet(), log: throttle.New[logSubject](logInterval), requests: newRequestTable(),
-		endpoints: newEndpointSet(), slowStart: newSlowStart(settings),
-		outliers: outlier.NewDetector(outlier.DefaultConfig()), classes: newClassTable(),
+		endpoints: newEndpointSet(), classes: newClassTable(),
+		outliers: outlier.NewDetector(outlier.DefaultConfig()),
 		slowdowns: slowdown.NewEstimator(slowdown.Config{
 			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
 		}),
@@ -102,7 +102,9 @@
 		c.classes.add(class.withDefaults(), &c.workload)
 	}
 	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
-	if poolsEngines(settings, c.classes.maxThreads) {
+	pooled := poolsEngines(settings, c.classes.maxThreads)
+	c.slowStart = newSlowStart(settings, pooled)
+	if pooled {
 		c.endpoints.setPool(c.newPool())
 	}
 	return c, nil
@@ -192,7 +194,8 @@
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
 	c.pollEndpoints()
-	c.decayEvidence()
+	c.outliers.DecayFleet()
+	c.endpoints.decay(&c.slowdowns, c.now)
 	if c.settings.Limits.Gossip {
 		c.endpoints.updatePoolLoad(c.now)
 	}
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -17,7 +17,7 @@
 		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        e.location(),
 		Kind:            e.Kind,
-		SlowStartBudget: !c.inSlowStart(e) || c.withinSlowStartBudget(e, k),
+		SlowStartBudget: c.withinSlowStartBudget(e, k),
 	}) == eligibility.Eligible
 }
 
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -7,58 +7,57 @@
 	"wheatlane/control/units"
 )
 
-// estimatedSlowdown is an engine's slowdown over the best one, as its answers show it.
-func (c *Controller) estimatedSlowdown(e *engine) units.LogRatio {
+// estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
+func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
-		return c.slowdowns.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Answers())
+		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Answers())
 	}
-	return c.slowdowns.Estimated(&e.slowdown)
+	return estimator.Estimated(&e.slowdown)
 }
 
-// slowdown is an engine's slowdown, from answers or, if worse, from the age of what is in flight.
-func (c *Controller) slowdown(e *engine) units.LogRatio {
-	return e.slowdown.OrOverdue(c.estimatedSlowdown(e))
+// worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
+func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
+	return e.slowdown.OrOverdue(e.estimatedSlowdown(estimator))
 }
 
-// observeSlowdown takes what an answer shows of its engine's slowdown.
-func (c *Controller) observeSlowdown(e *engine, sample units.LogRatio) {
+// observeSlowdown takes what an answer of the engine shows of its slowdown.
+func (e *engine) observeSlowdown(estimator *slowdown.Estimator, sample units.LogRatio, now time.Duration) {
 	if e.pooled() {
-		c.slowdowns.ObserveInPool(&e.slowdown, sample, e.health.Answers())
+		estimator.ObserveInPool(&e.slowdown, sample, e.health.Answers())
 	}
-	c.slowdowns.Observe(&e.queueOwner.slowdown, sample, c.now)
+	estimator.Observe(&e.queueOwner.slowdown, sample, now)
 }
 
 // healthySlowdowns are the slowdowns of the engines that are healthy.
 func (s *endpointSet) healthySlowdowns() []*slowdown.Engine {
 	var healthy []*slowdown.Engine
-	for _, e := range s.queueOwners() {
-		if e.member.Listed() && !e.health.Ejected() {
-			healthy = append(healthy, &e.slowdown)
+	for _, engine := range s.queueOwners() {
+		if engine.member.Listed() && !engine.health.Ejected() {
+			healthy = append(healthy, &engine.slowdown)
 		}
 	}
 	return healthy
 }
 
-// decayEvidence lets what was seen of engines count for less as it ages, once a tick.
-func (c *Controller) decayEvidence() {
-	c.outliers.DecayFleet()
-	for _, e := range c.endpoints.all {
-		e.health.Decay()
+// decay lets what was seen of engines count for less as it ages, once a tick.
+func (s *endpointSet) decay(estimator *slowdown.Estimator, now time.Duration) {
+	for _, engine := range s.all {
+		engine.health.Decay()
 	}
-	for _, e := range c.endpoints.queueOwners() {
-		e.updateOverdue(c.now)
-		c.slowdowns.Recover(&e.slowdown, c.now)
+	for _, engine := range s.queueOwners() {
+		engine.updateOverdue(now)
+		estimator.Recover(&engine.slowdown, now)
 	}
 }
 
 // updateOverdue follows the age of what is in flight.
 func (e *engine) updateOverdue(now time.Duration) {
 	attempts := make([]slowdown.InFlight, 0, len(e.attempts))
-	for _, a := range e.attempts {
-		if !a.released {
+	for _, attempt := range e.attempts {
+		if !attempt.released {
 			attempts = append(attempts, slowdown.InFlight{
-				SentAt: a.sentAt, ExpectedWork: a.request.expectedWork,
-				Threads: a.request.class.Threads,
+				SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
+				Threads: attempt.request.class.Threads,
 			})
 		}
 	}
