--- a/control/admission.go
+++ b/control/admission.go
@@ -20,14 +20,14 @@
 		c.emit(Fail{in.ID})
 		return
 	}
-	k, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
-	r := newRequest(in, k, classIndex, tenantIndex, c.now)
+	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
+	request := newRequest(in, class, classIndex, tenantIndex, c.now)
 	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retries.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
-	c.startTimer(answerIn, answerDue{r})
-	c.requests.add(r)
-	c.enqueue(r, nil)
+	c.startTimer(answerIn, answerDue{request})
+	c.requests.add(request)
+	c.enqueue(request, nil)
 }
 
 // objectiveEnd is when the latency objective of a request that is received now ends.
@@ -41,14 +41,15 @@
 
 // shed reports whether a request is not worth a first attempt at an engine. The price rises with each request
 // that finds no capacity.
-func (c *Controller) shed(r *request, e *engine) bool {
-	if c.exceedsPrice(r) {
+func (c *Controller) shed(request *request, engine *engine) bool {
+	if c.exceedsPrice(request) {
 		return true
 	}
-	if c.withinConcurrencyLimit(e, r.classIndex) {
+	if c.withinConcurrencyLimit(engine, request.classIndex) {
 		return false
 	}
-	if !admission.CannotMeetObjective(c.backlog(r, e).Wait(), c.likelyServiceTime(r, e), r.objectiveAt-c.now) {
+	wait, serviceTime := c.backlog(request, engine).Wait(), c.likelyServiceTime(request, engine)
+	if !admission.CannotMeetObjective(wait, serviceTime, request.objectiveAt-c.now) {
 		return false
 	}
 	c.price.Raise()
@@ -57,39 +58,40 @@
 
 // exceedsPrice reports whether a request is too much work for its priority weight. There is a price where
 // engines are pooled, unless the weight grows with the work.
-func (c *Controller) exceedsPrice(r *request) bool {
+func (c *Controller) exceedsPrice(request *request) bool {
 	lowest := c.workload.Summary().LowestWeightPerThreadSecond
 	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
-		c.price.Exceeds(r.class.PriorityWeight, lowest, r.expectedWork)
+		c.price.Exceeds(request.class.PriorityWeight, lowest, request.expectedWork)
 }
 
 // backlog is the work that waits at an engine ahead of a request.
-func (c *Controller) backlog(r *request, e *engine) admission.Backlog {
+func (c *Controller) backlog(request *request, engine *engine) admission.Backlog {
+	queue, classIndex, tenantIndex := &engine.queue, request.classIndex, request.tenantIndex
 	return admission.Backlog{
-		All:         units.ThreadSeconds(e.queue.Work()),
-		Class:       units.ThreadSeconds(e.queue.ClassWork(r.classIndex)),
-		Tenant:      units.ThreadSeconds(e.queue.TenantWork(r.classIndex, r.tenantIndex)),
-		ClassShare:  c.shares.Share(r.classIndex),
-		TenantShare: c.workload.Tenants().Share(r.tenantIndex),
-		Threads:     e.concurrency.Limit(),
-		Slowdown:    e.estimatedSlowdown(&c.slowdowns),
+		All:         units.ThreadSeconds(queue.Work()),
+		Class:       units.ThreadSeconds(queue.ClassWork(classIndex)),
+		Tenant:      units.ThreadSeconds(queue.TenantWork(classIndex, tenantIndex)),
+		ClassShare:  c.shares.Share(classIndex),
+		TenantShare: c.workload.Tenants().Share(tenantIndex),
+		Threads:     engine.concurrency.Limit(),
+		Slowdown:    engine.estimatedSlowdown(&c.slowdowns),
 	}
 }
 
 // rejectOrFail ends a request whose time is up or that nothing can help: rejected where a retry by its client
 // is harmless, else failed.
-func (c *Controller) rejectOrFail(r *request) {
-	if r.closed || r.responseStarted {
+func (c *Controller) rejectOrFail(request *request) {
+	if request.closed || request.responseStarted {
 		return
 	}
-	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
-		reject := Reject{RequestID: r.ID}
-		if c.settings.Limits.RetryAfter {
-			reject.RetryAfter = admission.RetryAfter(c.settings.Limits.MaxRetryAfter, c.rng.Float64())
+	if request.class.Idempotency.AllowsRejection(request.mayHaveRun()) {
+		reject := Reject{RequestID: request.ID}
+		if limits := &c.settings.Limits; limits.RetryAfter {
+			reject.RetryAfter = admission.RetryAfter(limits.MaxRetryAfter, c.rng.Float64())
 		}
 		c.emit(reject)
 	} else {
-		c.emit(Fail{r.ID})
+		c.emit(Fail{request.ID})
 	}
-	c.closeRequest(r)
+	c.closeRequest(request)
 }
--- a/control/attemptoptions/attemptoptions.go
+++ b/control/attemptoptions/attemptoptions.go
@@ -38,7 +38,8 @@
 func (c Config) For(attempt Attempt) Options {
 	options := Options{Priority: MinPriority}
 	if c.MemoryGrants && attempt.NeededMB > 0 {
-		options.GrantMB = math.Ceil(min(attempt.NeededMB, float64(c.MaxGrantFraction)*attempt.EngineMB))
+		maxGrantMB := float64(c.MaxGrantFraction) * attempt.EngineMB
+		options.GrantMB = math.Ceil(min(attempt.NeededMB, maxGrantMB))
 	}
 	if c.Priorities && attempt.HighestValueClass {
 		options.Priority = MaxPriority
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -39,107 +39,112 @@
 }
 
 // sendAttempt sends a request's next attempt to an engine, as a first attempt, a retry or a hedged request.
-func (c *Controller) sendAttempt(r *request, e *engine) {
-	c.setAttemptOptions(r, e)
-	if len(r.attempts) > 0 {
+func (c *Controller) sendAttempt(request *request, engine *engine) {
+	c.setAttemptOptions(request, engine)
+	if len(request.attempts) > 0 {
 		c.retries.RetrySent(c.now)
 	} else {
-		r.class.Wait.Observe(c.now - r.receivedAt)
+		request.class.Wait.Observe(c.now - request.receivedAt)
 	}
-	c.slowStart.RecordSend(e.slowStartInput(), &e.sentInSlowStart, r.class.Cost.MeanWork(), c.now)
-	a := r.addAttempt(e, c.now)
-	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: c.attemptTimeout(r, e)}
-	if e.health.Ejected() {
-		e.health.ProbeSent(c.now, c.ejectionBackoff())
-		send.Timeout = overdue.ProbeTimeout(send.OverdueAfter, r.Deadline-c.now)
+	work := request.class.Cost.MeanWork()
+	c.slowStart.RecordSend(engine.slowStartInput(), &engine.sentInSlowStart, work, c.now)
+	attempt := request.addAttempt(engine, c.now)
+	overdueAfter := c.attemptTimeout(request, engine)
+	send := SendAttempt{RequestID: request.ID, Engine: engine.ID, OverdueAfter: overdueAfter}
+	if engine.health.Ejected() {
+		engine.health.ProbeSent(c.now, c.ejectionBackoff())
+		send.Timeout = overdue.ProbeTimeout(overdueAfter, request.Deadline-c.now)
 	}
 	c.emit(send)
-	c.startTimer(send.OverdueAfter, attemptOverdue{a})
+	c.startTimer(overdueAfter, attemptOverdue{attempt})
 }
 
 // setAttemptOptions sets the options of a request's next attempt where they differ from those set last.
-func (c *Controller) setAttemptOptions(r *request, e *engine) {
+func (c *Controller) setAttemptOptions(request *request, engine *engine) {
 	options := c.attemptOptions.For(attemptoptions.Attempt{
-		NeededMB:          r.class.Cost.MemoryMB(r.EstimatedMemoryMB),
-		EngineMB:          e.memoryMB,
-		HighestValueClass: r.classIndex == c.workload.Summary().HighestValueClass,
+		NeededMB:          request.class.Cost.MemoryMB(request.EstimatedMemoryMB),
+		EngineMB:          engine.memoryMB,
+		HighestValueClass: request.classIndex == c.workload.Summary().HighestValueClass,
 	})
-	if options.GrantMB != 0 || options.Priority != r.priority {
-		r.priority = options.Priority
-		c.emit(SetAttemptOptions{RequestID: r.ID, GrantMB: options.GrantMB, Priority: options.Priority})
+	if options.GrantMB != 0 || options.Priority != request.priority {
+		request.priority = options.Priority
+		c.emit(SetAttemptOptions{
+			RequestID: request.ID, GrantMB: options.GrantMB, Priority: options.Priority,
+		})
 	}
 }
 
 // attemptEnded takes the end of an attempt.
 func (c *Controller) attemptEnded(end AttemptEnded) {
-	a := c.requests.attemptInFlight(end.RequestID, end.Number)
-	if a == nil {
+	attempt := c.requests.attemptInFlight(end.RequestID, end.Number)
+	if attempt == nil {
 		return
 	}
-	r, e := a.request, a.engine
-	a.inFlight = false
-	e.removeAttempt(a)
-	if a.presumedLost && end.Status == OK {
-		c.outliers.Recovered(&e.health, a.lossConfidence)
+	request, engine := attempt.request, attempt.engine
+	attempt.inFlight = false
+	engine.removeAttempt(attempt)
+	if attempt.presumedLost && end.Status == OK {
+		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
 	}
-	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !a.released {
-		c.startTimer(c.now-a.sentAt, endedAttemptStopped{a}) // it may still run: as long again, by its age
+	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.released {
+		// It may still run: as long again, by its age.
+		c.startTimer(c.now-attempt.sentAt, endedAttemptStopped{attempt})
 	} else {
-		a.releaseThreads()
+		attempt.releaseThreads()
 	}
-	a.mayHaveRun = end.Status.MayHaveRun()
-	if r.keyQueue != nil && end.Status.mayStillRun() {
-		r.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
+	attempt.mayHaveRun = end.Status.MayHaveRun()
+	if request.keyQueue != nil && end.Status.mayStillRun() {
+		request.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
 	}
-	c.loadReported(e, end.Report)
-	if !end.SharedCause && (!a.presumedLost || end.Status != TimedOut) {
-		c.recordOutcome(e, end.Status)
+	c.loadReported(engine, end.Report)
+	if !end.SharedCause && (!attempt.presumedLost || end.Status != TimedOut) {
+		c.recordOutcome(engine, end.Status)
 	}
 	if end.Status == OK {
-		c.learnFromAnswer(a, end)
-		if r.class.BlockedByDataSetLock {
-			e.dataSetLocks.Release(r.DataSet)
+		c.learnFromAnswer(attempt, end)
+		if request.class.BlockedByDataSetLock {
+			engine.dataSetLocks.Release(request.DataSet)
 		}
 	}
-	if end.RequestClosed && !r.closed {
-		r.class.Abandonment.ClientStayed()
-		c.closeRequest(r)
+	if end.RequestClosed && !request.closed {
+		request.class.Abandonment.ClientStayed()
+		c.closeRequest(request)
 	}
-	if r.closed {
-		c.removeIfOver(r)
-	} else if !r.hasAttemptInFlight() {
-		c.retry(a, end.Status)
+	if request.closed {
+		c.removeIfOver(request)
+	} else if !request.hasAttemptInFlight() {
+		c.retry(attempt, end.Status)
 	}
 }
 
 // retry enqueues a request again, elsewhere, if that is worth it after an attempt that ended.
-func (c *Controller) retry(a *attempt, status Status) {
-	retries := c.retryPolicy.Retries(a.request.retryInput(c.now), retry.Ended{
+func (c *Controller) retry(attempt *attempt, status Status) {
+	retries := c.retryPolicy.Retries(attempt.request.retryInput(c.now), retry.Ended{
 		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
-		EngineEjected:       a.engine.health.Ejected(),
-		EngineUnderPressure: c.underPressure(a.engine),
+		EngineEjected:       attempt.engine.health.Ejected(),
+		EngineUnderPressure: c.underPressure(attempt.engine),
 	})
 	if retries {
-		c.enqueue(a.request, a.engine)
+		c.enqueue(attempt.request, attempt.engine)
 	} else {
-		c.rejectOrFail(a.request)
+		c.rejectOrFail(attempt.request)
 	}
 }
 
 // attemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
 func (c *Controller) attemptProgress(report AttemptProgress) {
-	a := c.requests.attemptInFlight(report.RequestID, report.Number)
-	if a == nil {
+	attempt := c.requests.attemptInFlight(report.RequestID, report.Number)
+	if attempt == nil {
 		return
 	}
-	a.lastProgressAt = c.now
-	a.engine.health.Responded(c.now)
+	attempt.lastProgressAt = c.now
+	attempt.engine.health.Responded(c.now)
 	if report.Kind != ProgressFraction {
 		return
 	}
-	spent, progress := units.SecondsOf(c.now-a.sentAt), units.Fraction(report.Value)
-	usual := c.expectedServiceTime(a.request, a.engine)
+	spent, progress := units.SecondsOf(c.now-attempt.sentAt), units.Fraction(report.Value)
+	usual := c.expectedServiceTime(attempt.request, attempt.engine)
 	if c.settings.Limits.Cancellation && overdue.IsRunaway(spent, progress, usual) {
-		c.hedgeOrCancel(a)
+		c.hedgeOrCancel(attempt)
 	}
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -1,11 +1,10 @@
 // Package control decides which requests a broker admits, when it sends them and to which engine of a pool.
 // It performs no I/O, reads no clock and starts no goroutine: events go in, actions come out.
 //
-// Each concern has its file. Those that decide are named by "policy" in deploy/balancer.toml: admission and
-// load shedding, eligibility, slow start, engine selection, dispatch under the concurrency limit, attempts,
-// hedging, outlier detection, regulators with their optimizer, and gossip. The others keep state and
-// estimates; generic estimators and the fair queue are packages of their own (internal/estimate,
-// internal/fairqueue, internal/rls).
+// The Controller routes events, keeps the parts together and collects actions. The decisions are made in the
+// packages below this one, one for each policy or mechanism: they are given what they decide by, and know
+// nothing of the Controller. A file here with the concern's name puts that input together and acts on what
+// was decided. The files that decide are named by "policy" in deploy/balancer.toml.
 package control
 
 import (
@@ -61,47 +60,44 @@
 	gossip         gossip.Schedule
 }
 
+// ErrInvalidSettings is the error of New for settings that a broker can't work by.
+var ErrInvalidSettings = errors.New("invalid settings of the decision module")
+
 // New returns a controller for these settings; equal settings, seeds and events give equal actions. It
-// returns an error if there is no class of request or if the broker's index is not one of the brokers'.
+// returns ErrInvalidSettings if there is no class of request, or if the broker is not one of the brokers.
 func New(settings Settings, seed uint64) (*Controller, error) {
 	if len(settings.Classes) == 0 {
-		return nil, errors.New("no classes of request")
-	}
-	if settings.Brokers < 1 {
-		return nil, errors.New("no brokers")
+		return nil, fmt.Errorf("%w: no classes of request", ErrInvalidSettings)
 	}
 	if settings.BrokerIndex < 0 || settings.BrokerIndex >= settings.Brokers {
-		return nil, fmt.Errorf("broker %d of %d", settings.BrokerIndex, settings.Brokers)
+		return nil, fmt.Errorf("%w: broker index %d of %d brokers",
+			ErrInvalidSettings, settings.BrokerIndex, settings.Brokers)
 	}
 	settings.Limits.MaxAttempts = max(1, settings.Limits.MaxAttempts)
 	c := &Controller{
-		settings: settings, rng: rand.New(rand.NewPCG(seed, rngStream)),
-		timers: newTimerSet(), log: throttle.New[logSubject](logInterval), requests: newRequestTable(),
-		endpoints: newEndpointSet(), classes: newClassTable(),
-		outliers: outlier.NewDetector(outlier.DefaultConfig()),
-		slowdowns: slowdown.NewEstimator(slowdown.Config{
-			ReportsWork: settings.ReportsCost, IdleAfter: controlInterval,
-		}),
-		selection: selection.DefaultConfig(),
-		subscription: membership.NewSubscription(membership.SubscriptionConfig{
-			Required: settings.PollEndpointList, MaxPollInterval: settings.Rules.MaxPollInterval,
-		}),
-		gossip: gossip.NewSchedule(gossip.Config{
-			Enabled: settings.Limits.Gossip, Brokers: settings.Brokers, BrokerIndex: settings.BrokerIndex,
-		}),
-		retries: retrybudget.New(retryBudgetConfig(settings)), price: admission.NewPrice(),
-		retryPolicy: retry.New(settings.MinBatchInterval),
-		attemptOptions: attemptoptions.Config{
-			MemoryGrants: settings.MemoryGrants && settings.ReportsCost, Priorities: settings.Priorities,
-			MaxGrantFraction: settings.MaxGrantFraction,
-		},
-		pressure: concurrency.DefaultPressureConfig(),
+		settings:       settings,
+		rng:            rand.New(rand.NewPCG(seed, rngStream)),
+		timers:         newTimerSet(),
+		log:            throttle.New[logSubject](logInterval),
+		requests:       newRequestTable(),
+		endpoints:      newEndpointSet(),
+		classes:        newClassTable(),
+		outliers:       outlier.NewDetector(outlier.DefaultConfig()),
+		slowdowns:      slowdown.NewEstimator(slowdownConfig(&settings)),
+		selection:      selection.DefaultConfig(),
+		subscription:   membership.NewSubscription(subscriptionConfig(&settings)),
+		gossip:         gossip.NewSchedule(gossipConfig(&settings)),
+		retries:        retrybudget.New(retryBudgetConfig(&settings)),
+		price:          admission.NewPrice(),
+		retryPolicy:    retry.New(settings.MinBatchInterval),
+		attemptOptions: attemptOptionsConfig(&settings),
+		pressure:       concurrency.DefaultPressureConfig(),
+		workload:       workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers),
+		shares:         shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes))),
 	}
-	c.workload = workload.New(workload.DefaultConfig(), settings.Tenants, settings.Brokers)
 	for _, class := range settings.Classes {
 		c.classes.add(class.withDefaults(), &c.workload)
 	}
-	c.shares = shares.New(shares.DefaultConfig(), shares.Equal(len(settings.Classes)))
 	pooled := poolsEngines(settings, c.classes.maxThreads)
 	c.slowStart = newSlowStart(settings, pooled)
 	if pooled {
@@ -110,13 +106,6 @@
 	return c, nil
 }
 
-func retryBudgetConfig(s Settings) retrybudget.Config {
-	return retrybudget.Config{
-		Window: s.Rules.RetryBudgetWindow, Ratio: s.Rules.RetryBudgetRatio, Reserve: s.Rules.RetryBudgetReserve,
-		MinBatchInterval: s.MinBatchInterval, MaxSendDelay: s.MaxSendDelay,
-	}
-}
-
 // Handle takes what happened at one time, in order, and returns what to do, in order. A time before that of
 // the last call counts as the last call's.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
@@ -133,8 +122,8 @@
 	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
 	disconnected := c.handleOutcomes(events)
 	c.handleRequestsAndTimers(events, disconnected)
-	for _, e := range c.endpoints.queueOwners() {
-		c.dispatch(e)
+	for _, engine := range c.endpoints.queueOwners() {
+		c.dispatch(engine)
 	}
 	return c.actions
 }
@@ -151,8 +140,8 @@
 			}
 			disconnected[event.RequestID] = true
 		case ResponseStarted:
-			if r := c.requests.byID[event.RequestID]; r != nil {
-				r.responseStarted = true
+			if request := c.requests.byID[event.RequestID]; request != nil {
+				request.responseStarted = true
 			}
 		case AttemptEnded:
 			c.attemptEnded(event)
@@ -228,11 +217,11 @@
 	c.endpoints.growQueues(len(c.classes.all), c.workload.Tenants().Len())
 }
 
-func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
+func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
 // startTimer has a timer expire after a time, at the next batch at the earliest.
 func (c *Controller) startTimer(after time.Duration, t timer) {
-	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, 1), c.timers.add(t)})
+	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, minTimerDelay), c.timers.add(t)})
 }
 
 // emitThrottled emits an action for the operators, unless one about the same subject was emitted lately.
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -9,9 +10,17 @@
 )
 
 func TestNewRejectsUnusableSettings(t *testing.T) {
-	for _, s := range []Settings{{}, {Brokers: 1}, {Classes: []Class{{Name: "x"}}}} {
-		if _, err := New(s, 1); err == nil {
-			t.Errorf("no error for %+v", s)
+	classes := []Class{{Name: "x"}}
+	for name, s := range map[string]Settings{
+		"nothing set":          {},
+		"no classes":           {Brokers: 1},
+		"no brokers":           {Classes: classes},
+		"negative index":       {Classes: classes, Brokers: 2, BrokerIndex: -1},
+		"index of no broker":   {Classes: classes, Brokers: 2, BrokerIndex: 2},
+		"less than no brokers": {Classes: classes, Brokers: -1},
+	} {
+		if _, err := New(s, 1); !errors.Is(err, ErrInvalidSettings) {
+			t.Errorf("%s: got error %v, want %v", name, err, ErrInvalidSettings)
 		}
 	}
 }
@@ -41,7 +50,7 @@
 	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	_, got := r.submit("quick", mem)
-	requireEqual(t, "terms where nothing is heeded", countOf[SetAttemptOptions](got), 0)
+	requireEqual(t, "options where nothing is heeded", countOf[SetAttemptOptions](got), 0)
 	s := baseSettings()
 	s.MemoryGrants, s.Priorities = true, true
 	r = newRig(t, s, readyEngine("e1"))
@@ -112,7 +121,7 @@
 	got = r.handle(evs...)
 	sends := actionsOf[SendAttempt](got)
 	requireEqual(t, "sends", len(sends) == 1 && sends[0].RequestID == "open", true)
-	requireEqual(t, "answers thought lost", r.controller.outliers.Losses(), 0.0)
+	requireEqual(t, "answers presumed lost", r.controller.outliers.Losses(), 0.0)
 	answers := actionsOf[Reject](append(got, r.advance(50*ms)...))
 	requireEqual(t, "rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -6,37 +6,38 @@
 )
 
 // mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes it.
-func (c *Controller) mayAttempt(r *request, e *engine) bool {
-	request := c.eligibilityOf(r)
-	return c.isEligible(&request, r.class, e)
+func (c *Controller) mayAttempt(request *request, engine *engine) bool {
+	rules := c.eligibilityOf(request)
+	return c.isEligible(&rules, request.class, engine)
 }
 
 // isEligible reports whether a request of a class may be sent to an engine now.
-func (c *Controller) isEligible(request *eligibility.Request, k *class, e *engine) bool {
-	return eligibility.Check(request, eligibility.Engine{
-		Ready:           e.member.TakesRequests(), // stricter than the drain's grace period
-		Location:        e.location(),
-		Kind:            e.Kind,
-		SlowStartBudget: c.withinSlowStartBudget(e, k),
+func (c *Controller) isEligible(rules *eligibility.Request, class *class, engine *engine) bool {
+	return eligibility.Check(rules, eligibility.Engine{
+		Ready:           engine.member.TakesRequests(), // stricter than the drain's grace period
+		Location:        engine.location(),
+		Kind:            engine.Kind,
+		SlowStartBudget: c.withinSlowStartBudget(engine, class),
 	}) == eligibility.Eligible
 }
 
 // eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
-func (c *Controller) eligibilityOf(r *request) eligibility.Request {
+func (c *Controller) eligibilityOf(request *request) eligibility.Request {
 	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
+	attempted, queue := len(request.attempts) > 0, request.keyQueue
 	return eligibility.Request{
-		Closed:          r.closed,
-		ResponseStarted: r.responseStarted,
-		TimeLeft:        r.Deadline - c.now,
+		Closed:          request.closed,
+		ResponseStarted: request.responseStarted,
+		TimeLeft:        request.Deadline - c.now,
 		MaxAttempts:     c.settings.Limits.MaxAttempts,
-		Attempts:        r.earlierAttempts(latestSend),
-		AttemptInFlight: r.hasAttemptInFlight(),
+		Attempts:        request.earlierAttempts(latestSend),
+		AttemptInFlight: request.hasAttemptInFlight(),
 		HedgingAllowed:  c.settings.Limits.Hedging,
-		Idempotency:     r.class.Idempotency,
-		TurnOfOrderKey:  r.keyQueue == nil || r.keyQueue.IsTurn(r, len(r.attempts) > 0, c.now),
-		AllowedZones:    r.class.AllowedZones,
-		AllowedKinds:    r.class.AllowedKinds,
-		WithinBudget:    len(r.attempts) == 0 || c.retries.Allows(c.now),
+		Idempotency:     request.class.Idempotency,
+		TurnOfOrderKey:  queue == nil || queue.IsTurn(request, attempted, c.now),
+		AllowedZones:    request.class.AllowedZones,
+		AllowedKinds:    request.class.AllowedKinds,
+		WithinBudget:    !attempted || c.retries.Allows(c.now),
 	}
 }
 
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -23,7 +23,7 @@
 	DuplicateEffect                  // the effect of the request could come twice
 	EngineNotReady                   // the engine is draining, removed or in maintenance
 	SlowStartBudget                  // the engine is in slow start and its budget is spent
-	OrderKeyBusy                     // another request of the order key comes first, or the key cools down
+	OrderKeyBusy                     // another request of its key comes first, or the key cools down
 	PlacementForbidden               // the class may not run in the engine's zone or on its kind
 	RetryBudget                      // the retry budget is spent
 )
@@ -84,7 +84,7 @@
 		return SlowStartBudget
 	case !request.TurnOfOrderKey:
 		return OrderKeyBusy
-	case !allows(request.AllowedZones, engine.Location.Zone) || !allows(request.AllowedKinds, engine.Kind):
+	case !request.mayBePlacedOn(engine):
 		return PlacementForbidden
 	case !request.WithinBudget:
 		return RetryBudget
@@ -107,6 +107,11 @@
 	return true
 }
 
+// mayBePlacedOn reports whether the request may run in an engine's zone and on its kind.
+func (r *Request) mayBePlacedOn(engine Engine) bool {
+	return allows(r.AllowedZones, engine.Location.Zone) && allows(r.AllowedKinds, engine.Kind)
+}
+
 // allows reports whether a list that allows everything if it is empty allows a value.
 func allows(allowed []string, value string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, value)
--- a/control/events.go
+++ b/control/events.go
@@ -58,7 +58,8 @@
 // statusNames are the names of the statuses in logs.
 var statusNames = [...]string{
 	OK: "ok", Failed: "failed", AtCapacity: "at_capacity", TimedOut: "timed_out",
-	ConnectFailed: "connect_failed", ConnectionReset: "connection_reset", Cancelled: "cancelled", NeverSent: "never_sent",
+	ConnectFailed: "connect_failed", ConnectionReset: "connection_reset", Cancelled: "cancelled",
+	NeverSent: "never_sent",
 }
 
 // String returns the name of the status.
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -2,55 +2,58 @@
 
 // enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
 // engine to avoid is taken only if there is no other.
-func (c *Controller) enqueue(r *request, avoid *engine) {
-	r.avoid = avoid
-	if rules := c.eligibilityOf(r); len(r.attempts) > 0 && !rules.AttemptInFlight && rules.Exhausted() {
-		c.rejectOrFail(r)
+func (c *Controller) enqueue(request *request, avoid *engine) {
+	request.avoid = avoid
+	rules := c.eligibilityOf(request)
+	if len(request.attempts) > 0 && !rules.AttemptInFlight && rules.Exhausted() {
+		c.rejectOrFail(request)
 		return
 	}
-	if c.probeBeforeEnqueue(r, avoid) {
+	if c.probeBeforeEnqueue(request, avoid) {
 		return
 	}
-	e := c.endpoints.pool
-	if e == nil {
-		e = c.selectEngine(r, avoid)
+	engine := c.endpoints.pool
+	if engine == nil {
+		engine = c.selectEngine(request, avoid)
 	}
 	switch {
-	case e == nil:
-		c.requests.waitForEngine(r)
-	case len(r.attempts) == 0 && c.shed(r, e):
-		c.rejectOrFail(r)
+	case engine == nil:
+		c.requests.waitForEngine(request)
+	case len(request.attempts) == 0 && c.shed(request, engine):
+		c.rejectOrFail(request)
 	default:
-		e.enqueue(r)
+		engine.enqueue(request)
 	}
 }
 
 // enqueue puts a request into the engine's queue.
-func (e *engine) enqueue(r *request) {
-	r.queuedOn = e
-	e.queue.Push(r.classIndex, r.tenantIndex, r, float64(r.expectedWork), float64(r.class.Threads))
+func (e *engine) enqueue(request *request) {
+	request.queuedOn = e
+	work, threads := float64(request.expectedWork), float64(request.class.Threads)
+	e.queue.Push(request.classIndex, request.tenantIndex, request, work, threads)
 }
 
 // popFrom takes the request at the head of its flow out of an engine's queue, as served.
-func (c *Controller) popFrom(e *engine, r *request) {
-	classShare, tenantShare := c.shares.Share(r.classIndex), c.workload.Tenants().Share(r.tenantIndex)
-	e.queue.Pop(r.classIndex, r.tenantIndex, float64(classShare), float64(tenantShare))
-	r.queuedOn = nil
+func (c *Controller) popFrom(engine *engine, request *request) {
+	classShare := float64(c.shares.Share(request.classIndex))
+	tenantShare := float64(c.workload.Tenants().Share(request.tenantIndex))
+	engine.queue.Pop(request.classIndex, request.tenantIndex, classShare, tenantShare)
+	request.queuedOn = nil
 }
 
 // requeueWaiting takes all requests out of an engine's queue, to be enqueued elsewhere.
-func (c *Controller) requeueWaiting(e *engine) {
-	for r, ok := e.queue.Head(nil); ok; r, ok = e.queue.Head(nil) {
-		c.popFrom(e, r)
-		c.requests.waitForEngine(r)
+func (c *Controller) requeueWaiting(engine *engine) {
+	for request, ok := engine.queue.Head(nil); ok; request, ok = engine.queue.Head(nil) {
+		c.popFrom(engine, request)
+		c.requests.waitForEngine(request)
 	}
 }
 
 // retryWaiting enqueues again what found no eligible engine.
 func (c *Controller) retryWaiting() {
-	for _, r := range c.requests.takeWaiting() {
-		if !r.closed {
-			c.enqueue(r, nil)
+	for _, request := range c.requests.takeWaiting() {
+		if !request.closed {
+			c.enqueue(request, nil)
 		}
 	}
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -31,39 +31,44 @@
 	priority        int                       // set last
 }
 
-func newRequest(in Request, k *class, classIndex, tenantIndex int, now time.Duration) *request {
-	r := &request{
-		Request: in, class: k, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
-		expectedWork: k.Cost.ExpectedWork(in.EstimatedWork), priority: attemptoptions.MinPriority,
+func newRequest(in Request, class *class, classIndex, tenantIndex int, now time.Duration) *request {
+	request := &request{
+		Request: in, class: class, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
+		expectedWork: class.Cost.ExpectedWork(in.EstimatedWork), priority: attemptoptions.MinPriority,
 	}
-	r.objectiveAt = k.objectiveEnd(now, in, r.expectedWork)
-	return r
+	request.objectiveAt = class.objectiveEnd(now, in, request.expectedWork)
+	return request
 }
 
 // addAttempt starts the next attempt of the request, at an engine.
-func (r *request) addAttempt(e *engine, now time.Duration) *attempt {
-	a := &attempt{
-		request: r, number: len(r.attempts), engine: e, sentAt: now, inFlight: true, mayHaveRun: true,
+func (r *request) addAttempt(engine *engine, now time.Duration) *attempt {
+	attempt := &attempt{
+		request: r, number: len(r.attempts), engine: engine, sentAt: now,
+		inFlight: true, mayHaveRun: true,
 	}
-	r.attempts = append(r.attempts, a)
-	e.addAttempt(a)
-	e.acquireThreads(r.class.Threads)
-	return a
+	r.attempts = append(r.attempts, attempt)
+	engine.addAttempt(attempt)
+	engine.acquireThreads(r.class.Threads)
+	return attempt
 }
 
 // retryInput is what a further attempt of the request could yield.
 func (r *request) retryInput(now time.Duration) retry.Request {
 	return retry.Request{
-		TimeLeft: r.Deadline - now, ObjectiveLeft: r.objectiveAt - now, EarnsLate: r.class.LateWeight != 0,
+		TimeLeft:      r.Deadline - now,
+		ObjectiveLeft: r.objectiveAt - now,
+		EarnsLate:     r.class.LateWeight != 0,
 	}
 }
 
 // earlierAttempts are the request's attempts as they will stand when the next one leaves the broker.
 func (r *request) earlierAttempts(sendTime time.Duration) []idempotency.Attempt {
 	earlier := make([]idempotency.Attempt, 0, len(r.attempts))
-	for _, a := range r.attempts {
+	for _, attempt := range r.attempts {
 		earlier = append(earlier, idempotency.Attempt{
-			Location: a.engine.location(), Age: sendTime - a.sentAt, MayHaveRun: a.mayHaveRun,
+			Location:   attempt.engine.location(),
+			Age:        sendTime - attempt.sentAt,
+			MayHaveRun: attempt.mayHaveRun,
 		})
 	}
 	return earlier
@@ -71,12 +76,12 @@
 
 // hasAttemptInFlight reports whether an attempt of the request is in flight.
 func (r *request) hasAttemptInFlight() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
+	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.inFlight })
 }
 
 // mayHaveRun reports whether an attempt of the request may have run.
 func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
+	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.mayHaveRun })
 }
 
 // requestTable holds all requests that are open, and those closed ones that have an attempt in flight.
@@ -91,25 +96,28 @@
 }
 
 // add stores a request; one of an ordered class goes to the end of its key's queue.
-func (t *requestTable) add(r *request) {
-	t.byID[r.ID] = r
-	if !r.class.Ordered || r.OrderKey == "" {
+func (t *requestTable) add(request *request) {
+	t.byID[request.ID] = request
+	if !request.class.Ordered || request.OrderKey == "" {
 		return
 	}
-	r.keyQueue = t.keyQueues.Add(r.OrderKey, r)
+	request.keyQueue = t.keyQueues.Add(request.OrderKey, request)
 }
 
 // attemptInFlight finds an attempt; nil if it is over or was never made.
 func (t *requestTable) attemptInFlight(id string, number int) *attempt {
-	r := t.byID[id]
-	if r == nil || number < 0 || number >= len(r.attempts) || !r.attempts[number].inFlight {
+	request := t.byID[id]
+	if request == nil || number < 0 || number >= len(request.attempts) {
 		return nil
 	}
-	return r.attempts[number]
+	if attempt := request.attempts[number]; attempt.inFlight {
+		return attempt
+	}
+	return nil
 }
 
 // waitForEngine keeps a request until the next tick, as no engine is eligible for it now.
-func (t *requestTable) waitForEngine(r *request) { t.waiting = append(t.waiting, r) }
+func (t *requestTable) waitForEngine(request *request) { t.waiting = append(t.waiting, request) }
 
 // takeWaiting returns the open requests that wait for an eligible engine; they wait no more.
 func (t *requestTable) takeWaiting() []*request {
@@ -119,43 +127,44 @@
 }
 
 // remove drops a request that is over.
-func (t *requestTable) remove(r *request) {
-	delete(t.byID, r.ID)
-	if r.keyQueue != nil {
-		r.keyQueue.Remove(r)
+func (t *requestTable) remove(request *request) {
+	delete(t.byID, request.ID)
+	if request.keyQueue != nil {
+		request.keyQueue.Remove(request)
 	}
 }
 
 // clientDisconnected closes the request of a client that is gone.
 func (c *Controller) clientDisconnected(id string) {
-	if r := c.requests.byID[id]; r != nil && !r.closed {
-		r.class.Abandonment.ClientLeft(c.now - r.receivedAt)
-		c.closeRequest(r)
+	if request := c.requests.byID[id]; request != nil && !request.closed {
+		request.class.Abandonment.ClientLeft(c.now - request.receivedAt)
+		c.closeRequest(request)
 	}
 }
 
 // closeRequest ends a request: what is in flight for it is of no use any more.
-func (c *Controller) closeRequest(r *request) {
-	r.closed = true
-	for _, a := range r.attempts {
-		if a.inFlight && !a.cancelled && c.settings.Limits.Cancellation && !r.responseStarted {
-			c.emit(a.cancel())
+func (c *Controller) closeRequest(request *request) {
+	request.closed = true
+	cancels := c.settings.Limits.Cancellation && !request.responseStarted
+	for _, attempt := range request.attempts {
+		if cancels && attempt.inFlight && !attempt.cancelled {
+			c.emit(attempt.cancel())
 		}
 	}
-	if r.queuedOn != nil {
-		r.queuedOn.queue.Remove(r.classIndex, r.tenantIndex, r)
-		r.queuedOn = nil
+	if request.queuedOn != nil {
+		request.queuedOn.queue.Remove(request.classIndex, request.tenantIndex, request)
+		request.queuedOn = nil
 	}
-	c.removeIfOver(r)
+	c.removeIfOver(request)
 }
 
 // removeIfOver drops a closed request once none of its attempts is in flight.
-func (c *Controller) removeIfOver(r *request) {
-	if !r.closed || r.hasAttemptInFlight() {
+func (c *Controller) removeIfOver(request *request) {
+	if !request.closed || request.hasAttemptInFlight() {
 		return
 	}
-	c.requests.remove(r)
-	if queue := r.keyQueue; queue != nil && queue.Empty() {
+	c.requests.remove(request)
+	if queue := request.keyQueue; queue != nil && queue.Empty() {
 		c.startTimer(queue.CooldownLeft(c.now), orderKeyIdle{queue})
 	}
 }
--- a/control/retrybudget/retrybudget.go
+++ b/control/retrybudget/retrybudget.go
@@ -9,7 +9,7 @@
 
 // Config is what a deployment allows, and how far the times seen here are from those at which attempts leave.
 type Config struct {
-	Window           time.Duration // over which requests and retries are counted; 0: retries are not limited
+	Window           time.Duration // over which both are counted; 0: retries are not limited
 	Ratio            float64       // retries allowed for each request received within the window
 	Reserve          float64       // retries allowed beside these
 	MinBatchInterval time.Duration // shortest time between two decisions
--- a/control/timers.go
+++ b/control/timers.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	tickInterval = 100 * time.Millisecond // between two ticks
-	tickToken    = 1                      // token of the tick's timer
-	lastOwnToken = 16                     // tokens up to it are reserved for the controller's own timers
-	logInterval  = 5 * time.Second        // between two lines about one event of an engine
+	tickInterval  = 100 * time.Millisecond // between two ticks
+	minTimerDelay = time.Nanosecond        // no timer expires in the batch that starts it
+	tickToken     = 1                      // token of the tick's timer
+	lastOwnToken  = 16                     // tokens up to it are reserved for the controller's own timers
+	logInterval   = 5 * time.Second        // between two lines about one event of an engine
 )
 
 // timer is what is due when a timer expires. All are declared in this file.
