--- a/control/interval.go
+++ b/control/interval.go
@@ -42,7 +42,8 @@
 			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
 			Cores: e.cores, MemoryMB: e.memoryMB, Share: share, MinThreads: minThreads,
 			RequestThreads: demand.Threads, RequestMemoryMB: demand.MemoryMB,
-			UnderPressure: c.underPressure(e), Load: e.load.Load(), Slowdown: e.worstSlowdown(&c.slowdowns),
+			UnderPressure: c.underPressure(e), Load: e.load.Load(),
+			Slowdown: e.worstSlowdown(&c.slowdowns),
 		})
 	}
 }
