--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -4,9 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -14,17 +14,18 @@
 	"wheatlane/internal/emulator/client"
 	"wheatlane/internal/emulator/cluster"
 	"wheatlane/internal/emulator/conformance"
+	"wheatlane/internal/emulator/pacing"
 	"wheatlane/internal/emulator/rawclient"
 )
 
 const (
-	maxClients     = 60                      // at a time
-	maxPatience    = 1500 * time.Millisecond // a client waits up to this before it leaves
-	meanInterval   = 20 * time.Millisecond   // between clients
-	keyInterval    = 260 * time.Millisecond  // between requests of one key, as clients keep it
-	killCloseAfter = 500 * time.Millisecond  // from KILL QUERY to the close, by the protocol
-	keyCount       = 4
-	dataSetCount   = 24
+	maxClients   = 60                      // at a time
+	maxPatience  = 1500 * time.Millisecond // a client waits up to this before it leaves
+	meanInterval = 20 * time.Millisecond   // between clients
+	keyInterval  = 260 * time.Millisecond  // between requests of one key, as clients keep it
+	keyCount     = 4
+	dataSetCount = 24
+	clientStream = 2 // of the seed's random numbers
 )
 
 // disconnectingClients are clients that leave before their answers, and some that are idle until the broker
@@ -34,39 +35,29 @@
 	checker *conformance.Checker
 	classes []client.Class
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	requests uint32
-	keyFree  [keyCount]time.Time // when the next request of a key may be sent
+	source   *pacing.Source
+	keys     *pacing.KeyPacer
+	requests atomic.Uint32
 }
 
 func newDisconnectingClients(
 	address string, seed uint64, checker *conformance.Checker,
 ) *disconnectingClients {
-	c := &disconnectingClients{address: address, checker: checker, rng: rand.New(rand.NewPCG(seed, 2))}
+	c := &disconnectingClients{
+		address: address,
+		checker: checker,
+		source:  pacing.NewSource(seed, clientStream),
+		keys:    pacing.NewKeyPacer(keyCount, keyInterval),
+	}
 	for i, timeout := range []time.Duration{2 * time.Second, 20 * time.Second, 25 * time.Second} {
 		c.classes = append(c.classes, client.Class{Engine: cluster.Classes[i], Timeout: timeout})
 	}
 	return c
 }
 
-// draw returns a random number from 0 to n-1.
-func (c *disconnectingClients) draw(n int) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rng.IntN(n)
-}
-
-func (c *disconnectingClients) drawDuration(n time.Duration) time.Duration {
-	return time.Duration(c.draw(int(n)))
-}
-
 // newRequestID returns an id that no other request has.
 func (c *disconnectingClients) newRequestID() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.requests++
-	return fmt.Sprintf("cccc%012x", c.requests)
+	return fmt.Sprintf("cccc%012x", c.requests.Add(1))
 }
 
 // run starts clients at random times until ctx ends.
@@ -78,23 +69,15 @@
 			c.sendAndLeave(ctx)
 			return nil
 		})
-		pause(ctx, c.drawDuration(2*meanInterval))
+		pacing.Pause(ctx, c.source.Duration(2*meanInterval))
 	}
 	return g.Wait()
 }
 
-// pause waits for a time, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // sendAndLeave sends one request and leaves after a while if no answer came. Errors are the broker's right:
 // it may be shutting down.
 func (c *disconnectingClients) sendAndLeave(ctx context.Context) {
-	class := c.classes[[]int{0, 0, 1, 2, 2, 2}[c.draw(6)]]
+	class := c.classes[[]int{0, 0, 1, 2, 2, 2}[c.source.IntN(6)]]
 	key := ""
 	if class.Engine.HoldsDataSetLock {
 		key = c.reserveKey(ctx)
@@ -103,7 +86,7 @@
 		}
 	}
 	id := c.newRequestID()
-	statement := class.Statement(id, cluster.Tenants[c.draw(2)], "op"+id, key, c.draw(dataSetCount), false)
+	statement := class.Statement(id, cluster.Tenants[c.source.IntN(2)], "op"+id, key, c.source.IntN(dataSetCount), false)
 	s, err := rawclient.Connect(ctx, c.address, statement, func(at time.Time) {
 		c.checker.RequestSent(conformance.Request{
 			ID:       id,
@@ -117,12 +100,15 @@
 		return // the broker accepts no more connections
 	}
 	defer s.Close()
-	answer, err := s.ReadPacketFor(c.drawDuration(maxPatience))
+	answer, err := s.ReadPacketFor(c.source.Duration(maxPatience))
 	switch {
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.leave(ctx, id, s)
+		by := rawclient.Departure(c.source.IntN(rawclient.Departures))
+		s.Leave(ctx, c.address, by, func(rawclient.Departure) {
+			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
+		})
 	default:
 		c.checker.RequestEnded(id, conformance.Unanswered, time.Now())
 	}
@@ -130,41 +116,7 @@
 
 // reserveKey draws an order key and waits until its next request may be sent.
 func (c *disconnectingClients) reserveKey(ctx context.Context) string {
-	n := c.draw(keyCount)
-	c.mu.Lock()
-	at := time.Now()
-	if c.keyFree[n].After(at) {
-		at = c.keyFree[n]
-	}
-	c.keyFree[n] = at.Add(keyInterval)
-	c.mu.Unlock()
-	pause(ctx, time.Until(at))
-	return fmt.Sprintf("%016x", n+1)
-}
-
-// leave disconnects a client by KILL QUERY, a reset or a close.
-func (c *disconnectingClients) leave(ctx context.Context, id string, s *rawclient.Session) {
-	left := func() { c.checker.RequestEnded(id, conformance.ClientLeft, time.Now()) }
-	switch c.draw(3) {
-	case 0:
-		killer, err := rawclient.Connect(
-			ctx, c.address, fmt.Sprintf("KILL QUERY %d", s.ConnectionID), func(time.Time) {},
-		)
-		if err != nil { // the broker is shutting down: the close is all that it notices
-			s.Close()
-			left()
-			return
-		}
-		defer killer.Close()
-		left()
-		pause(ctx, killCloseAfter)
-	case 1:
-		s.Reset()
-		left()
-	default:
-		s.Close()
-		left()
-	}
+	return fmt.Sprintf("%016x", c.keys.Reserve(ctx, c.source)+1)
 }
 
 // idleClients is how many clients are idle until the broker closes their connections.
