--- a/measure/soak/broker.go
+++ b/measure/soak/broker.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wheatlane/internal/emulator/changelogserver"
+	"wheatlane/internal/emulator/pacing"
 )
 
 const (
@@ -149,7 +150,7 @@
 
 // callUntil makes a call at the admin endpoint until it is acknowledged.
 func (b *brokerSlot) callUntil(ctx context.Context, line string) error {
-	for end := time.Now().Add(callWithin); time.Now().Before(end) && ctx.Err() == nil; pause(ctx, callRetry) {
+	for end := time.Now().Add(callWithin); time.Now().Before(end) && ctx.Err() == nil; pacing.Pause(ctx, callRetry) {
 		if b.call(ctx, line) {
 			return nil
 		}
--- /dev/null
+++ b/measure/soak/lifecycle.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"wheatlane/internal/emulator/changelogserver"
+)
+
+// startAll starts engines, change log, brokers and clients.
+func (s *soak) startAll(program, dir string) error {
+	var err error
+	endpoints := make([]changelogserver.Endpoint, 0, s.options.engines)
+	for i := range s.options.engines {
+		e := &engineProcess{id: fmt.Sprintf("e-%02d", i)}
+		if e.proxy, err = s.newProxy(); err != nil {
+			return err
+		}
+		if err := s.startEngine(e); err != nil {
+			return err
+		}
+		s.engines = append(s.engines, e)
+		endpoints = append(endpoints, changelogserver.Endpoint{
+			ID: e.id, Addr: e.proxy.addr, Site: "east", Class: "std-8core", Share: 4,
+		})
+	}
+	if s.changes, err = changelogserver.New("127.0.0.1:0", endpoints, nil); err != nil {
+		return err
+	}
+	go func() { _ = s.changes.Run(s.processes) }() // ends with the processes
+	if err := s.startBrokers(program, dir); err != nil {
+		return err
+	}
+	return s.startClients()
+}
+
+// startEngine starts a process of an engine, which ends with the run.
+func (s *soak) startEngine(e *engineProcess) error { return e.start(s.processes, s.report) }
+
+func (s *soak) newProxy() (*proxy, error) {
+	p, err := newProxy(s.processes)
+	if err == nil {
+		s.proxies = append(s.proxies, p)
+	}
+	return p, err
+}
+
+func (s *soak) startBrokers(program, dir string) error {
+	var changelogProxies [2]*proxy
+	for i := range changelogProxies {
+		p, err := s.newProxy()
+		if err != nil {
+			return err
+		}
+		p.setTarget(s.changes.Addr())
+		changelogProxies[i] = p
+	}
+	var g errgroup.Group
+	for i := range s.options.brokers {
+		b := &brokerSlot{
+			name: fmt.Sprint("b", i), program: program, changelogProxies: changelogProxies, changes: s.changes,
+			hedging: s.hedging, fleetSize: s.options.brokers, environment: s.brokerEnvironment, onLine: s.brokerLine,
+		}
+		if err := s.prepareBroker(s.processes, b, dir); err != nil {
+			return err
+		}
+		s.brokers = append(s.brokers, b)
+		g.Go(func() error { return b.start(s.processes) })
+	}
+	return g.Wait()
+}
+
+// prepareBroker gives a broker its addresses, its folder and its log.
+func (s *soak) prepareBroker(ctx context.Context, b *brokerSlot, dir string) error {
+	var err error
+	if b.listen, err = freeAddress(ctx); err != nil {
+		return err
+	}
+	for i := range b.operators {
+		if b.operators[i], err = freeAddress(ctx); err != nil {
+			return err
+		}
+	}
+	b.dir = filepath.Join(dir, b.name)
+	if err := os.MkdirAll(b.dir, 0o700); err != nil {
+		return err
+	}
+	if s.options.logs == "" {
+		return nil
+	}
+	b.log, err = os.Create(filepath.Join(s.options.logs, fmt.Sprintf("seed%d-%s.log", s.options.seed, b.name)))
+	return err
+}
+
+func (s *soak) startClients() error {
+	addresses := make([]string, 0, len(s.brokers))
+	for _, b := range s.brokers {
+		addresses = append(addresses, b.listen)
+	}
+	for i := range s.options.clients {
+		p, err := startHelper(s.processes, s.report, "clients", strings.Join(addresses, ","),
+			fmt.Sprint(s.options.seed*100+uint64(i)), fmt.Sprint(s.options.rate))
+		if err != nil {
+			return err
+		}
+		s.clients = append(s.clients, p)
+	}
+	return nil
+}
+
+const clientEndTime = 6 * time.Second // clients wait for their open requests when told to end
+
+// endRun ends the clients and then the brokers, in order.
+func (s *soak) endRun() {
+	for _, p := range s.clients {
+		p.signal(terminate)
+	}
+	for _, p := range s.clients {
+		if !p.waitFor(clientEndTime) {
+			s.find("a client process did not end")
+		}
+	}
+	var g errgroup.Group
+	for _, b := range s.brokers {
+		g.Go(func() error {
+			if p := b.current(); p != nil {
+				return b.terminate(p)
+			}
+			return nil
+		})
+	}
+	if err := g.Wait(); err != nil {
+		s.find("at the end of the run: %v", err)
+	}
+}
+
+// endAll ends what still runs.
+func (s *soak) endAll() {
+	for _, b := range s.brokers {
+		if p := b.current(); p != nil {
+			p.kill()
+		}
+	}
+	for _, p := range s.clients {
+		p.kill()
+	}
+	for _, e := range s.engines {
+		if p := e.current(); p != nil {
+			p.kill()
+		}
+	}
+	for _, p := range s.proxies {
+		p.close()
+	}
+}
--- a/measure/soak/proxy.go
+++ b/measure/soak/proxy.go
@@ -31,7 +31,8 @@
 
 // proxy is a TCP proxy that lies between brokers and an engine or the change log, and disturbs what passes.
 type proxy struct {
-	ctx  context.Context // of the run
+	// ctx bounds the dials behind the proxy. It is that of the run: the faults that reopen the listener end sooner.
+	ctx  context.Context
 	addr string
 
 	mu       sync.Mutex // guards what follows
--- /dev/null
+++ b/measure/soak/systemfaults.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"fmt"
+	"syscall"
+	"time"
+)
+
+// The environment variables of the shims.
+const (
+	faultsVariable     = "WHEATLANE_FAULTS"
+	clockStepsVariable = "WHEATLANE_CLOCK_STEPS"
+)
+
+// systemFault is a call that fails for a while as Linux documents.
+type systemFault struct {
+	call     string
+	errno    syscall.Errno // 0: a short transfer
+	perMille int
+}
+
+// systemFaults are what the faults of a broker's process are drawn from.
+var systemFaults = []systemFault{
+	{"accept", syscall.ENFILE, 1000},
+	{"accept", syscall.ENOBUFS, 500},
+	{"accept", syscall.ECONNABORTED, 500},
+	{"socket", syscall.ENFILE, 1000},
+	{"socket", syscall.ENOBUFS, 700},
+	{"connect", syscall.EADDRNOTAVAIL, 1000},
+	{"connect", syscall.ENETUNREACH, 1000},
+	{"connect", syscall.EINTR, 300},
+	{"read", syscall.EINTR, 300},
+	{"read", 0, 700},
+	{"read", syscall.ETIMEDOUT, 3},
+	{"read", syscall.EHOSTUNREACH, 3},
+	{"write", syscall.EINTR, 300},
+	{"write", 0, 700},
+	{"write", syscall.ETIMEDOUT, 3},
+	{"write", syscall.ENOBUFS, 50},
+	{"filewrite", syscall.ENOSPC, 1000},
+	{"filewrite", 0, 500},
+	{"open", syscall.ENFILE, 1000},
+	{"open", syscall.EIO, 1000},
+	{"rename", syscall.EIO, 1000},
+	{"fileread", syscall.EINTR, 500},
+}
+
+var clockStepSizes = []time.Duration{
+	-time.Hour, -5 * time.Second, -time.Second, 2 * time.Second, 5 * time.Second, time.Hour,
+}
+
+const (
+	systemFaultsPerProcess = 6
+	systemFaultHorizon     = 12 * time.Second // of a process, in which its faults begin
+	maxSystemFault         = 1500 * time.Millisecond
+)
+
+// breaksConnection reports whether the fault ends a connection for good, so that no answer can leave on it.
+func (f systemFault) breaksConnection() bool {
+	return f.errno == syscall.ETIMEDOUT || f.errno == syscall.EHOSTUNREACH
+}
+
+// brokerEnvironment draws the faults of system calls and the clock steps of a broker's next process.
+func (s *soak) brokerEnvironment(b *brokerSlot) []string {
+	if !s.options.shims {
+		return nil
+	}
+	text := fmt.Sprint(s.draw(1 << 30))
+	for range systemFaultsPerProcess {
+		f := systemFaults[s.draw(len(systemFaults))]
+		from := s.drawDuration(systemFaultHorizon)
+		to := from + s.drawDuration(maxSystemFault)
+		text += fmt.Sprintf(";%s@%d-%d=%d:%d", f.call, from.Milliseconds(), to.Milliseconds(), f.errno, f.perMille)
+		if f.breaksConnection() {
+			breaks := span{time.Now().Add(from), time.Now().Add(to + settleTime)}
+			s.note(func(h *history) { h.brokerBreaks[b.listen] = append(h.brokerBreaks[b.listen], breaks) })
+		}
+	}
+	steps := ""
+	if s.draw(2) == 0 {
+		at := time.Second + s.drawDuration(systemFaultHorizon)
+		size := clockStepSizes[s.draw(len(clockStepSizes))]
+		steps = fmt.Sprintf("%d:%d", at.Milliseconds(), size.Milliseconds())
+	}
+	return []string{faultsVariable + "=" + text, clockStepsVariable + "=" + steps}
+}
