--- a/internal/server/fakechangelog_test.go
+++ b/internal/server/fakechangelog_test.go
@@ -8,6 +8,8 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+
+	"wheatlane/internal/changelog"
 )
 
 // fakeChangelog is a change log whose answers a test gives.
@@ -64,3 +66,12 @@
 	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
 		revision, revision, snapshot, strings.Join(endpoints, ","))
 }
+
+func parsePage(t *testing.T, text string) changelog.Page {
+	t.Helper()
+	page, err := changelog.ParsePage([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return page
+}
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -17,7 +17,7 @@
 
 // failingListener fails some calls ahead of those that its listener answers.
 type failingListener struct {
-	net.Listener
+	*net.TCPListener
 	failures int
 }
 
@@ -26,13 +26,13 @@
 		l.failures--
 		return nil, errors.New("no descriptors")
 	}
-	return l.Listener.Accept()
+	return l.TCPListener.Accept()
 }
 
 // A listener that fails for a moment goes on to accept.
 func TestAcceptGoesOnAfterFailures(t *testing.T) {
 	host := newFakeHost()
-	f := newTestFrontend(&failingListener{Listener: listenTCP(t), failures: 3}, host, 0)
+	f := newTestFrontend(&failingListener{listenTCP(t).(*net.TCPListener), 3}, host, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Serve(ctx) }()
@@ -47,6 +47,23 @@
 	}
 }
 
+// The final reads of a listener that fails for a moment begin anew, and end with its close.
+func TestFinalReadsOfAFailingListener(t *testing.T) {
+	host := newFakeHost()
+	f := newTestFrontend(&failingListener{listenTCP(t).(*net.TCPListener), 3}, host, 0)
+	f.BeginFinalReads()
+	if err := f.Serve(t.Context()); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	if f.ListenerClosed() {
+		t.Error("the listener is closed before the loop knows of all its clients")
+	}
+	host.runOne(t, "the end of the final reads")
+	if !f.ListenerClosed() {
+		t.Error("the listener is not closed")
+	}
+}
+
 // A client that is rejected for want of sockets gets its answer and an orderly end, though it has written
 // already and nobody has read that.
 func TestRejectionSurvivesUnreadBytes(t *testing.T) {
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net"
 	"runtime"
 	"testing"
 	"time"
@@ -115,6 +116,30 @@
 	}
 }
 
+// A reader that is to stop while it sets its own deadline stops at once.
+func TestStopWhileTheReadTimeoutIsSet(t *testing.T) {
+	host := newFakeHost()
+	c, _ := newTestClient(t, newTestFrontend(nil, host, 0))
+	close(c.admitted)
+	c.close(&netconn.EndError{Reason: netconn.KilledByClient})
+	ended := make(chan error, 1)
+	go func() { ended <- c.conn.Run(t.Context(), c.read) }()
+	host.runOne(t, "the end of the reads") // without the stop it comes after loginTimeout, and for another reason
+	if reason := netconn.ReasonOf(receive(t, ended, "the end")); reason != netconn.KilledByClient {
+		t.Errorf("ended as %s", reason)
+	}
+}
+
+// A connection without a kernel's record of its last bytes counts as just received.
+func TestSinceReceivedWithoutTCP(t *testing.T) {
+	near, far := net.Pipe()
+	defer func() { _ = near.Close() }() // nothing is sent
+	defer func() { _ = far.Close() }()
+	if since := newTestFrontend(nil, newFakeHost(), 0).sinceReceived(near); since != 0 {
+		t.Errorf("received %v ago", since)
+	}
+}
+
 // The final reads of a client are complete only once a message that has begun is complete.
 func TestFinalReadsWaitForABegunMessage(t *testing.T) {
 	host := newFakeHost()
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -13,7 +13,6 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"wheatlane/internal/changelog"
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
@@ -81,10 +80,7 @@
 	if o.sockets == 0 {
 		o.sockets = testSockets
 	}
-	known, err := changelog.ParsePage([]byte(pageJSON(1, true, endpoints...)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	known := parsePage(t, pageJSON(1, true, endpoints...))
 	s := &testServer{
 		t: t, changelog: newFakeChangelog(t), stopSignal: make(chan struct{}), ended: make(chan error, 1),
 	}
@@ -98,8 +94,8 @@
 	core, logs := observer.New(zapcore.InfoLevel)
 	s.logs = logs
 	ctx, cancel := context.WithCancel(t.Context())
-	s.server, err = New(ctx, cfg, zap.New(core))
-	if err != nil {
+	var err error
+	if s.server, err = New(ctx, cfg, zap.New(core)); err != nil {
 		t.Fatal(err)
 	}
 	if o.meter != nil {
--- /dev/null
+++ b/internal/server/reload_test.go
@@ -0,0 +1,74 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/config"
+	"wheatlane/internal/server/netconn"
+)
+
+// A reload polls the change log at its new address at once, keeps the longest client timeout that was ever in force, and
+// names the keys that need a restart.
+func TestReload(t *testing.T) {
+	next := newFakeChangelog(t)
+	s := startServer(t)
+	receive(t, s.changelog.polls, "a poll of the first change log")
+	before := inLoop(s, func(server *Server) time.Duration { return server.timeouts.load() })
+	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
+	cfg.Changelog, cfg.Sockets = next.addr, cfg.Sockets+1
+	cfg.Settings.MaxClientTimeout = before / 2
+	s.server.Reload(t.Context(), cfg)
+	if query := receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
+		t.Errorf("polled %q", query)
+	}
+	after := inLoop(s, func(server *Server) time.Duration { return server.pool.Config().MaxClientTimeout })
+	if after != before {
+		t.Errorf("the longest client timeout is %v, was %v", after, before)
+	}
+	lines := s.logs.FilterMessage("reloaded").All()
+	if len(lines) != 1 {
+		t.Fatalf("%d lines of a reload", len(lines))
+	}
+	want := map[string]any{"changelog": next.addr, "need_restart": []any{"limits.sockets"}}
+	if diff := cmp.Diff(want, lines[0].ContextMap()); diff != "" {
+		t.Error(diff)
+	}
+	waitUntil(t, "the end of the first poll is counted", func() bool {
+		return s.endCount(netconn.ChangelogSide, netconn.AddressChanged) == 1
+	})
+}
+
+// A reload to a longer client timeout raises the longest one.
+func TestLongestTimeout(t *testing.T) {
+	var longest longestTimeout
+	for _, step := range []struct{ raised, want time.Duration }{
+		{time.Second, time.Second}, {time.Minute, time.Minute}, {time.Second, time.Minute},
+	} {
+		longest.raise(step.raised)
+		if got := longest.load(); got != step.want {
+			t.Errorf("raised to %v: %v, want %v", step.raised, got, step.want)
+		}
+	}
+}
+
+// The page of the endpoint list that a reload brings is applied.
+func TestReloadAppliesTheKnownPage(t *testing.T) {
+	e := newFakeEngine(t)
+	s := startServer(t)
+	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
+	cfg.Known = parsePage(t, pageJSON(2, true, listed("e1", e)))
+	s.server.Reload(t.Context(), cfg)
+	inspected := s.server.Inspect(t.Context(), func(b *broker.Broker, _ netconn.ConnectionCounts) {
+		if b.EndpointCount() != 1 {
+			t.Errorf("%d engines are known", b.EndpointCount())
+		}
+	})
+	if !inspected {
+		t.Fatal("the server can't be inspected")
+	}
+	s.serveOn(e, 1)
+}
--- /dev/null
+++ b/internal/server/violations_test.go
@@ -0,0 +1,79 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+	"go.uber.org/zap/zaptest/observer"
+
+	"wheatlane/internal/broker"
+	"wheatlane/internal/invariant"
+)
+
+// countedViolations counts the rules that were broken.
+type countedViolations struct {
+	nopMeter
+	byRule map[invariant.Rule]int
+}
+
+func (c countedViolations) InvariantViolated(rule invariant.Rule) { c.byRule[rule]++ }
+
+// A violation that is found here is counted and logged; one that the reducer found is logged, as it has counted it.
+func TestViolations(t *testing.T) {
+	core, logs := observer.New(zapcore.InfoLevel)
+	log, counted := zap.New(core), countedViolations{byRule: map[invariant.Rule]int{}}
+	loop := &eventLoop{meter: counted, log: log}
+	loop.violated(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
+	(&effects{log: log}).execute(broker.InvariantViolation{
+		Rule: invariant.NoSendToUnready, Session: 7, RequestID: "00ff",
+	})
+	if diff := cmp.Diff(map[invariant.Rule]int{invariant.TimeoutWithinClient: 1}, counted.byRule); diff != "" {
+		t.Error(diff)
+	}
+	got := make([]map[string]any, 0, logs.Len())
+	for _, line := range logs.FilterMessage("invariant violated").FilterLevelExact(zapcore.ErrorLevel).All() {
+		got = append(got, line.ContextMap())
+	}
+	want := []map[string]any{
+		{"engine": "e1", "rule": "timeout_within_client"},
+		{"session": uint32(7), "request": "00ff", "rule": "no_send_to_unready"},
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// Each transition of a request leaves a line at debug level, with what is known of its kind.
+func TestTransitionsAreLogged(t *testing.T) {
+	core, logs := observer.New(zapcore.DebugLevel)
+	trace := logTransitions(zap.New(core))
+	transition := broker.Transition{
+		Request: 3, RequestID: "00ff", Session: 7, Class: "lookup", Since: time.Second, Attempt: 1, Engine: "e1",
+	}
+	for _, state := range []broker.TransitionState{
+		broker.RequestAcceptedState, broker.RequestEndedState, broker.AttemptStartedState, broker.AttemptEndedState,
+	} {
+		transition.State = state
+		trace(transition)
+	}
+	got := map[string][]string{}
+	for _, line := range logs.All() {
+		if line.Level != zapcore.DebugLevel {
+			t.Errorf("%s is logged at %s", line.Message, line.Level)
+		}
+		for _, field := range line.Context[5:] { // behind those that all lines have
+			got[line.Message] = append(got[line.Message], field.Key)
+		}
+	}
+	want := map[string][]string{
+		"request ended":   {"cause"},
+		"attempt started": {"attempt", "engine"},
+		"attempt ended":   {"attempt", "engine", "status"},
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
