--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -54,31 +54,26 @@
 
 // A request of which no retry is permitted is answered at once, not held until its deadline.
 func TestRequestWithoutPermittedRetryIsAnsweredAtOnce(t *testing.T) {
+	nonIdempotent := idempotency.Policy{Kind: idempotency.NonIdempotent}
+	withKey := idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: time.Second}
+	withKeyForZone := withKey
+	withKeyForZone.DedupScope = idempotency.ScopeZone
 	for name, c := range map[string]struct {
-		class                func(k *Class)
+		idempotency          idempotency.Policy
 		after                time.Duration // from the first attempt to its end
 		status               Status
 		failures, rejections int
 	}{
-		"non-idempotent, reset":     {func(k *Class) { k.Idempotency = idempotency.Policy{Kind: idempotency.NonIdempotent} }, 0, ConnectionReset, 1, 0},
-		"non-idempotent, timed out": {func(k *Class) { k.Idempotency = idempotency.Policy{Kind: idempotency.NonIdempotent} }, 0, TimedOut, 1, 0},
-		"with a key, past its window": {func(k *Class) {
-			k.Idempotency = idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: time.Second}
-		}, 1100 * ms, Failed, 0, 1},
-		"with a key for a zone, past it": {func(k *Class) {
-			k.Idempotency = idempotency.Policy{
-				Kind: idempotency.WithKey, DedupScope: idempotency.ScopeZone, DedupWindow: time.Second,
-			}
-		}, 1100 * ms, Failed, 1, 0},
-		"with a key, too late for a retry": {func(k *Class) {
-			k.Idempotency = idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: time.Second}
-		}, 750 * ms, Failed, 0, 1},
+		"non-idempotent, reset":            {nonIdempotent, 0, ConnectionReset, 1, 0},
+		"non-idempotent, timed out":        {nonIdempotent, 0, TimedOut, 1, 0},
+		"with a key, past its window":      {withKey, 1100 * ms, Failed, 0, 1},
+		"with a key for a zone, past it":   {withKeyForZone, 1100 * ms, Failed, 1, 0},
+		"with a key, too late for a retry": {withKey, 750 * ms, Failed, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := baseSettings()
 			s.MaxSendDelay = 300 * ms // so a retry after 750 ms might leave past the window
-			s.Classes[1].Idempotency = idempotency.Policy{}
-			c.class(&s.Classes[1])
+			s.Classes[1].Idempotency = c.idempotency
 			r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
 			id, _ := r.submit("long", r.deadlineIn(20*time.Second))
 			r.advance(c.after)
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -9,8 +9,6 @@
 	"time"
 
 	"wheatlane/control/idempotency"
-	"wheatlane/control/loadreport"
-	"wheatlane/control/units"
 )
 
 // drawSettings draws settings: every switch that a deployment may set.
@@ -38,7 +36,8 @@
 	}
 	for i := range s.Classes {
 		k := &s.Classes[i]
-		k.Idempotency.Kind, k.Idempotency.DedupScope = idempotency.Kind(r.IntN(3)), idempotency.Scope(r.IntN(3))
+		k.Idempotency.Kind = idempotency.Kind(r.IntN(3))
+		k.Idempotency.DedupScope = idempotency.Scope(r.IntN(3))
 		k.Idempotency.DedupWindow, k.Ordered = time.Duration(1+r.IntN(4))*time.Second, flip()
 		if r.IntN(4) == 0 {
 			k.AllowedZones = []string{"b"}
@@ -188,15 +187,16 @@
 	if q.inFlight() && !c.settings.Limits.Hedging {
 		c.fatalf("two attempts at once")
 	}
-	if q.class.Idempotency.Kind == idempotency.Idempotent {
+	policy := q.class.Idempotency
+	if policy.Kind == idempotency.Idempotent {
 		return
 	}
 	for _, a := range q.attempts {
 		if !a.mayHaveRun {
 			continue
 		}
-		inWindow := c.now-a.sentAt <= q.class.Idempotency.DedupWindow
-		if q.class.Idempotency.Kind == idempotency.NonIdempotent || !sameScope(q.class.Idempotency.DedupScope, a.engine, e) || !inWindow {
+		inWindow := c.now-a.sentAt <= policy.DedupWindow
+		if policy.Kind == idempotency.NonIdempotent || !sameScope(policy.DedupScope, a.engine, e) || !inWindow {
 			c.fatalf("an effect might happen twice")
 		}
 	}
@@ -258,8 +258,9 @@
 // checkMayReject checks that a retry by the client of a rejected request is harmless.
 func (c *ruleChecker) checkMayReject(q *trackedRequest) {
 	c.t.Helper()
-	if q.class.Idempotency.Kind == idempotency.Idempotent ||
-		q.class.Idempotency.Kind == idempotency.WithKey && q.class.Idempotency.DedupScope == idempotency.ScopeAll {
+	policy := q.class.Idempotency
+	if policy.Kind == idempotency.Idempotent ||
+		policy.Kind == idempotency.WithKey && policy.DedupScope == idempotency.ScopeAll {
 		return
 	}
 	if slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
@@ -267,139 +268,6 @@
 	}
 }
 
-// drawEvent feeds one random event; it returns false where an attempt was to end and none is in flight.
-func (c *ruleChecker) drawEvent(step int) bool {
-	c.t.Helper()
-	switch draw := c.rng.IntN(12); {
-	case draw == 0:
-		c.updateEngine()
-	case draw < 6:
-		c.receive(step)
-	case draw < 10:
-		return c.endInFlight()
-	case draw == 10:
-		if q, number := c.drawInFlight(); q != nil {
-			kind := ProgressKind(1 + c.rng.IntN(3))
-			c.check(c.handle(AttemptProgress{
-				RequestID: q.ID, Number: number, Kind: kind, Value: c.rng.Float64(),
-			}))
-		}
-	default:
-		c.disconnect()
-	}
-	return true
-}
-
-// updateEngine lists an engine, in any state; its zone and cell stay.
-func (c *ruleChecker) updateEngine() {
-	c.t.Helper()
-	e := Engine{
-		ID: fmt.Sprint("e", c.rng.IntN(4)), Zone: []string{"a", "b"}[c.rng.IntN(2)], Kind: "std",
-		State: EngineState(max(0, c.rng.IntN(5)-2)),
-	}
-	if listed, ok := c.engines[e.ID]; ok {
-		e.Zone, e.Cell = listed.Zone, listed.Cell
-	} else {
-		e.Cell = c.rng.IntN(2)
-	}
-	if c.rng.IntN(3) == 0 {
-		e.StartedAt = c.now
-	}
-	c.engines[e.ID], c.unavailable[e.ID] = e, e.State != Ready
-	c.check(c.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{e}}))
-}
-
-func (c *ruleChecker) receive(step int) {
-	c.t.Helper()
-	class := c.settings.Classes[c.rng.IntN(2)]
-	wait := time.Duration(200+c.rng.IntN(5000)) * ms
-	q := &trackedRequest{
-		Request: Request{
-			ID: fmt.Sprint(c.seed, "-", step), Class: class.Name, Deadline: c.now + wait,
-			EstimatedMemoryMB: float64(c.rng.IntN(3)) * 200,
-		},
-		class: class, arrivalIndex: step,
-	}
-	if class.Ordered {
-		q.OrderKey = fmt.Sprint("k", c.rng.IntN(3))
-	}
-	c.requests[q.ID] = q
-	c.arrivals = append(c.arrivals, q)
-	c.arrivedAt = append(c.arrivedAt, c.now)
-	c.check(c.handle(RequestReceived{Request: q.Request}))
-}
-
-// endInFlight ends an attempt that is in flight, in any way; it returns false where none is.
-func (c *ruleChecker) endInFlight() bool {
-	c.t.Helper()
-	q, number := c.drawInFlight()
-	if q == nil {
-		return false
-	}
-	status := Status(c.rng.IntN(8))
-	a := q.attempts[number]
-	a.inFlight = false
-	a.mayHaveRun = status != AtCapacity && status != ConnectFailed && status != NeverSent
-	if status == TimedOut || status == ConnectionReset || status == Cancelled {
-		c.cooldownEnd[q.OrderKey] = c.now + c.settings.Rules.KeyCooldown
-	}
-	closed := !q.open() || status == OK
-	q.over = q.over || status == OK
-	work := time.Duration(c.rng.IntN(300)) * ms
-	report := loadreport.Report{
-		Reported: c.settings.ReportsLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), InFlight: 3,
-	}
-	c.check(c.handle(AttemptEnded{
-		RequestID: q.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
-		Work: work, MemoryMB: 100, Report: report,
-	}))
-	return true
-}
-
-// disconnect has the client of any request leave.
-func (c *ruleChecker) disconnect() {
-	c.t.Helper()
-	if len(c.arrivals) == 0 {
-		return
-	}
-	q := c.arrivals[c.rng.IntN(len(c.arrivals))]
-	if q.answerCount == 0 {
-		q.over = true
-	}
-	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
-}
-
-// standStill lets time pass without timers, for no longer than to the next deadline: timers due meanwhile
-// fire late.
-func (c *ruleChecker) standStill() {
-	c.t.Helper()
-	c.check(c.advance(5 * ms))
-	length := 2 * time.Second
-	for _, q := range c.arrivals {
-		if q.open() {
-			length = min(length, q.Deadline-c.now-20*ms)
-		}
-	}
-	c.now += max(0, length)
-}
-
-// drawInFlight draws an attempt in flight of one of the last requests; nil where it finds none.
-func (c *ruleChecker) drawInFlight() (*trackedRequest, int) {
-	const tries, youngest = 30, 30
-	for range tries {
-		if len(c.arrivals) == 0 {
-			break
-		}
-		q := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(youngest))]
-		for number, a := range q.attempts {
-			if a.inFlight {
-				return q, number
-			}
-		}
-	}
-	return nil, 0
-}
-
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	sends := 0
 	for seed := range uint64(150) {
