--- a/control/attempts.go
+++ b/control/attempts.go
@@ -1,131 +1,150 @@
 package control
 
 import (
-	"math"
+	"time"
 
+	"wheatlane/control/attemptoptions"
 	"wheatlane/control/overdue"
+	"wheatlane/control/retry"
 	"wheatlane/control/units"
 )
 
-// Tuned values of attempts and retries.
-const (
-	minPriority       = 1 // of engines that heed priorities
-	maxPriority       = 3
-	minRetryBatches   = 4 // batch intervals before its deadline from which a request is not retried
-	halfOpenTimeSpare = 2 // a half-open probe times out if there are so many times its usual time left
-)
+// attempt is one attempt of a request.
+type attempt struct {
+	request        *request
+	number         int
+	engine         *engine
+	sentAt         time.Duration
+	inFlight       bool
+	mayHaveRun     bool
+	cancelled      bool           // its cancellation was asked for
+	presumedLost   bool           // its answer is not waited for
+	lossConfidence units.Fraction // of the presumption
+	released       bool           // its threads count no more against the concurrency limit
+	lastProgressAt time.Duration  // of its last progress report
+}
+
+// releaseThreads counts the attempt's threads no more against the concurrency limit, once.
+func (a *attempt) releaseThreads() {
+	if !a.released {
+		a.released = true
+		a.engine.releaseThreads(a.request.class.Threads)
+	}
+}
+
+// cancel returns the action that cancels the attempt.
+func (a *attempt) cancel() CancelAttempt {
+	a.cancelled = true
+	return CancelAttempt{RequestID: a.request.ID, Number: a.number}
+}
 
 // sendAttempt sends a request's next attempt to an engine, as a first attempt, a retry or a hedged request.
-func (c *Controller) sendAttempt(r *request, e *engine) {
-	k := r.class
-	c.setAttemptOptions(r, e)
-	if len(r.attempts) > 0 {
+func (c *Controller) sendAttempt(request *request, engine *engine) {
+	c.setAttemptOptions(request, engine)
+	if len(request.attempts) > 0 {
 		c.retries.RetrySent(c.now)
 	} else {
-		k.Wait.Observe(c.now - r.receivedAt)
-	}
-	if c.inSlowStart(e) {
-		e.sentInSlowStart.Add(c.now, k.Cost.MeanWork())
-	}
-	a := r.addAttempt(e, c.now)
-	if e.health.Ejected() {
-		e.health.ProbeSent(c.now, c.ejectionBackoff())
+		request.class.Wait.Observe(c.now - request.receivedAt)
 	}
-	// Only a half-open probe times out early, to be retried: work that is cut off is lost.
-	overdueAfter := c.attemptTimeout(r, e)
-	send := SendAttempt{RequestID: r.ID, Engine: e.ID, OverdueAfter: overdueAfter}
-	if e.health.Ejected() && halfOpenTimeSpare*overdueAfter < r.Deadline-c.now {
-		send.Timeout = overdueAfter
+	work := request.class.Cost.MeanWork()
+	c.slowStart.RecordSend(engine.slowStartInput(), &engine.sentInSlowStart, work, c.now)
+	attempt := request.addAttempt(engine, c.now)
+	overdueAfter := c.attemptTimeout(request, engine)
+	send := SendAttempt{RequestID: request.ID, Engine: engine.ID, OverdueAfter: overdueAfter}
+	if engine.health.Ejected() {
+		engine.health.ProbeSent(c.now, c.ejectionBackoff())
+		send.Timeout = overdue.ProbeTimeout(overdueAfter, request.Deadline-c.now)
 	}
 	c.emit(send)
-	c.startTimer(overdueAfter, attemptOverdue{a})
+	c.startTimer(overdueAfter, attemptOverdue{attempt})
 }
 
-// setAttemptOptions sets memory and priority where engines heed them.
-func (c *Controller) setAttemptOptions(r *request, e *engine) {
-	options := SetAttemptOptions{RequestID: r.ID, Priority: minPriority}
-	if c.settings.MemoryGrants && c.settings.ReportsCost && r.EstimatedMemoryMB > 0 {
-		needed := r.class.Cost.MemoryMB(r.EstimatedMemoryMB)
-		options.GrantMB = math.Ceil(min(needed, float64(c.settings.MaxGrantFraction)*e.memoryMB))
-	}
-	if c.settings.Priorities && r.classIndex == c.workload.Summary().HighestValueClass {
-		options.Priority = maxPriority
-	}
-	if options.GrantMB != 0 || options.Priority != r.priority {
-		r.priority = options.Priority
-		c.emit(options)
+// setAttemptOptions sets the options of a request's next attempt where they differ from those set last.
+func (c *Controller) setAttemptOptions(request *request, engine *engine) {
+	options := c.attemptOptions.For(attemptoptions.Attempt{
+		NeededMB:          request.class.Cost.MemoryMB(request.EstimatedMemoryMB),
+		EngineMB:          engine.memoryMB,
+		HighestValueClass: request.classIndex == c.workload.Summary().HighestValueClass,
+	})
+	if options.GrantMB != 0 || options.Priority != request.priority {
+		request.priority = options.Priority
+		c.emit(SetAttemptOptions{
+			RequestID: request.ID, GrantMB: options.GrantMB, Priority: options.Priority,
+		})
 	}
 }
 
 // attemptEnded takes the end of an attempt.
 func (c *Controller) attemptEnded(end AttemptEnded) {
-	a := c.requests.attemptInFlight(end.RequestID, end.Number)
-	if a == nil {
+	attempt := c.requests.attemptInFlight(end.RequestID, end.Number)
+	if attempt == nil {
 		return
 	}
-	r, e := a.request, a.engine
-	a.inFlight = false
-	e.removeAttempt(a)
-	if a.presumedLost && end.Status == OK {
-		c.outliers.Recovered(&e.health, a.lossConfidence)
+	request, engine := attempt.request, attempt.engine
+	attempt.inFlight = false
+	engine.removeAttempt(attempt)
+	if attempt.presumedLost && end.Status == OK {
+		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
 	}
-	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !a.released {
-		c.startTimer(c.now-a.sentAt, endedAttemptStopped{a}) // it may still run: as long again, by its age
+	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.released {
+		// It may still run: as long again, by its age.
+		c.startTimer(c.now-attempt.sentAt, endedAttemptStopped{attempt})
 	} else {
-		a.releaseThreads()
+		attempt.releaseThreads()
 	}
-	a.mayHaveRun = end.Status.MayHaveRun()
-	if r.keyQueue != nil && end.Status.mayStillRun() {
-		r.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
+	attempt.mayHaveRun = end.Status.MayHaveRun()
+	if request.keyQueue != nil && end.Status.mayStillRun() {
+		request.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
 	}
-	c.loadReported(e, end.Report)
-	if !end.SharedCause && (!a.presumedLost || end.Status != TimedOut) {
-		c.recordOutcome(e, end.Status)
+	c.loadReported(engine, end.Report)
+	if !end.SharedCause && (!attempt.presumedLost || end.Status != TimedOut) {
+		c.recordOutcome(engine, end.Status)
 	}
 	if end.Status == OK {
-		c.learnFromAnswer(a, end)
-		if r.class.BlockedByDataSetLock {
-			e.dataSetLocks.Release(r.DataSet)
+		c.learnFromAnswer(attempt, end)
+		if request.class.BlockedByDataSetLock {
+			engine.dataSetLocks.Release(request.DataSet)
 		}
 	}
-	if end.RequestClosed && !r.closed {
-		r.class.Abandonment.ClientStayed()
-		c.closeRequest(r)
+	if end.RequestClosed && !request.closed {
+		request.class.Abandonment.ClientStayed()
+		c.closeRequest(request)
 	}
-	if r.closed {
-		c.removeIfOver(r)
-	} else if !r.hasAttemptInFlight() {
-		c.retry(a, end.Status)
+	if request.closed {
+		c.removeIfOver(request)
+	} else if !request.hasAttemptInFlight() {
+		c.retry(attempt, end.Status)
 	}
 }
 
-// retry enqueues a request again, elsewhere, while there is time, unless its attempt may still run on an
-// engine under pressure: more would be harmful there.
-func (c *Controller) retry(a *attempt, status Status) {
-	r := a.request
-	stillRuns := status == TimedOut && !c.settings.Limits.Cancellation
-	tooLate := r.Deadline-c.now < minRetryBatches*c.settings.MinBatchInterval || r.isWorthless(c.now)
-	if tooLate || stillRuns && !a.engine.health.Ejected() && c.underPressure(a.engine) {
-		c.rejectOrFail(r)
+// retry enqueues a request again, elsewhere, if that is worth it after an attempt that ended.
+func (c *Controller) retry(attempt *attempt, status Status) {
+	retries := c.retryPolicy.Retries(attempt.request.retryInput(c.now), retry.Ended{
+		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
+		EngineEjected:       attempt.engine.health.Ejected(),
+		EngineUnderPressure: c.underPressure(attempt.engine),
+	})
+	if retries {
+		c.enqueue(attempt.request, attempt.engine)
 	} else {
-		c.enqueue(r, a.engine)
+		c.rejectOrFail(attempt.request)
 	}
 }
 
 // attemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
 func (c *Controller) attemptProgress(report AttemptProgress) {
-	a := c.requests.attemptInFlight(report.RequestID, report.Number)
-	if a == nil {
+	attempt := c.requests.attemptInFlight(report.RequestID, report.Number)
+	if attempt == nil {
 		return
 	}
-	a.lastProgressAt = c.now
-	a.engine.health.Responded(c.now)
+	attempt.lastProgressAt = c.now
+	attempt.engine.health.Responded(c.now)
 	if report.Kind != ProgressFraction {
 		return
 	}
-	spent, progress := units.SecondsOf(c.now-a.sentAt), units.Fraction(report.Value)
-	usual := c.expectedServiceTime(a.request, a.engine)
+	spent, progress := units.SecondsOf(c.now-attempt.sentAt), units.Fraction(report.Value)
+	usual := c.expectedServiceTime(attempt.request, attempt.engine)
 	if c.settings.Limits.Cancellation && overdue.IsRunaway(spent, progress, usual) {
-		c.hedgeOrCancel(a)
+		c.hedgeOrCancel(attempt)
 	}
 }
