--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"os"
@@ -17,20 +16,9 @@
 	"wheatlane/internal/goldenfile"
 	"wheatlane/internal/jsontext"
 	"wheatlane/internal/operatorconfig"
+	"wheatlane/internal/schema/schematest"
 )
 
-// golden compares a text with that of a file.
-func golden(t *testing.T, path, got string) {
-	t.Helper()
-	diff, err := goldenfile.Diff(path, got)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff != "" {
-		t.Errorf("%s: %s", path, diff)
-	}
-}
-
 // runCommand runs a command in this process and returns its output.
 func runCommand(t *testing.T, args ...string) string {
 	t.Helper()
@@ -111,7 +99,7 @@
 				t.Errorf("%s: %q is not in %s", key, at.Description, got)
 			}
 		})
-		golden(t, "testdata/keys-of-"+file.name+".txt", all.String())
+		goldenfile.Compare(t, "testdata/keys-of-"+file.name+".txt", all.String())
 	}
 }
 
@@ -122,7 +110,7 @@
 		"operator":    "../../deploy/operator.json",
 		"description": "../../deploy/app.json",
 	} {
-		golden(t, "testdata/origins-in-"+name+".txt", origins(t, path))
+		goldenfile.Compare(t, "testdata/origins-in-"+name+".txt", origins(t, path))
 	}
 }
 
@@ -179,31 +167,6 @@
 
 // 'config schema' prints what it did, descriptions apart.
 func TestPrintedSchema(t *testing.T) {
-	var doc any
-	if err := json.Unmarshal([]byte(runCommand(t, "config", "schema")), &doc); err != nil {
-		t.Fatal(err)
-	}
-	dropDescriptions(doc)
-	text, err := json.MarshalIndent(doc, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden(t, "testdata/schema.json", string(text)+"\n")
-}
-
-// dropDescriptions removes the texts that describe values from a schema.
-func dropDescriptions(v any) {
-	switch v := v.(type) {
-	case map[string]any:
-		if text, ok := v["description"].(string); ok && text != "" {
-			delete(v, "description")
-		}
-		for _, x := range v {
-			dropDescriptions(x)
-		}
-	case []any:
-		for _, x := range v {
-			dropDescriptions(x)
-		}
-	}
+	text := schematest.WithoutDescriptions(t, []byte(runCommand(t, "config", "schema")))
+	goldenfile.Compare(t, "testdata/schema.json", text)
 }
--- a/internal/collectd/golden_test.go
+++ b/internal/collectd/golden_test.go
@@ -26,14 +26,7 @@
 			for _, p := range pack(t, testSecurity(level), lists...) {
 				all.WriteString(hex.EncodeToString(p) + "\n")
 			}
-			path := filepath.Join("testdata", name+".golden")
-			diff, err := goldenfile.Diff(path, all.String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			if diff != "" {
-				t.Errorf("%s: %s", path, diff)
-			}
+			goldenfile.Compare(t, filepath.Join("testdata", name+".golden"), all.String())
 		})
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -17,18 +17,6 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// golden compares a text with that of a file.
-func golden(t *testing.T, path, got string) {
-	t.Helper()
-	diff, err := goldenfile.Diff(path, got)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff != "" {
-		t.Errorf("%s: %s", path, diff)
-	}
-}
-
 // values lists the values that a Go value holds, one a line, in the order of its fields and of the keys of
 // its maps. It gives no name of a type or field.
 func values(v reflect.Value) []string {
@@ -125,7 +113,7 @@
 			if env["RELAY_NAME"] != "" {
 				suffix = ".env.values"
 			}
-			golden(t, filepath.Join("testdata", name+suffix), strings.Join(values(reflect.ValueOf(c)), "\n")+"\n")
+			goldenfile.Compare(t, filepath.Join("testdata", name+suffix), strings.Join(values(reflect.ValueOf(c)), "\n")+"\n")
 		}
 	}
 }
@@ -166,7 +154,7 @@
 			fmt.Fprintf(&out, "\t%s\n", line)
 		}
 	})
-	golden(t, "testdata/each-key.txt", out.String())
+	goldenfile.Compare(t, "testdata/each-key.txt", out.String())
 }
 
 // without calls f with each key of a document while the document is without it.
@@ -243,7 +231,7 @@
 			fmt.Fprintf(&out, "word %s %s\n", from, wire.Init.Words[from])
 		}
 		name := filepath.Base(filepath.Dir(site))
-		golden(t, filepath.Join("testdata", name+".words.txt"), out.String())
+		goldenfile.Compare(t, filepath.Join("testdata", name+".words.txt"), out.String())
 		t.Run(name, func(t *testing.T) { listOfDeployment(t, filepath.Join(filepath.Dir(site), "real.json")) })
 	}
 }
@@ -291,7 +279,7 @@
 		t.Fatal(err)
 	}
 	list := strings.Join(values(reflect.ValueOf(c.Known)), "\n")
-	golden(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
+	goldenfile.Compare(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
 }
 
 func read(t *testing.T, path string, into any) {
--- a/internal/description/golden_test.go
+++ b/internal/description/golden_test.go
@@ -36,11 +36,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	diff, err := goldenfile.Diff(path, string(got))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff != "" {
-		t.Errorf("%s: %s", path, diff)
-	}
+	goldenfile.Compare(t, path, string(got))
 }
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -6,12 +6,25 @@
 	"flag"
 	"fmt"
 	"os"
+	"testing"
 
 	"github.com/google/go-cmp/cmp"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// Compare fails a test if got differs from the content of a file. With -update it writes the file first.
+func Compare(tb testing.TB, path, got string) {
+	tb.Helper()
+	diff, err := Diff(path, got)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	if diff != "" {
+		tb.Errorf("%s: %s", path, diff)
+	}
+}
+
 // Diff returns how got differs from the content of a file; "" if it does not. With -update it writes the file first.
 func Diff(path, got string) (string, error) {
 	want, err := Content(path, func() ([]byte, error) { return []byte(got), nil })
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -11,18 +11,6 @@
 	"wheatlane/internal/metrics/metricstest"
 )
 
-// golden compares a text with that of a file.
-func golden(t *testing.T, path, got string) {
-	t.Helper()
-	diff, err := goldenfile.Diff(path, got)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff != "" {
-		t.Errorf("%s: %s", path, diff)
-	}
-}
-
 // The bytes that are sent of every figure are what they were, in each form.
 func TestSentBytes(t *testing.T) {
 	v := metricstest.EveryFigure(10 * time.Second)
@@ -53,7 +41,7 @@
 				}
 				all.Write(text)
 			}
-			golden(t, filepath.Join("testdata", tt.name+".golden"), all.String())
+			goldenfile.Compare(t, filepath.Join("testdata", tt.name+".golden"), all.String())
 		})
 	}
 }
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -7,20 +7,9 @@
 	"testing"
 
 	"wheatlane/internal/goldenfile"
+	"wheatlane/internal/schema/schematest"
 )
 
-// golden compares a text with that of a file.
-func golden(t *testing.T, path, got string) {
-	t.Helper()
-	diff, err := goldenfile.Diff(path, got)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff != "" {
-		t.Errorf("%s: %s", path, diff)
-	}
-}
-
 // What operators' files give is what it was, key by key in the words of the file, with the same defaults; so
 // are the passwords and the bounds on names.
 func TestParsedValues(t *testing.T) {
@@ -51,7 +40,7 @@
 				}
 				out.WriteString("interval " + f.Telemetry.Interval().String() + "\n")
 			}
-			golden(t, filepath.Join("testdata", c.name+".values"), out.String())
+			goldenfile.Compare(t, filepath.Join("testdata", c.name+".values"), out.String())
 		})
 	}
 }
@@ -62,31 +51,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var doc any
-	if err := json.Unmarshal(text, &doc); err != nil {
-		t.Fatal(err)
-	}
-	dropDescriptions(doc)
-	out, err := json.MarshalIndent(doc, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden(t, "testdata/schema.json", string(out)+"\n")
-}
-
-// dropDescriptions removes the texts that describe values from a schema.
-func dropDescriptions(v any) {
-	switch v := v.(type) {
-	case map[string]any:
-		if text, ok := v["description"].(string); ok && text != "" {
-			delete(v, "description")
-		}
-		for _, x := range v {
-			dropDescriptions(x)
-		}
-	case []any:
-		for _, x := range v {
-			dropDescriptions(x)
-		}
-	}
+	goldenfile.Compare(t, "testdata/schema.json", schematest.WithoutDescriptions(t, text))
 }
--- /dev/null
+++ b/internal/schema/schematest/schematest_test.go
@@ -0,0 +1,25 @@
+package schematest
+
+import "testing"
+
+// Descriptions are dropped wherever they describe a value; a key of that name stays.
+func TestWithoutDescriptions(t *testing.T) {
+	const schema = `{"description":"text","properties":{"description":{"description":"of a key","type":"string"}},
+		"anyOf":[{"description":"in a list","type":"null"}]}`
+	const want = `{
+ "anyOf": [
+  {
+   "type": "null"
+  }
+ ],
+ "properties": {
+  "description": {
+   "type": "string"
+  }
+ }
+}
+`
+	if got := WithoutDescriptions(t, []byte(schema)); got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
