--- a/control/controller.go
+++ b/control/controller.go
@@ -41,7 +41,7 @@
 	log           logThrottle
 	requests      requestTable
 	endpoints     endpointSet
-	slowStart     slowstart.Policy
+	slowStart     *slowstart.Policy
 	outliers      outlier.Detector
 	slowdowns     slowdown.Estimator
 	selection     selection.Config
--- a/control/membership.go
+++ b/control/membership.go
@@ -89,5 +89,5 @@
 	for _, id := range c.endpoints.removeGone() {
 		c.log.forgetEngine(id)
 	}
-	c.endpoints.summarize(&c.slowStart, c.now)
+	c.endpoints.summarize(c.slowStart, c.now)
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,7 +2,7 @@
 
 import "wheatlane/control/slowstart"
 
-func newSlowStart(s Settings, pooled bool) slowstart.Policy {
+func newSlowStart(s Settings, pooled bool) *slowstart.Policy {
 	return slowstart.New(slowstart.Config{
 		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -55,16 +55,16 @@
 type Policy struct{ config Config }
 
 // New returns a policy. It limits nothing where the deployment does not say what overloads an engine.
-func New(config Config) Policy { return Policy{config} }
+func New(config Config) *Policy { return &Policy{config} }
 
 // Active reports whether an engine warms up.
-func (p Policy) Active(engine Engine, now time.Duration) bool {
+func (p *Policy) Active(engine Engine, now time.Duration) bool {
 	overloads := p.config.OverloadWindow > 0 && p.config.OverloadMultiple > 0
 	return overloads && engine.StartedAt > 0 && now-engine.StartedAt < p.config.Duration+clockError
 }
 
 // Fraction is the fraction of its capacity that an engine has.
-func (p Policy) Fraction(engine Engine, now time.Duration) units.Fraction {
+func (p *Policy) Fraction(engine Engine, now time.Duration) units.Fraction {
 	if !p.Active(engine, now) {
 		return 1
 	}
@@ -73,7 +73,7 @@
 }
 
 // FleetBudget is the work that all brokers together may send an engine within an overload window.
-func (p Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
+func (p *Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
 	fraction := float64(p.Fraction(engine, now))
 	return units.ThreadSeconds(p.config.OverloadMultiple * fraction * targetUtilization * engine.Cores *
 		p.config.OverloadWindow.Seconds() * usedBudget)
@@ -81,7 +81,7 @@
 
 // Allows reports whether an engine may be sent some work more: whether it is warm, or this broker's share of
 // the budget covers that and what was sent.
-func (p Policy) Allows(
+func (p *Policy) Allows(
 	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
 ) bool {
 	if !p.Active(engine, now) {
@@ -101,7 +101,7 @@
 }
 
 // RecordSend records work that an engine is sent now.
-func (p Policy) RecordSend(engine Engine, sent *SendLog, work units.ThreadSeconds, now time.Duration) {
+func (p *Policy) RecordSend(engine Engine, sent *SendLog, work units.ThreadSeconds, now time.Duration) {
 	if p.Active(engine, now) {
 		sent.Add(now, work)
 	}
@@ -114,7 +114,7 @@
 	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
 }
 
-func (p Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
+func (p *Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
 	budget := p.FleetBudget(engine, now) * turnBudget
 	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
 	// used is what an engine is sent by one broker within a window.
@@ -126,7 +126,7 @@
 }
 
 // hasTurn reports whether it is this broker's turn at an engine.
-func (p Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
+func (p *Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
 	brokers := p.config.Brokers
 	turnsBefore := int((now - engine.StartedAt) / p.config.OverloadWindow)
 	first := (engine.FirstTurn + turnsBefore*turn.brokers) % brokers
@@ -136,7 +136,7 @@
 
 // FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
 // uses the engine by its capacity. It is 0 where no turns are taken.
-func (p Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
+func (p *Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
 	if !p.config.TakeTurns || !p.Active(engine, now) {
 		return 0
 	}
