--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	reportWeight     = 0.5         // of a report in an engine's load
-	poolReportWeight = 0.1         // of one engine's report in the pool's load
-	averagedWithin   = time.Second // a report older than this has no part in the average
-	recentFor        = 2 * time.Second
+	reportWeight     = 0.5                    // of a report in an engine's load
+	poolReportWeight = 0.1                    // of one engine's report in the pool's load
+	averagedWithin   = time.Second            // a report older than this has no part in the average
+	recentFor        = 2 * time.Second        // a report older than this says nothing without a pool
 	probeFreshFor    = 250 * time.Millisecond // a report younger than this is as good as a new one
 
 	// Lifetime is the time in which a report loses most of its weight.
@@ -61,7 +61,7 @@
 	return e.reportedAt > 0 && e.Age(now) <= within
 }
 
-// IfRecent is the load of an engine that reported it a moment ago, else 0.
+// IfRecent is the load of an engine whose last report is younger than recentFor, else 0.
 func (e *Estimate) IfRecent(now time.Duration) units.Fraction {
 	if e.Age(now) < recentFor {
 		return e.load
@@ -78,12 +78,12 @@
 // Probed records that the engine is asked for its load now.
 func (e *Estimate) Probed(now time.Duration) { e.probedAt = now }
 
-// ProbedLately reports whether the engine was asked for its load a moment ago.
+// ProbedLately reports whether the engine was asked for its load less than probeFreshFor ago.
 func (e *Estimate) ProbedLately(now time.Duration) bool {
 	return e.probedAt > 0 && now-e.probedAt < probeFreshFor
 }
 
-// Fresh reports whether the engine reported its load, or was asked for it, a moment ago.
+// Fresh reports whether the engine reported its load, or was asked for it, less than probeFreshFor ago.
 func (e *Estimate) Fresh(now time.Duration) bool {
 	return now-max(e.probedAt, e.reportedAt) < probeFreshFor
 }
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -43,7 +43,7 @@
 	h.rejected, h.rejectedAt, h.lastResponseAt = true, now, now
 }
 
-// AtCapacity reports whether an engine lacked capacity of late.
+// AtCapacity reports whether an engine rejected an attempt less than atCapacityRest ago.
 func (h *Health) AtCapacity(now time.Duration) bool {
 	return h.rejected && now-h.rejectedAt < atCapacityRest
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -63,7 +63,7 @@
 	}
 	if engine.pooled() {
 		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
-	} else { // in a pool, an engine that answered of late is better than an untried one
+	} else { // in a pool, an engine that answered is better than an untried one
 		candidate.ExpectedLossRate = min(candidate.LossRate, c.outliers.FleetLossRate())
 	}
 	return c.selection.Score(&candidate)
--- a/control/selection/draw.go
+++ b/control/selection/draw.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/units"
 )
 
-// TieBreak is what chance adds to a score where this broker has its own part of each engine: too little to
+// TieBreak is what chance adds to a score where this broker has its own share of each engine: too little to
 // change more than ties.
 func (c *Config) TieBreak(rng *rand.Rand) Score { return c.Jitter * Score(rng.Float64()) }
 
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -45,7 +45,7 @@
 	Slowdown          units.LogRatio
 	FailureRate       units.Fraction
 	LossRate          units.Fraction
-	ExpectedLossRate  units.Fraction   // part of the loss rate that speaks against no engine
+	ExpectedLossRate  units.Fraction   // share of the loss rate that is not held against it
 	Load              units.Fraction   // expected
 	OtherZone         bool             // it is in another zone than this broker
 	DataSetLocked     bool             // the data set of the request is locked there
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -39,7 +39,7 @@
 	return healthy
 }
 
-// decay lets what was seen of engines count for less as it ages, once a tick.
+// decay lets older evidence of engines count for less, once a tick.
 func (s *endpointSet) decay(estimator *slowdown.Estimator, now time.Duration) {
 	for _, engine := range s.all {
 		engine.health.Decay()
--- a/control/slowstart/sendlog.go
+++ b/control/slowstart/sendlog.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/units"
 )
 
-// SendLog is the work that this broker sent an engine of late.
+// SendLog is the work that this broker has sent an engine within an overload window.
 type SendLog struct{ sends []send }
 
 type send struct {
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -29,7 +29,7 @@
 	InitialFraction  units.Fraction // of its capacity that an engine has when it starts
 	Duration         time.Duration  // until an engine has its full capacity
 	OverloadMultiple float64        // an engine that warms up fails beyond so many times its capacity
-	OverloadWindow   time.Duration  // over which that is measured
+	OverloadWindow   time.Duration  // over which the work sent is summed up
 	Brokers          int            // that share the engines
 	BrokerIndex      int            // of this broker, from 0
 	TakeTurns        bool           // brokers send by turns, as the share of each is less than a request
@@ -94,7 +94,7 @@
 		if !p.hasTurn(engine, turn, now) {
 			return false
 		}
-		share = turnBudget / turn.heavyRequests
+		share = units.Fraction(turnBudget / turn.heavyRequests)
 	}
 	budget := p.FleetBudget(engine, now) * units.ThreadSeconds(share)
 	return sent.WorkSince(now-p.config.OverloadWindow, work) <= budget
@@ -111,7 +111,7 @@
 // turns by index, as many at a time as the budget has capacity for.
 type turn struct {
 	brokers       int
-	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
+	heavyRequests float64 // requests of the heaviest class that a turn's budget covers, at least 1
 }
 
 func (p *Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
@@ -122,7 +122,7 @@
 		float64(demand.ReadyEngines)
 	lightRequests := lightShare * float64(budget) / used
 	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
-	return turn{brokers, units.Fraction(heavyRequests)}
+	return turn{brokers, heavyRequests}
 }
 
 // hasTurn reports whether it is this broker's turn at an engine.
@@ -140,6 +140,6 @@
 	if !p.config.TakeTurns || !p.Active(engine, now) {
 		return 0
 	}
-	turn := p.turn(engine, demand, now)
-	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers))
+	inTurn := float64(p.turn(engine, demand, now).brokers)
+	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / inTurn)
 }
