--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -60,6 +60,16 @@
 	s.all = slices.Insert(s.all, place, engine)
 }
 
+// growQueues makes room in all queues for classes that are new.
+func (s *endpointSet) growQueues(classes, tenants int) {
+	for _, engine := range s.all {
+		engine.queue.Grow(classes, tenants)
+	}
+	if s.pool != nil {
+		s.pool.queue.Grow(classes, tenants)
+	}
+}
+
 func compareID(engine *engine, id string) int { return strings.Compare(engine.ID, id) }
 
 // removeGone drops engines that are listed no more, once nothing is in flight or queued there, and returns
