--- a/control/controller.go
+++ b/control/controller.go
@@ -43,7 +43,7 @@
 	log            throttle.Throttle[logSubject]
 	requests       requestTable
 	endpoints      endpointSet
-	slowStart      slowstart.Policy
+	slowStart      *slowstart.Policy
 	outliers       outlier.Detector
 	slowdowns      slowdown.Estimator
 	selection      selection.Config
--- a/control/membership.go
+++ b/control/membership.go
@@ -90,5 +90,5 @@
 		c.log.Forget(logSubject{ejected, id})
 		c.log.Forget(logSubject{restored, id})
 	}
-	c.endpoints.summarize(&c.slowStart, c.now)
+	c.endpoints.summarize(c.slowStart, c.now)
 }
