--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// A client that kills its query is told so, and its engine that the attempt is cancelled; so is that of one
+// A client that kills its query is notified, and its engine that the attempt is cancelled; so is that of one
 // that leaves.
 func TestKillQuery(t *testing.T) {
 	e := newFakeEngine(t)
@@ -112,9 +112,8 @@
 	s.serveOn(e, 1)
 }
 
-// Seen on days with clients that ask once and stay: those that came later got error 1040, 5,905 in a
-// minute. At the limit, clients that never log in and idle ones are evicted; while all are busy, one more
-// is rejected.
+// At the limit of sessions, clients that never log in and idle ones are evicted; while all are busy, one more is
+// rejected.
 func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t), newFakeEngine(t), newFakeEngine(t)} // enough to take all at once
 	s := startServerWith(t, serverOptions{sockets: 64},
--- a/internal/server/endpointwatch/timeouts.go
+++ b/internal/server/endpointwatch/timeouts.go
@@ -16,7 +16,7 @@
 )
 
 // timeoutLevels are the timeouts from the shortest to the longest. With the shortest a change log that has fallen silent
-// is soon noticed; with the longest one that is slow or saturated is heard, within the 2 s after which an update
+// is soon noticed; with the longest one that is slow or saturated is followed, within the 2 s after which an update
 // counts as announced.
 var timeoutLevels = [...]timeouts{
 	{connect: connectTimeout, grace: pollGrace, partial: partialPageTimeout},
--- a/internal/server/endpointwatch/watcher_test.go
+++ b/internal/server/endpointwatch/watcher_test.go
@@ -131,7 +131,7 @@
 
 // A change log that takes longer for each answer than a poll waits at first, as one that is saturated, is waited for
 // longer from poll to poll, and so is one whose answers come slowly.
-func TestSlowChangeLogIsHeard(t *testing.T) {
+func TestSlowChangeLogIsFollowed(t *testing.T) {
 	const step = pollTimeout + pollGrace + pollGrace/2 // more than the first poll waits, less than the last
 	page := httpPage(pageJSON(2, endpointJSON("e1", "127.0.0.1:1", "terminating")))
 	for name, pieces := range map[string][]string{
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -25,7 +25,7 @@
 	s.waitForEnd()
 }
 
-// Connections that the system or the program has accepted and of which the loop has not heard, as it stood
+// Connections that the system or the program has accepted and that the loop does not know of, as it stood
 // still until the time for new requests was over, get their answers before the exit.
 func TestReceivedRequestsAreAnsweredBeforeExit(t *testing.T) {
 	e := newFakeEngine(t)
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -2,21 +2,18 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"regexp"
 	"slices"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
-	"wheatlane/internal/resp"
 	"wheatlane/internal/server"
 	"wheatlane/internal/server/netconn"
 )
 
-// The tests of this file hold every byte on the sockets of a broker to the golden files in testdata: what
+// The tests named TestTranscript... hold every byte on the sockets of a broker to the golden files in testdata: what
 // clients, engines, the change log and the operator's address see during scripted sessions. Masked with '#',
 // since they vary by nature, are only:
 //   - the 20 random bytes of the salt in a greeting,
@@ -167,144 +164,6 @@
 	tr.check("grants")
 }
 
-// cancelScript is a broker with one engine, and a client that kills the requests of others.
-type cancelScript struct {
-	tr     *transcript
-	engine *scriptedEngine
-	stage  *stage
-	killer *scriptedClient
-}
-
-func (cs *cancelScript) kill(text string) {
-	cs.tr.t.Helper()
-	cs.killer.send(queryPacket(text))
-	cs.killer.result()
-}
-
-// request lets a new client send a request, which comes to the engine.
-func (cs *cancelScript) request(id int, timeout time.Duration) (*scriptedClient, message) {
-	cs.tr.t.Helper()
-	client := loginClient(cs.tr, "client", cs.stage.clients)
-	client.send(queryPacket(request("lookup", id, timeout, "")))
-	return client, cs.engine.next("want")
-}
-
-// Cancelled requests: by KILL, with pages left, by the end of their client, and by their timeout.
-func TestTranscriptOfCancelledRequests(t *testing.T) {
-	tr := &transcript{t: t}
-	e := newScriptedEngine(tr, "engine")
-	s := startPatient(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
-	cs := &cancelScript{tr: tr, engine: e, stage: s, killer: loginClient(tr, "killer", s.clients)}
-
-	tr.line("# KILL QUERY")
-	client, _ := cs.request(1, patience)
-	cs.kill(fmt.Sprintf("KILL QUERY %d", client.session))
-	client.result()
-	e.next("never_mind")
-
-	tr.line("# KILL QUERY, with pages left")
-	client, m := cs.request(2, patience)
-	loop := server.HoldLoop(t, s.service.Server) // both come before the timeout of the page can expire
-	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
-	loop.WaitForEvents(1)
-	cs.killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session)))
-	loop.WaitForEvents(2)
-	loop.Release()
-	e.next("turn")
-	cs.killer.result()
-	client.result()
-	e.next("shut")
-
-	tr.line("# KILL")
-	client, _ = cs.request(3, patience)
-	cs.kill(fmt.Sprintf("KILL %d", client.session))
-	client.result()
-	client.packet() // the end
-	e.next("never_mind")
-
-	tr.line("# KILL of no session")
-	cs.kill("KILL QUERY 999999")
-
-	tr.line("# the end of the client")
-	client, _ = cs.request(4, patience)
-	client.close()
-	e.next("never_mind")
-
-	tr.line("# the end of its time")
-	client, _ = cs.request(5, 3*time.Second)
-	client.result()
-	e.next("never_mind")
-	tr.check("cancelled")
-}
-
-// Engines that answer badly: how the connection ends, and what becomes of the request.
-func TestTranscriptOfEngineFaults(t *testing.T) {
-	tr := &transcript{t: t}
-	for _, c := range []struct {
-		name  string
-		class string
-		fault func(m message) error
-		retry bool
-	}{
-		{"closes, idempotent", "lookup", func(m message) error { return m.conn.Close() }, true},
-		{"closes, not idempotent", "once", func(m message) error { return m.conn.Close() }, false},
-		{"malformed", "lookup", func(m message) error { _, err := io.WriteString(m.conn, "?"); return err }, true},
-		{"malformed answer", "lookup", func(m message) error {
-			_, err := m.conn.Write(resp.Append(nil, m.parts[1], "WHAT", "-", ""))
-			return err
-		}, true},
-		{"too large", "lookup", func(m message) error {
-			_, err := io.WriteString(m.conn, "*4\r\n$99999999\r\n")
-			return err
-		}, true},
-		{"stops in the middle", "lookup", func(m message) error {
-			_, err := m.conn.Write(resp.Append(nil, m.parts[1], "OK", "sheets=1", "x\ty\tz\n")[:30])
-			return err
-		}, true},
-	} {
-		tr.line("# %s", c.name)
-		e := newScriptedEngine(tr, "engine")
-		s := startPatient(tr, plain, silentLog(t),
-			hostEntry("e1", e.addr, "in_service"))
-		client := loginClient(tr, "client", s.clients)
-		client.send(queryPacket(request(c.class, 1, patience, ",replay=op1")))
-		m := e.next("want")
-		if err := c.fault(m); err != nil {
-			t.Fatal(err)
-		}
-		if c.retry {
-			e.answer(e.next("want"), "OK", "-", "")
-		}
-		client.result()
-		s.cancel()
-		s.finish(netconn.ClientSide, netconn.EngineSide)
-	}
-	tr.check("faults")
-}
-
-// An engine that leaves the list loses its connections, and one that can't be reached is never sent anything.
-func TestTranscriptOfEnginesThatAreGone(t *testing.T) {
-	tr := &transcript{t: t}
-	e, other := newScriptedEngine(tr, "engine"), newScriptedEngine(tr, "other engine")
-	var published atomic.Bool
-	log := newScriptedLog(t, func(request string) string { // each poll of the old revision gets the new one
-		if !published.Load() || strings.Contains(request, "since=2&") {
-			return ""
-		}
-		return ok(listPage(2, true, hostEntry("e2", other.addr, "in_service")), "")
-	})
-	s := startPatient(tr, plain, log.addr, hostEntry("e1", e.addr, "in_service"))
-	client := loginClient(tr, "client", s.clients)
-	client.send(queryPacket(request("lookup", 1, patience, ",replay=op1")))
-	e.next("want")
-	published.Store(true)
-	other.answer(other.next("want"), "OK", "-", "")
-	client.result()
-	s.cancel()
-	s.finish(netconn.ClientSide, netconn.EngineSide)
-	tr.check("gone")
-}
-
 // Statements whose fields can't be used, and commands that are not known here.
 func TestTranscriptOfInvalidRequests(t *testing.T) {
 	tr := &transcript{t: t}
