--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -52,7 +52,7 @@
 	dst = append(dst, make([]byte, greetingPadding)...)
 	dst = appendZeroTerminated(dst, string(salt[firstSaltLen:]))
 	dst = appendZeroTerminated(dst, authPlugin)
-	return endPacket(dst, start, 0)
+	return endPacket(dst, start, GreetingSequence)
 }
 
 func appendZeroTerminated(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -20,6 +20,14 @@
 	HeaderLen = 4
 )
 
+// The sequence numbers of packets that begin an exchange, and of the first packet that answers them.
+const (
+	GreetingSequence byte = 0
+	LoginSequence    byte = 1
+	CommandSequence  byte = 0
+	ResponseSequence byte = 1
+)
+
 // Packet is one packet of a client.
 type Packet struct {
 	Sequence byte
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -9,8 +9,8 @@
 	"wheatlane/internal/server/gossiptransport"
 )
 
-// effects carries out what the reducer decided. The loop owns it.
-type effects struct {
+// effectExecutor carries out what the reducer decided. The loop owns it.
+type effectExecutor struct {
 	frontend *frontend.Frontend
 	pool     *enginepool.Pool
 	gossip   *gossiptransport.Transport // nil: the reducer sends no gossip
@@ -18,59 +18,59 @@
 	log      *zap.Logger
 }
 
-func (x *effects) execute(effect broker.Effect) {
+func (ex *effectExecutor) execute(effect broker.Effect) {
 	switch e := effect.(type) {
 	case broker.Reply:
-		x.reply(e)
+		ex.reply(e)
 	case broker.AdmitSession:
-		x.frontend.Admit(e.Session)
+		ex.frontend.Admit(e.Session)
 	case broker.CloseSession:
-		x.frontend.CloseSession(e.Session, e.Reason)
+		ex.frontend.CloseSession(e.Session, e.Reason)
 	case broker.StartAttempt:
-		x.startAttempt(e)
+		ex.startAttempt(e)
 	case broker.FetchPage:
-		x.pool.FetchPage(e)
+		ex.pool.FetchPage(e)
 	case broker.CancelAttempt:
-		x.pool.CancelAttempt(e.Attempt)
+		ex.pool.CancelAttempt(e.Attempt)
 	case broker.WithdrawUnsent:
-		x.pool.WithdrawAttempt(e.Attempt)
+		ex.pool.WithdrawAttempt(e.Attempt)
 	case broker.ReleaseAttempt:
-		x.pool.ReleaseAttempt(e)
+		ex.pool.ReleaseAttempt(e)
 	case broker.SetPriority:
-		x.pool.SetPriority(e)
+		ex.pool.SetPriority(e)
 	case broker.ProbeLoad:
-		x.usage.LoadProbes++
-		x.pool.StartProbe(e)
+		ex.usage.LoadProbes++
+		ex.pool.StartProbe(e)
 	case broker.SendGossip:
-		x.usage.GossipSent++
-		x.gossip.Send(e.Broker, e.Reports)
+		ex.usage.GossipSent++
+		ex.gossip.Send(e.Broker, e.Reports)
 	case broker.CancelUnsent:
-		x.pool.Drain(e.Engine)
+		ex.pool.Drain(e.Engine)
 	case broker.CloseEngineConnections:
-		x.pool.CloseConnections(e.Engine, e.DialedBefore)
+		ex.pool.CloseConnections(e.Engine, e.DialedBefore)
 	case broker.InvariantViolation: // which the reducer has counted
-		logViolation(x.log, e.Rule, zap.Uint32("session", uint32(e.Session)), zap.String("request", e.RequestID))
+		logViolation(ex.log, e.Rule, zap.Uint32("session", uint32(e.Session)), zap.String("request", e.RequestID))
 	case broker.EngineEjected:
-		x.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
+		ex.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
 	case broker.EngineRestored:
-		x.log.Info("engine restored", zap.String("engine", e.Engine))
+		ex.log.Info("engine restored", zap.String("engine", e.Engine))
 	case broker.ResultInvalid:
-		x.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
+		ex.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
 	}
 }
 
-func (x *effects) reply(e broker.Reply) {
+func (ex *effectExecutor) reply(e broker.Reply) {
 	if e.Kind == broker.ReplyRejected {
-		x.usage.Rejections++
+		ex.usage.Rejections++
 	}
-	x.frontend.Reply(e)
+	ex.frontend.Reply(e)
 }
 
-func (x *effects) startAttempt(e broker.StartAttempt) {
+func (ex *effectExecutor) startAttempt(e broker.StartAttempt) {
 	if e.Attempt.Number == 0 {
-		x.usage.FirstAttempts++
+		ex.usage.FirstAttempts++
 	} else {
-		x.usage.Retries++
+		ex.usage.Retries++
 	}
-	x.pool.StartAttempt(e)
+	ex.pool.StartAttempt(e)
 }
--- a/internal/server/effects_test.go
+++ b/internal/server/effects_test.go
@@ -32,7 +32,7 @@
 		t.Run(line, func(t *testing.T) {
 			t.Parallel()
 			core, logs := observer.New(zapcore.InfoLevel)
-			(&effects{log: zap.New(core)}).execute(c.effect)
+			(&effectExecutor{log: zap.New(core)}).execute(c.effect)
 			entries := logs.All()
 			if len(entries) != 1 || entries[0].Message != line || entries[0].Level != zapcore.InfoLevel {
 				t.Fatalf("logged %v", entries)
--- a/internal/server/frontend/accept.go
+++ b/internal/server/frontend/accept.go
@@ -96,7 +96,7 @@
 // reject answers that there are too many connections, and closes the socket once the client has had time to read that,
 // or at once if too many are about to end so. Nothing is read from it. ended is called at its end.
 func (f *Frontend) reject(group *errgroup.Group, socket net.Conn, ended func()) {
-	answer := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections")
+	answer := mysql.AppendError(nil, mysql.GreetingSequence, mysql.CodeTooManyConnections, "too many connections")
 	_, _ = socket.Write(answer) // a new socket has capacity for it; without, its client sees the close
 	end := func() {
 		_ = socket.Close() // it is rejected in any case
--- a/internal/server/frontend/client.go
+++ b/internal/server/frontend/client.go
@@ -133,7 +133,7 @@
 	for {
 		packet, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
 		if err != nil {
-			return c.failProtocol(ctx, 1, mysql.CodePacketTooLarge, err)
+			return c.failProtocol(ctx, mysql.ResponseSequence, mysql.CodePacketTooLarge, err)
 		}
 		if size == 0 {
 			return nil
--- a/internal/server/frontend/command.go
+++ b/internal/server/frontend/command.go
@@ -12,11 +12,11 @@
 // handleCommand hands one command to the reducer, which answers it in its turn.
 func (c *client) handleCommand(ctx context.Context, packet mysql.Packet, sent sendTime) error {
 	payload := packet.Payload
-	if packet.Sequence != 0 {
+	if packet.Sequence != mysql.CommandSequence {
 		return c.failProtocol(ctx, packet.Sequence+1, mysql.CodePacketsOutOfOrder, mysql.ErrSequence)
 	}
 	if len(payload) == 0 {
-		return c.failProtocol(ctx, 1, mysql.CodeMalformedPacket, mysql.ErrMalformed)
+		return c.failProtocol(ctx, mysql.ResponseSequence, mysql.CodeMalformedPacket, mysql.ErrMalformed)
 	}
 	event, err := c.parseCommand(mysql.Command(payload[0]), string(payload[1:]), sent)
 	if err != nil {
--- a/internal/server/frontend/handshake.go
+++ b/internal/server/frontend/handshake.go
@@ -36,7 +36,7 @@
 // login checks the answer to the greeting and passes the login on to the reducer.
 func (c *client) login(ctx context.Context, packet mysql.Packet) error {
 	seq := packet.Sequence
-	if seq != 1 {
+	if seq != mysql.LoginSequence {
 		return c.failProtocol(ctx, seq+1, mysql.CodePacketsOutOfOrder, mysql.ErrSequence)
 	}
 	login, err := mysql.ParseLogin(packet.Payload)
--- a/internal/server/frontend/reply.go
+++ b/internal/server/frontend/reply.go
@@ -54,11 +54,11 @@
 func appendReply(dst []byte, r broker.Reply) []byte {
 	switch r.Kind {
 	case broker.ReplyResult:
-		return mysql.AppendResult(dst, 1, r.Pages)
+		return mysql.AppendResult(dst, mysql.ResponseSequence, r.Pages)
 	case broker.ReplyOK:
-		return mysql.AppendOK(dst, 1)
+		return mysql.AppendOK(dst, mysql.ResponseSequence)
 	case broker.ReplyTooManySessions: // in place of the greeting
-		return mysql.AppendError(dst, 0, mysql.CodeTooManyConnections, r.Text)
+		return mysql.AppendError(dst, mysql.GreetingSequence, mysql.CodeTooManyConnections, r.Text)
 	case broker.ReplyRejected, broker.ReplyFailed, broker.ReplyInterrupted, broker.ReplyNotReady,
 		broker.ReplyInvalidFields, broker.ReplyUnknownCommand, broker.ReplyUnknownSession,
 		broker.ReplyUnknownDatabase: // errors, see below
@@ -67,5 +67,5 @@
 	if ms := r.RetryAfter.Milliseconds(); ms > 0 {
 		text = fmt.Sprintf("%s; cooldown=%d", text, ms)
 	}
-	return mysql.AppendError(dst, 1, errorCodes[r.Kind], text)
+	return mysql.AppendError(dst, mysql.ResponseSequence, errorCodes[r.Kind], text)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,12 +93,12 @@
 		s.restoredMaintenance = s.handover.Restore(ctx)
 	}
 	s.maintenance = &maintenanceModes{loop: s.loop, store: s.handover, log: log}
-	s.connect(listener, budget, poolConfig)
+	s.assemble(listener, budget, poolConfig)
 	return s, nil
 }
 
-// connect creates the parts that need the loop, and has it carry out effects by them.
-func (s *Server) connect(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
+// assemble creates the parts that need the loop, and has it carry out effects by them.
+func (s *Server) assemble(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
 	clients := frontendHost{s.loop, s.connections}
 	s.frontend = frontend.New(listener, frontend.Config{
 		MaxConns: budget.Clients, MaxRejected: budget.Rejected, LastSession: broker.Session(s.cfg.Seed), Log: s.log,
@@ -109,7 +109,7 @@
 	s.endpoints = endpointwatch.New(
 		endpointwatch.Config{Addr: s.cfg.Changelog, Revision: s.cfg.Known.Revision},
 		changelogHost{s.loop, s.connections})
-	s.loop.execute = (&effects{
+	s.loop.execute = (&effectExecutor{
 		frontend: s.frontend, pool: s.pool, gossip: s.gossip, usage: s.loop.usage, log: s.log,
 	}).execute
 }
--- a/internal/server/violations_test.go
+++ b/internal/server/violations_test.go
@@ -27,7 +27,7 @@
 	log, counted := zap.New(core), countedViolations{byRule: map[invariant.Rule]int{}}
 	loop := &eventLoop{meter: counted, log: log}
 	loop.violated(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
-	(&effects{log: log}).execute(broker.InvariantViolation{
+	(&effectExecutor{log: log}).execute(broker.InvariantViolation{
 		Rule: invariant.NoSendToUnready, Session: 7, RequestID: "00ff",
 	})
 	if diff := cmp.Diff(map[invariant.Rule]int{invariant.TimeoutWithinClient: 1}, counted.byRule); diff != "" {
