--- a/control/interval.go
+++ b/control/interval.go
@@ -37,13 +37,13 @@
 	if c.endpoints.pool == nil {
 		share, minThreads = max(1/units.Fraction(c.settings.Brokers), share), c.classes.maxThreads
 	}
-	for _, e := range c.endpoints.queueOwners() {
-		e.concurrency.CloseInterval(concurrency.Interval{
+	for _, engine := range c.endpoints.queueOwners() {
+		engine.concurrency.CloseInterval(concurrency.Interval{
 			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
-			Cores: e.cores, MemoryMB: e.memoryMB, Share: share, MinThreads: minThreads,
+			Cores: engine.cores, MemoryMB: engine.memoryMB, Share: share, MinThreads: minThreads,
 			RequestThreads: demand.Threads, RequestMemoryMB: demand.MemoryMB,
-			UnderPressure: c.underPressure(e), Load: e.load.Load(),
-			Slowdown: e.worstSlowdown(&c.slowdowns),
+			UnderPressure: c.underPressure(engine), Load: engine.load.Load(),
+			Slowdown: engine.worstSlowdown(&c.slowdowns),
 		})
 	}
 }
