--- a/control/learning.go
+++ b/control/learning.go
@@ -25,7 +25,7 @@
 	answer := workload.Answer{
 		ServiceTime: took, Threads: class.Threads,
 		EngineSlowdown: engine.estimatedSlowdown(&c.slowdowns),
-		EstimatedWork: request.EstimatedWork, EstimatedMemoryMB: request.EstimatedMemoryMB,
+		EstimatedWork:  request.EstimatedWork, EstimatedMemoryMB: request.EstimatedMemoryMB,
 	}
 	if c.settings.ReportsCost {
 		answer.Work, answer.MemoryMB = end.Work, end.MemoryMB
