--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -150,8 +150,8 @@
 	return max(l.config.MinTargetTime, 1-float64(wait/units.SecondsOf(objective)))
 }
 
-// updateBackoff lowers a limit that leaves the engine overloaded, as in a surge of retries, where this broker's
-// share is overestimated. It raises the limit again gradually.
+// updateBackoff lowers a limit that leaves the engine overloaded, as in a surge of retries, where this
+// broker's share is overestimated. It raises the limit again gradually.
 func (l *Limiter) updateBackoff(in Interval) {
 	overloaded := in.Load > l.config.BackoffLoad || in.Slowdown > l.config.BackoffSlowdown
 	if in.UnderPressure && overloaded {
