--- a/control/requests.go
+++ b/control/requests.go
@@ -119,7 +119,7 @@
 // waitForEngine keeps a request until the next tick, as no engine is eligible for it now.
 func (t *requestTable) waitForEngine(request *request) { t.waiting = append(t.waiting, request) }
 
-// takeWaiting returns the open requests that wait for an eligible engine; they wait no more.
+// takeWaiting empties the list of requests that wait for an eligible engine, and returns them.
 func (t *requestTable) takeWaiting() []*request {
 	waiting := t.waiting
 	t.waiting = nil
