--- a/measure/config/rollout.go
+++ b/measure/config/rollout.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It returns whether
+// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It reports whether
 // the canary was rolled back, and how long it ran.
 func runCanary(seed uint64, harm float64) (rolledBack bool, after time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -84,7 +84,7 @@
 	return e, err
 }
 
-// listed tells the checker what the change log has reported of an engine.
+// listed notifies the checker of what the change log has reported of an engine.
 func (e *environment) listed(h changelogserver.Endpoint, at time.Time) {
 	if h.Health == "in_service" {
 		e.checker.EngineInService(h.ID)
--- a/measure/soak/broker.go
+++ b/measure/soak/broker.go
@@ -28,7 +28,8 @@
 // settingsTemplate are the settings of a run; the verbs are the client timeout of lookup, whether hedging is
 // allowed and the number of brokers.
 const settingsTemplate = `{"PeersTotal":%[3]d,"RoundNs":5000000,"MachineTypes":["std-8core"],
- "Domain":{"SizeCores":[4],"KindMemoryMb":[8192],"WidthByClass":[1,2,1],"ClassLoad":[false,false,false],"SaysCost":true},
+ "Domain":{"SizeCores":[4],"KindMemoryMb":[8192],"WidthByClass":[1,2,1],"ClassLoad":[false,false,false],
+  "SaysCost":true},
  "Stats":{"Fields":["queue","x1","x0"]},
  "Limits":{"Cancel":true,"MaxAttempts":4,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":%[2]t,
   "Probing":true,"ConnectTimeoutNs":1500000000,"ConnIdleNs":4000000000,"MaxStreams":100},
@@ -176,7 +177,7 @@
 	return strings.HasPrefix(string(answer), "ACK")
 }
 
-// terminate ends a process as a planned restart does. The error says how the process broke the rules of that.
+// terminate ends a process as a planned restart does. The error names the rule that the process broke.
 func (b *brokerSlot) terminate(p *process) error {
 	p.signal(syscall.SIGTERM)
 	if !p.waitFor(killAfterTerm) {
--- a/measure/soak/event.go
+++ b/measure/soak/event.go
@@ -45,7 +45,7 @@
 	Request string        `json:"request,omitempty"`
 	Class   string        `json:"class,omitempty"`
 	Key     string        `json:"key,omitempty"`     // order key
-	Timeout time.Duration `json:"timeout,omitempty"` // of the client, or that an engine was told
+	Timeout time.Duration `json:"timeout,omitempty"` // of the client, or that an engine was sent
 	Outcome Outcome       `json:"outcome,omitempty"`
 	Detail  string        `json:"detail,omitempty"`
 }
--- a/measure/soak/faults.go
+++ b/measure/soak/faults.go
@@ -119,7 +119,7 @@
 	s.changes.SetMode(changelogserver.Serve)
 	s.changes.SetDelay(0)
 	s.note(func(h *history) {
-		h.changelogTrouble = append(h.changelogTrouble, span{from, time.Now().Add(maxChangelogDelay)})
+		h.changelogFaults = append(h.changelogFaults, span{from, time.Now().Add(maxChangelogDelay)})
 	})
 	return nil
 }
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -14,7 +14,7 @@
 	maxStartAfterEnd = 100 * time.Millisecond
 	timeoutSlack     = 150 * time.Millisecond
 	drainGrace       = 500 * time.Millisecond
-	newsBound        = 7 * time.Second // what the change log has counts as known by then, whatever happens
+	updateBound      = 7 * time.Second // what the change log has counts as known by then, whatever happens
 	maintenanceBound = time.Second     // from the call to the last send
 	// A request counts for a broker that ends until so long after SIGTERM.
 	requestsAfterTerm = 200 * time.Millisecond
@@ -34,14 +34,14 @@
 type history struct {
 	events []Event
 
-	brokerKills      map[string][]span      // by broker: no answer is owed for what was open then
-	brokerTerms      map[string][]time.Time // by broker
-	brokerStops      map[string][]span      // by broker: SIGSTOP
-	brokerBreaks     map[string][]span      // by broker: connections broke under it
-	engineDelays     map[string][]span      // by engine: it was stopped, or its bytes were held
-	changelogTrouble []span
-	drains           map[string][]span // by engine
-	maintenance      map[string][]span // by engine: from when every broker had said yes
+	brokerKills     map[string][]span      // by broker: no answer is owed for what was open then
+	brokerTerms     map[string][]time.Time // by broker
+	brokerStops     map[string][]span      // by broker: SIGSTOP
+	brokerBreaks    map[string][]span      // by broker: connections broke under it
+	engineDelays    map[string][]span      // by engine: it was stopped, or its bytes were held
+	changelogFaults []span
+	drains          map[string][]span // by engine
+	maintenance     map[string][]span // by engine: from when every broker had acknowledged it
 }
 
 func newHistory() *history {
@@ -145,7 +145,7 @@
 		r.ended.At.Sub(r.sent.At).Round(time.Millisecond), r.ended.Detail)
 }
 
-// answerNotOwed reports whether the broker of a request was killed while it was open, had been told to end
+// answerNotOwed reports whether the broker of a request was killed while it was open, had been asked to end
 // before it came, or stood still as its time ended.
 func (h *history) answerNotOwed(r *requestRecord) bool {
 	broker := r.sent.Broker
@@ -204,8 +204,8 @@
 func (h *history) judgeAvailability(v *verdict, r *requestRecord, a *Event) {
 	for _, s := range h.drains[a.Engine] {
 		bound := drainGrace + clockSlack
-		if h.newsMayBeLate(r.sent.Broker, s.from) {
-			bound += newsBound
+		if h.updateMayBeLate(r.sent.Broker, s.from) {
+			bound += updateBound
 		}
 		if late := a.At.Sub(s.from); late > bound && a.At.Before(s.to) {
 			v.find("%s at %s %v after its drain was published", r.sent.Request, a.Engine, late.Round(time.Millisecond))
@@ -218,9 +218,9 @@
 	}
 }
 
-// newsMayBeLate reports whether something kept a broker from hearing of a change of the list at once.
-func (h *history) newsMayBeLate(broker string, at time.Time) bool {
+// updateMayBeLate reports whether something kept a broker from hearing of a change of the list at once.
+func (h *history) updateMayBeLate(broker string, at time.Time) bool {
 	touches := func(s span) bool { return s.touches(at.Add(-time.Second), at.Add(time.Second), time.Second) }
-	return slices.ContainsFunc(h.changelogTrouble, touches) ||
+	return slices.ContainsFunc(h.changelogFaults, touches) ||
 		slices.ContainsFunc(h.brokerStops[broker], touches) || slices.ContainsFunc(h.brokerKills[broker], touches)
 }
--- a/measure/soak/judge_test.go
+++ b/measure/soak/judge_test.go
@@ -69,7 +69,7 @@
 		}, "600ms after its drain"},
 		"sent to a draining engine in trouble with the change log": {func(h *history) {
 			h.drains["e1"] = []span{{at(-500 * ms), at(time.Minute)}}
-			h.changelogTrouble = []span{{at(-time.Second), at(-400 * ms)}}
+			h.changelogFaults = []span{{at(-time.Second), at(-400 * ms)}}
 		}, ""},
 		"sent to an engine in maintenance": {func(h *history) {
 			h.maintenance["e1"] = []span{{at(-time.Second), at(time.Minute)}}
--- a/measure/soak/lifecycle.go
+++ b/measure/soak/lifecycle.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-const clientEndTime = 6 * time.Second // clients wait for their open requests when told to end
+const clientEndTime = 6 * time.Second // clients wait for their open requests when asked to end
 
 // endRun ends the clients and then the brokers, in order.
 func (s *soak) endRun() {
--- a/measure/soak/main.go
+++ b/measure/soak/main.go
@@ -1,6 +1,6 @@
 // Command soak runs brokers, engines and clients as real processes on loopback, with a proxy ahead of each engine
 // and of the change log, and overlaps up to four faults in time: signals, cuts, late connections, restarts,
-// reloads, drains, maintenance, a change log in trouble, clients that misbehave, system calls that fail and wall
+// reloads, drains, maintenance, a faulty change log, clients that misbehave, system calls that fail and wall
 // clocks that step. Everything is drawn from a seed. What happened is judged by the rules of the protocol, from
 // what clients and engines saw, and by the invariants that brokers check on themselves.
 package main
--- a/measure/soak/shim_test.go
+++ b/measure/soak/shim_test.go
@@ -117,11 +117,12 @@
 	return b, log
 }
 
-// askBroker sends a request and waits for a whole answer.
+// askBroker sends a request and waits for a complete answer.
 func askBroker(ctx context.Context, address, class string, number int) error {
 	const patience = 20 * time.Second // an answer that takes so long never comes
 	statement := fmt.Sprintf(
-		"/* service=%s,ref=%016x,allow=1200,project=fishing-fleet,replay=op%d */ SELECT a FROM s_1.t", class, number+1, number,
+		"/* service=%s,ref=%016x,allow=1200,project=fishing-fleet,replay=op%d */ SELECT a FROM s_1.t",
+		class, number+1, number,
 	)
 	s, err := rawclient.Connect(ctx, address, statement, func(time.Time) {})
 	if err != nil {
