--- a/cmd/wheatlane/cli_test.go
+++ b/cmd/wheatlane/cli_test.go
@@ -87,8 +87,8 @@
 	cmd.Env = append(os.Environ(), runMainVariable+"=1")
 	var out, errs strings.Builder
 	cmd.Stdout, cmd.Stderr = &out, &errs
-	var exitError *exec.ExitError
-	if err := cmd.Run(); err != nil && !errors.As(err, &exitError) {
+	err := cmd.Run()
+	if _, exited := errors.AsType[*exec.ExitError](err); err != nil && !exited {
 		t.Fatal(err)
 	}
 	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
--- a/cmd/wheatlane/main.go
+++ b/cmd/wheatlane/main.go
@@ -29,8 +29,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "wheatlane:", err)
-	var usage *usageError
-	if errors.As(err, &usage) {
+	if usage, ok := errors.AsType[*usageError](err); ok {
 		fmt.Fprintf(os.Stderr, "Run '%s --help' for usage.\n", usage.command)
 		os.Exit(exitUsage)
 	}
--- a/internal/adminapi/errors.go
+++ b/internal/adminapi/errors.go
@@ -30,8 +30,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return ErrBusy.Error()
 	}
-	var reason reasonError
-	if errors.As(err, &reason) {
+	if reason, ok := errors.AsType[reasonError](err); ok {
 		return string(reason)
 	}
 	return reasonFailed
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -130,8 +130,7 @@
 	})
 	defer stop()
 	line, err := readLine(ctx, conn)
-	var readErr *readError
-	if errors.As(err, &readErr) {
+	if readErr, ok := errors.AsType[*readError](err); ok {
 		return endOfRead(ctx, readErr.err)
 	}
 	var call Call
@@ -173,7 +172,7 @@
 	}
 }
 
-// endOfRead is why a connection ended before a complete line, with the error where that says more.
+// endOfRead is why a connection ended before a complete line, with the error where that adds to the reason.
 func endOfRead(ctx context.Context, err error) (endReason, error) {
 	select {
 	case <-ctx.Done():
@@ -239,7 +238,7 @@
 	return []byte(text + "\n")
 }
 
-// negativeReply is the reason code of an error, then what more the error says.
+// negativeReply is the reason code of an error, then its detail if it has one.
 func negativeReply(err error) []byte {
 	reason := Reason(err)
 	text := "NAK " + reason
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/jsontext"
 )
 
 // Endpoint is an engine as the change log lists it.
@@ -25,7 +26,7 @@
 	Endpoints []Endpoint
 }
 
-// Page is a part of the change log: the changes up to a revision.
+// Page is an excerpt of the change log: the changes up to a revision.
 type Page struct {
 	Revision int64
 	Changes  []Change
@@ -35,14 +36,14 @@
 const (
 	healthInService   = "in_service"
 	healthTerminating = "terminating"
-	healthTerminated  = "terminated"
+	HealthTerminated  = "terminated"
 )
 
 // engineStates are the states of the decision module for those of the wire.
 var engineStates = map[string]control.EngineState{
 	healthInService:   control.Ready,
 	healthTerminating: control.Draining,
-	healthTerminated:  control.Removed,
+	HealthTerminated:  control.Removed,
 }
 
 // pageDocument is the JSON form of a Page.
@@ -75,9 +76,8 @@
 func ParsePage(text []byte) (Page, error) {
 	var document pageDocument
 	if err := json.Unmarshal(text, &document); err != nil {
-		var mismatch *json.UnmarshalTypeError
-		if errors.As(err, &mismatch) {
-			return Page{}, fmt.Errorf("%s: a JSON %s does not belong here", mismatch.Field, mismatch.Value)
+		if mismatch, ok := jsontext.AsMismatch("", err); ok {
+			return Page{}, mismatch
 		}
 		return Page{}, fmt.Errorf("page: %w", err)
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -86,6 +86,9 @@
 	return OperatorFile
 }
 
+// AnyPort ends an address whose port the system chooses.
+const AnyPort = ":0"
+
 // position returns where a path is in a file, or the innermost value around it that exists.
 func (f *File) position(path []string) jsontext.Position {
 	for n := len(path); n > 0; n-- {
--- a/internal/check/diff/diff.go
+++ b/internal/check/diff/diff.go
@@ -111,7 +111,7 @@
 	names  []string // in order of the list
 }
 
-// indexByName returns false if an item has no name, or two have the same.
+// indexByName indexes items by their names; it reports whether each has one, and no two the same.
 func indexByName(items []*jsontext.Node) (namedItems, bool) {
 	index := namedItems{byName: map[string]*jsontext.Node{}}
 	for _, item := range items {
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -19,8 +19,11 @@
 var classNames = []string{"lookup", "route-report", "survey-load", "tide-table", "archive"}
 
 const (
-	maxTenants = 5
-	percent    = 100 // shares are drawn in percent
+	maxTenants     = 5
+	percent        = 100 // shares and weights are drawn in percent
+	minTenantShare = 5   // in percent, as are those that follow
+	minSharesLeft  = 5   // what a drawn share leaves to later tenants
+	minToSplit     = 20  // less is one tenant's share
 )
 
 // Valid generates a valid file of a kind.
@@ -113,7 +116,7 @@
 		"PromiseNs":  objective,
 		"GiveUpNs":   objective * int64(2+rng.IntN(6)),
 		"Worth":      1 + rng.IntN(20),
-		"LateWorth":  float64(rng.IntN(60)) / 100,
+		"LateWorth":  float64(rng.IntN(60)) / percent,
 		"AimStretch": float64(rng.IntN(30)) / 10,
 	}
 	if oneIn(rng, 3) {
@@ -133,8 +136,8 @@
 	left := percent
 	for i := range 1 + rng.IntN(maxTenants) {
 		share := left
-		if i < maxTenants-1 && left > 20 {
-			share = 5 + rng.IntN(left-10)
+		if i < maxTenants-1 && left > minToSplit {
+			share = minTenantShare + rng.IntN(left-minTenantShare-minSharesLeft)
 		}
 		shares = append(shares, share)
 		left -= share
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 
+	"wheatlane/internal/changelog"
 	"wheatlane/internal/check"
 	"wheatlane/internal/jsontext"
 )
@@ -64,11 +65,6 @@
 	tenantKeys = []string{"Share"}
 )
 
-const (
-	anyPort      = ":0"         // an address whose port the system chooses
-	removedState = "terminated" // of an engine that is no longer listed
-)
-
 func (c *comparison) report(f *check.File, violated check.Check, observed string, path ...string) {
 	c.findings = append(c.findings, f.NewFinding(violated, observed, path...))
 }
@@ -78,7 +74,7 @@
 	if c.first == nil {
 		c.first = f
 	}
-	if !strings.HasSuffix(f.Root.Get("listen").TextOrEmpty(), anyPort) {
+	if !strings.HasSuffix(f.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
 		c.checkUnique(f, Listen, "listen")
 	}
 	c.checkUnique(f, Name, "name")
@@ -197,7 +193,7 @@
 		}
 		for _, host := range event.At("fleet", "hosts").Elements() {
 			id := host.Get("host").TextOrEmpty()
-			if host.Get("health").TextOrEmpty() == removedState {
+			if host.Get("health").TextOrEmpty() == changelog.HealthTerminated {
 				delete(engines, id)
 				continue
 			}
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -103,8 +103,7 @@
 // Run parses a file and checks its form. The file is nil if it can't be parsed at all.
 func Run(name string, text []byte) (*check.File, []check.Finding, error) {
 	root, duplicates, err := jsontext.Parse(text)
-	var syntaxError *jsontext.SyntaxError
-	if errors.As(err, &syntaxError) {
+	if syntaxError, ok := errors.AsType[*jsontext.SyntaxError](err); ok {
 		return nil, []check.Finding{syntaxFinding(name, syntaxError)}, nil
 	}
 	if err != nil {
@@ -175,8 +174,11 @@
 	return f.NewFinding(c, v.Reason, v.Path...)
 }
 
-// maxEditDistance is the Levenshtein distance up to which two keys are similar.
-const maxEditDistance = 2
+const (
+	maxEditDistance = 2 // up to this Levenshtein distance two keys are similar
+	// shortKeyDivisor is the fraction of the letters of a short key that may differ at most.
+	shortKeyDivisor = 2
+)
 
 // closestName returns the known key with the least Levenshtein distance to a key, empty if none is similar.
 // In short keys at most half of the letters may differ.
@@ -184,7 +186,7 @@
 	similar, least := "", maxEditDistance+1
 	for _, candidate := range known {
 		distance := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(candidate))
-		if distance < least && distance <= len(candidate)/2 {
+		if distance < least && distance <= len(candidate)/shortKeyDivisor {
 			similar, least = candidate, distance
 		}
 	}
--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -8,22 +8,18 @@
 	"time"
 
 	"wheatlane/internal/check"
+	"wheatlane/internal/config"
 	"wheatlane/internal/jsontext"
 )
 
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-
 	connectionsPerEngine = 8
 	engineSocketFraction = 1.0 / 4 // of the descriptors, at most this fraction is for engines
 	sessionMemoryKB      = 64      // that a request may hold
 	kilobytesPerMegabyte = 1024
 	heapFraction         = 0.6 // of the memory, before the runtime collects harder
-	batchIntervalDivisor = 10  // the batch interval may be this part of the tightest latency objective
+	batchIntervalDivisor = 10  // the batch interval may be this fraction of the tightest latency objective
 	maxRetryAfter        = time.Minute
-
-	anyPort = ":0" // an address whose port the system chooses
 )
 
 // brokerRules are the rules for a broker's own addresses, limits and index.
@@ -83,7 +79,7 @@
 		Find: func(root *jsontext.Node, report Report) {
 			listen := root.Get("listen").TextOrEmpty()
 			changelog := root.Get("changelog").TextOrEmpty()
-			if listen != "" && listen == changelog && !strings.HasSuffix(listen, anyPort) {
+			if listen != "" && listen == changelog && !strings.HasSuffix(listen, check.AnyPort) {
 				report(listen, "changelog")
 			}
 		},
@@ -133,15 +129,15 @@
 
 func findTooFewSockets(root *jsontext.Node, report Report) {
 	engines := enginesInService(root)
-	sockets := root.At("limits", "sockets").NumberOr(defaultSockets)
+	sockets := root.At("limits", "sockets").NumberOr(config.DefaultSockets)
 	if float64(engines*connectionsPerEngine) > sockets*engineSocketFraction {
 		report(fmt.Sprintf("%s, for %d engines", formatNumber(sockets), engines), "limits", "sockets")
 	}
 }
 
 func findTooLittleMemory(root *jsontext.Node, report Report) {
-	sockets := root.At("limits", "sockets").NumberOr(defaultSockets)
-	memory := root.At("limits", "memory_mb").NumberOr(defaultMemoryMB)
+	sockets := root.At("limits", "sockets").NumberOr(config.DefaultSockets)
+	memory := root.At("limits", "memory_mb").NumberOr(config.DefaultMemoryMB)
 	required := sockets * (1 - engineSocketFraction) * sessionMemoryKB / kilobytesPerMegabyte
 	if required > heapFraction*memory {
 		report(
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/knownlist.go
@@ -3,13 +3,11 @@
 import (
 	"strconv"
 
+	"wheatlane/internal/changelog"
 	"wheatlane/internal/check"
 	"wheatlane/internal/jsontext"
 )
 
-// removedState is the state of an engine that is no longer listed.
-const removedState = "terminated"
-
 // knownListRules are the rules for the endpoint list that a broker starts with.
 var knownListRules = []Rule{
 	{
@@ -87,7 +85,9 @@
 	return all
 }
 
-func isRemoved(host *jsontext.Node) bool { return host.Get("health").TextOrEmpty() == removedState }
+func isRemoved(host *jsontext.Node) bool {
+	return host.Get("health").TextOrEmpty() == changelog.HealthTerminated
+}
 
 // enginesInService counts the engines that the known events leave in the list.
 func enginesInService(root *jsontext.Node) int {
--- a/internal/check/rules/operator.go
+++ b/internal/check/rules/operator.go
@@ -2,16 +2,14 @@
 
 import (
 	"net/netip"
-	"time"
 
 	"wheatlane/internal/check"
+	"wheatlane/internal/config"
 	"wheatlane/internal/jsontext"
+	"wheatlane/internal/operatorconfig"
 )
 
 const (
-	defaultIdleS      = 600
-	defaultIntervalMS = 10_000
-
 	backlogFraction  = 1.0 / 8 // of the default memory, at most this fraction is for metrics that wait
 	minIdleIntervals = 2       // a name keeps its series for so many intervals at least
 )
@@ -97,16 +95,16 @@
 			}
 		}
 	}
-	if lastPath != nil && sumKB > defaultMemoryMB*kilobytesPerMegabyte*backlogFraction {
+	if lastPath != nil && sumKB > config.DefaultMemoryMB*kilobytesPerMegabyte*backlogFraction {
 		report(formatNumber(sumKB)+" KB together", lastPath...)
 	}
 }
 
 func findShortIdleTime(root *jsontext.Node, report Report) {
 	telemetry := root.Get("telemetry")
-	idleS := telemetry.At("names", "idle_s").NumberOr(defaultIdleS)
-	intervalMS := telemetry.Get("interval_ms").NumberOr(defaultIntervalMS)
-	if idleS*float64(time.Second/time.Millisecond) < minIdleIntervals*intervalMS {
+	idleS := telemetry.At("names", "idle_s").NumberOr(operatorconfig.DefaultIdleS)
+	intervalMS := telemetry.Get("interval_ms").NumberOr(operatorconfig.DefaultIntervalMS)
+	if idleS*millisecondsPerSecond < minIdleIntervals*intervalMS {
 		report(formatNumber(idleS)+" s, intervals of "+formatMS(intervalMS*nanosecondsPerMillisecond),
 			"telemetry", "names", "idle_s")
 	}
--- a/internal/check/rules/requests.go
+++ b/internal/check/rules/requests.go
@@ -11,6 +11,7 @@
 const (
 	maxAttempts  = 4     // the brief allows at most 4 attempts for a request
 	shareEpsilon = 0.005 // shares are written with two digits
+	shareDigits  = 1000  // a sum of shares is reported to three digits
 )
 
 // classAndTenantRules are the rules for request classes and tenants.
@@ -185,7 +186,7 @@
 		sum += tenant.Get("Share").NumberOr(0)
 	}
 	if len(tenants) > 0 && math.Abs(sum-1) > shareEpsilon {
-		report("they sum to "+formatNumber(math.Round(sum*1000)/1000), "settings", "Tenants")
+		report("they sum to "+formatNumber(math.Round(sum*shareDigits)/shareDigits), "settings", "Tenants")
 	}
 }
 
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -97,7 +97,10 @@
 	return all
 }
 
-const nanosecondsPerMillisecond = 1e6
+const (
+	nanosecondsPerMillisecond = 1e6
+	millisecondsPerSecond     = 1e3
+)
 
 // formatMS formats nanoseconds as milliseconds.
 func formatMS(ns float64) string { return formatNumber(ns/nanosecondsPerMillisecond) + " ms" }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,7 +28,7 @@
 	Keys         []string // paths of the keys that the file gives, sorted
 }
 
-// The variables of the environment. Those of values go before the file.
+// The variables of the environment. Those of values take precedence over the file.
 const (
 	envConfig       = "RELAY_CONFIG" // path of the file
 	envName         = "RELAY_NAME"
@@ -54,7 +54,7 @@
 	return c, nil
 }
 
-// applyEnvironment sets what the environment says; it goes before the file.
+// applyEnvironment sets the values that the environment gives; they take precedence over those of the file.
 func (c *Config) applyEnvironment(getenv func(string) string) {
 	for _, v := range []struct {
 		name  string
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,12 +8,13 @@
 	"strconv"
 
 	"wheatlane/internal/changelog"
+	"wheatlane/internal/jsontext"
 )
 
 // Defaults and minima of what a deployment may leave out.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	DefaultMemoryMB = 192
+	DefaultSockets  = 1024
 	minMemoryMB     = 32
 	minSockets      = 64
 )
@@ -35,26 +36,20 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// decodeError names the key of a JSON value of the wrong type; key comes ahead of its path.
-func decodeError(key string, err error) error {
-	var mismatch *json.UnmarshalTypeError
-	if errors.As(err, &mismatch) {
-		return fmt.Errorf("%s%s: a JSON %s does not belong here", key, mismatch.Field, mismatch.Value)
-	}
-	return err
-}
-
 // parse reads and checks the text of a file with the environment.
 func parse(text []byte, getenv func(string) string) (Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return Config{}, decodeError("", err)
+		if mismatch, ok := jsontext.AsMismatch("", err); ok {
+			return Config{}, mismatch
+		}
+		return Config{}, err
 	}
 	c := Config{
 		Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, AdminListen: file.Operator,
 		PeerListen: file.PeerListen, Peers: file.Peers,
-		MemoryMB: withDefault(file.Limits.MemoryMB, defaultMemoryMB),
-		Sockets:  withDefault(file.Limits.Sockets, defaultSockets),
+		MemoryMB: withDefault(file.Limits.MemoryMB, DefaultMemoryMB),
+		Sockets:  withDefault(file.Limits.Sockets, DefaultSockets),
 	}
 	c.applyEnvironment(getenv)
 	if err := c.checkAddresses(); err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -21,9 +21,12 @@
 		Sockets  int `json:"sockets,omitempty" limits:"min=64,default=1024"`
 	} `json:"limits,omitzero"`
 	Known    map[string]any `json:"known,omitempty" jsonschema:"the change log's events at the start"`
-	Settings settingsObject `json:"settings" jsonschema:"classes, tenants, engine kinds, limits and rules, as the simulator words them"`
+	Settings settingsObject `json:"settings"`
 }
 
+// settingsDescription is too long for a tag of its field.
+const settingsDescription = "classes, tenants, engine kinds, limits and rules, as the simulator words them"
+
 // JSONSchema is the schema of the platform's file. The file holds more than a broker reads, so other keys are
 // allowed.
 var JSONSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
@@ -31,7 +34,9 @@
 	if err != nil {
 		return nil, err
 	}
-	relax(s.Properties["settings"])
+	settings := s.Properties["settings"]
+	settings.Description = settingsDescription
+	relax(settings)
 	for _, object := range []*jsonschema.Schema{s, s.Properties["limits"], s.Properties["known"]} {
 		object.AdditionalProperties = nil
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,13 +2,13 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
 	"wheatlane/control/units"
+	"wheatlane/internal/jsontext"
 	"wheatlane/internal/loadfields"
 )
 
@@ -57,7 +57,7 @@
 	"cell": idempotency.ScopeCell,
 }
 
-// settingsObject is the part of the settings object that is used. Its fields are named as its keys; those
+// settingsObject holds the keys of the settings object that are used. Its fields are named as its keys; those
 // that end in Ns hold nanoseconds.
 type settingsObject struct {
 	PeersTotal     int
@@ -101,8 +101,8 @@
 	AllowedOn           []string
 }
 
-// domainObject says more of the classes and kinds of engines, by their positions in RequestClasses and
-// MachineTypes.
+// domainObject holds further attributes of classes and kinds of engines, by their positions in RequestClasses
+// and MachineTypes.
 type domainObject struct {
 	ClassLoad      []bool
 	WidthByClass   []int
@@ -120,9 +120,8 @@
 func DecodeSettings(text []byte) (Settings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
-		var mismatch *json.UnmarshalTypeError
-		if errors.As(err, &mismatch) {
-			return Settings{}, decodeError("settings.", err)
+		if mismatch, ok := jsontext.AsMismatch("settings.", err); ok {
+			return Settings{}, mismatch
 		}
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/delivery/event.go
+++ b/internal/delivery/event.go
@@ -6,24 +6,24 @@
 	"wheatlane/internal/metrics"
 )
 
-// Event is something that happened. Conn is the number of the connection that it is of; events of other
-// connections than the present one are ignored.
+// Event is an input of a Machine. Conn is the number of its connection; events of connections other than the
+// present one are ignored.
 type Event interface{ event() }
 
 type (
 	// IntervalAdded is a new interval to deliver.
 	IntervalAdded struct{ Interval *metrics.Interval }
-	// Connected says that a connection is established.
+	// Connected is a connection that was established.
 	Connected struct{ Conn int }
-	// Progress says how many records in all of the interval being written were sent.
+	// Progress gives how many records of the interval being written were sent in all.
 	Progress struct{ Conn, Records int }
-	// WriteCompleted says that the interval being written was sent completely.
+	// WriteCompleted is the end of a write: the interval was sent completely.
 	WriteCompleted struct{ Conn int }
-	// Disconnected says that a connection has ended, or was not established. Of the interval being
-	// written so many records in all were sent: the next connection resumes behind them.
+	// Disconnected is a connection that has ended, or was not established. Records of the interval being
+	// written were sent in all: the next connection resumes behind them.
 	Disconnected struct{ Conn, Records int }
-	// AddressChanged says that the collector has another address. What was sent in part is sent there
-	// from its start.
+	// AddressChanged is a move of the collector to another address. An interval that was sent
+	// incompletely is sent there from its start.
 	AddressChanged struct{}
 	// StopRequested asks the machine to stop within a timeout; what is not delivered by then is lost.
 	StopRequested struct{ Timeout time.Duration }
@@ -37,7 +37,7 @@
 func (AddressChanged) event() {}
 func (StopRequested) event()  {}
 
-// Action is something to do.
+// Action is what a Machine decided, for its caller to carry out.
 type Action interface{ action() }
 
 type (
@@ -51,7 +51,7 @@
 	}
 	// Close ends a connection. Disconnected follows.
 	Close struct{ Conn int }
-	// Stopped says that there will be no further action.
+	// Stopped is the last action.
 	Stopped struct{}
 )
 
--- a/internal/delivery/pace.go
+++ b/internal/delivery/pace.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// maxDoublings keeps a backoff from overflowing.
-const maxDoublings = 20
+const (
+	maxDoublings  = 20 // of a backoff, which must not overflow
+	jitterDivisor = 2  // a pause is shortened by at most this fraction of it, at random
+)
 
-// backoff decides when to connect again: exponential backoff, half of which is jitter, so that brokers don't
-// all come back to a collector at once.
+// backoff decides when to connect again: exponential backoff with jitter, so that brokers don't all come back
+// to a collector at once.
 type backoff struct {
 	initial, max time.Duration
 	rng          *rand.Rand
@@ -21,7 +23,8 @@
 func (b *backoff) failed(now time.Duration) {
 	pause := min(b.max, b.initial<<min(b.failures, maxDoublings))
 	b.failures++
-	b.retryAt = now + pause/2 + time.Duration(b.rng.Int64N(int64(pause/2)+1))
+	jitter := pause / jitterDivisor
+	b.retryAt = now + jitter + time.Duration(b.rng.Int64N(int64(jitter)+1))
 }
 
 // succeeded starts the next backoff at the initial one.
@@ -31,10 +34,10 @@
 func (b *backoff) reset(now time.Duration) { b.failures, b.retryAt = 0, now }
 
 const (
-	// slowStartDivisor is the part of the full rate that replaying a backlog starts at, and slowStartStep
-	// the time after which the rate may double: a collector that has just come back has other senders,
-	// too.
+	// A backlog is replayed from this fraction of the full rate on, which grows by a factor after each step:
+	// a collector that has just come back has other senders, too.
 	slowStartDivisor = 8
+	slowStartGrowth  = 2
 	slowStartStep    = time.Second
 )
 
@@ -45,7 +48,7 @@
 
 	rate       float64
 	next       time.Duration // when the next interval may be written
-	increaseAt time.Duration // when the rate may double
+	increaseAt time.Duration // when the rate may grow
 }
 
 // start begins a slow start, with a connection.
@@ -57,7 +60,7 @@
 // sent records a written interval.
 func (p *replayPacer) sent(now time.Duration, bytes int) {
 	if now >= p.increaseAt {
-		p.rate, p.increaseAt = min(2*p.rate, p.maxRate), now+slowStartStep
+		p.rate, p.increaseAt = min(slowStartGrowth*p.rate, p.maxRate), now+slowStartStep
 	}
 	p.next = now + time.Duration(float64(bytes)/p.rate*float64(time.Second))
 }
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -68,7 +68,7 @@
 	q.enforceLimits()
 }
 
-// rewind forgets which records were sent.
+// rewind has each interval sent from its first record.
 func (q *queue) rewind() {
 	for _, it := range q.intervals {
 		it.recordsSent = 0
--- a/internal/emulator/client/connection.go
+++ b/internal/emulator/client/connection.go
@@ -28,8 +28,7 @@
 	}
 	sent()
 	rows, err := queryRows(ctx, conn, statement)
-	var answered *mysql.MySQLError
-	if err == nil || errors.As(err, &answered) {
+	if _, answered := errors.AsType[*mysql.MySQLError](err); err == nil || answered {
 		l.putIdle(conn)
 	} else {
 		_ = conn.Close() // it failed already
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -134,17 +134,17 @@
 // outcomeOf returns the outcome that an error stands for, and after what time a rejected request may be
 // retried.
 func outcomeOf(err error, timedOut bool) (outcome conformance.Outcome, retryAfter time.Duration) {
-	var answered *mysql.MySQLError
-	switch {
-	case err == nil:
+	if err == nil {
 		return conformance.Served, 0
-	case errors.As(err, &answered):
-		switch answered.Number {
+	}
+	if answer, ok := errors.AsType[*mysql.MySQLError](err); ok {
+		switch answer.Number {
 		case codeTooManyConnections, codeTooManyUserConnections, codeUserLimitReached:
-			return conformance.Rejected, retryAfterOf(answered.Message)
+			return conformance.Rejected, retryAfterOf(answer.Message)
 		}
 		return conformance.Failed, 0
-	case timedOut:
+	}
+	if timedOut {
 		return conformance.ClientLeft, 0
 	}
 	return conformance.Unanswered, 0
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -51,7 +51,8 @@
 		return // only of a pattern that can't be read
 	}
 	for _, path := range paths {
-		if info, err := os.Stat(path); err == nil && info.Mode().IsRegular() && time.Since(info.ModTime()) > staleTempFileAge {
+		info, err := os.Stat(path)
+		if err == nil && info.Mode().IsRegular() && time.Since(info.ModTime()) > staleTempFileAge {
 			_ = os.Remove(path) // the next process tries again
 		}
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// The temporary file of a write that a kill ended is removed once it is old; that of a write that may be under way is not.
+// The temporary file of a write that a kill ended is removed once it is old; that of a write that may be under
+// way is not.
 func TestRemoveStaleTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, State{Broker: broker}); err != nil {
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -53,8 +53,7 @@
 		{"{\"a\" 1}", "1:6: invalid character '1'"},
 	} {
 		_, _, err := Parse([]byte(c.text))
-		var syntaxError *SyntaxError
-		if !errors.As(err, &syntaxError) || !strings.Contains(err.Error(), c.want) {
+		if _, ok := errors.AsType[*SyntaxError](err); !ok || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.20q: %v, want %s", c.text, err, c.want)
 		}
 	}
--- a/internal/jsontext/parse.go
+++ b/internal/jsontext/parse.go
@@ -95,11 +95,10 @@
 
 // syntaxError converts an error of the decoder at a token.
 func (p *parser) syntaxError(offset int, err error) error {
-	var syntax *json.SyntaxError
-	switch {
-	case errors.As(err, &syntax):
+	if syntax, ok := errors.AsType[*json.SyntaxError](err); ok {
 		return &SyntaxError{p.position(max(offset, int(syntax.Offset)-1)), syntax.Error()}
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+	}
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &SyntaxError{p.position(len(p.text)), "the text breaks off"}
 	}
 	return &SyntaxError{p.position(offset), err.Error()}
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// setInTimeShares sets the part of the interval's answers that came within the latency objective.
+// setInTimeShares sets the fraction of the interval's answers that came within the latency objective.
 func (r *Registry) setInTimeShares() {
 	for slot := range r.tables[Class].Slots() {
 		answers := func(outcome int) float64 {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -21,6 +21,8 @@
 	retiredSlotsPerName = 2
 	// maxDestinations have series of their own.
 	maxDestinations = 8
+
+	millisecondsPerSecond = 1000
 )
 
 // Registry records figures. It is not safe for concurrent use. Times are by a clock that is never set, where
@@ -56,12 +58,12 @@
 		r.makeSeries(ID(i))
 	}
 	r.answersAtLastCut = make([]float64, len(r.values[Answers]))
-	r.Set(Started, cardinality.Other, 0, float64(wall/time.Millisecond)/1000)
+	r.Set(Started, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
 	r.Set(Folded, cardinality.Other, 0, 1)
 	return r
 }
 
-// makeSeries makes room for the values of a figure.
+// makeSeries allocates the values of a figure.
 func (r *Registry) makeSeries(id ID) {
 	slots := r.tables[Catalogue[id].By].Slots()
 	switch Catalogue[id].Kind {
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -68,7 +68,7 @@
 	maxProofLen    = 250
 )
 
-// ParseLogin reads the response to the greeting. Its error is ErrHandshake, with the part at fault.
+// ParseLogin reads the response to the greeting. Its error is ErrHandshake, with the field at fault.
 func ParseLogin(payload []byte) (Login, error) {
 	if len(payload) < loginHeaderLen {
 		return Login{}, fmt.Errorf("%w: %d bytes", ErrHandshake, len(payload))
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -25,10 +25,16 @@
 }
 
 // FieldError names a field that can't be used, in words for the client.
-type FieldError struct{ Field, Problem string }
+type FieldError struct {
+	Field, Problem string
+	Cause          error // of a value that can't be used; nil: Problem is complete
+}
 
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
+// Unwrap returns why a value can't be used.
+func (e *FieldError) Unwrap() error { return e.Cause }
+
 // The names of the fields on the wire.
 const (
 	fieldClass           = "service"
@@ -52,7 +58,7 @@
 	maxQuotedBytes    = 40             // of what a client sent, in the error that answers it
 )
 
-// The faults of a field's value. The error for the client says only which value can't be used.
+// The faults of a field's value.
 var (
 	errOutOfRange = errors.New("out of range")
 	errCharacter  = errors.New("character that can't stand in a key")
@@ -70,16 +76,16 @@
 	rest, opened := strings.CutPrefix(strings.TrimLeft(text, whitespace), "/*")
 	fields, body, closed := strings.Cut(rest, "*/")
 	if !opened || !closed {
-		return s, &FieldError{fieldClass, "no comment with fields stands ahead of the statement"}
+		return s, &FieldError{Field: fieldClass, Problem: "no comment with fields stands ahead of the statement"}
 	}
 	s.Text = strings.TrimLeft(body, whitespace)
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
-			return s, &FieldError{strconv.Quote(clip(name)), "has no value"}
+			return s, &FieldError{Field: strconv.Quote(clip(name)), Problem: "has no value"}
 		}
 		if err := s.setField(name, value); err != nil {
-			return s, &FieldError{name, fmt.Sprintf("%q can't be used", clip(value))}
+			return s, &FieldError{Field: name, Problem: fmt.Sprintf("%q can't be used", clip(value)), Cause: err}
 		}
 	}
 	if err := s.checkComplete(); err != nil {
@@ -118,13 +124,13 @@
 func (s *Statement) checkComplete() error {
 	switch {
 	case s.Class == "":
-		return &FieldError{fieldClass, "is missing"}
+		return &FieldError{Field: fieldClass, Problem: "is missing"}
 	case s.RequestID == "":
-		return &FieldError{fieldRequestID, "is missing"}
+		return &FieldError{Field: fieldRequestID, Problem: "is missing"}
 	case s.Timeout == 0:
-		return &FieldError{fieldTimeout, "is missing"}
+		return &FieldError{Field: fieldTimeout, Problem: "is missing"}
 	case s.Text == "":
-		return &FieldError{fieldClass, "no statement follows the fields"}
+		return &FieldError{Field: fieldClass, Problem: "no statement follows the fields"}
 	}
 	return nil
 }
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -18,7 +18,8 @@
 	}{
 		"all fields": {
 			text: "/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1," +
-				"replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ INSERT INTO sales_17.orders VALUES (1)",
+				"replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,effort=820.5,ram=96,lookup=7f3a9c21e0b4d655 */ " +
+				"INSERT INTO sales_17.orders VALUES (1)",
 			want: Statement{
 				Class: "load", RequestID: "9b1f03aa5c7e2d41", Timeout: 1500 * time.Millisecond, Tenant: "acme",
 				IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", OrderKey: "7f3a9c21e0b4d655",
@@ -50,8 +51,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.text)
-			var fault *FieldError
-			if errors.As(err, &fault) != (c.faultyName != "") || fault != nil && fault.Field != c.faultyName {
+			fault, faulty := errors.AsType[*FieldError](err)
+			if faulty != (c.faultyName != "") || faulty && fault.Field != c.faultyName {
 				t.Fatalf("got %v, want %q at fault", err, c.faultyName)
 			}
 			if diff := cmp.Diff(c.want, got); err == nil && diff != "" {
--- a/internal/operatorconfig/defaults.go
+++ b/internal/operatorconfig/defaults.go
@@ -2,13 +2,13 @@
 
 // The defaults of keys that may be omitted. The limits tags of the fields state them as well, for the schema.
 const (
-	defaultIntervalMS = 10_000
+	DefaultIntervalMS = 10_000
 
 	defaultClasses  = 16
 	defaultTenants  = 32
 	defaultEngines  = 32
 	defaultDataSets = 32
-	defaultIdleS    = 600
+	DefaultIdleS    = 600
 
 	defaultProtocol         = "plaintext"
 	defaultPrefix           = "wheatlane"
@@ -29,7 +29,7 @@
 }
 
 func (t *Telemetry) applyDefaults() {
-	setDefault(&t.IntervalMS, defaultIntervalMS)
+	setDefault(&t.IntervalMS, DefaultIntervalMS)
 	t.Cardinality.applyDefaults()
 	for i := range t.Graphite {
 		t.Graphite[i].applyDefaults()
@@ -44,7 +44,7 @@
 	setDefault(&l.Tenants, defaultTenants)
 	setDefault(&l.Engines, defaultEngines)
 	setDefault(&l.DataSets, defaultDataSets)
-	setDefault(&l.IdleS, defaultIdleS)
+	setDefault(&l.IdleS, DefaultIdleS)
 }
 
 func (g *Graphite) applyDefaults() {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -72,8 +72,8 @@
 	return parts, size, nil
 }
 
-// parseHeader reads a mark, a length of at most limit and a line end; size is how many bytes they take, 0 while they are
-// incomplete.
+// parseHeader reads a mark, a length of at most limit and a line end; size is how many bytes they take, 0 while
+// they are incomplete.
 func parseHeader(buf []byte, mark byte, limit int) (length, size int, err error) {
 	const maxHeaderBytes = 1 + maxLengthDigits + len(lineEnd)
 	if len(buf) > 0 && buf[0] != mark {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -91,15 +91,16 @@
 // Reload applies a new configuration.
 func (s *Service) Reload(ctx context.Context, cfg config.Config) {
 	s.Server.Reload(ctx, cfg)
-	if s.recorder != nil {
-		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(true) })
-	}
+	s.countReload(ctx, true)
 }
 
 // RejectReload counts a configuration file that was rejected at SIGHUP.
-func (s *Service) RejectReload(ctx context.Context) {
+func (s *Service) RejectReload(ctx context.Context) { s.countReload(ctx, false) }
+
+// countReload counts a configuration file that was read at SIGHUP, where there are figures.
+func (s *Service) countReload(ctx context.Context, accepted bool) {
 	if s.recorder != nil {
-		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(false) })
+		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(accepted) })
 	}
 }
 
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// perform carries out an action; it returns true if that was the last.
+// perform carries out an action and reports whether it was the last.
 func (d *destination) perform(ctx context.Context, action delivery.Action) (stopped bool) {
 	switch a := action.(type) {
 	case delivery.Connect:
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -127,7 +127,8 @@
 	r.intervals(200) // more than the sockets take
 	r.finish()
 	stats := r.reporter.destinations["carbon"].stats.Load()
-	if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != r.cuts() || stats.LostIntervals == 0 {
+	ended := stats.DeliveredIntervals + stats.LostIntervals
+	if stats.WaitingIntervals != 0 || ended != r.cuts() || stats.LostIntervals == 0 {
 		t.Fatalf("%d intervals ended: %+v", r.cuts(), stats)
 	}
 }
@@ -143,7 +144,8 @@
 	second.intervals(3)
 	second.finish()
 	f := await(t, received, "both runs", func(f *collector.Findings) bool {
-		return len(f.Incarnations) == 2 && f.Incarnations[0].LastSequence == first.cuts() && f.Incarnations[1].LastSequence == second.cuts()
+		runs := f.Incarnations
+		return len(runs) == 2 && runs[0].LastSequence == first.cuts() && runs[1].LastSequence == second.cuts()
 	})
 	if !f.OK() {
 		t.Fatalf("%+v", f)
