--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -29,7 +29,7 @@
 	InitialFraction  units.Fraction // of its capacity that an engine has when it starts
 	Duration         time.Duration  // until an engine has its full capacity
 	OverloadMultiple float64        // an engine that warms up fails beyond so many times its capacity
-	OverloadWindow   time.Duration  // over which that is measured
+	OverloadWindow   time.Duration  // over which the work sent is summed up
 	Brokers          int            // that share the engines
 	BrokerIndex      int            // of this broker, from 0
 	TakeTurns        bool           // brokers send by turns, as the share of each is less than a request
@@ -55,16 +55,16 @@
 type Policy struct{ config Config }
 
 // New returns a policy. It limits nothing where the deployment does not say what overloads an engine.
-func New(config Config) Policy { return Policy{config} }
+func New(config Config) *Policy { return &Policy{config} }
 
 // Active reports whether an engine warms up.
-func (p Policy) Active(engine Engine, now time.Duration) bool {
+func (p *Policy) Active(engine Engine, now time.Duration) bool {
 	overloads := p.config.OverloadWindow > 0 && p.config.OverloadMultiple > 0
 	return overloads && engine.StartedAt > 0 && now-engine.StartedAt < p.config.Duration+clockError
 }
 
 // Fraction is the fraction of its capacity that an engine has.
-func (p Policy) Fraction(engine Engine, now time.Duration) units.Fraction {
+func (p *Policy) Fraction(engine Engine, now time.Duration) units.Fraction {
 	if !p.Active(engine, now) {
 		return 1
 	}
@@ -73,7 +73,7 @@
 }
 
 // FleetBudget is the work that all brokers together may send an engine within an overload window.
-func (p Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
+func (p *Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
 	fraction := float64(p.Fraction(engine, now))
 	return units.ThreadSeconds(p.config.OverloadMultiple * fraction * targetUtilization * engine.Cores *
 		p.config.OverloadWindow.Seconds() * usedBudget)
@@ -81,7 +81,7 @@
 
 // Allows reports whether an engine may be sent some work more: whether it is warm, or this broker's share of
 // the budget covers that and what was sent.
-func (p Policy) Allows(
+func (p *Policy) Allows(
 	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
 ) bool {
 	if !p.Active(engine, now) {
@@ -94,14 +94,14 @@
 		if !p.hasTurn(engine, turn, now) {
 			return false
 		}
-		share = turnBudget / turn.heavyRequests
+		share = units.Fraction(turnBudget / turn.heavyRequests)
 	}
 	budget := p.FleetBudget(engine, now) * units.ThreadSeconds(share)
 	return sent.WorkSince(now-p.config.OverloadWindow, work) <= budget
 }
 
 // RecordSend records work that an engine is sent now.
-func (p Policy) RecordSend(engine Engine, sent *SendLog, work units.ThreadSeconds, now time.Duration) {
+func (p *Policy) RecordSend(engine Engine, sent *SendLog, work units.ThreadSeconds, now time.Duration) {
 	if p.Active(engine, now) {
 		sent.Add(now, work)
 	}
@@ -111,10 +111,10 @@
 // turns by index, as many at a time as the budget has capacity for.
 type turn struct {
 	brokers       int
-	heavyRequests units.Fraction // requests of the heaviest class that a turn's budget has capacity for
+	heavyRequests float64 // requests of the heaviest class that a turn's budget covers, at least 1
 }
 
-func (p Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
+func (p *Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
 	budget := p.FleetBudget(engine, now) * turnBudget
 	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
 	// used is what an engine is sent by one broker within a window.
@@ -122,11 +122,11 @@
 		float64(demand.ReadyEngines)
 	lightRequests := lightShare * float64(budget) / used
 	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
-	return turn{brokers, units.Fraction(heavyRequests)}
+	return turn{brokers, heavyRequests}
 }
 
 // hasTurn reports whether it is this broker's turn at an engine.
-func (p Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
+func (p *Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
 	brokers := p.config.Brokers
 	turnsBefore := int((now - engine.StartedAt) / p.config.OverloadWindow)
 	first := (engine.FirstTurn + turnsBefore*turn.brokers) % brokers
@@ -136,10 +136,10 @@
 
 // FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
 // uses the engine by its capacity. It is 0 where no turns are taken.
-func (p Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
+func (p *Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
 	if !p.config.TakeTurns || !p.Active(engine, now) {
 		return 0
 	}
-	turn := p.turn(engine, demand, now)
-	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / float64(turn.brokers))
+	inTurn := float64(p.turn(engine, demand, now).brokers)
+	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / inTurn)
 }
