--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -63,20 +63,20 @@
 
 // Serve answers until ctx ends; it closes ln then.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() {
 		_ = ln.Close() // it ends the accept that waits; there is nothing to do about its error
 	})
 	defer stop()
-	g.Go(func() error {
-		s.acceptCallers(ctx, ln, g)
+	group.Go(func() error {
+		s.acceptCallers(ctx, ln, group)
 		return nil
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
 // acceptCallers serves each caller in a goroutine of the group, until ctx ends or the listener is closed.
-func (s *Server) acceptCallers(ctx context.Context, ln net.Listener, g *errgroup.Group) {
+func (s *Server) acceptCallers(ctx context.Context, ln net.Listener, group *errgroup.Group) {
 	slots := make(chan struct{}, s.MaxCallers)
 	for {
 		conn, err := ln.Accept()
@@ -94,7 +94,7 @@
 		accepted := time.Now()
 		select {
 		case slots <- struct{}{}:
-			g.Go(func() error {
+			group.Go(func() error {
 				defer func() { <-slots }()
 				reason, err := s.serve(ctx, conn)
 				s.logEnd(conn, accepted, reason, err)
@@ -155,11 +155,11 @@
 // readLine reads the first line of a connection. Its error is a *readError or ErrTooLong.
 func readLine(ctx context.Context, conn net.Conn) ([]byte, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // of a closed connection: the read fails
-	var l lineBuffer
+	var gathered lineBuffer
 	buf := make([]byte, MaxLine)
 	for {
 		n, readErr := conn.Read(buf)
-		line, complete, err := l.feed(buf[:n])
+		line, complete, err := gathered.feed(buf[:n])
 		if err != nil || complete {
 			return line, err
 		}
@@ -205,9 +205,9 @@
 }
 
 // answer carries a call out and words its reply.
-func (s *Server) answer(ctx context.Context, c Call) []byte {
+func (s *Server) answer(ctx context.Context, call Call) []byte {
 	var err error
-	switch c.Verb {
+	switch call.Verb {
 	case VerbCheck:
 		var ready bool
 		if ready, err = s.Broker.Ready(ctx); err == nil && !ready {
@@ -219,21 +219,21 @@
 			return append(text, "--\n"...)
 		}
 	case VerbStartMaintenance:
-		err = s.Broker.StartMaintenance(ctx, c.ID)
+		err = s.Broker.StartMaintenance(ctx, call.ID)
 	case VerbEndMaintenance:
-		err = s.Broker.EndMaintenance(ctx, c.ID)
+		err = s.Broker.EndMaintenance(ctx, call.ID)
 	}
 	if err != nil {
 		return negativeReply(err)
 	}
-	return positiveReply(c)
+	return positiveReply(call)
 }
 
 // positiveReply repeats a call that was carried out.
-func positiveReply(c Call) []byte {
-	text := "ACK " + string(c.Verb)
-	if c.ID != "" {
-		text += " " + c.ID
+func positiveReply(call Call) []byte {
+	text := "ACK " + string(call.Verb)
+	if call.ID != "" {
+		text += " " + call.ID
 	}
 	return []byte(text + "\n")
 }
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -82,12 +82,12 @@
 		return Page{}, fmt.Errorf("page: %w", err)
 	}
 	page := Page{Revision: document.Revision}
-	for i, c := range document.Changes {
-		if c.List == nil {
+	for i, listed := range document.Changes {
+		if listed.List == nil {
 			continue
 		}
-		change := Change{Revision: c.Revision, Snapshot: c.List.Snapshot}
-		for j, member := range c.List.Endpoints {
+		change := Change{Revision: listed.Revision, Snapshot: listed.List.Snapshot}
+		for j, member := range listed.List.Endpoints {
 			endpoint, err := member.endpoint()
 			if err != nil {
 				return Page{}, fmt.Errorf("results[%d].fleet.hosts[%d].%w", i, j, err)
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -91,8 +91,8 @@
 
 // position returns where a path is in a file, or the innermost value around it that exists.
 func (f *File) position(path []string) jsontext.Position {
-	for n := len(path); n > 0; n-- {
-		if value := f.Root.At(path[:n]...); value != nil {
+	for length := len(path); length > 0; length-- {
+		if value := f.Root.At(path[:length]...); value != nil {
 			return value.Position
 		}
 	}
@@ -100,10 +100,10 @@
 }
 
 // NewFinding returns the finding of a check at a path of the file.
-func (f *File) NewFinding(c Check, observed string, path ...string) Finding {
+func (f *File) NewFinding(check Check, observed string, path ...string) Finding {
 	position := f.position(path)
 	return Finding{
-		Check:    c,
+		Check:    check,
 		File:     f.Name,
 		Line:     position.Line,
 		Column:   position.Column,
@@ -115,13 +115,13 @@
 // Markdown returns the table of checks with their examples, as the operators' page has it.
 func Markdown(checks []Check) string {
 	escape := strings.NewReplacer("|", `\|`).Replace
-	var b strings.Builder
-	b.WriteString(
+	var table strings.Builder
+	table.WriteString(
 		"| code | severity | what must hold | broken | mended |\n| --- | --- | --- | --- | --- |\n",
 	)
-	for _, c := range checks {
-		fmt.Fprintf(&b, "| %s | %s | %s | `%s` | `%s` |\n",
-			c.Code, c.Severity, c.Requirement, escape(c.InvalidExample), escape(c.ValidExample))
+	for _, check := range checks {
+		fmt.Fprintf(&table, "| %s | %s | %s | `%s` | `%s` |\n",
+			check.Code, check.Severity, check.Requirement, escape(check.InvalidExample), escape(check.ValidExample))
 	}
-	return b.String()
+	return table.String()
 }
--- a/internal/check/diff/diff.go
+++ b/internal/check/diff/diff.go
@@ -95,9 +95,9 @@
 		}
 		return items[i]
 	}
-	n := max(len(a), len(b))
-	changes := make([]Change, 0, n)
-	for i := range n {
+	count := max(len(a), len(b))
+	changes := make([]Change, 0, count)
+	for i := range count {
 		changes = append(
 			changes, compare(itemKey(key, strconv.Itoa(i)), itemAt(a, i), itemAt(b, i))...,
 		)
@@ -145,25 +145,25 @@
 func itemKey(list, item string) string { return list + "[" + item + "]" }
 
 // describe returns a value in words, empty if there is none. Numbers are normalized.
-func describe(n *jsontext.Node) string {
-	if n == nil {
+func describe(node *jsontext.Node) string {
+	if node == nil {
 		return ""
 	}
-	switch n.Kind {
+	switch node.Kind {
 	case jsontext.String:
-		return strconv.Quote(n.Text)
+		return strconv.Quote(node.Text)
 	case jsontext.Number:
-		return strconv.FormatFloat(n.Number, 'g', -1, 64)
+		return strconv.FormatFloat(node.Number, 'g', -1, 64)
 	case jsontext.Bool:
-		return strconv.FormatBool(n.Bool)
+		return strconv.FormatBool(node.Bool)
 	case jsontext.Null:
 		return "null"
 	case jsontext.Array:
-		return fmt.Sprintf("a list of %d", len(n.Items))
+		return fmt.Sprintf("a list of %d", len(node.Items))
 	case jsontext.Object:
-		if key, name := nameOf(n); key != "" {
+		if key, name := nameOf(node); key != "" {
 			return "{" + key + ": " + name + ", ...}"
 		}
 	}
-	return fmt.Sprintf("an object of %d keys", len(n.Members))
+	return fmt.Sprintf("an object of %d keys", len(node.Members))
 }
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -96,10 +96,10 @@
 
 // requestClasses generates classes, and what the domain lists by class.
 func requestClasses(rng *rand.Rand, kinds []any) (classes []any, domain object) {
-	n := 1 + rng.IntN(len(classNames))
-	classes = make([]any, n)
-	threads, locks, blocked := make([]any, n), make([]any, n), make([]any, n)
-	for i := range n {
+	count := 1 + rng.IntN(len(classNames))
+	classes = make([]any, count)
+	threads, locks, blocked := make([]any, count), make([]any, count), make([]any, count)
+	for i := range count {
 		classes[i] = requestClass(rng, classNames[i], kinds)
 		threads[i] = 1 + rng.IntN(8)
 		locks[i] = oneIn(rng, 4)
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -65,63 +65,63 @@
 	tenantKeys = []string{"Share"}
 )
 
-func (c *comparison) report(f *check.File, violated check.Check, observed string, path ...string) {
-	c.findings = append(c.findings, f.NewFinding(violated, observed, path...))
+func (c *comparison) report(file *check.File, violated check.Check, observed string, path ...string) {
+	c.findings = append(c.findings, file.NewFinding(violated, observed, path...))
 }
 
 // compare compares a file with those before it.
-func (c *comparison) compare(f *check.File) {
+func (c *comparison) compare(file *check.File) {
 	if c.first == nil {
-		c.first = f
+		c.first = file
 	}
-	if !strings.HasSuffix(f.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
-		c.checkUnique(f, Listen, "listen")
+	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
+		c.checkUnique(file, Listen, "listen")
 	}
-	c.checkUnique(f, Name, "name")
-	if f.Root.At("settings", "PeersTotal").NumberOr(1) > 1 {
-		c.checkUnique(f, Position, "settings", "Position")
+	c.checkUnique(file, Name, "name")
+	if file.Root.At("settings", "PeersTotal").NumberOr(1) > 1 {
+		c.checkUnique(file, Position, "settings", "Position")
 	}
-	c.checkEqual(f, Changelog, "changelog")
-	c.checkEqual(f, Peers, "settings", "PeersTotal")
-	c.checkDefinitions(f, Classes, c.classes, classKeys, "settings", "RequestClasses")
-	c.checkDefinitions(f, Tenants, c.tenants, tenantKeys, "settings", "Tenants")
-	c.checkList(f)
+	c.checkEqual(file, Changelog, "changelog")
+	c.checkEqual(file, Peers, "settings", "PeersTotal")
+	c.checkDefinitions(file, Classes, c.classes, classKeys, "settings", "RequestClasses")
+	c.checkDefinitions(file, Tenants, c.tenants, tenantKeys, "settings", "Tenants")
+	c.checkList(file)
 }
 
 // checkUnique reports a value that a file before has as well.
-func (c *comparison) checkUnique(f *check.File, violated check.Check, path ...string) {
-	value := f.Root.At(path...)
+func (c *comparison) checkUnique(file *check.File, violated check.Check, path ...string) {
+	value := file.Root.At(path...)
 	if value == nil {
 		return
 	}
 	key := uniqueValue{violated.Code, describe(value)}
 	if owner := c.owners[key]; owner != nil {
-		c.report(f, violated, describe(value)+" as in "+owner.Name, path...)
+		c.report(file, violated, describe(value)+" as in "+owner.Name, path...)
 		return
 	}
-	c.owners[key] = f
+	c.owners[key] = file
 }
 
 // checkEqual reports a value that differs from that of the first file.
-func (c *comparison) checkEqual(f *check.File, violated check.Check, path ...string) {
-	want, got := describe(c.first.Root.At(path...)), describe(f.Root.At(path...))
+func (c *comparison) checkEqual(file *check.File, violated check.Check, path ...string) {
+	want, got := describe(c.first.Root.At(path...)), describe(file.Root.At(path...))
 	if got != want {
-		c.report(f, violated, got+", and "+want+" in "+c.first.Name, path...)
+		c.report(file, violated, got+", and "+want+" in "+c.first.Name, path...)
 	}
 }
 
 // checkDefinitions compares the named items of a list with their first definitions.
 func (c *comparison) checkDefinitions(
-	f *check.File, violated check.Check, known map[string]definition, keys []string, path ...string,
+	file *check.File, violated check.Check, known map[string]definition, keys []string, path ...string,
 ) {
-	for i, value := range f.Root.At(path...).Elements() {
+	for i, value := range file.Root.At(path...).Elements() {
 		name := value.Get("Name").TextOrEmpty()
 		first, exists := known[name]
 		if !exists {
-			known[name] = definition{f, value}
+			known[name] = definition{file, value}
 			continue
 		}
-		if first.file == f {
+		if first.file == file {
 			continue // a duplicate within a file is found by the layer of rules
 		}
 		for _, key := range keys {
@@ -131,7 +131,7 @@
 					"%s of %q is %s, and %s in %s", key, name, got, want, first.file.Name,
 				)
 				c.report(
-					f,
+					file,
 					violated,
 					observed,
 					slices.Concat(path, []string{strconv.Itoa(i), key})...,
@@ -142,16 +142,16 @@
 }
 
 // checkList compares the endpoint list that a file starts with to the first one of the same revision.
-func (c *comparison) checkList(f *check.File) {
-	value := f.Root.At("known", "seq")
+func (c *comparison) checkList(file *check.File) {
+	value := file.Root.At("known", "seq")
 	if value == nil {
 		return
 	}
-	revision, engines := describe(value), enginesOf(f.Root)
+	revision, engines := describe(value), enginesOf(file.Root)
 	if known, exists := c.lists[revision]; exists {
 		if differing := differingKeys(known.engines, engines); len(differing) > 0 {
 			c.report(
-				f,
+				file,
 				Engines,
 				strings.Join(differing, ", ")+" not as in "+known.file.Name,
 				"known",
@@ -160,10 +160,10 @@
 		}
 		return
 	}
-	c.lists[revision] = endpointList{f, engines}
+	c.lists[revision] = endpointList{file, engines}
 	first := c.first.Root.At("known", "seq")
 	if first != nil && describe(first) != revision {
-		c.report(f, Behind, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
+		c.report(file, Behind, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
 	}
 }
 
@@ -209,19 +209,19 @@
 }
 
 // describe returns a value in words, "nothing" if there is none.
-func describe(n *jsontext.Node) string {
-	if n == nil {
+func describe(node *jsontext.Node) string {
+	if node == nil {
 		return "nothing"
 	}
-	switch n.Kind {
+	switch node.Kind {
 	case jsontext.String:
-		return strconv.Quote(n.Text)
+		return strconv.Quote(node.Text)
 	case jsontext.Bool:
-		return strconv.FormatBool(n.Bool)
+		return strconv.FormatBool(node.Bool)
 	case jsontext.Number:
-		return strconv.FormatFloat(n.Number, 'f', -1, 64)
+		return strconv.FormatFloat(node.Number, 'f', -1, 64)
 	case jsontext.Object, jsontext.Array, jsontext.Null:
-		return n.Kind.String()
+		return node.Kind.String()
 	}
-	return n.Kind.String()
+	return node.Kind.String()
 }
--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -109,23 +109,23 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	f := &check.File{Name: name, Kind: check.DetectKind(root), Root: root}
-	s, err := schemaOf(f.Kind)
+	file := &check.File{Name: name, Kind: check.DetectKind(root), Root: root}
+	fileSchema, err := schemaOf(file.Kind)
 	if err != nil {
 		return nil, nil, err
 	}
-	violations, err := schema.Validate(s, root.Any())
+	violations, err := schema.Validate(fileSchema, root.Any())
 	if err != nil {
 		return nil, nil, err
 	}
 	findings := duplicateFindings(name, duplicates)
-	for _, v := range violations {
-		findings = append(findings, violationFinding(f, v))
+	for _, violation := range violations {
+		findings = append(findings, violationFinding(file, violation))
 	}
-	if f.Kind == check.PlatformFile {
-		findings = append(findings, similarKeys(f, s, root, nil)...)
+	if file.Kind == check.PlatformFile {
+		findings = append(findings, similarKeys(file, fileSchema, root, nil)...)
 	}
-	return f, append(findings, invalidAddresses(f)...), nil
+	return file, append(findings, invalidAddresses(file)...), nil
 }
 
 // schemaOf returns the schema that files of a kind are checked against.
@@ -149,13 +149,13 @@
 
 func duplicateFindings(file string, duplicates []jsontext.Member) []check.Finding {
 	findings := make([]check.Finding, 0, len(duplicates))
-	for _, m := range duplicates {
+	for _, member := range duplicates {
 		findings = append(findings, check.Finding{
 			Check:    DuplicateKey,
 			File:     file,
-			Line:     m.Position.Line,
-			Column:   m.Position.Column,
-			Key:      m.Key,
+			Line:     member.Position.Line,
+			Column:   member.Position.Column,
+			Key:      member.Key,
 			Observed: "again",
 		})
 	}
@@ -164,14 +164,14 @@
 
 // violationFinding converts a violation of the schema; for an unknown key the remedy is the similar one that
 // is known.
-func violationFinding(f *check.File, v schema.Violation) check.Finding {
-	c := checkOf[v.Kind]
-	if v.Kind == schema.UnknownKey {
-		if similar := closestName(v.Path[len(v.Path)-1], v.KnownKeys); similar != "" {
-			c.Remedy = similar
+func violationFinding(file *check.File, violation schema.Violation) check.Finding {
+	violated := checkOf[violation.Kind]
+	if violation.Kind == schema.UnknownKey {
+		if similar := closestName(violation.Path[len(violation.Path)-1], violation.KnownKeys); similar != "" {
+			violated.Remedy = similar
 		}
 	}
-	return f.NewFinding(c, v.Reason, v.Path...)
+	return file.NewFinding(violated, violation.Reason, violation.Path...)
 }
 
 const (
@@ -195,28 +195,28 @@
 
 // similarKeys finds keys of the platform's file that are not read, but similar to one that is and that is
 // absent.
-func similarKeys(f *check.File, s *jsonschema.Schema, n *jsontext.Node, path []string) []check.Finding {
-	absent := make([]string, 0, len(s.Properties))
-	for key := range s.Properties {
-		if n.Get(key) == nil {
+func similarKeys(file *check.File, object *jsonschema.Schema, node *jsontext.Node, path []string) []check.Finding {
+	absent := make([]string, 0, len(object.Properties))
+	for key := range object.Properties {
+		if node.Get(key) == nil {
 			absent = append(absent, key)
 		}
 	}
 	var findings []check.Finding
-	for _, m := range n.Members {
-		keyPath := extend(path, m.Key)
-		if property := s.Properties[m.Key]; property != nil {
-			findings = append(findings, similarKeys(f, property, m.Value, keyPath)...)
-		} else if similar := closestName(m.Key, absent); similar != "" {
-			c := SimilarKey
-			c.Remedy = similar
-			findings = append(findings, f.NewFinding(c, "not read", keyPath...))
+	for _, member := range node.Members {
+		keyPath := extend(path, member.Key)
+		if property := object.Properties[member.Key]; property != nil {
+			findings = append(findings, similarKeys(file, property, member.Value, keyPath)...)
+		} else if similar := closestName(member.Key, absent); similar != "" {
+			violated := SimilarKey
+			violated.Remedy = similar
+			findings = append(findings, file.NewFinding(violated, "not read", keyPath...))
 		}
 	}
-	if s.Items != nil {
-		for i, item := range n.Items {
+	if object.Items != nil {
+		for i, item := range node.Items {
 			findings = append(
-				findings, similarKeys(f, s.Items, item, extend(path, strconv.Itoa(i)))...,
+				findings, similarKeys(file, object.Items, item, extend(path, strconv.Itoa(i)))...,
 			)
 		}
 	}
@@ -227,16 +227,16 @@
 func extend(path []string, keys ...string) []string { return slices.Concat(path, keys) }
 
 // invalidAddresses finds strings that are no IP address with a port where one is required.
-func invalidAddresses(f *check.File) []check.Finding {
+func invalidAddresses(file *check.File) []check.Finding {
 	var findings []check.Finding
-	for _, path := range addressPaths(f) {
-		value := f.Root.At(path...)
+	for _, path := range addressPaths(file) {
+		value := file.Root.At(path...)
 		if value == nil || value.Kind != jsontext.String {
 			continue
 		}
 		if _, err := netip.ParseAddrPort(value.Text); err != nil {
 			findings = append(
-				findings, f.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...),
+				findings, file.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...),
 			)
 		}
 	}
@@ -244,13 +244,13 @@
 }
 
 // addressPaths returns the paths of a file at which addresses are required.
-func addressPaths(f *check.File) [][]string {
-	if f.Kind == check.PlatformFile {
+func addressPaths(file *check.File) [][]string {
+	if file.Kind == check.PlatformFile {
 		return [][]string{{"listen"}, {"changelog"}}
 	}
 	var paths [][]string
 	for _, list := range []string{"graphite", "collectd"} {
-		for i := range f.Root.At("telemetry", list).Elements() {
+		for i := range file.Root.At("telemetry", list).Elements() {
 			paths = append(paths, []string{"telemetry", list, strconv.Itoa(i), "address"})
 		}
 	}
--- a/internal/check/rules/engines.go
+++ b/internal/check/rules/engines.go
@@ -115,14 +115,14 @@
 
 func findTooManyThreads(root *jsontext.Node, report Report) {
 	cores := 0.0
-	for _, n := range root.At("settings", "Domain", "SizeCores").Elements() {
-		cores = max(cores, n.NumberOr(0))
+	for _, value := range root.At("settings", "Domain", "SizeCores").Elements() {
+		cores = max(cores, value.NumberOr(0))
 	}
 	if cores <= 0 {
 		return
 	}
-	for i, n := range root.At("settings", "Domain", "WidthByClass").Elements() {
-		if threads := n.NumberOr(0); threads > cores {
+	for i, value := range root.At("settings", "Domain", "WidthByClass").Elements() {
+		if threads := value.NumberOr(0); threads > cores {
 			report(formatNumber(threads)+" threads, "+formatNumber(cores)+" cores",
 				"settings", "Domain", "WidthByClass", strconv.Itoa(i))
 		}
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/knownlist.go
@@ -95,13 +95,13 @@
 	for _, host := range allHosts(root) {
 		inService[host.Get("host").TextOrEmpty()] = !isRemoved(host.Node)
 	}
-	n := 0
+	count := 0
 	for _, listed := range inService {
 		if listed {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func findSharedEngineAddresses(root *jsontext.Node, report Report) {
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -32,14 +32,14 @@
 }
 
 // Run returns the findings of all rules that apply to a file.
-func Run(f *check.File) []check.Finding {
+func Run(file *check.File) []check.Finding {
 	var findings []check.Finding
-	for _, r := range Table {
-		if r.Kind != f.Kind {
+	for _, rule := range Table {
+		if rule.Kind != file.Kind {
 			continue
 		}
-		r.Find(f.Root, func(observed string, path ...string) {
-			findings = append(findings, f.NewFinding(r.Check, observed, path...))
+		rule.Find(file.Root, func(observed string, path ...string) {
+			findings = append(findings, file.NewFinding(rule.Check, observed, path...))
 		})
 	}
 	return findings
@@ -91,8 +91,8 @@
 // texts returns the strings of the list at a path.
 func texts(root *jsontext.Node, path ...string) map[string]bool {
 	all := map[string]bool{}
-	for _, n := range root.At(path...).Elements() {
-		all[n.TextOrEmpty()] = true
+	for _, element := range root.At(path...).Elements() {
+		all[element.TextOrEmpty()] = true
 	}
 	return all
 }
@@ -105,4 +105,4 @@
 // formatMS formats nanoseconds as milliseconds.
 func formatMS(ns float64) string { return formatNumber(ns/nanosecondsPerMillisecond) + " ms" }
 
-func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", envConfig, err)
 	}
-	c, err := parse(text, getenv)
+	cfg, err := parse(text, getenv)
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
 // applyEnvironment sets the values that the environment gives; they take precedence over those of the file.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -45,36 +45,36 @@
 		}
 		return Config{}, err
 	}
-	c := Config{
+	cfg := Config{
 		Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, AdminListen: file.Operator,
 		PeerListen: file.PeerListen, Peers: file.Peers,
 		MemoryMB: withDefault(file.Limits.MemoryMB, DefaultMemoryMB),
 		Sockets:  withDefault(file.Limits.Sockets, DefaultSockets),
 	}
-	c.applyEnvironment(getenv)
-	if err := c.checkAddresses(); err != nil {
-		return c, err
+	cfg.applyEnvironment(getenv)
+	if err := cfg.checkAddresses(); err != nil {
+		return cfg, err
 	}
 	var err error
-	if c.Seed, err = parseSeed(file.Seed); err != nil {
-		return c, err
+	if cfg.Seed, err = parseSeed(file.Seed); err != nil {
+		return cfg, err
 	}
-	if err := c.checkLimits(); err != nil {
-		return c, err
+	if err := cfg.checkLimits(); err != nil {
+		return cfg, err
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = changelog.ParsePage(file.Known); err != nil {
-			return c, fmt.Errorf("known: %w", err)
+		if cfg.Known, err = changelog.ParsePage(file.Known); err != nil {
+			return cfg, fmt.Errorf("known: %w", err)
 		}
 	}
 	if len(file.Settings) == 0 {
-		return c, errors.New("settings: missing")
+		return cfg, errors.New("settings: missing")
 	}
-	if c.Settings, err = DecodeSettings(file.Settings); err != nil {
-		return c, err
+	if cfg.Settings, err = DecodeSettings(file.Settings); err != nil {
+		return cfg, err
 	}
-	c.Keys = keyPaths(text)
-	return c, c.checkGossip()
+	cfg.Keys = keyPaths(text)
+	return cfg, cfg.checkGossip()
 }
 
 // parseSeed reads a number of up to 16 hex digits; 0 without any.
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -62,7 +62,8 @@
 	if len(classes) == 0 {
 		return errors.New("settings.RequestClasses: none")
 	}
-	needObjective := !slices.ContainsFunc(running, func(k control.Class) bool { return k.LatencyObjective <= 0 })
+	lacksObjective := func(class control.Class) bool { return class.LatencyObjective <= 0 }
+	needObjective := !slices.ContainsFunc(running, lacksObjective)
 	for i, class := range classes {
 		if class.ClientTimeout <= 0 {
 			return fmt.Errorf("settings.RequestClasses[%d].GiveUpNs: %d is not over 0", i, class.ClientTimeout)
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -44,12 +44,12 @@
 })
 
 // relax makes every key below a schema optional and allows other keys.
-func relax(s *jsonschema.Schema) {
-	s.Required, s.AdditionalProperties = nil, nil
-	for _, property := range s.Properties {
+func relax(object *jsonschema.Schema) {
+	object.Required, object.AdditionalProperties = nil, nil
+	for _, property := range object.Properties {
 		relax(property)
 	}
-	if s.Items != nil {
-		relax(s.Items)
+	if object.Items != nil {
+		relax(object.Items)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -125,7 +125,7 @@
 		}
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := Settings{
+	settings := Settings{
 		Control:         object.control(),
 		LoadReport:      object.Stats.Fields,
 		ConnectTimeout:  withDefault(object.Limits.ConnectTimeoutNs, defaultConnectTimeout),
@@ -134,17 +134,17 @@
 		DrainGrace:      object.Rules.DrainGraceNs,
 	}
 	if err := object.checkNotNegative(); err != nil {
-		return s, err
+		return settings, err
 	}
 	for i, class := range object.RequestClasses {
 		decoded, err := class.decode(object.Domain, i)
 		if err != nil {
-			return s, fmt.Errorf("settings.RequestClasses[%d].%w", i, err)
+			return settings, fmt.Errorf("settings.RequestClasses[%d].%w", i, err)
 		}
-		s.MaxClientTimeout = max(s.MaxClientTimeout, class.GiveUpNs)
-		s.Control.Classes = append(s.Control.Classes, decoded)
+		settings.MaxClientTimeout = max(settings.MaxClientTimeout, class.GiveUpNs)
+		settings.Control.Classes = append(settings.Control.Classes, decoded)
 	}
-	return s, nil
+	return settings, nil
 }
 
 // checkNotNegative returns an error for the first number below 0 of those that no other check covers.
@@ -169,7 +169,7 @@
 
 // control is what the decision module takes of the object, but the classes.
 func (o *settingsObject) control() control.Settings {
-	s := control.Settings{
+	settings := control.Settings{
 		Brokers:          o.PeersTotal,
 		BrokerIndex:      o.Position,
 		Zone:             o.Zone,
@@ -205,16 +205,16 @@
 		},
 	}
 	for i, name := range o.MachineTypes {
-		s.EngineKinds[name] = control.EngineKind{
+		settings.EngineKinds[name] = control.EngineKind{
 			Cores: elementOrZero(o.Domain.SizeCores, i), MemoryMB: elementOrZero(o.Domain.KindMemoryMb, i),
 		}
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, control.Tenant{
+		settings.Tenants = append(settings.Tenants, control.Tenant{
 			Name: t.Name, Share: units.Fraction(t.Share), Quota: units.PerSecond(t.QuotaPerS),
 		})
 	}
-	return s
+	return settings
 }
 
 // decode checks the class at a position of RequestClasses. The error begins with its key at fault.
@@ -247,11 +247,11 @@
 }
 
 // elementOrZero is the element at a position, or the zero value behind the end.
-func elementOrZero[T any](s []T, position int) (v T) {
-	if position < len(s) {
-		v = s[position]
+func elementOrZero[T any](list []T, position int) (element T) {
+	if position < len(list) {
+		element = list[position]
 	}
-	return v
+	return element
 }
 
 // withDefault is the value, or the default where a deployment leaves it out.
--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -154,14 +154,14 @@
 	return actions
 }
 
-func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
-func (m *Machine) offer(v *metrics.Interval) {
+func (m *Machine) offer(interval *metrics.Interval) {
 	if m.stopped {
-		m.queue.countLost(v)
+		m.queue.countLost(interval)
 		return
 	}
-	m.queue.add(v)
+	m.queue.add(interval)
 }
 
 // writeCompleted counts as delivered what was being written.
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -19,8 +19,8 @@
 	untried     bool // it is the newest, and no write of it was started
 }
 
-func newQueuedInterval(v *metrics.Interval, untried bool) *queuedInterval {
-	return &queuedInterval{interval: v, memoryBytes: v.MemoryBytes(), untried: untried}
+func newQueuedInterval(interval *metrics.Interval, untried bool) *queuedInterval {
+	return &queuedInterval{interval: interval, memoryBytes: interval.MemoryBytes(), untried: untried}
 }
 
 // queue holds the intervals to deliver within a memory budget, oldest first, and counts what is lost.
@@ -44,8 +44,8 @@
 // heldBytes is the memory of all intervals.
 func (q *queue) heldBytes() int {
 	total := 0
-	for _, it := range q.intervals {
-		total += it.memoryBytes
+	for _, queued := range q.intervals {
+		total += queued.memoryBytes
 	}
 	return total
 }
@@ -53,25 +53,25 @@
 // foldedCount is how many intervals the queue holds, each of those that are folded into one counted.
 func (q *queue) foldedCount() uint64 {
 	var total uint64
-	for _, it := range q.intervals {
-		total += it.interval.FoldedCount
+	for _, queued := range q.intervals {
+		total += queued.interval.FoldedCount
 	}
 	return total
 }
 
 // add appends a new interval.
-func (q *queue) add(v *metrics.Interval) {
-	for _, it := range q.intervals {
-		it.untried = false
+func (q *queue) add(interval *metrics.Interval) {
+	for _, queued := range q.intervals {
+		queued.untried = false
 	}
-	q.intervals = append(q.intervals, newQueuedInterval(v, true))
+	q.intervals = append(q.intervals, newQueuedInterval(interval, true))
 	q.enforceLimits()
 }
 
 // rewind has each interval sent from its first record.
 func (q *queue) rewind() {
-	for _, it := range q.intervals {
-		it.recordsSent = 0
+	for _, queued := range q.intervals {
+		queued.recordsSent = 0
 	}
 }
 
@@ -87,15 +87,15 @@
 
 // loseAll counts as lost what is left.
 func (q *queue) loseAll() {
-	for _, it := range q.intervals {
-		q.countLost(it.interval)
+	for _, queued := range q.intervals {
+		q.countLost(queued.interval)
 	}
 	q.intervals, q.writing = nil, nil
 }
 
-func (q *queue) countLost(v *metrics.Interval) {
-	q.lostIntervals += v.FoldedCount
-	q.lostSamples += v.SampleCount()
+func (q *queue) countLost(interval *metrics.Interval) {
+	q.lostIntervals += interval.FoldedCount
+	q.lostSamples += interval.SampleCount()
 }
 
 // enforceLimits folds intervals before it drops distributions, and drops those before it drops intervals.
@@ -119,7 +119,9 @@
 
 // unchangeable reports whether records of an interval were sent, or are being sent: their numbers count in the
 // interval as it is.
-func (q *queue) unchangeable(it *queuedInterval) bool { return it == q.writing || it.recordsSent > 0 }
+func (q *queue) unchangeable(queued *queuedInterval) bool {
+	return queued == q.writing || queued.recordsSent > 0
+}
 
 // foldNeighbors makes one interval of the two neighbors that are made of the fewest together, the oldest
 // such: an outage is so reported at an even resolution that coarsens as it lasts. The newest interval is
@@ -129,15 +131,15 @@
 	if i < 0 {
 		return false
 	}
-	a, b := q.intervals[i], q.intervals[i+1]
-	folded, err := metrics.Fold(a.interval, b.interval)
+	earlier, later := q.intervals[i], q.intervals[i+1]
+	folded, err := metrics.Fold(earlier.interval, later.interval)
 	if err != nil { // a sketch can't be decoded: its samples are lost, the counters are not
-		q.lostSamples += a.interval.SampleCount()
-		if folded, err = metrics.Fold(a.interval.WithoutDistributions(), b.interval); err != nil {
+		q.lostSamples += earlier.interval.SampleCount()
+		if folded, err = metrics.Fold(earlier.interval.WithoutDistributions(), later.interval); err != nil {
 			return false
 		}
 	}
-	q.intervals[i] = newQueuedInterval(folded, b.untried)
+	q.intervals[i] = newQueuedInterval(folded, later.untried)
 	q.intervals = slices.Delete(q.intervals, i+1, i+2)
 	return true
 }
@@ -150,12 +152,13 @@
 	}
 	best, fewest := -1, uint64(0)
 	for i := 0; i+1 < end; i++ {
-		a, b := q.intervals[i], q.intervals[i+1]
-		if q.unchangeable(a) || q.unchangeable(b) || a.interval.Duration+b.interval.Duration > maxFoldedSpan {
+		earlier, later := q.intervals[i], q.intervals[i+1]
+		span := earlier.interval.Duration + later.interval.Duration
+		if q.unchangeable(earlier) || q.unchangeable(later) || span > maxFoldedSpan {
 			continue
 		}
-		if n := a.interval.FoldedCount + b.interval.FoldedCount; best < 0 || n < fewest {
-			best, fewest = i, n
+		if count := earlier.interval.FoldedCount + later.interval.FoldedCount; best < 0 || count < fewest {
+			best, fewest = i, count
 		}
 	}
 	return best
@@ -166,13 +169,13 @@
 	if !q.overBudget() { // fewer bytes don't help against too many intervals
 		return false
 	}
-	for _, it := range q.intervals {
-		if q.unchangeable(it) || len(it.interval.Distributions) == 0 {
+	for _, queued := range q.intervals {
+		if q.unchangeable(queued) || len(queued.interval.Distributions) == 0 {
 			continue
 		}
-		q.lostSamples += it.interval.SampleCount()
-		it.interval = it.interval.WithoutDistributions()
-		it.memoryBytes = it.interval.MemoryBytes()
+		q.lostSamples += queued.interval.SampleCount()
+		queued.interval = queued.interval.WithoutDistributions()
+		queued.memoryBytes = queued.interval.MemoryBytes()
 		return true
 	}
 	return false
@@ -180,9 +183,9 @@
 
 // dropOldest drops the oldest interval that is not being written.
 func (q *queue) dropOldest() bool {
-	for i, it := range q.intervals {
-		if it != q.writing {
-			q.countLost(it.interval)
+	for i, queued := range q.intervals {
+		if queued != q.writing {
+			q.countLost(queued.interval)
 			q.intervals = slices.Delete(q.intervals, i, i+1)
 			return true
 		}
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -16,8 +16,8 @@
 const maxFileBytes = 1 << 20
 
 // Write replaces the file in a folder atomically: a reader finds either the earlier state or this one.
-func Write(dir string, s State) error {
-	if err := replaceFile(filepath.Join(dir, FileName), Encode(s)); err != nil {
+func Write(dir string, state State) error {
+	if err := replaceFile(filepath.Join(dir, FileName), Encode(state)); err != nil {
 		return fmt.Errorf("handover: write state: %w", err)
 	}
 	return nil
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -37,9 +37,9 @@
 }
 
 // Encode returns the content of a file: a line with the checksum of the rest, then the state as JSON.
-func Encode(s State) []byte {
+func Encode(state State) []byte {
 	body, _ := json.Marshal(document{ // a document holds strings and a number only, which can always be encoded
-		Version: formatVersion, Broker: s.Broker, MaintenanceEngines: s.MaintenanceEngines,
+		Version: formatVersion, Broker: state.Broker, MaintenanceEngines: state.MaintenanceEngines,
 	})
 	content := strconv.AppendUint(nil, uint64(checksum(body)), 16)
 	return append(append(content, '\n'), body...)
@@ -52,15 +52,15 @@
 	if !found || err != nil || uint32(sum) != checksum([]byte(body)) {
 		return State{}, ErrCorrupt
 	}
-	var d document
-	if err := json.Unmarshal([]byte(body), &d); err != nil {
+	var stored document
+	if err := json.Unmarshal([]byte(body), &stored); err != nil {
 		return State{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if d.Version != formatVersion || d.Broker != broker {
-		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, d.Version, d.Broker)
+	if stored.Version != formatVersion || stored.Broker != broker {
+		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, stored.Version, stored.Broker)
 	}
-	engines := slices.Sorted(slices.Values(d.MaintenanceEngines))
-	return State{Broker: d.Broker, MaintenanceEngines: slices.Compact(engines)}, nil
+	engines := slices.Sorted(slices.Values(stored.MaintenanceEngines))
+	return State{Broker: stored.Broker, MaintenanceEngines: slices.Compact(engines)}, nil
 }
 
 // checksum returns the CRC-32C of a file's JSON.
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -14,31 +14,31 @@
 	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
 	r.setNameCounts()
 	r.setInTimeShares()
-	v := &Interval{
+	interval := &Interval{
 		Sequence:    r.sequence,
 		FoldedCount: 1,
 		EndTime:     r.timestamp(wall),
 		Duration:    monotonic - r.lastCut,
 	}
 	for i := range Catalogue {
-		r.appendFigure(v, ID(i))
+		r.appendFigure(interval, ID(i))
 	}
-	slices.SortFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) })
-	slices.SortFunc(v.Distributions, func(a, b Distribution) int { return compareSeries(a.Series, b.Series) })
+	slices.SortFunc(interval.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) })
+	slices.SortFunc(interval.Distributions, func(a, b Distribution) int { return compareSeries(a.Series, b.Series) })
 	r.startInterval(monotonic)
-	return v
+	return interval
 }
 
 // startInterval readies the registry for the next interval. The figures of the last one have been read.
 func (r *Registry) startInterval(monotonic time.Duration) {
 	copy(r.answersAtLastCut, r.values[Answers])
 	for i := range Catalogue {
-		if f := &Catalogue[i]; f.Kind == Gauge && f.By != NoDimension || ID(i) == Inbox {
+		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.By != NoDimension || ID(i) == Inbox {
 			clear(r.gaugeSet[i])
 		}
 	}
-	for _, t := range r.tables {
-		t.Cut(monotonic)
+	for _, table := range r.tables {
+		table.Cut(monotonic)
 	}
 	r.lastCut = monotonic
 }
@@ -82,25 +82,25 @@
 }
 
 // appendFigure appends all series of a figure.
-func (r *Registry) appendFigure(v *Interval, id ID) {
-	f := &Catalogue[id]
-	appendSeries := func(slot int, s Series) {
-		if f.Kind == DistributionKind {
-			r.appendDistribution(v, slot, s)
+func (r *Registry) appendFigure(interval *Interval, id ID) {
+	figure := &Catalogue[id]
+	appendSeries := func(slot int, series Series) {
+		if figure.Kind == DistributionKind {
+			r.appendDistribution(interval, slot, series)
 		} else {
-			r.appendPoints(v, slot, s)
+			r.appendPoints(interval, slot, series)
 		}
 	}
-	r.tables[f.By].EachName(func(slot int, name string) { appendSeries(slot, Series{Figure: id, Name: name}) })
-	appendSeries(cardinality.Other, Series{Figure: id, Other: f.By != NoDimension})
+	r.tables[figure.By].EachName(func(slot int, name string) { appendSeries(slot, Series{Figure: id, Name: name}) })
+	appendSeries(cardinality.Other, Series{Figure: id, Other: figure.By != NoDimension})
 }
 
 // appendPoints appends the parts of a counter or gauge that are to be reported.
-func (r *Registry) appendPoints(v *Interval, slot int, s Series) {
-	for part := range s.Figure.Parts() {
-		if r.reported(s.Figure, slot, part) {
-			s.Part = part
-			v.Points = append(v.Points, Point{s, r.Value(s.Figure, slot, part)})
+func (r *Registry) appendPoints(interval *Interval, slot int, series Series) {
+	for part := range series.Figure.Parts() {
+		if r.reported(series.Figure, slot, part) {
+			series.Part = part
+			interval.Points = append(interval.Points, Point{series, r.Value(series.Figure, slot, part)})
 		}
 	}
 }
@@ -117,14 +117,14 @@
 }
 
 // appendDistribution appends a distribution that has values, and empties it.
-func (r *Registry) appendDistribution(v *Interval, slot int, s Series) {
-	sketch := r.sketches[s.Figure][slot]
+func (r *Registry) appendDistribution(interval *Interval, slot int, series Series) {
+	sketch := r.sketches[series.Figure][slot]
 	if sketch == nil || sketch.Count() == 0 {
 		return
 	}
 	r.encodeBuffer = sketch.Encode(r.encodeBuffer[:0])
-	v.Distributions = append(v.Distributions, Distribution{
-		Series:        s,
+	interval.Distributions = append(interval.Distributions, Distribution{
+		Series:        series,
 		Count:         sketch.Count(),
 		EncodedSketch: slices.Clone(r.encodeBuffer),
 	})
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -128,17 +128,18 @@
 
 // Markdown is the catalogue as a table, which the operators' page holds.
 func Markdown() string {
-	var b strings.Builder
-	b.WriteString("| figure | kind | unit | by | detail | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
+	var table strings.Builder
+	table.WriteString("| figure | kind | unit | by | detail | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	for i := range Catalogue {
-		f := &Catalogue[i]
-		detail := f.Detail
-		if f.Detail == "reason" {
+		figure := &Catalogue[i]
+		detail := figure.Detail
+		if figure.Detail == "reason" {
 			detail += ": a reason code of the log"
-		} else if len(f.Parts) > 0 {
-			detail += ": " + strings.Join(f.Parts, ", ")
+		} else if len(figure.Parts) > 0 {
+			detail += ": " + strings.Join(figure.Parts, ", ")
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", f.Name, f.Kind, f.Unit, f.By, detail, f.Help)
+		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n",
+			figure.Name, figure.Kind, figure.Unit, figure.By, detail, figure.Help)
 	}
-	return b.String()
+	return table.String()
 }
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -92,9 +92,9 @@
 }
 
 // Value is that of a counter's or gauge's series, 0 if it is not there.
-func (v *Interval) Value(s Series) float64 {
-	compare := func(p Point, s Series) int { return compareSeries(p.Series, s) }
-	i, found := slices.BinarySearchFunc(v.Points, s, compare)
+func (v *Interval) Value(series Series) float64 {
+	compare := func(p Point, series Series) int { return compareSeries(p.Series, series) }
+	i, found := slices.BinarySearchFunc(v.Points, series, compare)
 	if !found {
 		return 0
 	}
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -41,16 +41,20 @@
 
 // NewRegistry returns an empty registry that starts at wall by the wall clock and at monotonic by the clock
 // that is never set.
-func NewRegistry(l Limits, wall, monotonic time.Duration) *Registry {
+func NewRegistry(limits Limits, wall, monotonic time.Duration) *Registry {
 	r := &Registry{lastCut: monotonic}
 	maxNames := [dimensionCount]int{
-		Class: l.Classes, Tenant: l.Tenants, Engine: l.Engines, DataSet: l.DataSets, Destination: maxDestinations,
+		Class:       limits.Classes,
+		Tenant:      limits.Tenants,
+		Engine:      limits.Engines,
+		DataSet:     limits.DataSets,
+		Destination: maxDestinations,
 	}
 	for i, names := range maxNames {
 		r.tables[i] = cardinality.New(cardinality.Config{
 			MaxNames:         names,
 			RetiredSlots:     retiredSlotsPerName * names,
-			IdleTimeout:      l.IdleTimeout,
+			IdleTimeout:      limits.IdleTimeout,
 			RetiredRetention: retiredSlotRetention,
 		}, func(slot int) { r.resetSlot(Dimension(i), slot) })
 	}
@@ -110,33 +114,35 @@
 
 // Add adds to a counter. The slot is that of a name in the figure's dimension, or cardinality.Other where it
 // has none.
-func (r *Registry) Add(id ID, slot, part int, n float64) { r.values[id][id.index(slot, part)] += n }
+func (r *Registry) Add(id ID, slot, part int, increment float64) {
+	r.values[id][id.index(slot, part)] += increment
+}
 
 // Set sets a gauge, or a counter that is counted elsewhere. A gauge by name that is not set in an interval is
 // not reported in that.
-func (r *Registry) Set(id ID, slot, part int, v float64) {
+func (r *Registry) Set(id ID, slot, part int, value float64) {
 	i := id.index(slot, part)
-	r.values[id][i] = v
+	r.values[id][i] = value
 	if r.gaugeSet[id] != nil {
 		r.gaugeSet[id][i] = true
 	}
 }
 
 // SetMax sets a gauge to a value if that is larger than what it was set to in this interval.
-func (r *Registry) SetMax(id ID, slot, part int, v float64) {
-	if i := id.index(slot, part); v > r.values[id][i] || !r.gaugeSet[id][i] {
-		r.Set(id, slot, part, v)
+func (r *Registry) SetMax(id ID, slot, part int, value float64) {
+	if i := id.index(slot, part); value > r.values[id][i] || !r.gaugeSet[id][i] {
+		r.Set(id, slot, part, value)
 	}
 }
 
 // Observe adds a value to a distribution.
-func (r *Registry) Observe(id ID, slot int, v float64) {
-	s := r.sketches[id][slot]
-	if s == nil { // once a series
-		s = NewSketch()
-		r.sketches[id][slot] = s
+func (r *Registry) Observe(id ID, slot int, value float64) {
+	sketch := r.sketches[id][slot]
+	if sketch == nil { // once a series
+		sketch = NewSketch()
+		r.sketches[id][slot] = sketch
 	}
-	s.Add(v)
+	sketch.Add(value)
 }
 
 // Value is the value of a counter or gauge as it stands.
--- a/internal/metrics/sketch.go
+++ b/internal/metrics/sketch.go
@@ -41,11 +41,11 @@
 }
 
 // Add adds a value; negative and infinite ones and NaN count as 0.
-func (s *Sketch) Add(v float64) {
-	if !(v >= 0) || math.IsInf(v, 0) {
-		v = 0
+func (s *Sketch) Add(value float64) {
+	if !(value >= 0) || math.IsInf(value, 0) {
+		value = 0
 	}
-	_ = s.sketch.Add(min(v, maxValue)) // the one error is of a value beyond what the bins can index
+	_ = s.sketch.Add(min(value, maxValue)) // the one error is of a value beyond what the bins can index
 }
 
 // Count is the number of values.
@@ -75,19 +75,19 @@
 	if sketch.IsEmpty() {
 		return Summary{}, nil
 	}
-	s := Summary{Count: sketch.GetCount(), Sum: sketch.GetSum()}
-	if s.Min, err = sketch.GetMinValue(); err != nil {
-		return s, fmt.Errorf("sketch: %w", err)
+	summary := Summary{Count: sketch.GetCount(), Sum: sketch.GetSum()}
+	if summary.Min, err = sketch.GetMinValue(); err != nil {
+		return summary, fmt.Errorf("sketch: %w", err)
 	}
-	if s.Max, err = sketch.GetMaxValue(); err != nil {
-		return s, fmt.Errorf("sketch: %w", err)
+	if summary.Max, err = sketch.GetMaxValue(); err != nil {
+		return summary, fmt.Errorf("sketch: %w", err)
 	}
 	quantiles, err := sketch.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
 	if err != nil {
-		return s, fmt.Errorf("sketch: %w", err)
+		return summary, fmt.Errorf("sketch: %w", err)
 	}
-	s.P50, s.P95, s.P99 = quantiles[0], quantiles[1], quantiles[2]
-	return s, nil
+	summary.P50, summary.P95, summary.P99 = quantiles[0], quantiles[1], quantiles[2]
+	return summary, nil
 }
 
 func decodeSketch(encoded []byte) (*ddsketch.DDSketchWithExactSummaryStatistics, error) {
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -55,7 +55,7 @@
 	return endPacket(dst, start, 0)
 }
 
-func appendZeroTerminated(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
+func appendZeroTerminated(dst []byte, text string) []byte { return append(append(dst, text...), 0) }
 
 // Login is a client's response to the greeting.
 type Login struct {
@@ -94,14 +94,14 @@
 }
 
 // cutProof splits the proof of a password from what follows it.
-func cutProof(b []byte, flags uint32) (proof, rest []byte, ok bool) {
+func cutProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
 	if flags&(clientPluginAuthLenencData|clientSecureConnection) == 0 {
-		return bytes.Cut(b, []byte{0})
+		return bytes.Cut(payload, []byte{0})
 	}
 	// A length of one byte; there are no proofs long enough for more.
-	if len(b) < 1 || b[0] > maxProofLen || len(b) < 1+int(b[0]) {
+	if len(payload) < 1 || payload[0] > maxProofLen || len(payload) < 1+int(payload[0]) {
 		return nil, nil, false
 	}
-	size := int(b[0])
-	return b[1 : 1+size], b[1+size:], true
+	size := int(payload[0])
+	return payload[1 : 1+size], payload[1+size:], true
 }
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -61,8 +61,8 @@
 )
 
 // appendString adds a length-encoded string.
-func appendString[T string | []byte](dst []byte, s T) []byte {
-	switch n := len(s); {
+func appendString[T string | []byte](dst []byte, text T) []byte {
+	switch n := len(text); {
 	case n <= maxOneByteLength:
 		dst = append(dst, byte(n))
 	case n < 1<<16:
@@ -70,5 +70,5 @@
 	default:
 		dst = append(dst, threeByteLength, byte(n), byte(n>>8), byte(n>>16))
 	}
-	return append(dst, s...)
+	return append(dst, text...)
 }
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -72,27 +72,27 @@
 // ParseStatement reads the comment with the fields of a request, and the statement behind it. Unknown fields are
 // ignored; the error is a *FieldError.
 func ParseStatement(text string) (Statement, error) {
-	var s Statement
+	var statement Statement
 	rest, opened := strings.CutPrefix(strings.TrimLeft(text, whitespace), "/*")
 	fields, body, closed := strings.Cut(rest, "*/")
 	if !opened || !closed {
-		return s, &FieldError{Field: fieldClass, Problem: "no comment with fields stands ahead of the statement"}
+		return statement, &FieldError{Field: fieldClass, Problem: "no comment with fields stands ahead of the statement"}
 	}
-	s.Text = strings.TrimLeft(body, whitespace)
+	statement.Text = strings.TrimLeft(body, whitespace)
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
-			return s, &FieldError{Field: strconv.Quote(clip(name)), Problem: "has no value"}
+			return statement, &FieldError{Field: strconv.Quote(clip(name)), Problem: "has no value"}
 		}
-		if err := s.setField(name, value); err != nil {
-			return s, &FieldError{Field: name, Problem: fmt.Sprintf("%q can't be used", clip(value)), Cause: err}
+		if err := statement.setField(name, value); err != nil {
+			return statement, &FieldError{Field: name, Problem: fmt.Sprintf("%q can't be used", clip(value)), Cause: err}
 		}
 	}
-	if err := s.checkComplete(); err != nil {
-		return s, err
+	if err := statement.checkComplete(); err != nil {
+		return statement, err
 	}
-	s.DataSet = dataSet(s.Text)
-	return s, nil
+	statement.DataSet = dataSet(statement.Text)
+	return statement, nil
 }
 
 // setField reads the value of one field.
@@ -136,11 +136,11 @@
 }
 
 // clip shortens what a client sent for the error that answers it.
-func clip(s string) string { return s[:min(len(s), maxQuotedBytes)] }
+func clip(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
 // parseTimeout reads a number of milliseconds.
-func parseTimeout(s string) (time.Duration, error) {
-	ms, err := strconv.ParseInt(s, 10, 64)
+func parseTimeout(text string) (time.Duration, error) {
+	ms, err := strconv.ParseInt(text, 10, 64)
 	if err == nil && (ms <= 0 || ms > maxTimeout.Milliseconds()) {
 		err = errOutOfRange
 	}
@@ -148,38 +148,38 @@
 }
 
 // parseWork reads a number of milliseconds and fractions of them.
-func parseWork(s string) (time.Duration, error) {
-	ms, err := parseEstimate(s)
+func parseWork(text string) (time.Duration, error) {
+	ms, err := parseEstimate(text)
 	return time.Duration(ms * float64(time.Millisecond)), err
 }
 
-func parseEstimate(s string) (float64, error) {
-	v, err := strconv.ParseFloat(s, 64)
-	if err == nil && (math.IsNaN(v) || v < 0 || v > maxEstimate) {
+func parseEstimate(text string) (float64, error) {
+	estimate, err := strconv.ParseFloat(text, 64)
+	if err == nil && (math.IsNaN(estimate) || estimate < 0 || estimate > maxEstimate) {
 		err = errOutOfRange
 	}
-	return v, err
+	return estimate, err
 }
 
 // parseIdempotencyKey accepts only characters that need no quoting in a field of an engine's request.
-func parseIdempotencyKey(s string) (string, error) {
-	for _, c := range []byte(s) {
+func parseIdempotencyKey(text string) (string, error) {
+	for _, c := range []byte(text) {
 		if !isWordByte(c) && c != '-' || c >= 0x80 {
 			return "", errCharacter
 		}
 	}
-	if s == "" || len(s) > maxIdempotencyKey {
+	if text == "" || len(text) > maxIdempotencyKey {
 		return "", errLength
 	}
-	return s, nil
+	return text, nil
 }
 
-func parseHexKey(s string) (string, error) {
-	if len(s) != keyDigits {
+func parseHexKey(text string) (string, error) {
+	if len(text) != keyDigits {
 		return "", errLength
 	}
-	if strings.Trim(s, "0123456789abcdefABCDEF") != "" {
+	if strings.Trim(text, "0123456789abcdefABCDEF") != "" {
 		return "", errNoHex
 	}
-	return s, nil
+	return text, nil
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -40,22 +40,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{Server: srv, operatorConfig: operatorConfig, log: log, adminCallers: server.AdminSockets(cfg)}
+	service := &Service{Server: srv, operatorConfig: operatorConfig, log: log, adminCallers: server.AdminSockets(cfg)}
 	if operatorConfig != nil || cfg.AdminListen != "" {
 		limits := (&operatorconfig.File{}).Cardinality()
 		if operatorConfig != nil {
 			limits = operatorConfig.Cardinality()
 		}
-		s.reporter, s.recorder = telemetry.New(cfg.Name, limits, srv, telemetry.SystemClock(), cfg.Seed, log)
-		srv.SetMeter(s.recorder)
+		service.reporter, service.recorder = telemetry.New(cfg.Name, limits, srv, telemetry.SystemClock(), cfg.Seed, log)
+		srv.SetMeter(service.recorder)
 	}
 	if cfg.AdminListen != "" {
-		s.adminListener, err = netlisten.TCP(ctx, net.ListenConfig{}, cfg.AdminListen)
+		service.adminListener, err = netlisten.TCP(ctx, net.ListenConfig{}, cfg.AdminListen)
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("operator: %w", err), srv.Close())
 		}
 	}
-	return s, nil
+	return service, nil
 }
 
 // AdminAddr is the address of the admin endpoint, or nil without one.
@@ -69,23 +69,23 @@
 // Run serves until ctx ends or, after a value on stop, until all accepted requests are answered and the last
 // figures have been sent. The admin endpoint answers until the server has finished.
 func (s *Service) Run(ctx context.Context, stop <-chan struct{}) error {
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	finished := make(chan struct{}) // closed when the server has finished
 	adminCtx, endAdmin := context.WithCancel(ctx)
 	defer endAdmin()
-	g.Go(func() error {
+	group.Go(func() error {
 		defer close(finished)
 		defer endAdmin()
 		return s.Server.Run(ctx, stop)
 	})
 	if s.operatorConfig != nil {
-		g.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
+		group.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
 	}
 	if s.adminListener != nil {
 		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxCallers: s.adminCallers}
-		g.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
+		group.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
 // Reload applies a new configuration.
--- a/internal/telemetry/acks.go
+++ b/internal/telemetry/acks.go
@@ -21,10 +21,10 @@
 }
 
 // add appends a piece that is to be sent behind those before.
-func (a *ackTracker) add(p sentPiece) {
-	p.offset = a.end
-	a.end += int64(len(p.data))
-	a.pending = append(a.pending, p)
+func (a *ackTracker) add(piece sentPiece) {
+	piece.offset = a.end
+	a.end += int64(len(piece.data))
+	a.pending = append(a.pending, piece)
 }
 
 // outstanding reports whether anything is not acknowledged yet.
@@ -33,14 +33,14 @@
 // acknowledge records that the bytes before an offset are acknowledged.
 func (a *ackTracker) acknowledge(upTo int64) {
 	for a.outstanding() {
-		p := &a.pending[0]
-		if upTo < p.offset+int64(len(p.data)) {
-			if part := upTo - p.offset; part > 0 && a.perLine {
-				a.records = p.firstRecord + bytes.Count(p.data[:part], []byte{'\n'})
+		piece := &a.pending[0]
+		if upTo < piece.offset+int64(len(piece.data)) {
+			if acked := upTo - piece.offset; acked > 0 && a.perLine {
+				a.records = piece.firstRecord + bytes.Count(piece.data[:acked], []byte{'\n'})
 			}
 			return
 		}
-		a.records = p.nextRecord
+		a.records = piece.nextRecord
 		a.pending = a.pending[1:]
 	}
 }
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -73,9 +73,9 @@
 // discardInput reads until the connection ends. Carbon sends nothing; whatever comes is ignored.
 func (s *carbonSession) discardInput() {
 	defer close(s.closed)
-	var b [512]byte
+	var buffer [512]byte
 	for {
-		if _, err := s.conn.Read(b[:]); err != nil {
+		if _, err := s.conn.Read(buffer[:]); err != nil {
 			return
 		}
 	}
@@ -95,12 +95,12 @@
 
 // write returns once the collector's machine has acknowledged the interval's last byte: bytes that the kernel
 // took and never sent would otherwise be lost with the connection.
-func (s *carbonSession) write(ctx context.Context, v *metrics.Interval, from int,
+func (s *carbonSession) write(ctx context.Context, interval *metrics.Interval, from int,
 	progress func(int),
 ) (int, error) {
 	s.acks.records = from
-	for next, records := from, s.encoder.Records(v); next < records; {
-		data, after, err := s.encoder.Append(nil, v, next, chunkBytes)
+	for next, records := from, s.encoder.Records(interval); next < records; {
+		data, after, err := s.encoder.Append(nil, interval, next, chunkBytes)
 		if err != nil {
 			return s.acks.records, err
 		}
@@ -121,8 +121,8 @@
 			s.settle(progress)
 			return err
 		}
-		n, err := s.conn.Write(data)
-		data = data[n:]
+		written, err := s.conn.Write(data)
+		data = data[written:]
 		s.settle(progress)
 		switch {
 		case ctx.Err() != nil:
--- a/internal/telemetry/clock.go
+++ b/internal/telemetry/clock.go
@@ -20,8 +20,8 @@
 		Wall:      func() time.Duration { return time.Duration(time.Now().Round(0).UnixNano()) },
 		Monotonic: func() time.Duration { return time.Since(start) },
 		Ticker: func(every time.Duration) (<-chan time.Time, func(time.Duration), func()) {
-			t := time.NewTicker(every)
-			return t.C, t.Reset, t.Stop
+			ticker := time.NewTicker(every)
+			return ticker.C, ticker.Reset, ticker.Stop
 		},
 	}
 }
--- a/internal/telemetry/collectd_transport.go
+++ b/internal/telemetry/collectd_transport.go
@@ -41,7 +41,7 @@
 func (s *collectdSession) close() { _ = s.conn.Close() } // nothing is buffered in a UDP socket
 
 // write sends all datagrams of the interval; there is no resuming from a record.
-func (s *collectdSession) write(ctx context.Context, v *metrics.Interval, _ int, _ func(int)) (int, error) {
+func (s *collectdSession) write(ctx context.Context, interval *metrics.Interval, _ int, _ func(int)) (int, error) {
 	packer := collectd.Packer{
 		Security: s.transport.security,
 		Random: func(b []byte) error {
@@ -53,7 +53,7 @@
 			return errors.Join(err, ctx.Err())
 		},
 	}
-	if err := collectd.EachList(v, s.transport.host, packer.Add); err != nil {
+	if err := collectd.EachList(interval, s.transport.host, packer.Add); err != nil {
 		return 0, err
 	}
 	if err := packer.Flush(); err != nil {
@@ -67,8 +67,8 @@
 	if err := s.conn.SetReadDeadline(time.Now().Add(unreachableWait)); err != nil {
 		return err
 	}
-	var b [64]byte
-	if _, err := s.conn.Read(b[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+	var buffer [64]byte
+	if _, err := s.conn.Read(buffer[:]); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	return nil
--- a/internal/telemetry/connection.go
+++ b/internal/telemetry/connection.go
@@ -45,28 +45,28 @@
 	connectionCtx, cancel := context.WithCancel(ctx)
 	d.closeConnection = cancel
 	d.writes = make(chan delivery.Write, 1)
-	c := &connection{
+	conn := &connection{
 		number:    number,
 		address:   d.address,
 		transport: d.transport,
 		writes:    d.writes,
-		notify:    func(ev delivery.Event) { d.notify(ctx, ev) }, // also of the connection's own end
+		notify:    func(event delivery.Event) { d.notify(ctx, event) }, // also of the connection's own end
 	}
 	d.group.Go(func() error {
 		defer cancel()
 		startedAt := time.Now()
-		err := c.serve(connectionCtx)
-		d.log.Info("collector connection ended", zap.String("address", c.address),
+		err := conn.serve(connectionCtx)
+		d.log.Info("collector connection ended", zap.String("address", conn.address),
 			zap.Duration("lasted", time.Since(startedAt)), zap.Error(err))
-		c.notify(delivery.Disconnected{Conn: number, Records: c.recordsSent})
+		conn.notify(delivery.Disconnected{Conn: number, Records: conn.recordsSent})
 		return nil
 	})
 }
 
 // notify hands an event of a connection to the destination's goroutine.
-func (d *destination) notify(ctx context.Context, ev delivery.Event) {
+func (d *destination) notify(ctx context.Context, event delivery.Event) {
 	select {
-	case d.connectionEvents <- ev:
+	case d.connectionEvents <- event:
 	case <-ctx.Done():
 	}
 }
@@ -74,31 +74,31 @@
 // serve connects and writes what it is given, until ctx ends or the connection breaks.
 func (c *connection) serve(ctx context.Context) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
-	s, err := c.transport.open(dialCtx, c.address)
+	collector, err := c.transport.open(dialCtx, c.address)
 	cancel()
 	if err != nil {
 		return err
 	}
-	defer s.close()
+	defer collector.close()
 	c.notify(delivery.Connected{Conn: c.number})
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.peerClosed():
+		case <-collector.peerClosed():
 			return errPeerClosed
-		case w := <-c.writes:
-			if err := c.write(ctx, s, w); err != nil {
+		case write := <-c.writes:
+			if err := c.write(ctx, collector, write); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (c *connection) write(ctx context.Context, s session, w delivery.Write) error {
-	c.recordsSent = w.FirstRecord
+func (c *connection) write(ctx context.Context, collector session, order delivery.Write) error {
+	c.recordsSent = order.FirstRecord
 	progress := func(records int) { c.notify(delivery.Progress{Conn: c.number, Records: records}) }
-	records, err := s.write(ctx, w.Interval, w.FirstRecord, progress)
+	records, err := collector.write(ctx, order.Interval, order.FirstRecord, progress)
 	if err != nil {
 		c.recordsSent = records
 		return err
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -43,15 +43,15 @@
 	writes          chan delivery.Write
 }
 
-func newDestination(p plan, seed uint64, log *zap.Logger) *destination {
+func newDestination(configured plan, seed uint64, log *zap.Logger) *destination {
 	d := &destination{
-		plan:             p,
-		log:              log.With(zap.String("destination", p.name)),
+		plan:             configured,
+		log:              log.With(zap.String("destination", configured.name)),
 		inbox:            make(chan message, eventBuffer),
 		connectionEvents: make(chan delivery.Event, eventBuffer),
-		machine:          delivery.New(p.delivery, seed),
-		transport:        p.transport,
-		address:          p.address,
+		machine:          delivery.New(configured.delivery, seed),
+		transport:        configured.transport,
+		address:          configured.address,
 		startedAt:        time.Now(),
 	}
 	d.stats.Store(&delivery.Stats{})
@@ -59,9 +59,9 @@
 }
 
 // send hands a message to the destination's goroutine.
-func (d *destination) send(ctx context.Context, m message) {
+func (d *destination) send(ctx context.Context, msg message) {
 	select {
-	case d.inbox <- m:
+	case d.inbox <- msg:
 	case <-ctx.Done():
 	}
 }
@@ -99,19 +99,19 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-d.inbox:
-			if _, moved := m.event.(delivery.AddressChanged); moved {
-				d.address = m.address
+		case msg := <-d.inbox:
+			if _, moved := msg.event.(delivery.AddressChanged); moved {
+				d.address = msg.address
 			}
-			actions = d.machine.Apply(d.now(), m.event)
-		case ev := <-d.connectionEvents:
-			actions = d.machine.Apply(d.now(), ev)
+			actions = d.machine.Apply(d.now(), msg.event)
+		case event := <-d.connectionEvents:
+			actions = d.machine.Apply(d.now(), event)
 		case <-timer.C:
 			actions = d.machine.Tick(d.now())
 		}
 		stopped := false
-		for _, a := range actions {
-			stopped = d.perform(ctx, a) || stopped
+		for _, action := range actions {
+			stopped = d.perform(ctx, action) || stopped
 		}
 		stats := d.machine.Stats()
 		d.stats.Store(&stats)
--- a/internal/telemetry/plan.go
+++ b/internal/telemetry/plan.go
@@ -24,39 +24,39 @@
 	settings any
 }
 
-// plans are the destinations that the operator's file configures; t may be nil.
-func plans(broker string, t *operatorconfig.Telemetry) []plan {
-	if t == nil {
+// plans are the destinations that the operator's file configures; settings may be nil.
+func plans(broker string, settings *operatorconfig.Telemetry) []plan {
+	if settings == nil {
 		return nil
 	}
-	all := make([]plan, 0, len(t.Graphite)+len(t.Collectd))
-	for i := range t.Graphite {
-		all = append(all, graphitePlan(broker, t.Graphite[i]))
+	all := make([]plan, 0, len(settings.Graphite)+len(settings.Collectd))
+	for i := range settings.Graphite {
+		all = append(all, graphitePlan(broker, settings.Graphite[i]))
 	}
-	for i := range t.Collectd {
-		all = append(all, collectdPlan(broker, t.Collectd[i]))
+	for i := range settings.Collectd {
+		all = append(all, collectdPlan(broker, settings.Collectd[i]))
 	}
 	return all
 }
 
-func graphitePlan(broker string, g operatorconfig.Graphite) plan {
-	settings := g
+func graphitePlan(broker string, configured operatorconfig.Graphite) plan {
+	settings := configured
 	settings.Address = ""
 	return plan{
-		name:     g.Name,
-		address:  g.Address,
+		name:     configured.Name,
+		address:  configured.Address,
 		settings: settings,
 		transport: &carbonTransport{graphite.Encoder{
-			Form:   graphite.Form{Prefix: g.Prefix, Tags: g.Tags},
+			Form:   graphite.Form{Prefix: configured.Prefix, Tags: configured.Tags},
 			Broker: broker,
-			Pickle: g.Protocol == "pickle",
+			Pickle: configured.Protocol == "pickle",
 		}},
 		delivery: delivery.Config{
-			MemoryBudget:   g.BudgetKB << 10,
+			MemoryBudget:   configured.BudgetKB << 10,
 			InitialBackoff: initialBackoff,
 			MaxBackoff:     maxBackoff,
-			WriteTimeout:   time.Duration(g.WriteTimeoutMS) * time.Millisecond,
-			ReplayRate:     g.ReplayKBps << 10,
+			WriteTimeout:   time.Duration(configured.WriteTimeoutMS) * time.Millisecond,
+			ReplayRate:     configured.ReplayKBps << 10,
 		},
 	}
 }
@@ -68,24 +68,28 @@
 	"encrypt": collectd.Encrypt,
 }
 
-func collectdPlan(broker string, c operatorconfig.Collectd) plan {
-	settings := c
+func collectdPlan(broker string, configured operatorconfig.Collectd) plan {
+	settings := configured
 	settings.Address = ""
 	return plan{
-		name:     c.Name,
-		address:  c.Address,
+		name:     configured.Name,
+		address:  configured.Address,
 		settings: settings,
 		transport: &collectdTransport{
-			host:     broker,
-			security: collectd.Security{Level: securityLevels[c.Security], User: c.User, Password: c.Password},
+			host: broker,
+			security: collectd.Security{
+				Level:    securityLevels[configured.Security],
+				User:     configured.User,
+				Password: configured.Password,
+			},
 		},
 		delivery: delivery.Config{
-			MemoryBudget:   c.BudgetKB << 10,
+			MemoryBudget:   configured.BudgetKB << 10,
 			MaxWaiting:     1, // collectd accepts nothing older than the last: what waits is folded into the newest
 			InitialBackoff: initialBackoff,
 			MaxBackoff:     maxBackoff,
 			WriteTimeout:   dialTimeout,
-			ReplayRate:     c.BudgetKB << 10,
+			ReplayRate:     configured.BudgetKB << 10,
 		},
 	}
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -45,14 +45,14 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // RequestAccepted counts a request.
-func (r *Recorder) RequestAccepted(q *broker.Request) {
-	class := r.registry.Slot(metrics.Class, q.Class)
+func (r *Recorder) RequestAccepted(request *broker.Request) {
+	class := r.registry.Slot(metrics.Class, request.Class)
 	r.registry.Add(metrics.Requests, class, 0, 1)
-	r.registry.Add(metrics.RequestsByTenant, r.registry.Slot(metrics.Tenant, q.Tenant), 0, 1)
-	if q.IsRetry {
+	r.registry.Add(metrics.RequestsByTenant, r.registry.Slot(metrics.Tenant, request.Tenant), 0, 1)
+	if request.IsRetry {
 		r.registry.Add(metrics.ClientRetries, class, 0, 1)
 	}
-	dataSet := r.registry.Slot(metrics.DataSet, r.dataSetName(q.DataSet))
+	dataSet := r.registry.Slot(metrics.DataSet, r.dataSetName(request.DataSet))
 	r.registry.Add(metrics.RequestsByDataSet, dataSet, 0, 1)
 }
 
@@ -86,47 +86,47 @@
 }
 
 // RequestEnded records the outcome of a request and how long it took.
-func (r *Recorder) RequestEnded(s broker.RequestSummary) {
-	class, tenant := r.registry.Slot(metrics.Class, s.Class), r.registry.Slot(metrics.Tenant, s.Tenant)
-	outcome := requestOutcome(&s)
+func (r *Recorder) RequestEnded(request broker.RequestSummary) {
+	class, tenant := r.registry.Slot(metrics.Class, request.Class), r.registry.Slot(metrics.Tenant, request.Tenant)
+	outcome := requestOutcome(&request)
 	r.registry.Add(metrics.Answers, class, outcome, 1)
 	r.registry.Add(metrics.AnswersByTenant, tenant, outcome, 1)
 	if outcome == metrics.InTime || outcome == metrics.Late {
-		r.registry.Observe(metrics.AnswerTime, class, milliseconds(s.Duration))
-		if s.Objective > 0 {
-			r.registry.Observe(metrics.ObjectiveRatio, class, float64(s.Duration)/float64(s.Objective))
+		r.registry.Observe(metrics.AnswerTime, class, milliseconds(request.Duration))
+		if request.Objective > 0 {
+			r.registry.Observe(metrics.ObjectiveRatio, class, float64(request.Duration)/float64(request.Objective))
 		}
 	}
-	r.registry.Observe(metrics.AttemptsByRequest, class, float64(s.Attempts))
-	r.registry.Observe(metrics.QueueWait, class, milliseconds(s.QueueTime))
-	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(s.QueueTime))
+	r.registry.Observe(metrics.AttemptsByRequest, class, float64(request.Attempts))
+	r.registry.Observe(metrics.QueueWait, class, milliseconds(request.QueueTime))
+	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(request.QueueTime))
 }
 
 // requestOutcome is the part of metrics.Answers that a request counts under.
-func requestOutcome(s *broker.RequestSummary) int {
+func requestOutcome(request *broker.RequestSummary) int {
 	switch {
-	case s.ClientLeft:
+	case request.ClientLeft:
 		return metrics.ClientLeft
-	case s.Kind == broker.ReplyRejected:
+	case request.Kind == broker.ReplyRejected:
 		return metrics.Rejected
-	case s.Kind != broker.ReplyResult:
+	case request.Kind != broker.ReplyResult:
 		return metrics.Failed
-	case s.Objective <= 0 || s.Duration <= s.Objective:
+	case request.Objective <= 0 || request.Duration <= request.Objective:
 		return metrics.InTime
 	}
 	return metrics.Late
 }
 
 // AttemptEnded records how an attempt ended, and its time as wasted work when no client got its answer.
-func (r *Recorder) AttemptEnded(s broker.AttemptSummary) {
-	engine := r.registry.Slot(metrics.Engine, s.Engine)
-	r.registry.Add(metrics.AttemptEnds, engine, int(s.Status), 1)
-	if s.Status == control.OK {
-		r.registry.Observe(metrics.EngineTime, engine, milliseconds(s.Duration))
+func (r *Recorder) AttemptEnded(attempt broker.AttemptSummary) {
+	engine := r.registry.Slot(metrics.Engine, attempt.Engine)
+	r.registry.Add(metrics.AttemptEnds, engine, int(attempt.Status), 1)
+	if attempt.Status == control.OK {
+		r.registry.Observe(metrics.EngineTime, engine, milliseconds(attempt.Duration))
 	}
-	if s.Wasted {
-		r.registry.Add(metrics.Wasted, r.registry.Slot(metrics.Class, s.Class), 0, milliseconds(s.Duration))
-		r.registry.Add(metrics.WastedByEngine, engine, 0, milliseconds(s.Duration))
+	if attempt.Wasted {
+		r.registry.Add(metrics.Wasted, r.registry.Slot(metrics.Class, attempt.Class), 0, milliseconds(attempt.Duration))
+		r.registry.Add(metrics.WastedByEngine, engine, 0, milliseconds(attempt.Duration))
 	}
 }
 
--- a/internal/telemetry/relay.go
+++ b/internal/telemetry/relay.go
@@ -16,16 +16,16 @@
 // gives: requests by class and state, attempts sent, requests in flight, the engines of the endpoint list and
 // those avoided, and the configuration files accepted and rejected at SIGHUP. They come from the counts that
 // Graphite and collectd get as well. Requests of a class without series of its own count under group "other".
-func (r *Recorder) RelayFigures(to []byte, b *broker.Broker) []byte {
+func (r *Recorder) RelayFigures(to []byte, reducer *broker.Broker) []byte {
 	var sends float64
 	r.registry.EachName(metrics.Class, func(class int, name string) {
 		sends += r.registry.Value(metrics.Attempts, class, 0)
 		to = r.appendTransactions(to, class, name)
 	})
 	to = appendRelayFigure(to, "relay_sends_total", sends)
-	to = appendRelayFigure(to, "relay_current", float64(b.OpenRequests()))
-	to = appendRelayFigure(to, "relay_cluster_size", float64(b.EndpointCount()))
-	to = appendRelayFigure(to, "relay_cluster_unhealthy", float64(b.UnavailableEngines()))
+	to = appendRelayFigure(to, "relay_current", float64(reducer.OpenRequests()))
+	to = appendRelayFigure(to, "relay_cluster_size", float64(reducer.EndpointCount()))
+	to = appendRelayFigure(to, "relay_cluster_unhealthy", float64(reducer.UnavailableEngines()))
 	total := func(id metrics.ID) float64 { return r.registry.Value(id, cardinality.Other, 0) }
 	to = appendRelayFigure(to, "relay_conf_loaded_total", total(metrics.ConfLoaded))
 	return appendRelayFigure(to, "relay_conf_invalid_total", total(metrics.ConfInvalid))
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -48,13 +48,13 @@
 }
 
 // Limits are the bounds of the names that have series of their own, as the operator's file has them.
-func Limits(n operatorconfig.CardinalityLimits) metrics.Limits {
+func Limits(names operatorconfig.CardinalityLimits) metrics.Limits {
 	return metrics.Limits{
-		Classes:     n.Classes,
-		Tenants:     n.Tenants,
-		Engines:     n.Engines,
-		DataSets:    n.DataSets,
-		IdleTimeout: time.Duration(n.IdleS) * time.Second,
+		Classes:     names.Classes,
+		Tenants:     names.Tenants,
+		Engines:     names.Engines,
+		DataSets:    names.DataSets,
+		IdleTimeout: time.Duration(names.IdleS) * time.Second,
 	}
 }
 
@@ -80,26 +80,26 @@
 
 // Run reports until ctx ends or drained is closed, after which the last interval has a moment to be written.
 // It reports once more when draining is closed: the broker then finishes what it has accepted.
-func (r *Reporter) Run(ctx context.Context, t *operatorconfig.Telemetry,
+func (r *Reporter) Run(ctx context.Context, settings *operatorconfig.Telemetry,
 	draining, drained <-chan struct{},
 ) error {
 	r.group, ctx = errgroup.WithContext(ctx)
-	r.group.Go(func() error { return r.loop(ctx, t, draining, drained) })
+	r.group.Go(func() error { return r.loop(ctx, settings, draining, drained) })
 	return r.group.Wait()
 }
 
 // Reload applies other settings of the interval and of destinations. Destinations that stay keep what waits.
-func (r *Reporter) Reload(ctx context.Context, t *operatorconfig.Telemetry) {
+func (r *Reporter) Reload(ctx context.Context, settings *operatorconfig.Telemetry) {
 	select {
-	case r.reloads <- t:
+	case r.reloads <- settings:
 	case <-ctx.Done():
 	}
 }
 
-func (r *Reporter) loop(ctx context.Context, t *operatorconfig.Telemetry,
+func (r *Reporter) loop(ctx context.Context, settings *operatorconfig.Telemetry,
 	draining, drained <-chan struct{},
 ) error {
-	ticks, reset, stop := r.clock.Ticker(r.configure(ctx, t))
+	ticks, reset, stop := r.clock.Ticker(r.configure(ctx, settings))
 	defer stop()
 	for {
 		select {
@@ -107,8 +107,8 @@
 			return nil
 		case <-ticks:
 			r.cut(ctx)
-		case t := <-r.reloads:
-			reset(r.configure(ctx, t))
+		case settings := <-r.reloads:
+			reset(r.configure(ctx, settings))
 		case <-draining:
 			draining = nil
 			r.cut(ctx) // what there is leaves now: at the end there may be no time for all of it
@@ -122,12 +122,12 @@
 	}
 }
 
-// configure starts, moves and stops destinations as t has them, and returns the length of an interval.
-func (r *Reporter) configure(ctx context.Context, t *operatorconfig.Telemetry) time.Duration {
+// configure starts, moves and stops destinations as the settings have them, and returns the length of an interval.
+func (r *Reporter) configure(ctx context.Context, settings *operatorconfig.Telemetry) time.Duration {
 	configured := map[string]bool{}
-	for _, p := range plans(r.broker, t) {
-		configured[p.name] = true
-		r.apply(ctx, p)
+	for _, planned := range plans(r.broker, settings) {
+		configured[planned.name] = true
+		r.apply(ctx, planned)
 	}
 	for _, d := range r.sortedDestinations() {
 		if !configured[d.plan.name] {
@@ -135,36 +135,36 @@
 			delete(r.destinations, d.plan.name)
 		}
 	}
-	if t == nil {
+	if settings == nil {
 		return intervalWithoutDestinations
 	}
-	if t.Cardinality != r.cardinality {
+	if settings.Cardinality != r.cardinality {
 		r.log.Warn("telemetry.names takes effect at the next start")
 	}
-	return t.Interval()
+	return settings.Interval()
 }
 
 // apply brings one destination in line with its plan.
-func (r *Reporter) apply(ctx context.Context, p plan) {
-	d := r.destinations[p.name]
+func (r *Reporter) apply(ctx context.Context, planned plan) {
+	existing := r.destinations[planned.name]
 	switch {
-	case d == nil:
-		r.start(ctx, p)
-	case !reflect.DeepEqual(d.plan.settings, p.settings):
+	case existing == nil:
+		r.start(ctx, planned)
+	case !reflect.DeepEqual(existing.plan.settings, planned.settings):
 		// What waits was held under the old budget and is for the old place: as much as can be is
 		// written there.
-		r.stop(ctx, d)
-		r.start(ctx, p)
-	case d.plan.address != p.address:
-		d.plan.address = p.address
-		d.send(ctx, message{event: delivery.AddressChanged{}, address: p.address})
+		r.stop(ctx, existing)
+		r.start(ctx, planned)
+	case existing.plan.address != planned.address:
+		existing.plan.address = planned.address
+		existing.send(ctx, message{event: delivery.AddressChanged{}, address: planned.address})
 	}
 }
 
-func (r *Reporter) start(ctx context.Context, p plan) {
+func (r *Reporter) start(ctx context.Context, planned plan) {
 	r.seed++
-	d := newDestination(p, r.seed, r.log)
-	r.destinations[p.name] = d
+	d := newDestination(planned, r.seed, r.log)
+	r.destinations[planned.name] = d
 	r.group.Go(func() error { return d.run(ctx) })
 }
 
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -29,12 +29,12 @@
 
 // Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states
 // of the reducer, the sockets, the runtime and the destinations are read into gauges before.
-func (r *Recorder) Cut(wall, monotonic time.Duration, b *broker.Broker, connections netconn.ConnectionCounts,
+func (r *Recorder) Cut(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
-	r.recordView(b)
-	r.setGauge(metrics.Open, 0, float64(b.OpenRequests()))
-	r.setGauge(metrics.Sessions, 0, float64(b.SessionCount()))
+	r.recordView(reducer)
+	r.setGauge(metrics.Open, 0, float64(reducer.OpenRequests()))
+	r.setGauge(metrics.Sessions, 0, float64(reducer.SessionCount()))
 	r.recordConnections(&connections)
 	r.recordMemory()
 	for name, stats := range destinations {
@@ -44,8 +44,8 @@
 }
 
 // CutAlone ends an interval of a reducer that has no sockets and no destinations.
-func (r *Recorder) CutAlone(now time.Duration, b *broker.Broker) *metrics.Interval {
-	return r.Cut(now, now, b, netconn.ConnectionCounts{}, nil)
+func (r *Recorder) CutAlone(now time.Duration, reducer *broker.Broker) *metrics.Interval {
+	return r.Cut(now, now, reducer, netconn.ConnectionCounts{}, nil)
 }
 
 // setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
@@ -62,8 +62,8 @@
 		netconn.ChangelogSide: metrics.ChangelogEnds,
 	} {
 		part := 0
-		connections.EachEndReason(side, func(_ netconn.Reason, n uint64) {
-			r.setGauge(id, part, float64(n))
+		connections.EachEndReason(side, func(_ netconn.Reason, count uint64) {
+			r.setGauge(id, part, float64(count))
 			part++
 		})
 	}
@@ -87,8 +87,8 @@
 }
 
 // recordView records what the decision module knows of engines and classes.
-func (r *Recorder) recordView(b *broker.Broker) {
-	b.View(&r.view)
+func (r *Recorder) recordView(reducer *broker.Broker) {
+	reducer.View(&r.view)
 	var enginesByHealth [4]int
 	for i := range r.view.Engines {
 		engine := &r.view.Engines[i]
