--- a/control/attemptoptions/attemptoptions_test.go
+++ b/control/attemptoptions/attemptoptions_test.go
@@ -15,9 +15,11 @@
 		"at most the fraction": {
 			all, Attempt{700, 1000, false}, Options{500, MinPriority},
 		},
-		"memory not known":    {all, Attempt{0, 1000, false}, Options{0, MinPriority}},
-		"highest value":       {all, Attempt{0, 1000, true}, Options{0, MaxPriority}},
-		"without priorities":  {Config{MemoryGrants: true, MaxGrantFraction: 1}, Attempt{5, 9, true}, Options{5, MinPriority}},
+		"memory not known": {all, Attempt{0, 1000, false}, Options{0, MinPriority}},
+		"highest value":    {all, Attempt{0, 1000, true}, Options{0, MaxPriority}},
+		"without priorities": {
+			Config{MemoryGrants: true, MaxGrantFraction: 1}, Attempt{5, 9, true}, Options{5, MinPriority},
+		},
 		"without memory size": {Config{Priorities: true}, Attempt{5, 9, true}, Options{0, MaxPriority}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -48,7 +48,8 @@
 	t.Parallel()
 	policy, now := New(config()), engine.StartedAt
 	budget := policy.FleetBudget(engine, now)
-	if want := units.ThreadSeconds(2 * 0.4 * targetUtilization * 8 * 2 * usedBudget); math.Abs(float64(budget-want)) > 1e-9 {
+	want := units.ThreadSeconds(2 * 0.4 * targetUtilization * 8 * 2 * usedBudget)
+	if math.Abs(float64(budget-want)) > 1e-9 {
 		t.Fatalf("budget %v, want %v", budget, want)
 	}
 	demand := Demand{TrafficShare: 0.3, ReadyEngines: 1} // its share is between 1/2 and 0.3
@@ -118,7 +119,8 @@
 	c.Brokers, c.TakeTurns = 100, true
 	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
 	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
-	if got, want := New(c).FleetPreference(engine, demand, engine.StartedAt).Ratio(), 0.4*100.0/3; math.Abs(got-want) > 1e-9 {
+	got, want := New(c).FleetPreference(engine, demand, engine.StartedAt).Ratio(), 0.4*100.0/3
+	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("weight %v, want %v", got, want)
 	}
 	if got := New(c).FleetPreference(Engine{Cores: 8}, demand, engine.StartedAt); got != 0 {
--- a/internal/broker/commands_test.go
+++ b/internal/broker/commands_test.go
@@ -163,7 +163,8 @@
 func TestKillEndsQueuedRequests(t *testing.T) {
 	h := newHarness(t, engine1())
 	request := func(id string) Event {
-		return SubmitRequest{Session: 1, Request: Request{RequestID: id, Class: "lookup", SentAt: h.now - ms, Timeout: time.Second}}
+		request := Request{RequestID: id, Class: "lookup", SentAt: h.now - ms, Timeout: time.Second}
+		return SubmitRequest{Session: 1, Request: request}
 	}
 	h.apply(request("a"), request("b"))
 	h.run(20 * ms)
--- a/internal/broker/endpointlist/endpointlist_test.go
+++ b/internal/broker/endpointlist/endpointlist_test.go
@@ -44,8 +44,11 @@
 		want      []ConnectionChange
 		inService int
 	}{
-		"unchanged":          {page(2, false, ready), nil, 2},
-		"draining":           {page(2, false, endpoint("e1", addr1, control.Draining)), []ConnectionChange{{Engine: "e1", Kind: CancelUnsent}}, 1},
+		"unchanged": {page(2, false, ready), nil, 2},
+		"draining": {
+			page(2, false, endpoint("e1", addr1, control.Draining)),
+			[]ConnectionChange{{Engine: "e1", Kind: CancelUnsent}}, 1,
+		},
 		"removed":            {page(2, false, endpoint("e1", addr1, control.Removed)), closeAll, 1},
 		"restarted":          {page(2, false, restarted), []ConnectionChange{{"e1", CloseConnections, startTime}}, 2},
 		"moved":              {page(2, false, endpoint("e1", "127.0.0.1:9", control.Ready)), closeAll, 2},
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -68,7 +68,8 @@
 			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: control.Cancelled})
 		}, recordingMeter{accepted: 1, started: 1, requests: abandoned, attempts: wasted(40 * ms)}},
 		"invalid fields": {func(h *harness) {
-			h.apply(SubmitRequest{Session: 1, Request: Request{RequestID: "a", Class: "odd", SentAt: h.now, Timeout: time.Second}})
+			request := Request{RequestID: "a", Class: "odd", SentAt: h.now, Timeout: time.Second}
+			h.apply(SubmitRequest{Session: 1, Request: request})
 		}, recordingMeter{rejected: []ReplyKind{ReplyInvalidFields}}},
 		"unknown command": {func(h *harness) {
 			h.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -357,7 +357,7 @@
 
 // isProperPrefix reports whether a history is that of the first records, but not of all.
 func isProperPrefix(got string, records []string) bool {
-	for n := range len(records) {
+	for n := range records {
 		if got == fmt.Sprint(records[:n]) {
 			return true
 		}
