--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -5,20 +5,19 @@
 	"wheatlane/control/idempotency"
 )
 
-// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes it.
+// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes its rules.
 func (c *Controller) mayAttempt(request *request, engine *engine) bool {
-	rules := c.eligibilityOf(request)
-	return c.isEligible(&rules, request.class, engine)
+	selector := c.selectorFor(request)
+	return !selector.forbidden() && selector.allows(engine)
 }
 
-// isEligible reports whether a request of a class may be sent to an engine now.
-func (c *Controller) isEligible(rules *eligibility.Request, class *class, engine *engine) bool {
-	return eligibility.Check(rules, eligibility.Engine{
-		Ready:           engine.member.TakesRequests(), // stricter than the drain's grace period
-		Location:        engine.location(),
-		Kind:            engine.Kind,
-		SlowStartBudget: c.withinSlowStartBudget(engine, class),
-	}) == eligibility.Eligible
+// isExhausted reports whether a request has had an attempt, has none in flight and can have no further one.
+func (c *Controller) isExhausted(request *request) bool {
+	if len(request.attempts) == 0 || request.hasAttemptInFlight() {
+		return false
+	}
+	rules := c.eligibilityOf(request)
+	return rules.Exhausted()
 }
 
 // eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -12,7 +12,7 @@
 // Reason is the first rule that an attempt breaks.
 type Reason int
 
-// The reasons, in the order in which the rules are checked.
+// The reasons, in the order in which the rules are checked: first those that hold at every engine.
 const (
 	Eligible           Reason = iota // no rule is broken
 	RequestClosed                    // the request has its final answer, or its client is gone
@@ -20,20 +20,20 @@
 	DeadlinePassed                   // the answer would come too late
 	MaxAttempts                      // the request has had all its attempts
 	AttemptInFlight                  // hedging is not allowed
-	DuplicateEffect                  // the effect of the request could come twice
+	OrderKeyBusy                     // another request of its key comes first, or the key cools down
+	RetryBudget                      // the retry budget is spent
 	EngineNotReady                   // the engine is draining, removed or in maintenance
+	DuplicateEffect                  // the effect of the request could come twice
 	SlowStartBudget                  // the engine is in slow start and its budget is spent
-	OrderKeyBusy                     // another request of its key comes first, or the key cools down
 	PlacementForbidden               // the class may not run in the engine's zone or on its kind
-	RetryBudget                      // the retry budget is spent
 )
 
 var reasonNames = [...]string{
 	Eligible: "eligible", RequestClosed: "request closed", ResponseStarted: "response started",
 	DeadlinePassed: "deadline passed", MaxAttempts: "max attempts", AttemptInFlight: "attempt in flight",
-	DuplicateEffect: "duplicate effect", EngineNotReady: "engine not ready",
-	SlowStartBudget: "slow-start budget", OrderKeyBusy: "order key busy",
-	PlacementForbidden: "placement forbidden", RetryBudget: "retry budget",
+	OrderKeyBusy: "order key busy", RetryBudget: "retry budget", EngineNotReady: "engine not ready",
+	DuplicateEffect: "duplicate effect", SlowStartBudget: "slow-start budget",
+	PlacementForbidden: "placement forbidden",
 }
 
 // String returns the name of the reason.
@@ -65,29 +65,45 @@
 
 // Check returns the first rule that an attempt of a request at an engine breaks, or Eligible.
 func Check(request *Request, engine Engine) Reason {
+	if reason := request.Check(); reason != Eligible {
+		return reason
+	}
+	return request.CheckAt(engine)
+}
+
+// Check returns the first rule that an attempt of the request breaks at every engine, or Eligible.
+func (r *Request) Check() Reason {
 	switch {
-	case request.Closed:
+	case r.Closed:
 		return RequestClosed
-	case request.ResponseStarted:
+	case r.ResponseStarted:
 		return ResponseStarted
-	case request.TimeLeft <= 0:
+	case r.TimeLeft <= 0:
 		return DeadlinePassed
-	case len(request.Attempts) >= request.MaxAttempts:
+	case len(r.Attempts) >= r.MaxAttempts:
 		return MaxAttempts
-	case request.AttemptInFlight && !request.HedgingAllowed:
+	case r.AttemptInFlight && !r.HedgingAllowed:
 		return AttemptInFlight
-	case !request.mayRunAt(engine.Location):
-		return DuplicateEffect
+	case !r.TurnOfOrderKey:
+		return OrderKeyBusy
+	case !r.WithinBudget:
+		return RetryBudget
+	}
+	return Eligible
+}
+
+// CheckAt returns the first rule that an attempt of the request breaks at this engine, given that it breaks
+// none that holds at every engine, or Eligible.
+func (r *Request) CheckAt(engine Engine) Reason {
+	switch {
 	case !engine.Ready:
 		return EngineNotReady
+	case !r.mayRunAt(engine.Location):
+		return DuplicateEffect
 	case !engine.SlowStartBudget:
 		return SlowStartBudget
-	case !request.TurnOfOrderKey:
-		return OrderKeyBusy
-	case !request.mayBePlacedOn(engine):
+	case !allows(r.AllowedZones, engine.Location.Zone), !allows(r.AllowedKinds, engine.Kind):
 		return PlacementForbidden
-	case !request.WithinBudget:
-		return RetryBudget
 	}
 	return Eligible
 }
@@ -107,11 +123,6 @@
 	return true
 }
 
-// mayBePlacedOn reports whether the request may run in an engine's zone and on its kind.
-func (r *Request) mayBePlacedOn(engine Engine) bool {
-	return allows(r.AllowedZones, engine.Location.Zone) && allows(r.AllowedKinds, engine.Kind)
-}
-
 // allows reports whether a list that allows everything if it is empty allows a value.
 func allows(allowed []string, value string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, value)
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -99,15 +99,10 @@
 // dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, without any
 // that is still eligible, to an engine selected now.
 func (c *Controller) dispatchToBestCandidate(request *request) {
-	var best selection.Best[*engine]
-	for _, engine := range request.candidates {
-		if c.mayAttempt(request, engine) && !engine.health.AtCapacity(c.now) {
-			best.Offer(engine, c.score(engine, request))
-		}
-	}
-	engine := best.Candidate()
+	selector := c.selectorFor(request)
+	engine := selector.bestCandidate(request.candidates)
 	if engine == nil {
-		engine = c.selectEngine(request, request.avoid)
+		engine = selector.selectEngine(request.avoid)
 	}
 	if engine == nil {
 		c.requests.waitForEngine(request)
@@ -115,3 +110,17 @@
 	}
 	c.sendAttempt(request, engine)
 }
+
+// bestCandidate returns the candidate with the best score, or nil if none is eligible.
+func (s *selector) bestCandidate(candidates []*engine) *engine {
+	var best selection.Best[*engine]
+	if s.forbidden() {
+		return nil
+	}
+	for _, engine := range candidates {
+		if s.allows(engine) && !engine.health.AtCapacity(s.controller.now) {
+			best.Offer(engine, s.score(engine))
+		}
+	}
+	return best.Candidate()
+}
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -4,8 +4,7 @@
 // engine to avoid is taken only if there is no other.
 func (c *Controller) enqueue(request *request, avoid *engine) {
 	request.avoid = avoid
-	rules := c.eligibilityOf(request)
-	if len(request.attempts) > 0 && !rules.AttemptInFlight && rules.Exhausted() {
+	if c.isExhausted(request) {
 		c.rejectOrFail(request)
 		return
 	}
--- a/control/selection.go
+++ b/control/selection.go
@@ -2,28 +2,78 @@
 
 import (
 	"wheatlane/control/datasetlock"
+	"wheatlane/control/eligibility"
 	"wheatlane/control/selection"
+	"wheatlane/control/slowstart"
+	"wheatlane/control/units"
 )
 
+// selector compares engines for an attempt of a request that is sent now. It holds what they have in common.
+type selector struct {
+	controller      *Controller
+	request         *request
+	rules           eligibility.Request
+	meanWork        units.ThreadSeconds // of a request of its class
+	slowStartDemand slowstart.Demand
+	lockRole        datasetlock.Role
+}
+
+func (c *Controller) selectorFor(request *request) selector {
+	class := request.class
+	return selector{
+		controller:      c,
+		request:         request,
+		rules:           c.eligibilityOf(request),
+		meanWork:        class.Cost.MeanWork(),
+		slowStartDemand: c.slowStartDemand(),
+		lockRole:        datasetlock.RoleOf(class.HoldsDataSetLock, class.BlockedByDataSetLock),
+	}
+}
+
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
 func (c *Controller) selectEngine(request *request, avoid *engine) *engine {
-	if engine := c.bestEngine(request, avoid); engine != nil {
+	selector := c.selectorFor(request)
+	return selector.selectEngine(avoid)
+}
+
+// selectEngine is selectEngine of the controller for the selector's request.
+func (s *selector) selectEngine(avoid *engine) *engine {
+	if s.forbidden() {
+		return nil
+	}
+	if engine := s.bestEngine(avoid); engine != nil {
 		return engine
 	}
-	return c.bestEngine(request, nil)
+	return s.bestEngine(nil)
+}
+
+// forbidden reports whether a rule forbids the attempt at every engine.
+func (s *selector) forbidden() bool { return s.rules.Check() != eligibility.Eligible }
+
+// allows reports whether no rule forbids the attempt at this engine, given that none does at every engine.
+func (s *selector) allows(engine *engine) bool {
+	c := s.controller
+	withinBudget := c.slowStart.Allows(
+		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
+	return s.rules.CheckAt(eligibility.Engine{
+		Ready:           engine.member.TakesRequests(), // stricter than the drain's grace period
+		Location:        engine.location(),
+		Kind:            engine.Kind,
+		SlowStartBudget: withinBudget,
+	}) == eligibility.Eligible
 }
 
-func (c *Controller) bestEngine(request *request, avoid *engine) *engine {
+// bestEngine returns the eligible engine with the best score but for one to avoid, or nil.
+func (s *selector) bestEngine(avoid *engine) *engine {
+	c := s.controller
 	var best selection.Best[*engine]
-	eligible := c.eligibilityOf(request)
 	for _, engine := range c.endpoints.all {
-		if engine == avoid || engine.health.AtCapacity(c.now) ||
-			!c.isEligible(&eligible, request.class, engine) {
+		if engine == avoid || engine.health.AtCapacity(c.now) || !s.allows(engine) {
 			continue
 		}
-		score := c.score(engine, request) + c.tieBreak(engine)
+		score := s.score(engine) + s.tieBreak(engine)
 		if engine.health.Ejected() && !c.endpoints.majorityFaulty {
-			if !c.mayProbeHalfOpen(engine, request) {
+			if !c.mayProbeHalfOpen(engine, s.request) {
 				continue
 			}
 			score += c.selection.HalfOpenBonus
@@ -35,18 +85,18 @@
 
 // tieBreak is what chance adds to an engine's score. Brokers that have their turn at an engine that warms up
 // choose it for all.
-func (c *Controller) tieBreak(engine *engine) selection.Score {
+func (s *selector) tieBreak(engine *engine) selection.Score {
+	c := s.controller
 	if !engine.pooled() {
 		return c.selection.TieBreak(c.rng)
 	}
-	preference := c.slowStart.FleetPreference(engine.slowStartInput(), c.slowStartDemand(), c.now)
+	preference := c.slowStart.FleetPreference(engine.slowStartInput(), s.slowStartDemand, c.now)
 	return c.selection.Noise(c.rng, preference)
 }
 
-// score is an engine's score for a request.
-func (c *Controller) score(engine *engine, request *request) selection.Score {
-	role := datasetlock.RoleOf(request.class.HoldsDataSetLock, request.class.BlockedByDataSetLock)
-	locked := role != datasetlock.Unaffected && engine.dataSetLocked(c.now, request.DataSet)
+// score is an engine's score for the request.
+func (s *selector) score(engine *engine) selection.Score {
+	c := s.controller
 	candidate := selection.Candidate{
 		ThreadsInFlight:   engine.concurrency.InFlight(),
 		ThreadsQueued:     engine.queue.Threads(),
@@ -55,15 +105,17 @@
 		Slowdown:          engine.worstSlowdown(&c.slowdowns),
 		FailureRate:       engine.health.FailureRate(),
 		LossRate:          c.outliers.LossRate(&engine.health),
-		Load:              engine.load.IfRecent(c.now),
 		OtherZone:         engine.Zone != c.settings.Zone,
-		DataSetLocked:     locked,
-		DataSetRank:       datasetlock.Rank(engine.idHash, request.DataSet),
-		Role:              role,
+		Role:              s.lockRole,
+	}
+	if s.lockRole != datasetlock.Unaffected {
+		candidate.DataSetLocked = engine.dataSetLocked(c.now, s.request.DataSet)
+		candidate.DataSetRank = datasetlock.Rank(engine.idHash, s.request.DataSet)
 	}
 	if engine.pooled() {
 		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
 	} else { // in a pool, an engine that answered is better than an untried one
+		candidate.Load = engine.load.IfRecent(c.now)
 		candidate.ExpectedLossRate = min(candidate.LossRate, c.outliers.FleetLossRate())
 	}
 	return c.selection.Score(&candidate)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -25,9 +25,3 @@
 		ReadyEngines: c.endpoints.ready,
 	}
 }
-
-// withinSlowStartBudget reports whether slow start lets an engine be sent a request of a class.
-func (c *Controller) withinSlowStartBudget(engine *engine, class *class) bool {
-	input, work := engine.slowStartInput(), class.Cost.MeanWork()
-	return c.slowStart.Allows(input, &engine.sentInSlowStart, c.slowStartDemand(), work, c.now)
-}
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -60,7 +60,7 @@
 // Active reports whether an engine warms up.
 func (p *Policy) Active(engine Engine, now time.Duration) bool {
 	overloads := p.config.OverloadWindow > 0 && p.config.OverloadMultiple > 0
-	return overloads && engine.StartedAt > 0 && now-engine.StartedAt < p.config.Duration+clockError
+	return engine.StartedAt > 0 && now-engine.StartedAt < p.config.Duration+clockError && overloads
 }
 
 // Fraction is the fraction of its capacity that an engine has.
