--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -19,34 +19,35 @@
 func TestAllows(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name     string
-		inFlight int
-		request  Request
-		want     bool
+		name          string
+		inFlight      int
+		classInFlight int
+		request       Request
+		want          bool
 	}{
-		{"one of any size where there is none", 0, Request{Threads: 20, UnderPressure: true}, true},
-		{"up to the limit", 4, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, true},
-		{"not over it", 5, Request{Threads: 2, ClassInFlight: 4, UnderPressure: true}, false},
-		{"up to a multiple of it without pressure", 7, Request{Threads: 2, ClassInFlight: 7}, true},
-		{"not over the multiple", 8, Request{Threads: 2, ClassInFlight: 8}, false},
-		{"two of the widest class", 9, Request{Threads: 9, ClassInFlight: 9, WidestThreads: 9}, true},
+		{"one of any size where there is none", 0, 0, Request{Threads: 20, UnderPressure: true}, true},
+		{"up to the limit", 4, 4, Request{Threads: 2, UnderPressure: true}, true},
+		{"not over it", 5, 4, Request{Threads: 2, UnderPressure: true}, false},
+		{"up to a multiple of it without pressure", 7, 7, Request{Threads: 2}, true},
+		{"not over the multiple", 8, 8, Request{Threads: 2}, false},
+		{"two of the widest class", 9, 9, Request{Threads: 9, WidestThreads: 9}, true},
 		{
-			"a class in its own share", 12,
-			Request{Threads: 1, ClassInFlight: 2, ClassShare: 0.5, UnderPressure: true},
+			"a class in its own share", 12, 2,
+			Request{Threads: 1, ClassShare: 0.5, UnderPressure: true},
 			true,
 		},
 		{
-			"not beyond its share", 12,
-			Request{Threads: 1, ClassInFlight: 3, ClassShare: 0.5, UnderPressure: true},
+			"not beyond its share", 12, 3,
+			Request{Threads: 1, ClassShare: 0.5, UnderPressure: true},
 			false,
 		},
-		{"one request of each class", 12, Request{Threads: 4, ClassShare: 0.1, UnderPressure: true}, true},
+		{"one request of each class", 12, 0, Request{Threads: 4, ClassShare: 0.1, UnderPressure: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			l := newLimiter()
 			l.Acquire(c.inFlight)
-			if got := l.Allows(c.request); got != c.want {
+			if got := l.Allows(c.request, func() int { return c.classInFlight }); got != c.want {
 				t.Errorf("got %v, want %v, with a limit of %v", got, c.want, l.Limit())
 			}
 		})
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -92,22 +92,22 @@
 // Request is what the limiter is asked to allow: the next request of a class.
 type Request struct {
 	Threads       int
-	ClassInFlight int            // threads of its class in flight
 	ClassShare    units.Fraction // share of the limit that its class has to itself
 	WidestThreads int            // threads of a request of the widest class
 	UnderPressure bool           // the engine has more to do than it keeps up with
 }
 
 // Allows reports whether a request may be sent: while nothing is in flight, under the limit or, so that long
-// requests keep no quick ones out, while its class has less than its share in flight.
-func (l *Limiter) Allows(r Request) bool {
+// requests keep no quick ones out, while its class has less than its share in flight. The threads of its class
+// in flight are asked for only if the rest does not allow it.
+func (l *Limiter) Allows(r Request, classInFlight func() int) bool {
 	threads, limit := float64(r.Threads), l.threads
 	if !r.UnderPressure {
 		widest := float64(r.WidestThreads)
 		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*widest)
 	}
 	return l.inFlight == 0 || float64(l.inFlight)+threads <= limit ||
-		float64(r.ClassInFlight)+threads <= max(threads, float64(r.ClassShare)*limit)
+		float64(classInFlight())+threads <= max(threads, float64(r.ClassShare)*limit)
 }
 
 // Interval is what a limiter decides its next limit by.
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -48,11 +48,10 @@
 	}
 	return engine.concurrency.Allows(concurrency.Request{
 		Threads:       c.classes.all[classIndex].Threads,
-		ClassInFlight: c.threadsOfClass(engine, classIndex),
 		ClassShare:    share,
 		WidestThreads: c.classes.maxThreads,
 		UnderPressure: c.underPressure(engine),
-	})
+	}, func() int { return c.threadsOfClass(engine, classIndex) })
 }
 
 // underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Slowdowns don't
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -20,7 +20,7 @@
 
 // knownLoads returns the known loads of engines that take requests, the youngest first.
 func (s *endpointSet) knownLoads(now time.Duration) []GossipedLoad {
-	var loads []GossipedLoad
+	loads := make([]GossipedLoad, 0, len(s.all))
 	for _, engine := range s.all {
 		if engine.loadKnown(now) {
 			load, age := float64(engine.load.Load()), engine.load.Age(now)
--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -88,16 +88,22 @@
 	return now-max(e.probedAt, e.reportedAt) < probeFreshFor
 }
 
-// OfPool is the load of a pool by those of its engines: their mean, weighed by themselves, as loaded engines
-// fare no better for others that are idle. It stays as it was if no engine has load.
-func (e *Estimate) OfPool(engines []*Estimate) {
-	var loads estimate.SelfWeighted
-	youngest := time.Duration(0)
-	for _, engine := range engines {
-		loads.Add(float64(engine.load))
-		youngest = max(youngest, engine.reportedAt)
-	}
-	if load, ok := loads.Mean(); ok {
-		e.load, e.reportedAt = units.Fraction(load), youngest
+// PoolMean is the mean load of the engines of a pool, weighed by itself, as loaded engines fare no better for
+// others that are idle.
+type PoolMean struct {
+	loads    estimate.SelfWeighted
+	youngest time.Duration // when the last of their reports was given
+}
+
+// Add takes an engine of the pool.
+func (m *PoolMean) Add(engine *Estimate) {
+	m.loads.Add(float64(engine.load))
+	m.youngest = max(m.youngest, engine.reportedAt)
+}
+
+// ObserveMean takes the mean load of a pool's engines as the pool's, which stays as it was if none has load.
+func (e *Estimate) ObserveMean(engines PoolMean) {
+	if load, ok := engines.loads.Mean(); ok {
+		e.load, e.reportedAt = units.Fraction(load), engines.youngest
 	}
 }
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -105,12 +105,17 @@
 	var idle, busy, pool Estimate
 	idle.Observe(0.2, 9*time.Second)
 	busy.Observe(0.8, 10*time.Second)
-	pool.OfPool([]*Estimate{&idle, &busy})
+	var mean PoolMean
+	mean.Add(&idle)
+	mean.Add(&busy)
+	pool.ObserveMean(mean)
 	if want := units.Fraction(0.2*0.2 + 0.8*0.8); !near(pool.Load(), want) || pool.Age(10*time.Second) != 0 {
 		t.Errorf("load %v, want %v", pool.Load(), want)
 	}
 	before := pool
-	if pool.OfPool([]*Estimate{{}}); pool != before {
+	var withoutLoad PoolMean
+	withoutLoad.Add(&Estimate{})
+	if pool.ObserveMean(withoutLoad); pool != before {
 		t.Errorf("%+v by engines without load, was %+v", pool, before)
 	}
 	if pool.ObserveOfPool(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -27,11 +27,11 @@
 	if s.pool == nil {
 		return
 	}
-	var known []*loadreport.Estimate
+	var known loadreport.PoolMean
 	for _, engine := range s.all {
 		if engine.loadKnown(now) {
-			known = append(known, &engine.load)
+			known.Add(&engine.load)
 		}
 	}
-	s.pool.load.OfPool(known)
+	s.pool.load.ObserveMean(known)
 }
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -52,14 +52,16 @@
 
 // updateOverdue follows the age of what is in flight.
 func (e *engine) updateOverdue(now time.Duration) {
-	attempts := make([]slowdown.InFlight, 0, len(e.attempts))
+	ratios := make([]float64, 0, len(e.attempts))
 	for _, attempt := range e.attempts {
-		if !attempt.released {
-			attempts = append(attempts, slowdown.InFlight{
-				SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
-				Threads: attempt.request.class.Threads,
-			})
+		if attempt.released {
+			continue
 		}
+		inFlight := slowdown.InFlight{
+			SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
+			Threads: attempt.request.class.Threads,
+		}
+		ratios = append(ratios, inFlight.OverdueRatio(now))
 	}
-	e.slowdown.SetInFlight(attempts, now)
+	e.slowdown.SetOverdue(ratios)
 }
--- a/control/slowdown/overdue.go
+++ b/control/slowdown/overdue.go
@@ -20,20 +20,15 @@
 	Threads      int
 }
 
-// usualTime is the time that an attempt takes on an engine that is not slow.
-func (a *InFlight) usualTime() units.Seconds {
-	return units.Seconds(float64(a.ExpectedWork)/float64(a.Threads)) + minUsualTime
+// OverdueRatio is the age of the attempt over the time that it takes on an engine that is not slow.
+func (a InFlight) OverdueRatio(now time.Duration) float64 {
+	usualTime := a.ExpectedWork.OnThreads(a.Threads) + minUsualTime
+	return float64(units.SecondsOf(now-a.SentAt) / usualTime)
 }
 
-// overdueRatio is the age of attempts over their usual time: the median, which one long request can't move.
-func overdueRatio(attempts []InFlight, now time.Duration) float64 {
-	ratios := make([]float64, 0, len(attempts))
-	for i := range attempts {
-		age := units.SecondsOf(now - attempts[i].SentAt)
-		ratios = append(ratios, float64(age/attempts[i].usualTime()))
-	}
-	return estimate.Median(ratios)
-}
+// SetOverdue updates the overdue ratio by those of the attempts in flight, which it sorts: it is the median,
+// which one long request can't move.
+func (e *Engine) SetOverdue(ratios []float64) { e.overdue = estimate.Median(ratios) }
 
 // OrOverdue is the larger of an engine's estimated slowdown and the one that its overdue attempts show.
 func (e *Engine) OrOverdue(estimated units.LogRatio) units.LogRatio {
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -41,11 +41,6 @@
 // OverdueRatio is the age of what is in flight over its usual time.
 func (e *Engine) OverdueRatio() float64 { return e.overdue }
 
-// SetInFlight updates the overdue ratio.
-func (e *Engine) SetInFlight(attempts []InFlight, now time.Duration) {
-	e.overdue = overdueRatio(attempts, now)
-}
-
 // Estimator estimates the slowdown of the engines of a fleet.
 type Estimator struct {
 	config Config
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -92,8 +92,10 @@
 	t.Parallel()
 	var engine Engine
 	now := 10 * time.Second
-	ofAge := func(age time.Duration) InFlight { return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2} }
-	engine.SetInFlight([]InFlight{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)}, now)
+	ofAge := func(age time.Duration) float64 {
+		return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.OverdueRatio(now)
+	}
+	engine.SetOverdue([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
 	if got := engine.OverdueRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
 		t.Errorf("ratio %v, want 4", got)
 	}
@@ -103,7 +105,7 @@
 	if got := engine.OrOverdue(3); got != 3 {
 		t.Errorf("slowdown %v, want 3", got)
 	}
-	if engine.SetInFlight(nil, now); engine.OverdueRatio() != 0 {
+	if engine.SetOverdue(nil); engine.OverdueRatio() != 0 {
 		t.Errorf("ratio %v with nothing in flight", engine.OverdueRatio())
 	}
 }
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -72,12 +72,13 @@
 
 // PredictOutput predicts output i at the input u.
 func (r *Regulator) PredictOutput(i int, u []float64) float64 {
+	coefficients := r.coefficients.RawRowView(i)
 	sum := 0.0
 	for j, v := range r.output {
-		sum += r.coefficients.At(i, j) * v
+		sum += coefficients[j] * v
 	}
 	for j, v := range u {
-		sum += r.coefficients.At(i, len(r.output)+j) * v
+		sum += coefficients[len(r.output)+j] * v
 	}
 	return sum
 }
