--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 
+	"wheatlane/internal/config"
 	"wheatlane/internal/usage"
 )
 
@@ -236,7 +238,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEngine(t)
-			s := startServer(t, listed("e1", e))
+			s := startServerWith(t, serverOptions{configure: withoutSlowStart}, listed("e1", e))
+			KeepConnectionsFresh(s.server)
 			a := s.connect(statement("lookup", 1, longTimeout, ""))
 			attempt := e.expectAttempt(t)
 			bornMS := time.Now().Add(tt.startedAfter).UnixMilli()
@@ -254,3 +257,14 @@
 		})
 	}
 }
+
+// withoutSlowStart gives a restarted engine its full share at once, and all classes so much time that no attempt counts as
+// lost, so that what an engine is sent does not depend on how long a test stands still.
+func withoutSlowStart(cfg *config.Config) {
+	classes := slices.Clone(cfg.Settings.Control.Classes)
+	for i := range classes {
+		classes[i].LatencyObjective, classes[i].ClientTimeout = untilFar, untilFar
+	}
+	cfg.Settings.Control.Classes, cfg.Settings.MaxClientTimeout = classes, untilFar
+	cfg.Settings.Control.Rules.SlowStartDuration = 0
+}
