--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -63,7 +63,7 @@
 	out := &output{w: table}
 	out.println("NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
 	for _, f := range metrics.Catalogue {
-		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Detail, f.Help)
+		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Label, f.Help)
 	}
 	return errors.Join(out.err(), table.Flush())
 }
@@ -87,8 +87,8 @@
 			Kind:    f.Kind.String(),
 			Unit:    f.Unit,
 			By:      f.By.String(),
-			Detail:  f.Detail,
-			Details: f.Parts,
+			Detail:  f.Label,
+			Details: f.LabelValues,
 			Meaning: f.Help,
 		})
 	}
--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -76,8 +76,8 @@
 		}
 		l.PluginInstance = figure.By.String() + "-" + name
 	}
-	if len(figure.Parts) > 0 {
-		l.TypeInstance = figure.Parts[s.Part]
+	if len(figure.LabelValues) > 0 {
+		l.TypeInstance = figure.LabelValues[s.LabelIndex]
 	}
 	return l
 }
@@ -98,7 +98,7 @@
 	if !ok {
 		return "", s, nameError(&l, "plugin instance")
 	}
-	part, ok := parsePart(figure, l.TypeInstance)
+	label, ok := parseLabel(figure, l.TypeInstance)
 	if !ok {
 		return "", s, nameError(&l, "type instance")
 	}
@@ -106,7 +106,7 @@
 	if !slices.EqualFunc(l.Values, dataSources(figure.Kind), matches) {
 		return "", s, nameError(&l, "data sources")
 	}
-	return broker, metrics.Series{Figure: id, Name: name, Other: other, Part: part}, nil
+	return broker, metrics.Series{Figure: id, Name: name, Other: other, LabelIndex: label}, nil
 }
 
 // parseInstance reads DIMENSION-NAME; it is empty for a figure without a dimension.
@@ -124,13 +124,13 @@
 	return name, false, err == nil
 }
 
-// parsePart reads a detail; it is empty for a figure without parts.
-func parsePart(figure *metrics.Figure, detail string) (part int, ok bool) {
-	if len(figure.Parts) == 0 {
-		return 0, detail == ""
+// parseLabel reads the value of a label; it is empty for a figure without one.
+func parseLabel(figure *metrics.Figure, value string) (label int, ok bool) {
+	if len(figure.LabelValues) == 0 {
+		return 0, value == ""
 	}
-	part = slices.Index(figure.Parts, detail)
-	return part, part >= 0
+	label = slices.Index(figure.LabelValues, value)
+	return label, label >= 0
 }
 
 func nameError(l *List, what string) error {
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -74,9 +74,9 @@
 			t.Fatalf("no figure %s", l.figure)
 		}
 		s := metrics.Series{Figure: id, Name: l.name, Other: l.other}
-		for i, p := range metrics.Catalogue[id].Parts {
+		for i, p := range metrics.Catalogue[id].LabelValues {
 			if p == l.detail {
-				s.Part = i
+				s.LabelIndex = i
 			}
 		}
 		name := graphite.Name{Broker: l.broker, Series: s, Stat: l.stat}
@@ -104,8 +104,8 @@
 		s := all[i]
 		fig := metrics.Catalogue[s.Name.Series.Figure]
 		detail := ""
-		if len(fig.Parts) > 0 {
-			detail = fig.Parts[s.Name.Series.Part]
+		if len(fig.LabelValues) > 0 {
+			detail = fig.LabelValues[s.Name.Series.LabelIndex]
 		}
 		if fig.Name != l.figure || s.Name.Broker != l.broker || s.Name.Series.Name != l.name ||
 			s.Name.Stat != l.stat || detail != l.detail ||
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -48,8 +48,8 @@
 	if figure.By != metrics.NoDimension {
 		dst = appendPart(dst, escapedName(&n.Series))
 	}
-	if len(figure.Parts) > 0 {
-		dst = appendPart(dst, figure.Parts[n.Series.Part])
+	if len(figure.LabelValues) > 0 {
+		dst = appendPart(dst, figure.LabelValues[n.Series.LabelIndex])
 	}
 	if n.Stat != "" {
 		dst = appendPart(dst, n.Stat)
@@ -67,8 +67,8 @@
 	if figure.By != metrics.NoDimension {
 		dst = appendTag(dst, figure.By.String(), escapedName(&n.Series))
 	}
-	if len(figure.Parts) > 0 {
-		dst = appendTag(dst, figure.Detail, figure.Parts[n.Series.Part])
+	if len(figure.LabelValues) > 0 {
+		dst = appendTag(dst, figure.Label, figure.LabelValues[n.Series.LabelIndex])
 	}
 	return dst
 }
@@ -172,8 +172,8 @@
 			return n, false
 		}
 	}
-	if len(figure.Parts) > 0 {
-		if n.Series.Part = slices.Index(figure.Parts, p.next()); n.Series.Part < 0 {
+	if len(figure.LabelValues) > 0 {
+		if n.Series.LabelIndex = slices.Index(figure.LabelValues, p.next()); n.Series.LabelIndex < 0 {
 			return n, false
 		}
 	}
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPaths(t *testing.T) {
-	late := metrics.Series{Figure: metrics.Answers, Name: "re.port", Part: metrics.Late}
+	late := metrics.Series{Figure: metrics.Answers, Name: "re.port", LabelIndex: metrics.Late}
 	otherEngines := metrics.Series{Figure: metrics.EngineTime, Other: true}
 	engineNamedOther := metrics.Series{Figure: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
@@ -57,7 +57,7 @@
 	id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "figure"))
 	figure := &metrics.Catalogue[id]
 	n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{Figure: id}}
-	n.Series.Part = rapid.IntRange(0, id.Parts()-1).Draw(t, "part")
+	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "part")
 	if figure.By != metrics.NoDimension {
 		if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
 			n.Series.Name = rapid.String().Draw(t, "name")
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -78,12 +78,12 @@
 		Help: "requests accepted that read or write this data set",
 	},
 	Answers: {
-		Name: "answers", Kind: Counter, By: Class, Detail: "outcome", Parts: requestOutcomes,
+		Name: "answers", Kind: Counter, By: Class, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "requests that ended: served within the latency objective or after it, rejected, failed, " +
 			"or their client gone",
 	},
 	AnswersByTenant: {
-		Name: "answers_by_tenant", Kind: Counter, By: Tenant, Detail: "outcome", Parts: requestOutcomes,
+		Name: "answers_by_tenant", Kind: Counter, By: Tenant, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "the same by tenant",
 	},
 	InTimeShare: {
@@ -101,7 +101,7 @@
 		Help: "time from the client's send to the answer, of requests served",
 	},
 	Rejections: {
-		Name: "refusals", Kind: Counter, Detail: "cause", Parts: rejectionCauses,
+		Name: "refusals", Kind: Counter, Label: "cause", LabelValues: rejectionCauses,
 		Help: "requests and sessions rejected, by cause; no_room is a rejection by the decision module",
 	},
 	Attempts: {
@@ -113,7 +113,7 @@
 		Help: "attempts of each request when it ended",
 	},
 	AttemptEnds: {
-		Name: "attempt_ends", Kind: Counter, By: Engine, Detail: "status", Parts: attemptStatuses,
+		Name: "attempt_ends", Kind: Counter, By: Engine, Label: "status", LabelValues: attemptStatuses,
 		Help: "attempts that ended, by status",
 	},
 	EngineTime: {
@@ -181,24 +181,24 @@
 		Help: "weight of the class in the fair queues, as the decision module sets it",
 	},
 	Engines: {
-		Name: "engines", Kind: Gauge, Detail: "health", Parts: engineHealths,
+		Name: "engines", Kind: Gauge, Label: "health", LabelValues: engineHealths,
 		Help: "engines by health, each counted once: draining, doubted (ejected), cold (in slow start), " +
 			"ready",
 	},
 	ClientEnds: {
-		Name: "client_connections_ended", Kind: Counter, Detail: "reason", Parts: EndReasons,
+		Name: "client_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections of clients that ended, by reason code",
 	},
 	EngineEnds: {
-		Name: "engine_connections_ended", Kind: Counter, Detail: "reason", Parts: EndReasons,
+		Name: "engine_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to engines that ended, by reason code",
 	},
 	ChangelogEnds: {
-		Name: "changelog_connections_ended", Kind: Counter, Detail: "reason", Parts: EndReasons,
+		Name: "changelog_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to the change log that ended, by reason code",
 	},
 	Connections: {
-		Name: "connections", Kind: Gauge, Detail: "side", Parts: connectionSides,
+		Name: "connections", Kind: Gauge, Label: "side", LabelValues: connectionSides,
 		Help: "connections that are open",
 	},
 	Open: {
@@ -226,19 +226,19 @@
 		Help: "how long after it was due the reducer's goroutine started a round",
 	},
 	NamesAdmitted: {
-		Name: "names", Kind: Gauge, Detail: "of", Parts: boundedDimensions,
+		Name: "names", Kind: Gauge, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that have series of their own",
 	},
 	NamesJoined: {
-		Name: "names_joined", Kind: Counter, Detail: "of", Parts: boundedDimensions,
+		Name: "names_joined", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that were given series of their own",
 	},
 	NamesLeft: {
-		Name: "names_left", Kind: Counter, Detail: "of", Parts: boundedDimensions,
+		Name: "names_left", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that lost them again, being idle or displaced by more frequent ones",
 	},
 	NamesOther: {
-		Name: "names_other", Kind: Counter, Detail: "of", Parts: boundedDimensions,
+		Name: "names_other", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "how often a name was counted under 'other'",
 	},
 	Held: {
@@ -289,11 +289,11 @@
 		Help: "intervals that this one is made of: 1, or more where they waited for the collector",
 	},
 	RequestEndCauses: {
-		Name: "request_ends", Kind: Counter, Detail: "cause", Parts: RequestEndCauseNames,
+		Name: "request_ends", Kind: Counter, Label: "cause", LabelValues: RequestEndCauseNames,
 		Help: "requests that ended, by the cause of the end",
 	},
 	InvariantViolations: {
-		Name: "invariant_violations", Kind: Counter, Detail: "rule", Parts: InvariantNames,
+		Name: "invariant_violations", Kind: Counter, Label: "rule", LabelValues: InvariantNames,
 		Help: "rules that the broker found broken, or about to be, by its own checks; any is a bug",
 	},
 }
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -59,12 +59,12 @@
 }
 
 func (r *Registry) setNameCounts() {
-	for part, dim := range []Dimension{Class, Tenant, Engine, DataSet} { // the order of boundedDimensions
+	for label, dim := range []Dimension{Class, Tenant, Engine, DataSet} { // the order of boundedDimensions
 		counts := r.tables[dim].Counts()
-		r.Set(NamesAdmitted, cardinality.Other, part, float64(counts.Active))
-		r.Set(NamesJoined, cardinality.Other, part, float64(counts.Admitted))
-		r.Set(NamesLeft, cardinality.Other, part, float64(counts.Retired))
-		r.Set(NamesOther, cardinality.Other, part, float64(counts.Other))
+		r.Set(NamesAdmitted, cardinality.Other, label, float64(counts.Active))
+		r.Set(NamesJoined, cardinality.Other, label, float64(counts.Admitted))
+		r.Set(NamesLeft, cardinality.Other, label, float64(counts.Retired))
+		r.Set(NamesOther, cardinality.Other, label, float64(counts.Other))
 	}
 }
 
@@ -95,12 +95,12 @@
 	appendSeries(cardinality.Other, Series{Figure: id, Other: figure.By != NoDimension})
 }
 
-// appendPoints appends the parts of a counter or gauge that are to be reported.
+// appendPoints appends the series of a counter or gauge that are to be reported, of one name.
 func (r *Registry) appendPoints(interval *Interval, slot int, series Series) {
-	for part := range series.Figure.Parts() {
-		if r.reported(series.Figure, slot, part) {
-			series.Part = part
-			interval.Points = append(interval.Points, Point{series, r.Value(series.Figure, slot, part)})
+	for label := range series.Figure.SeriesPerName() {
+		if r.reported(series.Figure, slot, label) {
+			series.LabelIndex = label
+			interval.Points = append(interval.Points, Point{series, r.Value(series.Figure, slot, label)})
 		}
 	}
 }
@@ -108,12 +108,12 @@
 // reported reports whether a gauge was set, or a counter has counted. A counter of a single series is always
 // reported; of many series each is from when it has counted: a series that is new in a collector began at
 // zero.
-func (r *Registry) reported(id ID, slot, part int) bool {
+func (r *Registry) reported(id ID, slot, label int) bool {
 	if set := r.gaugeSet[id]; set != nil {
-		return set[id.index(slot, part)]
+		return set[id.index(slot, label)]
 	}
-	single := Catalogue[id].By == NoDimension && id.Parts() == 1
-	return single || r.Value(id, slot, part) != 0
+	single := Catalogue[id].By == NoDimension && id.SeriesPerName() == 1
+	return single || r.Value(id, slot, label) != 0
 }
 
 // appendDistribution appends a distribution that has values, and empties it.
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -39,16 +39,16 @@
 
 // Figure is an entry of the catalogue.
 type Figure struct {
-	Name   string // as exported
-	Kind   Kind
-	Unit   string // of a value: ms, bytes, ...; empty: a plain number
-	By     Dimension
-	Detail string   // what Parts tell apart; empty: there is one series a name
-	Parts  []string // the values of the detail, by part number
-	Help   string
+	Name        string // as exported
+	Kind        Kind
+	Unit        string // of a value: ms, bytes, ...; empty: a plain number
+	By          Dimension
+	Label       string   // that LabelValues are of; empty: there is one series a name
+	LabelValues []string // by the LabelIndex of their series
+	Help        string
 }
 
-// The parts of figures, as exported. Their order is that of the constants below, or of the type they are
+// The label values of figures, as exported. Their order is that of the constants below, or of the type they are
 // named by.
 var (
 	requestOutcomes = []string{"in_time", "late", "refused", "failed", "gone"}
@@ -78,7 +78,7 @@
 	}
 )
 
-// The parts of Answers and AnswersByTenant.
+// The label indexes of Answers and AnswersByTenant.
 const (
 	InTime = iota // served within the latency objective, or without one
 	Late          // served after it
@@ -87,7 +87,7 @@
 	ClientLeft // the client stopped waiting
 )
 
-// The parts of Rejections.
+// The label indexes of Rejections.
 const (
 	NoCapacity = iota // by the decision module
 	TooManySessions
@@ -99,7 +99,7 @@
 	Killed
 )
 
-// The parts of Engines.
+// The label indexes of Engines.
 const (
 	Ready = iota
 	SlowStart
@@ -107,14 +107,14 @@
 	Draining
 )
 
-// The parts of Connections.
+// The label indexes of Connections.
 const (
 	ClientSide = iota
 	EngineSide
 )
 
-// Parts is how many series a figure has for each name.
-func (id ID) Parts() int { return max(1, len(Catalogue[id].Parts)) }
+// SeriesPerName is how many series a figure has for each name.
+func (id ID) SeriesPerName() int { return max(1, len(Catalogue[id].LabelValues)) }
 
 // Find is the figure of an exported name.
 func Find(name string) (ID, bool) {
@@ -132,11 +132,11 @@
 	table.WriteString("| figure | kind | unit | by | detail | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	for i := range Catalogue {
 		figure := &Catalogue[i]
-		detail := figure.Detail
-		if figure.Detail == "reason" {
+		detail := figure.Label
+		if figure.Label == "reason" {
 			detail += ": a reason code of the log"
-		} else if len(figure.Parts) > 0 {
-			detail += ": " + strings.Join(figure.Parts, ", ")
+		} else if len(figure.LabelValues) > 0 {
+			detail += ": " + strings.Join(figure.LabelValues, ", ")
 		}
 		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n",
 			figure.Name, figure.Kind, figure.Unit, figure.By, detail, figure.Help)
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -8,19 +8,19 @@
 
 // Series names one series of values.
 type Series struct {
-	Figure ID
-	Name   string // by the figure's dimension; empty in one that has none
-	Other  bool   // it stands for all names that are not admitted
-	Part   int    // of the figure's detail
+	Figure     ID
+	Name       string // by the figure's dimension; empty in one that has none
+	Other      bool   // it stands for all names that are not admitted
+	LabelIndex int    // of the value of the figure's label, in LabelValues
 }
 
-// compareSeries orders series by figure, then by name with all others last, then by part.
+// compareSeries orders series by figure, then by name with all others last, then by label.
 func compareSeries(a, b Series) int {
 	return cmp.Or(
 		cmp.Compare(a.Figure, b.Figure),
 		compareBool(a.Other, b.Other),
 		cmp.Compare(a.Name, b.Name),
-		cmp.Compare(a.Part, b.Part),
+		cmp.Compare(a.LabelIndex, b.LabelIndex),
 	)
 }
 
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -36,9 +36,9 @@
 				})
 				continue
 			}
-			for part := range id.Parts() {
+			for label := range id.SeriesPerName() {
 				value += 1.125
-				s.Part = part
+				s.LabelIndex = label
 				v.Points = append(v.Points, metrics.Point{Series: s, Value: value})
 			}
 		}
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -32,10 +32,10 @@
 	lastTimestamp    time.Duration // by the wall clock
 	sequence         uint64        // of the last interval
 	tables           [dimensionCount]*cardinality.Table
-	values           [figureCount][]float64 // of counters and gauges, by slot and part
+	values           [figureCount][]float64 // of counters and gauges, by slot and label
 	gaugeSet         [figureCount][]bool    // gauges that were set in this interval
 	sketches         [figureCount][]*Sketch // of distributions, by slot
-	answersAtLastCut []float64              // by slot and part
+	answersAtLastCut []float64              // by slot and label
 	encodeBuffer     []byte
 }
 
@@ -72,10 +72,10 @@
 	slots := r.tables[Catalogue[id].By].Slots()
 	switch Catalogue[id].Kind {
 	case Counter:
-		r.values[id] = make([]float64, slots*id.Parts())
+		r.values[id] = make([]float64, slots*id.SeriesPerName())
 	case Gauge:
-		r.values[id] = make([]float64, slots*id.Parts())
-		r.gaugeSet[id] = make([]bool, slots*id.Parts())
+		r.values[id] = make([]float64, slots*id.SeriesPerName())
+		r.gaugeSet[id] = make([]bool, slots*id.SeriesPerName())
 	case DistributionKind:
 		r.sketches[id] = make([]*Sketch, slots)
 	}
@@ -90,7 +90,7 @@
 		case Catalogue[id].Kind == DistributionKind:
 			r.sketches[id][slot] = nil
 		default:
-			first, end := slot*id.Parts(), (slot+1)*id.Parts()
+			first, end := slot*id.SeriesPerName(), (slot+1)*id.SeriesPerName()
 			clear(r.values[id][first:end])
 			if id == Answers {
 				clear(r.answersAtLastCut[first:end])
@@ -110,18 +110,18 @@
 }
 
 // index is the place of a series among the values of its figure.
-func (id ID) index(slot, part int) int { return slot*id.Parts() + part }
+func (id ID) index(slot, label int) int { return slot*id.SeriesPerName() + label }
 
 // Add adds to a counter. The slot is that of a name in the figure's dimension, or cardinality.Other where it
 // has none.
-func (r *Registry) Add(id ID, slot, part int, increment float64) {
-	r.values[id][id.index(slot, part)] += increment
+func (r *Registry) Add(id ID, slot, label int, increment float64) {
+	r.values[id][id.index(slot, label)] += increment
 }
 
 // Set sets a gauge, or a counter that is counted elsewhere. A gauge by name that is not set in an interval is
 // not reported in that.
-func (r *Registry) Set(id ID, slot, part int, value float64) {
-	i := id.index(slot, part)
+func (r *Registry) Set(id ID, slot, label int, value float64) {
+	i := id.index(slot, label)
 	r.values[id][i] = value
 	if r.gaugeSet[id] != nil {
 		r.gaugeSet[id][i] = true
@@ -129,9 +129,9 @@
 }
 
 // SetMax sets a gauge to a value if that is larger than what it was set to in this interval.
-func (r *Registry) SetMax(id ID, slot, part int, value float64) {
-	if i := id.index(slot, part); value > r.values[id][i] || !r.gaugeSet[id][i] {
-		r.Set(id, slot, part, value)
+func (r *Registry) SetMax(id ID, slot, label int, value float64) {
+	if i := id.index(slot, label); value > r.values[id][i] || !r.gaugeSet[id][i] {
+		r.Set(id, slot, label, value)
 	}
 }
 
@@ -146,4 +146,4 @@
 }
 
 // Value is the value of a counter or gauge as it stands.
-func (r *Registry) Value(id ID, slot, part int) float64 { return r.values[id][id.index(slot, part)] }
+func (r *Registry) Value(id ID, slot, label int) float64 { return r.values[id][id.index(slot, label)] }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -13,8 +13,8 @@
 // night is a minute of a broker in which route reports go late and requests are rejected.
 func night() *collector.Findings {
 	var all []collector.Sample
-	add := func(at int64, id metrics.ID, name, stat string, part int, v float64) {
-		series := metrics.Series{Figure: id, Name: name, Part: part}
+	add := func(at int64, id metrics.ID, name, stat string, label int, v float64) {
+		series := metrics.Series{Figure: id, Name: name, LabelIndex: label}
 		all = append(all, collector.Sample{
 			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
 		})
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -28,8 +28,8 @@
 	if s.Other {
 		name = "all others"
 	}
-	if parts := metrics.Catalogue[s.Figure].Parts; len(parts) > 0 {
-		return strings.TrimSpace(name + " " + strings.ReplaceAll(parts[s.Part], "_", " "))
+	if values := metrics.Catalogue[s.Figure].LabelValues; len(values) > 0 {
+		return strings.TrimSpace(name + " " + strings.ReplaceAll(values[s.LabelIndex], "_", " "))
 	}
 	return name
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -63,7 +63,7 @@
 	return strconv.Itoa(number)
 }
 
-// rejectionCauses are the parts of metrics.Rejections by the kind of the reply.
+// rejectionCauses are the label indexes of metrics.Rejections by the kind of the reply.
 var rejectionCauses = [...]int{
 	broker.ReplyRejected:        metrics.NoCapacity,
 	broker.ReplyTooManySessions: metrics.TooManySessions,
@@ -102,7 +102,7 @@
 	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(request.QueueTime))
 }
 
-// requestOutcome is the part of metrics.Answers that a request counts under.
+// requestOutcome is the label index of metrics.Answers that a request counts under.
 func requestOutcome(request *broker.RequestSummary) int {
 	switch {
 	case request.ClientLeft:
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -49,8 +49,8 @@
 }
 
 // setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
-func (r *Recorder) setGauge(id metrics.ID, part int, value float64) {
-	r.registry.Set(id, cardinality.Other, part, value)
+func (r *Recorder) setGauge(id metrics.ID, label int, value float64) {
+	r.registry.Set(id, cardinality.Other, label, value)
 }
 
 func (r *Recorder) recordConnections(connections *netconn.ConnectionCounts) {
@@ -61,10 +61,10 @@
 		netconn.EngineSide:    metrics.EngineEnds,
 		netconn.ChangelogSide: metrics.ChangelogEnds,
 	} {
-		part := 0
+		label := 0
 		connections.EachEndReason(side, func(_ netconn.Reason, count uint64) {
-			r.setGauge(id, part, float64(count))
-			part++
+			r.setGauge(id, label, float64(count))
+			label++
 		})
 	}
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// engineHealth is the part of metrics.Engines that an engine counts under.
+// engineHealth is the label index of metrics.Engines that an engine counts under.
 func engineHealth(engine *control.EngineView) int {
 	switch {
 	case engine.State == control.Draining:
