--- /dev/null
+++ b/internal/config/deployments_test.go
@@ -0,0 +1,129 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/jsonschema-go/jsonschema"
+
+	"wheatlane/internal/goldenfile"
+)
+
+// The words of each deployment that a broker reads are those that the platform's files use.
+func TestWordsOfDeployments(t *testing.T) {
+	sites, err := filepath.Glob("../../deploy/sites/*/wire.json")
+	if err != nil || len(sites) == 0 {
+		t.Fatalf("%q, %v", sites, err)
+	}
+	schema, err := JSONSchema()
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := map[string]bool{}
+	keysOf(schema.Properties["settings"], known)
+	for _, site := range sites {
+		var wire struct {
+			Init struct {
+				UnitSuffix    string `json:"unit_suffix"`
+				Rename, Words map[string]string
+			}
+		}
+		read(t, site, &wire)
+		var out strings.Builder
+		for _, from := range slices.Sorted(maps.Keys(wire.Init.Rename)) {
+			word := pascal(wire.Init.Rename[from])
+			fmt.Fprintf(&out, "%s %s read=%v as time=%v\n", from, word, known[word], known[word+wire.Init.UnitSuffix])
+		}
+		for _, from := range slices.Sorted(maps.Keys(wire.Init.Words)) {
+			fmt.Fprintf(&out, "word %s %s\n", from, wire.Init.Words[from])
+		}
+		name := filepath.Base(filepath.Dir(site))
+		goldenfile.Compare(t, filepath.Join("testdata", name+".words.txt"), out.String())
+		t.Run(name, func(t *testing.T) { listOfDeployment(t, filepath.Join(filepath.Dir(site), "real.json")) })
+	}
+}
+
+// listOfDeployment reads a list of engines that is written in the words of a deployment.
+func listOfDeployment(t *testing.T, path string) {
+	t.Helper()
+	var words struct {
+		FeedKey string `json:"feed_key"`
+		F       map[string]string
+		States  map[string]string
+		Route   struct {
+			E       []string
+			FeedKey string `json:"feed_key"`
+		}
+	}
+	read(t, path, &words)
+	type object = map[string]any
+	host := func(n int, state string) object {
+		return object{
+			words.F["id"]: fmt.Sprintf("e%d", n), words.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n),
+			words.F["zone"]: "north", words.F["kind"]: "std", words.F["cell"]: 40 + n,
+			words.F["state"]: words.States[state], words.F["started"]: 1000 * n,
+		}
+	}
+	event := object{words.F["version"]: 5, words.Route.E[4]: object{
+		words.F["full"]: true,
+		words.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")},
+	}}
+	doc := object{
+		"listen": "10.0.0.4:6565", words.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
+		"known": object{words.F["version"]: 9, words.Route.E[3]: []object{event}},
+	}
+	text, err := json.Marshal(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	env := map[string]string{"RELAY_CONFIG": file, "TMPDIR": "/tmp"}
+	c, err := Load(func(key string) string { return env[key] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := strings.Join(values(reflect.ValueOf(c.Known)), "\n")
+	goldenfile.Compare(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
+}
+
+func read(t *testing.T, path string, into any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, into); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// keysOf adds the keys of a schema and of all below it.
+func keysOf(s *jsonschema.Schema, to map[string]bool) {
+	if s == nil {
+		return
+	}
+	for k, p := range s.Properties {
+		to[k] = true
+		keysOf(p, to)
+	}
+	keysOf(s.Items, to)
+}
+
+// pascal writes the last part of rules.order_settle as OrderSettle.
+func pascal(word string) string {
+	var b strings.Builder
+	for part := range strings.SplitSeq(word[strings.LastIndex(word, ".")+1:], "_") {
+		b.WriteString(strings.ToUpper(part[:1]) + part[1:])
+	}
+	return b.String()
+}
