--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -87,7 +87,7 @@
 	}
 	id := c.newRequestID()
 	statement := class.Statement(id, cluster.Tenants[c.source.IntN(2)], "op"+id, key, c.source.IntN(dataSetCount), false)
-	s, err := rawclient.Connect(ctx, c.address, statement, func(at time.Time) {
+	session, err := rawclient.Connect(ctx, c.address, statement, func(at time.Time) {
 		c.checker.RequestSent(conformance.Request{
 			ID:       id,
 			Class:    class.Engine.Name,
@@ -99,14 +99,14 @@
 	if err != nil {
 		return // the broker accepts no more connections
 	}
-	defer s.Close()
-	answer, err := s.ReadPacketFor(c.source.Duration(maxPatience))
+	defer session.Close()
+	answer, err := session.ReadPacketFor(c.source.Duration(maxPatience))
 	switch {
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		by := rawclient.Departure(c.source.IntN(rawclient.Departures))
-		s.Leave(ctx, c.address, by, func(rawclient.Departure) {
+		session.Leave(ctx, c.address, by, func(rawclient.Departure) {
 			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
 		})
 	default:
@@ -132,15 +132,15 @@
 	for range idleClients {
 		ready.Add(1)
 		g.Go(func() error {
-			s, err := c.connectIdle(ctx)
+			session, err := c.connectIdle(ctx)
 			ready.Done()
 			if err != nil {
 				return fmt.Errorf("an idle client: %w", err)
 			}
-			defer s.Close()
-			stop := context.AfterFunc(ctx, s.Close)
+			defer session.Close()
+			stop := context.AfterFunc(ctx, session.Close)
 			defer stop()
-			c.sendAfterShutdown(s, sentLate)
+			c.sendAfterShutdown(session, sentLate)
 			return nil
 		})
 	}
@@ -151,20 +151,20 @@
 // connectIdle connects a client and waits for its first answer. The statement has no fields: it is answered
 // at once, and nothing is forwarded.
 func (c *disconnectingClients) connectIdle(ctx context.Context) (*rawclient.Session, error) {
-	s, err := rawclient.Connect(ctx, c.address, "PING", func(time.Time) {})
+	session, err := rawclient.Connect(ctx, c.address, "PING", func(time.Time) {})
 	if err != nil {
 		return nil, err
 	}
-	if _, err := s.ReadPacket(); err != nil {
-		s.Close()
+	if _, err := session.ReadPacket(); err != nil {
+		session.Close()
 		return nil, err
 	}
-	return s, nil
+	return session, nil
 }
 
 // sendAfterShutdown waits for the broker to shut a connection, and sends a request on it.
-func (c *disconnectingClients) sendAfterShutdown(s *rawclient.Session, sentLate func(requestID string)) {
-	if !s.WaitForShutdown() {
+func (c *disconnectingClients) sendAfterShutdown(session *rawclient.Session, sentLate func(requestID string)) {
+	if !session.WaitForShutdown() {
 		return // it was reset, or closed at the end of the run
 	}
 	class := c.classes[0]
@@ -178,7 +178,7 @@
 	})
 	// A request that crosses a close is owed no answer.
 	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
-	s.SendLast(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
+	session.SendLast(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
 
 // outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that
--- a/measure/soak/brokerfaults.go
+++ b/measure/soak/brokerfaults.go
@@ -19,40 +19,40 @@
 )
 
 // restartBroker restarts a broker by SIGTERM.
-func (s *soak) restartBroker(ctx context.Context, b *brokerSlot) error {
-	s.noteTerm(b)
-	if err := b.terminate(b.current()); err != nil {
+func (s *soak) restartBroker(ctx context.Context, broker *brokerSlot) error {
+	s.noteTerm(broker)
+	if err := broker.terminate(broker.current()); err != nil {
 		return err
 	}
-	return b.start(context.WithoutCancel(ctx))
+	return broker.start(context.WithoutCancel(ctx))
 }
 
 // upgradeBroker starts a second process beside the first, which ends once the other one serves.
-func (s *soak) upgradeBroker(ctx context.Context, b *brokerSlot) error {
-	before := b.current()
-	if err := b.start(context.WithoutCancel(ctx)); err != nil {
+func (s *soak) upgradeBroker(ctx context.Context, broker *brokerSlot) error {
+	before := broker.current()
+	if err := broker.start(context.WithoutCancel(ctx)); err != nil {
 		return err
 	}
-	s.noteTerm(b)
-	return b.terminate(before)
+	s.noteTerm(broker)
+	return broker.terminate(before)
 }
 
 // killBroker kills a broker and starts it again.
-func (s *soak) killBroker(ctx context.Context, b *brokerSlot) error {
+func (s *soak) killBroker(ctx context.Context, broker *brokerSlot) error {
 	killedAt := time.Now()
-	b.current().kill()
+	broker.current().kill()
 	pacing.Pause(ctx, s.drawDuration(maxKillPause))
-	err := b.start(context.WithoutCancel(ctx))
+	err := broker.start(context.WithoutCancel(ctx))
 	s.note(func(h *history) {
-		h.brokerKills[b.listen] = append(h.brokerKills[b.listen], span{killedAt, time.Now()})
+		h.brokerKills[broker.listen] = append(h.brokerKills[broker.listen], span{killedAt, time.Now()})
 	})
 	return err
 }
 
 // reloadBrokers sends all brokers a new configuration.
 func (s *soak) reloadBrokers(context.Context) error {
-	for _, b := range s.brokers {
-		if err := b.reload(); err != nil {
+	for _, broker := range s.brokers {
+		if err := broker.reload(); err != nil {
 			return err
 		}
 	}
@@ -61,9 +61,9 @@
 
 // reloadInARow sends a broker several new configurations in quick succession.
 func (s *soak) reloadInARow(ctx context.Context) error {
-	b := s.brokers[s.draw(len(s.brokers))]
+	broker := s.brokers[s.draw(len(s.brokers))]
 	for range reloadsInARow {
-		if err := b.reload(); err != nil {
+		if err := broker.reload(); err != nil {
 			return err
 		}
 		pacing.Pause(ctx, reloadInterval)
@@ -72,16 +72,16 @@
 }
 
 // hangUpAndTerminate sends a broker SIGHUP and SIGTERM in one moment, and starts it again.
-func (s *soak) hangUpAndTerminate(ctx context.Context, b *brokerSlot) error {
-	if err := b.reload(); err != nil {
+func (s *soak) hangUpAndTerminate(ctx context.Context, broker *brokerSlot) error {
+	if err := broker.reload(); err != nil {
 		return err
 	}
-	return s.restartBroker(ctx, b)
+	return s.restartBroker(ctx, broker)
 }
 
 // stopBroker has a broker stand still for a while.
-func (s *soak) stopBroker(ctx context.Context, b *brokerSlot) error {
-	p, from := b.current(), time.Now()
+func (s *soak) stopBroker(ctx context.Context, broker *brokerSlot) error {
+	p, from := broker.current(), time.Now()
 	p.signal(syscall.SIGSTOP)
 	length := minBrokerStop + s.drawDuration(brokerStopRange)
 	if s.draw(longStopOdds) == 0 {
@@ -90,7 +90,7 @@
 	pacing.Pause(ctx, length)
 	p.signal(syscall.SIGCONT)
 	s.note(func(h *history) {
-		h.brokerStops[b.listen] = append(h.brokerStops[b.listen], span{from, time.Now()})
+		h.brokerStops[broker.listen] = append(h.brokerStops[broker.listen], span{from, time.Now()})
 	})
 	return nil
 }
--- a/measure/soak/faults.go
+++ b/measure/soak/faults.go
@@ -55,46 +55,46 @@
 
 // runFaults runs moments until ctx ends: each overlaps some faults, drawn by the seed.
 func (s *soak) runFaults(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	for ctx.Err() == nil {
 		for range 1 + s.draw(faultsPerMoment) {
-			f, offset := faults[s.draw(len(faults))], s.drawDuration(maxFaultOffset)
-			g.Go(func() error {
+			drawn, offset := faults[s.draw(len(faults))], s.drawDuration(maxFaultOffset)
+			group.Go(func() error {
 				pacing.Pause(ctx, offset)
-				s.runFault(ctx, f)
+				s.runFault(ctx, drawn)
 				return nil
 			})
 		}
 		pacing.Pause(ctx, minMomentPause+s.drawDuration(maxMomentPause-minMomentPause))
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
 // runFault runs one fault, unless the run is over. What fails after its end is no finding.
-func (s *soak) runFault(ctx context.Context, f fault) {
+func (s *soak) runFault(ctx context.Context, drawn fault) {
 	if ctx.Err() != nil {
 		return
 	}
-	s.logFault(f.name)
-	err := f.run(s, ctx)
+	s.logFault(drawn.name)
+	err := drawn.run(s, ctx)
 	if err != nil && ctx.Err() == nil {
-		s.find("%s: %v", f.name, err)
+		s.find("%s: %v", drawn.name, err)
 	}
 }
 
 // onBroker makes a fault of one that befalls a broker, which is drawn.
-func onBroker(run func(s *soak, ctx context.Context, b *brokerSlot) error) faultFunc {
+func onBroker(run func(s *soak, ctx context.Context, broker *brokerSlot) error) faultFunc {
 	return func(s *soak, ctx context.Context) error {
-		b := s.brokers[s.draw(len(s.brokers))]
-		return s.holding(b.name, func() error { return run(s, ctx, b) })
+		broker := s.brokers[s.draw(len(s.brokers))]
+		return s.holding(broker.name, func() error { return run(s, ctx, broker) })
 	}
 }
 
 // onEngine makes a fault of one that befalls an engine, which is drawn.
-func onEngine(run func(s *soak, ctx context.Context, e *engineProcess) error) faultFunc {
+func onEngine(run func(s *soak, ctx context.Context, engine *engineProcess) error) faultFunc {
 	return func(s *soak, ctx context.Context) error {
-		e := s.engines[s.draw(len(s.engines))]
-		return s.holding(e.id, func() error { return run(s, ctx, e) })
+		engine := s.engines[s.draw(len(s.engines))]
+		return s.holding(engine.id, func() error { return run(s, ctx, engine) })
 	}
 }
 
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -15,6 +15,7 @@
 	timeoutSlack     = 150 * time.Millisecond
 	drainGrace       = 500 * time.Millisecond
 	updateBound      = 7 * time.Second // what the change log has counts as known by then, whatever happens
+	updateMargin     = time.Second     // around a fault, in which an update may be late
 	maintenanceBound = time.Second     // from the call to the last send
 	// A request counts for a broker that ends until so long after SIGTERM.
 	requestsAfterTerm = 200 * time.Millisecond
@@ -75,19 +76,19 @@
 	v := verdict{outcomes: map[Outcome]int{}}
 	records := h.records()
 	for _, id := range slices.Sorted(maps.Keys(records)) {
-		r := records[id]
-		v.attempts += len(r.attempts)
-		if r.sent == nil {
-			if r.ended == nil {
+		record := records[id]
+		v.attempts += len(record.attempts)
+		if record.sent == nil {
+			if record.ended == nil {
 				v.find("attempt of %s, which no client sent", id)
 			}
 			continue
 		}
 		v.requests++
-		h.judgeOutcome(&v, r)
-		h.judgeRepeats(&v, r)
-		for _, a := range r.attempts {
-			h.judgeAttempt(&v, r, a)
+		h.judgeOutcome(&v, record)
+		h.judgeRepeats(&v, record)
+		for _, attempt := range record.attempts {
+			h.judgeAttempt(&v, record, attempt)
 		}
 	}
 	return v
@@ -103,124 +104,127 @@
 		return records[id]
 	}
 	for i := range h.events {
-		e := &h.events[i]
-		switch e.Kind {
+		event := &h.events[i]
+		switch event.Kind {
 		case RequestSent:
-			of(e.Request).sent = e
+			of(event.Request).sent = event
 		case RequestEnded:
-			r := of(e.Request)
-			if r.ended == nil || e.Outcome == SecondCame {
-				r.ended = e
+			record := of(event.Request)
+			if record.ended == nil || event.Outcome == SecondCame {
+				record.ended = event
 			}
 		case AttemptReceived:
-			r := of(e.Request)
-			r.attempts = append(r.attempts, e)
+			record := of(event.Request)
+			record.attempts = append(record.attempts, event)
 		case AttemptEnded, EngineListening:
 		}
 	}
-	for _, r := range records {
-		slices.SortFunc(r.attempts, func(a, b *Event) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	for _, record := range records {
+		slices.SortFunc(record.attempts, func(a, b *Event) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
 	}
 	return records
 }
 
 // judgeOutcome checks that a request got its one answer in time.
-func (h *history) judgeOutcome(v *verdict, r *requestRecord) {
-	if r.ended == nil {
+func (h *history) judgeOutcome(v *verdict, record *requestRecord) {
+	if record.ended == nil {
 		v.outcomes["open"]++
 		return // the run ended first
 	}
-	v.outcomes[r.ended.Outcome]++
-	switch r.ended.Outcome {
+	v.outcomes[record.ended.Outcome]++
+	switch record.ended.Outcome {
 	case Served, Rejected, Failed, Left, NotSent:
 		return
 	case WrongRows, SecondCame:
 	case NoAnswer, Closed:
-		if h.answerNotOwed(r) {
+		if h.answerNotOwed(record) {
 			v.exempt++
 			return
 		}
 	}
-	v.find("%s of %s at %s: %s after %v (%s)", r.sent.Request, r.sent.Class, r.sent.Broker, r.ended.Outcome,
-		r.ended.At.Sub(r.sent.At).Round(time.Millisecond), r.ended.Detail)
+	v.find("%s of %s at %s: %s after %v (%s)",
+		record.sent.Request, record.sent.Class, record.sent.Broker, record.ended.Outcome,
+		record.ended.At.Sub(record.sent.At).Round(time.Millisecond), record.ended.Detail)
 }
 
 // answerNotOwed reports whether the broker of a request was killed while it was open, had been asked to end
 // before it came, or stood still as its time ended.
-func (h *history) answerNotOwed(r *requestRecord) bool {
-	broker := r.sent.Broker
+func (h *history) answerNotOwed(record *requestRecord) bool {
+	broker := record.sent.Broker
 	for _, kill := range h.brokerKills[broker] {
-		if kill.touches(r.sent.At, r.ended.At, clockSlack) {
+		if kill.touches(record.sent.At, record.ended.At, clockSlack) {
 			return true
 		}
 	}
 	for _, s := range h.brokerBreaks[broker] {
-		if r.ended.Outcome == Closed && s.touches(r.ended.At, r.ended.At, 0) {
+		if record.ended.Outcome == Closed && s.touches(record.ended.At, record.ended.At, 0) {
 			return true
 		}
 	}
 	for _, at := range h.brokerTerms[broker] {
-		if sinceTerm := r.sent.At.Sub(at); sinceTerm > requestsAfterTerm && sinceTerm < killAfterTerm+settleTime {
+		if sinceTerm := record.sent.At.Sub(at); sinceTerm > requestsAfterTerm && sinceTerm < killAfterTerm+settleTime {
 			return true
 		}
 	}
-	due := r.sent.At.Add(r.sent.Timeout)
-	return r.ended.Outcome == NoAnswer && slices.ContainsFunc(h.brokerStops[broker], func(s span) bool {
+	due := record.sent.At.Add(record.sent.Timeout)
+	return record.ended.Outcome == NoAnswer && slices.ContainsFunc(h.brokerStops[broker], func(s span) bool {
 		return s.touches(due.Add(-settleTime), due.Add(lateAnswerWindow), 0)
 	})
 }
 
 // judgeRepeats checks that what may run once ran once at most.
-func (h *history) judgeRepeats(v *verdict, r *requestRecord) {
-	if r.sent.Class == "report" && len(r.attempts) > 1 {
-		v.find("%s of %s, which may run once: %d attempts", r.sent.Request, r.sent.Class, len(r.attempts))
+func (h *history) judgeRepeats(v *verdict, record *requestRecord) {
+	if record.sent.Class == "report" && len(record.attempts) > 1 {
+		v.find("%s of %s, which may run once: %d attempts", record.sent.Request, record.sent.Class, len(record.attempts))
 	}
 }
 
 // judgeAttempt checks one attempt. Engines that were stopped, and bytes that were held, show attempts later than
 // they left the broker: the times of these are not judged.
-func (h *history) judgeAttempt(v *verdict, r *requestRecord, a *Event) {
-	delayed := slices.ContainsFunc(h.engineDelays[a.Engine], func(s span) bool {
-		return s.touches(a.At, a.At, settleTime)
+func (h *history) judgeAttempt(v *verdict, record *requestRecord, attempt *Event) {
+	delayed := slices.ContainsFunc(h.engineDelays[attempt.Engine], func(s span) bool {
+		return s.touches(attempt.At, attempt.At, settleTime)
 	})
 	if delayed {
 		return
 	}
-	if r.ended != nil && r.ended.Outcome == Left {
-		if late := a.At.Sub(r.ended.At); late > maxStartAfterEnd+clockSlack {
-			v.find("%s of %s at %s began %v after its client had left (%s)", r.sent.Request, r.sent.Class,
-				a.Engine, late.Round(time.Millisecond), r.ended.Detail)
+	if record.ended != nil && record.ended.Outcome == Left {
+		if late := attempt.At.Sub(record.ended.At); late > maxStartAfterEnd+clockSlack {
+			v.find("%s of %s at %s began %v after its client had left (%s)", record.sent.Request, record.sent.Class,
+				attempt.Engine, late.Round(time.Millisecond), record.ended.Detail)
 		}
 	}
-	left := r.sent.At.Add(r.sent.Timeout).Sub(a.At)
-	if over := a.Timeout - left; over > timeoutSlack+clockSlack {
-		v.find("%s of %s at %s: timeout of %v with %v left to the client", r.sent.Request, r.sent.Class, a.Engine,
-			a.Timeout, left.Round(time.Millisecond))
+	left := record.sent.At.Add(record.sent.Timeout).Sub(attempt.At)
+	if over := attempt.Timeout - left; over > timeoutSlack+clockSlack {
+		v.find("%s of %s at %s: timeout of %v with %v left to the client",
+			record.sent.Request, record.sent.Class, attempt.Engine, attempt.Timeout, left.Round(time.Millisecond))
 	}
-	h.judgeAvailability(v, r, a)
+	h.judgeAvailability(v, record, attempt)
 }
 
 // judgeAvailability checks that the engine of an attempt took any.
-func (h *history) judgeAvailability(v *verdict, r *requestRecord, a *Event) {
-	for _, s := range h.drains[a.Engine] {
+func (h *history) judgeAvailability(v *verdict, record *requestRecord, attempt *Event) {
+	for _, s := range h.drains[attempt.Engine] {
 		bound := drainGrace + clockSlack
-		if h.updateMayBeLate(r.sent.Broker, s.from) {
+		if h.updateMayBeLate(record.sent.Broker, s.from) {
 			bound += updateBound
 		}
-		if late := a.At.Sub(s.from); late > bound && a.At.Before(s.to) {
-			v.find("%s at %s %v after its drain was published", r.sent.Request, a.Engine, late.Round(time.Millisecond))
+		if late := attempt.At.Sub(s.from); late > bound && attempt.At.Before(s.to) {
+			v.find("%s at %s %v after its drain was published",
+				record.sent.Request, attempt.Engine, late.Round(time.Millisecond))
 		}
 	}
-	for _, s := range h.maintenance[a.Engine] {
-		if late := a.At.Sub(s.from); late > maintenanceBound+clockSlack && a.At.Before(s.to) {
-			v.find("%s at %s %v after its maintenance began", r.sent.Request, a.Engine, late.Round(time.Millisecond))
+	for _, s := range h.maintenance[attempt.Engine] {
+		if late := attempt.At.Sub(s.from); late > maintenanceBound+clockSlack && attempt.At.Before(s.to) {
+			v.find("%s at %s %v after its maintenance began",
+				record.sent.Request, attempt.Engine, late.Round(time.Millisecond))
 		}
 	}
 }
 
-// updateMayBeLate reports whether something kept a broker from hearing of a change of the list at once.
+// updateMayBeLate reports whether something kept a broker from receiving a change of the list at once.
 func (h *history) updateMayBeLate(broker string, at time.Time) bool {
-	touches := func(s span) bool { return s.touches(at.Add(-time.Second), at.Add(time.Second), time.Second) }
+	touches := func(s span) bool { return s.touches(at.Add(-updateMargin), at.Add(updateMargin), updateMargin) }
 	return slices.ContainsFunc(h.changelogFaults, touches) ||
 		slices.ContainsFunc(h.brokerStops[broker], touches) || slices.ContainsFunc(h.brokerKills[broker], touches)
 }
--- a/measure/soak/lifecycle.go
+++ b/measure/soak/lifecycle.go
@@ -18,16 +18,16 @@
 	var err error
 	endpoints := make([]changelogserver.Endpoint, 0, s.options.engines)
 	for i := range s.options.engines {
-		e := &engineProcess{id: fmt.Sprintf("e-%02d", i)}
-		if e.proxy, err = s.newProxy(); err != nil {
+		engine := &engineProcess{id: fmt.Sprintf("e-%02d", i)}
+		if engine.proxy, err = s.newProxy(); err != nil {
 			return err
 		}
-		if err := s.startEngine(e); err != nil {
+		if err := s.startEngine(engine); err != nil {
 			return err
 		}
-		s.engines = append(s.engines, e)
+		s.engines = append(s.engines, engine)
 		endpoints = append(endpoints, changelogserver.Endpoint{
-			ID: e.id, Addr: e.proxy.addr, Site: "east", Class: "std-8core", Share: 4,
+			ID: engine.id, Addr: engine.proxy.addr, Site: "east", Class: "std-8core", Share: 4,
 		})
 	}
 	if s.changes, err = changelogserver.New("127.0.0.1:0", endpoints, nil); err != nil {
@@ -41,7 +41,7 @@
 }
 
 // startEngine starts a process of an engine, which ends with the run.
-func (s *soak) startEngine(e *engineProcess) error { return e.start(s.processes, s.report) }
+func (s *soak) startEngine(engine *engineProcess) error { return engine.start(s.processes, s.report) }
 
 func (s *soak) newProxy() (*proxy, error) {
 	p, err := newProxy(s.processes)
@@ -54,62 +54,62 @@
 func (s *soak) startBrokers(program, dir string) error {
 	var changelogProxies [2]*proxy
 	for i := range changelogProxies {
-		p, err := s.newProxy()
+		proxied, err := s.newProxy()
 		if err != nil {
 			return err
 		}
-		p.setTarget(s.changes.Addr())
-		changelogProxies[i] = p
+		proxied.setTarget(s.changes.Addr())
+		changelogProxies[i] = proxied
 	}
-	var g errgroup.Group
+	var group errgroup.Group
 	for i := range s.options.brokers {
-		b := &brokerSlot{
+		broker := &brokerSlot{
 			name: fmt.Sprint("b", i), program: program, changelogProxies: changelogProxies, changes: s.changes,
 			hedging: s.hedging, fleetSize: s.options.brokers, environment: s.brokerEnvironment, onLine: s.brokerLine,
 		}
-		if err := s.prepareBroker(s.processes, b, dir); err != nil {
+		if err := s.prepareBroker(s.processes, broker, dir); err != nil {
 			return err
 		}
-		s.brokers = append(s.brokers, b)
-		g.Go(func() error { return b.start(s.processes) })
+		s.brokers = append(s.brokers, broker)
+		group.Go(func() error { return broker.start(s.processes) })
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
 // prepareBroker gives a broker its addresses, its folder and its log.
-func (s *soak) prepareBroker(ctx context.Context, b *brokerSlot, dir string) error {
+func (s *soak) prepareBroker(ctx context.Context, broker *brokerSlot, dir string) error {
 	var err error
-	if b.listen, err = freeAddress(ctx); err != nil {
+	if broker.listen, err = freeAddress(ctx); err != nil {
 		return err
 	}
-	for i := range b.operators {
-		if b.operators[i], err = freeAddress(ctx); err != nil {
+	for i := range broker.operators {
+		if broker.operators[i], err = freeAddress(ctx); err != nil {
 			return err
 		}
 	}
-	b.dir = filepath.Join(dir, b.name)
-	if err := os.MkdirAll(b.dir, 0o700); err != nil {
+	broker.dir = filepath.Join(dir, broker.name)
+	if err := os.MkdirAll(broker.dir, 0o700); err != nil {
 		return err
 	}
 	if s.options.logs == "" {
 		return nil
 	}
-	b.log, err = os.Create(filepath.Join(s.options.logs, fmt.Sprintf("seed%d-%s.log", s.options.seed, b.name)))
+	broker.log, err = os.Create(filepath.Join(s.options.logs, fmt.Sprintf("seed%d-%s.log", s.options.seed, broker.name)))
 	return err
 }
 
 func (s *soak) startClients() error {
 	addresses := make([]string, 0, len(s.brokers))
-	for _, b := range s.brokers {
-		addresses = append(addresses, b.listen)
+	for _, broker := range s.brokers {
+		addresses = append(addresses, broker.listen)
 	}
 	for i := range s.options.clients {
-		p, err := startHelper(s.processes, s.report, "clients", strings.Join(addresses, ","),
+		started, err := startHelper(s.processes, s.report, "clients", strings.Join(addresses, ","),
 			fmt.Sprint(s.options.seed*100+uint64(i)), fmt.Sprint(s.options.rate))
 		if err != nil {
 			return err
 		}
-		s.clients = append(s.clients, p)
+		s.clients = append(s.clients, started)
 	}
 	return nil
 }
@@ -126,32 +126,32 @@
 			s.find("a client process did not end")
 		}
 	}
-	var g errgroup.Group
-	for _, b := range s.brokers {
-		g.Go(func() error {
-			if p := b.current(); p != nil {
-				return b.terminate(p)
+	var group errgroup.Group
+	for _, broker := range s.brokers {
+		group.Go(func() error {
+			if p := broker.current(); p != nil {
+				return broker.terminate(p)
 			}
 			return nil
 		})
 	}
-	if err := g.Wait(); err != nil {
+	if err := group.Wait(); err != nil {
 		s.find("at the end of the run: %v", err)
 	}
 }
 
 // endAll ends what still runs.
 func (s *soak) endAll() {
-	for _, b := range s.brokers {
-		if p := b.current(); p != nil {
+	for _, broker := range s.brokers {
+		if p := broker.current(); p != nil {
 			p.kill()
 		}
 	}
 	for _, p := range s.clients {
 		p.kill()
 	}
-	for _, e := range s.engines {
-		if p := e.current(); p != nil {
+	for _, engine := range s.engines {
+		if p := engine.current(); p != nil {
 			p.kill()
 		}
 	}
--- a/measure/soak/main.go
+++ b/measure/soak/main.go
@@ -78,11 +78,11 @@
 	failed := 0
 	for range o.seeds {
 		folder := filepath.Join(dir, fmt.Sprint(o.seed))
-		v, s, err := run(ctx, program, folder, o)
+		found, played, err := run(ctx, program, folder, o)
 		if err != nil {
 			return err
 		}
-		if s.print(&v) {
+		if played.print(&found) {
 			failed++
 		}
 		o.seed++
@@ -97,12 +97,12 @@
 const printedFindings = 12 // of a seed, without -v
 
 // print prints a verdict and reports whether anything was found.
-func (s *soak) print(v *verdict) bool {
+func (s *soak) print(found *verdict) bool {
 	fmt.Printf("seed %d: %d requests, %d attempts, outcomes %v, exempt %d, findings %d, violations %v\n",
-		s.options.seed, v.requests, v.attempts, v.outcomes, v.exempt, len(v.findings), s.violations)
-	for i, finding := range v.findings {
+		s.options.seed, found.requests, found.attempts, found.outcomes, found.exempt, len(found.findings), s.violations)
+	for i, finding := range found.findings {
 		if i >= printedFindings && !s.options.verbose {
-			fmt.Printf("  and %d more\n", len(v.findings)-i)
+			fmt.Printf("  and %d more\n", len(found.findings)-i)
 			break
 		}
 		fmt.Println(" ", finding)
@@ -110,5 +110,5 @@
 	if s.options.verbose {
 		fmt.Println("  faults:", strings.Join(s.faultLog, ", "))
 	}
-	return len(v.findings) > 0 || len(s.violations) > 0
+	return len(found.findings) > 0 || len(s.violations) > 0
 }
--- a/measure/soak/request.go
+++ b/measure/soak/request.go
@@ -36,78 +36,78 @@
 
 // newRequest draws a request. One of an ordered class waits for the turn of its key.
 func (c *clientProcess) newRequest(ctx context.Context, broker string, ordered bool) *request {
-	n := c.source.IntN(len(engineClasses))
-	if engineClasses[n].Name == "load" && !ordered {
-		n = 0
+	classIndex := c.source.IntN(len(engineClasses))
+	if engineClasses[classIndex].Name == "load" && !ordered {
+		classIndex = 0
 	}
-	r := &request{class: &engineClasses[n], timeout: clientTimeouts[n], broker: broker}
-	r.id = fmt.Sprintf("%08x%08x", c.prefix, c.requests.Add(1))
-	if r.class.Name == "load" {
-		r.key = fmt.Sprintf("%08x%08x", c.prefix, c.keys.Reserve(ctx, c.source)+1)
+	req := &request{class: &engineClasses[classIndex], timeout: clientTimeouts[classIndex], broker: broker}
+	req.id = fmt.Sprintf("%08x%08x", c.prefix, c.requests.Add(1))
+	if req.class.Name == "load" {
+		req.key = fmt.Sprintf("%08x%08x", c.prefix, c.keys.Reserve(ctx, c.source)+1)
 	}
-	class := client.Class{Engine: *r.class, Timeout: r.timeout}
-	r.statement = class.Statement(r.id, "fishing-fleet", "op"+r.id, r.key, c.source.IntN(dataSetCount), false)
-	return r
+	class := client.Class{Engine: *req.class, Timeout: req.timeout}
+	req.statement = class.Statement(req.id, "fishing-fleet", "op"+req.id, req.key, c.source.IntN(dataSetCount), false)
+	return req
 }
 
-func (c *clientProcess) sent(r *request, at time.Time) {
-	r.sentAt = at
+func (c *clientProcess) sent(req *request, at time.Time) {
+	req.sentAt = at
 	c.events.write(Event{
-		Kind: RequestSent, At: at, Broker: r.broker, Request: r.id, Class: r.class.Name, Key: r.key,
-		Timeout: r.timeout,
+		Kind: RequestSent, At: at, Broker: req.broker, Request: req.id, Class: req.class.Name, Key: req.key,
+		Timeout: req.timeout,
 	})
 }
 
-func (c *clientProcess) ended(r *request, outcome Outcome, detail string) {
+func (c *clientProcess) ended(req *request, outcome Outcome, detail string) {
 	c.events.write(Event{
-		Kind: RequestEnded, At: time.Now(), Broker: r.broker, Request: r.id, Outcome: outcome, Detail: detail,
+		Kind: RequestEnded, At: time.Now(), Broker: req.broker, Request: req.id, Outcome: outcome, Detail: detail,
 	})
 }
 
 // open connects, logs in and sends a first request. It returns nil if that did not work.
-func (c *clientProcess) open(ctx context.Context, r *request) *rawclient.Session {
-	s, err := rawclient.Connect(ctx, r.broker, r.statement, func(at time.Time) { c.sent(r, at) })
+func (c *clientProcess) open(ctx context.Context, req *request) *rawclient.Session {
+	session, err := rawclient.Connect(ctx, req.broker, req.statement, func(at time.Time) { c.sent(req, at) })
 	if err == nil {
-		return s
+		return session
 	}
 	switch {
-	case r.sentAt.IsZero():
+	case req.sentAt.IsZero():
 	case errors.Is(err, os.ErrDeadlineExceeded): // the client waits no longer for its login
-		c.ended(r, Left, "at login")
+		c.ended(req, Left, "at login")
 	default:
-		c.ended(r, Closed, "at login: "+err.Error())
+		c.ended(req, Closed, "at login: "+err.Error())
 	}
 	return nil
 }
 
 // finish reads the answer to a request and reports it. It reports whether the session can go on.
-func (c *clientProcess) finish(s *rawclient.Session, r *request) bool {
-	return c.readAnswer(s, r, func(error) bool { return false })
+func (c *clientProcess) finish(session *rawclient.Session, req *request) bool {
+	return c.readAnswer(session, req, func(error) bool { return false })
 }
 
 // finishCrossing reads what comes for a request that may have crossed the close of its connection. It reports
 // whether the session can go on.
-func (c *clientProcess) finishCrossing(s *rawclient.Session, r *request) bool {
-	return c.readAnswer(s, r, func(err error) bool {
-		return time.Since(r.sentAt) <= crossingWindow && !errors.Is(err, os.ErrDeadlineExceeded)
+func (c *clientProcess) finishCrossing(session *rawclient.Session, req *request) bool {
+	return c.readAnswer(session, req, func(err error) bool {
+		return time.Since(req.sentAt) <= crossingWindow && !errors.Is(err, os.ErrDeadlineExceeded)
 	})
 }
 
 // readAnswer reads the answer to a request and reports it; crossed reports whether an error means that the
 // request crossed the close of its connection.
-func (c *clientProcess) readAnswer(s *rawclient.Session, r *request, crossed func(error) bool) bool {
-	answer, err := s.ReadAnswer(r.sentAt.Add(r.timeout + lateAnswerWindow))
+func (c *clientProcess) readAnswer(session *rawclient.Session, req *request, crossed func(error) bool) bool {
+	answer, err := session.ReadAnswer(req.sentAt.Add(req.timeout + lateAnswerWindow))
 	switch {
 	case err == nil:
-		outcome, detail := outcomeOfAnswer(r, answer)
-		c.ended(r, outcome, detail)
+		outcome, detail := outcomeOfAnswer(req, answer)
+		c.ended(req, outcome, detail)
 		return true
 	case errors.Is(err, net.ErrClosed): // by this process, whose time is over
-		c.ended(r, Left, "end of the run")
+		c.ended(req, Left, "end of the run")
 	case crossed(err):
-		c.ended(r, Left, "crossed")
+		c.ended(req, Left, "crossed")
 	default:
-		c.ended(r, outcomeOfError(err), err.Error())
+		c.ended(req, outcomeOfError(err), err.Error())
 	}
 	return false
 }
@@ -119,13 +119,13 @@
 	return Closed
 }
 
-func outcomeOfAnswer(r *request, answer rawclient.Answer) (outcome Outcome, detail string) {
+func outcomeOfAnswer(req *request, answer rawclient.Answer) (outcome Outcome, detail string) {
 	switch {
 	case answer.Rejected():
 		return Rejected, ""
 	case answer.ErrorCode != 0:
 		return Failed, fmt.Sprint(answer.ErrorCode)
-	case answer.Rows != strings.Join(r.class.Result(r.id), ""):
+	case answer.Rows != strings.Join(req.class.Result(req.id), ""):
 		return WrongRows, fmt.Sprintf("%d bytes", len(answer.Rows))
 	}
 	return Served, ""
--- a/measure/soak/run.go
+++ b/measure/soak/run.go
@@ -87,14 +87,16 @@
 	f(s.history)
 }
 
-func (s *soak) report(e Event) { s.note(func(h *history) { h.events = append(h.events, e) }) }
+func (s *soak) report(event Event) { s.note(func(h *history) { h.events = append(h.events, event) }) }
 
-func (s *soak) noteTerm(b *brokerSlot) {
-	s.note(func(h *history) { h.brokerTerms[b.listen] = append(h.brokerTerms[b.listen], time.Now()) })
+func (s *soak) noteTerm(broker *brokerSlot) {
+	s.note(func(h *history) { h.brokerTerms[broker.listen] = append(h.brokerTerms[broker.listen], time.Now()) })
 }
 
-func (s *soak) noteDelay(e *engineProcess, from time.Time) {
-	s.note(func(h *history) { h.engineDelays[e.id] = append(h.engineDelays[e.id], span{from, time.Now()}) })
+func (s *soak) noteDelay(engine *engineProcess, from time.Time) {
+	s.note(func(h *history) {
+		h.engineDelays[engine.id] = append(h.engineDelays[engine.id], span{from, time.Now()})
+	})
 }
 
 // find adds a finding that does not come from the judge.
@@ -111,18 +113,18 @@
 }
 
 // publish adds an event of an engine to the change log.
-func (s *soak) publish(e *engineProcess, health string, bornMS int64) {
+func (s *soak) publish(engine *engineProcess, health string, bornMS int64) {
 	s.changes.Publish(changelogserver.Endpoint{
-		ID: e.id, Addr: e.proxy.addr, Site: "east", Class: "std-8core", Share: 4, Health: health, BornMS: bornMS,
+		ID: engine.id, Addr: engine.proxy.addr, Site: "east", Class: "std-8core", Share: 4, Health: health, BornMS: bornMS,
 	})
 }
 
 // run plays a seed and returns the verdict.
-func run(ctx context.Context, program, dir string, o options) (verdict, *soak, error) {
+func run(ctx context.Context, program, dir string, settings options) (verdict, *soak, error) {
 	s := &soak{
-		options:    o,
-		hedging:    o.seed%2 == 0,
-		source:     pacing.NewSource(o.seed, faultStream),
+		options:    settings,
+		hedging:    settings.seed%2 == 0,
+		source:     pacing.NewSource(settings.seed, faultStream),
 		history:    newHistory(),
 		taken:      map[string]bool{},
 		violations: map[string]int{},
@@ -135,22 +137,22 @@
 	if err := s.startAll(program, dir); err != nil {
 		return verdict{}, s, err
 	}
-	faultCtx, endFaults := context.WithTimeout(ctx, o.duration)
+	faultCtx, endFaults := context.WithTimeout(ctx, settings.duration)
 	defer endFaults()
 	err := s.runFaults(faultCtx)
 	s.endRun()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.history.judge()
-	v.findings = append(s.findings, v.findings...)
-	return v, s, err
+	found := s.history.judge()
+	found.findings = append(s.findings, found.findings...)
+	return found, s, err
 }
 
 // brokerLine takes a line of a broker's log.
-func (s *soak) brokerLine(b *brokerSlot, line []byte) {
+func (s *soak) brokerLine(broker *brokerSlot, line []byte) {
 	text := string(line)
-	if b.log != nil {
-		_, _ = fmt.Fprintln(b.log, text) // a log is a help, and no part of the verdict
+	if broker.log != nil {
+		_, _ = fmt.Fprintln(broker.log, text) // a log is a help, and no part of the verdict
 	}
 	var parsed struct{ Msg, Rule string }
 	switch {
@@ -159,7 +161,7 @@
 		defer s.mu.Unlock()
 		s.violations[parsed.Rule]++
 	case strings.HasPrefix(text, "panic:") || strings.Contains(text, "DATA RACE") || strings.HasPrefix(text, "fatal"):
-		s.find("%s: %s", b.name, text)
+		s.find("%s: %s", broker.name, text)
 	}
 }
 
--- a/measure/soak/systemfaults.go
+++ b/measure/soak/systemfaults.go
@@ -53,6 +53,9 @@
 	systemFaultsPerProcess = 6
 	systemFaultHorizon     = 12 * time.Second // of a process, in which its faults begin
 	maxSystemFault         = 1500 * time.Millisecond
+	maxShimSeed            = 1 << 30
+	clockStepOdds          = 2 // one in so many processes has a clock step
+	minClockStepDelay      = time.Second
 )
 
 // breaksConnection reports whether the fault ends a connection for good, so that no answer can leave on it.
@@ -61,24 +64,25 @@
 }
 
 // brokerEnvironment draws the faults of system calls and the clock steps of a broker's next process.
-func (s *soak) brokerEnvironment(b *brokerSlot) []string {
+func (s *soak) brokerEnvironment(broker *brokerSlot) []string {
 	if !s.options.shims {
 		return nil
 	}
-	text := fmt.Sprint(s.draw(1 << 30))
+	text := fmt.Sprint(s.draw(maxShimSeed))
 	for range systemFaultsPerProcess {
-		f := systemFaults[s.draw(len(systemFaults))]
+		drawn := systemFaults[s.draw(len(systemFaults))]
 		from := s.drawDuration(systemFaultHorizon)
 		to := from + s.drawDuration(maxSystemFault)
-		text += fmt.Sprintf(";%s@%d-%d=%d:%d", f.call, from.Milliseconds(), to.Milliseconds(), f.errno, f.perMille)
-		if f.breaksConnection() {
+		text += fmt.Sprintf(";%s@%d-%d=%d:%d",
+			drawn.call, from.Milliseconds(), to.Milliseconds(), drawn.errno, drawn.perMille)
+		if drawn.breaksConnection() {
 			breaks := span{time.Now().Add(from), time.Now().Add(to + settleTime)}
-			s.note(func(h *history) { h.brokerBreaks[b.listen] = append(h.brokerBreaks[b.listen], breaks) })
+			s.note(func(h *history) { h.brokerBreaks[broker.listen] = append(h.brokerBreaks[broker.listen], breaks) })
 		}
 	}
 	steps := ""
-	if s.draw(2) == 0 {
-		at := time.Second + s.drawDuration(systemFaultHorizon)
+	if s.draw(clockStepOdds) == 0 {
+		at := minClockStepDelay + s.drawDuration(systemFaultHorizon)
 		size := clockStepSizes[s.draw(len(clockStepSizes))]
 		steps = fmt.Sprintf("%d:%d", at.Milliseconds(), size.Milliseconds())
 	}
