--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -72,11 +72,13 @@
 	StartedMS float64 `json:"born_ms"` // since the change log's epoch
 }
 
-// ParsePage reads a page. Events of unknown kinds are ignored. An error names the key at fault.
+var errMissing = errors.New("missing")
+
+// ParsePage reads a page. Events of unknown kinds are ignored. Its error is a *jsontext.KeyError, or of the text.
 func ParsePage(text []byte) (Page, error) {
 	var document pageDocument
 	if err := json.Unmarshal(text, &document); err != nil {
-		if mismatch, ok := jsontext.AsMismatch("", err); ok {
+		if mismatch, ok := jsontext.AsTypeMismatch(err); ok {
 			return Page{}, mismatch
 		}
 		return Page{}, fmt.Errorf("page: %w", err)
@@ -90,7 +92,7 @@
 		for j, member := range listed.List.Endpoints {
 			endpoint, err := member.endpoint()
 			if err != nil {
-				return Page{}, fmt.Errorf("results[%d].fleet.hosts[%d].%w", i, j, err)
+				return Page{}, err.Within(fmt.Sprintf("results[%d].fleet.hosts[%d]", i, j))
 			}
 			change.Endpoints = append(change.Endpoints, endpoint)
 		}
@@ -99,17 +101,17 @@
 	return page, nil
 }
 
-// endpoint checks a member of the list. The error begins with its key at fault.
-func (m endpointDocument) endpoint() (Endpoint, error) {
+// endpoint checks a member of the list.
+func (m endpointDocument) endpoint() (Endpoint, *jsontext.KeyError) {
 	state, ok := engineStates[m.Health]
 	if !ok {
-		return Endpoint{}, fmt.Errorf("health: unknown state %q", m.Health)
+		return Endpoint{}, &jsontext.KeyError{Key: "health", Err: fmt.Errorf("unknown state %q", m.Health)}
 	}
 	if m.ID == "" {
-		return Endpoint{}, errors.New("host: missing")
+		return Endpoint{}, &jsontext.KeyError{Key: "host", Err: errMissing}
 	}
 	if _, err := netip.ParseAddrPort(m.Addr); err != nil && state != control.Removed {
-		return Endpoint{}, fmt.Errorf("dial: %w", err)
+		return Endpoint{}, &jsontext.KeyError{Key: "dial", Err: err}
 	}
 	return Endpoint{Addr: m.Addr, Engine: control.Engine{
 		ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: state,
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -36,11 +36,16 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
+var errMissing = errors.New("missing")
+
+// keyError returns the error of the value at a key of the file.
+func keyError(key string, err error) error { return &jsontext.KeyError{Key: key, Err: err} }
+
 // parse reads and checks the text of a file with the environment.
 func parse(text []byte, getenv func(string) string) (Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		if mismatch, ok := jsontext.AsMismatch("", err); ok {
+		if mismatch, ok := jsontext.AsTypeMismatch(err); ok {
 			return Config{}, mismatch
 		}
 		return Config{}, err
@@ -64,11 +69,11 @@
 	}
 	if len(file.Known) > 0 {
 		if cfg.Known, err = changelog.ParsePage(file.Known); err != nil {
-			return cfg, fmt.Errorf("known: %w", err)
+			return cfg, keyError("known", err)
 		}
 	}
 	if len(file.Settings) == 0 {
-		return cfg, errors.New("settings: missing")
+		return cfg, keyError("settings", errMissing)
 	}
 	if cfg.Settings, err = DecodeSettings(file.Settings); err != nil {
 		return cfg, err
@@ -84,30 +89,30 @@
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", text)
+		return 0, keyError("seed", fmt.Errorf("%q is not a number of up to 16 hex digits", text))
 	}
 	return seed, nil
 }
 
 func (c *Config) checkAddresses() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return keyError("listen", err)
 	}
 	if _, err := netip.ParseAddrPort(c.AdminListen); err != nil && c.AdminListen != "" {
-		return fmt.Errorf("operator: %w", err)
+		return keyError("operator", err)
 	}
 	if _, err := netip.ParseAddrPort(c.Changelog); err != nil {
-		return fmt.Errorf("changelog: %w", err)
+		return keyError("changelog", err)
 	}
 	return nil
 }
 
 func (c *Config) checkLimits() error {
 	if c.MemoryMB < minMemoryMB {
-		return fmt.Errorf("limits.memory_mb: %d is less than %d", c.MemoryMB, minMemoryMB)
+		return keyError("limits.memory_mb", fmt.Errorf("%d is less than %d", c.MemoryMB, minMemoryMB))
 	}
 	if c.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d is less than %d", c.Sockets, minSockets)
+		return keyError("limits.sockets", fmt.Errorf("%d is less than %d", c.Sockets, minSockets))
 	}
 	return nil
 }
@@ -120,14 +125,14 @@
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
-		return fmt.Errorf("peer_listen: %w", err)
+		return keyError("peer_listen", err)
 	}
 	if n := c.Settings.Control.Brokers; len(c.Peers) != n {
-		return fmt.Errorf("peers: %d addresses for the %d brokers of settings.PeersTotal", len(c.Peers), n)
+		return keyError("peers", fmt.Errorf("%d addresses for the %d brokers of settings.PeersTotal", len(c.Peers), n))
 	}
 	for i, peer := range c.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
-			return fmt.Errorf("peers[%d]: %w", i, err)
+			return keyError(fmt.Sprintf("peers[%d]", i), err)
 		}
 	}
 	return nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -45,14 +45,14 @@
 	}
 	for _, key := range running.Keys {
 		if !given[key] {
-			return fmt.Errorf("%s: missing", key)
+			return keyError(key, errMissing)
 		}
 	}
 	if err := checkClasses(c.Settings.Control.Classes, running.Settings.Control.Classes); err != nil {
 		return err
 	}
 	if attempts := c.Settings.Control.Limits.MaxAttempts; attempts <= 0 {
-		return fmt.Errorf("settings.Limits.MaxAttempts: %d is not over 0", attempts)
+		return keyError("settings.Limits.MaxAttempts", fmt.Errorf("%d is not over 0", attempts))
 	}
 	return nil
 }
@@ -60,16 +60,16 @@
 // checkClasses checks classes that are to replace the running ones.
 func checkClasses(classes, running []control.Class) error {
 	if len(classes) == 0 {
-		return errors.New("settings.RequestClasses: none")
+		return keyError("settings.RequestClasses", errors.New("none"))
 	}
 	lacksObjective := func(class control.Class) bool { return class.LatencyObjective <= 0 }
 	needObjective := !slices.ContainsFunc(running, lacksObjective)
 	for i, class := range classes {
 		if class.ClientTimeout <= 0 {
-			return fmt.Errorf("settings.RequestClasses[%d].GiveUpNs: %d is not over 0", i, class.ClientTimeout)
+			return keyError(classPath(i)+".GiveUpNs", fmt.Errorf("%d is not over 0", class.ClientTimeout))
 		}
 		if class.LatencyObjective < 0 || needObjective && class.LatencyObjective == 0 {
-			return fmt.Errorf("settings.RequestClasses[%d].PromiseNs: %d is not over 0", i, class.LatencyObjective)
+			return keyError(classPath(i)+".PromiseNs", fmt.Errorf("%d is not over 0", class.LatencyObjective))
 		}
 	}
 	return nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 
@@ -120,10 +121,10 @@
 func DecodeSettings(text []byte) (Settings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
-		if mismatch, ok := jsontext.AsMismatch("settings.", err); ok {
-			return Settings{}, mismatch
+		if mismatch, ok := jsontext.AsTypeMismatch(err); ok {
+			return Settings{}, mismatch.Within("settings")
 		}
-		return Settings{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, keyError("settings", err)
 	}
 	settings := Settings{
 		Control:         object.control(),
@@ -139,7 +140,7 @@
 	for i, class := range object.RequestClasses {
 		decoded, err := class.decode(object.Domain, i)
 		if err != nil {
-			return settings, fmt.Errorf("settings.RequestClasses[%d].%w", i, err)
+			return settings, err.Within(classPath(i))
 		}
 		settings.MaxClientTimeout = max(settings.MaxClientTimeout, class.GiveUpNs)
 		settings.Control.Classes = append(settings.Control.Classes, decoded)
@@ -161,7 +162,7 @@
 		{"Rules.DrainGraceNs", o.Rules.DrainGraceNs < 0},
 	} {
 		if field.negative {
-			return fmt.Errorf("settings.%s: must not be negative", field.key)
+			return keyError("settings."+field.key, errors.New("must not be negative"))
 		}
 	}
 	return nil
@@ -217,15 +218,18 @@
 	return settings
 }
 
-// decode checks the class at a position of RequestClasses. The error begins with its key at fault.
-func (c *classObject) decode(domain domainObject, position int) (control.Class, error) {
+// classPath is the path of the class at a position of RequestClasses.
+func classPath(position int) string { return fmt.Sprintf("settings.RequestClasses[%d]", position) }
+
+// decode checks the class at a position of RequestClasses.
+func (c *classObject) decode(domain domainObject, position int) (control.Class, *jsontext.KeyError) {
 	kind, ok := idempotencies[c.Effect]
 	if !ok {
-		return control.Class{}, fmt.Errorf("%s: unknown effect %q", keyIdempotency, c.Effect)
+		return control.Class{}, &jsontext.KeyError{Key: keyIdempotency, Err: fmt.Errorf("unknown effect %q", c.Effect)}
 	}
 	scope, ok := dedupScopes[c.KeyScope]
 	if !ok {
-		return control.Class{}, fmt.Errorf("%s: unknown scope %q", keyDedupScope, c.KeyScope)
+		return control.Class{}, &jsontext.KeyError{Key: keyDedupScope, Err: fmt.Errorf("unknown scope %q", c.KeyScope)}
 	}
 	return control.Class{
 		Name:             c.Name,
--- /dev/null
+++ b/internal/jsontext/keyerror_test.go
@@ -0,0 +1,32 @@
+package jsontext
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+)
+
+func TestAsTypeMismatchNamesTheKey(t *testing.T) {
+	var document struct {
+		Limits struct{ Sockets int }
+	}
+	err := json.Unmarshal([]byte(`{"Limits":{"Sockets":"many"}}`), &document)
+	mismatch, ok := AsTypeMismatch(err)
+	if !ok {
+		t.Fatalf("%v is no mismatch", err)
+	}
+	const want = "settings.Limits.Sockets: a JSON string does not belong here"
+	if got := mismatch.Within("settings").Error(); got != want {
+		t.Errorf("error %q, want %q", got, want)
+	}
+	if _, ok := AsTypeMismatch(errors.New("another error")); ok {
+		t.Error("another error was taken for a mismatch")
+	}
+}
+
+func TestKeyErrorWrapsItsCause(t *testing.T) {
+	cause := errors.New("missing")
+	if err := error((&KeyError{Key: "listen", Err: cause}).Within("file")); !errors.Is(err, cause) {
+		t.Errorf("%v does not wrap its cause", err)
+	}
+}
