--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -7,8 +7,8 @@
 	Event
 	// sender is the session that is to be answered.
 	sender() Session
-	// execute answers the command or opens its request. A command that can't be used is marked in its
-	// session.
+	// execute answers the command or opens its request. It marks in the session a command after which the session is
+	// the first to be evicted.
 	execute(b *Broker, now time.Duration, s *session)
 }
 
@@ -26,13 +26,13 @@
 }
 
 func (b *Broker) executeCommand(now time.Duration, s *session, c command) {
-	s.lastCommandInvalid = false
+	s.evictFirst = false
 	c.execute(b, now, s)
 	switch {
 	case s.openRequest != nil:
 		s.markBusy()
 	case b.sessions.byID[s.id] != s: // the command has closed it
-	case s.lastCommandInvalid:
+	case s.evictFirst:
 		b.sessions.markFirstToEvict(now, s)
 	default:
 		b.sessions.markIdle(now, s)
@@ -42,7 +42,7 @@
 func (c SubmitRequest) sender() Session  { return c.Session }
 func (c Ping) sender() Session           { return c.Session }
 func (c Kill) sender() Session           { return c.RequestedBy }
-func (c InvalidRequest) sender() Session { return c.Session }
+func (c ImmediateReply) sender() Session { return c.Session }
 
 func (c SubmitRequest) execute(b *Broker, now time.Duration, s *session) {
 	b.submit(now, s, c)
@@ -75,8 +75,8 @@
 	}
 }
 
-func (c InvalidRequest) execute(b *Broker, _ time.Duration, s *session) {
-	s.lastCommandInvalid = true
+func (c ImmediateReply) execute(b *Broker, _ time.Duration, s *session) {
+	s.evictFirst = true
 	b.reply(s.id, c.Reply)
 }
 
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -59,9 +59,9 @@
 		CloseConnection     bool
 		SentAt              time.Duration
 	}
-	// InvalidRequest is a message that the front protocol can't use, with its answer. The answer keeps the
-	// order of the session's commands.
-	InvalidRequest struct {
+	// ImmediateReply is a command, valid or not, to which the front protocol alone determines the reply. The reply
+	// keeps the order of the session's commands. A session that is idle after it is the first to be evicted.
+	ImmediateReply struct {
 		Session Session
 		Reply   Reply
 	}
@@ -144,7 +144,7 @@
 func (SubmitRequest) event()        {}
 func (Ping) event()                 {}
 func (Kill) event()                 {}
-func (InvalidRequest) event()       {}
+func (ImmediateReply) event()       {}
 func (SessionClosed) event()        {}
 func (SessionHalfClosed) event()    {}
 
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -72,7 +72,7 @@
 			h.apply(SubmitRequest{Session: 1, Request: request})
 		}, recordingMeter{rejected: []ReplyKind{ReplyInvalidFields}}},
 		"unknown command": {func(h *harness) {
-			h.apply(InvalidRequest{1, Reply{Kind: ReplyUnknownCommand}})
+			h.apply(ImmediateReply{1, Reply{Kind: ReplyUnknownCommand}})
 		}, recordingMeter{rejected: []ReplyKind{ReplyUnknownCommand}}},
 		"killed": {func(h *harness) {
 			h.apply(lookupRequest(h.now))
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -109,7 +109,7 @@
 	in := c.Request
 	class, err := b.checkFields(in)
 	if err != nil {
-		s.lastCommandInvalid = true
+		s.evictFirst = true
 		b.reply(s.id, Reply{Kind: ReplyInvalidFields, Text: err.Error()})
 		return
 	}
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -14,7 +14,7 @@
 	queuedRequests int           // of them, those that are to run
 	killedAt       time.Duration // requests sent before it are killed
 
-	lastCommandInvalid bool // the command executed last could not be used
+	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
 
 	evictionPlace eviction.Place // busy while the session waits for an answer
 }
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -128,7 +128,7 @@
 		s.apply(Ping{client})
 	case draw < 810:
 		kind := []ReplyKind{ReplyUnknownCommand, ReplyUnknownDatabase}[s.rng.IntN(2)]
-		s.apply(InvalidRequest{client, Reply{Kind: kind, Text: "not known here"}})
+		s.apply(ImmediateReply{client, Reply{Kind: kind, Text: "not known here"}})
 	case draw < 840:
 		s.kill(client)
 	case draw < 865:
--- a/internal/server/frontend/command.go
+++ b/internal/server/frontend/command.go
@@ -52,7 +52,7 @@
 
 // immediateReply is a command that the reducer answers with a given reply, in its turn.
 func (c *client) immediateReply(kind broker.ReplyKind, text string) broker.Event {
-	return broker.InvalidRequest{Session: c.session, Reply: broker.Reply{Kind: kind, Text: text}}
+	return broker.ImmediateReply{Session: c.session, Reply: broker.Reply{Kind: kind, Text: text}}
 }
 
 // parseQuery translates a statement.
