--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -31,67 +31,67 @@
 
 // startAttempt starts an attempt for the decision module, if mayStart allows it. Else it ends the attempt at once.
 func (b *Broker) startAttempt(now time.Duration, send control.SendAttempt) {
-	r := b.requests.byModuleID(send.RequestID)
-	if r == nil {
+	request := b.requests.byModuleID(send.RequestID)
+	if request == nil {
 		return
 	}
-	a := &attempt{
-		id:         AttemptID{r.id, len(r.attempts)},
-		request:    r,
+	attempt := &attempt{
+		id:         AttemptID{request.id, len(request.attempts)},
+		request:    request,
 		engine:     send.Engine,
 		startedAt:  now,
 		inFlight:   true,
 		mayHaveRun: true,
 	}
-	until := r.deadline
+	until := request.deadline
 	if send.Timeout > 0 {
 		until = min(until, now+send.Timeout)
 	}
-	allowed := until > now && b.mayStart(r, send.Engine)
-	r.attempts = append(r.attempts, a)
+	allowed := until > now && b.mayStart(request, send.Engine)
+	request.attempts = append(request.attempts, attempt)
 	if !allowed {
-		b.endAttempt(now, a, control.AttemptEnded{Status: control.NeverSent})
+		b.endAttempt(now, attempt, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
 	endpoint, _ := b.endpoints.Endpoint(send.Engine) // mayStart has found it
-	b.meter.AttemptStarted(r.Class)
-	b.trace(now, r, Transition{State: AttemptStartedState, Attempt: a.id.Number, Engine: endpoint.ID})
+	b.meter.AttemptStarted(request.Class)
+	b.trace(now, request, Transition{State: AttemptStartedState, Attempt: attempt.id.Number, Engine: endpoint.ID})
 	b.emit(StartAttempt{
-		Attempt:        a.id,
+		Attempt:        attempt.id,
 		Engine:         endpoint.ID,
 		Addr:           endpoint.Addr,
-		RequestID:      r.RequestID,
-		Class:          r.Class,
-		IdempotencyKey: r.IdempotencyKey,
+		RequestID:      request.RequestID,
+		Class:          request.Class,
+		IdempotencyKey: request.IdempotencyKey,
 		Timeout:        until - now,
 		OverdueAfter:   send.OverdueAfter,
-		GrantMB:        r.grantMB,
-		Priority:       r.priority,
-		Body:           r.Body,
+		GrantMB:        request.grantMB,
+		Priority:       request.priority,
+		Body:           request.Body,
 	})
-	b.timers.Set(until, attemptTimedOut{a})
+	b.timers.Set(until, attemptTimedOut{attempt})
 }
 
 // mayStart is the one guard of all attempts, first ones, retries and hedged requests. The request or the engine may
 // have ended since the decision module was notified last; a repeat that must not be is a fault of the module, which is
 // prevented and reported.
-func (b *Broker) mayStart(r *request, engine string) bool {
+func (b *Broker) mayStart(request *request, engine string) bool {
 	start := invariant.Start{
-		RequestEnded:     r.closed,
-		FinalAnswersSent: b.shutdown.finalAnswersSent,
-		EndpointReady:    b.endpoints.InService(engine),
+		RequestEnded:      request.closed,
+		FinalAnswersSent:  b.shutdown.finalAnswersSent,
+		EndpointInService: b.endpoints.InService(engine),
 	}
 	if _, broken := start.Broken(); broken {
 		return false
 	}
 	repeat := invariant.Repeat{
-		NonIdempotent: r.class.Idempotency.Kind == idempotency.NonIdempotent,
+		NonIdempotent: request.class.Idempotency.Kind == idempotency.NonIdempotent,
 		Hedging:       b.hedging,
-		InFlight:      r.hasAttemptInFlight(),
-		MayHaveRun:    r.mayHaveRun(),
+		InFlight:      request.hasAttemptInFlight(),
+		MayHaveRun:    request.mayHaveRun(),
 	}
 	if rule, broken := repeat.Broken(); broken {
-		b.violated(rule, r.session, r.RequestID)
+		b.violated(rule, request.session, request.RequestID)
 		return false
 	}
 	return true
@@ -99,42 +99,42 @@
 
 // setAttemptOptions sets the memory grant of a request's next attempt, and the priority of it and of those in
 // flight.
-func (b *Broker) setAttemptOptions(r *request, options control.SetAttemptOptions) {
-	changed := options.Priority != r.priority
-	r.grantMB, r.priority = options.GrantMB, options.Priority
+func (b *Broker) setAttemptOptions(request *request, options control.SetAttemptOptions) {
+	changed := options.Priority != request.priority
+	request.grantMB, request.priority = options.GrantMB, options.Priority
 	if !changed {
 		return
 	}
-	for _, a := range r.attempts {
-		if a.awaitsFirstPage() {
-			b.emit(SetPriority{a.id, options.Priority})
+	for _, attempt := range request.attempts {
+		if attempt.awaitsFirstPage() {
+			b.emit(SetPriority{attempt.id, options.Priority})
 		}
 	}
 }
 
 // cancelAttempt cancels an attempt. The attempt stays in flight until the cancel was sent to its engine:
 // until then, the next request of its order key must wait.
-func (b *Broker) cancelAttempt(a *attempt, status control.Status) {
-	if !a.inFlight || a.cancelled() {
+func (b *Broker) cancelAttempt(attempt *attempt, status control.Status) {
+	if !attempt.inFlight || attempt.cancelled() {
 		return
 	}
-	a.cancelStatus = status
-	b.emit(CancelAttempt{a.id})
+	attempt.cancelStatus = status
+	b.emit(CancelAttempt{attempt.id})
 }
 
 // attemptEnded handles the end of an attempt without a result.
-func (b *Broker) attemptEnded(now time.Duration, ev AttemptEnded) {
-	a := b.requests.attemptInFlight(ev.Attempt)
-	if a == nil {
+func (b *Broker) attemptEnded(now time.Duration, event AttemptEnded) {
+	attempt := b.requests.attemptInFlight(event.Attempt)
+	if attempt == nil {
 		return
 	}
-	status := endStatus(ev.Status, a.cancelStatus, a.result != nil)
-	if mustSettle(status, a.request.OrderKey != "", b.hedging) {
-		end := control.AttemptEnded{Status: status, Report: ev.Report}
-		b.timers.Set(now+settleDelay, attemptSettled{a, end})
+	status := endStatus(event.Status, attempt.cancelStatus, attempt.result != nil)
+	if mustSettle(status, attempt.request.OrderKey != "", b.hedging) {
+		end := control.AttemptEnded{Status: status, Report: event.Report}
+		b.timers.Set(now+settleDelay, attemptSettled{attempt, end})
 		return
 	}
-	b.endAttempt(now, a, control.AttemptEnded{Status: status, Report: ev.Report, SharedCause: ev.SharedCause})
+	b.endAttempt(now, attempt, control.AttemptEnded{Status: status, Report: event.Report, SharedCause: event.SharedCause})
 }
 
 // endStatus is the status for the decision module of an attempt whose end was reported with another one. It is that
@@ -169,22 +169,22 @@
 }
 
 // endAttempt ends an attempt and hands its end to the decision module.
-func (b *Broker) endAttempt(now time.Duration, a *attempt, end control.AttemptEnded) {
-	a.inFlight = false
-	a.result = nil
-	a.mayHaveRun = end.Status.MayHaveRun()
-	end.RequestID, end.Number, end.Engine = a.request.moduleID, a.id.Number, a.engine
-	end.Duration, end.RequestClosed = now-a.startedAt, a.request.closed
+func (b *Broker) endAttempt(now time.Duration, attempt *attempt, end control.AttemptEnded) {
+	attempt.inFlight = false
+	attempt.result = nil
+	attempt.mayHaveRun = end.Status.MayHaveRun()
+	end.RequestID, end.Number, end.Engine = attempt.request.moduleID, attempt.id.Number, attempt.engine
+	end.Duration, end.RequestClosed = now-attempt.startedAt, attempt.request.closed
 	b.meter.AttemptEnded(AttemptSummary{
-		Class:    a.request.Class,
-		Engine:   a.engine,
+		Class:    attempt.request.Class,
+		Engine:   attempt.engine,
 		Status:   end.Status,
 		Duration: end.Duration,
-		Wasted:   a.mayHaveRun && !a.answeredClient,
+		Wasted:   attempt.mayHaveRun && !attempt.answeredClient,
 	})
-	b.trace(now, a.request, Transition{
-		State: AttemptEndedState, Attempt: a.id.Number, Engine: a.engine, Status: end.Status,
+	b.trace(now, attempt.request, Transition{
+		State: AttemptEndedState, Attempt: attempt.id.Number, Engine: attempt.engine, Status: end.Status,
 	})
 	b.batch.add(end)
-	b.requests.dropIfDone(a.request)
+	b.requests.dropIfDone(attempt.request)
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,7 +1,8 @@
 // Package broker is the functional core of a broker: a reducer that holds all of its state. Apply handles one
 // event, Tick runs a batch of the decision module (package control), and both return the effects to carry
 // out. It performs no I/O, reads no clock and starts no goroutine, so that the same events at the same times
-// give the same effects. Times never go back; they begin as Unix time and advance evenly.
+// give the same effects. Times are durations since the Unix epoch, by a clock that
+// never goes back or jumps: package internal/server/clock has it.
 //
 // Events and effects do not depend on a protocol: a front protocol translates its messages into
 // SubmitRequest, Ping and Kill, and a Reply into its own answer, so that a second front protocol would share
@@ -30,7 +31,7 @@
 	sessions         sessionTable
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
-	clientWaits      *clientwait.Estimator
+	deadlines        *clientwait.Estimator
 	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
 	validator        *requestValidator
@@ -49,16 +50,16 @@
 		return nil, err
 	}
 	return &Broker{
-		module:      module,
-		batch:       moduleBatch{minInterval: settings.MinBatchInterval},
-		meter:       NopMeter{},
-		sessions:    newSessionTable(maxSessions),
-		requests:    newRequestTable(),
-		clientWaits: clientwait.New(),
-		endpoints:   endpointlist.New(),
-		probes:      map[uint64]loadProbe{},
-		validator:   newRequestValidator(settings),
-		hedging:     settings.Limits.Hedging,
+		module:    module,
+		batch:     moduleBatch{minInterval: settings.MinBatchInterval},
+		meter:     NopMeter{},
+		sessions:  newSessionTable(maxSessions),
+		requests:  newRequestTable(),
+		deadlines: clientwait.New(),
+		endpoints: endpointlist.New(),
+		probes:    map[uint64]loadProbe{},
+		validator: newRequestValidator(settings),
+		hedging:   settings.Limits.Hedging,
 	}, nil
 }
 
@@ -114,8 +115,8 @@
 	}
 }
 
-// Tick expires the timers that are due and, if the last batch is long enough ago, hands what has happened
-// since to the decision module. It returns the effects to carry out, in their order.
+// Tick expires the timers that are due. If Settings.MinBatchInterval has passed since the last batch, it hands the
+// events since then to the decision module. It returns the effects to carry out, in their order.
 func (b *Broker) Tick(now time.Duration) []Effect {
 	b.checkTime(now)
 	for {
@@ -134,7 +135,13 @@
 	return b.takeEffects()
 }
 
-// checkTime reports a time before that of the last call.
+// violated reports that a rule would have been, or was, broken.
+func (b *Broker) violated(rule invariant.Rule, session Session, requestID string) {
+	b.meter.InvariantViolated(rule)
+	b.emit(InvariantViolation{Rule: rule, Session: session, RequestID: requestID})
+}
+
+// checkTime reports a violation if now is earlier than the time of the last call.
 func (b *Broker) checkTime(now time.Duration) {
 	if now < b.lastNow {
 		b.violated(invariant.TimeIsMonotonic, 0, "")
--- a/internal/broker/clientwait/clientwait.go
+++ b/internal/broker/clientwait/clientwait.go
@@ -1,6 +1,6 @@
-// Package clientwait estimates since when a client has been waiting for a request, and so by when its answer must
-// leave. Clients count their timeout from when they meant to send a request. They hold one back until a spacing has
-// passed since the previous one of the same order key, and a request may have waited in the system before it was read.
+// Package clientwait estimates when the timeout of a client's request began, and so by when the answer must leave. A
+// timeout runs from when the client decided to send the request. That can be earlier than its arrival: clients space
+// the requests of one order key, and bytes may wait in a socket before they are read.
 package clientwait
 
 import (
@@ -8,57 +8,59 @@
 	"time"
 )
 
-// The protocol's spacing of requests of one order key.
+// Clients keep these spacings between two requests of one order key.
 const (
 	keySpacing              = 60 * time.Millisecond
-	newConnectionKeySpacing = 250 * time.Millisecond // after a request that came on a new connection
-	transitSlack            = 15 * time.Millisecond  // added to both
+	newConnectionKeySpacing = 250 * time.Millisecond // after a request that was the first on its connection
+	transitSlack            = 15 * time.Millisecond  // by which a spacing may be longer where the requests arrive
 )
 
 const (
-	// MinMargin is an upper bound of the transit time of a request and of its answer together, with the delays of
-	// both processes. With no more time than that left, an answer must leave at once.
+	// MinMargin is an upper bound of the transit times of a request and its answer together, including the delays
+	// within the two processes. An answer must leave at once if no more time than that is left.
 	MinMargin = 12 * time.Millisecond
-	// maxMarginFraction is the largest fraction of a client's timeout that is kept as a margin.
+	// maxMarginFraction is the largest fraction of a timeout that is kept as a margin.
 	maxMarginFraction = 0.15
-	// minBurstsToSweep is the smallest number of bursts at which old ones are removed.
+	// minBurstsToSweep is the smallest number of bursts at which ended ones are removed.
 	minBurstsToSweep = 32
+	// sweepGrowth is the growth of the number of bursts after which ended ones are removed again.
+	sweepGrowth = 2
 )
 
-// Request is what is known of when a request was sent. Times are those of the broker's clock.
+// Request is what is known of when a request was sent. Times are those of the reducer.
 type Request struct {
-	SentAt            time.Duration // when its last byte came
-	WaitingSince      time.Duration // when it may have come, if that can be earlier; 0: it can't
-	Timeout           time.Duration // how long its client waits
+	SentAt            time.Duration // arrival of its last byte
+	WaitingSince      time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
+	Timeout           time.Duration // of its client
 	OrderKey          string        // empty: none
-	FirstOnConnection bool          // nothing came on its connection before
+	FirstOnConnection bool          // no request came on its connection before
 }
 
-// QueuedDeadline is the time by which the answer to a request must leave that is queued behind another one of its
-// connection.
-func QueuedDeadline(r Request) time.Duration {
-	deadline := r.SentAt + r.Timeout - margin(r, r.SentAt)
-	if r.WaitingSince > 0 {
-		deadline = min(deadline, r.WaitingSince+r.Timeout)
+// QueuedDeadline returns the time by which the answer to a request must leave that is queued behind another one of its
+// connection. It takes no account of bursts.
+func QueuedDeadline(request Request) time.Duration {
+	deadline := request.SentAt + request.Timeout - margin(request, request.SentAt)
+	if request.WaitingSince > 0 {
+		deadline = min(deadline, request.WaitingSince+request.Timeout)
 	}
 	return deadline
 }
 
-// margin is the time between the final answer to a request and its timeout: the client's wait began before the
-// request was read, and the answer must arrive before the wait ends.
-func margin(r Request, waitStart time.Duration) time.Duration {
+// margin returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
+// at timeoutStart.
+func margin(request Request, timeoutStart time.Duration) time.Duration {
 	needed := MinMargin
-	if r.OrderKey != "" && waitStart == r.SentAt {
-		// The client may have held it back for a request of the same key that went to another broker.
+	if request.OrderKey != "" && timeoutStart == request.SentAt {
+		// The client may have delayed it after a request of the same key to another broker.
 		needed = newConnectionKeySpacing + transitSlack
 	}
-	return min(needed, time.Duration(maxMarginFraction*float64(r.Timeout)))
+	return min(needed, time.Duration(maxMarginFraction*float64(request.Timeout)))
 }
 
-// Estimator follows the bursts of each order key. Its zero value is not usable; New makes one.
+// Estimator computes deadlines from the bursts of each order key. Its zero value is not usable; New makes one.
 type Estimator struct {
 	byKey   map[string]*burst
-	sweepAt int // number of bursts at which old ones are removed
+	sweepAt int // number of bursts at which ended ones are removed
 }
 
 // New returns an estimator that has seen no request.
@@ -66,50 +68,52 @@
 	return &Estimator{byKey: map[string]*burst{}, sweepAt: minBurstsToSweep}
 }
 
-// Deadline is the time by which the answer to a request must leave.
-func (e *Estimator) Deadline(r Request) time.Duration {
-	waitStart := e.waitStart(r)
-	kept := margin(r, waitStart)
-	if r.WaitingSince > 0 {
-		waitStart = min(waitStart, r.WaitingSince)
+// Deadline returns the time by which the answer to a request must leave, and adds the request to the burst of its order
+// key.
+func (e *Estimator) Deadline(request Request) time.Duration {
+	timeoutStart := e.timeoutStart(request)
+	kept := margin(request, timeoutStart)
+	if request.WaitingSince > 0 {
+		timeoutStart = min(timeoutStart, request.WaitingSince)
 	}
-	return waitStart + r.Timeout - kept
+	return timeoutStart + request.Timeout - kept
 }
 
-// waitStart is the earliest time at which a client may have begun to wait for a request. For one in a burst of its
-// order key, the only bound known is the first request of the burst.
-func (e *Estimator) waitStart(r Request) time.Duration {
-	if r.OrderKey == "" {
-		return r.SentAt
+// timeoutStart returns the earliest time at which the timeout of a request may have begun: its arrival, or the start of
+// the burst of its order key, as the client may have delayed it since then.
+func (e *Estimator) timeoutStart(request Request) time.Duration {
+	if request.OrderKey == "" {
+		return request.SentAt
 	}
-	current := e.byKey[r.OrderKey]
-	if current == nil || !current.covers(r.SentAt) {
-		e.sweep(r.SentAt)
-		current = &burst{startedAt: r.SentAt}
-		e.byKey[r.OrderKey] = current
+	current := e.byKey[request.OrderKey]
+	if current == nil || !current.covers(request.SentAt) {
+		e.sweep(request.SentAt)
+		current = &burst{startedAt: request.SentAt}
+		e.byKey[request.OrderKey] = current
 	}
-	current.lastSentAt = max(current.lastSentAt, r.SentAt)
-	current.lastOnNewConnection = r.FirstOnConnection
-	return min(current.startedAt, r.SentAt)
+	current.lastSentAt = max(current.lastSentAt, request.SentAt)
+	current.lastOnNewConnection = request.FirstOnConnection
+	return min(current.startedAt, request.SentAt)
 }
 
-// sweep removes old bursts once there are many: clients may use each order key once.
+// sweep removes the bursts that have ended once there are many, as clients may use each order key only once.
 func (e *Estimator) sweep(now time.Duration) {
 	if len(e.byKey) < e.sweepAt {
 		return
 	}
 	maps.DeleteFunc(e.byKey, func(_ string, old *burst) bool { return !old.covers(now) })
-	e.sweepAt = max(minBurstsToSweep, 2*len(e.byKey))
+	e.sweepAt = max(minBurstsToSweep, sweepGrowth*len(e.byKey))
 }
 
-// burst is a run of requests of one order key, each written as soon after the previous one as the protocol allows.
+// burst is a run of requests of one order key, each so soon after the previous one that its client may have delayed it
+// to keep the spacing.
 type burst struct {
-	startedAt           time.Duration
+	startedAt           time.Duration // arrival of its first request
 	lastSentAt          time.Duration
 	lastOnNewConnection bool // the last request was the first on its connection
 }
 
-// covers reports whether a request sent at a time may have been held back by its client for this burst.
+// covers reports whether a request that was sent at a time belongs to the burst.
 func (b *burst) covers(sentAt time.Duration) bool {
 	spacing := keySpacing
 	if b.lastOnNewConnection {
--- a/internal/broker/clientwait/clientwait_test.go
+++ b/internal/broker/clientwait/clientwait_test.go
@@ -35,7 +35,7 @@
 			estimator := New()
 			var got time.Duration
 			for _, w := range c.writes {
-				got = estimator.waitStart(Request{
+				got = estimator.timeoutStart(Request{
 					OrderKey: w.key, SentAt: startTime + w.at, FirstOnConnection: w.firstOnConnection,
 				})
 			}
@@ -51,7 +51,7 @@
 	estimator := New()
 	for n := range 10 * minBurstsToSweep {
 		sentAt := startTime + time.Duration(n)*time.Second
-		estimator.waitStart(Request{OrderKey: fmt.Sprint(n), SentAt: sentAt})
+		estimator.timeoutStart(Request{OrderKey: fmt.Sprint(n), SentAt: sentAt})
 	}
 	if len(estimator.byKey) > minBurstsToSweep {
 		t.Fatalf("%d keys are kept", len(estimator.byKey))
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -18,7 +18,7 @@
 	// maxQueuedCommands is the largest number of commands queued behind it. With one more, all are answered at
 	// once and the session is closed.
 	maxQueuedCommands = 1024
-	// queueDueRetry is the time after which a queued request that is due is looked at again, while those ahead
+	// queueDueRetry is the time after which a queued request that is due is checked again, while those ahead
 	// of it are answered.
 	queueDueRetry = 5 * time.Millisecond
 )
@@ -34,25 +34,25 @@
 
 func (c rejectedRequest) sender() Session { return c.session }
 
-func (c rejectedRequest) execute(b *Broker, _ time.Duration, s *session) {
-	b.reply(s.id, Reply{Kind: ReplyRejected, Text: tooManyQueuedText})
+func (c rejectedRequest) execute(b *Broker, _ time.Duration, session *session) {
+	b.reply(session.id, Reply{Kind: ReplyRejected, Text: tooManyQueuedText})
 }
 
 // queueCommand queues a command behind the open request of its session.
-func (b *Broker) queueCommand(now time.Duration, s *session, c command) {
-	if submit, ok := c.(SubmitRequest); ok {
+func (b *Broker) queueCommand(now time.Duration, session *session, command command) {
+	if submit, ok := command.(SubmitRequest); ok {
 		requestID := strings.Clone(submit.Request.RequestID)
-		c = s.queueRequest(submit, requestID)
-		if r := submit.Request; r.Timeout > 0 {
-			due := clientwait.QueuedDeadline(submit.wait())
-			b.timers.Set(max(due, now), queuedRequestDue{s, requestID})
+		command = session.queueRequest(submit, requestID)
+		if request := submit.Request; request.Timeout > 0 {
+			due := clientwait.QueuedDeadline(submit.sendTimes())
+			b.timers.Set(max(due, now), queuedRequestDue{session, requestID})
 		}
 	}
-	s.queuedCommands = append(s.queuedCommands, c)
-	if len(s.queuedCommands) > maxQueuedCommands {
-		b.answerAllQueued(now, s, EndQueueOverflow)
-		b.closeSession(s.id, CloseKilled)
-		b.endSession(now, s.id, EndQueueOverflow)
+	session.queuedCommands = append(session.queuedCommands, command)
+	if len(session.queuedCommands) > maxQueuedCommands {
+		b.answerAllQueued(now, session, EndQueueOverflow)
+		b.closeSession(session.id, CloseKilled)
+		b.endSession(now, session.id, EndQueueOverflow)
 	}
 }
 
@@ -76,52 +76,52 @@
 }
 
 // answerAllQueued answers the open request of a session and all its queued commands. Queued requests are rejected.
-func (b *Broker) answerAllQueued(now time.Duration, s *session, cause EndCause) {
-	if r := s.openRequest; r != nil {
-		b.reply(s.id, r.finalAnswer(endCauseTexts[cause]))
-		b.abandon(now, r, cause)
-		s.openRequest = nil
+func (b *Broker) answerAllQueued(now time.Duration, session *session, cause EndCause) {
+	if request := session.openRequest; request != nil {
+		b.reply(session.id, request.finalAnswer(endCauseTexts[cause]))
+		b.abandon(now, request, cause)
+		session.openRequest = nil
 	}
-	for len(s.queuedCommands) > 0 {
-		b.rejectOrExecute(now, s, s.popQueued(), endCauseTexts[cause])
+	for len(session.queuedCommands) > 0 {
+		b.rejectOrExecute(now, session, session.popQueued(), endCauseTexts[cause])
 	}
 }
 
 // rejectOrExecute rejects a request and executes any other command.
-func (b *Broker) rejectOrExecute(now time.Duration, s *session, c command, text string) {
-	if _, ok := c.(SubmitRequest); ok {
-		b.reply(s.id, Reply{Kind: ReplyRejected, Text: text})
+func (b *Broker) rejectOrExecute(now time.Duration, session *session, command command, text string) {
+	if _, ok := command.(SubmitRequest); ok {
+		b.reply(session.id, Reply{Kind: ReplyRejected, Text: text})
 		return
 	}
-	c.execute(b, now, s)
+	command.execute(b, now, session)
 }
 
 // answerAfterClose answers a command of a session that was closed from this side after it had been read: its
 // answer still leaves. Commands of other unknown sessions are ignored: their connections have ended.
-func (b *Broker) answerAfterClose(now time.Duration, c command) {
-	if id := c.sender(); b.sessions.closedHere[id] {
-		b.rejectOrExecute(now, &session{id: id}, c, closedText)
+func (b *Broker) answerAfterClose(now time.Duration, command command) {
+	if id := command.sender(); b.sessions.closedHere[id] {
+		b.rejectOrExecute(now, &session{id: id}, command, closedText)
 	}
 }
 
-// requestDue answers the open request of a session early, as the time of one that is queued behind it is over:
-// that one can be answered only after it.
-func (b *Broker) requestDue(now time.Duration, s *session, requestID string) {
-	queued := slices.ContainsFunc(s.queuedCommands, func(c command) bool {
-		switch c := c.(type) {
+// requestDue handles the deadline of a request that is queued behind the open one of its session. It answers the open
+// request at once, as the queued one can be answered only after it.
+func (b *Broker) requestDue(now time.Duration, session *session, requestID string) {
+	queued := slices.ContainsFunc(session.queuedCommands, func(waiting command) bool {
+		switch waiting := waiting.(type) {
 		case SubmitRequest:
-			return c.Request.RequestID == requestID
+			return waiting.Request.RequestID == requestID
 		case rejectedRequest:
-			return c.requestID == requestID
+			return waiting.requestID == requestID
 		}
 		return false
 	})
-	if !queued || b.sessions.byID[s.id] != s {
+	if !queued || b.sessions.byID[session.id] != session {
 		return
 	}
-	if r := s.openRequest; r != nil {
-		b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
-		b.answer(now, r, r.finalAnswer(endCauseTexts[EndQueuedRequestDue]), EndQueuedRequestDue)
+	if request := session.openRequest; request != nil {
+		b.batch.add(control.ClientDisconnected{RequestID: request.moduleID})
+		b.answer(now, request, request.finalAnswer(endCauseTexts[EndQueuedRequestDue]), EndQueuedRequestDue)
 	}
-	b.timers.Set(now+queueDueRetry, queuedRequestDue{s, requestID})
+	b.timers.Set(now+queueDueRetry, queuedRequestDue{session, requestID})
 }
--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -13,29 +13,29 @@
 }
 
 // takeCommand executes a command, or queues it while its session waits for an answer.
-func (b *Broker) takeCommand(now time.Duration, c command) {
-	s := b.sessions.byID[c.sender()]
+func (b *Broker) takeCommand(now time.Duration, command command) {
+	session := b.sessions.byID[command.sender()]
 	switch {
-	case s == nil:
-		b.answerAfterClose(now, c)
-	case s.openRequest == nil:
-		b.executeCommand(now, s, c)
+	case session == nil:
+		b.answerAfterClose(now, command)
+	case session.openRequest == nil:
+		b.executeCommand(now, session, command)
 	default:
-		b.queueCommand(now, s, c)
+		b.queueCommand(now, session, command)
 	}
 }
 
-func (b *Broker) executeCommand(now time.Duration, s *session, c command) {
-	s.evictFirst = false
-	c.execute(b, now, s)
+func (b *Broker) executeCommand(now time.Duration, session *session, command command) {
+	session.evictFirst = false
+	command.execute(b, now, session)
 	switch {
-	case s.openRequest != nil:
-		s.markBusy()
-	case b.sessions.byID[s.id] != s: // the command has closed it
-	case s.evictFirst:
-		b.sessions.markFirstToEvict(now, s)
+	case session.openRequest != nil:
+		session.markBusy()
+	case b.sessions.byID[session.id] != session: // the command has closed it
+	case session.evictFirst:
+		b.sessions.markFirstToEvict(now, session)
 	default:
-		b.sessions.markIdle(now, s)
+		b.sessions.markIdle(now, session)
 	}
 }
 
@@ -44,29 +44,29 @@
 func (c Kill) sender() Session           { return c.RequestedBy }
 func (c ImmediateReply) sender() Session { return c.Session }
 
-func (c SubmitRequest) execute(b *Broker, now time.Duration, s *session) {
-	b.submit(now, s, c)
+func (c SubmitRequest) execute(b *Broker, now time.Duration, session *session) {
+	b.submit(now, session, c)
 }
 
-func (c Ping) execute(b *Broker, _ time.Duration, s *session) {
+func (c Ping) execute(b *Broker, _ time.Duration, session *session) {
 	if b.Ready() {
-		b.reply(s.id, Reply{Kind: ReplyOK})
+		b.reply(session.id, Reply{Kind: ReplyOK})
 	} else {
-		b.reply(s.id, Reply{Kind: ReplyNotReady, Text: notReadyText})
+		b.reply(session.id, Reply{Kind: ReplyNotReady, Text: notReadyText})
 	}
 }
 
-func (c Kill) execute(b *Broker, now time.Duration, s *session) {
+func (c Kill) execute(b *Broker, now time.Duration, session *session) {
 	target := b.sessions.byID[c.Target]
 	if target == nil {
-		b.reply(s.id, Reply{Kind: ReplyUnknownSession, Text: unknownSessionText})
+		b.reply(session.id, Reply{Kind: ReplyUnknownSession, Text: unknownSessionText})
 		return
 	}
-	b.reply(s.id, Reply{Kind: ReplyOK})
+	b.reply(session.id, Reply{Kind: ReplyOK})
 	target.killedAt = max(target.killedAt, c.SentAt)
-	if r := target.openRequest; r != nil {
+	if request := target.openRequest; request != nil {
 		b.reply(target.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
-		b.abandon(now, r, EndKilled)
+		b.abandon(now, request, EndKilled)
 		b.resumeSession(now, target.id)
 	}
 	if c.CloseConnection {
@@ -75,9 +75,9 @@
 	}
 }
 
-func (c ImmediateReply) execute(b *Broker, _ time.Duration, s *session) {
-	s.evictFirst = true
-	b.reply(s.id, c.Reply)
+func (c ImmediateReply) execute(b *Broker, _ time.Duration, session *session) {
+	session.evictFirst = true
+	b.reply(session.id, c.Reply)
 }
 
 // resumeAnsweredSessions executes the queued commands of the sessions that were answered in the call under
@@ -93,13 +93,13 @@
 
 // resumeSession executes the queued commands of a session, up to the first that opens a request.
 func (b *Broker) resumeSession(now time.Duration, id Session) {
-	s := b.sessions.byID[id]
-	if s == nil {
+	session := b.sessions.byID[id]
+	if session == nil {
 		return
 	}
-	s.openRequest = nil
-	b.sessions.markIdle(now, s)
-	for s.openRequest == nil && len(s.queuedCommands) > 0 {
-		b.takeCommand(now, s.popQueued())
+	session.openRequest = nil
+	b.sessions.markIdle(now, session)
+	for session.openRequest == nil && len(session.queuedCommands) > 0 {
+		b.takeCommand(now, session.popQueued())
 	}
 }
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -69,7 +69,7 @@
 		Class          string
 		IdempotencyKey string
 		Timeout        time.Duration
-		OverdueAfter   time.Duration // after it, the answer is more likely lost than late; 0: unknown
+		OverdueAfter   time.Duration // from the start; after it, the answer is more likely lost than late; 0: unknown
 		GrantMB        float64
 		Priority       int
 		Body           string
@@ -84,7 +84,7 @@
 	// WithdrawUnsent withdraws an attempt whose request is closed, if no byte of it was sent; AttemptEnded
 	// follows in that case. A partly sent attempt continues.
 	WithdrawUnsent struct{ Attempt AttemptID }
-	// ReleaseAttempt forgets an attempt whose result is complete or discarded. With PagesLeft, the engine
+	// ReleaseAttempt drops an attempt whose result is complete or discarded. With PagesLeft, the engine
 	// still holds pages of the result.
 	ReleaseAttempt struct {
 		Attempt   AttemptID
@@ -100,8 +100,7 @@
 		ProbeID      uint64
 		Engine, Addr string
 	}
-	// CancelUnsent ends the attempts that wait for a connection to an engine that drains or is in
-	// maintenance.
+	// CancelUnsent ends the attempts of which nothing has left for an engine that drains or is in maintenance.
 	CancelUnsent struct{ Engine string }
 	// CloseEngineConnections closes connections to an engine that was removed, restarted or lost its address.
 	// With DialedBefore, later connections stay open: they are to the restarted process.
--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -12,7 +12,7 @@
 )
 
 // maxEverListed is the number of ids of engines that were ever listed at which those neither listed nor in
-// maintenance are forgotten. The ids serve to reject the maintenance of an engine that never existed.
+// maintenance are dropped. The ids serve to reject the maintenance of an engine that never existed.
 const maxEverListed = 4096
 
 // List is the endpoint list. Its zero value is not usable; New makes one.
@@ -20,9 +20,9 @@
 	byID          map[string]changelog.Endpoint
 	processStarts map[string]processStart // of the listed engines
 	inMaintenance map[string]bool         // ids, listed or not
-	everListed    map[string]bool         // ids, as far as they are kept
+	everListed    map[string]bool         // ids; old ones are dropped, see maxEverListed
 	revision      int64
-	ready         int
+	inService     int // number of engines
 }
 
 // New returns a list without engines.
@@ -47,7 +47,7 @@
 	return listed
 }
 
-// EverListed reports whether an engine was ever listed. Old ids may be forgotten.
+// EverListed reports whether an engine was ever listed. Old ids may have been dropped.
 func (l *List) EverListed(id string) bool { return l.everListed[id] }
 
 // InService reports whether an engine is listed as ready and is not in maintenance.
@@ -60,7 +60,7 @@
 func (l *List) Len() int { return len(l.byID) }
 
 // InServiceCount is the number of engines in service.
-func (l *List) InServiceCount() int { return l.ready }
+func (l *List) InServiceCount() int { return l.inService }
 
 // Revision is the revision of the last change that was applied.
 func (l *List) Revision() int64 { return l.revision }
@@ -80,10 +80,10 @@
 
 // countInService counts the engines in service.
 func (l *List) countInService() {
-	l.ready = 0
+	l.inService = 0
 	for id := range l.byID {
 		if l.InService(id) {
-			l.ready++
+			l.inService++
 		}
 	}
 }
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -10,7 +10,7 @@
 // LastRevision is the revision of the last change of the endpoint list that was applied.
 func (b *Broker) LastRevision() int64 { return b.endpoints.Revision() }
 
-// EverListed reports whether an engine was ever in the endpoint list. Old ids may be forgotten.
+// EverListed reports whether an engine was ever in the endpoint list. Old ids may have been dropped.
 func (b *Broker) EverListed(id string) bool { return b.endpoints.EverListed(id) }
 
 // EndpointCount is the number of listed engines.
@@ -19,6 +19,9 @@
 // EnginesInMaintenance are the engines in maintenance mode, sorted.
 func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.Maintenance() }
 
+// View fills view with the decision module's view of engines and classes.
+func (b *Broker) View(view *control.View) { b.module.View(view) }
+
 // UnavailableEngines is the number of listed engines that get no new attempts: they are in maintenance, not
 // in service, or ejected by the decision module.
 func (b *Broker) UnavailableEngines() int {
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -17,7 +17,7 @@
 	Number  int // from 0
 }
 
-// Request is a query that a client sends, with what its statement says of it.
+// Request is a query that a client sends, with the fields of its statement.
 type Request struct {
 	RequestID         string // the client's id for it
 	Class             string
@@ -27,7 +27,7 @@
 	DataSet           int           // the group of tables that it reads
 	EstimatedWork     time.Duration // the client's estimate, on one thread; 0: none
 	EstimatedMemoryMB float64       // the client's estimate; 0: none
-	SentAt            time.Duration // when the client wrote it, as far as it is known
+	SentAt            time.Duration // when the client sent it, by the best estimate
 	FirstOnConnection bool          // nothing came on its connection before
 	Timeout           time.Duration // how long the client waits from SentAt
 	IsRetry           bool          // the client marked it as a retry
@@ -39,12 +39,12 @@
 
 // Events of clients.
 type (
-	// SessionOpened says that a client has connected. Nothing of it is read before the effect AdmitSession.
+	// SessionOpened reports that a client has connected. Nothing of it is read before the effect AdmitSession.
 	SessionOpened struct{ Session Session }
-	// SessionAuthenticated says that a client has logged in and may send commands.
+	// SessionAuthenticated reports that a client has logged in and may send commands.
 	SessionAuthenticated struct{ Session Session }
-	// SubmitRequest is the command to run a request. WaitingSince is when its client may have begun to wait, where
-	// that can be earlier than Request.SentAt: its timeout counts from there; 0: it can't be.
+	// SubmitRequest is the command to run a request. WaitingSince is the earliest time at which it may have been sent,
+	// if that is earlier than Request.SentAt; 0: it is not. The client's timeout may run from there.
 	SubmitRequest struct {
 		Session      Session
 		Request      Request
@@ -65,9 +65,9 @@
 		Session Session
 		Reply   Reply
 	}
-	// SessionClosed says that a client's connection ended.
+	// SessionClosed reports that a client's connection ended.
 	SessionClosed struct{ Session Session }
-	// SessionHalfClosed says that a client has closed its sending direction. Such a client may have left or
+	// SessionHalfClosed reports that a client has closed its sending direction. Such a client may have left or
 	// may still read: its requests are not run any further, but they are answered. Its connection is closed
 	// after that.
 	SessionHalfClosed struct{ Session Session }
@@ -75,7 +75,7 @@
 
 // Events of engines.
 type (
-	// AttemptServed says that an attempt succeeded at its engine: the first page of the result, and the
+	// AttemptServed reports that an attempt succeeded at its engine: the first page of the result, and the
 	// number of pages.
 	AttemptServed struct {
 		Attempt   AttemptID
@@ -91,7 +91,7 @@
 		Number  int // from 0
 		Body    []byte
 	}
-	// AttemptEnded says that an attempt ended without a result. The status determines whether it may have
+	// AttemptEnded reports that an attempt ended without a result. The status determines whether it may have
 	// run. With SharedCause, it ended with its connection, and the end of another attempt on that was
 	// reported before.
 	AttemptEnded struct {
@@ -130,11 +130,11 @@
 	// whether listed or not.
 	RestoreMaintenance struct{ Engines []string }
 	// UpdateSettings puts the classes and limits of reloaded settings in force. Requests under way keep the
-	// class that they were accepted with; requests of a class that was removed are rejected.
+	// class that they were accepted with; later ones of a class that was removed are answered with ReplyInvalidFields.
 	UpdateSettings struct{ Settings control.Settings }
 	// Shutdown starts a graceful shutdown: after the given time, all open requests get a final answer.
 	Shutdown struct{ Within time.Duration }
-	// SendFinalAnswers says that all sessions are about to be closed. Open requests get their final answer
+	// SendFinalAnswers reports that all sessions are about to be closed. Open requests get their final answer
 	// now, and later requests are rejected.
 	SendFinalAnswers struct{}
 )
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -11,16 +11,16 @@
 // not call the broker, and must copy strings that it keeps: they may be parts of a large statement.
 type Meter interface {
 	// RequestAccepted is called when a request was accepted.
-	RequestAccepted(r *Request)
-	// RequestRejected is called when a command is answered with an error or a request is rejected, before or
-	// after it was accepted.
+	RequestAccepted(request *Request)
+	// RequestRejected is called for each reply other than ReplyResult, ReplyOK and ReplyFailed: a command got an
+	// error, or a request was rejected, before or after it was accepted.
 	RequestRejected(kind ReplyKind)
 	// AttemptStarted is called when an attempt of a request of a class is sent to an engine.
 	AttemptStarted(class string)
 	// RequestEnded is called when an accepted request was answered or abandoned.
-	RequestEnded(r RequestSummary)
+	RequestEnded(request RequestSummary)
 	// AttemptEnded is called when an attempt has ended.
-	AttemptEnded(a AttemptSummary)
+	AttemptEnded(attempt AttemptSummary)
 	// RequestEndCause is called with the cause of each RequestEnded.
 	RequestEndCause(cause EndCause)
 	// InvariantViolated is called when a rule would have been, or was, broken.
@@ -30,8 +30,8 @@
 // RequestSummary describes a request that has ended.
 type RequestSummary struct {
 	Class, Tenant string
-	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; not set if ClientLeft
-	ClientLeft    bool          // its client left or killed it
+	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; ReplyInterrupted if ClientLeft
+	ClientLeft    bool          // it was abandoned: its client left or killed it
 	Duration      time.Duration // from when the client sent it
 	Objective     time.Duration // the latency objective for it; 0: none
 	QueueTime     time.Duration // from its acceptance to its first attempt, or to its end without one
@@ -71,49 +71,46 @@
 func (NopMeter) InvariantViolated(invariant.Rule) {}
 
 // SetMeter sets the meter that is notified from now on.
-func (b *Broker) SetMeter(m Meter) { b.meter = m }
-
-// View fills v with the decision module's view of engines and classes.
-func (b *Broker) View(v *control.View) { b.module.View(v) }
+func (b *Broker) SetMeter(meter Meter) { b.meter = meter }
 
 // reportAnswered notifies the meter and the tracer that a request was answered.
-func (b *Broker) reportAnswered(now time.Duration, r *request, kind ReplyKind, cause EndCause) {
-	summary := b.summarize(now, r)
+func (b *Broker) reportAnswered(now time.Duration, request *request, kind ReplyKind, cause EndCause) {
+	summary := b.summarize(now, request)
 	summary.Kind = kind
-	b.reportEnd(now, r, summary, cause)
+	b.reportEnd(now, request, summary, cause)
 }
 
 // reportAbandoned notifies the meter and the tracer that a request was abandoned.
-func (b *Broker) reportAbandoned(now time.Duration, r *request, cause EndCause) {
-	summary := b.summarize(now, r)
+func (b *Broker) reportAbandoned(now time.Duration, request *request, cause EndCause) {
+	summary := b.summarize(now, request)
 	summary.Kind, summary.ClientLeft = ReplyInterrupted, true
-	b.reportEnd(now, r, summary, cause)
+	b.reportEnd(now, request, summary, cause)
 }
 
-func (b *Broker) reportEnd(now time.Duration, r *request, summary RequestSummary, cause EndCause) {
+func (b *Broker) reportEnd(now time.Duration, request *request, summary RequestSummary, cause EndCause) {
 	b.meter.RequestEnded(summary)
 	b.meter.RequestEndCause(cause)
-	b.trace(now, r, Transition{State: RequestEndedState, Cause: cause})
+	b.trace(now, request, Transition{State: RequestEndedState, Cause: cause})
 }
 
 // summarize fills in all of a summary but the kind of end.
-func (b *Broker) summarize(now time.Duration, r *request) RequestSummary {
-	class := b.validator.classes[r.Class]
+func (b *Broker) summarize(now time.Duration, request *request) RequestSummary {
+	class := b.validator.classes[request.Class]
 	summary := RequestSummary{
-		Class:     r.Class,
-		Tenant:    r.Tenant,
-		Duration:  now - r.SentAt,
+		Class:     request.Class,
+		Tenant:    request.Tenant,
+		Duration:  now - request.SentAt,
 		Objective: class.LatencyObjective,
-		QueueTime: now - r.acceptedAt,
-		Attempts:  len(r.attempts),
+		QueueTime: now - request.acceptedAt,
+		Attempts:  len(request.attempts),
 	}
 	if class.LatencyObjective > 0 {
 		// As in the decision module, but with the client's estimate of the work.
-		work := float64(r.EstimatedWork) / float64(max(1, class.Threads))
+		work := float64(request.EstimatedWork) / float64(max(1, class.Threads))
 		summary.Objective += time.Duration(class.ObjectivePerWork * work)
 	}
-	if len(r.attempts) > 0 {
-		summary.QueueTime = r.attempts[0].startedAt - r.acceptedAt
+	if len(request.attempts) > 0 {
+		summary.QueueTime = request.attempts[0].startedAt - request.acceptedAt
 	}
 	return summary
 }
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -69,21 +69,21 @@
 	case control.SendAttempt:
 		b.startAttempt(now, action)
 	case control.Reject:
-		if r := b.requests.byModuleID(action.RequestID); r != nil {
+		if request := b.requests.byModuleID(action.RequestID); request != nil {
 			reply := Reply{Kind: ReplyRejected, Text: noCapacityText, RetryAfter: action.RetryAfter}
-			b.answer(now, r, reply, EndModuleRejected)
+			b.answer(now, request, reply, EndModuleRejected)
 		}
 	case control.Fail:
-		if r := b.requests.byModuleID(action.RequestID); r != nil {
-			b.answer(now, r, Reply{Kind: ReplyFailed, Text: noAnswerText}, EndModuleFailed)
+		if request := b.requests.byModuleID(action.RequestID); request != nil {
+			b.answer(now, request, Reply{Kind: ReplyFailed, Text: noAnswerText}, EndModuleFailed)
 		}
 	case control.CancelAttempt:
-		if r := b.requests.byModuleID(action.RequestID); r != nil && action.Number < len(r.attempts) {
-			b.cancelAttempt(r.attempts[action.Number], control.Cancelled)
+		if request := b.requests.byModuleID(action.RequestID); request != nil && action.Number < len(request.attempts) {
+			b.cancelAttempt(request.attempts[action.Number], control.Cancelled)
 		}
 	case control.SetAttemptOptions:
-		if r := b.requests.byModuleID(action.RequestID); r != nil {
-			b.setAttemptOptions(r, action)
+		if request := b.requests.byModuleID(action.RequestID); request != nil {
+			b.setAttemptOptions(request, action)
 		}
 	case control.SetTimer:
 		b.timers.Set(now+action.After, moduleTimer{action.Token})
--- a/internal/broker/probes.go
+++ b/internal/broker/probes.go
@@ -28,16 +28,16 @@
 }
 
 // probeEnded handles the result of a load probe, or its timeout; only the first of them counts.
-func (b *Broker) probeEnded(now time.Duration, ev ProbeResult) {
-	probe, ok := b.probes[ev.ProbeID]
+func (b *Broker) probeEnded(now time.Duration, event ProbeResult) {
+	probe, ok := b.probes[event.ProbeID]
 	if !ok {
 		return
 	}
-	delete(b.probes, ev.ProbeID)
+	delete(b.probes, event.ProbeID)
 	b.batch.add(control.ProbeResult{
 		Engine:   probe.engine,
-		Status:   ev.Status,
+		Status:   event.Status,
 		Duration: now - probe.sentAt,
-		Report:   ev.Report,
+		Report:   event.Report,
 	})
 }
--- a/internal/broker/replies.go
+++ b/internal/broker/replies.go
@@ -17,6 +17,14 @@
 	tooManyQueuedText   = "too much was asked ahead of an answer"
 )
 
+// endCauseTexts are the texts of final answers, by their causes.
+var endCauseTexts = [endCauseCount]string{
+	EndFinalAnswer:      shuttingDownText,
+	EndClientHalfClosed: halfClosedText,
+	EndQueueOverflow:    tooManyQueuedText,
+	EndQueuedRequestDue: noAnswerText,
+}
+
 // Errors of a request's fields. Their texts are those of the replies.
 var (
 	errUnknownClass          = errors.New("no such class")
@@ -26,7 +34,7 @@
 	errDuplicateRequestID    = errors.New("the id of the request is in use")
 )
 
-// reply answers a session. It counts as a rejection, but for a result, an OK and a failure.
+// reply answers a session. Every reply is counted as a rejection except a result, an OK and a failure.
 func (b *Broker) reply(id Session, reply Reply) {
 	reply.Session = id
 	if reply.Kind != ReplyResult && reply.Kind != ReplyOK && reply.Kind != ReplyFailed {
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/control/attemptoptions"
 	"wheatlane/internal/broker/clientwait"
 )
 
@@ -55,12 +56,12 @@
 }
 
 // add gives a request its ids and adds it as open.
-func (t *requestTable) add(r *request) {
+func (t *requestTable) add(request *request) {
 	t.lastID++
-	r.id = t.lastID
-	r.moduleID = strconv.FormatUint(r.id, 10)
-	t.byID[r.id] = r
-	t.clientIDs[r.RequestID] = true
+	request.id = t.lastID
+	request.moduleID = strconv.FormatUint(request.id, 10)
+	t.byID[request.id] = request
+	t.clientIDs[request.RequestID] = true
 	t.open++
 }
 
@@ -75,29 +76,29 @@
 
 // attemptInFlight finds an attempt; nil if it is unknown or not in flight.
 func (t *requestTable) attemptInFlight(id AttemptID) *attempt {
-	r := t.byID[id.Request]
-	if r == nil || id.Number >= len(r.attempts) || !r.attempts[id.Number].inFlight {
+	request := t.byID[id.Request]
+	if request == nil || id.Number >= len(request.attempts) || !request.attempts[id.Number].inFlight {
 		return nil
 	}
-	return r.attempts[id.Number]
+	return request.attempts[id.Number]
 }
 
 // openRequests are the requests whose clients wait, in the order in which they were accepted.
 func (t *requestTable) openRequests() []*request {
 	open := make([]*request, 0, t.open)
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
-		if r := t.byID[id]; !r.closed {
-			open = append(open, r)
+		if request := t.byID[id]; !request.closed {
+			open = append(open, request)
 		}
 	}
 	return open
 }
 
 // dropIfDone removes a request that is closed and has no attempt in flight.
-func (t *requestTable) dropIfDone(r *request) {
-	if r.closed && !r.hasAttemptInFlight() {
-		delete(t.byID, r.id)
-		delete(t.clientIDs, r.RequestID)
+func (t *requestTable) dropIfDone(request *request) {
+	if request.closed && !request.hasAttemptInFlight() {
+		delete(t.byID, request.id)
+		delete(t.clientIDs, request.RequestID)
 	}
 }
 
@@ -105,41 +106,41 @@
 func (b *Broker) OpenRequests() int { return b.requests.open }
 
 // submit accepts a request or answers it at once.
-func (b *Broker) submit(now time.Duration, s *session, c SubmitRequest) {
-	in := c.Request
-	class, err := b.checkFields(in)
+func (b *Broker) submit(now time.Duration, session *session, command SubmitRequest) {
+	request := command.Request
+	class, err := b.checkFields(request)
 	if err != nil {
-		s.evictFirst = true
-		b.reply(s.id, Reply{Kind: ReplyInvalidFields, Text: err.Error()})
+		session.evictFirst = true
+		b.reply(session.id, Reply{Kind: ReplyInvalidFields, Text: err.Error()})
 		return
 	}
 	switch {
-	case in.SentAt < s.killedAt:
+	case request.SentAt < session.killedAt:
 		// The query and its KILL come on two connections, and the KILL may be read first.
-		b.reply(s.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
+		b.reply(session.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
-		b.reply(s.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
-	case in.Timeout <= clientwait.MinMargin && in.Timeout < class.LatencyObjective:
+		b.reply(session.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
+	case request.Timeout <= clientwait.MinMargin && request.Timeout < class.LatencyObjective:
 		// This may be a client's last retry, with too little time left to run it: only an immediate answer
 		// arrives before the client gives up.
-		b.reply(s.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
+		b.reply(session.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
-		b.accept(now, s, class, c)
+		b.accept(now, session, class, command)
 	}
 }
 
 // checkFields returns the class of a request, or the error of a field that can't be used.
-func (b *Broker) checkFields(in Request) (control.Class, error) {
-	class, err := b.validator.check(in)
-	if err == nil && b.requests.clientIDs[in.RequestID] {
-		// Engines know a request by this id alone, and an answer could pass for another request's.
+func (b *Broker) checkFields(request Request) (control.Class, error) {
+	class, err := b.validator.check(request)
+	if err == nil && b.requests.clientIDs[request.RequestID] {
+		// Engines know a request by this id alone, so that its answer could be taken for that of the other request.
 		err = errDuplicateRequestID
 	}
 	return class, err
 }
 
-// wait is what is known of how long the client of a request has been waiting.
-func (c SubmitRequest) wait() clientwait.Request {
+// sendTimes is what is known of when the client sent a request.
+func (c SubmitRequest) sendTimes() clientwait.Request {
 	return clientwait.Request{
 		SentAt:            c.Request.SentAt,
 		WaitingSince:      c.WaitingSince,
@@ -150,67 +151,67 @@
 }
 
 // accept opens a request and hands it to the decision module.
-func (b *Broker) accept(now time.Duration, s *session, class control.Class, c SubmitRequest) {
-	r := &request{
-		Request:    c.Request,
-		session:    s.id,
+func (b *Broker) accept(now time.Duration, session *session, class control.Class, command SubmitRequest) {
+	request := &request{
+		Request:    command.Request,
+		session:    session.id,
 		acceptedAt: now,
-		deadline:   b.clientWaits.Deadline(c.wait()),
-		priority:   1,
+		deadline:   b.deadlines.Deadline(command.sendTimes()),
+		priority:   attemptoptions.MinPriority,
 		class:      class,
 	}
-	b.requests.add(r)
-	s.openRequest = r
-	b.meter.RequestAccepted(&r.Request)
-	b.trace(now, r, Transition{State: RequestAcceptedState})
+	b.requests.add(request)
+	session.openRequest = request
+	b.meter.RequestAccepted(&request.Request)
+	b.trace(now, request, Transition{State: RequestAcceptedState})
 	received := control.RequestReceived{Request: control.Request{
-		ID:                r.moduleID,
-		Class:             r.Class,
-		Tenant:            r.Tenant,
-		OrderKey:          r.OrderKey,
-		DataSet:           r.DataSet,
-		Deadline:          r.deadline,
-		EstimatedWork:     r.EstimatedWork,
-		EstimatedMemoryMB: r.EstimatedMemoryMB,
+		ID:                request.moduleID,
+		Class:             request.Class,
+		Tenant:            request.Tenant,
+		OrderKey:          request.OrderKey,
+		DataSet:           request.DataSet,
+		Deadline:          request.deadline,
+		EstimatedWork:     request.EstimatedWork,
+		EstimatedMemoryMB: request.EstimatedMemoryMB,
 	}}
-	b.batch.add(requestWithSentTime{received, r.SentAt})
+	b.batch.add(requestWithSentTime{received, request.SentAt})
 }
 
 // answer closes a request with its one final answer; it does nothing if the request is closed.
-func (b *Broker) answer(now time.Duration, r *request, reply Reply, cause EndCause) {
-	if r.closed {
+func (b *Broker) answer(now time.Duration, request *request, reply Reply, cause EndCause) {
+	if request.closed {
 		return
 	}
-	b.closeRequest(r)
-	b.reportAnswered(now, r, reply.Kind, cause)
-	b.reply(r.session, reply)
-	if s := b.sessions.byID[r.session]; s != nil {
-		s.openRequest = nil
-		b.answeredSessions = append(b.answeredSessions, r.session)
+	b.closeRequest(request)
+	b.reportAnswered(now, request, reply.Kind, cause)
+	b.reply(request.session, reply)
+	if session := b.sessions.byID[request.session]; session != nil {
+		session.openRequest = nil
+		b.answeredSessions = append(b.answeredSessions, request.session)
 	}
 }
 
 // abandon closes a request without an answer, as its client has left or killed it.
-func (b *Broker) abandon(now time.Duration, r *request, cause EndCause) {
-	if r.closed {
+func (b *Broker) abandon(now time.Duration, request *request, cause EndCause) {
+	if request.closed {
 		return
 	}
-	b.closeRequest(r)
-	b.reportAbandoned(now, r, cause)
-	b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
+	b.closeRequest(request)
+	b.reportAbandoned(now, request, cause)
+	b.batch.add(control.ClientDisconnected{RequestID: request.moduleID})
 }
 
 // closeRequest closes an open request.
-func (b *Broker) closeRequest(r *request) {
-	r.closed = true
-	r.Body = "" // timers refer to the request until its deadline, and bodies may be large
+func (b *Broker) closeRequest(request *request) {
+	request.closed = true
+	request.Body = "" // timers refer to the request until its deadline, and bodies may be large
 	b.requests.open--
-	for _, a := range r.attempts {
-		if a.awaitsFirstPage() {
+	for _, attempt := range request.attempts {
+		if attempt.awaitsFirstPage() {
 			// It may still wait for a connection or in a write buffer, and the decision module may not be
 			// allowed to cancel it.
-			b.emit(WithdrawUnsent{a.id})
+			b.emit(WithdrawUnsent{attempt.id})
 		}
 	}
-	b.requests.dropIfDone(r)
+	b.requests.dropIfDone(request)
 }
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -30,69 +30,69 @@
 
 // attemptServed handles the first page of a result. The attempt succeeds only with the last page: if the
 // engine dies between two pages, the request is retried.
-func (b *Broker) attemptServed(now time.Duration, ev AttemptServed) {
-	a := b.requests.attemptInFlight(ev.Attempt)
-	if a == nil || !a.awaitsFirstPage() {
+func (b *Broker) attemptServed(now time.Duration, event AttemptServed) {
+	attempt := b.requests.attemptInFlight(event.Attempt)
+	if attempt == nil || !attempt.awaitsFirstPage() {
 		return
 	}
-	first, err := newResult(ev)
+	first, err := newResult(event)
 	if err != nil {
-		b.discardResult(now, a, err)
+		b.discardResult(now, attempt, err)
 		return
 	}
-	a.result = first
+	attempt.result = first
 	if first.pages.Complete() {
-		b.completeResult(now, a)
+		b.completeResult(now, attempt)
 		return
 	}
-	for number := 1; number < ev.PageCount; number++ {
-		b.emit(FetchPage{a.id, number})
+	for number := 1; number < event.PageCount; number++ {
+		b.emit(FetchPage{attempt.id, number})
 	}
-	b.timers.Set(now+pageTimeout, pageOverdue{a, first.pages.Missing()})
+	b.timers.Set(now+pageTimeout, pageOverdue{attempt, first.pages.Missing()})
 }
 
 // pageReceived handles a further page of a result.
-func (b *Broker) pageReceived(now time.Duration, ev PageReceived) {
-	a := b.requests.attemptInFlight(ev.Attempt)
-	if a == nil || a.cancelled() || a.result == nil {
+func (b *Broker) pageReceived(now time.Duration, event PageReceived) {
+	attempt := b.requests.attemptInFlight(event.Attempt)
+	if attempt == nil || attempt.cancelled() || attempt.result == nil {
 		return
 	}
-	if err := a.result.pages.Add(ev.Number, ev.Body); err != nil {
-		b.discardResult(now, a, err)
+	if err := attempt.result.pages.Add(event.Number, event.Body); err != nil {
+		b.discardResult(now, attempt, err)
 		return
 	}
-	if a.result.pages.Complete() {
-		b.completeResult(now, a)
+	if attempt.result.pages.Complete() {
+		b.completeResult(now, attempt)
 	}
 }
 
 // checkPages discards a result if no page was received since as many as given were missing, pageTimeout ago.
-func (b *Broker) checkPages(now time.Duration, a *attempt, missing int) {
+func (b *Broker) checkPages(now time.Duration, attempt *attempt, missing int) {
 	switch {
-	case !a.inFlight || a.cancelled():
-	case a.result.pages.Missing() == missing:
-		b.discardResult(now, a, resultpages.ErrMissingPage)
+	case !attempt.inFlight || attempt.cancelled():
+	case attempt.result.pages.Missing() == missing:
+		b.discardResult(now, attempt, resultpages.ErrMissingPage)
 	default:
-		b.timers.Set(now+pageTimeout, pageOverdue{a, a.result.pages.Missing()})
+		b.timers.Set(now+pageTimeout, pageOverdue{attempt, attempt.result.pages.Missing()})
 	}
 }
 
 // discardResult fails an attempt because of its result.
-func (b *Broker) discardResult(now time.Duration, a *attempt, err error) {
-	b.emit(ResultInvalid{a.engine, err})
-	b.emit(ReleaseAttempt{Attempt: a.id, PagesLeft: true})
-	b.endAttempt(now, a, control.AttemptEnded{Status: control.Failed})
+func (b *Broker) discardResult(now time.Duration, attempt *attempt, err error) {
+	b.emit(ResultInvalid{attempt.engine, err})
+	b.emit(ReleaseAttempt{Attempt: attempt.id, PagesLeft: true})
+	b.endAttempt(now, attempt, control.AttemptEnded{Status: control.Failed})
 }
 
 // completeResult answers a request with a complete result.
-func (b *Broker) completeResult(now time.Duration, a *attempt) {
-	b.emit(ReleaseAttempt{Attempt: a.id})
-	a.answeredClient = !a.request.closed
-	b.answer(now, a.request, Reply{Kind: ReplyResult, Pages: a.result.pages.Pages()}, EndServed)
-	b.endAttempt(now, a, control.AttemptEnded{
+func (b *Broker) completeResult(now time.Duration, attempt *attempt) {
+	b.emit(ReleaseAttempt{Attempt: attempt.id})
+	attempt.answeredClient = !attempt.request.closed
+	b.answer(now, attempt.request, Reply{Kind: ReplyResult, Pages: attempt.result.pages.Pages()}, EndServed)
+	b.endAttempt(now, attempt, control.AttemptEnded{
 		Status:   control.OK,
-		Work:     a.result.work,
-		MemoryMB: a.result.memoryMB,
-		Report:   a.result.report,
+		Work:     attempt.result.work,
+		MemoryMB: attempt.result.memoryMB,
+		Report:   attempt.result.report,
 	})
 }
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -9,9 +9,9 @@
 // session is a client's connection.
 type session struct {
 	id             Session
-	openRequest    *request      // it waits for the answer to it
-	queuedCommands []command     // that came meanwhile
-	queuedRequests int           // of them, those that are to run
+	openRequest    *request      // the one that it awaits the answer to; nil: none
+	queuedCommands []command     // read since openRequest
+	queuedRequests int           // the SubmitRequests in queuedCommands
 	killedAt       time.Duration // requests sent before it are killed
 
 	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
@@ -34,24 +34,24 @@
 
 // add adds a session that has not authenticated.
 func (t *sessionTable) add(now time.Duration, id Session) {
-	s := &session{id: id}
-	t.byID[id] = s
-	t.evictionOrder.AddUnauthenticated(now, &s.evictionPlace, s)
+	session := &session{id: id}
+	t.byID[id] = session
+	t.evictionOrder.AddUnauthenticated(now, &session.evictionPlace, session)
 }
 
-func (t *sessionTable) remove(s *session) {
-	s.markBusy()
-	delete(t.byID, s.id)
+func (t *sessionTable) remove(session *session) {
+	session.markBusy()
+	delete(t.byID, session.id)
 }
 
 // markIdle makes a session the last of the idle ones to evict.
-func (t *sessionTable) markIdle(now time.Duration, s *session) {
-	t.evictionOrder.MarkIdle(now, &s.evictionPlace, s)
+func (t *sessionTable) markIdle(now time.Duration, session *session) {
+	t.evictionOrder.MarkIdle(now, &session.evictionPlace, session)
 }
 
 // markFirstToEvict makes a session the first of the idle ones to evict.
-func (t *sessionTable) markFirstToEvict(now time.Duration, s *session) {
-	t.evictionOrder.MarkFirst(now, &s.evictionPlace, s)
+func (t *sessionTable) markFirstToEvict(now time.Duration, session *session) {
+	t.evictionOrder.MarkFirst(now, &session.evictionPlace, session)
 }
 
 // markBusy keeps a session from being evicted.
@@ -92,29 +92,29 @@
 }
 
 func (b *Broker) authenticateSession(now time.Duration, id Session) {
-	if s := b.sessions.byID[id]; s != nil {
-		b.sessions.markIdle(now, s)
+	if session := b.sessions.byID[id]; session != nil {
+		b.sessions.markIdle(now, session)
 	}
 }
 
-// endSession forgets a session and abandons the request that it waits for, for a cause.
+// endSession removes a session and abandons the request that it waits for, for a cause.
 func (b *Broker) endSession(now time.Duration, id Session, cause EndCause) {
-	s := b.sessions.byID[id]
-	if s == nil {
+	session := b.sessions.byID[id]
+	if session == nil {
 		return
 	}
-	if s.openRequest != nil {
-		b.abandon(now, s.openRequest, cause)
+	if session.openRequest != nil {
+		b.abandon(now, session.openRequest, cause)
 	}
-	b.sessions.remove(s)
+	b.sessions.remove(session)
 }
 
 // halfCloseSession ends a session whose client may still read: its open and its queued requests are answered.
 func (b *Broker) halfCloseSession(now time.Duration, id Session) {
-	s := b.sessions.byID[id]
-	if s == nil {
+	session := b.sessions.byID[id]
+	if session == nil {
 		return
 	}
-	b.answerAllQueued(now, s, EndClientHalfClosed)
+	b.answerAllQueued(now, session, EndClientHalfClosed)
 	b.endSession(now, id, EndClientHalfClosed)
 }
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -22,8 +22,8 @@
 // would not show clients whether a retry is harmless.
 func (b *Broker) sendFinalAnswers(now time.Duration) {
 	b.shutdown.finalAnswersSent = true
-	for _, r := range b.requests.openRequests() {
-		b.batch.add(control.ClientDisconnected{RequestID: r.moduleID})
-		b.answer(now, r, r.finalAnswer(shuttingDownText), EndFinalAnswer)
+	for _, request := range b.requests.openRequests() {
+		b.batch.add(control.ClientDisconnected{RequestID: request.moduleID})
+		b.answer(now, request, request.finalAnswer(shuttingDownText), EndFinalAnswer)
 	}
 }
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"wheatlane/control"
-	"wheatlane/internal/invariant"
 )
 
 // EndCause is why a request ended.
@@ -37,14 +36,6 @@
 	EndQueuedRequestDue: "queued_request_due",
 }
 
-// endCauseTexts are the texts of final answers, by their causes.
-var endCauseTexts = [endCauseCount]string{
-	EndFinalAnswer:      shuttingDownText,
-	EndClientHalfClosed: halfClosedText,
-	EndQueueOverflow:    tooManyQueuedText,
-	EndQueuedRequestDue: noAnswerText,
-}
-
 // String returns the name of the cause.
 func (c EndCause) String() string { return EndCauseNames[c] }
 
@@ -55,7 +46,7 @@
 	RequestID string // the client's id for it
 	Session   Session
 	Class     string
-	Since     time.Duration // from its acceptance
+	Since     time.Duration // since the request was accepted
 
 	Cause   EndCause       // of RequestEnded
 	Attempt int            // of AttemptStarted and AttemptEnded
@@ -81,16 +72,12 @@
 func (b *Broker) SetTracer(t Tracer) { b.tracer = t }
 
 // trace notifies the tracer of a transition of a request.
-func (b *Broker) trace(now time.Duration, r *request, t Transition) {
+func (b *Broker) trace(now time.Duration, request *request, transition Transition) {
 	if b.tracer == nil {
 		return
 	}
-	t.Request, t.RequestID, t.Session, t.Class, t.Since = r.id, r.RequestID, r.session, r.Class, now-r.acceptedAt
-	b.tracer(t)
-}
-
-// violated reports that a rule would have been, or was, broken.
-func (b *Broker) violated(rule invariant.Rule, session Session, requestID string) {
-	b.meter.InvariantViolated(rule)
-	b.emit(InvariantViolation{Rule: rule, Session: session, RequestID: requestID})
+	transition.Request, transition.RequestID = request.id, request.RequestID
+	transition.Session, transition.Class = request.session, request.Class
+	transition.Since = now - request.acceptedAt
+	b.tracer(transition)
 }
--- a/internal/broker/validation.go
+++ b/internal/broker/validation.go
@@ -20,16 +20,16 @@
 }
 
 func newRequestValidator(settings control.Settings) *requestValidator {
-	v := &requestValidator{
+	validator := &requestValidator{
 		classes:         map[string]control.Class{},
 		longestTimeouts: map[string]time.Duration{},
 		tenants:         map[string]bool{},
 	}
-	v.setClasses(settings.Classes)
+	validator.setClasses(settings.Classes)
 	for _, tenant := range settings.Tenants {
-		v.tenants[tenant.Name] = true
+		validator.tenants[tenant.Name] = true
 	}
-	return v
+	return validator
 }
 
 // setClasses puts classes in force in place of those before.
@@ -42,16 +42,16 @@
 }
 
 // check returns the class of a request, or the error of a field that can't be used.
-func (v *requestValidator) check(r Request) (control.Class, error) {
-	class, known := v.classes[r.Class]
+func (v *requestValidator) check(request Request) (control.Class, error) {
+	class, known := v.classes[request.Class]
 	switch {
 	case !known:
 		return class, errUnknownClass
-	case len(v.tenants) > 0 && !v.tenants[r.Tenant]:
+	case len(v.tenants) > 0 && !v.tenants[request.Tenant]:
 		return class, errUnknownTenant
-	case class.ClientTimeout > 0 && r.Timeout > v.longestTimeouts[r.Class]+timeoutSlack:
+	case class.ClientTimeout > 0 && request.Timeout > v.longestTimeouts[request.Class]+timeoutSlack:
 		return class, errTimeoutTooLong
-	case class.Idempotency.Kind == idempotency.WithKey && r.IdempotencyKey == "":
+	case class.Idempotency.Kind == idempotency.WithKey && request.IdempotencyKey == "":
 		// Without the key an engine could not drop a repeat, and its effect might come twice.
 		return class, errMissingIdempotencyKey
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -52,9 +52,9 @@
 
 // Start is what is known as an attempt is about to start.
 type Start struct {
-	RequestEnded     bool // the request was answered, or its client has left
-	FinalAnswersSent bool // all requests have their final answer, as the broker shuts down
-	EndpointReady    bool // the endpoint list has the engine in service, and it is not in maintenance
+	RequestEnded      bool // the request was answered, or its client has left
+	FinalAnswersSent  bool // all requests have their final answer, as the broker shuts down
+	EndpointInService bool // the endpoint list has the engine in service, and it is not in maintenance
 }
 
 // Broken returns the rule that the start would break.
@@ -62,7 +62,7 @@
 	switch {
 	case s.RequestEnded || s.FinalAnswersSent:
 		return NoStartAfterEnd, true
-	case !s.EndpointReady:
+	case !s.EndpointInService:
 		return NoSendToUnready, true
 	}
 	return 0, false
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,9 +10,9 @@
 		guard guard
 		want  Rule
 	}{
-		"start":                      {Start{EndpointReady: true}, none},
-		"start after the end":        {Start{EndpointReady: true, RequestEnded: true}, NoStartAfterEnd},
-		"start after final answers":  {Start{EndpointReady: true, FinalAnswersSent: true}, NoStartAfterEnd},
+		"start":                      {Start{EndpointInService: true}, none},
+		"start after the end":        {Start{EndpointInService: true, RequestEnded: true}, NoStartAfterEnd},
+		"start after final answers":  {Start{EndpointInService: true, FinalAnswersSent: true}, NoStartAfterEnd},
 		"start at a draining engine": {Start{}, NoSendToUnready},
 		"retry":                      {Repeat{MayHaveRun: true}, none},
 		"hedged request":             {Repeat{MayHaveRun: true, InFlight: true, Hedging: true}, none},
