--- a/internal/server/endpointwatch/poll.go
+++ b/internal/server/endpointwatch/poll.go
@@ -135,8 +135,8 @@
 	return err
 }
 
-// pace waits after an answer that came early with nothing new, as polling such a change log on and on would saturate a
-// core here and there.
+// pace waits after an answer that came early with nothing new. Without it, a change log that answers so would be polled
+// in a busy loop that saturates a core on both sides.
 func (c *connection) pace(ctx context.Context, isNew bool, sentAt time.Time) error {
 	if isNew || time.Since(sentAt) >= minHoldTime {
 		c.emptyPause.Reset()
--- a/internal/server/enginepool/command.go
+++ b/internal/server/enginepool/command.go
@@ -38,7 +38,7 @@
 const (
 	probeIDPrefix   = "p" // of the ids of load probes; ids of requests are hex digits
 	livenessID      = "t" // the id of all liveness probes
-	defaultPriority = 1   // the priority that an engine assumes when none is given
+	defaultPriority = 1   // that an engine assumes without fieldPriority, by its protocol
 
 	minTimeout = time.Millisecond // that a message can carry
 )
--- a/internal/server/enginepool/dependencies.go
+++ b/internal/server/enginepool/dependencies.go
@@ -28,7 +28,7 @@
 type Observer interface {
 	// DuplicateResponse reports that an engine answered what nothing waits for.
 	DuplicateResponse(engine string)
-	// DrainStarted reports that an engine began to drain.
+	// DrainStarted reports that an engine began to drain or was put into maintenance.
 	DrainStarted()
 	// DrainCompleted reports how long after that the last byte left for the engine.
 	DrainCompleted(took time.Duration)
--- a/internal/server/enginepool/host_test.go
+++ b/internal/server/enginepool/host_test.go
@@ -135,17 +135,17 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }() // both ends are connected
-	dialled, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
+	dialed, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = dialled.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = dialed.Close() }) // the test may have closed it
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
-	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
 // receive takes from a channel, or fails.
--- a/internal/server/enginepool/liveness.go
+++ b/internal/server/enginepool/liveness.go
@@ -21,8 +21,8 @@
 )
 
 // checkLiveness probes connections on which a response is overdue and nothing was received for long, and closes those
-// that stay silent. Engines whose machine vanished, and responses that stop for good, leave a connection open and
-// silent. Closing it has a new one dialled, or proves that the engine can't be reached.
+// that stay silent. Engines whose machine vanished, and responses that stop and never continue, leave a connection open
+// and silent. Closing it has a new one dialed, or proves that the engine can't be reached.
 func (p *Pool) checkLiveness() {
 	now := time.Now()
 	for _, conns := range p.connsByEngine {
@@ -78,7 +78,7 @@
 	return liveness{lastReceived: c.lastReceived, suspectSince: c.suspectSince, overdueAt: c.firstOverdueAt()}
 }
 
-// suspect takes a connection for one that may be dead: it accepts no new streams until something is received on it. It
+// suspect marks a connection as one that may be dead: it accepts no new streams until something is received on it. It
 // is probed where that is allowed. Where probes or hedging are not, it stays until all in flight on it has ended.
 func (p *Pool) suspect(conn *engineConn, now time.Time) {
 	conn.suspectSince = now
--- a/internal/server/enginepool/pool.go
+++ b/internal/server/enginepool/pool.go
@@ -60,20 +60,19 @@
 	p.checkLiveness()
 }
 
-// CloseConnections closes the connections to an engine that were dialled before a time of the reducer, all of them if
+// CloseConnections closes the connections to an engine that were dialed before a time of the reducer, all of them if
 // it is 0.
-func (p *Pool) CloseConnections(engine string, dialledBefore time.Duration) {
+func (p *Pool) CloseConnections(engine string, dialedBefore time.Duration) {
 	p.drains.end(engine)
 	for _, conn := range slices.Clone(p.connsByEngine[engine]) {
-		if dialledBefore == 0 || clock.At(conn.dialStarted) < dialledBefore {
+		if dialedBefore == 0 || clock.At(conn.dialStarted) < dialedBefore {
 			p.close(conn, netconn.EngineGone)
 		}
 	}
 }
 
-// assign puts a stream on a connection with capacity or on a new one. Where neither can be had, the stream
-// ends: it is this broker that has no capacity, so the engine is not to be ejected as one that can't be
-// reached.
+// assign puts a stream on a connection with capacity or on a new one. Where neither can be had, the stream ends with
+// AtCapacity, although it is this broker that lacks connections: the engine must not be ejected as unreachable.
 func (p *Pool) assign(engine, addr string, stream *stream) {
 	stream.startedAt = time.Now()
 	conn := p.connFor(engine, addr, stream)
--- a/internal/server/enginepool/pool_test.go
+++ b/internal/server/enginepool/pool_test.go
@@ -224,16 +224,16 @@
 	}
 }
 
-// Only connections that were dialled before an engine's restart lead to the process that is gone.
+// Only connections that were dialed before an engine's restart lead to the process that is gone.
 func TestCloseConnectionsDialledBefore(t *testing.T) {
 	for name, tt := range map[string]struct {
-		before func(dialled time.Duration) time.Duration
+		before func(dialed time.Duration) time.Duration
 		open   int
 	}{
-		"any":                   {func(time.Duration) time.Duration { return 0 }, 0},
-		"dialled before":        {func(dialled time.Duration) time.Duration { return dialled + 1 }, 0},
-		"dialled in the moment": {func(dialled time.Duration) time.Duration { return dialled }, 1},
-		"dialled since":         {func(dialled time.Duration) time.Duration { return dialled - 1 }, 1},
+		"any":                  {func(time.Duration) time.Duration { return 0 }, 0},
+		"dialed before":        {func(dialed time.Duration) time.Duration { return dialed + 1 }, 0},
+		"dialed in the moment": {func(dialed time.Duration) time.Duration { return dialed }, 1},
+		"dialed since":         {func(dialed time.Duration) time.Duration { return dialed - 1 }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -13,7 +13,7 @@
 
 const (
 	partialResponseTimeout = 200 * time.Millisecond // a response that has begun is complete by then
-	finalReadWait          = 10 * time.Millisecond  // for what came while the process stood still
+	lateReadTimeout        = 10 * time.Millisecond  // one more read after that, for what came while the process stood still
 )
 
 // responseReader reads the responses on a connection to an engine. The goroutine that reads the connection
@@ -21,7 +21,7 @@
 type responseReader struct {
 	transport *netconn.Conn
 	partial   bool // a response has begun, and its timeout runs
-	finalRead bool // the timeout has passed, and what came meanwhile is read
+	lateRead  bool // the timeout has passed, and the late read is under way
 }
 
 // readResponses posts the responses of an engine to the owner of the pool until the connection ends.
@@ -54,11 +54,11 @@
 			return nil
 		case !netconn.IsTimeout(err):
 			return err
-		case r.finalRead:
+		case r.lateRead:
 			return &netconn.EndError{Reason: netconn.Stalled, Err: err}
 		}
-		r.finalRead = true
-		if err := r.transport.SetReadDeadline(time.Now().Add(finalReadWait)); err != nil {
+		r.lateRead = true
+		if err := r.transport.SetReadDeadline(time.Now().Add(lateReadTimeout)); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 	case partial && (!r.partial || completed > 0):
 		err = r.transport.SetReadDeadline(time.Now().Add(partialResponseTimeout))
 	}
-	r.partial, r.finalRead = partial, r.finalRead && completed == 0
+	r.partial, r.lateRead = partial, r.lateRead && completed == 0
 	return err
 }
 
@@ -141,7 +141,8 @@
 	p.events.Apply(broker.ProbeResult{ProbeID: stream.probeID, Status: status, Report: report})
 }
 
-// statusOf returns what the kind of a response without a result proves of its attempt.
+// statusOf returns what the kind of a response without a result proves of its attempt. VOID is NeverSent, as no engine
+// ran the attempt.
 func statusOf(kind resp.Kind) control.Status {
 	switch kind {
 	case resp.Busy:
--- a/internal/server/enginepool/stream.go
+++ b/internal/server/enginepool/stream.go
@@ -23,7 +23,7 @@
 	offset       int64               // of its message in the send queue
 	followUps    []int64             // offsets of later commands that change nothing unless the message was sent
 	startedAt    time.Time
-	overdueAfter time.Duration // from startedAt: its response is not missed before
+	overdueAfter time.Duration // from startedAt: its response counts as overdue from then on
 	responding   bool          // the first page of its result came
 	cancelling   bool          // it was cancelled, and the engine is being notified
 	done         bool          // it has ended for the reducer
--- a/internal/server/frontend/client.go
+++ b/internal/server/frontend/client.go
@@ -27,11 +27,11 @@
 	conn     *netconn.Conn
 	admitted chan struct{} // closed once the client may be greeted
 
-	loggedIn       bool
-	readDeadline   time.Time // by which more must arrive
-	lateRead       bool      // the deadline has passed, and what arrived before it is read
-	hasSubmitted   bool      // a request came on it
-	emptyFinalRead int       // final reads that found the socket empty
+	loggedIn        bool
+	readDeadline    time.Time // by which more must arrive
+	lateRead        bool      // the deadline has passed, and the late read is under way (lateReadTimeout)
+	hasSubmitted    bool      // a request came on it
+	emptyFinalReads int       // final reads (finalReads) that found the socket empty
 
 	lastReadAt      time.Duration // when the last read returned bytes
 	earliestArrival time.Duration // of these bytes
@@ -100,7 +100,7 @@
 		return false, c.readFailed(ctx, err)
 	}
 	c.recordArrival(calledAt, clock.Now())
-	if c.conn.FinishedFor() != nil { // this side is shut down: what was read can't be answered
+	if c.conn.ShutDownReason() != nil { // this side is shut down: what was read can't be answered
 		c.post(ctx, func() { c.frontend.observer.Violated(invariant.NoReadAfterShutdown) })
 	}
 	return true, nil
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -95,7 +95,7 @@
 	}
 	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.Quit})
 	_ = c.conn.Run(t.Context(), func(ctx context.Context) error { // its error is the reason above
-		for c.conn.FinishedFor() == nil {
+		for c.conn.ShutDownReason() == nil {
 			runtime.Gosched()
 		}
 		received, err := c.receive(ctx)
--- a/internal/server/frontend/finalreads.go
+++ b/internal/server/frontend/finalreads.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// finalReads is how many timeouts show that a socket is empty: the read that a timeout ends does not see what
-	// arrives in that moment, and the next one looks first.
+	// finalReads is the number of reads that must time out during a shutdown to show that a socket is empty. One is
+	// not enough: bytes may arrive as its deadline passes, and the next read finds them.
 	finalReads = 2
-	// finalReadTimeout is the time within which what has arrived at a socket is read.
+	// finalReadTimeout is the timeout of one such read, and of the listener's wait for connections.
 	finalReadTimeout = 20 * time.Millisecond
 )
 
--- a/internal/server/frontend/frontend.go
+++ b/internal/server/frontend/frontend.go
@@ -48,8 +48,8 @@
 	Log         *zap.Logger
 	// MaxClientTimeout returns the longest timeout that a request can have.
 	MaxClientTimeout func() time.Duration
-	// EarliestArrival returns the earliest time at which bytes may have arrived that were waited for and read at a
-	// time, both in the reducer's terms.
+	// EarliestArrival returns the earliest time at which bytes may have arrived that were read at readAt by a goroutine
+	// that was waiting for them. Both are times of the reducer.
 	EarliestArrival func(readAt time.Duration) time.Duration
 }
 
--- a/internal/server/frontend/readtimeout.go
+++ b/internal/server/frontend/readtimeout.go
@@ -11,13 +11,13 @@
 	partialMessageTimeout = 2 * time.Second
 	// clientIdleMargin is how long a client may be idle beyond the longest client timeout; clients close sooner.
 	clientIdleMargin = time.Minute
-	// lateReadTimeout is the time for reading what arrived before a deadline that passed while the process stood
-	// still: a read whose deadline has passed does not look.
+	// lateReadTimeout is the time of a late read: one more read after a read deadline has passed. It finds what arrived
+	// in time while the process stood still, as a read fails without looking once its deadline has passed.
 	lateReadTimeout = 10 * time.Millisecond
 )
 
-// updateReadTimeout sets the time by which more must arrive. It runs on until the login, or a message that has begun, is
-// complete, however slowly more arrives.
+// updateReadTimeout sets the time by which more must arrive. Until the login, or a message that has begun, is complete,
+// the time set first stays, however slowly more arrives.
 func (c *client) updateReadTimeout() error {
 	partial := c.conn.Received.Len() > 0
 	if !c.loggedIn || partial && c.messageBegun.Load() {
@@ -31,14 +31,14 @@
 	return c.setReadTimeout(c.frontend.cfg.MaxClientTimeout() + clientIdleMargin)
 }
 
-// setReadTimeout sets how long a client may be silent: during the final reads, where no message has begun, no longer
-// than these take. One lock covers both, so that neither deadline overwrites the other.
+// setReadTimeout sets how long a client may be silent. During the final reads of a shutdown a client without a partial
+// message gets finalReadTimeout at most. The lock keeps BeginFinalReads and this from overwriting each other's deadline.
 func (c *client) setReadTimeout(within time.Duration) error {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
 	c.readDeadline = time.Now().Add(within)
 	deadline := c.readDeadline
-	if c.frontend.finalReads && c.emptyFinalRead < finalReads && c.conn.Received.Len() == 0 {
+	if c.frontend.finalReads && c.emptyFinalReads < finalReads && c.conn.Received.Len() == 0 {
 		deadline = time.Now().Add(min(within, finalReadTimeout))
 	}
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// finalRead goes on after the deadline of a final read: an empty socket is counted, and a message that has begun keeps
-// its time.
+// finalRead handles the end of a final read: a read of a shutdown that ended with its deadline. It counts the empty
+// ones, and lets a message that has begun keep its deadline.
 func (c *client) finalRead(ctx context.Context) error {
-	if c.conn.Received.Len() == 0 && c.emptyFinalRead < finalReads {
-		c.emptyFinalRead++
-		if c.emptyFinalRead == finalReads {
+	if c.conn.Received.Len() == 0 && c.emptyFinalReads < finalReads {
+		c.emptyFinalReads++
+		if c.emptyFinalReads == finalReads {
 			c.post(ctx, func() { c.fullyRead = true })
 		}
 	}
--- a/internal/server/frontend/reply.go
+++ b/internal/server/frontend/reply.go
@@ -39,7 +39,7 @@
 	if c == nil {
 		return
 	}
-	if c.conn.FinishedFor() != nil { // this side is shut down: the answer can't leave
+	if c.conn.ShutDownReason() != nil { // this side is shut down: the answer can't leave
 		f.observer.Violated(invariant.AnswerBeforeClose, zap.Uint32("session", uint32(r.Session)))
 		return
 	}
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -16,7 +16,7 @@
 var ErrNotListed = errors.New("server: the engine was never listed")
 
 // StartMaintenance puts an engine into maintenance mode and returns once that is in force and stored for the next
-// process. The error is ErrNotListed, or that of ctx if it ended before: the change may be in force all the same,
+// process. The error is ErrNotListed, or that of ctx if it ended before: the change may be in force then,
 // and is stored as soon as it can be.
 func (s *Server) StartMaintenance(ctx context.Context, id string) error {
 	return s.maintenance.change(ctx, handover.Change{Engine: id, Enabled: true})
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -14,7 +14,7 @@
 	broker.Meter
 	// DuplicateResponse reports that an engine answered what nothing waits for.
 	DuplicateResponse(engine string)
-	// DrainStarted reports that the change log listed an engine as draining.
+	// DrainStarted reports that an engine was listed as draining or put into maintenance.
 	DrainStarted()
 	// DrainCompleted reports how long after that the last byte left for the engine.
 	DrainCompleted(took time.Duration)
@@ -60,7 +60,7 @@
 		case <-s.done:
 			select {
 			case <-done:
-			default: // it may be in the inbox still, which nobody reads any more
+			default: // it may be in the inbox still, which nobody reads after the end of Run
 				inspect()
 			}
 			return true
--- a/internal/server/netconn/conn.go
+++ b/internal/server/netconn/conn.go
@@ -84,8 +84,8 @@
 	g.Go(func() error { return c.writeLoop(ctx) })
 	err := g.Wait()
 	c.closeSocket()
-	if finished := c.FinishedFor(); finished != nil { // even if the peer closed first, once it had got all
-		return finished
+	if ended := c.ShutDownReason(); ended != nil { // even if the peer closed first, once it had got all
+		return ended
 	}
 	return err
 }
@@ -114,7 +114,7 @@
 		if err := c.flush(raw); err != nil {
 			return err
 		}
-		if reason := c.finished(); reason != nil {
+		if reason := c.beginShutDown(); reason != nil {
 			if c.mustLinger(raw, reason.Reason) {
 				Linger(c.socket)
 			}
@@ -139,7 +139,7 @@
 func (c *Conn) flush(raw syscall.RawConn) error {
 	for {
 		deadline, ok := c.nextDeadline()
-		c.MarkSent(0) // hooks that wait for nothing but withdrawn bytes are due
+		c.MarkSent(0) // runs due hooks: those that only waited for withdrawn bytes
 		if !ok {
 			return nil
 		}
--- a/internal/server/netconn/endcounts.go
+++ b/internal/server/netconn/endcounts.go
@@ -30,10 +30,10 @@
 	}
 }
 
-// ConnectionCounts counts the connections of a server.
+// ConnectionCounts are the open connections of a process and, by Ends, those that ended.
 type ConnectionCounts struct {
 	Clients, Engines int        // open connections
-	Ends             *EndCounts // nil: there is no server behind it
+	Ends             *EndCounts // nil: none are counted
 }
 
 // EachEndReason calls f with each reason, in the order of Reasons, and the number of connections of a side
--- a/internal/server/netconn/reason.go
+++ b/internal/server/netconn/reason.go
@@ -34,7 +34,7 @@
 	EvictedIdle        Reason = "made_room"            // it was silent or idle while there were too many
 	TooManyConnections Reason = "too_many_connections" // there were too many, and all were busy
 	ConnectFailed      Reason = "connect_failed"       // it was never established
-	EngineGone         Reason = "engine_gone"          // its engine was removed, restarted or moved
+	EngineGone         Reason = "engine_gone"          // its engine was removed, restarted, drained or lost its address
 	Stalled            Reason = "stalled"              // a response began on it and was not completed in time
 	Retired            Reason = "retired"              // replaced: silent, or out of ids
 	PollTimeout        Reason = "silent"               // the change log did not answer in time
--- a/internal/server/netconn/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -13,22 +13,22 @@
 // system has accepted. Offsets count bytes from the start of the connection. Bytes that have not been handed
 // to the system can be withdrawn; they are then never sent. All methods may be called from any goroutine.
 type SendQueue struct {
-	mu          sync.Mutex
-	pending     *ring.Buffer
-	queuedBytes int64 // ever written to pending
-	sentBytes   int64 // of these, accepted by the system or withdrawn
-	handedBytes int64 // sentBytes, and what a write under way was given: these bytes may have left
-	writes      []queuedWrite
-	lastWriteAt time.Time // of the last call of write
-	hooks       []sentHook
-	closeReason *EndError     // why the connection is to end once pending is empty; nil: it is not
-	closedFor   *EndError     // closeReason, once pending was empty
-	lateWrites  int           // of which the first byte left after they expired
-	expired     []int64       // offsets of the writes that were withdrawn as they expired, until they are taken
-	lateAfter   time.Duration // from the expiry of a write: it counts as late if it leaves then
-	onExpired   func()        // called, under the lock, when expired or lateWrites changes; nil: nobody is notified
-	now         func() time.Time
-	wakeup      chan struct{}
+	mu             sync.Mutex
+	pending        *ring.Buffer
+	queuedBytes    int64 // ever written to pending
+	sentBytes      int64 // of these, accepted by the system or withdrawn
+	handedBytes    int64 // sentBytes, and what a write under way was given: these bytes may have left
+	writes         []queuedWrite
+	lastWriteAt    time.Time // of the last call of write
+	hooks          []sentHook
+	requestedEnd   *EndError     // why this side is to be shut down once pending is empty; nil: it is not
+	shutDownReason *EndError     // why this side was shut down; nil: it was not
+	lateWrites     int           // writes whose first byte left over lateAfter past their expiry, until they are taken
+	expired        []int64       // offsets of the writes that were withdrawn as they expired, until they are taken
+	lateAfter      time.Duration // from the expiry of a write
+	onExpired      func()        // called, under the lock, when expired or lateWrites changes; nil: nobody is notified
+	now            func() time.Time
+	wakeup         chan struct{}
 }
 
 // queuedWrite is the extent of one call of write in the queue.
@@ -115,12 +115,12 @@
 	q.wake()
 }
 
-// CloseAfterSent ends the connection once all that is queued has been sent. The first reason counts.
+// CloseAfterSent ends the connection once all that is queued has been sent. Only the first reason is kept.
 func (q *SendQueue) CloseAfterSent(reason *EndError) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.closeReason == nil {
-		q.closeReason = reason
+	if q.requestedEnd == nil {
+		q.requestedEnd = reason
 	}
 	q.wake()
 }
@@ -173,7 +173,8 @@
 	return next
 }
 
-// MarkSent removes n bytes that the system has accepted, and calls the hooks that waited for them.
+// MarkSent removes n bytes that the system has accepted, and calls the hooks that are due. With 0 bytes it runs those
+// that only waited for bytes that were withdrawn.
 func (q *SendQueue) MarkSent(n int) {
 	for _, hook := range q.advanceSent(n) { // not under the lock: a hook may wait for the broker's loop
 		hook.call()
@@ -195,22 +196,23 @@
 	return hooks
 }
 
-// finished returns the reason for which the connection ends now, nil while something is left to send.
-func (q *SendQueue) finished() *EndError {
+// beginShutDown begins to shut this side down if its end was requested and nothing is left to send. It returns the
+// reason; nil if this side goes on.
+func (q *SendQueue) beginShutDown() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.closedFor = q.closeReason
+	q.shutDownReason = q.requestedEnd
 	if q.pending.Len() > 0 {
-		q.closedFor = nil // it was queued since, and woke the writer
+		q.shutDownReason = nil // bytes were queued meanwhile, which wakes the writer again
 	}
-	return q.closedFor
+	return q.shutDownReason
 }
 
-// FinishedFor returns what finished returned last.
-func (q *SendQueue) FinishedFor() *EndError {
+// ShutDownReason returns the reason for which this side was shut down: nothing more leaves. It is nil before.
+func (q *SendQueue) ShutDownReason() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.closedFor
+	return q.shutDownReason
 }
 
 // skipWithdrawn drops the writes at the front that were withdrawn. The lock is held.
--- a/internal/server/rounds.go
+++ b/internal/server/rounds.go
@@ -32,7 +32,7 @@
 		}
 		s.loop.settle()
 		now := clock.Now()
-		s.standstills.LoopTurn(now)
+		s.standstills.RecordIteration(now)
 		s.loop.meter.LoopLag(pacer.Lag(now))
 		if !pacer.Ready(now) {
 			continue
@@ -60,7 +60,7 @@
 
 // untilNextRound returns how long the loop may wait if nothing happens.
 func (s *Server) untilNextRound() time.Duration {
-	wait := standstill.MaxTurnInterval
+	wait := standstill.MaxLoopInterval
 	if deadline, ok := s.loop.reducer.NextDeadline(); ok {
 		wait = min(wait, deadline-clock.Now())
 	}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,16 +8,22 @@
 
 // Times of a planned restart.
 const (
-	shutdownAcceptWindow = time.Second            // requests go on coming after SIGTERM; protocol: up to 0.4 s
-	maxCountedTimeout    = 3 * time.Second        // protocol: longer client timeouts count as this until SIGKILL
-	shutdownExtra        = 700 * time.Millisecond // protocol: and so much more
-	finalAnswerMargin    = 250 * time.Millisecond // ours: what is open is answered so long before SIGKILL
-	finalFlushTimeout    = 200 * time.Millisecond // the final answers leave within it, before SIGKILL
+	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, at most maxCountedTimeout, plus
+	// shutdownExtra.
+	maxCountedTimeout = 3 * time.Second
+	shutdownExtra     = 700 * time.Millisecond
+	// finalAnswerMargin is the time before SIGKILL at which open requests get their final answer.
+	finalAnswerMargin = 250 * time.Millisecond
+	// finalFlushTimeout is the time in which the final answers leave before the process exits.
+	finalFlushTimeout = 200 * time.Millisecond
+	// shutdownAcceptWindow is the time after SIGTERM in which new requests are served. By the protocol they may come
+	// for 0.4 s.
+	shutdownAcceptWindow = time.Second
 )
 
 // shutdownStep is what a graceful shutdown is to do next. Its steps are, in this order:
 //
-//  1. Requests go on coming for a while after SIGTERM and are served as before.
+//  1. Requests that still come after SIGTERM are served as before, within shutdownAcceptWindow.
 //  2. The final reads: connections that the system has accepted are served, the listener closes, and the socket of each
 //     client is read until it is empty once, so that nothing is left in the kernel or on its way to the reducer.
 //  3. Once all requests are answered and the answers have left, the sessions close: the reader of each stops first, so
--- a/internal/server/standstill/detector.go
+++ b/internal/server/standstill/detector.go
@@ -1,5 +1,5 @@
 // Package standstill deals with times in which the whole process stood still, as when its machine was paused: it
-// detects them by the turns of the broker's loop, and paces the loop so that what arrived meanwhile is read first.
+// detects them by the iterations of the server's loop, and paces the loop so that what arrived meanwhile is read first.
 package standstill
 
 import (
@@ -8,35 +8,36 @@
 )
 
 const (
-	// MaxTurnInterval is the longest time between turns of the loop, so that a standstill is detected.
-	MaxTurnInterval = 20 * time.Millisecond
+	// MaxLoopInterval is the longest time between iterations of the loop, short enough that a standstill is detected.
+	MaxLoopInterval = 20 * time.Millisecond
 	// standstillThreshold is the lag of the loop that means that the whole process stood still.
 	standstillThreshold = 25 * time.Millisecond
-	// arrivalUncertainty is how long after a standstill what is read may have arrived within it.
+	// arrivalUncertainty is the time after a standstill in which bytes are read that may have arrived during it.
 	arrivalUncertainty = 100 * time.Millisecond
 )
 
-// Detector knows the last standstill from the turns of the loop. The loop reports its turns; any goroutine may ask.
+// Detector detects standstills from the iterations of the loop. The loop records them; any goroutine may ask.
 // Times are those of the reducer.
 type Detector struct {
-	lastTurn atomic.Int64 // of the loop; 0: it has had none
-	from, to atomic.Int64 // of the last standstill
+	lastIteration atomic.Int64 // 0: there was none
+	from, to      atomic.Int64 // of the last standstill
 }
 
-// LoopTurn records a turn of the loop.
-func (d *Detector) LoopTurn(now time.Duration) {
-	last := time.Duration(d.lastTurn.Swap(int64(now)))
+// RecordIteration records an iteration of the loop, and a standstill if one has ended since the iteration before.
+func (d *Detector) RecordIteration(now time.Duration) {
+	last := time.Duration(d.lastIteration.Swap(int64(now)))
 	if isStandstill(last, now) {
 		d.from.Store(int64(last))
 		d.to.Store(int64(now))
 	}
 }
 
-// EarliestArrival returns the earliest time at which bytes may have arrived that a goroutine waited for and read at a
-// time: that time, or the start of a standstill that has just ended.
+// EarliestArrival returns the earliest time at which bytes may have arrived that were read at readAt by a goroutine that
+// was waiting for them. That is readAt, or the start of a standstill that is under way or ended within
+// arrivalUncertainty.
 func (d *Detector) EarliestArrival(readAt time.Duration) time.Duration {
-	if last := time.Duration(d.lastTurn.Load()); isStandstill(last, readAt) {
-		return last // the loop has not had its turn since
+	if last := time.Duration(d.lastIteration.Load()); isStandstill(last, readAt) {
+		return last // the loop has had no iteration since
 	}
 	if to := time.Duration(d.to.Load()); to > 0 && readAt-to < arrivalUncertainty {
 		return time.Duration(d.from.Load())
@@ -44,7 +45,7 @@
 	return readAt
 }
 
-// isStandstill reports whether the process stood still between a turn of the loop, 0 if there was none, and a time.
-func isStandstill(lastTurn, now time.Duration) bool {
-	return lastTurn > 0 && now-lastTurn > MaxTurnInterval+standstillThreshold
+// isStandstill reports whether the process stood still between an iteration of the loop, 0 if there was none, and now.
+func isStandstill(lastIteration, now time.Duration) bool {
+	return lastIteration > 0 && now-lastIteration > MaxLoopInterval+standstillThreshold
 }
--- a/internal/server/standstill/pacer.go
+++ b/internal/server/standstill/pacer.go
@@ -7,7 +7,7 @@
 
 // Pacer decides when the loop runs a round. After a standstill it first leaves time to read what arrived meanwhile: no
 // timeout may be judged before the answers that came within it are read, and requests of one order key, which clients
-// write at least 60 ms apart, must not be taken in another order. Times are those of the reducer.
+// space, must not be taken in another order. Times are those of the reducer.
 type Pacer struct {
 	timer      *time.Timer
 	due        time.Duration // when the next wake-up is due
--- a/internal/server/standstill/standstill_test.go
+++ b/internal/server/standstill/standstill_test.go
@@ -23,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			var d Detector
 			for _, turn := range tt.turns {
-				d.LoopTurn(turn)
+				d.RecordIteration(turn)
 			}
 			if got := d.EarliestArrival(tt.readAt); got != tt.earliest {
 				t.Errorf("earliest %v, want %v", got-begin, tt.earliest-begin)
--- a/internal/server/standstill_test.go
+++ b/internal/server/standstill_test.go
@@ -17,8 +17,8 @@
 	c.ping()
 	since := inLoop(s, func(server *Server) time.Duration {
 		since := clock.Now() - stoodStill
-		server.standstills.LoopTurn(since)
-		server.standstills.LoopTurn(clock.Now() + time.Hour) // whatever is read next may have come within it
+		server.standstills.RecordIteration(since)
+		server.standstills.RecordIteration(clock.Now() + time.Hour) // whatever is read next may have come within it
 		return since
 	})
 	c.send(append(queryPacket(statement("lookup", 1, longTimeout, "")), queryPacket(statement("lookup", 2, longTimeout, ""))...))
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -6,7 +6,7 @@
 
 // Counters counts what a broker did. The zero value has counted nothing.
 type Counters struct {
-	Requests       uint64 // requests accepted from clients
+	Requests       uint64 // requests read from clients, also those that are invalid or rejected at once
 	FirstAttempts  uint64 // first attempts of requests sent to engines
 	Retries        uint64 // attempts of requests that had one already, hedged ones included
 	Rejections     uint64 // requests answered as rejected
@@ -73,7 +73,7 @@
 	return false
 }
 
-// PerRequest is a count over the accepted requests, as the settings price probes and new connections; 0
+// PerRequest is a count over the requests read from clients, as the settings price probes and new connections; 0
 // without any.
 func PerRequest(count, requests uint64) float64 {
 	if requests == 0 {
