--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// readTimeout is how long a caller has for its line. A caller that sends nothing holds a goroutine of its
-	// own for so long, and nobody else waits for it.
+	// readTimeout is how long a caller has for its line. One that sends nothing delays nobody else: each caller
+	// has a goroutine of its own.
 	readTimeout = 5 * time.Second
 	// answerTimeout is how long the broker has to carry out a call; the deployment page owes a reply within 1
 	// s.
--- a/internal/cardinality/table.go
+++ b/internal/cardinality/table.go
@@ -59,7 +59,7 @@
 	Other    uint64 // how often a name went to Other
 }
 
-// Table assigns slots to names. It is not safe for concurrent use. Times are by a clock that is never set.
+// Table assigns slots to names. It is not safe for concurrent use. Times are by a monotonic clock.
 type Table struct {
 	cfg        Config
 	slots      []slot // from 1; Other has no name
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -74,7 +74,7 @@
 
 var errMissing = errors.New("missing")
 
-// ParsePage reads a page. Events of unknown kinds are ignored. Its error is a *jsontext.KeyError, or of the text.
+// ParsePage reads a page. Events of unknown kinds are ignored. The error of a value is a *jsontext.KeyError.
 func ParsePage(text []byte) (Page, error) {
 	var document pageDocument
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,7 +20,7 @@
 
 	// What only a broker on real sockets needs.
 	ConnectTimeout   time.Duration // for a connection to an engine
-	ConnIdleTimeout  time.Duration // engines close connections that are idle for so long
+	ConnIdleTimeout  time.Duration // after which engines close idle connections
 	MaxStreams       int           // attempts that share a connection
 	MaxClientTimeout time.Duration // the longest of all classes
 	DrainGrace       time.Duration // sends to a draining engine must leave within this; 0: not given
--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -1,7 +1,7 @@
 // Package delivery decides how intervals get to one collector: when to connect and how long to back off, what
 // to write next, what to hold and how to fold it while the collector is away, how fast to replay a backlog,
 // and what to count lost. It performs no I/O, reads no clock and starts no goroutine: events go in, actions
-// come out. Times are by a clock that is never set.
+// come out. Times are by a monotonic clock.
 package delivery
 
 import (
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -123,9 +123,9 @@
 	return queued == q.writing || queued.recordsSent > 0
 }
 
-// foldNeighbors makes one interval of the two neighbors that are made of the fewest together, the oldest
-// such: an outage is so reported at an even resolution that coarsens as it lasts. The newest interval is
-// folded only where no more than one may wait.
+// foldNeighbors folds the two neighbors that hold the fewest intervals together, the oldest such pair: the
+// resolution of an outage stays even, and coarsens as it lasts. The newest interval is folded only where no more
+// than one may wait.
 func (q *queue) foldNeighbors() bool {
 	i := q.bestFold()
 	if i < 0 {
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -7,8 +7,7 @@
 	"wheatlane/internal/cardinality"
 )
 
-// Cut ends an interval and returns its figures. Times are by the wall clock and by the clock that is never
-// set.
+// Cut ends an interval at the times of the wall clock and of the monotonic clock, and returns its figures.
 func (r *Registry) Cut(wall, monotonic time.Duration) *Interval {
 	r.sequence++
 	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
@@ -106,8 +105,7 @@
 }
 
 // reported reports whether a gauge was set, or a counter has counted. A counter of a single series is always
-// reported; of many series each is from when it has counted: a series that is new in a collector began at
-// zero.
+// reported. Of many series, each is reported once it has counted: collectors take a new series to begin at zero.
 func (r *Registry) reported(id ID, slot, label int) bool {
 	if set := r.gaugeSet[id]; set != nil {
 		return set[id.index(slot, label)]
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -54,7 +54,7 @@
 	Sequence      uint64        // from 1 at the broker's start; of a folded one, that of the last
 	FoldedCount   uint64        // intervals that it is made of: 1, or more if it is folded
 	EndTime       time.Duration // by the wall clock, since 1970
-	Duration      time.Duration // by a clock that is never set
+	Duration      time.Duration // by a monotonic clock
 	Points        []Point
 	Distributions []Distribution
 }
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -9,7 +9,7 @@
 // Limits bound the names that a registry keeps.
 type Limits struct {
 	Classes, Tenants, Engines, DataSets int           // names that have series of their own, at a time
-	IdleTimeout                         time.Duration // after which a name that did not come retires
+	IdleTimeout                         time.Duration // after which an unused name retires
 }
 
 const (
@@ -17,7 +17,7 @@
 	// were if it comes back. A collector may take a series that was silent for longer as one that begins at
 	// zero.
 	retiredSlotRetention = 2 * time.Hour
-	// retiredSlotsPerName is how many retired names there are slots for, for each that may be admitted.
+	// retiredSlotsPerName is the number of slots of retired names for each name that may be admitted.
 	retiredSlotsPerName = 2
 	// maxDestinations have series of their own.
 	maxDestinations = 8
@@ -25,8 +25,8 @@
 	millisecondsPerSecond = 1000
 )
 
-// Registry records figures. It is not safe for concurrent use. Times are by a clock that is never set, where
-// no other is named.
+// Registry records figures. It is not safe for concurrent use. Times are by a monotonic clock where no other is
+// named.
 type Registry struct {
 	lastCut          time.Duration
 	lastTimestamp    time.Duration // by the wall clock
@@ -39,8 +39,7 @@
 	encodeBuffer     []byte
 }
 
-// NewRegistry returns an empty registry that starts at wall by the wall clock and at monotonic by the clock
-// that is never set.
+// NewRegistry returns an empty registry that starts at the times of the wall clock and of a monotonic clock.
 func NewRegistry(limits Limits, wall, monotonic time.Duration) *Registry {
 	r := &Registry{lastCut: monotonic}
 	maxNames := [dimensionCount]int{
@@ -99,7 +98,7 @@
 	}
 }
 
-// Slot is where a name is counted that came now.
+// Slot returns the slot that a name is counted under.
 func (r *Registry) Slot(dim Dimension, name string) int { return r.tables[dim].Slot(name, r.lastCut) }
 
 // EachName calls f for each name of a dimension that has series of its own, and for cardinality.Other with an
--- a/internal/telemetry/clock.go
+++ b/internal/telemetry/clock.go
@@ -5,7 +5,7 @@
 // Clock gives the time and the ends of intervals.
 type Clock struct {
 	Wall      func() time.Duration // since 1970
-	Monotonic func() time.Duration // since any fixed moment; it is never set
+	Monotonic func() time.Duration // since any fixed moment
 	// Ticker returns a channel that receives once an interval, and the functions that change its length
 	// and end it.
 	Ticker func(every time.Duration) (ticks <-chan time.Time, reset func(every time.Duration), stop func())
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -132,7 +132,7 @@
 	case delivery.Connect:
 		d.connect(ctx, a.Conn)
 	case delivery.Write:
-		d.writes <- a // it has a place: the machine starts a write only when the one before has ended
+		d.writes <- a // never blocks: the machine starts a write only when the one before has ended
 	case delivery.Close:
 		d.closeConnection()
 	case delivery.Stopped:
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -28,8 +28,8 @@
 	runtimeSamples []runtimemetrics.Sample
 }
 
-// NewRecorder returns a recorder whose first interval starts at wall by the wall clock and at monotonic by
-// the clock that is never set.
+// NewRecorder returns a recorder whose first interval starts at the times of the wall clock and of a monotonic
+// clock.
 func NewRecorder(limits metrics.Limits, wall, monotonic time.Duration) *Recorder {
 	r := &Recorder{
 		registry:       metrics.NewRegistry(limits, wall, monotonic),
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -111,7 +111,7 @@
 			reset(r.configure(ctx, settings))
 		case <-draining:
 			draining = nil
-			r.cut(ctx) // what there is leaves now: at the end there may be no time for all of it
+			r.cut(ctx) // at the end there may be no time to write all of it
 		case <-drained:
 			r.cut(ctx)
 			for _, d := range r.sortedDestinations() {
@@ -151,8 +151,7 @@
 	case existing == nil:
 		r.start(ctx, planned)
 	case !reflect.DeepEqual(existing.plan.settings, planned.settings):
-		// What waits was held under the old budget and is for the old place: as much as can be is
-		// written there.
+		// What waits belongs to the old destination, and is written there until the stop timeout.
 		r.stop(ctx, existing)
 		r.start(ctx, planned)
 	case existing.plan.address != planned.address:
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Cut ends an interval at wall by the wall clock and at monotonic by the clock that is never set. The states
-// of the reducer, the sockets, the runtime and the destinations are read into gauges before.
+// Cut ends an interval at the times of the wall clock and of the monotonic clock. Before that it reads the states
+// of the reducer, the sockets, the runtime and the destinations into gauges.
 func (r *Recorder) Cut(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
--- a/measure/soak/run.go
+++ b/measure/soak/run.go
@@ -54,7 +54,7 @@
 
 func (s *soak) drawDuration(limit time.Duration) time.Duration { return s.source.Duration(limit) }
 
-// holding calls f while it holds what has a name. It does nothing if another fault holds it.
+// holding calls f while a name is reserved for it. It does nothing if another fault has the name.
 func (s *soak) holding(name string, f func() error) error {
 	if !s.take(name) {
 		return nil
@@ -63,7 +63,7 @@
 	return f()
 }
 
-// take holds what has a name; it reports whether nothing else did.
+// take reserves a name and reports whether it was free.
 func (s *soak) take(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
