--- a/control/attempts.go
+++ b/control/attempts.go
@@ -11,23 +11,23 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	request        *request
-	number         int
-	engine         *engine
-	sentAt         time.Duration
-	inFlight       bool
-	mayHaveRun     bool
-	cancelled      bool           // its cancellation was asked for
-	presumedLost   bool           // its answer is not waited for
-	lossConfidence units.Fraction // of the presumption
-	released       bool           // its threads count no more against the concurrency limit
-	lastProgressAt time.Duration  // of its last progress report
+	request         *request
+	number          int
+	engine          *engine
+	sentAt          time.Duration
+	inFlight        bool
+	mayHaveRun      bool
+	cancelled       bool           // its cancellation was asked for
+	presumedLost    bool           // its answer is not waited for
+	lossConfidence  units.Fraction // of the presumption
+	threadsReleased bool           // its threads no longer count against the concurrency limit
+	lastProgressAt  time.Duration  // of its last progress report
 }
 
-// releaseThreads counts the attempt's threads no more against the concurrency limit, once.
+// releaseThreads takes the attempt's threads off the concurrency limit, once.
 func (a *attempt) releaseThreads() {
-	if !a.released {
-		a.released = true
+	if !a.threadsReleased {
+		a.threadsReleased = true
 		a.engine.releaseThreads(a.request.class.Threads)
 	}
 }
@@ -52,8 +52,8 @@
 	overdueAfter := c.attemptTimeout(request, engine)
 	send := SendAttempt{RequestID: request.ID, Engine: engine.ID, OverdueAfter: overdueAfter}
 	if engine.health.Ejected() {
-		engine.health.ProbeSent(c.now, c.ejectionBackoff())
-		send.Timeout = overdue.ProbeTimeout(overdueAfter, request.Deadline-c.now)
+		engine.health.HalfOpenProbeSent(c.now, c.ejectionBackoff())
+		send.Timeout = overdue.HalfOpenTimeout(overdueAfter, request.Deadline-c.now)
 	}
 	c.emit(send)
 	c.startTimer(overdueAfter, attemptOverdue{attempt})
@@ -86,8 +86,8 @@
 	if attempt.presumedLost && end.Status == OK {
 		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
 	}
-	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.released {
-		// It may still run: as long again, by its age.
+	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.threadsReleased {
+		// It may still run: its threads are released once it is twice as old as now.
 		c.startTimer(c.now-attempt.sentAt, endedAttemptStopped{attempt})
 	} else {
 		attempt.releaseThreads()
--- a/control/engine.go
+++ b/control/engine.go
@@ -103,7 +103,7 @@
 func (c *Controller) threadsOfClass(engine *engine, classIndex int) int {
 	class, requests := c.classes.all[classIndex], 0
 	for _, attempt := range engine.attempts {
-		if attempt.request.classIndex == classIndex && !attempt.released {
+		if attempt.request.classIndex == classIndex && !attempt.threadsReleased {
 			requests++
 		}
 	}
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -57,7 +57,8 @@
 // FailureRate is the fraction of attempts that fail, averaged.
 func (h *Health) FailureRate() units.Fraction { return h.failureRate }
 
-// Answers is the number of answers that the estimates rest on. It decays, so it is no integer.
+// Answers is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so it
+// is no integer.
 func (h *Health) Answers() float64 { return h.loss.Answers }
 
 // Ejected reports whether an engine is ejected.
@@ -73,18 +74,18 @@
 	return true
 }
 
-// ProbeSent records a half-open probe: the next one is due after the backoff.
-func (h *Health) ProbeSent(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
+// HalfOpenProbeSent records that a half-open probe is sent now: the next one is due after the backoff.
+func (h *Health) HalfOpenProbeSent(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
 
-// Probe is a request that may be a half-open probe.
-type Probe struct {
+// HalfOpenProbe is a request that may be a half-open probe.
+type HalfOpenProbe struct {
 	EngineIdle     bool // nothing else is in flight at the engine
 	FirstAttempt   bool
 	LowestPriority bool // no class has less priority weight
 }
 
-// MayProbe reports whether a request may be an ejected engine's next half-open probe: one at a time, and of
-// the requests that lose least if it fails.
-func (h *Health) MayProbe(probe Probe, now time.Duration) bool {
+// MayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe: one at a time,
+// and of the requests that lose least if it fails.
+func (h *Health) MayProbeHalfOpen(probe HalfOpenProbe, now time.Duration) bool {
 	return now >= h.halfOpenAt && probe.EngineIdle && probe.FirstAttempt && probe.LowestPriority
 }
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -46,11 +46,12 @@
 	failureDecay  = 0.98 // fraction of a failure rate that a tick leaves
 	answerDecay   = 0.99 // fraction of the answers that a tick leaves
 
-	priorLossRate    = 0.01 // expected fraction of answers lost
-	priorLossAnswers = 20.0 // answers of the fleet that this weighs as much as
+	priorLossRate    = 0.01 // fraction of answers that is expected to be lost
+	priorLossAnswers = 20.0 // answers of the fleet that priorLossRate weighs as much as
 	fleetLossAnswers = 3.0  // answers of an engine that the fleet's loss rate weighs as much as
 
-	backoffRounds = 0.5 // backoff in rounds, each a request of this broker's to every engine
+	// backoffRequests is the number of requests received for each engine in the backoff.
+	backoffRequests = 0.5
 )
 
 // Detector detects outliers among the engines of a fleet.
@@ -94,7 +95,7 @@
 	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
 }
 
-// Lost records an answer that never came, as far as that is certain.
+// Lost records an answer that never came. The certainty, from 0 to 1, is the probability that it is lost.
 func (d *Detector) Lost(engine *Health, certainty units.Fraction) {
 	engine.loss.Lose(float64(certainty))
 	d.fleet.Lose(float64(certainty))
@@ -129,6 +130,6 @@
 // Backoff is the time between half-open probes of an engine, by the number of engines and the rate of the
 // requests that this broker receives. It is longer for a broker of many, as their probes add up.
 func (d *Detector) Backoff(engines int, arrivalRate units.PerSecond) time.Duration {
-	rounds := units.Duration(float64(engines) / float64(arrivalRate) * backoffRounds)
-	return min(d.config.MaxBackoff, max(d.config.MinBackoff, rounds))
+	backoff := units.Duration(float64(engines) / float64(arrivalRate) * backoffRequests)
+	return min(d.config.MaxBackoff, max(d.config.MinBackoff, backoff))
 }
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -58,23 +58,23 @@
 
 func TestHalfOpenProbes(t *testing.T) {
 	t.Parallel()
-	probe := Probe{EngineIdle: true, FirstAttempt: true, LowestPriority: true}
+	probe := HalfOpenProbe{EngineIdle: true, FirstAttempt: true, LowestPriority: true}
 	for name, c := range map[string]struct {
-		probe Probe
+		probe HalfOpenProbe
 		now   time.Duration
 		want  bool
 	}{
 		"after the backoff":     {probe, time.Second, true},
 		"before":                {probe, time.Second - 1, false},
-		"another one in flight": {Probe{FirstAttempt: true, LowestPriority: true}, time.Second, false},
-		"a retry":               {Probe{EngineIdle: true, LowestPriority: true}, time.Second, false},
-		"an important request":  {Probe{EngineIdle: true, FirstAttempt: true}, time.Second, false},
+		"another one in flight": {HalfOpenProbe{FirstAttempt: true, LowestPriority: true}, time.Second, false},
+		"a retry":               {HalfOpenProbe{EngineIdle: true, LowestPriority: true}, time.Second, false},
+		"an important request":  {HalfOpenProbe{EngineIdle: true, FirstAttempt: true}, time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			engine := NewHealth(0)
 			engine.Eject(0, time.Second)
-			if got := engine.MayProbe(c.probe, c.now); got != c.want {
+			if got := engine.MayProbeHalfOpen(c.probe, c.now); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -11,6 +11,7 @@
 	switch status {
 	case NeverSent, Cancelled:
 	case TimedOut:
+		// It counts in the loss rate, but ejects nothing by itself: attemptLost decides by the rate.
 		if !c.underPressure(engine.queueOwner) {
 			c.outliers.Lost(&engine.health, 1)
 		}
@@ -50,7 +51,7 @@
 
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
 func (c *Controller) mayProbeHalfOpen(engine *engine, request *request) bool {
-	return engine.health.MayProbe(outlier.Probe{
+	return engine.health.MayProbeHalfOpen(outlier.HalfOpenProbe{
 		EngineIdle:     engine.pooled() || engine.concurrency.InFlight() == 0,
 		FirstAttempt:   len(request.attempts) == 0,
 		LowestPriority: request.class.PriorityWeight <= c.classes.lowestWeight,
--- a/control/hedging.go
+++ b/control/overdue.go
@@ -22,7 +22,7 @@
 	verdict, again := overdue.Judge(state)
 	if verdict == overdue.Blocked {
 		c.blockedByLock(attempt)
-		state.Lock.Released = attempt.released
+		state.ThreadsReleased = attempt.threadsReleased
 		verdict, again = overdue.Judge(state)
 	}
 	switch verdict {
@@ -42,19 +42,20 @@
 		ProgressInterval: c.settings.ProgressInterval,
 		LossRate:         c.outliers.LossRate(&attempt.engine.health),
 		FleetLossRate:    c.outliers.FleetLossRate(),
+		ThreadsReleased:  attempt.threadsReleased,
 	}
 	if class := attempt.request.class; class.BlockedByDataSetLock {
 		state.Lock = &overdue.Lock{
 			Objective:      class.LatencyObjective,
 			LongestHold:    c.workload.Summary().LongestLock,
 			EngineResponds: attempt.engine.health.RespondedWithin(overdue.MinLossWait, c.now),
-			Released:       attempt.released,
 		}
 	}
 	return state
 }
 
-// attemptLost takes an attempt as lost, as far as that is certain. It may still run, for as long again.
+// attemptLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its threads
+// are released once it is twice as old as now.
 func (c *Controller) attemptLost(attempt *attempt) {
 	attempt.presumedLost = true
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
@@ -67,8 +68,9 @@
 	c.hedgeOrCancel(attempt)
 }
 
-// blockedByLock takes an attempt that waits for a lock, of whichever broker: it needs no threads then,
-// requests that the lock would block go elsewhere, and it is tried elsewhere while there is time.
+// blockedByLock takes an attempt that waits for a data-set lock, whichever broker's request holds it. It needs
+// no threads meanwhile, requests that the lock would block are sent to other engines, and so is its own
+// request, if there is time.
 func (c *Controller) blockedByLock(attempt *attempt) {
 	attempt.releaseThreads()
 	attempt.engine.dataSetLocks.Presume(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
@@ -83,7 +85,10 @@
 		!request.class.Idempotency.RepeatableAnywhere() {
 		return
 	}
-	if !c.retryPolicy.Hedges(request.retryInput(c.now), request.expectedWork.OnThreads(1).Duration()) {
+	// On one thread the work takes at least as long as on the threads of its class: an upper bound, which leaves
+	// time for the slowdown of an engine that is not selected yet.
+	longest := request.expectedWork.OnThreads(1).Duration()
+	if !c.retryPolicy.Hedges(request.retryInput(c.now), longest) {
 		return
 	}
 	if limits.Cancellation {
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -1,5 +1,5 @@
-// Package overdue judges an attempt in flight by its silence: it is still in time, blocked by a data-set
-// lock, or lost. An answer is waited for until a loss is likelier than that it is only late.
+// Package overdue judges an attempt in flight by its silence: it is in time, waits for a data-set lock that
+// another request holds, or is lost. An answer is waited for until it is likelier lost than late.
 package overdue
 
 import (
@@ -22,7 +22,7 @@
 	overloadLossRate = 0.4   // loss rate that is an overload, which more attempts would make worse
 	runawayRatio     = 4.0   // time left over the usual time of an attempt that is better started anew
 	retrySpare       = 2     // times the timeout of a half-open probe that leaves time for a retry
-	minProgress      = 0.005 // progress that is taken as made at least
+	minProgress      = 0.005 // progress is taken to be at least this
 )
 
 // LateQuantile is the fraction of answers that come later than an attempt is waited for: the odds that its
@@ -32,18 +32,18 @@
 	return min(maxLateQuantile, max(minLateQuantile, odds))
 }
 
-// ProbeTimeout is the time after which a half-open probe is cut off, to be retried: when it is overdue, if
-// enough time is left then; 0: it isn't cut off.
-func ProbeTimeout(overdueAfter, timeLeft time.Duration) time.Duration {
+// HalfOpenTimeout is the time after which a half-open probe is cut off and retried: when it is overdue, if that
+// leaves enough time for a retry; 0: it isn't cut off.
+func HalfOpenTimeout(overdueAfter, timeLeft time.Duration) time.Duration {
 	if timeLeft > retrySpare*overdueAfter {
 		return overdueAfter
 	}
 	return 0
 }
 
-// LossConfidence is how far it is certain that an overdue answer is lost. It may be only late, which never
-// shows if the attempt is cancelled. A loss that counted in full would shorten the timeouts, and so make
-// further losses of what is late.
+// LossConfidence is the probability that an overdue answer is lost and not only late, by the rates of both. A
+// loss counts by it: counted in full, late answers of cancelled attempts would raise the loss rate, which
+// shortens the timeouts, and more of the late answers would count as lost.
 func LossConfidence(lossRate units.Fraction) units.Fraction {
 	return lossRate / (lossRate + LateQuantile(lossRate))
 }
@@ -73,6 +73,7 @@
 	ProgressInterval time.Duration  // engines report progress so often; 0: never
 	LossRate         units.Fraction // of its engine's answers
 	FleetLossRate    units.Fraction // of all engines' answers
+	ThreadsReleased  bool           // it was found blocked by a lock before, and gave its threads back
 	Lock             *Lock          // nil: data-set locks don't block it
 }
 
@@ -81,7 +82,6 @@
 	Objective      time.Duration // latency objective of the attempt's class
 	LongestHold    time.Duration // usual time of the longest hold of a lock
 	EngineResponds bool          // the engine answered something within MinLossWait
-	Released       bool          // the attempt was found blocked already, and its threads released
 }
 
 // Judge returns the verdict on an attempt and, if it is in time, when to judge it again.
@@ -93,10 +93,10 @@
 	var least time.Duration
 	if lock := attempt.Lock; lock != nil {
 		least = scale(lock.Objective, blockedObjective)
-		if lock.EngineResponds && !lock.Released && attempt.Silence >= max(limit, least) {
+		if lock.EngineResponds && !attempt.ThreadsReleased && attempt.Silence >= max(limit, least) {
 			return Blocked, 0
 		}
-		if lock.Released {
+		if attempt.ThreadsReleased {
 			limit += lock.LongestHold
 		}
 	} else { // the likelier a loss, the sooner it is presumed
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -24,12 +24,12 @@
 	}
 }
 
-func TestProbeTimeoutLeavesTimeForARetry(t *testing.T) {
+func TestHalfOpenTimeoutLeavesTimeForARetry(t *testing.T) {
 	t.Parallel()
-	if got := ProbeTimeout(time.Second, 2*time.Second+1); got != time.Second {
+	if got := HalfOpenTimeout(time.Second, 2*time.Second+1); got != time.Second {
 		t.Errorf("got %v with time for a retry, want 1s", got)
 	}
-	if got := ProbeTimeout(time.Second, 2*time.Second); got != 0 {
+	if got := HalfOpenTimeout(time.Second, 2*time.Second); got != 0 {
 		t.Errorf("got %v without time for a retry, want none", got)
 	}
 }
@@ -69,8 +69,8 @@
 func TestJudge(t *testing.T) {
 	t.Parallel()
 	lock := &Lock{Objective: 2 * time.Second, LongestHold: time.Second, EngineResponds: true}
-	silentEngine, released := *lock, *lock
-	silentEngine.EngineResponds, released.Released = false, true
+	silentEngine := *lock
+	silentEngine.EngineResponds = false
 	for name, c := range map[string]struct {
 		attempt Attempt
 		verdict Verdict
@@ -95,9 +95,11 @@
 			Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: &silentEngine}, Lost, 0,
 		},
 		"blocked, for the time of a lock": {
-			Attempt{Silence: time.Second, Timeout: 300 * ms, Lock: &released}, InTime, 300 * ms,
+			Attempt{Silence: time.Second, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, InTime, 300 * ms,
+		},
+		"blocked for longer": {
+			Attempt{Silence: 1300 * ms, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, Lost, 0,
 		},
-		"blocked for longer": {Attempt{Silence: 1300 * ms, Timeout: 300 * ms, Lock: &released}, Lost, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -7,7 +7,7 @@
 // minBatches is the number of batch intervals that a retry needs at least, to leave the broker and to answer.
 const minBatches = 4
 
-// Policy decides on further attempts. It leaves out whether they are allowed: see package eligibility.
+// Policy decides on further attempts. Whether one is allowed is for package eligibility to say.
 type Policy struct {
 	minTimeLeft time.Duration
 }
@@ -24,7 +24,7 @@
 	EarnsLate     bool          // an answer after the objective earns something
 }
 
-// worthless reports whether an answer would earn nothing any more.
+// worthless reports whether an answer would no longer earn anything.
 func (r Request) worthless() bool { return !r.EarnsLate && r.ObjectiveLeft < 0 }
 
 // Ended is an attempt that ended without an answer.
@@ -41,7 +41,8 @@
 	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
 }
 
-// Hedges reports whether a further attempt that takes the usual time would end in time to earn something.
-func (p Policy) Hedges(request Request, usualTime time.Duration) bool {
-	return usualTime <= request.TimeLeft && !request.worthless()
+// Hedges reports whether a further attempt would end in time to earn something, given the longest time that it
+// is expected to take.
+func (p Policy) Hedges(request Request, longest time.Duration) bool {
+	return longest <= request.TimeLeft && !request.worthless()
 }
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -54,7 +54,7 @@
 func (e *engine) updateOverdue(now time.Duration) {
 	ratios := make([]float64, 0, len(e.attempts))
 	for _, attempt := range e.attempts {
-		if attempt.released {
+		if attempt.threadsReleased {
 			continue
 		}
 		inFlight := slowdown.InFlight{
