--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -167,6 +167,9 @@
 
 // 'config schema' prints what it did, descriptions apart.
 func TestPrintedSchema(t *testing.T) {
-	text := schematest.WithoutDescriptions(t, []byte(runCommand(t, "config", "schema")))
+	text, err := schematest.WithoutDescriptions([]byte(runCommand(t, "config", "schema")))
+	if err != nil {
+		t.Fatal(err)
+	}
 	goldenfile.Compare(t, "testdata/schema.json", text)
 }
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -6,22 +6,28 @@
 	"flag"
 	"fmt"
 	"os"
-	"testing"
 
 	"github.com/google/go-cmp/cmp"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// TestingT is what Compare needs of a test.
+type TestingT interface {
+	Helper()
+	Fatal(args ...any)
+	Errorf(format string, args ...any)
+}
+
 // Compare fails a test if got differs from the content of a file. With -update it writes the file first.
-func Compare(tb testing.TB, path, got string) {
-	tb.Helper()
+func Compare(t TestingT, path, got string) {
+	t.Helper()
 	diff, err := Diff(path, got)
 	if err != nil {
-		tb.Fatal(err)
+		t.Fatal(err)
 	}
 	if diff != "" {
-		tb.Errorf("%s: %s", path, diff)
+		t.Errorf("%s: %s", path, diff)
 	}
 }
 
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -51,5 +51,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Compare(t, "testdata/schema.json", schematest.WithoutDescriptions(t, text))
+	schema, err := schematest.WithoutDescriptions(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Compare(t, "testdata/schema.json", schema)
 }
--- a/internal/schema/schematest/schematest.go
+++ b/internal/schema/schematest/schematest.go
@@ -3,22 +3,22 @@
 
 import (
 	"encoding/json"
-	"testing"
+	"fmt"
 )
 
-// WithoutDescriptions returns a JSON schema, indented, without the texts that describe its values.
-func WithoutDescriptions(tb testing.TB, schema []byte) string {
-	tb.Helper()
+// WithoutDescriptions returns a JSON schema, indented, without the texts that describe its values. The error is that of
+// a text that is no JSON.
+func WithoutDescriptions(schema []byte) (string, error) {
 	var doc any
 	if err := json.Unmarshal(schema, &doc); err != nil {
-		tb.Fatal(err)
+		return "", fmt.Errorf("read a JSON schema: %w", err)
 	}
 	dropDescriptions(doc)
 	text, err := json.MarshalIndent(doc, "", " ")
 	if err != nil {
-		tb.Fatal(err)
+		return "", fmt.Errorf("write a JSON schema: %w", err)
 	}
-	return string(text) + "\n"
+	return string(text) + "\n", nil
 }
 
 func dropDescriptions(value any) {
--- a/internal/schema/schematest/schematest_test.go
+++ b/internal/schema/schematest/schematest_test.go
@@ -19,7 +19,8 @@
  }
 }
 `
-	if got := WithoutDescriptions(t, []byte(schema)); got != want {
-		t.Errorf("got %s, want %s", got, want)
+	got, err := WithoutDescriptions([]byte(schema))
+	if err != nil || got != want {
+		t.Errorf("got %s, %v, want %s", got, err, want)
 	}
 }
