--- a/internal/jsontext/parse.go
+++ b/internal/jsontext/parse.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"strconv"
+	"strings"
 )
 
 const (
@@ -87,7 +88,7 @@
 // nextOffset returns the offset of the next token.
 func (p *parser) nextOffset() int {
 	offset := int(p.decoder.InputOffset())
-	for offset < len(p.text) && bytes.IndexByte([]byte(separators), p.text[offset]) >= 0 {
+	for offset < len(p.text) && strings.IndexByte(separators, p.text[offset]) >= 0 {
 		offset++
 	}
 	return offset
