--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -17,7 +17,7 @@
 		rejected += countOf[Reject](got)
 	}
 	e := r.controller.endpoints.all[0]
-	inFlight, limit := e.concurrency.InFlight(), e.concurrency.Limit()
+	inFlight, limit := e.concurrency.ThreadsInFlight(), e.concurrency.Limit()
 	if float64(inFlight) > limit || rejected == 0 {
 		t.Fatalf("%d threads under a limit of %.1f, %d rejected", inFlight, limit, rejected)
 	}
--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -19,11 +19,11 @@
 func TestAllows(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name          string
-		inFlight      int
-		classInFlight int
-		request       Request
-		want          bool
+		name                 string
+		threadsInFlight      int
+		classThreadsInFlight int
+		request              Request
+		want                 bool
 	}{
 		{"one of any size where there is none", 0, 0, Request{Threads: 20, UnderPressure: true}, true},
 		{"up to the limit", 4, 4, Request{Threads: 2, UnderPressure: true}, true},
@@ -46,8 +46,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			l := newLimiter()
-			l.Acquire(c.inFlight)
-			if got := l.Allows(c.request, func() int { return c.classInFlight }); got != c.want {
+			l.Acquire(c.threadsInFlight)
+			if got := l.Allows(c.request, func() int { return c.classThreadsInFlight }); got != c.want {
 				t.Errorf("got %v, want %v, with a limit of %v", got, c.want, l.Limit())
 			}
 		})
@@ -63,8 +63,8 @@
 	}{
 		{"no signal", Signals{LoadKnown: true, SlowdownKnown: true}, false},
 		{"at capacity", Signals{AtCapacity: true}, true},
-		{"what is in flight is overdue", Signals{OverdueRatio: 3.1}, true},
-		{"what is in flight is not overdue yet", Signals{OverdueRatio: 3}, false},
+		{"what is in flight is overdue", Signals{AgeRatio: 3.1}, true},
+		{"what is in flight is not overdue yet", Signals{AgeRatio: 3}, false},
 		{"load", Signals{LoadKnown: true, Load: 0.91}, true},
 		{"load that is not current", Signals{Load: 5}, false},
 		{"slowdown", Signals{SlowdownKnown: true, Slowdown: 0.46}, true},
@@ -85,7 +85,7 @@
 	return Interval{
 		Regular: true, Objective: time.Second, Wait: 0.2,
 		Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
-		RequestThreads: 1, RequestMemoryMB: 100, MinThreads: 1,
+		RequestThreads: 1, RequestMemoryMB: 100, MinLimit: 1,
 	}
 }
 
@@ -98,8 +98,8 @@
 	}{
 		{"neither", func(*Interval) {}, 6},
 		{"memory for four threads", func(in *Interval) { in.MemoryMB = 800 }, 4},
-		{"the least limit", func(in *Interval) { in.MinThreads = 9 }, 9},
-		{"the least before memory", func(in *Interval) { in.MemoryMB, in.MinThreads = 800, 5 }, 5},
+		{"the least limit", func(in *Interval) { in.MinLimit = 9 }, 9},
+		{"the least before memory", func(in *Interval) { in.MemoryMB, in.MinLimit = 800, 5 }, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -117,7 +117,7 @@
 	t.Parallel()
 	l := newLimiter()
 	overload := quiet()
-	overload.UnderPressure, overload.Load, overload.MinThreads = true, 1.3, 0
+	overload.UnderPressure, overload.Load, overload.MinLimit = true, 1.3, 0
 	l.CloseInterval(overload)
 	if got := l.Limit(); math.Abs(got-0.8*6) > 1e-9 {
 		t.Errorf("limit %v after an interval of overload, want %v", got, 0.8*6)
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -19,14 +19,14 @@
 	MinThreadsPerCore     float64        // smallest limit
 	MaxThreadsPerCore     float64        // largest limit
 	MinTargetTime         float64        // smallest target of service times, in latency objectives
-	ChangePenalty         float64        // of the model's input: the larger, the slower the limit moves
+	ChangePenalty         float64        // on the model's input: the larger, the slower the limit moves
 	BackoffLoad           units.Fraction // reported load beyond which the limit backs off
-	BackoffSlowdown       units.LogRatio // slowdown beyond which it does
+	BackoffSlowdown       units.LogRatio // slowdown beyond which it backs off
 	BackoffDecrease       float64        // factor of the limit in an interval of overload
 	BackoffIncrease       float64        // factor in any other interval
 	MinBackoffFactor      units.Fraction // fraction of the limit that the backoff leaves at least
-	UnloadedMultiple      float64        // limits that are allowed without pressure, which shows late
-	UnloadedRequests      float64        // requests of the widest class that are allowed then at least
+	UnloadedMultiple      float64        // factor of the limit without pressure, as pressure shows late
+	UnloadedRequests      float64        // least limit then, in requests of the widest class
 }
 
 // DefaultConfig is for a limit at one engine.
@@ -34,7 +34,9 @@
 	return Config{
 		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: MaxThreadsPerCore,
 		MinTargetTime: 0.5, ChangePenalty: 2,
-		BackoffLoad: 1.2, BackoffSlowdown: 1.6, BackoffDecrease: 0.8, BackoffIncrease: 1.1,
+		BackoffLoad:     1.2, // a fifth over the engine's capacity
+		BackoffSlowdown: 1.6, // 5 times the service time
+		BackoffDecrease: 0.8, BackoffIncrease: 1.1,
 		MinBackoffFactor: 0.15, UnloadedMultiple: 1.5, UnloadedRequests: 2,
 	}
 }
@@ -42,15 +44,15 @@
 // PoolConfig is for the one limit at a pool of engines, whose mean slowdown varies less than an engine's.
 func PoolConfig() Config {
 	config := DefaultConfig()
-	config.BackoffSlowdown = 0.8
+	config.BackoffSlowdown = 0.8 // 2.2 times the service time
 	return config
 }
 
 // Limiter is a concurrency limit with the threads in flight that count against it.
 type Limiter struct {
 	config          Config
-	threads         float64 // the limit
-	inFlight        int     // threads
+	limit           float64 // in threads
+	threadsInFlight int
 	model           *rls.Regulator
 	backoffFactor   units.Fraction
 	relativeTimeSum float64 // of this interval's answers: service times over latency objectives
@@ -63,25 +65,25 @@
 	model := rls.DefaultConfig()
 	model.OutputsPerGroup, model.Groups, model.InputPenalty = 1, 1, config.ChangePenalty
 	return Limiter{
-		config: config, threads: initial * cores * float64(share),
+		config: config, limit: initial * cores * float64(share),
 		model: rls.New(model, []float64{initial}), backoffFactor: 1,
 	}
 }
 
 // Limit is the number of threads that may be in flight.
-func (l *Limiter) Limit() float64 { return l.threads }
+func (l *Limiter) Limit() float64 { return l.limit }
 
-// InFlight is the number of threads in flight.
-func (l *Limiter) InFlight() int { return l.inFlight }
+// ThreadsInFlight is the number of threads in flight.
+func (l *Limiter) ThreadsInFlight() int { return l.threadsInFlight }
 
 // Acquire counts threads as in flight.
-func (l *Limiter) Acquire(threads int) { l.inFlight += threads }
+func (l *Limiter) Acquire(threads int) { l.threadsInFlight += threads }
 
-// Release counts threads as in flight no more.
-func (l *Limiter) Release(threads int) { l.inFlight -= threads }
+// Release counts threads as no longer in flight.
+func (l *Limiter) Release(threads int) { l.threadsInFlight -= threads }
 
 // Scale multiplies the limit until the end of the interval, as where a pool gains or loses engines.
-func (l *Limiter) Scale(factor float64) { l.threads *= factor }
+func (l *Limiter) Scale(factor float64) { l.limit *= factor }
 
 // RecordAnswer takes the service time of an answer over the latency objective of its class.
 func (l *Limiter) RecordAnswer(relativeTime float64) {
@@ -97,17 +99,22 @@
 	UnderPressure bool           // the engine has more to do than it keeps up with
 }
 
-// Allows reports whether a request may be sent: while nothing is in flight, under the limit or, so that long
-// requests keep no quick ones out, while its class has less than its share in flight. The threads of its class
-// in flight are asked for only if the rest does not allow it.
-func (l *Limiter) Allows(r Request, classInFlight func() int) bool {
-	threads, limit := float64(r.Threads), l.threads
+// Allows reports whether a request may be sent. One of these is enough:
+//   - nothing is in flight;
+//   - with the request, what is in flight stays within the limit;
+//   - with the request, what its class has in flight stays within the class's share of the limit, or is this
+//     request alone, so that long requests of other classes don't keep quick ones out.
+//
+// Without pressure a larger limit applies. Counting the threads that the class has in flight takes time, so
+// that is left to a function, which is called last.
+func (l *Limiter) Allows(r Request, classThreadsInFlight func() int) bool {
+	threads, limit := float64(r.Threads), l.limit
 	if !r.UnderPressure {
 		widest := float64(r.WidestThreads)
 		limit = max(l.config.UnloadedMultiple*limit, l.config.UnloadedRequests*widest)
 	}
-	return l.inFlight == 0 || float64(l.inFlight)+threads <= limit ||
-		float64(classInFlight())+threads <= max(threads, float64(r.ClassShare)*limit)
+	return l.threadsInFlight == 0 || float64(l.threadsInFlight)+threads <= limit ||
+		float64(classThreadsInFlight())+threads <= max(threads, float64(r.ClassShare)*limit)
 }
 
 // Interval is what a limiter decides its next limit by.
@@ -120,7 +127,7 @@
 	Share           units.Fraction // this broker's share of them
 	RequestThreads  float64        // mean threads of a request in service
 	RequestMemoryMB float64        // its mean memory; 0: not known
-	MinThreads      int            // smallest limit; 0: none
+	MinLimit        int            // in threads; 0: none
 	UnderPressure   bool           // the engine has more to do than it keeps up with
 	Load            units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
 	Slowdown        units.LogRatio // of its answers and of what is in flight
@@ -138,11 +145,11 @@
 	l.relativeTimeSum, l.answers = 0, 0
 	l.updateBackoff(in)
 	share, factor := float64(in.Share), float64(l.backoffFactor)
-	l.threads = l.model.Input()[0] * in.Cores * share * factor
+	l.limit = l.model.Input()[0] * in.Cores * share * factor
 	if in.RequestMemoryMB > 0 { // no more threads than there is memory for
-		l.threads = min(l.threads, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
+		l.limit = min(l.limit, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
 	}
-	l.threads = max(l.threads, float64(in.MinThreads))
+	l.limit = max(l.limit, float64(in.MinLimit))
 }
 
 // targetTime is the service time to reach, over the latency objective.
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -43,7 +43,7 @@
 	got = r.advance(4 * time.Second)
 	requireEqual(t, "answers of its own", countOf[Reject](got)+countOf[Fail](got), 0)
 	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
-	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.InFlight(), 0)
+	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
 }
 
 func TestAttemptOptionsOnlyWhereSupported(t *testing.T) {
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -54,14 +54,17 @@
 	}, func() int { return c.threadsOfClass(engine, classIndex) })
 }
 
-// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. Slowdowns don't
-// count where only load is reported: without the work of answers they are less precise than the load.
+// underPressure reports whether a queue owner, an engine or the pool, has more to do than it keeps up with.
+// Slowdowns don't count where engines report their load but not the work of answers: the load is more precise
+// then.
 func (c *Controller) underPressure(engine *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
+	// A last report stays up to date while something is in flight, as the answer brings a new one.
+	loadKnown := engine.concurrency.ThreadsInFlight() > 0 || engine.load.Age(c.now) < controlInterval
 	return c.pressure.UnderPressure(concurrency.Signals{
 		AtCapacity:    engine.health.AtCapacity(c.now),
-		OverdueRatio:  engine.slowdown.OverdueRatio(),
-		LoadKnown:     engine.concurrency.InFlight() > 0 || engine.load.Age(c.now) < controlInterval,
+		AgeRatio:      engine.slowdown.AgeRatio(),
+		LoadKnown:     loadKnown,
 		Load:          engine.load.Load(),
 		SlowdownKnown: timesCount && engine.slowdown.Trusted(),
 		Slowdown:      engine.estimatedSlowdown(&c.slowdowns),
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -37,7 +37,7 @@
 		r.submit("long", r.deadlineIn(20*time.Second))
 	}
 	e := r.controller.endpoints.all[0]
-	headroom := e.concurrency.Limit() - float64(e.concurrency.InFlight())
+	headroom := e.concurrency.Limit() - float64(e.concurrency.ThreadsInFlight())
 	if headroom >= 2 || !r.controller.underPressure(e) {
 		t.Fatalf("the long ones leave %.1f threads", headroom)
 	}
@@ -61,7 +61,7 @@
 	for range 100 {
 		r.submit("long", r.deadlineIn(20*time.Second))
 	}
-	limit, threads := e.concurrency.Limit(), float64(e.concurrency.InFlight())
+	limit, threads := e.concurrency.Limit(), float64(e.concurrency.ThreadsInFlight())
 	unloadedLimit := concurrency.DefaultConfig().UnloadedMultiple * limit
 	if r.controller.underPressure(e) || threads < limit || threads > unloadedLimit {
 		t.Fatalf("%v threads in flight, want between the limit of %.1f and %.1f", threads, limit, unloadedLimit)
@@ -93,8 +93,8 @@
 		pool := r.controller.endpoints.pool
 		widest := float64(r.controller.classes.maxThreads)
 		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
-		if float64(pool.concurrency.InFlight()) > maxThreads {
-			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.InFlight(), maxThreads)
+		if float64(pool.concurrency.ThreadsInFlight()) > maxThreads {
+			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.ThreadsInFlight(), maxThreads)
 		}
 	}
 	requireEqual(t, "under pressure", r.controller.underPressure(r.controller.endpoints.pool), true)
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -58,7 +58,7 @@
 	}
 	e.acquireThreads(3)
 	e.addAttempt(&attempt{})
-	if pool.concurrency.InFlight() != 3 || len(pool.attempts) != 1 {
-		t.Errorf("the pool counts %d threads, %d attempts", pool.concurrency.InFlight(), len(pool.attempts))
+	if pool.concurrency.ThreadsInFlight() != 3 || len(pool.attempts) != 1 {
+		t.Errorf("the pool counts %d threads, %d attempts", pool.concurrency.ThreadsInFlight(), len(pool.attempts))
 	}
 }
--- a/control/interval.go
+++ b/control/interval.go
@@ -10,7 +10,7 @@
 
 const (
 	controlInterval    = time.Second             // between two runs of the regulators
-	maxRegularInterval = controlInterval * 3 / 2 // a stall made a longer one irregular
+	maxRegularInterval = 1500 * time.Millisecond // a longer one was drawn out by a standstill
 )
 
 // runInterval runs once a control interval: it updates the estimates of the workload, and moves the classes'
@@ -33,14 +33,14 @@
 func (c *Controller) moveLimits(regular bool) {
 	tightest := c.classes.tightest
 	demand := c.workload.MeanDemand()
-	share, minThreads := c.workload.TrafficShare(), 0
+	share, minLimit := c.workload.TrafficShare(), 0
 	if c.endpoints.pool == nil {
-		share, minThreads = max(1/units.Fraction(c.settings.Brokers), share), c.classes.maxThreads
+		share, minLimit = max(1/units.Fraction(c.settings.Brokers), share), c.classes.maxThreads
 	}
 	for _, engine := range c.endpoints.queueOwners() {
 		engine.concurrency.CloseInterval(concurrency.Interval{
 			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
-			Cores: engine.cores, MemoryMB: engine.memoryMB, Share: share, MinThreads: minThreads,
+			Cores: engine.cores, MemoryMB: engine.memoryMB, Share: share, MinLimit: minLimit,
 			RequestThreads: demand.Threads, RequestMemoryMB: demand.MemoryMB,
 			UnderPressure: c.underPressure(engine), Load: engine.load.Load(),
 			Slowdown: engine.worstSlowdown(&c.slowdowns),
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -57,8 +57,8 @@
 // FailureRate is the fraction of attempts that fail, averaged.
 func (h *Health) FailureRate() units.Fraction { return h.failureRate }
 
-// Answers is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so it
-// is no integer.
+// Answers is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so
+// it is no integer.
 func (h *Health) Answers() float64 { return h.loss.Answers }
 
 // Ejected reports whether an engine is ejected.
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -52,7 +52,7 @@
 // mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
 func (c *Controller) mayProbeHalfOpen(engine *engine, request *request) bool {
 	return engine.health.MayProbeHalfOpen(outlier.HalfOpenProbe{
-		EngineIdle:     engine.pooled() || engine.concurrency.InFlight() == 0,
+		EngineIdle:     engine.pooled() || engine.concurrency.ThreadsInFlight() == 0,
 		FirstAttempt:   len(request.attempts) == 0,
 		LowestPriority: request.class.PriorityWeight <= c.classes.lowestWeight,
 	}, c.now)
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -54,8 +54,8 @@
 	return state
 }
 
-// attemptLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its threads
-// are released once it is twice as old as now.
+// attemptLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its
+// threads are released once it is twice as old as now.
 func (c *Controller) attemptLost(attempt *attempt) {
 	attempt.presumedLost = true
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
@@ -68,8 +68,8 @@
 	c.hedgeOrCancel(attempt)
 }
 
-// blockedByLock takes an attempt that waits for a data-set lock, whichever broker's request holds it. It needs
-// no threads meanwhile, requests that the lock would block are sent to other engines, and so is its own
+// blockedByLock takes an attempt that waits for a data-set lock, whichever broker's request holds it. It
+// needs no threads meanwhile, requests that the lock would block are sent to other engines, and so is its own
 // request, if there is time.
 func (c *Controller) blockedByLock(attempt *attempt) {
 	attempt.releaseThreads()
@@ -85,8 +85,8 @@
 		!request.class.Idempotency.RepeatableAnywhere() {
 		return
 	}
-	// On one thread the work takes at least as long as on the threads of its class: an upper bound, which leaves
-	// time for the slowdown of an engine that is not selected yet.
+	// On one thread the work takes at least as long as on the threads of its class: an upper bound, which
+	// leaves time for the slowdown of an engine that is not selected yet.
 	longest := request.expectedWork.OnThreads(1).Duration()
 	if !c.retryPolicy.Hedges(request.retryInput(c.now), longest) {
 		return
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -32,8 +32,8 @@
 	return min(maxLateQuantile, max(minLateQuantile, odds))
 }
 
-// HalfOpenTimeout is the time after which a half-open probe is cut off and retried: when it is overdue, if that
-// leaves enough time for a retry; 0: it isn't cut off.
+// HalfOpenTimeout is the time after which a half-open probe is cut off and retried: when it is overdue, if
+// that leaves enough time for a retry; 0: it isn't cut off.
 func HalfOpenTimeout(overdueAfter, timeLeft time.Duration) time.Duration {
 	if timeLeft > retrySpare*overdueAfter {
 		return overdueAfter
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -68,7 +68,7 @@
 	requireEqual(t, "cancelled", slices.Contains(got, Action(CancelAttempt{RequestID: id})), true)
 	requireEqual(t, "once", countOf[CancelAttempt](r.advance(5*time.Second)), 0)
 	r.endAttempt(id, 0, Cancelled)
-	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.InFlight(), 0)
+	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
 	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
 	s.Limits.Cancellation = false
 	r = newRig(t, s, readyEngine("e1"))
@@ -254,7 +254,7 @@
 	if cancelledAfter == 0 || cancelledAfter > 400*ms {
 		t.Fatalf("cancelled after %v, which leaves no time for a retry", cancelledAfter)
 	}
-	requireEqual(t, "threads in flight", r.controller.endpoints.byID[blocking].concurrency.InFlight(), 0)
+	requireEqual(t, "threads in flight", r.controller.endpoints.byID[blocking].concurrency.ThreadsInFlight(), 0)
 	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
 	retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
 	if len(retries) != 1 || retries[0].Engine == blocking {
--- a/control/selection.go
+++ b/control/selection.go
@@ -98,7 +98,7 @@
 func (s *selector) score(engine *engine) selection.Score {
 	c := s.controller
 	candidate := selection.Candidate{
-		ThreadsInFlight:   engine.concurrency.InFlight(),
+		ThreadsInFlight:   engine.concurrency.ThreadsInFlight(),
 		ThreadsQueued:     engine.queue.Threads(),
 		ConcurrencyLimit:  engine.concurrency.Limit(),
 		SlowStartFraction: c.slowStart.Fraction(engine.slowStartInput(), c.now),
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -95,7 +95,7 @@
 	if len(probes) < 2 || countOf[SendAttempt](got) > 0 {
 		t.Fatalf("%d engines probed, %d sends", len(probes), countOf[SendAttempt](got))
 	}
-	requireEqual(t, "threads while it waits for its probes", r.controller.endpoints.pool.concurrency.InFlight(), 2)
+	requireEqual(t, "threads while it waits for its probes", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	for i, a := range probes {
 		r.handle(ProbeResult{Engine: a.Engine, Report: utilization(0.8 - 0.2*units.Fraction(i))})
 	}
@@ -103,10 +103,10 @@
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
 		t.Fatalf("probed %v, sent %v", probes, sent)
 	}
-	requireEqual(t, "threads once it is sent", r.controller.endpoints.pool.concurrency.InFlight(), 2)
+	requireEqual(t, "threads once it is sent", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	abandoned, _ := r.submit("long")
 	r.handle(ClientDisconnected{RequestID: abandoned})
 	r.advance(time.Second)
-	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.concurrency.InFlight(), 2)
+	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	requireEqual(t, "requests of the class that await probes", r.controller.classes.all[1].awaitingProbes, 0)
 }
--- a/control/shares/optimizer.go
+++ b/control/shares/optimizer.go
@@ -10,8 +10,8 @@
 	Predict(class int, shares []float64) Output
 }
 
-// optimizer hands out shares greedily (figure 4): each step goes to the class whose utility gains most for
-// the share.
+// optimizer hands out shares greedily (figure 4 of the paper): each step goes to the class whose utility
+// grows most for the share.
 type optimizer struct {
 	config    Config
 	predictor predictor
@@ -50,7 +50,8 @@
 	return bestStep
 }
 
-// gainingStep is the smallest number of units that raises a class's utility; one unit if none does.
+// gainingStep is the size of a class's next step: the smallest multiple of the unit that raises its utility.
+// If no multiple up to what is left does, it is one unit.
 func (o *optimizer) gainingStep(class int, unit, left float64) float64 {
 	most, utility := left+o.config.Tolerance, o.utilities[class]+o.config.Tolerance
 	step := unit
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -1,7 +1,7 @@
 // Package shares sets the shares that the classes of requests have of a broker's service. A linear model,
 // fitted to what each interval showed, predicts latency and throughput by the shares; an optimizer finds the
-// shares that earn most by it, and a regulator moves toward them. Section and figure numbers are those of the
-// paper named in wheatlane/internal/rls.
+// shares that earn most by it, and a regulator moves toward them. Section and figure numbers are those of
+// "Proteus" (Karlsson and Karamanolis, Middleware 2006).
 package shares
 
 import (
@@ -69,7 +69,7 @@
 func (r *Regulator) Share(class int) units.Fraction { return units.Fraction(r.shares[class]) }
 
 // CloseInterval takes an interval's classes, by their indexes, and moves the shares. An interval that is not
-// regular, as a stall made it longer, breaks the sequence that the model is fitted to.
+// regular, as a standstill made it longer, breaks the sequence that the model is fitted to.
 func (r *Regulator) CloseInterval(classes []Class, regular bool) {
 	outputs, seen := make([]float64, 0, outputsPerClass*len(classes)), make([]bool, 0, len(classes))
 	answers := 0
@@ -101,7 +101,7 @@
 	}
 }
 
-// Coefficients returns a copy of the model's coefficients, for diagnosis.
+// Coefficients returns a copy of the model's coefficients, for tests.
 func (r *Regulator) Coefficients() []float64 { return r.model.Coefficients() }
 
 // AddClass gives one more class the share that it would have among equal ones. Restart must follow.
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -17,7 +17,7 @@
 
 // worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
 func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
-	return e.slowdown.OrOverdue(e.estimatedSlowdown(estimator))
+	return e.slowdown.OrByAge(e.estimatedSlowdown(estimator))
 }
 
 // observeSlowdown takes what an answer of the engine shows of its slowdown.
@@ -45,13 +45,13 @@
 		engine.health.Decay()
 	}
 	for _, engine := range s.queueOwners() {
-		engine.updateOverdue(now)
+		engine.updateAgeRatio(now)
 		estimator.Recover(&engine.slowdown, now)
 	}
 }
 
-// updateOverdue follows the age of what is in flight.
-func (e *engine) updateOverdue(now time.Duration) {
+// updateAgeRatio follows the age of what is in flight.
+func (e *engine) updateAgeRatio(now time.Duration) {
 	ratios := make([]float64, 0, len(e.attempts))
 	for _, attempt := range e.attempts {
 		if attempt.threadsReleased {
@@ -61,7 +61,7 @@
 			SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
 			Threads: attempt.request.class.Threads,
 		}
-		ratios = append(ratios, inFlight.OverdueRatio(now))
+		ratios = append(ratios, inFlight.AgeRatio(now))
 	}
-	e.slowdown.SetOverdue(ratios)
+	e.slowdown.SetAgeRatios(ratios)
 }
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	overdueAllowed = 2 // overdue ratio up to which nothing is slow
+	usualAgeRatio = 2 // age ratio up to which an engine does not count as slow
 
-	minUsualTime units.Seconds = 0.1 // that any answer may take
+	minUsualTime units.Seconds = 0.1 // added to the usual time of every attempt
 )
 
 // InFlight is an attempt that is in flight.
@@ -20,20 +20,20 @@
 	Threads      int
 }
 
-// OverdueRatio is the age of the attempt over the time that it takes on an engine that is not slow.
-func (a InFlight) OverdueRatio(now time.Duration) float64 {
+// AgeRatio is the age of the attempt over the time that it takes on an engine that is not slow.
+func (a InFlight) AgeRatio(now time.Duration) float64 {
 	usualTime := a.ExpectedWork.OnThreads(a.Threads) + minUsualTime
 	return float64(units.SecondsOf(now-a.SentAt) / usualTime)
 }
 
-// SetOverdue updates the overdue ratio by those of the attempts in flight, which it sorts: it is the median,
+// SetAgeRatios sets the engine's age ratio by those of the attempts in flight, which it sorts: to the median,
 // which one long request can't move.
-func (e *Engine) SetOverdue(ratios []float64) { e.overdue = estimate.Median(ratios) }
+func (e *Engine) SetAgeRatios(ratios []float64) { e.ageRatio = estimate.Median(ratios) }
 
-// OrOverdue is the larger of an engine's estimated slowdown and the one that its overdue attempts show.
-func (e *Engine) OrOverdue(estimated units.LogRatio) units.LogRatio {
-	if e.overdue <= overdueAllowed { // its logarithm is at most 0, as a slowdown is at least
+// OrByAge is the larger of an engine's estimated slowdown and the one that the age of its attempts shows.
+func (e *Engine) OrByAge(estimated units.LogRatio) units.LogRatio {
+	if e.ageRatio <= usualAgeRatio { // a slowdown is never below 0, and by the age it would be
 		return estimated
 	}
-	return max(estimated, units.LogOf(e.overdue/overdueAllowed))
+	return max(estimated, units.LogOf(e.ageRatio/usualAgeRatio))
 }
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -32,14 +32,14 @@
 	log       units.LogRatio // service time over work, averaged
 	samples   int            // answers behind it
 	sampledAt time.Duration  // of the last answer
-	overdue   float64        // age of what is in flight over its usual time
+	ageRatio  float64        // age of what is in flight over its usual time
 }
 
 // Trusted reports whether a slowdown rests on enough answers.
 func (e *Engine) Trusted() bool { return e.samples > minSamples }
 
-// OverdueRatio is the age of what is in flight over its usual time.
-func (e *Engine) OverdueRatio() float64 { return e.overdue }
+// AgeRatio is the age of what is in flight over its usual time.
+func (e *Engine) AgeRatio() float64 { return e.ageRatio }
 
 // Estimator estimates the slowdown of the engines of a fleet.
 type Estimator struct {
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -88,24 +88,24 @@
 	}
 }
 
-func TestOverdueRatioIsAMedian(t *testing.T) {
+func TestAgeRatioIsAMedian(t *testing.T) {
 	t.Parallel()
 	var engine Engine
 	now := 10 * time.Second
 	ofAge := func(age time.Duration) float64 {
-		return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.OverdueRatio(now)
+		return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
 	}
-	engine.SetOverdue([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
-	if got := engine.OverdueRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
+	engine.SetAgeRatios([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
+	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
 		t.Errorf("ratio %v, want 4", got)
 	}
-	if got, want := engine.OrOverdue(0.1), units.LogOf(2); !near(got, want) {
+	if got, want := engine.OrByAge(0.1), units.LogOf(2); !near(got, want) {
 		t.Errorf("slowdown %v, want %v", got, want)
 	}
-	if got := engine.OrOverdue(3); got != 3 {
+	if got := engine.OrByAge(3); got != 3 {
 		t.Errorf("slowdown %v, want 3", got)
 	}
-	if engine.SetOverdue(nil); engine.OverdueRatio() != 0 {
-		t.Errorf("ratio %v with nothing in flight", engine.OverdueRatio())
+	if engine.SetAgeRatios(nil); engine.AgeRatio() != 0 {
+		t.Errorf("ratio %v with nothing in flight", engine.AgeRatio())
 	}
 }
--- a/control/view.go
+++ b/control/view.go
@@ -37,7 +37,7 @@
 			SlowStart:        c.slowStart.Active(engine.slowStartInput(), c.now),
 			Ejected:          engine.health.Ejected(),
 			ConcurrencyLimit: engine.queueOwner.concurrency.Limit(),
-			ThreadsInFlight:  engine.concurrency.InFlight(),
+			ThreadsInFlight:  engine.concurrency.ThreadsInFlight(),
 			Queued:           engine.queueOwner.queue.Len(),
 		}
 		if pool != nil && pool.cores > 0 {
