--- a/control/actions.go
+++ b/control/actions.go
@@ -47,7 +47,7 @@
 		Broker  int
 		Reports []GossipedLoad
 	}
-	// WatchEndpoints subscribes to changes of the endpoint list.
+	// WatchEndpoints asks for the changes of the endpoint list, until EndpointWatchFailed.
 	WatchEndpoints struct{}
 	// EngineEjected reports to the operators that outlier detection ejected an engine.
 	EngineEjected struct {
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -43,8 +43,8 @@
 	s := deployment{Settings: control.Settings{
 		Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
 		MemoryGrants: flip(), Priorities: flip(), ReportsCost: flip(), WeightByWork: flip(),
-		PollEndpointList: flip(),
-		EngineKinds:      map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
+		WatchEndpointList: flip(),
+		EngineKinds:       map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
 		Limits: control.Limits{
 			MaxAttempts: 1 + rng.IntN(5), RetryAfter: flip(), MaxRetryAfter: time.Second,
 			Cancellation: flip(), Hedging: flip(), LoadProbes: flip(), Gossip: flip(),
--- a/control/controller.go
+++ b/control/controller.go
@@ -47,7 +47,7 @@
 	outliers       outlier.Detector
 	slowdowns      slowdown.Estimator
 	selection      selection.Config
-	subscription   membership.Subscription
+	endpointWatch  membership.Watch
 	classes        classTable
 	workload       workload.Workload
 	retries        retrybudget.Budget
@@ -85,7 +85,7 @@
 		outliers:       outlier.NewDetector(outlier.DefaultConfig()),
 		slowdowns:      slowdown.NewEstimator(slowdownConfig(&settings)),
 		selection:      selection.DefaultConfig(),
-		subscription:   membership.NewSubscription(subscriptionConfig(&settings)),
+		endpointWatch:  membership.NewWatch(watchConfig(&settings)),
 		gossip:         gossip.NewSchedule(gossipConfig(&settings)),
 		retries:        retrybudget.New(retryBudgetConfig(&settings)),
 		price:          admission.NewPrice(),
@@ -182,7 +182,7 @@
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
-	c.pollEndpoints()
+	c.watchEndpoints()
 	c.outliers.DecayFleet()
 	c.endpoints.decay(&c.slowdowns, c.now)
 	if c.settings.Limits.Gossip {
--- a/control/events.go
+++ b/control/events.go
@@ -86,9 +86,9 @@
 
 // The kinds of update.
 const (
-	EndpointDelta      EndpointUpdateKind = iota // names the engines that changed
-	EndpointSnapshot                             // names all engines; those not named are gone
-	EndpointPollFailed                           // the subscription failed or ended
+	EndpointDelta       EndpointUpdateKind = iota // names the engines that changed
+	EndpointSnapshot                              // names all engines; those not named are gone
+	EndpointWatchFailed                           // the watch failed or ended
 )
 
 // GossipedLoad is an engine's load as it reported it to one of the brokers, and how long ago.
--- a/control/membership.go
+++ b/control/membership.go
@@ -2,17 +2,17 @@
 
 import "wheatlane/control/slowdown"
 
-// pollEndpoints subscribes to the endpoint list where that is needed.
-func (c *Controller) pollEndpoints() {
-	if c.subscription.Begin(c.now) {
+// watchEndpoints begins to watch the endpoint list where that is required and due.
+func (c *Controller) watchEndpoints() {
+	if c.endpointWatch.Begin(c.now) {
 		c.emit(WatchEndpoints{})
 	}
 }
 
 // endpointsUpdated follows the endpoint list.
 func (c *Controller) endpointsUpdated(update EndpointUpdate) {
-	if update.Kind == EndpointPollFailed {
-		c.subscription.Ended(c.now)
+	if update.Kind == EndpointWatchFailed {
+		c.endpointWatch.Ended(c.now)
 		return
 	}
 	create := func(listed Engine) *engine {
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps what the endpoint list and the operators say of engines, and the subscription to
-// the endpoint list.
+// Package membership keeps the state of engines, by the endpoint list and by the operators, and watches the
+// endpoint list.
 package membership
 
 // State is the state of an engine.
@@ -22,7 +22,7 @@
 // Update takes the engine's state in the endpoint list.
 func (m *Member) Update(state State) { m.listed, m.state = state != Removed, state }
 
-// Unlist records that the endpoint list does not have the engine any more.
+// Unlist records that the endpoint list no longer has the engine.
 func (m *Member) Unlist() { m.listed = false }
 
 // SetMaintenance puts the engine into maintenance mode, or takes it out.
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestSubscriptionBeginsAgainAfterADelay(t *testing.T) {
+func TestWatchBeginsAgainAfterADelay(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		maxPollInterval, delay time.Duration
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := NewSubscription(SubscriptionConfig{Required: true, MaxPollInterval: c.maxPollInterval})
+			s := NewWatch(WatchConfig{Required: true, MaxPollInterval: c.maxPollInterval})
 			now := time.Second
 			if !s.Begin(now) || s.Begin(now+time.Hour) {
 				t.Error("begun other than once")
@@ -65,7 +65,7 @@
 			}
 		})
 	}
-	none := NewSubscription(SubscriptionConfig{})
+	none := NewWatch(WatchConfig{})
 	if none.Begin(time.Second) {
 		t.Error("begun where it is not required")
 	}
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -30,11 +30,11 @@
 
 func TestEndpointListIsPolledAgainAfterAFailure(t *testing.T) {
 	s := baseSettings()
-	s.PollEndpointList = true
+	s.WatchEndpointList = true
 	r := newRig(t, s, readyEngine("e1"))
 	requireEqual(t, "first", countOf[WatchEndpoints](r.advance(300*ms)), 1)
 	requireEqual(t, "while it holds", countOf[WatchEndpoints](r.advance(20*time.Second)), 0)
-	r.handle(EndpointUpdate{Kind: EndpointPollFailed})
+	r.handle(EndpointUpdate{Kind: EndpointWatchFailed})
 	requireEqual(t, "again", countOf[WatchEndpoints](r.advance(3*time.Second)), 1)
 }
 
--- a/control/policyconfig.go
+++ b/control/policyconfig.go
@@ -33,9 +33,9 @@
 	return slowdown.Config{ReportsWork: settings.ReportsCost, IdleAfter: controlInterval}
 }
 
-func subscriptionConfig(settings *Settings) membership.SubscriptionConfig {
-	return membership.SubscriptionConfig{
-		Required:        settings.PollEndpointList,
+func watchConfig(settings *Settings) membership.WatchConfig {
+	return membership.WatchConfig{
+		Required:        settings.WatchEndpointList,
 		MaxPollInterval: settings.Rules.MaxPollInterval,
 	}
 }
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -199,7 +199,7 @@
 	case control.ProbeLoad:
 		w.probe(a.Engine)
 	case control.WatchEndpoints:
-		failed := control.EndpointUpdate{Kind: control.EndpointPollFailed}
+		failed := control.EndpointUpdate{Kind: control.EndpointWatchFailed}
 		if w.chance(0.3) {
 			w.after(w.between(0, 400*millisecond), failed)
 		} else {
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -95,6 +95,6 @@
 		b.emit(EngineEjected(action))
 	case control.EngineRestored:
 		b.emit(EngineRestored(action))
-	case control.WatchEndpoints: // changes are pushed without a subscription
+	case control.WatchEndpoints: // changes come without being asked for
 	}
 }
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -117,7 +117,7 @@
 func (r *Reader) decodeEndpointUpdate(msg *message) (control.Event, error) {
 	kind := msg.text(fieldUpdateKind)
 	if kind == updateFailed {
-		return control.EndpointUpdate{Kind: control.EndpointPollFailed}, nil
+		return control.EndpointUpdate{Kind: control.EndpointWatchFailed}, nil
 	}
 	number := msg.integer(fieldListNumber)
 	engines, ok := r.lists[number]
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -65,7 +65,7 @@
 	control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{
 		{ID: "b:1", State: control.Removed},
 	}},
-	control.EndpointUpdate{Kind: control.EndpointPollFailed},
+	control.EndpointUpdate{Kind: control.EndpointWatchFailed},
 	control.RequestReceived{Request: control.Request{
 		ID: "rq_b", Class: "lookup", Tenant: "alpen", OrderKey: "91f03b7c55d20a64", DataSet: 11, Deadline: 9,
 		EstimatedWork: 12, EstimatedMemoryMB: 384.5,
@@ -128,7 +128,7 @@
 		load.Threads != 4 || !load.HoldsDataSetLock || load.AllowedKinds[0] != "std-16" {
 		t.Errorf("load %+v", load)
 	}
-	if kind := settings.EngineKinds["std-16"]; !settings.PollEndpointList ||
+	if kind := settings.EngineKinds["std-16"]; !settings.WatchEndpointList ||
 		kind != (control.EngineKind{Cores: 16, MemoryMB: 32768}) {
 		t.Errorf("settings %+v", settings)
 	}
