--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -102,7 +102,9 @@
 	},
 	Rejections: {
 		Name: "refusals", Kind: Counter, Label: "cause", LabelValues: rejectionCauses,
-		Help: "requests and sessions rejected, by cause; no_room is a rejection by the decision module",
+		Help: "requests and sessions rejected, by cause; no_room is every request rejected with an invitation to retry: " +
+			"by the decision module, by shutdown, or by the broker for its time left, its connection or what is " +
+			"queued on it",
 	},
 	Attempts: {
 		Name: "attempts", Kind: Counter, By: Class,
@@ -140,7 +142,7 @@
 	},
 	Drains: {
 		Name: "drains", Kind: Counter,
-		Help: "drains of engines that were announced to the broker",
+		Help: "drains of engines: the endpoint list has one as draining, or its maintenance began",
 	},
 	LateDrains: {
 		Name: "drains_over_500ms", Kind: Counter,
@@ -148,8 +150,8 @@
 	},
 	DrainTime: {
 		Name: "drain_ms", Kind: DistributionKind, Unit: "ms",
-		Help: "time from when the broker read that an engine drains to the last byte of a request sent " +
-			"to it",
+		Help: "time from when the broker read that an engine drains, or from the start of its maintenance, to the " +
+			"last byte of a request sent to it",
 	},
 	WorstDrain: {
 		Name: "worst_drain_ms", Kind: Gauge, Unit: "ms",
