--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -19,7 +19,7 @@
 	startedAt      time.Duration
 	inFlight       bool
 	mayHaveRun     bool
-	answeredClient bool           // its result was the client's answer
+	answeredClient bool           // its result was sent to the client
 	cancelStatus   control.Status // the status that its cancel ends it with; OK: not cancelled
 	result         *result        // nil before the first page
 }
@@ -29,7 +29,8 @@
 // awaitsFirstPage reports whether an attempt is in flight, not cancelled and without any part of a result.
 func (a *attempt) awaitsFirstPage() bool { return a.inFlight && !a.cancelled() && a.result == nil }
 
-// startAttempt starts an attempt for the decision module, if mayStart allows it. Else it ends the attempt at once.
+// startAttempt starts an attempt that the decision module has decided on. If mayStart forbids it, the attempt ends at
+// once as never sent.
 func (b *Broker) startAttempt(now time.Duration, send control.SendAttempt) {
 	request := b.requests.byModuleID(send.RequestID)
 	if request == nil {
@@ -72,9 +73,9 @@
 	b.timers.Set(until, attemptTimedOut{attempt})
 }
 
-// mayStart is the one guard of all attempts, first ones, retries and hedged requests. The request or the engine may
-// have ended since the decision module was notified last; a repeat that must not be is a fault of the module, which is
-// prevented and reported.
+// mayStart reports whether an attempt may start; all first attempts, retries and hedged requests pass it. The request
+// may have ended, or the engine have left service, since the decision module was notified last: such an attempt is only
+// prevented. A forbidden repeat is a fault of the module, and is reported as well.
 func (b *Broker) mayStart(request *request, engine string) bool {
 	start := invariant.Start{
 		RequestEnded:      request.closed,
@@ -122,7 +123,7 @@
 	b.emit(CancelAttempt{attempt.id})
 }
 
-// attemptEnded handles the end of an attempt without a result.
+// attemptEnded handles the end of an attempt without a complete result.
 func (b *Broker) attemptEnded(now time.Duration, event AttemptEnded) {
 	attempt := b.requests.attemptInFlight(event.Attempt)
 	if attempt == nil {
@@ -137,9 +138,9 @@
 	b.endAttempt(now, attempt, control.AttemptEnded{Status: status, Report: event.Report, SharedCause: event.SharedCause})
 }
 
-// endStatus is the status for the decision module of an attempt whose end was reported with another one. It is that
-// of its cancel if it was cancelled (control.OK: it was not). Once a page of its result was received, the attempt has
-// run: BUSY or VOID for a further page proves nothing else.
+// endStatus returns the status for the decision module of an attempt whose end was reported. A cancelled attempt ends
+// with the status of its cancel (control.OK: it was not cancelled). Once a page was received, the attempt has run: any end
+// but a cancel is a failure then, even BUSY or VOID for a further page.
 func endStatus(reported, cancelStatus control.Status, pageReceived bool) control.Status {
 	status := reported
 	if status == control.Cancelled && cancelStatus != control.OK {
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -9,8 +9,8 @@
 	"wheatlane/internal/broker/clientwait"
 )
 
-// Clients may write commands ahead of the answer to a request. Each is answered, in order: what was read must
-// not be closed without an answer.
+// Clients may send commands ahead of the answer to a request. Each is answered, in order: a session must not be closed
+// with a command read and unanswered.
 const (
 	// maxQueuedRequests is the largest number of requests queued with their statements behind the open request
 	// of a session. Those beyond it will be rejected in their turn.
@@ -23,8 +23,8 @@
 	queueDueRetry = 5 * time.Millisecond
 )
 
-// rejectedRequest is a request that is rejected in its turn. It holds nothing of its statement, of which the strings of
-// a Request are parts.
+// rejectedRequest is a request that is rejected in its turn. It keeps no Request, whose strings would hold the whole
+// statement in memory.
 type rejectedRequest struct {
 	session   Session
 	requestID string
--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -5,7 +5,7 @@
 // command is an event whose answer keeps the order of the commands of its session.
 type command interface {
 	Event
-	// sender is the session that is to be answered.
+	// sender is the session that gets the reply.
 	sender() Session
 	// execute answers the command or opens its request. It marks in the session a command after which the session is
 	// the first to be evicted.
--- a/internal/broker/endpointlist/apply.go
+++ b/internal/broker/endpointlist/apply.go
@@ -21,24 +21,24 @@
 // The kinds of change.
 const (
 	CloseConnections ConnectionChangeKind = iota // the engine was removed, restarted or has moved
-	CancelUnsent                                 // it drains: what has not left for it must not leave
+	CancelUnsent                                 // it drains: attempts that have not left for it must not leave
 )
 
-// Apply applies a page of the change log, read at a time of the reducer when the wall clock was ahead of that time by
-// an offset. Changes that were applied before are skipped, so that a page may come twice. It returns an update for the
+// Apply applies a page of the change log that was read at now, with the wall clock ahead of the reducer's time by
+// wallOffset. Changes that were applied before are skipped, so that a page may come twice. It returns an update for the
 // decision module for each change, and the changes of connections in their order.
 func (l *List) Apply(
 	now time.Duration, page changelog.Page, wallOffset time.Duration,
 ) (updates []control.EndpointUpdate, connections []ConnectionChange) {
-	a := applier{list: l, now: now, wallOffset: wallOffset}
+	applier := applier{list: l, now: now, wallOffset: wallOffset}
 	for _, change := range page.Changes {
 		if change.Revision > l.revision {
-			updates = append(updates, a.applyChange(change))
+			updates = append(updates, applier.applyChange(change))
 		}
 	}
 	l.revision = max(l.revision, page.Revision)
 	l.countInService()
-	return updates, a.connections
+	return updates, applier.connections
 }
 
 // applier applies one page.
@@ -61,7 +61,7 @@
 		}
 		a.applyEndpoint(endpoint, newProcessStart(a.now, endpoint.StartedAt, a.wallOffset))
 		engine := endpoint.Engine
-		engine.StartedAt = a.list.LatestStart(endpoint.ID)
+		engine.StartedAt = a.list.latestStart(endpoint.ID)
 		update.Engines = append(update.Engines, engine)
 	}
 	return update
@@ -81,7 +81,7 @@
 }
 
 // removeReplaced removes the engines whose address an endpoint has taken over, and returns their ids: attempts for
-// them must not reach the new engine, and their answers must not pass for its own.
+// them must not reach the new engine, and its responses must not be taken for theirs.
 func (a *applier) removeReplaced(endpoint changelog.Endpoint) (replaced []string) {
 	if endpoint.State == control.Removed {
 		return nil
--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -68,7 +68,7 @@
 // ids are the listed engines, sorted.
 func (l *List) ids() []string { return slices.Sorted(maps.Keys(l.byID)) }
 
-// rememberListed keeps that an engine was listed.
+// rememberListed records that an engine was listed.
 func (l *List) rememberListed(id string) {
 	if len(l.everListed) >= maxEverListed {
 		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
@@ -104,8 +104,8 @@
 	return true
 }
 
-// RestoreMaintenance does what StartMaintenance does, also for an engine that was never listed here: the previous
-// process knew it.
+// RestoreMaintenance does what StartMaintenance does, also for an engine that was never listed in this
+// process: it was in the previous one.
 func (l *List) RestoreMaintenance(id string) (started bool) {
 	l.rememberListed(id)
 	return l.StartMaintenance(id)
@@ -121,5 +121,5 @@
 	return true
 }
 
-// LatestStart is the latest time at which the process of a listed engine may have started.
-func (l *List) LatestStart(id string) time.Duration { return l.processStarts[id].latest }
+// latestStart is the latest time at which the process of a listed engine may have started.
+func (l *List) latestStart(id string) time.Duration { return l.processStarts[id].latest }
--- a/internal/broker/endpointlist/endpointlist_test.go
+++ b/internal/broker/endpointlist/endpointlist_test.go
@@ -78,16 +78,16 @@
 	first := endpoint("e1", addr1, control.Ready)
 	first.StartedAt = startTime - 20*time.Second
 	l := listOf(first, endpoint("e2", addr2, control.Ready))
-	before := l.LatestStart("e1")
+	before := l.latestStart("e1")
 	l.Apply(startTime, page(2, false, first), time.Hour)
-	if got := l.LatestStart("e1"); got != before {
+	if got := l.latestStart("e1"); got != before {
 		t.Errorf("the same process counts as started at %v, then %v", before, got)
 	}
 	first.StartedAt += time.Second
 	updates, connections := l.Apply(startTime, page(3, false, first), -time.Hour)
-	if got := updates[0].Engines[0].StartedAt; got <= before || got != l.LatestStart("e1") {
+	if got := updates[0].Engines[0].StartedAt; got <= before || got != l.latestStart("e1") {
 		t.Errorf("the next process counts as started at %v, %v in the list; the one before at %v",
-			got, l.LatestStart("e1"), before)
+			got, l.latestStart("e1"), before)
 	}
 	want := []ConnectionChange{{"e1", CloseConnections, first.StartedAt}}
 	if diff := cmp.Diff(want, connections); diff != "" {
--- a/internal/broker/endpointlist/processstart.go
+++ b/internal/broker/endpointlist/processstart.go
@@ -2,31 +2,29 @@
 
 import "time"
 
-// The endpoint list says when an engine started as a date of another machine's clock. The reducer's time runs on
-// evenly whatever happens to this machine's wall clock, so a date has to be translated once the wall clock was
-// stepped: it may have been right before the step or since.
-
-// processStart is when an engine's process started.
+// processStart is when an engine's process started. The endpoint list has it as a date of another machine's clock, and
+// the reducer's time does not follow steps of this machine's wall clock. After a step nobody knows whether the date
+// agrees with the clock before it or after it, so both are kept.
 type processStart struct {
 	date     time.Duration // as the endpoint list has it; 0: long ago
-	earliest time.Duration // in the reducer's time, by the clock that makes it earlier
-	latest   time.Duration // by the one that makes it later, but not after it was listed
+	earliest time.Duration // the earlier of the two, in the reducer's time
+	latest   time.Duration // the later of the two, but not after it was listed
 }
 
-// newProcessStart translates a date that was read at a time, when the wall clock was ahead of the reducer's time by
-// an offset. An engine that is taken for younger than it is is spared for too long; one taken for older could be
-// overloaded while it warms up. So the latest start counts for its slow start.
+// newProcessStart translates a date that was read at now, with the wall clock ahead of the reducer's time by wallOffset.
+// The latest start is the one for slow start: an engine that is older than assumed only gets less load for a while, but
+// one that is younger would be overloaded while it warms up.
 func newProcessStart(now, date, wallOffset time.Duration) processStart {
 	if date <= 0 {
 		return processStart{}
 	}
-	before, since := date, date-wallOffset // by the clock before the step, and since
-	s := processStart{date: date, earliest: max(1, min(before, since)), latest: max(before, since)}
-	if s.latest > now {
-		s.latest = min(before, since)
+	beforeStep, afterStep := date, date-wallOffset // by the wall clock before and after its step
+	start := processStart{date: date, earliest: max(1, min(beforeStep, afterStep)), latest: max(beforeStep, afterStep)}
+	if start.latest > now {
+		start.latest = min(beforeStep, afterStep)
 	}
-	s.latest = max(1, min(s.latest, now))
-	return s
+	start.latest = max(1, min(start.latest, now))
+	return start
 }
 
 // follows returns the start time of a process that followed another one: it is later, whatever the clocks say.
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -7,9 +7,6 @@
 	"wheatlane/internal/broker/endpointlist"
 )
 
-// LastRevision is the revision of the last change of the endpoint list that was applied.
-func (b *Broker) LastRevision() int64 { return b.endpoints.Revision() }
-
 // EverListed reports whether an engine was ever in the endpoint list. Old ids may have been dropped.
 func (b *Broker) EverListed(id string) bool { return b.endpoints.EverListed(id) }
 
--- a/internal/broker/eviction/eviction.go
+++ b/internal/broker/eviction/eviction.go
@@ -1,5 +1,5 @@
 // Package eviction keeps the order in which idle sessions are closed where there are too many: clients that connect and
-// send nothing, or stay connected after a command, must not exclude others.
+// send nothing, or stay connected without requests, must not exclude others.
 package eviction
 
 import (
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// LoginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients log in
-// when they connect; the time allows for a broker that is slow to read.
+// LoginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients log in as
+// soon as they connect; the time allows for a broker that is slow to read.
 const LoginGrace = 250 * time.Millisecond
 
 // Place is the place of a session in the order. The zero value is that of a busy session, which is not evicted.
 type Place struct {
-	since   time.Duration
-	queue   *list.List // nil: busy
+	since   time.Duration // in queue
+	queue   *list.List    // nil: busy
 	element *list.Element
 }
 
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -121,8 +121,7 @@
 	case b.shutdown.finalAnswersSent:
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
 	case request.Timeout <= clientwait.MinMargin && request.Timeout < class.LatencyObjective:
-		// This may be a client's last retry, with too little time left to run it: only an immediate answer
-		// arrives before the client gives up.
+		// There is too little time left to run it, and only an immediate answer arrives before the client gives up.
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
 		b.accept(now, session, class, command)
--- a/internal/broker/resultpages/resultpages.go
+++ b/internal/broker/resultpages/resultpages.go
@@ -11,7 +11,7 @@
 const (
 	MaxBytes     = 48000 // of a result, all its pages together
 	MaxPageBytes = 6000
-	MaxPages     = 64 // of a result: engines fill pages, so that two in a row hold more than one can
+	MaxPages     = 64 // of a result: engines fill pages, so two in a row hold over MaxPageBytes together
 	rowColumns   = 3  // of every row
 )
 
@@ -29,7 +29,7 @@
 	bytes   int      // of the pages received
 }
 
-// New returns the assembly of a result of so many pages, with its first one. The error is ErrInvalidFirstPage.
+// New returns the assembly of a result of pageCount pages, with its first one. The error is ErrInvalidFirstPage.
 func New(pageCount int, first []byte) (*Assembly, error) {
 	if pageCount < 1 || pageCount > MaxPages || !valid(first) {
 		return nil, ErrInvalidFirstPage
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -11,7 +11,7 @@
 // pageTimeout is the longest time between two pages of a result.
 const pageTimeout = 500 * time.Millisecond
 
-// result is what was received of the result of an attempt.
+// result is the part of an attempt's result that was received.
 type result struct {
 	pages    *resultpages.Assembly
 	work     time.Duration
@@ -66,7 +66,8 @@
 	}
 }
 
-// checkPages discards a result if no page was received since as many as given were missing, pageTimeout ago.
+// checkPages discards a result if no page was received within pageTimeout: missing is the number of pages that were
+// missing then.
 func (b *Broker) checkPages(now time.Duration, attempt *attempt, missing int) {
 	switch {
 	case !attempt.inFlight || attempt.cancelled():
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -18,8 +18,8 @@
 	b.timers.Set(now+within, shutdownOver{})
 }
 
-// sendFinalAnswers answers all open requests, shortly before the process must end: a closed connection alone
-// would not show clients whether a retry is harmless.
+// sendFinalAnswers answers all open requests, shortly before the process must end. From a closed connection alone a
+// client could not tell whether a retry is harmless.
 func (b *Broker) sendFinalAnswers(now time.Duration) {
 	b.shutdown.finalAnswersSent = true
 	for _, request := range b.requests.openRequests() {
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -112,7 +112,7 @@
 	s.react(s.broker.Tick(s.now))
 	next, ok := s.broker.NextDeadline()
 	s.record(stateKind, next, ok, s.broker.OpenRequests(), s.broker.Ready(), s.broker.UnavailableEngines(),
-		s.broker.EndpointCount(), s.broker.SessionCount(), s.broker.LastRevision(),
+		s.broker.EndpointCount(), s.broker.SessionCount(), s.broker.endpoints.Revision(),
 		s.broker.EnginesInMaintenance())
 }
 
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -21,20 +21,19 @@
 		attempt *attempt
 		end     control.AttemptEnded
 	}
-	// pageOverdue is the timeout of the next page of a result, with the number of pages missing when it was
-	// set.
+	// pageOverdue is the timeout of the next page of a result; missing is the number of missing pages as it was set.
 	pageOverdue struct {
 		attempt *attempt
 		missing int
 	}
 	// probeTimedOut is the timeout of a load probe.
 	probeTimedOut struct{ probeID uint64 }
-	// queuedRequestDue is the end of the time of a request that was queued behind the open one of its session.
+	// queuedRequestDue is the deadline of a request that was queued behind the open one of its session.
 	queuedRequestDue struct {
 		session   *session
 		requestID string
 	}
-	// shutdownOver is the end of the time for a graceful shutdown.
+	// shutdownOver is the end of a graceful shutdown, when open requests get their final answers.
 	shutdownOver struct{}
 )
 
--- a/internal/broker/validation.go
+++ b/internal/broker/validation.go
@@ -14,7 +14,7 @@
 type requestValidator struct {
 	classes map[string]control.Class
 	// longestTimeouts holds the longest timeout that each class ever had. For a while after a reload, clients
-	// still send requests with the timeouts before it; these are accepted.
+	// still send requests with the timeouts from before it; these are accepted.
 	longestTimeouts map[string]time.Duration
 	tenants         map[string]bool // empty: any tenant
 }
@@ -52,7 +52,7 @@
 	case class.ClientTimeout > 0 && request.Timeout > v.longestTimeouts[request.Class]+timeoutSlack:
 		return class, errTimeoutTooLong
 	case class.Idempotency.Kind == idempotency.WithKey && request.IdempotencyKey == "":
-		// Without the key an engine could not drop a repeat, and its effect might come twice.
+		// Without the key an engine could not drop a repeat, and the request could take effect twice.
 		return class, errMissingIdempotencyKey
 	}
 	return class, nil
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -29,9 +29,6 @@
 	ruleCount
 )
 
-// RuleCount is the number of rules.
-const RuleCount = int(ruleCount)
-
 // Names are the names of the rules in logs and figures, by their numbers.
 var Names = [ruleCount]string{
 	NoStartAfterEnd:     "no_start_after_end",
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -38,7 +38,7 @@
 // Every rule has a name of its own.
 func TestNames(t *testing.T) {
 	seen := map[string]bool{}
-	for rule := range Rule(RuleCount) {
+	for rule := range ruleCount {
 		if name := rule.String(); name == "" || seen[name] {
 			t.Errorf("rule %d has the name %q", rule, name)
 		} else {
