--- a/control/admission.go
+++ b/control/admission.go
@@ -73,7 +73,7 @@
 		Tenant:      units.ThreadSeconds(queue.TenantWork(classIndex, tenantIndex)),
 		ClassShare:  c.shares.Share(classIndex),
 		TenantShare: c.workload.Tenants().Share(tenantIndex),
-		Threads:     engine.concurrency.Limit(),
+		Limit:       engine.concurrency.Limit(),
 		Slowdown:    engine.estimatedSlowdown(&c.slowdowns),
 	}
 }
--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -16,8 +16,8 @@
 )
 
 // Price is the least priority weight per thread-second of an admitted request, as a multiple of that of the
-// class with the least. It rises while requests find no capacity. Without it a few very heavy requests keep
-// out many light ones of the same weight.
+// class that earns least for its work. It rises while requests find no capacity, so that a few very heavy
+// requests don't keep out many light ones of the same weight.
 type Price struct{ multiple float64 }
 
 // NewPrice returns the least price.
@@ -29,10 +29,11 @@
 // Decay lowers the price, once an interval.
 func (p *Price) Decay() { p.multiple = max(minPrice, p.multiple*priceDecay) }
 
-// Exceeds reports whether a request is too much work for its priority weight. The least weight of a class is
-// per thread-second of its mean work.
-func (p *Price) Exceeds(weight, leastWeightPerWork float64, work units.ThreadSeconds) bool {
-	return weight < p.multiple*leastWeightPerWork*float64(work)
+// Exceeds reports whether a request is too much work for its priority weight: whether its weight per
+// thread-second is under the price. The lowest weight per thread-second is that of the class that earns least
+// for its mean work.
+func (p *Price) Exceeds(weight, lowestWeightPerThreadSecond float64, work units.ThreadSeconds) bool {
+	return weight < p.multiple*lowestWeightPerThreadSecond*float64(work)
 }
 
 // Backlog is the work that waits ahead of a request for a concurrency limit.
@@ -42,7 +43,7 @@
 	Tenant      units.ThreadSeconds // of those of its tenant within the class
 	ClassShare  units.Fraction      // of the limit
 	TenantShare units.Fraction      // of the class's share
-	Threads     float64             // the limit
+	Limit       float64             // in threads
 	Slowdown    units.LogRatio      // of the engine
 }
 
@@ -51,11 +52,11 @@
 func (b Backlog) Wait() time.Duration {
 	classShare, tenantShare := units.ThreadSeconds(b.ClassShare), units.ThreadSeconds(b.TenantShare)
 	ahead := min(b.All, b.Class/classShare, b.Tenant/classShare/tenantShare)
-	return units.Duration(float64(ahead) / b.Threads * b.Slowdown.Ratio())
+	return units.Duration(float64(ahead) / b.Limit * b.Slowdown.Ratio())
 }
 
-// CannotMeetObjective reports whether a request that has yet to wait and to run misses its latency objective,
-// of which so much time is left.
+// CannotMeetObjective reports whether a request misses its latency objective, given the wait and the service
+// time that are ahead of it and the time left of the objective.
 func CannotMeetObjective(wait, serviceTime, left time.Duration) bool { return wait+serviceTime > left }
 
 const (
@@ -66,7 +67,7 @@
 )
 
 // RetryAfter is the time after which a rejected client is asked to retry, given the longest time that clients
-// follow and a random number from 0 to 1: what a fleet rejects at once must not return at once.
+// follow and a random number from 0 to 1: requests that a fleet rejects together must not return together.
 func RetryAfter(longestFollowed time.Duration, random float64) time.Duration {
 	longest := min(longestFollowed, maxRetryAfter)
 	shortest := min(minRetryAfter, longest/retryAfterSpread)
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.backlog.ClassShare, c.backlog.TenantShare, c.backlog.Threads = 0.5, 0.5, 4
+			c.backlog.ClassShare, c.backlog.TenantShare, c.backlog.Limit = 0.5, 0.5, 4
 			if got := c.backlog.Wait(); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -103,7 +103,7 @@
 	if end.Status == OK {
 		c.learnFromAnswer(attempt, end)
 		if request.class.BlockedByDataSetLock {
-			engine.dataSetLocks.Release(request.DataSet)
+			engine.dataSetLocks.Unlocked(request.DataSet)
 		}
 	}
 	if end.RequestClosed && !request.closed {
--- a/control/keyorder/keyorder.go
+++ b/control/keyorder/keyorder.go
@@ -33,16 +33,13 @@
 	return queue
 }
 
-// Release drops an empty queue that is past its cooldown.
-func (q *Queues[R]) Release(queue *Queue[R], now time.Duration) {
+// DropIfIdle drops a queue that is empty and past its cooldown.
+func (q *Queues[R]) DropIfIdle(queue *Queue[R], now time.Duration) {
 	if queue.Empty() && q.byKey[queue.key] == queue && queue.cooldownUntil <= now {
 		delete(q.byKey, queue.key)
 	}
 }
 
-// Len is the number of keys that have a queue.
-func (q *Queues[R]) Len() int { return len(q.byKey) }
-
 // IsTurn reports whether a request may be sent: the first of its queue may, once the cooldown is over. A
 // cooldown does not hold up a request that was attempted already.
 func (q *Queue[R]) IsTurn(request R, attempted bool, now time.Duration) bool {
@@ -52,7 +49,7 @@
 // CoolDownUntil keeps the next request of the key back until a time, unless it is kept back longer already.
 func (q *Queue[R]) CoolDownUntil(until time.Duration) { q.cooldownUntil = max(q.cooldownUntil, until) }
 
-// CooldownLeft is the rest of the cooldown; 0 if it is over.
+// CooldownLeft is the time left of the cooldown; 0 if it is over.
 func (q *Queue[R]) CooldownLeft(now time.Duration) time.Duration { return max(0, q.cooldownUntil-now) }
 
 // Remove drops a request that is over.
--- a/control/keyorder/keyorder_test.go
+++ b/control/keyorder/keyorder_test.go
@@ -54,19 +54,19 @@
 	queues := New[string]()
 	queue := queues.Add("key", "request")
 	queue.CoolDownUntil(time.Second)
-	queues.Release(queue, time.Minute)
-	if queues.Len() != 1 {
+	queues.DropIfIdle(queue, time.Minute)
+	if len(queues.byKey) != 1 {
 		t.Fatal("a queue with a request was released")
 	}
 	queue.Remove("request")
-	if queues.Release(queue, time.Second-1); queues.Len() != 1 || !queue.Empty() {
+	if queues.DropIfIdle(queue, time.Second-1); len(queues.byKey) != 1 || !queue.Empty() {
 		t.Fatal("a queue was released in its cooldown")
 	}
-	if queues.Release(queue, time.Second); queues.Len() != 0 {
+	if queues.DropIfIdle(queue, time.Second); len(queues.byKey) != 0 {
 		t.Fatal("an empty queue was kept after its cooldown")
 	}
 	queues.Add("key", "next")
-	if queues.Release(queue, time.Minute); queues.Len() != 1 {
+	if queues.DropIfIdle(queue, time.Minute); len(queues.byKey) != 1 {
 		t.Fatal("the release of an old queue dropped the new one of its key")
 	}
 }
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -7,6 +7,11 @@
 	"wheatlane/control/selection"
 )
 
+const (
+	probedEngines    = 3 // engines that are probed for a request before one is selected
+	probeWaitBatches = 4 // batch intervals that a request waits for their answers
+)
+
 // probeLoad asks an engine for its load.
 func (c *Controller) probeLoad(engine *engine) {
 	engine.load.Probed(c.now)
@@ -29,10 +34,10 @@
 	}
 	request.probed = true
 	probed := false
-	for n := 0; n < c.selection.Choices && len(c.endpoints.all) > 0; n++ {
+	for n := 0; n < probedEngines && len(c.endpoints.all) > 0; n++ {
 		engine := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
 		usable := engine.member.TakesRequests() && !engine.health.Ejected()
-		if usable && !engine.load.ProbedLately(c.now) {
+		if usable && !engine.load.RecentlyProbed(c.now) {
 			c.probeLoad(engine)
 			probed = true
 		}
@@ -50,19 +55,19 @@
 
 // probeWait is how long a request waits for load probes.
 func (c *Controller) probeWait() time.Duration {
-	return c.selection.ProbeWaitBatches * c.settings.MinBatchInterval
+	return probeWaitBatches * c.settings.MinBatchInterval
 }
 
 // probeCandidates draws a few engines for a request that may leave the pool (power of d choices) and probes
-// them: what is known of their load is as old as a heavy request takes. It reports whether the request waits
-// for that; what is no more work than the mean goes at once.
+// those whose load report is not fresh: reports come with answers, so one may be as old as a heavy request
+// takes. It reports whether the request waits for that. A request of no more work than the mean does not.
 func (c *Controller) probeCandidates(request *request) bool {
 	request.candidates = nil
 	if !c.settings.Limits.LoadProbes || !c.isHeavy(request) {
 		return false
 	}
 	probed := false
-	for range c.selection.Choices {
+	for range probedEngines {
 		engine := c.selectEngine(request, request.avoid)
 		if engine == nil || slices.Contains(request.candidates, engine) {
 			continue
--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -11,11 +11,11 @@
 const (
 	reportWeight     = 0.5                    // of a report in an engine's load
 	poolReportWeight = 0.1                    // of one engine's report in the pool's load
-	averagedWithin   = time.Second            // a report older than this has no part in the average
-	recentFor        = 2 * time.Second        // a report older than this says nothing without a pool
+	averagedWithin   = time.Second            // a report older than this does not count in the average
+	recentFor        = 2 * time.Second        // without a pool, a report older than this counts as none
 	probeFreshFor    = 250 * time.Millisecond // a report younger than this is as good as a new one
 
-	// Lifetime is the time in which a report loses most of its weight.
+	// Lifetime is the time after which a report's weight is 1/e; it counts as unknown then.
 	Lifetime = 5 * time.Second
 )
 
@@ -36,7 +36,8 @@
 	e.reportedAt = now
 }
 
-// ObserveOfPool takes the load that one of a pool's engines reports now as a sample of the pool's.
+// ObserveOfPool takes the load that one engine of a pool reports now, where the estimate is the pool's: one
+// engine's report has a small weight in it.
 func (e *Estimate) ObserveOfPool(load units.Fraction, now time.Duration) {
 	e.load = estimate.Toward(e.load, load, poolReportWeight)
 	e.reportedAt = now
@@ -50,7 +51,7 @@
 	}
 }
 
-// Load is the load, as far as it is known.
+// Load is the load by the reports so far; 0 without any.
 func (e *Estimate) Load() units.Fraction { return e.load }
 
 // Age is the time since the last report.
@@ -78,8 +79,8 @@
 // Probed records that the engine is asked for its load now.
 func (e *Estimate) Probed(now time.Duration) { e.probedAt = now }
 
-// ProbedLately reports whether the engine was asked for its load less than probeFreshFor ago.
-func (e *Estimate) ProbedLately(now time.Duration) bool {
+// RecentlyProbed reports whether the engine was asked for its load less than probeFreshFor ago.
+func (e *Estimate) RecentlyProbed(now time.Duration) bool {
 	return e.probedAt > 0 && now-e.probedAt < probeFreshFor
 }
 
@@ -88,8 +89,8 @@
 	return now-max(e.probedAt, e.reportedAt) < probeFreshFor
 }
 
-// PoolMean is the mean load of the engines of a pool, weighed by itself, as loaded engines fare no better for
-// others that are idle.
+// PoolMean is the mean load of the engines of a pool, in which each engine weighs as much as its load: loaded
+// engines stay loaded, however idle the others are.
 type PoolMean struct {
 	loads    estimate.SelfWeighted
 	youngest time.Duration // when the last of their reports was given
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -139,7 +139,7 @@
 		"before":       {&probed, probeFreshFor, false, false},
 		"reported now": {&reported, 0, false, true},
 	} {
-		if got := c.e.ProbedLately(now + c.age); got != c.probed {
+		if got := c.e.RecentlyProbed(now + c.age); got != c.probed {
 			t.Errorf("%s: probed is %v", name, got)
 		}
 		if got := c.e.Fresh(now + c.age); got != c.fresh {
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -121,7 +121,8 @@
 	return units.Fraction(d.fleet.Rate(priorLossRate, priorLossAnswers))
 }
 
-// Losses is the number of answers of all engines that count as lost. It decays, so it is no integer.
+// Losses is the number of answers of all engines that count as lost, for tests. It decays, so it is no
+// integer.
 func (d *Detector) Losses() float64 { return d.fleet.Lost }
 
 // DecayFleet lets older answers of the fleet count for less, once a tick.
--- a/control/retrybudget/retrybudget.go
+++ b/control/retrybudget/retrybudget.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// Config is what a deployment allows, and how far the times seen here are from those at which attempts leave.
+// Config is what a deployment allows, and how much later than decided attempts may leave the broker.
 type Config struct {
 	Window           time.Duration // over which both are counted; 0: retries are not limited
 	Ratio            float64       // retries allowed for each request received within the window
 	Reserve          float64       // retries allowed beside these
 	MinBatchInterval time.Duration // shortest time between two decisions
-	MaxSendDelay     time.Duration // an attempt may leave the broker so long after it was decided
+	MaxSendDelay     time.Duration // longest time from a decision until its attempt leaves the broker
 }
 
-// Budget counts requests received and retries sent, and decides by them. It errs on the side of fewer
-// retries: a request leaves the window early and a retry late, by the time that a send may take.
+// Budget counts requests received and retries sent, and decides by them. An attempt may leave the broker up
+// to MaxSendDelay after it was decided. So that the budget holds at every such time, requests count for
+// less than the window and retries for longer.
 type Budget struct {
 	config   Config
 	requests []time.Duration // when they were received
@@ -43,7 +44,7 @@
 	return float64(len(b.retries)+1) <= allowed
 }
 
-// Expire drops what the window has passed, which keeps memory bounded.
+// Expire drops what has left the window, which bounds the memory.
 func (b *Budget) Expire(now time.Duration) {
 	windowStart := now - b.config.Window
 	oldestRetry := windowStart - b.config.MaxSendDelay
--- a/control/selection/draw.go
+++ b/control/selection/draw.go
@@ -11,9 +11,9 @@
 // change more than ties.
 func (c *Config) TieBreak(rng *rand.Rand) Score { return c.Jitter * Score(rng.Float64()) }
 
-// Noise is what chance adds to a score where brokers share the engines: they know the same, late, and would
-// all choose the one idle engine. It is Gumbel noise, so that the best score is a draw of the engines with
-// chances of exp(preference + score/NoiseScale).
+// Noise is what chance adds to a score where brokers share the engines: they have the same old reports, and
+// would all choose the one idle engine. It is Gumbel noise, so that the best score is a draw of the engines
+// with chances of exp(preference + score/NoiseScale).
 func (c *Config) Noise(rng *rand.Rand, preference units.LogRatio) Score {
 	gumbel := -math.Log(rng.ExpFloat64())
 	gumbel += float64(preference)
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -3,8 +3,6 @@
 package selection
 
 import (
-	"time"
-
 	"wheatlane/control/datasetlock"
 	"wheatlane/control/units"
 )
@@ -20,11 +18,9 @@
 	DataSetLockPenalty Score // where a lock would block the request: it is late for sure
 	DataSetRankPenalty Score // at the far end of the ranks, for requests that locks concern
 	CrossZonePenalty   Score
-	HalfOpenBonus      Score         // of a half-open probe that is due: it comes before everything
-	Jitter             Score         // largest difference that a plain tie-break makes
-	NoiseScale         Score         // difference of scores that makes a factor e in chances
-	Choices            int           // engines that are probed for a request before one is chosen
-	ProbeWaitBatches   time.Duration // batch intervals that a request waits for their answers
+	HalfOpenBonus      Score // of a half-open probe that is due: it comes before everything
+	Jitter             Score // largest difference that a plain tie-break makes
+	NoiseScale         Score // difference of scores that makes a factor e in chances
 }
 
 // DefaultConfig returns the values in use.
@@ -32,7 +28,6 @@
 	return Config{
 		FailurePenalty: 3, SlowdownPenalty: 0.3, DataSetLockPenalty: 1.5, DataSetRankPenalty: 0.5,
 		CrossZonePenalty: 0.05, HalfOpenBonus: 100, Jitter: 0.02, NoiseScale: 0.6,
-		Choices: 3, ProbeWaitBatches: 4,
 	}
 }
 
@@ -45,7 +40,7 @@
 	Slowdown          units.LogRatio
 	FailureRate       units.Fraction
 	LossRate          units.Fraction
-	ExpectedLossRate  units.Fraction   // share of the loss rate that is not held against it
+	ExpectedLossRate  units.Fraction   // fraction of answers whose loss is not held against it
 	Load              units.Fraction   // expected
 	OtherZone         bool             // it is in another zone than this broker
 	DataSetLocked     bool             // the data set of the request is locked there
@@ -68,7 +63,7 @@
 }
 
 // penalizeLocks subtracts what the data set of the request costs: holders of locks go to one end of the ranks
-// and what they block to the other, so that they meet seldom.
+// and what they block to the other, so that they seldom meet.
 func (c *Config) penalizeLocks(score Score, candidate *Candidate) Score {
 	if candidate.Role != datasetlock.Unaffected && candidate.DataSetLocked {
 		score -= c.DataSetLockPenalty
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	clockError        = time.Second // the clock of the endpoint list may be so far off
+	clockError        = time.Second // largest error of the clock of the endpoint list
 	usedBudget        = 0.7         // fraction of the tolerated work that is sent
 	trustedWarmUp     = 0.7         // fraction of the expected warm-up that is counted on
 	targetUtilization = 0.85        // of the cores, at capacity
@@ -72,15 +72,15 @@
 	return initial + (1-initial)*trustedWarmUp*min(1, age/units.Fraction(p.config.Duration))
 }
 
-// FleetBudget is the work that all brokers together may send an engine within an overload window.
-func (p *Policy) FleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
+// fleetBudget is the work that all brokers together may send an engine within an overload window.
+func (p *Policy) fleetBudget(engine Engine, now time.Duration) units.ThreadSeconds {
 	fraction := float64(p.Fraction(engine, now))
 	return units.ThreadSeconds(p.config.OverloadMultiple * fraction * targetUtilization * engine.Cores *
 		p.config.OverloadWindow.Seconds() * usedBudget)
 }
 
-// Allows reports whether an engine may be sent some work more: whether it is warm, or this broker's share of
-// the budget covers that and what was sent.
+// Allows reports whether an engine may be sent more work: whether it is warm, or this broker's share of the
+// budget covers that work and what was sent.
 func (p *Policy) Allows(
 	engine Engine, sent *SendLog, demand Demand, work units.ThreadSeconds, now time.Duration,
 ) bool {
@@ -96,7 +96,7 @@
 		}
 		share = units.Fraction(turnBudget / turn.heavyRequests)
 	}
-	budget := p.FleetBudget(engine, now) * units.ThreadSeconds(share)
+	budget := p.fleetBudget(engine, now) * units.ThreadSeconds(share)
 	return sent.WorkSince(now-p.config.OverloadWindow, work) <= budget
 }
 
@@ -107,21 +107,22 @@
 	}
 }
 
-// turn is the brokers that may send to an engine at a time, for as long as an overload window. They take
-// turns by index, as many at a time as the budget has capacity for.
+// turn is one turn at an engine: for an overload window some of the brokers may send to it. The brokers take
+// turns by index, as many at a time as the budget is enough for.
 type turn struct {
-	brokers       int
+	brokers       int     // number of brokers that have the turn together
 	heavyRequests float64 // requests of the heaviest class that a turn's budget covers, at least 1
 }
 
 func (p *Policy) turn(engine Engine, demand Demand, now time.Duration) turn {
-	budget := p.FleetBudget(engine, now) * turnBudget
+	budget := p.fleetBudget(engine, now) * turnBudget
 	heavyRequests := max(1, math.Floor(float64(budget/max(demand.HeaviestWork, minHeavyWork))))
-	// used is what an engine is sent by one broker within a window.
-	used := float64(demand.ArrivalRate) * float64(demand.MeanWork) * p.config.OverloadWindow.Seconds() /
-		float64(demand.ReadyEngines)
-	lightRequests := lightShare * float64(budget) / used
-	brokers := int(min(float64(p.config.Brokers), max(heavyRequests, lightRequests)))
+	// usedPerBroker is the work, in thread-seconds, that one broker sends an engine within a window.
+	usedPerBroker := float64(demand.ArrivalRate) * float64(demand.MeanWork) *
+		p.config.OverloadWindow.Seconds() / float64(demand.ReadyEngines)
+	brokersByLightWork := lightShare * float64(budget) / usedPerBroker
+	brokersByHeavyWork := heavyRequests // with the budget for one heavy request each
+	brokers := int(min(float64(p.config.Brokers), max(brokersByHeavyWork, brokersByLightWork)))
 	return turn{brokers, heavyRequests}
 }
 
@@ -134,8 +135,9 @@
 	return behindFirst < turn.brokers
 }
 
-// FleetPreference is by how much more a broker whose turn it is has to choose an engine, so that the fleet
-// uses the engine by its capacity. It is 0 where no turns are taken.
+// FleetPreference is the logarithm of the factor by which a broker whose turn it is chooses an engine more
+// often than one that all brokers may use. So the fleet sends the engine what its capacity is enough for,
+// though only the brokers of the turn do. It is 0 where no turns are taken.
 func (p *Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
 	if !p.config.TakeTurns || !p.Active(engine, now) {
 		return 0
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -47,7 +47,7 @@
 func TestBrokerKeepsToItsShareOfTheBudget(t *testing.T) {
 	t.Parallel()
 	policy, now := New(config()), engine.StartedAt
-	budget := policy.FleetBudget(engine, now)
+	budget := policy.fleetBudget(engine, now)
 	want := units.ThreadSeconds(2 * 0.4 * targetUtilization * 8 * 2 * usedBudget)
 	if math.Abs(float64(budget-want)) > 1e-9 {
 		t.Fatalf("budget %v, want %v", budget, want)
@@ -79,7 +79,7 @@
 			c := config()
 			c.Brokers, c.BrokerIndex, c.TakeTurns = brokers, index, true
 			policy := New(c)
-			budget = policy.FleetBudget(engine, now)
+			budget = policy.fleetBudget(engine, now)
 			if policy.Allows(engine, &SendLog{}, demand, demand.HeaviestWork, now) {
 				inTurn++
 				turns[index] = true
--- a/control/timers.go
+++ b/control/timers.go
@@ -39,7 +39,7 @@
 
 func (t answerDue) expire(c *Controller)      { c.rejectOrFail(t.request) }
 func (t attemptOverdue) expire(c *Controller) { c.checkOverdue(t.attempt) }
-func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.Release(t.queue, c.now) }
+func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.DropIfIdle(t.queue, c.now) }
 
 func (t lostAttemptStopped) expire(*Controller) {
 	if t.attempt.inFlight {
--- a/control/units/seconds.go
+++ b/control/units/seconds.go
@@ -9,7 +9,7 @@
 // SecondsOf converts a duration.
 func SecondsOf(d time.Duration) Seconds { return Seconds(d.Seconds()) }
 
-// Duration converts a time, bounded as by the function of that name.
+// Duration converts a time, of at most maxSeconds.
 func (s Seconds) Duration() time.Duration { return Duration(float64(s)) }
 
 // OnThreads is the time that the work takes on a number of threads.
@@ -17,7 +17,7 @@
 	return Seconds(float64(w) / float64(threads))
 }
 
-// PerSecond is a rate: so many events in a second.
+// PerSecond is a rate in events a second.
 type PerSecond float64
 
 // Rate is the rate at which a number of events happened within a time.
--- a/control/units/units.go
+++ b/control/units/units.go
@@ -10,10 +10,12 @@
 // ThreadSeconds is an amount of work: the time, in seconds, that one thread of an engine takes for it.
 type ThreadSeconds float64
 
-// Fraction is a part of a whole: 0 is none of it, 1 all of it.
+// Fraction is an amount as a fraction of a whole: 0 is none of it, 1 all of it. A load may be over 1, where
+// more is asked than the whole.
 type Fraction float64
 
-// LogRatio is the natural logarithm of a ratio: 0 stands for equal, 0.69 for twice as much.
+// LogRatio is the natural logarithm of a ratio: 0 stands for equal, 0.69 for twice as much, 1.6 for five
+// times.
 type LogRatio float64
 
 // Ratio is the ratio itself.
--- a/control/workload/clients.go
+++ b/control/workload/abandonment.go
@@ -8,23 +8,11 @@
 )
 
 const (
-	waitWeight        = 0.05                 // weight of a request in the mean wait
 	abandonWeight     = 0.02                 // weight of a request in the rate of abandonment
 	likelyAbandonRate = units.Fraction(0.5)  // beyond it a client is expected to leave
 	minAbandonRate    = units.Fraction(1e-9) // keeps a quotient finite
 )
 
-// Wait estimates how long requests wait at the broker before their first attempt.
-type Wait struct{ mean units.Seconds }
-
-// Observe takes one request's wait.
-func (w *Wait) Observe(wait time.Duration) {
-	w.mean = estimate.Toward(w.mean, units.SecondsOf(wait), waitWeight)
-}
-
-// Mean is the mean wait.
-func (w *Wait) Mean() units.Seconds { return w.mean }
-
 // Abandonment estimates how many clients leave before their deadline, and how long those wait.
 type Abandonment struct {
 	rate  units.Fraction
--- a/control/workload/class.go
+++ b/control/workload/class.go
@@ -29,13 +29,13 @@
 // answer.
 const initialWorkFraction = 0.25
 
-// NewClassEstimates returns the estimates of a class without answers.
-func NewClassEstimates(settings ClassSettings) *ClassEstimates {
+// newClassEstimates returns the estimates of a class without answers.
+func newClassEstimates(settings ClassSettings) *ClassEstimates {
 	objective, threads := settings.LatencyObjective.Seconds(), float64(settings.Threads)
 	return &ClassEstimates{
 		settings:    settings,
 		Cost:        NewCost(units.ThreadSeconds(initialWorkFraction * objective * threads)),
-		ServiceTime: NewServiceTime(),
+		ServiceTime: newServiceTime(),
 	}
 }
 
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -10,8 +10,8 @@
 
 const (
 	costWeight         = 0.02 // weight of an answer in the means of work and memory
-	floorWeight        = 0.5  // weight of an answer in the floor of service times, over its costWeight
-	guessAnswers       = 1    // answers that the first guess of the work weighs as much as
+	floorWeightFactor  = 0.5  // weight in the floor of service times over that in the means
+	guessAnswers       = 1    // weight of the first guess of the work, in answers
 	initialMemoryRatio = 1.25 // memory needed over the estimate, before any answer
 )
 
@@ -50,14 +50,15 @@
 	ServiceTime       units.Seconds
 	Threads           int
 	EngineSlowdown    units.LogRatio // as estimated before the answer
-	Work              time.Duration  // reported, on one thread
+	Work              time.Duration  // reported, as the time on one thread
 	MemoryMB          float64        // reported
-	EstimatedWork     time.Duration  // by the client, on one thread
+	EstimatedWork     time.Duration  // by the client, as the time on one thread
 	EstimatedMemoryMB float64        // by the client
 }
 
-// Observe takes an answer and returns its engine's slowdown by it: the service time over the reported work
-// or, without a report, over the class's fastest answers.
+// Observe takes an answer and returns what it shows of its engine's slowdown: the logarithm of the service
+// time over the one expected of an engine that is not slow. The latter is the reported work spread over the
+// threads or, without a report, the class's fastest service times.
 func (c *Cost) Observe(a Answer) units.LogRatio {
 	c.answers++
 	weight := estimate.SampleWeight(costWeight, float64(c.answers+guessAnswers))
@@ -65,7 +66,7 @@
 	if a.Work <= 0 {
 		work := units.ThreadSeconds(took * threads / a.EngineSlowdown.Ratio())
 		c.meanWork = estimate.Toward(c.meanWork, work, weight)
-		return units.LogRatio(c.floor.Observe(math.Log(took), weight*floorWeight))
+		return units.LogRatio(c.floor.Observe(math.Log(took), weight*floorWeightFactor))
 	}
 	work := a.Work.Seconds()
 	c.meanWork = estimate.Toward(c.meanWork, units.ThreadSeconds(work), weight)
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -9,7 +9,7 @@
 
 const (
 	spreadWeight       = 0.02                // weight of an answer in the spread of service times
-	spreadGuessAnswers = 5                   // answers that the first guess of the spread weighs as much as
+	spreadGuessAnswers = 5                   // weight of the first guess of the spread, in answers
 	initialVariance    = 1                   // of the logarithm of the ratio, before any answer
 	minServiceTime     = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
 )
@@ -26,8 +26,8 @@
 	answers int
 }
 
-// NewServiceTime returns an estimate without answers.
-func NewServiceTime() ServiceTime {
+// newServiceTime returns an estimate without answers.
+func newServiceTime() ServiceTime {
 	return ServiceTime{spread: estimate.Spread{Variance: initialVariance}}
 }
 
--- a/control/workload/tenants.go
+++ b/control/workload/tenants.go
@@ -10,7 +10,7 @@
 // Tenant describes one customer.
 type Tenant struct {
 	Name  string
-	Share units.Fraction  // weight in the queue of each class
+	Share units.Fraction  // of the service that each class gets; 1 in sum over the named tenants
 	Quota units.PerSecond // requests within its share, over all brokers
 }
 
@@ -26,7 +26,8 @@
 	rate     units.PerSecond
 }
 
-// newTenants adds a tenant for all unknown ones, with the smallest share of a known one.
+// newTenants adds a tenant for all unknown ones, with the smallest share of a known one. That comes on top:
+// the shares sum to a little over 1 then, which fair queues take as weights.
 func newTenants(config Config, known []Tenant) Tenants {
 	t := Tenants{byName: make(map[string]int, len(known))}
 	unknown := Tenant{Share: 1}
@@ -51,7 +52,7 @@
 	return len(t.all) - 1
 }
 
-// Share is a tenant's weight in the queue of each class.
+// Share is a tenant's share of the service that each class gets.
 func (t *Tenants) Share(index int) units.Fraction { return t.all[index].Share }
 
 // Arrivals is the number of a tenant's requests in this interval.
--- a/control/workload/traffic.go
+++ b/control/workload/traffic.go
@@ -43,7 +43,8 @@
 		inverse := objective.Seconds() * float64(answers) / float64(max(t.latencySum, minLatencySum))
 		t.output = shares.Output{
 			InverseLatency: min(maxInverseLatency, inverse),
-			Throughput:     float64(answers) / elapsed.Seconds() / float64(t.rate+minThroughputRate),
+			Throughput: float64(answers) / elapsed.Seconds() /
+				float64(t.rate+minThroughputRate),
 		}
 	}
 	t.answers, t.latencySum = 0, 0
--- /dev/null
+++ b/control/workload/wait.go
@@ -0,0 +1,22 @@
+package workload
+
+import (
+	"time"
+
+	"wheatlane/control/units"
+	"wheatlane/internal/estimate"
+)
+
+// waitWeight is the weight of a request in the mean wait.
+const waitWeight = 0.05
+
+// Wait estimates how long requests wait at the broker before their first attempt.
+type Wait struct{ mean units.Seconds }
+
+// Observe takes one request's wait.
+func (w *Wait) Observe(wait time.Duration) {
+	w.mean = estimate.Toward(w.mean, units.SecondsOf(wait), waitWeight)
+}
+
+// Mean is the mean wait.
+func (w *Wait) Mean() units.Seconds { return w.mean }
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -50,7 +50,7 @@
 
 // AddClass adds a class, whose index is the next one, and returns its estimates.
 func (w *Workload) AddClass(settings ClassSettings) *ClassEstimates {
-	class := NewClassEstimates(settings)
+	class := newClassEstimates(settings)
 	w.classes = append(w.classes, class)
 	return class
 }
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -29,7 +29,7 @@
 
 func TestCostStartsAtItsGuessAndLearnsFromReports(t *testing.T) {
 	t.Parallel()
-	cost := NewClassEstimates(longSettings()).Cost
+	cost := newClassEstimates(longSettings()).Cost
 	near(t, "work before any answer", cost.MeanWork(), 2, 1e-9)
 	near(t, "work by the client's estimate", cost.ExpectedWork(time.Second), 1, 1e-9)
 	near(t, "memory before any answer", cost.MemoryMB(100), 125, 1e-9)
@@ -62,7 +62,7 @@
 func TestServiceTimeQuantilesCoverTheAnswers(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
-	s := NewServiceTime()
+	s := newServiceTime()
 	sample := func() units.Seconds { return units.Seconds(2 * math.Exp(0.5*rng.NormFloat64())) }
 	for range 5000 {
 		s.Observe(sample(), 1)
