--- a/control/actions.go
+++ b/control/actions.go
@@ -22,9 +22,9 @@
 		RequestID  string
 		RetryAfter time.Duration // time after which the client may retry; 0: not set
 	}
-	// Fail is a final answer that says nothing of whether the request ran.
+	// Fail is a final answer that leaves open whether the request ran.
 	Fail struct{ RequestID string }
-	// CancelAttempt cancels an attempt in flight; its end is reported all the same.
+	// CancelAttempt cancels an attempt in flight; its end is reported like any other.
 	CancelAttempt struct {
 		RequestID string
 		Number    int
--- a/control/attemptoptions/attemptoptions.go
+++ b/control/attemptoptions/attemptoptions.go
@@ -8,13 +8,13 @@
 	"wheatlane/control/units"
 )
 
-// The priorities that engines heed.
+// The priorities that engines apply.
 const (
 	MinPriority = 1
 	MaxPriority = 3
 )
 
-// Config is which options the engines of a deployment heed.
+// Config is which options the engines of a deployment apply.
 type Config struct {
 	MemoryGrants     bool
 	Priorities       bool
--- a/control/controller.go
+++ b/control/controller.go
@@ -3,8 +3,23 @@
 //
 // The Controller routes events, keeps the parts together and collects actions. The decisions are made in the
 // packages below this one, one for each policy or mechanism: they are given what they decide by, and know
-// nothing of the Controller. A file here with the concern's name puts that input together and acts on what
-// was decided. The files that decide are named by "policy" in deploy/balancer.toml.
+// nothing of the Controller. A file here puts that input together for one concern and acts on
+// what was decided:
+//   - admission.go: whether a request is taken on (admission), and its final answer (idempotency)
+//   - queueing.go, dispatch.go: queues, and what leaves them (concurrency)
+//   - selection.go, eligibility.go, loadprobes.go: the engine of an attempt (selection, eligibility,
+//     idempotency, keyorder, retrybudget, datasetlock)
+//   - attempts.go, overdue.go: what is sent, retried, hedged and cancelled (attemptoptions, retry, overdue)
+//   - requests.go, timers.go: the open requests and what is due for them (keyorder)
+//   - membership.go, endpoints.go, engine.go: the engines (membership, datasetlock)
+//   - outliers.go, slowdown.go, slowstart.go, loadreports.go, gossip.go: what is known of each (outlier,
+//     slowdown, slowstart, loadreport, gossip)
+//   - interval.go, learning.go, classes.go: what each interval and each answer shows (shares, concurrency,
+//     workload)
+//   - operatorlog.go: what the operators are notified of (throttle)
+//   - policyconfig.go: the settings of a deployment as the policies' configurations
+//
+// The files that decide are named by "policy" in deploy/balancer.toml.
 package control
 
 import (
@@ -119,7 +134,8 @@
 		c.intervalStart = c.now
 		c.emit(SetTimer{tickInterval, tickToken})
 	}
-	// After a standstill much comes at once: what ended is taken before what is new or due is judged.
+	// After a standstill many events come together: what ended is taken before what is new or due is
+	// judged.
 	disconnected := c.handleOutcomes(events)
 	c.handleRequestsAndTimers(events, disconnected)
 	for _, engine := range c.endpoints.queueOwners() {
@@ -178,7 +194,7 @@
 	}
 }
 
-// tick does what is due at regular times: it looks at what waits, and once an interval runs the regulators.
+// tick does what is due every tickInterval: it looks at what waits, and once an interval runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retries.Expire(c.now)
@@ -196,10 +212,10 @@
 	}
 }
 
-// UpdateClasses takes over the classes and the number of attempts of settings read anew. A class that is new,
-// or whose settings differ, gets an index of its own: requests under way keep the class that they came under.
-// A class that is not named any more stays until then; the broker rejects new requests of it. All other
-// settings are those of the start.
+// UpdateClasses takes over the classes and the number of attempts of settings read anew. A class that is
+// new, or whose settings differ, gets an index of its own: requests under way keep the class that they came
+// under. A class that is no longer named stays until then; the broker answers new requests of it as
+// invalid. All other settings are those of the start.
 func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
 	added := 0
 	for _, class := range classes {
@@ -223,10 +239,3 @@
 func (c *Controller) startTimer(after time.Duration, t timer) {
 	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, minTimerDelay), c.timers.add(t)})
 }
-
-// emitThrottled emits an action for the operators, unless one about the same subject was emitted lately.
-func (c *Controller) emitThrottled(subject logSubject, action Action) {
-	if c.log.Allows(subject, c.now) {
-		c.emit(action)
-	}
-}
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -16,8 +16,8 @@
 	if len(request.attempts) == 0 || request.hasAttemptInFlight() {
 		return false
 	}
-	rules := c.eligibilityOf(request)
-	return rules.Exhausted()
+	facts := c.eligibilityOf(request)
+	return facts.Exhausted()
 }
 
 // eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -16,7 +16,7 @@
 const (
 	Eligible           Reason = iota // no rule is broken
 	RequestClosed                    // the request has its final answer, or its client is gone
-	ResponseStarted                  // the client receives an answer already
+	ResponseStarted                  // the client receives an answer already; only in the simulator
 	DeadlinePassed                   // the answer would come too late
 	MaxAttempts                      // the request has had all its attempts
 	AttemptInFlight                  // hedging is not allowed
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -60,7 +60,7 @@
 	s.all = slices.Insert(s.all, place, engine)
 }
 
-// growQueues makes room in all queues for classes that are new.
+// growQueues adds new classes to all queues.
 func (s *endpointSet) growQueues(classes, tenants int) {
 	for _, engine := range s.all {
 		engine.queue.Grow(classes, tenants)
@@ -72,7 +72,7 @@
 
 func compareID(engine *engine, id string) int { return strings.Compare(engine.ID, id) }
 
-// removeGone drops engines that are listed no more, once nothing is in flight or queued there, and returns
+// removeGone drops engines that are no longer listed, once nothing is in flight or queued there, and returns
 // their IDs.
 func (s *endpointSet) removeGone() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(engine *engine) bool {
--- a/control/engine.go
+++ b/control/engine.go
@@ -15,8 +15,9 @@
 	"wheatlane/internal/fairqueue"
 )
 
-// engine is an engine of the endpoint list with all that is known of it. The pool, where there is one, is an
-// engine of its own that owns the queue and the concurrency limit of all.
+// engine is an engine of the endpoint list with all that is known of it. Where engines are pooled, one more
+// value stands for the pool: it is in no list and gets no attempts of its own, but owns the queue and the
+// concurrency limit of all, and its cores, memory, load and attempts are those of all engines together.
 type engine struct {
 	Engine                        // its entry of the endpoint list; member has the state that applies
 	idHash      int               // of its ID, for ranks
@@ -75,7 +76,7 @@
 	}
 }
 
-// releaseThreads counts them as in flight no more.
+// releaseThreads counts them as no longer in flight.
 func (e *engine) releaseThreads(threads int) {
 	e.concurrency.Release(threads)
 	if e.pooled() {
--- a/control/events.go
+++ b/control/events.go
@@ -47,12 +47,12 @@
 const (
 	OK Status = iota
 	Failed
-	AtCapacity // the engine did not admit it
+	AtCapacity // not admitted: by the engine, or for lack of a connection to it here
 	TimedOut
 	ConnectFailed
 	ConnectionReset
 	Cancelled
-	NeverSent // it was withdrawn before it left the broker
+	NeverSent // no engine ran it: withdrawn or prevented before it left, or dropped unrun by the engine
 )
 
 // statusNames are the names of the statuses in logs.
@@ -68,7 +68,7 @@
 // MayHaveRun reports whether an attempt that ended so may have run.
 func (s Status) MayHaveRun() bool { return s != AtCapacity && s != ConnectFailed && s != NeverSent }
 
-// mayStillRun reports whether an engine may go on with an attempt that ended so for the broker.
+// mayStillRun reports whether an engine may still run an attempt that ended so for the broker.
 func (s Status) mayStillRun() bool { return s == TimedOut || s == ConnectionReset || s == Cancelled }
 
 // ProgressKind is the subject of an AttemptProgress.
@@ -127,6 +127,7 @@
 		Report        loadreport.Report
 	}
 	// ResponseStarted says that the client began to receive its answer; its deadline no longer applies.
+	// Only the simulator's host reports it: the broker sends an answer when it is complete.
 	ResponseStarted struct{ RequestID string }
 	// AttemptProgress is a progress report of an attempt in flight.
 	AttemptProgress struct {
--- /dev/null
+++ b/control/operatorlog.go
@@ -0,0 +1,28 @@
+package control
+
+import "time"
+
+// logInterval is the least time between two lines about one event of an engine.
+const logInterval = 5 * time.Second
+
+// logSubject is what a line for the operators is about.
+type logSubject struct {
+	event  engineEvent
+	engine string
+}
+
+// engineEvent is what happened to an engine.
+type engineEvent int
+
+const (
+	ejected engineEvent = iota
+	restored
+)
+
+// emitThrottled emits an action for the operators, unless one about the same subject was emitted less than
+// logInterval ago. So the last line about an engine that flaps may not be of its state: View has that.
+func (c *Controller) emitThrottled(subject logSubject, action Action) {
+	if c.log.Allows(subject, c.now) {
+		c.emit(action)
+	}
+}
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -48,7 +48,7 @@
 	return h.rejected && now-h.rejectedAt < atCapacityRest
 }
 
-// Decay lets older attempts count for less, once a tick.
+// Decay lets older attempts count for less, once a tick of 100 ms.
 func (h *Health) Decay() {
 	h.loss.Decay(answerDecay)
 	h.failureRate *= failureDecay
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -43,8 +43,8 @@
 
 const (
 	failureWeight = 0.2  // least weight of one attempt in a failure rate
-	failureDecay  = 0.98 // fraction of a failure rate that a tick leaves
-	answerDecay   = 0.99 // fraction of the answers that a tick leaves
+	failureDecay  = 0.98 // fraction of a failure rate that is left after a tick of 100 ms
+	answerDecay   = 0.99 // fraction of the answers that is left after a tick
 
 	priorLossRate    = 0.01 // fraction of answers that is expected to be lost
 	priorLossAnswers = 20.0 // answers of the fleet that priorLossRate weighs as much as
@@ -125,7 +125,7 @@
 // integer.
 func (d *Detector) Losses() float64 { return d.fleet.Lost }
 
-// DecayFleet lets older answers of the fleet count for less, once a tick.
+// DecayFleet lets older answers of the fleet count for less, once a tick of 100 ms.
 func (d *Detector) DecayFleet() { d.fleet.Decay(answerDecay) }
 
 // Backoff is the time between half-open probes of an engine, by the number of engines and the rate of the
--- a/control/requests.go
+++ b/control/requests.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// closeRequest ends a request: what is in flight for it is of no use any more.
+// closeRequest ends a request: what is in flight for it is no longer of use.
 func (c *Controller) closeRequest(request *request) {
 	request.closed = true
 	cancels := c.settings.Limits.Cancellation && !request.responseStarted
--- a/control/selection.go
+++ b/control/selection.go
@@ -12,7 +12,7 @@
 type selector struct {
 	controller      *Controller
 	request         *request
-	rules           eligibility.Request
+	facts           eligibility.Request // what the rules need to know of the request
 	meanWork        units.ThreadSeconds // of a request of its class
 	slowStartDemand slowstart.Demand
 	lockRole        datasetlock.Role
@@ -23,7 +23,7 @@
 	return selector{
 		controller:      c,
 		request:         request,
-		rules:           c.eligibilityOf(request),
+		facts:           c.eligibilityOf(request),
 		meanWork:        class.Cost.MeanWork(),
 		slowStartDemand: c.slowStartDemand(),
 		lockRole:        datasetlock.RoleOf(class.HoldsDataSetLock, class.BlockedByDataSetLock),
@@ -48,14 +48,14 @@
 }
 
 // forbidden reports whether a rule forbids the attempt at every engine.
-func (s *selector) forbidden() bool { return s.rules.Check() != eligibility.Eligible }
+func (s *selector) forbidden() bool { return s.facts.Check() != eligibility.Eligible }
 
 // allows reports whether no rule forbids the attempt at this engine, given that none does at every engine.
 func (s *selector) allows(engine *engine) bool {
 	c := s.controller
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
-	return s.rules.CheckAt(eligibility.Engine{
+	return s.facts.CheckAt(eligibility.Engine{
 		Ready:           engine.member.TakesRequests(), // stricter than the drain's grace period
 		Location:        engine.location(),
 		Kind:            engine.Kind,
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -18,9 +18,9 @@
 
 const (
 	answerWeight       = 0.25 // least weight of an answer in an engine's slowdown
-	unknownWorkDivisor = 3.0  // an answer that does not report its work weighs so much less
+	unknownWorkDivisor = 3.0  // divides the weight of an answer that does not report its work
 	poolAnswers        = 3.0  // answers of an engine's own that the pool's slowdown weighs as much as
-	recovery           = 0.02 // fraction of a slowdown that recovers with a tick without an answer
+	recovery           = 0.02 // fraction of a slowdown that a tick of 100 ms without an answer takes off
 	worseBestWeight    = 0.02 // weight of an interval in the best slowdown when that gets worse
 	minSamples         = 10   // answers after which a slowdown is trusted
 
@@ -87,7 +87,7 @@
 	return answerWeight / unknownWorkDivisor
 }
 
-// Recover lets an engine without answers approach the best slowdown, once a tick.
+// Recover lets an engine without answers approach the best slowdown, once a tick of 100 ms.
 func (s *Estimator) Recover(engine *Engine, now time.Duration) {
 	if now-engine.sampledAt > s.config.IdleAfter {
 		engine.log = estimate.Toward(engine.log, s.best, recovery)
@@ -97,7 +97,8 @@
 // Restarted drops what is known of an engine's earlier process.
 func (s *Estimator) Restarted(engine *Engine) { engine.log, engine.samples = s.best, 0 }
 
-// UpdateBest follows the least slowdown of the healthy engines, once an interval: at once down, slowly up.
+// UpdateBest follows the least slowdown of the healthy engines, once an interval: down immediately, up
+// slowly.
 func (s *Estimator) UpdateBest(healthy []*Engine) {
 	least := units.LogRatio(math.Inf(1))
 	for _, engine := range healthy {
--- a/control/timers.go
+++ b/control/timers.go
@@ -10,8 +10,7 @@
 	tickInterval  = 100 * time.Millisecond // between two ticks
 	minTimerDelay = time.Nanosecond        // no timer expires in the batch that starts it
 	tickToken     = 1                      // token of the tick's timer
-	lastOwnToken  = 16                     // tokens up to it are reserved for the controller's own timers
-	logInterval   = 5 * time.Second        // between two lines about one event of an engine
+	lastOwnToken  = 16                     // tokens up to it are no timer's; only tickToken is in use
 )
 
 // timer is what is due when a timer expires. All are declared in this file.
@@ -22,7 +21,7 @@
 	answerDue struct{ request *request }
 	// attemptOverdue is the time at which an attempt in flight is to be judged.
 	attemptOverdue struct{ attempt *attempt }
-	// lostAttemptStopped is the time at which an attempt that is presumed lost should not run any more.
+	// lostAttemptStopped is the time at which an attempt that is presumed lost should no longer run.
 	lostAttemptStopped struct{ attempt *attempt }
 	// endedAttemptStopped is the same for an attempt that timed out and can't be cancelled.
 	endedAttemptStopped struct{ attempt *attempt }
@@ -78,17 +77,3 @@
 	delete(s.byToken, token)
 	return t
 }
-
-// logSubject is what a line for the operators is about.
-type logSubject struct {
-	event  engineEvent
-	engine string
-}
-
-// engineEvent is what happened to an engine.
-type engineEvent int
-
-const (
-	ejected engineEvent = iota
-	restored
-)
