--- a/internal/server/changelog_test.go
+++ b/internal/server/changelog_test.go
@@ -6,6 +6,7 @@
 	"go.uber.org/zap"
 
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // A change log whose revisions go back has nothing that can be used: its connection ends as malformed, the
@@ -15,7 +16,7 @@
 	s := startServer(t, listed("e1", e))
 	s.publish(pageJSON(41, false, endpointJSON("e2", "127.0.0.1:1", "terminating", 0)), 41)
 	s.changelog.pages <- pageJSON(3, true, endpointJSON("e9", "127.0.0.1:1", "in_service", 0))
-	waitUntil(t, "the connection has ended as malformed", func() bool {
+	socktest.WaitUntil(t, "the connection has ended as malformed", func() bool {
 		return s.logs.FilterField(zap.String("reason", string(netconn.Malformed))).Len() > 0
 	})
 	s.publish(pageJSON(42, false, endpointJSON("e2", "127.0.0.1:1", "terminated", 0)), 42)
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -11,6 +11,7 @@
 
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // A client that kills its query is notified, and its engine that the attempt is cancelled; so is that of one
@@ -125,7 +126,7 @@
 	attempts := merge(engines[0].messages, engines[1].messages, engines[2].messages)
 	for i := range maxSessions {
 		s.connect(statement("lookup", 1+i, longTimeout, ""))
-		receive(t, attempts, "its attempt") // so that it is busy before the next one connects
+		socktest.Receive(t, attempts, "its attempt") // so that it is busy before the next one connects
 	}
 	silent.expect("closed")
 	idle.expect("closed")
@@ -148,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := newTestClient(t, dialTCP(t, s.addr))
+			c := newTestClient(t, socktest.Dial(t, s.addr))
 			c.send(tt.sent)
 			c.discardAll()
 			if got := s.endReasons(c.localAddr()); got != string(tt.want) {
@@ -187,11 +188,11 @@
 				e, open := newUnconnectableEngine(t)
 				s := startServerWith(t, serverOptions{configure: withCancellation(cancellation)}, listed("e1", e))
 				leaver := s.connect(statement("lookup", 1, longTimeout, ""))
-				waitUntil(t, "the first waits for the connection", func() bool { return s.streamCount() == 1 })
+				socktest.WaitUntil(t, "the first waits for the connection", func() bool { return s.streamCount() == 1 })
 				stays := s.connect(statement("lookup", 2, longTimeout, ""))
-				waitUntil(t, "the second does, too", func() bool { return s.streamCount() == 2 })
+				socktest.WaitUntil(t, "the second does, too", func() bool { return s.streamCount() == 2 })
 				leave(s, leaver)
-				waitUntil(t, "only the second does", func() bool { return s.streamCount() == 1 })
+				socktest.WaitUntil(t, "only the second does", func() bool { return s.streamCount() == 1 })
 				open()
 				attempt := e.expectAttempt(t)
 				if attempt.requestID() != "0000000000000002" {
@@ -241,7 +242,7 @@
 		if number > 1 {
 			continue
 		}
-		waitUntil(t, "the first request is open", func() bool {
+		socktest.WaitUntil(t, "the first request is open", func() bool {
 			return inLoop(s, func(server *Server) bool { return server.loop.reducer.OpenRequests() == 1 })
 		})
 		if tt.inFlight {
@@ -253,7 +254,7 @@
 	if tt.inFlight {
 		e.expect(t, commandCancel)
 	}
-	waitUntil(t, "the session has ended", func() bool {
+	socktest.WaitUntil(t, "the session has ended", func() bool {
 		return inLoop(s, func(server *Server) bool {
 			return server.loop.reducer.OpenRequests()+server.frontend.Len() == 0
 		})
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"wheatlane/internal/broker"
+	"wheatlane/internal/socktest"
 )
 
 // expectUnread expects that the broker has closed the connection over bytes that it had not read: the connection was
@@ -78,7 +79,7 @@
 	request := queryPacket(statement("lookup", 1, longTimeout, ""))
 	c.send(request[:10])
 	s.endAcceptWindow()
-	waitUntil(t, "the listener is closed", func() bool {
+	socktest.WaitUntil(t, "the listener is closed", func() bool {
 		return inLoop(s, func(server *Server) bool { return server.frontend.ListenerClosed() })
 	})
 	c.send(request[10:])
--- a/internal/server/endpointwatch/watcher_test.go
+++ b/internal/server/endpointwatch/watcher_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // A page of the change log that the sink could not take before the poll ended is polled again.
@@ -45,8 +46,8 @@
 		{"", netconn.PeerClosed},
 	}
 	polls := make(chan string, 1000)
-	listener := listenTCP(t)
-	serveConns(t, listener, func(number int, conn net.Conn) {
+	listener := socktest.Listen(t)
+	socktest.Serve(t, listener, func(number int, conn net.Conn) {
 		line, _ := bufio.NewReader(conn).ReadString('\n') // a line that breaks off is found below
 		polls <- line
 		_, _ = io.WriteString(conn, failures[number%len(failures)].response)
@@ -54,11 +55,11 @@
 	})
 	w, sink := startWatcher(t, listener.Addr().String(), 41)
 	for i := range len(failures) + 1 {
-		if line := receive(t, polls, "a poll"); line != "GET /changes?since=41&timeout=1000 HTTP/1.1\r\n" {
+		if line := socktest.Receive(t, polls, "a poll"); line != "GET /changes?since=41&timeout=1000 HTTP/1.1\r\n" {
 			t.Fatalf("polled %q", line)
 		}
 		// The rest of the request may be unread as the change log closes, which resets the connection.
-		got := receive(t, sink.ends, "the end of the connection")
+		got := socktest.Receive(t, sink.ends, "the end of the connection")
 		if want := failures[i%len(failures)].reason; got != want && got != netconn.PeerReset {
 			t.Errorf("the connection of poll %d ended as %s, want %s", i, got, want)
 		}
@@ -71,8 +72,8 @@
 // A change log that answers at once though it has nothing new is polled again after pauses that grow.
 func TestChangeLogThatAnswersAtOnce(t *testing.T) {
 	polls, answers := make(chan string, 1000), make(chan string)
-	listener := listenTCP(t)
-	serveConns(t, listener, func(_ int, conn net.Conn) {
+	listener := socktest.Listen(t)
+	socktest.Serve(t, listener, func(_ int, conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			line, err := reader.ReadString('\n')
@@ -86,12 +87,12 @@
 		}
 	})
 	startWatcher(t, listener.Addr().String(), 1)
-	receive(t, polls, "a poll")
+	socktest.Receive(t, polls, "a poll")
 	start := time.Now()
 	shortest := time.Duration(0)
 	for i := range 4 {
 		answers <- httpPage(`{"seq":1,"results":[]}`)
-		receive(t, polls, "another poll")
+		socktest.Receive(t, polls, "another poll")
 		shortest += time.Duration((1 - pollBackoffSpread) * float64(minPollBackoff<<i))
 	}
 	if took := time.Since(start); took < shortest {
@@ -104,8 +105,8 @@
 // third one is from the same revision, and its answer counts.
 func TestSilentPollIsRetriedInTime(t *testing.T) {
 	polls := make(chan string, 100)
-	listener := listenTCP(t)
-	serveConns(t, listener, func(number int, conn net.Conn) {
+	listener := socktest.Listen(t)
+	socktest.Serve(t, listener, func(number int, conn net.Conn) {
 		line, _ := bufio.NewReader(conn).ReadString('\n') // a line that breaks off is found below
 		polls <- line
 		if number == 2 {
@@ -116,7 +117,7 @@
 	_, sink := startWatcher(t, listener.Addr().String(), 1)
 	start := time.Now()
 	for range 3 {
-		if line := receive(t, polls, "a poll"); line != "GET /changes?since=1&timeout=1000 HTTP/1.1\r\n" {
+		if line := socktest.Receive(t, polls, "a poll"); line != "GET /changes?since=1&timeout=1000 HTTP/1.1\r\n" {
 			t.Fatalf("polled %q", line)
 		}
 	}
@@ -124,7 +125,7 @@
 	if took, limit := time.Since(start), 2*(pollTimeout+2*time.Second); took > limit {
 		t.Fatalf("polled again after %v, and its event counts as published after %v", took, limit)
 	}
-	if page := receive(t, sink.pages, "the page"); page.Revision != 2 {
+	if page := socktest.Receive(t, sink.pages, "the page"); page.Revision != 2 {
 		t.Errorf("got page %+v", page)
 	}
 }
@@ -144,8 +145,8 @@
 			if len(pieces) > 2 {
 				wait = partialPageTimeout
 			}
-			listener := listenTCP(t)
-			serveConns(t, listener, func(_ int, conn net.Conn) {
+			listener := socktest.Listen(t)
+			socktest.Serve(t, listener, func(_ int, conn net.Conn) {
 				go func() {
 					_, _ = bufio.NewReader(conn).ReadString('\n') // a watcher that gave up is served in vain
 					for i, piece := range pieces {
@@ -157,7 +158,7 @@
 				}()
 			})
 			_, sink := startWatcher(t, listener.Addr().String(), 1)
-			if page := receive(t, sink.pages, "the page"); page.Revision != 2 {
+			if page := socktest.Receive(t, sink.pages, "the page"); page.Revision != 2 {
 				t.Errorf("got page %+v", page)
 			}
 		})
@@ -168,8 +169,8 @@
 func TestSetAddr(t *testing.T) {
 	polls := make(chan string, 1000)
 	serve := func(response string) (addr string) {
-		listener := listenTCP(t)
-		serveConns(t, listener, func(_ int, conn net.Conn) {
+		listener := socktest.Listen(t)
+		socktest.Serve(t, listener, func(_ int, conn net.Conn) {
 			line, _ := bufio.NewReader(conn).ReadString('\n') // a line that breaks off is found below
 			polls <- line
 			_, _ = io.WriteString(conn, response) // what follows is what the test looks at
@@ -178,14 +179,14 @@
 	}
 	first, second := serve(httpPage(pageJSON(7))), serve("")
 	w, sink := startWatcher(t, first, 1)
-	receive(t, polls, "a poll of the first")
-	receive(t, sink.pages, "the page")
+	socktest.Receive(t, polls, "a poll of the first")
+	socktest.Receive(t, sink.pages, "the page")
 	w.SetAddr(first) // changes nothing
 	w.SetAddr(second)
-	if got := receive(t, sink.ends, "the end of the first poll"); got != netconn.AddressChanged {
+	if got := socktest.Receive(t, sink.ends, "the end of the first poll"); got != netconn.AddressChanged {
 		t.Errorf("the poll ended as %s", got)
 	}
-	if line := receive(t, polls, "a poll of the second"); line != "GET /changes?since=7&timeout=1000 HTTP/1.1\r\n" {
+	if line := socktest.Receive(t, polls, "a poll of the second"); line != "GET /changes?since=7&timeout=1000 HTTP/1.1\r\n" {
 		t.Errorf("polled %q", line)
 	}
 }
--- a/internal/server/enginepool/command_test.go
+++ b/internal/server/enginepool/command_test.go
@@ -11,6 +11,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/goldenfile"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // Each command to an engine, byte for byte, with each field that it can have.
@@ -38,7 +39,7 @@
 	p.SetPriority(broker.SetPriority{Attempt: attempt(3), Priority: 0})
 	p.SetPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := p.run(t)
-	waitUntil(t, "all has left, so that nothing can be withdrawn", p.transport.AllSent)
+	socktest.WaitUntil(t, "all has left, so that nothing can be withdrawn", p.transport.AllSent)
 	p.CancelAttempt(attempt(1))
 	p.SetPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // cancelled: nothing is sent
 	p.ReleaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
@@ -52,7 +53,7 @@
 	if err := p.far.Close(); err != nil {
 		t.Error(err)
 	}
-	if got := netconn.ReasonOf(receive(t, drained, "the end of the connection")); got != netconn.Shutdown {
+	if got := netconn.ReasonOf(socktest.Receive(t, drained, "the end of the connection")); got != netconn.Shutdown {
 		t.Errorf("it ended as %s", got)
 	}
 	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // a command a line
--- a/internal/server/enginepool/dial_test.go
+++ b/internal/server/enginepool/dial_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"net"
 	"testing"
 	"time"
 
@@ -11,6 +10,7 @@
 	"wheatlane/control"
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // startAt starts the first attempt at engine e1 of an address.
@@ -21,21 +21,10 @@
 	})
 }
 
-// listen returns a listener on loopback that is closed as the test ends.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
-	return listener
-}
-
 // An attempt waits for its connection and leaves on it. A connection that is closed from this side ends with the
 // reason for that, and its attempt with it.
 func TestConnectionIsDialledAndClosed(t *testing.T) {
-	listener, host := listen(t), newFakeHost(t)
+	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
 	pool := New(testConfig, host, host, host)
 	startAt(pool, addr)
@@ -53,7 +42,7 @@
 	}
 	pool.CloseConnections("e1", 0)
 	host.runPosted("the end of the connection")
-	if diff := cmp.Diff(endedConn{addr, netconn.EngineGone}, receive(t, host.ended, "its report"),
+	if diff := cmp.Diff(endedConn{addr, netconn.EngineGone}, socktest.Receive(t, host.ended, "its report"),
 		cmp.AllowUnexported(endedConn{})); diff != "" {
 		t.Error(diff)
 	}
@@ -68,7 +57,7 @@
 
 // An engine that can't be reached never got the attempt.
 func TestRefusedConnection(t *testing.T) {
-	listener, host := listen(t), newFakeHost(t)
+	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
@@ -76,7 +65,7 @@
 	pool := New(testConfig, host, host, host)
 	startAt(pool, addr)
 	host.runPosted("the end of the connection")
-	if diff := cmp.Diff(endedConn{addr, netconn.ConnectFailed}, receive(t, host.ended, "its report"),
+	if diff := cmp.Diff(endedConn{addr, netconn.ConnectFailed}, socktest.Receive(t, host.ended, "its report"),
 		cmp.AllowUnexported(endedConn{})); diff != "" {
 		t.Error(diff)
 	}
@@ -88,7 +77,7 @@
 
 // The end of an engine's process ends its connection as one that the peer closed.
 func TestConnectionClosedByItsEngine(t *testing.T) {
-	listener, host := listen(t), newFakeHost(t)
+	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
 	pool := New(testConfig, host, host, host)
 	startAt(pool, addr)
@@ -105,7 +94,7 @@
 		t.Fatal(err)
 	}
 	host.runPosted("the end of the connection")
-	if got := receive(t, host.ended, "its report"); got.reason != netconn.PeerClosed {
+	if got := socktest.Receive(t, host.ended, "its report"); got.reason != netconn.PeerClosed {
 		t.Errorf("it ended as %s", got.reason)
 	}
 	want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset}}
--- a/internal/server/enginepool/host_test.go
+++ b/internal/server/enginepool/host_test.go
@@ -4,12 +4,12 @@
 	"context"
 	"fmt"
 	"net"
-	"runtime"
 	"testing"
 	"time"
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 const (
@@ -48,7 +48,7 @@
 // runPosted calls the next function that is posted.
 func (h *fakeHost) runPosted(what string) {
 	h.t.Helper()
-	receive(h.t, h.posted, what)()
+	socktest.Receive(h.t, h.posted, what)()
 }
 
 func (h *fakeHost) Post(f func()) { h.posted <- f }
@@ -89,7 +89,7 @@
 
 func newIdlePool(t *testing.T) *idlePool {
 	t.Helper()
-	near, far := connectedPair(t)
+	near, far := socktest.Pair(t)
 	host := newFakeHost(t)
 	p := &idlePool{host: host, far: far, clock: time.Now}
 	p.Pool = New(testConfig, host, host, host)
@@ -126,46 +126,3 @@
 	}()
 	return ended
 }
-
-// connectedPair returns both ends of a connection on loopback.
-func connectedPair(t *testing.T) (near, far *net.TCPConn) {
-	t.Helper()
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }() // both ends are connected
-	dialled, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = dialled.Close() }) // the test may have closed it
-	accepted, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
-	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
-}
-
-// receive takes from a channel, or fails.
-func receive[T any](t *testing.T, from <-chan T, what string) T {
-	t.Helper()
-	select {
-	case value := <-from:
-		return value
-	case <-time.After(testTimeout):
-		t.Fatalf("%s did not come", what)
-		panic("unreachable")
-	}
-}
-
-// waitUntil waits for a condition, or fails.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("never so: %s", what)
-		}
-	}
-}
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -14,6 +14,7 @@
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // Idle connections to engines are closed by the broker, before the engines do.
@@ -23,7 +24,7 @@
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
-	receive(t, e.closed, "the end of an idle connection")
+	socktest.Receive(t, e.closed, "the end of an idle connection")
 	c.query(statement("lookup", 2, longTimeout, ""))
 	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
@@ -53,7 +54,7 @@
 	e := newFakeEngine(t)
 	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
 	s.serveOn(e, 1)
-	receive(t, e.closed, "the end of the idle connection")
+	socktest.Receive(t, e.closed, "the end of the idle connection")
 	s.expectEnd(e.addr, netconn.Idle)
 	interval := inLoop(s, func(server *Server) time.Duration { return server.pool.Config().SweepInterval })
 	if interval >= idleTimeout {
@@ -71,7 +72,7 @@
 	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
 	attempt := other.expectAttempt(t)
-	receive(t, e.closed, "the end of the idle connection")
+	socktest.Receive(t, e.closed, "the end of the idle connection")
 	s.expectEnd(e.addr, netconn.EvictedIdle)
 	attempt.replyOK()
 	b.expect("rows ")
@@ -105,7 +106,7 @@
 	}}, listed("e1", e))
 	sentAt := time.Now()
 	s.connect(statement("lookup", 1, timeout, ""))
-	waitUntil(t, "the system asks for a connection", func() bool { return asksForConnection(t, e.addr) })
+	socktest.WaitUntil(t, "the system asks for a connection", func() bool { return asksForConnection(t, e.addr) })
 	open()
 	attempt := e.expectAttempt(t)
 	left := timeout - time.Since(sentAt)
--- a/internal/server/fakechangelog_test.go
+++ b/internal/server/fakechangelog_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -39,22 +38,6 @@
 	return l
 }
 
-// serveConns calls serve with each connection to a listener and its number, one after the other, until the
-// listener is closed. Connections are closed as the test ends.
-func serveConns(t *testing.T, listener net.Listener, serve func(number int, conn net.Conn)) {
-	t.Helper()
-	go func() {
-		for number := 0; ; number++ {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { _ = conn.Close() }) // serve may have closed it
-			serve(number, conn)
-		}
-	}()
-}
-
 func endpointJSON(id, addr, health string, bornMS int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":%d}`, id, addr, health, bornMS)
 }
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"wheatlane/internal/resp"
+	"wheatlane/internal/socktest"
 )
 
 // Commands to engines.
@@ -63,7 +64,7 @@
 // newFakeEngine serves an engine until the test ends.
 func newFakeEngine(t *testing.T) *fakeEngine {
 	t.Helper()
-	listener := listenTCP(t)
+	listener := socktest.Listen(t)
 	e := &fakeEngine{addr: listener.Addr().String()}
 	e.acceptOn(t, listener)
 	return e
@@ -74,7 +75,7 @@
 	t.Helper()
 	e.listener, e.messages, e.closed = listener, make(chan engineMessage, 1000), make(chan struct{}, 1000)
 	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
-	serveConns(t, listener, func(_ int, conn net.Conn) { go e.read(conn) })
+	socktest.Serve(t, listener, func(_ int, conn net.Conn) { go e.read(conn) })
 }
 
 // read shows the messages of a connection until it ends.
@@ -113,10 +114,10 @@
 // expect returns the next message, which must be of a command.
 func (e *fakeEngine) expect(t *testing.T, want string) engineMessage {
 	t.Helper()
-	m := receive(t, e.messages, want)
+	m := socktest.Receive(t, e.messages, want)
 	for m.command() == e.answeredCommand {
 		m.reply(m.requestID(), "UP", "-", "")
-		m = receive(t, e.messages, want)
+		m = socktest.Receive(t, e.messages, want)
 	}
 	if m.command() != want {
 		t.Fatalf("engine got %q, want %s", m.words, want)
@@ -159,7 +160,7 @@
 		t.Fatal(err)
 	}
 	e = &fakeEngine{addr: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)}
-	dialTCP(t, e.addr) // fills the queue
+	socktest.Dial(t, e.addr) // fills the queue
 	return e, func() {
 		listener, err := net.FileListener(file)
 		if err != nil {
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/socktest"
 )
 
 // failingListener fails some calls ahead of those that its listener answers.
@@ -32,14 +33,14 @@
 // A listener that fails for a moment goes on to accept.
 func TestAcceptGoesOnAfterFailures(t *testing.T) {
 	host := newFakeHost()
-	f := newTestFrontend(&failingListener{listenTCP(t).(*net.TCPListener), 3}, host, 0)
+	f := newTestFrontend(&failingListener{socktest.Listen(t).(*net.TCPListener), 3}, host, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Serve(ctx) }()
-	dialTCP(t, f.Addr())
-	receive(t, host.inbox, "the client")
+	socktest.Dial(t, f.Addr().String())
+	socktest.Receive(t, host.inbox, "the client")
 	cancel()
-	if err := receive(t, ended, "the end"); !errors.Is(err, context.Canceled) {
+	if err := socktest.Receive(t, ended, "the end"); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended with %v", err)
 	}
 	if len(f.slots) > 0 {
@@ -50,7 +51,7 @@
 // The final reads of a listener that fails for a moment begin anew, and end with its close.
 func TestFinalReadsOfAFailingListener(t *testing.T) {
 	host := newFakeHost()
-	f := newTestFrontend(&failingListener{listenTCP(t).(*net.TCPListener), 3}, host, 0)
+	f := newTestFrontend(&failingListener{socktest.Listen(t).(*net.TCPListener), 3}, host, 0)
 	f.BeginFinalReads()
 	if err := f.Serve(t.Context()); err != nil {
 		t.Errorf("ended with %v", err)
@@ -67,7 +68,7 @@
 // A client that is rejected for want of sockets gets its answer and an orderly end, though it has written
 // already and nobody has read that.
 func TestRejectionSurvivesUnreadBytes(t *testing.T) {
-	near, far := connectedPair(t)
+	near, far := socktest.Pair(t)
 	if _, err := far.Write(append(loginPacket(), packetBytes(0, "\x03SELECT 1")...)); err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +81,7 @@
 	if want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections"); err != nil || !bytes.Equal(answer, want) {
 		t.Errorf("answered %q, want %q; ended with %v", answer, want, err)
 	}
-	receive(t, ended, "the end of the connection")
+	socktest.Receive(t, ended, "the end of the connection")
 	// It was closed over bytes that nobody had read: the connection was reset, so that it takes no more.
 	if _, err := far.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("the connection takes bytes: %v", err)
@@ -89,7 +90,7 @@
 
 // With too many rejected clients that have not read their answers, the next one is closed at once.
 func TestRejectionWithoutASlotClosesAtOnce(t *testing.T) {
-	near, _ := connectedPair(t)
+	near, _ := socktest.Pair(t)
 	ended := false
 	newTestFrontend(nil, newFakeHost(), 0).reject(&errgroup.Group{}, near, func() { ended = true })
 	if _, err := near.Write([]byte("x")); !ended || !errors.Is(err, net.ErrClosed) {
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -13,6 +13,7 @@
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/mysql"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // The session of a client that does not read its answers ends at once for the reducer as well: what it asks
@@ -20,7 +21,7 @@
 func TestSessionEndsWhenSendBufferIsFull(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(nil, host, 0)
-	near, _ := connectedPair(t)
+	near, _ := socktest.Pair(t)
 	c := &client{
 		frontend: f, session: 7, conn: netconn.New(near, netconn.Options{MaxReceiveBytes: 10, MaxSendBytes: 10}),
 	}
@@ -80,7 +81,7 @@
 func TestReadAfterTheEndIsAViolation(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(nil, host, 0)
-	waitUntil(t, "bytes are read ahead of the close", func() bool { return readAfterTheEnd(t, f) })
+	socktest.WaitUntil(t, "bytes are read ahead of the close", func() bool { return readAfterTheEnd(t, f) })
 	host.runOne(t, "the violation")
 	host.expectViolation(t, invariant.NoReadAfterShutdown)
 }
@@ -125,7 +126,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- c.conn.Run(t.Context(), c.read) }()
 	host.runOne(t, "the end of the reads") // without the stop it comes after loginTimeout, and for another reason
-	if reason := netconn.ReasonOf(receive(t, ended, "the end")); reason != netconn.KilledByClient {
+	if reason := netconn.ReasonOf(socktest.Receive(t, ended, "the end")); reason != netconn.KilledByClient {
 		t.Errorf("ended as %s", reason)
 	}
 }
@@ -143,9 +144,9 @@
 // The final reads of a client are complete only once a message that has begun is complete.
 func TestFinalReadsWaitForABegunMessage(t *testing.T) {
 	host := newFakeHost()
-	f := newTestFrontend(listenTCP(t), host, 0)
+	f := newTestFrontend(socktest.Listen(t), host, 0)
 	serve(t, f)
-	socket := dialTCP(t, f.Addr())
+	socket := socktest.Dial(t, f.Addr().String())
 	host.runUntil(t, "the client is open", func() bool { return f.Len() == 1 })
 	var c *client
 	for _, c = range f.clients {
--- a/internal/server/frontend/helpers_test.go
+++ b/internal/server/frontend/helpers_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"runtime"
 	"strings"
 	"sync"
 	"testing"
@@ -14,9 +13,10 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/invariant"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
-const testTimeout = 20 * time.Second // a test that waits so long has failed
+const testTimeout = socktest.Timeout
 
 // fakeHost is the loop, the reducer and the observer of a frontend. Functions wait in its inbox until a test runs them.
 type fakeHost struct {
@@ -57,13 +57,13 @@
 // runOne runs the next function of the inbox.
 func (h *fakeHost) runOne(t *testing.T, what string) {
 	t.Helper()
-	receive(t, h.inbox, what)()
+	socktest.Receive(t, h.inbox, what)()
 }
 
 // runUntil runs the functions of the inbox until a condition holds.
 func (h *fakeHost) runUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	waitUntil(t, what, func() bool {
+	socktest.WaitUntil(t, what, func() bool {
 		for len(h.inbox) > 0 {
 			(<-h.inbox)()
 		}
@@ -91,7 +91,7 @@
 // newTestClient returns a client of a frontend and the client's end of its connection.
 func newTestClient(t *testing.T, f *Frontend) (c *client, far *net.TCPConn) {
 	t.Helper()
-	near, far := connectedPair(t)
+	near, far := socktest.Pair(t)
 	return newClient(f, 7, near), far
 }
 
@@ -103,7 +103,7 @@
 	go func() { ended <- f.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		_ = receive(t, ended, "the frontend's end") // that of its context, or none after the final reads
+		_ = socktest.Receive(t, ended, "the frontend's end") // that of its context, or none after the final reads
 	})
 }
 
@@ -117,60 +117,3 @@
 func loginPacket() []byte {
 	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00main\x00")
 }
-
-// receive takes from a channel, or fails.
-func receive[T any](t *testing.T, c <-chan T, what string) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(testTimeout):
-		t.Fatalf("%s did not come", what)
-		panic("unreachable")
-	}
-}
-
-// waitUntil waits for a condition, or fails.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("never so: %s", what)
-		}
-	}
-}
-
-// listenTCP returns a listener on loopback that is closed as the test ends.
-func listenTCP(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
-	return listener
-}
-
-// dialTCP returns a connection that is closed as the test ends.
-func dialTCP(t *testing.T, addr net.Addr) *net.TCPConn {
-	t.Helper()
-	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
-	return conn.(*net.TCPConn)
-}
-
-// connectedPair returns both ends of a connection on loopback.
-func connectedPair(t *testing.T) (near, far *net.TCPConn) {
-	t.Helper()
-	listener := listenTCP(t)
-	near = dialTCP(t, listener.Addr())
-	accepted, err := listener.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
-	return near, accepted.(*net.TCPConn)
-}
--- a/internal/server/handoverstore_test.go
+++ b/internal/server/handoverstore_test.go
@@ -13,6 +13,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
 	"wheatlane/internal/handover"
+	"wheatlane/internal/socktest"
 )
 
 // startServerIn starts a broker that hands over through a folder.
@@ -45,7 +46,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the state is stored", func() bool {
+	socktest.WaitUntil(t, "the state is stored", func() bool {
 		state, err := handover.Read(dir, "")
 		return err == nil && cmp.Equal(state.MaintenanceEngines, []string{"e1"})
 	})
@@ -61,14 +62,14 @@
 	previous.startMaintenance("e1")
 	next.startMaintenance("e2")
 	for name, s := range map[string]*testServer{"previous": previous, "next": next} {
-		waitUntil(t, name+" knows both", func() bool {
+		socktest.WaitUntil(t, name+" knows both", func() bool {
 			return cmp.Equal(s.enginesInMaintenance(), []string{"e1", "e2"})
 		})
 	}
 	if err := previous.server.EndMaintenance(t.Context(), "e2"); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the next one knows the end", func() bool {
+	socktest.WaitUntil(t, "the next one knows the end", func() bool {
 		return cmp.Equal(next.enginesInMaintenance(), []string{"e1"})
 	})
 }
@@ -88,7 +89,7 @@
 	if err := os.Rename(hidden, path); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the state is restored", func() bool {
+	socktest.WaitUntil(t, "the state is restored", func() bool {
 		return cmp.Equal(s.enginesInMaintenance(), []string{"e1"})
 	})
 	inLoop(s, func(server *Server) bool { server.loop.apply(broker.EndMaintenance{Engine: "e1"}); return true })
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
-	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -16,6 +14,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 const (
@@ -113,7 +112,7 @@
 // waitForEnd waits until Run has returned without an error. It may be called more than once.
 func (s *testServer) waitForEnd() {
 	s.t.Helper()
-	err := receive(s.t, s.ended, "the broker's end")
+	err := socktest.Receive(s.t, s.ended, "the broker's end")
 	s.ended <- err
 	if err != nil {
 		s.t.Error(err)
@@ -138,7 +137,7 @@
 	}
 	since := fmt.Sprintf("since=%d&", revision)
 	for poll := ""; !strings.Contains(poll, since); {
-		poll = receive(s.t, s.changelog.polls, "a poll")
+		poll = socktest.Receive(s.t, s.changelog.polls, "a poll")
 	}
 }
 
@@ -186,49 +185,5 @@
 	s.t.Helper()
 	got := make(chan T, 1)
 	s.server.loop.inbox <- func() { got <- f(s.server) }
-	return receive(s.t, got, "the loop's answer")
-}
-
-// receive takes from a channel, or fails.
-func receive[T any](t *testing.T, c <-chan T, what string) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(testTimeout):
-		t.Fatalf("%s did not come", what)
-		panic("unreachable")
-	}
-}
-
-// waitUntil waits for a condition, or fails.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("never so: %s", what)
-		}
-	}
-}
-
-// listenTCP returns a listener on loopback that is closed as the test ends.
-func listenTCP(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
-	return listener
-}
-
-// dialTCP returns a connection that is closed as the test ends.
-func dialTCP(t *testing.T, addr string) *net.TCPConn {
-	t.Helper()
-	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
-	return conn.(*net.TCPConn)
+	return socktest.Receive(s.t, got, "the loop's answer")
 }
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -5,6 +5,8 @@
 	"os"
 	"runtime"
 	"testing"
+
+	"wheatlane/internal/socktest"
 )
 
 // leakTest injects faults into one broker and looks for what they leave behind.
@@ -60,7 +62,7 @@
 	}()
 	l.engine.expectAttempt(l.t).replyRows(testRow)
 	c.expect(testRows)
-	receive(l.t, ended, "the end of the connection")
+	socktest.Receive(l.t, ended, "the end of the connection")
 	c.close()
 }
 
@@ -109,7 +111,7 @@
 	attempt.replyRows(testRow)
 	c.expect(testRows)
 	c.close()
-	waitUntil(l.t, "the first client and connection have gone", func() bool {
+	socktest.WaitUntil(l.t, "the first client and connection have gone", func() bool {
 		goroutines, descriptors = l.count()
 		return inLoop(l.server, func(s *Server) bool {
 			return s.frontend.Len() == 0 && s.pool.Stats().Connections == 0
@@ -140,7 +142,7 @@
 	goroutines, descriptors := l.baseline()
 	for name, fault := range faults {
 		fault()
-		waitUntil(t, "nothing is left after "+name, func() bool {
+		socktest.WaitUntil(t, "nothing is left after "+name, func() bool {
 			g, d := l.count()
 			return g <= goroutines && d <= descriptors
 		})
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -7,6 +7,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/enginepool"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // An engine whose machine vanished, or that stops answering for good, leaves its connection open and
@@ -27,7 +28,7 @@
 	a := s.connect(statement("load", 1, longTimeout, ""))
 	attempt := e.expectAttempt(t)
 	// Both follow from the same timeout, and either may come first.
-	cancel, probe := receive(t, e.messages, "the cancellation"), receive(t, e.messages, "the probe")
+	cancel, probe := socktest.Receive(t, e.messages, "the cancellation"), socktest.Receive(t, e.messages, "the probe")
 	if cancel.command() == commandLiveness {
 		cancel, probe = probe, cancel
 	}
@@ -38,7 +39,7 @@
 	if alive {
 		probe.reply(probe.requestID(), "UP", "-", "")
 	} else {
-		receive(t, e.closed, "the end of the silent connection")
+		socktest.Receive(t, e.closed, "the end of the silent connection")
 	}
 	retry := e.expectAttempt(t)
 	if retry.requestID() != attempt.requestID() || retry.conn == attempt.conn {
@@ -64,7 +65,7 @@
 	first := e.expectAttempt(t)
 	a.expect("1226")
 	e.expectCancel(t, first)
-	receive(t, e.closed, "the end of the silent connection")
+	socktest.Receive(t, e.closed, "the end of the silent connection")
 	s.expectEnd(e.addr, netconn.Retired)
 	if second := s.serveOn(e, 2); second.conn == first.conn { // and no liveness probe came before
 		t.Fatal("the silent connection was used again")
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -6,6 +6,7 @@
 
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // recordingMeter passes on what it is notified of.
@@ -25,7 +26,7 @@
 func (m recordingMeter) expect(t *testing.T, events ...string) {
 	t.Helper()
 	for _, want := range events {
-		if got := receive(t, m.events, want); got != want {
+		if got := socktest.Receive(t, m.events, want); got != want {
 			t.Fatalf("notified of %q, want %q", got, want)
 		}
 	}
@@ -67,7 +68,7 @@
 	meter.expect(t, "drain started", "drain completed")
 	c.close()
 	s.publish(pageJSON(4, false, endpointJSON("e1", "", "terminated", 0)), 4)
-	waitUntil(t, "one connection of each side is counted", func() bool {
+	socktest.WaitUntil(t, "one connection of each side is counted", func() bool {
 		return s.endCount(netconn.ClientSide, netconn.PeerClosed, netconn.EngineGone) == 1 &&
 			s.endCount(netconn.EngineSide, netconn.PeerClosed, netconn.EngineGone) == 1
 	})
--- a/internal/server/netconn/conn_test.go
+++ b/internal/server/netconn/conn_test.go
@@ -6,6 +6,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"wheatlane/internal/socktest"
 )
 
 // After a standstill of the process, bytes for a client are still sent; only writes to engines expire.
@@ -18,7 +20,7 @@
 		"engine": {400 * time.Millisecond, WriteTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := connectedPair(t)
+			near, far := socktest.Pair(t)
 			c := New(near, Options{MaxSendDelay: tt.maxSendDelay, MaxReceiveBytes: 100, MaxSendBytes: 100})
 			if _, err := c.Write([]byte("late")); err != nil {
 				t.Fatal(err)
@@ -46,7 +48,7 @@
 // of its write loop.
 func newBlockedConn(t *testing.T) (c *Conn, far *net.TCPConn, ended chan error) {
 	t.Helper()
-	near, far := connectedPair(t)
+	near, far := socktest.Pair(t)
 	if err := near.SetWriteBuffer(socketBufferSize); err != nil {
 		t.Fatal(err)
 	}
@@ -73,14 +75,14 @@
 // count as never sent.
 func TestBytesTakenByTheSystemCountAsSent(t *testing.T) {
 	c, far, ended := newBlockedConn(t)
-	waitUntil(t, "a part has left", func() bool {
+	socktest.WaitUntil(t, "a part has left", func() bool {
 		sent := handedBytes(c)
 		return sent > 0 && sent < blockingBytes
 	})
 	if err := c.socket.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(t, ended, "the end of the writes"); err == nil {
+	if err := socktest.Receive(t, ended, "the end of the writes"); err == nil {
 		t.Error("the writes ended without an error")
 	}
 	sent := c.WithdrawAll()
@@ -103,12 +105,12 @@
 			t.Fatal(err)
 		}
 	}
-	waitUntil(t, "a part has left", func() bool { return handedBytes(c) > 0 })
+	socktest.WaitUntil(t, "a part has left", func() bool { return handedBytes(c) > 0 })
 	if c.Withdraw(0) {
 		t.Fatal("what has begun to leave was withdrawn")
 	}
 	// While a write is under way all that it was given counts as sent; none is under way for long.
-	waitUntil(t, "what waits is withdrawn", func() bool { return c.Withdraw(offsets[1]) })
+	socktest.WaitUntil(t, "what waits is withdrawn", func() bool { return c.Withdraw(offsets[1]) })
 	if c.Withdraw(offsets[1] + 1) {
 		t.Fatal("what was never queued was withdrawn")
 	}
@@ -117,7 +119,7 @@
 	if got := readAfter(t, far, blockingBytes, len("onesix")); got != "onesix" {
 		t.Fatalf("the other end got %q", got)
 	}
-	receive(t, sent, "the hook behind what was withdrawn")
+	socktest.Receive(t, sent, "the hook behind what was withdrawn")
 	if c.Withdraw(offsets[2]) {
 		t.Fatal("what has left was withdrawn")
 	}
@@ -149,7 +151,7 @@
 
 func testLastAnswer(t *testing.T, reason Reason) {
 	t.Helper()
-	near, far := connectedPair(t)
+	near, far := socktest.Pair(t)
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +173,7 @@
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := ReasonOf(receive(t, ended, "the end")); got != reason {
+	if got := ReasonOf(socktest.Receive(t, ended, "the end")); got != reason {
 		t.Fatalf("ended as %s", got)
 	}
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -9,6 +9,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // A reload polls the change log at its new address at once, keeps the longest client timeout that was ever in force, and
@@ -16,13 +17,13 @@
 func TestReload(t *testing.T) {
 	next := newFakeChangelog(t)
 	s := startServer(t)
-	receive(t, s.changelog.polls, "a poll of the first change log")
+	socktest.Receive(t, s.changelog.polls, "a poll of the first change log")
 	before := inLoop(s, func(server *Server) time.Duration { return server.timeouts.load() })
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
 	cfg.Changelog, cfg.Sockets = next.addr, cfg.Sockets+1
 	cfg.Settings.MaxClientTimeout = before / 2
 	s.server.Reload(t.Context(), cfg)
-	if query := receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
+	if query := socktest.Receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
 		t.Errorf("polled %q", query)
 	}
 	after := inLoop(s, func(server *Server) time.Duration { return server.pool.Config().MaxClientTimeout })
@@ -37,7 +38,7 @@
 	if diff := cmp.Diff(want, lines[0].ContextMap()); diff != "" {
 		t.Error(diff)
 	}
-	waitUntil(t, "the end of the first poll is counted", func() bool {
+	socktest.WaitUntil(t, "the end of the first poll is counted", func() bool {
 		return s.endCount(netconn.ChangelogSide, netconn.AddressChanged) == 1
 	})
 }
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -5,6 +5,7 @@
 
 	"wheatlane/internal/resp"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 const (
@@ -25,7 +26,7 @@
 		t.Fatal("they are on two connections")
 	}
 	second.write(resultMessage(second.requestID(), testRow)[:40])
-	receive(t, e.closed, "the end of the connection")
+	socktest.Receive(t, e.closed, "the end of the connection")
 	for range 2 {
 		e.expectAttempt(t).replyRows(testRow)
 	}
--- a/internal/server/scriptedchangelog_test.go
+++ b/internal/server/scriptedchangelog_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"wheatlane/internal/socktest"
 )
 
 // scriptedLog plays the change log: it answers each request as the script says, on the goroutine that read
@@ -80,7 +82,7 @@
 // record records the next request and its answer.
 func (l *scriptedLog) record(tr *transcript) {
 	tr.t.Helper()
-	r := receive(tr.t, l.requests, "a request to the change log")
+	r := socktest.Receive(tr.t, l.requests, "a request to the change log")
 	tr.line("change log < %q", strings.ReplaceAll(r.raw, l.addr, "127.0.0.1:#"))
 	if r.answer != "" {
 		tr.line("change log > %q", r.answer)
--- a/internal/server/scriptedengine_test.go
+++ b/internal/server/scriptedengine_test.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"wheatlane/internal/resp"
+	"wheatlane/internal/socktest"
 )
 
 // message is what an engine received.
@@ -77,7 +78,7 @@
 // next records the next message that comes, which is to be of a kind.
 func (e *scriptedEngine) next(kind string) message {
 	e.tr.t.Helper()
-	m := receive(e.tr.t, e.messages, kind+" at "+e.name)
+	m := socktest.Receive(e.tr.t, e.messages, kind+" at "+e.name)
 	e.record(m, kind)
 	return m
 }
--- a/internal/server/scriptedloop_test.go
+++ b/internal/server/scriptedloop_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"wheatlane/internal/socktest"
 )
 
 // untilFar is longer than any test.
@@ -34,14 +36,14 @@
 		close(held)
 		<-h.released
 	}
-	receive(t, held, "the loop")
+	socktest.Receive(t, held, "the loop")
 	return h
 }
 
 // WaitForEvents waits until the inbox holds a number of events.
 func (h *HeldLoop) WaitForEvents(count int) {
 	h.t.Helper()
-	waitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.loop.inbox) >= count })
+	socktest.WaitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.loop.inbox) >= count })
 }
 
 // Release lets the loop go on.
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wheatlane/internal/config"
+	"wheatlane/internal/socktest"
 	"wheatlane/internal/usage"
 )
 
@@ -67,10 +68,10 @@
 			s := startServer(t, listed("e1", first), listed("e2", second))
 			messages := merge(first.messages, second.messages)
 			client := s.connect(statement(tt.class, 1, time.Second, ""))
-			attempt := receive(t, messages, "an attempt")
+			attempt := socktest.Receive(t, messages, "an attempt")
 			tt.end(attempt)
 			if tt.retried {
-				retry := receive(t, messages, "another attempt")
+				retry := socktest.Receive(t, messages, "another attempt")
 				if retry.requestID() != attempt.requestID() || !strings.Contains(retry.fields(), "op=op1") {
 					t.Fatalf("got %q", retry.words)
 				}
@@ -124,7 +125,7 @@
 	a.expect("rows x|y|z|")
 
 	s.publish(pageJSON(3, false, listed("e3", e)), 3)
-	receive(t, e.closed, "the end of the old engine's connection")
+	socktest.Receive(t, e.closed, "the end of the old engine's connection")
 	b := s.connect(statement("lookup", 20, longTimeout, ""))
 	select {
 	case attempt = <-e.messages:
@@ -245,7 +246,7 @@
 			bornMS := time.Now().Add(tt.startedAfter).UnixMilli()
 			s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "in_service", bornMS)), 2)
 			if !tt.kept {
-				receive(t, e.closed, "the end of the old process's connection")
+				socktest.Receive(t, e.closed, "the end of the old process's connection")
 				attempt = e.expectAttempt(t)
 			}
 			attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n")
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wheatlane/control"
+	"wheatlane/internal/socktest"
 )
 
 // After SIGTERM requests go on coming for a while, all that were accepted are answered, and then Run returns.
@@ -32,7 +33,7 @@
 	s := startServer(t, listed("e1", e))
 	hold, held := make(chan struct{}), make(chan struct{})
 	s.server.loop.inbox <- func() { close(held); <-hold }
-	receive(t, held, "the standstill")
+	socktest.Receive(t, held, "the standstill")
 	clients := make([]*testClient, 5)
 	for i := range clients {
 		clients[i] = s.dial()
@@ -82,7 +83,7 @@
 	c.expect("closed")
 	c.query(statement("lookup", 2, longTimeout, ""))
 	s.waitForEnd()
-	receive(t, e.closed, "the end of the connection to the engine")
+	socktest.Receive(t, e.closed, "the end of the connection to the engine")
 	for len(e.messages) > 0 {
 		t.Errorf("the engine got %q", (<-e.messages).words)
 	}
--- a/internal/server/stage_test.go
+++ b/internal/server/stage_test.go
@@ -14,6 +14,7 @@
 	"wheatlane/internal/config"
 	"wheatlane/internal/server/netconn"
 	"wheatlane/internal/service"
+	"wheatlane/internal/socktest"
 )
 
 // features are what a deployment allows.
@@ -81,7 +82,7 @@
 	go func() { st.done <- s.Run(ctx, st.stop) }()
 	tr.t.Cleanup(func() {
 		cancel()
-		if err := receive(tr.t, st.done, "the broker's end"); err != nil {
+		if err := socktest.Receive(tr.t, st.done, "the broker's end"); err != nil {
 			tr.t.Error(err)
 		}
 	})
@@ -91,7 +92,7 @@
 // finish waits for the end of the broker and records why its connections to these sides ended.
 func (s *stage) finish(sides ...netconn.Side) {
 	s.tr.t.Helper()
-	err := receive(s.tr.t, s.done, "the broker's end")
+	err := socktest.Receive(s.tr.t, s.done, "the broker's end")
 	if err != nil {
 		s.tr.t.Fatal(err)
 	}
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wheatlane/internal/mysql"
+	"wheatlane/internal/socktest"
 )
 
 // Commands of the MySQL protocol.
@@ -61,7 +62,7 @@
 // dial connects a client that sends nothing yet.
 func (s *testServer) dial() *testClient {
 	s.t.Helper()
-	return newTestClient(s.t, dialTCP(s.t, s.addr))
+	return newTestClient(s.t, socktest.Dial(s.t, s.addr))
 }
 
 // connect connects and, in the same write, logs in and sends statements.
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -14,6 +14,7 @@
 	"wheatlane/control"
 	"wheatlane/internal/gossip"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // The change log is polled from the last revision, on one connection as long as that lasts.
@@ -56,7 +57,7 @@
 		return ""
 	})
 	s := start(tr, plain, l.addr, hostEntry("e1", "127.0.0.1:1", "in_service"))
-	receive(tr.t, answered, "the last request to the change log")
+	socktest.Receive(tr.t, answered, "the last request to the change log")
 	s.cancel()
 	for range requests {
 		l.record(tr)
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -11,6 +11,7 @@
 
 	"wheatlane/internal/server"
 	"wheatlane/internal/server/netconn"
+	"wheatlane/internal/socktest"
 )
 
 // The tests named TestTranscript... hold every byte on the sockets of a broker to the golden files in testdata: what
@@ -70,18 +71,6 @@
 	server.CompareGolden(tr.t, name, tr.text.String())
 }
 
-// receive takes from a channel, or fails.
-func receive[T any](t *testing.T, from <-chan T, what string) T {
-	t.Helper()
-	select {
-	case v := <-from:
-		return v
-	case <-time.After(stepTimeout):
-		t.Fatalf("%s did not come", what)
-		panic("unreachable")
-	}
-}
-
 const (
 	comQuit   = "\x01"
 	comInitDB = "\x02"
@@ -240,7 +229,7 @@
 	seconds := e.answerNextThen(answerTo(first, "OK", "-", ""))
 	close(s.stop)
 	b.send(queryPacket(request("lookup", 2, patience, "")))
-	second := receive(t, seconds, "want at engine")
+	second := socktest.Receive(t, seconds, "want at engine")
 	e.record(second, "want")
 	e.recordAnswer(second, answerTo(second, "OK", "-", ""))
 	b.result()
@@ -259,7 +248,7 @@
 	e.tr.t.Helper()
 	byConn := map[net.Conn]map[string]message{}
 	for {
-		m := receive(e.tr.t, e.messages, strings.Join(kinds, ", "))
+		m := socktest.Receive(e.tr.t, e.messages, strings.Join(kinds, ", "))
 		if m.parts[0] == "busy" {
 			_, _ = m.conn.Write(answerTo(m, "UP", "-", "")) // the probe may have timed out and its connection ended
 			continue
