--- a/internal/server/endpointwatch/helpers_test.go
+++ b/internal/server/endpointwatch/helpers_test.go
@@ -15,7 +15,6 @@
 	"wheatlane/internal/socktest"
 )
 
-
 // recordingSink takes pages, and passes on what it is notified of.
 type recordingSink struct {
 	pages chan changelog.Page
