--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -19,58 +19,58 @@
 }
 
 func (ex *effectExecutor) execute(effect broker.Effect) {
-	switch e := effect.(type) {
+	switch effect := effect.(type) {
 	case broker.Reply:
-		ex.reply(e)
+		ex.reply(effect)
 	case broker.AdmitSession:
-		ex.frontend.Admit(e.Session)
+		ex.frontend.Admit(effect.Session)
 	case broker.CloseSession:
-		ex.frontend.CloseSession(e.Session, e.Reason)
+		ex.frontend.CloseSession(effect.Session, effect.Reason)
 	case broker.StartAttempt:
-		ex.startAttempt(e)
+		ex.startAttempt(effect)
 	case broker.FetchPage:
-		ex.pool.FetchPage(e)
+		ex.pool.FetchPage(effect)
 	case broker.CancelAttempt:
-		ex.pool.CancelAttempt(e.Attempt)
+		ex.pool.CancelAttempt(effect.Attempt)
 	case broker.WithdrawUnsent:
-		ex.pool.WithdrawAttempt(e.Attempt)
+		ex.pool.WithdrawAttempt(effect.Attempt)
 	case broker.ReleaseAttempt:
-		ex.pool.ReleaseAttempt(e)
+		ex.pool.ReleaseAttempt(effect)
 	case broker.SetPriority:
-		ex.pool.SetPriority(e)
+		ex.pool.SetPriority(effect)
 	case broker.ProbeLoad:
 		ex.usage.LoadProbes++
-		ex.pool.StartProbe(e)
+		ex.pool.StartProbe(effect)
 	case broker.SendGossip:
 		ex.usage.GossipSent++
-		ex.gossip.Send(e.Broker, e.Reports)
+		ex.gossip.Send(effect.Broker, effect.Reports)
 	case broker.CancelUnsent:
-		ex.pool.Drain(e.Engine)
+		ex.pool.Drain(effect.Engine)
 	case broker.CloseEngineConnections:
-		ex.pool.CloseConnections(e.Engine, e.DialedBefore)
+		ex.pool.CloseConnections(effect.Engine, effect.DialedBefore)
 	case broker.InvariantViolation: // which the reducer has counted
-		logViolation(ex.log, e.Rule, zap.Uint32("session", uint32(e.Session)), zap.String("request", e.RequestID))
+		logViolation(ex.log, effect.Rule, zap.Uint32("session", uint32(effect.Session)), zap.String("request", effect.RequestID))
 	case broker.EngineEjected:
-		ex.log.Info("engine ejected", zap.String("engine", e.Engine), zap.Stringer("reason", e.Reason))
+		ex.log.Info("engine ejected", zap.String("engine", effect.Engine), zap.Stringer("reason", effect.Reason))
 	case broker.EngineRestored:
-		ex.log.Info("engine restored", zap.String("engine", e.Engine))
+		ex.log.Info("engine restored", zap.String("engine", effect.Engine))
 	case broker.ResultInvalid:
-		ex.log.Info("result page invalid", zap.String("engine", e.Engine), zap.String("reason", e.Err.Error()))
+		ex.log.Info("result page invalid", zap.String("engine", effect.Engine), zap.String("reason", effect.Err.Error()))
 	}
 }
 
-func (ex *effectExecutor) reply(e broker.Reply) {
-	if e.Kind == broker.ReplyRejected {
+func (ex *effectExecutor) reply(reply broker.Reply) {
+	if reply.Kind == broker.ReplyRejected {
 		ex.usage.Rejections++
 	}
-	ex.frontend.Reply(e)
+	ex.frontend.Reply(reply)
 }
 
-func (ex *effectExecutor) startAttempt(e broker.StartAttempt) {
-	if e.Attempt.Number == 0 {
+func (ex *effectExecutor) startAttempt(start broker.StartAttempt) {
+	if start.Attempt.Number == 0 {
 		ex.usage.FirstAttempts++
 	} else {
 		ex.usage.Retries++
 	}
-	ex.pool.StartAttempt(e)
+	ex.pool.StartAttempt(start)
 }
