--- a/control/attemptoptions/attemptoptions_test.go
+++ b/control/attemptoptions/attemptoptions_test.go
@@ -10,8 +10,8 @@
 		attempt Attempt
 		want    Options
 	}{
-		"nothing heeded": {Config{}, Attempt{100, 1000, true}, Options{0, MinPriority}},
-		"needed memory":  {all, Attempt{99.2, 1000, false}, Options{100, MinPriority}},
+		"none applied":  {Config{}, Attempt{100, 1000, true}, Options{0, MinPriority}},
+		"needed memory": {all, Attempt{99.2, 1000, false}, Options{100, MinPriority}},
 		"at most the fraction": {
 			all, Attempt{700, 1000, false}, Options{500, MinPriority},
 		},
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// retry enqueues a request again, elsewhere, if that is worth it after an attempt that ended.
+// retry enqueues a request again after an attempt that ended, to run at another engine, if that is worth it.
 func (c *Controller) retry(attempt *attempt, status Status) {
 	retries := c.retryPolicy.Retries(attempt.request.retryInput(c.now), retry.Ended{
 		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -59,7 +59,7 @@
 	answers         int     // in this interval
 }
 
-// New returns a limiter for an engine with so many cores, of which this broker has a share.
+// New returns a limiter for an engine, given its cores and this broker's share of them.
 func New(config Config, cores float64, share units.Fraction) Limiter {
 	initial := config.InitialThreadsPerCore
 	model := rls.DefaultConfig()
@@ -85,7 +85,7 @@
 // Scale multiplies the limit until the end of the interval, as where a pool gains or loses engines.
 func (l *Limiter) Scale(factor float64) { l.limit *= factor }
 
-// RecordAnswer takes the service time of an answer over the latency objective of its class.
+// RecordAnswer takes the ratio of an answer's service time to the latency objective of its class.
 func (l *Limiter) RecordAnswer(relativeTime float64) {
 	l.relativeTimeSum += relativeTime
 	l.answers++
@@ -146,13 +146,13 @@
 	l.updateBackoff(in)
 	share, factor := float64(in.Share), float64(l.backoffFactor)
 	l.limit = l.model.Input()[0] * in.Cores * share * factor
-	if in.RequestMemoryMB > 0 { // no more threads than there is memory for
+	if in.RequestMemoryMB > 0 { // the limit is not beyond what there is memory for
 		l.limit = min(l.limit, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
 	}
 	l.limit = max(l.limit, float64(in.MinLimit))
 }
 
-// targetTime is the service time to reach, over the latency objective.
+// targetTime is the service time to reach, as a ratio to the latency objective.
 func (l *Limiter) targetTime(wait units.Seconds, objective time.Duration) float64 {
 	return max(l.config.MinTargetTime, 1-float64(wait/units.SecondsOf(objective)))
 }
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -50,7 +50,7 @@
 	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	_, got := r.submit("quick", mem)
-	requireEqual(t, "options where nothing is heeded", countOf[SetAttemptOptions](got), 0)
+	requireEqual(t, "options where none is applied", countOf[SetAttemptOptions](got), 0)
 	s := baseSettings()
 	s.MemoryGrants, s.Priorities = true, true
 	r = newRig(t, s, readyEngine("e1"))
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Without pressure an engine takes a small multiple of its limit, no more, so that the requests of a lost
+// Without pressure an engine takes a small multiple of its limit at most, so that the requests of a lost
 // engine do not overload the others before pressure shows.
 func TestLostEngineDoesNotOverloadTheOthers(t *testing.T) {
 	r := newRig(t, baseSettings(), readyEngine("e1"))
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -51,7 +51,7 @@
 	if len(sent) < 10 || len(sent) > int(4*time.Second/gossipInterval) {
 		t.Fatalf("sent %d times in 4 s", len(sent))
 	}
-	for range 20 { // fresh reports every second, so that it goes on gossiping
+	for range 20 { // fresh reports every second, so that there is something to gossip
 		r.handle(
 			ProbeResult{Engine: "e02", Report: utilization(0.8)},
 			ProbeResult{Engine: "e01", Report: utilization(0.4)},
--- a/control/idempotency/idempotency.go
+++ b/control/idempotency/idempotency.go
@@ -73,7 +73,7 @@
 	return p.Kind == NonIdempotent || p.Kind == WithKey && earlier.Age >= p.DedupWindow
 }
 
-// RepeatableAnywhere reports whether a request may run again at whichever engine.
+// RepeatableAnywhere reports whether a request may run again at any engine.
 func (p Policy) RepeatableAnywhere() bool {
 	return p.Kind == Idempotent || p.Kind == WithKey && p.DedupScope == ScopeAll
 }
--- a/control/interval_test.go
+++ b/control/interval_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// The load of the pool is the load that its threads meet: loaded engines fare no better for others that stand
+// The load of the pool is the load that its threads meet: loaded engines stay loaded, however many others stand
 // empty.
 func TestPoolLoadIsWeightedByThreads(t *testing.T) {
 	r := newPooledRig(t, fleetSettings(), 10)
--- a/control/loadreport/report.go
+++ b/control/loadreport/report.go
@@ -17,8 +17,8 @@
 // Capacity is what an engine has.
 type Capacity struct{ Threads, MemoryMB float64 }
 
-// Load is the load that a report shows: the utilization, or the capacity that the requests in flight take,
-// whichever is more.
+// Load is the load that a report shows: the utilization, or the fraction of the capacity that the
+// requests in flight take, if that is more.
 func (r Report) Load(demand Demand, capacity Capacity) units.Fraction {
 	byThreads := units.Fraction(r.InFlight * demand.Threads / capacity.Threads)
 	byMemory := units.Fraction(r.InFlight * demand.MemoryMB / capacity.MemoryMB)
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -33,7 +33,7 @@
 // Responded records that an engine responded, whatever it did.
 func (h *Health) Responded(now time.Duration) { h.lastResponseAt = now }
 
-// RespondedWithin reports whether an engine responded less than so long ago.
+// RespondedWithin reports whether an engine responded within a time before now.
 func (h *Health) RespondedWithin(within, now time.Duration) bool {
 	return now-h.lastResponseAt < within
 }
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -33,7 +33,7 @@
 	MinBackoff, MaxBackoff    time.Duration  // bounds of the time between half-open probes
 }
 
-// DefaultConfig returns the limits in use.
+// DefaultConfig returns the limits that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		MaxFailureRate: 0.6, MaxUnreachableFailureRate: 0.3, MaxLossRate: 0.5,
@@ -47,8 +47,8 @@
 	answerDecay   = 0.99 // fraction of the answers that is left after a tick
 
 	priorLossRate    = 0.01 // fraction of answers that is expected to be lost
-	priorLossAnswers = 20.0 // answers of the fleet that priorLossRate weighs as much as
-	fleetLossAnswers = 3.0  // answers of an engine that the fleet's loss rate weighs as much as
+	priorLossAnswers = 20.0 // weight of priorLossRate, in answers of the fleet
+	fleetLossAnswers = 3.0  // weight of the fleet's loss rate, in answers of the engine
 
 	// backoffRequests is the number of requests received for each engine in the backoff.
 	backoffRequests = 0.5
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -70,7 +70,7 @@
 type Attempt struct {
 	Silence          time.Duration  // since it was sent or last reported progress
 	Timeout          time.Duration  // service time that the late quantile of answers exceeds
-	ProgressInterval time.Duration  // engines report progress so often; 0: never
+	ProgressInterval time.Duration  // time between two progress reports; 0: there are none
 	LossRate         units.Fraction // of its engine's answers
 	FleetLossRate    units.Fraction // of all engines' answers
 	ThreadsReleased  bool           // it was found blocked by a lock before, and gave its threads back
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// An attempt that is cancelled early counts as lost only as far as that is likelier than late: else each
+// An attempt that is cancelled early counts as lost by the probability of that only: else each
 // cancelled attempt would shorten the timeouts, and so have more attempts cancelled.
 func TestLossEstimateDoesNotFeedOnItself(t *testing.T) {
 	s := baseSettings()
@@ -269,5 +269,5 @@
 	r.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
 	requireEqual(t, "locked", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), true)
 	r.advance(10 * time.Second)
-	requireEqual(t, "locked for good", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), false)
+	requireEqual(t, "still locked", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), false)
 }
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -15,15 +15,15 @@
 type Config struct {
 	FailurePenalty     Score // at a failure or loss rate of 1
 	SlowdownPenalty    Score // for each unit of the logarithm of slowdown
-	DataSetLockPenalty Score // where a lock would block the request: it is late for sure
+	DataSetLockPenalty Score // where a lock blocks the request, so that it would be late
 	DataSetRankPenalty Score // at the far end of the ranks, for requests that locks concern
 	CrossZonePenalty   Score
 	HalfOpenBonus      Score // of a half-open probe that is due: it comes before everything
 	Jitter             Score // largest difference that a plain tie-break makes
-	NoiseScale         Score // difference of scores that makes a factor e in chances
+	NoiseScale         Score // difference of scores that makes an engine e times as likely
 }
 
-// DefaultConfig returns the values in use.
+// DefaultConfig returns the values that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		FailurePenalty: 3, SlowdownPenalty: 0.3, DataSetLockPenalty: 1.5, DataSetRankPenalty: 0.5,
--- a/control/settings.go
+++ b/control/settings.go
@@ -42,7 +42,7 @@
 	return class
 }
 
-// objectiveOf is the latency objective of a request with so much work.
+// objectiveOf is the latency objective of a request, given its work.
 func (class *Class) objectiveOf(work units.ThreadSeconds) time.Duration {
 	perThread := class.ObjectivePerWork * float64(work) / float64(class.Threads)
 	return class.LatencyObjective + units.Duration(perThread)
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -15,7 +15,7 @@
 type Config struct {
 	ChangePenalty float64        // of the model's input (section 3.2): the larger, the slower shares move
 	MinShare      units.Fraction // no class falls under it
-	MaxSteps      int            // the optimizer hands out the shares in so many steps at most
+	MaxSteps      int            // the most steps in which the optimizer hands out the shares
 	Tolerance     float64        // shares and utilities that differ by less are equal
 }
 
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -19,12 +19,12 @@
 const (
 	answerWeight       = 0.25 // least weight of an answer in an engine's slowdown
 	unknownWorkDivisor = 3.0  // divides the weight of an answer that does not report its work
-	poolAnswers        = 3.0  // answers of an engine's own that the pool's slowdown weighs as much as
+	poolAnswers        = 3.0  // weight of the pool's slowdown, in answers of the engine
 	recovery           = 0.02 // fraction of a slowdown that a tick of 100 ms without an answer takes off
 	worseBestWeight    = 0.02 // weight of an interval in the best slowdown when that gets worse
-	minSamples         = 10   // answers after which a slowdown is trusted
+	minSamples         = 10   // a slowdown is trusted beyond this number of answers
 
-	workScatter units.LogRatio = 0.5 // that the scatter of work explains where it is not reported
+	workScatter units.LogRatio = 0.5 // explained by the scatter of work where that is not reported
 )
 
 // Engine is the slowdown of an engine, or of a pool of engines.
@@ -53,8 +53,8 @@
 // Estimated is an engine's slowdown over the best one, as its answers show it.
 func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.log) }
 
-// EstimatedInPool is the same of an engine of a pool: the fewer its answers, the more those of the pool
-// count.
+// EstimatedInPool is the same for an engine of a pool: the fewer answers it gave, the more those of the whole
+// pool count.
 func (s *Estimator) EstimatedInPool(engine, pool *Engine, answers float64) units.LogRatio {
 	own := (engine.log - pool.log) * units.LogRatio(answers) / units.LogRatio(answers+poolAnswers)
 	return s.overBest(pool.log + own)
@@ -74,7 +74,8 @@
 	engine.samples, engine.sampledAt = engine.samples+1, now
 }
 
-// ObserveInPool takes an answer of an engine of a pool, one of so many. The pool observes the answer as well.
+// ObserveInPool takes an answer of an engine of a pool, given the number of answers behind the engine's
+// slowdown. The pool observes the answer as well.
 func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, answers float64) {
 	engine.log = estimate.Toward(engine.log, sample, estimate.SampleWeight(s.leastWeight(), answers))
 }
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -15,8 +15,8 @@
 	trustedWarmUp     = 0.7         // fraction of the expected warm-up that is counted on
 	targetUtilization = 0.85        // of the cores, at capacity
 
-	// evenShareWeight is how much a broker's share of a budget depends on the number of brokers; the rest
-	// depends on its share of the traffic.
+	// evenShareWeight is the fraction of a budget that the brokers share equally; the rest they share by
+	// their traffic.
 	evenShareWeight = 0.5
 	turnBudget      = 0.5  // fraction of a budget for one turn, as a window can touch two
 	lightShare      = 0.25 // fraction of a turn's budget for requests of mean work
@@ -28,7 +28,7 @@
 type Config struct {
 	InitialFraction  units.Fraction // of its capacity that an engine has when it starts
 	Duration         time.Duration  // until an engine has its full capacity
-	OverloadMultiple float64        // an engine that warms up fails beyond so many times its capacity
+	OverloadMultiple float64        // multiple of its capacity beyond which an engine that warms up fails
 	OverloadWindow   time.Duration  // over which the work sent is summed up
 	Brokers          int            // that share the engines
 	BrokerIndex      int            // of this broker, from 0
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -40,7 +40,7 @@
 	summary      Summary
 }
 
-// New returns the estimates of one of so many brokers, without classes.
+// New returns the estimates of one broker of a number of them, without classes.
 func New(config Config, tenants []Tenant, brokers int) Workload {
 	return Workload{
 		config: config, tenants: newTenants(config, tenants), brokers: brokers,
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -13,7 +13,7 @@
 }
 
 // SampleWeight is the weight of the last of some samples. At first it makes a moving average the plain mean of all
-// samples, which spares it a long way from its initial value; it never falls below the smallest weight.
+// samples, so that the initial value does not count for long; it never falls below the smallest weight.
 func SampleWeight(smallest, samples float64) float64 { return max(smallest, 1/samples) }
 
 // Median is the lower median of some values, 0 of none. It sorts them.
@@ -55,7 +55,7 @@
 // Decay multiplies both counts by a factor below 1, so that old answers count for less.
 func (l *Loss) Decay(factor float64) { l.Answers, l.Lost = l.Answers*factor, l.Lost*factor }
 
-// Rate is the fraction of answers lost, shrunk to a prior one that weighs as much as some number of answers.
+// Rate is the fraction of answers lost, drawn towards a prior fraction, whose weight is given in answers.
 func (l *Loss) Rate(prior, priorAnswers float64) float64 {
 	return (l.Lost + prior*priorAnswers) / (l.Answers + priorAnswers)
 }
@@ -67,8 +67,8 @@
 }
 
 const (
-	floorDownFactor = 3.0   // steps down are larger than those up by it
-	floorUpOffset   = 0.01  // taken off a step up, which keeps the level low while samples are few
+	floorDownFactor = 3.0   // factor by which steps down are larger than steps up
+	floorUpOffset   = 0.01  // subtracted from a step up, which keeps the level low while samples are few
 	floorMinStep    = 0.001 // step of a floor that has seen many samples
 )
 
@@ -102,7 +102,7 @@
 	*r *= HighRatio(1 + highRatioStep*direction)
 }
 
-// SelfWeighted is a mean in which each value weighs as much as itself: the load that a unit of load meets.
+// SelfWeighted is a mean in which the weight of each value is the value itself, so that large values count most.
 type SelfWeighted struct{ sum, squares float64 }
 
 // Add takes a value.
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -74,7 +74,7 @@
 	q := backlog(2, 2, 2)
 	q.Push(1, 0, 7, 5, 4)
 	q.Remove(1, 0, 7)
-	q.Remove(1, 0, 7) // it waits no more
+	q.Remove(1, 0, 7) // it no longer waits
 	q.Pop(0, 1, 0.5, 0.5)
 	want(t, "length", q.Len(), 7)
 	want(t, "work", q.Work(), 7)
--- a/internal/rls/rls_test.go
+++ b/internal/rls/rls_test.go
@@ -54,7 +54,7 @@
 			regulator.Restart(y)
 		} else {
 			fit := regulator.coefficients.At(2, 2)
-			regulator.Observe(y, []bool{true, i < 50}) // the second group is not seen any more
+			regulator.Observe(y, []bool{true, i < 50}) // the second group is no longer seen
 			if i > 50 && regulator.coefficients.At(2, 2) != fit {
 				t.Fatal("a group that was not seen was updated")
 			}
