--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -84,7 +84,7 @@
 func quiet() Interval {
 	return Interval{
 		Regular: true, Objective: time.Second, Wait: 0.2,
-		Cores: testCores, MemoryMB: math.Inf(1), Share: testShare,
+		Cores: testCores, MemoryMB: math.Inf(1), BrokerShare: testShare,
 		RequestThreads: 1, RequestMemoryMB: 100, MinLimit: 1,
 	}
 }
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -124,7 +124,7 @@
 	Wait            units.Seconds  // mean wait of its requests, which the objective has to leave time for
 	Cores           float64        // of the engine, or of the whole pool
 	MemoryMB        float64        // likewise; infinite if not known
-	Share           units.Fraction // this broker's share of them
+	BrokerShare     units.Fraction // this broker's share of them
 	RequestThreads  float64        // mean threads of a request in service
 	RequestMemoryMB float64        // its mean memory; 0: not known
 	MinLimit        int            // in threads; 0: none
@@ -144,7 +144,7 @@
 	}
 	l.relativeTimeSum, l.answers = 0, 0
 	l.updateBackoff(in)
-	share, factor := float64(in.Share), float64(l.backoffFactor)
+	share, factor := float64(in.BrokerShare), float64(l.backoffFactor)
 	l.limit = l.model.Input()[0] * in.Cores * share * factor
 	if in.RequestMemoryMB > 0 { // the limit is not beyond what there is memory for
 		l.limit = min(l.limit, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
--- a/control/interval.go
+++ b/control/interval.go
@@ -40,7 +40,8 @@
 	for _, engine := range c.endpoints.queueOwners() {
 		engine.concurrency.CloseInterval(concurrency.Interval{
 			Regular: regular, Objective: tightest.LatencyObjective, Wait: tightest.Wait.Mean(),
-			Cores: engine.cores, MemoryMB: engine.memoryMB, Share: share, MinLimit: minLimit,
+			Cores: engine.cores, MemoryMB: engine.memoryMB,
+			BrokerShare: share, MinLimit: minLimit,
 			RequestThreads: demand.Threads, RequestMemoryMB: demand.MemoryMB,
 			UnderPressure: c.underPressure(engine), Load: engine.load.Load(),
 			Slowdown: engine.worstSlowdown(&c.slowdowns),
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -20,10 +20,10 @@
 		want     units.Fraction
 	}{
 		"nothing":               {Report{Reported: true}, capacity, 0},
-		"utilization":           {Report{Reported: true, Utilization: 0.9, InFlight: 1}, capacity, 0.9},
-		"memory":                {Report{Reported: true, Utilization: 0.1, InFlight: 8}, manyThreads, 0.8},
-		"threads":               {Report{Reported: true, InFlight: 4}, noMemory, 0.5},
-		"less than is possible": {Report{Reported: true, Utilization: -1, InFlight: -1}, capacity, 0},
+		"utilization":           {Report{Reported: true, Utilization: 0.9, RequestsInFlight: 1}, capacity, 0.9},
+		"memory":                {Report{Reported: true, Utilization: 0.1, RequestsInFlight: 8}, manyThreads, 0.8},
+		"threads":               {Report{Reported: true, RequestsInFlight: 4}, noMemory, 0.5},
+		"less than is possible": {Report{Reported: true, Utilization: -1, RequestsInFlight: -1}, capacity, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/control/loadreport/report.go
+++ b/control/loadreport/report.go
@@ -6,9 +6,9 @@
 
 // Report is what an engine reports of its load. The zero value stands for no report.
 type Report struct {
-	Reported    bool
-	Utilization units.Fraction // of the engine's busiest resource; 0: not reported
-	InFlight    float64        // requests in flight at the engine; 0: not reported
+	Reported         bool
+	Utilization      units.Fraction // of the engine's busiest resource; 0: not reported
+	RequestsInFlight float64        // at the engine; 0: not reported
 }
 
 // Demand is what the mean request in service takes.
@@ -20,7 +20,7 @@
 // Load is the load that a report shows: the utilization, or the fraction of the capacity that the
 // requests in flight take, if that is more.
 func (r Report) Load(demand Demand, capacity Capacity) units.Fraction {
-	byThreads := units.Fraction(r.InFlight * demand.Threads / capacity.Threads)
-	byMemory := units.Fraction(r.InFlight * demand.MemoryMB / capacity.MemoryMB)
+	byThreads := units.Fraction(r.RequestsInFlight * demand.Threads / capacity.Threads)
+	byMemory := units.Fraction(r.RequestsInFlight * demand.MemoryMB / capacity.MemoryMB)
 	return max(0, r.Utilization, byThreads, byMemory)
 }
--- a/internal/loadfields/loadfields.go
+++ b/internal/loadfields/loadfields.go
@@ -29,7 +29,7 @@
 		case utilization, firstResource, secondResource:
 			report.Utilization = max(report.Utilization, units.Fraction(values[i]))
 		case requestsInFlight:
-			report.InFlight = max(report.InFlight, values[i])
+			report.RequestsInFlight = max(report.RequestsInFlight, values[i])
 		}
 	}
 	return report
--- a/internal/resp/response_test.go
+++ b/internal/resp/response_test.go
@@ -59,7 +59,7 @@
 
 func TestReport(t *testing.T) {
 	layout := loadfields.Layout{"queue", "inflight", "x1"}
-	complete := loadreport.Report{Reported: true, InFlight: 2, Utilization: 0.5}
+	complete := loadreport.Report{Reported: true, RequestsInFlight: 2, Utilization: 0.5}
 	for load, want := range map[string]loadreport.Report{
 		"queue:9;inflight:2;x1:0.5":       complete,
 		"x1:0.5;new:9;queue:9;inflight:2": complete,
