--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -11,19 +11,19 @@
 
 func TestPriceRisesAndDecaysWithinItsBounds(t *testing.T) {
 	t.Parallel()
-	const leastWeightPerWork = 2.0
+	const lowestWeightPerThreadSecond = 2.0
 	price := NewPrice()
-	if price.Exceeds(1, leastWeightPerWork, 8) || !price.Exceeds(1, leastWeightPerWork, 8.1) {
+	if price.Exceeds(1, lowestWeightPerThreadSecond, 8) || !price.Exceeds(1, lowestWeightPerThreadSecond, 8.1) {
 		t.Error("at first, want a limit of 16 times the work that the weight usually stands for")
 	}
 	price.Raise()
-	if !price.Exceeds(1, leastWeightPerWork, 8) || price.Exceeds(1.3, leastWeightPerWork, 8) {
+	if !price.Exceeds(1, lowestWeightPerThreadSecond, 8) || price.Exceeds(1.3, lowestWeightPerThreadSecond, 8) {
 		t.Error("want a price that has risen by three tenths")
 	}
 	for range 100 {
 		price.Raise()
 	}
-	if price.Exceeds(1, leastWeightPerWork, 0.5) || !price.Exceeds(1, leastWeightPerWork, 0.51) {
+	if price.Exceeds(1, lowestWeightPerThreadSecond, 0.5) || !price.Exceeds(1, lowestWeightPerThreadSecond, 0.51) {
 		t.Error("at its highest, want a price that admits the usual work")
 	}
 	for range 100 {
--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -1,5 +1,6 @@
-// Package datasetlock keeps requests that lock a data set on their engine away from those that the lock
-// blocks: by what is known of held locks, and by a rank of the engines on which all brokers agree.
+// Package datasetlock keeps requests that lock a data set (a group of tables) on their engine away from
+// those that the lock blocks: by what is known of held locks, and by a rank of the engines on which all
+// brokers agree.
 package datasetlock
 
 import (
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -7,7 +7,7 @@
 // minBatches is the number of batch intervals that a retry needs at least, to leave the broker and to answer.
 const minBatches = 4
 
-// Policy decides on further attempts. Whether one is allowed is for package eligibility to say.
+// Policy decides whether further attempts are worth it. Package eligibility decides whether they are allowed.
 type Policy struct {
 	minTimeLeft time.Duration
 }
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -1,5 +1,5 @@
-// Package selection chooses an engine for a request: by a score, with a tie-break that spreads the requests
-// of brokers that know the same.
+// Package selection chooses an engine for a request by a score. A random tie-break spreads the requests of
+// brokers that have the same information.
 package selection
 
 import (
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -67,7 +67,8 @@
 	return max(0, log-s.best-workScatter)
 }
 
-// Observe takes an answer: the logarithm of its service time over its work.
+// Observe takes what an answer shows, as workload.Cost.Observe returns it: the logarithm of its service time
+// over its work.
 func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
 	weight := estimate.SampleWeight(s.leastWeight(), float64(engine.samples+1))
 	engine.log = estimate.Toward(engine.log, sample, weight)
