--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -48,7 +48,7 @@
 
 // Limiter is a concurrency limit with the threads in flight that count against it.
 type Limiter struct {
-	config          Config
+	config          *Config // a pointer, as an engine's fields are read together for each request
 	threads         float64 // the limit
 	inFlight        int     // threads
 	model           *rls.Regulator
@@ -63,7 +63,7 @@
 	model := rls.DefaultConfig()
 	model.OutputsPerGroup, model.Groups, model.InputPenalty = 1, 1, config.ChangePenalty
 	return Limiter{
-		config: config, threads: initial * cores * float64(share),
+		config: &config, threads: initial * cores * float64(share),
 		model: rls.New(model, []float64{initial}), backoffFactor: 1,
 	}
 }
--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -45,6 +45,9 @@
 
 // Locked reports whether a data set is presumed locked. It drops the locks that have expired.
 func (l *Locks) Locked(dataSet int, now time.Duration) bool {
+	if len(l.locks) == 0 {
+		return false
+	}
 	l.locks = slices.DeleteFunc(l.locks, func(held lock) bool { return held.expiresAt <= now })
 	return slices.ContainsFunc(l.locks, func(held lock) bool { return held.dataSet == dataSet })
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -63,6 +63,9 @@
 
 // earlierAttempts are the request's attempts as they will stand when the next one leaves the broker.
 func (r *request) earlierAttempts(sendTime time.Duration) []idempotency.Attempt {
+	if len(r.attempts) == 0 {
+		return nil
+	}
 	earlier := make([]idempotency.Attempt, 0, len(r.attempts))
 	for _, attempt := range r.attempts {
 		earlier = append(earlier, idempotency.Attempt{
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -119,10 +119,10 @@
 	pPhi.MulVec(p, phi)
 	gain.ScaleVec(1/(r.config.ForgettingFactor+mat.Dot(phi, &pPhi)), &pPhi)
 	for i := group * r.config.OutputsPerGroup; i < (group+1)*r.config.OutputsPerGroup; i++ {
-		row := r.coefficients.RowView(i)
-		residual := y[i] - mat.Dot(row, phi)
-		for j := range phi.Len() {
-			r.coefficients.Set(i, j, row.AtVec(j)+gain.AtVec(j)*residual)
+		residual := y[i] - mat.Dot(r.coefficients.RowView(i), phi)
+		coefficients := r.coefficients.RawRowView(i)
+		for j := range coefficients {
+			coefficients[j] += gain.AtVec(j) * residual
 		}
 	}
 	var update mat.Dense
