--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -57,6 +57,11 @@
 // FailureRate is the fraction of attempts that fail, averaged.
 func (h *Health) FailureRate() units.Fraction { return h.failureRate }
 
+// LossRate is Detector.LossRate, given that of the fleet.
+func (h *Health) LossRate(fleet units.Fraction) units.Fraction {
+	return units.Fraction(h.loss.Rate(float64(fleet), fleetLossAnswers))
+}
+
 // Answers is the number of answers that the estimates rest on. It decays, so it is no integer.
 func (h *Health) Answers() float64 { return h.loss.Answers }
 
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -111,9 +111,7 @@
 
 // LossRate is the fraction of an engine's answers that never come. The fewer its answers, the closer it is to
 // that of the fleet.
-func (d *Detector) LossRate(engine *Health) units.Fraction {
-	return units.Fraction(engine.loss.Rate(float64(d.FleetLossRate()), fleetLossAnswers))
-}
+func (d *Detector) LossRate(engine *Health) units.Fraction { return engine.LossRate(d.FleetLossRate()) }
 
 // FleetLossRate is the fraction of all engines' answers that never come.
 func (d *Detector) FleetLossRate() units.Fraction {
--- a/control/selection.go
+++ b/control/selection.go
@@ -16,6 +16,7 @@
 	meanWork        units.ThreadSeconds // of a request of its class
 	slowStartDemand slowstart.Demand
 	lockRole        datasetlock.Role
+	fleetLossRate   units.Fraction
 }
 
 func (c *Controller) selectorFor(request *request) selector {
@@ -27,6 +28,7 @@
 		meanWork:        class.Cost.MeanWork(),
 		slowStartDemand: c.slowStartDemand(),
 		lockRole:        datasetlock.RoleOf(class.HoldsDataSetLock, class.BlockedByDataSetLock),
+		fleetLossRate:   c.outliers.FleetLossRate(),
 	}
 }
 
@@ -104,7 +106,7 @@
 		SlowStartFraction: c.slowStart.Fraction(engine.slowStartInput(), c.now),
 		Slowdown:          engine.worstSlowdown(&c.slowdowns),
 		FailureRate:       engine.health.FailureRate(),
-		LossRate:          c.outliers.LossRate(&engine.health),
+		LossRate:          engine.health.LossRate(s.fleetLossRate),
 		OtherZone:         engine.Zone != c.settings.Zone,
 		Role:              s.lockRole,
 	}
@@ -116,7 +118,7 @@
 		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
 	} else { // in a pool, an engine that answered is better than an untried one
 		candidate.Load = engine.load.IfRecent(c.now)
-		candidate.ExpectedLossRate = min(candidate.LossRate, c.outliers.FleetLossRate())
+		candidate.ExpectedLossRate = min(candidate.LossRate, s.fleetLossRate)
 	}
 	return c.selection.Score(&candidate)
 }
