--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,7 +20,7 @@
 
 	// What only a broker on real sockets needs.
 	ConnectTimeout   time.Duration // for a connection to an engine
-	ConnIdleTimeout  time.Duration // engines close connections that are idle for so long
+	ConnIdleTimeout  time.Duration // after which engines close idle connections
 	MaxStreams       int           // attempts that share a connection
 	MaxClientTimeout time.Duration // the longest of all classes
 	DrainGrace       time.Duration // sends to a draining engine must leave within this; 0: not given
@@ -171,19 +171,19 @@
 // control is what the decision module takes of the object, but the classes.
 func (o *settingsObject) control() control.Settings {
 	settings := control.Settings{
-		Brokers:          o.PeersTotal,
-		BrokerIndex:      o.Position,
-		Zone:             o.Zone,
-		MinBatchInterval: o.RoundNs,
-		EngineKinds:      map[string]control.EngineKind{},
-		MaxGrantFraction: units.Fraction(o.Domain.GrantCap),
-		MemoryGrants:     o.Domain.Grants,
-		Priorities:       o.Domain.Priorities,
-		ProgressInterval: o.Domain.ProgressPaceNs,
-		ReportsCost:      o.Domain.SaysCost,
-		ReportsLoad:      len(o.Stats.Fields) > 0,
-		PollEndpointList: o.Discovery == discoveryOnRequest,
-		WeightByWork:     o.ValueBy == valueByWork,
+		Brokers:           o.PeersTotal,
+		BrokerIndex:       o.Position,
+		Zone:              o.Zone,
+		MinBatchInterval:  o.RoundNs,
+		EngineKinds:       map[string]control.EngineKind{},
+		MaxGrantFraction:  units.Fraction(o.Domain.GrantCap),
+		MemoryGrants:      o.Domain.Grants,
+		Priorities:        o.Domain.Priorities,
+		ProgressInterval:  o.Domain.ProgressPaceNs,
+		ReportsCost:       o.Domain.SaysCost,
+		ReportsLoad:       len(o.Stats.Fields) > 0,
+		WatchEndpointList: o.Discovery == discoveryOnRequest,
+		WeightByWork:      o.ValueBy == valueByWork,
 		Limits: control.Limits{
 			MaxAttempts:   o.Limits.MaxAttempts,
 			MaxRetryAfter: o.Limits.MaxRetryAfterNs,
