--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -50,7 +50,7 @@
 
 // Limiter is a concurrency limit with the threads in flight that count against it.
 type Limiter struct {
-	config          Config
+	config          *Config // a pointer, as an engine's fields are read together for each request
 	limit           float64 // in threads
 	threadsInFlight int
 	model           *rls.Regulator
@@ -65,7 +65,7 @@
 	model := rls.DefaultConfig()
 	model.OutputsPerGroup, model.Groups, model.InputPenalty = 1, 1, config.ChangePenalty
 	return Limiter{
-		config: config, limit: initial * cores * float64(share),
+		config: &config, limit: initial * cores * float64(share),
 		model: rls.New(model, []float64{initial}), backoffFactor: 1,
 	}
 }
