--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -139,8 +139,8 @@
 }
 
 // endStatus returns the status for the decision module of an attempt whose end was reported. A cancelled attempt ends
-// with the status of its cancel (control.OK: it was not cancelled). Once a page was received, the attempt has run: any end
-// but a cancel is a failure then, even BUSY or VOID for a further page.
+// with the status of its cancel (control.OK: it was not cancelled). Once a page was received, the attempt has run: any
+// end but a cancel is a failure then, even BUSY or VOID for a further page.
 func endStatus(reported, cancelStatus control.Status, pageReceived bool) control.Status {
 	status := reported
 	if status == control.Cancelled && cancelStatus != control.OK {
--- a/internal/broker/endpointlist/processstart.go
+++ b/internal/broker/endpointlist/processstart.go
@@ -11,9 +11,9 @@
 	latest   time.Duration // the later of the two, but not after it was listed
 }
 
-// newProcessStart translates a date that was read at now, with the wall clock ahead of the reducer's time by wallOffset.
-// The latest start is the one for slow start: an engine that is older than assumed only gets less load for a while, but
-// one that is younger would be overloaded while it warms up.
+// newProcessStart translates a date that was read at now, with the wall clock ahead of the reducer's time by
+// wallOffset. The latest start is the one for slow start: an engine that is older than assumed only gets less load for
+// a while, but one that is younger would be overloaded while it warms up.
 func newProcessStart(now, date, wallOffset time.Duration) processStart {
 	if date <= 0 {
 		return processStart{}
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -49,7 +49,8 @@
 	case broker.CloseEngineConnections:
 		ex.pool.CloseConnections(effect.Engine, effect.DialedBefore)
 	case broker.InvariantViolation: // which the reducer has counted
-		logViolation(ex.log, effect.Rule, zap.Uint32("session", uint32(effect.Session)), zap.String("request", effect.RequestID))
+		logViolation(ex.log, effect.Rule,
+			zap.Uint32("session", uint32(effect.Session)), zap.String("request", effect.RequestID))
 	case broker.EngineEjected:
 		ex.log.Info("engine ejected", zap.String("engine", effect.Engine), zap.Stringer("reason", effect.Reason))
 	case broker.EngineRestored:
--- a/internal/server/endpointwatch/backoff.go
+++ b/internal/server/endpointwatch/backoff.go
@@ -13,8 +13,8 @@
 	pollBackoffGrowth = 2   // from one pause to the next
 )
 
-// newPollBackoff returns the pauses between polls: they grow from minPollBackoff to maxPollBackoff without end. They are
-// spread at random, as all brokers of a fleet lose a change log at once and would poll it again in step.
+// newPollBackoff returns the pauses between polls: they grow from minPollBackoff to maxPollBackoff without end. They
+// are spread at random, as all brokers of a fleet lose a change log at once and would poll it again in step.
 func newPollBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.Multiplier = minPollBackoff, maxPollBackoff, pollBackoffGrowth
--- a/internal/server/endpointwatch/timeouts.go
+++ b/internal/server/endpointwatch/timeouts.go
@@ -15,9 +15,9 @@
 	partialPageTimeout = 400 * time.Millisecond
 )
 
-// timeoutLevels are the timeouts from the shortest to the longest. With the shortest a change log that has fallen silent
-// is soon noticed; with the longest one that is slow or saturated is followed, within the 2 s after which an update
-// counts as announced.
+// timeoutLevels are the timeouts from the shortest to the longest. With the shortest a change log that has fallen
+// silent is soon noticed; with the longest one that is slow or saturated is followed, within the 2 s after which an
+// update counts as announced.
 var timeoutLevels = [...]timeouts{
 	{connect: connectTimeout, grace: pollGrace, partial: partialPageTimeout},
 	{connect: 2 * connectTimeout, grace: time.Second, partial: 2 * partialPageTimeout},
--- a/internal/server/endpointwatch/watcher_test.go
+++ b/internal/server/endpointwatch/watcher_test.go
@@ -186,7 +186,8 @@
 	if got := socktest.Receive(t, sink.ends, "the end of the first poll"); got != netconn.AddressChanged {
 		t.Errorf("the poll ended as %s", got)
 	}
-	if line := socktest.Receive(t, polls, "a poll of the second"); line != "GET /changes?since=7&timeout=1000 HTTP/1.1\r\n" {
+	line := socktest.Receive(t, polls, "a poll of the second")
+	if line != "GET /changes?since=7&timeout=1000 HTTP/1.1\r\n" {
 		t.Errorf("polled %q", line)
 	}
 }
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -13,7 +13,7 @@
 
 const (
 	partialResponseTimeout = 200 * time.Millisecond // a response that has begun is complete by then
-	lateReadTimeout        = 10 * time.Millisecond  // one more read after that, for what came while the process stood still
+	lateReadTimeout        = 10 * time.Millisecond  // one more read, for what came while the process stood still
 )
 
 // responseReader reads the responses on a connection to an engine. The goroutine that reads the connection
--- a/internal/server/enginepool/responses_test.go
+++ b/internal/server/enginepool/responses_test.go
@@ -47,7 +47,10 @@
 	}{
 		"load probe answered": {
 			[]string{"p7", "UP", "l=util:0.5"},
-			broker.ProbeResult{ProbeID: probeID, Status: control.OK, Report: loadreport.Report{Reported: true, Utilization: 0.5}},
+			broker.ProbeResult{
+				ProbeID: probeID, Status: control.OK,
+				Report: loadreport.Report{Reported: true, Utilization: 0.5},
+			},
 		},
 		"load probe answered as down": {
 			[]string{"p7", "DOWN"},
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -78,7 +78,8 @@
 		t.Fatal(err)
 	}
 	answer, err := io.ReadAll(far)
-	if want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections"); err != nil || !bytes.Equal(answer, want) {
+	want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections")
+	if err != nil || !bytes.Equal(answer, want) {
 		t.Errorf("answered %q, want %q; ended with %v", answer, want, err)
 	}
 	socktest.Receive(t, ended, "the end of the connection")
--- a/internal/server/frontend/arrival.go
+++ b/internal/server/frontend/arrival.go
@@ -9,8 +9,8 @@
 )
 
 // sinceReceived returns how long ago the kernel received the last bytes of a connection: a client's timeout runs from
-// when it sent them, not from when a busy broker reads them. Where the system refuses TCP_INFO (a filter of system calls
-// may answer ENOSYS) it returns 0, which is logged once.
+// when it sent them, not from when a busy broker reads them. Where the system refuses TCP_INFO (a filter of system
+// calls may answer ENOSYS) it returns 0, which is logged once.
 func (f *Frontend) sinceReceived(socket net.Conn) time.Duration {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -188,7 +188,8 @@
 			mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "full"),
 		},
 		"rejected": {
-			broker.Reply{Kind: broker.ReplyRejected, Text: "late"}, mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late"),
+			broker.Reply{Kind: broker.ReplyRejected, Text: "late"},
+			mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late"),
 		},
 		"rejected with a time to retry": {
 			broker.Reply{Kind: broker.ReplyRejected, Text: "late", RetryAfter: 250 * time.Millisecond},
--- a/internal/server/frontend/readtimeout.go
+++ b/internal/server/frontend/readtimeout.go
@@ -32,7 +32,8 @@
 }
 
 // setReadTimeout sets how long a client may be silent. During the final reads of a shutdown a client without a partial
-// message gets finalReadTimeout at most. The lock keeps BeginFinalReads and this from overwriting each other's deadline.
+// message gets finalReadTimeout at most. The lock keeps BeginFinalReads and this from overwriting each other's
+// deadline.
 func (c *client) setReadTimeout(within time.Duration) error {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
--- a/internal/server/hosts.go
+++ b/internal/server/hosts.go
@@ -14,8 +14,8 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// A host is what a part of the server sees of the rest: it turns what the part reports into events of the reducer, in the
-// loop. Its methods may be called on any goroutine, but for those that say otherwise.
+// A host is what a part of the server sees of the rest: it turns what the part reports into events of the reducer, in
+// the loop. Its methods may be called on any goroutine, but for those that say otherwise.
 
 // gossipHost receives load reports of other brokers.
 type gossipHost struct{ loop *eventLoop }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -17,8 +17,8 @@
 	maxInboxBatch = 512
 )
 
-// eventLoop owns the reducer: it gives it events and has its effects carried out. All methods but post are called on one
-// goroutine, the loop.
+// eventLoop owns the reducer: it gives it events and has its effects carried out. All methods but post are called on
+// one goroutine, the loop.
 type eventLoop struct {
 	inbox   chan func() // functions to call in the loop
 	reducer *broker.Broker
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -12,8 +12,8 @@
 	"wheatlane/internal/socktest"
 )
 
-// A reload polls the change log at its new address at once, keeps the longest client timeout that was ever in force, and
-// names the keys that need a restart.
+// A reload polls the change log at its new address at once, keeps the longest client timeout that was ever in force,
+// and names the keys that need a restart.
 func TestReload(t *testing.T) {
 	next := newFakeChangelog(t)
 	s := startServer(t)
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// withoutSlowStart gives a restarted engine its full share at once, and all classes so much time that no attempt counts as
-// lost, so that what an engine is sent does not depend on how long a test stands still.
+// withoutSlowStart gives a restarted engine its full share at once, and all classes so much time that no attempt
+// counts as lost, so that what an engine is sent does not depend on how long a test stands still.
 func withoutSlowStart(cfg *config.Config) {
 	classes := slices.Clone(cfg.Settings.Control.Classes)
 	for i := range classes {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -47,8 +47,8 @@
 	closingSessions bool
 }
 
-// newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers leave
-// ahead of SIGKILL, which follows from the client timeouts; those from before a reload may have been longer.
+// newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers
+// leave ahead of SIGKILL, which follows from the client timeouts; those from before a reload may have been longer.
 func newGracefulShutdown(requestedAt time.Time, classes []control.Class) gracefulShutdown {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/server/shutdownsteps_test.go
+++ b/internal/server/shutdownsteps_test.go
@@ -36,8 +36,8 @@
 	steps    []shutdownStep
 }
 
-// A shutdown goes on to its next step as soon as it may, takes each once, and ends ahead of SIGKILL where clients do not
-// leave.
+// A shutdown goes on to its next step as soon as it may, takes each once, and ends ahead of SIGKILL where clients do
+// not leave.
 func TestGracefulShutdownSteps(t *testing.T) {
 	const answerWithin, acceptWindow = 3450 * time.Millisecond, time.Second
 	open, idle := shutdownProgress{openRequests: 1, clients: 1}, shutdownProgress{clients: 1}
--- a/internal/server/standstill/detector.go
+++ b/internal/server/standstill/detector.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// EarliestArrival returns the earliest time at which bytes may have arrived that were read at readAt by a goroutine that
-// was waiting for them. That is readAt, or the start of a standstill that is under way or ended within
+// EarliestArrival returns the earliest time at which bytes may have arrived that were read at readAt by a goroutine
+// that was waiting for them. That is readAt, or the start of a standstill that is under way or ended within
 // arrivalUncertainty.
 func (d *Detector) EarliestArrival(readAt time.Duration) time.Duration {
 	if last := time.Duration(d.lastIteration.Load()); isStandstill(last, readAt) {
--- a/internal/server/standstill_test.go
+++ b/internal/server/standstill_test.go
@@ -21,7 +21,8 @@
 		server.standstills.RecordIteration(clock.Now() + time.Hour) // whatever is read next may have come within it
 		return since
 	})
-	c.send(append(queryPacket(statement("lookup", 1, longTimeout, "")), queryPacket(statement("lookup", 2, longTimeout, ""))...))
+	lookups := queryPacket(statement("lookup", 1, longTimeout, ""))
+	c.send(append(lookups, queryPacket(statement("lookup", 2, longTimeout, ""))...))
 	first := e.expectAttempt(t)
 	deadline := inLoop(s, func(server *Server) time.Duration { return clock.Now() + sentTimeout(t, first) })
 	if limit := since + longTimeout + time.Second; deadline > limit {
