--- a/internal/loadfields/loadfields_test.go
+++ b/internal/loadfields/loadfields_test.go
@@ -18,7 +18,8 @@
 			Layout{"util", "x1", "x0"}, []float64{0.2, 0.9, 0.4}, loadreport.Report{Reported: true, Utilization: 0.9},
 		},
 		"requests in flight": {
-			Layout{"util", "inflight"}, []float64{0.2, 7},
+			Layout{"util", "inflight"},
+			[]float64{0.2, 7},
 			loadreport.Report{Reported: true, Utilization: 0.2, RequestsInFlight: 7},
 		},
 		"other fields":         {Layout{"queue", "new"}, []float64{3, 9}, loadreport.Report{Reported: true}},
