--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -70,7 +70,7 @@
 // Observe takes what an answer shows, as workload.Cost.Observe returns it: the logarithm of its service time
 // over its work.
 func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
-	weight := estimate.SampleWeight(s.leastWeight(), float64(engine.samples+1))
+	weight := estimate.SampleWeight(s.minWeight(), float64(engine.samples+1))
 	engine.log = estimate.Toward(engine.log, sample, weight)
 	engine.samples, engine.sampledAt = engine.samples+1, now
 }
@@ -78,11 +78,11 @@
 // ObserveInPool takes an answer of an engine of a pool, given the number of answers behind the engine's
 // slowdown. The pool observes the answer as well.
 func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, answers float64) {
-	engine.log = estimate.Toward(engine.log, sample, estimate.SampleWeight(s.leastWeight(), answers))
+	engine.log = estimate.Toward(engine.log, sample, estimate.SampleWeight(s.minWeight(), answers))
 }
 
-// leastWeight is the least weight of an answer.
-func (s *Estimator) leastWeight() float64 {
+// minWeight is the smallest weight of an answer.
+func (s *Estimator) minWeight() float64 {
 	if s.config.ReportsWork {
 		return answerWeight
 	}
