--- a/control/admission.go
+++ b/control/admission.go
@@ -23,7 +23,7 @@
 	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
 	request := newRequest(in, class, classIndex, tenantIndex, c.now)
 	c.workload.RequestReceived(classIndex, tenantIndex)
-	c.retries.RequestReceived(c.now)
+	c.retryBudget.RequestReceived(c.now)
 	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
 	c.startTimer(answerIn, answerDue{request})
 	c.requests.add(request)
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -42,7 +42,7 @@
 func (c *Controller) sendAttempt(request *request, engine *engine) {
 	c.setAttemptOptions(request, engine)
 	if len(request.attempts) > 0 {
-		c.retries.RetrySent(c.now)
+		c.retryBudget.RetrySent(c.now)
 	} else {
 		request.class.Wait.Observe(c.now - request.receivedAt)
 	}
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -10,14 +10,15 @@
 	"wheatlane/internal/rls"
 )
 
-// MaxThreadsPerCore is the largest limit: beyond it the queries of an engine slow one another down.
-const MaxThreadsPerCore = 1.7
+// CapacityThreadsPerCore is the capacity of an engine, and the largest limit under pressure: beyond it the
+// queries of an engine slow one another down. Without pressure the limit is larger by UnloadedMultiple.
+const CapacityThreadsPerCore = 1.7
 
 // Config holds the constants of a limit.
 type Config struct {
 	InitialThreadsPerCore float64        // limit at the start
 	MinThreadsPerCore     float64        // smallest limit
-	MaxThreadsPerCore     float64        // largest limit
+	MaxThreadsPerCore     float64        // largest limit under pressure
 	MinTargetTime         float64        // smallest target of service times, in latency objectives
 	ChangePenalty         float64        // on the model's input: the larger, the slower the limit moves
 	BackoffLoad           units.Fraction // reported load beyond which the limit backs off
@@ -32,7 +33,7 @@
 // DefaultConfig is for a limit at one engine.
 func DefaultConfig() Config {
 	return Config{
-		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: MaxThreadsPerCore,
+		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: CapacityThreadsPerCore,
 		MinTargetTime: 0.5, ChangePenalty: 2,
 		BackoffLoad:     1.2, // a fifth over the engine's capacity
 		BackoffSlowdown: 1.6, // 5 times the service time
--- a/control/controller.go
+++ b/control/controller.go
@@ -55,7 +55,7 @@
 	started        bool
 	actions        []Action // what Handle is about to return
 	timers         timerSet
-	log            throttle.Throttle[logSubject]
+	noticeThrottle throttle.Throttle[logSubject]
 	requests       requestTable
 	endpoints      endpointSet
 	slowStart      *slowstart.Policy
@@ -65,7 +65,7 @@
 	endpointWatch  membership.Watch
 	classes        classTable
 	workload       workload.Workload
-	retries        retrybudget.Budget
+	retryBudget    retrybudget.Budget
 	price          admission.Price
 	retryPolicy    retry.Policy
 	attemptOptions attemptoptions.Config
@@ -93,7 +93,7 @@
 		settings:       settings,
 		rng:            rand.New(rand.NewPCG(seed, rngStream)),
 		timers:         newTimerSet(),
-		log:            throttle.New[logSubject](logInterval),
+		noticeThrottle: throttle.New[logSubject](logInterval),
 		requests:       newRequestTable(),
 		endpoints:      newEndpointSet(),
 		classes:        newClassTable(),
@@ -102,7 +102,7 @@
 		selection:      selection.DefaultConfig(),
 		endpointWatch:  membership.NewWatch(watchConfig(&settings)),
 		gossip:         gossip.NewSchedule(gossipConfig(&settings)),
-		retries:        retrybudget.New(retryBudgetConfig(&settings)),
+		retryBudget:    retrybudget.New(retryBudgetConfig(&settings)),
 		price:          admission.NewPrice(),
 		retryPolicy:    retry.New(settings.MinBatchInterval),
 		attemptOptions: attemptOptionsConfig(&settings),
@@ -197,7 +197,7 @@
 // tick does what is due every tickInterval: it looks at what waits, and once an interval runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
-	c.retries.Expire(c.now)
+	c.retryBudget.Expire(c.now)
 	c.watchEndpoints()
 	c.outliers.DecayFleet()
 	c.endpoints.decay(&c.slowdowns, c.now)
--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -66,8 +66,9 @@
 	rankBits        = 16
 )
 
-// HashEngine is a hash of an engine's ID, for Rank. It is the same at every broker.
-func HashEngine(id string) int {
+// RankHash is a hash of an engine's ID, for Rank. It is the same at every broker. In gossip, engines have
+// another hash, control.GossipID.
+func RankHash(id string) int {
 	hash := 0
 	for _, char := range id {
 		hash = (hash*hashMultiplier + int(char)) % hashModulus
@@ -76,7 +77,7 @@
 }
 
 // Rank is the rank, from 0 to 1, of an engine among all for a data set.
-func Rank(engineHash, dataSet int) units.Fraction {
-	hash := uint32(engineHash*hashMultiplier+dataSet) * knuthMultiplier
+func Rank(rankHash, dataSet int) units.Fraction {
+	hash := uint32(rankHash*hashMultiplier+dataSet) * knuthMultiplier
 	return units.Fraction(hash>>rankBits) / (1 << rankBits)
 }
--- a/control/datasetlock/datasetlock_test.go
+++ b/control/datasetlock/datasetlock_test.go
@@ -49,7 +49,7 @@
 	var counts [quarters]int
 	same := 0
 	for engine := range engines {
-		hash, next := HashEngine(fmt.Sprint("engine-", engine)), HashEngine(fmt.Sprint("engine-", engine+1))
+		hash, next := RankHash(fmt.Sprint("engine-", engine)), RankHash(fmt.Sprint("engine-", engine+1))
 		for dataSet := range dataSets {
 			rank := Rank(hash, dataSet)
 			if rank < 0 || rank >= 1 {
@@ -73,8 +73,8 @@
 
 func TestHashIsTheSameAtEveryBroker(t *testing.T) {
 	t.Parallel()
-	for id, want := range map[string]int{"": 0, "a": 97, "ab": 97*31 + 98, "engine-001": HashEngine("engine-001")} {
-		if got := HashEngine(id); got != want || got >= hashModulus {
+	for id, want := range map[string]int{"": 0, "a": 97, "ab": 97*31 + 98, "engine-001": RankHash("engine-001")} {
+		if got := RankHash(id); got != want || got >= hashModulus {
 			t.Errorf("%q: got %d, want %d", id, got, want)
 		}
 	}
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -34,7 +34,7 @@
 		case c.mayAttempt(request, engine) && !engine.health.AtCapacity(c.now):
 			c.sendAttempt(request, engine)
 		default:
-			c.requests.waitForEngine(request)
+			c.requests.waitForTick(request)
 		}
 	}
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -25,18 +25,18 @@
 	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
 	attempted, queue := len(request.attempts) > 0, request.keyQueue
 	return eligibility.Request{
-		Closed:          request.closed,
-		ResponseStarted: request.responseStarted,
-		TimeLeft:        request.Deadline - c.now,
-		MaxAttempts:     c.settings.Limits.MaxAttempts,
-		Attempts:        request.earlierAttempts(latestSend),
-		AttemptInFlight: request.hasAttemptInFlight(),
-		HedgingAllowed:  c.settings.Limits.Hedging,
-		Idempotency:     request.class.Idempotency,
-		TurnOfOrderKey:  queue == nil || queue.IsTurn(request, attempted, c.now),
-		AllowedZones:    request.class.AllowedZones,
-		AllowedKinds:    request.class.AllowedKinds,
-		WithinBudget:    !attempted || c.retries.Allows(c.now),
+		Closed:            request.closed,
+		ResponseStarted:   request.responseStarted,
+		TimeLeft:          request.Deadline - c.now,
+		MaxAttempts:       c.settings.Limits.MaxAttempts,
+		Attempts:          request.earlierAttempts(latestSend),
+		AttemptInFlight:   request.hasAttemptInFlight(),
+		HedgingAllowed:    c.settings.Limits.Hedging,
+		Idempotency:       request.class.Idempotency,
+		TurnOfOrderKey:    queue == nil || queue.IsTurn(request, attempted, c.now),
+		AllowedZones:      request.class.AllowedZones,
+		AllowedKinds:      request.class.AllowedKinds,
+		WithinRetryBudget: !attempted || c.retryBudget.Allows(c.now),
 	}
 }
 
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -14,25 +14,25 @@
 
 // The reasons, in the order in which the rules are checked: first those that hold at every engine.
 const (
-	Eligible           Reason = iota // no rule is broken
-	RequestClosed                    // the request has its final answer, or its client is gone
-	ResponseStarted                  // the client receives an answer already; only in the simulator
-	DeadlinePassed                   // the answer would come too late
-	MaxAttempts                      // the request has had all its attempts
-	AttemptInFlight                  // hedging is not allowed
-	OrderKeyBusy                     // another request of its key comes first, or the key cools down
-	RetryBudget                      // the retry budget is spent
-	EngineNotReady                   // the engine is draining, removed or in maintenance
-	DuplicateEffect                  // the effect of the request could come twice
-	SlowStartBudget                  // the engine is in slow start and its budget is spent
-	PlacementForbidden               // the class may not run in the engine's zone or on its kind
+	Eligible             Reason = iota // no rule is broken
+	RequestClosed                      // the request has its final answer, or its client is gone
+	ResponseStarted                    // the client receives an answer already; only in the simulator
+	DeadlinePassed                     // the answer would come too late
+	MaxAttempts                        // the request has had all its attempts
+	AttemptInFlight                    // hedging is not allowed
+	OrderKeyBusy                       // another request of its key comes first, or the key cools down
+	RetryBudgetSpent                   // the retry budget is spent
+	EngineNotReady                     // the engine is draining, removed or in maintenance
+	DuplicateEffect                    // the effect of the request could come twice
+	SlowStartBudgetSpent               // the engine is in slow start and its budget is spent
+	PlacementForbidden                 // the class may not run in the engine's zone or on its kind
 )
 
 var reasonNames = [...]string{
 	Eligible: "eligible", RequestClosed: "request closed", ResponseStarted: "response started",
 	DeadlinePassed: "deadline passed", MaxAttempts: "max attempts", AttemptInFlight: "attempt in flight",
-	OrderKeyBusy: "order key busy", RetryBudget: "retry budget", EngineNotReady: "engine not ready",
-	DuplicateEffect: "duplicate effect", SlowStartBudget: "slow-start budget",
+	OrderKeyBusy: "order key busy", RetryBudgetSpent: "retry budget", EngineNotReady: "engine not ready",
+	DuplicateEffect: "duplicate effect", SlowStartBudgetSpent: "slow-start budget",
 	PlacementForbidden: "placement forbidden",
 }
 
@@ -41,26 +41,26 @@
 
 // Request is what the rules need to know of a request.
 type Request struct {
-	Closed          bool
-	ResponseStarted bool
-	TimeLeft        time.Duration // until its deadline
-	MaxAttempts     int           // the first included
-	Attempts        []idempotency.Attempt
-	AttemptInFlight bool
-	HedgingAllowed  bool // two attempts may be in flight at once
-	Idempotency     idempotency.Policy
-	TurnOfOrderKey  bool
-	AllowedZones    []string // empty: any zone
-	AllowedKinds    []string // empty: any kind of engine
-	WithinBudget    bool     // a first attempt, or one that the retry budget allows
+	Closed            bool
+	ResponseStarted   bool
+	TimeLeft          time.Duration // until its deadline
+	MaxAttempts       int           // the first included
+	Attempts          []idempotency.Attempt
+	AttemptInFlight   bool
+	HedgingAllowed    bool // two attempts may be in flight at once
+	Idempotency       idempotency.Policy
+	TurnOfOrderKey    bool
+	AllowedZones      []string // empty: any zone
+	AllowedKinds      []string // empty: any kind of engine
+	WithinRetryBudget bool     // a first attempt, or one that the retry budget allows
 }
 
 // Engine is what the rules need to know of an engine.
 type Engine struct {
-	Ready           bool // listed as ready and not in maintenance
-	Location        idempotency.Location
-	Kind            string
-	SlowStartBudget bool // not in slow start, or with budget left for the request
+	Ready                 bool // listed as ready and not in maintenance
+	Location              idempotency.Location
+	Kind                  string
+	WithinSlowStartBudget bool // not in slow start, or with budget left for the request
 }
 
 // Check returns the first rule that an attempt of a request at an engine breaks, or Eligible.
@@ -86,8 +86,8 @@
 		return AttemptInFlight
 	case !r.TurnOfOrderKey:
 		return OrderKeyBusy
-	case !r.WithinBudget:
-		return RetryBudget
+	case !r.WithinRetryBudget:
+		return RetryBudgetSpent
 	}
 	return Eligible
 }
@@ -100,8 +100,8 @@
 		return EngineNotReady
 	case !r.mayRunAt(engine.Location):
 		return DuplicateEffect
-	case !engine.SlowStartBudget:
-		return SlowStartBudget
+	case !engine.WithinSlowStartBudget:
+		return SlowStartBudgetSpent
 	case !allows(r.AllowedZones, engine.Location.Zone), !allows(r.AllowedKinds, engine.Kind):
 		return PlacementForbidden
 	}
--- a/control/eligibility/eligibility_test.go
+++ b/control/eligibility/eligibility_test.go
@@ -10,12 +10,13 @@
 // eligibleRetry is a retry that passes all rules.
 func eligibleRetry() (Request, Engine) {
 	request := Request{
-		TimeLeft: time.Second, MaxAttempts: 2, TurnOfOrderKey: true, WithinBudget: true,
+		TimeLeft: time.Second, MaxAttempts: 2, TurnOfOrderKey: true, WithinRetryBudget: true,
 		Attempts:     []idempotency.Attempt{{MayHaveRun: true}},
 		AllowedZones: []string{"a"}, AllowedKinds: []string{"std"},
 	}
 	engine := Engine{
-		Ready: true, Location: idempotency.Location{Zone: "a"}, Kind: "std", SlowStartBudget: true,
+		Ready: true, Location: idempotency.Location{Zone: "a"}, Kind: "std",
+		WithinSlowStartBudget: true,
 	}
 	return request, engine
 }
@@ -23,18 +24,18 @@
 func TestEachRuleIsChecked(t *testing.T) {
 	t.Parallel()
 	for want, violate := range map[Reason]func(*Request, *Engine){
-		Eligible:           func(*Request, *Engine) {},
-		RequestClosed:      func(r *Request, _ *Engine) { r.Closed = true },
-		ResponseStarted:    func(r *Request, _ *Engine) { r.ResponseStarted = true },
-		DeadlinePassed:     func(r *Request, _ *Engine) { r.TimeLeft = 0 },
-		MaxAttempts:        func(r *Request, _ *Engine) { r.MaxAttempts = 1 },
-		AttemptInFlight:    func(r *Request, _ *Engine) { r.AttemptInFlight = true },
-		DuplicateEffect:    func(r *Request, _ *Engine) { r.Idempotency.Kind = idempotency.NonIdempotent },
-		EngineNotReady:     func(_ *Request, e *Engine) { e.Ready = false },
-		SlowStartBudget:    func(_ *Request, e *Engine) { e.SlowStartBudget = false },
-		OrderKeyBusy:       func(r *Request, _ *Engine) { r.TurnOfOrderKey = false },
-		PlacementForbidden: func(r *Request, _ *Engine) { r.AllowedZones = []string{"b"} },
-		RetryBudget:        func(r *Request, _ *Engine) { r.WithinBudget = false },
+		Eligible:             func(*Request, *Engine) {},
+		RequestClosed:        func(r *Request, _ *Engine) { r.Closed = true },
+		ResponseStarted:      func(r *Request, _ *Engine) { r.ResponseStarted = true },
+		DeadlinePassed:       func(r *Request, _ *Engine) { r.TimeLeft = 0 },
+		MaxAttempts:          func(r *Request, _ *Engine) { r.MaxAttempts = 1 },
+		AttemptInFlight:      func(r *Request, _ *Engine) { r.AttemptInFlight = true },
+		DuplicateEffect:      func(r *Request, _ *Engine) { r.Idempotency.Kind = idempotency.NonIdempotent },
+		EngineNotReady:       func(_ *Request, e *Engine) { e.Ready = false },
+		SlowStartBudgetSpent: func(_ *Request, e *Engine) { e.WithinSlowStartBudget = false },
+		OrderKeyBusy:         func(r *Request, _ *Engine) { r.TurnOfOrderKey = false },
+		PlacementForbidden:   func(r *Request, _ *Engine) { r.AllowedZones = []string{"b"} },
+		RetryBudgetSpent:     func(r *Request, _ *Engine) { r.WithinRetryBudget = false },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			t.Parallel()
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -12,13 +12,13 @@
 // endpointSet is the set of engines that the endpoint list names, and those that still have something in
 // flight.
 type endpointSet struct {
-	all            []*engine // sorted by ID
-	byID           map[string]*engine
-	pool           *engine   // all engines as one queue owner, where they are pooled; else nil
-	poolOnly       []*engine // the pool alone, if there is one
-	inMaintenance  map[string]bool
-	ready          int  // listed as ready, at least 1
-	majorityFaulty bool // most of them are ejected
+	all             []*engine // sorted by ID
+	byID            map[string]*engine
+	pool            *engine   // all engines as one queue owner, where they are pooled; else nil
+	poolOnly        []*engine // the pool alone, if there is one
+	inMaintenance   map[string]bool
+	ready           int  // listed as ready and not in maintenance, at least 1
+	majorityEjected bool // more than half of the ready ones are ejected: selection ignores ejections then
 }
 
 // poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's
@@ -29,7 +29,7 @@
 	for _, kind := range settings.EngineKinds {
 		cores = max(cores, kind.Cores)
 	}
-	return concurrency.MaxThreadsPerCore*cores < float64(maxThreads)*float64(settings.Brokers)
+	return concurrency.CapacityThreadsPerCore*cores < float64(maxThreads)*float64(settings.Brokers)
 }
 
 func newEndpointSet() endpointSet {
@@ -102,7 +102,7 @@
 		cores += engine.cores * float64(slowStart.Fraction(engine.slowStartInput(), now))
 		memoryMB += engine.memoryMB
 	}
-	s.majorityFaulty, s.ready = ejected > ready-ejected, max(1, ready)
+	s.majorityEjected, s.ready = ejected > ready-ejected, max(1, ready)
 	if s.pool != nil {
 		previous := s.pool.cores
 		s.pool.cores, s.pool.memoryMB = max(1, cores), max(1, memoryMB)
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -27,10 +27,10 @@
 	if got := engineIDs(set.all); !slices.Equal(got, []string{"e1", "e10", "e2"}) {
 		t.Errorf("order %v", got)
 	}
-	if e := set.byGossipID(EngineHash("e10")); e == nil || e.ID != "e10" {
+	if e := set.byGossipID(GossipID("e10")); e == nil || e.ID != "e10" {
 		t.Errorf("by the hash of e10: %v", e)
 	}
-	if e := set.byGossipID(EngineHash("none")); e != nil {
+	if e := set.byGossipID(GossipID("none")); e != nil {
 		t.Errorf("by an unknown hash: %s", e.ID)
 	}
 	set.byID["e1"].member.Unlist()
--- a/control/engine.go
+++ b/control/engine.go
@@ -20,8 +20,8 @@
 // concurrency limit of all, and its cores, memory, load and attempts are those of all engines together.
 type engine struct {
 	Engine                        // its entry of the endpoint list; member has the state that applies
-	idHash      int               // of its ID, for ranks
-	gossipID    uint32            // EngineHash of its ID
+	idHash      int               // RankHash of its ID, for ranks and for turns in slow start
+	gossipID    uint32            // GossipID of its ID
 	queueOwner  *engine           // whose queue and concurrency limit apply: itself, or the pool
 	member      membership.Member // what the endpoint list and the operators say of it
 	cores       float64           // at least 1
@@ -42,8 +42,8 @@
 func (c *Controller) newEngine(listed Engine, kind EngineKind) *engine {
 	created := &engine{
 		Engine:   Engine{ID: listed.ID},
-		idHash:   datasetlock.HashEngine(listed.ID),
-		gossipID: EngineHash(listed.ID),
+		idHash:   datasetlock.RankHash(listed.ID),
+		gossipID: GossipID(listed.ID),
 		cores:    max(1, kind.Cores),
 		memoryMB: kind.MemoryMB,
 		health:   outlier.NewHealth(c.now),
--- a/control/events.go
+++ b/control/events.go
@@ -93,13 +93,13 @@
 
 // GossipedLoad is an engine's load as it reported it to one of the brokers, and how long ago.
 type GossipedLoad struct {
-	Engine uint32  // EngineHash of its ID
+	Engine uint32  // GossipID of its ID
 	Load   float64 // fraction of its capacity in use, over 1 beyond it
 	Age    time.Duration
 }
 
-// EngineHash is the short form of an engine's ID in gossip.
-func EngineHash(id string) uint32 {
+// GossipID is the short form of an engine's ID in gossip, no relation of datasetlock.RankHash.
+func GossipID(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // a hash's Write never fails
 	return h.Sum32()
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -20,11 +20,11 @@
 	)
 	r.now += time.Second
 	r.handle(GossipReceived{Reports: []GossipedLoad{
-		{EngineHash("e01"), 0.9, 1500 * ms},
-		{EngineHash("e02"), 0.9, 1500 * ms},
-		{EngineHash("e03"), 0.9, 5 * time.Second},
-		{EngineHash("e04"), -3, -time.Hour},
-		{EngineHash("no such"), 0.9, 0},
+		{GossipID("e01"), 0.9, 1500 * ms},
+		{GossipID("e02"), 0.9, 1500 * ms},
+		{GossipID("e03"), 0.9, 5 * time.Second},
+		{GossipID("e04"), -3, -time.Hour},
+		{GossipID("no such"), 0.9, 0},
 	}})
 	for id, wanted := range map[string]units.Fraction{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
 		if got := r.controller.endpoints.byID[id].load.Load(); math.Abs(float64(got-wanted)) > 1e-9 {
@@ -32,7 +32,7 @@
 		}
 	}
 	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].load.Age(r.now), 0)
-	r.handle(GossipReceived{Reports: []GossipedLoad{{EngineHash("e01"), 0.7, 100 * ms}}})
+	r.handle(GossipReceived{Reports: []GossipedLoad{{GossipID("e01"), 0.7, 100 * ms}}})
 	requireEqual(t, "a fresher report", r.controller.endpoints.byID["e01"].load.Load(), 0.7)
 }
 
@@ -67,7 +67,7 @@
 	}
 	requireEqual(t, "brokers sent to", len(to), s.Brokers-1)
 	first := sent[0].Reports
-	if len(first) != 2 || first[0].Engine != EngineHash("e02") || first[1].Age-first[0].Age != 50*ms {
+	if len(first) != 2 || first[0].Engine != GossipID("e02") || first[1].Age-first[0].Age != 50*ms {
 		t.Fatalf("sent %+v first", first)
 	}
 	old := countOf[SendGossip](r.advance(10 * time.Second))
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -110,7 +110,7 @@
 		engine = selector.selectEngine(request.avoid)
 	}
 	if engine == nil {
-		c.requests.waitForEngine(request)
+		c.requests.waitForTick(request)
 		return
 	}
 	c.sendAttempt(request, engine)
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -14,7 +14,10 @@
 	}
 	load := report.Load(
 		loadreport.Demand(c.workload.MeanDemand()),
-		loadreport.Capacity{Threads: concurrency.MaxThreadsPerCore * engine.cores, MemoryMB: engine.memoryMB},
+		loadreport.Capacity{
+			Threads:  concurrency.CapacityThreadsPerCore * engine.cores,
+			MemoryMB: engine.memoryMB,
+		},
 	)
 	engine.load.Observe(load, c.now)
 	if engine.pooled() && !c.settings.Limits.Gossip {
--- a/control/membership.go
+++ b/control/membership.go
@@ -87,8 +87,8 @@
 // updateFleet follows a change of the engines.
 func (c *Controller) updateFleet() {
 	for _, id := range c.endpoints.removeGone() {
-		c.log.Forget(logSubject{ejected, id})
-		c.log.Forget(logSubject{restored, id})
+		c.noticeThrottle.Forget(logSubject{ejected, id})
+		c.noticeThrottle.Forget(logSubject{restored, id})
 	}
 	c.endpoints.summarize(c.slowStart, c.now)
 }
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -65,7 +65,8 @@
 		r.handle(EndpointUpdate{Engines: []Engine{old, fresh}})
 		r.advance(2 * controlInterval)
 	}
-	all, byID, logged := r.controller.endpoints.all, r.controller.endpoints.byID, r.controller.log.Len()
+	all, byID := r.controller.endpoints.all, r.controller.endpoints.byID
+	logged := r.controller.noticeThrottle.Len()
 	if len(all) != 1 || len(byID) != 1 || logged != 0 {
 		t.Fatalf("%d engines, %d by ID, %d log lines are remembered", len(all), len(byID), logged)
 	}
--- a/control/operatorlog.go
+++ b/control/operatorlog.go
@@ -22,7 +22,7 @@
 // emitThrottled emits an action for the operators, unless one about the same subject was emitted less than
 // logInterval ago. So the last line about an engine that flaps may not be of its state: View has that.
 func (c *Controller) emitThrottled(subject logSubject, action Action) {
-	if c.log.Allows(subject, c.now) {
+	if c.noticeThrottle.Allows(subject, c.now) {
 		c.emit(action)
 	}
 }
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -17,8 +17,8 @@
 	ejected        bool
 	halfOpenAt     time.Duration // when an ejected engine may get its next half-open probe
 	lastResponseAt time.Duration
-	rejected       bool          // it did not admit an attempt for lack of capacity
-	rejectedAt     time.Duration // the last time that it did not
+	wasAtCapacity  bool          // for an attempt
+	atCapacityAt   time.Duration // the last time that it was
 }
 
 // NewHealth returns the health of an engine that is known from now on. It counts as having responded now, so
@@ -27,7 +27,7 @@
 
 // Restarted drops what is known of an engine's earlier process.
 func (h *Health) Restarted() {
-	h.ejected, h.failureRate, h.rejected, h.loss = false, 0, false, estimate.Loss{}
+	h.ejected, h.failureRate, h.wasAtCapacity, h.loss = false, 0, false, estimate.Loss{}
 }
 
 // Responded records that an engine responded, whatever it did.
@@ -38,14 +38,15 @@
 	return now-h.lastResponseAt < within
 }
 
-// Rejected records that an engine did not admit an attempt for lack of capacity.
-func (h *Health) Rejected(now time.Duration) {
-	h.rejected, h.rejectedAt, h.lastResponseAt = true, now, now
+// WasAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
+// had no capacity.
+func (h *Health) WasAtCapacity(now time.Duration) {
+	h.wasAtCapacity, h.atCapacityAt, h.lastResponseAt = true, now, now
 }
 
-// AtCapacity reports whether an engine rejected an attempt less than atCapacityRest ago.
+// AtCapacity reports whether an attempt ended so less than atCapacityRest ago.
 func (h *Health) AtCapacity(now time.Duration) bool {
-	return h.rejected && now-h.rejectedAt < atCapacityRest
+	return h.wasAtCapacity && now-h.atCapacityAt < atCapacityRest
 }
 
 // Decay lets older attempts count for less, once a tick of 100 ms.
@@ -62,9 +63,9 @@
 	return units.Fraction(h.loss.Rate(float64(fleet), fleetLossAnswers))
 }
 
-// Answers is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so
+// Outcomes is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so
 // it is no integer.
-func (h *Health) Answers() float64 { return h.loss.Answers }
+func (h *Health) Outcomes() float64 { return h.loss.Outcomes }
 
 // Ejected reports whether an engine is ejected.
 func (h *Health) Ejected() bool { return h.ejected }
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -91,7 +91,7 @@
 func (d *Detector) recordAnswer(engine *Health, failed units.Fraction) {
 	engine.loss.Answer()
 	d.fleet.Answer()
-	weight := estimate.SampleWeight(failureWeight, engine.loss.Answers+1)
+	weight := estimate.SampleWeight(failureWeight, engine.loss.Outcomes+1)
 	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
 }
 
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -129,7 +129,7 @@
 	if engine.AtCapacity(now) {
 		t.Error("at capacity from the start")
 	}
-	engine.Rejected(now)
+	engine.WasAtCapacity(now)
 	if !engine.AtCapacity(now+atCapacityRest-1) || engine.AtCapacity(now+atCapacityRest) {
 		t.Errorf("at capacity for other than %v", atCapacityRest)
 	}
@@ -145,7 +145,7 @@
 	d.Failed(&engine, true)
 	before := engine.FailureRate()
 	engine.Decay()
-	if engine.Answers() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
-		t.Errorf("%v answers, failure rate %v of %v", engine.Answers(), engine.FailureRate(), before)
+	if engine.Outcomes() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
+		t.Errorf("%v answers, failure rate %v of %v", engine.Outcomes(), engine.FailureRate(), before)
 	}
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -16,8 +16,8 @@
 			c.outliers.Lost(&engine.health, 1)
 		}
 	case AtCapacity:
-		engine.health.Rejected(c.now)
-		engine.queueOwner.health.Rejected(c.now)
+		engine.health.WasAtCapacity(c.now)
+		engine.queueOwner.health.WasAtCapacity(c.now)
 	case OK:
 		engine.health.Responded(c.now)
 		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -17,7 +17,7 @@
 	}
 	switch {
 	case engine == nil:
-		c.requests.waitForEngine(request)
+		c.requests.waitForTick(request)
 	case len(request.attempts) == 0 && c.shed(request, engine):
 		c.rejectOrFail(request)
 	default:
@@ -44,7 +44,7 @@
 func (c *Controller) requeueWaiting(engine *engine) {
 	for request, ok := engine.queue.Head(nil); ok; request, ok = engine.queue.Head(nil) {
 		c.popFrom(engine, request)
-		c.requests.waitForEngine(request)
+		c.requests.waitForTick(request)
 	}
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -90,7 +90,7 @@
 // requestTable holds all requests that are open, and those closed ones that have an attempt in flight.
 type requestTable struct {
 	byID      map[string]*request
-	waiting   []*request // for an eligible engine
+	waiting   []*request // for the next tick; see waitForTick
 	keyQueues keyorder.Queues[*request]
 }
 
@@ -119,10 +119,12 @@
 	return nil
 }
 
-// waitForEngine keeps a request until the next tick, as no engine is eligible for it now.
-func (t *requestTable) waitForEngine(request *request) { t.waiting = append(t.waiting, request) }
+// waitForTick keeps a request until the next tick, as it may not be sent now: no engine is eligible or has
+// capacity, its order key is busy, the retry budget is spent, or the engine it was queued at is out of
+// service. If that stays so, answerDue ends the wait.
+func (t *requestTable) waitForTick(request *request) { t.waiting = append(t.waiting, request) }
 
-// takeWaiting empties the list of requests that wait for an eligible engine, and returns them.
+// takeWaiting empties the list of requests that wait for the next tick, and returns them.
 func (t *requestTable) takeWaiting() []*request {
 	waiting := t.waiting
 	t.waiting = nil
--- a/control/selection.go
+++ b/control/selection.go
@@ -58,10 +58,10 @@
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
 	return s.facts.CheckAt(eligibility.Engine{
-		Ready:           engine.member.TakesRequests(), // stricter than the drain's grace period
-		Location:        engine.location(),
-		Kind:            engine.Kind,
-		SlowStartBudget: withinBudget,
+		Ready:                 engine.member.TakesRequests(), // not when draining
+		Location:              engine.location(),
+		Kind:                  engine.Kind,
+		WithinSlowStartBudget: withinBudget,
 	}) == eligibility.Eligible
 }
 
@@ -74,7 +74,7 @@
 			continue
 		}
 		score := s.score(engine) + s.tieBreak(engine)
-		if engine.health.Ejected() && !c.endpoints.majorityFaulty {
+		if engine.health.Ejected() && !c.endpoints.majorityEjected {
 			if !c.mayProbeHalfOpen(engine, s.request) {
 				continue
 			}
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -70,7 +70,7 @@
 		engines := readyEngines(10)
 		reports := make([]GossipedLoad, 0, len(engines))
 		for i, e := range engines {
-			reports = append(reports, GossipedLoad{EngineHash(e.ID), 0.1 + 0.15*float64(i), 0})
+			reports = append(reports, GossipedLoad{GossipID(e.ID), 0.1 + 0.15*float64(i), 0})
 		}
 		r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
 		r.handle(GossipReceived{Reports: reports})
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -10,7 +10,7 @@
 // estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
 func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
-		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Answers())
+		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
 	}
 	return estimator.Estimated(&e.slowdown)
 }
@@ -23,7 +23,7 @@
 // observeSlowdown takes what an answer of the engine shows of its slowdown.
 func (e *engine) observeSlowdown(estimator *slowdown.Estimator, sample units.LogRatio, now time.Duration) {
 	if e.pooled() {
-		estimator.ObserveInPool(&e.slowdown, sample, e.health.Answers())
+		estimator.ObserveInPool(&e.slowdown, sample, e.health.Outcomes())
 	}
 	estimator.Observe(&e.queueOwner.slowdown, sample, now)
 }
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -19,7 +19,7 @@
 const (
 	answerWeight       = 0.25 // least weight of an answer in an engine's slowdown
 	unknownWorkDivisor = 3.0  // divides the weight of an answer that does not report its work
-	poolAnswers        = 3.0  // weight of the pool's slowdown, in answers of the engine
+	poolAnswers        = 3.0  // weight of the pool's slowdown, in outcomes of the engine
 	recovery           = 0.02 // fraction of a slowdown that a tick of 100 ms without an answer takes off
 	worseBestWeight    = 0.02 // weight of an interval in the best slowdown when that gets worse
 	minSamples         = 10   // a slowdown is trusted beyond this number of answers
@@ -29,7 +29,7 @@
 
 // Engine is the slowdown of an engine, or of a pool of engines.
 type Engine struct {
-	log       units.LogRatio // service time over work, averaged
+	logRatio  units.LogRatio // logarithm of service time over work, averaged
 	samples   int            // answers behind it
 	sampledAt time.Duration  // of the last answer
 	ageRatio  float64        // age of what is in flight over its usual time
@@ -51,13 +51,14 @@
 func NewEstimator(config Config) Estimator { return Estimator{config: config} }
 
 // Estimated is an engine's slowdown over the best one, as its answers show it.
-func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.log) }
-
-// EstimatedInPool is the same for an engine of a pool: the fewer answers it gave, the more those of the whole
-// pool count.
-func (s *Estimator) EstimatedInPool(engine, pool *Engine, answers float64) units.LogRatio {
-	own := (engine.log - pool.log) * units.LogRatio(answers) / units.LogRatio(answers+poolAnswers)
-	return s.overBest(pool.log + own)
+func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
+
+// EstimatedInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
+// more the answers of the whole pool count.
+func (s *Estimator) EstimatedInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
+	own := (engine.logRatio - pool.logRatio) * units.LogRatio(outcomes) /
+		units.LogRatio(outcomes+poolAnswers)
+	return s.overBest(pool.logRatio + own)
 }
 
 func (s *Estimator) overBest(log units.LogRatio) units.LogRatio {
@@ -71,14 +72,15 @@
 // over its work.
 func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
 	weight := estimate.SampleWeight(s.minWeight(), float64(engine.samples+1))
-	engine.log = estimate.Toward(engine.log, sample, weight)
+	engine.logRatio = estimate.Toward(engine.logRatio, sample, weight)
 	engine.samples, engine.sampledAt = engine.samples+1, now
 }
 
-// ObserveInPool takes an answer of an engine of a pool, given the number of answers behind the engine's
-// slowdown. The pool observes the answer as well.
-func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, answers float64) {
-	engine.log = estimate.Toward(engine.log, sample, estimate.SampleWeight(s.minWeight(), answers))
+// ObserveInPool takes an answer of an engine of a pool, given the engine's outcomes
+// (outlier.Health.Outcomes). The pool observes the answer as well.
+func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, outcomes float64) {
+	weight := estimate.SampleWeight(s.minWeight(), outcomes)
+	engine.logRatio = estimate.Toward(engine.logRatio, sample, weight)
 }
 
 // minWeight is the smallest weight of an answer.
@@ -92,12 +94,12 @@
 // Recover lets an engine without answers approach the best slowdown, once a tick of 100 ms.
 func (s *Estimator) Recover(engine *Engine, now time.Duration) {
 	if now-engine.sampledAt > s.config.IdleAfter {
-		engine.log = estimate.Toward(engine.log, s.best, recovery)
+		engine.logRatio = estimate.Toward(engine.logRatio, s.best, recovery)
 	}
 }
 
 // Restarted drops what is known of an engine's earlier process.
-func (s *Estimator) Restarted(engine *Engine) { engine.log, engine.samples = s.best, 0 }
+func (s *Estimator) Restarted(engine *Engine) { engine.logRatio, engine.samples = s.best, 0 }
 
 // UpdateBest follows the least slowdown of the healthy engines, once an interval: down immediately, up
 // slowly.
@@ -105,7 +107,7 @@
 	least := units.LogRatio(math.Inf(1))
 	for _, engine := range healthy {
 		if engine.Trusted() {
-			least = min(least, engine.log)
+			least = min(least, engine.logRatio)
 		}
 	}
 	switch {
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -77,14 +77,14 @@
 	t.Parallel()
 	s := NewEstimator(Config{ReportsWork: true, IdleAfter: time.Second})
 	engine := observed(&s, 1, 20) // the last answer is of the first second
-	if s.Recover(&engine, 2*time.Second); !near(engine.log, 1) {
-		t.Errorf("%v while it answers", engine.log)
+	if s.Recover(&engine, 2*time.Second); !near(engine.logRatio, 1) {
+		t.Errorf("%v while it answers", engine.logRatio)
 	}
-	if s.Recover(&engine, 2*time.Second+1); !near(engine.log, 1-recovery) {
-		t.Errorf("%v after a second without answers", engine.log)
+	if s.Recover(&engine, 2*time.Second+1); !near(engine.logRatio, 1-recovery) {
+		t.Errorf("%v after a second without answers", engine.logRatio)
 	}
-	if s.Restarted(&engine); engine.log != s.best || engine.Trusted() {
-		t.Errorf("%v after a restart", engine.log)
+	if s.Restarted(&engine); engine.logRatio != s.best || engine.Trusted() {
+		t.Errorf("%v after a restart", engine.logRatio)
 	}
 }
 
--- a/control/world_faults_test.go
+++ b/control/world_faults_test.go
@@ -98,7 +98,7 @@
 	for range 1 + w.rng.IntN(8) {
 		e := w.engines[w.rng.IntN(len(w.engines))]
 		received.Reports = append(received.Reports, control.GossipedLoad{
-			Engine: control.EngineHash(e.ID), Load: e.background, Age: w.between(0, 3*time.Second),
+			Engine: control.GossipID(e.ID), Load: e.background, Age: w.between(0, 3*time.Second),
 		})
 	}
 	w.after(0, received)
--- a/internal/broker/simulated_fleet_test.go
+++ b/internal/broker/simulated_fleet_test.go
@@ -75,7 +75,7 @@
 	for i := range reports {
 		e := s.engines[s.rng.IntN(len(s.engines))]
 		reports[i] = control.GossipedLoad{
-			Engine: control.EngineHash(e.ID),
+			Engine: control.GossipID(e.ID),
 			Load:   s.rng.Float64(),
 			Age:    s.between(0, 200*ms),
 		}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -40,24 +40,25 @@
 	return s.Mean + z*math.Sqrt(s.Variance)
 }
 
-// Loss counts answers and those of them that never came. Both decay, so they are not integers.
-type Loss struct{ Lost, Answers float64 }
+// Loss counts outcomes, which are answers that came or never came, and those that never came. Both counts
+// decay, so they are not integers.
+type Loss struct{ Lost, Outcomes float64 }
 
 // Answer counts an answer that came.
-func (l *Loss) Answer() { l.Answers++ }
+func (l *Loss) Answer() { l.Outcomes++ }
 
 // Lose counts an answer as lost, with a certainty from 0 to 1.
-func (l *Loss) Lose(certainty float64) { l.Lost, l.Answers = l.Lost+certainty, l.Answers+1 }
+func (l *Loss) Lose(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
 
 // Recover takes back what Lose counted, as the answer came after all.
 func (l *Loss) Recover(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
 
 // Decay multiplies both counts by a factor below 1, so that old answers count for less.
-func (l *Loss) Decay(factor float64) { l.Answers, l.Lost = l.Answers*factor, l.Lost*factor }
+func (l *Loss) Decay(factor float64) { l.Outcomes, l.Lost = l.Outcomes*factor, l.Lost*factor }
 
 // Rate is the fraction of answers lost, drawn towards a prior fraction, whose weight is given in answers.
 func (l *Loss) Rate(prior, priorAnswers float64) float64 {
-	return (l.Lost + prior*priorAnswers) / (l.Answers + priorAnswers)
+	return (l.Lost + prior*priorAnswers) / (l.Outcomes + priorAnswers)
 }
 
 // Floor follows a low quantile of a logarithm, in steps that shrink with the weight of the samples.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -70,7 +70,7 @@
 	near(t, "lost is never less than none", l.Lost, 0, 0)
 	l.Lose(1)
 	l.Decay(0.5)
-	near(t, "answers that are left", l.Answers, 50.5, 1e-12)
+	near(t, "answers that are left", l.Outcomes, 50.5, 1e-12)
 	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
 }
 
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	report := func(load float64, age time.Duration) []byte {
-		return gossip.Append(nil, []control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: load, Age: age}})
+		return gossip.Append(nil, []control.GossipedLoad{{Engine: control.GossipID("e1"), Load: load, Age: age}})
 	}
 	for range 3 { // all of these come before the report that counts, as a broker's socket keeps their order
 		send(stranger, report(2.5, 0))
@@ -49,7 +49,7 @@
 		t.Fatalf("passed on %+v", got)
 	}
 	got[0].Age = 0
-	if diff := cmp.Diff([]control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: 0.5}}, got); diff != "" {
+	if diff := cmp.Diff([]control.GossipedLoad{{Engine: control.GossipID("e1"), Load: 0.5}}, got); diff != "" {
 		t.Fatal(diff)
 	}
 	for _, message := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
--- a/internal/server/gossiptransport/transport_test.go
+++ b/internal/server/gossiptransport/transport_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	notified, ended := make(receiver, 10), make(chan error, 1)
 	go func() { ended <- transport.Run(ctx, notified) }()
-	reports := []control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}}
+	reports := []control.GossipedLoad{{Engine: control.GossipID("e1"), Load: 0.5, Age: time.Second}}
 	datagram := gossip.Append(nil, reports)
 	for range 2 { // of one socket and in order, ahead of the datagram that counts
 		send(t, second, transport.Addr(), datagram)
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	report := func(load float64) []control.GossipedLoad {
-		return []control.GossipedLoad{{Engine: control.EngineHash("e1"), Load: load}}
+		return []control.GossipedLoad{{Engine: control.GossipID("e1"), Load: load}}
 	}
 	transport.Send(-1, report(0.5))
 	transport.Send(1, report(1))
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -185,11 +185,11 @@
 	}
 	for _, reports := range [][]control.GossipedLoad{
 		nil,
-		{{Engine: control.EngineHash("e1"), Load: 0.5, Age: time.Second}},
+		{{Engine: control.GossipID("e1"), Load: 0.5, Age: time.Second}},
 		{
-			{Engine: control.EngineHash("e1"), Load: 2.5, Age: 0},
-			{Engine: control.EngineHash("e2"), Load: 9, Age: 21 * time.Millisecond},
-			{Engine: control.EngineHash("e3"), Load: -1, Age: 5100 * time.Millisecond},
+			{Engine: control.GossipID("e1"), Load: 2.5, Age: 0},
+			{Engine: control.GossipID("e2"), Load: 9, Age: 21 * time.Millisecond},
+			{Engine: control.GossipID("e3"), Load: -1, Age: 5100 * time.Millisecond},
 			{Engine: 7, Load: 1, Age: 5101 * time.Millisecond},
 		},
 		many,
