--- a/control/actions.go
+++ b/control/actions.go
@@ -22,7 +22,7 @@
 		RequestID  string
 		RetryAfter time.Duration // time after which the client may retry; 0: not set
 	}
-	// Fail is a final answer that leaves open whether the request ran.
+	// Fail is a final answer that does not invite a retry and leaves open whether the request ran.
 	Fail struct{ RequestID string }
 	// CancelAttempt cancels an attempt in flight; its end is reported like any other.
 	CancelAttempt struct {
@@ -47,7 +47,8 @@
 		Broker  int
 		Reports []GossipedLoad
 	}
-	// WatchEndpoints asks for the changes of the endpoint list, until EndpointWatchFailed.
+	// WatchEndpoints asks for the changes of the endpoint list, until EndpointWatchFailed. Only the
+	// simulator's host heeds it: the broker polls the change log without being asked.
 	WatchEndpoints struct{}
 	// EngineEjected reports to the operators that outlier detection ejected an engine.
 	EngineEjected struct {
--- a/control/admission.go
+++ b/control/admission.go
@@ -17,7 +17,7 @@
 	}
 	classIndex, known := c.classes.byName[in.Class]
 	if !known {
-		c.emit(Fail{in.ID})
+		c.emit(Fail{in.ID}) // nothing ran, but a retry would fail as well
 		return
 	}
 	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
@@ -78,8 +78,9 @@
 	}
 }
 
-// rejectOrFail ends a request whose time is up or that nothing can help: rejected where a retry by its client
-// is harmless, else failed.
+// rejectOrFail ends a request that gets no further attempt, or none at all: shed or exhausted (enqueue), too
+// late under pressure (dispatch), not worth a retry (retry), or its time is up (answerDue). It is rejected
+// where a retry by its client is harmless, else failed; the client is not told the cause.
 func (c *Controller) rejectOrFail(request *request) {
 	if request.closed || request.responseStarted {
 		return
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -54,9 +54,10 @@
 	}, func() int { return c.threadsOfClass(engine, classIndex) })
 }
 
-// underPressure reports whether a queue owner, an engine or the pool, has more to do than it keeps up with.
-// Slowdowns don't count where engines report their load but not the work of answers: the load is more precise
-// then.
+// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. For an engine
+// of a pool only its load and whether it is at capacity count: age ratios and the number of answers, which
+// the slowdown needs, are kept for the pool. Slowdowns don't count where engines report their load but not
+// the work of answers: the load is more precise then.
 func (c *Controller) underPressure(engine *engine) bool {
 	timesCount := c.settings.ReportsCost || !c.settings.ReportsLoad
 	// A last report stays up to date while something is in flight, as the answer brings a new one.
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -5,7 +5,9 @@
 	"wheatlane/control/idempotency"
 )
 
-// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes its rules.
+// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes the rules of
+// package eligibility. Whether an engine is ejected or at capacity is checked elsewhere (bestEngine,
+// dispatch).
 func (c *Controller) mayAttempt(request *request, engine *engine) bool {
 	selector := c.selectorFor(request)
 	return !selector.forbidden() && selector.allows(engine)
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -1,5 +1,6 @@
 // Package eligibility holds the rules that every attempt must pass, at the time at which it is sent: first
-// attempts, retries and hedged requests alike.
+// attempts, retries and hedged requests alike. Whether an engine is ejected or at capacity is no rule: the
+// controller checks that when it selects or dispatches.
 package eligibility
 
 import (
@@ -9,7 +10,7 @@
 	"wheatlane/control/idempotency"
 )
 
-// Reason is the first rule that an attempt breaks.
+// Reason is the first rule that an attempt breaks. Callers only compare it with Eligible; it is not logged.
 type Reason int
 
 // The reasons, in the order in which the rules are checked: first those that hold at every engine.
--- a/control/events.go
+++ b/control/events.go
@@ -111,7 +111,9 @@
 type (
 	// RequestReceived is a new request.
 	RequestReceived struct{ Request Request }
-	// ClientDisconnected says that the client of a request is gone; it gets no answer.
+	// ClientDisconnected says that the broker has closed a request by itself: the client has left or
+	// killed it, or the broker has answered it (at a shutdown, or as a request queued behind it was due).
+	// The controller answers it no more, and counts it as one whose client left.
 	ClientDisconnected struct{ RequestID string }
 	// AttemptEnded is the result of one attempt of a request, named by its number, from 0.
 	AttemptEnded struct {
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// probeBeforeEnqueue asks a few engines for their load before a request that is more work than the mean is
-// enqueued. It reports whether the request waits for that.
+// probeBeforeEnqueue asks a few engines for their load before a request of a heavy class is enqueued. It
+// reports whether the request waits for that.
 func (c *Controller) probeBeforeEnqueue(request *request, avoid *engine) bool {
 	if !c.settings.Limits.LoadProbes || request.probed || !c.isHeavy(request) || c.endpoints.pool != nil {
 		return false
@@ -48,7 +48,8 @@
 	return probed
 }
 
-// isHeavy reports whether a request is more work than the mean.
+// isHeavy reports whether a request is of a heavy class: one whose mean work is over that of all requests.
+// The work expected of the request itself does not count.
 func (c *Controller) isHeavy(request *request) bool {
 	return request.class.Cost.MeanWork() > c.workload.Summary().MeanWork
 }
@@ -60,7 +61,7 @@
 
 // probeCandidates draws a few engines for a request that may leave the pool (power of d choices) and probes
 // those whose load report is not fresh: reports come with answers, so one may be as old as a heavy request
-// takes. It reports whether the request waits for that. A request of no more work than the mean does not.
+// takes. It reports whether the request waits for that. One that is not of a heavy class does not.
 func (c *Controller) probeCandidates(request *request) bool {
 	request.candidates = nil
 	if !c.settings.Limits.LoadProbes || !c.isHeavy(request) {
--- a/control/membership/watch.go
+++ b/control/membership/watch.go
@@ -13,7 +13,8 @@
 	MaxPollInterval time.Duration // longest time between polls of the list
 }
 
-// Watch is what asks for the changes of the endpoint list.
+// Watch decides when to ask for the changes of the endpoint list. Only the simulator's host needs it: the
+// broker polls the change log without being asked.
 type Watch struct {
 	config WatchConfig
 	active bool
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -49,7 +49,8 @@
 	return h.wasAtCapacity && now-h.atCapacityAt < atCapacityRest
 }
 
-// Decay lets older attempts count for less, once a tick of 100 ms.
+// Decay lets older attempts count for less, and the failure rate fall towards 0 even without attempts, once a
+// tick of 100 ms.
 func (h *Health) Decay() {
 	h.loss.Decay(answerDecay)
 	h.failureRate *= failureDecay
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -1,5 +1,6 @@
 // Package outlier detects engines that fail, can't be reached or lose answers, and ejects them: an ejected
-// engine gets no requests but half-open probes, until it succeeds again.
+// engine gets no requests but half-open probes, until it succeeds again. Selection ignores ejections while
+// more than half of the ready engines are ejected.
 package outlier
 
 import (
@@ -14,9 +15,13 @@
 
 // The reasons for an ejection.
 const (
-	Failing     Reason = iota + 1 // most of its attempts fail
-	Unreachable                   // it can't be connected to
-	Silent                        // its answers are lost
+	// Failing is a failure rate over MaxFailureRate, whatever the cause, refused connections included.
+	Failing Reason = iota + 1
+	// Unreachable is a failure rate over MaxUnreachableFailureRate but not MaxFailureRate, when the last
+	// attempt could not connect.
+	Unreachable
+	// Silent is a loss rate over MaxLossRate.
+	Silent
 )
 
 // reasonNames are the names of the reasons in logs.
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -13,7 +13,8 @@
 	return request.class.ServiceTime.Quantile(c.expectedServiceTime(request, engine), late)
 }
 
-// checkOverdue judges an attempt that takes longer than nearly all answers, until it is over or cancelled.
+// checkOverdue judges an attempt that takes longer than nearly all answers, again while it is in time. One
+// that is lost, or overdue in an overload, is not judged again.
 func (c *Controller) checkOverdue(attempt *attempt) {
 	if !attempt.inFlight || attempt.request.closed || attempt.cancelled || attempt.presumedLost {
 		return
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// retryWaiting enqueues again what found no eligible engine.
+// retryWaiting enqueues again what waits for the tick. The engine to avoid is forgotten.
 func (c *Controller) retryWaiting() {
 	for _, request := range c.requests.takeWaiting() {
 		if !request.closed {
--- a/control/requests.go
+++ b/control/requests.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// clientDisconnected closes the request of a client that is gone.
+// clientDisconnected closes a request that the broker has closed, see ClientDisconnected.
 func (c *Controller) clientDisconnected(id string) {
 	if request := c.requests.byID[id]; request != nil && !request.closed {
 		request.class.Abandonment.ClientLeft(c.now - request.receivedAt)
--- a/control/selection.go
+++ b/control/selection.go
@@ -58,14 +58,18 @@
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
 	return s.facts.CheckAt(eligibility.Engine{
-		Ready:                 engine.member.TakesRequests(), // not when draining
+		// A draining engine gets nothing new. The deployment's DrainGraceNs is for attempts that were
+		// decided before the drain (enginepool.Config.DrainGrace).
+		Ready:                 engine.member.TakesRequests(),
 		Location:              engine.location(),
 		Kind:                  engine.Kind,
 		WithinSlowStartBudget: withinBudget,
 	}) == eligibility.Eligible
 }
 
-// bestEngine returns the eligible engine with the best score but for one to avoid, or nil.
+// bestEngine returns the eligible engine with the best score but for one to avoid, or nil. Engines at
+// capacity are left out. So are ejected ones that may not get this request as a half-open probe, unless more
+// than half of the ready engines are ejected.
 func (s *selector) bestEngine(avoid *engine) *engine {
 	c := s.controller
 	var best selection.Best[*engine]
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -27,10 +27,10 @@
 // outputsPerClass is the number of outputs of the model for each class: those of Output.
 const outputsPerClass = 2
 
-// Output is what an interval showed of a class, as ratios in which more is better.
+// Output is what the last interval with answers showed of a class, as ratios in which more is better.
 type Output struct {
 	InverseLatency float64 // latency objective over latency
-	Throughput     float64 // answers over requests received
+	Throughput     float64 // answers a second over the averaged arrival rate plus 1 a second
 }
 
 // Class is what an interval showed of a class, with what its answers earn.
--- a/control/view.go
+++ b/control/view.go
@@ -11,7 +11,7 @@
 	ID               string
 	State            EngineState
 	SlowStart        bool    // it warms up
-	Ejected          bool    // an outlier that gets no requests but half-open probes
+	Ejected          bool    // an outlier; see package outlier for what it still gets
 	ConcurrencyLimit float64 // threads that this broker may have in flight there
 	ThreadsInFlight  int     // threads of what is in flight there
 	Queued           int     // requests that wait for it here; where engines are pooled, for all
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -12,7 +12,7 @@
 	finalAnswersSent bool // later requests are rejected
 }
 
-// startShutdown lets the broker finish its open requests within a time.
+// startShutdown lets the broker finish its open requests within a time; those still open then get their final answer.
 func (b *Broker) startShutdown(now, within time.Duration) {
 	b.shutdown.started = true
 	b.timers.Set(now+within, shutdownOver{})
--- a/internal/server/enginepool/sending.go
+++ b/internal/server/enginepool/sending.go
@@ -37,7 +37,8 @@
 }
 
 // resendExpired sends the attempts anew whose messages were withdrawn because they had waited too long. It is called
-// in each round, so it looks at the connections only if there is something to find.
+// in each round, so it looks at the connections only if there is something to find. This is no retry: no byte of such a
+// message had left, and the attempt keeps its number.
 func (p *Pool) resendExpired() {
 	if !p.writesExpired.Swap(false) {
 		return
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -29,6 +29,8 @@
 //  3. Once all requests are answered and the answers have left, the sessions close: the reader of each stops first, so
 //     that all that was read is answered; then the broker ends its direction of the connection and waits for the
 //     client to end the other, as closing a socket with bytes unread could destroy the last answers.
+//
+// At answerWithin, whatever the step, the reducer gives what is still open its final answer (broker.Shutdown.Within).
 type shutdownStep int
 
 const (
