--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -57,7 +57,7 @@
 // probe.
 func TestRejectedRequestIsNotProbedFor(t *testing.T) {
 	s := pooledSettings()
-	s.Limits.LoadProbes, s.ReportsLoad = true, true
+	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
 	r := newPooledRig(t, s, 60)
 	r.advance(2 * controlInterval)
 	rejected, probedFor := 0, 0
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -62,7 +62,7 @@
 		s.ProgressInterval = time.Second
 	}
 	if flip() {
-		s.ReportsLoad, s.loadReport = true, loadfields.Layout{"util", "inflight", "queue"}
+		s.EnginesReportLoad, s.loadReport = true, loadfields.Layout{"util", "inflight", "queue"}
 	}
 	if flip() {
 		s.MaxSendDelay = 40 * millisecond
--- a/control/property_events_test.go
+++ b/control/property_events_test.go
@@ -88,7 +88,7 @@
 	q.over = q.over || status == OK
 	work := time.Duration(c.rng.IntN(300)) * ms
 	report := loadreport.Report{
-		Reported: c.settings.ReportsLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), RequestsInFlight: 3,
+		Reported: c.settings.EnginesReportLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), RequestsInFlight: 3,
 	}
 	c.check(c.handle(AttemptEnded{
 		RequestID: q.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -29,7 +29,7 @@
 		s.ProgressInterval = time.Second
 	}
 	if flip() {
-		s.ReportsLoad = true
+		s.EnginesReportLoad = true
 	}
 	if flip() {
 		s.Tenants = nil
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -157,7 +157,7 @@
 func newRigUnderPressure(t *testing.T) *rig {
 	t.Helper()
 	s := baseSettings()
-	s.ReportsLoad = true
+	s.EnginesReportLoad = true
 	r := newRig(t, s, readyEngine("e1"))
 	id, _ := r.submit("quick")
 	r.handle(AttemptEnded{
@@ -182,6 +182,6 @@
 // fleetSettings is a pooled deployment whose brokers probe and gossip.
 func fleetSettings() Settings {
 	s := pooledSettings()
-	s.Limits.LoadProbes, s.Limits.Gossip, s.ReportsLoad = true, true, true
+	s.Limits.LoadProbes, s.Limits.Gossip, s.EnginesReportLoad = true, true, true
 	return s
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -30,7 +30,7 @@
 // probe costs the engine.
 func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
 	s := baseSettings()
-	s.Limits.LoadProbes, s.ReportsLoad = true, true
+	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
 	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
 	r.advance(2 * controlInterval)
 	probed := map[string]time.Duration{}
--- a/control/settings.go
+++ b/control/settings.go
@@ -96,7 +96,7 @@
 	ProgressInterval  time.Duration         // of the reports of an attempt; 0: there are none
 	ReportsCost       bool                  // answers carry the work and memory that they took
 	WeightByWork      bool                  // the priority weight of a request grows with its work
-	ReportsLoad       bool                  // engines report their load
+	EnginesReportLoad bool                  // engines report their load
 	MaxSendDelay      time.Duration         // from SendAttempt until the attempt leaves
 	WatchEndpointList bool                  // the endpoint list has to be watched
 	Limits            Limits
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -121,7 +121,7 @@
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 2 * ms,
 		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, ReportsCost: true, WeightByWork: true,
-		ReportsLoad: true,
+		EnginesReportLoad: true,
 		Classes: []control.Class{
 			{
 				Name: "lookup", LatencyObjective: 300 * ms, ClientTimeout: time.Second, ObjectivePerWork: 1,
@@ -166,7 +166,7 @@
 	settings := control.Settings{
 		Brokers: 60, BrokerIndex: 7, Zone: "zone-1", MinBatchInterval: 10 * ms,
 		ReportsCost: true, ProgressInterval: time.Second, Priorities: true,
-		ReportsLoad: true,
+		EnginesReportLoad: true,
 		Classes: []control.Class{
 			{
 				Name: "view", LatencyObjective: 500 * ms, ClientTimeout: 2 * time.Second, ObjectivePerWork: 1.5,
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -49,7 +49,7 @@
 func newClosedLoop(b *testing.B, clients, engines int) *closedLoop {
 	b.Helper()
 	settings := testSettings()
-	settings.ReportsLoad = true
+	settings.EnginesReportLoad = true
 	reducer, err := New(settings, 1, clients)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -134,8 +134,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if settings.Control.ReportsLoad != (want > 0) || len(settings.LoadReport) != want {
-			t.Errorf("%s: %v, fields %q", text, settings.Control.ReportsLoad, settings.LoadReport)
+		if settings.Control.EnginesReportLoad != (want > 0) || len(settings.LoadReport) != want {
+			t.Errorf("%s: %v, fields %q", text, settings.Control.EnginesReportLoad, settings.LoadReport)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -58,7 +58,7 @@
 func settingsValues(v reflect.Value) (all []string) {
 	module, fields := v.FieldByName("Control"), v.FieldByName("LoadReport")
 	for i := range module.NumField() {
-		if module.Type().Field(i).Name == "ReportsLoad" {
+		if module.Type().Field(i).Name == "EnginesReportLoad" {
 			all = append(all, values(fields)...)
 		} else {
 			all = append(all, values(module.Field(i))...)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -181,7 +181,7 @@
 		Priorities:        o.Domain.Priorities,
 		ProgressInterval:  o.Domain.ProgressPaceNs,
 		ReportsCost:       o.Domain.SaysCost,
-		ReportsLoad:       len(o.Stats.Fields) > 0,
+		EnginesReportLoad: len(o.Stats.Fields) > 0,
 		WatchEndpointList: o.Discovery == discoveryOnRequest,
 		WeightByWork:      o.ValueBy == valueByWork,
 		Limits: control.Limits{
