--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -59,7 +59,7 @@
 // the slowdown needs, are kept for the pool. Slowdowns don't count where engines report their load but not
 // the work of answers: the load is more precise then.
 func (c *Controller) underPressure(engine *engine) bool {
-	timesCount := c.settings.ReportsCost || !c.settings.EnginesReportLoad
+	timesCount := c.settings.EnginesReportCost || !c.settings.EnginesReportLoad
 	// A last report stays up to date while something is in flight, as the answer brings a new one.
 	loadKnown := engine.concurrency.ThreadsInFlight() > 0 || engine.load.Age(c.now) < controlInterval
 	return c.pressure.UnderPressure(concurrency.Signals{
--- a/control/learning.go
+++ b/control/learning.go
@@ -27,7 +27,7 @@
 		EngineSlowdown: engine.estimatedSlowdown(&c.slowdowns),
 		EstimatedWork:  request.EstimatedWork, EstimatedMemoryMB: request.EstimatedMemoryMB,
 	}
-	if c.settings.ReportsCost {
+	if c.settings.EnginesReportCost {
 		answer.Work, answer.MemoryMB = end.Work, end.MemoryMB
 	}
 	slowdown := class.Cost.Observe(answer)
--- a/control/policyconfig.go
+++ b/control/policyconfig.go
@@ -23,14 +23,14 @@
 
 func attemptOptionsConfig(settings *Settings) attemptoptions.Config {
 	return attemptoptions.Config{
-		MemoryGrants:     settings.MemoryGrants && settings.ReportsCost,
+		MemoryGrants:     settings.MemoryGrants && settings.EnginesReportCost,
 		Priorities:       settings.Priorities,
 		MaxGrantFraction: settings.MaxGrantFraction,
 	}
 }
 
 func slowdownConfig(settings *Settings) slowdown.Config {
-	return slowdown.Config{ReportsWork: settings.ReportsCost, IdleAfter: controlInterval}
+	return slowdown.Config{ReportsWork: settings.EnginesReportCost, IdleAfter: controlInterval}
 }
 
 func watchConfig(settings *Settings) membership.WatchConfig {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -24,7 +24,7 @@
 		MaxAttempts: 1 + r.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
 		Hedging: flip(), LoadProbes: flip(), Gossip: flip(),
 	}
-	s.MemoryGrants, s.Priorities, s.ReportsCost, s.WatchEndpointList = flip(), flip(), flip(), flip()
+	s.MemoryGrants, s.Priorities, s.EnginesReportCost, s.WatchEndpointList = flip(), flip(), flip(), flip()
 	if flip() {
 		s.ProgressInterval = time.Second
 	}
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -25,7 +25,7 @@
 		},
 		Tenants:          []Tenant{{Name: "t0", Share: 0.75, Quota: 60}, {Name: "t1", Share: 0.25, Quota: 20}},
 		EngineKinds:      map[string]EngineKind{"std": {Cores: 8, MemoryMB: 16384}},
-		MaxGrantFraction: 0.4, ReportsCost: true,
+		MaxGrantFraction: 0.4, EnginesReportCost: true,
 		Limits: Limits{MaxAttempts: 3},
 		Rules: Rules{
 			MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.4, SlowStartDuration: 14 * time.Second,
--- a/control/settings.go
+++ b/control/settings.go
@@ -94,7 +94,7 @@
 	MemoryGrants      bool                  // engines apply memory grants
 	Priorities        bool                  // engines apply priorities
 	ProgressInterval  time.Duration         // of the reports of an attempt; 0: there are none
-	ReportsCost       bool                  // answers carry the work and memory that they took
+	EnginesReportCost bool                  // answers carry the work and memory that they took
 	WeightByWork      bool                  // the priority weight of a request grows with its work
 	EnginesReportLoad bool                  // engines report their load
 	MaxSendDelay      time.Duration         // from SendAttempt until the attempt leaves
--- a/control/world_engines_test.go
+++ b/control/world_engines_test.go
@@ -107,7 +107,7 @@
 	case control.OK:
 		end.RequestClosed = true
 		end.Report = w.report(e)
-		if w.settings.ReportsCost {
+		if w.settings.EnginesReportCost {
 			end.Work, end.MemoryMB = r.work, 40+r.work.Seconds()*100
 		}
 		if w.chance(0.2) {
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -120,7 +120,7 @@
 func smallDeployment(*testing.T) deployment {
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 2 * ms,
-		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, ReportsCost: true, WeightByWork: true,
+		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, EnginesReportCost: true, WeightByWork: true,
 		EnginesReportLoad: true,
 		Classes: []control.Class{
 			{
@@ -165,7 +165,7 @@
 	const tenants = 6
 	settings := control.Settings{
 		Brokers: 60, BrokerIndex: 7, Zone: "zone-1", MinBatchInterval: 10 * ms,
-		ReportsCost: true, ProgressInterval: time.Second, Priorities: true,
+		EnginesReportCost: true, ProgressInterval: time.Second, Priorities: true,
 		EnginesReportLoad: true,
 		Classes: []control.Class{
 			{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -180,7 +180,7 @@
 		MemoryGrants:      o.Domain.Grants,
 		Priorities:        o.Domain.Priorities,
 		ProgressInterval:  o.Domain.ProgressPaceNs,
-		ReportsCost:       o.Domain.SaysCost,
+		EnginesReportCost: o.Domain.SaysCost,
 		EnginesReportLoad: len(o.Stats.Fields) > 0,
 		WatchEndpointList: o.Discovery == discoveryOnRequest,
 		WeightByWork:      o.ValueBy == valueByWork,
