--- a/control/admission.go
+++ b/control/admission.go
@@ -60,7 +60,7 @@
 // engines are pooled, unless the weight grows with the work.
 func (c *Controller) exceedsPrice(request *request) bool {
 	lowest := c.workload.Summary().LowestWeightPerThreadSecond
-	return c.endpoints.pool != nil && !c.settings.WeightByWork &&
+	return c.endpoints.pool != nil && !c.settings.WeightScalesWithWork &&
 		c.price.Exceeds(request.class.PriorityWeight, lowest, request.expectedWork)
 }
 
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -124,7 +124,7 @@
 	for name, byWork := range map[string]bool{"weights by class": false, "weights by work": true} {
 		t.Run(name, func(t *testing.T) {
 			s := fleetSettings()
-			s.WeightByWork, s.Limits.LoadProbes = byWork, false
+			s.WeightScalesWithWork, s.Limits.LoadProbes = byWork, false
 			r := newPooledRig(t, s, 60)
 			r.advance(2 * controlInterval)
 			load := &mixedLoad{rig: r, kinds: map[string]int{}, endAt: map[string]time.Duration{}}
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -42,7 +42,7 @@
 	flip := func() bool { return rng.IntN(2) == 0 }
 	s := deployment{Settings: control.Settings{
 		Brokers: 1 + rng.IntN(4), Zone: "a", MinBatchInterval: 5 * millisecond, MaxGrantFraction: 0.4,
-		MemoryGrants: flip(), Priorities: flip(), EnginesReportCost: flip(), WeightByWork: flip(),
+		MemoryGrants: flip(), Priorities: flip(), EnginesReportCost: flip(), WeightScalesWithWork: flip(),
 		WatchEndpointList: flip(),
 		EngineKinds:       map[string]control.EngineKind{"std": {Cores: 8, MemoryMB: 16384}, "big": {Cores: 16}},
 		Limits: control.Limits{
--- a/control/settings.go
+++ b/control/settings.go
@@ -83,22 +83,22 @@
 
 // Settings holds what a controller needs to know of its deployment.
 type Settings struct {
-	Brokers           int           // brokers that share the engines, this one included
-	BrokerIndex       int           // of this broker, from 0
-	Zone              string        // of this broker
-	MinBatchInterval  time.Duration // shortest time between two calls of Handle
-	Classes           []Class
-	Tenants           []Tenant
-	EngineKinds       map[string]EngineKind // by the name of the kind
-	MaxGrantFraction  units.Fraction        // of an engine's memory, for one request
-	MemoryGrants      bool                  // engines apply memory grants
-	Priorities        bool                  // engines apply priorities
-	ProgressInterval  time.Duration         // of the reports of an attempt; 0: there are none
-	EnginesReportCost bool                  // answers carry the work and memory that they took
-	WeightByWork      bool                  // the priority weight of a request grows with its work
-	EnginesReportLoad bool                  // engines report their load
-	MaxSendDelay      time.Duration         // from SendAttempt until the attempt leaves
-	WatchEndpointList bool                  // the endpoint list has to be watched
-	Limits            Limits
-	Rules             Rules
+	Brokers              int           // brokers that share the engines, this one included
+	BrokerIndex          int           // of this broker, from 0
+	Zone                 string        // of this broker
+	MinBatchInterval     time.Duration // shortest time between two calls of Handle
+	Classes              []Class
+	Tenants              []Tenant
+	EngineKinds          map[string]EngineKind // by the name of the kind
+	MaxGrantFraction     units.Fraction        // of an engine's memory, for one request
+	MemoryGrants         bool                  // engines apply memory grants
+	Priorities           bool                  // engines apply priorities
+	ProgressInterval     time.Duration         // of the reports of an attempt; 0: there are none
+	EnginesReportCost    bool                  // answers carry the work and memory that they took
+	WeightScalesWithWork bool                  // the priority weight of a request grows with its work
+	EnginesReportLoad    bool                  // engines report their load
+	MaxSendDelay         time.Duration         // from SendAttempt until the attempt leaves
+	WatchEndpointList    bool                  // the endpoint list has to be watched
+	Limits               Limits
+	Rules                Rules
 }
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -120,7 +120,7 @@
 func smallDeployment(*testing.T) deployment {
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 2 * ms,
-		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, EnginesReportCost: true, WeightByWork: true,
+		MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5, EnginesReportCost: true, WeightScalesWithWork: true,
 		EnginesReportLoad: true,
 		Classes: []control.Class{
 			{
