--- a/control/overdue.go
+++ b/control/overdue.go
@@ -20,11 +20,11 @@
 		return
 	}
 	state := c.overdueStateOf(attempt)
-	verdict, again := overdue.Judge(state)
+	verdict, again := overdue.Evaluate(state)
 	if verdict == overdue.Blocked {
 		c.blockedByLock(attempt)
 		state.ThreadsReleased = attempt.threadsReleased
-		verdict, again = overdue.Judge(state)
+		verdict, again = overdue.Evaluate(state)
 	}
 	switch verdict {
 	case overdue.InTime:
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -84,8 +84,8 @@
 	EngineResponds bool          // the engine answered something within MinLossWait
 }
 
-// Judge returns the verdict on an attempt and, if it is in time, when to judge it again.
-func Judge(attempt Attempt) (verdict Verdict, again time.Duration) {
+// Evaluate returns the verdict on an attempt and, if it is in time, when to judge it again.
+func Evaluate(attempt Attempt) (verdict Verdict, again time.Duration) {
 	limit := attempt.Timeout
 	if interval := attempt.ProgressInterval; interval > 0 {
 		limit = min(limit, scale(interval, missedProgress))
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -103,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			verdict, again := Judge(c.attempt)
+			verdict, again := Evaluate(c.attempt)
 			if verdict != c.verdict || again != c.again {
 				t.Errorf("verdict %d, again in %v; want %d, %v", verdict, again, c.verdict, c.again)
 			}
