--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -55,15 +55,15 @@
 	return left > runawayRatio*usual
 }
 
-// Verdict is what an attempt's silence means.
-type Verdict int
+// Status is what an attempt's silence means.
+type Status int
 
 // The verdicts.
 const (
-	InTime   Verdict = iota // its answer may yet come
-	Blocked                 // it waits for a data-set lock, which needs no threads
-	Lost                    // its answer is presumed lost
-	Overload                // it is overdue, but so are too many others for a loss of its own
+	InTime   Status = iota // its answer may yet come
+	Blocked                // it waits for a data-set lock, which needs no threads
+	Lost                   // its answer is presumed lost
+	Overload               // it is overdue, but so are too many others for a loss of its own
 )
 
 // Attempt is what is known of an attempt in flight.
@@ -85,7 +85,7 @@
 }
 
 // Evaluate returns the verdict on an attempt and, if it is in time, when to judge it again.
-func Evaluate(attempt Attempt) (verdict Verdict, again time.Duration) {
+func Evaluate(attempt Attempt) (verdict Status, again time.Duration) {
 	limit := attempt.Timeout
 	if interval := attempt.ProgressInterval; interval > 0 {
 		limit = min(limit, scale(interval, missedProgress))
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -73,7 +73,7 @@
 	silentEngine.EngineResponds = false
 	for name, c := range map[string]struct {
 		attempt Attempt
-		verdict Verdict
+		verdict Status
 		again   time.Duration
 	}{
 		"in time":            {Attempt{Silence: 700 * ms, Timeout: time.Second}, InTime, 300 * ms},
