--- a/control/overdue.go
+++ b/control/overdue.go
@@ -27,7 +27,7 @@
 		verdict, again = overdue.Evaluate(state)
 	}
 	switch verdict {
-	case overdue.InTime:
+	case overdue.Pending:
 		c.startTimer(again, attemptOverdue{attempt})
 	case overdue.Lost:
 		c.attemptLost(attempt)
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -60,7 +60,7 @@
 
 // The verdicts.
 const (
-	InTime   Status = iota // its answer may yet come
+	Pending  Status = iota // its answer may yet come
 	Blocked                // it waits for a data-set lock, which needs no threads
 	Lost                   // its answer is presumed lost
 	Overload               // it is overdue, but so are too many others for a loss of its own
@@ -104,7 +104,7 @@
 	}
 	switch left := max(limit, least) - attempt.Silence; {
 	case left > 0:
-		return InTime, left
+		return Pending, left
 	case attempt.FleetLossRate < overloadLossRate:
 		return Lost, 0
 	default:
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -76,9 +76,9 @@
 		verdict Status
 		again   time.Duration
 	}{
-		"in time":            {Attempt{Silence: 700 * ms, Timeout: time.Second}, InTime, 300 * ms},
+		"in time":            {Attempt{Silence: 700 * ms, Timeout: time.Second}, Pending, 300 * ms},
 		"lost":               {Attempt{Silence: time.Second, Timeout: time.Second}, Lost, 0},
-		"not lost so soon":   {Attempt{Silence: 500 * ms, Timeout: 400 * ms}, InTime, 100 * ms},
+		"not lost so soon":   {Attempt{Silence: 500 * ms, Timeout: 400 * ms}, Pending, 100 * ms},
 		"sooner with losses": {Attempt{Silence: 500 * ms, Timeout: 400 * ms, LossRate: 0.1}, Lost, 0},
 		"in an overload": {
 			Attempt{Silence: time.Second, Timeout: time.Second, FleetLossRate: 0.4}, Overload, 0,
@@ -87,15 +87,15 @@
 			Attempt{Silence: 1750 * ms, Timeout: time.Minute, ProgressInterval: time.Second}, Lost, 0,
 		},
 		"with progress not due yet": {
-			Attempt{Silence: 1700 * ms, Timeout: time.Minute, ProgressInterval: time.Second}, InTime, 50 * ms,
+			Attempt{Silence: 1700 * ms, Timeout: time.Minute, ProgressInterval: time.Second}, Pending, 50 * ms,
 		},
-		"not blocked so soon": {Attempt{Silence: 400 * ms, Timeout: 300 * ms, Lock: lock}, InTime, 100 * ms},
+		"not blocked so soon": {Attempt{Silence: 400 * ms, Timeout: 300 * ms, Lock: lock}, Pending, 100 * ms},
 		"blocked":             {Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: lock}, Blocked, 0},
 		"lost with its engine": {
 			Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: &silentEngine}, Lost, 0,
 		},
 		"blocked, for the time of a lock": {
-			Attempt{Silence: time.Second, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, InTime, 300 * ms,
+			Attempt{Silence: time.Second, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, Pending, 300 * ms,
 		},
 		"blocked for longer": {
 			Attempt{Silence: 1300 * ms, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, Lost, 0,
