--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -34,9 +34,9 @@
 	EngineUnderPressure bool
 }
 
-// Retries reports whether a request is attempted again. While an attempt still runs at an engine under
+// ShouldRetry reports whether a request is attempted again. While an attempt still runs at an engine under
 // pressure, one more would add to the overload.
-func (p Policy) Retries(request Request, ended Ended) bool {
+func (p Policy) ShouldRetry(request Request, ended Ended) bool {
 	addsToOverload := ended.StillRuns && !ended.EngineEjected && ended.EngineUnderPressure
 	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
 }
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := New(5*ms).Retries(c.request, c.ended); got != c.want {
+			if got := New(5*ms).ShouldRetry(c.request, c.ended); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
