--- a/control/overdue.go
+++ b/control/overdue.go
@@ -89,7 +89,7 @@
 	// On one thread the work takes at least as long as on the threads of its class: an upper bound, which
 	// leaves time for the slowdown of an engine that is not selected yet.
 	longest := request.expectedWork.OnThreads(1).Duration()
-	if !c.retryPolicy.Hedges(request.retryInput(c.now), longest) {
+	if !c.retryPolicy.ShouldHedge(request.retryInput(c.now), longest) {
 		return
 	}
 	if limits.Cancellation {
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -41,8 +41,8 @@
 	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
 }
 
-// Hedges reports whether a further attempt would end in time to earn something, given the longest time that
+// ShouldHedge reports whether a further attempt would end in time to earn something, given the longest time that
 // it is expected to take.
-func (p Policy) Hedges(request Request, longest time.Duration) bool {
+func (p Policy) ShouldHedge(request Request, longest time.Duration) bool {
 	return longest <= request.TimeLeft && !request.worthless()
 }
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := New(5*ms).Hedges(c.request, 300*ms); got != c.want {
+			if got := New(5*ms).ShouldHedge(c.request, 300*ms); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
