--- a/control/attempts.go
+++ b/control/attempts.go
@@ -120,7 +120,7 @@
 // retry enqueues a request again after an attempt that ended, if that is worth it: preferably at another
 // engine. It may be the same one if no other is eligible, or if the request had to wait (retryWaiting).
 func (c *Controller) retry(attempt *attempt, status Status) {
-	retries := c.retryPolicy.ShouldRetry(attempt.request.retryInput(c.now), retry.Ended{
+	retries := c.retryPolicy.ShouldRetry(attempt.request.retryInput(c.now), retry.EndedAttempt{
 		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
 		EngineEjected:       attempt.engine.health.Ejected(),
 		EngineUnderPressure: c.underPressure(attempt.engine),
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -27,8 +27,8 @@
 // worthless reports whether an answer would no longer earn anything.
 func (r Request) worthless() bool { return !r.EarnsLate && r.ObjectiveLeft < 0 }
 
-// Ended is an attempt that ended without an answer.
-type Ended struct {
+// EndedAttempt is an attempt that ended without an answer.
+type EndedAttempt struct {
 	StillRuns           bool // its engine may go on with it, as it can't be cancelled
 	EngineEjected       bool
 	EngineUnderPressure bool
@@ -36,7 +36,7 @@
 
 // ShouldRetry reports whether a request is attempted again. While an attempt still runs at an engine under
 // pressure, one more would add to the overload.
-func (p Policy) ShouldRetry(request Request, ended Ended) bool {
+func (p Policy) ShouldRetry(request Request, ended EndedAttempt) bool {
 	addsToOverload := ended.StillRuns && !ended.EngineEjected && ended.EngineUnderPressure
 	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
 }
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -10,19 +10,19 @@
 func TestRetries(t *testing.T) {
 	t.Parallel()
 	inTime := Request{TimeLeft: 20 * ms, ObjectiveLeft: 10 * ms}
-	overload := Ended{StillRuns: true, EngineUnderPressure: true}
+	overload := EndedAttempt{StillRuns: true, EngineUnderPressure: true}
 	for name, c := range map[string]struct {
 		request Request
-		ended   Ended
+		ended   EndedAttempt
 		want    bool
 	}{
-		"in time":                       {inTime, Ended{EngineUnderPressure: true}, true},
-		"too close to the deadline":     {Request{TimeLeft: 20*ms - 1, ObjectiveLeft: 10 * ms}, Ended{}, false},
-		"after the objective":           {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, Ended{}, false},
-		"that earns late":               {Request{time.Second, -1, true}, Ended{}, true},
+		"in time":                       {inTime, EndedAttempt{EngineUnderPressure: true}, true},
+		"too close to the deadline":     {Request{TimeLeft: 20*ms - 1, ObjectiveLeft: 10 * ms}, EndedAttempt{}, false},
+		"after the objective":           {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, EndedAttempt{}, false},
+		"that earns late":               {Request{time.Second, -1, true}, EndedAttempt{}, true},
 		"on top of an overload":         {inTime, overload, false},
-		"of an engine without pressure": {inTime, Ended{StillRuns: true}, true},
-		"of an ejected engine":          {inTime, Ended{true, true, true}, true},
+		"of an engine without pressure": {inTime, EndedAttempt{StillRuns: true}, true},
+		"of an ejected engine":          {inTime, EndedAttempt{true, true, true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
