--- a/control/requests.go
+++ b/control/requests.go
@@ -55,9 +55,9 @@
 // retryInput is what a further attempt of the request could yield.
 func (r *request) retryInput(now time.Duration) retry.Request {
 	return retry.Request{
-		TimeLeft:      r.Deadline - now,
-		ObjectiveLeft: r.objectiveAt - now,
-		EarnsLate:     r.class.LateWeight != 0,
+		TimeLeft:         r.Deadline - now,
+		ObjectiveLeft:    r.objectiveAt - now,
+		LateAnswerCounts: r.class.LateWeight != 0,
 	}
 }
 
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -19,13 +19,13 @@
 
 // Request is what a further attempt could yield.
 type Request struct {
-	TimeLeft      time.Duration // until the request's deadline
-	ObjectiveLeft time.Duration // of its latency objective; negative: it has passed
-	EarnsLate     bool          // an answer after the objective earns something
+	TimeLeft         time.Duration // until the request's deadline
+	ObjectiveLeft    time.Duration // of its latency objective; negative: it has passed
+	LateAnswerCounts bool          // an answer after the objective earns something
 }
 
 // worthless reports whether an answer would no longer earn anything.
-func (r Request) worthless() bool { return !r.EarnsLate && r.ObjectiveLeft < 0 }
+func (r Request) worthless() bool { return !r.LateAnswerCounts && r.ObjectiveLeft < 0 }
 
 // EndedAttempt is an attempt that ended without an answer.
 type EndedAttempt struct {
