--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -7,7 +7,7 @@
 		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
-		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex, TakeTurns: pooled,
+		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex, UseSlots: pooled,
 	})
 }
 
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -32,7 +32,7 @@
 	OverloadWindow   time.Duration  // over which the work sent is summed up
 	Brokers          int            // that share the engines
 	BrokerIndex      int            // of this broker, from 0
-	TakeTurns        bool           // brokers send by turns, as the share of each is less than a request
+	UseSlots         bool           // brokers send by turns, as the share of each is less than a request
 }
 
 // Engine is what the policy has to know of an engine.
@@ -89,7 +89,7 @@
 	}
 	evenShare := evenShareWeight / units.Fraction(p.config.Brokers)
 	share := evenShare + (1-evenShareWeight)*demand.TrafficShare
-	if p.config.TakeTurns {
+	if p.config.UseSlots {
 		turn := p.turn(engine, demand, now)
 		if !p.hasTurn(engine, turn, now) {
 			return false
@@ -139,7 +139,7 @@
 // often than one that all brokers may use. So the fleet sends the engine what its capacity is enough for,
 // though only the brokers of the turn do. It is 0 where no turns are taken.
 func (p *Policy) FleetPreference(engine Engine, demand Demand, now time.Duration) units.LogRatio {
-	if !p.config.TakeTurns || !p.Active(engine, now) {
+	if !p.config.UseSlots || !p.Active(engine, now) {
 		return 0
 	}
 	inTurn := float64(p.turn(engine, demand, now).brokers)
--- a/control/slowstart/slowstart_test.go
+++ b/control/slowstart/slowstart_test.go
@@ -77,7 +77,7 @@
 		inTurn, budget := 0, units.ThreadSeconds(0)
 		for index := range brokers {
 			c := config()
-			c.Brokers, c.BrokerIndex, c.TakeTurns = brokers, index, true
+			c.Brokers, c.BrokerIndex, c.UseSlots = brokers, index, true
 			policy := New(c)
 			budget = policy.fleetBudget(engine, now)
 			if policy.Allows(engine, &SendLog{}, demand, demand.HeaviestWork, now) {
@@ -116,7 +116,7 @@
 func TestFleetPreferenceMakesUpForTheTurnsOfOthers(t *testing.T) {
 	t.Parallel()
 	c := config()
-	c.Brokers, c.TakeTurns = 100, true
+	c.Brokers, c.UseSlots = 100, true
 	demand := Demand{ArrivalRate: 1, MeanWork: 1, HeaviestWork: 1, ReadyEngines: 1}
 	// The budget is 7.6 thread-seconds, half of it 3.8: three brokers of a hundred have a turn.
 	got, want := New(c).FleetPreference(engine, demand, engine.StartedAt).Ratio(), 0.4*100.0/3
