--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -13,7 +13,7 @@
 
 // slowStartInput is what slow start has to know of an engine.
 func (e *engine) slowStartInput() slowstart.Engine {
-	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstTurn: e.idHash}
+	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstSlot: e.idHash}
 }
 
 // slowStartDemand is what slow start has to know of the traffic.
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -39,7 +39,7 @@
 type Engine struct {
 	StartedAt time.Duration // 0: long ago
 	Cores     float64
-	FirstTurn int // index, modulo the number of brokers, of the broker whose turn is first
+	FirstSlot int // index, modulo the number of brokers, of the broker whose turn is first
 }
 
 // Demand is the demand at this broker.
@@ -130,7 +130,7 @@
 func (p *Policy) hasTurn(engine Engine, turn turn, now time.Duration) bool {
 	brokers := p.config.Brokers
 	turnsBefore := int((now - engine.StartedAt) / p.config.OverloadWindow)
-	first := (engine.FirstTurn + turnsBefore*turn.brokers) % brokers
+	first := (engine.FirstSlot + turnsBefore*turn.brokers) % brokers
 	behindFirst := (p.config.BrokerIndex + brokers - first) % brokers
 	return behindFirst < turn.brokers
 }
