--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -17,7 +17,7 @@
 
 // worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
 func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
-	return e.slowdown.OrByAge(e.estimatedSlowdown(estimator))
+	return e.slowdown.AgeAdjusted(e.estimatedSlowdown(estimator))
 }
 
 // observeSlowdown takes what an answer of the engine shows of its slowdown.
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -30,8 +30,8 @@
 // which one long request can't move.
 func (e *Engine) SetAgeRatios(ratios []float64) { e.ageRatio = estimate.Median(ratios) }
 
-// OrByAge is the larger of an engine's estimated slowdown and the one that the age of its attempts shows.
-func (e *Engine) OrByAge(estimated units.LogRatio) units.LogRatio {
+// AgeAdjusted is the larger of an engine's estimated slowdown and the one that the age of its attempts shows.
+func (e *Engine) AgeAdjusted(estimated units.LogRatio) units.LogRatio {
 	if e.ageRatio <= usualAgeRatio { // a slowdown is never below 0, and by the age it would be
 		return estimated
 	}
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -99,10 +99,10 @@
 	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
 		t.Errorf("ratio %v, want 4", got)
 	}
-	if got, want := engine.OrByAge(0.1), units.LogOf(2); !near(got, want) {
+	if got, want := engine.AgeAdjusted(0.1), units.LogOf(2); !near(got, want) {
 		t.Errorf("slowdown %v, want %v", got, want)
 	}
-	if got := engine.OrByAge(3); got != 3 {
+	if got := engine.AgeAdjusted(3); got != 3 {
 		t.Errorf("slowdown %v, want 3", got)
 	}
 	if engine.SetAgeRatios(nil); engine.AgeRatio() != 0 {
