--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -12,7 +12,7 @@
 	if e.pooled() {
 		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
 	}
-	return estimator.Estimated(&e.slowdown)
+	return estimator.Slowdown(&e.slowdown)
 }
 
 // worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -50,8 +50,8 @@
 // NewEstimator returns an estimator.
 func NewEstimator(config Config) Estimator { return Estimator{config: config} }
 
-// Estimated is an engine's slowdown over the best one, as its answers show it.
-func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
+// Slowdown is an engine's slowdown over the best one, as its answers show it.
+func (s *Estimator) Slowdown(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
 
 // EstimatedInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
 // more the answers of the whole pool count.
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -35,7 +35,7 @@
 			s := NewEstimator(Config{ReportsWork: c.reportsWork})
 			best, slow := observed(&s, 0.1, minSamples+1), observed(&s, c.slow, minSamples+1)
 			s.UpdateBest([]*Engine{&best})
-			if got := s.Estimated(&slow); !near(got, c.want) {
+			if got := s.Slowdown(&slow); !near(got, c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
