--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -10,7 +10,7 @@
 // estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
 func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
-		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
+		return estimator.SlowdownInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
 	}
 	return estimator.Slowdown(&e.slowdown)
 }
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -53,9 +53,9 @@
 // Slowdown is an engine's slowdown over the best one, as its answers show it.
 func (s *Estimator) Slowdown(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
 
-// EstimatedInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
+// SlowdownInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
 // more the answers of the whole pool count.
-func (s *Estimator) EstimatedInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
+func (s *Estimator) SlowdownInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
 	own := (engine.logRatio - pool.logRatio) * units.LogRatio(outcomes) /
 		units.LogRatio(outcomes+poolAnswers)
 	return s.overBest(pool.logRatio + own)
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -67,7 +67,7 @@
 	s := NewEstimator(Config{ReportsWork: true})
 	pool, engine := observed(&s, 0.2, 20), observed(&s, 0.8, 20)
 	for answers, want := range map[float64]units.LogRatio{0: 0.2, poolAnswers: 0.5, 1e12: 0.8} {
-		if got := s.EstimatedInPool(&engine, &pool, answers); !near(got, want) {
+		if got := s.SlowdownInPool(&engine, &pool, answers); !near(got, want) {
 			t.Errorf("after %v answers: got %v, want %v", answers, got, want)
 		}
 	}
