--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -57,7 +57,7 @@
 		if attempt.threadsReleased {
 			continue
 		}
-		inFlight := slowdown.InFlight{
+		inFlight := slowdown.Attempt{
 			SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
 			Threads: attempt.request.class.Threads,
 		}
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -13,15 +13,15 @@
 	minUsualTime units.Seconds = 0.1 // added to the usual time of every attempt
 )
 
-// InFlight is an attempt that is in flight.
-type InFlight struct {
+// Attempt is an attempt that is in flight.
+type Attempt struct {
 	SentAt       time.Duration
 	ExpectedWork units.ThreadSeconds
 	Threads      int
 }
 
 // AgeRatio is the age of the attempt over the time that it takes on an engine that is not slow.
-func (a InFlight) AgeRatio(now time.Duration) float64 {
+func (a Attempt) AgeRatio(now time.Duration) float64 {
 	usualTime := a.ExpectedWork.OnThreads(a.Threads) + minUsualTime
 	return float64(units.SecondsOf(now-a.SentAt) / usualTime)
 }
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -93,7 +93,7 @@
 	var engine Engine
 	now := 10 * time.Second
 	ofAge := func(age time.Duration) float64 {
-		return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
+		return Attempt{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
 	}
 	engine.SetAgeRatios([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
 	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
