--- a/control/membership.go
+++ b/control/membership.go
@@ -37,7 +37,7 @@
 			s.add(engine)
 		} else if listed.StartedAt > engine.StartedAt {
 			engine.health.Restarted()
-			slowdowns.Restarted(&engine.slowdown)
+			slowdowns.Reset(&engine.slowdown)
 		}
 		engine.Engine = listed
 		engine.member.SetMaintenance(s.inMaintenance[listed.ID])
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Restarted drops what is known of an engine's earlier process.
-func (s *Estimator) Restarted(engine *Engine) { engine.logRatio, engine.samples = s.best, 0 }
+// Reset drops what is known of an engine's earlier process.
+func (s *Estimator) Reset(engine *Engine) { engine.logRatio, engine.samples = s.best, 0 }
 
 // UpdateBest follows the least slowdown of the healthy engines, once an interval: down immediately, up
 // slowly.
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -83,7 +83,7 @@
 	if s.Recover(&engine, 2*time.Second+1); !near(engine.logRatio, 1-recovery) {
 		t.Errorf("%v after a second without answers", engine.logRatio)
 	}
-	if s.Restarted(&engine); engine.logRatio != s.best || engine.Trusted() {
+	if s.Reset(&engine); engine.logRatio != s.best || engine.Trusted() {
 		t.Errorf("%v after a restart", engine.logRatio)
 	}
 }
