--- a/control/membership.go
+++ b/control/membership.go
@@ -36,7 +36,7 @@
 			engine = create(listed)
 			s.add(engine)
 		} else if listed.StartedAt > engine.StartedAt {
-			engine.health.Restarted()
+			engine.health.Reset()
 			slowdowns.Reset(&engine.slowdown)
 		}
 		engine.Engine = listed
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -25,8 +25,8 @@
 // that it is not taken for silent before it had time to.
 func NewHealth(now time.Duration) Health { return Health{lastResponseAt: now} }
 
-// Restarted drops what is known of an engine's earlier process.
-func (h *Health) Restarted() {
+// Reset drops what is known of an engine's earlier process.
+func (h *Health) Reset() {
 	h.ejected, h.failureRate, h.wasAtCapacity, h.loss = false, 0, false, estimate.Loss{}
 }
 
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -133,7 +133,7 @@
 	if !engine.AtCapacity(now+atCapacityRest-1) || engine.AtCapacity(now+atCapacityRest) {
 		t.Errorf("at capacity for other than %v", atCapacityRest)
 	}
-	engine.Restarted()
+	engine.Reset()
 	if engine.AtCapacity(now) {
 		t.Error("at capacity after a restart")
 	}
