--- a/control/attempts.go
+++ b/control/attempts.go
@@ -139,7 +139,7 @@
 		return
 	}
 	attempt.lastProgressAt = c.now
-	attempt.engine.health.Responded(c.now)
+	attempt.engine.health.RecordResponse(c.now)
 	if report.Kind != ProgressFraction {
 		return
 	}
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -21,7 +21,7 @@
 // probeEnded takes the answer to a load probe.
 func (c *Controller) probeEnded(result ProbeResult) {
 	if engine := c.endpoints.byID[result.Engine]; engine != nil && result.Status == OK {
-		engine.health.Responded(c.now)
+		engine.health.RecordResponse(c.now)
 		c.loadReported(engine, result.Report)
 	}
 }
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -30,8 +30,8 @@
 	h.ejected, h.failureRate, h.wasAtCapacity, h.loss = false, 0, false, estimate.Loss{}
 }
 
-// Responded records that an engine responded, whatever it did.
-func (h *Health) Responded(now time.Duration) { h.lastResponseAt = now }
+// RecordResponse records that an engine responded, whatever it did.
+func (h *Health) RecordResponse(now time.Duration) { h.lastResponseAt = now }
 
 // RespondedWithin reports whether an engine responded within a time before now.
 func (h *Health) RespondedWithin(within, now time.Duration) bool {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -19,7 +19,7 @@
 		engine.health.WasAtCapacity(c.now)
 		engine.queueOwner.health.WasAtCapacity(c.now)
 	case OK:
-		engine.health.Responded(c.now)
+		engine.health.RecordResponse(c.now)
 		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
 			c.updateFleet()
 			c.emitThrottled(logSubject{restored, engine.ID}, EngineRestored{engine.ID})
@@ -27,7 +27,7 @@
 	case Failed, ConnectionReset, ConnectFailed:
 		connected := status != ConnectFailed
 		if connected {
-			engine.health.Responded(c.now)
+			engine.health.RecordResponse(c.now)
 		}
 		if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
 			c.eject(engine, reason)
