--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -38,9 +38,9 @@
 	return now-h.lastResponseAt < within
 }
 
-// WasAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
+// RecordAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
 // had no capacity.
-func (h *Health) WasAtCapacity(now time.Duration) {
+func (h *Health) RecordAtCapacity(now time.Duration) {
 	h.wasAtCapacity, h.atCapacityAt, h.lastResponseAt = true, now, now
 }
 
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -129,7 +129,7 @@
 	if engine.AtCapacity(now) {
 		t.Error("at capacity from the start")
 	}
-	engine.WasAtCapacity(now)
+	engine.RecordAtCapacity(now)
 	if !engine.AtCapacity(now+atCapacityRest-1) || engine.AtCapacity(now+atCapacityRest) {
 		t.Errorf("at capacity for other than %v", atCapacityRest)
 	}
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -16,8 +16,8 @@
 			c.outliers.Lost(&engine.health, 1)
 		}
 	case AtCapacity:
-		engine.health.WasAtCapacity(c.now)
-		engine.queueOwner.health.WasAtCapacity(c.now)
+		engine.health.RecordAtCapacity(c.now)
+		engine.queueOwner.health.RecordAtCapacity(c.now)
 	case OK:
 		engine.health.RecordResponse(c.now)
 		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
