--- a/control/membership.go
+++ b/control/membership.go
@@ -36,8 +36,8 @@
 			engine = create(listed)
 			s.add(engine)
 		} else if listed.StartedAt > engine.StartedAt {
-			engine.health.Restarted()
-			slowdowns.Restarted(&engine.slowdown)
+			engine.health.Reset()
+			slowdowns.Reset(&engine.slowdown)
 		}
 		engine.Engine = listed
 		engine.member.SetMaintenance(s.inMaintenance[listed.ID])
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -25,22 +25,22 @@
 // that it is not taken for silent before it had time to.
 func NewHealth(now time.Duration) Health { return Health{lastResponseAt: now} }
 
-// Restarted drops what is known of an engine's earlier process.
-func (h *Health) Restarted() {
+// Reset drops what is known of an engine's earlier process.
+func (h *Health) Reset() {
 	h.ejected, h.failureRate, h.wasAtCapacity, h.loss = false, 0, false, estimate.Loss{}
 }
 
-// Responded records that an engine responded, whatever it did.
-func (h *Health) Responded(now time.Duration) { h.lastResponseAt = now }
+// RecordResponse records that an engine responded, whatever it did.
+func (h *Health) RecordResponse(now time.Duration) { h.lastResponseAt = now }
 
 // RespondedWithin reports whether an engine responded within a time before now.
 func (h *Health) RespondedWithin(within, now time.Duration) bool {
 	return now-h.lastResponseAt < within
 }
 
-// WasAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
+// RecordAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
 // had no capacity.
-func (h *Health) WasAtCapacity(now time.Duration) {
+func (h *Health) RecordAtCapacity(now time.Duration) {
 	h.wasAtCapacity, h.atCapacityAt, h.lastResponseAt = true, now, now
 }
 
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -19,30 +19,30 @@
 
 // Request is what a further attempt could yield.
 type Request struct {
-	TimeLeft      time.Duration // until the request's deadline
-	ObjectiveLeft time.Duration // of its latency objective; negative: it has passed
-	EarnsLate     bool          // an answer after the objective earns something
+	TimeLeft         time.Duration // until the request's deadline
+	ObjectiveLeft    time.Duration // of its latency objective; negative: it has passed
+	LateAnswerCounts bool          // an answer after the objective earns something
 }
 
 // worthless reports whether an answer would no longer earn anything.
-func (r Request) worthless() bool { return !r.EarnsLate && r.ObjectiveLeft < 0 }
+func (r Request) worthless() bool { return !r.LateAnswerCounts && r.ObjectiveLeft < 0 }
 
-// Ended is an attempt that ended without an answer.
-type Ended struct {
+// EndedAttempt is an attempt that ended without an answer.
+type EndedAttempt struct {
 	StillRuns           bool // its engine may go on with it, as it can't be cancelled
 	EngineEjected       bool
 	EngineUnderPressure bool
 }
 
-// Retries reports whether a request is attempted again. While an attempt still runs at an engine under
+// ShouldRetry reports whether a request is attempted again. While an attempt still runs at an engine under
 // pressure, one more would add to the overload.
-func (p Policy) Retries(request Request, ended Ended) bool {
+func (p Policy) ShouldRetry(request Request, ended EndedAttempt) bool {
 	addsToOverload := ended.StillRuns && !ended.EngineEjected && ended.EngineUnderPressure
 	return request.TimeLeft >= p.minTimeLeft && !request.worthless() && !addsToOverload
 }
 
-// Hedges reports whether a further attempt would end in time to earn something, given the longest time that
+// ShouldHedge reports whether a further attempt would end in time to earn something, given the longest time that
 // it is expected to take.
-func (p Policy) Hedges(request Request, longest time.Duration) bool {
+func (p Policy) ShouldHedge(request Request, longest time.Duration) bool {
 	return longest <= request.TimeLeft && !request.worthless()
 }
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -10,14 +10,14 @@
 // estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
 func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
-		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
+		return estimator.SlowdownInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
 	}
-	return estimator.Estimated(&e.slowdown)
+	return estimator.Slowdown(&e.slowdown)
 }
 
 // worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
 func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
-	return e.slowdown.OrByAge(e.estimatedSlowdown(estimator))
+	return e.slowdown.AgeAdjusted(e.estimatedSlowdown(estimator))
 }
 
 // observeSlowdown takes what an answer of the engine shows of its slowdown.
@@ -57,7 +57,7 @@
 		if attempt.threadsReleased {
 			continue
 		}
-		inFlight := slowdown.InFlight{
+		inFlight := slowdown.Attempt{
 			SentAt: attempt.sentAt, ExpectedWork: attempt.request.expectedWork,
 			Threads: attempt.request.class.Threads,
 		}
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -13,15 +13,15 @@
 	minUsualTime units.Seconds = 0.1 // added to the usual time of every attempt
 )
 
-// InFlight is an attempt that is in flight.
-type InFlight struct {
+// Attempt is an attempt that is in flight.
+type Attempt struct {
 	SentAt       time.Duration
 	ExpectedWork units.ThreadSeconds
 	Threads      int
 }
 
 // AgeRatio is the age of the attempt over the time that it takes on an engine that is not slow.
-func (a InFlight) AgeRatio(now time.Duration) float64 {
+func (a Attempt) AgeRatio(now time.Duration) float64 {
 	usualTime := a.ExpectedWork.OnThreads(a.Threads) + minUsualTime
 	return float64(units.SecondsOf(now-a.SentAt) / usualTime)
 }
@@ -30,8 +30,8 @@
 // which one long request can't move.
 func (e *Engine) SetAgeRatios(ratios []float64) { e.ageRatio = estimate.Median(ratios) }
 
-// OrByAge is the larger of an engine's estimated slowdown and the one that the age of its attempts shows.
-func (e *Engine) OrByAge(estimated units.LogRatio) units.LogRatio {
+// AgeAdjusted is the larger of an engine's estimated slowdown and the one that the age of its attempts shows.
+func (e *Engine) AgeAdjusted(estimated units.LogRatio) units.LogRatio {
 	if e.ageRatio <= usualAgeRatio { // a slowdown is never below 0, and by the age it would be
 		return estimated
 	}
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -50,12 +50,12 @@
 // NewEstimator returns an estimator.
 func NewEstimator(config Config) Estimator { return Estimator{config: config} }
 
-// Estimated is an engine's slowdown over the best one, as its answers show it.
-func (s *Estimator) Estimated(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
+// Slowdown is an engine's slowdown over the best one, as its answers show it.
+func (s *Estimator) Slowdown(engine *Engine) units.LogRatio { return s.overBest(engine.logRatio) }
 
-// EstimatedInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
+// SlowdownInPool is the same for an engine of a pool: the fewer its outcomes (outlier.Health.Outcomes), the
 // more the answers of the whole pool count.
-func (s *Estimator) EstimatedInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
+func (s *Estimator) SlowdownInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
 	own := (engine.logRatio - pool.logRatio) * units.LogRatio(outcomes) /
 		units.LogRatio(outcomes+poolAnswers)
 	return s.overBest(pool.logRatio + own)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Restarted drops what is known of an engine's earlier process.
-func (s *Estimator) Restarted(engine *Engine) { engine.logRatio, engine.samples = s.best, 0 }
+// Reset drops what is known of an engine's earlier process.
+func (s *Estimator) Reset(engine *Engine) { engine.logRatio, engine.samples = s.best, 0 }
 
 // UpdateBest follows the least slowdown of the healthy engines, once an interval: down immediately, up
 // slowly.
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -35,7 +35,7 @@
 			s := NewEstimator(Config{ReportsWork: c.reportsWork})
 			best, slow := observed(&s, 0.1, minSamples+1), observed(&s, c.slow, minSamples+1)
 			s.UpdateBest([]*Engine{&best})
-			if got := s.Estimated(&slow); !near(got, c.want) {
+			if got := s.Slowdown(&slow); !near(got, c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -67,7 +67,7 @@
 	s := NewEstimator(Config{ReportsWork: true})
 	pool, engine := observed(&s, 0.2, 20), observed(&s, 0.8, 20)
 	for answers, want := range map[float64]units.LogRatio{0: 0.2, poolAnswers: 0.5, 1e12: 0.8} {
-		if got := s.EstimatedInPool(&engine, &pool, answers); !near(got, want) {
+		if got := s.SlowdownInPool(&engine, &pool, answers); !near(got, want) {
 			t.Errorf("after %v answers: got %v, want %v", answers, got, want)
 		}
 	}
@@ -83,7 +83,7 @@
 	if s.Recover(&engine, 2*time.Second+1); !near(engine.logRatio, 1-recovery) {
 		t.Errorf("%v after a second without answers", engine.logRatio)
 	}
-	if s.Restarted(&engine); engine.logRatio != s.best || engine.Trusted() {
+	if s.Reset(&engine); engine.logRatio != s.best || engine.Trusted() {
 		t.Errorf("%v after a restart", engine.logRatio)
 	}
 }
@@ -93,16 +93,16 @@
 	var engine Engine
 	now := 10 * time.Second
 	ofAge := func(age time.Duration) float64 {
-		return InFlight{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
+		return Attempt{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
 	}
 	engine.SetAgeRatios([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
 	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
 		t.Errorf("ratio %v, want 4", got)
 	}
-	if got, want := engine.OrByAge(0.1), units.LogOf(2); !near(got, want) {
+	if got, want := engine.AgeAdjusted(0.1), units.LogOf(2); !near(got, want) {
 		t.Errorf("slowdown %v, want %v", got, want)
 	}
-	if got := engine.OrByAge(3); got != 3 {
+	if got := engine.AgeAdjusted(3); got != 3 {
 		t.Errorf("slowdown %v, want 3", got)
 	}
 	if engine.SetAgeRatios(nil); engine.AgeRatio() != 0 {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -7,13 +7,13 @@
 		InitialFraction:  s.Rules.SlowStartInitial,
 		Duration:         s.Rules.SlowStartDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadWindow: s.Rules.OverloadWindow,
-		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex, TakeTurns: pooled,
+		Brokers: s.Brokers, BrokerIndex: s.BrokerIndex, UseSlots: pooled,
 	})
 }
 
 // slowStartInput is what slow start has to know of an engine.
 func (e *engine) slowStartInput() slowstart.Engine {
-	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstTurn: e.idHash}
+	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstSlot: e.idHash}
 }
 
 // slowStartDemand is what slow start has to know of the traffic.
