--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -30,8 +30,8 @@
 // RequestSummary describes a request that has ended.
 type RequestSummary struct {
 	Class, Tenant string
-	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; ReplyInterrupted if ClientLeft
-	ClientLeft    bool          // it was abandoned: its client left or killed it
+	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; ReplyInterrupted if Abandoned
+	Abandoned     bool          // its client disconnected or killed it
 	Duration      time.Duration // from when the client sent it
 	Objective     time.Duration // the latency objective for it; 0: none
 	QueueTime     time.Duration // from its acceptance to its first attempt, or to its end without one
@@ -83,7 +83,7 @@
 // reportAbandoned notifies the meter and the tracer that a request was abandoned.
 func (b *Broker) reportAbandoned(now time.Duration, request *request, cause EndCause) {
 	summary := b.summarize(now, request)
-	summary.Kind, summary.ClientLeft = ReplyInterrupted, true
+	summary.Kind, summary.Abandoned = ReplyInterrupted, true
 	b.reportEnd(now, request, summary, cause)
 }
 
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -36,7 +36,7 @@
 // counts as wasted if no client got its answer though it may have run.
 func TestMeter(t *testing.T) {
 	abandoned := []RequestSummary{{
-		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, ClientLeft: true, Duration: 30 * ms,
+		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, Abandoned: true, Duration: 30 * ms,
 		Objective: 400 * ms, Attempts: 1,
 	}}
 	wasted := func(duration time.Duration) []AttemptSummary {
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -105,7 +105,7 @@
 // requestOutcome is the label index of metrics.Answers that a request counts under.
 func requestOutcome(request *broker.RequestSummary) int {
 	switch {
-	case request.ClientLeft:
+	case request.Abandoned:
 		return metrics.ClientLeft
 	case request.Kind == broker.ReplyRejected:
 		return metrics.Rejected
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/relay_test.go
@@ -32,7 +32,7 @@
 		{Class: "lookup", Kind: broker.ReplyResult, Duration: time.Second, Objective: time.Millisecond},
 		{Class: "lookup", Kind: broker.ReplyRejected},
 		{Class: "lookup", Kind: broker.ReplyFailed},
-		{Class: "lookup", ClientLeft: true},
+		{Class: "lookup", Abandoned: true},
 	} {
 		r.RequestEnded(s)
 	}
