--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -77,21 +77,21 @@
 // may have ended, or the engine have left service, since the decision module was notified last: such an attempt is only
 // prevented. A forbidden repeat is a fault of the module, and is reported as well.
 func (b *Broker) mayStart(request *request, engine string) bool {
-	start := invariant.Start{
+	start := invariant.AttemptStart{
 		RequestEnded:      request.closed,
 		FinalAnswersSent:  b.shutdown.finalAnswersSent,
 		EndpointInService: b.endpoints.InService(engine),
 	}
-	if _, broken := start.Broken(); broken {
+	if _, broken := start.ViolatedRule(); broken {
 		return false
 	}
-	repeat := invariant.Repeat{
+	repeat := invariant.AttemptRepeat{
 		NonIdempotent: request.class.Idempotency.Kind == idempotency.NonIdempotent,
 		Hedging:       b.hedging,
 		InFlight:      request.hasAttemptInFlight(),
 		MayHaveRun:    request.mayHaveRun(),
 	}
-	if rule, broken := repeat.Broken(); broken {
+	if rule, broken := repeat.ViolatedRule(); broken {
 		b.violated(rule, request.session, request.RequestID)
 		return false
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -29,8 +29,8 @@
 	ruleCount
 )
 
-// Names are the names of the rules in logs and figures, by their numbers.
-var Names = [ruleCount]string{
+// RuleNames are the names of the rules in logs and figures, by their numbers.
+var RuleNames = [ruleCount]string{
 	NoStartAfterEnd:     "no_start_after_end",
 	NoUnsafeRepeat:      "no_unsafe_repeat",
 	NoParallelAttempts:  "no_parallel_attempts",
@@ -42,20 +42,20 @@
 }
 
 // String returns the name of the rule.
-func (r Rule) String() string { return Names[r] }
+func (r Rule) String() string { return RuleNames[r] }
 
 // TimeoutSlack is how much longer than the client's remaining time the timeout passed to an engine may be.
 const TimeoutSlack = 150 * time.Millisecond
 
-// Start is what is known as an attempt is about to start.
-type Start struct {
+// AttemptStart is what is known as an attempt is about to start.
+type AttemptStart struct {
 	RequestEnded      bool // the request was answered, or its client has left
 	FinalAnswersSent  bool // all requests have their final answer, as the broker shuts down
 	EndpointInService bool // the endpoint list has the engine in service, and it is not in maintenance
 }
 
-// Broken returns the rule that the start would break.
-func (s Start) Broken() (Rule, bool) {
+// ViolatedRule returns the rule that the start would break.
+func (s AttemptStart) ViolatedRule() (Rule, bool) {
 	switch {
 	case s.RequestEnded || s.FinalAnswersSent:
 		return NoStartAfterEnd, true
@@ -65,16 +65,16 @@
 	return 0, false
 }
 
-// Repeat is what is known of the attempts of a request as a further one is about to start.
-type Repeat struct {
+// AttemptRepeat is what is known of the attempts of a request as a further one is about to start.
+type AttemptRepeat struct {
 	NonIdempotent bool // the request must not run twice
 	Hedging       bool // the deployment allows two attempts in flight
 	InFlight      bool // an earlier attempt is in flight
 	MayHaveRun    bool // an earlier attempt may have run, or may run still
 }
 
-// Broken returns the rule that the further attempt would break.
-func (r Repeat) Broken() (Rule, bool) {
+// ViolatedRule returns the rule that the further attempt would break.
+func (r AttemptRepeat) ViolatedRule() (Rule, bool) {
 	switch {
 	case r.NonIdempotent && (r.InFlight || r.MayHaveRun):
 		return NoUnsafeRepeat, true
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -4,27 +4,27 @@
 
 // Each guard names the rule that is broken, and none where all hold.
 func TestGuards(t *testing.T) {
-	type guard interface{ Broken() (Rule, bool) }
+	type guard interface{ ViolatedRule() (Rule, bool) }
 	const none = Rule(-1)
 	for name, tt := range map[string]struct {
 		guard guard
 		want  Rule
 	}{
-		"start":                      {Start{EndpointInService: true}, none},
-		"start after the end":        {Start{EndpointInService: true, RequestEnded: true}, NoStartAfterEnd},
-		"start after final answers":  {Start{EndpointInService: true, FinalAnswersSent: true}, NoStartAfterEnd},
-		"start at a draining engine": {Start{}, NoSendToUnready},
-		"retry":                      {Repeat{MayHaveRun: true}, none},
-		"hedged request":             {Repeat{MayHaveRun: true, InFlight: true, Hedging: true}, none},
-		"two in flight":              {Repeat{MayHaveRun: true, InFlight: true}, NoParallelAttempts},
-		"repeat of what never ran":   {Repeat{NonIdempotent: true}, none},
+		"start":                      {AttemptStart{EndpointInService: true}, none},
+		"start after the end":        {AttemptStart{EndpointInService: true, RequestEnded: true}, NoStartAfterEnd},
+		"start after final answers":  {AttemptStart{EndpointInService: true, FinalAnswersSent: true}, NoStartAfterEnd},
+		"start at a draining engine": {AttemptStart{}, NoSendToUnready},
+		"retry":                      {AttemptRepeat{MayHaveRun: true}, none},
+		"hedged request":             {AttemptRepeat{MayHaveRun: true, InFlight: true, Hedging: true}, none},
+		"two in flight":              {AttemptRepeat{MayHaveRun: true, InFlight: true}, NoParallelAttempts},
+		"repeat of what never ran":   {AttemptRepeat{NonIdempotent: true}, none},
 		"repeat of what may have run": {
-			Repeat{NonIdempotent: true, MayHaveRun: true, Hedging: true}, NoUnsafeRepeat,
+			AttemptRepeat{NonIdempotent: true, MayHaveRun: true, Hedging: true}, NoUnsafeRepeat,
 		},
-		"hedged and non-idempotent": {Repeat{NonIdempotent: true, InFlight: true, Hedging: true}, NoUnsafeRepeat},
+		"hedged and non-idempotent": {AttemptRepeat{NonIdempotent: true, InFlight: true, Hedging: true}, NoUnsafeRepeat},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, broken := tt.guard.Broken()
+			got, broken := tt.guard.ViolatedRule()
 			if !broken {
 				got = none
 			}
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -68,7 +68,7 @@
 		"client_half_closed", "queue_overflow", "queued_request_due",
 	}
 	// InvariantNames are the rules that a broker checks on itself, as the log has them.
-	InvariantNames = invariant.Names[:]
+	InvariantNames = invariant.RuleNames[:]
 	// EndReasons are the reason codes of ended connections, as the log has them.
 	EndReasons = []string{
 		"peer_closed", "peer_reset", "quit", "idle", "login_timeout", "read_timeout", "access_denied",
