--- a/internal/broker/clientwait/clientwait.go
+++ b/internal/broker/clientwait/clientwait.go
@@ -30,7 +30,7 @@
 // Request is what is known of when a request was sent. Times are those of the reducer.
 type Request struct {
 	SentAt            time.Duration // arrival of its last byte
-	WaitingSince      time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
+	EarliestSentAt    time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
 	Timeout           time.Duration // of its client
 	OrderKey          string        // empty: none
 	FirstOnConnection bool          // no request came on its connection before
@@ -40,8 +40,8 @@
 // connection. It takes no account of bursts.
 func QueuedDeadline(request Request) time.Duration {
 	deadline := request.SentAt + request.Timeout - margin(request, request.SentAt)
-	if request.WaitingSince > 0 {
-		deadline = min(deadline, request.WaitingSince+request.Timeout)
+	if request.EarliestSentAt > 0 {
+		deadline = min(deadline, request.EarliestSentAt+request.Timeout)
 	}
 	return deadline
 }
@@ -73,8 +73,8 @@
 func (e *Estimator) Deadline(request Request) time.Duration {
 	timeoutStart := e.timeoutStart(request)
 	kept := margin(request, timeoutStart)
-	if request.WaitingSince > 0 {
-		timeoutStart = min(timeoutStart, request.WaitingSince)
+	if request.EarliestSentAt > 0 {
+		timeoutStart = min(timeoutStart, request.EarliestSentAt)
 	}
 	return timeoutStart + request.Timeout - kept
 }
--- a/internal/broker/clientwait/clientwait_test.go
+++ b/internal/broker/clientwait/clientwait_test.go
@@ -68,9 +68,9 @@
 		"part of a short timeout":     {Request{Timeout: 40 * ms}, 34 * ms, 34 * ms},
 		"order key":                   {Request{OrderKey: "k", Timeout: 2 * time.Second}, 1735 * ms, 1735 * ms},
 		"order key, short timeout":    {Request{OrderKey: "k", Timeout: 200 * ms}, 170 * ms, 170 * ms},
-		"waiting since before":        {Request{WaitingSince: startTime - 50*ms, Timeout: time.Second}, 938 * ms, 950 * ms},
-		"waiting since an instant":    {Request{WaitingSince: startTime - ms, Timeout: time.Second}, 987 * ms, 988 * ms},
-		"waiting since, it says, now": {Request{WaitingSince: startTime, Timeout: time.Second}, 988 * ms, 988 * ms},
+		"waiting since before":        {Request{EarliestSentAt: startTime - 50*ms, Timeout: time.Second}, 938 * ms, 950 * ms},
+		"waiting since an instant":    {Request{EarliestSentAt: startTime - ms, Timeout: time.Second}, 987 * ms, 988 * ms},
+		"waiting since, it says, now": {Request{EarliestSentAt: startTime, Timeout: time.Second}, 988 * ms, 988 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -46,9 +46,9 @@
 	// SubmitRequest is the command to run a request. WaitingSince is the earliest time at which it may have been sent,
 	// if that is earlier than Request.SentAt; 0: it is not. The client's timeout may run from there.
 	SubmitRequest struct {
-		Session      Session
-		Request      Request
-		WaitingSince time.Duration
+		Session        Session
+		Request        Request
+		EarliestSentAt time.Duration
 	}
 	// Ping is the command to report whether the broker can serve.
 	Ping struct{ Session Session }
--- a/internal/broker/rarebehavior_test.go
+++ b/internal/broker/rarebehavior_test.go
@@ -54,7 +54,7 @@
 		s.replaceManyEngines()
 	case draw < 45:
 		r := s.request()
-		s.apply(SubmitRequest{Session: client, Request: r, WaitingSince: s.now - s.between(0, 60*ms)})
+		s.apply(SubmitRequest{Session: client, Request: r, EarliestSentAt: s.now - s.between(0, 60*ms)})
 	case draw < 70:
 		r := s.request()
 		r.OrderKey = fmt.Sprint("rare-key-", s.lastRequest)
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -142,7 +142,7 @@
 func (c SubmitRequest) sendTimes() clientwait.Request {
 	return clientwait.Request{
 		SentAt:            c.Request.SentAt,
-		WaitingSince:      c.WaitingSince,
+		EarliestSentAt:    c.EarliestSentAt,
 		Timeout:           c.Request.Timeout,
 		OrderKey:          c.Request.OrderKey,
 		FirstOnConnection: c.Request.FirstOnConnection,
--- a/internal/server/frontend/command.go
+++ b/internal/server/frontend/command.go
@@ -69,7 +69,7 @@
 	}
 	first := !c.hasSubmitted
 	c.hasSubmitted = true
-	return broker.SubmitRequest{Session: c.session, WaitingSince: sent.waitingSince, Request: broker.Request{
+	return broker.SubmitRequest{Session: c.session, EarliestSentAt: sent.waitingSince, Request: broker.Request{
 		RequestID:         statement.RequestID,
 		Class:             statement.Class,
 		Tenant:            statement.Tenant,
