--- a/internal/broker/resultpages/resultpages.go
+++ b/internal/broker/resultpages/resultpages.go
@@ -9,38 +9,38 @@
 
 // The sizes that the protocol allows.
 const (
-	MaxBytes     = 48000 // of a result, all its pages together
-	MaxPageBytes = 6000
-	MaxPages     = 64 // of a result: engines fill pages, so two in a row hold over MaxPageBytes together
-	rowColumns   = 3  // of every row
+	MaxResultBytes = 48000 // of a result, all its pages together
+	MaxPageBytes   = 6000
+	MaxPages       = 64 // of a result: engines fill pages, so two in a row hold over MaxPageBytes together
+	rowColumns     = 3  // of every row
 )
 
 // Errors of a result.
 var (
 	ErrInvalidFirstPage = errors.New("invalid first page of a result")
 	ErrInvalidPage      = errors.New("invalid page of a result")
-	ErrMissingPage      = errors.New("timeout of a page of a result")
+	ErrPageTimeout      = errors.New("timeout of a page of a result")
 )
 
-// Assembly is a result whose first page was received.
-type Assembly struct {
+// Assembler is a result whose first page was received.
+type Assembler struct {
 	pages   [][]byte // nil: not received
 	missing int      // number of pages not received
 	bytes   int      // of the pages received
 }
 
 // New returns the assembly of a result of pageCount pages, with its first one. The error is ErrInvalidFirstPage.
-func New(pageCount int, first []byte) (*Assembly, error) {
+func New(pageCount int, first []byte) (*Assembler, error) {
 	if pageCount < 1 || pageCount > MaxPages || !valid(first) {
 		return nil, ErrInvalidFirstPage
 	}
-	a := &Assembly{pages: make([][]byte, pageCount), missing: pageCount - 1, bytes: len(first)}
+	a := &Assembler{pages: make([][]byte, pageCount), missing: pageCount - 1, bytes: len(first)}
 	a.pages[0] = nonNil(first)
 	return a, nil
 }
 
 // Add adds a page by its number, from 0. An equal duplicate is ignored. The error is ErrInvalidPage.
-func (a *Assembly) Add(number int, page []byte) error {
+func (a *Assembler) Add(number int, page []byte) error {
 	if number < 0 || number >= len(a.pages) {
 		return ErrInvalidPage
 	}
@@ -48,7 +48,7 @@
 		return nil
 	}
 	a.bytes += len(page)
-	if a.pages[number] != nil || !valid(page) || a.bytes > MaxBytes {
+	if a.pages[number] != nil || !valid(page) || a.bytes > MaxResultBytes {
 		return ErrInvalidPage
 	}
 	a.pages[number] = nonNil(page)
@@ -57,13 +57,13 @@
 }
 
 // Missing is the number of pages that were not received.
-func (a *Assembly) Missing() int { return a.missing }
+func (a *Assembler) Missing() int { return a.missing }
 
 // Complete reports whether all pages were received.
-func (a *Assembly) Complete() bool { return a.missing == 0 }
+func (a *Assembler) Complete() bool { return a.missing == 0 }
 
 // Pages are the pages in their order; nil in place of those not received.
-func (a *Assembly) Pages() [][]byte { return a.pages }
+func (a *Assembler) Pages() [][]byte { return a.pages }
 
 // nonNil distinguishes an empty page from one that was not received.
 func nonNil(page []byte) []byte {
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -13,7 +13,7 @@
 
 // result is the part of an attempt's result that was received.
 type result struct {
-	pages    *resultpages.Assembly
+	pages    *resultpages.Assembler
 	work     time.Duration
 	memoryMB float64
 	report   loadreport.Report
@@ -72,7 +72,7 @@
 	switch {
 	case !attempt.inFlight || attempt.cancelled():
 	case attempt.result.pages.Missing() == missing:
-		b.discardResult(now, attempt, resultpages.ErrMissingPage)
+		b.discardResult(now, attempt, resultpages.ErrPageTimeout)
 	default:
 		b.timers.Set(now+pageTimeout, pageOverdue{attempt, attempt.result.pages.Missing()})
 	}
--- a/internal/server/effects_test.go
+++ b/internal/server/effects_test.go
@@ -25,7 +25,7 @@
 		},
 		"engine restored": {broker.EngineRestored{Engine: "e1"}, map[string]any{"engine": "e1"}},
 		"result page invalid": {
-			broker.ResultInvalid{Engine: "e1", Err: resultpages.ErrMissingPage},
+			broker.ResultInvalid{Engine: "e1", Err: resultpages.ErrPageTimeout},
 			map[string]any{"engine": "e1", "reason": "timeout of a page of a result"},
 		},
 	} {
