--- a/internal/broker/attempts_test.go
+++ b/internal/broker/attempts_test.go
@@ -54,7 +54,7 @@
 				h.submit(1, "lookup", "", time.Second)
 				a := h.onlyAttempt()
 				end(h)
-				if got := effectsOf[WithdrawUnsent](h.effects); len(got) != 1 || got[0].Attempt != a {
+				if got := effectsOf[CancelIfUnsent](h.effects); len(got) != 1 || got[0].Attempt != a {
 					t.Fatalf("withdrawn: %v", got)
 				}
 				h.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -81,9 +81,9 @@
 	}
 	// CancelAttempt cancels an attempt. AttemptEnded follows once the cancel was sent to the engine.
 	CancelAttempt struct{ Attempt AttemptID }
-	// WithdrawUnsent withdraws an attempt whose request is closed, if no byte of it was sent; AttemptEnded
+	// CancelIfUnsent withdraws an attempt whose request is closed, if no byte of it was sent; AttemptEnded
 	// follows in that case. A partly sent attempt continues.
-	WithdrawUnsent struct{ Attempt AttemptID }
+	CancelIfUnsent struct{ Attempt AttemptID }
 	// ReleaseAttempt drops an attempt whose result is complete or discarded. With PagesLeft, the engine
 	// still holds pages of the result.
 	ReleaseAttempt struct {
@@ -100,8 +100,8 @@
 		ProbeID      uint64
 		Engine, Addr string
 	}
-	// CancelUnsent ends the attempts of which nothing has left for an engine that drains or is in maintenance.
-	CancelUnsent struct{ Engine string }
+	// CancelUnsentAttempts ends the attempts of which nothing has left for an engine that drains or is in maintenance.
+	CancelUnsentAttempts struct{ Engine string }
 	// CloseEngineConnections closes connections to an engine that was removed, restarted or lost its address.
 	// With DialedBefore, later connections stay open: they are to the restarted process.
 	CloseEngineConnections struct {
@@ -143,11 +143,11 @@
 func (StartAttempt) effect()           {}
 func (FetchPage) effect()              {}
 func (CancelAttempt) effect()          {}
-func (WithdrawUnsent) effect()         {}
+func (CancelIfUnsent) effect()         {}
 func (ReleaseAttempt) effect()         {}
 func (SetPriority) effect()            {}
 func (ProbeLoad) effect()              {}
-func (CancelUnsent) effect()           {}
+func (CancelUnsentAttempts) effect()   {}
 func (CloseEngineConnections) effect() {}
 func (SendGossip) effect()             {}
 func (EngineEjected) effect()          {}
--- a/internal/broker/endpointlist/apply.go
+++ b/internal/broker/endpointlist/apply.go
@@ -20,8 +20,8 @@
 
 // The kinds of change.
 const (
-	CloseConnections ConnectionChangeKind = iota // the engine was removed, restarted or has moved
-	CancelUnsent                                 // it drains: attempts that have not left for it must not leave
+	CloseConnections     ConnectionChangeKind = iota // the engine was removed, restarted or has moved
+	CancelUnsentAttempts                             // it drains: attempts that have not left for it must not leave
 )
 
 // Apply applies a page of the change log that was read at now, with the wall clock ahead of the reducer's time by
@@ -121,7 +121,7 @@
 		a.closeConnections(id, started.earliest)
 	}
 	if endpoint.State == control.Draining && !moved {
-		a.connections = append(a.connections, ConnectionChange{Engine: id, Kind: CancelUnsent})
+		a.connections = append(a.connections, ConnectionChange{Engine: id, Kind: CancelUnsentAttempts})
 	}
 	switch {
 	case restarted:
--- a/internal/broker/endpointlist/endpointlist_test.go
+++ b/internal/broker/endpointlist/endpointlist_test.go
@@ -47,7 +47,7 @@
 		"unchanged": {page(2, false, ready), nil, 2},
 		"draining": {
 			page(2, false, endpoint("e1", addr1, control.Draining)),
-			[]ConnectionChange{{Engine: "e1", Kind: CancelUnsent}},
+			[]ConnectionChange{{Engine: "e1", Kind: CancelUnsentAttempts}},
 			1,
 		},
 		"removed":            {page(2, false, endpoint("e1", addr1, control.Removed)), closeAll, 1},
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -43,8 +43,8 @@
 		switch change.Kind {
 		case endpointlist.CloseConnections:
 			b.emit(CloseEngineConnections{Engine: change.Engine, DialedBefore: change.DialedBefore})
-		case endpointlist.CancelUnsent:
-			b.emit(CancelUnsent{change.Engine})
+		case endpointlist.CancelUnsentAttempts:
+			b.emit(CancelUnsentAttempts{change.Engine})
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (b *Broker) maintenanceStarted(id string) {
 	b.batch.add(control.SetMaintenance{Engine: id, Enabled: true})
 	if b.endpoints.Listed(id) {
-		b.emit(CancelUnsent{id})
+		b.emit(CancelUnsentAttempts{id})
 	}
 }
 
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -20,7 +20,7 @@
 		change Event
 		want   []Effect
 	}{
-		"draining":                {delta(2, draining), []Effect{CancelUnsent{"e1"}}},
+		"draining":                {delta(2, draining), []Effect{CancelUnsentAttempts{"e1"}}},
 		"removed":                 {delta(2, endpoint("e1", addr1, control.Removed)), closeAll},
 		"restarted":               {delta(2, restarted), []Effect{CloseEngineConnections{"e1", startTime}}},
 		"moved":                   {delta(2, endpoint("e1", "127.0.0.1:9", control.Ready)), closeAll},
--- a/internal/broker/maintenance_test.go
+++ b/internal/broker/maintenance_test.go
@@ -14,7 +14,7 @@
 func TestMaintenanceHoldsUntilEnded(t *testing.T) {
 	h := newHarness(t, engine1())
 	effects := h.apply(StartMaintenance{"e1"})
-	if diff := cmp.Diff([]CancelUnsent{{"e1"}}, effectsOf[CancelUnsent](effects)); diff != "" {
+	if diff := cmp.Diff([]CancelUnsentAttempts{{"e1"}}, effectsOf[CancelUnsentAttempts](effects)); diff != "" {
 		t.Fatal(diff)
 	}
 	if h.broker.Ready() || !h.broker.EverListed("e1") || h.broker.UnavailableEngines() != 1 {
--- a/internal/broker/recorder_test.go
+++ b/internal/broker/recorder_test.go
@@ -33,7 +33,7 @@
 		return 5
 	case CancelAttempt:
 		return 6
-	case WithdrawUnsent:
+	case CancelIfUnsent:
 		return 7
 	case ReleaseAttempt:
 		return 8
@@ -43,7 +43,7 @@
 		return 10
 	case SendGossip:
 		return 11
-	case CancelUnsent:
+	case CancelUnsentAttempts:
 		return 12
 	case CloseEngineConnections:
 		return 13
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -209,7 +209,7 @@
 		if attempt.awaitsFirstPage() {
 			// It may still wait for a connection or in a write buffer, and the decision module may not be
 			// allowed to cancel it.
-			b.emit(WithdrawUnsent{attempt.id})
+			b.emit(CancelIfUnsent{attempt.id})
 		}
 	}
 	b.requests.dropIfDone(request)
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -223,7 +223,7 @@
 			s.schedule(0, AttemptServed{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
 			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
-	case WithdrawUnsent:
+	case CancelIfUnsent:
 		if s.chance(30) {
 			s.schedule(0, AttemptEnded{Attempt: e.Attempt, Status: control.NeverSent})
 		}
@@ -231,7 +231,7 @@
 		s.endAttempt(e.Attempt)
 	case ProbeLoad:
 		s.answerProbe(e)
-	case CancelUnsent:
+	case CancelUnsentAttempts:
 		for _, a := range s.attempts {
 			if a.engine == e.Engine && s.chance(20) {
 				s.schedule(0, AttemptEnded{Attempt: a.id, Status: control.NeverSent})
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -32,7 +32,7 @@
 		ex.pool.FetchPage(effect)
 	case broker.CancelAttempt:
 		ex.pool.CancelAttempt(effect.Attempt)
-	case broker.WithdrawUnsent:
+	case broker.CancelIfUnsent:
 		ex.pool.WithdrawAttempt(effect.Attempt)
 	case broker.ReleaseAttempt:
 		ex.pool.ReleaseAttempt(effect)
@@ -44,7 +44,7 @@
 	case broker.SendGossip:
 		ex.usage.GossipSent++
 		ex.gossip.Send(effect.Broker, effect.Reports)
-	case broker.CancelUnsent:
+	case broker.CancelUnsentAttempts:
 		ex.pool.Drain(effect.Engine)
 	case broker.CloseEngineConnections:
 		ex.pool.CloseConnections(effect.Engine, effect.DialedBefore)
