--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -95,7 +95,7 @@
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
 		id := l.running[0].id
 		l.running = l.running[1:]
-		l.react(l.broker.Apply(l.now, AttemptServed{
+		l.react(l.broker.Apply(l.now, FirstPageReceived{
 			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: loadreport.Report{Reported: true, Utilization: 0.5},
 			Body: []byte("1\t2\t3\n"),
 		}))
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -78,7 +78,7 @@
 		b.endSession(now, event.Session, EndClientClosed)
 	case SessionHalfClosed:
 		b.halfCloseSession(now, event.Session)
-	case AttemptServed:
+	case FirstPageReceived:
 		b.attemptServed(now, event)
 	case PageReceived:
 		b.pageReceived(now, event)
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -75,9 +75,9 @@
 
 // Events of engines.
 type (
-	// AttemptServed reports that an attempt succeeded at its engine: the first page of the result, and the
+	// FirstPageReceived reports that an attempt succeeded at its engine: the first page of the result, and the
 	// number of pages.
-	AttemptServed struct {
+	FirstPageReceived struct {
 		Attempt   AttemptID
 		PageCount int
 		Work      time.Duration // measured by the engine, on one thread
@@ -148,10 +148,10 @@
 func (SessionClosed) event()        {}
 func (SessionHalfClosed) event()    {}
 
-func (AttemptServed) event() {}
-func (PageReceived) event()  {}
-func (AttemptEnded) event()  {}
-func (ProbeResult) event()   {}
+func (FirstPageReceived) event() {}
+func (PageReceived) event()      {}
+func (AttemptEnded) event()      {}
+func (ProbeResult) event()       {}
 
 func (GossipReceived) event()     {}
 func (EndpointChanges) event()    {}
--- a/internal/broker/rarebehavior_test.go
+++ b/internal/broker/rarebehavior_test.go
@@ -73,7 +73,7 @@
 		page.WallOffset = time.Duration(s.rng.IntN(3)-1) * s.between(0, 10*time.Second)
 		s.apply(page)
 	default:
-		s.apply(AttemptServed{Attempt: s.anyAttempt(), PageCount: s.rng.IntN(70), Body: []byte("no row")})
+		s.apply(FirstPageReceived{Attempt: s.anyAttempt(), PageCount: s.rng.IntN(70), Body: []byte("no row")})
 	}
 }
 
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -20,7 +20,7 @@
 }
 
 // newResult returns a result with its first page.
-func newResult(served AttemptServed) (*result, error) {
+func newResult(served FirstPageReceived) (*result, error) {
 	pages, err := resultpages.New(served.PageCount, served.Body)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 
 // attemptServed handles the first page of a result. The attempt succeeds only with the last page: if the
 // engine dies between two pages, the request is retried.
-func (b *Broker) attemptServed(now time.Duration, event AttemptServed) {
+func (b *Broker) attemptServed(now time.Duration, event FirstPageReceived) {
 	attempt := b.requests.attemptInFlight(event.Attempt)
 	if attempt == nil || !attempt.awaitsFirstPage() {
 		return
--- a/internal/broker/results_test.go
+++ b/internal/broker/results_test.go
@@ -71,8 +71,8 @@
 	}, nil, 2, 1},
 }
 
-func firstPage(a AttemptID, pageCount int, body []byte) AttemptServed {
-	return AttemptServed{Attempt: a, PageCount: pageCount, Body: body}
+func firstPage(a AttemptID, pageCount int, body []byte) FirstPageReceived {
+	return FirstPageReceived{Attempt: a, PageCount: pageCount, Body: body}
 }
 
 // A result counts only once it is complete; what spoils it before costs an attempt, not the answer.
--- a/internal/broker/simulated_engines_test.go
+++ b/internal/broker/simulated_engines_test.go
@@ -76,7 +76,7 @@
 	if s.chance(30) {
 		pages += s.rng.IntN(4)
 	}
-	served := AttemptServed{
+	served := FirstPageReceived{
 		Attempt:   start.Attempt,
 		PageCount: pages,
 		Work:      work,
@@ -112,7 +112,7 @@
 }
 
 // spoil makes a first page invalid.
-func (s *simulation) spoil(served AttemptServed, draw int) AttemptServed {
+func (s *simulation) spoil(served FirstPageReceived, draw int) FirstPageReceived {
 	if draw < 13 {
 		served.Body = s.invalidPage()
 	} else {
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -220,7 +220,7 @@
 		if s.chance(95) {
 			s.schedule(s.between(0, 4*ms), AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		} else { // its answer crosses the cancel
-			s.schedule(0, AttemptServed{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
+			s.schedule(0, FirstPageReceived{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
 			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
 	case CancelIfUnsent:
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -119,7 +119,7 @@
 		p.probeAnswered(stream, response, report)
 	case response.Kind == resp.OK:
 		stream.responding = true
-		p.events.Apply(broker.AttemptServed{
+		p.events.Apply(broker.FirstPageReceived{
 			Attempt: stream.attemptID, PageCount: response.PageCount, Work: response.Work,
 			MemoryMB: response.MemoryMB, Report: report, Body: response.Body,
 		})
