--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -109,7 +109,7 @@
 	case UpdateSettings:
 		b.updateSettings(event.Settings)
 	case Shutdown:
-		b.startShutdown(now, event.Within)
+		b.startShutdown(now, event.GracePeriod)
 	case SendFinalAnswers:
 		b.sendFinalAnswers(now)
 	}
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -133,7 +133,7 @@
 	// class that they were accepted with; later ones of a class that was removed are answered with ReplyInvalidFields.
 	UpdateSettings struct{ Settings control.Settings }
 	// Shutdown starts a graceful shutdown: after the given time, all open requests get a final answer.
-	Shutdown struct{ Within time.Duration }
+	Shutdown struct{ GracePeriod time.Duration }
 	// SendFinalAnswers reports that all sessions are about to be closed. Open requests get their final answer
 	// now, and later requests are rejected.
 	SendFinalAnswers struct{}
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if s.chance(70) {
-		s.apply(Shutdown{Within: 400 * ms})
+		s.apply(Shutdown{GracePeriod: 400 * ms})
 	} else {
 		s.apply(SendFinalAnswers{})
 	}
--- a/internal/server/rounds.go
+++ b/internal/server/rounds.go
@@ -75,7 +75,7 @@
 	s.shutdown = newGracefulShutdown(time.Now(), s.cfg.Settings.Control.Classes)
 	within := s.shutdown.answerWithin
 	s.log.Info("stopping", zap.Int("open", s.loop.reducer.OpenRequests()), zap.Duration("within", within))
-	s.loop.apply(broker.Shutdown{Within: within})
+	s.loop.apply(broker.Shutdown{GracePeriod: within})
 }
 
 // advanceShutdown takes the steps of a shutdown that are due, and reports whether it is complete.
