--- a/internal/broker/eviction/eviction.go
+++ b/internal/broker/eviction/eviction.go
@@ -11,8 +11,8 @@
 // soon as they connect; the time allows for a broker that is slow to read.
 const LoginGrace = 250 * time.Millisecond
 
-// Place is the place of a session in the order. The zero value is that of a busy session, which is not evicted.
-type Place struct {
+// Entry is the place of a session in the order. The zero value is that of a busy session, which is not evicted.
+type Entry struct {
 	since   time.Duration // in queue
 	queue   *list.List    // nil: busy
 	element *list.Element
@@ -25,25 +25,25 @@
 }
 
 // AddUnauthenticated adds a session that has connected and not logged in.
-func (o *Order[Session]) AddUnauthenticated(now time.Duration, place *Place, session Session) {
+func (o *Order[Session]) AddUnauthenticated(now time.Duration, place *Entry, session Session) {
 	place.move(now, &o.unauthenticated, o.unauthenticated.PushBack(session))
 }
 
 // MarkIdle makes a session the last of the idle ones.
-func (o *Order[Session]) MarkIdle(now time.Duration, place *Place, session Session) {
+func (o *Order[Session]) MarkIdle(now time.Duration, place *Entry, session Session) {
 	place.MarkBusy()
 	place.move(now, &o.idle, o.idle.PushBack(session))
 }
 
 // MarkFirst makes a session the first of the idle ones.
-func (o *Order[Session]) MarkFirst(now time.Duration, place *Place, session Session) {
+func (o *Order[Session]) MarkFirst(now time.Duration, place *Entry, session Session) {
 	place.MarkBusy()
 	place.move(now, &o.idle, o.idle.PushFront(session))
 }
 
 // Candidate is the session to evict: one that did not log in within LoginGrace, else the one idle longest, else one
 // that may be about to log in; ok is false if all are busy. placeOf returns the place of a session.
-func (o *Order[Session]) Candidate(now time.Duration, placeOf func(Session) *Place) (session Session, ok bool) {
+func (o *Order[Session]) Candidate(now time.Duration, placeOf func(Session) *Entry) (session Session, ok bool) {
 	unauthenticated, hasUnauthenticated := first[Session](&o.unauthenticated)
 	idle, hasIdle := first[Session](&o.idle)
 	switch {
@@ -56,14 +56,14 @@
 }
 
 // MarkBusy takes a session out of the order.
-func (p *Place) MarkBusy() {
+func (p *Entry) MarkBusy() {
 	if p.queue != nil {
 		p.queue.Remove(p.element)
 	}
 	p.queue, p.element = nil, nil
 }
 
-func (p *Place) move(now time.Duration, queue *list.List, element *list.Element) {
+func (p *Entry) move(now time.Duration, queue *list.List, element *list.Element) {
 	p.since, p.queue, p.element = now, queue, element
 }
 
--- a/internal/broker/eviction/eviction_test.go
+++ b/internal/broker/eviction/eviction_test.go
@@ -7,10 +7,10 @@
 
 type testSession struct {
 	name  string
-	place Place
+	place Entry
 }
 
-func placeOf(s *testSession) *Place { return &s.place }
+func placeOf(s *testSession) *Entry { return &s.place }
 
 func TestCandidate(t *testing.T) {
 	t.Parallel()
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -16,7 +16,7 @@
 
 	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
 
-	evictionPlace eviction.Place // busy while the session waits for an answer
+	evictionPlace eviction.Entry // busy while the session waits for an answer
 }
 
 // sessionTable holds the clients' sessions and the order in which they are evicted when their limit is reached.
@@ -59,7 +59,7 @@
 
 // evictionCandidate is the session to evict; nil if all are busy.
 func (t *sessionTable) evictionCandidate(now time.Duration) *session {
-	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Place { return &s.evictionPlace })
+	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Entry { return &s.evictionPlace })
 	if !ok {
 		return nil
 	}
