--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Maintenance are the engines in maintenance mode, sorted, listed or not.
-func (l *List) Maintenance() []string { return slices.Sorted(maps.Keys(l.inMaintenance)) }
+// EnginesInMaintenance are the engines in maintenance mode, sorted, listed or not.
+func (l *List) EnginesInMaintenance() []string { return slices.Sorted(maps.Keys(l.inMaintenance)) }
 
 // InMaintenance reports whether an engine is in maintenance mode.
 func (l *List) InMaintenance(id string) bool { return l.inMaintenance[id] }
--- a/internal/broker/endpointlist/endpointlist_test.go
+++ b/internal/broker/endpointlist/endpointlist_test.go
@@ -107,7 +107,7 @@
 	if !l.RestoreMaintenance("e3") || !l.EverListed("e3") || l.Listed("e3") {
 		t.Error("want the maintenance of an engine that the previous process knew")
 	}
-	if diff := cmp.Diff([]string{"e1", "e3"}, l.Maintenance()); diff != "" {
+	if diff := cmp.Diff([]string{"e1", "e3"}, l.EnginesInMaintenance()); diff != "" {
 		t.Errorf("in maintenance (-want +got):\n%s", diff)
 	}
 	if !l.EndMaintenance("e1") || !l.InService("e1") || l.InServiceCount() != 1 {
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -14,7 +14,7 @@
 func (b *Broker) EndpointCount() int { return b.endpoints.Len() }
 
 // EnginesInMaintenance are the engines in maintenance mode, sorted.
-func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.Maintenance() }
+func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.EnginesInMaintenance() }
 
 // View fills view with the decision module's view of engines and classes.
 func (b *Broker) View(view *control.View) { b.module.View(view) }
