--- a/internal/broker/clientwait/clientwait.go
+++ b/internal/broker/clientwait/clientwait.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// MinMargin is an upper bound of the transit times of a request and its answer together, including the delays
+	// TransitReserve is an upper bound of the transit times of a request and its answer together, including the delays
 	// within the two processes. An answer must leave at once if no more time than that is left.
-	MinMargin = 12 * time.Millisecond
+	TransitReserve = 12 * time.Millisecond
 	// maxMarginFraction is the largest fraction of a timeout that is kept as a margin.
 	maxMarginFraction = 0.15
 	// minBurstsToSweep is the smallest number of bursts at which ended ones are removed.
@@ -49,7 +49,7 @@
 // margin returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
 // at timeoutStart.
 func margin(request Request, timeoutStart time.Duration) time.Duration {
-	needed := MinMargin
+	needed := TransitReserve
 	if request.OrderKey != "" && timeoutStart == request.SentAt {
 		// The client may have delayed it after a request of the same key to another broker.
 		needed = newConnectionKeySpacing + transitSlack
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -120,7 +120,7 @@
 		b.reply(session.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
-	case request.Timeout <= clientwait.MinMargin && request.Timeout < class.LatencyObjective:
+	case request.Timeout <= clientwait.TransitReserve && request.Timeout < class.LatencyObjective:
 		// There is too little time left to run it, and only an immediate answer arrives before the client gives up.
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
