--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"wheatlane/control"
-	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/clientdeadline"
 	"wheatlane/internal/broker/endpointlist"
 	"wheatlane/internal/broker/timerqueue"
 	"wheatlane/internal/invariant"
@@ -31,7 +31,7 @@
 	sessions         sessionTable
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
-	deadlines        *clientwait.Estimator
+	deadlines        *clientdeadline.Estimator
 	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
 	validator        *requestValidator
@@ -55,7 +55,7 @@
 		meter:     NopMeter{},
 		sessions:  newSessionTable(maxSessions),
 		requests:  newRequestTable(),
-		deadlines: clientwait.New(),
+		deadlines: clientdeadline.New(),
 		endpoints: endpointlist.New(),
 		probes:    map[uint64]loadProbe{},
 		validator: newRequestValidator(settings),
--- a/internal/broker/clientwait/clientwait.go
+++ b/internal/broker/clientdeadline/clientdeadline.go
@@ -1,7 +1,7 @@
-// Package clientwait estimates when the timeout of a client's request began, and so by when the answer must leave. A
+// Package clientdeadline estimates when the timeout of a client's request began, and so by when the answer must leave. A
 // timeout runs from when the client decided to send the request. That can be earlier than its arrival: clients space
 // the requests of one order key, and bytes may wait in a socket before they are read.
-package clientwait
+package clientdeadline
 
 import (
 	"maps"
--- a/internal/broker/clientwait/clientwait_test.go
+++ b/internal/broker/clientdeadline/clientdeadline_test.go
@@ -1,4 +1,4 @@
-package clientwait
+package clientdeadline
 
 import (
 	"fmt"
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wheatlane/control"
-	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/clientdeadline"
 )
 
 // Clients may send commands ahead of the answer to a request. Each is answered, in order: a session must not be closed
@@ -44,7 +44,7 @@
 		requestID := strings.Clone(submit.Request.RequestID)
 		command = session.queueRequest(submit, requestID)
 		if request := submit.Request; request.Timeout > 0 {
-			due := clientwait.QueuedDeadline(submit.sendTimes())
+			due := clientdeadline.QueuedDeadline(submit.sendTimes())
 			b.timers.Set(max(due, now), queuedRequestDue{session, requestID})
 		}
 	}
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -8,7 +8,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/attemptoptions"
-	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/clientdeadline"
 )
 
 // request is an accepted request.
@@ -120,7 +120,7 @@
 		b.reply(session.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
-	case request.Timeout <= clientwait.TransitReserve && request.Timeout < class.LatencyObjective:
+	case request.Timeout <= clientdeadline.TransitReserve && request.Timeout < class.LatencyObjective:
 		// There is too little time left to run it, and only an immediate answer arrives before the client gives up.
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
@@ -139,8 +139,8 @@
 }
 
 // sendTimes is what is known of when the client sent a request.
-func (c SubmitRequest) sendTimes() clientwait.Request {
-	return clientwait.Request{
+func (c SubmitRequest) sendTimes() clientdeadline.Request {
+	return clientdeadline.Request{
 		SentAt:            c.Request.SentAt,
 		EarliestSentAt:    c.EarliestSentAt,
 		Timeout:           c.Request.Timeout,
--- a/internal/broker/requests_test.go
+++ b/internal/broker/requests_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wheatlane/control"
-	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/clientdeadline"
 )
 
 // Every request gets one answer before its client gives up, whatever its attempt does, and none after a kill.
@@ -170,7 +170,7 @@
 		class, key      string
 		timeout, margin time.Duration
 	}{
-		{"lookup", "", time.Second, clientwait.TransitReserve},
+		{"lookup", "", time.Second, clientdeadline.TransitReserve},
 		{"lookup", "", 40 * ms, 6 * ms},
 		{"load", "k", 2 * time.Second, 265 * ms},
 		{"load", "k", 200 * ms, 30 * ms},
@@ -199,9 +199,9 @@
 		replies            []ReplyKind
 		attempts           int
 	}{
-		"no time left":    {400 * ms, clientwait.TransitReserve, []ReplyKind{ReplyRejected}, 0},
-		"some time left":  {400 * ms, clientwait.TransitReserve + 5*ms, nil, 1},
-		"short objective": {clientwait.TransitReserve, clientwait.TransitReserve, nil, 1},
+		"no time left":    {400 * ms, clientdeadline.TransitReserve, []ReplyKind{ReplyRejected}, 0},
+		"some time left":  {400 * ms, clientdeadline.TransitReserve + 5*ms, nil, 1},
+		"short objective": {clientdeadline.TransitReserve, clientdeadline.TransitReserve, nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -30,7 +30,7 @@
 //     that all that was read is answered; then the broker ends its direction of the connection and waits for the
 //     client to end the other, as closing a socket with bytes unread could destroy the last answers.
 //
-// At answerWithin, whatever the step, the reducer gives what is still open its final answer (broker.Shutdown.Within).
+// At answerWithin, whatever the step, the reducer gives what is still open its final answer (broker.Shutdown.GracePeriod).
 type shutdownStep int
 
 const (
