--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"wheatlane/control"
-	"wheatlane/internal/broker/clientwait"
+	"wheatlane/internal/broker/clientdeadline"
 	"wheatlane/internal/broker/endpointlist"
 	"wheatlane/internal/broker/timerqueue"
 	"wheatlane/internal/invariant"
@@ -31,7 +31,7 @@
 	sessions         sessionTable
 	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
 	requests         requestTable
-	deadlines        *clientwait.Estimator
+	deadlines        *clientdeadline.Estimator
 	endpoints        *endpointlist.List
 	probes           map[uint64]loadProbe
 	validator        *requestValidator
@@ -55,7 +55,7 @@
 		meter:     NopMeter{},
 		sessions:  newSessionTable(maxSessions),
 		requests:  newRequestTable(),
-		deadlines: clientwait.New(),
+		deadlines: clientdeadline.New(),
 		endpoints: endpointlist.New(),
 		probes:    map[uint64]loadProbe{},
 		validator: newRequestValidator(settings),
@@ -78,7 +78,7 @@
 		b.endSession(now, event.Session, EndClientClosed)
 	case SessionHalfClosed:
 		b.halfCloseSession(now, event.Session)
-	case AttemptServed:
+	case FirstPageReceived:
 		b.attemptServed(now, event)
 	case PageReceived:
 		b.pageReceived(now, event)
@@ -109,7 +109,7 @@
 	case UpdateSettings:
 		b.updateSettings(event.Settings)
 	case Shutdown:
-		b.startShutdown(now, event.Within)
+		b.startShutdown(now, event.GracePeriod)
 	case SendFinalAnswers:
 		b.sendFinalAnswers(now)
 	}
--- a/internal/broker/clientwait/clientwait.go
+++ b/internal/broker/clientdeadline/clientdeadline.go
@@ -1,7 +1,7 @@
-// Package clientwait estimates when the timeout of a client's request began, and so by when the answer must leave. A
+// Package clientdeadline estimates when the timeout of a client's request began, and so by when the answer must leave. A
 // timeout runs from when the client decided to send the request. That can be earlier than its arrival: clients space
 // the requests of one order key, and bytes may wait in a socket before they are read.
-package clientwait
+package clientdeadline
 
 import (
 	"maps"
@@ -16,9 +16,9 @@
 )
 
 const (
-	// MinMargin is an upper bound of the transit times of a request and its answer together, including the delays
+	// TransitReserve is an upper bound of the transit times of a request and its answer together, including the delays
 	// within the two processes. An answer must leave at once if no more time than that is left.
-	MinMargin = 12 * time.Millisecond
+	TransitReserve = 12 * time.Millisecond
 	// maxMarginFraction is the largest fraction of a timeout that is kept as a margin.
 	maxMarginFraction = 0.15
 	// minBurstsToSweep is the smallest number of bursts at which ended ones are removed.
@@ -30,7 +30,7 @@
 // Request is what is known of when a request was sent. Times are those of the reducer.
 type Request struct {
 	SentAt            time.Duration // arrival of its last byte
-	WaitingSince      time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
+	EarliestSentAt    time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
 	Timeout           time.Duration // of its client
 	OrderKey          string        // empty: none
 	FirstOnConnection bool          // no request came on its connection before
@@ -40,8 +40,8 @@
 // connection. It takes no account of bursts.
 func QueuedDeadline(request Request) time.Duration {
 	deadline := request.SentAt + request.Timeout - margin(request, request.SentAt)
-	if request.WaitingSince > 0 {
-		deadline = min(deadline, request.WaitingSince+request.Timeout)
+	if request.EarliestSentAt > 0 {
+		deadline = min(deadline, request.EarliestSentAt+request.Timeout)
 	}
 	return deadline
 }
@@ -49,7 +49,7 @@
 // margin returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
 // at timeoutStart.
 func margin(request Request, timeoutStart time.Duration) time.Duration {
-	needed := MinMargin
+	needed := TransitReserve
 	if request.OrderKey != "" && timeoutStart == request.SentAt {
 		// The client may have delayed it after a request of the same key to another broker.
 		needed = newConnectionKeySpacing + transitSlack
@@ -73,8 +73,8 @@
 func (e *Estimator) Deadline(request Request) time.Duration {
 	timeoutStart := e.timeoutStart(request)
 	kept := margin(request, timeoutStart)
-	if request.WaitingSince > 0 {
-		timeoutStart = min(timeoutStart, request.WaitingSince)
+	if request.EarliestSentAt > 0 {
+		timeoutStart = min(timeoutStart, request.EarliestSentAt)
 	}
 	return timeoutStart + request.Timeout - kept
 }
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -14,7 +14,7 @@
 func (b *Broker) EndpointCount() int { return b.endpoints.Len() }
 
 // EnginesInMaintenance are the engines in maintenance mode, sorted.
-func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.Maintenance() }
+func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.EnginesInMaintenance() }
 
 // View fills view with the decision module's view of engines and classes.
 func (b *Broker) View(view *control.View) { b.module.View(view) }
@@ -43,8 +43,8 @@
 		switch change.Kind {
 		case endpointlist.CloseConnections:
 			b.emit(CloseEngineConnections{Engine: change.Engine, DialedBefore: change.DialedBefore})
-		case endpointlist.CancelUnsent:
-			b.emit(CancelUnsent{change.Engine})
+		case endpointlist.CancelUnsentAttempts:
+			b.emit(CancelUnsentAttempts{change.Engine})
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (b *Broker) maintenanceStarted(id string) {
 	b.batch.add(control.SetMaintenance{Engine: id, Enabled: true})
 	if b.endpoints.Listed(id) {
-		b.emit(CancelUnsent{id})
+		b.emit(CancelUnsentAttempts{id})
 	}
 }
 
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -46,9 +46,9 @@
 	// SubmitRequest is the command to run a request. WaitingSince is the earliest time at which it may have been sent,
 	// if that is earlier than Request.SentAt; 0: it is not. The client's timeout may run from there.
 	SubmitRequest struct {
-		Session      Session
-		Request      Request
-		WaitingSince time.Duration
+		Session        Session
+		Request        Request
+		EarliestSentAt time.Duration
 	}
 	// Ping is the command to report whether the broker can serve.
 	Ping struct{ Session Session }
@@ -75,9 +75,9 @@
 
 // Events of engines.
 type (
-	// AttemptServed reports that an attempt succeeded at its engine: the first page of the result, and the
+	// FirstPageReceived reports that an attempt succeeded at its engine: the first page of the result, and the
 	// number of pages.
-	AttemptServed struct {
+	FirstPageReceived struct {
 		Attempt   AttemptID
 		PageCount int
 		Work      time.Duration // measured by the engine, on one thread
@@ -133,7 +133,7 @@
 	// class that they were accepted with; later ones of a class that was removed are answered with ReplyInvalidFields.
 	UpdateSettings struct{ Settings control.Settings }
 	// Shutdown starts a graceful shutdown: after the given time, all open requests get a final answer.
-	Shutdown struct{ Within time.Duration }
+	Shutdown struct{ GracePeriod time.Duration }
 	// SendFinalAnswers reports that all sessions are about to be closed. Open requests get their final answer
 	// now, and later requests are rejected.
 	SendFinalAnswers struct{}
@@ -148,10 +148,10 @@
 func (SessionClosed) event()        {}
 func (SessionHalfClosed) event()    {}
 
-func (AttemptServed) event() {}
-func (PageReceived) event()  {}
-func (AttemptEnded) event()  {}
-func (ProbeResult) event()   {}
+func (FirstPageReceived) event() {}
+func (PageReceived) event()      {}
+func (AttemptEnded) event()      {}
+func (ProbeResult) event()       {}
 
 func (GossipReceived) event()     {}
 func (EndpointChanges) event()    {}
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -13,14 +13,14 @@
 
 // result is the part of an attempt's result that was received.
 type result struct {
-	pages    *resultpages.Assembly
+	pages    *resultpages.Assembler
 	work     time.Duration
 	memoryMB float64
 	report   loadreport.Report
 }
 
 // newResult returns a result with its first page.
-func newResult(served AttemptServed) (*result, error) {
+func newResult(served FirstPageReceived) (*result, error) {
 	pages, err := resultpages.New(served.PageCount, served.Body)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 
 // attemptServed handles the first page of a result. The attempt succeeds only with the last page: if the
 // engine dies between two pages, the request is retried.
-func (b *Broker) attemptServed(now time.Duration, event AttemptServed) {
+func (b *Broker) attemptServed(now time.Duration, event FirstPageReceived) {
 	attempt := b.requests.attemptInFlight(event.Attempt)
 	if attempt == nil || !attempt.awaitsFirstPage() {
 		return
@@ -72,7 +72,7 @@
 	switch {
 	case !attempt.inFlight || attempt.cancelled():
 	case attempt.result.pages.Missing() == missing:
-		b.discardResult(now, attempt, resultpages.ErrMissingPage)
+		b.discardResult(now, attempt, resultpages.ErrPageTimeout)
 	default:
 		b.timers.Set(now+pageTimeout, pageOverdue{attempt, attempt.result.pages.Missing()})
 	}
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if s.chance(70) {
-		s.apply(Shutdown{Within: 400 * ms})
+		s.apply(Shutdown{GracePeriod: 400 * ms})
 	} else {
 		s.apply(SendFinalAnswers{})
 	}
@@ -220,10 +220,10 @@
 		if s.chance(95) {
 			s.schedule(s.between(0, 4*ms), AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		} else { // its answer crosses the cancel
-			s.schedule(0, AttemptServed{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
+			s.schedule(0, FirstPageReceived{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
 			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
-	case WithdrawUnsent:
+	case CancelIfUnsent:
 		if s.chance(30) {
 			s.schedule(0, AttemptEnded{Attempt: e.Attempt, Status: control.NeverSent})
 		}
@@ -231,7 +231,7 @@
 		s.endAttempt(e.Attempt)
 	case ProbeLoad:
 		s.answerProbe(e)
-	case CancelUnsent:
+	case CancelUnsentAttempts:
 		for _, a := range s.attempts {
 			if a.engine == e.Engine && s.chance(20) {
 				s.schedule(0, AttemptEnded{Attempt: a.id, Status: control.NeverSent})
