--- a/internal/server/socketbudget.go
+++ b/internal/server/socketbudget.go
@@ -32,5 +32,5 @@
 	return b
 }
 
-// AdminSockets returns how many callers the admin endpoint may serve at once: their sockets count against the limit.
-func AdminSockets(cfg config.Config) int { return newSocketBudget(cfg).Admin }
+// MaxAdminConnections returns how many callers the admin endpoint may serve at once: their sockets count against the limit.
+func MaxAdminConnections(cfg config.Config) int { return newSocketBudget(cfg).Admin }
--- a/internal/server/socketbudget_test.go
+++ b/internal/server/socketbudget_test.go
@@ -20,7 +20,7 @@
 				if sum > sockets || budget.Sessions < 1 || budget.Sessions >= budget.Clients {
 					t.Errorf("%d descriptors for %d: %+v", sum, sockets, budget)
 				}
-				if callers := AdminSockets(cfg); (callers > 0) != (admin != "") {
+				if callers := MaxAdminConnections(cfg); (callers > 0) != (admin != "") {
 					t.Errorf("%d callers of the admin endpoint", callers)
 				}
 			})
