--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -36,7 +36,7 @@
 			c, other := s.connect(), s.connect()
 			c.ping()
 			other.ping()
-			held := HoldLoop(t, s.server)
+			held := PauseLoop(t, s.server)
 			s.server.loop.inbox <- func() {
 				closeSession(s.server, c, other)
 				for range 100_000 { // the writer has every chance to end the connection too early
@@ -45,7 +45,7 @@
 			}
 			c.query(statement("lookup", 1, longTimeout, ""))
 			held.WaitForEvents(2)
-			held.Release()
+			held.Resume()
 			c.expect("1226", "closed")
 			if len(e.messages) > 0 {
 				t.Errorf("the engine got %q", (<-e.messages).words)
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -240,7 +240,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEngine(t)
 			s := startServerWith(t, serverOptions{configure: withoutSlowStart}, listed("e1", e))
-			KeepConnectionsFresh(s.server)
+			DisableConnectionTimeouts(s.server)
 			a := s.connect(statement("lookup", 1, longTimeout, ""))
 			attempt := e.expectAttempt(t)
 			bornMS := time.Now().Add(tt.startedAfter).UnixMilli()
--- a/internal/server/transcript_attempts_test.go
+++ b/internal/server/transcript_attempts_test.go
@@ -50,12 +50,12 @@
 
 	tr.line("# KILL QUERY, with pages left")
 	client, m := cs.request(2, patience)
-	loop := server.HoldLoop(t, s.service.Server) // both come before the timeout of the page can expire
+	loop := server.PauseLoop(t, s.service.Server) // both come before the timeout of the page can expire
 	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
 	loop.WaitForEvents(1)
 	cs.killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session)))
 	loop.WaitForEvents(2)
-	loop.Release()
+	loop.Resume()
 	e.next("turn")
 	cs.killer.result()
 	client.result()
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -32,11 +32,11 @@
 //     half-open probe of an ejected engine: startPatient raises both to patience, so that each is longer than
 //     a test. Retired ids of streams stay retired for as long.
 //   - silenceThreshold and livenessTimeout (500 ms, 250 ms: the connection is replaced), the idle close of
-//     connections to engines (60 % of their idle timeout), their connect timeout: KeepConnectionsFresh turns
+//     connections to engines (60 % of their idle timeout), their connect timeout: DisableConnectionTimeouts turns
 //     them off. They stay on where TestTranscriptOfALivenessCheck is about them; it takes what comes on the
 //     connection of the request, and no step of its script lies between.
 //   - pageTimeout (500 ms): an engine sends pages together with the first, or the loop is held until
-//     the next event has come as well, see HoldLoop.
+//     the next event has come as well, see PauseLoop.
 //   - partialResponseTimeout, partialPageTimeout, partialMessageTimeout: messages are sent with one write.
 //     One session with an engine is about the first.
 //   - loginTimeout (2 s): clients send their login as they connect.
@@ -93,7 +93,7 @@
 	times := fmt.Sprintf(`"$1":%d`, patience.Nanoseconds())
 	allowed.classes = classTimes.ReplaceAllString(allowed.classes, times)
 	s := start(tr, allowed, changelogAddr, hosts...)
-	server.KeepConnectionsFresh(s.service.Server)
+	server.DisableConnectionTimeouts(s.service.Server)
 	return s
 }
 
