--- a/internal/server/hosts.go
+++ b/internal/server/adapters.go
@@ -17,52 +17,52 @@
 // A host is what a part of the server sees of the rest: it turns what the part reports into events of the reducer, in
 // the loop. Its methods may be called on any goroutine, but for those that say otherwise.
 
-// gossipHost receives load reports of other brokers.
-type gossipHost struct{ loop *eventLoop }
+// gossipAdapter receives load reports of other brokers.
+type gossipAdapter struct{ loop *eventLoop }
 
 // GossipReceived implements gossiptransport.Receiver.
-func (h gossipHost) GossipReceived(ctx context.Context, number int, reports []control.GossipedLoad) {
+func (h gossipAdapter) GossipReceived(ctx context.Context, number int, reports []control.GossipedLoad) {
 	h.loop.post(ctx, func() { h.loop.apply(broker.GossipReceived{Broker: number, Reports: reports}) })
 }
 
-// changelogHost receives pages of the change log.
-type changelogHost struct {
+// changelogAdapter receives pages of the change log.
+type changelogAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
 }
 
 // EndpointsChanged implements endpointwatch.Sink.
-func (h changelogHost) EndpointsChanged(ctx context.Context, page changelog.Page) bool {
+func (h changelogAdapter) EndpointsChanged(ctx context.Context, page changelog.Page) bool {
 	event := broker.EndpointChanges{Page: page, WallOffset: clock.WallOffset()}
 	return h.loop.post(ctx, func() { h.loop.apply(event) })
 }
 
 // ConnectionEnded implements endpointwatch.Sink.
-func (h changelogHost) ConnectionEnded(addr string, openedAt time.Time, err error) {
-	h.connections.ended(netconn.ChangelogSide, addr, openedAt, err)
+func (h changelogAdapter) ConnectionEnded(addr string, openedAt time.Time, err error) {
+	h.connections.recordEnd(netconn.ChangelogSide, addr, openedAt, err)
 }
 
-// frontendHost runs the frontend in the loop.
-type frontendHost struct {
+// frontendAdapter runs the frontend in the loop.
+type frontendAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
 }
 
 // Post implements frontend.Loop.
-func (h frontendHost) Post(ctx context.Context, f func()) bool { return h.loop.post(ctx, f) }
+func (h frontendAdapter) Post(ctx context.Context, f func()) bool { return h.loop.post(ctx, f) }
 
 // Apply implements frontend.EventSink. It is called in the loop.
-func (h frontendHost) Apply(event broker.Event) { h.loop.apply(event) }
+func (h frontendAdapter) Apply(event broker.Event) { h.loop.apply(event) }
 
 // Enqueue implements frontend.EventSink. It is called in the loop.
-func (h frontendHost) Enqueue(event broker.Event) { h.loop.enqueue(event) }
+func (h frontendAdapter) Enqueue(event broker.Event) { h.loop.enqueue(event) }
 
 // ConnectionEnded implements frontend.Observer.
-func (h frontendHost) ConnectionEnded(peer string, openedAt time.Time, err error) {
-	h.connections.ended(netconn.ClientSide, peer, openedAt, err)
+func (h frontendAdapter) ConnectionEnded(peer string, openedAt time.Time, err error) {
+	h.connections.recordEnd(netconn.ClientSide, peer, openedAt, err)
 }
 
 // Violated implements frontend.Observer. It is called in the loop.
-func (h frontendHost) Violated(rule invariant.Rule, fields ...zap.Field) {
-	h.loop.violated(rule, fields...)
+func (h frontendAdapter) Violated(rule invariant.Rule, fields ...zap.Field) {
+	h.loop.reportViolation(rule, fields...)
 }
--- a/internal/server/connectionlog.go
+++ b/internal/server/connectionlog.go
@@ -9,8 +9,8 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// explainedReasons are the reasons that say too little without the error behind them.
-var explainedReasons = []netconn.Reason{
+// reasonsWithError are the reasons that say too little without the error behind them.
+var reasonsWithError = []netconn.Reason{
 	netconn.OtherError, netconn.Malformed, netconn.HTTPStatus, netconn.ConnectFailed,
 }
 
@@ -20,15 +20,15 @@
 	counts netconn.EndCounts
 }
 
-// ended records the end of a connection, or that it was not established, for which err is the reason.
-func (l *connectionLog) ended(side netconn.Side, peer string, openedAt time.Time, err error) {
+// recordEnd records the end of a connection, or that it was not established, for which err is the reason.
+func (l *connectionLog) recordEnd(side netconn.Side, peer string, openedAt time.Time, err error) {
 	reason := netconn.ReasonOf(err)
 	l.counts.Add(side, reason)
 	fields := []zap.Field{
 		zap.String("side", string(side)), zap.String("peer", peer), zap.String("reason", string(reason)),
 		zap.Duration("lasted", time.Since(openedAt)),
 	}
-	if slices.Contains(explainedReasons, reason) {
+	if slices.Contains(reasonsWithError, reason) {
 		fields = append(fields, zap.Error(err))
 	}
 	l.log.Info("connection ended", fields...)
--- a/internal/server/enginehost.go
+++ b/internal/server/enginepooladapter.go
@@ -31,18 +31,18 @@
 	}
 }
 
-// engineHost runs the pool of connections to engines in the loop.
-type engineHost struct {
+// enginePoolAdapter runs the pool of connections to engines in the loop.
+type enginePoolAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
 	scope       *runScope
 }
 
 // Post implements enginepool.Loop.
-func (h engineHost) Post(f func()) { h.loop.post(h.scope.ctx, f) }
+func (h enginePoolAdapter) Post(f func()) { h.loop.post(h.scope.ctx, f) }
 
 // Start implements enginepool.Loop.
-func (h engineHost) Start(run func(ctx context.Context)) context.CancelCauseFunc {
+func (h enginePoolAdapter) Start(run func(ctx context.Context)) context.CancelCauseFunc {
 	ctx, cancel := context.WithCancelCause(h.scope.ctx)
 	h.scope.group.Go(func() error {
 		defer cancel(nil)
@@ -53,26 +53,26 @@
 }
 
 // Apply implements enginepool.EventSink.
-func (h engineHost) Apply(event broker.Event) { h.loop.apply(event) }
+func (h enginePoolAdapter) Apply(event broker.Event) { h.loop.apply(event) }
 
 // Enqueue implements enginepool.EventSink.
-func (h engineHost) Enqueue(event broker.Event) { h.loop.enqueue(event) }
+func (h enginePoolAdapter) Enqueue(event broker.Event) { h.loop.enqueue(event) }
 
 // DuplicateResponse implements enginepool.Observer.
-func (h engineHost) DuplicateResponse(engine string) { h.loop.meter.DuplicateResponse(engine) }
+func (h enginePoolAdapter) DuplicateResponse(engine string) { h.loop.meter.DuplicateResponse(engine) }
 
 // DrainStarted implements enginepool.Observer.
-func (h engineHost) DrainStarted() { h.loop.meter.DrainStarted() }
+func (h enginePoolAdapter) DrainStarted() { h.loop.meter.DrainStarted() }
 
 // DrainCompleted implements enginepool.Observer.
-func (h engineHost) DrainCompleted(took time.Duration) { h.loop.meter.DrainCompleted(took) }
+func (h enginePoolAdapter) DrainCompleted(took time.Duration) { h.loop.meter.DrainCompleted(took) }
 
 // LateWrite implements enginepool.Observer.
-func (h engineHost) LateWrite(engine string) {
-	h.loop.violated(invariant.TimeoutWithinClient, zap.String("engine", engine))
+func (h enginePoolAdapter) LateWrite(engine string) {
+	h.loop.reportViolation(invariant.TimeoutWithinClient, zap.String("engine", engine))
 }
 
 // ConnectionEnded implements enginepool.Observer.
-func (h engineHost) ConnectionEnded(addr string, openedAt time.Time, err error) {
-	h.connections.ended(netconn.EngineSide, addr, openedAt, err)
+func (h enginePoolAdapter) ConnectionEnded(addr string, openedAt time.Time, err error) {
+	h.connections.recordEnd(netconn.EngineSide, addr, openedAt, err)
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// inboxSize is how many functions may wait for the loop. Readers wait while it is full.
-	inboxSize = 256
+	// inboxCapacity is how many functions may wait for the loop. Readers wait while it is full.
+	inboxCapacity = 256
 	// maxInboxBatch is how many functions the loop takes from the inbox ahead of a round.
 	maxInboxBatch = 512
 )
@@ -25,7 +25,7 @@
 	execute func(broker.Effect)
 	meter   Meter
 	log     *zap.Logger
-	pending []broker.Event // that effects gave
+	queuedEvents []broker.Event // that effects gave
 	usage   *usageLog
 }
 
@@ -56,23 +56,23 @@
 		l.usage.Requests++
 	}
 	l.executeAll(l.reducer.Apply(clock.Now(), event))
-	l.settle()
+	l.applyQueued()
 }
 
 // tick lets time pass in the reducer.
 func (l *eventLoop) tick() {
 	l.executeAll(l.reducer.Tick(clock.Now()))
-	l.settle()
+	l.applyQueued()
 }
 
 // enqueue keeps an event that carrying out an effect gave until the other effects are carried out.
-func (l *eventLoop) enqueue(event broker.Event) { l.pending = append(l.pending, event) }
+func (l *eventLoop) enqueue(event broker.Event) { l.queuedEvents = append(l.queuedEvents, event) }
 
-// settle applies the pending events.
-func (l *eventLoop) settle() {
-	for len(l.pending) > 0 {
-		event := l.pending[0]
-		l.pending = l.pending[1:]
+// applyQueued applies the pending events.
+func (l *eventLoop) applyQueued() {
+	for len(l.queuedEvents) > 0 {
+		event := l.queuedEvents[0]
+		l.queuedEvents = l.queuedEvents[1:]
 		l.executeAll(l.reducer.Apply(clock.Now(), event))
 	}
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// violated counts and logs that a rule would have been, or was, broken.
-func (l *eventLoop) violated(rule invariant.Rule, fields ...zap.Field) {
+// reportViolation counts and logs that a rule would have been, or was, broken.
+func (l *eventLoop) reportViolation(rule invariant.Rule, fields ...zap.Field) {
 	l.meter.InvariantViolated(rule)
 	logViolation(l.log, rule, fields...)
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -18,7 +18,7 @@
 	next := newFakeChangelog(t)
 	s := startServer(t)
 	socktest.Receive(t, s.changelog.polls, "a poll of the first change log")
-	before := inLoop(s, func(server *Server) time.Duration { return server.timeouts.load() })
+	before := inLoop(s, func(server *Server) time.Duration { return server.longestTimeout.load() })
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
 	cfg.Changelog, cfg.Sockets = next.addr, cfg.Sockets+1
 	cfg.Settings.MaxClientTimeout = before / 2
--- a/internal/server/rounds.go
+++ b/internal/server/runloop.go
@@ -30,36 +30,36 @@
 			s.loop.runInbox(f)
 		case <-pacer.WakeUps():
 		}
-		s.loop.settle()
+		s.loop.applyQueued()
 		now := clock.Now()
-		s.standstills.RecordIteration(now)
+		s.pauses.RecordIteration(now)
 		s.loop.meter.LoopLag(pacer.Lag(now))
 		if !pacer.Ready(now) {
 			continue
 		}
-		s.round()
+		s.runIteration()
 		if s.advanceShutdown() {
 			s.logUsage()
 			return nil
 		}
-		wait := s.untilNextRound()
+		wait := s.untilNextIteration()
 		pacer.WakeIn(clock.Now(), wait)
 	}
 }
 
-// round lets time pass in the reducer and does what is due.
-func (s *Server) round() {
+// runIteration lets time pass in the reducer and does what is due.
+func (s *Server) runIteration() {
 	s.loop.tick()
 	s.pool.CheckConnections()
-	s.loop.settle()
+	s.loop.applyQueued()
 	s.pool.Sweep()
 	if s.loop.usage.isDue() {
 		s.logUsage()
 	}
 }
 
-// untilNextRound returns how long the loop may wait if nothing happens.
-func (s *Server) untilNextRound() time.Duration {
+// untilNextIteration returns how long the loop may wait if nothing happens.
+func (s *Server) untilNextIteration() time.Duration {
 	wait := standstill.MaxLoopInterval
 	if deadline, ok := s.loop.reducer.NextDeadline(); ok {
 		wait = min(wait, deadline-clock.Now())
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -37,8 +37,8 @@
 	handover    *handoverstore.Store       // nil: nothing is handed over
 	maintenance *maintenanceModes
 	connections *connectionLog
-	standstills standstill.Detector
-	timeouts    longestTimeout // of the classes ever in force
+	pauses standstill.Detector
+	longestTimeout    longestTimeout // of the classes ever in force
 	scope       runScope
 	done        chan struct{} // closed once Run returns
 
@@ -75,11 +75,11 @@
 	s := &Server{
 		cfg: cfg, log: log, done: make(chan struct{}), connections: &connectionLog{log: log},
 		loop: &eventLoop{
-			inbox: make(chan func(), inboxSize), reducer: reducer, meter: nopMeter{}, log: log,
+			inbox: make(chan func(), inboxCapacity), reducer: reducer, meter: nopMeter{}, log: log,
 			usage: &usageLog{log: log},
 		},
 	}
-	s.timeouts.raise(cfg.Settings.MaxClientTimeout)
+	s.longestTimeout.raise(cfg.Settings.MaxClientTimeout)
 	if cfg.Settings.Control.Limits.Gossip {
 		if s.gossip, err = gossiptransport.Listen(ctx, gossiptransport.Config{
 			ListenAddr: cfg.PeerListen, Brokers: cfg.Peers, Log: log,
@@ -93,22 +93,22 @@
 		s.restoredMaintenance = s.handover.Restore(ctx)
 	}
 	s.maintenance = &maintenanceModes{loop: s.loop, store: s.handover, log: log}
-	s.assemble(listener, budget, poolConfig)
+	s.createComponents(listener, budget, poolConfig)
 	return s, nil
 }
 
-// assemble creates the parts that need the loop, and has it carry out effects by them.
-func (s *Server) assemble(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
-	clients := frontendHost{s.loop, s.connections}
+// createComponents creates the parts that need the loop, and has it carry out effects by them.
+func (s *Server) createComponents(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
+	clients := frontendAdapter{s.loop, s.connections}
 	s.frontend = frontend.New(listener, frontend.Config{
 		MaxConns: budget.Clients, MaxRejected: budget.Rejected, LastSession: broker.Session(s.cfg.Seed), Log: s.log,
-		MaxClientTimeout: s.timeouts.load, EarliestArrival: s.standstills.EarliestArrival,
+		MaxClientTimeout: s.longestTimeout.load, EarliestArrival: s.pauses.EarliestArrival,
 	}, clients, clients, clients)
-	engines := engineHost{s.loop, s.connections, &s.scope}
+	engines := enginePoolAdapter{s.loop, s.connections, &s.scope}
 	s.pool = enginepool.New(poolConfig, engines, engines, engines)
 	s.endpoints = endpointwatch.New(
 		endpointwatch.Config{Addr: s.cfg.Changelog, Revision: s.cfg.Known.Revision},
-		changelogHost{s.loop, s.connections})
+		changelogAdapter{s.loop, s.connections})
 	s.loop.execute = (&effectExecutor{
 		frontend: s.frontend, pool: s.pool, gossip: s.gossip, usage: s.loop.usage, log: s.log,
 	}).execute
@@ -134,7 +134,7 @@
 		group.Go(func() error { return s.handover.Run(ctx, s.maintenance) })
 	}
 	if s.gossip != nil {
-		group.Go(func() error { return s.gossip.Run(ctx, gossipHost{s.loop}) })
+		group.Go(func() error { return s.gossip.Run(ctx, gossipAdapter{s.loop}) })
 	}
 	group.Go(func() error {
 		defer cancel()
@@ -162,9 +162,9 @@
 	s.cfg.Settings.Control.Classes = cfg.Settings.Control.Classes
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
 	s.cfg.Settings.MaxClientTimeout = cfg.Settings.MaxClientTimeout
-	s.timeouts.raise(cfg.Settings.MaxClientTimeout)
+	s.longestTimeout.raise(cfg.Settings.MaxClientTimeout)
 	poolConfig := s.pool.Config()
-	poolConfig.MaxClientTimeout = s.timeouts.load()
+	poolConfig.MaxClientTimeout = s.longestTimeout.load()
 	s.pool.Reconfigure(poolConfig)
 	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
 		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,12 +8,12 @@
 
 // Times of a planned restart.
 const (
-	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, at most maxCountedTimeout, plus
+	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, at most clientTimeoutCap, plus
 	// shutdownExtra.
-	maxCountedTimeout = 3 * time.Second
-	shutdownExtra     = 700 * time.Millisecond
-	// finalAnswerMargin is the time before SIGKILL at which open requests get their final answer.
-	finalAnswerMargin = 250 * time.Millisecond
+	clientTimeoutCap = 3 * time.Second
+	shutdownGrace     = 700 * time.Millisecond
+	// finalAnswerReserve is the time before SIGKILL at which open requests get their final answer.
+	finalAnswerReserve = 250 * time.Millisecond
 	// finalFlushTimeout is the time in which the final answers leave before the process exits.
 	finalFlushTimeout = 200 * time.Millisecond
 	// shutdownAcceptWindow is the time after SIGTERM in which new requests are served. By the protocol they may come
@@ -45,8 +45,8 @@
 	requestedAt     time.Time
 	answerWithin    time.Duration // from requestedAt: what is left then gets its final answer
 	acceptWindow    time.Duration // from requestedAt: until then new requests are served
-	finalReads      bool          // they have begun
-	closingSessions bool
+	finalReadsStarted      bool          // they have begun
+	sessionsClosing bool
 }
 
 // newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers
@@ -56,10 +56,10 @@
 	for _, class := range classes {
 		longest = max(longest, class.ClientTimeout)
 	}
-	if longest == 0 || longest > maxCountedTimeout {
-		longest = maxCountedTimeout
+	if longest == 0 || longest > clientTimeoutCap {
+		longest = clientTimeoutCap
 	}
-	within := longest + shutdownExtra - finalAnswerMargin
+	within := longest + shutdownGrace - finalAnswerReserve
 	return gracefulShutdown{
 		requestedAt: requestedAt, answerWithin: within, acceptWindow: min(shutdownAcceptWindow, within),
 	}
@@ -81,15 +81,15 @@
 	elapsed := now.Sub(g.requestedAt)
 	answered := progress.openRequests == 0
 	switch {
-	case !g.finalReads && elapsed >= g.acceptWindow:
-		g.finalReads = true
+	case !g.finalReadsStarted && elapsed >= g.acceptWindow:
+		g.finalReadsStarted = true
 		return shutdownBeginFinalReads
 	case answered && elapsed >= g.answerWithin+finalFlushTimeout: // SIGKILL is near
 		return shutdownExit
-	case !g.finalReads || !answered || !progress.allRead:
+	case !g.finalReadsStarted || !answered || !progress.allRead:
 		return shutdownWait
-	case !g.closingSessions:
-		g.closingSessions = true
+	case !g.sessionsClosing:
+		g.sessionsClosing = true
 		return shutdownCloseSessions
 	case progress.clients == 0:
 		return shutdownExit
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -61,7 +61,7 @@
 		server.beginShutdown()
 		return server.shutdown.answerWithin
 	})
-	if want := 400*time.Millisecond + shutdownExtra - finalAnswerMargin; got != want {
+	if want := 400*time.Millisecond + shutdownGrace - finalAnswerReserve; got != want {
 		t.Fatalf("final answers come after %v, want %v", got, want)
 	}
 	s.waitForEnd()
--- a/internal/server/socketbudget.go
+++ b/internal/server/socketbudget.go
@@ -4,8 +4,8 @@
 
 const (
 	engineSocketDivisor = 4  // connections to engines get the limit of sockets divided by this
-	ownSockets          = 16 // listener, change log, log, configuration file, the runtime's own
-	rejectSockets       = 4  // of clients that were rejected and have not read that yet
+	reservedSockets          = 16 // listener, change log, log, configuration file, the runtime's own
+	rejectedClientSockets       = 4  // of clients that were rejected and have not read that yet
 	// Callers of the admin endpoint get up to maxAdminSockets, and at most the limit divided by adminSocketDivisor.
 	maxAdminSockets    = 32
 	adminSocketDivisor = 16
@@ -23,11 +23,11 @@
 }
 
 func newSocketBudget(cfg config.Config) socketBudget {
-	b := socketBudget{Engines: cfg.Sockets / engineSocketDivisor, Rejected: rejectSockets}
+	b := socketBudget{Engines: cfg.Sockets / engineSocketDivisor, Rejected: rejectedClientSockets}
 	if cfg.AdminListen != "" {
 		b.Admin = min(maxAdminSockets, cfg.Sockets/adminSocketDivisor)
 	}
-	b.Clients = cfg.Sockets - b.Engines - ownSockets - b.Rejected - b.Admin
+	b.Clients = cfg.Sockets - b.Engines - reservedSockets - b.Rejected - b.Admin
 	b.Sessions = b.Clients - b.Clients/closingSocketDivisor
 	return b
 }
--- a/internal/server/socketbudget_test.go
+++ b/internal/server/socketbudget_test.go
@@ -16,7 +16,7 @@
 			t.Run(fmt.Sprintf("%d, admin endpoint %q", sockets, admin), func(t *testing.T) {
 				cfg := config.Config{AdminListen: admin, Sockets: sockets}
 				budget := newSocketBudget(cfg)
-				sum := budget.Engines + budget.Clients + budget.Rejected + budget.Admin + ownSockets
+				sum := budget.Engines + budget.Clients + budget.Rejected + budget.Admin + reservedSockets
 				if sum > sockets || budget.Sessions < 1 || budget.Sessions >= budget.Clients {
 					t.Errorf("%d descriptors for %d: %+v", sum, sockets, budget)
 				}
--- a/internal/server/standstill_test.go
+++ b/internal/server/standstill_test.go
@@ -17,8 +17,8 @@
 	c.ping()
 	since := inLoop(s, func(server *Server) time.Duration {
 		since := clock.Now() - stoodStill
-		server.standstills.RecordIteration(since)
-		server.standstills.RecordIteration(clock.Now() + time.Hour) // whatever is read next may have come within it
+		server.pauses.RecordIteration(since)
+		server.pauses.RecordIteration(clock.Now() + time.Hour) // whatever is read next may have come within it
 		return since
 	})
 	lookups := queryPacket(statement("lookup", 1, longTimeout, ""))
--- a/internal/server/violations_test.go
+++ b/internal/server/violations_test.go
@@ -26,7 +26,7 @@
 	core, logs := observer.New(zapcore.InfoLevel)
 	log, counted := zap.New(core), countedViolations{byRule: map[invariant.Rule]int{}}
 	loop := &eventLoop{meter: counted, log: log}
-	loop.violated(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
+	loop.reportViolation(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
 	(&effectExecutor{log: log}).execute(broker.InvariantViolation{
 		Rule: invariant.NoSendToUnready, Session: 7, RequestID: "00ff",
 	})
