--- a/internal/server/socketbudget_test.go
+++ b/internal/server/socketbudget_test.go
@@ -16,11 +16,11 @@
 			t.Run(fmt.Sprintf("%d, admin endpoint %q", sockets, admin), func(t *testing.T) {
 				cfg := config.Config{AdminListen: admin, Sockets: sockets}
 				budget := newSocketBudget(cfg)
-				sum := budget.Engines + budget.Clients + budget.Rejected + budget.Admin + ownSockets
+				sum := budget.Engines + budget.Clients + budget.Rejected + budget.Admin + reservedSockets
 				if sum > sockets || budget.Sessions < 1 || budget.Sessions >= budget.Clients {
 					t.Errorf("%d descriptors for %d: %+v", sum, sockets, budget)
 				}
-				if callers := AdminSockets(cfg); (callers > 0) != (admin != "") {
+				if callers := MaxAdminConnections(cfg); (callers > 0) != (admin != "") {
 					t.Errorf("%d callers of the admin endpoint", callers)
 				}
 			})
@@ -33,12 +33,12 @@
 func TestSocketsBeyondTheLimitAreRejected(t *testing.T) {
 	const maxClients = 28 // 64 less 16 for engines, 16 of its own and 4 of rejected clients
 	s := startServerWith(t, serverOptions{sockets: 64})
-	held := HoldLoop(t, s.server)
+	held := PauseLoop(t, s.server)
 	for range maxClients {
 		s.dial()
 	}
 	rejected := s.dial()
 	rejected.expect("1040", "closed")
 	s.expectEnd(rejected.localAddr(), netconn.TooManyConnections)
-	held.Release()
+	held.Resume()
 }
