--- a/internal/server/standstill/detector.go
+++ b/internal/server/processpause/detector.go
@@ -1,6 +1,6 @@
-// Package standstill deals with times in which the whole process stood still, as when its machine was paused: it
+// Package processpause deals with times in which the whole process stood still, as when its machine was paused: it
 // detects them by the iterations of the server's loop, and paces the loop so that what arrived meanwhile is read first.
-package standstill
+package processpause
 
 import (
 	"sync/atomic"
--- a/internal/server/standstill/pacer.go
+++ b/internal/server/processpause/pacer.go
@@ -1,4 +1,4 @@
-package standstill
+package processpause
 
 import "time"
 
--- a/internal/server/rounds.go
+++ b/internal/server/rounds.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/broker"
 	"wheatlane/internal/server/clock"
 	"wheatlane/internal/server/netconn"
-	"wheatlane/internal/server/standstill"
+	"wheatlane/internal/server/processpause"
 )
 
 // runLoop runs the loop until ctx ends or a shutdown, begun by a value on stop, is complete.
@@ -17,7 +17,7 @@
 	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
 	s.loop.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
 	s.loop.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
-	pacer := standstill.NewPacer(clock.Now())
+	pacer := processpause.NewPacer(clock.Now())
 	defer pacer.Stop()
 	for {
 		select {
@@ -60,7 +60,7 @@
 
 // untilNextRound returns how long the loop may wait if nothing happens.
 func (s *Server) untilNextRound() time.Duration {
-	wait := standstill.MaxLoopInterval
+	wait := processpause.MaxLoopInterval
 	if deadline, ok := s.loop.reducer.NextDeadline(); ok {
 		wait = min(wait, deadline-clock.Now())
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,7 +23,7 @@
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netlisten"
-	"wheatlane/internal/server/standstill"
+	"wheatlane/internal/server/processpause"
 )
 
 // Server is a running broker.
@@ -37,7 +37,7 @@
 	handover    *handoverstore.Store       // nil: nothing is handed over
 	maintenance *maintenanceModes
 	connections *connectionLog
-	standstills standstill.Detector
+	standstills processpause.Detector
 	timeouts    longestTimeout // of the classes ever in force
 	scope       runScope
 	done        chan struct{} // closed once Run returns
