--- a/internal/server/gossiptransport/transport.go
+++ b/internal/server/gossiptransport/transport.go
@@ -57,7 +57,7 @@
 		t.brokers = append(t.brokers, addr)
 		t.brokerByAddr[addr] = i
 	}
-	conn, err := netlisten.UDP(ctx, netlisten.Shared(cfg.Log), cfg.ListenAddr)
+	conn, err := netlisten.UDP(ctx, netlisten.ReusePortConfig(cfg.Log), cfg.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/server/netlisten/netlisten_test.go
+++ b/internal/server/netlisten/netlisten_test.go
@@ -14,7 +14,7 @@
 
 // Two processes can listen at one shared address, for connections and for datagrams.
 func TestSharedAddress(t *testing.T) {
-	shared := netlisten.Shared(zap.NewNop())
+	shared := netlisten.ReusePortConfig(zap.NewNop())
 	first, err := netlisten.TCP(t.Context(), shared, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -68,7 +68,7 @@
 	if log.Core().Enabled(zap.DebugLevel) {
 		reducer.SetTracer(logTransitions(log))
 	}
-	listener, err := netlisten.TCP(ctx, netlisten.Shared(log), cfg.Listen)
+	listener, err := netlisten.TCP(ctx, netlisten.ReusePortConfig(log), cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
