--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -256,7 +256,7 @@
 	}
 	socktest.WaitUntil(t, "the session has ended", func() bool {
 		return inLoop(s, func(server *Server) bool {
-			return server.loop.reducer.OpenRequests()+server.frontend.Len() == 0
+			return server.loop.reducer.OpenRequests()+server.frontend.ClientCount() == 0
 		})
 	})
 	s.expectEnd(c.localAddr(), netconn.PeerClosed)
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -147,7 +147,7 @@
 	f := newTestFrontend(socktest.Listen(t), host, 0)
 	serve(t, f)
 	socket := socktest.Dial(t, f.Addr().String())
-	host.runUntil(t, "the client is open", func() bool { return f.Len() == 1 })
+	host.runUntil(t, "the client is open", func() bool { return f.ClientCount() == 1 })
 	var c *client
 	for _, c = range f.clients {
 		f.Admit(c.session)
--- a/internal/server/frontend/frontend.go
+++ b/internal/server/frontend/frontend.go
@@ -103,8 +103,8 @@
 	return group.Wait()
 }
 
-// Len returns the number of clients.
-func (f *Frontend) Len() int { return len(f.clients) }
+// ClientCount returns the number of clients.
+func (f *Frontend) ClientCount() int { return len(f.clients) }
 
 // Admit has a client greeted.
 func (f *Frontend) Admit(session broker.Session) {
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -114,7 +114,7 @@
 	socktest.WaitUntil(l.t, "the first client and connection have gone", func() bool {
 		goroutines, descriptors = l.count()
 		return inLoop(l.server, func(s *Server) bool {
-			return s.frontend.Len() == 0 && s.pool.Stats().Connections == 0
+			return s.frontend.ClientCount() == 0 && s.pool.Stats().Connections == 0
 		})
 	})
 	for range 200 { // what ends in the background ends
--- a/internal/server/rounds.go
+++ b/internal/server/rounds.go
@@ -83,7 +83,7 @@
 	for s.shutdown.requested() {
 		switch s.shutdown.next(time.Now(), shutdownProgress{
 			openRequests: s.loop.reducer.OpenRequests(),
-			clients:      s.frontend.Len(),
+			clients:      s.frontend.ClientCount(),
 			allRead:      s.frontend.ListenerClosed() && s.frontend.AllRead(),
 		}) {
 		case shutdownWait:
