--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -20,13 +20,13 @@
 // eventLoop owns the reducer: it gives it events and has its effects carried out. All methods but post are called on
 // one goroutine, the loop.
 type eventLoop struct {
-	inbox   chan func() // functions to call in the loop
-	reducer *broker.Broker
-	execute func(broker.Effect)
-	meter   Meter
-	log     *zap.Logger
+	inbox        chan func() // functions to call in the loop
+	reducer      *broker.Broker
+	execute      func(broker.Effect)
+	meter        Meter
+	log          *zap.Logger
 	queuedEvents []broker.Event // that effects gave
-	usage   *usageLog
+	usage        *usageLog
 }
 
 // post hands f to the loop and reports whether it was taken. It waits while the inbox is full, or until ctx
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,24 +23,24 @@
 	"wheatlane/internal/server/gossiptransport"
 	"wheatlane/internal/server/handoverstore"
 	"wheatlane/internal/server/netlisten"
-	"wheatlane/internal/server/standstill"
+	"wheatlane/internal/server/processpause"
 )
 
 // Server is a running broker.
 type Server struct {
-	log         *zap.Logger
-	loop        *eventLoop
-	frontend    *frontend.Frontend
-	pool        *enginepool.Pool
-	endpoints   *endpointwatch.Watcher
-	gossip      *gossiptransport.Transport // nil: engines are not shared with other brokers
-	handover    *handoverstore.Store       // nil: nothing is handed over
-	maintenance *maintenanceModes
-	connections *connectionLog
-	pauses standstill.Detector
-	longestTimeout    longestTimeout // of the classes ever in force
-	scope       runScope
-	done        chan struct{} // closed once Run returns
+	log            *zap.Logger
+	loop           *eventLoop
+	frontend       *frontend.Frontend
+	pool           *enginepool.Pool
+	endpoints      *endpointwatch.Watcher
+	gossip         *gossiptransport.Transport // nil: engines are not shared with other brokers
+	handover       *handoverstore.Store       // nil: nothing is handed over
+	maintenance    *maintenanceModes
+	connections    *connectionLog
+	pauses         processpause.Detector
+	longestTimeout longestTimeout // of the classes ever in force
+	scope          runScope
+	done           chan struct{} // closed once Run returns
 
 	// Owned by the loop.
 	cfg                 config.Config
@@ -68,7 +68,7 @@
 	if log.Core().Enabled(zap.DebugLevel) {
 		reducer.SetTracer(logTransitions(log))
 	}
-	listener, err := netlisten.TCP(ctx, netlisten.Shared(log), cfg.Listen)
+	listener, err := netlisten.TCP(ctx, netlisten.ReusePortConfig(log), cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -11,7 +11,7 @@
 	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, at most clientTimeoutCap, plus
 	// shutdownExtra.
 	clientTimeoutCap = 3 * time.Second
-	shutdownGrace     = 700 * time.Millisecond
+	shutdownGrace    = 700 * time.Millisecond
 	// finalAnswerReserve is the time before SIGKILL at which open requests get their final answer.
 	finalAnswerReserve = 250 * time.Millisecond
 	// finalFlushTimeout is the time in which the final answers leave before the process exits.
@@ -42,11 +42,11 @@
 
 // gracefulShutdown decides the steps of a shutdown. The zero value is that none was requested.
 type gracefulShutdown struct {
-	requestedAt     time.Time
-	answerWithin    time.Duration // from requestedAt: what is left then gets its final answer
-	acceptWindow    time.Duration // from requestedAt: until then new requests are served
-	finalReadsStarted      bool          // they have begun
-	sessionsClosing bool
+	requestedAt       time.Time
+	answerWithin      time.Duration // from requestedAt: what is left then gets its final answer
+	acceptWindow      time.Duration // from requestedAt: until then new requests are served
+	finalReadsStarted bool          // they have begun
+	sessionsClosing   bool
 }
 
 // newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers
--- a/internal/server/socketbudget.go
+++ b/internal/server/socketbudget.go
@@ -3,9 +3,9 @@
 import "wheatlane/internal/config"
 
 const (
-	engineSocketDivisor = 4  // connections to engines get the limit of sockets divided by this
-	reservedSockets          = 16 // listener, change log, log, configuration file, the runtime's own
-	rejectedClientSockets       = 4  // of clients that were rejected and have not read that yet
+	engineSocketDivisor   = 4  // connections to engines get the limit of sockets divided by this
+	reservedSockets       = 16 // listener, change log, log, configuration file, the runtime's own
+	rejectedClientSockets = 4  // of clients that were rejected and have not read that yet
 	// Callers of the admin endpoint get up to maxAdminSockets, and at most the limit divided by adminSocketDivisor.
 	maxAdminSockets    = 32
 	adminSocketDivisor = 16
