--- a/internal/server/netlisten/netlisten.go
+++ b/internal/server/netlisten/netlisten.go
@@ -46,7 +46,9 @@
 
 // ReusePortConfig returns a configuration of sockets whose address a second process can use as well, so that a new version
 // takes clients beside the old one. Where the system refuses that, the address is not shared, which is logged.
-func ReusePortConfig(log *zap.Logger) net.ListenConfig { return net.ListenConfig{Control: reusePort(log)} }
+func ReusePortConfig(log *zap.Logger) net.ListenConfig {
+	return net.ListenConfig{Control: reusePort(log)}
+}
 
 // reusePort returns a hook that sets SO_REUSEPORT.
 func reusePort(log *zap.Logger) func(network, address string, c syscall.RawConn) error {
