--- a/internal/server/changelog_test.go
+++ b/internal/server/changelog_test.go
@@ -13,7 +13,7 @@
 // endpoint list that is known stays, and it is polled again.
 func TestChangeLogRevisionGoesBack(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	s.publish(pageJSON(41, false, endpointJSON("e2", "127.0.0.1:1", "terminating", 0)), 41)
 	s.changelog.pages <- pageJSON(3, true, endpointJSON("e9", "127.0.0.1:1", "in_service", 0))
 	socktest.WaitUntil(t, "the connection has ended as malformed", func() bool {
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -18,7 +18,7 @@
 // that leaves.
 func TestKillQuery(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	attempt := e.expectAttempt(t)
 	s.connect(fmt.Sprintf("KILL QUERY %d", c.session)).expect("ok")
@@ -83,7 +83,7 @@
 // What can't be read costs its own connection, with an answer and one log line; all others are served on.
 func TestInvalidClientInput(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	for name, tt := range invalidInputs {
 		t.Run(name, func(t *testing.T) {
 			s.logs.TakeAll()
@@ -118,7 +118,7 @@
 func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t), newFakeEngine(t), newFakeEngine(t)} // enough to take all at once
 	s := startServerWith(t, serverOptions{sockets: 64},
-		listed("e1", engines[0]), listed("e2", engines[1]), listed("e3", engines[2]))
+		inService("e1", engines[0]), inService("e2", engines[1]), inService("e3", engines[2]))
 	const maxSessions = 25 // 64 less 16 for engines, 16 of its own and 4 of rejected clients, and an eighth of that
 	silent := s.dial()
 	silent.readPacket() // the greeting
@@ -186,7 +186,7 @@
 			t.Run(fmt.Sprintf("%s, cancellation %v", name, cancellation), func(t *testing.T) {
 				t.Parallel()
 				e, open := newUnconnectableEngine(t)
-				s := startServerWith(t, serverOptions{configure: withCancellation(cancellation)}, listed("e1", e))
+				s := startServerWith(t, serverOptions{configure: withCancellation(cancellation)}, inService("e1", e))
 				leaver := s.connect(statement("lookup", 1, longTimeout, ""))
 				socktest.WaitUntil(t, "the first waits for the connection", func() bool { return s.streamCount() == 1 })
 				stays := s.connect(statement("lookup", 2, longTimeout, ""))
@@ -267,7 +267,7 @@
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	const requests = 8
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	statements := make([]string, 0, requests)
 	for n := range requests {
 		statements = append(statements, statement("lookup", n+1, longTimeout, ""))
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEngine(t)
-			s := startServer(t, listed("e1", e))
+			s := startServer(t, inService("e1", e))
 			c, other := s.connect(), s.connect()
 			c.ping()
 			other.ping()
@@ -73,7 +73,7 @@
 // A shutdown waits for a request of which a part has come.
 func TestShutdownWaitsForABegunRequest(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect()
 	c.ping()
 	request := queryPacket(statement("lookup", 1, longTimeout, ""))
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -20,7 +20,7 @@
 // Idle connections to engines are closed by the broker, before the engines do.
 func TestIdleEngineConnectionsAreClosed(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, listed("e1", e))
+	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, inService("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
@@ -36,7 +36,7 @@
 func TestIdleEngineConnectionIsNotUsed(t *testing.T) {
 	const idleTimeout = time.Second
 	e := newFakeEngine(t)
-	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, inService("e1", e))
 	s.reconfigurePool(func(pool *enginepool.Config) { pool.SweepInterval = time.Hour })
 	first := s.serveOn(e, 1)
 	if s.serveOn(e, 2).conn != first.conn {
@@ -52,7 +52,7 @@
 func TestSweepIntervalFollowsIdleTimeout(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
 	e := newFakeEngine(t)
-	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, listed("e1", e))
+	s := startServerWith(t, serverOptions{idleTimeout: idleTimeout}, inService("e1", e))
 	s.serveOn(e, 1)
 	socktest.Receive(t, e.closed, "the end of the idle connection")
 	s.expectEnd(e.addr, netconn.Idle)
@@ -66,10 +66,10 @@
 // engines without any would else be held for out of order.
 func TestIdleConnectionIsEvictedForAnotherEngine(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	s.serveOn(e, 1)
 	s.reconfigurePool(func(pool *enginepool.Config) { pool.MaxConns = 1 })
-	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
+	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), inService("e2", other)), 2)
 	b := s.connect(statement("lookup", 2, longTimeout, ""))
 	attempt := other.expectAttempt(t)
 	socktest.Receive(t, e.closed, "the end of the idle connection")
@@ -82,7 +82,7 @@
 func TestAttemptsWithOneStreamPerConnection(t *testing.T) {
 	e := newFakeEngine(t)
 	oneStream := func(c *config.Config) { c.Settings.MaxStreams = 1 }
-	s := startServerWith(t, serverOptions{configure: oneStream}, listed("e1", e))
+	s := startServerWith(t, serverOptions{configure: oneStream}, inService("e1", e))
 	const clients = 16 // twice as many as connections where each takes many streams
 	for i := range clients {
 		s.connect(statement("lookup", i+1, longTimeout, ""))
@@ -103,10 +103,10 @@
 	e, open := newUnconnectableEngine(t)
 	s := startServerWith(t, serverOptions{configure: func(cfg *config.Config) {
 		cfg.Settings.ConnectTimeout = timeout // the system tries again after a second
-	}}, listed("e1", e))
+	}}, inService("e1", e))
 	sentAt := time.Now()
 	s.connect(statement("lookup", 1, timeout, ""))
-	socktest.WaitUntil(t, "the system asks for a connection", func() bool { return asksForConnection(t, e.addr) })
+	socktest.WaitUntil(t, "the system asks for a connection", func() bool { return isConnecting(t, e.addr) })
 	open()
 	attempt := e.expectAttempt(t)
 	left := timeout - time.Since(sentAt)
@@ -115,8 +115,8 @@
 	}
 }
 
-// asksForConnection reports whether the system has asked for a connection to an address and has no answer yet.
-func asksForConnection(t *testing.T, addr string) bool {
+// isConnecting reports whether the system has asked for a connection to an address and has no answer yet.
+func isConnecting(t *testing.T, addr string) bool {
 	t.Helper()
 	const synSent = "02" // in the column st of the table
 	table, err := os.ReadFile("/proc/net/tcp")
--- a/internal/server/fakechangelog_test.go
+++ b/internal/server/fakechangelog_test.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":%d}`, id, addr, health, bornMS)
 }
 
-// listed is an endpoint in service that started long ago.
-func listed(id string, e *fakeEngine) string { return endpointJSON(id, e.addr, "in_service", 0) }
+// inService is an endpoint in service that started long ago.
+func inService(id string, e *fakeEngine) string { return endpointJSON(id, e.addr, "in_service", 0) }
 
 func pageJSON(revision int, snapshot bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -91,12 +91,12 @@
 		if err != nil {
 			return
 		}
-		unread = e.show(conn, append(unread, buf[:n]...))
+		unread = e.deliver(conn, append(unread, buf[:n]...))
 	}
 }
 
-// show shows the complete messages of a connection and returns the bytes after them.
-func (e *fakeEngine) show(conn net.Conn, unread []byte) []byte {
+// deliver shows the complete messages of a connection and returns the bytes after them.
+func (e *fakeEngine) deliver(conn net.Conn, unread []byte) []byte {
 	for {
 		parts, n, _ := resp.Parse(unread) // what can't be parsed never comes to the test, which waits for it
 		if n == 0 {
--- a/internal/server/shutdownsteps_test.go
+++ b/internal/server/gracefulshutdown_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// shutdownRound is a round of the loop in a shutdown, and the steps that it takes.
-type shutdownRound struct {
+// shutdownIteration is a round of the loop in a shutdown, and the steps that it takes.
+type shutdownIteration struct {
 	after    time.Duration // the request
 	progress shutdownProgress
 	steps    []shutdownStep
@@ -42,7 +42,7 @@
 	const answerWithin, acceptWindow = 3450 * time.Millisecond, time.Second
 	open, idle := shutdownProgress{openRequests: 1, clients: 1}, shutdownProgress{clients: 1}
 	read := shutdownProgress{clients: 1, allRead: true}
-	for name, rounds := range map[string][]shutdownRound{
+	for name, rounds := range map[string][]shutdownIteration{
 		"in order": {
 			{acceptWindow - 1, read, []shutdownStep{shutdownWait}},
 			{acceptWindow, open, []shutdownStep{shutdownBeginFinalReads, shutdownWait}},
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -128,7 +128,7 @@
 // next one is served, and no goroutine and no descriptor is left behind.
 func TestFaultsLeakNothing(t *testing.T) {
 	e := newFakeEngine(t)
-	l := &leakTest{t: t, server: startServer(t, listed("e1", e)), engine: e}
+	l := &leakTest{t: t, server: startServer(t, inService("e1", e)), engine: e}
 	faults := map[string]func(){
 		"responses for unknown and known ids, twice": l.duplicateAndUnknownResponses,
 		"a page before its result":                   l.pageBeforeItsResult,
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	e := newFakeEngine(t)
 	withProbes := func(c *config.Config) { c.Settings.Control.Limits.LoadProbes = true }
-	s := startServerWith(t, serverOptions{configure: withProbes}, listed("e1", e))
+	s := startServerWith(t, serverOptions{configure: withProbes}, inService("e1", e))
 	e.answeredCommand = commandLoadProbe
 	a := s.connect(statement("load", 1, longTimeout, ""))
 	attempt := e.expectAttempt(t)
@@ -60,7 +60,7 @@
 // takes nothing new and ends with its last attempt.
 func TestNoLivenessProbeWithoutLoadProbes(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	a := s.connect(statement("lookup", 1, enginepool.SilenceThreshold+800*time.Millisecond, ""))
 	first := e.expectAttempt(t)
 	a.expect("1226")
--- a/internal/server/maintenance_test.go
+++ b/internal/server/maintenance_test.go
@@ -24,7 +24,7 @@
 // reported.
 func TestMaintenanceOnSockets(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
-	s := startServer(t, listed("e1", e), listed("e2", other))
+	s := startServer(t, inService("e1", e), inService("e2", other))
 	s.startMaintenance("e1")
 	for name, change := range map[string]func(context.Context, string) error{
 		"start": s.server.StartMaintenance, "end": s.server.EndMaintenance,
@@ -51,7 +51,7 @@
 func TestMaintenanceIsHandedOver(t *testing.T) {
 	dir := t.TempDir()
 	e, other := newFakeEngine(t), newFakeEngine(t)
-	endpoints := []string{listed("e1", e), listed("e2", other)}
+	endpoints := []string{inService("e1", e), inService("e2", other)}
 	startServerIn(t, dir, endpoints...).startMaintenance("e1")
 
 	s := startServerIn(t, dir, endpoints...)
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -55,7 +55,7 @@
 func TestMeterEvents(t *testing.T) {
 	e := newFakeEngine(t)
 	meter := recordingMeter{events: make(chan string, 100)}
-	s := startServerWith(t, serverOptions{meter: meter}, listed("e1", e))
+	s := startServerWith(t, serverOptions{meter: meter}, inService("e1", e))
 	c := s.connect(statement("lookup", 7, longTimeout, ""))
 	attempt := e.expectAttempt(t)
 	attempt.replyRows(testRow)
--- a/internal/server/scriptedloop_test.go
+++ b/internal/server/pausedloop_test.go
@@ -7,15 +7,15 @@
 	"wheatlane/internal/socktest"
 )
 
-// untilFar is longer than any test.
-const untilFar = time.Hour
+// neverExpires is longer than any test.
+const neverExpires = time.Hour
 
 // DisableConnectionTimeouts has a running broker take no connection to an engine for dead or idle, nor give one up
 // while it is established, however long the other end or this process stands still.
 func DisableConnectionTimeouts(s *Server) {
 	s.loop.inbox <- func() {
 		poolConfig := s.pool.Config()
-		poolConfig.SilenceThreshold, poolConfig.IdleTimeout, poolConfig.ConnectTimeout = untilFar, untilFar, untilFar
+		poolConfig.SilenceThreshold, poolConfig.IdleTimeout, poolConfig.ConnectTimeout = neverExpires, neverExpires, neverExpires
 		s.pool.Reconfigure(poolConfig)
 	}
 }
--- a/internal/server/standstill_test.go
+++ b/internal/server/processpause_test.go
@@ -12,7 +12,7 @@
 func TestOlderMessagesOfOneRead(t *testing.T) {
 	const stoodStill = 2 * time.Second
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect()
 	c.ping()
 	since := inLoop(s, func(server *Server) time.Duration {
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -18,7 +18,7 @@
 // time-out of its own. What is idempotent is retried, on another connection.
 func TestPartialResponseTimeout(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	a := s.connect(statement("load", 1, longTimeout, ""))
 	b := s.connect(statement("load", 2, longTimeout, ""))
 	first, second := e.expectAttempt(t), e.expectAttempt(t)
@@ -39,7 +39,7 @@
 // attempt of its request.
 func TestDuplicateResponsesAreIgnored(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	first := e.expectAttempt(t)
 	first.write(resultMessage("00000000000000ff", otherRow))
@@ -59,7 +59,7 @@
 // A complete response counts also where what follows it on the connection can't be parsed.
 func TestCompleteResponseBeforeMalformedOneCounts(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("once", 1, longTimeout, "")) // may not be retried
 	attempt := e.expectAttempt(t)
 	attempt.write(append(resp.Append(nil, attempt.requestID(), "OK", "-", testRow), "?"...))
@@ -71,7 +71,7 @@
 // duplicate of the first response does not answer it.
 func TestDuplicateResponseDoesNotAnswerLaterRequest(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
 	first := e.expectAttempt(t)
 	first.replyRows(testRow)
--- a/internal/server/stage_test.go
+++ b/internal/server/scriptedbroker_test.go
@@ -17,8 +17,8 @@
 	"wheatlane/internal/socktest"
 )
 
-// features are what a deployment allows.
-type features struct {
+// allowedFeatures are what a deployment allows.
+type allowedFeatures struct {
 	grants, priorities, probing bool
 	classes                     string // JSON, behind one another with commas
 }
@@ -33,9 +33,9 @@
 	classes = lookupClass + "," + loadClass + "," + onceClass
 )
 
-var plain = features{classes: classes}
+var defaultFeatures = allowedFeatures{classes: classes}
 
-func (f features) settings() []byte {
+func (f allowedFeatures) settings() []byte {
 	return fmt.Appendf(nil, `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
 		"Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false],
 			"Grants":%v,"SaysCost":true,"GrantCap":0.5,"Priorities":%v},
@@ -45,8 +45,8 @@
 		"RequestClasses":[%s]}`, f.grants, f.priorities, f.probing, f.probing, f.classes)
 }
 
-// stage is a broker on real sockets.
-type stage struct {
+// scriptedBroker is a broker on real sockets.
+type scriptedBroker struct {
 	tr      *transcript
 	service *service.Service
 	clients string // its address
@@ -55,14 +55,14 @@
 	done    chan error
 }
 
-// start runs a broker that knows these hosts.
-func start(tr *transcript, allowed features, changelogAddr string, hosts ...string) *stage {
+// startScripted runs a broker that knows these hosts.
+func startScripted(tr *transcript, allowed allowedFeatures, changelogAddr string, hosts ...string) *scriptedBroker {
 	tr.t.Helper()
 	settings, err := config.DecodeSettings(allowed.settings())
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	known, err := changelog.ParsePage([]byte(listPage(1, true, hosts...)))
+	known, err := changelog.ParsePage([]byte(endpointPage(1, true, hosts...)))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		cancel()
 		tr.t.Fatal(err)
 	}
-	st := &stage{
+	st := &scriptedBroker{
 		tr: tr, service: s, clients: s.Server.Addr().String(), stop: make(chan struct{}),
 		cancel: cancel, done: make(chan error, 1),
 	}
@@ -90,18 +90,18 @@
 }
 
 // finish waits for the end of the broker and records why its connections to these sides ended.
-func (s *stage) finish(sides ...netconn.Side) {
+func (s *scriptedBroker) finish(sides ...netconn.Side) {
 	s.tr.t.Helper()
 	err := socktest.Receive(s.tr.t, s.done, "the broker's end")
 	if err != nil {
 		s.tr.t.Fatal(err)
 	}
 	s.done <- nil // for the clean-up
-	s.reasons(sides)
+	s.recordEndReasons(sides)
 }
 
-// reasons records why connections ended, with their counts.
-func (s *stage) reasons(sides []netconn.Side) {
+// recordEndReasons records why connections ended, with their counts.
+func (s *scriptedBroker) recordEndReasons(sides []netconn.Side) {
 	s.tr.t.Helper()
 	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets netconn.ConnectionCounts) {
 		for _, side := range sides {
--- a/internal/server/scriptedchangelog_test.go
+++ b/internal/server/scriptedchangelog_test.go
@@ -12,24 +12,24 @@
 	"wheatlane/internal/socktest"
 )
 
-// scriptedLog plays the change log: it answers each request as the script says, on the goroutine that read
+// scriptedChangelog plays the change log: it answers each request as the script says, on the goroutine that read
 // it, as a poll that gets no answer for pollTimeout and pollGrace ends.
-type scriptedLog struct {
+type scriptedChangelog struct {
 	t        *testing.T
 	addr     string
 	respond  func(request string) string // "": no answer
-	requests chan logRequest
+	requests chan changelogRequest
 }
 
-// logRequest is a request, and what it was answered.
-type logRequest struct{ raw, answer string }
+// changelogRequest is a request, and what it was answered.
+type changelogRequest struct{ raw, answer string }
 
-// newScriptedLog starts a change log. It calls respond on one goroutine at a time.
-func newScriptedLog(t *testing.T, respond func(request string) string) *scriptedLog {
+// newScriptedChangelog starts a change log. It calls respond on one goroutine at a time.
+func newScriptedChangelog(t *testing.T, respond func(request string) string) *scriptedChangelog {
 	t.Helper()
 	ln := listen(t)
-	l := &scriptedLog{
-		t: t, addr: ln.Addr().String(), respond: respond, requests: make(chan logRequest, 1000),
+	l := &scriptedChangelog{
+		t: t, addr: ln.Addr().String(), respond: respond, requests: make(chan changelogRequest, 1000),
 	}
 	var mu sync.Mutex
 	go func() {
@@ -44,14 +44,14 @@
 	return l
 }
 
-// silentLog is the address of a change log that never answers.
-func silentLog(t *testing.T) string {
+// silentChangelog is the address of a change log that never answers.
+func silentChangelog(t *testing.T) string {
 	t.Helper()
-	return newScriptedLog(t, func(string) string { return "" }).addr
+	return newScriptedChangelog(t, func(string) string { return "" }).addr
 }
 
 // serve reads requests and answers them until the connection ends.
-func (l *scriptedLog) serve(nc net.Conn, mu *sync.Mutex) {
+func (l *scriptedChangelog) serve(nc net.Conn, mu *sync.Mutex) {
 	defer func() { _ = nc.Close() }() // the broker may have closed it first
 	in := bufio.NewReader(nc)
 	var raw strings.Builder
@@ -68,19 +68,19 @@
 	}
 }
 
-func (l *scriptedLog) answer(nc net.Conn, request string, mu *sync.Mutex) {
+func (l *scriptedChangelog) answer(nc net.Conn, request string, mu *sync.Mutex) {
 	mu.Lock()
 	defer mu.Unlock()
 	answer := l.respond(request)
 	_, _ = io.WriteString(nc, answer) // the poll may have timed out; the broker then polls again
 	select {
-	case l.requests <- logRequest{request, answer}:
+	case l.requests <- changelogRequest{request, answer}:
 	default: // nobody looks at so many
 	}
 }
 
 // record records the next request and its answer.
-func (l *scriptedLog) record(tr *transcript) {
+func (l *scriptedChangelog) record(tr *transcript) {
 	tr.t.Helper()
 	r := socktest.Receive(tr.t, l.requests, "a request to the change log")
 	tr.line("change log < %q", strings.ReplaceAll(r.raw, l.addr, "127.0.0.1:#"))
@@ -89,15 +89,15 @@
 	}
 }
 
-func ok(body, header string) string {
+func httpOK(body, header string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), header, body)
 }
 
-func hostEntry(id, addr, health string) string {
+func endpointEntry(id, addr, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":0}`, id, addr, health)
 }
 
-func listPage(seq int, complete bool, hosts ...string) string {
+func endpointPage(seq int, complete bool, hosts ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
 		seq, seq, complete, strings.Join(hosts, ","))
 }
--- a/internal/server/scriptedengine_test.go
+++ b/internal/server/scriptedengine_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// next records the next message that comes, which is to be of a kind.
-func (e *scriptedEngine) next(kind string) message {
+// receive records the receive message that comes, which is to be of a kind.
+func (e *scriptedEngine) receive(kind string) message {
 	e.tr.t.Helper()
 	m := socktest.Receive(e.tr.t, e.messages, kind+" at "+e.name)
 	e.record(m, kind)
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -18,7 +18,7 @@
 // the result has several pages, which come in any order. What the engine is sent is what the client sent.
 func TestRequestIsServed(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 7, longTimeout, ""))
 	attempt := e.expectAttempt(t)
 	if attempt.requestID() != "0000000000000007" || attempt.body() != "SELECT a FROM s_1.t" ||
@@ -39,7 +39,7 @@
 // Rule 1: what no engine answers is rejected before the client's timeout.
 func TestSilentEngineLeadsToRejectionInTime(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 1, 300*time.Millisecond, ""))
 	attempt := e.expectAttempt(t)
 	c.expect("1226")
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := newFakeEngine(t), newFakeEngine(t)
-			s := startServer(t, listed("e1", first), listed("e2", second))
+			s := startServer(t, inService("e1", first), inService("e2", second))
 			messages := merge(first.messages, second.messages)
 			client := s.connect(statement(tt.class, 1, time.Second, ""))
 			attempt := socktest.Receive(t, messages, "an attempt")
@@ -106,7 +106,7 @@
 	if err := e.listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	s.connect(statement("once", 1, 300*time.Millisecond, "")).expect("1226")
 }
 
@@ -114,17 +114,17 @@
 // whose address passes to another.
 func TestEngineDrainsAndIsRemoved(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
 	attempt := e.expectAttempt(t)
-	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), listed("e2", other)), 2)
+	s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "terminating", 0), inService("e2", other)), 2)
 	for i := range 5 {
 		s.serveOn(other, 10+i)
 	}
 	attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n") // what it holds it may finish
 	a.expect("rows x|y|z|")
 
-	s.publish(pageJSON(3, false, listed("e3", e)), 3)
+	s.publish(pageJSON(3, false, inService("e3", e)), 3)
 	socktest.Receive(t, e.closed, "the end of the old engine's connection")
 	b := s.connect(statement("lookup", 20, longTimeout, ""))
 	select {
@@ -134,7 +134,7 @@
 		t.Fatal("no attempt came")
 	}
 	s.publish(pageJSON(4, false, endpointJSON("e2", other.addr, "terminated", 0),
-		endpointJSON("e3", e.addr, "terminated", 0), listed("e4", e)), 4)
+		endpointJSON("e3", e.addr, "terminated", 0), inService("e4", e)), 4)
 	retry := e.expectAttempt(t) // its attempt was lost with the engine
 	if retry.requestID() != attempt.requestID() {
 		t.Fatalf("got %q", retry.words)
@@ -182,7 +182,7 @@
 // Rule 5: requests of one order key run one at a time and in order, on whichever connections they come.
 func TestOneInFlightPerOrderKey(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	const key = "7f3a9c21e0b4d655"
 	a := s.connect(statement("load", 1, longTimeout, key))
 	first := e.expectAttempt(t)
@@ -204,7 +204,7 @@
 // the one connection it took, and the polls of the change log, whose number differs from run to run.
 func TestUsageIsLogged(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	s.serveOn(e, 1)
 	close(s.stopSignal)
 	s.waitForEnd()
@@ -239,7 +239,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEngine(t)
-			s := startServerWith(t, serverOptions{configure: withoutSlowStart}, listed("e1", e))
+			s := startServerWith(t, serverOptions{configure: withoutSlowStart}, inService("e1", e))
 			DisableConnectionTimeouts(s.server)
 			a := s.connect(statement("lookup", 1, longTimeout, ""))
 			attempt := e.expectAttempt(t)
@@ -264,8 +264,8 @@
 func withoutSlowStart(cfg *config.Config) {
 	classes := slices.Clone(cfg.Settings.Control.Classes)
 	for i := range classes {
-		classes[i].LatencyObjective, classes[i].ClientTimeout = untilFar, untilFar
+		classes[i].LatencyObjective, classes[i].ClientTimeout = neverExpires, neverExpires
 	}
-	cfg.Settings.Control.Classes, cfg.Settings.MaxClientTimeout = classes, untilFar
+	cfg.Settings.Control.Classes, cfg.Settings.MaxClientTimeout = classes, neverExpires
 	cfg.Settings.Control.Rules.SlowStartDuration = 0
 }
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -13,7 +13,7 @@
 // After SIGTERM requests go on coming for a while, all that were accepted are answered, and then Run returns.
 func TestGracefulShutdown(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	a := s.connect(statement("lookup", 1, longTimeout, ""))
 	first := e.expectAttempt(t)
 	close(s.stopSignal)
@@ -30,7 +30,7 @@
 // still until the time for new requests was over, get their answers before the exit.
 func TestReceivedRequestsAreAnsweredBeforeExit(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	hold, held := make(chan struct{}), make(chan struct{})
 	s.server.loop.inbox <- func() { close(held); <-hold }
 	socktest.Receive(t, held, "the standstill")
@@ -75,7 +75,7 @@
 // read after that is not forwarded: no answer could leave any more.
 func TestNothingIsForwardedAfterShutdown(t *testing.T) {
 	e := newFakeEngine(t)
-	s := startServer(t, listed("e1", e))
+	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
 	e.expectAttempt(t).replyOK()
 	c.expect("rows ")
--- a/internal/server/transcript_attempts_test.go
+++ b/internal/server/transcript_attempts_test.go
@@ -17,7 +17,7 @@
 type cancelScript struct {
 	tr     *transcript
 	engine *scriptedEngine
-	stage  *stage
+	broker  *scriptedBroker
 	killer *scriptedClient
 }
 
@@ -30,56 +30,56 @@
 // request lets a new client send a request, which comes to the engine.
 func (cs *cancelScript) request(id int, timeout time.Duration) (*scriptedClient, message) {
 	cs.tr.t.Helper()
-	client := loginClient(cs.tr, "client", cs.stage.clients)
+	client := loginClient(cs.tr, "client", cs.broker.clients)
 	client.send(queryPacket(request("lookup", id, timeout, "")))
-	return client, cs.engine.next("want")
+	return client, cs.engine.receive("want")
 }
 
 // Cancelled requests: by KILL, with pages left, by the end of their client, and by their timeout.
 func TestTranscriptOfCancelledRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := startPatient(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
-	cs := &cancelScript{tr: tr, engine: e, stage: s, killer: loginClient(tr, "killer", s.clients)}
+	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
+	cs := &cancelScript{tr: tr, engine: e, broker: s, killer: loginClient(tr, "killer", s.clients)}
 
 	tr.line("# KILL QUERY")
-	client, _ := cs.request(1, patience)
+	client, _ := cs.request(1, unreachedTimeout)
 	cs.kill(fmt.Sprintf("KILL QUERY %d", client.session))
 	client.result()
-	e.next("never_mind")
+	e.receive("never_mind")
 
 	tr.line("# KILL QUERY, with pages left")
-	client, m := cs.request(2, patience)
+	client, m := cs.request(2, unreachedTimeout)
 	loop := server.PauseLoop(t, s.service.Server) // both come before the timeout of the page can expire
 	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
 	loop.WaitForEvents(1)
 	cs.killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session)))
 	loop.WaitForEvents(2)
 	loop.Resume()
-	e.next("turn")
+	e.receive("turn")
 	cs.killer.result()
 	client.result()
-	e.next("shut")
+	e.receive("shut")
 
 	tr.line("# KILL")
-	client, _ = cs.request(3, patience)
+	client, _ = cs.request(3, unreachedTimeout)
 	cs.kill(fmt.Sprintf("KILL %d", client.session))
 	client.result()
 	client.packet() // the end
-	e.next("never_mind")
+	e.receive("never_mind")
 
 	tr.line("# KILL of no session")
 	cs.kill("KILL QUERY 999999")
 
 	tr.line("# the end of the client")
-	client, _ = cs.request(4, patience)
+	client, _ = cs.request(4, unreachedTimeout)
 	client.close()
-	e.next("never_mind")
+	e.receive("never_mind")
 
 	tr.line("# the end of its time")
 	client, _ = cs.request(5, 3*time.Second)
 	client.result()
-	e.next("never_mind")
+	e.receive("never_mind")
 	tr.check("cancelled")
 }
 
@@ -110,16 +110,16 @@
 	} {
 		tr.line("# %s", c.name)
 		e := newScriptedEngine(tr, "engine")
-		s := startPatient(tr, plain, silentLog(t),
-			hostEntry("e1", e.addr, "in_service"))
+		s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t),
+			endpointEntry("e1", e.addr, "in_service"))
 		client := loginClient(tr, "client", s.clients)
-		client.send(queryPacket(request(c.class, 1, patience, ",replay=op1")))
-		m := e.next("want")
+		client.send(queryPacket(request(c.class, 1, unreachedTimeout, ",replay=op1")))
+		m := e.receive("want")
 		if err := c.fault(m); err != nil {
 			t.Fatal(err)
 		}
 		if c.retry {
-			e.answer(e.next("want"), "OK", "-", "")
+			e.answer(e.receive("want"), "OK", "-", "")
 		}
 		client.result()
 		s.cancel()
@@ -133,18 +133,18 @@
 	tr := &transcript{t: t}
 	e, other := newScriptedEngine(tr, "engine"), newScriptedEngine(tr, "other engine")
 	var published atomic.Bool
-	log := newScriptedLog(t, func(request string) string { // each poll of the old revision gets the new one
+	log := newScriptedChangelog(t, func(request string) string { // each poll of the old revision gets the new one
 		if !published.Load() || strings.Contains(request, "since=2&") {
 			return ""
 		}
-		return ok(listPage(2, true, hostEntry("e2", other.addr, "in_service")), "")
+		return httpOK(endpointPage(2, true, endpointEntry("e2", other.addr, "in_service")), "")
 	})
-	s := startPatient(tr, plain, log.addr, hostEntry("e1", e.addr, "in_service"))
+	s := startWithLongTimeouts(tr, defaultFeatures, log.addr, endpointEntry("e1", e.addr, "in_service"))
 	client := loginClient(tr, "client", s.clients)
-	client.send(queryPacket(request("lookup", 1, patience, ",replay=op1")))
-	e.next("want")
+	client.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
+	e.receive("want")
 	published.Store(true)
-	other.answer(other.next("want"), "OK", "-", "")
+	other.answer(other.receive("want"), "OK", "-", "")
 	client.result()
 	s.cancel()
 	s.finish(netconn.ClientSide, netconn.EngineSide)
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -19,7 +19,7 @@
 
 // The change log is polled from the last revision, on one connection as long as that lasts.
 func TestTranscriptOfTheChangeLog(t *testing.T) {
-	for range maxStalledPolls {
+	for range maxChangelogSessions {
 		tr := &transcript{t: t}
 		playChangeLog(tr)
 		if text := tr.text.String(); !strings.Contains(text, "ended: changelog "+string(netconn.PollTimeout)) &&
@@ -28,23 +28,23 @@
 			return
 		}
 	}
-	t.Fatalf("a poll timed out in each of %d sessions", maxStalledPolls)
+	t.Fatalf("a poll timed out in each of %d sessions", maxChangelogSessions)
 }
 
 // playChangeLog records a session with the change log.
 func playChangeLog(tr *transcript) {
 	tr.t.Helper()
 	answers := []string{
-		ok(listPage(2, false, hostEntry("e1", "127.0.0.1:1", "terminating")), ""),
-		ok(listPage(7, true, hostEntry("e2", "127.0.0.1:2", "in_service")), "Connection: close\r\n"),
+		httpOK(endpointPage(2, false, endpointEntry("e1", "127.0.0.1:1", "terminating")), ""),
+		httpOK(endpointPage(7, true, endpointEntry("e2", "127.0.0.1:2", "in_service")), "Connection: close\r\n"),
 		"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"nonsense\r\n\r\n",
-		ok("{", ""),
-		ok(listPage(3, false), ""), // back in time
-		ok(`{"seq":7,"results":[]}`, ""),
+		httpOK("{", ""),
+		httpOK(endpointPage(3, false), ""), // back in time
+		httpOK(`{"seq":7,"results":[]}`, ""),
 	}
 	requests, answered := len(answers)+1, make(chan struct{})
-	l := newScriptedLog(tr.t, func(string) (answer string) {
+	l := newScriptedChangelog(tr.t, func(string) (answer string) {
 		if len(answers) > 0 {
 			answer, answers = answers[0], answers[1:]
 			return answer
@@ -56,7 +56,7 @@
 		}
 		return ""
 	})
-	s := start(tr, plain, l.addr, hostEntry("e1", "127.0.0.1:1", "in_service"))
+	s := startScripted(tr, defaultFeatures, l.addr, endpointEntry("e1", "127.0.0.1:1", "in_service"))
 	socktest.Receive(tr.t, answered, "the last request to the change log")
 	s.cancel()
 	for range requests {
@@ -65,16 +65,16 @@
 	s.finish(netconn.ChangelogSide)
 }
 
-var unhealthyFigure = regexp.MustCompile(`relay_cluster_unhealthy \d`)
+var unhealthyMetric = regexp.MustCompile(`relay_cluster_unhealthy \d`)
 
-// operator calls at the operator's address.
-type operator struct {
+// adminCaller calls at the adminCaller's address.
+type adminCaller struct {
 	tr   *transcript
 	addr string
 }
 
-// ask sends a call on a connection of its own and returns the reply.
-func (o *operator) ask(text string) string {
+// send sends a call on a connection of its own and returns the reply.
+func (o *adminCaller) send(text string) string {
 	o.tr.t.Helper()
 	nc, err := (&net.Dialer{}).DialContext(o.tr.t.Context(), "tcp", o.addr)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // record adds a call and its reply to the transcript.
-func (o *operator) record(text, reply string) {
+func (o *adminCaller) record(text, reply string) {
 	o.tr.line("operator > %s", shorten(text))
 	for line := range strings.Lines(reply) {
 		o.tr.line("operator < %q", line)
@@ -103,17 +103,17 @@
 }
 
 // call sends and records calls.
-func (o *operator) call(texts ...string) {
+func (o *adminCaller) call(texts ...string) {
 	o.tr.t.Helper()
 	for _, text := range texts {
-		o.record(text, o.ask(text))
+		o.record(text, o.send(text))
 	}
 }
 
 // waitFor calls for the figures until a line is among them.
-func (o *operator) waitFor(line string) {
+func (o *adminCaller) waitFor(line string) {
 	o.tr.t.Helper()
-	for end := time.Now().Add(stepTimeout); !strings.Contains(o.ask("vars\n"), line); {
+	for end := time.Now().Add(stepTimeout); !strings.Contains(o.send("vars\n"), line); {
 		if time.Now().After(end) {
 			o.tr.t.Fatalf("%q does not become true", line)
 		}
@@ -124,24 +124,24 @@
 func TestTranscriptOfTheOperatorsAddress(t *testing.T) {
 	unrecorded, tr := &transcript{t: t}, &transcript{t: t}
 	e := newScriptedEngine(unrecorded, "engine")
-	s := startPatient(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
-	o := &operator{tr: tr, addr: s.service.AdminAddr().String()}
+	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
+	o := &adminCaller{tr: tr, addr: s.service.AdminAddr().String()}
 	c := loginClient(unrecorded, "client", s.clients)
 	killer := loginClient(unrecorded, "killer", s.clients)
 
 	o.call("check\n", "vars\n")
-	c.send(queryPacket(request("lookup", 1, patience, "")))
-	e.answer(e.next("want"), "OK", "-", "")
+	c.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
+	e.answer(e.receive("want"), "OK", "-", "")
 	c.result()
-	c.send(queryPacket(request("once", 2, patience, "")))
-	e.next("want")
+	c.send(queryPacket(request("once", 2, unreachedTimeout, "")))
+	e.receive("want")
 	killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", c.session)))
 	c.result()
-	e.next("never_mind")
+	e.receive("never_mind")
 
 	c = loginClient(unrecorded, "client", s.clients)
-	c.send(queryPacket(request("load", 3, patience, ",replay=op3")))
-	open := e.next("want")
+	c.send(queryPacket(request("load", 3, unreachedTimeout, ",replay=op3")))
+	open := e.receive("want")
 	o.call("vars\n")
 	e.answer(open, "OK", "-", "")
 	c.result()
@@ -155,10 +155,10 @@
 	o.call("vars\n", "check\nvars\n", "restart\n", "set-down\n", "check 1\n", "set-up \xff\n", "\n",
 		strings.Repeat("x", 5000))
 
-	c.send(queryPacket(request("once", 5, patience, "")))
-	e.answer(e.next("want"), "ERR", "-", "")
+	c.send(queryPacket(request("once", 5, unreachedTimeout, "")))
+	e.answer(e.receive("want"), "ERR", "-", "")
 	c.result()
-	o.record("vars\n", unhealthyFigure.ReplaceAllString(o.ask("vars\n"), "relay_cluster_unhealthy #"))
+	o.record("vars\n", unhealthyMetric.ReplaceAllString(o.send("vars\n"), "relay_cluster_unhealthy #"))
 	tr.check("operator")
 }
 
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -77,22 +77,22 @@
 	comPing   = "\x0e"
 	comReset  = "\x1f"
 
-	waits = 15 * time.Second // how long the client of a request waits
+	clientTimeout = 15 * time.Second // how long the client of a request waits
 
-	maxStalledPolls = 20 // sessions with the change log that stalls may spoil
+	maxChangelogSessions = 20 // sessions with the change log that stalls may spoil
 )
 
-// patience is the objective and the client timeout of patient classes, and that of their requests.
-const patience = 10 * time.Minute
+// unreachedTimeout is the objective and the client timeout of patient classes, and that of their requests.
+const unreachedTimeout = 10 * time.Minute
 
 var classTimes = regexp.MustCompile(`"(PromiseNs|GiveUpNs)":\d+`)
 
-// startPatient runs a broker whose classes leave all requests time, and that takes no engine for silent.
-func startPatient(tr *transcript, allowed features, changelogAddr string, hosts ...string) *stage {
+// startWithLongTimeouts runs a broker whose classes leave all requests time, and that takes no engine for silent.
+func startWithLongTimeouts(tr *transcript, allowed allowedFeatures, changelogAddr string, hosts ...string) *scriptedBroker {
 	tr.t.Helper()
-	times := fmt.Sprintf(`"$1":%d`, patience.Nanoseconds())
+	times := fmt.Sprintf(`"$1":%d`, unreachedTimeout.Nanoseconds())
 	allowed.classes = classTimes.ReplaceAllString(allowed.classes, times)
-	s := start(tr, allowed, changelogAddr, hosts...)
+	s := startScripted(tr, allowed, changelogAddr, hosts...)
 	server.DisableConnectionTimeouts(s.service.Server)
 	return s
 }
@@ -101,7 +101,7 @@
 func TestTranscriptOfServedRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := startPatient(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
+	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
 	c := loginClient(tr, "client", s.clients)
 	c.send(packetOf(0, comPing))
 	c.result()
@@ -110,28 +110,28 @@
 	c.send(packetOf(0, comInitDB+"main"))
 	c.result()
 
-	c.send(queryPacket(request("lookup", 1, patience, ",replay=op1")))
-	m := e.next("want")
+	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
+	m := e.receive("want")
 	e.answerAtOnce(m, // the further pages arrive before their timeout can expire
 		answerTo(m, "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n"),
 		answerTo(m, "ROWS", "sheet=2", "7\t8\t9\n"),
 		answerTo(m, "ROWS", "sheet=1", "4\t\t6\n"))
-	e.next("turn")
-	e.next("turn")
+	e.receive("turn")
+	e.receive("turn")
 	c.result()
 
-	c.send(queryPacket(request("lookup", 2, patience, ",dup=1"))) // a retry on an engine that has no capacity
-	e.answer(e.next("want"), "BUSY", "-", "")
-	e.answer(e.next("want"), "OK", "-", "")
+	c.send(queryPacket(request("lookup", 2, unreachedTimeout, ",dup=1"))) // a retry on an engine that has no capacity
+	e.answer(e.receive("want"), "BUSY", "-", "")
+	e.answer(e.receive("want"), "OK", "-", "")
 	c.result()
 
-	c.send(queryPacket(request("load", 3, patience, ",replay=op3,lookup=7f3a9c21e0b4d655")))
-	e.answer(e.next("want"), "ERR", "-", "")
-	e.answer(e.next("want"), "OK", "sheets=1", "x\ty\tz\n")
+	c.send(queryPacket(request("load", 3, unreachedTimeout, ",replay=op3,lookup=7f3a9c21e0b4d655")))
+	e.answer(e.receive("want"), "ERR", "-", "")
+	e.answer(e.receive("want"), "OK", "sheets=1", "x\ty\tz\n")
 	c.result()
 
-	c.send(queryPacket(request("once", 4, patience, "")))
-	e.answer(e.next("want"), "ERR", "-", "")
+	c.send(queryPacket(request("once", 4, unreachedTimeout, "")))
+	e.answer(e.receive("want"), "ERR", "-", "")
 	c.result()
 	c.send(packetOf(0, comQuit))
 	c.packet()
@@ -144,11 +144,11 @@
 func TestTranscriptOfGrantsAndPriorities(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := startPatient(tr, features{grants: true, priorities: true, classes: lookupClass}, silentLog(t),
-		hostEntry("e1", e.addr, "in_service"))
+	s := startWithLongTimeouts(tr, allowedFeatures{grants: true, priorities: true, classes: lookupClass}, silentChangelog(t),
+		endpointEntry("e1", e.addr, "in_service"))
 	c := loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("lookup", 1, patience, ",replay=op1,ram=512")))
-	e.answer(e.next("want"), "OK", "-", "")
+	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1,ram=512")))
+	e.answer(e.receive("want"), "OK", "-", "")
 	c.result()
 	tr.check("grants")
 }
@@ -156,7 +156,7 @@
 // Statements whose fields can't be used, and commands that are not known here.
 func TestTranscriptOfInvalidRequests(t *testing.T) {
 	tr := &transcript{t: t}
-	s := start(tr, plain, silentLog(t), hostEntry("e1", "127.0.0.1:1", "terminating"))
+	s := startScripted(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", "127.0.0.1:1", "terminating"))
 	c := loginClient(tr, "client", s.clients)
 	for _, text := range []string{
 		"SELECT 1",
@@ -170,9 +170,9 @@
 		"/* service=lookup,ref=0000000000000001,allow=1000,effort=x */ SELECT 1",
 		"/* service=lookup,ref=0000000000000001,allow=1000,ram=-1 */ SELECT 1",
 		"/* service=lookup,ref=0000000000000001,allow=1000 */",
-		request("unknown", 1, waits, ""),
+		request("unknown", 1, clientTimeout, ""),
 		request("lookup", 1, time.Hour, ""),
-		request("load", 1, waits, ""),
+		request("load", 1, clientTimeout, ""),
 		request("lookup", 1, 5*time.Millisecond, ""),
 	} {
 		c.send(queryPacket(text))
@@ -192,7 +192,7 @@
 // Messages that can't be read: each ends its connection after an answer.
 func TestTranscriptOfMalformedMessages(t *testing.T) {
 	tr := &transcript{t: t}
-	s := start(tr, plain, silentLog(t), hostEntry("e1", "127.0.0.1:1", "terminating"))
+	s := startScripted(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", "127.0.0.1:1", "terminating"))
 	for _, c := range []struct{ name, login, then string }{
 		{"wrong user", loginPacket("root", "main"), ""},
 		{"wrong database", loginPacket("app", "x"), ""},
@@ -221,14 +221,14 @@
 func TestTranscriptOfAShutdown(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := startPatient(tr, plain, silentLog(t), hostEntry("e1", e.addr, "in_service"))
+	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
 	a, b := loginClient(tr, "client a", s.clients), loginClient(tr, "client b", s.clients)
-	a.send(queryPacket(request("lookup", 1, patience, "")))
-	first := e.next("want")
+	a.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
+	first := e.receive("want")
 	tr.line("# stop")
 	seconds := e.answerNextThen(answerTo(first, "OK", "-", ""))
 	close(s.stop)
-	b.send(queryPacket(request("lookup", 2, patience, "")))
+	b.send(queryPacket(request("lookup", 2, unreachedTimeout, "")))
 	second := socktest.Receive(t, seconds, "want at engine")
 	e.record(second, "want")
 	e.recordAnswer(second, answerTo(second, "OK", "-", ""))
@@ -241,10 +241,10 @@
 	tr.check("shutdown")
 }
 
-// receiveKinds receives until messages of all kinds given have come on one connection, and returns them by
+// receiveCommands receives until messages of all kinds given have come on one connection, and returns them by
 // kind. Load probes are answered. never_mind and there are due at once, and either may come first. A retry
 // follows on another connection if the answer to there is overdue.
-func receiveKinds(e *scriptedEngine, kinds []string) map[string]message {
+func receiveCommands(e *scriptedEngine, kinds []string) map[string]message {
 	e.tr.t.Helper()
 	byConn := map[net.Conn]map[string]message{}
 	for {
@@ -271,12 +271,12 @@
 func TestTranscriptOfALivenessCheck(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := start(tr, features{probing: true, classes: classes}, silentLog(t),
-		hostEntry("e1", e.addr, "in_service"))
+	s := startScripted(tr, allowedFeatures{probing: true, classes: classes}, silentChangelog(t),
+		endpointEntry("e1", e.addr, "in_service"))
 	c := loginClient(tr, "client", s.clients)
-	c.send(queryPacket(request("load", 1, waits, ",replay=op1")))
+	c.send(queryPacket(request("load", 1, clientTimeout, ",replay=op1")))
 	kinds := []string{"want", "never_mind", "there"}
-	commands := receiveKinds(e, kinds)
+	commands := receiveCommands(e, kinds)
 	for _, kind := range kinds {
 		tr.line("engine < %q", commands[kind].masked())
 	}
--- a/internal/server/violations_test.go
+++ b/internal/server/violations_test.go
@@ -13,18 +13,18 @@
 	"wheatlane/internal/invariant"
 )
 
-// countedViolations counts the rules that were broken.
-type countedViolations struct {
+// violationCounter counts the rules that were broken.
+type violationCounter struct {
 	nopMeter
 	byRule map[invariant.Rule]int
 }
 
-func (c countedViolations) InvariantViolated(rule invariant.Rule) { c.byRule[rule]++ }
+func (c violationCounter) InvariantViolated(rule invariant.Rule) { c.byRule[rule]++ }
 
 // A violation that is found here is counted and logged; one that the reducer found is logged, as it has counted it.
 func TestViolations(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
-	log, counted := zap.New(core), countedViolations{byRule: map[invariant.Rule]int{}}
+	log, counted := zap.New(core), violationCounter{byRule: map[invariant.Rule]int{}}
 	loop := &eventLoop{meter: counted, log: log}
 	loop.reportViolation(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
 	(&effectExecutor{log: log}).execute(broker.InvariantViolation{
