--- a/internal/server/adapters.go
+++ b/internal/server/adapters.go
@@ -14,10 +14,10 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// A host is what a part of the server sees of the rest: it turns what the part reports into events of the reducer, in
-// the loop. Its methods may be called on any goroutine, but for those that say otherwise.
+// An adapter implements the interfaces that a package below this one requires. It turns the package's reports into
+// reducer events, which it applies in the loop. Its methods are safe for concurrent use unless documented otherwise.
 
-// gossipAdapter receives load reports of other brokers.
+// gossipAdapter forwards load reports of other brokers to the reducer.
 type gossipAdapter struct{ loop *eventLoop }
 
 // GossipReceived implements gossiptransport.Receiver.
@@ -25,7 +25,7 @@
 	h.loop.post(ctx, func() { h.loop.apply(broker.GossipReceived{Broker: number, Reports: reports}) })
 }
 
-// changelogAdapter receives pages of the change log.
+// changelogAdapter forwards pages of the change log to the reducer.
 type changelogAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
@@ -42,7 +42,7 @@
 	h.connections.recordEnd(netconn.ChangelogSide, addr, openedAt, err)
 }
 
-// frontendAdapter runs the frontend in the loop.
+// frontendAdapter connects the frontend to the event loop.
 type frontendAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
@@ -51,10 +51,10 @@
 // Post implements frontend.Loop.
 func (h frontendAdapter) Post(ctx context.Context, f func()) bool { return h.loop.post(ctx, f) }
 
-// Apply implements frontend.EventSink. It is called in the loop.
+// Apply implements frontend.EventSink. It must be called in the loop.
 func (h frontendAdapter) Apply(event broker.Event) { h.loop.apply(event) }
 
-// Enqueue implements frontend.EventSink. It is called in the loop.
+// Enqueue implements frontend.EventSink. It must be called in the loop.
 func (h frontendAdapter) Enqueue(event broker.Event) { h.loop.enqueue(event) }
 
 // ConnectionEnded implements frontend.Observer.
@@ -62,7 +62,7 @@
 	h.connections.recordEnd(netconn.ClientSide, peer, openedAt, err)
 }
 
-// Violated implements frontend.Observer. It is called in the loop.
+// Violated implements frontend.Observer. It must be called in the loop.
 func (h frontendAdapter) Violated(rule invariant.Rule, fields ...zap.Field) {
 	h.loop.reportViolation(rule, fields...)
 }
--- a/internal/server/connectionlog.go
+++ b/internal/server/connectionlog.go
@@ -9,18 +9,18 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// reasonsWithError are the reasons that say too little without the error behind them.
+// reasonsWithError lists the reasons that are logged with their error, as the code alone does not identify the cause.
 var reasonsWithError = []netconn.Reason{
 	netconn.OtherError, netconn.Malformed, netconn.HTTPStatus, netconn.ConnectFailed,
 }
 
-// connectionLog counts and logs connections that ended. Any goroutine may use it.
+// connectionLog counts and logs ended connections. It is safe for concurrent use.
 type connectionLog struct {
 	log    *zap.Logger
 	counts netconn.EndCounts
 }
 
-// recordEnd records the end of a connection, or that it was not established, for which err is the reason.
+// recordEnd records the end of a connection, or a failed dial. The reason code is derived from err.
 func (l *connectionLog) recordEnd(side netconn.Side, peer string, openedAt time.Time, err error) {
 	reason := netconn.ReasonOf(err)
 	l.counts.Add(side, reason)
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -9,11 +9,11 @@
 	"wheatlane/internal/server/gossiptransport"
 )
 
-// effectExecutor carries out what the reducer decided. The loop owns it.
+// effectExecutor performs the reducer's effects. The loop owns it.
 type effectExecutor struct {
 	frontend *frontend.Frontend
 	pool     *enginepool.Pool
-	gossip   *gossiptransport.Transport // nil: the reducer sends no gossip
+	gossip   *gossiptransport.Transport // nil if gossip is disabled
 	usage    *usageLog
 	log      *zap.Logger
 }
@@ -48,7 +48,7 @@
 		ex.pool.Drain(effect.Engine)
 	case broker.CloseEngineConnections:
 		ex.pool.CloseConnections(effect.Engine, effect.DialedBefore)
-	case broker.InvariantViolation: // which the reducer has counted
+	case broker.InvariantViolation: // already counted by the reducer
 		logViolation(ex.log, effect.Rule,
 			zap.Uint32("session", uint32(effect.Session)), zap.String("request", effect.RequestID))
 	case broker.EngineEjected:
--- a/internal/server/enginepooladapter.go
+++ b/internal/server/enginepooladapter.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// enginePoolConfig returns what the pool of connections to engines takes of the configuration.
+// enginePoolConfig derives the configuration of the engine pool from the broker's.
 func enginePoolConfig(cfg config.Config, maxConns int) enginepool.Config {
 	limits := &cfg.Settings.Control.Limits
 	return enginepool.Config{
@@ -31,7 +31,7 @@
 	}
 }
 
-// enginePoolAdapter runs the pool of connections to engines in the loop.
+// enginePoolAdapter connects the engine pool to the event loop.
 type enginePoolAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
--- a/internal/server/longesttimeout.go
+++ b/internal/server/longesttimeout.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// longestTimeout is the longest timeout that it was ever raised to. Any goroutine may load it; one raises it at a time.
+// longestTimeout holds the longest timeout passed to raise. Any goroutine may call load, but calls of raise must not
+// overlap.
 type longestTimeout struct{ nanoseconds atomic.Int64 }
 
 func (t *longestTimeout) load() time.Duration { return time.Duration(t.nanoseconds.Load()) }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// inboxCapacity is how many functions may wait for the loop. Readers wait while it is full.
+	// inboxCapacity is the number of functions that can be queued for the loop. Connection readers block while it is
+	// full.
 	inboxCapacity = 256
-	// maxInboxBatch is how many functions the loop takes from the inbox ahead of a round.
+	// maxInboxBatch limits the functions that the loop runs from the inbox in one iteration.
 	maxInboxBatch = 512
 )
 
-// eventLoop owns the reducer: it gives it events and has its effects carried out. All methods but post are called on
-// one goroutine, the loop.
+// eventLoop owns the reducer: it applies events to it and performs the effects that it returns. All methods but post
+// must be called on the loop's goroutine.
 type eventLoop struct {
-	inbox   chan func() // functions to call in the loop
-	reducer *broker.Broker
-	execute func(broker.Effect)
-	meter   Meter
-	log     *zap.Logger
-	queuedEvents []broker.Event // that effects gave
-	usage   *usageLog
+	inbox        chan func() // functions to call in the loop
+	reducer      *broker.Broker
+	execute      func(broker.Effect)
+	meter        Meter
+	log          *zap.Logger
+	queuedEvents []broker.Event // raised while effects are performed
+	usage        *usageLog
 }
 
-// post hands f to the loop and reports whether it was taken. It waits while the inbox is full, or until ctx
-// ends. Any goroutine may call it.
+// post queues f for the loop and reports whether it was queued. It blocks while the inbox is full and gives up once ctx
+// is done. It is safe for concurrent use.
 func (l *eventLoop) post(ctx context.Context, f func()) bool {
 	select {
 	case l.inbox <- f:
@@ -40,7 +41,7 @@
 	}
 }
 
-// runInbox calls the first function of a batch and those behind it.
+// runInbox runs first, which was received from the inbox, and the functions queued behind it.
 func (l *eventLoop) runInbox(first func()) {
 	l.meter.InboxLength(len(l.inbox) + 1)
 	first()
@@ -50,7 +51,7 @@
 	}
 }
 
-// apply gives the reducer an event and carries out the effects, and what follows from them.
+// apply applies an event to the reducer, performs its effects and applies the events that they raise.
 func (l *eventLoop) apply(event broker.Event) {
 	if _, ok := event.(broker.SubmitRequest); ok {
 		l.usage.Requests++
@@ -59,16 +60,16 @@
 	l.applyQueued()
 }
 
-// tick lets time pass in the reducer.
+// tick advances the reducer's time and performs the effects that are due.
 func (l *eventLoop) tick() {
 	l.executeAll(l.reducer.Tick(clock.Now()))
 	l.applyQueued()
 }
 
-// enqueue keeps an event that carrying out an effect gave until the other effects are carried out.
+// enqueue queues an event raised by an effect until the remaining effects are performed.
 func (l *eventLoop) enqueue(event broker.Event) { l.queuedEvents = append(l.queuedEvents, event) }
 
-// applyQueued applies the pending events.
+// applyQueued applies the queued events in order, including those that their effects raise.
 func (l *eventLoop) applyQueued() {
 	for len(l.queuedEvents) > 0 {
 		event := l.queuedEvents[0]
@@ -77,14 +78,14 @@
 	}
 }
 
-// executeAll carries out effects in their order.
+// executeAll performs effects in order.
 func (l *eventLoop) executeAll(effects []broker.Effect) {
 	for _, effect := range effects {
 		l.execute(effect)
 	}
 }
 
-// reportViolation counts and logs that a rule would have been, or was, broken.
+// reportViolation counts and logs a violation of an invariant, whether prevented or not.
 func (l *eventLoop) reportViolation(rule invariant.Rule, fields ...zap.Field) {
 	l.meter.InvariantViolated(rule)
 	logViolation(l.log, rule, fields...)
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -12,29 +12,30 @@
 	"wheatlane/internal/server/handoverstore"
 )
 
-// ErrNotListed is the error of maintenance of an engine that was never in the endpoint list.
+// ErrNotListed is returned by StartMaintenance and EndMaintenance for an engine that was never in the endpoint list.
 var ErrNotListed = errors.New("server: the engine was never listed")
 
-// StartMaintenance puts an engine into maintenance mode and returns once that is in force and stored for the next
-// process. The error is ErrNotListed, or that of ctx if it ended before: the change may be in force then,
-// and is stored as soon as it can be.
+// StartMaintenance puts an engine into maintenance mode. It returns once the change is in effect and, where a hand-over
+// directory is configured, stored for the next process. The error wraps ErrNotListed, or is that of ctx if ctx ends
+// first. In the latter case the change may be in effect, and is then stored as soon as possible.
 func (s *Server) StartMaintenance(ctx context.Context, id string) error {
 	return s.maintenance.change(ctx, handover.Change{Engine: id, Enabled: true})
 }
 
-// EndMaintenance ends the maintenance mode of an engine; its errors are those of StartMaintenance.
+// EndMaintenance takes an engine out of maintenance mode. It returns when StartMaintenance would, with the same errors.
 func (s *Server) EndMaintenance(ctx context.Context, id string) error {
 	return s.maintenance.change(ctx, handover.Change{Engine: id})
 }
 
-// maintenanceModes changes which engines are in maintenance mode. Any goroutine may use it.
+// maintenanceModes changes which engines are in maintenance mode. change and AdoptMaintenance are safe for concurrent
+// use; apply and adopt must be called in the loop.
 type maintenanceModes struct {
 	loop  *eventLoop
-	store *handoverstore.Store // nil: nothing is handed over
+	store *handoverstore.Store // nil if there is no hand-over directory
 	log   *zap.Logger
 }
 
-// change applies a change in the loop and waits until it is stored.
+// change applies a change in the loop and waits until it is stored or ctx is done.
 func (m *maintenanceModes) change(ctx context.Context, change handover.Change) error {
 	type result struct {
 		stored <-chan struct{}
@@ -64,8 +65,8 @@
 	}
 }
 
-// apply does change's part in the loop. The channel is closed once the change is stored; it is nil where nothing is
-// handed over.
+// apply applies a change to the reducer and records it in the store. The returned channel is closed once the change is
+// stored; it is nil without a store.
 func (m *maintenanceModes) apply(change handover.Change) (stored <-chan struct{}, err error) {
 	if !m.loop.reducer.EverListed(change.Engine) {
 		return nil, fmt.Errorf("%w: %s", ErrNotListed, change.Engine)
@@ -86,7 +87,7 @@
 	m.loop.post(ctx, func() { m.adopt(changes) })
 }
 
-// adopt applies changes of another process of this broker, in the loop.
+// adopt applies changes that another process of this broker stored.
 func (m *maintenanceModes) adopt(changes []handover.Change) {
 	for _, change := range changes {
 		m.log.Info("maintenance taken over from another process",
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -8,23 +8,23 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// Meter is notified of what happens on connections, beside what the reducer notifies it of. Its methods are
-// called on the goroutine that owns the reducer.
+// Meter receives events of the connections and the loop, in addition to the reducer's events. Its methods are called
+// on the goroutine that owns the reducer.
 type Meter interface {
 	broker.Meter
-	// DuplicateResponse reports that an engine answered what nothing waits for.
+	// DuplicateResponse reports an engine's response that no attempt is waiting for.
 	DuplicateResponse(engine string)
-	// DrainStarted reports that an engine was listed as draining or put into maintenance.
+	// DrainStarted reports that an engine was listed as draining or put into maintenance mode.
 	DrainStarted()
-	// DrainCompleted reports how long after that the last byte left for the engine.
+	// DrainCompleted reports the time from DrainStarted until the last byte was sent to the engine.
 	DrainCompleted(took time.Duration)
-	// LoopLag reports how long after it was due the broker's loop ran. It may be negative.
+	// LoopLag reports the time between the due time of a loop iteration and its start. It may be negative.
 	LoopLag(d time.Duration)
-	// InboxLength reports how many events waited as the loop ran.
-	InboxLength(events int)
+	// InboxLength reports the number of queued functions as the loop begins to run them.
+	InboxLength(functions int)
 }
 
-// nopMeter ignores everything.
+// nopMeter discards all events.
 type nopMeter struct{ broker.NopMeter }
 
 func (nopMeter) DuplicateResponse(string)     {}
@@ -33,14 +33,14 @@
 func (nopMeter) LoopLag(time.Duration)        {}
 func (nopMeter) InboxLength(int)              {}
 
-// SetMeter sets who is notified from now on. It is to be called ahead of Run.
+// SetMeter sets the meter that receives all further events. It must be called before Run.
 func (s *Server) SetMeter(m Meter) {
 	s.loop.meter = m
 	s.loop.reducer.SetMeter(m)
 }
 
-// Inspect calls f on the goroutine that owns the reducer and waits for it; once Run has ended, it calls f
-// itself. It returns false if ctx ended before.
+// Inspect calls f on the goroutine that owns the reducer and waits until f returns. After Run has returned, Inspect
+// calls f on the caller's goroutine. It returns false if ctx ends first.
 func (s *Server) Inspect(ctx context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool {
 	done := make(chan struct{})
 	inspect := func() {
@@ -52,7 +52,7 @@
 	for {
 		select {
 		case inbox <- inspect:
-			inbox = nil // it is posted once
+			inbox = nil // post only once
 		case <-done:
 			return true
 		case <-ctx.Done():
@@ -60,7 +60,7 @@
 		case <-s.done:
 			select {
 			case <-done:
-			default: // it may be in the inbox still, which nobody reads after the end of Run
+			default: // inspect may still be in the inbox, which is not read after Run returns
 				inspect()
 			}
 			return true
--- a/internal/server/runloop.go
+++ b/internal/server/runloop.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/server/standstill"
 )
 
-// runLoop runs the loop until ctx ends or a shutdown, begun by a value on stop, is complete.
+// runLoop runs the loop until ctx ends or the graceful shutdown that a receive from stop begins is complete.
 func (s *Server) runLoop(ctx context.Context, stop <-chan struct{}) error {
 	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
 	s.loop.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
@@ -47,7 +47,7 @@
 	}
 }
 
-// runIteration lets time pass in the reducer and does what is due.
+// runIteration advances the reducer's time and runs the periodic work of the engine pool and the usage log.
 func (s *Server) runIteration() {
 	s.loop.tick()
 	s.pool.CheckConnections()
@@ -58,7 +58,7 @@
 	}
 }
 
-// untilNextIteration returns how long the loop may wait if nothing happens.
+// untilNextIteration returns the longest time that the loop may wait without events.
 func (s *Server) untilNextIteration() time.Duration {
 	wait := standstill.MaxLoopInterval
 	if deadline, ok := s.loop.reducer.NextDeadline(); ok {
@@ -67,7 +67,7 @@
 	return max(wait, 0)
 }
 
-// logUsage logs what was spent since the line before.
+// logUsage logs the usage since the previous line.
 func (s *Server) logUsage() { s.loop.usage.write(s.endpoints.Polls(), s.pool.Stats()) }
 
 // beginShutdown begins a graceful shutdown.
@@ -78,7 +78,7 @@
 	s.loop.apply(broker.Shutdown{Within: within})
 }
 
-// advanceShutdown takes the steps of a shutdown that are due, and reports whether it is complete.
+// advanceShutdown performs the shutdown steps that are due and reports whether the shutdown is complete.
 func (s *Server) advanceShutdown() (complete bool) {
 	for s.shutdown.requested() {
 		switch s.shutdown.next(time.Now(), shutdownProgress{
@@ -99,7 +99,7 @@
 	return false
 }
 
-// closeSessions ends all clients' connections. The reducer rejects what is read until their readers stop.
+// closeSessions closes all client connections. The reducer rejects requests that are read until their readers stop.
 func (s *Server) closeSessions() {
 	s.loop.apply(broker.SendFinalAnswers{})
 	s.frontend.CloseAll(netconn.Shutdown)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,7 @@
-// Package server runs a broker on real sockets: it turns what clients, engines, other brokers and the
-// change log send into events of the reducer, and carries out the effects that the reducer returns. One
-// goroutine, the loop, owns the reducer and all state of this package; each connection has one goroutine
-// that reads and one that writes, and those only post functions to the loop. Every goroutine ends with its
-// context.
+// Package server runs a broker on real sockets. It turns messages from clients, engines, other brokers and the change
+// log into events for the reducer, and performs the effects that the reducer returns. One goroutine, the loop, owns the
+// reducer and all state of this package. Each connection has a reader and a writer goroutine, which only post functions
+// to the loop. Every goroutine ends with its context.
 package server
 
 import (
@@ -28,34 +27,34 @@
 
 // Server is a running broker.
 type Server struct {
-	log         *zap.Logger
-	loop        *eventLoop
-	frontend    *frontend.Frontend
-	pool        *enginepool.Pool
-	endpoints   *endpointwatch.Watcher
-	gossip      *gossiptransport.Transport // nil: engines are not shared with other brokers
-	handover    *handoverstore.Store       // nil: nothing is handed over
-	maintenance *maintenanceModes
-	connections *connectionLog
-	pauses standstill.Detector
-	longestTimeout    longestTimeout // of the classes ever in force
-	scope       runScope
-	done        chan struct{} // closed once Run returns
+	log            *zap.Logger
+	loop           *eventLoop
+	frontend       *frontend.Frontend
+	pool           *enginepool.Pool
+	endpoints      *endpointwatch.Watcher
+	gossip         *gossiptransport.Transport // nil if gossip is disabled
+	handover       *handoverstore.Store       // nil if there is no hand-over directory
+	maintenance    *maintenanceModes
+	connections    *connectionLog
+	pauses         standstill.Detector
+	longestTimeout longestTimeout // of all classes since the start
+	scope          runScope
+	done           chan struct{} // closed once Run returns
 
-	// Owned by the loop.
+	// The loop owns the fields below.
 	cfg                 config.Config
 	shutdown            gracefulShutdown
-	restoredMaintenance []string // engines that the previous process had in maintenance mode
+	restoredMaintenance []string // engines in maintenance mode in the previous process
 }
 
-// runScope is what goroutines of the pool belong to. It is set as Run begins.
+// runScope holds the context and the group of the engine pool's goroutines. It is set when Run begins.
 type runScope struct {
-	ctx   context.Context // of Run: connections outlive the events that need them
-	group *errgroup.Group // of Run
+	ctx   context.Context // Run's, as connections outlive the events that open them
+	group *errgroup.Group // Run's
 }
 
-// New returns a broker that already listens, so that no client is rejected while it starts. Errors name the
-// setting that can't be used.
+// New returns a broker that already listens, so that clients are not refused while it starts. The caller must call Run
+// or Close. Errors name the invalid setting.
 func New(ctx context.Context, cfg config.Config, log *zap.Logger) (*Server, error) {
 	budget := newSocketBudget(cfg)
 	poolConfig := enginePoolConfig(cfg, budget.Engines)
@@ -84,7 +83,7 @@
 		if s.gossip, err = gossiptransport.Listen(ctx, gossiptransport.Config{
 			ListenAddr: cfg.PeerListen, Brokers: cfg.Peers, Log: log,
 		}); err != nil {
-			_ = listener.Close() // the error that matters is the one above
+			_ = listener.Close() // the error of Listen is returned
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
 	}
@@ -97,7 +96,7 @@
 	return s, nil
 }
 
-// createComponents creates the parts that need the loop, and has it carry out effects by them.
+// createComponents creates the components that need the loop and sets the executor of its effects.
 func (s *Server) createComponents(listener net.Listener, budget socketBudget, poolConfig enginepool.Config) {
 	clients := frontendAdapter{s.loop, s.connections}
 	s.frontend = frontend.New(listener, frontend.Config{
@@ -114,14 +113,14 @@
 	}).execute
 }
 
-// Addr returns where clients connect.
+// Addr returns the address that clients connect to.
 func (s *Server) Addr() net.Addr { return s.frontend.Addr() }
 
-// Close closes the listener of a server that is not to run.
+// Close closes the listener. Call it only if Run is not called.
 func (s *Server) Close() error { return s.frontend.Close() }
 
-// Run serves until ctx ends or, after a value on stop, until the shutdown is complete. It returns nil in
-// both cases.
+// Run serves until ctx ends or until the graceful shutdown that a receive from stop begins is complete. It returns nil
+// in both cases. It must be called at most once.
 func (s *Server) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer close(s.done)
 	ctx, cancel := context.WithCancel(ctx)
@@ -147,15 +146,15 @@
 	return err
 }
 
-// Reload applies the parts of a new configuration that a running broker takes: the change log's address and
-// known page, the classes and the limit of attempts. It logs the keys that differ otherwise, as they need a
-// restart. The caller has checked that the configuration may replace the one in force.
+// Reload applies the settings that a running broker can change: the change log's address and known page, the classes
+// and the maximum number of attempts. It logs the other keys that differ, as they need a restart. The caller must have
+// validated that cfg may replace the current configuration.
 func (s *Server) Reload(ctx context.Context, cfg config.Config) {
 	s.endpoints.SetAddr(cfg.Changelog)
 	s.loop.post(ctx, func() { s.applySettings(cfg) })
 }
 
-// applySettings does Reload's part in the loop.
+// applySettings applies the reloaded settings. It must be called in the loop.
 func (s *Server) applySettings(cfg config.Config) {
 	s.loop.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: clock.WallOffset()})
 	s.loop.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -6,51 +6,52 @@
 	"wheatlane/control"
 )
 
-// Times of a planned restart.
+// Timing of a graceful shutdown.
 const (
-	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, at most clientTimeoutCap, plus
-	// shutdownExtra.
+	// By the protocol, SIGKILL follows SIGTERM after the longest client timeout, capped at clientTimeoutCap, plus
+	// shutdownGrace.
 	clientTimeoutCap = 3 * time.Second
-	shutdownGrace     = 700 * time.Millisecond
-	// finalAnswerReserve is the time before SIGKILL at which open requests get their final answer.
+	shutdownGrace    = 700 * time.Millisecond
+	// finalAnswerReserve is the time between the final answers to open requests and SIGKILL.
 	finalAnswerReserve = 250 * time.Millisecond
-	// finalFlushTimeout is the time in which the final answers leave before the process exits.
+	// finalFlushTimeout is the time allowed for sending the final answers before the process exits.
 	finalFlushTimeout = 200 * time.Millisecond
-	// shutdownAcceptWindow is the time after SIGTERM in which new requests are served. By the protocol they may come
-	// for 0.4 s.
+	// shutdownAcceptWindow is the time after SIGTERM in which new requests are served. By the protocol, clients may
+	// send them for 0.4 s.
 	shutdownAcceptWindow = time.Second
 )
 
-// shutdownStep is what a graceful shutdown is to do next. Its steps are, in this order:
+// shutdownStep is the next step of a graceful shutdown. The steps are, in order:
 //
-//  1. Requests that still come after SIGTERM are served as before, within shutdownAcceptWindow.
-//  2. The final reads: connections that the system has accepted are served, the listener closes, and the socket of each
-//     client is read until it is empty once, so that nothing is left in the kernel or on its way to the reducer.
-//  3. Once all requests are answered and the answers have left, the sessions close: the reader of each stops first, so
-//     that all that was read is answered; then the broker ends its direction of the connection and waits for the
-//     client to end the other, as closing a socket with bytes unread could destroy the last answers.
+//  1. Requests that arrive within shutdownAcceptWindow after SIGTERM are served as usual.
+//  2. Final reads: connections in the kernel's accept queue are accepted and served, the listener closes, and each
+//     client socket is read until it is empty, so that no request remains in the kernel or on its way to the reducer.
+//  3. Once all requests are answered and the answers are sent, the sessions close. The reader of each stops first, so
+//     that every request that was read is answered. The broker then shuts down the write side of the connection and
+//     waits for the client to close the other, as closing a socket with unread bytes could discard the last answers.
 //
-// At answerWithin, whatever the step, the reducer gives what is still open its final answer (broker.Shutdown.Within).
+// In any step, the reducer sends the final answers to open requests once answerWithin has elapsed
+// (broker.Shutdown.Within).
 type shutdownStep int
 
 const (
-	shutdownWait            shutdownStep = iota // nothing until the next round
-	shutdownBeginFinalReads                     // once
-	shutdownCloseSessions                       // once
-	shutdownExit                                // all is done, or SIGKILL is near
+	shutdownWait            shutdownStep = iota // nothing is due until the next loop iteration
+	shutdownBeginFinalReads                     // returned once
+	shutdownCloseSessions                       // returned once
+	shutdownExit                                // the shutdown is complete, or SIGKILL is imminent
 )
 
-// gracefulShutdown decides the steps of a shutdown. The zero value is that none was requested.
+// gracefulShutdown is the state of a shutdown and decides its steps. In the zero value none is requested.
 type gracefulShutdown struct {
-	requestedAt     time.Time
-	answerWithin    time.Duration // from requestedAt: what is left then gets its final answer
-	acceptWindow    time.Duration // from requestedAt: until then new requests are served
-	finalReadsStarted      bool          // they have begun
-	sessionsClosing bool
+	requestedAt       time.Time
+	answerWithin      time.Duration // from requestedAt until open requests get their final answer
+	acceptWindow      time.Duration // from requestedAt, in which new requests are served
+	finalReadsStarted bool
+	sessionsClosing   bool
 }
 
-// newGracefulShutdown returns a shutdown that is requested at a time, with the classes in force. The final answers
-// leave ahead of SIGKILL, which follows from the client timeouts; those from before a reload may have been longer.
+// newGracefulShutdown returns the shutdown requested at requestedAt. The final answers are sent before SIGKILL, whose
+// time follows from the client timeouts of the current classes; those before a reload may have been longer.
 func newGracefulShutdown(requestedAt time.Time, classes []control.Class) gracefulShutdown {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -65,18 +66,18 @@
 	}
 }
 
-// requested reports whether there is a shutdown.
+// requested reports whether a shutdown was requested.
 func (g *gracefulShutdown) requested() bool { return !g.requestedAt.IsZero() }
 
-// shutdownProgress is what a shutdown decides by.
+// shutdownProgress is the input by which a shutdown decides its next step.
 type shutdownProgress struct {
 	openRequests int
 	clients      int
-	allRead      bool // the final reads are complete, and all that is addressed to the clients has been sent
+	allRead      bool // the final reads are complete, and all answers to clients are sent
 }
 
-// next returns the next step of a shutdown that was requested. It is called again until it returns shutdownWait or
-// shutdownExit.
+// next returns the next step of a requested shutdown and records it as taken. The caller calls it until it returns
+// shutdownWait or shutdownExit.
 func (g *gracefulShutdown) next(now time.Time, progress shutdownProgress) shutdownStep {
 	elapsed := now.Sub(g.requestedAt)
 	answered := progress.openRequests == 0
@@ -84,7 +85,7 @@
 	case !g.finalReadsStarted && elapsed >= g.acceptWindow:
 		g.finalReadsStarted = true
 		return shutdownBeginFinalReads
-	case answered && elapsed >= g.answerWithin+finalFlushTimeout: // SIGKILL is near
+	case answered && elapsed >= g.answerWithin+finalFlushTimeout: // SIGKILL is imminent
 		return shutdownExit
 	case !g.finalReadsStarted || !answered || !progress.allRead:
 		return shutdownWait
--- a/internal/server/socketbudget.go
+++ b/internal/server/socketbudget.go
@@ -3,23 +3,23 @@
 import "wheatlane/internal/config"
 
 const (
-	engineSocketDivisor = 4  // connections to engines get the limit of sockets divided by this
-	reservedSockets          = 16 // listener, change log, log, configuration file, the runtime's own
-	rejectedClientSockets       = 4  // of clients that were rejected and have not read that yet
-	// Callers of the admin endpoint get up to maxAdminSockets, and at most the limit divided by adminSocketDivisor.
+	engineSocketDivisor   = 4  // engines get 1/engineSocketDivisor of the socket limit
+	reservedSockets       = 16 // listener, change log, log, configuration file, the runtime's own
+	rejectedClientSockets = 4  // for rejected clients that have not read their rejection
+	// The admin endpoint gets 1/adminSocketDivisor of the socket limit, at most maxAdminSockets.
 	maxAdminSockets    = 32
 	adminSocketDivisor = 16
-	// closingSocketDivisor gives the share of the clients' sockets that is for connections about to end.
+	// 1/closingSocketDivisor of the client sockets is reserved for connections that are closing.
 	closingSocketDivisor = 8
 )
 
-// socketBudget divides a broker's limit of sockets.
+// socketBudget divides a broker's socket limit.
 type socketBudget struct {
 	Engines  int // connections to engines
-	Clients  int // connections of clients: what the others leave
-	Sessions int // of Clients, those that are not about to end
-	Rejected int // connections of rejected clients that have not read that yet
-	Admin    int // callers of the admin endpoint; 0 without one
+	Clients  int // client connections: the remainder
+	Sessions int // client connections that are not closing
+	Rejected int // rejected clients that have not read their rejection
+	Admin    int // connections to the admin endpoint; 0 without one
 }
 
 func newSocketBudget(cfg config.Config) socketBudget {
@@ -32,5 +32,6 @@
 	return b
 }
 
-// MaxAdminConnections returns how many callers the admin endpoint may serve at once: their sockets count against the limit.
+// MaxAdminConnections returns how many connections the admin endpoint may serve at once. They count against the socket
+// limit.
 func MaxAdminConnections(cfg config.Config) int { return newSocketBudget(cfg).Admin }
--- a/internal/server/transitionlog.go
+++ b/internal/server/transitionlog.go
@@ -6,8 +6,8 @@
 	"wheatlane/internal/broker"
 )
 
-// logTransitions returns a tracer that writes a line at debug level for each transition of a request, so that a request
-// can be followed by its ids.
+// logTransitions returns a tracer that logs each transition of a request at debug level, so that a request can be
+// traced by its number and id.
 func logTransitions(log *zap.Logger) func(broker.Transition) {
 	return func(t broker.Transition) {
 		fields := []zap.Field{
