--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -14,9 +14,9 @@
 	"wheatlane/internal/socktest"
 )
 
-// A client that kills its query is notified, and its engine that the attempt is cancelled; so is that of one
-// that leaves.
-func TestKillQuery(t *testing.T) {
+// KILL QUERY ends the query with an error and cancels its attempt at the engine. A client's disconnect cancels the
+// attempt, too.
+func TestKillQueryCancelsAttempt(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
 	c := s.connect(statement("lookup", 1, longTimeout, ""))
@@ -25,40 +25,40 @@
 	c.expect("1317")
 	e.expectCancel(t, attempt)
 
-	leaver := s.connect(statement("lookup", 2, longTimeout, ""))
+	disconnecting := s.connect(statement("lookup", 2, longTimeout, ""))
 	attempt = e.expectAttempt(t)
-	leaver.close()
+	disconnecting.close()
 	e.expectCancel(t, attempt)
 }
 
-// invalidInput is what a client sends after the greeting, and what comes of it.
+// invalidInput is a client's input after the greeting, with the expected answers and end of the connection.
 type invalidInput struct {
 	login   []byte
-	command []byte         // nil: the connection ends with the login
-	quit    bool           // the client ends the connection itself, after the answer
-	answers []string       // after the greeting
-	reason  netconn.Reason // why the connection ends
+	command []byte         // nil if the login ends the connection
+	quit    bool           // the client quits after the answer
+	answers []string       // expected after the greeting
+	reason  netconn.Reason // expected reason for the end of the connection
 }
 
 var invalidInputs = map[string]invalidInput{
 	"wrong user": {
 		login: loginPacket("root"), answers: []string{"1045", "closed"}, reason: netconn.AccessDenied,
 	},
-	"no login": {
+	"malformed login": {
 		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: netconn.Malformed,
 	},
 	"login to an unknown database": {
 		login:   packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00other\x00"),
 		answers: []string{"1049", "closed"}, reason: netconn.AccessDenied,
 	},
-	"login of a wrong number": {
+	"login with wrong sequence number": {
 		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: netconn.Malformed,
 	},
-	"huge packet": {
+	"oversized packet": {
 		login: loginPacket("app"), command: []byte("\x00\x00\xff\x00\x03SELECT"),
 		answers: []string{"ok", "1153", "closed"}, reason: netconn.TooLarge,
 	},
-	"packet of a wrong number": {
+	"command with wrong sequence number": {
 		login: loginPacket("app"), command: packetBytes(9, mysqlPing),
 		answers: []string{"ok", "1156", "closed"}, reason: netconn.Malformed,
 	},
@@ -80,8 +80,9 @@
 	},
 }
 
-// What can't be read costs its own connection, with an answer and one log line; all others are served on.
-func TestInvalidClientInput(t *testing.T) {
+// Invalid input is answered with an error, ends only its own connection and is logged once. Other clients are still
+// served.
+func TestInvalidClientInputEndsOnlyItsConnection(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
 	for name, tt := range invalidInputs {
@@ -106,27 +107,27 @@
 			peer := c.localAddr()
 			c.close()
 			if got := s.endReasons(peer); got != string(tt.reason) {
-				t.Fatalf("the connection ended as %s, want %s", got, tt.reason)
+				t.Fatalf("connection ended as %s, want %s", got, tt.reason)
 			}
 		})
 	}
 	s.serveOn(e, 1)
 }
 
-// At the limit of sessions, clients that never log in and idle ones are evicted; while all are busy, one more is
-// rejected.
-func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
-	engines := []*fakeEngine{newFakeEngine(t), newFakeEngine(t), newFakeEngine(t)} // enough to take all at once
+// At the session limit, clients that have not logged in and idle clients are evicted. If all sessions are busy, a
+// further client is rejected.
+func TestIdleClientsAreEvictedAtSessionLimit(t *testing.T) {
+	engines := []*fakeEngine{newFakeEngine(t), newFakeEngine(t), newFakeEngine(t)} // enough capacity for all requests
 	s := startServerWith(t, serverOptions{sockets: 64},
 		inService("e1", engines[0]), inService("e2", engines[1]), inService("e3", engines[2]))
-	const maxSessions = 25 // 64 less 16 for engines, 16 of its own and 4 of rejected clients, and an eighth of that
+	const maxSessions = 25 // 64 less 16 for engines, 16 reserved, 4 for rejected clients; less an eighth
 	silent := s.dial()
 	silent.readPacket() // the greeting
 	idle := s.connect()
 	attempts := merge(engines[0].messages, engines[1].messages, engines[2].messages)
 	for i := range maxSessions {
 		s.connect(statement("lookup", 1+i, longTimeout, ""))
-		socktest.Receive(t, attempts, "its attempt") // so that it is busy before the next one connects
+		socktest.Receive(t, attempts, "its attempt") // the session is busy before the next client connects
 	}
 	silent.expect("closed")
 	idle.expect("closed")
@@ -135,15 +136,15 @@
 	s.dial().expect("1040")
 }
 
-// A client that sends nothing, or begins a message and does not complete it, is closed within 3 s of
-// connecting, however slowly more of it comes.
+// A client that sends nothing, or only part of a message, is disconnected within 3 s of connecting, however slowly
+// further bytes arrive.
 func TestSilentClientsAreClosed(t *testing.T) {
 	s := startServer(t)
 	for name, tt := range map[string]struct {
 		sent []byte
 		want netconn.Reason
 	}{
-		"nothing":         {nil, netconn.LoginTimeout},
+		"no bytes":        {nil, netconn.LoginTimeout},
 		"part of login":   {loginPacket("app")[:9], netconn.LoginTimeout},
 		"part of a query": {append(loginPacket("app"), queryPacket("SELECT")[:8]...), netconn.ReadTimeout},
 	} {
@@ -153,29 +154,30 @@
 			c.send(tt.sent)
 			c.discardAll()
 			if got := s.endReasons(c.localAddr()); got != string(tt.want) {
-				t.Fatalf("ended as %s, want %s", got, tt.want)
+				t.Fatalf("connection ended as %s, want %s", got, tt.want)
 			}
 			line := s.logs.FilterField(zap.String("peer", c.localAddr())).All()[0]
 			if lasted := line.ContextMap()["lasted"].(time.Duration); lasted < time.Second {
-				t.Fatalf("closed after %v", lasted)
+				t.Fatalf("connection lasted %v, want at least 1s", lasted)
 			}
 		})
 	}
 }
 
-// withCancellation allows cancelling or not, and leaves time for connections that come up late.
-func withCancellation(allowed bool) func(*config.Config) {
+// withCancellation enables or disables cancellation, and raises the connect timeout for connections that are
+// established late.
+func withCancellation(enabled bool) func(*config.Config) {
 	return func(c *config.Config) {
 		c.Settings.ConnectTimeout = testTimeout
-		c.Settings.Control.Limits.Cancellation = allowed
+		c.Settings.Control.Limits.Cancellation = enabled
 	}
 }
 
-// Nothing of a request is sent to an engine once its client has left while it waited for a connection,
-// whichever way it left and whether or not the settings allow cancelling. The request of another client
-// goes on the same connection, so it proves that nothing was sent ahead of it.
-func TestClientLeavesWhileEngineConnects(t *testing.T) {
-	for name, leave := range map[string]func(s *testServer, c *testClient){
+// A request whose client disconnects or kills it while the engine connection is being established is never sent, with
+// or without cancellation enabled. Another client's request follows on the same connection and shows that nothing was
+// sent before it.
+func TestAbandonedRequestIsNotSentOnceEngineConnects(t *testing.T) {
+	for name, abandon := range map[string]func(s *testServer, c *testClient){
 		"KILL QUERY": func(s *testServer, c *testClient) {
 			s.connect(fmt.Sprintf("KILL QUERY %d", c.session)).expect("ok")
 		},
@@ -187,42 +189,42 @@
 				t.Parallel()
 				e, open := newUnconnectableEngine(t)
 				s := startServerWith(t, serverOptions{configure: withCancellation(cancellation)}, inService("e1", e))
-				leaver := s.connect(statement("lookup", 1, longTimeout, ""))
-				socktest.WaitUntil(t, "the first waits for the connection", func() bool { return s.streamCount() == 1 })
-				stays := s.connect(statement("lookup", 2, longTimeout, ""))
-				socktest.WaitUntil(t, "the second does, too", func() bool { return s.streamCount() == 2 })
-				leave(s, leaver)
-				socktest.WaitUntil(t, "only the second does", func() bool { return s.streamCount() == 1 })
+				first := s.connect(statement("lookup", 1, longTimeout, ""))
+				socktest.WaitUntil(t, "the first request waits for the connection", func() bool { return s.streamCount() == 1 })
+				second := s.connect(statement("lookup", 2, longTimeout, ""))
+				socktest.WaitUntil(t, "both requests wait for the connection", func() bool { return s.streamCount() == 2 })
+				abandon(s, first)
+				socktest.WaitUntil(t, "only the second request waits", func() bool { return s.streamCount() == 1 })
 				open()
 				attempt := e.expectAttempt(t)
 				if attempt.requestID() != "0000000000000002" {
-					t.Fatalf("the engine got %q", attempt.words)
+					t.Fatalf("engine received %q, want the second request", attempt.words)
 				}
 				attempt.replyOK()
-				stays.expect("rows ")
+				second.expect("rows ")
 			})
 		}
 	}
 }
 
-// halfClose is what a client sent before it ended its direction of the connection.
+// halfClose describes the requests of a client that shuts down its write side, with the expected answers.
 type halfClose struct {
 	class    string // of its requests
 	requests int
-	inFlight bool // the first has an attempt at an engine
+	inFlight bool // the first request has an attempt in flight
 	answers  []string
 }
 
-// A client that ends its direction of the connection may still read. Nothing more is done for its requests,
-// as it can't be told from one that has left, but they are answered: rejected where a retry is harmless,
-// else failed. Then the connection ends.
+// A client that shuts down its write side may still read, but can't be distinguished from a disconnected one. Its
+// requests are not processed further. They are answered with a rejection where a retry is safe and with a failure
+// otherwise, and then the connection ends.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	for name, tt := range map[string]halfClose{
 		"idempotent, in flight":      {"lookup", 1, true, []string{"1226", "closed"}},
 		"non-idempotent, in flight":  {"once", 1, true, []string{"1105", "closed"}},
 		"non-idempotent, never sent": {"once", 1, false, []string{"1226", "closed"}},
-		"nothing is open":            {"", 0, false, []string{"closed"}},
-		"two, the first in flight":   {"lookup", 2, true, []string{"1226", "1226", "closed"}},
+		"no open request":            {"", 0, false, []string{"closed"}},
+		"two, first one in flight":   {"lookup", 2, true, []string{"1226", "1226", "closed"}},
 	} {
 		t.Run(name, func(t *testing.T) { testHalfClose(t, tt) })
 	}
@@ -262,8 +264,8 @@
 	s.expectEnd(c.localAddr(), netconn.PeerClosed)
 }
 
-// A client that sends many requests at once gets an answer to each, in order: those beyond what may wait behind
-// an open one are rejected, and never forwarded.
+// Pipelined requests are all answered, in order. Requests beyond the limit of those that may wait behind an open one
+// are rejected and never forwarded.
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	const requests = 8
 	e := newFakeEngine(t)
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -10,18 +10,18 @@
 	"wheatlane/internal/socktest"
 )
 
-// expectUnread expects that the broker has closed the connection over bytes that it had not read: the connection was
-// reset, so that it takes no more.
+// expectUnread expects that the broker has closed the connection with bytes unread. The kernel then resets the
+// connection, and further writes fail.
 func (c *testClient) expectUnread() {
 	c.t.Helper()
 	if _, err := c.socket.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		c.t.Errorf("the connection takes bytes: %v", err)
+		c.t.Errorf("write to the closed connection: got error %v, want ECONNRESET or EPIPE", err)
 	}
 }
 
-// A session is killed, or closed by a shutdown, while a request that was read on it is on its way to the reducer:
-// the request is rejected, and that leaves before the end of the connection.
-func TestRequestReadAsItsSessionCloses(t *testing.T) {
+// A session is killed, or closed by a shutdown, while a request read from it is on its way to the reducer. The request
+// is rejected, and the rejection is sent before the connection ends.
+func TestRequestReadDuringSessionCloseIsRejected(t *testing.T) {
 	for name, closeSession := range map[string]func(s *Server, c, other *testClient){
 		"killed": func(s *Server, c, other *testClient) {
 			s.loop.apply(broker.Kill{
@@ -36,42 +36,42 @@
 			c, other := s.connect(), s.connect()
 			c.ping()
 			other.ping()
-			held := PauseLoop(t, s.server)
+			loop := PauseLoop(t, s.server)
 			s.server.loop.inbox <- func() {
 				closeSession(s.server, c, other)
-				for range 100_000 { // the writer has every chance to end the connection too early
+				for range 100_000 { // let the writer end the connection too early
 					runtime.Gosched()
 				}
 			}
 			c.query(statement("lookup", 1, longTimeout, ""))
-			held.WaitForEvents(2)
-			held.Resume()
+			loop.WaitForEvents(2)
+			loop.Resume()
 			c.expect("1226", "closed")
 			if len(e.messages) > 0 {
-				t.Errorf("the engine got %q", (<-e.messages).words)
+				t.Errorf("engine received %q, want no message", (<-e.messages).words)
 			}
 		})
 	}
 }
 
-// A request that crosses the end of an idle connection stays unread.
+// A request that races with the close of an idle connection stays unread.
 func TestRequestThatCrossesTheEndStaysUnread(t *testing.T) {
 	s := startServer(t)
 	c := s.connect()
 	c.send(packetBytes(0, mysqlPing))
-	c.expect("1053") // there is no engine
+	c.expect("1053") // no engine
 	s.endAcceptWindow()
 	c.expect("closed")
 	c.query(statement("lookup", 1, longTimeout, ""))
 	s.waitForEnd()
 	c.expectUnread()
 	if lines := s.logs.FilterMessage("invariant violated").All(); len(lines) > 0 {
-		t.Errorf("the broker logs %v", lines)
+		t.Errorf("invariant violations logged: %v", lines)
 	}
 }
 
-// A shutdown waits for a request of which a part has come.
-func TestShutdownWaitsForABegunRequest(t *testing.T) {
+// A shutdown waits for the rest of a request that was received in part.
+func TestShutdownWaitsForPartialRequest(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
 	c := s.connect()
--- a/internal/server/effects_test.go
+++ b/internal/server/effects_test.go
@@ -13,9 +13,10 @@
 	"wheatlane/internal/broker/resultpages"
 )
 
-func TestLinesAboutEngines(t *testing.T) {
+// Effects about an engine's state are logged at info level, with the engine and the reason as fields.
+func TestEngineEffectsAreLogged(t *testing.T) {
 	t.Parallel()
-	for line, c := range map[string]struct {
+	for message, c := range map[string]struct {
 		effect broker.Effect
 		fields map[string]any
 	}{
@@ -29,13 +30,13 @@
 			map[string]any{"engine": "e1", "reason": "timeout of a page of a result"},
 		},
 	} {
-		t.Run(line, func(t *testing.T) {
+		t.Run(message, func(t *testing.T) {
 			t.Parallel()
 			core, logs := observer.New(zapcore.InfoLevel)
 			(&effectExecutor{log: zap.New(core)}).execute(c.effect)
 			entries := logs.All()
-			if len(entries) != 1 || entries[0].Message != line || entries[0].Level != zapcore.InfoLevel {
-				t.Fatalf("logged %v", entries)
+			if len(entries) != 1 || entries[0].Message != message || entries[0].Level != zapcore.InfoLevel {
+				t.Fatalf("logged %v, want one line %q at info level", entries, message)
 			}
 			if diff := cmp.Diff(c.fields, entries[0].ContextMap()); diff != "" {
 				t.Error(diff)
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -17,7 +17,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// Idle connections to engines are closed by the broker, before the engines do.
+// The broker closes idle connections to engines before the engines close them.
 func TestIdleEngineConnectionsAreClosed(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServerWith(t, serverOptions{idleTimeout: 100 * time.Millisecond}, inService("e1", e))
@@ -30,9 +30,8 @@
 	c.expect("rows ")
 }
 
-// A connection that its engine may close any moment, as it was idle for long, takes nothing new, however
-// seldom idle ones are looked for: a request put on it would cross the close, and nobody would know whether
-// it ran.
+// A connection past its idle timeout gets no new requests, even if the idle sweep runs rarely. The engine may close
+// such a connection at any moment, and a request that raced with the close would have an unknown outcome.
 func TestIdleEngineConnectionIsNotUsed(t *testing.T) {
 	const idleTimeout = time.Second
 	e := newFakeEngine(t)
@@ -40,15 +39,15 @@
 	s.reconfigurePool(func(pool *enginepool.Config) { pool.SweepInterval = time.Hour })
 	first := s.serveOn(e, 1)
 	if s.serveOn(e, 2).conn != first.conn {
-		t.Fatal("a fresh connection was not used again")
+		t.Fatal("the second request did not reuse the fresh connection")
 	}
 	s.reconfigurePool(func(pool *enginepool.Config) { pool.IdleTimeout = time.Nanosecond })
 	if s.serveOn(e, 3).conn == first.conn {
-		t.Fatal("an idle connection was used")
+		t.Fatal("the third request used the connection past its idle timeout")
 	}
 }
 
-// Idle timeouts shorter than the usual interval of the sweep are kept as well.
+// The sweep interval follows idle timeouts that are shorter than the default interval.
 func TestSweepIntervalFollowsIdleTimeout(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
 	e := newFakeEngine(t)
@@ -58,12 +57,12 @@
 	s.expectEnd(e.addr, netconn.Idle)
 	interval := inLoop(s, func(server *Server) time.Duration { return server.pool.Config().SweepInterval })
 	if interval >= idleTimeout {
-		t.Fatalf("idle connections are looked for every %v, and engines close them after %v", interval, idleTimeout)
+		t.Fatalf("sweep interval is %v, want less than the idle timeout of %v", interval, idleTimeout)
 	}
 }
 
-// Where the limit of sockets allows no more connections to engines, the one idle longest is evicted:
-// engines without any would else be held for out of order.
+// At the limit of engine connections, the connection that has been idle longest is evicted. Otherwise engines without
+// a connection would be considered unreachable.
 func TestIdleConnectionIsEvictedForAnotherEngine(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -78,12 +77,12 @@
 	b.expect("rows ")
 }
 
-// Settings may let a connection take one attempt only. An engine still gets as many at once as it is sent.
+// With a limit of one stream per connection, concurrent attempts at an engine each get a connection of their own.
 func TestAttemptsWithOneStreamPerConnection(t *testing.T) {
 	e := newFakeEngine(t)
 	oneStream := func(c *config.Config) { c.Settings.MaxStreams = 1 }
 	s := startServerWith(t, serverOptions{configure: oneStream}, inService("e1", e))
-	const clients = 16 // twice as many as connections where each takes many streams
+	const clients = 16 // twice the connections that the pool opens with several streams each
 	for i := range clients {
 		s.connect(statement("lookup", i+1, longTimeout, ""))
 	}
@@ -92,33 +91,33 @@
 		conns[e.expectAttempt(t).conn] = true
 	}
 	if len(conns) != clients {
-		t.Fatalf("%d attempts on %d connections", clients, len(conns))
+		t.Fatalf("%d attempts are on %d connections, want one connection each", clients, len(conns))
 	}
 }
 
-// The timeout that an engine is sent is what the client has left as the request leaves, also where it waited for
-// its connection, or behind other bytes, since it was decided on.
-func TestTimeoutOfALateConnection(t *testing.T) {
+// The timeout sent to an engine is the client's remaining time when the request is sent. It excludes the time that the
+// request waits for its connection to be established, or behind other bytes.
+func TestSentTimeoutExcludesConnectTime(t *testing.T) {
 	const timeout = 15 * time.Second
 	e, open := newUnconnectableEngine(t)
 	s := startServerWith(t, serverOptions{configure: func(cfg *config.Config) {
-		cfg.Settings.ConnectTimeout = timeout // the system tries again after a second
+		cfg.Settings.ConnectTimeout = timeout // the kernel retries the SYN after a second
 	}}, inService("e1", e))
 	sentAt := time.Now()
 	s.connect(statement("lookup", 1, timeout, ""))
-	socktest.WaitUntil(t, "the system asks for a connection", func() bool { return isConnecting(t, e.addr) })
+	socktest.WaitUntil(t, "the kernel has sent a SYN", func() bool { return isConnecting(t, e.addr) })
 	open()
 	attempt := e.expectAttempt(t)
 	left := timeout - time.Since(sentAt)
 	if sent := sentTimeout(t, attempt); sent > left+invariant.TimeoutSlack {
-		t.Errorf("the engine was sent %v, %v after the request, which leaves %v", sent, time.Since(sentAt), left)
+		t.Errorf("timeout sent %v after the request is %v, want at most the remaining %v", time.Since(sentAt), sent, left)
 	}
 }
 
-// isConnecting reports whether the system has asked for a connection to an address and has no answer yet.
+// isConnecting reports whether the kernel has sent a SYN to an address and has no answer yet.
 func isConnecting(t *testing.T, addr string) bool {
 	t.Helper()
-	const synSent = "02" // in the column st of the table
+	const synSent = "02" // in column st of the table
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Fatal(err)
@@ -134,7 +133,7 @@
 	text, _, _ := strings.Cut(rest, ",")
 	ms, err := strconv.Atoi(text)
 	if !found || err != nil {
-		t.Fatalf("no timeout in %q", attempt.fields())
+		t.Fatalf("no timeout in attempt fields %q", attempt.fields())
 	}
 	return time.Duration(ms) * time.Millisecond
 }
--- a/internal/server/fakechangelog_test.go
+++ b/internal/server/fakechangelog_test.go
@@ -11,11 +11,11 @@
 	"wheatlane/internal/changelog"
 )
 
-// fakeChangelog is a change log whose answers a test gives.
+// fakeChangelog is a change log whose responses are sent by the test.
 type fakeChangelog struct {
 	addr  string
-	polls chan string // queries that came
-	pages chan string // answers to give
+	polls chan string // query strings received
+	pages chan string // responses to send
 }
 
 // newFakeChangelog serves a change log until the test ends.
@@ -26,7 +26,7 @@
 		l.polls <- r.URL.RawQuery
 		select {
 		case page := <-l.pages:
-			_, _ = io.WriteString(w, page) // a broker that is gone reads none
+			_, _ = io.WriteString(w, page) // the broker may have ended the poll
 		case <-r.Context().Done():
 		}
 	}))
@@ -42,7 +42,7 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":%d}`, id, addr, health, bornMS)
 }
 
-// inService is an endpoint in service that started long ago.
+// inService returns the entry of an engine that is in service and started long ago.
 func inService(id string, e *fakeEngine) string { return endpointJSON(id, e.addr, "in_service", 0) }
 
 func pageJSON(revision int, snapshot bool, endpoints ...string) string {
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -11,7 +11,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// Commands to engines.
+// Commands sent to engines.
 const (
 	commandStart     = "want"
 	commandFetchPage = "turn"
@@ -20,16 +20,16 @@
 	commandLiveness  = "there"
 )
 
-// fakeEngine is an engine whose answers a test gives.
+// fakeEngine is an engine whose responses are sent by the test.
 type fakeEngine struct {
 	addr            string
 	listener        net.Listener
-	messages        chan engineMessage // that came
-	closed          chan struct{}      // one for each connection that ended
-	answeredCommand string             // a probe that is answered at once and not shown to the test
+	messages        chan engineMessage // messages received
+	closed          chan struct{}      // one value per connection that ended
+	answeredCommand string             // answered immediately by expect and not returned to the test
 }
 
-// engineMessage is a message of the broker to an engine.
+// engineMessage is a message from the broker to an engine.
 type engineMessage struct {
 	conn  net.Conn
 	words []string
@@ -38,30 +38,30 @@
 func (m engineMessage) command() string   { return m.words[0] }
 func (m engineMessage) requestID() string { return m.words[1] }
 
-// fields and body are those of an attempt.
+// fields and body are valid for messages that start an attempt.
 func (m engineMessage) fields() string { return m.words[2] }
 func (m engineMessage) body() string   { return m.words[3] }
 
-// write answers with bytes. A connection that has ended takes none, which the test sees elsewhere.
+// write writes raw bytes. It ignores errors, as the connection may have ended; the test detects that elsewhere.
 func (m engineMessage) write(answer []byte) { _, _ = m.conn.Write(answer) }
 
 func (m engineMessage) reply(parts ...string) { m.write(resp.Append(nil, parts...)) }
 
-// replyOK answers without rows.
+// replyOK replies without rows.
 func (m engineMessage) replyOK() { m.reply(m.requestID(), "OK", "-", "") }
 
-// replyRows answers with a result of one page.
+// replyRows replies with a result of one page.
 func (m engineMessage) replyRows(rows string) { m.write(resultMessage(m.requestID(), rows)) }
 
-// closeConn closes the connection on which the message came.
+// closeConn closes the connection that the message was received on.
 func (m engineMessage) closeConn() { _ = m.conn.Close() }
 
-// resultMessage is an answer with a result of one page.
+// resultMessage returns a response with a result of one page.
 func resultMessage(requestID, rows string) []byte {
 	return resp.Append(nil, requestID, "OK", "sheets=1", rows)
 }
 
-// newFakeEngine serves an engine until the test ends.
+// newFakeEngine starts an engine that runs until the test ends.
 func newFakeEngine(t *testing.T) *fakeEngine {
 	t.Helper()
 	listener := socktest.Listen(t)
@@ -70,7 +70,7 @@
 	return e
 }
 
-// acceptOn reads what comes to a listener.
+// acceptOn accepts connections of a listener and reads their messages.
 func (e *fakeEngine) acceptOn(t *testing.T, listener net.Listener) {
 	t.Helper()
 	e.listener, e.messages, e.closed = listener, make(chan engineMessage, 1000), make(chan struct{}, 1000)
@@ -78,7 +78,7 @@
 	socktest.Serve(t, listener, func(_ int, conn net.Conn) { go e.read(conn) })
 }
 
-// read shows the messages of a connection until it ends.
+// read delivers the messages of a connection until it ends.
 func (e *fakeEngine) read(conn net.Conn) {
 	defer func() {
 		_ = conn.Close() // the test may have closed it
@@ -95,10 +95,10 @@
 	}
 }
 
-// deliver shows the complete messages of a connection and returns the bytes after them.
+// deliver passes the complete messages of a connection to the test and returns the bytes after them.
 func (e *fakeEngine) deliver(conn net.Conn, unread []byte) []byte {
 	for {
-		parts, n, _ := resp.Parse(unread) // what can't be parsed never comes to the test, which waits for it
+		parts, n, _ := resp.Parse(unread) // malformed bytes are not delivered; the test times out
 		if n == 0 {
 			return unread
 		}
@@ -111,7 +111,7 @@
 	}
 }
 
-// expect returns the next message, which must be of a command.
+// expect returns the next message, whose command must be want.
 func (e *fakeEngine) expect(t *testing.T, want string) engineMessage {
 	t.Helper()
 	m := socktest.Receive(t, e.messages, want)
@@ -120,7 +120,7 @@
 		m = socktest.Receive(t, e.messages, want)
 	}
 	if m.command() != want {
-		t.Fatalf("engine got %q, want %s", m.words, want)
+		t.Fatalf("engine received %q, want command %s", m.words, want)
 	}
 	return m
 }
@@ -131,7 +131,7 @@
 	return e.expect(t, commandStart)
 }
 
-// expectCancel expects that an attempt is cancelled.
+// expectCancel expects the next message to cancel an attempt.
 func (e *fakeEngine) expectCancel(t *testing.T, attempt engineMessage) {
 	t.Helper()
 	if m := e.expect(t, commandCancel); m.requestID() != attempt.requestID() {
@@ -139,8 +139,8 @@
 	}
 }
 
-// newUnconnectableEngine returns an engine that listens, but to which connections come up only once open is
-// called, as its queue is full until then.
+// newUnconnectableEngine returns an engine that listens with a full accept queue, so that connections to it are
+// established only after open is called.
 func newUnconnectableEngine(t *testing.T) (e *fakeEngine, open func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	t.Cleanup(func() { _ = file.Close() }) // the listener of open has a duplicate
+	t.Cleanup(func() { _ = file.Close() }) // open's listener has a duplicate of the descriptor
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	e = &fakeEngine{addr: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)}
-	socktest.Dial(t, e.addr) // fills the queue
+	socktest.Dial(t, e.addr) // fills the accept queue
 	return e, func() {
 		listener, err := net.FileListener(file)
 		if err != nil {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -7,7 +7,7 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// CompareGolden compares a text with the golden file of a name in testdata, or writes that with -update.
+// CompareGolden compares text with the golden file testdata/<name>.golden, or writes that file with -update.
 func CompareGolden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
--- a/internal/server/gossip_test.go
+++ b/internal/server/gossip_test.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/gossip"
 )
 
-// withBrokers makes a broker one of so many that engines are pooled; all others are at one address.
+// withBrokers enables gossip in a fleet of 40 brokers. The other brokers share one address.
 func withBrokers(other net.Addr) func(*config.Config) {
 	return func(c *config.Config) {
 		c.PeerListen = "127.0.0.1:0"
@@ -24,10 +24,10 @@
 	}
 }
 
-// A broker of many passes on what another one reported of an engine. What comes from no broker's address or
-// can't be parsed is dropped, and is logged once.
-func TestGossip(t *testing.T) {
-	other, stranger := listenUDP(t), listenUDP(t)
+// A broker forwards load reports that it received from another broker. It drops datagrams that are malformed or come
+// from an unknown address, and logs each kind once.
+func TestGossipForwardsReportsAndDropsInvalidDatagrams(t *testing.T) {
+	other, unknown := listenUDP(t), listenUDP(t)
 	s := startServerWith(t, serverOptions{configure: withBrokers(other.LocalAddr())},
 		endpointJSON("e1", "127.0.0.1:1", "in_service", 0))
 	brokerAddr := s.server.gossip.Addr()
@@ -39,14 +39,14 @@
 	report := func(load float64, age time.Duration) []byte {
 		return gossip.Append(nil, []control.GossipedLoad{{Engine: control.GossipID("e1"), Load: load, Age: age}})
 	}
-	for range 3 { // all of these come before the report that counts, as a broker's socket keeps their order
-		send(stranger, report(2.5, 0))
+	for range 3 { // received before the valid report, as the socket preserves the order
+		send(unknown, report(2.5, 0))
 		send(other, []byte("GET / HTTP/1.1"))
 	}
 	send(other, report(0.5, time.Second))
 	got := receiveGossip(t, other)
 	if len(got) != 1 || got[0].Age < time.Second {
-		t.Fatalf("passed on %+v", got)
+		t.Fatalf("forwarded %+v, want one report at least 1s old", got)
 	}
 	got[0].Age = 0
 	if diff := cmp.Diff([]control.GossipedLoad{{Engine: control.GossipID("e1"), Load: 0.5}}, got); diff != "" {
@@ -54,12 +54,12 @@
 	}
 	for _, message := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
 		if n := s.logs.FilterMessage(message).Len(); n != 1 {
-			t.Errorf("%q logged %d times", message, n)
+			t.Errorf("%q logged %d times, want once", message, n)
 		}
 	}
 }
 
-// receiveGossip returns the reports of the next datagram.
+// receiveGossip returns the reports in the next datagram.
 func receiveGossip(t *testing.T, conn net.PacketConn) []control.GossipedLoad {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -77,13 +77,13 @@
 	return reports
 }
 
-// listenUDP returns a socket on loopback that is closed as the test ends.
+// listenUDP returns a UDP socket on loopback that is closed when the test ends.
 func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // nothing is to be sent any more
+	t.Cleanup(func() { _ = conn.Close() }) // the test has ended
 	return conn
 }
--- a/internal/server/handoverstore_test.go
+++ b/internal/server/handoverstore_test.go
@@ -16,7 +16,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// startServerIn starts a broker that hands over through a folder.
+// startServerIn starts a broker with a hand-over directory.
 func startServerIn(t *testing.T, dir string, endpoints ...string) *testServer {
 	t.Helper()
 	return startServerWith(t, serverOptions{
@@ -24,21 +24,21 @@
 	}, endpoints...)
 }
 
-// enginesInMaintenance are those of the reducer.
+// enginesInMaintenance returns the engines that the reducer has in maintenance mode.
 func (s *testServer) enginesInMaintenance() []string {
 	s.t.Helper()
 	return inLoop(s, func(server *Server) []string { return server.loop.reducer.EnginesInMaintenance() })
 }
 
-// A call that could not be stored is not acknowledged, and in force all the same; it is stored once the folder takes
-// it, with nobody calling again.
-func TestMaintenanceIsStoredOnceTheFolderTakesIt(t *testing.T) {
+// Maintenance mode takes effect even if it can't be stored, but the call is not acknowledged. The change is stored
+// automatically once the directory exists.
+func TestMaintenanceIsStoredOnceDirectoryExists(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	s := startServerIn(t, dir, endpointJSON("e1", "127.0.0.1:9", "in_service", 0))
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := s.server.StartMaintenance(ctx, "e1"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a call that can't be stored gives %v", err)
+		t.Errorf("StartMaintenance without a directory returned %v, want context.DeadlineExceeded", err)
 	}
 	if diff := cmp.Diff([]string{"e1"}, s.enginesInMaintenance()); diff != "" {
 		t.Error(diff)
@@ -52,7 +52,7 @@
 	})
 }
 
-// Two processes of one broker, as at an upgrade, take over each other's calls, whichever of them is called.
+// During an upgrade two processes of one broker run, and each adopts the maintenance changes that the other receives.
 func TestTwoProcessesShareMaintenance(t *testing.T) {
 	dir := t.TempDir()
 	endpoints := []string{
@@ -62,20 +62,20 @@
 	previous.startMaintenance("e1")
 	next.startMaintenance("e2")
 	for name, s := range map[string]*testServer{"previous": previous, "next": next} {
-		socktest.WaitUntil(t, name+" knows both", func() bool {
+		socktest.WaitUntil(t, name+" has both engines in maintenance mode", func() bool {
 			return cmp.Equal(s.enginesInMaintenance(), []string{"e1", "e2"})
 		})
 	}
 	if err := previous.server.EndMaintenance(t.Context(), "e2"); err != nil {
 		t.Fatal(err)
 	}
-	socktest.WaitUntil(t, "the next one knows the end", func() bool {
+	socktest.WaitUntil(t, "the next process has e2 out of maintenance mode", func() bool {
 		return cmp.Equal(next.enginesInMaintenance(), []string{"e1"})
 	})
 }
 
-// A file that can't be read as the process starts is read as soon as it can be.
-func TestMaintenanceIsRestoredLate(t *testing.T) {
+// A hand-over file that can't be read at the start is restored as soon as it can be read.
+func TestMaintenanceIsRestoredOnceFileIsReadable(t *testing.T) {
 	dir := t.TempDir()
 	hidden := filepath.Join(dir, "hidden")
 	if err := handover.Write(dir, handover.State{MaintenanceEngines: []string{"e1"}}); err != nil {
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	testTimeout     = 20 * time.Second // a test that waits so long has failed
-	longTimeout     = 15 * time.Second // of a request that is to be served
-	testIdleTimeout = 30 * time.Second // of connections to engines
+	testTimeout     = 20 * time.Second // limit of a single wait, after which the test fails
+	longTimeout     = 15 * time.Second // client timeout of requests that are to be served
+	testIdleTimeout = 30 * time.Second // idle timeout of connections to engines
 	testSockets     = 1024
 )
 
-// settingsJSON are the settings of tests; the verb is ConnIdleNs.
+// settingsJSON is the format of the tests' settings. Its verb is for ConnIdleNs.
 const settingsJSON = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false]},
  "Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,
@@ -36,7 +36,7 @@
    "Worth":20,"ByArrival":true,"LateWorth":0.5},
   {"Name":"once","Effect":"once","PromiseNs":3000000000,"GiveUpNs":20000000000,"Worth":1,"LateWorth":0.5}]}`
 
-// testSettings returns the settings of tests with an idle timeout of connections to engines.
+// testSettings returns the tests' settings with the given idle timeout of connections to engines.
 func testSettings(t *testing.T, idleTimeout time.Duration) config.Settings {
 	t.Helper()
 	settings, err := config.DecodeSettings(fmt.Appendf(nil, settingsJSON, idleTimeout))
@@ -54,18 +54,18 @@
 	changelog  *fakeChangelog
 	logs       *observer.ObservedLogs
 	stopSignal chan struct{}
-	ended      chan error // what Run returned
+	ended      chan error // result of Run
 }
 
-// serverOptions are what a test may change of a broker; zero values are the usual ones.
+// serverOptions are a test's changes to the default broker. Zero values keep the defaults.
 type serverOptions struct {
 	meter       Meter
-	idleTimeout time.Duration // of connections to engines
+	idleTimeout time.Duration // idle timeout of connections to engines
 	sockets     int
 	configure   func(*config.Config)
 }
 
-// startServer runs a broker whose change log lists endpoints, until the test ends.
+// startServer starts a broker that knows the given endpoints and runs until the test ends.
 func startServer(t *testing.T, endpoints ...string) *testServer {
 	t.Helper()
 	return startServerWith(t, serverOptions{}, endpoints...)
@@ -109,7 +109,7 @@
 	return s
 }
 
-// waitForEnd waits until Run has returned without an error. It may be called more than once.
+// waitForEnd waits until Run returns, which must be without an error. It may be called more than once.
 func (s *testServer) waitForEnd() {
 	s.t.Helper()
 	err := socktest.Receive(s.t, s.ended, "the broker's end")
@@ -119,7 +119,7 @@
 	}
 }
 
-// endAcceptWindow begins a shutdown in the loop, with the time for new requests over already.
+// endAcceptWindow begins a shutdown whose accept window has already elapsed.
 func (s *testServer) endAcceptWindow() {
 	s.server.loop.inbox <- func() {
 		s.server.beginShutdown()
@@ -127,13 +127,13 @@
 	}
 }
 
-// publish has the change log answer with a page, and waits until the broker polls from its revision on.
+// publish answers the next poll with a page, and waits until the broker polls from the page's revision.
 func (s *testServer) publish(page string, revision int) {
 	s.t.Helper()
 	select {
 	case s.changelog.pages <- page:
 	case <-time.After(testTimeout):
-		s.t.Fatal("nobody polls")
+		s.t.Fatal("the broker does not poll the change log")
 	}
 	since := fmt.Sprintf("since=%d&", revision)
 	for poll := ""; !strings.Contains(poll, since); {
@@ -141,7 +141,7 @@
 	}
 }
 
-// endReasons waits for the log lines of an ended connection and joins their codes.
+// endReasons waits for the log lines of an ended connection and returns their reason codes, separated by commas.
 func (s *testServer) endReasons(peer string) string {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		lines := s.logs.FilterField(zap.String("peer", peer)).All()
@@ -157,15 +157,15 @@
 	return "none"
 }
 
-// expectEnd waits for the log line of an ended connection, which must have one reason.
+// expectEnd waits for the log line of an ended connection, whose reason must be want.
 func (s *testServer) expectEnd(peer string, want netconn.Reason) {
 	s.t.Helper()
 	if got := s.endReasons(peer); got != string(want) {
-		s.t.Errorf("the connection of %s ended as %s, want %s", peer, got, want)
+		s.t.Errorf("connection to %s ended as %s, want %s", peer, got, want)
 	}
 }
 
-// streamCount returns how many attempts and probes are on connections to engines.
+// streamCount returns the number of attempts and probes on connections to engines.
 func (s *testServer) streamCount() int {
 	return inLoop(s, func(server *Server) int { return server.pool.Stats().Streams })
 }
@@ -180,7 +180,7 @@
 	})
 }
 
-// inLoop returns what f returns in the broker's loop.
+// inLoop calls f in the broker's loop and returns its result.
 func inLoop[T any](s *testServer, f func(*Server) T) T {
 	s.t.Helper()
 	got := make(chan T, 1)
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// leakTest injects faults into one broker and looks for what they leave behind.
+// leakTest injects faults into one broker and counts the goroutines and descriptors that remain.
 type leakTest struct {
 	t        *testing.T
 	server   *testServer
@@ -17,7 +17,7 @@
 	requests int
 }
 
-// start sends a request and returns its client and its attempt.
+// start sends a request from a new client and returns the client and the attempt.
 func (l *leakTest) start() (*testClient, engineMessage) {
 	l.t.Helper()
 	l.requests++
@@ -25,7 +25,7 @@
 	return c, l.engine.expectAttempt(l.t)
 }
 
-// finish answers the retry of a request and closes its client.
+// finish replies to the retry of a request and closes its client.
 func (l *leakTest) finish(c *testClient) {
 	l.t.Helper()
 	l.engine.expectAttempt(l.t).replyRows(testRow)
@@ -42,7 +42,7 @@
 	c.close()
 }
 
-func (l *leakTest) pageBeforeItsResult() {
+func (l *leakTest) pageBeforeResult() {
 	c, attempt := l.start()
 	attempt.reply(attempt.requestID(), "ROWS", "sheet=1", testRow)
 	attempt.closeConn()
@@ -66,7 +66,7 @@
 	c.close()
 }
 
-func (l *leakTest) clientSendsMuchAndLeaves() {
+func (l *leakTest) clientFloodsAndDisconnects() {
 	c := l.server.dial()
 	c.send(loginPacket("app"))
 	for range 20 {
@@ -75,14 +75,14 @@
 	c.close()
 }
 
-func (l *leakTest) clientResetsInAMessage() {
+func (l *leakTest) clientResetsWithinMessage() {
 	c, attempt := l.start()
 	c.send(queryPacket("SELECT")[:6])
 	c.reset()
 	l.engine.expectCancel(l.t, attempt)
 }
 
-// truncatedResponse cuts a response after some bytes and closes its connection.
+// truncatedResponse sends the first length bytes of a response and closes the connection.
 func (l *leakTest) truncatedResponse(length int) {
 	c, attempt := l.start()
 	attempt.write(resultMessage(attempt.requestID(), testRow)[:length])
@@ -90,7 +90,7 @@
 	l.finish(c)
 }
 
-// count returns the goroutines and open descriptors without the broker's connections to the engine.
+// count closes the broker's connections to the engine and counts goroutines and open descriptors.
 func (l *leakTest) count() (goroutines, descriptors int) {
 	l.t.Helper()
 	inLoop(l.server, func(s *Server) bool {
@@ -104,45 +104,45 @@
 	return runtime.NumGoroutine(), len(all)
 }
 
-// baseline returns what count gives while nothing is open, after a first request.
+// baseline returns the counts after a first request, with no client and no engine connection open.
 func (l *leakTest) baseline() (goroutines, descriptors int) {
 	l.t.Helper()
 	c, attempt := l.start()
 	attempt.replyRows(testRow)
 	c.expect(testRows)
 	c.close()
-	socktest.WaitUntil(l.t, "the first client and connection have gone", func() bool {
+	socktest.WaitUntil(l.t, "the first client and engine connection have ended", func() bool {
 		goroutines, descriptors = l.count()
 		return inLoop(l.server, func(s *Server) bool {
 			return s.frontend.Len() == 0 && s.pool.Stats().Connections == 0
 		})
 	})
-	for range 200 { // what ends in the background ends
+	for range 200 { // let goroutines and descriptors in the background be released
 		g, d := l.count()
 		goroutines, descriptors = min(goroutines, g), min(descriptors, d)
 	}
 	return goroutines, descriptors
 }
 
-// Whatever an engine answers and however a client leaves, the request has one answer or none is owed, the
-// next one is served, and no goroutine and no descriptor is left behind.
-func TestFaultsLeakNothing(t *testing.T) {
+// After a faulty engine response or an abrupt client disconnect, the request is answered once unless its client is
+// gone, the next request is served, and no goroutine or descriptor leaks.
+func TestFaultsLeakNoGoroutineOrDescriptor(t *testing.T) {
 	e := newFakeEngine(t)
 	l := &leakTest{t: t, server: startServer(t, inService("e1", e)), engine: e}
 	faults := map[string]func(){
-		"responses for unknown and known ids, twice": l.duplicateAndUnknownResponses,
-		"a page before its result":                   l.pageBeforeItsResult,
-		"a response that never ends":                 l.endlessResponse,
-		"a client that sends much and leaves":        l.clientSendsMuchAndLeaves,
-		"a client that resets in a message":          l.clientResetsInAMessage,
+		"unknown and duplicate responses": l.duplicateAndUnknownResponses,
+		"page before its result":          l.pageBeforeResult,
+		"endless response":                l.endlessResponse,
+		"client floods and disconnects":   l.clientFloodsAndDisconnects,
+		"client resets within a message":  l.clientResetsWithinMessage,
 	}
 	for length := range resultMessage("0000000000000000", testRow) {
-		faults[fmt.Sprintf("a response cut after %d bytes", length)] = func() { l.truncatedResponse(length) }
+		faults[fmt.Sprintf("response truncated after %d bytes", length)] = func() { l.truncatedResponse(length) }
 	}
 	goroutines, descriptors := l.baseline()
 	for name, fault := range faults {
 		fault()
-		socktest.WaitUntil(t, "nothing is left after "+name, func() bool {
+		socktest.WaitUntil(t, "no goroutine or descriptor is left after: "+name, func() bool {
 			g, d := l.count()
 			return g <= goroutines && d <= descriptors
 		})
--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -10,9 +10,9 @@
 	"wheatlane/internal/socktest"
 )
 
-// An engine whose machine vanished, or that stops answering for good, leaves its connection open and
-// silent. Once an answer there is overdue, the module cancels the attempt, and the connection is probed.
-// Without an answer it is closed, and the attempt is retried on a new connection. One that answers is kept.
+// An engine whose host has failed, or that has permanently stopped responding, leaves its connection open and silent.
+// Once a response is overdue, the module cancels the attempt and the connection is probed for liveness. If the probe
+// fails, the connection is closed and the attempt is retried on a new one. If it succeeds, the connection stays open.
 func TestSilentEngineConnectionIsReplaced(t *testing.T) {
 	for name, alive := range map[string]bool{"alive": true, "silent": false} {
 		t.Run(name, func(t *testing.T) { testSilentConnection(t, alive) })
@@ -25,16 +25,16 @@
 	withProbes := func(c *config.Config) { c.Settings.Control.Limits.LoadProbes = true }
 	s := startServerWith(t, serverOptions{configure: withProbes}, inService("e1", e))
 	e.answeredCommand = commandLoadProbe
-	a := s.connect(statement("load", 1, longTimeout, ""))
+	client := s.connect(statement("load", 1, longTimeout, ""))
 	attempt := e.expectAttempt(t)
-	// Both follow from the same timeout, and either may come first.
+	// Both follow from the same timeout and may arrive in either order.
 	cancel, probe := socktest.Receive(t, e.messages, "the cancellation"), socktest.Receive(t, e.messages, "the probe")
 	if cancel.command() == commandLiveness {
 		cancel, probe = probe, cancel
 	}
 	if cancel.command() != commandCancel || cancel.requestID() != attempt.requestID() ||
 		probe.command() != commandLiveness {
-		t.Fatalf("engine got %q and %q", cancel.words, probe.words)
+		t.Fatalf("engine received %q and %q, want a cancellation and a liveness probe", cancel.words, probe.words)
 	}
 	if alive {
 		probe.reply(probe.requestID(), "UP", "-", "")
@@ -43,31 +43,31 @@
 	}
 	retry := e.expectAttempt(t)
 	if retry.requestID() != attempt.requestID() || retry.conn == attempt.conn {
-		t.Fatal("the cancelled attempt was not retried on a new connection")
+		t.Fatalf("engine received %q, want a retry of the cancelled attempt on a new connection", retry.words)
 	}
 	retry.replyRows(testRow)
-	a.expect(testRows)
+	client.expect(testRows)
 	if !alive {
 		s.expectEnd(e.addr, netconn.Retired)
 		return
 	}
-	b := s.connect(statement("load", 3, longTimeout, ""))
+	next := s.connect(statement("load", 3, longTimeout, ""))
 	e.expectAttempt(t).replyRows(testRow)
-	b.expect(testRows)
+	next.expect(testRows)
 }
 
-// Where the settings forbid load probes, no engine is probed for liveness either: a suspect connection
-// takes nothing new and ends with its last attempt.
+// With load probes disabled, there are no liveness probes either. A suspect connection gets no new attempts and is
+// closed after its last one.
 func TestNoLivenessProbeWithoutLoadProbes(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
-	a := s.connect(statement("lookup", 1, enginepool.SilenceThreshold+800*time.Millisecond, ""))
+	client := s.connect(statement("lookup", 1, enginepool.SilenceThreshold+800*time.Millisecond, ""))
 	first := e.expectAttempt(t)
-	a.expect("1226")
+	client.expect("1226")
 	e.expectCancel(t, first)
 	socktest.Receive(t, e.closed, "the end of the silent connection")
 	s.expectEnd(e.addr, netconn.Retired)
-	if second := s.serveOn(e, 2); second.conn == first.conn { // and no liveness probe came before
-		t.Fatal("the silent connection was used again")
+	if second := s.serveOn(e, 2); second.conn == first.conn { // no liveness probe preceded it
+		t.Fatal("the second request used the silent connection")
 	}
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// reportViolation counts and logs a violation of an invariant, whether prevented or not.
+// reportViolation counts and logs a violation of an invariant, including one that was prevented.
 func (l *eventLoop) reportViolation(rule invariant.Rule, fields ...zap.Field) {
 	l.meter.InvariantViolated(rule)
 	logViolation(l.log, rule, fields...)
--- a/internal/server/maintenance.go
+++ b/internal/server/maintenance.go
@@ -22,7 +22,7 @@
 	return s.maintenance.change(ctx, handover.Change{Engine: id, Enabled: true})
 }
 
-// EndMaintenance takes an engine out of maintenance mode. It returns when StartMaintenance would, with the same errors.
+// EndMaintenance takes an engine out of maintenance mode. It waits like StartMaintenance and returns the same errors.
 func (s *Server) EndMaintenance(ctx context.Context, id string) error {
 	return s.maintenance.change(ctx, handover.Change{Engine: id})
 }
--- a/internal/server/maintenance_test.go
+++ b/internal/server/maintenance_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// An engine in maintenance mode gets nothing new, the other takes all, and an id that was never listed is
-// reported.
-func TestMaintenanceOnSockets(t *testing.T) {
+// An engine in maintenance mode gets no requests; another engine serves them all. Calls for an engine that was never
+// listed return ErrNotListed.
+func TestEngineInMaintenanceGetsNoRequests(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
 	s := startServer(t, inService("e1", e), inService("e2", other))
 	s.startMaintenance("e1")
@@ -30,7 +30,7 @@
 		"start": s.server.StartMaintenance, "end": s.server.EndMaintenance,
 	} {
 		if err := change(t.Context(), "e9"); !errors.Is(err, ErrNotListed) {
-			t.Fatalf("%s of an engine that was never listed: %v", name, err)
+			t.Fatalf("%s maintenance of an unlisted engine returned %v, want ErrNotListed", name, err)
 		}
 	}
 	for i := range 6 {
@@ -38,7 +38,7 @@
 	}
 	select {
 	case m := <-e.messages:
-		t.Fatalf("the engine in maintenance mode got %q", m.words)
+		t.Fatalf("engine in maintenance mode received %q", m.words)
 	default:
 	}
 	if err := s.server.EndMaintenance(t.Context(), "e1"); err != nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// The maintenance mode of engines holds in the next process that starts where the one before wrote it, and
-// a corrupt file is passed over.
+// The next process restores maintenance modes from the previous process's hand-over file. A corrupt file is ignored by
+// a new process and does not change the state of a running one.
 func TestMaintenanceIsHandedOver(t *testing.T) {
 	dir := t.TempDir()
 	e, other := newFakeEngine(t), newFakeEngine(t)
@@ -65,9 +65,9 @@
 		t.Fatal(err)
 	}
 	if engines := startServerIn(t, dir, endpoints...).enginesInMaintenance(); len(engines) > 0 {
-		t.Fatalf("read from a corrupt file: %v", engines)
+		t.Fatalf("engines in maintenance mode after reading a corrupt file: got %v, want none", engines)
 	}
 	if diff := cmp.Diff([]string{"e1"}, s.enginesInMaintenance()); diff != "" {
-		t.Fatalf("a corrupt file changes what is in force: %v", diff)
+		t.Fatalf("a corrupt file changed the running process (-want +got):\n%s", diff)
 	}
 }
--- a/internal/server/meter_test.go
+++ b/internal/server/meter_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// recordingMeter passes on what it is notified of.
+// recordingMeter sends a text for each event that it receives.
 type recordingMeter struct {
 	nopMeter
 	events chan string
@@ -27,12 +27,12 @@
 	t.Helper()
 	for _, want := range events {
 		if got := socktest.Receive(t, m.events, want); got != want {
-			t.Fatalf("notified of %q, want %q", got, want)
+			t.Fatalf("meter received %q, want %q", got, want)
 		}
 	}
 }
 
-// endCount returns how many connections of a side ended for one of some reasons.
+// endCount returns the number of connections of a side that ended for one of the reasons.
 func (s *testServer) endCount(side netconn.Side, reasons ...netconn.Reason) (sum uint64) {
 	s.t.Helper()
 	inspected := s.server.Inspect(s.t.Context(), func(_ *broker.Broker, counts netconn.ConnectionCounts) {
@@ -50,9 +50,9 @@
 	return sum
 }
 
-// The meter is notified of what only the connections know: duplicate responses, and drains, once each
-// however often the change log repeats them. Connections that ended are counted by their reasons.
-func TestMeterEvents(t *testing.T) {
+// The meter receives each duplicate response, and each drain once even if the change log lists it repeatedly. Ended
+// connections are counted by reason.
+func TestMeterReceivesConnectionEvents(t *testing.T) {
 	e := newFakeEngine(t)
 	meter := recordingMeter{events: make(chan string, 100)}
 	s := startServerWith(t, serverOptions{meter: meter}, inService("e1", e))
@@ -74,12 +74,12 @@
 	})
 	select {
 	case event := <-meter.events:
-		t.Fatalf("notified of %q as well", event)
+		t.Fatalf("meter received a further event %q", event)
 	default:
 	}
 }
 
-// A server whose Run has returned can still be inspected, for the last figures.
+// A server can be inspected after Run has returned, as the last metrics are sent then.
 func TestInspectAfterRun(t *testing.T) {
 	s := startServer(t)
 	close(s.stopSignal)
--- a/internal/server/pausedloop_test.go
+++ b/internal/server/pausedloop_test.go
@@ -7,44 +7,46 @@
 	"wheatlane/internal/socktest"
 )
 
-// neverExpires is longer than any test.
+// neverExpires is a timeout that is longer than any test.
 const neverExpires = time.Hour
 
-// DisableConnectionTimeouts has a running broker take no connection to an engine for dead or idle, nor give one up
-// while it is established, however long the other end or this process stands still.
+// DisableConnectionTimeouts raises the silence threshold and the idle and connect timeouts of a running broker's engine
+// connections beyond the duration of any test, so that a pause of an engine or of this process doesn't end them.
 func DisableConnectionTimeouts(s *Server) {
 	s.loop.inbox <- func() {
 		poolConfig := s.pool.Config()
-		poolConfig.SilenceThreshold, poolConfig.IdleTimeout, poolConfig.ConnectTimeout = neverExpires, neverExpires, neverExpires
+		poolConfig.SilenceThreshold = neverExpires
+		poolConfig.IdleTimeout = neverExpires
+		poolConfig.ConnectTimeout = neverExpires
 		s.pool.Reconfigure(poolConfig)
 	}
 }
 
-// PausedLoop is the loop of a broker that stands still, so that no timer expires while what came to the
-// sockets gathers in its inbox. All of that is applied in its order, ahead of the next round.
+// PausedLoop is the paused event loop of a broker. No timer expires while events from the sockets queue in its inbox.
+// After Resume they are applied in order, before the next loop iteration.
 type PausedLoop struct {
-	t        *testing.T
-	server   *Server
-	released chan struct{}
+	t       *testing.T
+	server  *Server
+	resumed chan struct{}
 }
 
-// PauseLoop holds the loop of a broker until Release.
+// PauseLoop pauses the loop of a broker until Resume is called.
 func PauseLoop(t *testing.T, s *Server) *PausedLoop {
 	t.Helper()
-	held, h := make(chan struct{}), &PausedLoop{t, s, make(chan struct{})}
+	paused, loop := make(chan struct{}), &PausedLoop{t, s, make(chan struct{})}
 	s.loop.inbox <- func() {
-		close(held)
-		<-h.released
+		close(paused)
+		<-loop.resumed
 	}
-	socktest.Receive(t, held, "the loop")
-	return h
+	socktest.Receive(t, paused, "the pause of the loop")
+	return loop
 }
 
-// WaitForEvents waits until the inbox holds a number of events.
-func (h *PausedLoop) WaitForEvents(count int) {
-	h.t.Helper()
-	socktest.WaitUntil(h.t, "the events are in the inbox", func() bool { return len(h.server.loop.inbox) >= count })
+// WaitForEvents waits until the inbox holds at least count events.
+func (l *PausedLoop) WaitForEvents(count int) {
+	l.t.Helper()
+	socktest.WaitUntil(l.t, "the events are in the inbox", func() bool { return len(l.server.loop.inbox) >= count })
 }
 
-// Resume lets the loop go on.
-func (h *PausedLoop) Resume() { close(h.released) }
+// Resume resumes the loop.
+func (l *PausedLoop) Resume() { close(l.resumed) }
--- a/internal/server/racetable_test.go
+++ b/internal/server/racetable_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// docs/design/crossings.md keeps up with the code: the tests that it names exist, and each constant of the
-// server and the reducer that meets other customers' settings has its source in it.
-func TestCrossingsTable(t *testing.T) {
+// docs/design/crossings.md must match the code: the tests that it names exist, and it gives the source of each constant
+// of the server and the reducer, as these constants apply to all deployments.
+func TestRaceTableMatchesCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/design/crossings.md")
 	if err != nil {
 		t.Fatal(err)
@@ -33,19 +33,19 @@
 			}
 			for _, name := range constantNames(file) {
 				if !strings.Contains(string(page), "`"+name+"`") {
-					t.Errorf("%s: the constant %s has no source in the table", path, name)
+					t.Errorf("%s: constant %s has no source in the table", path, name)
 				}
 			}
 		}
 	}
 	for _, name := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(string(page), -1) {
 		if !functions[name[1]] {
-			t.Errorf("the table names %s, which is not there", name[1])
+			t.Errorf("the table names test %s, which does not exist", name[1])
 		}
 	}
 }
 
-// packageDirs returns the folder of a package and those of the packages below it.
+// packageDirs returns the directories of a package and of the packages below it.
 func packageDirs(t *testing.T, root string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(root)
@@ -61,12 +61,12 @@
 	return dirs
 }
 
-// parseDir returns the files of a package by their paths.
+// parseDir parses the Go files of a directory and returns them by path.
 func parseDir(t *testing.T, dir string) map[string]*ast.File {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%s: %d files, %v", dir, len(paths), err)
+		t.Fatalf("list Go files in %s: got %d files, error %v", dir, len(paths), err)
 	}
 	files := map[string]*ast.File{}
 	for _, path := range paths {
@@ -86,8 +86,8 @@
 	return names
 }
 
-// constantNames returns the names of a file's constants that are figures: neither members of an enumeration
-// nor texts of several words.
+// constantNames returns the names of a file's constants, except for members of an enumeration and texts of several
+// words.
 func constantNames(file *ast.File) (names []string) {
 	for _, d := range file.Decls {
 		decl, ok := d.(*ast.GenDecl)
@@ -100,7 +100,7 @@
 				continue
 			}
 			for i, name := range v.Names {
-				if !isProse(v.Values[i]) {
+				if !isMultiWordText(v.Values[i]) {
 					names = append(names, name.Name)
 				}
 			}
@@ -109,8 +109,8 @@
 	return names
 }
 
-// isProse reports whether a constant is a text of several words.
-func isProse(value ast.Expr) bool {
+// isMultiWordText reports whether a constant's value is a text of several words.
+func isMultiWordText(value ast.Expr) bool {
 	literal, ok := value.(*ast.BasicLit)
 	return ok && literal.Kind == token.STRING && strings.Contains(literal.Value, " ")
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -12,8 +12,8 @@
 	"wheatlane/internal/socktest"
 )
 
-// A reload polls the change log at its new address at once, keeps the longest client timeout that was ever in force,
-// and names the keys that need a restart.
+// A reload immediately polls the change log at its new address, keeps the longest client timeout since the start, and
+// logs the keys that need a restart.
 func TestReload(t *testing.T) {
 	next := newFakeChangelog(t)
 	s := startServer(t)
@@ -24,15 +24,15 @@
 	cfg.Settings.MaxClientTimeout = before / 2
 	s.server.Reload(t.Context(), cfg)
 	if query := socktest.Receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
-		t.Errorf("polled %q", query)
+		t.Errorf("poll of the second change log has query %q, want since=1&timeout=1000", query)
 	}
 	after := inLoop(s, func(server *Server) time.Duration { return server.pool.Config().MaxClientTimeout })
 	if after != before {
-		t.Errorf("the longest client timeout is %v, was %v", after, before)
+		t.Errorf("longest client timeout is %v, want %v as before the reload", after, before)
 	}
 	lines := s.logs.FilterMessage("reloaded").All()
 	if len(lines) != 1 {
-		t.Fatalf("%d lines of a reload", len(lines))
+		t.Fatalf("logged %d lines about the reload, want 1", len(lines))
 	}
 	want := map[string]any{"changelog": next.addr, "need_restart": []any{"limits.sockets"}}
 	if diff := cmp.Diff(want, lines[0].ContextMap()); diff != "" {
@@ -43,21 +43,21 @@
 	})
 }
 
-// A reload to a longer client timeout raises the longest one.
-func TestLongestTimeout(t *testing.T) {
+// The longest timeout rises with a longer one and never decreases.
+func TestLongestTimeoutNeverDecreases(t *testing.T) {
 	var longest longestTimeout
 	for _, step := range []struct{ raised, want time.Duration }{
 		{time.Second, time.Second}, {time.Minute, time.Minute}, {time.Second, time.Minute},
 	} {
 		longest.raise(step.raised)
 		if got := longest.load(); got != step.want {
-			t.Errorf("raised to %v: %v, want %v", step.raised, got, step.want)
+			t.Errorf("after raise(%v): got %v, want %v", step.raised, got, step.want)
 		}
 	}
 }
 
-// The page of the endpoint list that a reload brings is applied.
-func TestReloadAppliesTheKnownPage(t *testing.T) {
+// A reload applies the endpoint list page of the new configuration.
+func TestReloadAppliesKnownPage(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t)
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
@@ -65,7 +65,7 @@
 	s.server.Reload(t.Context(), cfg)
 	inspected := s.server.Inspect(t.Context(), func(b *broker.Broker, _ netconn.ConnectionCounts) {
 		if b.EndpointCount() != 1 {
-			t.Errorf("%d engines are known", b.EndpointCount())
+			t.Errorf("endpoint list has %d engines, want 1", b.EndpointCount())
 		}
 	})
 	if !inspected {
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	testRow  = "x\ty\tz\n"    // a row of an engine's result
-	testRows = "rows x|y|z|"  // as a client reads it
-	otherRow = "no\tno\tno\n" // one that no client may get
+	testRow  = "x\ty\tz\n"    // row of an engine's result
+	testRows = "rows x|y|z|"  // testRow as a client receives it
+	otherRow = "no\tno\tno\n" // row that no client may receive
 )
 
-// A response that stops short on a connection that stays open costs all that is in flight there, after a
-// time-out of its own. What is idempotent is retried, on another connection.
+// A response that stays incomplete on an open connection ends all attempts in flight on it, after a timeout for partial
+// responses. Idempotent requests are retried on another connection.
 func TestPartialResponseTimeout(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -23,7 +23,7 @@
 	b := s.connect(statement("load", 2, longTimeout, ""))
 	first, second := e.expectAttempt(t), e.expectAttempt(t)
 	if first.conn != second.conn {
-		t.Fatal("they are on two connections")
+		t.Fatal("the attempts are on two connections, want one")
 	}
 	second.write(resultMessage(second.requestID(), testRow)[:40])
 	socktest.Receive(t, e.closed, "the end of the connection")
@@ -35,8 +35,8 @@
 	s.expectEnd(e.addr, netconn.Stalled)
 }
 
-// A duplicate response, or one for an unknown id, changes nothing; above all it does not answer the next
-// attempt of its request.
+// Duplicate responses and responses for unknown ids are ignored. In particular, they do not answer the retry of their
+// request.
 func TestDuplicateResponsesAreIgnored(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -50,13 +50,13 @@
 	retry.replyRows(testRow)
 	retry.replyRows(testRow)
 	c.expect(testRows)
-	c.ping() // no second answer came in between
+	c.ping() // no second answer precedes it
 	if first.conn == retry.conn {
-		t.Fatal("an id was twice on one connection")
+		t.Fatal("the retry uses the connection of the first attempt")
 	}
 }
 
-// A complete response counts also where what follows it on the connection can't be parsed.
+// A complete response is accepted even if the bytes that follow it on the connection are malformed.
 func TestCompleteResponseBeforeMalformedOneCounts(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -67,8 +67,8 @@
 	s.expectEnd(e.addr, netconn.Malformed)
 }
 
-// A request id that a client uses again, once its request is over, goes on another connection: a late
-// duplicate of the first response does not answer it.
+// A request that reuses the id of an ended request is sent on another connection, so that a late duplicate of the first
+// response does not answer it.
 func TestDuplicateResponseDoesNotAnswerLaterRequest(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -82,6 +82,6 @@
 	second.replyRows("u\tv\tw\n")
 	b.expect("rows u|v|w|")
 	if second.conn == first.conn {
-		t.Fatal("an id was twice on one connection")
+		t.Fatal("the second request uses the connection of the first one")
 	}
 }
--- a/internal/server/scriptedbroker_test.go
+++ b/internal/server/scriptedbroker_test.go
@@ -17,10 +17,10 @@
 	"wheatlane/internal/socktest"
 )
 
-// allowedFeatures are what a deployment allows.
+// allowedFeatures are the features that a deployment allows.
 type allowedFeatures struct {
 	grants, priorities, probing bool
-	classes                     string // JSON, behind one another with commas
+	classes                     string // JSON objects, separated by commas
 }
 
 const (
@@ -45,24 +45,24 @@
 		"RequestClasses":[%s]}`, f.grants, f.priorities, f.probing, f.probing, f.classes)
 }
 
-// scriptedBroker is a broker on real sockets.
+// scriptedBroker is the broker under test, on real sockets.
 type scriptedBroker struct {
-	tr      *transcript
-	service *service.Service
-	clients string // its address
-	stop    chan struct{}
-	cancel  context.CancelFunc
-	done    chan error
+	tr         *transcript
+	service    *service.Service
+	clientAddr string // address that clients connect to
+	stop       chan struct{}
+	cancel     context.CancelFunc
+	done       chan error
 }
 
-// startScripted runs a broker that knows these hosts.
-func startScripted(tr *transcript, allowed allowedFeatures, changelogAddr string, hosts ...string) *scriptedBroker {
+// startScripted starts a broker whose endpoint list has the given entries.
+func startScripted(tr *transcript, allowed allowedFeatures, changelogAddr string, endpoints ...string) *scriptedBroker {
 	tr.t.Helper()
 	settings, err := config.DecodeSettings(allowed.settings())
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	known, err := changelog.ParsePage([]byte(endpointPage(1, true, hosts...)))
+	known, err := changelog.ParsePage([]byte(endpointPage(1, true, endpoints...)))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 		tr.t.Fatal(err)
 	}
 	st := &scriptedBroker{
-		tr: tr, service: s, clients: s.Server.Addr().String(), stop: make(chan struct{}),
+		tr: tr, service: s, clientAddr: s.Server.Addr().String(), stop: make(chan struct{}),
 		cancel: cancel, done: make(chan error, 1),
 	}
 	go func() { st.done <- s.Run(ctx, st.stop) }()
@@ -89,18 +89,18 @@
 	return st
 }
 
-// finish waits for the end of the broker and records why its connections to these sides ended.
+// finish waits until the broker has stopped and records why its connections of the given sides ended.
 func (s *scriptedBroker) finish(sides ...netconn.Side) {
 	s.tr.t.Helper()
 	err := socktest.Receive(s.tr.t, s.done, "the broker's end")
 	if err != nil {
 		s.tr.t.Fatal(err)
 	}
-	s.done <- nil // for the clean-up
+	s.done <- nil // for the cleanup function
 	s.recordEndReasons(sides)
 }
 
-// recordEndReasons records why connections ended, with their counts.
+// recordEndReasons records the reasons for which connections ended, with their counts.
 func (s *scriptedBroker) recordEndReasons(sides []netconn.Side) {
 	s.tr.t.Helper()
 	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets netconn.ConnectionCounts) {
@@ -112,14 +112,14 @@
 			})
 		}
 	}) {
-		s.tr.t.Fatal("the broker can't be looked at")
+		s.tr.t.Fatal("the broker can't be inspected")
 	}
 }
 
-// request is the text of a query: its class, id, time to wait and further fields.
-func request(class string, id int, allow time.Duration, more string) string {
+// request returns the text of a query with its class, id, client timeout and further fields.
+func request(class string, id int, timeout time.Duration, more string) string {
 	return fmt.Sprintf("/* service=%s,ref=%016x,allow=%d%s */ SELECT a FROM s_1.t",
-		class, id, allow.Milliseconds(), more)
+		class, id, timeout.Milliseconds(), more)
 }
 
 func listen(t *testing.T) net.Listener {
--- a/internal/server/scriptedchangelog_test.go
+++ b/internal/server/scriptedchangelog_test.go
@@ -12,19 +12,19 @@
 	"wheatlane/internal/socktest"
 )
 
-// scriptedChangelog plays the change log: it answers each request as the script says, on the goroutine that read
-// it, as a poll that gets no answer for pollTimeout and pollGrace ends.
+// scriptedChangelog is a change log that answers each request by a script. It answers on the goroutine that read the
+// request, as a poll ends after pollTimeout and pollGrace without an answer.
 type scriptedChangelog struct {
 	t        *testing.T
 	addr     string
-	respond  func(request string) string // "": no answer
+	respond  func(request string) string // returns "" for no answer
 	requests chan changelogRequest
 }
 
-// changelogRequest is a request, and what it was answered.
+// changelogRequest is a request with its answer.
 type changelogRequest struct{ raw, answer string }
 
-// newScriptedChangelog starts a change log. It calls respond on one goroutine at a time.
+// newScriptedChangelog starts a change log. Calls of respond never overlap.
 func newScriptedChangelog(t *testing.T, respond func(request string) string) *scriptedChangelog {
 	t.Helper()
 	ln := listen(t)
@@ -44,7 +44,7 @@
 	return l
 }
 
-// silentChangelog is the address of a change log that never answers.
+// silentChangelog starts a change log that never answers and returns its address.
 func silentChangelog(t *testing.T) string {
 	t.Helper()
 	return newScriptedChangelog(t, func(string) string { return "" }).addr
@@ -75,7 +75,7 @@
 	_, _ = io.WriteString(nc, answer) // the poll may have timed out; the broker then polls again
 	select {
 	case l.requests <- changelogRequest{request, answer}:
-	default: // nobody looks at so many
+	default: // no test reads that many
 	}
 }
 
@@ -97,7 +97,7 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"class":"std","health":%q,"born_ms":0}`, id, addr, health)
 }
 
-func endpointPage(seq int, complete bool, hosts ...string) string {
+func endpointPage(revision int, snapshot bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"results":[{"seq":%d,"fleet":{"whole":%v,"hosts":[%s]}}]}`,
-		seq, seq, complete, strings.Join(hosts, ","))
+		revision, revision, snapshot, strings.Join(endpoints, ","))
 }
--- a/internal/server/scriptedclient_test.go
+++ b/internal/server/scriptedclient_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// scriptedClient plays a MySQL client.
+// scriptedClient is a MySQL client that records its packets in a transcript.
 type scriptedClient struct {
 	tr      *transcript
 	name    string
@@ -20,7 +20,7 @@
 	session uint32
 }
 
-// dialClient connects and sends the login at once, as the broker waits for it no longer than loginTimeout.
+// dialClient connects and sends the login immediately, as the broker waits no longer than loginTimeout for it.
 func dialClient(tr *transcript, name, addr, login string) *scriptedClient {
 	tr.t.Helper()
 	nc, err := (&net.Dialer{}).DialContext(tr.t.Context(), "tcp", addr)
@@ -75,7 +75,7 @@
 	}
 }
 
-// shorten quotes a text, or only its beginning and its length if it is long.
+// shorten quotes raw. Of long texts it quotes only the beginning and adds the number of further bytes.
 func shorten(raw string) string {
 	if len(raw) > 1000 {
 		return fmt.Sprintf("%q and %d bytes more", raw[:20], len(raw)-20)
@@ -85,7 +85,7 @@
 
 var cooldownField = regexp.MustCompile(`cooldown=\d+$`)
 
-// packet reads and records one packet, "" for the end of the connection.
+// packet reads and records one packet and returns its payload, or "" at the end of the connection.
 func (c *scriptedClient) packet() string {
 	c.tr.t.Helper()
 	if err := c.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
@@ -111,7 +111,7 @@
 	return string(payload)
 }
 
-// maskSalt masks the two parts of the salt in a greeting.
+// maskSalt masks both parts of the salt in a greeting.
 func maskSalt(greeting string) string {
 	masked := []byte(greeting)
 	first := strings.IndexByte(greeting, 0) + 1 + 4
@@ -124,14 +124,14 @@
 	return string(masked)
 }
 
-// result reads and records the packets of an answer: one, or a result with its rows.
+// result reads and records an answer: a single packet, or all packets of a result.
 func (c *scriptedClient) result() {
 	c.tr.t.Helper()
 	first := c.packet()
 	if first == "" || first[0] == 0 || first[0] == 0xff {
 		return
 	}
-	for ends := 0; ends < 2; { // of the columns, and of the rows
+	for ends := 0; ends < 2; { // EOF packets after the columns and after the rows
 		p := c.packet()
 		if p == "" {
 			return
--- a/internal/server/scriptedengine_test.go
+++ b/internal/server/scriptedengine_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// message is what an engine received.
+// message is a message that an engine received.
 type message struct {
 	conn  net.Conn
 	parts []string
@@ -17,18 +17,18 @@
 
 var patienceField = regexp.MustCompile(`\$\d+\r\nsort=(\w+),patience=\d+`)
 
-// masked is the message as it came, but for the time that is left in it.
+// masked returns the message's encoding with the remaining time masked.
 func (m message) masked() string {
 	return patienceField.ReplaceAllString(string(resp.Append(nil, m.parts...)), "$$#\r\nsort=$1,patience=#")
 }
 
-// scriptedEngine records what the broker sends to an engine and answers as the script says.
+// scriptedEngine is an engine that records the broker's messages and its own answers, which the test sends.
 type scriptedEngine struct {
 	tr       *transcript
 	name     string
 	addr     string
 	messages chan message
-	conns    []net.Conn // in the order of their first messages
+	conns    []net.Conn // ordered by their first message
 }
 
 func newScriptedEngine(tr *transcript, name string) *scriptedEngine {
@@ -75,24 +75,24 @@
 	}
 }
 
-// receive records the receive message that comes, which is to be of a kind.
-func (e *scriptedEngine) receive(kind string) message {
+// receive records and returns the next message, which must have the given command.
+func (e *scriptedEngine) receive(command string) message {
 	e.tr.t.Helper()
-	m := socktest.Receive(e.tr.t, e.messages, kind+" at "+e.name)
-	e.record(m, kind)
+	m := socktest.Receive(e.tr.t, e.messages, command+" at "+e.name)
+	e.record(m, command)
 	return m
 }
 
-// record records a message, which is to be of a kind.
-func (e *scriptedEngine) record(m message, kind string) {
+// record records a message, which must have the given command.
+func (e *scriptedEngine) record(m message, command string) {
 	e.tr.t.Helper()
-	if m.parts[0] != kind {
-		e.tr.t.Fatalf("%s got %q, want %s", e.name, m.parts, kind)
+	if m.parts[0] != command {
+		e.tr.t.Fatalf("%s received %q, want command %s", e.name, m.parts, command)
 	}
 	e.tr.line("%s connection %d < %q", e.name, e.number(m.conn), m.masked())
 }
 
-// number is that of a connection, by the order of first messages.
+// number returns the number of a connection, from 1, in the order of first messages.
 func (e *scriptedEngine) number(conn net.Conn) int {
 	if i := slices.Index(e.conns, conn); i >= 0 {
 		return i + 1
@@ -101,19 +101,19 @@
 	return len(e.conns)
 }
 
-// answerTo is an answer to a message, as it is sent.
+// answerTo returns the encoding of an answer to a message.
 func answerTo(m message, parts ...string) []byte {
 	return resp.Append(nil, append([]string{m.parts[1]}, parts...)...)
 }
 
-// answer sends an answer on the connection that a message came on.
+// answer sends an answer on the connection of the message.
 func (e *scriptedEngine) answer(m message, parts ...string) {
 	e.tr.t.Helper()
-	e.answerAtOnce(m, answerTo(m, parts...))
+	e.answerTogether(m, answerTo(m, parts...))
 }
 
-// answerAtOnce sends answers with one write, so that they arrive together.
-func (e *scriptedEngine) answerAtOnce(m message, answers ...[]byte) {
+// answerTogether sends answers in one write, so that they arrive together.
+func (e *scriptedEngine) answerTogether(m message, answers ...[]byte) {
 	e.tr.t.Helper()
 	for _, raw := range answers {
 		e.recordAnswer(m, raw)
@@ -123,13 +123,13 @@
 	}
 }
 
-// answerNextThen answers the next message with OK as soon as it comes, sends an answer to an earlier message
-// of its connection behind that, and passes the message on.
+// answerNextThen answers the next message with OK as soon as it is received, followed by the answer to an earlier
+// message of the connection in the same write. The returned channel receives the message.
 func (e *scriptedEngine) answerNextThen(earlier []byte) <-chan message {
 	answered := make(chan message, 1)
 	go func() {
 		m := <-e.messages
-		_, _ = m.conn.Write(append(answerTo(m, "OK", "-", ""), earlier...)) // the client misses it otherwise
+		_, _ = m.conn.Write(append(answerTo(m, "OK", "-", ""), earlier...)) // if this fails, the client's read fails, too
 		answered <- m
 	}()
 	return answered
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -14,8 +14,8 @@
 	"wheatlane/internal/usage"
 )
 
-// Rule 1: a request gets its one complete answer, also where login and query come ahead of the greeting and
-// the result has several pages, which come in any order. What the engine is sent is what the client sent.
+// Rule 1: a request gets exactly one complete answer, even if the client sends login and query before it reads the
+// greeting, and the result's pages arrive out of order. The request is forwarded to the engine unchanged.
 func TestRequestIsServed(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -24,7 +24,7 @@
 	if attempt.requestID() != "0000000000000007" || attempt.body() != "SELECT a FROM s_1.t" ||
 		!strings.HasPrefix(attempt.fields(), "sort=lookup,patience=1") ||
 		!strings.Contains(attempt.fields(), ",op=op7") {
-		t.Fatalf("engine got %q", attempt.words)
+		t.Fatalf("engine received %q, want the client's request", attempt.words)
 	}
 	attempt.reply(attempt.requestID(), "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n")
 	for range 2 {
@@ -36,7 +36,7 @@
 	c.ping()
 }
 
-// Rule 1: what no engine answers is rejected before the client's timeout.
+// Rule 1: a request that no engine answers is rejected before the client's timeout.
 func TestSilentEngineLeadsToRejectionInTime(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -46,8 +46,8 @@
 	e.expectCancel(t, attempt)
 }
 
-// Rule 2: a retry or a rejection only where it can do no harm, by what proves that nothing ran.
-func TestRetryOnlyWhereHarmless(t *testing.T) {
+// Rule 2: a request is retried or rejected only if it is idempotent or certainly did not run.
+func TestRetryOnlyWhereSafe(t *testing.T) {
 	busy := func(m engineMessage) { m.reply(m.requestID(), "BUSY", "-", "") }
 	fail := func(m engineMessage) { m.reply(m.requestID(), "ERR", "-", "") }
 	for name, tt := range map[string]struct {
@@ -56,12 +56,12 @@
 		retried bool
 		want    string
 	}{
-		"busy never ran":               {"once", busy, true, "rows "},
-		"an error may have run":        {"once", fail, false, "1105"},
-		"a reset may have run":         {"once", engineMessage.closeConn, false, "1105"},
-		"malformed bytes may have run": {"once", func(m engineMessage) { m.write([]byte("?")) }, false, "1105"},
-		"a reset, idempotent with key": {"load", engineMessage.closeConn, true, "rows "},
-		"an error, idempotent":         {"lookup", fail, true, "rows "},
+		"busy, did not run":          {"once", busy, true, "rows "},
+		"error, may have run":        {"once", fail, false, "1105"},
+		"reset, may have run":        {"once", engineMessage.closeConn, false, "1105"},
+		"malformed, may have run":    {"once", func(m engineMessage) { m.write([]byte("?")) }, false, "1105"},
+		"reset, idempotent with key": {"load", engineMessage.closeConn, true, "rows "},
+		"error, idempotent":          {"lookup", fail, true, "rows "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := newFakeEngine(t), newFakeEngine(t)
@@ -73,21 +73,21 @@
 			if tt.retried {
 				retry := socktest.Receive(t, messages, "another attempt")
 				if retry.requestID() != attempt.requestID() || !strings.Contains(retry.fields(), "op=op1") {
-					t.Fatalf("got %q", retry.words)
+					t.Fatalf("engine received %q, want a retry of request %s", retry.words, attempt.requestID())
 				}
 				retry.replyOK()
 			}
 			client.expect(tt.want)
 			select {
 			case m := <-messages:
-				t.Fatalf("more came: %q", m.words)
+				t.Fatalf("engine received a further message %q", m.words)
 			default:
 			}
 		})
 	}
 }
 
-// merge passes on what comes on several channels.
+// merge returns a channel that receives the values of all given channels.
 func merge[T any](from ...chan T) <-chan T {
 	to := make(chan T)
 	for _, c := range from {
@@ -100,7 +100,7 @@
 	return to
 }
 
-// Rule 2: a refused connect proves that nothing ran, so a rejection is true.
+// Rule 2: a non-idempotent request is rejected after a refused connection attempt, as it certainly did not run.
 func TestRefusedConnectLeadsToRejection(t *testing.T) {
 	e := newFakeEngine(t)
 	if err := e.listener.Close(); err != nil {
@@ -110,8 +110,8 @@
 	s.connect(statement("once", 1, 300*time.Millisecond, "")).expect("1226")
 }
 
-// Rule 3: an engine that drains gets nothing new; one that is gone loses its connections, and so does one
-// whose address passes to another.
+// Rule 3: a draining engine gets no new requests. The connections to an engine are closed when it is removed from the
+// endpoint list or its address is assigned to another engine.
 func TestEngineDrainsAndIsRemoved(t *testing.T) {
 	e, other := newFakeEngine(t), newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -121,29 +121,29 @@
 	for i := range 5 {
 		s.serveOn(other, 10+i)
 	}
-	attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n") // what it holds it may finish
+	attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n") // a draining engine may finish its attempts
 	a.expect("rows x|y|z|")
 
 	s.publish(pageJSON(3, false, inService("e3", e)), 3)
-	socktest.Receive(t, e.closed, "the end of the old engine's connection")
+	socktest.Receive(t, e.closed, "the end of the connection to the removed engine")
 	b := s.connect(statement("lookup", 20, longTimeout, ""))
 	select {
 	case attempt = <-e.messages:
 	case attempt = <-other.messages:
 	case <-time.After(testTimeout):
-		t.Fatal("no attempt came")
+		t.Fatalf("no engine received an attempt within %v", testTimeout)
 	}
 	s.publish(pageJSON(4, false, endpointJSON("e2", other.addr, "terminated", 0),
 		endpointJSON("e3", e.addr, "terminated", 0), inService("e4", e)), 4)
-	retry := e.expectAttempt(t) // its attempt was lost with the engine
+	retry := e.expectAttempt(t) // the previous attempt was lost with its engine
 	if retry.requestID() != attempt.requestID() {
-		t.Fatalf("got %q", retry.words)
+		t.Fatalf("engine received %q, want a retry of request %s", retry.words, attempt.requestID())
 	}
 	retry.replyOK()
 	b.expect("rows ")
 }
 
-// serveOn has a client's request answered by an engine that must get it.
+// serveOn sends a request that engine e must receive, and has e reply to it.
 func (s *testServer) serveOn(e *fakeEngine, number int) engineMessage {
 	s.t.Helper()
 	c := s.connect(statement("lookup", number, longTimeout, ""))
@@ -153,7 +153,7 @@
 	return attempt
 }
 
-// Rule 4: a newly started engine is sent no more than its slow-start budget, however many requests wait.
+// Rule 4: a newly started engine gets no more attempts than its slow-start budget, however many requests wait.
 func TestSlowStartLimitsNewEngine(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, endpointJSON("e1", e.addr, "in_service", time.Now().UnixMilli()))
@@ -173,13 +173,13 @@
 			attempts++
 		}
 	}
-	// 2.5 times a third of 8 cores, 85% of them busy, for a second; the module takes a lookup for 0.1 s.
+	// 2.5 times a third of 8 cores at 85% utilization for 1 s; the module estimates 0.1 s for a lookup.
 	if limit := 56; attempts == 0 || attempts > limit {
-		t.Fatalf("%d were sent, %d at the most", attempts, limit)
+		t.Fatalf("engine received %d attempts, want 1 to %d", attempts, limit)
 	}
 }
 
-// Rule 5: requests of one order key run one at a time and in order, on whichever connections they come.
+// Rule 5: requests with the same order key run one at a time and in order, even if they arrive on several connections.
 func TestOneInFlightPerOrderKey(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -187,10 +187,10 @@
 	a := s.connect(statement("load", 1, longTimeout, key))
 	first := e.expectAttempt(t)
 	b := s.connect(statement("load", 2, longTimeout, key))
-	c := s.connect(statement("lookup", 3, longTimeout, "")) // accepted after it, and sent while that waits
+	c := s.connect(statement("lookup", 3, longTimeout, "")) // accepted after request 2, sent while that waits
 	other := e.expectAttempt(t)
 	if other.requestID() != fmt.Sprintf("%016x", 3) {
-		t.Fatalf("%s was sent while its key was busy", other.requestID())
+		t.Fatalf("engine received request %s, want request 3 while the order key is busy", other.requestID())
 	}
 	other.replyOK()
 	c.expect("rows ")
@@ -200,8 +200,8 @@
 	b.expect("rows ")
 }
 
-// What a broker spent of what its fleet shares is in its log, whenever it ends: one request, its attempt,
-// the one connection it took, and the polls of the change log, whose number differs from run to run.
+// The broker logs its complete usage before it exits: one request, its attempt, one dial, and the polls of the change
+// log, whose number varies between runs.
 func TestUsageIsLogged(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -215,7 +215,7 @@
 		}
 	}
 	if got["polls"] == 0 {
-		t.Fatal("no poll of the change log was counted")
+		t.Fatal("logged usage has 0 polls of the change log, want at least 1")
 	}
 	delete(got, "polls")
 	want := map[string]uint64{
@@ -227,15 +227,15 @@
 	}
 }
 
-// The change log lists an engine's restart late. A connection to the process before it is closed and its
-// attempts are retried; one that was dialed since is to the new process, and its attempts go on.
-func TestLateNoticeOfEngineRestart(t *testing.T) {
+// The change log lists an engine's restart after a delay. A connection dialed before the restart is closed and its
+// attempts are retried. A connection dialed after the restart stays open and its attempts continue.
+func TestDelayedNoticeOfEngineRestart(t *testing.T) {
 	for name, tt := range map[string]struct {
-		startedAfter time.Duration // the connection came up
-		kept         bool
+		startedAfter time.Duration // engine's start, relative to the connection's dial
+		staysOpen    bool
 	}{
-		"restarted since":  {10 * time.Millisecond, false},
-		"restarted before": {-time.Minute, true},
+		"restarted after dial":  {10 * time.Millisecond, false},
+		"restarted before dial": {-time.Minute, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEngine(t)
@@ -245,22 +245,23 @@
 			attempt := e.expectAttempt(t)
 			bornMS := time.Now().Add(tt.startedAfter).UnixMilli()
 			s.publish(pageJSON(2, false, endpointJSON("e1", e.addr, "in_service", bornMS)), 2)
-			if !tt.kept {
-				socktest.Receive(t, e.closed, "the end of the old process's connection")
+			if !tt.staysOpen {
+				socktest.Receive(t, e.closed, "the end of the connection to the old process")
 				attempt = e.expectAttempt(t)
 			}
 			attempt.reply(attempt.requestID(), "OK", "-", "x\ty\tz\n")
 			a.expect("rows x|y|z|")
 			conns := inLoop(s, func(server *Server) int { return server.pool.Stats().Connections })
 			if conns != 1 || len(e.messages)+len(e.closed) > 0 {
-				t.Fatalf("%d connections, %d more messages and %d more ends", conns, len(e.messages), len(e.closed))
+				t.Fatalf("got %d connections, %d further messages and %d further ends, want one connection only",
+					conns, len(e.messages), len(e.closed))
 			}
 		})
 	}
 }
 
-// withoutSlowStart gives a restarted engine its full share at once, and all classes so much time that no attempt
-// counts as lost, so that what an engine is sent does not depend on how long a test stands still.
+// withoutSlowStart disables slow start, and raises the timeouts of all classes so that no attempt counts as lost. The
+// messages to an engine then don't depend on pauses of the test.
 func withoutSlowStart(cfg *config.Config) {
 	classes := slices.Clone(cfg.Settings.Control.Classes)
 	for i := range classes {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -51,7 +51,8 @@
 }
 
 // newGracefulShutdown returns the shutdown requested at requestedAt. The final answers are sent before SIGKILL, whose
-// time follows from the client timeouts of the current classes; those before a reload may have been longer.
+// time follows from the client timeouts of the current classes, not from those before a reload, which may have been
+// longer.
 func newGracefulShutdown(requestedAt time.Time, classes []control.Class) gracefulShutdown {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -10,7 +10,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// After SIGTERM requests go on coming for a while, all that were accepted are answered, and then Run returns.
+// New requests are accepted for a while after SIGTERM. All accepted requests are answered before Run returns.
 func TestGracefulShutdown(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -26,21 +26,21 @@
 	s.waitForEnd()
 }
 
-// Connections that the system or the program has accepted and that the loop does not know of, as it stood
-// still until the time for new requests was over, get their answers before the exit.
+// The loop is paused until the accept window has elapsed. Requests on connections that the kernel or the listener
+// accepted meanwhile, which the loop has not processed yet, are still answered before the exit.
 func TestReceivedRequestsAreAnsweredBeforeExit(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
-	hold, held := make(chan struct{}), make(chan struct{})
-	s.server.loop.inbox <- func() { close(held); <-hold }
-	socktest.Receive(t, held, "the standstill")
+	resume, paused := make(chan struct{}), make(chan struct{})
+	s.server.loop.inbox <- func() { close(paused); <-resume }
+	socktest.Receive(t, paused, "the pause of the loop")
 	clients := make([]*testClient, 5)
 	for i := range clients {
 		clients[i] = s.dial()
 		clients[i].send(append(loginPacket("app"), queryPacket(statement("lookup", i+1, longTimeout, ""))...))
 	}
 	s.endAcceptWindow()
-	close(hold)
+	close(resume)
 	for range clients {
 		e.expectAttempt(t).replyOK()
 	}
@@ -51,9 +51,9 @@
 	s.waitForEnd()
 }
 
-// The time until the final answers follows the client timeouts in force: after a reload to shorter ones
-// SIGKILL comes sooner.
-func TestShutdownFollowsTimeoutsInForce(t *testing.T) {
+// The time until the final answers follows the client timeouts currently in effect, as SIGKILL follows sooner after a
+// reload with shorter timeouts.
+func TestShutdownFollowsCurrentClientTimeouts(t *testing.T) {
 	s := startServer(t)
 	got := inLoop(s, func(server *Server) time.Duration {
 		class := control.Class{Name: "lookup", ClientTimeout: 400 * time.Millisecond}
@@ -62,17 +62,17 @@
 		return server.shutdown.answerWithin
 	})
 	if want := 400*time.Millisecond + shutdownGrace - finalAnswerReserve; got != want {
-		t.Fatalf("final answers come after %v, want %v", got, want)
+		t.Fatalf("final answers are due after %v, want %v", got, want)
 	}
 	s.waitForEnd()
 	lines := s.logs.FilterMessage("stopping").All()
 	if len(lines) != 1 || !strings.Contains(fmt.Sprint(lines[0].ContextMap()["within"]), "850ms") {
-		t.Fatalf("the log says %v", lines)
+		t.Fatalf("logged %v, want one line with within=850ms", lines)
 	}
 }
 
-// An idle client may send a request in the very moment in which the broker ends its connection. What is
-// read after that is not forwarded: no answer could leave any more.
+// A request that an idle client sends while the broker closes its connection is not forwarded, as its answer could no
+// longer be sent.
 func TestNothingIsForwardedAfterShutdown(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
@@ -85,6 +85,6 @@
 	s.waitForEnd()
 	socktest.Receive(t, e.closed, "the end of the connection to the engine")
 	for len(e.messages) > 0 {
-		t.Errorf("the engine got %q", (<-e.messages).words)
+		t.Errorf("engine received %q, want no message", (<-e.messages).words)
 	}
 }
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -28,7 +28,7 @@
 	t       *testing.T
 	socket  net.Conn
 	reader  *bufio.Reader
-	session uint32 // of its greeting
+	session uint32 // session number from the greeting
 }
 
 func newTestClient(t *testing.T, socket net.Conn) *testClient {
@@ -36,21 +36,21 @@
 	return &testClient{t: t, socket: socket, reader: bufio.NewReader(socket)}
 }
 
-// packetBytes is a packet of the MySQL protocol.
+// packetBytes returns a packet of the MySQL protocol.
 func packetBytes(seq byte, payload string) []byte {
 	n := len(payload)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
 }
 
-// loginPacket is the answer to a greeting.
+// loginPacket returns the login of a user, which answers the greeting.
 func loginPacket(user string) []byte {
 	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+user+"\x00\x00main\x00")
 }
 
-// queryPacket is the command for a statement.
+// queryPacket returns the command that runs a statement.
 func queryPacket(text string) []byte { return packetBytes(0, mysqlQuery+text) }
 
-// statement is the text of a request; its id is made of a number.
+// statement returns the text of a request, whose id and idempotency key are derived from n.
 func statement(class string, n int, timeout time.Duration, orderKey string) string {
 	text := fmt.Sprintf("service=%s,ref=%016x,allow=%d,replay=op%d", class, n, timeout.Milliseconds(), n)
 	if orderKey != "" {
@@ -65,7 +65,7 @@
 	return newTestClient(s.t, socktest.Dial(s.t, s.addr))
 }
 
-// connect connects and, in the same write, logs in and sends statements.
+// connect connects a client that sends its login and statements in one write.
 func (s *testServer) connect(statements ...string) *testClient {
 	s.t.Helper()
 	c := s.dial()
@@ -85,14 +85,14 @@
 
 func (c *testClient) localAddr() string { return c.socket.LocalAddr().String() }
 
-// send writes bytes. A connection that the broker has ended takes none, which the test sees as it reads.
+// send writes bytes. It ignores errors, as the broker may have closed the connection; the next read detects that.
 func (c *testClient) send(data []byte) { _, _ = c.socket.Write(data) }
 
 func (c *testClient) query(text string) { c.send(queryPacket(text)) }
 
-func (c *testClient) close() { _ = c.socket.Close() } // the broker may have ended it
+func (c *testClient) close() { _ = c.socket.Close() } // the broker may have closed it
 
-// reset closes the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (c *testClient) reset() {
 	c.t.Helper()
 	if err := c.socket.(*net.TCPConn).SetLinger(0); err != nil {
@@ -101,7 +101,7 @@
 	c.close()
 }
 
-// closeWrite ends the direction to the broker.
+// closeWrite shuts down the write side of the connection.
 func (c *testClient) closeWrite() {
 	c.t.Helper()
 	if err := c.socket.(*net.TCPConn).CloseWrite(); err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// readPacket reads one packet; empty at the end of the connection.
+// readPacket reads one packet and returns its payload, or "" at the end of the connection.
 func (c *testClient) readPacket() string {
 	c.t.Helper()
 	if err := c.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -129,7 +129,7 @@
 	return string(payload)
 }
 
-// discardAll reads until the broker ends the connection, in order or by a reset.
+// discardAll reads until the broker closes or resets the connection.
 func (c *testClient) discardAll() {
 	c.t.Helper()
 	if err := c.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -140,7 +140,8 @@
 	}
 }
 
-// readAnswer reads an answer: "ok", the code of an error, or the rows of a result; "closed" at the end.
+// readAnswer reads an answer. It returns "ok", an error code, or "rows " and the values of a result; "closed" at the
+// end of the connection.
 func (c *testClient) readAnswer() string {
 	c.t.Helper()
 	switch p := c.readPacket(); {
@@ -159,7 +160,7 @@
 		p := c.readPacket()
 		switch {
 		case p == "":
-			c.t.Fatal("the connection ended in a result")
+			c.t.Fatal("the connection ended within a result")
 		case p[0] == 0xfe:
 			return "rows " + rows.String()
 		}
@@ -175,12 +176,12 @@
 	c.t.Helper()
 	for _, want := range answers {
 		if got := c.readAnswer(); got != want {
-			c.t.Fatalf("client got %s, want %s", got, want)
+			c.t.Fatalf("client received %s, want %s", got, want)
 		}
 	}
 }
 
-// ping expects the answer to a ping, so that nothing else was sent before it.
+// ping sends a ping and expects its answer next, so no other answer can precede it.
 func (c *testClient) ping() {
 	c.t.Helper()
 	c.send(packetBytes(0, mysqlPing))
--- a/internal/server/transcript_attempts_test.go
+++ b/internal/server/transcript_attempts_test.go
@@ -13,11 +13,11 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// cancelScript is a broker with one engine, and a client that kills the requests of others.
+// cancelScript has a broker with one engine, and a client that kills other clients' requests.
 type cancelScript struct {
 	tr     *transcript
 	engine *scriptedEngine
-	broker  *scriptedBroker
+	broker *scriptedBroker
 	killer *scriptedClient
 }
 
@@ -27,20 +27,20 @@
 	cs.killer.result()
 }
 
-// request lets a new client send a request, which comes to the engine.
+// request sends a request from a new client and returns the client and the message that the engine receives.
 func (cs *cancelScript) request(id int, timeout time.Duration) (*scriptedClient, message) {
 	cs.tr.t.Helper()
-	client := loginClient(cs.tr, "client", cs.broker.clients)
+	client := loginClient(cs.tr, "client", cs.broker.clientAddr)
 	client.send(queryPacket(request("lookup", id, timeout, "")))
 	return client, cs.engine.receive("want")
 }
 
-// Cancelled requests: by KILL, with pages left, by the end of their client, and by their timeout.
+// Requests are cancelled by KILL, also with pages outstanding, by their client's disconnect and by their timeout.
 func TestTranscriptOfCancelledRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
 	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
-	cs := &cancelScript{tr: tr, engine: e, broker: s, killer: loginClient(tr, "killer", s.clients)}
+	cs := &cancelScript{tr: tr, engine: e, broker: s, killer: loginClient(tr, "killer", s.clientAddr)}
 
 	tr.line("# KILL QUERY")
 	client, _ := cs.request(1, unreachedTimeout)
@@ -50,7 +50,7 @@
 
 	tr.line("# KILL QUERY, with pages left")
 	client, m := cs.request(2, unreachedTimeout)
-	loop := server.PauseLoop(t, s.service.Server) // both come before the timeout of the page can expire
+	loop := server.PauseLoop(t, s.service.Server) // both events precede the page timeout
 	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
 	loop.WaitForEvents(1)
 	cs.killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session)))
@@ -65,7 +65,7 @@
 	client, _ = cs.request(3, unreachedTimeout)
 	cs.kill(fmt.Sprintf("KILL %d", client.session))
 	client.result()
-	client.packet() // the end
+	client.packet() // end of the connection
 	e.receive("never_mind")
 
 	tr.line("# KILL of no session")
@@ -83,7 +83,7 @@
 	tr.check("cancelled")
 }
 
-// Engines that answer badly: how the connection ends, and what becomes of the request.
+// Faulty engine responses: the end of the connection and the outcome of the request.
 func TestTranscriptOfEngineFaults(t *testing.T) {
 	tr := &transcript{t: t}
 	for _, c := range []struct {
@@ -112,7 +112,7 @@
 		e := newScriptedEngine(tr, "engine")
 		s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t),
 			endpointEntry("e1", e.addr, "in_service"))
-		client := loginClient(tr, "client", s.clients)
+		client := loginClient(tr, "client", s.clientAddr)
 		client.send(queryPacket(request(c.class, 1, unreachedTimeout, ",replay=op1")))
 		m := e.receive("want")
 		if err := c.fault(m); err != nil {
@@ -128,19 +128,20 @@
 	tr.check("faults")
 }
 
-// An engine that leaves the list loses its connections, and one that can't be reached is never sent anything.
-func TestTranscriptOfEnginesThatAreGone(t *testing.T) {
+// The connections to an engine are closed when it is removed from the endpoint list. An open request is retried on
+// another engine.
+func TestTranscriptOfRemovedEngines(t *testing.T) {
 	tr := &transcript{t: t}
 	e, other := newScriptedEngine(tr, "engine"), newScriptedEngine(tr, "other engine")
 	var published atomic.Bool
-	log := newScriptedChangelog(t, func(request string) string { // each poll of the old revision gets the new one
+	log := newScriptedChangelog(t, func(request string) string { // answers each poll from revision 1 with revision 2
 		if !published.Load() || strings.Contains(request, "since=2&") {
 			return ""
 		}
 		return httpOK(endpointPage(2, true, endpointEntry("e2", other.addr, "in_service")), "")
 	})
 	s := startWithLongTimeouts(tr, defaultFeatures, log.addr, endpointEntry("e1", e.addr, "in_service"))
-	client := loginClient(tr, "client", s.clients)
+	client := loginClient(tr, "client", s.clientAddr)
 	client.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
 	e.receive("want")
 	published.Store(true)
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -17,22 +17,22 @@
 	"wheatlane/internal/socktest"
 )
 
-// The change log is polled from the last revision, on one connection as long as that lasts.
-func TestTranscriptOfTheChangeLog(t *testing.T) {
+// The change log is polled from the last revision, on one connection while that stays open.
+func TestTranscriptOfChangeLog(t *testing.T) {
 	for range maxChangelogSessions {
 		tr := &transcript{t: t}
-		playChangeLog(tr)
+		recordChangeLogSession(tr)
 		if text := tr.text.String(); !strings.Contains(text, "ended: changelog "+string(netconn.PollTimeout)) &&
 			!strings.Contains(text, "ended: changelog "+string(netconn.ConnectFailed)) {
 			tr.check("changelog")
 			return
 		}
 	}
-	t.Fatalf("a poll timed out in each of %d sessions", maxChangelogSessions)
+	t.Fatalf("a poll timed out in each of %d sessions with the change log", maxChangelogSessions)
 }
 
-// playChangeLog records a session with the change log.
-func playChangeLog(tr *transcript) {
+// recordChangeLogSession runs and records a session with the change log.
+func recordChangeLogSession(tr *transcript) {
 	tr.t.Helper()
 	answers := []string{
 		httpOK(endpointPage(2, false, endpointEntry("e1", "127.0.0.1:1", "terminating")), ""),
@@ -40,7 +40,7 @@
 		"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"nonsense\r\n\r\n",
 		httpOK("{", ""),
-		httpOK(endpointPage(3, false), ""), // back in time
+		httpOK(endpointPage(3, false), ""), // lower revision
 		httpOK(`{"seq":7,"results":[]}`, ""),
 	}
 	requests, answered := len(answers)+1, make(chan struct{})
@@ -50,7 +50,7 @@
 			return answer
 		}
 		select {
-		case <-answered: // a poll that timed out comes again
+		case <-answered: // repeated after a timeout
 		default:
 			close(answered)
 		}
@@ -67,20 +67,20 @@
 
 var unhealthyMetric = regexp.MustCompile(`relay_cluster_unhealthy \d`)
 
-// adminCaller calls at the adminCaller's address.
+// adminCaller calls the admin endpoint.
 type adminCaller struct {
 	tr   *transcript
 	addr string
 }
 
-// send sends a call on a connection of its own and returns the reply.
+// send sends a call on a new connection and returns the reply.
 func (o *adminCaller) send(text string) string {
 	o.tr.t.Helper()
 	nc, err := (&net.Dialer{}).DialContext(o.tr.t.Context(), "tcp", o.addr)
 	if err != nil {
 		o.tr.t.Fatal(err)
 	}
-	defer func() { _ = nc.Close() }() // the broker closes it as well
+	defer func() { _ = nc.Close() }() // the broker closes it, too
 	if err := nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		o.tr.t.Fatal(err)
 	}
@@ -110,24 +110,24 @@
 	}
 }
 
-// waitFor calls for the figures until a line is among them.
+// waitFor polls the metrics until they contain line.
 func (o *adminCaller) waitFor(line string) {
 	o.tr.t.Helper()
 	for end := time.Now().Add(stepTimeout); !strings.Contains(o.send("vars\n"), line); {
 		if time.Now().After(end) {
-			o.tr.t.Fatalf("%q does not become true", line)
+			o.tr.t.Fatalf("metrics do not contain %q within %v", line, stepTimeout)
 		}
 	}
 }
 
-// Every call at the operator's address, with all figures by their names.
-func TestTranscriptOfTheOperatorsAddress(t *testing.T) {
+// Every call of the admin endpoint, with all metrics by name.
+func TestTranscriptOfAdminEndpoint(t *testing.T) {
 	unrecorded, tr := &transcript{t: t}, &transcript{t: t}
 	e := newScriptedEngine(unrecorded, "engine")
 	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
 	o := &adminCaller{tr: tr, addr: s.service.AdminAddr().String()}
-	c := loginClient(unrecorded, "client", s.clients)
-	killer := loginClient(unrecorded, "killer", s.clients)
+	c := loginClient(unrecorded, "client", s.clientAddr)
+	killer := loginClient(unrecorded, "killer", s.clientAddr)
 
 	o.call("check\n", "vars\n")
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
@@ -139,7 +139,7 @@
 	c.result()
 	e.receive("never_mind")
 
-	c = loginClient(unrecorded, "client", s.clients)
+	c = loginClient(unrecorded, "client", s.clientAddr)
 	c.send(queryPacket(request("load", 3, unreachedTimeout, ",replay=op3")))
 	open := e.receive("want")
 	o.call("vars\n")
@@ -162,7 +162,7 @@
 	tr.check("operator")
 }
 
-// datagramFault names the kind of an error of gossip.Parse; its wording is no part of the transcript.
+// datagramFault names the kind of an error of gossip.Parse, so that the transcript is independent of the error's text.
 func datagramFault(err error) string {
 	switch {
 	case errors.Is(err, gossip.ErrTooLong):
@@ -175,7 +175,7 @@
 	return "unknown fault"
 }
 
-// The datagrams that brokers of a fleet send one another, and how ones that can't be read are rejected.
+// The encoding of gossip datagrams, and the rejection of malformed ones.
 func TestTranscriptOfDatagrams(t *testing.T) {
 	tr := &transcript{t: t}
 	many := make([]control.GossipedLoad, 100)
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -14,48 +14,48 @@
 	"wheatlane/internal/socktest"
 )
 
-// The tests named TestTranscript... hold every byte on the sockets of a broker to the golden files in testdata: what
-// clients, engines, the change log and the operator's address see during scripted sessions. Masked with '#',
-// since they vary by nature, are only:
+// The tests named TestTranscript... compare every byte on the sockets of a broker with the golden files in testdata:
+// the traffic with clients, engines, the change log and the admin endpoint during scripted sessions. Only values that
+// vary between runs are masked with '#':
 //   - the 20 random bytes of the salt in a greeting,
-//   - the milliseconds that are left of a request's time (patience=) and those of a cooldown, with the length
-//     of the string or packet that holds them,
-//   - the port of the change log in the header Host,
-//   - how many engines are unhealthy just after one has failed, as that is found out milliseconds later.
+//   - the remaining milliseconds of a request (patience=) and of a cooldown, with the length of the string or
+//     packet that contains them,
+//   - the port of the change log in the Host header,
+//   - the number of unhealthy engines just after an engine has failed, as the failure is detected milliseconds later.
 //
-// Session numbers follow from the seed, which is fixed. A script does one step after the other and waits for
-// what each step causes, so the order of the lines does not vary. What was sent at once, and what the other
-// end does of its own accord, is recorded in the order of the script.
+// Session numbers follow from the fixed seed. A script runs one step at a time and waits for the effects of each, so
+// the order of the lines is fixed. Messages sent together, and messages that the other end sends unprompted, are
+// recorded in the order of the script.
 //
-// A script, or the process, may stand still between two steps. These timers of the program could expire then:
-//   - the objective and the client timeout of a class (too late for a retry, final answer), the time of a
-//     half-open probe of an ejected engine: startPatient raises both to patience, so that each is longer than
-//     a test. Retired ids of streams stay retired for as long.
-//   - silenceThreshold and livenessTimeout (500 ms, 250 ms: the connection is replaced), the idle close of
-//     connections to engines (60 % of their idle timeout), their connect timeout: DisableConnectionTimeouts turns
-//     them off. They stay on where TestTranscriptOfALivenessCheck is about them; it takes what comes on the
-//     connection of the request, and no step of its script lies between.
-//   - pageTimeout (500 ms): an engine sends pages together with the first, or the loop is held until
-//     the next event has come as well, see PauseLoop.
-//   - partialResponseTimeout, partialPageTimeout, partialMessageTimeout: messages are sent with one write.
-//     One session with an engine is about the first.
+// The script or the process may pause between two steps. These timers of the broker could expire during the pause:
+//   - The latency objective and the client timeout of a class (too late for a retry, final answer), and the time of
+//     a half-open probe of an ejected engine: startWithLongTimeouts raises both class settings to unreachedTimeout, so
+//     that each timer is longer than a test. Retired stream ids stay retired for as long.
+//   - silenceThreshold and livenessTimeout (500 ms and 250 ms, after which the connection is replaced), the idle close
+//     of engine connections (at 60 % of their idle timeout) and their connect timeout: DisableConnectionTimeouts
+//     disables them. They stay enabled in TestTranscriptOfLivenessProbe, which tests them. That test accepts the
+//     messages on the request's connection in any order, and its script has no step in between.
+//   - pageTimeout (500 ms): an engine sends further pages together with the first one, or the loop is paused until the
+//     next event has arrived as well, see PauseLoop.
+//   - partialResponseTimeout, partialPageTimeout, partialMessageTimeout: each message is sent in one write. One session
+//     with an engine tests partialResponseTimeout.
 //   - loginTimeout (2 s): clients send their login as they connect.
-//   - the end of a poll of the change log (1.4 s): the log answers on the goroutine that reads the request. A
-//     log that publishes answers the poll that follows as well; the session with the log is played again if
-//     the broker counted a poll without an answer, which would add requests to it.
-//   - loadProbeTimeout: probes are on in the session on liveness only, which passes over them.
-//   - the steps of a shutdown (listeners close after 1 s, final answers leave after 3.45 s): these are fixed by
-//     the protocol. Between the signal and the last answers the script only sends a request; the engine
-//     answers by itself, and what the clients are sent waits in their sockets.
-//   - client timeouts that a script waits for (300 ms, 3 s): the answer is the same however late. In the session
-//     on cancelled requests the broker has 3 s to forward the request before.
-//   - those that only a standstill inside the broker can reach, not one of a script: maxEngineSendDelay
-//     (400 ms from queueing a message to its write), lingerDuration (200 ms), finalReadTimeout. No setting
-//     raises them, and nothing here does.
+//   - The timeout of a change log poll (1.4 s): the change log answers on the goroutine that reads the request. A
+//     change log that publishes also answers the following poll. The session with the change log is repeated if the
+//     broker counted a poll without an answer, as that adds requests to the session.
+//   - loadProbeTimeout: load probes are enabled only in the liveness session, which ignores them.
+//   - The steps of a shutdown (listeners close after 1 s, final answers are sent after 3.45 s): they are fixed by the
+//     protocol. Between the signal and the last answers the script only sends one request; the engine answers
+//     automatically, and the answers to the clients are buffered in their sockets.
+//   - Client timeouts that a script waits for (300 ms and 3 s): the answer does not depend on the delay. In the session
+//     on cancelled requests the broker has 3 s to forward the request first.
+//   - Timers that only a pause within the broker can reach, not a pause of a script: maxEngineSendDelay (400 ms from
+//     queueing a message to its write), lingerDuration (200 ms) and finalReadTimeout. No setting raises them, and the
+//     tests don't either.
 
-const stepTimeout = 20 * time.Second // a step of a script that takes so long has failed
+const stepTimeout = 20 * time.Second // limit of one step of a script, after which the test fails
 
-// transcript gathers the lines of a scripted session.
+// transcript collects the lines of a scripted session.
 type transcript struct {
 	t    *testing.T
 	text strings.Builder
@@ -77,32 +77,37 @@
 	comPing   = "\x0e"
 	comReset  = "\x1f"
 
-	clientTimeout = 15 * time.Second // how long the client of a request waits
+	clientTimeout = 15 * time.Second // of requests whose timeout is not under test
 
-	maxChangelogSessions = 20 // sessions with the change log that stalls may spoil
+	maxChangelogSessions = 20 // limit of repetitions after a poll without an answer
 )
 
-// unreachedTimeout is the objective and the client timeout of patient classes, and that of their requests.
+// unreachedTimeout is the latency objective and client timeout that startWithLongTimeouts sets for classes, and the
+// client timeout of their requests.
 const unreachedTimeout = 10 * time.Minute
 
 var classTimes = regexp.MustCompile(`"(PromiseNs|GiveUpNs)":\d+`)
 
-// startWithLongTimeouts runs a broker whose classes leave all requests time, and that takes no engine for silent.
-func startWithLongTimeouts(tr *transcript, allowed allowedFeatures, changelogAddr string, hosts ...string) *scriptedBroker {
+// startWithLongTimeouts starts a broker on which neither the timeouts of classes nor those of engine connections expire
+// during a test.
+func startWithLongTimeouts(
+	tr *transcript, allowed allowedFeatures, changelogAddr string, endpoints ...string,
+) *scriptedBroker {
 	tr.t.Helper()
 	times := fmt.Sprintf(`"$1":%d`, unreachedTimeout.Nanoseconds())
 	allowed.classes = classTimes.ReplaceAllString(allowed.classes, times)
-	s := startScripted(tr, allowed, changelogAddr, hosts...)
+	s := startScripted(tr, allowed, changelogAddr, endpoints...)
 	server.DisableConnectionTimeouts(s.service.Server)
 	return s
 }
 
-// A client that asks for one thing after the other: a result of three pages, a ping, a refusal, a failure.
+// A client sends one command after the other: a ping, requests whose results are a result of three pages, a retry and a
+// failure, and quit.
 func TestTranscriptOfServedRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
 	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
-	c := loginClient(tr, "client", s.clients)
+	c := loginClient(tr, "client", s.clientAddr)
 	c.send(packetOf(0, comPing))
 	c.result()
 	c.send(packetOf(0, comReset))
@@ -112,7 +117,7 @@
 
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
 	m := e.receive("want")
-	e.answerAtOnce(m, // the further pages arrive before their timeout can expire
+	e.answerTogether(m, // further pages arrive before their timeout can expire
 		answerTo(m, "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n"),
 		answerTo(m, "ROWS", "sheet=2", "7\t8\t9\n"),
 		answerTo(m, "ROWS", "sheet=1", "4\t\t6\n"))
@@ -120,7 +125,7 @@
 	e.receive("turn")
 	c.result()
 
-	c.send(queryPacket(request("lookup", 2, unreachedTimeout, ",dup=1"))) // a retry on an engine that has no capacity
+	c.send(queryPacket(request("lookup", 2, unreachedTimeout, ",dup=1"))) // client retry, BUSY at first
 	e.answer(e.receive("want"), "BUSY", "-", "")
 	e.answer(e.receive("want"), "OK", "-", "")
 	c.result()
@@ -140,24 +145,25 @@
 	tr.check("served")
 }
 
-// A request with an estimate of its memory where engines heed grants and priorities.
+// A request with a memory estimate, where engines support memory grants and priorities.
 func TestTranscriptOfGrantsAndPriorities(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
-	s := startWithLongTimeouts(tr, allowedFeatures{grants: true, priorities: true, classes: lookupClass}, silentChangelog(t),
+	allowed := allowedFeatures{grants: true, priorities: true, classes: lookupClass}
+	s := startWithLongTimeouts(tr, allowed, silentChangelog(t),
 		endpointEntry("e1", e.addr, "in_service"))
-	c := loginClient(tr, "client", s.clients)
+	c := loginClient(tr, "client", s.clientAddr)
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1,ram=512")))
 	e.answer(e.receive("want"), "OK", "-", "")
 	c.result()
 	tr.check("grants")
 }
 
-// Statements whose fields can't be used, and commands that are not known here.
+// Statements with missing or invalid fields, and unsupported commands.
 func TestTranscriptOfInvalidRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	s := startScripted(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", "127.0.0.1:1", "terminating"))
-	c := loginClient(tr, "client", s.clients)
+	c := loginClient(tr, "client", s.clientAddr)
 	for _, text := range []string{
 		"SELECT 1",
 		"/* service */ SELECT 1",
@@ -182,18 +188,18 @@
 	c.result()
 	c.send(packetOf(0, comInitDB+"x"))
 	c.result()
-	c.send(packetOf(0, comPing)) // no engine can serve
+	c.send(packetOf(0, comPing)) // no engine is available
 	c.result()
 	c.send(queryPacket(request("lookup", 1, 300*time.Millisecond, "")))
 	c.result()
 	tr.check("invalid")
 }
 
-// Messages that can't be read: each ends its connection after an answer.
+// Malformed messages: each is answered with an error and ends its connection.
 func TestTranscriptOfMalformedMessages(t *testing.T) {
 	tr := &transcript{t: t}
 	s := startScripted(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", "127.0.0.1:1", "terminating"))
-	for _, c := range []struct{ name, login, then string }{
+	for _, tt := range []struct{ name, login, command string }{
 		{"wrong user", loginPacket("root", "main"), ""},
 		{"wrong database", loginPacket("app", "x"), ""},
 		{"password", packetOf(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x01pmain\x00"), ""},
@@ -203,33 +209,33 @@
 		{"out of sequence", loginPacket("app", "main"), packetOf(9, comPing)},
 		{"empty", loginPacket("app", ""), packetOf(0, "")},
 	} {
-		tr.line("# %s", c.name)
-		client := dialClient(tr, "client", s.clients, c.login)
+		tr.line("# %s", tt.name)
+		client := dialClient(tr, "client", s.clientAddr, tt.login)
 		client.packet()
-		if c.then != "" {
-			client.send(c.then)
+		if tt.command != "" {
+			client.send(tt.command)
 			client.packet()
 		}
-		client.packet() // the end
+		client.packet() // end of the connection
 	}
 	s.cancel()
 	s.finish(netconn.ClientSide)
 	tr.check("malformed")
 }
 
-// A planned restart: requests go on coming for a while, what is open is answered, then connections end.
-func TestTranscriptOfAShutdown(t *testing.T) {
+// A graceful shutdown: new requests are still served, open requests are answered, then the connections end.
+func TestTranscriptOfShutdown(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
 	s := startWithLongTimeouts(tr, defaultFeatures, silentChangelog(t), endpointEntry("e1", e.addr, "in_service"))
-	a, b := loginClient(tr, "client a", s.clients), loginClient(tr, "client b", s.clients)
+	a, b := loginClient(tr, "client a", s.clientAddr), loginClient(tr, "client b", s.clientAddr)
 	a.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
 	first := e.receive("want")
 	tr.line("# stop")
-	seconds := e.answerNextThen(answerTo(first, "OK", "-", ""))
+	answered := e.answerNextThen(answerTo(first, "OK", "-", ""))
 	close(s.stop)
 	b.send(queryPacket(request("lookup", 2, unreachedTimeout, "")))
-	second := socktest.Receive(t, seconds, "want at engine")
+	second := socktest.Receive(t, answered, "want at engine")
 	e.record(second, "want")
 	e.recordAnswer(second, answerTo(second, "OK", "-", ""))
 	b.result()
@@ -241,44 +247,44 @@
 	tr.check("shutdown")
 }
 
-// receiveCommands receives until messages of all kinds given have come on one connection, and returns them by
-// kind. Load probes are answered. never_mind and there are due at once, and either may come first. A retry
-// follows on another connection if the answer to there is overdue.
-func receiveCommands(e *scriptedEngine, kinds []string) map[string]message {
+// receiveCommands receives messages until all given commands have arrived on one connection, and returns the messages
+// by command. It answers load probes. The cancellation (never_mind) and the liveness probe (there) are due at the same
+// time and may arrive in either order. A retry follows on another connection if the answer to the probe is overdue.
+func receiveCommands(e *scriptedEngine, commands []string) map[string]message {
 	e.tr.t.Helper()
 	byConn := map[net.Conn]map[string]message{}
 	for {
-		m := socktest.Receive(e.tr.t, e.messages, strings.Join(kinds, ", "))
+		m := socktest.Receive(e.tr.t, e.messages, strings.Join(commands, ", "))
 		if m.parts[0] == "busy" {
-			_, _ = m.conn.Write(answerTo(m, "UP", "-", "")) // the probe may have timed out and its connection ended
+			_, _ = m.conn.Write(answerTo(m, "UP", "-", "")) // the probe may have timed out and closed its connection
 			continue
 		}
-		if !slices.Contains(kinds, m.parts[0]) {
-			e.tr.t.Fatalf("%s got %q, want %q", e.name, m.parts, kinds)
+		if !slices.Contains(commands, m.parts[0]) {
+			e.tr.t.Fatalf("%s received %q, want one of the commands %q", e.name, m.parts, commands)
 		}
 		if byConn[m.conn] == nil {
 			byConn[m.conn] = map[string]message{}
 		}
 		byConn[m.conn][m.parts[0]] = m
-		if len(byConn[m.conn]) == len(kinds) {
+		if len(byConn[m.conn]) == len(commands) {
 			return byConn[m.conn]
 		}
 	}
 }
 
-// An engine whose answer is missing is asked whether it is alive. Load probes may come at any time and are
-// passed over; their bytes are in TestTranscriptOfEngineCommands.
-func TestTranscriptOfALivenessCheck(t *testing.T) {
+// An engine with an overdue response receives a liveness probe. Load probes may arrive at any time and are ignored;
+// TestTranscriptOfEngineCommands has their bytes.
+func TestTranscriptOfLivenessProbe(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
 	s := startScripted(tr, allowedFeatures{probing: true, classes: classes}, silentChangelog(t),
 		endpointEntry("e1", e.addr, "in_service"))
-	c := loginClient(tr, "client", s.clients)
+	c := loginClient(tr, "client", s.clientAddr)
 	c.send(queryPacket(request("load", 1, clientTimeout, ",replay=op1")))
-	kinds := []string{"want", "never_mind", "there"}
-	commands := receiveCommands(e, kinds)
-	for _, kind := range kinds {
-		tr.line("engine < %q", commands[kind].masked())
+	commands := []string{"want", "never_mind", "there"}
+	messages := receiveCommands(e, commands)
+	for _, command := range commands {
+		tr.line("engine < %q", messages[command].masked())
 	}
 	tr.check("liveness")
 }
--- a/internal/server/violations_test.go
+++ b/internal/server/violations_test.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/invariant"
 )
 
-// violationCounter counts the rules that were broken.
+// violationCounter counts violations by rule.
 type violationCounter struct {
 	nopMeter
 	byRule map[invariant.Rule]int
@@ -21,16 +21,17 @@
 
 func (c violationCounter) InvariantViolated(rule invariant.Rule) { c.byRule[rule]++ }
 
-// A violation that is found here is counted and logged; one that the reducer found is logged, as it has counted it.
-func TestViolations(t *testing.T) {
+// A violation detected by the server is counted and logged. A violation detected by the reducer is only logged, as the
+// reducer has counted it.
+func TestViolationsAreCountedAndLogged(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
-	log, counted := zap.New(core), violationCounter{byRule: map[invariant.Rule]int{}}
-	loop := &eventLoop{meter: counted, log: log}
+	log, counter := zap.New(core), violationCounter{byRule: map[invariant.Rule]int{}}
+	loop := &eventLoop{meter: counter, log: log}
 	loop.reportViolation(invariant.TimeoutWithinClient, zap.String("engine", "e1"))
 	(&effectExecutor{log: log}).execute(broker.InvariantViolation{
 		Rule: invariant.NoSendToUnready, Session: 7, RequestID: "00ff",
 	})
-	if diff := cmp.Diff(map[invariant.Rule]int{invariant.TimeoutWithinClient: 1}, counted.byRule); diff != "" {
+	if diff := cmp.Diff(map[invariant.Rule]int{invariant.TimeoutWithinClient: 1}, counter.byRule); diff != "" {
 		t.Error(diff)
 	}
 	got := make([]map[string]any, 0, logs.Len())
@@ -46,7 +47,7 @@
 	}
 }
 
-// Each transition of a request leaves a line at debug level, with what is known of its kind.
+// Each transition of a request is logged at debug level, with the fields of its kind.
 func TestTransitionsAreLogged(t *testing.T) {
 	core, logs := observer.New(zapcore.DebugLevel)
 	trace := logTransitions(zap.New(core))
@@ -64,7 +65,7 @@
 		if line.Level != zapcore.DebugLevel {
 			t.Errorf("%s is logged at %s", line.Message, line.Level)
 		}
-		for _, field := range line.Context[5:] { // behind those that all lines have
+		for _, field := range line.Context[5:] { // after the fields of all lines
 			got[line.Message] = append(got[line.Message], field.Key)
 		}
 	}
