--- a/internal/server/liveness_test.go
+++ b/internal/server/liveness_test.go
@@ -11,8 +11,8 @@
 )
 
 // An engine whose host has failed, or that has permanently stopped responding, leaves its connection open and silent.
-// Once a response is overdue, the module cancels the attempt and the connection is probed for liveness. If the probe
-// fails, the connection is closed and the attempt is retried on a new one. If it succeeds, the connection stays open.
+// Once a response is overdue, the module cancels the attempt and the connection is probed for liveness. The attempt is
+// retried on a new connection. The old connection is closed if the probe gets no response, and else stays open.
 func TestSilentEngineConnectionIsReplaced(t *testing.T) {
 	for name, alive := range map[string]bool{"alive": true, "silent": false} {
 		t.Run(name, func(t *testing.T) { testSilentConnection(t, alive) })
