--- a/internal/server/enginepooladapter.go
+++ b/internal/server/enginepooladapter.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// enginePoolAdapter connects the engine pool to the event loop.
+// enginePoolAdapter connects the engine pool to the event loop. Post, Start and ConnectionEnded are safe for concurrent
+// use; the other methods must be called in the loop.
 type enginePoolAdapter struct {
 	loop        *eventLoop
 	connections *connectionLog
