--- a/internal/server/stage_test.go
+++ b/internal/server/scriptedbroker_test.go
@@ -17,10 +17,10 @@
 	"wheatlane/internal/socktest"
 )
 
-// features are what a deployment allows.
-type features struct {
+// allowedFeatures are the features that a deployment allows.
+type allowedFeatures struct {
 	grants, priorities, probing bool
-	classes                     string // JSON, behind one another with commas
+	classes                     string // JSON objects, separated by commas
 }
 
 const (
@@ -33,9 +33,9 @@
 	classes = lookupClass + "," + loadClass + "," + onceClass
 )
 
-var plain = features{classes: classes}
+var defaultFeatures = allowedFeatures{classes: classes}
 
-func (f features) settings() []byte {
+func (f allowedFeatures) settings() []byte {
 	return fmt.Appendf(nil, `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
 		"Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false],
 			"Grants":%v,"SaysCost":true,"GrantCap":0.5,"Priorities":%v},
@@ -45,24 +45,24 @@
 		"RequestClasses":[%s]}`, f.grants, f.priorities, f.probing, f.probing, f.classes)
 }
 
-// stage is a broker on real sockets.
-type stage struct {
-	tr      *transcript
-	service *service.Service
-	clients string // its address
-	stop    chan struct{}
-	cancel  context.CancelFunc
-	done    chan error
+// scriptedBroker is the broker under test, on real sockets.
+type scriptedBroker struct {
+	tr         *transcript
+	service    *service.Service
+	clientAddr string // address that clients connect to
+	stop       chan struct{}
+	cancel     context.CancelFunc
+	done       chan error
 }
 
-// start runs a broker that knows these hosts.
-func start(tr *transcript, allowed features, changelogAddr string, hosts ...string) *stage {
+// startScripted starts a broker whose endpoint list has the given entries.
+func startScripted(tr *transcript, allowed allowedFeatures, changelogAddr string, endpoints ...string) *scriptedBroker {
 	tr.t.Helper()
 	settings, err := config.DecodeSettings(allowed.settings())
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	known, err := changelog.ParsePage([]byte(listPage(1, true, hosts...)))
+	known, err := changelog.ParsePage([]byte(endpointPage(1, true, endpoints...)))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -75,8 +75,8 @@
 		cancel()
 		tr.t.Fatal(err)
 	}
-	st := &stage{
-		tr: tr, service: s, clients: s.Server.Addr().String(), stop: make(chan struct{}),
+	st := &scriptedBroker{
+		tr: tr, service: s, clientAddr: s.Server.Addr().String(), stop: make(chan struct{}),
 		cancel: cancel, done: make(chan error, 1),
 	}
 	go func() { st.done <- s.Run(ctx, st.stop) }()
@@ -89,19 +89,19 @@
 	return st
 }
 
-// finish waits for the end of the broker and records why its connections to these sides ended.
-func (s *stage) finish(sides ...netconn.Side) {
+// finish waits until the broker has stopped and records why its connections of the given sides ended.
+func (s *scriptedBroker) finish(sides ...netconn.Side) {
 	s.tr.t.Helper()
 	err := socktest.Receive(s.tr.t, s.done, "the broker's end")
 	if err != nil {
 		s.tr.t.Fatal(err)
 	}
-	s.done <- nil // for the clean-up
-	s.reasons(sides)
+	s.done <- nil // for the cleanup function
+	s.recordEndReasons(sides)
 }
 
-// reasons records why connections ended, with their counts.
-func (s *stage) reasons(sides []netconn.Side) {
+// recordEndReasons records the reasons for which connections ended, with their counts.
+func (s *scriptedBroker) recordEndReasons(sides []netconn.Side) {
 	s.tr.t.Helper()
 	if !s.service.Server.Inspect(s.tr.t.Context(), func(_ *broker.Broker, sockets netconn.ConnectionCounts) {
 		for _, side := range sides {
@@ -112,14 +112,14 @@
 			})
 		}
 	}) {
-		s.tr.t.Fatal("the broker can't be looked at")
+		s.tr.t.Fatal("the broker can't be inspected")
 	}
 }
 
-// request is the text of a query: its class, id, time to wait and further fields.
-func request(class string, id int, allow time.Duration, more string) string {
+// request returns the text of a query with its class, id, client timeout and further fields.
+func request(class string, id int, timeout time.Duration, more string) string {
 	return fmt.Sprintf("/* service=%s,ref=%016x,allow=%d%s */ SELECT a FROM s_1.t",
-		class, id, allow.Milliseconds(), more)
+		class, id, timeout.Milliseconds(), more)
 }
 
 func listen(t *testing.T) net.Listener {
