--- a/control/admission.go
+++ b/control/admission.go
@@ -7,11 +7,11 @@
 	"wheatlane/control/units"
 )
 
-// answerBatches is the number of batch intervals before its deadline at which a request is answered.
-const answerBatches = 2
+// deadlineLeadBatches is the number of batch intervals before its deadline at which a request is answered.
+const deadlineLeadBatches = 2
 
-// requestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
-func (c *Controller) requestReceived(in Request) {
+// handleRequestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
+func (c *Controller) handleRequestReceived(in Request) {
 	if c.requests.byID[in.ID] != nil {
 		return
 	}
@@ -24,14 +24,14 @@
 	request := newRequest(in, class, classIndex, tenantIndex, c.now)
 	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retryBudget.RequestReceived(c.now)
-	answerIn := in.Deadline - c.now - answerBatches*c.settings.MinBatchInterval
-	c.startTimer(answerIn, answerDue{request})
+	answerIn := in.Deadline - c.now - deadlineLeadBatches*c.settings.MinBatchInterval
+	c.startTimer(answerIn, responseDue{request})
 	c.requests.add(request)
 	c.enqueue(request, nil)
 }
 
-// objectiveEnd is when the latency objective of a request that is received now ends.
-func (k *class) objectiveEnd(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
+// objectiveDeadline is when the latency objective of a request that is received now ends.
+func (k *class) objectiveDeadline(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
 	end := min(in.Deadline, now+k.objectiveOf(work))
 	if patience, known := k.Abandonment.Patience(); known {
 		end = min(end, now+patience)
@@ -39,26 +39,26 @@
 	return end
 }
 
-// shed reports whether a request is not worth a first attempt at an engine. The price rises with each request
+// shouldShed reports whether a request is not worth a first attempt at an engine. The price rises with each request
 // that finds no capacity.
-func (c *Controller) shed(request *request, engine *engine) bool {
-	if c.exceedsPrice(request) {
+func (c *Controller) shouldShed(request *request, engine *engine) bool {
+	if c.exceedsAdmissionPrice(request) {
 		return true
 	}
 	if c.withinConcurrencyLimit(engine, request.classIndex) {
 		return false
 	}
 	wait, serviceTime := c.backlog(request, engine).Wait(), c.likelyServiceTime(request, engine)
-	if !admission.CannotMeetObjective(wait, serviceTime, request.objectiveAt-c.now) {
+	if !admission.CannotMeetObjective(wait, serviceTime, request.objectiveDeadline-c.now) {
 		return false
 	}
 	c.price.Raise()
 	return true
 }
 
-// exceedsPrice reports whether a request is too much work for its priority weight. There is a price where
+// exceedsAdmissionPrice reports whether a request is too much work for its priority weight. There is a price where
 // engines are pooled, unless the weight grows with the work.
-func (c *Controller) exceedsPrice(request *request) bool {
+func (c *Controller) exceedsAdmissionPrice(request *request) bool {
 	lowest := c.workload.Summary().LowestWeightPerThreadSecond
 	return c.endpoints.pool != nil && !c.settings.WeightScalesWithWork &&
 		c.price.Exceeds(request.class.PriorityWeight, lowest, request.expectedWork)
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -136,7 +136,7 @@
 				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
 			}
 			heaviest := &request{class: r.controller.classes.all[0], expectedWork: 1e6}
-			if byWork && r.controller.exceedsPrice(heaviest) {
+			if byWork && r.controller.exceedsAdmissionPrice(heaviest) {
 				t.Error("where the weight grows with the work, a request exceeded the admission price")
 			}
 			highest := r.controller.price
@@ -155,7 +155,7 @@
 	r := newRig(t, baseSettings(), readyEngine("e1"))
 	objective := func() time.Duration {
 		id, _ := r.submit("quick")
-		left := r.controller.requests.byID[id].objectiveAt - r.now
+		left := r.controller.requests.byID[id].objectiveDeadline - r.now
 		r.endAttempt(id, 0, OK)
 		return left
 	}
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt.
-func (c *Controller) attemptEnded(end AttemptEnded) {
+// handleAttemptEnded takes the end of an attempt.
+func (c *Controller) handleAttemptEnded(end AttemptEnded) {
 	attempt := c.requests.attemptInFlight(end.RequestID, end.Number)
 	if attempt == nil {
 		return
@@ -96,12 +96,12 @@
 	if request.keyQueue != nil && end.Status.mayStillRun() {
 		request.keyQueue.CoolDownUntil(c.now + c.settings.Rules.KeyCooldown)
 	}
-	c.loadReported(engine, end.Report)
+	c.recordLoadReport(engine, end.Report)
 	if !end.SharedCause && (!attempt.presumedLost || end.Status != TimedOut) {
 		c.recordOutcome(engine, end.Status)
 	}
 	if end.Status == OK {
-		c.learnFromAnswer(attempt, end)
+		c.observeResponse(attempt, end)
 		if request.class.BlockedByDataSetLock {
 			engine.dataSetLocks.Unlocked(request.DataSet)
 		}
@@ -111,15 +111,15 @@
 		c.closeRequest(request)
 	}
 	if request.closed {
-		c.removeIfOver(request)
+		c.removeIfFinished(request)
 	} else if !request.hasAttemptInFlight() {
-		c.retry(attempt, end.Status)
+		c.retryIfWorthwhile(attempt, end.Status)
 	}
 }
 
-// retry enqueues a request again after an attempt that ended, if that is worth it: preferably at another
+// retryIfWorthwhile enqueues a request again after an attempt that ended, if that is worth it: preferably at another
 // engine. It may be the same one if no other is eligible, or if the request had to wait (retryWaiting).
-func (c *Controller) retry(attempt *attempt, status Status) {
+func (c *Controller) retryIfWorthwhile(attempt *attempt, status Status) {
 	retries := c.retryPolicy.Retries(attempt.request.retryInput(c.now), retry.Ended{
 		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
 		EngineEjected:       attempt.engine.health.Ejected(),
@@ -132,8 +132,8 @@
 	}
 }
 
-// attemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
-func (c *Controller) attemptProgress(report AttemptProgress) {
+// handleAttemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
+func (c *Controller) handleAttemptProgress(report AttemptProgress) {
 	attempt := c.requests.attemptInFlight(report.RequestID, report.Number)
 	if attempt == nil {
 		return
--- a/control/classes.go
+++ b/control/classes.go
@@ -17,11 +17,11 @@
 
 // classTable holds the classes by index. A class whose settings change gets a new index.
 type classTable struct {
-	all          []*class
-	byName       map[string]int
-	maxThreads   int     // of a request of the widest class
-	lowestWeight float64 // priority weight of the least class
-	tightest     *class  // the one with the shortest latency objective
+	all               []*class
+	byName            map[string]int
+	maxThreads        int     // of a request of the widest class
+	lowestWeight      float64 // priority weight of the least class
+	shortestObjective *class  // the one with the shortest latency objective
 }
 
 func newClassTable() classTable { return classTable{byName: map[string]int{}} }
@@ -39,7 +39,7 @@
 	t.lowestWeight = slices.MinFunc(t.all, func(a, b *class) int {
 		return cmp.Compare(a.PriorityWeight, b.PriorityWeight)
 	}).PriorityWeight
-	t.tightest = slices.MinFunc(t.all, func(a, b *class) int {
+	t.shortestObjective = slices.MinFunc(t.all, func(a, b *class) int {
 		return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
 	})
 }
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -25,5 +25,5 @@
 	requireEqual(t, "index of the changed class", table.byName["quick"], 2)
 	requireEqual(t, "threads of the widest class", table.maxThreads, 4)
 	requireEqual(t, "lowest weight", table.lowestWeight, 1)
-	requireEqual(t, "tightest objective", table.tightest.LatencyObjective, time.Second)
+	requireEqual(t, "tightest objective", table.shortestObjective.LatencyObjective, time.Second)
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -14,7 +14,7 @@
 //   - membership.go, endpoints.go, engine.go: the engines (membership, datasetlock)
 //   - outliers.go, slowdown.go, slowstart.go, loadreports.go, gossip.go: what is known of each (outlier,
 //     slowdown, slowstart, loadreport, gossip)
-//   - interval.go, learning.go, classes.go: what each interval and each answer shows (shares, concurrency,
+//   - interval.go, servicetime.go, classes.go: what each interval and each answer shows (shares, concurrency,
 //     workload)
 //   - operatorlog.go: what the operators are notified of (throttle)
 //   - policyconfig.go: the settings of a deployment as the policies' configurations
@@ -55,7 +55,7 @@
 	started        bool
 	actions        []Action // what Handle is about to return
 	timers         timerSet
-	noticeThrottle throttle.Throttle[logSubject]
+	noticeThrottle throttle.Throttle[noticeKey]
 	requests       requestTable
 	endpoints      endpointSet
 	slowStart      *slowstart.Policy
@@ -93,7 +93,7 @@
 		settings:       settings,
 		rng:            rand.New(rand.NewPCG(seed, rngStream)),
 		timers:         newTimerSet(),
-		noticeThrottle: throttle.New[logSubject](logInterval),
+		noticeThrottle: throttle.New[noticeKey](noticeInterval),
 		requests:       newRequestTable(),
 		endpoints:      newEndpointSet(),
 		classes:        newClassTable(),
@@ -150,7 +150,7 @@
 	for _, event := range events {
 		switch event := event.(type) {
 		case ClientDisconnected:
-			c.clientDisconnected(event.RequestID)
+			c.handleClientDisconnected(event.RequestID)
 			if disconnected == nil {
 				disconnected = map[string]bool{}
 			}
@@ -160,17 +160,17 @@
 				request.responseStarted = true
 			}
 		case AttemptEnded:
-			c.attemptEnded(event)
+			c.handleAttemptEnded(event)
 		case AttemptProgress:
-			c.attemptProgress(event)
+			c.handleAttemptProgress(event)
 		case ProbeResult:
-			c.probeEnded(event)
+			c.handleProbeResult(event)
 		case GossipReceived:
-			c.endpoints.receiveLoads(event.Reports, c.now)
+			c.endpoints.mergeGossipedLoads(event.Reports, c.now)
 		case EndpointUpdate:
-			c.endpointsUpdated(event)
+			c.handleEndpointUpdate(event)
 		case SetMaintenance:
-			c.setMaintenance(event)
+			c.handleSetMaintenance(event)
 		}
 	}
 	return disconnected
@@ -182,7 +182,7 @@
 		switch event := event.(type) {
 		case RequestReceived:
 			if !disconnected[event.Request.ID] {
-				c.requestReceived(event.Request)
+				c.handleRequestReceived(event.Request)
 			}
 		case TimerFired:
 			if event.Token == tickToken {
@@ -200,11 +200,11 @@
 	c.retryBudget.Expire(c.now)
 	c.watchEndpoints()
 	c.outliers.DecayFleet()
-	c.endpoints.decay(&c.slowdowns, c.now)
+	c.endpoints.decayObservations(&c.slowdowns, c.now)
 	if c.settings.Limits.Gossip {
 		c.endpoints.updatePoolLoad(c.now)
 	}
-	c.retryWaiting()
+	c.enqueueDeferred()
 	c.sendGossip()
 	if elapsed := c.now - c.intervalStart; elapsed >= controlInterval {
 		c.intervalStart = c.now
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -13,7 +13,7 @@
 			return
 		}
 		serviceTime := c.likelyServiceTime(request, engine)
-		tooLate := admission.CannotMeetObjective(0, serviceTime, request.objectiveAt-c.now)
+		tooLate := admission.CannotMeetObjective(0, serviceTime, request.objectiveDeadline-c.now)
 		if tooLate && len(request.attempts) == 0 && c.underPressure(engine) {
 			c.price.Raise()
 			c.rejectOrFail(request)
@@ -34,7 +34,7 @@
 		case c.mayAttempt(request, engine) && !engine.health.AtCapacity(c.now):
 			c.sendAttempt(request, engine)
 		default:
-			c.requests.waitForTick(request)
+			c.requests.deferToNextTick(request)
 		}
 	}
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -9,8 +9,8 @@
 // package eligibility. Whether an engine is ejected or at capacity is checked elsewhere (bestEngine,
 // dispatch).
 func (c *Controller) mayAttempt(request *request, engine *engine) bool {
-	selector := c.selectorFor(request)
-	return !selector.forbidden() && selector.allows(engine)
+	selector := c.newSelector(request)
+	return !selector.forbiddenEverywhere() && selector.allows(engine)
 }
 
 // isExhausted reports whether a request has had an attempt, has none in flight and can have no further one.
@@ -18,12 +18,12 @@
 	if len(request.attempts) == 0 || request.hasAttemptInFlight() {
 		return false
 	}
-	facts := c.eligibilityOf(request)
-	return facts.Exhausted()
+	input := c.eligibilityInput(request)
+	return input.Exhausted()
 }
 
-// eligibilityOf is what the rules need to know of a request, if an attempt is sent now.
-func (c *Controller) eligibilityOf(request *request) eligibility.Request {
+// eligibilityInput is what the rules need to know of a request, if an attempt is sent now.
+func (c *Controller) eligibilityInput(request *request) eligibility.Request {
 	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
 	attempted, queue := len(request.attempts) > 0, request.keyQueue
 	return eligibility.Request{
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -15,7 +15,7 @@
 	all             []*engine // sorted by ID
 	byID            map[string]*engine
 	pool            *engine   // all engines as one queue owner, where they are pooled; else nil
-	poolOnly        []*engine // the pool alone, if there is one
+	pooledOwners    []*engine // the pool alone, if there is one
 	inMaintenance   map[string]bool
 	ready           int  // listed as ready and not in maintenance, at least 1
 	majorityEjected bool // more than half of the ready ones are ejected: selection ignores ejections then
@@ -39,7 +39,7 @@
 // queueOwners are the engines that have a queue and a concurrency limit: each one, or the pool.
 func (s *endpointSet) queueOwners() []*engine {
 	if s.pool != nil {
-		return s.poolOnly
+		return s.pooledOwners
 	}
 	return s.all
 }
@@ -47,7 +47,7 @@
 // setPool makes an engine the queue owner of all that are added from now on.
 func (s *endpointSet) setPool(pool *engine) {
 	pool.member.Update(Ready)
-	s.pool, s.poolOnly = pool, []*engine{pool}
+	s.pool, s.pooledOwners = pool, []*engine{pool}
 }
 
 // add puts an engine into the set.
@@ -72,9 +72,9 @@
 
 func compareID(engine *engine, id string) int { return strings.Compare(engine.ID, id) }
 
-// removeGone drops engines that are no longer listed, once nothing is in flight or queued there, and returns
+// removeUnlisted drops engines that are no longer listed, once nothing is in flight or queued there, and returns
 // their IDs.
-func (s *endpointSet) removeGone() (removed []string) {
+func (s *endpointSet) removeUnlisted() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(engine *engine) bool {
 		if engine.member.Listed() || len(engine.attempts) > 0 || engine.queue.Len() > 0 {
 			return false
@@ -86,9 +86,9 @@
 	return removed
 }
 
-// summarize sums up after a change of engines: how many are ready, whether most are faulty, and the pool's
+// updateSummary sums up after a change of engines: how many are ready, whether most are faulty, and the pool's
 // size.
-func (s *endpointSet) summarize(slowStart *slowstart.Policy, now time.Duration) {
+func (s *endpointSet) updateSummary(slowStart *slowstart.Policy, now time.Duration) {
 	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
 	for _, engine := range s.all {
 		if !engine.member.TakesRequests() {
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -36,7 +36,7 @@
 	set.byID["e1"].member.Unlist()
 	set.byID["e2"].member.Unlist()
 	set.byID["e2"].attempts = []*attempt{{}}
-	if got := set.removeGone(); !slices.Equal(got, []string{"e1"}) {
+	if got := set.removeUnlisted(); !slices.Equal(got, []string{"e1"}) {
 		t.Errorf("removed %v, want e1 alone: e2 has an attempt in flight", got)
 	}
 	if got := engineIDs(set.all); !slices.Equal(got, []string{"e10", "e2"}) || len(set.byID) != 2 {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -31,8 +31,8 @@
 	return loads
 }
 
-// receiveLoads takes the loads that are younger than what is known.
-func (s *endpointSet) receiveLoads(loads []GossipedLoad, now time.Duration) {
+// mergeGossipedLoads takes the loads that are younger than what is known.
+func (s *endpointSet) mergeGossipedLoads(loads []GossipedLoad, now time.Duration) {
 	for _, gossiped := range loads {
 		if engine := s.byGossipID(gossiped.Engine); engine != nil {
 			reportedAt := now - max(0, gossiped.Age)
--- a/control/interval.go
+++ b/control/interval.go
@@ -16,7 +16,7 @@
 // runInterval runs once a control interval: it updates the estimates of the workload, and moves the classes'
 // shares and the concurrency limits by them.
 func (c *Controller) runInterval(elapsed time.Duration) {
-	c.updateFleet()
+	c.refreshEndpoints()
 	c.slowdowns.UpdateBest(c.endpoints.healthySlowdowns())
 	regular := elapsed < maxRegularInterval
 	pool := c.endpoints.pool
@@ -25,13 +25,13 @@
 	})
 	c.shares.CloseInterval(measured, regular)
 	c.price.Decay()
-	c.moveLimits(regular)
+	c.updateConcurrencyLimits(regular)
 }
 
-// moveLimits moves the concurrency limits. Where engines are not pooled this broker may use an equal share of
+// updateConcurrencyLimits moves the concurrency limits. Where engines are not pooled this broker may use an equal share of
 // them, and send each one request of the widest class, however little traffic it has.
-func (c *Controller) moveLimits(regular bool) {
-	tightest := c.classes.tightest
+func (c *Controller) updateConcurrencyLimits(regular bool) {
+	tightest := c.classes.shortestObjective
 	demand := c.workload.MeanDemand()
 	share, minLimit := c.workload.TrafficShare(), 0
 	if c.endpoints.pool == nil {
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	probedEngines    = 3 // engines that are probed for a request before one is selected
-	probeWaitBatches = 4 // batch intervals that a request waits for their answers
+	probeCandidateCount = 3 // engines that are probed for a request before one is selected
+	probeWaitBatches    = 4 // batch intervals that a request waits for their answers
 )
 
 // probeLoad asks an engine for its load.
@@ -18,11 +18,11 @@
 	c.emit(ProbeLoad{engine.ID})
 }
 
-// probeEnded takes the answer to a load probe.
-func (c *Controller) probeEnded(result ProbeResult) {
+// handleProbeResult takes the answer to a load probe.
+func (c *Controller) handleProbeResult(result ProbeResult) {
 	if engine := c.endpoints.byID[result.Engine]; engine != nil && result.Status == OK {
 		engine.health.Responded(c.now)
-		c.loadReported(engine, result.Report)
+		c.recordLoadReport(engine, result.Report)
 	}
 }
 
@@ -34,7 +34,7 @@
 	}
 	request.probed = true
 	probed := false
-	for n := 0; n < probedEngines && len(c.endpoints.all) > 0; n++ {
+	for n := 0; n < probeCandidateCount && len(c.endpoints.all) > 0; n++ {
 		engine := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
 		usable := engine.member.TakesRequests() && !engine.health.Ejected()
 		if usable && !engine.load.RecentlyProbed(c.now) {
@@ -68,7 +68,7 @@
 		return false
 	}
 	probed := false
-	for range probedEngines {
+	for range probeCandidateCount {
 		engine := c.selectEngine(request, request.avoid)
 		if engine == nil || slices.Contains(request.candidates, engine) {
 			continue
@@ -93,8 +93,8 @@
 	c.startTimer(c.probeWait(), candidateProbesDue{request})
 }
 
-// candidatesProbed ends that wait.
-func (c *Controller) candidatesProbed(request *request) {
+// finishCandidateProbes ends that wait.
+func (c *Controller) finishCandidateProbes(request *request) {
 	request.class.awaitingProbes--
 	c.endpoints.pool.concurrency.Release(request.class.Threads)
 	if !request.closed {
@@ -105,13 +105,13 @@
 // dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, without any
 // that is still eligible, to an engine selected now.
 func (c *Controller) dispatchToBestCandidate(request *request) {
-	selector := c.selectorFor(request)
+	selector := c.newSelector(request)
 	engine := selector.bestCandidate(request.candidates)
 	if engine == nil {
 		engine = selector.selectEngine(request.avoid)
 	}
 	if engine == nil {
-		c.requests.waitForTick(request)
+		c.requests.deferToNextTick(request)
 		return
 	}
 	c.sendAttempt(request, engine)
@@ -120,7 +120,7 @@
 // bestCandidate returns the candidate with the best score, or nil if none is eligible.
 func (s *selector) bestCandidate(candidates []*engine) *engine {
 	var best selection.Best[*engine]
-	if s.forbidden() {
+	if s.forbiddenEverywhere() {
 		return nil
 	}
 	for _, engine := range candidates {
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -7,8 +7,8 @@
 	"wheatlane/control/loadreport"
 )
 
-// loadReported takes a load report of an engine. Without gossip, the pool's load is learned from it as well.
-func (c *Controller) loadReported(engine *engine, report loadreport.Report) {
+// recordLoadReport takes a load report of an engine. Without gossip, the pool's load is learned from it as well.
+func (c *Controller) recordLoadReport(engine *engine, report loadreport.Report) {
 	if !report.Reported {
 		return
 	}
--- a/control/membership.go
+++ b/control/membership.go
@@ -9,8 +9,8 @@
 	}
 }
 
-// endpointsUpdated follows the endpoint list.
-func (c *Controller) endpointsUpdated(update EndpointUpdate) {
+// handleEndpointUpdate follows the endpoint list.
+func (c *Controller) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == EndpointWatchFailed {
 		c.endpointWatch.Ended(c.now)
 		return
@@ -19,9 +19,9 @@
 		return c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
 	}
 	for _, engine := range c.endpoints.apply(update, create, &c.slowdowns) {
-		c.requeueWaiting(engine)
+		c.requeueAll(engine)
 	}
-	c.updateFleet()
+	c.refreshEndpoints()
 }
 
 // apply follows an update of the endpoint list. It returns the engines that take no new requests by it.
@@ -58,16 +58,16 @@
 	return unavailable
 }
 
-// setMaintenance puts an engine into maintenance mode, or takes it out.
-func (c *Controller) setMaintenance(event SetMaintenance) {
+// handleSetMaintenance puts an engine into maintenance mode, or takes it out.
+func (c *Controller) handleSetMaintenance(event SetMaintenance) {
 	engine := c.endpoints.setMaintenance(event.Engine, event.Enabled)
 	if engine == nil {
 		return
 	}
 	if !engine.member.TakesRequests() {
-		c.requeueWaiting(engine)
+		c.requeueAll(engine)
 	}
-	c.updateFleet()
+	c.refreshEndpoints()
 }
 
 // setMaintenance records the mode, also of an engine that is not known, and returns the engine if it is.
@@ -84,11 +84,11 @@
 	return engine
 }
 
-// updateFleet follows a change of the engines.
-func (c *Controller) updateFleet() {
-	for _, id := range c.endpoints.removeGone() {
-		c.noticeThrottle.Forget(logSubject{ejected, id})
-		c.noticeThrottle.Forget(logSubject{restored, id})
+// refreshEndpoints follows a change of the engines.
+func (c *Controller) refreshEndpoints() {
+	for _, id := range c.endpoints.removeUnlisted() {
+		c.noticeThrottle.Forget(noticeKey{ejected, id})
+		c.noticeThrottle.Forget(noticeKey{restored, id})
 	}
-	c.endpoints.summarize(c.slowStart, c.now)
+	c.endpoints.updateSummary(c.slowStart, c.now)
 }
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -60,8 +60,8 @@
 	for i := range 20 {
 		old, fresh := readyEngine(fmt.Sprintf("e%d", i)), readyEngine(fmt.Sprintf("e%d", i+1))
 		old.State = Removed
-		r.controller.emitThrottled(logSubject{ejected, old.ID}, EngineEjected{Engine: old.ID})
-		r.controller.emitThrottled(logSubject{restored, old.ID}, EngineRestored{Engine: old.ID})
+		r.controller.emitThrottled(noticeKey{ejected, old.ID}, EngineEjected{Engine: old.ID})
+		r.controller.emitThrottled(noticeKey{restored, old.ID}, EngineRestored{Engine: old.ID})
 		r.handle(EndpointUpdate{Engines: []Engine{old, fresh}})
 		r.advance(2 * controlInterval)
 	}
--- a/control/operatorlog.go
+++ b/control/operatorlog.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// logInterval is the least time between two lines about one event of an engine.
-const logInterval = 5 * time.Second
+// noticeInterval is the least time between two lines about one event of an engine.
+const noticeInterval = 5 * time.Second
 
-// logSubject is what a line for the operators is about.
-type logSubject struct {
+// noticeKey is what a line for the operators is about.
+type noticeKey struct {
 	event  engineEvent
 	engine string
 }
@@ -21,7 +21,7 @@
 
 // emitThrottled emits an action for the operators, unless one about the same subject was emitted less than
 // logInterval ago. So the last line about an engine that flaps may not be of its state: View has that.
-func (c *Controller) emitThrottled(subject logSubject, action Action) {
+func (c *Controller) emitThrottled(subject noticeKey, action Action) {
 	if c.noticeThrottle.Allows(subject, c.now) {
 		c.emit(action)
 	}
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -21,8 +21,8 @@
 	case OK:
 		engine.health.Responded(c.now)
 		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
-			c.updateFleet()
-			c.emitThrottled(logSubject{restored, engine.ID}, EngineRestored{engine.ID})
+			c.refreshEndpoints()
+			c.emitThrottled(noticeKey{restored, engine.ID}, EngineRestored{engine.ID})
 		}
 	case Failed, ConnectionReset, ConnectFailed:
 		connected := status != ConnectFailed
@@ -40,9 +40,9 @@
 	if !engine.health.Eject(c.now, c.ejectionBackoff()) {
 		return
 	}
-	c.updateFleet()
-	c.emitThrottled(logSubject{ejected, engine.ID}, EngineEjected{engine.ID, reason})
-	c.requeueWaiting(engine)
+	c.refreshEndpoints()
+	c.emitThrottled(noticeKey{ejected, engine.ID}, EngineEjected{engine.ID, reason})
+	c.requeueAll(engine)
 }
 
 func (c *Controller) ejectionBackoff() time.Duration {
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -13,24 +13,24 @@
 	return request.class.ServiceTime.Quantile(c.expectedServiceTime(request, engine), late)
 }
 
-// checkOverdue judges an attempt that takes longer than nearly all answers, again while it is in time. One
+// evaluateOverdue judges an attempt that takes longer than nearly all answers, again while it is in time. One
 // that is lost, or overdue in an overload, is not judged again.
-func (c *Controller) checkOverdue(attempt *attempt) {
+func (c *Controller) evaluateOverdue(attempt *attempt) {
 	if !attempt.inFlight || attempt.request.closed || attempt.cancelled || attempt.presumedLost {
 		return
 	}
 	state := c.overdueStateOf(attempt)
-	verdict, again := overdue.Judge(state)
+	verdict, recheckAfter := overdue.Judge(state)
 	if verdict == overdue.Blocked {
-		c.blockedByLock(attempt)
+		c.releaseBlockedAttempt(attempt)
 		state.ThreadsReleased = attempt.threadsReleased
-		verdict, again = overdue.Judge(state)
+		verdict, recheckAfter = overdue.Judge(state)
 	}
 	switch verdict {
 	case overdue.InTime:
-		c.startTimer(again, attemptOverdue{attempt})
+		c.startTimer(recheckAfter, attemptOverdue{attempt})
 	case overdue.Lost:
-		c.attemptLost(attempt)
+		c.presumeLost(attempt)
 	case overdue.Blocked, overdue.Overload:
 	}
 }
@@ -55,9 +55,9 @@
 	return state
 }
 
-// attemptLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its
+// presumeLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its
 // threads are released once it is twice as old as now.
-func (c *Controller) attemptLost(attempt *attempt) {
+func (c *Controller) presumeLost(attempt *attempt) {
 	attempt.presumedLost = true
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
 	health := &attempt.engine.health
@@ -69,10 +69,10 @@
 	c.hedgeOrCancel(attempt)
 }
 
-// blockedByLock takes an attempt that waits for a data-set lock, whichever broker's request holds it. It
+// releaseBlockedAttempt takes an attempt that waits for a data-set lock, whichever broker's request holds it. It
 // needs no threads meanwhile, requests that the lock would block are sent to other engines, and so is its own
 // request, if there is time.
-func (c *Controller) blockedByLock(attempt *attempt) {
+func (c *Controller) releaseBlockedAttempt(attempt *attempt) {
 	attempt.releaseThreads()
 	attempt.engine.dataSetLocks.Presume(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
 	c.hedgeOrCancel(attempt)
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -17,8 +17,8 @@
 	}
 	switch {
 	case engine == nil:
-		c.requests.waitForTick(request)
-	case len(request.attempts) == 0 && c.shed(request, engine):
+		c.requests.deferToNextTick(request)
+	case len(request.attempts) == 0 && c.shouldShed(request, engine):
 		c.rejectOrFail(request)
 	default:
 		engine.enqueue(request)
@@ -40,17 +40,17 @@
 	request.queuedOn = nil
 }
 
-// requeueWaiting takes all requests out of an engine's queue, to be enqueued elsewhere.
-func (c *Controller) requeueWaiting(engine *engine) {
+// requeueAll takes all requests out of an engine's queue, to be enqueued elsewhere.
+func (c *Controller) requeueAll(engine *engine) {
 	for request, ok := engine.queue.Head(nil); ok; request, ok = engine.queue.Head(nil) {
 		c.popFrom(engine, request)
-		c.requests.waitForTick(request)
+		c.requests.deferToNextTick(request)
 	}
 }
 
-// retryWaiting enqueues again what waits for the tick. The engine to avoid is forgotten.
-func (c *Controller) retryWaiting() {
-	for _, request := range c.requests.takeWaiting() {
+// enqueueDeferred enqueues again what waits for the tick. The engine to avoid is forgotten.
+func (c *Controller) enqueueDeferred() {
+	for _, request := range c.requests.takeDeferred() {
 		if !request.closed {
 			c.enqueue(request, nil)
 		}
--- a/control/requests.go
+++ b/control/requests.go
@@ -14,21 +14,21 @@
 // request is a request that is not over, or of which an attempt is still in flight.
 type request struct {
 	Request
-	class           *class
-	classIndex      int
-	tenantIndex     int
-	receivedAt      time.Duration
-	objectiveAt     time.Duration // when its latency objective ends
-	expectedWork    units.ThreadSeconds
-	attempts        []*attempt // by number
-	closed          bool       // it has its final answer, or its client is gone
-	responseStarted bool
-	queuedOn        *engine                   // whose queue it waits in, if any
-	avoid           *engine                   // where it failed last, if it did
-	keyQueue        *keyorder.Queue[*request] // of its order key, if its class is ordered
-	probed          bool                      // engines were probed for it before it was queued
-	candidates      []*engine                 // drawn for it, to be compared once their load is known
-	priority        int                       // set last
+	class             *class
+	classIndex        int
+	tenantIndex       int
+	receivedAt        time.Duration
+	objectiveDeadline time.Duration // when its latency objective ends
+	expectedWork      units.ThreadSeconds
+	attempts          []*attempt // by number
+	closed            bool       // it has its final answer, or its client is gone
+	responseStarted   bool
+	queuedOn          *engine                   // whose queue it waits in, if any
+	avoid             *engine                   // where it failed last, if it did
+	keyQueue          *keyorder.Queue[*request] // of its order key, if its class is ordered
+	probed            bool                      // engines were probed for it before it was queued
+	candidates        []*engine                 // drawn for it, to be compared once their load is known
+	priority          int                       // set last
 }
 
 func newRequest(in Request, class *class, classIndex, tenantIndex int, now time.Duration) *request {
@@ -36,7 +36,7 @@
 		Request: in, class: class, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
 		expectedWork: class.Cost.ExpectedWork(in.EstimatedWork), priority: attemptoptions.MinPriority,
 	}
-	request.objectiveAt = class.objectiveEnd(now, in, request.expectedWork)
+	request.objectiveDeadline = class.objectiveDeadline(now, in, request.expectedWork)
 	return request
 }
 
@@ -56,7 +56,7 @@
 func (r *request) retryInput(now time.Duration) retry.Request {
 	return retry.Request{
 		TimeLeft:      r.Deadline - now,
-		ObjectiveLeft: r.objectiveAt - now,
+		ObjectiveLeft: r.objectiveDeadline - now,
 		EarnsLate:     r.class.LateWeight != 0,
 	}
 }
@@ -90,7 +90,7 @@
 // requestTable holds all requests that are open, and those closed ones that have an attempt in flight.
 type requestTable struct {
 	byID      map[string]*request
-	waiting   []*request // for the next tick; see waitForTick
+	deferred  []*request // for the next tick; see waitForTick
 	keyQueues keyorder.Queues[*request]
 }
 
@@ -119,15 +119,15 @@
 	return nil
 }
 
-// waitForTick keeps a request until the next tick, as it may not be sent now: no engine is eligible or has
+// deferToNextTick keeps a request until the next tick, as it may not be sent now: no engine is eligible or has
 // capacity, its order key is busy, the retry budget is spent, or the engine it was queued at is out of
 // service. If that stays so, answerDue ends the wait.
-func (t *requestTable) waitForTick(request *request) { t.waiting = append(t.waiting, request) }
+func (t *requestTable) deferToNextTick(request *request) { t.deferred = append(t.deferred, request) }
 
-// takeWaiting empties the list of requests that wait for the next tick, and returns them.
-func (t *requestTable) takeWaiting() []*request {
-	waiting := t.waiting
-	t.waiting = nil
+// takeDeferred empties the list of requests that wait for the next tick, and returns them.
+func (t *requestTable) takeDeferred() []*request {
+	waiting := t.deferred
+	t.deferred = nil
 	return waiting
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// clientDisconnected closes a request that the broker has closed, see ClientDisconnected.
-func (c *Controller) clientDisconnected(id string) {
+// handleClientDisconnected closes a request that the broker has closed, see ClientDisconnected.
+func (c *Controller) handleClientDisconnected(id string) {
 	if request := c.requests.byID[id]; request != nil && !request.closed {
 		request.class.Abandonment.ClientLeft(c.now - request.receivedAt)
 		c.closeRequest(request)
@@ -160,11 +160,11 @@
 		request.queuedOn.queue.Remove(request.classIndex, request.tenantIndex, request)
 		request.queuedOn = nil
 	}
-	c.removeIfOver(request)
+	c.removeIfFinished(request)
 }
 
-// removeIfOver drops a closed request once none of its attempts is in flight.
-func (c *Controller) removeIfOver(request *request) {
+// removeIfFinished drops a closed request once none of its attempts is in flight.
+func (c *Controller) removeIfFinished(request *request) {
 	if !request.closed || request.hasAttemptInFlight() {
 		return
 	}
--- a/control/selection.go
+++ b/control/selection.go
@@ -12,19 +12,19 @@
 type selector struct {
 	controller      *Controller
 	request         *request
-	facts           eligibility.Request // what the rules need to know of the request
+	ruleInput       eligibility.Request // what the rules need to know of the request
 	meanWork        units.ThreadSeconds // of a request of its class
 	slowStartDemand slowstart.Demand
 	lockRole        datasetlock.Role
 	fleetLossRate   units.Fraction
 }
 
-func (c *Controller) selectorFor(request *request) selector {
+func (c *Controller) newSelector(request *request) selector {
 	class := request.class
 	return selector{
 		controller:      c,
 		request:         request,
-		facts:           c.eligibilityOf(request),
+		ruleInput:       c.eligibilityInput(request),
 		meanWork:        class.Cost.MeanWork(),
 		slowStartDemand: c.slowStartDemand(),
 		lockRole:        datasetlock.RoleOf(class.HoldsDataSetLock, class.BlockedByDataSetLock),
@@ -34,13 +34,13 @@
 
 // selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
 func (c *Controller) selectEngine(request *request, avoid *engine) *engine {
-	selector := c.selectorFor(request)
+	selector := c.newSelector(request)
 	return selector.selectEngine(avoid)
 }
 
 // selectEngine is selectEngine of the controller for the selector's request.
 func (s *selector) selectEngine(avoid *engine) *engine {
-	if s.forbidden() {
+	if s.forbiddenEverywhere() {
 		return nil
 	}
 	if engine := s.bestEngine(avoid); engine != nil {
@@ -49,15 +49,15 @@
 	return s.bestEngine(nil)
 }
 
-// forbidden reports whether a rule forbids the attempt at every engine.
-func (s *selector) forbidden() bool { return s.facts.Check() != eligibility.Eligible }
+// forbiddenEverywhere reports whether a rule forbids the attempt at every engine.
+func (s *selector) forbiddenEverywhere() bool { return s.ruleInput.Check() != eligibility.Eligible }
 
 // allows reports whether no rule forbids the attempt at this engine, given that none does at every engine.
 func (s *selector) allows(engine *engine) bool {
 	c := s.controller
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
-	return s.facts.CheckAt(eligibility.Engine{
+	return s.ruleInput.CheckAt(eligibility.Engine{
 		// A draining engine gets nothing new. The deployment's DrainGraceNs is for attempts that were
 		// decided before the drain (enginepool.Config.DrainGrace).
 		Ready:                 engine.member.TakesRequests(),
--- a/control/learning.go
+++ b/control/servicetime.go
@@ -18,8 +18,8 @@
 	return request.class.ServiceTime.Likely(c.expectedServiceTime(request, engine))
 }
 
-// learnFromAnswer takes what an answer shows of its class and its engine.
-func (c *Controller) learnFromAnswer(attempt *attempt, end AttemptEnded) {
+// observeResponse takes what an answer shows of its class and its engine.
+func (c *Controller) observeResponse(attempt *attempt, end AttemptEnded) {
 	request, class, engine := attempt.request, attempt.request.class, attempt.engine
 	took := workload.Measured(end.Duration)
 	answer := workload.Answer{
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -39,8 +39,8 @@
 	return healthy
 }
 
-// decay lets older evidence of engines count for less, once a tick.
-func (s *endpointSet) decay(estimator *slowdown.Estimator, now time.Duration) {
+// decayObservations lets older evidence of engines count for less, once a tick.
+func (s *endpointSet) decayObservations(estimator *slowdown.Estimator, now time.Duration) {
 	for _, engine := range s.all {
 		engine.health.Decay()
 	}
--- a/control/timers.go
+++ b/control/timers.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	tickInterval  = 100 * time.Millisecond // between two ticks
-	minTimerDelay = time.Nanosecond        // no timer expires in the batch that starts it
-	tickToken     = 1                      // token of the tick's timer
-	lastOwnToken  = 16                     // tokens up to it are no timer's; only tickToken is in use
+	tickInterval      = 100 * time.Millisecond // between two ticks
+	minTimerDelay     = time.Nanosecond        // no timer expires in the batch that starts it
+	tickToken         = 1                      // token of the tick's timer
+	lastReservedToken = 16                     // tokens up to it are no timer's; only tickToken is in use
 )
 
 // timer is what is due when a timer expires. All are declared in this file.
 type timer interface{ expire(c *Controller) }
 
 type (
-	// answerDue is the end of the time in which a request has to be answered.
-	answerDue struct{ request *request }
+	// responseDue is the end of the time in which a request has to be answered.
+	responseDue struct{ request *request }
 	// attemptOverdue is the time at which an attempt in flight is to be judged.
 	attemptOverdue struct{ attempt *attempt }
 	// lostAttemptStopped is the time at which an attempt that is presumed lost should no longer run.
@@ -36,8 +36,8 @@
 	candidateProbesDue struct{ request *request }
 )
 
-func (t answerDue) expire(c *Controller)      { c.rejectOrFail(t.request) }
-func (t attemptOverdue) expire(c *Controller) { c.checkOverdue(t.attempt) }
+func (t responseDue) expire(c *Controller)    { c.rejectOrFail(t.request) }
+func (t attemptOverdue) expire(c *Controller) { c.evaluateOverdue(t.attempt) }
 func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.DropIfIdle(t.queue, c.now) }
 
 func (t lostAttemptStopped) expire(*Controller) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (t candidateProbesDue) expire(c *Controller) { c.candidatesProbed(t.request) }
+func (t candidateProbesDue) expire(c *Controller) { c.finishCandidateProbes(t.request) }
 
 // timerSet holds the timers that have not expired, by their tokens.
 type timerSet struct {
@@ -62,7 +62,9 @@
 	lastToken uint64
 }
 
-func newTimerSet() timerSet { return timerSet{byToken: map[uint64]timer{}, lastToken: lastOwnToken} }
+func newTimerSet() timerSet {
+	return timerSet{byToken: map[uint64]timer{}, lastToken: lastReservedToken}
+}
 
 // add stores a timer and returns its token.
 func (s *timerSet) add(t timer) uint64 {
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -4,10 +4,10 @@
 
 func TestATimerIsTakenOnceAndOnlyByItsToken(t *testing.T) {
 	timers := newTimerSet()
-	first, second := answerDue{&request{}}, answerDue{&request{}}
+	first, second := responseDue{&request{}}, responseDue{&request{}}
 	token, other := timers.add(first), timers.add(second)
-	if token <= lastOwnToken || token == other {
-		t.Errorf("tokens %d and %d: want two different ones over %d", token, other, lastOwnToken)
+	if token <= lastReservedToken || token == other {
+		t.Errorf("tokens %d and %d: want two different ones over %d", token, other, lastReservedToken)
 	}
 	if got := timers.take(other + 1); got != nil {
 		t.Errorf("got %v for a token that was never given", got)
