--- a/control/actions.go
+++ b/control/actions.go
@@ -6,7 +6,7 @@
 	"wheatlane/control/outlier"
 )
 
-// Action is one thing that the host is to do; see the types below.
+// Action is an operation that the host performs for the Controller. The types below implement it.
 type Action interface{ action() }
 
 type (
@@ -15,47 +15,48 @@
 		RequestID    string
 		Engine       string
 		Timeout      time.Duration // 0: the client's deadline
-		OverdueAfter time.Duration // after it the answer is likelier lost than late; 0: not known
+		OverdueAfter time.Duration // time until the response is likelier lost than late; 0: unknown
 	}
-	// Reject is a final answer that invites the client to try again.
+	// Reject ends a request with a final response that allows the client to retry.
 	Reject struct {
 		RequestID  string
-		RetryAfter time.Duration // time after which the client may retry; 0: not set
+		RetryAfter time.Duration // delay before the client may retry; 0: not set
 	}
-	// Fail is a final answer that does not invite a retry and leaves open whether the request ran.
+	// Fail ends a request with a final response that does not suggest a retry. The request may or may not
+	// have run.
 	Fail struct{ RequestID string }
-	// CancelAttempt cancels an attempt in flight; its end is reported like any other.
+	// CancelAttempt cancels an attempt in flight. The host reports its end with AttemptEnded as usual.
 	CancelAttempt struct {
 		RequestID string
 		Number    int
 	}
-	// SetAttemptOptions sets memory and priority for the next attempts of a request.
+	// SetAttemptOptions sets the memory grant and the priority of a request's next attempts.
 	SetAttemptOptions struct {
 		RequestID string
-		GrantMB   float64 // 0: the engine's own choice
-		Priority  int     // 1 is the least
+		GrantMB   float64 // memory grant; 0: the engine's default
+		Priority  int     // lowest: 1
 	}
-	// SetTimer asks for a TimerFired with the token.
+	// SetTimer requests a TimerFired event with the token.
 	SetTimer struct {
 		After time.Duration
 		Token uint64
 	}
-	// ProbeLoad asks an engine for its load.
+	// ProbeLoad sends a load probe to an engine. The host reports its outcome with ProbeResult.
 	ProbeLoad struct{ Engine string }
-	// SendGossip sends another broker load reports; no answer is expected.
+	// SendGossip sends load reports to another broker, which does not reply.
 	SendGossip struct {
 		Broker  int
 		Reports []GossipedLoad
 	}
-	// WatchEndpoints asks for the changes of the endpoint list, until EndpointWatchFailed. Only the
-	// simulator's host heeds it: the broker polls the change log without being asked.
+	// WatchEndpoints starts a watch of the endpoint list, which lasts until EndpointWatchFailed. Only the
+	// simulator's host performs it: the broker polls the change log independently of this action.
 	WatchEndpoints struct{}
-	// EngineEjected reports to the operators that outlier detection ejected an engine.
+	// EngineEjected notifies the operators that outlier detection ejected an engine.
 	EngineEjected struct {
 		Engine string
 		Reason outlier.Reason
 	}
-	// EngineRestored reports to the operators that an ejected engine succeeds again.
+	// EngineRestored notifies the operators that an ejected engine succeeds again and is back in service.
 	EngineRestored struct{ Engine string }
 )
 
--- a/control/admission.go
+++ b/control/admission.go
@@ -7,30 +7,33 @@
 	"wheatlane/control/units"
 )
 
-// deadlineLeadBatches is the number of batch intervals before its deadline at which a request is answered.
+// deadlineLeadBatches is the number of batch intervals before its deadline at which a request that is still
+// open is rejected or failed.
 const deadlineLeadBatches = 2
 
-// handleRequestReceived admits a request or rejects it. A timer gives it its one answer whatever else happens.
+// handleRequestReceived admits or rejects a request. A timer ensures that the request gets its one final
+// response by its deadline.
 func (c *Controller) handleRequestReceived(in Request) {
 	if c.requests.byID[in.ID] != nil {
 		return
 	}
 	classIndex, known := c.classes.byName[in.Class]
 	if !known {
-		c.emit(Fail{in.ID}) // nothing ran, but a retry would fail as well
+		c.emit(Fail{in.ID}) // nothing ran, but a retry would fail too
 		return
 	}
 	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
 	request := newRequest(in, class, classIndex, tenantIndex, c.now)
 	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retryBudget.RequestReceived(c.now)
-	answerIn := in.Deadline - c.now - deadlineLeadBatches*c.settings.MinBatchInterval
-	c.startTimer(answerIn, responseDue{request})
+	responseDueIn := in.Deadline - c.now - deadlineLeadBatches*c.settings.MinBatchInterval
+	c.startTimer(responseDueIn, responseDue{request})
 	c.requests.add(request)
 	c.enqueue(request, nil)
 }
 
-// objectiveDeadline is when the latency objective of a request that is received now ends.
+// objectiveDeadline returns the end of the latency objective of a request that is received now. The objective
+// ends no later than the request's deadline and the time at which clients of the class usually disconnect.
 func (k *class) objectiveDeadline(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
 	end := min(in.Deadline, now+k.objectiveOf(work))
 	if patience, known := k.Abandonment.Patience(); known {
@@ -39,8 +42,8 @@
 	return end
 }
 
-// shouldShed reports whether a request is not worth a first attempt at an engine. The price rises with each request
-// that finds no capacity.
+// shouldShed reports whether a request should be rejected instead of queued for its first attempt at an
+// engine. Each request that cannot meet its objective there raises the admission price.
 func (c *Controller) shouldShed(request *request, engine *engine) bool {
 	if c.exceedsAdmissionPrice(request) {
 		return true
@@ -56,15 +59,15 @@
 	return true
 }
 
-// exceedsAdmissionPrice reports whether a request is too much work for its priority weight. There is a price where
-// engines are pooled, unless the weight grows with the work.
+// exceedsAdmissionPrice reports whether a request has too much work for its priority weight. The price
+// applies only where engines are pooled and the weight does not scale with the work.
 func (c *Controller) exceedsAdmissionPrice(request *request) bool {
 	lowest := c.workload.Summary().LowestWeightPerThreadSecond
 	return c.endpoints.pool != nil && !c.settings.WeightScalesWithWork &&
 		c.price.Exceeds(request.class.PriorityWeight, lowest, request.expectedWork)
 }
 
-// backlog is the work that waits at an engine ahead of a request.
+// backlog returns the work that is queued at an engine ahead of a request.
 func (c *Controller) backlog(request *request, engine *engine) admission.Backlog {
 	queue, classIndex, tenantIndex := &engine.queue, request.classIndex, request.tenantIndex
 	return admission.Backlog{
@@ -78,9 +81,9 @@
 	}
 }
 
-// rejectOrFail ends a request that gets no further attempt, or none at all: shed or exhausted (enqueue), too
-// late under pressure (dispatch), not worth a retry (retry), or its time is up (answerDue). It is rejected
-// where a retry by its client is harmless, else failed; the client is not told the cause.
+// rejectOrFail ends a request that gets no further attempt: it is shed or exhausted (enqueue), too late under
+// pressure (dispatch), not worth a retry (retryIfWorthwhile) or out of time (responseDue). The request is
+// rejected where a retry by its client is harmless, else failed. The response does not include the cause.
 func (c *Controller) rejectOrFail(request *request) {
 	if request.closed || request.responseStarted {
 		return
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -17,14 +17,15 @@
 	sentAt          time.Duration
 	inFlight        bool
 	mayHaveRun      bool
-	cancelled       bool           // its cancellation was asked for
-	presumedLost    bool           // its answer is not waited for
-	lossConfidence  units.Fraction // of the presumption
+	cancelled       bool           // its cancellation was requested
+	presumedLost    bool           // its response is no longer expected
+	lossConfidence  units.Fraction // probability that the response is lost, if presumedLost
 	threadsReleased bool           // its threads no longer count against the concurrency limit
-	lastProgressAt  time.Duration  // of its last progress report
+	lastProgressAt  time.Duration  // time of the last progress report
 }
 
-// releaseThreads takes the attempt's threads off the concurrency limit, once.
+// releaseThreads stops counting the attempt's threads against the concurrency limit. Only the first call has
+// an effect.
 func (a *attempt) releaseThreads() {
 	if !a.threadsReleased {
 		a.threadsReleased = true
@@ -32,13 +33,13 @@
 	}
 }
 
-// cancel returns the action that cancels the attempt.
+// cancel marks the attempt as cancelled and returns the action that cancels it.
 func (a *attempt) cancel() CancelAttempt {
 	a.cancelled = true
 	return CancelAttempt{RequestID: a.request.ID, Number: a.number}
 }
 
-// sendAttempt sends a request's next attempt to an engine, as a first attempt, a retry or a hedged request.
+// sendAttempt sends a request's next attempt to an engine: a first attempt, a retry or a hedged request.
 func (c *Controller) sendAttempt(request *request, engine *engine) {
 	c.setAttemptOptions(request, engine)
 	if len(request.attempts) > 0 {
@@ -59,7 +60,7 @@
 	c.startTimer(overdueAfter, attemptOverdue{attempt})
 }
 
-// setAttemptOptions sets the options of a request's next attempt where they differ from those set last.
+// setAttemptOptions sets the options of a request's next attempt if they differ from those set last.
 func (c *Controller) setAttemptOptions(request *request, engine *engine) {
 	options := c.attemptOptions.For(attemptoptions.Attempt{
 		NeededMB:          request.class.Cost.MemoryMB(request.EstimatedMemoryMB),
@@ -74,7 +75,7 @@
 	}
 }
 
-// handleAttemptEnded takes the end of an attempt.
+// handleAttemptEnded records the end of an attempt and, while the request is open, retries or ends it.
 func (c *Controller) handleAttemptEnded(end AttemptEnded) {
 	attempt := c.requests.attemptInFlight(end.RequestID, end.Number)
 	if attempt == nil {
@@ -87,7 +88,7 @@
 		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
 	}
 	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.threadsReleased {
-		// It may still run: its threads are released once it is twice as old as now.
+		// The attempt may still run on the engine: its threads are released at twice its present age.
 		c.startTimer(c.now-attempt.sentAt, endedAttemptStopped{attempt})
 	} else {
 		attempt.releaseThreads()
@@ -117,8 +118,9 @@
 	}
 }
 
-// retryIfWorthwhile enqueues a request again after an attempt that ended, if that is worth it: preferably at another
-// engine. It may be the same one if no other is eligible, or if the request had to wait (retryWaiting).
+// retryIfWorthwhile enqueues a request again after an attempt ended, if a retry is worthwhile, and else ends
+// the request. The retry avoids the same engine unless no other is eligible or the request was deferred
+// (enqueueDeferred).
 func (c *Controller) retryIfWorthwhile(attempt *attempt, status Status) {
 	retries := c.retryPolicy.Retries(attempt.request.retryInput(c.now), retry.Ended{
 		StillRuns:           status == TimedOut && !c.settings.Limits.Cancellation,
@@ -132,7 +134,8 @@
 	}
 }
 
-// handleAttemptProgress takes a progress report. An attempt that is a runaway is cancelled, where that is possible.
+// handleAttemptProgress records a progress report. A runaway attempt is cancelled where cancellation is
+// supported.
 func (c *Controller) handleAttemptProgress(report AttemptProgress) {
 	attempt := c.requests.attemptInFlight(report.RequestID, report.Number)
 	if attempt == nil {
--- a/control/classes.go
+++ b/control/classes.go
@@ -8,25 +8,25 @@
 	"wheatlane/control/workload"
 )
 
-// class is a class of request with what is learned of it.
+// class is a request class with the estimates that are derived from its traffic.
 type class struct {
 	Class
 	*workload.ClassEstimates
-	awaitingProbes int // requests that leave the pool once engines have reported their load
+	awaitingProbes int // requests that wait for load probes before they leave the pool
 }
 
 // classTable holds the classes by index. A class whose settings change gets a new index.
 type classTable struct {
 	all               []*class
 	byName            map[string]int
-	maxThreads        int     // of a request of the widest class
-	lowestWeight      float64 // priority weight of the least class
-	shortestObjective *class  // the one with the shortest latency objective
+	maxThreads        int     // threads of a request of the widest class
+	lowestWeight      float64 // lowest priority weight of all classes
+	shortestObjective *class  // class with the shortest latency objective
 }
 
 func newClassTable() classTable { return classTable{byName: map[string]int{}} }
 
-// add adds a class, also to the workload, which gives it the same index.
+// add adds a class to the table and to the workload, which assigns it the same index.
 func (t *classTable) add(settings Class, w *workload.Workload) {
 	estimates := w.AddClass(workload.ClassSettings{
 		LatencyObjective: settings.LatencyObjective, Threads: settings.Threads,
@@ -44,7 +44,7 @@
 	})
 }
 
-// contains reports whether a class is the current one of its name.
+// contains reports whether the current class of that name has exactly these settings.
 func (t *classTable) contains(settings Class) bool {
 	i, known := t.byName[settings.Name]
 	return known && reflect.DeepEqual(t.all[i].Class, settings)
--- a/control/controller.go
+++ b/control/controller.go
@@ -1,25 +1,25 @@
-// Package control decides which requests a broker admits, when it sends them and to which engine of a pool.
-// It performs no I/O, reads no clock and starts no goroutine: events go in, actions come out.
+// Package control decides which requests a broker admits, when it sends them and to which engine.
+// It performs no I/O, reads no clock and starts no goroutine: it receives events and returns actions.
 //
-// The Controller routes events, keeps the parts together and collects actions. The decisions are made in the
-// packages below this one, one for each policy or mechanism: they are given what they decide by, and know
-// nothing of the Controller. A file here puts that input together for one concern and acts on
-// what was decided:
-//   - admission.go: whether a request is taken on (admission), and its final answer (idempotency)
-//   - queueing.go, dispatch.go: queues, and what leaves them (concurrency)
+// The Controller routes events to handlers, owns the state and collects actions. The decisions are made in
+// the packages below this one, one for each policy or mechanism. Each policy receives its input from the
+// Controller and does not depend on it. A file here assembles that input for one concern and acts on the
+// decision; the packages that it uses are in parentheses:
+//   - admission.go: admission of requests (admission) and their final responses (idempotency)
+//   - queueing.go, dispatch.go: queues of requests and dispatch from them (concurrency)
 //   - selection.go, eligibility.go, loadprobes.go: the engine of an attempt (selection, eligibility,
 //     idempotency, keyorder, retrybudget, datasetlock)
-//   - attempts.go, overdue.go: what is sent, retried, hedged and cancelled (attemptoptions, retry, overdue)
-//   - requests.go, timers.go: the open requests and what is due for them (keyorder)
+//   - attempts.go, overdue.go: sending, retrying, hedging and cancelling (attemptoptions, retry, overdue)
+//   - requests.go, timers.go: the open requests and their timers (keyorder)
 //   - membership.go, endpoints.go, engine.go: the engines (membership, datasetlock)
-//   - outliers.go, slowdown.go, slowstart.go, loadreports.go, gossip.go: what is known of each (outlier,
-//     slowdown, slowstart, loadreport, gossip)
-//   - interval.go, servicetime.go, classes.go: what each interval and each answer shows (shares, concurrency,
-//     workload)
-//   - operatorlog.go: what the operators are notified of (throttle)
-//   - policyconfig.go: the settings of a deployment as the policies' configurations
+//   - outliers.go, slowdown.go, slowstart.go, loadreports.go, gossip.go: the health and load of each engine
+//     (outlier, slowdown, slowstart, loadreport, gossip)
+//   - interval.go, servicetime.go, classes.go: updates after each interval and each response (shares,
+//     concurrency, workload)
+//   - operatorlog.go: notices to the operators (throttle)
+//   - policyconfig.go: the configurations of the policies, derived from a deployment's settings
 //
-// The files that decide are named by "policy" in deploy/balancer.toml.
+// The list "policy" in deploy/balancer.toml names the files that contain decisions.
 package control
 
 import (
@@ -44,16 +44,16 @@
 	"wheatlane/control/workload"
 )
 
-// rngStream separates the controller's random numbers from others that are drawn with the same seed.
+// rngStream selects a stream of random numbers that other users of the same seed don't share.
 const rngStream = 0x7461
 
-// Controller decides for one broker. It is not safe for concurrent use.
+// Controller makes the decisions of one broker. It is not safe for concurrent use.
 type Controller struct {
 	settings       Settings
 	rng            *rand.Rand
 	now            time.Duration
 	started        bool
-	actions        []Action // what Handle is about to return
+	actions        []Action // result of the current call of Handle
 	timers         timerSet
 	noticeThrottle throttle.Throttle[noticeKey]
 	requests       requestTable
@@ -70,16 +70,17 @@
 	retryPolicy    retry.Policy
 	attemptOptions attemptoptions.Config
 	shares         shares.Regulator
-	intervalStart  time.Duration // of the current control interval
+	intervalStart  time.Duration // start of the current control interval
 	pressure       concurrency.PressureConfig
 	gossip         gossip.Schedule
 }
 
-// ErrInvalidSettings is the error of New for settings that a broker can't work by.
+// ErrInvalidSettings is returned by New for settings that a broker can't run with.
 var ErrInvalidSettings = errors.New("invalid settings of the decision module")
 
-// New returns a controller for these settings; equal settings, seeds and events give equal actions. It
-// returns ErrInvalidSettings if there is no class of request, or if the broker is not one of the brokers.
+// New returns a controller for these settings. Equal settings, seeds and events give equal actions. New
+// returns an error that wraps ErrInvalidSettings if there is no request class or if BrokerIndex is out of
+// range.
 func New(settings Settings, seed uint64) (*Controller, error) {
 	if len(settings.Classes) == 0 {
 		return nil, fmt.Errorf("%w: no classes of request", ErrInvalidSettings)
@@ -121,8 +122,8 @@
 	return c, nil
 }
 
-// Handle takes what happened at one time, in order, and returns what to do, in order. A time before that of
-// the last call counts as the last call's.
+// Handle processes the events of one batch and returns the actions to perform, in order. A time before that
+// of the previous call is replaced by the previous call's time.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
@@ -134,8 +135,8 @@
 		c.intervalStart = c.now
 		c.emit(SetTimer{tickInterval, tickToken})
 	}
-	// After a standstill many events come together: what ended is taken before what is new or due is
-	// judged.
+	// After a process pause, one batch may contain many events. Outcomes are processed before new
+	// requests and expired timers, which are evaluated on the resulting state.
 	disconnected := c.handleOutcomes(events)
 	c.handleRequestsAndTimers(events, disconnected)
 	for _, engine := range c.endpoints.queueOwners() {
@@ -144,8 +145,8 @@
 	return c.actions
 }
 
-// handleOutcomes takes all events but new requests and timers; it returns the requests whose clients are
-// gone.
+// handleOutcomes processes all events except new requests and timers. It returns the IDs of the requests
+// whose clients have disconnected.
 func (c *Controller) handleOutcomes(events []Event) (disconnected map[string]bool) {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -176,7 +177,8 @@
 	return disconnected
 }
 
-// handleRequestsAndTimers takes new requests, but for those whose clients are gone already, and timers.
+// handleRequestsAndTimers processes timers and new requests, except requests whose clients have already
+// disconnected.
 func (c *Controller) handleRequestsAndTimers(events []Event, disconnected map[string]bool) {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -194,7 +196,8 @@
 	}
 }
 
-// tick does what is due every tickInterval: it looks at what waits, and once an interval runs the regulators.
+// tick performs the periodic work: every tickInterval it enqueues deferred requests, updates estimates and
+// sends gossip, and every controlInterval it runs the regulators.
 func (c *Controller) tick() {
 	c.emit(SetTimer{tickInterval, tickToken})
 	c.retryBudget.Expire(c.now)
@@ -212,10 +215,10 @@
 	}
 }
 
-// UpdateClasses takes over the classes and the number of attempts of settings read anew. A class that is
-// new, or whose settings differ, gets an index of its own: requests under way keep the class that they came
-// under. A class that is no longer named stays until then; the broker answers new requests of it as
-// invalid. All other settings are those of the start.
+// UpdateClasses applies the classes and the maximum number of attempts of reloaded settings. A class that is
+// new or whose settings differ gets a new index, so that open requests keep the class under which they were
+// received. A class that is no longer listed remains for its open requests; the broker treats new requests of
+// it as invalid. All other settings keep their values from the start.
 func (c *Controller) UpdateClasses(classes []Class, limits Limits) {
 	added := 0
 	for _, class := range classes {
@@ -235,7 +238,7 @@
 
 func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
-// startTimer has a timer expire after a time, at the next batch at the earliest.
+// startTimer starts a timer that expires after a delay, in the next batch at the earliest.
 func (c *Controller) startTimer(after time.Duration, t timer) {
 	c.emit(SetTimer{max(after, c.settings.MinBatchInterval, minTimerDelay), c.timers.add(t)})
 }
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -5,7 +5,7 @@
 	"wheatlane/control/concurrency"
 )
 
-// dispatch sends waiting requests in start-tag order while the concurrency limit allows it.
+// dispatch sends queued requests in start-tag order while the concurrency limit allows it.
 func (c *Controller) dispatch(engine *engine) {
 	for {
 		request, ok := engine.queue.Head(nil)
@@ -39,8 +39,8 @@
 	}
 }
 
-// withinConcurrencyLimit reports whether a class's next request may be sent to an engine. For the class with
-// the most priority weight per work the whole limit is its share.
+// withinConcurrencyLimit reports whether a class's next request may be sent to an engine. The class with the
+// highest priority weight per unit of work may use the whole limit.
 func (c *Controller) withinConcurrencyLimit(engine *engine, classIndex int) bool {
 	share := c.shares.Share(classIndex)
 	if classIndex == c.workload.Summary().HighestValueClass {
@@ -54,20 +54,20 @@
 	}, func() int { return c.threadsOfClass(engine, classIndex) })
 }
 
-// underPressure reports whether an engine, or the pool, has more to do than it keeps up with. For an engine
-// of a pool only its load and whether it is at capacity count: age ratios and the number of answers, which
-// the slowdown needs, are kept for the pool. Slowdowns don't count where engines report their load but not
-// the work of answers: the load is more precise then.
+// underPressure reports whether an engine, or the pool, receives more work than it completes. For an engine
+// of a pool only its load and whether it is at capacity count: age ratios and the number of responses, which
+// the slowdown depends on, are recorded for the pool. Slowdowns don't count where engines report their load
+// but not the work of their responses, because the load is more precise then.
 func (c *Controller) underPressure(engine *engine) bool {
-	timesCount := c.settings.EnginesReportCost || !c.settings.EnginesReportLoad
-	// A last report stays up to date while something is in flight, as the answer brings a new one.
+	slowdownsCount := c.settings.EnginesReportCost || !c.settings.EnginesReportLoad
+	// The last report stays valid while an attempt is in flight, because its response includes a new one.
 	loadKnown := engine.concurrency.ThreadsInFlight() > 0 || engine.load.Age(c.now) < controlInterval
 	return c.pressure.UnderPressure(concurrency.Signals{
 		AtCapacity:    engine.health.AtCapacity(c.now),
 		AgeRatio:      engine.slowdown.AgeRatio(),
 		LoadKnown:     loadKnown,
 		Load:          engine.load.Load(),
-		SlowdownKnown: timesCount && engine.slowdown.Trusted(),
+		SlowdownKnown: slowdownsCount && engine.slowdown.Trusted(),
 		Slowdown:      engine.estimatedSlowdown(&c.slowdowns),
 	})
 }
--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -5,15 +5,14 @@
 	"wheatlane/control/idempotency"
 )
 
-// mayAttempt reports whether an attempt of a request may go to an engine now. Every send passes the rules of
-// package eligibility. Whether an engine is ejected or at capacity is checked elsewhere (bestEngine,
-// dispatch).
+// mayAttempt reports whether an attempt of a request may be sent to an engine now: every send passes the
+// rules of package eligibility. bestEngine and dispatch check whether an engine is ejected or at capacity.
 func (c *Controller) mayAttempt(request *request, engine *engine) bool {
 	selector := c.newSelector(request)
 	return !selector.forbiddenEverywhere() && selector.allows(engine)
 }
 
-// isExhausted reports whether a request has had an attempt, has none in flight and can have no further one.
+// isExhausted reports whether a request has had an attempt, has none in flight and can't have another.
 func (c *Controller) isExhausted(request *request) bool {
 	if len(request.attempts) == 0 || request.hasAttemptInFlight() {
 		return false
@@ -22,7 +21,7 @@
 	return input.Exhausted()
 }
 
-// eligibilityInput is what the rules need to know of a request, if an attempt is sent now.
+// eligibilityInput returns the request state that the eligibility rules evaluate if an attempt is sent now.
 func (c *Controller) eligibilityInput(request *request) eligibility.Request {
 	latestSend := c.now + c.settings.MinBatchInterval + c.settings.MaxSendDelay
 	attempted, queue := len(request.attempts) > 0, request.keyQueue
@@ -42,7 +41,7 @@
 	}
 }
 
-// location is where the engine stands among the scopes of duplicate detection.
+// location returns the zone and the cell that determine which engines detect duplicates of its requests.
 func (e *engine) location() idempotency.Location {
 	return idempotency.Location{Zone: e.Zone, Cell: e.Cell}
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -9,21 +9,22 @@
 	"wheatlane/control/slowstart"
 )
 
-// endpointSet is the set of engines that the endpoint list names, and those that still have something in
-// flight.
+// endpointSet holds the engines of the endpoint list, and unlisted ones that still have attempts in flight or
+// queued requests.
 type endpointSet struct {
 	all             []*engine // sorted by ID
 	byID            map[string]*engine
-	pool            *engine   // all engines as one queue owner, where they are pooled; else nil
-	pooledOwners    []*engine // the pool alone, if there is one
+	pool            *engine   // queue owner of all engines where they are pooled; else nil
+	pooledOwners    []*engine // the pool as a list of one, if there is a pool
 	inMaintenance   map[string]bool
-	ready           int  // listed as ready and not in maintenance, at least 1
-	majorityEjected bool // more than half of the ready ones are ejected: selection ignores ejections then
+	ready           int  // engines that are ready and not in maintenance, at least 1
+	majorityEjected bool // over half of the ready engines are ejected: selection ignores ejections
 }
 
-// poolsEngines reports whether all engines share one queue and one concurrency limit: where this broker's
-// share of an engine's limit is less than a request. One request of each broker would exceed the limits then,
-// and answers are too few to learn of each engine. A request's engine is selected when it leaves the pool.
+// poolsEngines reports whether all engines share one queue and one concurrency limit, which applies where
+// this broker's share of an engine's limit is less than one request. One request of each broker would then
+// exceed the limit, and each broker receives too few responses to estimate the state of each engine. A
+// request's engine is selected when the request leaves the pool.
 func poolsEngines(settings Settings, maxThreads int) bool {
 	cores := 0.0
 	for _, kind := range settings.EngineKinds {
@@ -36,7 +37,7 @@
 	return endpointSet{byID: map[string]*engine{}, inMaintenance: map[string]bool{}}
 }
 
-// queueOwners are the engines that have a queue and a concurrency limit: each one, or the pool.
+// queueOwners returns the engines that have a queue and a concurrency limit: every engine, or only the pool.
 func (s *endpointSet) queueOwners() []*engine {
 	if s.pool != nil {
 		return s.pooledOwners
@@ -44,13 +45,13 @@
 	return s.all
 }
 
-// setPool makes an engine the queue owner of all that are added from now on.
+// setPool makes pool the queue owner of all engines that are added later.
 func (s *endpointSet) setPool(pool *engine) {
 	pool.member.Update(Ready)
 	s.pool, s.pooledOwners = pool, []*engine{pool}
 }
 
-// add puts an engine into the set.
+// add adds an engine to the set, which stays sorted by ID.
 func (s *endpointSet) add(engine *engine) {
 	if s.pool != nil {
 		engine.queueOwner = s.pool
@@ -60,7 +61,7 @@
 	s.all = slices.Insert(s.all, place, engine)
 }
 
-// growQueues adds new classes to all queues.
+// growQueues extends all queues to the given number of classes and tenants.
 func (s *endpointSet) growQueues(classes, tenants int) {
 	for _, engine := range s.all {
 		engine.queue.Grow(classes, tenants)
@@ -72,8 +73,8 @@
 
 func compareID(engine *engine, id string) int { return strings.Compare(engine.ID, id) }
 
-// removeUnlisted drops engines that are no longer listed, once nothing is in flight or queued there, and returns
-// their IDs.
+// removeUnlisted removes the engines that are no longer listed and have no attempt in flight and no queued
+// request. It returns their IDs.
 func (s *endpointSet) removeUnlisted() (removed []string) {
 	s.all = slices.DeleteFunc(s.all, func(engine *engine) bool {
 		if engine.member.Listed() || len(engine.attempts) > 0 || engine.queue.Len() > 0 {
@@ -86,8 +87,8 @@
 	return removed
 }
 
-// updateSummary sums up after a change of engines: how many are ready, whether most are faulty, and the pool's
-// size.
+// updateSummary recomputes the number of ready engines, majorityEjected and the size of the pool after a
+// change of the engines.
 func (s *endpointSet) updateSummary(slowStart *slowstart.Policy, now time.Duration) {
 	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
 	for _, engine := range s.all {
@@ -110,7 +111,7 @@
 	}
 }
 
-// byGossipID finds an engine by the short form of its ID; nil if there is none.
+// byGossipID returns the engine with that GossipID, or nil if there is none.
 func (s *endpointSet) byGossipID(id uint32) *engine {
 	i := slices.IndexFunc(s.all, func(engine *engine) bool { return engine.gossipID == id })
 	if i < 0 {
--- a/control/engine.go
+++ b/control/engine.go
@@ -15,17 +15,17 @@
 	"wheatlane/internal/fairqueue"
 )
 
-// engine is an engine of the endpoint list with all that is known of it. Where engines are pooled, one more
-// value stands for the pool: it is in no list and gets no attempts of its own, but owns the queue and the
-// concurrency limit of all, and its cores, memory, load and attempts are those of all engines together.
+// engine holds the state of one engine of the endpoint list. Where engines are pooled, one more value
+// represents the pool: it is not listed and gets no attempts of its own, but it owns the queue and the
+// concurrency limit of all engines, and its cores, memory, load and attempts are the totals of all engines.
 type engine struct {
-	Engine                        // its entry of the endpoint list; member has the state that applies
-	idHash      int               // RankHash of its ID, for ranks and for turns in slow start
-	gossipID    uint32            // GossipID of its ID
-	queueOwner  *engine           // whose queue and concurrency limit apply: itself, or the pool
-	member      membership.Member // what the endpoint list and the operators say of it
+	Engine                        // entry of the endpoint list; member holds the state that applies
+	idHash      int               // RankHash of the ID, for ranks and for slots in slow start
+	gossipID    uint32            // GossipID of the ID
+	queueOwner  *engine           // owner of the queue and the concurrency limit: itself or the pool
+	member      membership.Member // state by the endpoint list and the maintenance mode
 	cores       float64           // at least 1
-	memoryMB    float64           // infinite if not known
+	memoryMB    float64           // infinite if unknown
 	concurrency concurrency.Limiter
 	queue       fairqueue.Queue[*request]
 
@@ -34,11 +34,11 @@
 	health          outlier.Health
 	slowdown        slowdown.Engine
 	load            loadreport.Estimate
-	dataSetLocks    datasetlock.Locks // of other brokers' requests
+	dataSetLocks    datasetlock.Locks // locks presumed held by other brokers' requests
 	sentInSlowStart slowstart.SendLog
 }
 
-// newEngine returns an engine that nothing is known of yet.
+// newEngine returns an engine without observations.
 func (c *Controller) newEngine(listed Engine, kind EngineKind) *engine {
 	created := &engine{
 		Engine:   Engine{ID: listed.ID},
@@ -49,7 +49,7 @@
 		health:   outlier.NewHealth(c.now),
 		queue:    fairqueue.New[*request](len(c.classes.all), c.workload.Tenants().Len()),
 	}
-	if created.memoryMB <= 0 { // not known, so it bounds nothing
+	if created.memoryMB <= 0 { // unknown, so it must not limit anything
 		created.memoryMB = math.Inf(1)
 	}
 	created.queueOwner = created
@@ -58,17 +58,17 @@
 	return created
 }
 
-// newPool returns the engine that stands for all where they are pooled.
+// newPool returns the engine that represents all engines where they are pooled.
 func (c *Controller) newPool() *engine {
 	pool := c.newEngine(Engine{}, EngineKind{})
 	pool.concurrency = concurrency.New(concurrency.PoolConfig(), pool.cores, c.workload.TrafficShare())
 	return pool
 }
 
-// pooled reports whether it shares its queue and concurrency limit with other engines.
+// pooled reports whether the engine shares its queue and concurrency limit with other engines.
 func (e *engine) pooled() bool { return e.queueOwner != e }
 
-// acquireThreads counts threads as in flight here and where the concurrency limit is.
+// acquireThreads counts threads as in flight at the engine and, if there is one, at its pool.
 func (e *engine) acquireThreads(threads int) {
 	e.concurrency.Acquire(threads)
 	if e.pooled() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// releaseThreads counts them as no longer in flight.
+// releaseThreads reverts acquireThreads.
 func (e *engine) releaseThreads(threads int) {
 	e.concurrency.Release(threads)
 	if e.pooled() {
@@ -99,8 +99,8 @@
 	}
 }
 
-// threadsOfClass is the threads of a class's attempts that count against an engine's limit; at the pool also
-// of those requests that are about to leave it.
+// threadsOfClass returns the number of threads of a class that count against an engine's limit: those of its
+// attempts and, at the pool, those of requests that wait for load probes before they leave it.
 func (c *Controller) threadsOfClass(engine *engine, classIndex int) int {
 	class, requests := c.classes.all[classIndex], 0
 	for _, attempt := range engine.attempts {
@@ -114,13 +114,13 @@
 	return requests * class.Threads
 }
 
-// loadKnown reports whether it takes requests and its load is known.
+// loadKnown reports whether the engine accepts requests and its load is known.
 func (e *engine) loadKnown(now time.Duration) bool {
 	return e.member.TakesRequests() && e.load.KnownWithin(loadreport.Lifetime, now)
 }
 
-// dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by
-// one of another broker.
+// dataSetLocked reports whether a data set is locked on the engine by a request of this broker, or is
+// presumed to be locked by a request of another broker.
 func (e *engine) dataSetLocked(now time.Duration, dataSet int) bool {
 	holdsLock := func(attempt *attempt) bool {
 		return attempt.request.class.HoldsDataSetLock && attempt.request.DataSet == dataSet
--- a/control/events.go
+++ b/control/events.go
@@ -14,10 +14,10 @@
 	Class             string
 	Tenant            string
 	OrderKey          string        // set for ordered classes
-	DataSet           int           // the data set that it reads or locks
-	Deadline          time.Duration // time by which it must be answered
-	EstimatedWork     time.Duration // estimated time on one thread; 0: not known
-	EstimatedMemoryMB float64       // estimated memory; 0: not known
+	DataSet           int           // data set that the request reads or locks
+	Deadline          time.Duration // time by which the final response is due
+	EstimatedWork     time.Duration // estimated time on one thread; 0: unknown
+	EstimatedMemoryMB float64       // 0: unknown
 }
 
 // EngineState is the state of an engine in the endpoint list.
@@ -26,7 +26,7 @@
 // The states of an engine.
 const (
 	Ready    = membership.Ready
-	Draining = membership.Draining // finishes what it has and takes nothing new
+	Draining = membership.Draining // finishes its attempts and accepts no new ones
 	Removed  = membership.Removed
 )
 
@@ -35,7 +35,7 @@
 	ID        string
 	Zone      string
 	Kind      string
-	Cell      int // group within which duplicates are detected
+	Cell      int // group of engines that detect one another's duplicates
 	State     EngineState
 	StartedAt time.Duration // 0: long ago
 }
@@ -43,40 +43,40 @@
 // Status is how an attempt ended.
 type Status int
 
-// The ways in which an attempt ends. See MayHaveRun for those that prove that it did not run.
+// The ways in which an attempt ends. MayHaveRun distinguishes those that prove that the attempt did not run.
 const (
 	OK Status = iota
 	Failed
-	AtCapacity // not admitted: by the engine, or for lack of a connection to it here
+	AtCapacity // not admitted by the engine, or no connection to it was available in this broker
 	TimedOut
 	ConnectFailed
 	ConnectionReset
 	Cancelled
-	NeverSent // no engine ran it: withdrawn or prevented before it left, or dropped unrun by the engine
+	NeverSent // withdrawn or prevented before it was sent, or dropped by the engine before it ran
 )
 
-// statusNames are the names of the statuses in logs.
+// statusNames holds the names of the statuses in logs.
 var statusNames = [...]string{
 	OK: "ok", Failed: "failed", AtCapacity: "at_capacity", TimedOut: "timed_out",
 	ConnectFailed: "connect_failed", ConnectionReset: "connection_reset", Cancelled: "cancelled",
 	NeverSent: "never_sent",
 }
 
-// String returns the name of the status.
+// String returns the name of the status in logs.
 func (s Status) String() string { return statusNames[s] }
 
-// MayHaveRun reports whether an attempt that ended so may have run.
+// MayHaveRun reports whether an attempt that ended with this status may have run on its engine.
 func (s Status) MayHaveRun() bool { return s != AtCapacity && s != ConnectFailed && s != NeverSent }
 
-// mayStillRun reports whether an engine may still run an attempt that ended so for the broker.
+// mayStillRun reports whether the engine may still run an attempt that ended with this status in the broker.
 func (s Status) mayStillRun() bool { return s == TimedOut || s == ConnectionReset || s == Cancelled }
 
-// ProgressKind is the subject of an AttemptProgress.
+// ProgressKind is the kind of an AttemptProgress.
 type ProgressKind int
 
 // The kinds of progress.
 const (
-	ProgressFraction ProgressKind = iota + 1 // Value is the fraction that is done
+	ProgressFraction ProgressKind = iota + 1 // Value is the completed fraction of the work
 	ProgressSpilled
 	ProgressBlocked
 )
@@ -86,50 +86,51 @@
 
 // The kinds of update.
 const (
-	EndpointDelta       EndpointUpdateKind = iota // names the engines that changed
-	EndpointSnapshot                              // names all engines; those not named are gone
+	EndpointDelta       EndpointUpdateKind = iota // contains only the engines that changed
+	EndpointSnapshot                              // contains all engines; other engines are removed
 	EndpointWatchFailed                           // the watch failed or ended
 )
 
-// GossipedLoad is an engine's load as it reported it to one of the brokers, and how long ago.
+// GossipedLoad is a load report of an engine that another broker received, with its age.
 type GossipedLoad struct {
-	Engine uint32  // GossipID of its ID
-	Load   float64 // fraction of its capacity in use, over 1 beyond it
-	Age    time.Duration
+	Engine uint32        // GossipID of the engine's ID
+	Load   float64       // fraction of the engine's capacity in use; over 1 if overloaded
+	Age    time.Duration // time since the engine reported it
 }
 
-// GossipID is the short form of an engine's ID in gossip, no relation of datasetlock.RankHash.
+// GossipID returns the short form of an engine's ID in gossip. It is independent of datasetlock.RankHash.
 func GossipID(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // a hash's Write never fails
 	return h.Sum32()
 }
 
-// Event is one thing that happened; see the types below.
+// Event is an input of the Controller. The types below implement it.
 type Event interface{ event() }
 
 type (
-	// RequestReceived is a new request.
+	// RequestReceived reports a new request.
 	RequestReceived struct{ Request Request }
-	// ClientDisconnected says that the broker has closed a request by itself: the client has left or
-	// killed it, or the broker has answered it (at a shutdown, or as a request queued behind it was due).
-	// The controller answers it no more, and counts it as one whose client left.
+	// ClientDisconnected reports that the broker closed a request without an action of the Controller:
+	// the client disconnected or killed the request, or the broker answered it itself (at a shutdown, or
+	// because a request queued behind it was due). The Controller sends no further response for it and
+	// counts it as a request whose client disconnected.
 	ClientDisconnected struct{ RequestID string }
-	// AttemptEnded is the result of one attempt of a request, named by its number, from 0.
+	// AttemptEnded reports the outcome of one attempt of a request. Attempts are numbered from 0.
 	AttemptEnded struct {
 		RequestID     string
 		Number        int
 		Engine        string
 		Status        Status
 		Duration      time.Duration
-		RequestClosed bool // the request has its final answer
-		SharedCause   bool // it ended by a cause that another attempt's end was reported for already
+		RequestClosed bool // the client has received the final response
+		SharedCause   bool // the end of another attempt was already reported for the same cause
 		Work          time.Duration
 		MemoryMB      float64
 		Report        loadreport.Report
 	}
-	// ResponseStarted says that the client began to receive its answer; its deadline no longer applies.
-	// Only the simulator's host reports it: the broker sends an answer when it is complete.
+	// ResponseStarted reports that the client began to receive the response; the deadline no longer
+	// applies. Only the simulator's host reports it: the broker sends a response when it is complete.
 	ResponseStarted struct{ RequestID string }
 	// AttemptProgress is a progress report of an attempt in flight.
 	AttemptProgress struct {
@@ -139,27 +140,27 @@
 		Kind      ProgressKind
 		Value     float64
 	}
-	// ProbeResult answers a ProbeLoad.
+	// ProbeResult reports the outcome of a ProbeLoad action.
 	ProbeResult struct {
 		Engine   string
 		Status   Status
 		Duration time.Duration
 		Report   loadreport.Report
 	}
-	// GossipReceived holds load reports that another broker sent.
+	// GossipReceived holds load reports received from another broker.
 	GossipReceived struct {
 		Broker  int
 		Reports []GossipedLoad
 	}
-	// EndpointUpdate is a change of the endpoint list.
+	// EndpointUpdate reports a change of the endpoint list or the end of its watch.
 	EndpointUpdate struct {
 		Kind    EndpointUpdateKind
 		Engines []Engine
 	}
-	// TimerFired returns the token of a SetTimer.
+	// TimerFired reports that the timer of a SetTimer action expired, by its token.
 	TimerFired struct{ Token uint64 }
-	// SetMaintenance puts an engine into maintenance mode or takes it out: while it is in it, nothing new
-	// goes to it, whatever its listed state. The engine need not be listed yet.
+	// SetMaintenance enables or disables the maintenance mode of an engine, in which it receives no new
+	// attempts, whatever its state in the endpoint list. The engine need not be listed yet.
 	SetMaintenance struct {
 		Engine  string
 		Enabled bool
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -8,7 +8,8 @@
 	"wheatlane/control/units"
 )
 
-// sendGossip sends another broker the engines' loads, reported here or received by gossip.
+// sendGossip sends the known loads of the engines, reported to this broker or received by gossip, to one
+// other broker.
 func (c *Controller) sendGossip() {
 	if c.endpoints.pool == nil || !c.gossip.Due(c.now) {
 		return
@@ -18,7 +19,7 @@
 	}
 }
 
-// knownLoads returns the known loads of engines that take requests, the youngest first.
+// knownLoads returns the known loads of engines that accept requests, the most recent first.
 func (s *endpointSet) knownLoads(now time.Duration) []GossipedLoad {
 	loads := make([]GossipedLoad, 0, len(s.all))
 	for _, engine := range s.all {
@@ -31,7 +32,7 @@
 	return loads
 }
 
-// mergeGossipedLoads takes the loads that are younger than what is known.
+// mergeGossipedLoads applies the gossiped loads that are more recent than the known ones.
 func (s *endpointSet) mergeGossipedLoads(loads []GossipedLoad, now time.Duration) {
 	for _, gossiped := range loads {
 		if engine := s.byGossipID(gossiped.Engine); engine != nil {
--- a/control/interval.go
+++ b/control/interval.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	controlInterval    = time.Second             // between two runs of the regulators
-	maxRegularInterval = 1500 * time.Millisecond // a longer one was drawn out by a standstill
+	controlInterval    = time.Second             // time between two runs of the regulators
+	maxRegularInterval = 1500 * time.Millisecond // a longer interval contains a process pause
 )
 
-// runInterval runs once a control interval: it updates the estimates of the workload, and moves the classes'
-// shares and the concurrency limits by them.
+// runInterval closes a control interval: it updates the estimates of the workload and adjusts the classes'
+// shares and the concurrency limits to them.
 func (c *Controller) runInterval(elapsed time.Duration) {
 	c.refreshEndpoints()
 	c.slowdowns.UpdateBest(c.endpoints.healthySlowdowns())
@@ -28,8 +28,8 @@
 	c.updateConcurrencyLimits(regular)
 }
 
-// updateConcurrencyLimits moves the concurrency limits. Where engines are not pooled this broker may use an equal share of
-// them, and send each one request of the widest class, however little traffic it has.
+// updateConcurrencyLimits adjusts the concurrency limits. Where engines are not pooled, this broker may use
+// at least an equal share of each engine and one request of the widest class, however little traffic it has.
 func (c *Controller) updateConcurrencyLimits(regular bool) {
 	tightest := c.classes.shortestObjective
 	demand := c.workload.MeanDemand()
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -9,16 +9,16 @@
 
 const (
 	probeCandidateCount = 3 // engines that are probed for a request before one is selected
-	probeWaitBatches    = 4 // batch intervals that a request waits for their answers
+	probeWaitBatches    = 4 // batch intervals that a request waits for probe results
 )
 
-// probeLoad asks an engine for its load.
+// probeLoad sends a load probe to an engine.
 func (c *Controller) probeLoad(engine *engine) {
 	engine.load.Probed(c.now)
 	c.emit(ProbeLoad{engine.ID})
 }
 
-// handleProbeResult takes the answer to a load probe.
+// handleProbeResult records the result of a load probe.
 func (c *Controller) handleProbeResult(result ProbeResult) {
 	if engine := c.endpoints.byID[result.Engine]; engine != nil && result.Status == OK {
 		engine.health.Responded(c.now)
@@ -26,8 +26,8 @@
 	}
 }
 
-// probeBeforeEnqueue asks a few engines for their load before a request of a heavy class is enqueued. It
-// reports whether the request waits for that.
+// probeBeforeEnqueue probes the load of a few engines before a request of a heavy class is enqueued. It
+// reports whether the request waits for the results.
 func (c *Controller) probeBeforeEnqueue(request *request, avoid *engine) bool {
 	if !c.settings.Limits.LoadProbes || request.probed || !c.isHeavy(request) || c.endpoints.pool != nil {
 		return false
@@ -48,20 +48,21 @@
 	return probed
 }
 
-// isHeavy reports whether a request is of a heavy class: one whose mean work is over that of all requests.
-// The work expected of the request itself does not count.
+// isHeavy reports whether a request belongs to a heavy class: one whose mean work exceeds the mean over all
+// requests. The expected work of the request itself does not matter.
 func (c *Controller) isHeavy(request *request) bool {
 	return request.class.Cost.MeanWork() > c.workload.Summary().MeanWork
 }
 
-// probeWait is how long a request waits for load probes.
+// probeWait returns the time that a request waits for load probes.
 func (c *Controller) probeWait() time.Duration {
 	return probeWaitBatches * c.settings.MinBatchInterval
 }
 
 // probeCandidates draws a few engines for a request that may leave the pool (power of d choices) and probes
-// those whose load report is not fresh: reports come with answers, so one may be as old as a heavy request
-// takes. It reports whether the request waits for that. One that is not of a heavy class does not.
+// those whose load report is not fresh: engines report with their responses, so a report may be as old as the
+// service time of a heavy request. It reports whether the request waits for the results. Only requests of
+// heavy classes do.
 func (c *Controller) probeCandidates(request *request) bool {
 	request.candidates = nil
 	if !c.settings.Limits.LoadProbes || !c.isHeavy(request) {
@@ -85,7 +86,8 @@
 	return probed
 }
 
-// awaitProbes has a request wait for the probes of its candidates. Its threads count as in flight meanwhile.
+// awaitProbes delays a request until the probes of its candidates are due. Its threads count as in flight
+// meanwhile.
 func (c *Controller) awaitProbes(request *request) {
 	class := request.class
 	class.awaitingProbes++
@@ -93,7 +95,8 @@
 	c.startTimer(c.probeWait(), candidateProbesDue{request})
 }
 
-// finishCandidateProbes ends that wait.
+// finishCandidateProbes ends the wait that awaitProbes started and dispatches the request if it is still
+// open.
 func (c *Controller) finishCandidateProbes(request *request) {
 	request.class.awaitingProbes--
 	c.endpoints.pool.concurrency.Release(request.class.Threads)
@@ -102,8 +105,8 @@
 	}
 }
 
-// dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, without any
-// that is still eligible, to an engine selected now.
+// dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, if none is
+// eligible any more, to a newly selected engine.
 func (c *Controller) dispatchToBestCandidate(request *request) {
 	selector := c.newSelector(request)
 	engine := selector.bestCandidate(request.candidates)
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/loadreport"
 )
 
-// recordLoadReport takes a load report of an engine. Without gossip, the pool's load is learned from it as well.
+// recordLoadReport records a load report of an engine. Without gossip, it also updates the pool's load.
 func (c *Controller) recordLoadReport(engine *engine, report loadreport.Report) {
 	if !report.Reported {
 		return
@@ -25,7 +25,7 @@
 	}
 }
 
-// updatePoolLoad follows the pool's load by those of its engines, as gossip brings them.
+// updatePoolLoad updates the pool's load from the known loads of its engines, including gossiped ones.
 func (s *endpointSet) updatePoolLoad(now time.Duration) {
 	if s.pool == nil {
 		return
--- a/control/membership.go
+++ b/control/membership.go
@@ -2,14 +2,15 @@
 
 import "wheatlane/control/slowdown"
 
-// watchEndpoints begins to watch the endpoint list where that is required and due.
+// watchEndpoints starts a watch of the endpoint list if one is required and due.
 func (c *Controller) watchEndpoints() {
 	if c.endpointWatch.Begin(c.now) {
 		c.emit(WatchEndpoints{})
 	}
 }
 
-// handleEndpointUpdate follows the endpoint list.
+// handleEndpointUpdate applies a change of the endpoint list and moves requests off engines that became
+// unavailable.
 func (c *Controller) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == EndpointWatchFailed {
 		c.endpointWatch.Ended(c.now)
@@ -24,7 +25,8 @@
 	c.refreshEndpoints()
 }
 
-// apply follows an update of the endpoint list. It returns the engines that take no new requests by it.
+// apply updates the set from a change of the endpoint list. It returns the engines of the update that accept
+// no new requests.
 func (s *endpointSet) apply(
 	update EndpointUpdate, create func(Engine) *engine, slowdowns *slowdown.Estimator,
 ) (unavailable []*engine) {
@@ -58,7 +60,7 @@
 	return unavailable
 }
 
-// handleSetMaintenance puts an engine into maintenance mode, or takes it out.
+// handleSetMaintenance enables or disables the maintenance mode of an engine.
 func (c *Controller) handleSetMaintenance(event SetMaintenance) {
 	engine := c.endpoints.setMaintenance(event.Engine, event.Enabled)
 	if engine == nil {
@@ -70,7 +72,8 @@
 	c.refreshEndpoints()
 }
 
-// setMaintenance records the mode, also of an engine that is not known, and returns the engine if it is.
+// setMaintenance records the maintenance mode of an engine, known or not, and returns the engine, or nil if
+// it is not known.
 func (s *endpointSet) setMaintenance(id string, enabled bool) *engine {
 	if enabled {
 		s.inMaintenance[id] = true
@@ -84,7 +87,7 @@
 	return engine
 }
 
-// refreshEndpoints follows a change of the engines.
+// refreshEndpoints removes engines that are gone and recomputes the summary of the others.
 func (c *Controller) refreshEndpoints() {
 	for _, id := range c.endpoints.removeUnlisted() {
 		c.noticeThrottle.Forget(noticeKey{ejected, id})
--- a/control/operatorlog.go
+++ b/control/operatorlog.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// noticeInterval is the least time between two lines about one event of an engine.
+// noticeInterval is the shortest time between two notices about the same event of the same engine.
 const noticeInterval = 5 * time.Second
 
-// noticeKey is what a line for the operators is about.
+// noticeKey identifies the subject of a notice to the operators, for throttling.
 type noticeKey struct {
 	event  engineEvent
 	engine string
 }
 
-// engineEvent is what happened to an engine.
+// engineEvent is the kind of a notice about an engine.
 type engineEvent int
 
 const (
@@ -19,10 +19,11 @@
 	restored
 )
 
-// emitThrottled emits an action for the operators, unless one about the same subject was emitted less than
-// logInterval ago. So the last line about an engine that flaps may not be of its state: View has that.
-func (c *Controller) emitThrottled(subject noticeKey, action Action) {
-	if c.noticeThrottle.Allows(subject, c.now) {
+// emitThrottled emits a notice to the operators unless one with the same key was emitted less than
+// noticeInterval ago. The last notice about a flapping engine may therefore be outdated; View has its current
+// state.
+func (c *Controller) emitThrottled(key noticeKey, action Action) {
+	if c.noticeThrottle.Allows(key, c.now) {
 		c.emit(action)
 	}
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,12 +6,13 @@
 	"wheatlane/control/outlier"
 )
 
-// recordOutcome records how an attempt ended in its engine's health.
+// recordOutcome updates an engine's health from the status of an attempt that ended.
 func (c *Controller) recordOutcome(engine *engine, status Status) {
 	switch status {
 	case NeverSent, Cancelled:
 	case TimedOut:
-		// It counts in the loss rate, but ejects nothing by itself: attemptLost decides by the rate.
+		// A timeout raises the loss rate but does not eject the engine: presumeLost decides that by
+		// the rate.
 		if !c.underPressure(engine.queueOwner) {
 			c.outliers.Lost(&engine.health, 1)
 		}
@@ -35,7 +36,7 @@
 	}
 }
 
-// eject takes an outlier out of service, but for half-open probes.
+// eject takes an outlier out of service except for half-open probes.
 func (c *Controller) eject(engine *engine, reason outlier.Reason) {
 	if !engine.health.Eject(c.now, c.ejectionBackoff()) {
 		return
@@ -45,11 +46,12 @@
 	c.requeueAll(engine)
 }
 
+// ejectionBackoff returns the backoff that currently applies to half-open probes of ejected engines.
 func (c *Controller) ejectionBackoff() time.Duration {
 	return c.outliers.Backoff(len(c.endpoints.all), c.workload.Summary().ArrivalRate)
 }
 
-// mayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe.
+// mayProbeHalfOpen reports whether a request may be the next half-open probe of an ejected engine.
 func (c *Controller) mayProbeHalfOpen(engine *engine, request *request) bool {
 	return engine.health.MayProbeHalfOpen(outlier.HalfOpenProbe{
 		EngineIdle:     engine.pooled() || engine.concurrency.ThreadsInFlight() == 0,
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -7,14 +7,14 @@
 	"wheatlane/control/overdue"
 )
 
-// attemptTimeout is how long an attempt of a request at an engine is waited for.
+// attemptTimeout returns the time after which an attempt of a request at an engine is overdue.
 func (c *Controller) attemptTimeout(request *request, engine *engine) time.Duration {
 	late := overdue.LateQuantile(c.outliers.LossRate(&engine.health))
 	return request.class.ServiceTime.Quantile(c.expectedServiceTime(request, engine), late)
 }
 
-// evaluateOverdue judges an attempt that takes longer than nearly all answers, again while it is in time. One
-// that is lost, or overdue in an overload, is not judged again.
+// evaluateOverdue evaluates an attempt that takes longer than nearly all responses. It evaluates the attempt
+// again later if it is in time, but not if it is lost, blocked or overdue because of an overload.
 func (c *Controller) evaluateOverdue(attempt *attempt) {
 	if !attempt.inFlight || attempt.request.closed || attempt.cancelled || attempt.presumedLost {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// overdueStateOf is what an attempt is judged by.
+// overdueStateOf returns the state of an attempt that package overdue evaluates.
 func (c *Controller) overdueStateOf(attempt *attempt) overdue.Attempt {
 	state := overdue.Attempt{
 		Silence:          c.now - max(attempt.sentAt, attempt.lastProgressAt),
@@ -55,8 +55,8 @@
 	return state
 }
 
-// presumeLost presumes the answer of an attempt lost, with a confidence. The attempt may still run: its
-// threads are released once it is twice as old as now.
+// presumeLost presumes the response of an attempt lost, with a confidence, and ejects the engine if it is
+// silent. The attempt may still run on the engine: its threads are released at twice its present age.
 func (c *Controller) presumeLost(attempt *attempt) {
 	attempt.presumedLost = true
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
@@ -69,25 +69,25 @@
 	c.hedgeOrCancel(attempt)
 }
 
-// releaseBlockedAttempt takes an attempt that waits for a data-set lock, whichever broker's request holds it. It
-// needs no threads meanwhile, requests that the lock would block are sent to other engines, and so is its own
-// request, if there is time.
+// releaseBlockedAttempt handles an attempt that waits for a data-set lock, held by a request of any broker.
+// The attempt uses no threads meanwhile, so they are released. Requests that the lock would block are sent to
+// other engines, and so is the attempt's own request if there is time.
 func (c *Controller) releaseBlockedAttempt(attempt *attempt) {
 	attempt.releaseThreads()
 	attempt.engine.dataSetLocks.Presume(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
 	c.hedgeOrCancel(attempt)
 }
 
-// hedgeOrCancel cancels an attempt, to be retried, or hedges it where attempts can't be cancelled, if another
-// attempt is allowed and its answer would still count.
+// hedgeOrCancel cancels an attempt so that it is retried, or hedges it where attempts can't be cancelled. It
+// does so only if another attempt is allowed and its response would still be of value.
 func (c *Controller) hedgeOrCancel(attempt *attempt) {
 	request, limits := attempt.request, &c.settings.Limits
 	if attempt.cancelled || request.queuedOn != nil || len(request.attempts) >= limits.MaxAttempts ||
 		!request.class.Idempotency.RepeatableAnywhere() {
 		return
 	}
-	// On one thread the work takes at least as long as on the threads of its class: an upper bound, which
-	// leaves time for the slowdown of an engine that is not selected yet.
+	// The time on one thread is an upper bound of the time on the class's threads. It leaves time for the
+	// slowdown of the engine, which is not selected yet.
 	longest := request.expectedWork.OnThreads(1).Duration()
 	if !c.retryPolicy.Hedges(request.retryInput(c.now), longest) {
 		return
--- a/control/policyconfig.go
+++ b/control/policyconfig.go
@@ -8,7 +8,7 @@
 	"wheatlane/control/slowdown"
 )
 
-// The configurations of the policies, from the settings of a deployment.
+// The functions in this file derive the configurations of the policies from the settings of a deployment.
 
 func retryBudgetConfig(settings *Settings) retrybudget.Config {
 	rules := &settings.Rules
--- a/control/queueing.go
+++ b/control/queueing.go
@@ -1,7 +1,7 @@
 package control
 
-// enqueue queues a request at the eligible engine with the best score, or at the pool, unless it is shed. An
-// engine to avoid is taken only if there is no other.
+// enqueue queues a request at the eligible engine with the best score, or at the pool, unless the request is
+// shed. The engine to avoid is selected only if no other is eligible.
 func (c *Controller) enqueue(request *request, avoid *engine) {
 	request.avoid = avoid
 	if c.isExhausted(request) {
@@ -25,14 +25,14 @@
 	}
 }
 
-// enqueue puts a request into the engine's queue.
+// enqueue adds a request to the engine's queue.
 func (e *engine) enqueue(request *request) {
 	request.queuedOn = e
 	work, threads := float64(request.expectedWork), float64(request.class.Threads)
 	e.queue.Push(request.classIndex, request.tenantIndex, request, work, threads)
 }
 
-// popFrom takes the request at the head of its flow out of an engine's queue, as served.
+// popFrom removes the request at the head of its flow from an engine's queue and counts it as served.
 func (c *Controller) popFrom(engine *engine, request *request) {
 	classShare := float64(c.shares.Share(request.classIndex))
 	tenantShare := float64(c.workload.Tenants().Share(request.tenantIndex))
@@ -40,7 +40,7 @@
 	request.queuedOn = nil
 }
 
-// requeueAll takes all requests out of an engine's queue, to be enqueued elsewhere.
+// requeueAll empties an engine's queue and defers its requests, which are then enqueued elsewhere.
 func (c *Controller) requeueAll(engine *engine) {
 	for request, ok := engine.queue.Head(nil); ok; request, ok = engine.queue.Head(nil) {
 		c.popFrom(engine, request)
@@ -48,7 +48,7 @@
 	}
 }
 
-// enqueueDeferred enqueues again what waits for the tick. The engine to avoid is forgotten.
+// enqueueDeferred enqueues the requests that were deferred to this tick, without an engine to avoid.
 func (c *Controller) enqueueDeferred() {
 	for _, request := range c.requests.takeDeferred() {
 		if !request.closed {
--- a/control/requests.go
+++ b/control/requests.go
@@ -11,24 +11,24 @@
 	"wheatlane/control/units"
 )
 
-// request is a request that is not over, or of which an attempt is still in flight.
+// request holds the state of a request that is open or has an attempt in flight.
 type request struct {
 	Request
 	class             *class
 	classIndex        int
 	tenantIndex       int
 	receivedAt        time.Duration
-	objectiveDeadline time.Duration // when its latency objective ends
+	objectiveDeadline time.Duration // end of the latency objective
 	expectedWork      units.ThreadSeconds
 	attempts          []*attempt // by number
-	closed            bool       // it has its final answer, or its client is gone
+	closed            bool       // it has its final response, or its client disconnected
 	responseStarted   bool
-	queuedOn          *engine                   // whose queue it waits in, if any
-	avoid             *engine                   // where it failed last, if it did
-	keyQueue          *keyorder.Queue[*request] // of its order key, if its class is ordered
-	probed            bool                      // engines were probed for it before it was queued
-	candidates        []*engine                 // drawn for it, to be compared once their load is known
-	priority          int                       // set last
+	queuedOn          *engine                   // engine in whose queue it waits; nil if none
+	avoid             *engine                   // engine of the last failed attempt; nil if none
+	keyQueue          *keyorder.Queue[*request] // queue of its order key; nil if its class is not ordered
+	probed            bool                      // engines were probed before it was queued
+	candidates        []*engine                 // engines drawn for comparison once their load is known
+	priority          int                       // priority set last
 }
 
 func newRequest(in Request, class *class, classIndex, tenantIndex int, now time.Duration) *request {
@@ -40,7 +40,7 @@
 	return request
 }
 
-// addAttempt starts the next attempt of the request, at an engine.
+// addAttempt records the next attempt of the request, at an engine, as in flight.
 func (r *request) addAttempt(engine *engine, now time.Duration) *attempt {
 	attempt := &attempt{
 		request: r, number: len(r.attempts), engine: engine, sentAt: now,
@@ -52,7 +52,7 @@
 	return attempt
 }
 
-// retryInput is what a further attempt of the request could yield.
+// retryInput returns the request state that the retry policy evaluates.
 func (r *request) retryInput(now time.Duration) retry.Request {
 	return retry.Request{
 		TimeLeft:      r.Deadline - now,
@@ -61,7 +61,7 @@
 	}
 }
 
-// earlierAttempts are the request's attempts as they will stand when the next one leaves the broker.
+// earlierAttempts returns the request's attempts, with their ages at the time when the next one is sent.
 func (r *request) earlierAttempts(sendTime time.Duration) []idempotency.Attempt {
 	if len(r.attempts) == 0 {
 		return nil
@@ -87,10 +87,10 @@
 	return slices.ContainsFunc(r.attempts, func(attempt *attempt) bool { return attempt.mayHaveRun })
 }
 
-// requestTable holds all requests that are open, and those closed ones that have an attempt in flight.
+// requestTable holds all requests that are open or have an attempt in flight.
 type requestTable struct {
 	byID      map[string]*request
-	deferred  []*request // for the next tick; see waitForTick
+	deferred  []*request // requests that wait for the next tick; see deferToNextTick
 	keyQueues keyorder.Queues[*request]
 }
 
@@ -98,7 +98,7 @@
 	return requestTable{byID: map[string]*request{}, keyQueues: keyorder.New[*request]()}
 }
 
-// add stores a request; one of an ordered class goes to the end of its key's queue.
+// add stores a request. A request of an ordered class joins the end of its order key's queue.
 func (t *requestTable) add(request *request) {
 	t.byID[request.ID] = request
 	if !request.class.Ordered || request.OrderKey == "" {
@@ -107,7 +107,7 @@
 	request.keyQueue = t.keyQueues.Add(request.OrderKey, request)
 }
 
-// attemptInFlight finds an attempt; nil if it is over or was never made.
+// attemptInFlight returns an attempt that is in flight, or nil if it has ended or does not exist.
 func (t *requestTable) attemptInFlight(id string, number int) *attempt {
 	request := t.byID[id]
 	if request == nil || number < 0 || number >= len(request.attempts) {
@@ -119,19 +119,19 @@
 	return nil
 }
 
-// deferToNextTick keeps a request until the next tick, as it may not be sent now: no engine is eligible or has
-// capacity, its order key is busy, the retry budget is spent, or the engine it was queued at is out of
-// service. If that stays so, answerDue ends the wait.
+// deferToNextTick defers a request that may not be sent now to the next tick: no engine is eligible or has
+// capacity, its order key is busy, the retry budget is spent, or the engine at which it was queued is out of
+// service. responseDue ends the request if it is still deferred when its response is due.
 func (t *requestTable) deferToNextTick(request *request) { t.deferred = append(t.deferred, request) }
 
-// takeDeferred empties the list of requests that wait for the next tick, and returns them.
+// takeDeferred returns the deferred requests and clears the list.
 func (t *requestTable) takeDeferred() []*request {
 	waiting := t.deferred
 	t.deferred = nil
 	return waiting
 }
 
-// remove drops a request that is over.
+// remove removes a request from the table and from its order key's queue.
 func (t *requestTable) remove(request *request) {
 	delete(t.byID, request.ID)
 	if request.keyQueue != nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// handleClientDisconnected closes a request that the broker has closed, see ClientDisconnected.
+// handleClientDisconnected closes a request that the broker has closed; see ClientDisconnected.
 func (c *Controller) handleClientDisconnected(id string) {
 	if request := c.requests.byID[id]; request != nil && !request.closed {
 		request.class.Abandonment.ClientLeft(c.now - request.receivedAt)
@@ -147,12 +147,13 @@
 	}
 }
 
-// closeRequest ends a request: what is in flight for it is no longer of use.
+// closeRequest closes a request, removes it from its queue and cancels its attempts where that is supported,
+// because their responses are no longer needed.
 func (c *Controller) closeRequest(request *request) {
 	request.closed = true
-	cancels := c.settings.Limits.Cancellation && !request.responseStarted
+	mayCancel := c.settings.Limits.Cancellation && !request.responseStarted
 	for _, attempt := range request.attempts {
-		if cancels && attempt.inFlight && !attempt.cancelled {
+		if mayCancel && attempt.inFlight && !attempt.cancelled {
 			c.emit(attempt.cancel())
 		}
 	}
@@ -163,7 +164,7 @@
 	c.removeIfFinished(request)
 }
 
-// removeIfFinished drops a closed request once none of its attempts is in flight.
+// removeIfFinished removes a closed request once none of its attempts is in flight.
 func (c *Controller) removeIfFinished(request *request) {
 	if !request.closed || request.hasAttemptInFlight() {
 		return
--- a/control/selection.go
+++ b/control/selection.go
@@ -8,12 +8,13 @@
 	"wheatlane/control/units"
 )
 
-// selector compares engines for an attempt of a request that is sent now. It holds what they have in common.
+// selector compares engines for an attempt of a request that is sent now. It holds the state that does not
+// depend on the engine.
 type selector struct {
 	controller      *Controller
 	request         *request
-	ruleInput       eligibility.Request // what the rules need to know of the request
-	meanWork        units.ThreadSeconds // of a request of its class
+	ruleInput       eligibility.Request // request state that the eligibility rules evaluate
+	meanWork        units.ThreadSeconds // mean work of a request of the class
 	slowStartDemand slowstart.Demand
 	lockRole        datasetlock.Role
 	fleetLossRate   units.Fraction
@@ -32,13 +33,14 @@
 	}
 }
 
-// selectEngine returns the eligible engine with the best score, or nil; one to avoid if there is no other.
+// selectEngine returns the eligible engine with the best score, or nil if there is none. It returns the
+// engine to avoid only if no other is eligible.
 func (c *Controller) selectEngine(request *request, avoid *engine) *engine {
 	selector := c.newSelector(request)
 	return selector.selectEngine(avoid)
 }
 
-// selectEngine is selectEngine of the controller for the selector's request.
+// selectEngine is like Controller.selectEngine for the selector's request.
 func (s *selector) selectEngine(avoid *engine) *engine {
 	if s.forbiddenEverywhere() {
 		return nil
@@ -49,17 +51,18 @@
 	return s.bestEngine(nil)
 }
 
-// forbiddenEverywhere reports whether a rule forbids the attempt at every engine.
+// forbiddenEverywhere reports whether a rule that does not depend on the engine forbids the attempt.
 func (s *selector) forbiddenEverywhere() bool { return s.ruleInput.Check() != eligibility.Eligible }
 
-// allows reports whether no rule forbids the attempt at this engine, given that none does at every engine.
+// allows reports whether the rules that depend on the engine allow the attempt there. The caller checks
+// forbiddenEverywhere first.
 func (s *selector) allows(engine *engine) bool {
 	c := s.controller
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
 	return s.ruleInput.CheckAt(eligibility.Engine{
-		// A draining engine gets nothing new. The deployment's DrainGraceNs is for attempts that were
-		// decided before the drain (enginepool.Config.DrainGrace).
+		// A draining engine gets no new attempts. The deployment's DrainGraceNs applies to attempts
+		// that were decided before the drain (enginepool.Config.DrainGrace).
 		Ready:                 engine.member.TakesRequests(),
 		Location:              engine.location(),
 		Kind:                  engine.Kind,
@@ -67,9 +70,9 @@
 	}) == eligibility.Eligible
 }
 
-// bestEngine returns the eligible engine with the best score but for one to avoid, or nil. Engines at
-// capacity are left out. So are ejected ones that may not get this request as a half-open probe, unless more
-// than half of the ready engines are ejected.
+// bestEngine returns the eligible engine with the best score other than the one to avoid, or nil if there is
+// none. It skips engines at capacity and, unless more than half of the ready engines are ejected, ejected
+// engines that may not get this request as a half-open probe.
 func (s *selector) bestEngine(avoid *engine) *engine {
 	c := s.controller
 	var best selection.Best[*engine]
@@ -89,8 +92,8 @@
 	return best.Candidate()
 }
 
-// tieBreak is what chance adds to an engine's score. Brokers that have their turn at an engine that warms up
-// choose it for all.
+// tieBreak returns the random part of an engine's score. In a pool it includes the preference for an engine
+// in slow start that brokers have during their slot, in which they use that engine on behalf of all brokers.
 func (s *selector) tieBreak(engine *engine) selection.Score {
 	c := s.controller
 	if !engine.pooled() {
@@ -100,7 +103,7 @@
 	return c.selection.Noise(c.rng, preference)
 }
 
-// score is an engine's score for the request.
+// score returns an engine's score for the request, without the random part.
 func (s *selector) score(engine *engine) selection.Score {
 	c := s.controller
 	candidate := selection.Candidate{
@@ -120,7 +123,7 @@
 	}
 	if engine.pooled() {
 		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
-	} else { // in a pool, an engine that answered is better than an untried one
+	} else { // only without a pool: in a pool, an engine that has responded is better than an untried one
 		candidate.Load = engine.load.IfRecent(c.now)
 		candidate.ExpectedLossRate = min(candidate.LossRate, s.fleetLossRate)
 	}
--- a/control/servicetime.go
+++ b/control/servicetime.go
@@ -7,23 +7,24 @@
 	"wheatlane/control/workload"
 )
 
-// expectedServiceTime is the service time expected of a request on an engine.
+// expectedServiceTime returns the expected service time of a request on an engine.
 func (c *Controller) expectedServiceTime(request *request, engine *engine) units.Seconds {
 	unloaded := request.expectedWork.OnThreads(request.class.Threads)
 	return unloaded * units.Seconds(engine.estimatedSlowdown(&c.slowdowns).Ratio())
 }
 
-// likelyServiceTime corrects that by what the request's class takes over what is expected of all.
+// likelyServiceTime returns the expected service time, corrected by the ratio of measured to expected service
+// times of the request's class.
 func (c *Controller) likelyServiceTime(request *request, engine *engine) time.Duration {
 	return request.class.ServiceTime.Likely(c.expectedServiceTime(request, engine))
 }
 
-// observeResponse takes what an answer shows of its class and its engine.
+// observeResponse updates the estimates of the class and of the engine from a response.
 func (c *Controller) observeResponse(attempt *attempt, end AttemptEnded) {
 	request, class, engine := attempt.request, attempt.request.class, attempt.engine
-	took := workload.Measured(end.Duration)
+	serviceTime := workload.Measured(end.Duration)
 	answer := workload.Answer{
-		ServiceTime: took, Threads: class.Threads,
+		ServiceTime: serviceTime, Threads: class.Threads,
 		EngineSlowdown: engine.estimatedSlowdown(&c.slowdowns),
 		EstimatedWork:  request.EstimatedWork, EstimatedMemoryMB: request.EstimatedMemoryMB,
 	}
@@ -31,8 +32,9 @@
 		answer.Work, answer.MemoryMB = end.Work, end.MemoryMB
 	}
 	slowdown := class.Cost.Observe(answer)
-	class.ServiceTime.Observe(took, c.expectedServiceTime(request, engine))
+	class.ServiceTime.Observe(serviceTime, c.expectedServiceTime(request, engine))
 	class.Traffic.Answered(c.now - request.receivedAt)
 	engine.observeSlowdown(&c.slowdowns, slowdown, c.now)
-	engine.queueOwner.concurrency.RecordAnswer(float64(took / units.SecondsOf(class.LatencyObjective)))
+	objective := units.SecondsOf(class.LatencyObjective)
+	engine.queueOwner.concurrency.RecordAnswer(float64(serviceTime / objective))
 }
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/units"
 )
 
-// estimatedSlowdown is the engine's slowdown over the best one, as its answers show it.
+// estimatedSlowdown returns the engine's slowdown relative to the fastest engine, estimated from responses.
 func (e *engine) estimatedSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	if e.pooled() {
 		return estimator.EstimatedInPool(&e.slowdown, &e.queueOwner.slowdown, e.health.Outcomes())
@@ -15,12 +15,13 @@
 	return estimator.Estimated(&e.slowdown)
 }
 
-// worstSlowdown is the engine's slowdown, from answers or, if worse, from the age of what is in flight.
+// worstSlowdown returns the engine's slowdown estimated from responses or, if worse, from the age of its
+// attempts in flight.
 func (e *engine) worstSlowdown(estimator *slowdown.Estimator) units.LogRatio {
 	return e.slowdown.OrByAge(e.estimatedSlowdown(estimator))
 }
 
-// observeSlowdown takes what an answer of the engine shows of its slowdown.
+// observeSlowdown adds a sample from a response to the engine's slowdown estimate.
 func (e *engine) observeSlowdown(estimator *slowdown.Estimator, sample units.LogRatio, now time.Duration) {
 	if e.pooled() {
 		estimator.ObserveInPool(&e.slowdown, sample, e.health.Outcomes())
@@ -28,7 +29,7 @@
 	estimator.Observe(&e.queueOwner.slowdown, sample, now)
 }
 
-// healthySlowdowns are the slowdowns of the engines that are healthy.
+// healthySlowdowns returns the slowdowns of the queue owners that are listed and not ejected.
 func (s *endpointSet) healthySlowdowns() []*slowdown.Engine {
 	var healthy []*slowdown.Engine
 	for _, engine := range s.queueOwners() {
@@ -39,7 +40,7 @@
 	return healthy
 }
 
-// decayObservations lets older evidence of engines count for less, once a tick.
+// decayObservations reduces the weight of older observations of the engines. It is called once per tick.
 func (s *endpointSet) decayObservations(estimator *slowdown.Estimator, now time.Duration) {
 	for _, engine := range s.all {
 		engine.health.Decay()
@@ -50,7 +51,7 @@
 	}
 }
 
-// updateAgeRatio follows the age of what is in flight.
+// updateAgeRatio updates the age ratios of the engine's attempts in flight.
 func (e *engine) updateAgeRatio(now time.Duration) {
 	ratios := make([]float64, 0, len(e.attempts))
 	for _, attempt := range e.attempts {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -11,12 +11,12 @@
 	})
 }
 
-// slowStartInput is what slow start has to know of an engine.
+// slowStartInput returns the engine state that slow start depends on.
 func (e *engine) slowStartInput() slowstart.Engine {
 	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstTurn: e.idHash}
 }
 
-// slowStartDemand is what slow start has to know of the traffic.
+// slowStartDemand returns the state of the traffic that slow start depends on.
 func (c *Controller) slowStartDemand() slowstart.Demand {
 	summary := c.workload.Summary()
 	return slowstart.Demand{
--- a/control/timers.go
+++ b/control/timers.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	tickInterval      = 100 * time.Millisecond // between two ticks
+	tickInterval      = 100 * time.Millisecond // time between two ticks
 	minTimerDelay     = time.Nanosecond        // no timer expires in the batch that starts it
 	tickToken         = 1                      // token of the tick's timer
-	lastReservedToken = 16                     // tokens up to it are no timer's; only tickToken is in use
+	lastReservedToken = 16                     // highest reserved token; only tickToken is in use
 )
 
-// timer is what is due when a timer expires. All are declared in this file.
+// timer is the operation that is due when a timer expires. All implementations are in this file.
 type timer interface{ expire(c *Controller) }
 
 type (
-	// responseDue is the end of the time in which a request has to be answered.
+	// responseDue ends a request that has not been answered shortly before its deadline.
 	responseDue struct{ request *request }
-	// attemptOverdue is the time at which an attempt in flight is to be judged.
+	// attemptOverdue evaluates an attempt that is still in flight after its timeout.
 	attemptOverdue struct{ attempt *attempt }
-	// lostAttemptStopped is the time at which an attempt that is presumed lost should no longer run.
+	// lostAttemptStopped releases the threads of an attempt that is presumed lost and should no longer
+	// run.
 	lostAttemptStopped struct{ attempt *attempt }
-	// endedAttemptStopped is the same for an attempt that timed out and can't be cancelled.
+	// endedAttemptStopped releases the threads of an attempt that timed out, could not be cancelled and
+	// should no longer run.
 	endedAttemptStopped struct{ attempt *attempt }
-	// orderKeyIdle is the end of the cooldown of an order key without requests.
+	// orderKeyIdle drops an order key without requests after its cooldown.
 	orderKeyIdle struct{ queue *keyorder.Queue[*request] }
-	// loadProbesDue is the end of the wait for the load probes of a request that is not queued yet.
+	// loadProbesDue ends the wait for the load probes of a request that is not queued yet.
 	loadProbesDue struct {
 		request *request
 		avoid   *engine
 	}
-	// candidateProbesDue is the end of the wait for the load probes of a request that leaves the pool.
+	// candidateProbesDue ends the wait for the load probes of a request that leaves the pool.
 	candidateProbesDue struct{ request *request }
 )
 
@@ -73,7 +75,7 @@
 	return s.lastToken
 }
 
-// take removes the timer of a token; nil if there is none.
+// take removes and returns the timer of a token, or nil if there is none.
 func (s *timerSet) take(token uint64) timer {
 	t := s.byToken[token]
 	delete(s.byToken, token)
--- a/control/view.go
+++ b/control/view.go
@@ -1,6 +1,6 @@
 package control
 
-// View is the controller's state at the moment, for metrics and operators.
+// View is a snapshot of the Controller's state for metrics and operators.
 type View struct {
 	Engines []EngineView
 	Classes []ClassView
@@ -10,21 +10,21 @@
 type EngineView struct {
 	ID               string
 	State            EngineState
-	SlowStart        bool    // it warms up
-	Ejected          bool    // an outlier; see package outlier for what it still gets
-	ConcurrencyLimit float64 // threads that this broker may have in flight there
-	ThreadsInFlight  int     // threads of what is in flight there
-	Queued           int     // requests that wait for it here; where engines are pooled, for all
+	SlowStart        bool    // the engine is in slow start
+	Ejected          bool    // the engine is an outlier; see package outlier for its remaining traffic
+	ConcurrencyLimit float64 // threads that this broker may have in flight at the engine
+	ThreadsInFlight  int     // threads of this broker's attempts in flight at the engine
+	Queued           int     // requests queued for the engine; for all engines where they are pooled
 }
 
 // ClassView is the state of one class.
 type ClassView struct {
 	Name  string
-	Share float64 // its weight in the fair queues
+	Share float64 // weight of the class in the fair queues
 }
 
-// View fills v, whose memory is used again. Where engines are pooled, each has a share of the pool's limit by
-// its cores.
+// View fills v and reuses its memory. Where engines are pooled, each engine is assigned a share of the pool's
+// limit in proportion to its cores.
 func (c *Controller) View(v *View) {
 	v.Engines, v.Classes = v.Engines[:0], v.Classes[:0]
 	pool := c.endpoints.pool
