--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -10,13 +10,13 @@
 )
 
 func TestPressureRejectsWhatCannotMeetItsObjective(t *testing.T) {
-	r := newRigUnderPressure(t)
+	h := newHarnessUnderPressure(t)
 	rejected := 0
 	for range 200 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		rejected += countOf[Reject](got)
 	}
-	e := r.controller.endpoints.all[0]
+	e := h.controller.endpoints.all[0]
 	inFlight, limit := e.concurrency.ThreadsInFlight(), e.concurrency.Limit()
 	if float64(inFlight) > limit || rejected == 0 {
 		t.Fatalf("%d threads under a limit of %.1f, %d rejected", inFlight, limit, rejected)
@@ -26,13 +26,13 @@
 // Under pressure, a tenant that keeps within its share is not rejected for the queue of another that exceeds
 // its own.
 func TestTenantWithinItsShareIsNotRejectedForAnother(t *testing.T) {
-	r := newRigUnderPressure(t)
+	h := newHarnessUnderPressure(t)
 	rejected := 0
 	for range 200 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		rejected += countOf[Reject](got)
 	}
-	_, got := r.submit("quick", func(q *Request) { q.Tenant = "t1" })
+	_, got := h.submit("quick", func(q *Request) { q.Tenant = "t1" })
 	if other := countOf[Reject](got); rejected == 0 || other > 0 {
 		t.Fatalf("%d of the one that asks too much were rejected, and %d of the other", rejected, other)
 	}
@@ -41,12 +41,12 @@
 // Requests of an unknown tenant are charged to no tenant of the settings, and queue behind no share but their
 // own.
 func TestUnknownTenantIsChargedToNoOther(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	for _, name := range []string{"nobody", "", "t0"} {
-		_, got := r.submit("quick", func(q *Request) { q.Tenant = name })
+		_, got := h.submit("quick", func(q *Request) { q.Tenant = name })
 		requireEqual(t, "sent for "+name, countOf[SendAttempt](got), 1)
 	}
-	tenants := r.controller.workload.Tenants()
+	tenants := h.controller.workload.Tenants()
 	requireEqual(t, "charged to t0", tenants.Arrivals(0), 1)
 	requireEqual(t, "charged to t1", tenants.Arrivals(1), 0)
 	requireEqual(t, "charged to the unknown", tenants.Arrivals(2), 2)
@@ -58,18 +58,18 @@
 func TestRejectedRequestIsNotProbedFor(t *testing.T) {
 	s := pooledSettings()
 	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
-	r := newPooledRig(t, s, 60)
-	r.advance(2 * controlInterval)
+	h := newPooledHarness(t, s, 60)
+	h.advance(2 * controlInterval)
 	rejected, probedFor := 0, 0
 	for range 400 { // nothing is answered: the pool's queue grows until requests cannot meet their objective
-		id, got := r.submit("long")
+		id, got := h.submit("long")
 		for _, f := range actionsOf[Reject](got) { // at once: in the batch in which it arrives
 			if f.RequestID == id {
 				rejected++
 				probedFor += min(1, countOf[ProbeLoad](got))
 			}
 		}
-		r.advance(10 * ms)
+		h.advance(10 * ms)
 	}
 	if rejected < 100 || probedFor > 0 {
 		t.Fatalf("of %d requests rejected at once, %d were probed for", rejected, probedFor)
@@ -81,16 +81,16 @@
 
 func workOf(kind int) time.Duration { return time.Duration(100<<kind) * ms }
 
-// mixedLoad is a rig whose requests are light and heavy, and whose engines serve all attempts.
-type mixedLoad struct {
-	*rig
+// mixedLoadHarness is a rig whose requests are light and heavy, and whose engines serve all attempts.
+type mixedLoadHarness struct {
+	*harness
 	kinds    map[string]int           // of requests, by ID
 	endAt    map[string]time.Duration // of attempts in flight, by the ID of their request
 	rejected [workKinds]int
 }
 
 // submitKind submits a request and lets time pass until the next one.
-func (l *mixedLoad) submitKind(kind int) {
+func (l *mixedLoadHarness) submitKind(kind int) {
 	id, got := l.submit("long", func(q *Request) {
 		q.EstimatedWork, q.Deadline = workOf(kind), l.now+20*time.Second
 	})
@@ -106,7 +106,7 @@
 	}
 }
 
-func (l *mixedLoad) record(actions []Action) {
+func (l *mixedLoadHarness) record(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SendAttempt:
@@ -125,9 +125,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := fleetSettings()
 			s.WeightScalesWithWork, s.Limits.LoadProbes = byWork, false
-			r := newPooledRig(t, s, 60)
-			r.advance(2 * controlInterval)
-			load := &mixedLoad{rig: r, kinds: map[string]int{}, endAt: map[string]time.Duration{}}
+			h := newPooledHarness(t, s, 60)
+			h.advance(2 * controlInterval)
+			load := &mixedLoadHarness{harness: h, kinds: map[string]int{}, endAt: map[string]time.Duration{}}
 			for i := range 1200 { // 10 s of work a second on two threads, for a broker with capacity for a tenth
 				load.submitKind(i * 5 % workKinds)
 			}
@@ -135,13 +135,13 @@
 			if !byWork && rejected[5] < 4*(rejected[0]+1) {
 				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
 			}
-			heaviest := &request{class: r.controller.classes.all[0], expectedWork: 1e6}
-			if byWork && r.controller.exceedsAdmissionPrice(heaviest) {
+			heaviest := &request{class: h.controller.classes.all[0], expectedWork: 1e6}
+			if byWork && h.controller.exceedsAdmissionPrice(heaviest) {
 				t.Error("where the weight grows with the work, a request exceeded the admission price")
 			}
-			highest := r.controller.price
-			r.advance(100 * controlInterval)
-			requireEqual(t, "price with headroom", r.controller.price, admission.NewPrice())
+			highest := h.controller.price
+			h.advance(100 * controlInterval)
+			requireEqual(t, "price with headroom", h.controller.price, admission.NewPrice())
 			if highest == admission.NewPrice() {
 				t.Errorf("the price never rose: %v", highest)
 			}
@@ -152,19 +152,19 @@
 // Once most clients disconnect before their deadline, the objective ends when they do; it recovers once clients
 // stay.
 func TestClientPatienceIsLearned(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	objective := func() time.Duration {
-		id, _ := r.submit("quick")
-		left := r.controller.requests.byID[id].objectiveDeadline - r.now
-		r.endAttempt(id, 0, OK)
+		id, _ := h.submit("quick")
+		left := h.controller.requests.byID[id].objectiveDeadline - h.now
+		h.endAttempt(id, 0, OK)
 		return left
 	}
 	before := objective()
 	leave := func() {
-		id, _ := r.submit("quick")
-		r.advance(200 * ms)
-		r.handle(ClientDisconnected{RequestID: id})
-		r.endAttempt(id, 0, OK)
+		id, _ := h.submit("quick")
+		h.advance(200 * ms)
+		h.handle(ClientDisconnected{RequestID: id})
+		h.endAttempt(id, 0, OK)
 	}
 	for range 50 {
 		leave()
@@ -194,9 +194,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := baseSettings()
 			s.Limits.RetryAfter, s.Limits.MaxRetryAfter = retryAfter, 500*ms
-			r := newRig(t, s) // without an engine
-			r.submit("quick")
-			rejected := actionsOf[Reject](r.advance(5 * time.Second))
+			h := newHarness(t, s) // without an engine
+			h.submit("quick")
+			rejected := actionsOf[Reject](h.advance(5 * time.Second))
 			requireEqual(t, "rejections", len(rejected), 1)
 			got := rejected[0].RetryAfter
 			if retryAfter && (got < 250*ms || got > 500*ms) || !retryAfter && got != 0 {
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -118,7 +118,7 @@
 	lossy    bool   // engines lose many answers and have faults often
 }
 
-func site(name string, change func(s *control.Settings)) func(testing.TB) deployment {
+func siteDeployment(name string, change func(s *control.Settings)) func(testing.TB) deployment {
 	return func(tb testing.TB) deployment {
 		tb.Helper()
 		s := siteSettings(tb, name)
@@ -129,55 +129,55 @@
 	}
 }
 
-func drawn(seed uint64) func(testing.TB) deployment {
+func drawnDeployment(seed uint64) func(testing.TB) deployment {
 	return func(testing.TB) deployment { return drawnSettings(seed) }
 }
 
-// fleetOf has a site's engines shared by so many brokers that they are pooled.
-func fleetOf(brokers int) func(*control.Settings) {
+// withBrokers has a site's engines shared by so many brokers that they are pooled.
+func withBrokers(brokers int) func(*control.Settings) {
 	return func(s *control.Settings) { s.Brokers, s.BrokerIndex = brokers, brokers/3 }
 }
 
 func recordedCases() []recordedCase {
 	cases := []recordedCase{
 		{
-			name: "reykjavik", settings: site("reykjavik", nil), engines: 7, seeds: 3,
+			name: "reykjavik", settings: siteDeployment("reykjavik", nil), engines: 7, seeds: 3,
 			length: 80 * time.Second, want: "ef714458996dc43ca4be7be9f39f858d5f918f0753c1d1ba060da8b3015f2de7",
 		},
 		{
-			name: "hobart", settings: site("hobart", nil), engines: 7, seeds: 3,
+			name: "hobart", settings: siteDeployment("hobart", nil), engines: 7, seeds: 3,
 			length: 80 * time.Second, want: "5573b134a1751671ecfdd9df1cc78da185787ff56f929c48cf4c91040c3de656",
 		},
 		{
-			name: "ledger", settings: site("ledger", nil), engines: 7, seeds: 3,
+			name: "ledger", settings: siteDeployment("ledger", nil), engines: 7, seeds: 3,
 			length: 80 * time.Second, want: "b3cab04bec4de7a858dcb218dbf2bafca1f64143cb9f6e6bf70417ec7210a629",
 		},
 		{
-			name: "shortline", settings: site("shortline", nil), engines: 7, seeds: 3,
+			name: "shortline", settings: siteDeployment("shortline", nil), engines: 7, seeds: 3,
 			length: 80 * time.Second, want: "9b49d398d7185008df9e09706fdf303a9ece6b09f81e8c00a08fee48e534b3d1",
 		},
 		{
-			name: "a fleet of 40 at reykjavik", settings: site("reykjavik", fleetOf(40)), engines: 40, seeds: 2,
+			name: "a fleet of 40 at reykjavik", settings: siteDeployment("reykjavik", withBrokers(40)), engines: 40, seeds: 2,
 			length: 60 * time.Second, want: "c6200b5b40d4eacf4556788df3e4251aa507b960135c4f61de15c6e08e4040ff",
 		},
 		{
-			name: "a fleet of 200 at hobart", settings: site("hobart", fleetOf(200)), engines: 60, seeds: 2,
+			name: "a fleet of 200 at hobart", settings: siteDeployment("hobart", withBrokers(200)), engines: 60, seeds: 2,
 			length: 60 * time.Second, want: "a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9",
 		},
 		{
-			name: "reykjavik, losing answers", settings: site("reykjavik", nil), engines: 7, seeds: 2,
+			name: "reykjavik, losing answers", settings: siteDeployment("reykjavik", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "bbd412f85ab0d17d0ff480c57ea77a1c006679fc11af4017b03f1617ad801226", lossy: true,
 		},
 		{
-			name: "hobart, losing answers", settings: site("hobart", nil), engines: 7, seeds: 2,
+			name: "hobart, losing answers", settings: siteDeployment("hobart", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "a25b8054a1727196f5cfb253291b1d5eae6c02bfa8e66b10c8c4eca269186a7a", lossy: true,
 		},
 		{
-			name: "shortline, losing answers", settings: site("shortline", nil), engines: 7, seeds: 2,
+			name: "shortline, losing answers", settings: siteDeployment("shortline", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "bff4ce9299fa9c0d2d5a054b2327363961864f0c4b358e77b466fcddb88ed5c4", lossy: true,
 		},
 		{
-			name: "a fleet of 40 at ledger, losing answers", settings: site("ledger", fleetOf(40)), engines: 40, seeds: 2,
+			name: "a fleet of 40 at ledger, losing answers", settings: siteDeployment("ledger", withBrokers(40)), engines: 40, seeds: 2,
 			length: 60 * time.Second, want: "e58139c2da7729032c6e457f9a6c6a152f6511190d822b60f08e96af00338a64", lossy: true,
 		},
 	}
@@ -188,7 +188,7 @@
 			engines = 70
 		}
 		cases = append(cases, recordedCase{
-			name: fmt.Sprint("drawn settings ", seed), settings: drawn(seed), engines: engines, seeds: 1,
+			name: fmt.Sprint("drawn settings ", seed), settings: drawnDeployment(seed), engines: engines, seeds: 1,
 			length: 60 * time.Second, want: drawnHashes[seed],
 		})
 	}
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -98,16 +98,16 @@
 	panic(fmt.Sprintf("no number for %T", action))
 }
 
-// play runs a case and returns its hash and what was done how often.
-func (c recordedCase) play(tb testing.TB) (string, [numberOfKinds]int) {
+// run runs a case and returns its hash and what was done how often.
+func (c recordedCase) run(tb testing.TB) (string, [numberOfKinds]int) {
 	tb.Helper()
 	e := &encoder{Hash: sha256.New()}
 	for seed := range c.seeds {
-		w := newWorld(tb, c.settings(tb), seed+1, c.engines)
+		cluster := newSimulatedCluster(tb, c.settings(tb), seed+1, c.engines)
 		if c.lossy {
-			w.faultRate, w.lossRate = 0.005, 0.35
+			cluster.faultRate, cluster.lossRate = 0.005, 0.35
 		}
-		w.observe = func(b batch, actions []control.Action) {
+		cluster.observe = func(b batch, actions []control.Action) {
 			e.number(uint64(b.now))
 			e.number(uint64(len(actions)))
 			for _, a := range actions {
@@ -116,8 +116,8 @@
 		}
 		var view control.View
 		for range c.length / (5 * time.Second) {
-			w.run(5 * time.Second)
-			w.module.View(&view)
+			cluster.run(5 * time.Second)
+			cluster.controller.View(&view)
 			e.value(reflect.ValueOf(view))
 		}
 	}
@@ -132,7 +132,7 @@
 	var kinds [numberOfKinds]int
 	for _, c := range recordedCases() {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
-			got, seen := c.play(t)
+			got, seen := c.run(t)
 			if got != c.want {
 				t.Errorf("hash %s, on record %s; actions by kind: %v", got, c.want, seen)
 			}
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -7,22 +7,22 @@
 	"wheatlane/control"
 )
 
-// recorded is what the module was given in a world in which nothing goes wrong, to be given again to fresh
+// recording is what the module was given in a world in which nothing goes wrong, to be given again to fresh
 // controllers: equal settings, seeds and events give equal actions, so the loop stays closed and only the
 // module is measured.
-type recorded struct {
+type recording struct {
 	settings deployment
 	seed     uint64
 	batches  []batch
 }
 
-func record(b *testing.B, settings deployment, engines int, load float64, length time.Duration) recorded {
+func record(b *testing.B, settings deployment, engines int, load float64, length time.Duration) recording {
 	b.Helper()
-	r := recorded{settings: settings, seed: 1}
-	w := newWorld(b, settings, r.seed, engines)
-	w.faultless, w.load = true, load
-	w.observe = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
-	w.run(length)
+	r := recording{settings: settings, seed: 1}
+	cluster := newSimulatedCluster(b, settings, r.seed, engines)
+	cluster.faultless, cluster.load = true, load
+	cluster.observe = func(given batch, _ []control.Action) { r.batches = append(r.batches, given) }
+	cluster.run(length)
 	return r
 }
 
@@ -49,11 +49,11 @@
 		{"site=reykjavik/load=1.5", "reykjavik", nil, 7, 1.5},
 		{"site=ledger/load=0.75", "ledger", nil, 7, 0.75},
 		{"site=shortline/load=1.5", "shortline", nil, 7, 1.5},
-		{"site=fleet-of-200/load=0.75", "hobart", fleetOf(200), 65, 0.75},
-		{"site=fleet-of-200/load=1.5", "hobart", fleetOf(200), 65, 1.5},
+		{"site=fleet-of-200/load=0.75", "hobart", withBrokers(200), 65, 0.75},
+		{"site=fleet-of-200/load=1.5", "hobart", withBrokers(200), 65, 1.5},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			r := record(b, site(c.site, c.change)(b), c.engines, c.load, time.Minute)
+			r := record(b, siteDeployment(c.site, c.change)(b), c.engines, c.load, time.Minute)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for done := 0; done < b.N; {
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -26,46 +26,46 @@
 }
 
 func TestRequestIsAnsweredOnceByItsDeadline(t *testing.T) {
-	r := newRig(t, baseSettings()) // without engines nothing can be sent
-	id, _ := r.submit("quick")
-	got := r.advance(5 * time.Second)
+	h := newHarness(t, baseSettings()) // without engines nothing can be sent
+	id, _ := h.submit("quick")
+	got := h.advance(5 * time.Second)
 	requireEqual(t, "rejections", countOf[Reject](got), 1)
 	requireEqual(t, "request", actionsOf[Reject](got)[0].RequestID, id)
 	requireEqual(t, "sends", countOf[SendAttempt](got), 0)
-	requireEqual(t, "kept", len(r.controller.requests.byID), 0)
+	requireEqual(t, "kept", len(h.controller.requests.byID), 0)
 }
 
 func TestAnsweredRequestIsReleased(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	id, got := r.submit("quick")
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	id, got := h.submit("quick")
 	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
-	r.endAttempt(id, 0, OK)
-	got = r.advance(4 * time.Second)
+	h.endAttempt(id, 0, OK)
+	got = h.advance(4 * time.Second)
 	requireEqual(t, "answers of its own", countOf[Reject](got)+countOf[Fail](got), 0)
-	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
-	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
+	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
+	requireEqual(t, "threads", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
 }
 
 func TestAttemptOptionsOnlyWhereSupported(t *testing.T) {
 	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	_, got := r.submit("quick", mem)
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	_, got := h.submit("quick", mem)
 	requireEqual(t, "options where none is applied", countOf[SetAttemptOptions](got), 0)
 	s := baseSettings()
 	s.MemoryGrants, s.Priorities = true, true
-	r = newRig(t, s, readyEngine("e1"))
-	_, got = r.submit("quick", mem)
+	h = newHarness(t, s, readyEngine("e1"))
+	_, got = h.submit("quick", mem)
 	wantOptions := SetAttemptOptions{RequestID: "q1", GrantMB: 1250, Priority: 3}
 	requireEqual(t, "options", actionsOf[SetAttemptOptions](got)[0], wantOptions)
-	_, got = r.submit("quick", func(q *Request) { q.EstimatedMemoryMB = 1e6 })
+	_, got = h.submit("quick", func(q *Request) { q.EstimatedMemoryMB = 1e6 })
 	requireEqual(t, "largest grant", actionsOf[SetAttemptOptions](got)[0].GrantMB, math.Ceil(0.4*16384))
 }
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	id, _ := r.submit("quick")
-	r.endAttempt(id, 0, OK)
-	got := r.handle(
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	id, _ := h.submit("quick")
+	h.endAttempt(id, 0, OK)
+	got := h.handle(
 		AttemptEnded{RequestID: id, Status: OK},
 		AttemptEnded{RequestID: "never", Number: 7},
 		ClientDisconnected{RequestID: id},
@@ -77,17 +77,17 @@
 		EndpointUpdate{Kind: EndpointDelta},
 	)
 	requireEqual(t, "actions", len(got), 0)
-	requireEqual(t, "empty batch", len(r.controller.Handle(r.now, nil)), 0)
-	got = r.handle(RequestReceived{Request: Request{ID: "x", Class: "unknown", Deadline: r.now + time.Second}})
+	requireEqual(t, "empty batch", len(h.controller.Handle(h.now, nil)), 0)
+	got = h.handle(RequestReceived{Request: Request{ID: "x", Class: "unknown", Deadline: h.now + time.Second}})
 	requireEqual(t, "a class nobody named", got[0], Action(Fail{RequestID: "x"}))
 }
 
 func TestTimeNeverGoesBackwards(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	was := r.controller.now
-	r.now -= time.Minute
-	_, got := r.submit("quick", func(q *Request) { q.Deadline = was + time.Second })
-	requireEqual(t, "now", r.controller.now, was)
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	was := h.controller.now
+	h.now -= time.Minute
+	_, got := h.submit("quick", func(q *Request) { q.Deadline = was + time.Second })
+	requireEqual(t, "now", h.controller.now, was)
 	requireEqual(t, "sent", countOf[SendAttempt](got), 1)
 }
 
@@ -97,64 +97,64 @@
 func TestStandstillHandlesOutcomesFirst(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Hedging = true
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, got := r.submit("quick")
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, got := h.submit("quick")
 	e := actionsOf[SendAttempt](got)[0].Engine
-	r.now += 2 * time.Second
+	h.now += 2 * time.Second
 	var evs []Event
-	for tok, at := range r.timers {
-		if at <= r.now {
+	for tok, at := range h.timers {
+		if at <= h.now {
 			evs = append(evs, TimerFired{Token: tok})
-			delete(r.timers, tok)
+			delete(h.timers, tok)
 		}
 	}
 	slices.SortFunc(evs, func(a, b Event) int { return int(a.(TimerFired).Token) - int(b.(TimerFired).Token) })
 	evs = append(evs,
-		RequestReceived{Request: Request{ID: "left", Class: "quick", Deadline: r.now + time.Second}},
+		RequestReceived{Request: Request{ID: "left", Class: "quick", Deadline: h.now + time.Second}},
 		ClientDisconnected{RequestID: "left"},
 		AttemptEnded{
 			RequestID: id, Engine: e, Status: OK, RequestClosed: true, Duration: 100 * ms, Work: 100 * ms,
 		},
-		RequestReceived{Request: Request{ID: "late", Class: "quick", Deadline: r.now - time.Second}},
-		RequestReceived{Request: Request{ID: "open", Class: "quick", Deadline: r.now + time.Second}},
+		RequestReceived{Request: Request{ID: "late", Class: "quick", Deadline: h.now - time.Second}},
+		RequestReceived{Request: Request{ID: "open", Class: "quick", Deadline: h.now + time.Second}},
 	)
-	got = r.handle(evs...)
+	got = h.handle(evs...)
 	sends := actionsOf[SendAttempt](got)
 	requireEqual(t, "sends", len(sends) == 1 && sends[0].RequestID == "open", true)
-	requireEqual(t, "answers presumed lost", r.controller.outliers.Losses(), 0.0)
-	answers := actionsOf[Reject](append(got, r.advance(50*ms)...))
+	requireEqual(t, "answers presumed lost", h.controller.outliers.Losses(), 0.0)
+	answers := actionsOf[Reject](append(got, h.advance(50*ms)...))
 	requireEqual(t, "rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
 }
 
 // Thousands of requests at once, a list of hundreds of engines, one engine twice in an update, then no
 // engine: each request is answered once.
 func TestManyRequestsAtOnceAreAnsweredOnceEach(t *testing.T) {
-	r := newPooledRig(t, pooledSettings(), 300)
-	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{readyEngine("e01"), readyEngine("e01")}})
+	h := newPooledHarness(t, pooledSettings(), 300)
+	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{readyEngine("e01"), readyEngine("e01")}})
 	const count = 3000
 	evs := make([]Event, 0, count)
 	for i := range count {
 		evs = append(evs, RequestReceived{Request: Request{
 			ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
-			Deadline: r.now + time.Duration(i%5)*time.Second,
+			Deadline: h.now + time.Duration(i%5)*time.Second,
 		}})
 	}
-	r.handle(evs...)
-	r.advance(500 * ms)
-	r.handle(EndpointUpdate{Kind: EndpointSnapshot}) // none left
-	r.advance(6 * time.Second)
+	h.handle(evs...)
+	h.advance(500 * ms)
+	h.handle(EndpointUpdate{Kind: EndpointSnapshot}) // none left
+	h.advance(6 * time.Second)
 	answers := map[string]int{}
-	for _, a := range actionsOf[Reject](r.actions) {
+	for _, a := range actionsOf[Reject](h.actions) {
 		answers[a.RequestID]++
 	}
 	requireEqual(t, "answered", len(answers), count)
 	for id, n := range answers {
 		requireEqual(t, id, n, 1)
 	}
-	for _, a := range actionsOf[SendAttempt](r.actions) {
-		r.endAttempt(a.RequestID, 0, TimedOut)
+	for _, a := range actionsOf[SendAttempt](h.actions) {
+		h.endAttempt(a.RequestID, 0, TimedOut)
 	}
-	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
+	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
 }
 
 func BenchmarkHandle(b *testing.B) {
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -11,18 +11,18 @@
 
 // An overloaded engine sends no answers: the age of what is in flight keeps up the pressure.
 func TestOverloadWithoutAnswersHoldsTheLimit(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	sent := 0
 	for range 200 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		sent += countOf[SendAttempt](got)
-		sent += countOf[SendAttempt](r.advance(10 * ms))
+		sent += countOf[SendAttempt](h.advance(10 * ms))
 	}
 	early := sent
 	for range 200 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		sent += countOf[SendAttempt](got)
-		sent += countOf[SendAttempt](r.advance(5 * ms))
+		sent += countOf[SendAttempt](h.advance(5 * ms))
 	}
 	if sent-early > 4 {
 		t.Fatalf("%d more sent to an overloaded engine (%d before it showed)", sent-early, early)
@@ -32,22 +32,22 @@
 // Long requests fill the concurrency limit for seconds. Quick ones, whose weight is higher for their work,
 // must not wait or be rejected for it while they hold less than the limit by themselves.
 func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
-	r := newRigUnderPressure(t)
+	h := newHarnessUnderPressure(t)
 	for range 10 {
-		r.submit("long", r.deadlineIn(20*time.Second))
+		h.submit("long", h.deadlineIn(20*time.Second))
 	}
-	e := r.controller.endpoints.all[0]
+	e := h.controller.endpoints.all[0]
 	headroom := e.concurrency.Limit() - float64(e.concurrency.ThreadsInFlight())
-	if headroom >= 2 || !r.controller.underPressure(e) {
+	if headroom >= 2 || !h.controller.underPressure(e) {
 		t.Fatalf("the long ones leave %.1f threads", headroom)
 	}
 	quick := 0
 	for range 20 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		quick += countOf[SendAttempt](got)
 	}
 	limit := e.concurrency.Limit()
-	if float64(quick) <= float64(r.controller.shares.Share(0))*limit || float64(quick) > limit {
+	if float64(quick) <= float64(h.controller.shares.Share(0))*limit || float64(quick) > limit {
 		t.Fatalf("%d quick requests were sent, want over their share of the limit of %.1f, and at most the limit",
 			quick, limit)
 	}
@@ -56,14 +56,14 @@
 // Without pressure an engine takes a small multiple of its limit at most, so that the requests of a lost
 // engine do not overload the others before pressure shows.
 func TestLostEngineDoesNotOverloadTheOthers(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	e := r.controller.endpoints.all[0]
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	e := h.controller.endpoints.all[0]
 	for range 100 {
-		r.submit("long", r.deadlineIn(20*time.Second))
+		h.submit("long", h.deadlineIn(20*time.Second))
 	}
 	limit, threads := e.concurrency.Limit(), float64(e.concurrency.ThreadsInFlight())
 	unloadedLimit := concurrency.DefaultConfig().UnloadedMultiple * limit
-	if r.controller.underPressure(e) || threads < limit || threads > unloadedLimit {
+	if h.controller.underPressure(e) || threads < limit || threads > unloadedLimit {
 		t.Fatalf("%v threads in flight, want between the limit of %.1f and %.1f", threads, limit, unloadedLimit)
 	}
 }
@@ -72,12 +72,12 @@
 func TestUnloadedEngineTakesTwoOfTheWidestRequests(t *testing.T) {
 	s := baseSettings()
 	s.Brokers, s.Classes[1].Threads = 3, 4
-	r := newRig(t, s, readyEngine("e1"))
-	limiter := &r.controller.endpoints.all[0].concurrency
+	h := newHarness(t, s, readyEngine("e1"))
+	limiter := &h.controller.endpoints.all[0].concurrency
 	limiter.Scale(4 / limiter.Limit())
 	sent := 0
 	for range 4 {
-		_, got := r.submit("long", r.deadlineIn(20*time.Second))
+		_, got := h.submit("long", h.deadlineIn(20*time.Second))
 		sent += countOf[SendAttempt](got)
 	}
 	requireEqual(t, "requests sent", sent, 2)
@@ -86,25 +86,25 @@
 // The joint load of a fleet stays under control though no broker sees another: under pressure what each has
 // in flight follows its share of all limits together, not a request for each engine.
 func TestPooledBrokerKeepsItsShareOfTheLimits(t *testing.T) {
-	r := newPooledRig(t, pooledSettings(), 60)
+	h := newPooledHarness(t, pooledSettings(), 60)
 	for range 400 { // nothing is answered
-		r.submit("quick")
-		r.advance(20 * ms)
-		pool := r.controller.endpoints.pool
-		widest := float64(r.controller.classes.maxThreads)
+		h.submit("quick")
+		h.advance(20 * ms)
+		pool := h.controller.endpoints.pool
+		widest := float64(h.controller.classes.maxThreads)
 		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
 		if float64(pool.concurrency.ThreadsInFlight()) > maxThreads {
 			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.ThreadsInFlight(), maxThreads)
 		}
 	}
-	requireEqual(t, "under pressure", r.controller.underPressure(r.controller.endpoints.pool), true)
+	requireEqual(t, "under pressure", h.controller.underPressure(h.controller.endpoints.pool), true)
 }
 
 // Worked example of start-time fair queueing: shares 3 to 1, equal costs, both backlogged: the first class
 // gets three of four. That a flow which stays backlogged keeps its tag is tested in internal/fairqueue.
 func TestFairQueueingFollowsShares(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"))
-	c, e := r.controller, r.controller.endpoints.all[0]
+	h := newHarness(t, baseSettings(), readyEngine("e1"))
+	c, e := h.controller, h.controller.endpoints.all[0]
 	c.shares = shares.New(shares.DefaultConfig(), []float64{0.75, 0.25})
 	for i := range 40 {
 		k := c.classes.all[i%2]
--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -10,16 +10,16 @@
 func TestNonIdempotentRequestIsNotRetriedOnceItMayHaveRun(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Idempotency.Kind = idempotency.NonIdempotent
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, _ := r.submit("quick")
-	got := r.endAttempt(id, 0, Failed)
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, _ := h.submit("quick")
+	got := h.endAttempt(id, 0, Failed)
 	requireEqual(t, "failures at once", countOf[Fail](got), 1)
-	got = append(got, r.advance(4*time.Second)...)
+	got = append(got, h.advance(4*time.Second)...)
 	requireEqual(t, "retries", countOf[SendAttempt](got), 0)
 	requireEqual(t, "rejections", countOf[Reject](got), 0)
 	requireEqual(t, "failures", countOf[Fail](got), 1)
-	id, _ = r.submit("quick")
-	got = r.endAttempt(id, 0, ConnectFailed)
+	id, _ = h.submit("quick")
+	got = h.endAttempt(id, 0, ConnectFailed)
 	requireEqual(t, "retries after proof that it never ran", countOf[SendAttempt](got), 1)
 }
 
@@ -35,17 +35,17 @@
 			}
 			outside := readyEngine("e3")
 			outside.Zone, outside.Cell = "b", 1
-			r := newRig(t, s, readyEngine("e1"), readyEngine("e2"), outside)
-			id, got := r.submit("quick")
+			h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"), outside)
+			id, got := h.submit("quick")
 			first := actionsOf[SendAttempt](got)[0].Engine
-			again := actionsOf[SendAttempt](r.endAttempt(id, 0, Failed))
+			again := actionsOf[SendAttempt](h.endAttempt(id, 0, Failed))
 			if first == "e3" {
 				requireEqual(t, "engine", again[0].Engine, "e3")
 			} else if again[0].Engine == "e3" {
 				t.Fatal("left its dedup scope")
 			}
-			r.advance(1100 * ms)
-			got = append(r.endAttempt(id, 1, Failed), r.advance(3*time.Second)...)
+			h.advance(1100 * ms)
+			got = append(h.endAttempt(id, 1, Failed), h.advance(3*time.Second)...)
 			requireEqual(t, "sends after the window", countOf[SendAttempt](got), 0)
 			requireEqual(t, "failures", countOf[Fail](got), 1)
 		})
@@ -74,13 +74,13 @@
 			s := baseSettings()
 			s.MaxSendDelay = 300 * ms // so a retry after 750 ms might leave past the window
 			s.Classes[1].Idempotency = c.idempotency
-			r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-			id, _ := r.submit("long", r.deadlineIn(20*time.Second))
-			r.advance(c.after)
-			got := r.endAttempt(id, 0, c.status)
+			h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+			id, _ := h.submit("long", h.deadlineIn(20*time.Second))
+			h.advance(c.after)
+			got := h.endAttempt(id, 0, c.status)
 			requireEqual(t, "failures", countOf[Fail](got), c.failures)
 			requireEqual(t, "rejections", countOf[Reject](got), c.rejections)
-			got = append(got, r.advance(time.Second)...)
+			got = append(got, h.advance(time.Second)...)
 			requireEqual(t, "retries", countOf[SendAttempt](got), 0)
 		})
 	}
@@ -89,34 +89,34 @@
 // A limit of attempts that a reload lowers ends the requests that have reached it and wait for a retry.
 func TestLoweredMaxAttemptsEndsWaitingRequests(t *testing.T) {
 	s := baseSettings()
-	r := newRig(t, s, readyEngine("e1"))
-	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
+	h := newHarness(t, s, readyEngine("e1"))
+	id, _ := h.submit("long", h.deadlineIn(20*time.Second))
 	draining := readyEngine("e1")
 	draining.State = Draining
-	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{draining}})
-	got := append(r.endAttempt(id, 0, Failed), r.advance(300*ms)...)
+	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{draining}})
+	got := append(h.endAttempt(id, 0, Failed), h.advance(300*ms)...)
 	requireEqual(t, "answers while there may be another engine", countOf[Reject](got)+countOf[Fail](got), 0)
 	s.Limits.MaxAttempts = 1
-	r.controller.UpdateClasses(s.Classes, s.Limits)
-	requireEqual(t, "rejections", countOf[Reject](r.advance(300*ms)), 1)
+	h.controller.UpdateClasses(s.Classes, s.Limits)
+	requireEqual(t, "rejections", countOf[Reject](h.advance(300*ms)), 1)
 }
 
 func TestOrderKeyKeepsOrderAndCooldown(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Ordered, s.Rules.KeyCooldown = true, 400*ms
 	key := func(q *Request) { q.OrderKey = "k" }
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	first, got := r.submit("quick", key)
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	first, got := h.submit("quick", key)
 	requireEqual(t, "first", countOf[SendAttempt](got), 1)
-	_, got = r.submit("quick", key)
+	_, got = h.submit("quick", key)
 	requireEqual(t, "second waits", countOf[SendAttempt](got), 0)
-	_, got = r.submit("quick", func(q *Request) { q.OrderKey = "other" })
+	_, got = h.submit("quick", func(q *Request) { q.OrderKey = "other" })
 	requireEqual(t, "another key", countOf[SendAttempt](got), 1)
-	r.handle(ClientDisconnected{RequestID: first}) // its attempt is still in flight
-	requireEqual(t, "while in flight", countOf[SendAttempt](r.advance(300*ms)), 0)
-	r.endAttempt(first, 0, TimedOut)
-	requireEqual(t, "during the cooldown", countOf[SendAttempt](r.advance(350*ms)), 0)
-	requireEqual(t, "after the cooldown", countOf[SendAttempt](r.advance(300*ms)), 1)
+	h.handle(ClientDisconnected{RequestID: first}) // its attempt is still in flight
+	requireEqual(t, "while in flight", countOf[SendAttempt](h.advance(300*ms)), 0)
+	h.endAttempt(first, 0, TimedOut)
+	requireEqual(t, "during the cooldown", countOf[SendAttempt](h.advance(350*ms)), 0)
+	requireEqual(t, "after the cooldown", countOf[SendAttempt](h.advance(300*ms)), 1)
 }
 
 func TestPlacementHoldsOnEveryAttempt(t *testing.T) {
@@ -126,31 +126,31 @@
 	b.Zone = "b"
 	other := readyEngine("e3")
 	other.Zone, other.Kind = "b", "big"
-	r := newRig(t, s, readyEngine("e1"), b, other)
-	id, got := r.submit("quick")
+	h := newHarness(t, s, readyEngine("e1"), b, other)
+	id, got := h.submit("quick")
 	for n := range 3 {
 		requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
-		if got = r.endAttempt(id, n, Failed); n < 2 && countOf[SendAttempt](got) == 0 {
-			got = r.advance(time.Second)
+		if got = h.endAttempt(id, n, Failed); n < 2 && countOf[SendAttempt](got) == 0 {
+			got = h.advance(time.Second)
 		}
 		if countOf[SendAttempt](got) == 0 {
 			break
 		}
 	}
-	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e1"), other}})
-	_, got = r.submit("quick")
-	got = append(got, r.advance(4*time.Second)...)
+	h.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e1"), other}})
+	_, got = h.submit("quick")
+	got = append(got, h.advance(4*time.Second)...)
 	requireEqual(t, "sends with no engine allowed", countOf[SendAttempt](got), 0)
 }
 
 func TestNoHedgingAndAtMostMaxAttempts(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
-	requireEqual(t, "hedged attempts", countOf[SendAttempt](r.advance(10*time.Second)), 0)
+	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+	id, _ := h.submit("long", h.deadlineIn(20*time.Second))
+	requireEqual(t, "hedged attempts", countOf[SendAttempt](h.advance(10*time.Second)), 0)
 	sends := 1
 	for n := range 4 {
-		sends += countOf[SendAttempt](r.endAttempt(id, n, Failed))
-		sends += countOf[SendAttempt](r.advance(time.Second))
+		sends += countOf[SendAttempt](h.endAttempt(id, n, Failed))
+		sends += countOf[SendAttempt](h.advance(time.Second))
 	}
 	requireEqual(t, "attempts", sends, 3)
 }
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -13,13 +13,13 @@
 func TestGossipedReportsCountWhereTheyAreFresher(t *testing.T) {
 	started := readyEngine("e03")
 	started.StartedAt = 99 * time.Second
-	r := newPooledRig(t, fleetSettings(), 10)
-	r.handle(
+	h := newPooledHarness(t, fleetSettings(), 10)
+	h.handle(
 		EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{started}},
 		ProbeResult{Engine: "e01", Report: utilization(0.4)},
 	)
-	r.now += time.Second
-	r.handle(GossipReceived{Reports: []GossipedLoad{
+	h.now += time.Second
+	h.handle(GossipReceived{Reports: []GossipedLoad{
 		{GossipID("e01"), 0.9, 1500 * ms},
 		{GossipID("e02"), 0.9, 1500 * ms},
 		{GossipID("e03"), 0.9, 5 * time.Second},
@@ -27,13 +27,13 @@
 		{GossipID("no such"), 0.9, 0},
 	}})
 	for id, wanted := range map[string]units.Fraction{"e01": 0.4, "e02": 0.9, "e03": 0, "e04": 0} {
-		if got := r.controller.endpoints.byID[id].load.Load(); math.Abs(float64(got-wanted)) > 1e-9 {
+		if got := h.controller.endpoints.byID[id].load.Load(); math.Abs(float64(got-wanted)) > 1e-9 {
 			t.Errorf("%s: report %v, want %v", id, got, wanted)
 		}
 	}
-	requireEqual(t, "e04's report, in the future", r.controller.endpoints.byID["e04"].load.Age(r.now), 0)
-	r.handle(GossipReceived{Reports: []GossipedLoad{{GossipID("e01"), 0.7, 100 * ms}}})
-	requireEqual(t, "a fresher report", r.controller.endpoints.byID["e01"].load.Load(), 0.7)
+	requireEqual(t, "e04's report, in the future", h.controller.endpoints.byID["e04"].load.Age(h.now), 0)
+	h.handle(GossipReceived{Reports: []GossipedLoad{{GossipID("e01"), 0.7, 100 * ms}}})
+	requireEqual(t, "a fresher report", h.controller.endpoints.byID["e01"].load.Load(), 0.7)
 }
 
 // A broker sends its reports to one other at a time, never to itself, the freshest first, and no oftener than
@@ -42,21 +42,21 @@
 	const gossipInterval = 200 * ms
 	s := fleetSettings()
 	s.Brokers, s.BrokerIndex = 8, 3
-	r := newPooledRig(t, s, 10)
-	requireEqual(t, "sent without reports", countOf[SendGossip](r.advance(time.Second)), 0)
-	r.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
-	r.now += 50 * ms
-	r.handle(ProbeResult{Engine: "e02", Report: utilization(0.8)})
-	sent := actionsOf[SendGossip](r.advance(4 * time.Second))
+	h := newPooledHarness(t, s, 10)
+	requireEqual(t, "sent without reports", countOf[SendGossip](h.advance(time.Second)), 0)
+	h.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
+	h.now += 50 * ms
+	h.handle(ProbeResult{Engine: "e02", Report: utilization(0.8)})
+	sent := actionsOf[SendGossip](h.advance(4 * time.Second))
 	if len(sent) < 10 || len(sent) > int(4*time.Second/gossipInterval) {
 		t.Fatalf("sent %d times in 4 s", len(sent))
 	}
 	for range 20 { // fresh reports every second, so that there is something to gossip
-		r.handle(
+		h.handle(
 			ProbeResult{Engine: "e02", Report: utilization(0.8)},
 			ProbeResult{Engine: "e01", Report: utilization(0.4)},
 		)
-		sent = append(sent, actionsOf[SendGossip](r.advance(time.Second))...)
+		sent = append(sent, actionsOf[SendGossip](h.advance(time.Second))...)
 	}
 	to := map[int]bool{}
 	for _, a := range sent {
@@ -70,10 +70,10 @@
 	if len(first) != 2 || first[0].Engine != GossipID("e02") || first[1].Age-first[0].Age != 50*ms {
 		t.Fatalf("sent %+v first", first)
 	}
-	old := countOf[SendGossip](r.advance(10 * time.Second))
+	old := countOf[SendGossip](h.advance(10 * time.Second))
 	requireEqual(t, "sends less of old reports", old < int(6*time.Second/gossipInterval), true)
 	s.Limits.Gossip = false
-	r = newPooledRig(t, s, 10)
-	r.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
-	requireEqual(t, "sent where gossip is off", countOf[SendGossip](r.advance(time.Second)), 0)
+	h = newPooledHarness(t, s, 10)
+	h.handle(ProbeResult{Engine: "e01", Report: utilization(0.4)})
+	requireEqual(t, "sent where gossip is off", countOf[SendGossip](h.advance(time.Second)), 0)
 }
--- a/control/rig_test.go
+++ b/control/harness_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// rig drives a controller by hand and keeps what it did; it models no engine.
-type rig struct {
+// harness drives a controller by hand and keeps what it did; it models no engine.
+type harness struct {
 	t          *testing.T
 	controller *Controller
 	now        time.Duration
@@ -44,15 +44,15 @@
 	submitted  int                      // requests so far
 }
 
-func newRig(t *testing.T, s Settings, engines ...Engine) *rig {
+func newHarness(t *testing.T, s Settings, engines ...Engine) *harness {
 	t.Helper()
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
-	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
-	return r
+	h := &harness{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
+	h.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
+	return h
 }
 
 // readyEngines are n engines, e00 and on.
@@ -67,50 +67,50 @@
 func readyEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "std"} }
 
 // handle gives the controller events and returns what was done.
-func (r *rig) handle(events ...Event) []Action {
-	out := r.controller.Handle(r.now, events)
+func (h *harness) handle(events ...Event) []Action {
+	out := h.controller.Handle(h.now, events)
 	for _, a := range out {
 		if s, ok := a.(SetTimer); ok {
-			r.timers[s.Token] = r.now + s.After
+			h.timers[s.Token] = h.now + s.After
 		}
 	}
-	r.actions = append(r.actions, out...)
+	h.actions = append(h.actions, out...)
 	return out
 }
 
 // advance lets time pass, fires timers as they come due, and returns what was done.
-func (r *rig) advance(d time.Duration) []Action {
-	from := len(r.actions)
-	for end := r.now + d; r.now < end; {
-		r.now += 5 * ms
+func (h *harness) advance(d time.Duration) []Action {
+	from := len(h.actions)
+	for end := h.now + d; h.now < end; {
+		h.now += 5 * ms
 		var fired []uint64
-		for token, dueAt := range r.timers {
-			if dueAt <= r.now {
+		for token, dueAt := range h.timers {
+			if dueAt <= h.now {
 				fired = append(fired, token)
-				delete(r.timers, token)
+				delete(h.timers, token)
 			}
 		}
 		slices.Sort(fired)
 		for _, token := range fired {
-			r.handle(TimerFired{Token: token})
+			h.handle(TimerFired{Token: token})
 		}
 	}
-	return r.actions[from:]
+	return h.actions[from:]
 }
 
 // submit gives the controller a request of a class and returns its ID and what was done.
-func (r *rig) submit(class string, change ...func(*Request)) (string, []Action) {
-	r.submitted++
-	q := Request{ID: fmt.Sprint("q", r.submitted), Class: class, Tenant: "t0", Deadline: r.now + 3*time.Second}
+func (h *harness) submit(class string, change ...func(*Request)) (string, []Action) {
+	h.submitted++
+	q := Request{ID: fmt.Sprint("q", h.submitted), Class: class, Tenant: "t0", Deadline: h.now + 3*time.Second}
 	for _, f := range change {
 		f(&q)
 	}
-	return q.ID, r.handle(RequestReceived{Request: q})
+	return q.ID, h.handle(RequestReceived{Request: q})
 }
 
 // deadlineIn changes the deadline of a request that is submitted now.
-func (r *rig) deadlineIn(d time.Duration) func(*Request) {
-	return func(q *Request) { q.Deadline = r.now + d }
+func (h *harness) deadlineIn(d time.Duration) func(*Request) {
+	return func(q *Request) { q.Deadline = h.now + d }
 }
 
 // actionsOf are the actions of one type.
@@ -127,8 +127,8 @@
 func countOf[T Action](all []Action) int { return len(actionsOf[T](all)) }
 
 // endAttempt ends an attempt; an answer closes its request.
-func (r *rig) endAttempt(id string, number int, status Status) []Action {
-	return r.handle(AttemptEnded{
+func (h *harness) endAttempt(id string, number int, status Status) []Action {
+	return h.handle(AttemptEnded{
 		RequestID: id, Number: number, Status: status, Duration: 100 * ms, RequestClosed: status == OK,
 		Work: 100 * ms, MemoryMB: 100,
 	})
@@ -142,8 +142,8 @@
 }
 
 // succeed ends an attempt with the answer to its request.
-func (r *rig) succeed(id string, number int, took, work time.Duration) []Action {
-	return r.handle(AttemptEnded{
+func (h *harness) succeed(id string, number int, took, work time.Duration) []Action {
+	return h.handle(AttemptEnded{
 		RequestID: id, Number: number, Status: OK, RequestClosed: true, Duration: took, Work: work,
 	})
 }
@@ -153,17 +153,17 @@
 	return loadreport.Report{Reported: true, Utilization: fraction}
 }
 
-// newRigUnderPressure is a rig whose one engine has reported far more load than its capacity.
-func newRigUnderPressure(t *testing.T) *rig {
+// newHarnessUnderPressure is a rig whose one engine has reported far more load than its capacity.
+func newHarnessUnderPressure(t *testing.T) *harness {
 	t.Helper()
 	s := baseSettings()
 	s.EnginesReportLoad = true
-	r := newRig(t, s, readyEngine("e1"))
-	id, _ := r.submit("quick")
-	r.handle(AttemptEnded{
+	h := newHarness(t, s, readyEngine("e1"))
+	id, _ := h.submit("quick")
+	h.handle(AttemptEnded{
 		RequestID: id, Status: OK, Duration: 100 * ms, RequestClosed: true, Work: 100 * ms, Report: utilization(3),
 	})
-	return r
+	return h
 }
 
 // pooledSettings is baseSettings with so many brokers that the share of each in an engine is less than a
@@ -174,9 +174,9 @@
 	return s
 }
 
-func newPooledRig(t *testing.T, s Settings, n int) *rig {
+func newPooledHarness(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
-	return newRig(t, s, readyEngines(n)...)
+	return newHarness(t, s, readyEngines(n)...)
 }
 
 // fleetSettings is a pooled deployment whose brokers probe and gossip.
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -17,12 +17,12 @@
 		"missing from a snapshot": {Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e2")}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-			r.handle(update)
+			h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+			h.handle(update)
 			for range 20 {
-				id, got := r.submit("quick")
+				id, got := h.submit("quick")
 				requireEqual(t, "engine", actionsOf[SendAttempt](got)[0].Engine, "e2")
-				r.endAttempt(id, 0, OK)
+				h.endAttempt(id, 0, OK)
 			}
 		})
 	}
@@ -31,42 +31,42 @@
 func TestEndpointListIsPolledAgainAfterAFailure(t *testing.T) {
 	s := baseSettings()
 	s.WatchEndpointList = true
-	r := newRig(t, s, readyEngine("e1"))
-	requireEqual(t, "first", countOf[WatchEndpoints](r.advance(300*ms)), 1)
-	requireEqual(t, "while it holds", countOf[WatchEndpoints](r.advance(20*time.Second)), 0)
-	r.handle(EndpointUpdate{Kind: EndpointWatchFailed})
-	requireEqual(t, "again", countOf[WatchEndpoints](r.advance(3*time.Second)), 1)
+	h := newHarness(t, s, readyEngine("e1"))
+	requireEqual(t, "first", countOf[WatchEndpoints](h.advance(300*ms)), 1)
+	requireEqual(t, "while it holds", countOf[WatchEndpoints](h.advance(20*time.Second)), 0)
+	h.handle(EndpointUpdate{Kind: EndpointWatchFailed})
+	requireEqual(t, "again", countOf[WatchEndpoints](h.advance(3*time.Second)), 1)
 }
 
 func TestRestartResetsOutlierState(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	e := r.controller.endpoints.byID["e1"]
-	r.controller.eject(e, outlier.Failing)
+	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+	e := h.controller.endpoints.byID["e1"]
+	h.controller.eject(e, outlier.Failing)
 	for range 20 {
-		r.controller.outliers.Failed(&e.health, true)
+		h.controller.outliers.Failed(&e.health, true)
 	}
 	requireEqual(t, "failure rate before", e.health.FailureRate() > 0.9, true)
 	restarted := readyEngine("e1")
-	restarted.StartedAt = r.now
-	r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
+	restarted.StartedAt = h.now
+	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
 	requireEqual(t, "ejected", e.health.Ejected(), false)
 	requireEqual(t, "failure rate", e.health.FailureRate(), 0.0)
-	requireEqual(t, "in slow start", r.controller.slowStart.Active(e.slowStartInput(), r.now), true)
+	requireEqual(t, "in slow start", h.controller.slowStart.Active(e.slowStartInput(), h.now), true)
 }
 
 // The state of removed engines is dropped, so that it does not add up where engines are replaced all day.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e0"))
+	h := newHarness(t, baseSettings(), readyEngine("e0"))
 	for i := range 20 {
 		old, fresh := readyEngine(fmt.Sprintf("e%d", i)), readyEngine(fmt.Sprintf("e%d", i+1))
 		old.State = Removed
-		r.controller.emitThrottled(noticeKey{ejected, old.ID}, EngineEjected{Engine: old.ID})
-		r.controller.emitThrottled(noticeKey{restored, old.ID}, EngineRestored{Engine: old.ID})
-		r.handle(EndpointUpdate{Engines: []Engine{old, fresh}})
-		r.advance(2 * controlInterval)
+		h.controller.emitThrottled(noticeKey{ejected, old.ID}, EngineEjected{Engine: old.ID})
+		h.controller.emitThrottled(noticeKey{restored, old.ID}, EngineRestored{Engine: old.ID})
+		h.handle(EndpointUpdate{Engines: []Engine{old, fresh}})
+		h.advance(2 * controlInterval)
 	}
-	all, byID := r.controller.endpoints.all, r.controller.endpoints.byID
-	logged := r.controller.noticeThrottle.Len()
+	all, byID := h.controller.endpoints.all, h.controller.endpoints.byID
+	logged := h.controller.noticeThrottle.Len()
 	if len(all) != 1 || len(byID) != 1 || logged != 0 {
 		t.Fatalf("%d engines, %d by ID, %d log lines are remembered", len(all), len(byID), logged)
 	}
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -10,22 +10,22 @@
 
 // An engine that fails fast looks idle; it must not attract the traffic, and half-open probes must return it.
 func TestFastFailingEngineIsEjectedAndReturns(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
+	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
 	submit := func(requests int, failing bool) (toE1 int) {
 		for range requests {
-			id, got := r.submit("quick")
+			id, got := h.submit("quick")
 			for number := 0; number < 3 && countOf[SendAttempt](got) > 0; number++ {
 				if actionsOf[SendAttempt](got)[0].Engine == "e1" {
 					toE1++
 					if failing {
-						got = r.endAttempt(id, number, Failed)
+						got = h.endAttempt(id, number, Failed)
 						continue
 					}
 				}
-				r.endAttempt(id, number, OK)
+				h.endAttempt(id, number, OK)
 				break
 			}
-			r.advance(20 * ms)
+			h.advance(20 * ms)
 		}
 		return toE1
 	}
@@ -33,7 +33,7 @@
 	if n := submit(200, failing); n > 20 {
 		t.Fatalf("%d of 200 requests went to a failing engine", n)
 	}
-	r.advance(10 * time.Second) // without traffic, its failure rate decays
+	h.advance(10 * time.Second) // without traffic, its failure rate decays
 	submit(400, healthy)
 	if n := submit(150, healthy); n < 20 {
 		t.Fatalf("only %d of 150 requests went to an engine that works again", n)
@@ -41,12 +41,12 @@
 }
 
 func TestEjectedEnginesAreUsedWhenTheyAreMost(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
-	r.controller.eject(r.controller.endpoints.byID["e1"], outlier.Failing)
-	r.controller.eject(r.controller.endpoints.byID["e2"], outlier.Failing)
+	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
+	h.controller.eject(h.controller.endpoints.byID["e1"], outlier.Failing)
+	h.controller.eject(h.controller.endpoints.byID["e2"], outlier.Failing)
 	seen := map[string]bool{}
 	for range 20 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		seen[actionsOf[SendAttempt](got)[0].Engine] = true
 	}
 	requireEqual(t, "engines tried", len(seen), 3)
@@ -60,24 +60,24 @@
 		"each by itself": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+			h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 			for i := range 8 {
-				r.handle(RequestReceived{Request{
-					ID: fmt.Sprint(i), Class: "quick", Tenant: "t0", Deadline: r.now + time.Second,
+				h.handle(RequestReceived{Request{
+					ID: fmt.Sprint(i), Class: "quick", Tenant: "t0", Deadline: h.now + time.Second,
 				}})
 			}
 			sent := map[string][]SendAttempt{}
-			for _, a := range r.actions {
+			for _, a := range h.actions {
 				if s, ok := a.(SendAttempt); ok {
 					sent[s.Engine] = append(sent[s.Engine], s)
 				}
 			}
 			for i, s := range sent["e1"] {
-				r.handle(AttemptEnded{
+				h.handle(AttemptEnded{
 					RequestID: s.RequestID, Engine: "e1", Status: ConnectionReset, SharedCause: c.shared && i > 0,
 				})
 			}
-			if len(sent["e1"]) < 3 || r.controller.endpoints.byID["e1"].health.Ejected() != c.ejected {
+			if len(sent["e1"]) < 3 || h.controller.endpoints.byID["e1"].health.Ejected() != c.ejected {
 				t.Errorf("%d were in flight, ejected is %v", len(sent["e1"]), !c.ejected)
 			}
 		})
@@ -85,13 +85,13 @@
 }
 
 func TestEngineAtCapacityRests(t *testing.T) {
-	r := newRig(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
-	id, got := r.submit("quick")
+	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
+	id, got := h.submit("quick")
 	atCapacity := actionsOf[SendAttempt](got)[0].Engine
-	got = r.endAttempt(id, 0, AtCapacity)
+	got = h.endAttempt(id, 0, AtCapacity)
 	requireEqual(t, "elsewhere", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
 	for range 5 {
-		_, got = r.submit("quick")
+		_, got = h.submit("quick")
 		requireEqual(t, "not at capacity", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
 	}
 }
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -13,19 +13,19 @@
 func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.ProgressInterval, s.Classes[0].LateWeight = true, time.Second, 0.1
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, got := r.submit("quick")
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, got := h.submit("quick")
 	silent := actionsOf[SendAttempt](got)[0].Engine
 	for range 40 {
-		other, got := r.submit("quick")
+		other, got := h.submit("quick")
 		if actionsOf[SendAttempt](got)[0].Engine != silent {
-			r.endAttempt(other, 0, OK)
+			h.endAttempt(other, 0, OK)
 		}
-		if got = r.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
-			lossRate := float64(r.controller.outliers.LossRate(&r.controller.endpoints.byID[silent].health))
+		if got = h.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
+			lossRate := float64(h.controller.outliers.LossRate(&h.controller.endpoints.byID[silent].health))
 			const expectedLossRate = 0.01 // of an engine of which nothing is known
 			requireEqual(t, "estimated to lose answers", lossRate > 10*expectedLossRate, true)
-			retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+			retries := actionsOf[SendAttempt](h.endAttempt(id, 0, Cancelled))
 			requireEqual(t, "retried elsewhere", len(retries) == 1 && retries[0].Engine != silent, true)
 			return
 		}
@@ -36,10 +36,10 @@
 func TestSilentEngineIsHedgedWhereAllowed(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Hedging, s.Limits.MaxAttempts, s.Classes[0].LateWeight = true, 2, 0.1
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, got := r.submit("quick")
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, got := h.submit("quick")
 	first := actionsOf[SendAttempt](got)[0].Engine
-	hedged := actionsOf[SendAttempt](r.advance(2900 * ms))
+	hedged := actionsOf[SendAttempt](h.advance(2900 * ms))
 	requireEqual(t, "hedged attempts", len(hedged), 1)
 	requireEqual(t, "elsewhere", hedged[0].RequestID == id && hedged[0].Engine != first, true)
 }
@@ -47,11 +47,11 @@
 func TestAttemptWithLittleProgressIsCancelled(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.ProgressInterval = true, time.Second
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	id, _ := r.submit("long", r.deadlineIn(20*time.Second))
-	r.now += time.Second
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	id, _ := h.submit("long", h.deadlineIn(20*time.Second))
+	h.now += time.Second
 	progress := func(fraction float64) []Action {
-		return r.handle(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: fraction})
+		return h.handle(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: fraction})
 	}
 	requireEqual(t, "at good progress", countOf[CancelAttempt](progress(0.6)), 0)
 	requireEqual(t, "at little progress", countOf[CancelAttempt](progress(0.01)), 1)
@@ -62,18 +62,18 @@
 func TestAttemptsOfADisconnectedClientAreCancelled(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
-	r := newRig(t, s, readyEngine("e1"))
-	id, _ := r.submit("quick")
-	got := r.handle(ClientDisconnected{RequestID: id})
+	h := newHarness(t, s, readyEngine("e1"))
+	id, _ := h.submit("quick")
+	got := h.handle(ClientDisconnected{RequestID: id})
 	requireEqual(t, "cancelled", slices.Contains(got, Action(CancelAttempt{RequestID: id})), true)
-	requireEqual(t, "once", countOf[CancelAttempt](r.advance(5*time.Second)), 0)
-	r.endAttempt(id, 0, Cancelled)
-	requireEqual(t, "threads", r.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
-	requireEqual(t, "requests kept", len(r.controller.requests.byID), 0)
+	requireEqual(t, "once", countOf[CancelAttempt](h.advance(5*time.Second)), 0)
+	h.endAttempt(id, 0, Cancelled)
+	requireEqual(t, "threads", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
+	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
 	s.Limits.Cancellation = false
-	r = newRig(t, s, readyEngine("e1"))
-	id, _ = r.submit("quick")
-	got = r.handle(ClientDisconnected{RequestID: id})
+	h = newHarness(t, s, readyEngine("e1"))
+	id, _ = h.submit("quick")
+	got = h.handle(ClientDisconnected{RequestID: id})
 	requireEqual(t, "where it is not supported", countOf[CancelAttempt](got), 0)
 }
 
@@ -82,24 +82,24 @@
 func TestLostAnswersAreHedgedInTime(t *testing.T) {
 	s := pooledSettings()
 	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
-	r := newPooledRig(t, s, 60)
-	answer := func(id string, number int) { r.succeed(id, number, 100*ms, 100*ms) }
+	h := newPooledHarness(t, s, 60)
+	answer := func(id string, number int) { h.succeed(id, number, 100*ms, 100*ms) }
 	var waited []time.Duration
 	for i := range 120 {
-		id, got := r.submit("quick")
+		id, got := h.submit("quick")
 		if countOf[SendAttempt](got) == 0 {
 			continue
 		}
 		if i < 40 || i%4 != 0 {
 			answer(id, 0)
-			r.advance(100 * ms)
+			h.advance(100 * ms)
 			continue
 		}
-		from := r.now
-		for r.now < from+2*time.Second {
-			if hedged := actionsOf[SendAttempt](r.advance(10 * ms)); len(hedged) > 0 {
+		from := h.now
+		for h.now < from+2*time.Second {
+			if hedged := actionsOf[SendAttempt](h.advance(10 * ms)); len(hedged) > 0 {
 				requireEqual(t, "elsewhere", hedged[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
-				waited = append(waited, r.now-from)
+				waited = append(waited, h.now-from)
 				answer(id, 1)
 				break
 			}
@@ -109,11 +109,11 @@
 		t.Fatalf("waited %v before hedged attempts", waited)
 	}
 	for i := range 60 { // now no answer comes
-		r.controller.outliers = outlier.NewDetector(outlier.DefaultConfig())
-		recordAnswers(r.controller, &outlier.Health{}, 30+i, 10)
-		r.submit("quick")
-		for _, sent := range actionsOf[SendAttempt](r.advance(100 * ms)) {
-			if q := r.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
+		h.controller.outliers = outlier.NewDetector(outlier.DefaultConfig())
+		recordAnswers(h.controller, &outlier.Health{}, 30+i, 10)
+		h.submit("quick")
+		for _, sent := range actionsOf[SendAttempt](h.advance(100 * ms)) {
+			if q := h.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
 				t.Fatal("a hedged attempt under overload")
 			}
 		}
@@ -124,14 +124,14 @@
 func TestLostAnswerIsDetectedByAgeAlone(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
-	r := newRig(t, s, readyEngine("e1"))
-	lost, _ := r.submit("long", r.deadlineIn(5*time.Minute))
-	sent := r.now
-	for r.now < sent+2*time.Minute {
-		id, _ := r.submit("quick")
-		r.advance(50 * ms)
-		r.endAttempt(id, 0, OK)
-		for _, a := range r.actions {
+	h := newHarness(t, s, readyEngine("e1"))
+	lost, _ := h.submit("long", h.deadlineIn(5*time.Minute))
+	sent := h.now
+	for h.now < sent+2*time.Minute {
+		id, _ := h.submit("quick")
+		h.advance(50 * ms)
+		h.endAttempt(id, 0, OK)
+		for _, a := range h.actions {
 			if cancel, ok := a.(CancelAttempt); ok && cancel.RequestID == lost {
 				return
 			}
@@ -144,23 +144,23 @@
 func TestLostAnswerIsDetectedAfterFewAnswers(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	r.controller.classes.all[1].Cost = workload.NewCost(0.8)
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	h.controller.classes.all[1].Cost = workload.NewCost(0.8)
 	for i := range 20 {
-		id, _ := r.submit("long", r.deadlineIn(20*time.Second))
+		id, _ := h.submit("long", h.deadlineIn(20*time.Second))
 		took := time.Duration(300+i*37%200) * ms
-		r.advance(took)
-		r.succeed(id, 0, took, 800*ms)
+		h.advance(took)
+		h.succeed(id, 0, took, 800*ms)
 	}
-	id, got := r.submit("long", r.deadlineIn(20*time.Second))
+	id, got := h.submit("long", h.deadlineIn(20*time.Second))
 	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
-	for sent := r.now; r.now < sent+3*time.Second; { // its objective is 3.8 s
-		other, _ := r.submit("quick")
-		got := r.advance(50 * ms)
+	for sent := h.now; h.now < sent+3*time.Second; { // its objective is 3.8 s
+		other, _ := h.submit("quick")
+		got := h.advance(50 * ms)
 		if cancelled := actionsOf[CancelAttempt](got); len(cancelled) > 0 && cancelled[0].RequestID == id {
 			return
 		}
-		r.endAttempt(other, 0, OK)
+		h.endAttempt(other, 0, OK)
 	}
 	t.Fatal("the attempt was not cancelled in time for a retry")
 }
@@ -181,28 +181,28 @@
 	s := baseSettings()
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
 	s.Classes[0].LateWeight = 0.5
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	for _, e := range r.controller.endpoints.all { // as after many losses
-		recordAnswers(r.controller, &e.health, 15, 35)
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	for _, e := range h.controller.endpoints.all { // as after many losses
+		recordAnswers(h.controller, &e.health, 15, 35)
 	}
 	cancelled := 0
 	for i := range 600 { // each is answered, one in ten several times as slowly as the rest
-		id, _ := r.submit("quick")
+		id, _ := h.submit("quick")
 		took := time.Duration(20+i*37%61) * ms
 		if i%10 == 9 {
 			took = 200 * ms
 		}
-		got := r.advance(took)
+		got := h.advance(took)
 		if i >= 300 {
 			cancelled += countOf[CancelAttempt](got)
 		}
-		q := r.controller.requests.byID[id]
+		q := h.controller.requests.byID[id]
 		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
-			r.handle(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
-			r.advance(took)
-			r.succeed(id, n+1, 40*ms, 40*ms)
+			h.handle(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
+			h.advance(took)
+			h.succeed(id, n+1, 40*ms, 40*ms)
 		} else {
-			r.succeed(id, n, took, 40*ms)
+			h.succeed(id, n, took, 40*ms)
 		}
 	}
 	if cancelled > 40 { // the slow tenth and not many more
@@ -214,18 +214,18 @@
 func TestEngineHasTimeForItsFirstAnswer(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
-	r := newRig(t, s, readyEngine("e1"))
+	h := newHarness(t, s, readyEngine("e1"))
 	for range 200 {
-		id, _ := r.submit("quick")
-		r.advance(20 * ms)
-		r.endAttempt(id, 0, OK)
+		id, _ := h.submit("quick")
+		h.advance(20 * ms)
+		h.endAttempt(id, 0, OK)
 	}
-	r.handle(EndpointUpdate{Engines: []Engine{readyEngine("e2")}})
+	h.handle(EndpointUpdate{Engines: []Engine{readyEngine("e2")}})
 	for range 4 {
-		r.submit("quick")
+		h.submit("quick")
 	}
-	r.advance(overdue.MinLossWait - 50*ms)
-	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
+	h.advance(overdue.MinLossWait - 50*ms)
+	requireEqual(t, "losses", h.controller.outliers.Losses(), 0)
 }
 
 // An attempt that stands behind another broker's lock on its data set is cancelled and retried elsewhere,
@@ -234,40 +234,40 @@
 func TestAttemptBlockedByALockIsRetriedElsewhere(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
 	for range 200 {
-		id, _ := r.submit("quick")
-		r.advance(20 * ms)
-		r.endAttempt(id, 0, OK)
+		id, _ := h.submit("quick")
+		h.advance(20 * ms)
+		h.endAttempt(id, 0, OK)
 	}
-	id, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
+	id, got := h.submit("quick", func(q *Request) { q.DataSet = 7 })
 	blocking := actionsOf[SendAttempt](got)[0].Engine
 	var cancelledAfter time.Duration
-	for from := r.now; cancelledAfter == 0 && r.now < from+2*time.Second; {
-		other, _ := r.submit("quick", func(q *Request) { q.DataSet = 3 })
-		if got := r.advance(20 * ms); countOf[CancelAttempt](got) > 0 {
+	for from := h.now; cancelledAfter == 0 && h.now < from+2*time.Second; {
+		other, _ := h.submit("quick", func(q *Request) { q.DataSet = 3 })
+		if got := h.advance(20 * ms); countOf[CancelAttempt](got) > 0 {
 			requireEqual(t, "cancelled", actionsOf[CancelAttempt](got)[0].RequestID, id)
-			cancelledAfter = r.now - from
+			cancelledAfter = h.now - from
 		}
-		r.endAttempt(other, 0, OK)
+		h.endAttempt(other, 0, OK)
 	}
 	if cancelledAfter == 0 || cancelledAfter > 400*ms {
 		t.Fatalf("cancelled after %v, which leaves no time for a retry", cancelledAfter)
 	}
-	requireEqual(t, "threads in flight", r.controller.endpoints.byID[blocking].concurrency.ThreadsInFlight(), 0)
-	requireEqual(t, "losses", r.controller.outliers.Losses(), 0)
-	retries := actionsOf[SendAttempt](r.endAttempt(id, 0, Cancelled))
+	requireEqual(t, "threads in flight", h.controller.endpoints.byID[blocking].concurrency.ThreadsInFlight(), 0)
+	requireEqual(t, "losses", h.controller.outliers.Losses(), 0)
+	retries := actionsOf[SendAttempt](h.endAttempt(id, 0, Cancelled))
 	if len(retries) != 1 || retries[0].Engine == blocking {
 		t.Fatalf("retries: %v, want one, and not at %s", retries, blocking)
 	}
 	for range 4 {
-		_, got := r.submit("quick", func(q *Request) { q.DataSet = 7 })
+		_, got := h.submit("quick", func(q *Request) { q.DataSet = 7 })
 		if sent := actionsOf[SendAttempt](got); len(sent) > 0 && sent[0].Engine == blocking {
 			t.Fatal("another request went where the data set is locked")
 		}
 	}
-	r.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
-	requireEqual(t, "locked", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), true)
-	r.advance(10 * time.Second)
-	requireEqual(t, "still locked", r.controller.endpoints.byID[blocking].dataSetLocked(r.now, 7), false)
+	h.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
+	requireEqual(t, "locked", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), true)
+	h.advance(10 * time.Second)
+	requireEqual(t, "still locked", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), false)
 }
--- a/control/property_events_test.go
+++ b/control/property_events_test.go
@@ -110,9 +110,9 @@
 	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
 }
 
-// standStill lets time pass without timers, for no longer than to the next deadline: timers due meanwhile
+// pauseProcess lets time pass without timers, for no longer than to the next deadline: timers due meanwhile
 // fire late.
-func (c *ruleChecker) standStill() {
+func (c *ruleChecker) pauseProcess() {
 	c.t.Helper()
 	c.check(c.advance(5 * ms))
 	length := 2 * time.Second
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -79,7 +79,7 @@
 // ruleChecker feeds random legal events to a controller and checks each action against the rules that show
 // from outside.
 type ruleChecker struct {
-	*rig
+	*harness
 	seed        uint64
 	rng         *rand.Rand
 	settings    Settings
@@ -98,7 +98,7 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	settings := drawSettings(rng)
 	c := &ruleChecker{
-		rig: newRig(t, settings), seed: seed, rng: rng, settings: settings,
+		harness: newHarness(t, settings), seed: seed, rng: rng, settings: settings,
 		engines: map[string]Engine{}, unavailable: map[string]bool{}, requests: map[string]*trackedRequest{},
 		cooldownEnd: map[string]time.Duration{},
 	}
@@ -110,7 +110,7 @@
 			c.check(c.advance(5 * ms))
 		}
 		if rng.IntN(60) == 0 {
-			c.standStill()
+			c.pauseProcess()
 		}
 	}
 	for range 1200 {
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -16,8 +16,8 @@
 		engines := map[string]string{} // by class
 		for brokerIndex, class := range []string{"quick", "long"} {
 			s.BrokerIndex = brokerIndex
-			r := newRig(t, s, readyEngines(5)...)
-			_, got := r.submit(class, func(q *Request) { q.DataSet = dataSet })
+			h := newHarness(t, s, readyEngines(5)...)
+			_, got := h.submit(class, func(q *Request) { q.DataSet = dataSet })
 			engines[class] = actionsOf[SendAttempt](got)[0].Engine
 		}
 		if engines["quick"] == engines["long"] {
@@ -31,22 +31,22 @@
 func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
 	s := baseSettings()
 	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
-	r := newRig(t, s, readyEngine("e1"), readyEngine("e2"))
-	r.advance(2 * controlInterval)
+	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
+	h.advance(2 * controlInterval)
 	probed := map[string]time.Duration{}
 	sends := 0
 	for range 300 {
-		_, got := r.submit("long")
-		got = append(got, r.advance(10*ms)...)
+		_, got := h.submit("long")
+		got = append(got, h.advance(10*ms)...)
 		for _, p := range actionsOf[ProbeLoad](got) {
-			if last, ok := probed[p.Engine]; ok && r.now-last < 250*ms-20*ms {
-				t.Fatalf("%s was probed again after %v", p.Engine, r.now-last)
+			if last, ok := probed[p.Engine]; ok && h.now-last < 250*ms-20*ms {
+				t.Fatalf("%s was probed again after %v", p.Engine, h.now-last)
 			}
-			probed[p.Engine] = r.now
+			probed[p.Engine] = h.now
 		}
 		for _, sent := range actionsOf[SendAttempt](got) {
 			sends++
-			r.endAttempt(sent.RequestID, 0, OK)
+			h.endAttempt(sent.RequestID, 0, OK)
 		}
 	}
 	if len(probed) != 2 || sends < 250 {
@@ -66,16 +66,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
+		h := &harness{t: t, controller: c, now: 100 * time.Second, timers: map[uint64]time.Duration{}}
 		engines := readyEngines(10)
 		reports := make([]GossipedLoad, 0, len(engines))
 		for i, e := range engines {
 			reports = append(reports, GossipedLoad{GossipID(e.ID), 0.1 + 0.15*float64(i), 0})
 		}
-		r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
-		r.handle(GossipReceived{Reports: reports})
-		_, got := r.submit("quick")
-		got = append(got, r.advance(50*ms)...)
+		h.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: engines})
+		h.handle(GossipReceived{Reports: reports})
+		_, got := h.submit("quick")
+		got = append(got, h.advance(50*ms)...)
 		for _, a := range actionsOf[SendAttempt](got) {
 			sent[a.Engine]++
 		}
@@ -88,25 +88,25 @@
 // A heavy request goes to the least loaded of its probe candidates once they have answered; its threads count
 // meanwhile, and are free again when its client disconnects first.
 func TestHeavyRequestGoesToTheBestCandidate(t *testing.T) {
-	r := newPooledRig(t, fleetSettings(), 60)
-	r.advance(2 * controlInterval)
-	id, got := r.submit("long")
+	h := newPooledHarness(t, fleetSettings(), 60)
+	h.advance(2 * controlInterval)
+	id, got := h.submit("long")
 	probes := actionsOf[ProbeLoad](got)
 	if len(probes) < 2 || countOf[SendAttempt](got) > 0 {
 		t.Fatalf("%d engines probed, %d sends", len(probes), countOf[SendAttempt](got))
 	}
-	requireEqual(t, "threads while it waits for its probes", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
+	requireEqual(t, "threads while it waits for its probes", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	for i, a := range probes {
-		r.handle(ProbeResult{Engine: a.Engine, Report: utilization(0.8 - 0.2*units.Fraction(i))})
+		h.handle(ProbeResult{Engine: a.Engine, Report: utilization(0.8 - 0.2*units.Fraction(i))})
 	}
-	sent := actionsOf[SendAttempt](r.advance(4*5*ms + 5*ms))
+	sent := actionsOf[SendAttempt](h.advance(4*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
 		t.Fatalf("probed %v, sent %v", probes, sent)
 	}
-	requireEqual(t, "threads once it is sent", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
-	abandoned, _ := r.submit("long")
-	r.handle(ClientDisconnected{RequestID: abandoned})
-	r.advance(time.Second)
-	requireEqual(t, "threads after a client left", r.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
-	requireEqual(t, "requests of the class that await probes", r.controller.classes.all[1].awaitingProbes, 0)
+	requireEqual(t, "threads once it is sent", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
+	abandoned, _ := h.submit("long")
+	h.handle(ClientDisconnected{RequestID: abandoned})
+	h.advance(time.Second)
+	requireEqual(t, "threads after a client left", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
+	requireEqual(t, "requests of the class that await probes", h.controller.classes.all[1].awaitingProbes, 0)
 }
--- /dev/null
+++ b/control/simulation_clients_test.go
@@ -0,0 +1,93 @@
+package control_test
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"wheatlane/control"
+)
+
+type simulatedRequest struct {
+	control.Request
+	work     time.Duration
+	threads  int
+	attempts []*simulatedAttempt
+	arrived  bool
+	over     bool
+}
+
+// submit has a client send a request of a class a time from now.
+func (c *simulatedCluster) submit(class, key string, in time.Duration) {
+	i := slices.IndexFunc(c.settings.Classes, func(k control.Class) bool { return k.Name == class })
+	k := c.settings.Classes[max(0, i)]
+	c.requestCount++
+	wait := k.ClientTimeout
+	if wait == 0 {
+		wait = c.randomDuration(200*millisecond, 6*time.Second)
+	}
+	objective := k.LatencyObjective
+	if objective <= 0 {
+		objective = time.Second
+	}
+	work := 0.15 * objective.Seconds() * float64(max(1, k.Threads)) * math.Exp(0.8*c.rng.NormFloat64())
+	r := &simulatedRequest{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
+	r.Request = control.Request{
+		ID: fmt.Sprint("r", c.requestCount), Class: class, Deadline: c.now + in + wait, DataSet: c.rng.IntN(12),
+	}
+	if n := len(c.settings.Tenants); n > 0 {
+		r.Tenant = append(c.settings.Tenants, control.Tenant{Name: "unknown"})[c.rng.IntN(n+1)].Name
+	}
+	if k.Ordered {
+		if r.OrderKey = key; key == "" {
+			r.OrderKey = fmt.Sprint("key", c.rng.IntN(8))
+		}
+	}
+	if c.chance(c.estimateRate) {
+		r.EstimatedWork = time.Duration(float64(r.work) * (0.6 + 0.8*c.rng.Float64()))
+		r.EstimatedMemoryMB = 30 + 120*r.EstimatedWork.Seconds()
+	}
+	c.requests[r.ID] = r
+	c.schedule(in, control.RequestReceived{Request: r.Request})
+	if c.chance(c.disconnectRate) {
+		c.schedule(in+c.randomDuration(0, wait), control.ClientDisconnected{RequestID: r.ID})
+	}
+}
+
+// submitArrivals draws arrivals for one step by the load that is wanted of the engines.
+func (c *simulatedCluster) submitArrivals() {
+	cores := 0.0
+	for _, e := range c.engines {
+		if e.State != control.Removed {
+			cores += max(1, c.settings.EngineKinds[e.Kind].Cores)
+		}
+	}
+	work := 0.0
+	for i := range c.settings.Classes {
+		work += c.classWork(i) * c.classShare(i)
+	}
+	rate := min(100, c.load*cores/float64(c.settings.Brokers)/max(work, 1e-3))
+	for expected := rate * simulationStep.Seconds(); expected > 0; expected-- {
+		if !c.chance(expected) {
+			continue
+		}
+		draw, i := c.rng.Float64(), 0
+		for i < len(c.settings.Classes)-1 && draw >= c.classShare(i) {
+			draw -= c.classShare(i)
+			i++
+		}
+		c.submit(c.settings.Classes[i].Name, "", 0)
+	}
+}
+
+// classShare is the share of a class in what clients ask: each is asked half as often as the one before.
+func (c *simulatedCluster) classShare(i int) float64 {
+	n := len(c.settings.Classes)
+	return math.Exp2(float64(n-1-i)) / (math.Exp2(float64(n)) - 1)
+}
+
+func (c *simulatedCluster) classWork(i int) float64 {
+	k := c.settings.Classes[i]
+	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
+}
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -6,21 +6,21 @@
 )
 
 func TestSlowStartBudgetOfOneBroker(t *testing.T) {
-	r := newRig(t, baseSettings())
+	h := newHarness(t, baseSettings())
 	e := readyEngine("e1")
-	e.StartedAt = r.now - 100*ms
-	r.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{e}})
+	e.StartedAt = h.now - 100*ms
+	h.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{e}})
 	sent := 0
 	for range 400 {
-		_, got := r.submit("quick")
+		_, got := h.submit("quick")
 		sent += countOf[SendAttempt](got)
 	}
-	s := r.controller.settings.Rules
+	s := h.controller.settings.Rules
 	const cores = 8
 	const targetUtilization = 0.85 // of the cores, at capacity
 	capacity := float64(s.SlowStartInitial) * 1.1 * targetUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
-	maxSent := budget / float64(r.controller.classes.all[0].Cost.MeanWork())
+	maxSent := budget / float64(h.controller.classes.all[0].Cost.MeanWork())
 	if sent == 0 || float64(sent) > maxSent {
 		t.Fatalf("%d sent to an engine in slow start, at most %.0f by all brokers", sent, maxSent)
 	}
@@ -39,24 +39,24 @@
 	}
 	var all []sent
 	turns := map[int]bool{}
-	rigs := make([]*rig, 0, s.Brokers)
+	harnesses := make([]*harness, 0, s.Brokers)
 	for g := range s.Brokers {
 		s.BrokerIndex = g
-		rigs = append(rigs, newRig(t, s, starting))
+		harnesses = append(harnesses, newHarness(t, s, starting))
 	}
 	for range 240 { // 12 s; each broker always has a request at hand
-		for g, r := range rigs {
+		for g, h := range harnesses {
 			for _, class := range []string{"quick", "long"} {
-				id, got := r.submit(class)
+				id, got := h.submit(class)
 				if countOf[SendAttempt](got) > 0 {
-					classes := r.controller.classes
-					all = append(all, sent{r.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
+					classes := h.controller.classes
+					all = append(all, sent{h.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
 					turns[g] = true
-					r.endAttempt(id, 0, OK)
+					h.endAttempt(id, 0, OK)
 				}
-				r.handle(ClientDisconnected{RequestID: id})
+				h.handle(ClientDisconnected{RequestID: id})
 			}
-			r.advance(50 * ms)
+			h.advance(50 * ms)
 		}
 	}
 	window := s.Rules.OverloadWindow
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// leaveOut removes something from settings.
-type leaveOut func(s *Settings)
+// settingsChange removes something from settings.
+type settingsChange func(s *Settings)
 
-// ofClasses removes something from each class.
-func ofClasses(change func(k *Class)) leaveOut {
+// forEachClass removes something from each class.
+func forEachClass(change func(k *Class)) settingsChange {
 	return func(s *Settings) {
 		for i := range s.Classes {
 			change(&s.Classes[i])
@@ -24,7 +24,7 @@
 func TestSparseSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		took     time.Duration // by each request, where there is one broker
-		leaveOut leaveOut
+		leaveOut settingsChange
 	}{
 		"nothing":               {300 * ms, func(*Settings) {}},
 		"the rules":             {80 * ms, func(s *Settings) { s.Rules = Rules{} }},
@@ -39,13 +39,13 @@
 		"the largest grant": {80 * ms, func(s *Settings) { s.MemoryGrants, s.MaxGrantFraction = true, 0 }},
 		"attempts":          {80 * ms, func(s *Settings) { s.Limits.MaxAttempts = 0 }},
 		"tenants":           {80 * ms, func(s *Settings) { s.Tenants = nil }},
-		"objectives": {80 * ms, ofClasses(func(k *Class) {
+		"objectives": {80 * ms, forEachClass(func(k *Class) {
 			k.LatencyObjective, k.ClientTimeout = 0, 2*time.Second
 		})},
-		"objectives and client timeouts": {80 * ms, ofClasses(func(k *Class) {
+		"objectives and client timeouts": {80 * ms, forEachClass(func(k *Class) {
 			k.LatencyObjective, k.ObjectivePerWork = 0, 0
 		})},
-		"weights":           {80 * ms, ofClasses(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
+		"weights":           {80 * ms, forEachClass(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
 		"all but one class": {80 * ms, func(s *Settings) { s.Classes = s.Classes[:1] }},
 	} {
 		// One of many brokers has a small share of the engines' limits, so it is asked for less work.
@@ -55,52 +55,52 @@
 				s.Brokers = brokers
 				c.leaveOut(&s)
 				const count = 1200
-				r := &servingRig{rig: newRig(t, s, readyEngines(3)...), took: took, endings: map[time.Duration][]Event{}}
+				h := &servingHarness{harness: newHarness(t, s, readyEngines(3)...), took: took, endings: map[time.Duration][]Event{}}
 				for i := range count {
 					if i == count/2 {
 						starting := readyEngine("e03")
-						starting.StartedAt = r.now
-						r.serve(r.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{starting}}))
+						starting.StartedAt = h.now
+						h.serve(h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{starting}}))
 					}
-					r.request(fmt.Sprint(i), s.Classes[i%len(s.Classes)].Name)
+					h.request(fmt.Sprint(i), s.Classes[i%len(s.Classes)].Name)
 				}
-				if r.served < count*9/10 {
-					t.Fatalf("%d of %d were served", r.served, count)
+				if h.served < count*9/10 {
+					t.Fatalf("%d of %d were served", h.served, count)
 				}
 			})
 		}
 	}
 }
 
-// servingRig is a rig whose engines serve each attempt in the same time.
-type servingRig struct {
-	*rig
+// servingHarness is a rig whose engines serve each attempt in the same time.
+type servingHarness struct {
+	*harness
 	took    time.Duration
 	endings map[time.Duration][]Event // how attempts end, by when
 	served  int
 }
 
 // serve begins the attempts among the actions.
-func (r *servingRig) serve(actions []Action) {
+func (h *servingHarness) serve(actions []Action) {
 	for _, a := range actionsOf[SendAttempt](actions) {
-		at := r.now + r.took
-		r.endings[at] = append(r.endings[at], AttemptEnded{
-			RequestID: a.RequestID, Status: OK, Duration: r.took, RequestClosed: true, Work: r.took, MemoryMB: 100,
+		at := h.now + h.took
+		h.endings[at] = append(h.endings[at], AttemptEnded{
+			RequestID: a.RequestID, Status: OK, Duration: h.took, RequestClosed: true, Work: h.took, MemoryMB: 100,
 		})
 	}
 }
 
 // request sends a request and lets time pass until the next one.
-func (r *servingRig) request(id, class string) {
-	r.serve(r.handle(RequestReceived{Request: Request{
-		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: r.took, Deadline: r.now + 2*time.Second,
+func (h *servingHarness) request(id, class string) {
+	h.serve(h.handle(RequestReceived{Request: Request{
+		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: h.took, Deadline: h.now + 2*time.Second,
 	}}))
 	for range 4 {
-		r.serve(r.advance(5 * ms))
-		if ended := r.endings[r.now]; ended != nil {
-			r.served += len(ended)
-			delete(r.endings, r.now)
-			r.serve(r.handle(ended...))
+		h.serve(h.advance(5 * ms))
+		if ended := h.endings[h.now]; ended != nil {
+			h.served += len(ended)
+			delete(h.endings, h.now)
+			h.serve(h.handle(ended...))
 		}
 	}
 }
