--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	probedEngines    = 3 // engines that are probed for a request before one is selected
-	probeWaitBatches = 4 // batch intervals that a request waits for their answers
+	probeCandidateCount = 3 // engines that are probed for a request before one is selected
+	probeWaitBatches    = 4 // batch intervals that a request waits for probe results
 )
 
-// probeLoad asks an engine for its load.
+// probeLoad sends a load probe to an engine.
 func (c *Controller) probeLoad(engine *engine) {
 	engine.load.Probed(c.now)
 	c.emit(ProbeLoad{engine.ID})
 }
 
-// probeEnded takes the answer to a load probe.
-func (c *Controller) probeEnded(result ProbeResult) {
+// handleProbeResult records the result of a load probe.
+func (c *Controller) handleProbeResult(result ProbeResult) {
 	if engine := c.endpoints.byID[result.Engine]; engine != nil && result.Status == OK {
 		engine.health.RecordResponse(c.now)
-		c.loadReported(engine, result.Report)
+		c.recordLoadReport(engine, result.Report)
 	}
 }
 
-// probeBeforeEnqueue asks a few engines for their load before a request of a heavy class is enqueued. It
-// reports whether the request waits for that.
+// probeBeforeEnqueue probes the load of a few engines before a request of a heavy class is enqueued. It
+// reports whether the request waits for the results.
 func (c *Controller) probeBeforeEnqueue(request *request, avoid *engine) bool {
 	if !c.settings.Limits.LoadProbes || request.probed || !c.isHeavy(request) || c.endpoints.pool != nil {
 		return false
 	}
 	request.probed = true
 	probed := false
-	for n := 0; n < probedEngines && len(c.endpoints.all) > 0; n++ {
+	for n := 0; n < probeCandidateCount && len(c.endpoints.all) > 0; n++ {
 		engine := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
 		usable := engine.member.TakesRequests() && !engine.health.Ejected()
 		if usable && !engine.load.RecentlyProbed(c.now) {
@@ -48,27 +48,28 @@
 	return probed
 }
 
-// isHeavy reports whether a request is of a heavy class: one whose mean work is over that of all requests.
-// The work expected of the request itself does not count.
+// isHeavy reports whether a request belongs to a heavy class: one whose mean work exceeds the mean over all
+// requests. The expected work of the request itself does not matter.
 func (c *Controller) isHeavy(request *request) bool {
 	return request.class.Cost.MeanWork() > c.workload.Summary().MeanWork
 }
 
-// probeWait is how long a request waits for load probes.
+// probeWait returns the time that a request waits for load probes.
 func (c *Controller) probeWait() time.Duration {
 	return probeWaitBatches * c.settings.MinBatchInterval
 }
 
 // probeCandidates draws a few engines for a request that may leave the pool (power of d choices) and probes
-// those whose load report is not fresh: reports come with answers, so one may be as old as a heavy request
-// takes. It reports whether the request waits for that. One that is not of a heavy class does not.
+// those whose load report is not fresh: engines report with their responses, so a report may be as old as the
+// service time of a heavy request. It reports whether the request waits for the results. Only requests of
+// heavy classes do.
 func (c *Controller) probeCandidates(request *request) bool {
 	request.candidates = nil
 	if !c.settings.Limits.LoadProbes || !c.isHeavy(request) {
 		return false
 	}
 	probed := false
-	for range probedEngines {
+	for range probeCandidateCount {
 		engine := c.selectEngine(request, request.avoid)
 		if engine == nil || slices.Contains(request.candidates, engine) {
 			continue
@@ -85,7 +86,8 @@
 	return probed
 }
 
-// awaitProbes has a request wait for the probes of its candidates. Its threads count as in flight meanwhile.
+// awaitProbes delays a request until the probes of its candidates are due. Its threads count as in flight
+// meanwhile.
 func (c *Controller) awaitProbes(request *request) {
 	class := request.class
 	class.awaitingProbes++
@@ -93,8 +95,9 @@
 	c.startTimer(c.probeWait(), candidateProbesDue{request})
 }
 
-// candidatesProbed ends that wait.
-func (c *Controller) candidatesProbed(request *request) {
+// finishCandidateProbes ends the wait that awaitProbes started and dispatches the request if it is still
+// open.
+func (c *Controller) finishCandidateProbes(request *request) {
 	request.class.awaitingProbes--
 	c.endpoints.pool.concurrency.Release(request.class.Threads)
 	if !request.closed {
@@ -102,16 +105,16 @@
 	}
 }
 
-// dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, without any
-// that is still eligible, to an engine selected now.
+// dispatchToBestCandidate sends a request that leaves the pool to the best of its candidates or, if none is
+// eligible any more, to a newly selected engine.
 func (c *Controller) dispatchToBestCandidate(request *request) {
-	selector := c.selectorFor(request)
+	selector := c.newSelector(request)
 	engine := selector.bestCandidate(request.candidates)
 	if engine == nil {
 		engine = selector.selectEngine(request.avoid)
 	}
 	if engine == nil {
-		c.requests.waitForTick(request)
+		c.requests.deferToNextTick(request)
 		return
 	}
 	c.sendAttempt(request, engine)
@@ -120,7 +123,7 @@
 // bestCandidate returns the candidate with the best score, or nil if none is eligible.
 func (s *selector) bestCandidate(candidates []*engine) *engine {
 	var best selection.Best[*engine]
-	if s.forbidden() {
+	if s.forbiddenEverywhere() {
 		return nil
 	}
 	for _, engine := range candidates {
--- a/control/membership.go
+++ b/control/membership.go
@@ -2,15 +2,16 @@
 
 import "wheatlane/control/slowdown"
 
-// watchEndpoints begins to watch the endpoint list where that is required and due.
+// watchEndpoints starts a watch of the endpoint list if one is required and due.
 func (c *Controller) watchEndpoints() {
 	if c.endpointWatch.Begin(c.now) {
 		c.emit(WatchEndpoints{})
 	}
 }
 
-// endpointsUpdated follows the endpoint list.
-func (c *Controller) endpointsUpdated(update EndpointUpdate) {
+// handleEndpointUpdate applies a change of the endpoint list and moves requests off engines that became
+// unavailable.
+func (c *Controller) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == EndpointWatchFailed {
 		c.endpointWatch.Ended(c.now)
 		return
@@ -19,12 +20,13 @@
 		return c.newEngine(listed, c.settings.EngineKinds[listed.Kind])
 	}
 	for _, engine := range c.endpoints.apply(update, create, &c.slowdowns) {
-		c.requeueWaiting(engine)
+		c.requeueAll(engine)
 	}
-	c.updateFleet()
+	c.refreshEndpoints()
 }
 
-// apply follows an update of the endpoint list. It returns the engines that take no new requests by it.
+// apply updates the set from a change of the endpoint list. It returns the engines of the update that accept
+// no new requests.
 func (s *endpointSet) apply(
 	update EndpointUpdate, create func(Engine) *engine, slowdowns *slowdown.Estimator,
 ) (unavailable []*engine) {
@@ -58,19 +60,20 @@
 	return unavailable
 }
 
-// setMaintenance puts an engine into maintenance mode, or takes it out.
-func (c *Controller) setMaintenance(event SetMaintenance) {
+// handleSetMaintenance enables or disables the maintenance mode of an engine.
+func (c *Controller) handleSetMaintenance(event SetMaintenance) {
 	engine := c.endpoints.setMaintenance(event.Engine, event.Enabled)
 	if engine == nil {
 		return
 	}
 	if !engine.member.TakesRequests() {
-		c.requeueWaiting(engine)
+		c.requeueAll(engine)
 	}
-	c.updateFleet()
+	c.refreshEndpoints()
 }
 
-// setMaintenance records the mode, also of an engine that is not known, and returns the engine if it is.
+// setMaintenance records the maintenance mode of an engine, known or not, and returns the engine, or nil if
+// it is not known.
 func (s *endpointSet) setMaintenance(id string, enabled bool) *engine {
 	if enabled {
 		s.inMaintenance[id] = true
@@ -84,11 +87,11 @@
 	return engine
 }
 
-// updateFleet follows a change of the engines.
-func (c *Controller) updateFleet() {
-	for _, id := range c.endpoints.removeGone() {
-		c.noticeThrottle.Forget(logSubject{ejected, id})
-		c.noticeThrottle.Forget(logSubject{restored, id})
+// refreshEndpoints removes engines that are gone and recomputes the summary of the others.
+func (c *Controller) refreshEndpoints() {
+	for _, id := range c.endpoints.removeUnlisted() {
+		c.noticeThrottle.Forget(noticeKey{ejected, id})
+		c.noticeThrottle.Forget(noticeKey{restored, id})
 	}
-	c.endpoints.summarize(c.slowStart, c.now)
+	c.endpoints.updateSummary(c.slowStart, c.now)
 }
--- a/control/timers.go
+++ b/control/timers.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	tickInterval  = 100 * time.Millisecond // between two ticks
-	minTimerDelay = time.Nanosecond        // no timer expires in the batch that starts it
-	tickToken     = 1                      // token of the tick's timer
-	lastOwnToken  = 16                     // tokens up to it are no timer's; only tickToken is in use
+	tickInterval      = 100 * time.Millisecond // time between two ticks
+	minTimerDelay     = time.Nanosecond        // no timer expires in the batch that starts it
+	tickToken         = 1                      // token of the tick's timer
+	lastReservedToken = 16                     // highest reserved token; only tickToken is in use
 )
 
-// timer is what is due when a timer expires. All are declared in this file.
+// timer is the operation that is due when a timer expires. All implementations are in this file.
 type timer interface{ expire(c *Controller) }
 
 type (
-	// answerDue is the end of the time in which a request has to be answered.
-	answerDue struct{ request *request }
-	// attemptOverdue is the time at which an attempt in flight is to be judged.
+	// responseDue ends a request that has not been answered shortly before its deadline.
+	responseDue struct{ request *request }
+	// attemptOverdue evaluates an attempt that is still in flight after its timeout.
 	attemptOverdue struct{ attempt *attempt }
-	// lostAttemptStopped is the time at which an attempt that is presumed lost should no longer run.
+	// lostAttemptStopped releases the threads of an attempt that is presumed lost and should no longer
+	// run.
 	lostAttemptStopped struct{ attempt *attempt }
-	// endedAttemptStopped is the same for an attempt that timed out and can't be cancelled.
+	// endedAttemptStopped releases the threads of an attempt that timed out, could not be cancelled and
+	// should no longer run.
 	endedAttemptStopped struct{ attempt *attempt }
-	// orderKeyIdle is the end of the cooldown of an order key without requests.
+	// orderKeyIdle drops an order key without requests after its cooldown.
 	orderKeyIdle struct{ queue *keyorder.Queue[*request] }
-	// loadProbesDue is the end of the wait for the load probes of a request that is not queued yet.
+	// loadProbesDue ends the wait for the load probes of a request that is not queued yet.
 	loadProbesDue struct {
 		request *request
 		avoid   *engine
 	}
-	// candidateProbesDue is the end of the wait for the load probes of a request that leaves the pool.
+	// candidateProbesDue ends the wait for the load probes of a request that leaves the pool.
 	candidateProbesDue struct{ request *request }
 )
 
-func (t answerDue) expire(c *Controller)      { c.rejectOrFail(t.request) }
-func (t attemptOverdue) expire(c *Controller) { c.checkOverdue(t.attempt) }
+func (t responseDue) expire(c *Controller)    { c.rejectOrFail(t.request) }
+func (t attemptOverdue) expire(c *Controller) { c.evaluateOverdue(t.attempt) }
 func (t orderKeyIdle) expire(c *Controller)   { c.requests.keyQueues.DropIfIdle(t.queue, c.now) }
 
 func (t lostAttemptStopped) expire(*Controller) {
@@ -54,7 +56,7 @@
 	}
 }
 
-func (t candidateProbesDue) expire(c *Controller) { c.candidatesProbed(t.request) }
+func (t candidateProbesDue) expire(c *Controller) { c.finishCandidateProbes(t.request) }
 
 // timerSet holds the timers that have not expired, by their tokens.
 type timerSet struct {
@@ -62,7 +64,9 @@
 	lastToken uint64
 }
 
-func newTimerSet() timerSet { return timerSet{byToken: map[uint64]timer{}, lastToken: lastOwnToken} }
+func newTimerSet() timerSet {
+	return timerSet{byToken: map[uint64]timer{}, lastToken: lastReservedToken}
+}
 
 // add stores a timer and returns its token.
 func (s *timerSet) add(t timer) uint64 {
@@ -71,7 +75,7 @@
 	return s.lastToken
 }
 
-// take removes the timer of a token; nil if there is none.
+// take removes and returns the timer of a token, or nil if there is none.
 func (s *timerSet) take(token uint64) timer {
 	t := s.byToken[token]
 	delete(s.byToken, token)
