--- a/control/attempts.go
+++ b/control/attempts.go
@@ -52,7 +52,7 @@
 	overdueAfter := c.attemptTimeout(request, engine)
 	send := SendAttempt{RequestID: request.ID, Engine: engine.ID, OverdueAfter: overdueAfter}
 	if engine.health.Ejected() {
-		engine.health.HalfOpenProbeSent(c.now, c.ejectionBackoff())
+		engine.health.RecordHalfOpenProbe(c.now, c.ejectionBackoff())
 		send.Timeout = overdue.HalfOpenTimeout(overdueAfter, request.Deadline-c.now)
 	}
 	c.emit(send)
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -81,8 +81,8 @@
 	return true
 }
 
-// HalfOpenProbeSent records that a half-open probe is sent now: the next one is due after the backoff.
-func (h *Health) HalfOpenProbeSent(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
+// RecordHalfOpenProbe records that a half-open probe is sent now: the next one is due after the backoff.
+func (h *Health) RecordHalfOpenProbe(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
 
 // HalfOpenProbe is a request that may be a half-open probe.
 type HalfOpenProbe struct {
