--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -68,9 +68,9 @@
 // NewDetector returns a detector.
 func NewDetector(config Config) Detector { return Detector{config: config} }
 
-// Succeeded records an attempt that succeeded, and reports whether that restores an ejected engine. The next
+// RecordSuccess records an attempt that succeeded, and reports whether that restores an ejected engine. The next
 // half-open probe is due after the backoff at the latest.
-func (d *Detector) Succeeded(engine *Health, now, backoff time.Duration) (restored bool) {
+func (d *Detector) RecordSuccess(engine *Health, now, backoff time.Duration) (restored bool) {
 	d.recordAnswer(engine, 0)
 	engine.halfOpenAt = min(engine.halfOpenAt, now+backoff)
 	restored = engine.ejected && engine.failureRate < d.config.MaxFailureRate
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -25,7 +25,7 @@
 			t.Parallel()
 			d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 			for range c.succeeded {
-				d.Succeeded(&engine, 0, time.Second)
+				d.RecordSuccess(&engine, 0, time.Second)
 			}
 			reason, eject := Reason(0), false
 			for range c.failed {
@@ -49,7 +49,7 @@
 	}
 	successes := 0
 	for restored := false; !restored; successes++ {
-		restored = d.Succeeded(&engine, time.Second, time.Second)
+		restored = d.RecordSuccess(&engine, time.Second, time.Second)
 	}
 	if rate := engine.FailureRate(); successes < 2 || rate >= 0.6 || engine.Ejected() {
 		t.Errorf("restored after %d successes with a failure rate of %v", successes, rate)
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -20,7 +20,7 @@
 		engine.queueOwner.health.RecordAtCapacity(c.now)
 	case OK:
 		engine.health.RecordResponse(c.now)
-		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
+		if c.outliers.RecordSuccess(&engine.health, c.now, c.ejectionBackoff()) {
 			c.updateFleet()
 			c.emitThrottled(logSubject{restored, engine.ID}, EngineRestored{engine.ID})
 		}
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -171,7 +171,7 @@
 		c.outliers.Lost(engine, 1)
 	}
 	for range served {
-		c.outliers.Succeeded(engine, c.now, 0)
+		c.outliers.RecordSuccess(engine, c.now, 0)
 	}
 }
 
