--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -43,7 +43,7 @@
 	e := r.controller.endpoints.byID["e1"]
 	r.controller.eject(e, outlier.Failing)
 	for range 20 {
-		r.controller.outliers.Failed(&e.health, true)
+		r.controller.outliers.RecordFailure(&e.health, true)
 	}
 	requireEqual(t, "failure rate before", e.health.FailureRate() > 0.9, true)
 	restarted := readyEngine("e1")
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -80,9 +80,9 @@
 	return restored
 }
 
-// Failed records an attempt that failed; connected is false if it could not connect. It returns the reason
+// RecordFailure records an attempt that failed; connected is false if it could not connect. It returns the reason
 // for which the engine is to be ejected, if any.
-func (d *Detector) Failed(engine *Health, connected bool) (reason Reason, eject bool) {
+func (d *Detector) RecordFailure(engine *Health, connected bool) (reason Reason, eject bool) {
 	d.recordAnswer(engine, 1)
 	switch {
 	case engine.failureRate > d.config.MaxFailureRate:
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -29,7 +29,7 @@
 			}
 			reason, eject := Reason(0), false
 			for range c.failed {
-				reason, eject = d.Failed(&engine, c.connected)
+				reason, eject = d.RecordFailure(&engine, c.connected)
 			}
 			if reason != c.reason || eject != c.eject {
 				t.Errorf("got %d, %v; want %d, %v", reason, eject, c.reason, c.eject)
@@ -42,7 +42,7 @@
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 	for range 50 {
-		d.Failed(&engine, true)
+		d.RecordFailure(&engine, true)
 	}
 	if !engine.Eject(0, time.Second) || engine.Eject(0, time.Second) {
 		t.Error("an engine is ejected other than once")
@@ -142,7 +142,7 @@
 func TestDecayLeavesFewerAnswers(t *testing.T) {
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
-	d.Failed(&engine, true)
+	d.RecordFailure(&engine, true)
 	before := engine.FailureRate()
 	engine.Decay()
 	if engine.Outcomes() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -29,7 +29,7 @@
 		if connected {
 			engine.health.RecordResponse(c.now)
 		}
-		if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
+		if reason, eject := c.outliers.RecordFailure(&engine.health, connected); eject {
 			c.eject(engine, reason)
 		}
 	}
