--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -100,9 +100,9 @@
 	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
 }
 
-// Lost records an answer that never came: the attempt timed out, or package overdue judged it lost. The
+// RecordLoss records an answer that never came: the attempt timed out, or package overdue judged it lost. The
 // certainty, from 0 to 1, is the probability that it is lost.
-func (d *Detector) Lost(engine *Health, certainty units.Fraction) {
+func (d *Detector) RecordLoss(engine *Health, certainty units.Fraction) {
 	engine.loss.Lose(float64(certainty))
 	d.fleet.Lose(float64(certainty))
 }
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("without an answer: %v", rate)
 	}
 	for range 6 {
-		d.Lost(&silent, 0.9)
+		d.RecordLoss(&silent, 0.9)
 	}
 	if !d.Silent(&silent) || d.Silent(&other) {
 		t.Errorf("loss rates %v and %v", d.LossRate(&silent), d.LossRate(&other))
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -13,7 +13,7 @@
 	case TimedOut:
 		// It counts in the loss rate, but ejects nothing by itself: attemptLost decides by the rate.
 		if !c.underPressure(engine.queueOwner) {
-			c.outliers.Lost(&engine.health, 1)
+			c.outliers.RecordLoss(&engine.health, 1)
 		}
 	case AtCapacity:
 		engine.health.RecordAtCapacity(c.now)
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -62,7 +62,7 @@
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
 	health := &attempt.engine.health
 	attempt.lossConfidence = overdue.LossConfidence(c.outliers.LossRate(health))
-	c.outliers.Lost(health, attempt.lossConfidence)
+	c.outliers.RecordLoss(health, attempt.lossConfidence)
 	if c.outliers.Silent(health) {
 		c.eject(attempt.engine, outlier.Silent)
 	}
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -168,7 +168,7 @@
 // recordAnswers records answers of an engine, some lost and some not.
 func recordAnswers(c *Controller, engine *outlier.Health, lost, served int) {
 	for range lost {
-		c.outliers.Lost(engine, 1)
+		c.outliers.RecordLoss(engine, 1)
 	}
 	for range served {
 		c.outliers.RecordSuccess(engine, c.now, 0)
