--- a/control/attempts.go
+++ b/control/attempts.go
@@ -84,7 +84,7 @@
 	attempt.inFlight = false
 	engine.removeAttempt(attempt)
 	if attempt.presumedLost && end.Status == OK {
-		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
+		c.outliers.RevertLoss(&engine.health, attempt.lossConfidence)
 	}
 	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.threadsReleased {
 		// It may still run: its threads are released once it is twice as old as now.
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -107,8 +107,8 @@
 	d.fleet.Lose(float64(certainty))
 }
 
-// Recovered takes Lost back, as the answer came after all.
-func (d *Detector) Recovered(engine *Health, certainty units.Fraction) {
+// RevertLoss takes Lost back, as the answer came after all.
+func (d *Detector) RevertLoss(engine *Health, certainty units.Fraction) {
 	engine.loss.Recover(float64(certainty))
 	d.fleet.Recover(float64(certainty))
 }
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("an engine without answers: %v, the fleet: %v", own, fleet)
 	}
 	for range 6 {
-		d.Recovered(&silent, 0.9)
+		d.RevertLoss(&silent, 0.9)
 	}
 	if rate := d.LossRate(&silent); rate > priorLossRate {
 		t.Errorf("after the answers came: %v", rate)
