--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -113,8 +113,8 @@
 	d.fleet.Recover(float64(certainty))
 }
 
-// Silent reports whether an engine loses so many answers that it is to be ejected.
-func (d *Detector) Silent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
+// IsSilent reports whether an engine loses so many answers that it is to be ejected.
+func (d *Detector) IsSilent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
 
 // LossRate is the fraction of an engine's answers that never come. The fewer its answers, the closer it is to
 // that of the fleet.
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -90,7 +90,7 @@
 	for range 6 {
 		d.RecordLoss(&silent, 0.9)
 	}
-	if !d.Silent(&silent) || d.Silent(&other) {
+	if !d.IsSilent(&silent) || d.IsSilent(&other) {
 		t.Errorf("loss rates %v and %v", d.LossRate(&silent), d.LossRate(&other))
 	}
 	if own, fleet := d.LossRate(&other), d.FleetLossRate(); math.Abs(float64(own-fleet)) > 1e-12 || own < 0.1 {
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -63,7 +63,7 @@
 	health := &attempt.engine.health
 	attempt.lossConfidence = overdue.LossConfidence(c.outliers.LossRate(health))
 	c.outliers.RecordLoss(health, attempt.lossConfidence)
-	if c.outliers.Silent(health) {
+	if c.outliers.IsSilent(health) {
 		c.eject(attempt.engine, outlier.Silent)
 	}
 	c.hedgeOrCancel(attempt)
