--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -62,8 +62,8 @@
 	return e.reportedAt > 0 && e.Age(now) <= within
 }
 
-// IfRecent is the load of an engine whose last report is younger than recentFor, else 0.
-func (e *Estimate) IfRecent(now time.Duration) units.Fraction {
+// RecentLoad is the load of an engine whose last report is younger than recentFor, else 0.
+func (e *Estimate) RecentLoad(now time.Duration) units.Fraction {
 	if e.Age(now) < recentFor {
 		return e.load
 	}
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("load %v, want %v", e.Load(), step.want)
 		}
 	}
-	if e.IfRecent(now+recentFor-1) != e.Load() || e.IfRecent(now+recentFor) != 0 {
+	if e.RecentLoad(now+recentFor-1) != e.Load() || e.RecentLoad(now+recentFor) != 0 {
 		t.Errorf("the load counts for other than %v", recentFor)
 	}
 }
