--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// InPool is the load expected of an engine of a pool: the older its report, the more the pool's load counts.
-func (e *Estimate) InPool(pool *Estimate, now time.Duration) units.Fraction {
+// LoadInPool is the load expected of an engine of a pool: the older its report, the more the pool's load counts.
+func (e *Estimate) LoadInPool(pool *Estimate, now time.Duration) units.Fraction {
 	trust := units.Fraction(math.Exp(-e.Age(now).Seconds() / Lifetime.Seconds()))
 	return pool.load + trust*(e.load-pool.load)
 }
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -91,7 +91,7 @@
 		Lifetime:       0.3 + 0.6/math.E,
 		100 * Lifetime: 0.3,
 	} {
-		if got := engine.InPool(&pool, now+age); !near(got, want) {
+		if got := engine.LoadInPool(&pool, now+age); !near(got, want) {
 			t.Errorf("after %v: %v, want %v", age, got, want)
 		}
 	}
--- a/control/selection.go
+++ b/control/selection.go
@@ -119,7 +119,7 @@
 		candidate.DataSetRank = datasetlock.Rank(engine.idHash, s.request.DataSet)
 	}
 	if engine.pooled() {
-		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
+		candidate.Load = engine.load.LoadInPool(&engine.queueOwner.load, c.now)
 	} else { // in a pool, an engine that answered is better than an untried one
 		candidate.Load = engine.load.RecentLoad(c.now)
 		candidate.ExpectedLossRate = min(candidate.LossRate, s.fleetLossRate)
