--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -36,9 +36,9 @@
 	e.reportedAt = now
 }
 
-// ObserveOfPool takes the load that one engine of a pool reports now, where the estimate is the pool's: one
+// ObservePoolMember takes the load that one engine of a pool reports now, where the estimate is the pool's: one
 // engine's report has a small weight in it.
-func (e *Estimate) ObserveOfPool(load units.Fraction, now time.Duration) {
+func (e *Estimate) ObservePoolMember(load units.Fraction, now time.Duration) {
 	e.load = estimate.Toward(e.load, load, poolReportWeight)
 	e.reportedAt = now
 }
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -118,7 +118,7 @@
 	if pool.ObserveMean(withoutLoad); pool != before {
 		t.Errorf("%+v by engines without load, was %+v", pool, before)
 	}
-	if pool.ObserveOfPool(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
+	if pool.ObservePoolMember(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
 		t.Errorf("load %v after one report more, was %v", pool.load, before.load)
 	}
 }
--- a/control/loadreports.go
+++ b/control/loadreports.go
@@ -21,7 +21,7 @@
 	)
 	engine.load.Observe(load, c.now)
 	if engine.pooled() && !c.settings.Limits.Gossip {
-		engine.queueOwner.load.ObserveOfPool(load, c.now)
+		engine.queueOwner.load.ObservePoolMember(load, c.now)
 	}
 }
 
