--- a/control/gossip.go
+++ b/control/gossip.go
@@ -36,7 +36,7 @@
 	for _, gossiped := range loads {
 		if engine := s.byGossipID(gossiped.Engine); engine != nil {
 			reportedAt := now - max(0, gossiped.Age)
-			engine.load.Receive(units.Fraction(gossiped.Load), reportedAt, engine.StartedAt)
+			engine.load.ObserveRemote(units.Fraction(gossiped.Load), reportedAt, engine.StartedAt)
 		}
 	}
 }
--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -43,9 +43,9 @@
 	e.reportedAt = now
 }
 
-// Receive takes the load that an engine reported to another broker at a time, if no later report is known.
+// ObserveRemote takes the load that an engine reported to another broker at a time, if no later report is known.
 // Reports from before the engine started are of its earlier process.
-func (e *Estimate) Receive(load units.Fraction, reportedAt, engineStartedAt time.Duration) {
+func (e *Estimate) ObserveRemote(load units.Fraction, reportedAt, engineStartedAt time.Duration) {
 	if reportedAt > max(e.reportedAt, engineStartedAt) {
 		e.load, e.reportedAt = max(0, load), reportedAt
 	}
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -73,7 +73,7 @@
 			t.Parallel()
 			var e Estimate
 			e.Observe(0.4, 10*time.Second)
-			if e.Receive(c.load, c.reportedAt, c.startedAt); !near(e.Load(), c.want) {
+			if e.ObserveRemote(c.load, c.reportedAt, c.startedAt); !near(e.Load(), c.want) {
 				t.Errorf("load %v, want %v", e.Load(), c.want)
 			}
 		})
