--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -57,8 +57,8 @@
 // Age is the time since the last report.
 func (e *Estimate) Age(now time.Duration) time.Duration { return now - e.reportedAt }
 
-// KnownWithin reports whether an engine reported its load no longer ago than a time.
-func (e *Estimate) KnownWithin(within, now time.Duration) bool {
+// ReportedWithin reports whether an engine reported its load no longer ago than a time.
+func (e *Estimate) ReportedWithin(within, now time.Duration) bool {
 	return e.reportedAt > 0 && e.Age(now) <= within
 }
 
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -95,7 +95,7 @@
 			t.Errorf("after %v: %v, want %v", age, got, want)
 		}
 	}
-	if !engine.KnownWithin(Lifetime, now+Lifetime) || engine.KnownWithin(Lifetime, now+Lifetime+1) {
+	if !engine.ReportedWithin(Lifetime, now+Lifetime) || engine.ReportedWithin(Lifetime, now+Lifetime+1) {
 		t.Errorf("the report is known for other than %v", Lifetime)
 	}
 }
