--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -14,7 +14,7 @@
 
 // probeLoad asks an engine for its load.
 func (c *Controller) probeLoad(engine *engine) {
-	engine.load.Probed(c.now)
+	engine.load.RecordProbe(c.now)
 	c.emit(ProbeLoad{engine.ID})
 }
 
--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -76,8 +76,8 @@
 	return pool.load + trust*(e.load-pool.load)
 }
 
-// Probed records that the engine is asked for its load now.
-func (e *Estimate) Probed(now time.Duration) { e.probedAt = now }
+// RecordProbe records that the engine is asked for its load now.
+func (e *Estimate) RecordProbe(now time.Duration) { e.probedAt = now }
 
 // RecentlyProbed reports whether the engine was asked for its load less than probeFreshFor ago.
 func (e *Estimate) RecentlyProbed(now time.Duration) bool {
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -127,7 +127,7 @@
 	t.Parallel()
 	now := 100 * time.Second
 	var never, probed, reported Estimate
-	probed.Probed(now)
+	probed.RecordProbe(now)
 	reported.Observe(0.5, now)
 	for name, c := range map[string]struct {
 		e             *Estimate
