--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -91,7 +91,7 @@
 func (s *endpointSet) summarize(slowStart *slowstart.Policy, now time.Duration) {
 	cores, memoryMB, ready, ejected := 0.0, 0.0, 0, 0
 	for _, engine := range s.all {
-		if !engine.member.TakesRequests() {
+		if !engine.member.AcceptsRequests() {
 			continue
 		}
 		ready++
--- a/control/engine.go
+++ b/control/engine.go
@@ -116,7 +116,7 @@
 
 // loadKnown reports whether it takes requests and its load is known.
 func (e *engine) loadKnown(now time.Duration) bool {
-	return e.member.TakesRequests() && e.load.ReportedWithin(loadreport.Lifetime, now)
+	return e.member.AcceptsRequests() && e.load.ReportedWithin(loadreport.Lifetime, now)
 }
 
 // dataSetLocked reports whether a data set is locked here: by a request of this broker's, or presumably by
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -36,7 +36,7 @@
 	probed := false
 	for n := 0; n < probedEngines && len(c.endpoints.all) > 0; n++ {
 		engine := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
-		usable := engine.member.TakesRequests() && !engine.health.Ejected()
+		usable := engine.member.AcceptsRequests() && !engine.health.Ejected()
 		if usable && !engine.load.RecentlyProbed(c.now) {
 			c.probeLoad(engine)
 			probed = true
--- a/control/membership.go
+++ b/control/membership.go
@@ -42,7 +42,7 @@
 		engine.Engine = listed
 		engine.member.SetMaintenance(s.inMaintenance[listed.ID])
 		engine.member.Update(listed.State)
-		if !engine.member.TakesRequests() {
+		if !engine.member.AcceptsRequests() {
 			unavailable = append(unavailable, engine)
 		}
 	}
@@ -64,7 +64,7 @@
 	if engine == nil {
 		return
 	}
-	if !engine.member.TakesRequests() {
+	if !engine.member.AcceptsRequests() {
 		c.requeueWaiting(engine)
 	}
 	c.updateFleet()
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -39,5 +39,5 @@
 	return m.state
 }
 
-// TakesRequests reports whether the engine takes new requests.
-func (m *Member) TakesRequests() bool { return m.listed && m.State() == Ready }
+// AcceptsRequests reports whether the engine takes new requests.
+func (m *Member) AcceptsRequests() bool { return m.listed && m.State() == Ready }
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -37,8 +37,8 @@
 			t.Parallel()
 			var m Member
 			c.change(&m)
-			if m.State() != c.state || m.Listed() != c.listed || m.TakesRequests() != c.takes {
-				t.Errorf("state %d, listed %v, takes requests %v", m.State(), m.Listed(), m.TakesRequests())
+			if m.State() != c.state || m.Listed() != c.listed || m.AcceptsRequests() != c.takes {
+				t.Errorf("state %d, listed %v, takes requests %v", m.State(), m.Listed(), m.AcceptsRequests())
 			}
 		})
 	}
--- a/control/selection.go
+++ b/control/selection.go
@@ -60,7 +60,7 @@
 	return s.facts.CheckAt(eligibility.Engine{
 		// A draining engine gets nothing new. The deployment's DrainGraceNs is for attempts that were
 		// decided before the drain (enginepool.Config.DrainGrace).
-		Ready:                 engine.member.TakesRequests(),
+		Ready:                 engine.member.AcceptsRequests(),
 		Location:              engine.location(),
 		Kind:                  engine.Kind,
 		WithinSlowStartBudget: withinBudget,
