--- a/control/keyorder/keyorder.go
+++ b/control/keyorder/keyorder.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// IsTurn reports whether a request may be sent: the first of its queue may, once the cooldown is over. A
+// MaySend reports whether a request may be sent: the first of its queue may, once the cooldown is over. A
 // cooldown does not hold up a request that was attempted already.
-func (q *Queue[R]) IsTurn(request R, attempted bool, now time.Duration) bool {
+func (q *Queue[R]) MaySend(request R, attempted bool, now time.Duration) bool {
 	return !q.Empty() && q.requests[0] == request && (attempted || now >= q.cooldownUntil)
 }
 
--- a/control/keyorder/keyorder_test.go
+++ b/control/keyorder/keyorder_test.go
@@ -12,11 +12,11 @@
 	if queues.Add("key", "second") != queue || queues.Add("other", "third") == queue {
 		t.Fatal("want one queue for each key")
 	}
-	if !queue.IsTurn("first", false, 0) || queue.IsTurn("second", false, 0) {
+	if !queue.MaySend("first", false, 0) || queue.MaySend("second", false, 0) {
 		t.Error("want the turn of the first request alone")
 	}
 	queue.Remove("first")
-	if !queue.IsTurn("second", false, 0) {
+	if !queue.MaySend("second", false, 0) {
 		t.Error("want the turn of the second request once the first is over")
 	}
 }
@@ -37,7 +37,7 @@
 		{"a retry in the cooldown", true, 2*time.Second - 1, true},
 		{"a first attempt after it", false, 2 * time.Second, true},
 	} {
-		if got := queue.IsTurn("request", c.attempted, c.now); got != c.want {
+		if got := queue.MaySend("request", c.attempted, c.now); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
