--- a/control/eligibility.go
+++ b/control/eligibility.go
@@ -35,7 +35,7 @@
 		AttemptInFlight:   request.hasAttemptInFlight(),
 		HedgingAllowed:    c.settings.Limits.Hedging,
 		Idempotency:       request.class.Idempotency,
-		TurnOfOrderKey:    queue == nil || queue.MaySend(request, attempted, c.now),
+		OrderKeyAvailable: queue == nil || queue.MaySend(request, attempted, c.now),
 		AllowedZones:      request.class.AllowedZones,
 		AllowedKinds:      request.class.AllowedKinds,
 		WithinRetryBudget: !attempted || c.retryBudget.Allows(c.now),
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -50,7 +50,7 @@
 	AttemptInFlight   bool
 	HedgingAllowed    bool // two attempts may be in flight at once
 	Idempotency       idempotency.Policy
-	TurnOfOrderKey    bool
+	OrderKeyAvailable bool
 	AllowedZones      []string // empty: any zone
 	AllowedKinds      []string // empty: any kind of engine
 	WithinRetryBudget bool     // a first attempt, or one that the retry budget allows
@@ -85,7 +85,7 @@
 		return MaxAttempts
 	case r.AttemptInFlight && !r.HedgingAllowed:
 		return AttemptInFlight
-	case !r.TurnOfOrderKey:
+	case !r.OrderKeyAvailable:
 		return OrderKeyBusy
 	case !r.WithinRetryBudget:
 		return RetryBudgetSpent
--- a/control/eligibility/eligibility_test.go
+++ b/control/eligibility/eligibility_test.go
@@ -10,7 +10,7 @@
 // eligibleRetry is a retry that passes all rules.
 func eligibleRetry() (Request, Engine) {
 	request := Request{
-		TimeLeft: time.Second, MaxAttempts: 2, TurnOfOrderKey: true, WithinRetryBudget: true,
+		TimeLeft: time.Second, MaxAttempts: 2, OrderKeyAvailable: true, WithinRetryBudget: true,
 		Attempts:     []idempotency.Attempt{{MayHaveRun: true}},
 		AllowedZones: []string{"a"}, AllowedKinds: []string{"std"},
 	}
@@ -33,7 +33,7 @@
 		DuplicateEffect:      func(r *Request, _ *Engine) { r.Idempotency.Kind = idempotency.NonIdempotent },
 		EngineNotReady:       func(_ *Request, e *Engine) { e.Ready = false },
 		SlowStartBudgetSpent: func(_ *Request, e *Engine) { e.WithinSlowStartBudget = false },
-		OrderKeyBusy:         func(r *Request, _ *Engine) { r.TurnOfOrderKey = false },
+		OrderKeyBusy:         func(r *Request, _ *Engine) { r.OrderKeyAvailable = false },
 		PlacementForbidden:   func(r *Request, _ *Engine) { r.AllowedZones = []string{"b"} },
 		RetryBudgetSpent:     func(r *Request, _ *Engine) { r.WithinRetryBudget = false },
 	} {
