--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -39,8 +39,8 @@
 	expiresAt time.Duration
 }
 
-// Presume records that a data set seems to be locked until a time.
-func (l *Locks) Presume(dataSet int, until time.Duration) {
+// PresumeLocked records that a data set seems to be locked until a time.
+func (l *Locks) PresumeLocked(dataSet int, until time.Duration) {
 	l.locks = append(l.locks, lock{dataSet, until})
 }
 
--- a/control/datasetlock/datasetlock_test.go
+++ b/control/datasetlock/datasetlock_test.go
@@ -9,8 +9,8 @@
 func TestLockHoldsUntilItExpiresOrIsReleased(t *testing.T) {
 	t.Parallel()
 	var locks Locks
-	locks.Presume(7, time.Second)
-	locks.Presume(8, 2*time.Second)
+	locks.PresumeLocked(7, time.Second)
+	locks.PresumeLocked(8, 2*time.Second)
 	for _, step := range []struct {
 		now        time.Duration
 		seven, six bool
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -74,7 +74,7 @@
 // request, if there is time.
 func (c *Controller) blockedByLock(attempt *attempt) {
 	attempt.releaseThreads()
-	attempt.engine.dataSetLocks.Presume(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
+	attempt.engine.dataSetLocks.PresumeLocked(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
 	c.hedgeOrCancel(attempt)
 }
 
