--- a/control/attempts.go
+++ b/control/attempts.go
@@ -103,7 +103,7 @@
 	if end.Status == OK {
 		c.learnFromAnswer(attempt, end)
 		if request.class.BlockedByDataSetLock {
-			engine.dataSetLocks.Unlocked(request.DataSet)
+			engine.dataSetLocks.MarkUnlocked(request.DataSet)
 		}
 	}
 	if end.RequestClosed && !request.closed {
--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -53,8 +53,8 @@
 	return slices.ContainsFunc(l.locks, func(held lock) bool { return held.dataSet == dataSet })
 }
 
-// Unlocked records that a data set is no longer locked, as a request that the lock blocks was answered.
-func (l *Locks) Unlocked(dataSet int) {
+// MarkUnlocked records that a data set is no longer locked, as a request that the lock blocks was answered.
+func (l *Locks) MarkUnlocked(dataSet int) {
 	l.locks = slices.DeleteFunc(l.locks, func(held lock) bool { return held.dataSet == dataSet })
 }
 
--- a/control/datasetlock/datasetlock_test.go
+++ b/control/datasetlock/datasetlock_test.go
@@ -25,7 +25,7 @@
 	if !locks.Locked(8, time.Second) {
 		t.Error("data set 8 is not locked")
 	}
-	if locks.Unlocked(8); locks.Locked(8, time.Second) {
+	if locks.MarkUnlocked(8); locks.Locked(8, time.Second) {
 		t.Error("data set 8 is locked after its release")
 	}
 }
