--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -31,7 +31,7 @@
 			s := baseSettings()
 			class := &s.Classes[0]
 			class.Idempotency = idempotency.Policy{
-				Kind: idempotency.WithKey, DedupScope: scope, DedupWindow: time.Second,
+				Kind: idempotency.IdempotentWithKey, DedupScope: scope, DedupWindow: time.Second,
 			}
 			outside := readyEngine("e3")
 			outside.Zone, outside.Cell = "b", 1
@@ -55,7 +55,7 @@
 // A request of which no retry is permitted is answered at once, not held until its deadline.
 func TestRequestWithoutPermittedRetryIsAnsweredAtOnce(t *testing.T) {
 	nonIdempotent := idempotency.Policy{Kind: idempotency.NonIdempotent}
-	withKey := idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: time.Second}
+	withKey := idempotency.Policy{Kind: idempotency.IdempotentWithKey, DedupWindow: time.Second}
 	withKeyForZone := withKey
 	withKeyForZone.DedupScope = idempotency.ScopeZone
 	for name, c := range map[string]struct {
--- a/control/idempotency/idempotency.go
+++ b/control/idempotency/idempotency.go
@@ -9,9 +9,9 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent    Kind = iota // may run any number of times
-	WithKey                   // duplicates are dropped within a scope for a time
-	NonIdempotent             // must not run twice
+	Idempotent        Kind = iota // may run any number of times
+	IdempotentWithKey             // duplicates are dropped within a scope for a time
+	NonIdempotent                 // must not run twice
 )
 
 // Scope is the group of engines that drops duplicates of a request that is idempotent with a key.
@@ -70,12 +70,12 @@
 	if !earlier.MayHaveRun {
 		return false
 	}
-	return p.Kind == NonIdempotent || p.Kind == WithKey && earlier.Age >= p.DedupWindow
+	return p.Kind == NonIdempotent || p.Kind == IdempotentWithKey && earlier.Age >= p.DedupWindow
 }
 
 // RepeatableAnywhere reports whether a request may run again at any engine.
 func (p Policy) RepeatableAnywhere() bool {
-	return p.Kind == Idempotent || p.Kind == WithKey && p.DedupScope == ScopeAll
+	return p.Kind == Idempotent || p.Kind == IdempotentWithKey && p.DedupScope == ScopeAll
 }
 
 // AllowsRejection reports whether a request may be rejected, which invites its client to retry at an engine
--- a/control/idempotency/idempotency_test.go
+++ b/control/idempotency/idempotency_test.go
@@ -10,7 +10,9 @@
 	const window = 15 * time.Second
 	here := Location{Zone: "a", Cell: 1}
 	sameZone, sameCell := Location{Zone: "a", Cell: 2}, Location{Zone: "b", Cell: 1}
-	withKey := func(scope Scope) Policy { return Policy{Kind: WithKey, DedupScope: scope, DedupWindow: window} }
+	withKey := func(scope Scope) Policy {
+		return Policy{Kind: IdempotentWithKey, DedupScope: scope, DedupWindow: window}
+	}
 	mayHaveRun, neverRan := Attempt{Location: here, MayHaveRun: true}, Attempt{Location: here, Age: window}
 	old, almostOld := mayHaveRun, mayHaveRun
 	old.Age, almostOld.Age = window, window-1
@@ -46,7 +48,7 @@
 // An attempt rules out all others once no engine would drop the duplicate, or none may be made.
 func TestForbidsRetry(t *testing.T) {
 	t.Parallel()
-	withKey := Policy{Kind: WithKey, DedupScope: ScopeCell, DedupWindow: time.Second}
+	withKey := Policy{Kind: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: time.Second}
 	for name, c := range map[string]struct {
 		policy  Policy
 		earlier Attempt
@@ -75,9 +77,9 @@
 		repeatableAnywhere bool
 	}{
 		"idempotent":            {Policy{}, true},
-		"with a key everywhere": {Policy{Kind: WithKey}, true},
-		"with a key for a zone": {Policy{Kind: WithKey, DedupScope: ScopeZone}, false},
-		"with a key for a cell": {Policy{Kind: WithKey, DedupScope: ScopeCell}, false},
+		"with a key everywhere": {Policy{Kind: IdempotentWithKey}, true},
+		"with a key for a zone": {Policy{Kind: IdempotentWithKey, DedupScope: ScopeZone}, false},
+		"with a key for a cell": {Policy{Kind: IdempotentWithKey, DedupScope: ScopeCell}, false},
 		"non-idempotent":        {Policy{Kind: NonIdempotent}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -260,7 +260,7 @@
 	c.t.Helper()
 	policy := q.class.Idempotency
 	if policy.Kind == idempotency.Idempotent ||
-		policy.Kind == idempotency.WithKey && policy.DedupScope == idempotency.ScopeAll {
+		policy.Kind == idempotency.IdempotentWithKey && policy.DedupScope == idempotency.ScopeAll {
 		return
 	}
 	if slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -135,7 +135,7 @@
 				Name: "load", LatencyObjective: 2 * time.Second, ClientTimeout: 9 * time.Second, ObjectivePerWork: 2,
 				PriorityWeight: 2, LateWeight: 0.5, Threads: 2, Ordered: true, HoldsDataSetLock: true,
 				Idempotency: idempotency.Policy{
-					Kind: idempotency.WithKey, DedupScope: idempotency.ScopeZone, DedupWindow: 5 * time.Second,
+					Kind: idempotency.IdempotentWithKey, DedupScope: idempotency.ScopeZone, DedupWindow: 5 * time.Second,
 				},
 			},
 			{
@@ -180,7 +180,7 @@
 			{
 				Name: "update", LatencyObjective: time.Second, ClientTimeout: 6 * time.Second, PriorityWeight: 8,
 				LateWeight: 0.3, Threads: 1, Ordered: true, AllowedZones: []string{"zone-0", "zone-1"},
-				Idempotency: idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: 10 * time.Second},
+				Idempotency: idempotency.Policy{Kind: idempotency.IdempotentWithKey, DedupWindow: 10 * time.Second},
 			},
 		},
 		EngineKinds: map[string]control.EngineKind{
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -34,7 +34,7 @@
 			{Name: "lookup", LatencyObjective: 400 * ms, PriorityWeight: 1, Threads: 1},
 			{
 				Name: "load", LatencyObjective: 3 * time.Second, PriorityWeight: 20, LateWeight: 0.5, Threads: 2,
-				Idempotency: idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: 15 * time.Second},
+				Idempotency: idempotency.Policy{Kind: idempotency.IdempotentWithKey, DedupWindow: 15 * time.Second},
 				Ordered:     true, HoldsDataSetLock: true,
 			},
 		},
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -20,7 +20,7 @@
 		control.Class{
 			Name: "zone", LatencyObjective: time.Second, PriorityWeight: 1, Threads: 1,
 			Idempotency: idempotency.Policy{
-				Kind: idempotency.WithKey, DedupScope: idempotency.ScopeZone, DedupWindow: time.Second,
+				Kind: idempotency.IdempotentWithKey, DedupScope: idempotency.ScopeZone, DedupWindow: time.Second,
 			},
 		})
 	return settings
--- a/internal/broker/simulated_clients_test.go
+++ b/internal/broker/simulated_clients_test.go
@@ -77,7 +77,7 @@
 	if len(s.settings.Tenants) > 0 {
 		r.Tenant = s.settings.Tenants[s.rng.IntN(len(s.settings.Tenants))].Name
 	}
-	if class.Idempotency.Kind == idempotency.WithKey {
+	if class.Idempotency.Kind == idempotency.IdempotentWithKey {
 		r.IdempotencyKey = fmt.Sprint("op-", s.lastRequest)
 	}
 	if class.Ordered {
--- a/internal/broker/validation.go
+++ b/internal/broker/validation.go
@@ -51,7 +51,7 @@
 		return class, errUnknownTenant
 	case class.ClientTimeout > 0 && request.Timeout > v.longestTimeouts[request.Class]+timeoutSlack:
 		return class, errTimeoutTooLong
-	case class.Idempotency.Kind == idempotency.WithKey && request.IdempotencyKey == "":
+	case class.Idempotency.Kind == idempotency.IdempotentWithKey && request.IdempotencyKey == "":
 		// Without the key an engine could not drop a repeat, and the request could take effect twice.
 		return class, errMissingIdempotencyKey
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -47,7 +47,7 @@
 
 var idempotencies = map[string]idempotency.Kind{
 	"repeatable": idempotency.Idempotent,
-	"by_key":     idempotency.WithKey,
+	"by_key":     idempotency.IdempotentWithKey,
 	"once":       idempotency.NonIdempotent,
 }
 
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -62,7 +62,7 @@
 		ClientTimeout:    25 * time.Second,
 		ObjectivePerWork: 3,
 		PriorityWeight:   20,
-		Idempotency:      idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: 15 * time.Second},
+		Idempotency:      idempotency.Policy{Kind: idempotency.IdempotentWithKey, DedupWindow: 15 * time.Second},
 		Ordered:          true,
 		Threads:          2,
 		HoldsDataSetLock: true,
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -124,7 +124,7 @@
 		lookup.AllowedZones[0] != "room-a" || !lookup.BlockedByDataSetLock {
 		t.Errorf("lookup %+v", lookup)
 	}
-	if load.Idempotency.Kind != idempotency.WithKey || load.Idempotency.DedupScope != idempotency.ScopeCell ||
+	if load.Idempotency.Kind != idempotency.IdempotentWithKey || load.Idempotency.DedupScope != idempotency.ScopeCell ||
 		load.Threads != 4 || !load.HoldsDataSetLock || load.AllowedKinds[0] != "std-16" {
 		t.Errorf("load %+v", load)
 	}
