--- a/control/requests.go
+++ b/control/requests.go
@@ -142,7 +142,7 @@
 // clientDisconnected closes a request that the broker has closed, see ClientDisconnected.
 func (c *Controller) clientDisconnected(id string) {
 	if request := c.requests.byID[id]; request != nil && !request.closed {
-		request.class.Abandonment.ClientLeft(c.now - request.receivedAt)
+		request.class.Abandonment.ClientDisconnected(c.now - request.receivedAt)
 		c.closeRequest(request)
 	}
 }
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -19,8 +19,8 @@
 	after units.Seconds
 }
 
-// ClientLeft takes a client that left after a time. While few have left, the last one counts most.
-func (a *Abandonment) ClientLeft(after time.Duration) {
+// ClientDisconnected takes a client that left after a time. While few have left, the last one counts most.
+func (a *Abandonment) ClientDisconnected(after time.Duration) {
 	a.rate = estimate.Toward(a.rate, 1, abandonWeight)
 	weight := min(1, likelyAbandonRate/max(a.rate, minAbandonRate))
 	a.after = estimate.Toward(a.after, units.SecondsOf(after), float64(weight))
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -84,13 +84,13 @@
 	t.Parallel()
 	var a Abandonment
 	for range 30 {
-		a.ClientLeft(2 * time.Second)
+		a.ClientDisconnected(2 * time.Second)
 	}
 	if _, ok := a.Patience(); ok {
 		t.Error("known after 30 clients")
 	}
 	for range 30 {
-		a.ClientLeft(2 * time.Second)
+		a.ClientDisconnected(2 * time.Second)
 	}
 	patience, ok := a.Patience()
 	if !ok || patience != 2*time.Second {
