--- a/control/attempts.go
+++ b/control/attempts.go
@@ -107,7 +107,7 @@
 		}
 	}
 	if end.RequestClosed && !request.closed {
-		request.class.Abandonment.ClientStayed()
+		request.class.Abandonment.ClientWaited()
 		c.closeRequest(request)
 	}
 	if request.closed {
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -26,8 +26,8 @@
 	a.after = estimate.Toward(a.after, units.SecondsOf(after), float64(weight))
 }
 
-// ClientStayed takes a client that waited for its answer.
-func (a *Abandonment) ClientStayed() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
+// ClientWaited takes a client that waited for its answer.
+func (a *Abandonment) ClientWaited() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
 
 // Patience is how long clients wait; ok is false where most of them wait until their deadline.
 func (a *Abandonment) Patience() (patience time.Duration, ok bool) {
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("patience %v, known: %v", patience, ok)
 	}
 	for range 30 {
-		a.ClientStayed()
+		a.ClientWaited()
 	}
 	if _, ok := a.Patience(); ok {
 		t.Error("known after 30 clients that stayed")
