--- a/control/admission.go
+++ b/control/admission.go
@@ -33,7 +33,7 @@
 // objectiveEnd is when the latency objective of a request that is received now ends.
 func (k *class) objectiveEnd(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
 	end := min(in.Deadline, now+k.objectiveOf(work))
-	if patience, known := k.Abandonment.Patience(); known {
+	if patience, known := k.Abandonment.TimeToAbandon(); known {
 		end = min(end, now+patience)
 	}
 	return end
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -29,7 +29,7 @@
 // ClientWaited takes a client that waited for its answer.
 func (a *Abandonment) ClientWaited() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
 
-// Patience is how long clients wait; ok is false where most of them wait until their deadline.
-func (a *Abandonment) Patience() (patience time.Duration, ok bool) {
+// TimeToAbandon is how long clients wait; ok is false where most of them wait until their deadline.
+func (a *Abandonment) TimeToAbandon() (patience time.Duration, ok bool) {
 	return a.after.Duration(), a.rate > likelyAbandonRate
 }
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -86,20 +86,20 @@
 	for range 30 {
 		a.ClientDisconnected(2 * time.Second)
 	}
-	if _, ok := a.Patience(); ok {
+	if _, ok := a.TimeToAbandon(); ok {
 		t.Error("known after 30 clients")
 	}
 	for range 30 {
 		a.ClientDisconnected(2 * time.Second)
 	}
-	patience, ok := a.Patience()
+	patience, ok := a.TimeToAbandon()
 	if !ok || patience != 2*time.Second {
 		t.Errorf("patience %v, known: %v", patience, ok)
 	}
 	for range 30 {
 		a.ClientWaited()
 	}
-	if _, ok := a.Patience(); ok {
+	if _, ok := a.TimeToAbandon(); ok {
 		t.Error("known after 30 clients that stayed")
 	}
 }
