--- a/control/learning.go
+++ b/control/learning.go
@@ -15,7 +15,7 @@
 
 // likelyServiceTime corrects that by what the request's class takes over what is expected of all.
 func (c *Controller) likelyServiceTime(request *request, engine *engine) time.Duration {
-	return request.class.ServiceTime.Likely(c.expectedServiceTime(request, engine))
+	return request.class.ServiceTime.Typical(c.expectedServiceTime(request, engine))
 }
 
 // learnFromAnswer takes what an answer shows of its class and its engine.
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -38,8 +38,8 @@
 	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
 }
 
-// Likely is the service time of a typical request of which some time is expected.
-func (s *ServiceTime) Likely(expected units.Seconds) time.Duration {
+// Typical is the service time of a typical request of which some time is expected.
+func (s *ServiceTime) Typical(expected units.Seconds) time.Duration {
 	return scaled(expected, units.LogRatio(s.spread.Mean))
 }
 
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -67,7 +67,7 @@
 	for range 5000 {
 		s.Observe(sample(), 1)
 	}
-	near(t, "likely time", s.Likely(1).Seconds(), 2, 0.2)
+	near(t, "likely time", s.Typical(1).Seconds(), 2, 0.2)
 	later := 0.0
 	for range 5000 {
 		if sample().Duration() > s.Quantile(1, 0.05) {
