--- a/control/learning.go
+++ b/control/learning.go
@@ -21,7 +21,7 @@
 // learnFromAnswer takes what an answer shows of its class and its engine.
 func (c *Controller) learnFromAnswer(attempt *attempt, end AttemptEnded) {
 	request, class, engine := attempt.request, attempt.request.class, attempt.engine
-	took := workload.Measured(end.Duration)
+	took := workload.MeasuredServiceTime(end.Duration)
 	answer := workload.Answer{
 		ServiceTime: took, Threads: class.Threads,
 		EngineSlowdown: engine.estimatedSlowdown(&c.slowdowns),
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -14,8 +14,8 @@
 	minServiceTime     = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
 )
 
-// Measured is a service time as measured, of at least 0.1 ms.
-func Measured(serviceTime time.Duration) units.Seconds {
+// MeasuredServiceTime is a service time as measured, of at least 0.1 ms.
+func MeasuredServiceTime(serviceTime time.Duration) units.Seconds {
 	return max(units.SecondsOf(serviceTime), minServiceTime)
 }
 
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	near(t, "fraction over its quantile", later/5000, 0.05, 0.03)
-	if got := Measured(0); got != minServiceTime {
+	if got := MeasuredServiceTime(0); got != minServiceTime {
 		t.Errorf("a service time of 0 counts as %v", got)
 	}
 }
