--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -32,14 +32,14 @@
 	if now-e.reportedAt > averagedWithin {
 		e.load = load
 	}
-	e.load = estimate.Toward(e.load, load, reportWeight)
+	e.load = estimate.EWMA(e.load, load, reportWeight)
 	e.reportedAt = now
 }
 
 // ObservePoolMember takes the load that one engine of a pool reports now, where the estimate is the pool's: one
 // engine's report has a small weight in it.
 func (e *Estimate) ObservePoolMember(load units.Fraction, now time.Duration) {
-	e.load = estimate.Toward(e.load, load, poolReportWeight)
+	e.load = estimate.EWMA(e.load, load, poolReportWeight)
 	e.reportedAt = now
 }
 
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -97,7 +97,7 @@
 	engine.loss.Answer()
 	d.fleet.Answer()
 	weight := estimate.SampleWeight(failureWeight, engine.loss.Outcomes+1)
-	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
+	engine.failureRate = estimate.EWMA(engine.failureRate, failed, weight)
 }
 
 // RecordLoss records an answer that never came: the attempt timed out, or package overdue judged it lost. The
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -72,7 +72,7 @@
 // over its work.
 func (s *Estimator) Observe(engine *Engine, sample units.LogRatio, now time.Duration) {
 	weight := estimate.SampleWeight(s.minWeight(), float64(engine.samples+1))
-	engine.logRatio = estimate.Toward(engine.logRatio, sample, weight)
+	engine.logRatio = estimate.EWMA(engine.logRatio, sample, weight)
 	engine.samples, engine.sampledAt = engine.samples+1, now
 }
 
@@ -80,7 +80,7 @@
 // (outlier.Health.Outcomes). The pool observes the answer as well.
 func (s *Estimator) ObserveInPool(engine *Engine, sample units.LogRatio, outcomes float64) {
 	weight := estimate.SampleWeight(s.minWeight(), outcomes)
-	engine.logRatio = estimate.Toward(engine.logRatio, sample, weight)
+	engine.logRatio = estimate.EWMA(engine.logRatio, sample, weight)
 }
 
 // minWeight is the smallest weight of an answer.
@@ -94,7 +94,7 @@
 // Recover lets an engine without answers approach the best slowdown, once a tick of 100 ms.
 func (s *Estimator) Recover(engine *Engine, now time.Duration) {
 	if now-engine.sampledAt > s.config.IdleAfter {
-		engine.logRatio = estimate.Toward(engine.logRatio, s.best, recovery)
+		engine.logRatio = estimate.EWMA(engine.logRatio, s.best, recovery)
 	}
 }
 
@@ -115,6 +115,6 @@
 	case least < s.best || s.best == 0:
 		s.best = least
 	default:
-		s.best = estimate.Toward(s.best, least, worseBestWeight)
+		s.best = estimate.EWMA(s.best, least, worseBestWeight)
 	}
 }
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -21,13 +21,13 @@
 
 // ClientDisconnected takes a client that left after a time. While few have left, the last one counts most.
 func (a *Abandonment) ClientDisconnected(after time.Duration) {
-	a.rate = estimate.Toward(a.rate, 1, abandonWeight)
+	a.rate = estimate.EWMA(a.rate, 1, abandonWeight)
 	weight := min(1, likelyAbandonRate/max(a.rate, minAbandonRate))
-	a.after = estimate.Toward(a.after, units.SecondsOf(after), float64(weight))
+	a.after = estimate.EWMA(a.after, units.SecondsOf(after), float64(weight))
 }
 
 // ClientWaited takes a client that waited for its answer.
-func (a *Abandonment) ClientWaited() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
+func (a *Abandonment) ClientWaited() { a.rate = estimate.EWMA(a.rate, 0, abandonWeight) }
 
 // TimeToAbandon is how long clients wait; ok is false where most of them wait until their deadline.
 func (a *Abandonment) TimeToAbandon() (patience time.Duration, ok bool) {
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -65,17 +65,17 @@
 	took, threads := float64(a.ServiceTime), float64(a.Threads)
 	if a.Work <= 0 {
 		work := units.ThreadSeconds(took * threads / a.EngineSlowdown.Ratio())
-		c.meanWork = estimate.Toward(c.meanWork, work, weight)
+		c.meanWork = estimate.EWMA(c.meanWork, work, weight)
 		return units.LogRatio(c.floor.Observe(math.Log(took), weight*floorWeightFactor))
 	}
 	work := a.Work.Seconds()
-	c.meanWork = estimate.Toward(c.meanWork, units.ThreadSeconds(work), weight)
+	c.meanWork = estimate.EWMA(c.meanWork, units.ThreadSeconds(work), weight)
 	if a.EstimatedWork > 0 {
-		c.workBias = estimate.Toward(c.workBias, work/a.EstimatedWork.Seconds(), weight)
+		c.workBias = estimate.EWMA(c.workBias, work/a.EstimatedWork.Seconds(), weight)
 	}
 	if a.EstimatedMemoryMB > 0 && a.MemoryMB > 0 {
 		c.memoryRatio.Observe(a.MemoryMB, a.EstimatedMemoryMB)
 	}
-	c.meanMemoryMB = estimate.Toward(c.meanMemoryMB, a.MemoryMB, weight)
+	c.meanMemoryMB = estimate.EWMA(c.meanMemoryMB, a.MemoryMB, weight)
 	return units.LogOf(took * threads / work)
 }
--- a/control/workload/tenants.go
+++ b/control/workload/tenants.go
@@ -64,7 +64,7 @@
 func (t *Tenants) closeInterval(elapsed time.Duration, weight float64) (rate, quota units.PerSecond) {
 	for i := range t.all {
 		one := &t.all[i]
-		one.rate = estimate.Toward(one.rate, units.Rate(one.arrivals, elapsed), weight)
+		one.rate = estimate.EWMA(one.rate, units.Rate(one.arrivals, elapsed), weight)
 		one.arrivals = 0
 		rate += one.rate
 		quota += one.Quota
--- a/control/workload/traffic.go
+++ b/control/workload/traffic.go
@@ -36,7 +36,7 @@
 func (t *Traffic) closeInterval(
 	elapsed time.Duration, weight float64, objective time.Duration,
 ) (answers int) {
-	t.rate = estimate.Toward(t.rate, units.Rate(t.arrivals, elapsed), weight)
+	t.rate = estimate.EWMA(t.rate, units.Rate(t.arrivals, elapsed), weight)
 	t.arrivals = 0
 	answers = t.answers
 	if answers > 0 {
--- a/control/workload/wait.go
+++ b/control/workload/wait.go
@@ -15,7 +15,7 @@
 
 // Observe takes one request's wait.
 func (w *Wait) Observe(wait time.Duration) {
-	w.mean = estimate.Toward(w.mean, units.SecondsOf(wait), waitWeight)
+	w.mean = estimate.EWMA(w.mean, units.SecondsOf(wait), waitWeight)
 }
 
 // Mean is the mean wait.
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -108,7 +108,7 @@
 	}
 	equal := 1 / units.Fraction(w.brokers)
 	share := min(1, max(w.config.MinShare*equal, units.Fraction(rate/quota)))
-	w.trafficShare = estimate.Toward(w.trafficShare, share, w.sampleWeight(weight))
+	w.trafficShare = estimate.EWMA(w.trafficShare, share, w.sampleWeight(weight))
 }
 
 // sampleWeight is the weight of this interval in an average, at first that of a mean of all intervals.
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Toward moves an exponentially weighted moving average by one sample.
-func Toward[F ~float64](average, sample F, weight float64) F {
+// EWMA moves an exponentially weighted moving average by one sample.
+func EWMA[F ~float64](average, sample F, weight float64) F {
 	return average + F(weight)*(sample-average)
 }
 
@@ -30,8 +30,8 @@
 
 // Observe takes a sample.
 func (s *Spread) Observe(sample, weight float64) {
-	s.Variance = Toward(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
-	s.Mean = Toward(s.Mean, sample, weight)
+	s.Variance = EWMA(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
+	s.Mean = EWMA(s.Mean, sample, weight)
 }
 
 // UpperQuantile is the value that a fraction of the samples exceeds, if they are normally distributed.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -17,11 +17,11 @@
 	average, sum := 100.0, 0.0
 	for i := range 10 {
 		sum += float64(i)
-		average = Toward(average, float64(i), SampleWeight(0.05, float64(i+1)))
+		average = EWMA(average, float64(i), SampleWeight(0.05, float64(i+1)))
 		near(t, "mean of the samples so far", average, sum/float64(i+1), 1e-12)
 	}
 	for range 200 {
-		average = Toward(average, 50, SampleWeight(0.05, 1000))
+		average = EWMA(average, 50, SampleWeight(0.05, 1000))
 	}
 	near(t, "average after many equal samples", average, 50, 0.01)
 }
