--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -94,8 +94,8 @@
 }
 
 func (d *Detector) recordAnswer(engine *Health, failed units.Fraction) {
-	engine.loss.Answer()
-	d.fleet.Answer()
+	engine.loss.RecordAnswer()
+	d.fleet.RecordAnswer()
 	weight := estimate.SampleWeight(failureWeight, engine.loss.Outcomes+1)
 	engine.failureRate = estimate.EWMA(engine.failureRate, failed, weight)
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -44,8 +44,8 @@
 // decay, so they are not integers.
 type Loss struct{ Lost, Outcomes float64 }
 
-// Answer counts an answer that came.
-func (l *Loss) Answer() { l.Outcomes++ }
+// RecordAnswer counts an answer that came.
+func (l *Loss) RecordAnswer() { l.Outcomes++ }
 
 // Lose counts an answer as lost, with a certainty from 0 to 1.
 func (l *Loss) Lose(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -57,7 +57,7 @@
 	var l Loss
 	near(t, "rate without answers is the prior", l.Rate(0.01, 20), 0.01, 1e-12)
 	for range 80 {
-		l.Answer()
+		l.RecordAnswer()
 	}
 	for range 20 {
 		l.Lose(0.5)
