--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -103,8 +103,8 @@
 // RecordLoss records an answer that never came: the attempt timed out, or package overdue judged it lost. The
 // certainty, from 0 to 1, is the probability that it is lost.
 func (d *Detector) RecordLoss(engine *Health, certainty units.Fraction) {
-	engine.loss.Lose(float64(certainty))
-	d.fleet.Lose(float64(certainty))
+	engine.loss.RecordLoss(float64(certainty))
+	d.fleet.RecordLoss(float64(certainty))
 }
 
 // RevertLoss takes Lost back, as the answer came after all.
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -47,8 +47,8 @@
 // RecordAnswer counts an answer that came.
 func (l *Loss) RecordAnswer() { l.Outcomes++ }
 
-// Lose counts an answer as lost, with a certainty from 0 to 1.
-func (l *Loss) Lose(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
+// RecordLoss counts an answer as lost, with a certainty from 0 to 1.
+func (l *Loss) RecordLoss(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
 
 // Recover takes back what Lose counted, as the answer came after all.
 func (l *Loss) Recover(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -60,7 +60,7 @@
 		l.RecordAnswer()
 	}
 	for range 20 {
-		l.Lose(0.5)
+		l.RecordLoss(0.5)
 	}
 	near(t, "rate", l.Rate(0, 0), 0.1, 1e-12)
 	near(t, "rate shrunk to a prior that weighs as much", l.Rate(0.3, 100), 0.2, 1e-12)
@@ -68,7 +68,7 @@
 	near(t, "rate after half came after all", l.Rate(0, 0), 0.05, 1e-12)
 	l.Recover(100)
 	near(t, "lost is never less than none", l.Lost, 0, 0)
-	l.Lose(1)
+	l.RecordLoss(1)
 	l.Decay(0.5)
 	near(t, "answers that are left", l.Outcomes, 50.5, 1e-12)
 	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
