--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -109,8 +109,8 @@
 
 // RevertLoss takes Lost back, as the answer came after all.
 func (d *Detector) RevertLoss(engine *Health, certainty units.Fraction) {
-	engine.loss.Recover(float64(certainty))
-	d.fleet.Recover(float64(certainty))
+	engine.loss.RevertLoss(float64(certainty))
+	d.fleet.RevertLoss(float64(certainty))
 }
 
 // IsSilent reports whether an engine loses so many answers that it is to be ejected.
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -50,8 +50,8 @@
 // RecordLoss counts an answer as lost, with a certainty from 0 to 1.
 func (l *Loss) RecordLoss(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
 
-// Recover takes back what Lose counted, as the answer came after all.
-func (l *Loss) Recover(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
+// RevertLoss takes back what Lose counted, as the answer came after all.
+func (l *Loss) RevertLoss(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
 
 // Decay multiplies both counts by a factor below 1, so that old answers count for less.
 func (l *Loss) Decay(factor float64) { l.Outcomes, l.Lost = l.Outcomes*factor, l.Lost*factor }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -64,9 +64,9 @@
 	}
 	near(t, "rate", l.Rate(0, 0), 0.1, 1e-12)
 	near(t, "rate shrunk to a prior that weighs as much", l.Rate(0.3, 100), 0.2, 1e-12)
-	l.Recover(5)
+	l.RevertLoss(5)
 	near(t, "rate after half came after all", l.Rate(0, 0), 0.05, 1e-12)
-	l.Recover(100)
+	l.RevertLoss(100)
 	near(t, "lost is never less than none", l.Lost, 0, 0)
 	l.RecordLoss(1)
 	l.Decay(0.5)
