--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -22,13 +22,13 @@
 // ServiceTime estimates the spread of a class's service times: the ratio of each to what was expected of its
 // request, as priorities and locks differ by class.
 type ServiceTime struct {
-	spread  estimate.Spread // of the logarithm of the ratio
+	spread  estimate.MeanVariance // of the logarithm of the ratio
 	answers int
 }
 
 // newServiceTime returns an estimate without answers.
 func newServiceTime() ServiceTime {
-	return ServiceTime{spread: estimate.Spread{Variance: initialVariance}}
+	return ServiceTime{spread: estimate.MeanVariance{Variance: initialVariance}}
 }
 
 // Observe takes the service time of an answer and what was expected of it.
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -25,17 +25,17 @@
 	return values[(len(values)-1)/2]
 }
 
-// Spread is the moving mean and variance of a logarithm.
-type Spread struct{ Mean, Variance float64 }
+// MeanVariance is the moving mean and variance of a logarithm.
+type MeanVariance struct{ Mean, Variance float64 }
 
 // Observe takes a sample.
-func (s *Spread) Observe(sample, weight float64) {
+func (s *MeanVariance) Observe(sample, weight float64) {
 	s.Variance = EWMA(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
 	s.Mean = EWMA(s.Mean, sample, weight)
 }
 
 // UpperQuantile is the value that a fraction of the samples exceeds, if they are normally distributed.
-func (s *Spread) UpperQuantile(exceeding float64) float64 {
+func (s *MeanVariance) UpperQuantile(exceeding float64) float64 {
 	z := math.Sqrt2 * math.Erfinv(1-2*exceeding)
 	return s.Mean + z*math.Sqrt(s.Variance)
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -43,7 +43,7 @@
 
 func TestSpreadFindsMeanAndQuantile(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	s := Spread{Variance: 1}
+	s := MeanVariance{Variance: 1}
 	for range 20000 {
 		s.Observe(0.4+0.5*rng.NormFloat64(), 0.002)
 	}
