--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -92,7 +92,7 @@
 // PoolMean is the mean load of the engines of a pool, in which each engine weighs as much as its load: loaded
 // engines stay loaded, however idle the others are.
 type PoolMean struct {
-	loads    estimate.SelfWeighted
+	loads    estimate.SelfWeightedMean
 	youngest time.Duration // when the last of their reports was given
 }
 
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -103,14 +103,14 @@
 	*r *= HighRatio(1 + highRatioStep*direction)
 }
 
-// SelfWeighted is a mean in which the weight of each value is the value itself, so that large values count most.
-type SelfWeighted struct{ sum, squares float64 }
+// SelfWeightedMean is a mean in which the weight of each value is the value itself, so that large values count most.
+type SelfWeightedMean struct{ sum, squares float64 }
 
 // Add takes a value.
-func (s *SelfWeighted) Add(value float64) { s.sum, s.squares = s.sum+value, s.squares+value*value }
+func (s *SelfWeightedMean) Add(value float64) { s.sum, s.squares = s.sum+value, s.squares+value*value }
 
 // Mean returns the mean; ok is false while the values sum to nothing.
-func (s *SelfWeighted) Mean() (mean float64, ok bool) {
+func (s *SelfWeightedMean) Mean() (mean float64, ok bool) {
 	if s.sum <= 0 {
 		return 0, false
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestSelfWeightedMeanIsWhatAUnitMeets(t *testing.T) {
-	var s SelfWeighted
+	var s SelfWeightedMean
 	if _, ok := s.Mean(); ok {
 		t.Error("a mean of nothing")
 	}
