--- a/control/selection/selection_test.go
+++ b/control/selection/selection_test.go
@@ -60,7 +60,7 @@
 	for range draws {
 		var best Best[int]
 		for i, candidate := range candidates {
-			best.Offer(i, candidate.score+config.Noise(rng, units.LogOf(candidate.weight)))
+			best.Offer(i, candidate.score+config.Noise(rng, units.LogRatioOf(candidate.weight)))
 		}
 		counts[best.Candidate()]++
 	}
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -35,5 +35,5 @@
 	if e.ageRatio <= usualAgeRatio { // a slowdown is never below 0, and by the age it would be
 		return estimated
 	}
-	return max(estimated, units.LogOf(e.ageRatio/usualAgeRatio))
+	return max(estimated, units.LogRatioOf(e.ageRatio/usualAgeRatio))
 }
--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -99,7 +99,7 @@
 	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
 		t.Errorf("ratio %v, want 4", got)
 	}
-	if got, want := engine.AgeAdjusted(0.1), units.LogOf(2); !near(got, want) {
+	if got, want := engine.AgeAdjusted(0.1), units.LogRatioOf(2); !near(got, want) {
 		t.Errorf("slowdown %v, want %v", got, want)
 	}
 	if got := engine.AgeAdjusted(3); got != 3 {
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -143,5 +143,5 @@
 		return 0
 	}
 	inTurn := float64(p.turn(engine, demand, now).brokers)
-	return units.LogOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / inTurn)
+	return units.LogRatioOf(float64(p.Fraction(engine, now)) * float64(p.config.Brokers) / inTurn)
 }
--- a/control/units/units.go
+++ b/control/units/units.go
@@ -21,8 +21,8 @@
 // Ratio is the ratio itself.
 func (l LogRatio) Ratio() float64 { return math.Exp(float64(l)) }
 
-// LogOf is the logarithm of a ratio.
-func LogOf(ratio float64) LogRatio { return LogRatio(math.Log(ratio)) }
+// LogRatioOf is the logarithm of a ratio.
+func LogRatioOf(ratio float64) LogRatio { return LogRatio(math.Log(ratio)) }
 
 // maxSeconds bounds Duration at some days, so that no time overflows.
 const maxSeconds = 1e6
--- a/control/units/units_test.go
+++ b/control/units/units_test.go
@@ -29,10 +29,10 @@
 
 func TestLogRatioIsTheInverseOfItsRatio(t *testing.T) {
 	t.Parallel()
-	if got := LogOf(1); got != 0 {
+	if got := LogRatioOf(1); got != 0 {
 		t.Errorf("the logarithm of 1 is %v, want 0", got)
 	}
-	if got := LogOf(2).Ratio(); math.Abs(got-2) > 1e-12 {
+	if got := LogRatioOf(2).Ratio(); math.Abs(got-2) > 1e-12 {
 		t.Errorf("the ratio of the logarithm of 2 is %v", got)
 	}
 }
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -77,5 +77,5 @@
 		c.memoryRatio.Observe(a.MemoryMB, a.EstimatedMemoryMB)
 	}
 	c.meanMemoryMB = estimate.EWMA(c.meanMemoryMB, a.MemoryMB, weight)
-	return units.LogOf(took * threads / work)
+	return units.LogRatioOf(took * threads / work)
 }
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -35,7 +35,7 @@
 func (s *ServiceTime) Observe(took, expected units.Seconds) {
 	s.answers++
 	weight := estimate.SampleWeight(spreadWeight, float64(s.answers+spreadGuessAnswers))
-	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
+	s.spread.Observe(float64(units.LogRatioOf(float64(took/expected))), weight)
 }
 
 // Typical is the service time of a typical request of which some time is expected.
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -54,7 +54,7 @@
 		cost.Observe(usual)
 	}
 	near(t, "mean work", cost.MeanWork(), 1, 0.01)
-	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogOf(2)}
+	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogRatioOf(2)}
 	near(t, "slowdown of an answer of twice the time", cost.Observe(slowed).Ratio(), 2, 0.1)
 	near(t, "mean work after an answer of a slow engine", cost.MeanWork(), 1, 0.01)
 }
