--- a/control/admission.go
+++ b/control/admission.go
@@ -36,7 +36,7 @@
 // ends no later than the request's deadline and the time at which clients of the class usually disconnect.
 func (k *class) objectiveDeadline(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
 	end := min(in.Deadline, now+k.objectiveOf(work))
-	if patience, known := k.Abandonment.Patience(); known {
+	if patience, known := k.Abandonment.TimeToAbandon(); known {
 		end = min(end, now+patience)
 	}
 	return end
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -53,7 +53,7 @@
 	overdueAfter := c.attemptTimeout(request, engine)
 	send := SendAttempt{RequestID: request.ID, Engine: engine.ID, OverdueAfter: overdueAfter}
 	if engine.health.Ejected() {
-		engine.health.HalfOpenProbeSent(c.now, c.ejectionBackoff())
+		engine.health.RecordHalfOpenProbe(c.now, c.ejectionBackoff())
 		send.Timeout = overdue.HalfOpenTimeout(overdueAfter, request.Deadline-c.now)
 	}
 	c.emit(send)
@@ -85,7 +85,7 @@
 	attempt.inFlight = false
 	engine.removeAttempt(attempt)
 	if attempt.presumedLost && end.Status == OK {
-		c.outliers.Recovered(&engine.health, attempt.lossConfidence)
+		c.outliers.RevertLoss(&engine.health, attempt.lossConfidence)
 	}
 	if end.Status == TimedOut && !c.settings.Limits.Cancellation && !attempt.threadsReleased {
 		// The attempt may still run on the engine: its threads are released at twice its present age.
@@ -104,11 +104,11 @@
 	if end.Status == OK {
 		c.observeResponse(attempt, end)
 		if request.class.BlockedByDataSetLock {
-			engine.dataSetLocks.Unlocked(request.DataSet)
+			engine.dataSetLocks.MarkUnlocked(request.DataSet)
 		}
 	}
 	if end.RequestClosed && !request.closed {
-		request.class.Abandonment.ClientStayed()
+		request.class.Abandonment.ClientWaited()
 		c.closeRequest(request)
 	}
 	if request.closed {
--- a/control/datasetlock/datasetlock_test.go
+++ b/control/datasetlock/datasetlock_test.go
@@ -9,8 +9,8 @@
 func TestLockHoldsUntilItExpiresOrIsReleased(t *testing.T) {
 	t.Parallel()
 	var locks Locks
-	locks.Presume(7, time.Second)
-	locks.Presume(8, 2*time.Second)
+	locks.PresumeLocked(7, time.Second)
+	locks.PresumeLocked(8, 2*time.Second)
 	for _, step := range []struct {
 		now        time.Duration
 		seven, six bool
@@ -25,7 +25,7 @@
 	if !locks.Locked(8, time.Second) {
 		t.Error("data set 8 is not locked")
 	}
-	if locks.Unlocked(8); locks.Locked(8, time.Second) {
+	if locks.MarkUnlocked(8); locks.Locked(8, time.Second) {
 		t.Error("data set 8 is locked after its release")
 	}
 }
--- a/control/loadprobes.go
+++ b/control/loadprobes.go
@@ -14,7 +14,7 @@
 
 // probeLoad sends a load probe to an engine.
 func (c *Controller) probeLoad(engine *engine) {
-	engine.load.Probed(c.now)
+	engine.load.RecordProbe(c.now)
 	c.emit(ProbeLoad{engine.ID})
 }
 
@@ -36,7 +36,7 @@
 	probed := false
 	for n := 0; n < probeCandidateCount && len(c.endpoints.all) > 0; n++ {
 		engine := c.endpoints.all[c.rng.IntN(len(c.endpoints.all))]
-		usable := engine.member.TakesRequests() && !engine.health.Ejected()
+		usable := engine.member.AcceptsRequests() && !engine.health.Ejected()
 		if usable && !engine.load.RecentlyProbed(c.now) {
 			c.probeLoad(engine)
 			probed = true
--- a/control/loadreport/estimate.go
+++ b/control/loadreport/estimate.go
@@ -32,20 +32,20 @@
 	if now-e.reportedAt > averagedWithin {
 		e.load = load
 	}
-	e.load = estimate.Toward(e.load, load, reportWeight)
+	e.load = estimate.EWMA(e.load, load, reportWeight)
 	e.reportedAt = now
 }
 
-// ObserveOfPool takes the load that one engine of a pool reports now, where the estimate is the pool's: one
+// ObservePoolMember takes the load that one engine of a pool reports now, where the estimate is the pool's: one
 // engine's report has a small weight in it.
-func (e *Estimate) ObserveOfPool(load units.Fraction, now time.Duration) {
-	e.load = estimate.Toward(e.load, load, poolReportWeight)
+func (e *Estimate) ObservePoolMember(load units.Fraction, now time.Duration) {
+	e.load = estimate.EWMA(e.load, load, poolReportWeight)
 	e.reportedAt = now
 }
 
-// Receive takes the load that an engine reported to another broker at a time, if no later report is known.
+// ObserveRemote takes the load that an engine reported to another broker at a time, if no later report is known.
 // Reports from before the engine started are of its earlier process.
-func (e *Estimate) Receive(load units.Fraction, reportedAt, engineStartedAt time.Duration) {
+func (e *Estimate) ObserveRemote(load units.Fraction, reportedAt, engineStartedAt time.Duration) {
 	if reportedAt > max(e.reportedAt, engineStartedAt) {
 		e.load, e.reportedAt = max(0, load), reportedAt
 	}
@@ -57,27 +57,27 @@
 // Age is the time since the last report.
 func (e *Estimate) Age(now time.Duration) time.Duration { return now - e.reportedAt }
 
-// KnownWithin reports whether an engine reported its load no longer ago than a time.
-func (e *Estimate) KnownWithin(within, now time.Duration) bool {
+// ReportedWithin reports whether an engine reported its load no longer ago than a time.
+func (e *Estimate) ReportedWithin(within, now time.Duration) bool {
 	return e.reportedAt > 0 && e.Age(now) <= within
 }
 
-// IfRecent is the load of an engine whose last report is younger than recentFor, else 0.
-func (e *Estimate) IfRecent(now time.Duration) units.Fraction {
+// RecentLoad is the load of an engine whose last report is younger than recentFor, else 0.
+func (e *Estimate) RecentLoad(now time.Duration) units.Fraction {
 	if e.Age(now) < recentFor {
 		return e.load
 	}
 	return 0
 }
 
-// InPool is the load expected of an engine of a pool: the older its report, the more the pool's load counts.
-func (e *Estimate) InPool(pool *Estimate, now time.Duration) units.Fraction {
+// LoadInPool is the load expected of an engine of a pool: the older its report, the more the pool's load counts.
+func (e *Estimate) LoadInPool(pool *Estimate, now time.Duration) units.Fraction {
 	trust := units.Fraction(math.Exp(-e.Age(now).Seconds() / Lifetime.Seconds()))
 	return pool.load + trust*(e.load-pool.load)
 }
 
-// Probed records that the engine is asked for its load now.
-func (e *Estimate) Probed(now time.Duration) { e.probedAt = now }
+// RecordProbe records that the engine is asked for its load now.
+func (e *Estimate) RecordProbe(now time.Duration) { e.probedAt = now }
 
 // RecentlyProbed reports whether the engine was asked for its load less than probeFreshFor ago.
 func (e *Estimate) RecentlyProbed(now time.Duration) bool {
@@ -92,7 +92,7 @@
 // PoolMean is the mean load of the engines of a pool, in which each engine weighs as much as its load: loaded
 // engines stay loaded, however idle the others are.
 type PoolMean struct {
-	loads    estimate.SelfWeighted
+	loads    estimate.SelfWeightedMean
 	youngest time.Duration // when the last of their reports was given
 }
 
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("load %v, want %v", e.Load(), step.want)
 		}
 	}
-	if e.IfRecent(now+recentFor-1) != e.Load() || e.IfRecent(now+recentFor) != 0 {
+	if e.RecentLoad(now+recentFor-1) != e.Load() || e.RecentLoad(now+recentFor) != 0 {
 		t.Errorf("the load counts for other than %v", recentFor)
 	}
 }
@@ -73,7 +73,7 @@
 			t.Parallel()
 			var e Estimate
 			e.Observe(0.4, 10*time.Second)
-			if e.Receive(c.load, c.reportedAt, c.startedAt); !near(e.Load(), c.want) {
+			if e.ObserveRemote(c.load, c.reportedAt, c.startedAt); !near(e.Load(), c.want) {
 				t.Errorf("load %v, want %v", e.Load(), c.want)
 			}
 		})
@@ -91,11 +91,11 @@
 		Lifetime:       0.3 + 0.6/math.E,
 		100 * Lifetime: 0.3,
 	} {
-		if got := engine.InPool(&pool, now+age); !near(got, want) {
+		if got := engine.LoadInPool(&pool, now+age); !near(got, want) {
 			t.Errorf("after %v: %v, want %v", age, got, want)
 		}
 	}
-	if !engine.KnownWithin(Lifetime, now+Lifetime) || engine.KnownWithin(Lifetime, now+Lifetime+1) {
+	if !engine.ReportedWithin(Lifetime, now+Lifetime) || engine.ReportedWithin(Lifetime, now+Lifetime+1) {
 		t.Errorf("the report is known for other than %v", Lifetime)
 	}
 }
@@ -118,7 +118,7 @@
 	if pool.ObserveMean(withoutLoad); pool != before {
 		t.Errorf("%+v by engines without load, was %+v", pool, before)
 	}
-	if pool.ObserveOfPool(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
+	if pool.ObservePoolMember(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
 		t.Errorf("load %v after one report more, was %v", pool.load, before.load)
 	}
 }
@@ -127,7 +127,7 @@
 	t.Parallel()
 	now := 100 * time.Second
 	var never, probed, reported Estimate
-	probed.Probed(now)
+	probed.RecordProbe(now)
 	reported.Observe(0.5, now)
 	for name, c := range map[string]struct {
 		e             *Estimate
--- a/control/membership.go
+++ b/control/membership.go
@@ -44,7 +44,7 @@
 		engine.Engine = listed
 		engine.member.SetMaintenance(s.inMaintenance[listed.ID])
 		engine.member.Update(listed.State)
-		if !engine.member.TakesRequests() {
+		if !engine.member.AcceptsRequests() {
 			unavailable = append(unavailable, engine)
 		}
 	}
@@ -66,7 +66,7 @@
 	if engine == nil {
 		return
 	}
-	if !engine.member.TakesRequests() {
+	if !engine.member.AcceptsRequests() {
 		c.requeueAll(engine)
 	}
 	c.refreshEndpoints()
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -43,7 +43,7 @@
 	e := h.controller.endpoints.byID["e1"]
 	h.controller.eject(e, outlier.Failing)
 	for range 20 {
-		h.controller.outliers.Failed(&e.health, true)
+		h.controller.outliers.RecordFailure(&e.health, true)
 	}
 	requireEqual(t, "failure rate before", e.health.FailureRate() > 0.9, true)
 	restarted := readyEngine("e1")
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -68,9 +68,9 @@
 // NewDetector returns a detector.
 func NewDetector(config Config) Detector { return Detector{config: config} }
 
-// Succeeded records an attempt that succeeded, and reports whether that restores an ejected engine. The next
+// RecordSuccess records an attempt that succeeded, and reports whether that restores an ejected engine. The next
 // half-open probe is due after the backoff at the latest.
-func (d *Detector) Succeeded(engine *Health, now, backoff time.Duration) (restored bool) {
+func (d *Detector) RecordSuccess(engine *Health, now, backoff time.Duration) (restored bool) {
 	d.recordAnswer(engine, 0)
 	engine.halfOpenAt = min(engine.halfOpenAt, now+backoff)
 	restored = engine.ejected && engine.failureRate < d.config.MaxFailureRate
@@ -80,9 +80,9 @@
 	return restored
 }
 
-// Failed records an attempt that failed; connected is false if it could not connect. It returns the reason
+// RecordFailure records an attempt that failed; connected is false if it could not connect. It returns the reason
 // for which the engine is to be ejected, if any.
-func (d *Detector) Failed(engine *Health, connected bool) (reason Reason, eject bool) {
+func (d *Detector) RecordFailure(engine *Health, connected bool) (reason Reason, eject bool) {
 	d.recordAnswer(engine, 1)
 	switch {
 	case engine.failureRate > d.config.MaxFailureRate:
@@ -94,27 +94,27 @@
 }
 
 func (d *Detector) recordAnswer(engine *Health, failed units.Fraction) {
-	engine.loss.Answer()
-	d.fleet.Answer()
+	engine.loss.RecordAnswer()
+	d.fleet.RecordAnswer()
 	weight := estimate.SampleWeight(failureWeight, engine.loss.Outcomes+1)
-	engine.failureRate = estimate.Toward(engine.failureRate, failed, weight)
+	engine.failureRate = estimate.EWMA(engine.failureRate, failed, weight)
 }
 
-// Lost records an answer that never came: the attempt timed out, or package overdue judged it lost. The
+// RecordLoss records an answer that never came: the attempt timed out, or package overdue judged it lost. The
 // certainty, from 0 to 1, is the probability that it is lost.
-func (d *Detector) Lost(engine *Health, certainty units.Fraction) {
-	engine.loss.Lose(float64(certainty))
-	d.fleet.Lose(float64(certainty))
+func (d *Detector) RecordLoss(engine *Health, certainty units.Fraction) {
+	engine.loss.RecordLoss(float64(certainty))
+	d.fleet.RecordLoss(float64(certainty))
 }
 
-// Recovered takes Lost back, as the answer came after all.
-func (d *Detector) Recovered(engine *Health, certainty units.Fraction) {
-	engine.loss.Recover(float64(certainty))
-	d.fleet.Recover(float64(certainty))
+// RevertLoss takes Lost back, as the answer came after all.
+func (d *Detector) RevertLoss(engine *Health, certainty units.Fraction) {
+	engine.loss.RevertLoss(float64(certainty))
+	d.fleet.RevertLoss(float64(certainty))
 }
 
-// Silent reports whether an engine loses so many answers that it is to be ejected.
-func (d *Detector) Silent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
+// IsSilent reports whether an engine loses so many answers that it is to be ejected.
+func (d *Detector) IsSilent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
 
 // LossRate is the fraction of an engine's answers that never come. The fewer its answers, the closer it is to
 // that of the fleet.
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -25,11 +25,11 @@
 			t.Parallel()
 			d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 			for range c.succeeded {
-				d.Succeeded(&engine, 0, time.Second)
+				d.RecordSuccess(&engine, 0, time.Second)
 			}
 			reason, eject := Reason(0), false
 			for range c.failed {
-				reason, eject = d.Failed(&engine, c.connected)
+				reason, eject = d.RecordFailure(&engine, c.connected)
 			}
 			if reason != c.reason || eject != c.eject {
 				t.Errorf("got %d, %v; want %d, %v", reason, eject, c.reason, c.eject)
@@ -42,14 +42,14 @@
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 	for range 50 {
-		d.Failed(&engine, true)
+		d.RecordFailure(&engine, true)
 	}
 	if !engine.Eject(0, time.Second) || engine.Eject(0, time.Second) {
 		t.Error("an engine is ejected other than once")
 	}
 	successes := 0
 	for restored := false; !restored; successes++ {
-		restored = d.Succeeded(&engine, time.Second, time.Second)
+		restored = d.RecordSuccess(&engine, time.Second, time.Second)
 	}
 	if rate := engine.FailureRate(); successes < 2 || rate >= 0.6 || engine.Ejected() {
 		t.Errorf("restored after %d successes with a failure rate of %v", successes, rate)
@@ -88,16 +88,16 @@
 		t.Errorf("without an answer: %v", rate)
 	}
 	for range 6 {
-		d.Lost(&silent, 0.9)
+		d.RecordLoss(&silent, 0.9)
 	}
-	if !d.Silent(&silent) || d.Silent(&other) {
+	if !d.IsSilent(&silent) || d.IsSilent(&other) {
 		t.Errorf("loss rates %v and %v", d.LossRate(&silent), d.LossRate(&other))
 	}
 	if own, fleet := d.LossRate(&other), d.FleetLossRate(); math.Abs(float64(own-fleet)) > 1e-12 || own < 0.1 {
 		t.Errorf("an engine without answers: %v, the fleet: %v", own, fleet)
 	}
 	for range 6 {
-		d.Recovered(&silent, 0.9)
+		d.RevertLoss(&silent, 0.9)
 	}
 	if rate := d.LossRate(&silent); rate > priorLossRate {
 		t.Errorf("after the answers came: %v", rate)
@@ -142,7 +142,7 @@
 func TestDecayLeavesFewerAnswers(t *testing.T) {
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
-	d.Failed(&engine, true)
+	d.RecordFailure(&engine, true)
 	before := engine.FailureRate()
 	engine.Decay()
 	if engine.Outcomes() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -14,14 +14,14 @@
 		// A timeout raises the loss rate but does not eject the engine: presumeLost decides that by
 		// the rate.
 		if !c.underPressure(engine.queueOwner) {
-			c.outliers.Lost(&engine.health, 1)
+			c.outliers.RecordLoss(&engine.health, 1)
 		}
 	case AtCapacity:
 		engine.health.RecordAtCapacity(c.now)
 		engine.queueOwner.health.RecordAtCapacity(c.now)
 	case OK:
 		engine.health.RecordResponse(c.now)
-		if c.outliers.Succeeded(&engine.health, c.now, c.ejectionBackoff()) {
+		if c.outliers.RecordSuccess(&engine.health, c.now, c.ejectionBackoff()) {
 			c.refreshEndpoints()
 			c.emitThrottled(noticeKey{restored, engine.ID}, EngineRestored{engine.ID})
 		}
@@ -30,7 +30,7 @@
 		if connected {
 			engine.health.RecordResponse(c.now)
 		}
-		if reason, eject := c.outliers.Failed(&engine.health, connected); eject {
+		if reason, eject := c.outliers.RecordFailure(&engine.health, connected); eject {
 			c.eject(engine, reason)
 		}
 	}
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -62,8 +62,8 @@
 	c.startTimer(c.now-attempt.sentAt, lostAttemptStopped{attempt})
 	health := &attempt.engine.health
 	attempt.lossConfidence = overdue.LossConfidence(c.outliers.LossRate(health))
-	c.outliers.Lost(health, attempt.lossConfidence)
-	if c.outliers.Silent(health) {
+	c.outliers.RecordLoss(health, attempt.lossConfidence)
+	if c.outliers.IsSilent(health) {
 		c.eject(attempt.engine, outlier.Silent)
 	}
 	c.hedgeOrCancel(attempt)
@@ -74,7 +74,7 @@
 // other engines, and so is the attempt's own request if there is time.
 func (c *Controller) releaseBlockedAttempt(attempt *attempt) {
 	attempt.releaseThreads()
-	attempt.engine.dataSetLocks.Presume(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
+	attempt.engine.dataSetLocks.PresumeLocked(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
 	c.hedgeOrCancel(attempt)
 }
 
--- a/control/selection.go
+++ b/control/selection.go
@@ -63,7 +63,7 @@
 	return s.ruleInput.CheckAt(eligibility.Engine{
 		// A draining engine gets no new attempts. The deployment's DrainGraceNs applies to attempts
 		// that were decided before the drain (enginepool.Config.DrainGrace).
-		Ready:                 engine.member.TakesRequests(),
+		Ready:                 engine.member.AcceptsRequests(),
 		Location:              engine.location(),
 		Kind:                  engine.Kind,
 		WithinSlowStartBudget: withinBudget,
@@ -122,9 +122,9 @@
 		candidate.DataSetRank = datasetlock.Rank(engine.idHash, s.request.DataSet)
 	}
 	if engine.pooled() {
-		candidate.Load = engine.load.InPool(&engine.queueOwner.load, c.now)
+		candidate.Load = engine.load.LoadInPool(&engine.queueOwner.load, c.now)
 	} else { // only without a pool: in a pool, an engine that has responded is better than an untried one
-		candidate.Load = engine.load.IfRecent(c.now)
+		candidate.Load = engine.load.RecentLoad(c.now)
 		candidate.ExpectedLossRate = min(candidate.LossRate, s.fleetLossRate)
 	}
 	return c.selection.Score(&candidate)
--- a/control/servicetime.go
+++ b/control/servicetime.go
@@ -16,13 +16,13 @@
 // likelyServiceTime returns the expected service time, corrected by the ratio of measured to expected service
 // times of the request's class.
 func (c *Controller) likelyServiceTime(request *request, engine *engine) time.Duration {
-	return request.class.ServiceTime.Likely(c.expectedServiceTime(request, engine))
+	return request.class.ServiceTime.Typical(c.expectedServiceTime(request, engine))
 }
 
 // observeResponse updates the estimates of the class and of the engine from a response.
 func (c *Controller) observeResponse(attempt *attempt, end AttemptEnded) {
 	request, class, engine := attempt.request, attempt.request.class, attempt.engine
-	serviceTime := workload.Measured(end.Duration)
+	serviceTime := workload.MeasuredServiceTime(end.Duration)
 	answer := workload.Answer{
 		ServiceTime: serviceTime, Threads: class.Threads,
 		EngineSlowdown: engine.estimatedSlowdown(&c.slowdowns),
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -19,17 +19,17 @@
 	after units.Seconds
 }
 
-// ClientLeft takes a client that left after a time. While few have left, the last one counts most.
-func (a *Abandonment) ClientLeft(after time.Duration) {
-	a.rate = estimate.Toward(a.rate, 1, abandonWeight)
+// ClientDisconnected takes a client that left after a time. While few have left, the last one counts most.
+func (a *Abandonment) ClientDisconnected(after time.Duration) {
+	a.rate = estimate.EWMA(a.rate, 1, abandonWeight)
 	weight := min(1, likelyAbandonRate/max(a.rate, minAbandonRate))
-	a.after = estimate.Toward(a.after, units.SecondsOf(after), float64(weight))
+	a.after = estimate.EWMA(a.after, units.SecondsOf(after), float64(weight))
 }
 
-// ClientStayed takes a client that waited for its answer.
-func (a *Abandonment) ClientStayed() { a.rate = estimate.Toward(a.rate, 0, abandonWeight) }
+// ClientWaited takes a client that waited for its answer.
+func (a *Abandonment) ClientWaited() { a.rate = estimate.EWMA(a.rate, 0, abandonWeight) }
 
-// Patience is how long clients wait; ok is false where most of them wait until their deadline.
-func (a *Abandonment) Patience() (patience time.Duration, ok bool) {
+// TimeToAbandon is how long clients wait; ok is false where most of them wait until their deadline.
+func (a *Abandonment) TimeToAbandon() (patience time.Duration, ok bool) {
 	return a.after.Duration(), a.rate > likelyAbandonRate
 }
--- a/control/workload/servicetime.go
+++ b/control/workload/servicetime.go
@@ -14,32 +14,32 @@
 	minServiceTime     = units.Seconds(1e-4) // a shorter one is beyond the precision of clocks
 )
 
-// Measured is a service time as measured, of at least 0.1 ms.
-func Measured(serviceTime time.Duration) units.Seconds {
+// MeasuredServiceTime is a service time as measured, of at least 0.1 ms.
+func MeasuredServiceTime(serviceTime time.Duration) units.Seconds {
 	return max(units.SecondsOf(serviceTime), minServiceTime)
 }
 
 // ServiceTime estimates the spread of a class's service times: the ratio of each to what was expected of its
 // request, as priorities and locks differ by class.
 type ServiceTime struct {
-	spread  estimate.Spread // of the logarithm of the ratio
+	spread  estimate.MeanVariance // of the logarithm of the ratio
 	answers int
 }
 
 // newServiceTime returns an estimate without answers.
 func newServiceTime() ServiceTime {
-	return ServiceTime{spread: estimate.Spread{Variance: initialVariance}}
+	return ServiceTime{spread: estimate.MeanVariance{Variance: initialVariance}}
 }
 
 // Observe takes the service time of an answer and what was expected of it.
 func (s *ServiceTime) Observe(took, expected units.Seconds) {
 	s.answers++
 	weight := estimate.SampleWeight(spreadWeight, float64(s.answers+spreadGuessAnswers))
-	s.spread.Observe(float64(units.LogOf(float64(took/expected))), weight)
+	s.spread.Observe(float64(units.LogRatioOf(float64(took/expected))), weight)
 }
 
-// Likely is the service time of a typical request of which some time is expected.
-func (s *ServiceTime) Likely(expected units.Seconds) time.Duration {
+// Typical is the service time of a typical request of which some time is expected.
+func (s *ServiceTime) Typical(expected units.Seconds) time.Duration {
 	return scaled(expected, units.LogRatio(s.spread.Mean))
 }
 
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -54,7 +54,7 @@
 		cost.Observe(usual)
 	}
 	near(t, "mean work", cost.MeanWork(), 1, 0.01)
-	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogOf(2)}
+	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogRatioOf(2)}
 	near(t, "slowdown of an answer of twice the time", cost.Observe(slowed).Ratio(), 2, 0.1)
 	near(t, "mean work after an answer of a slow engine", cost.MeanWork(), 1, 0.01)
 }
@@ -67,7 +67,7 @@
 	for range 5000 {
 		s.Observe(sample(), 1)
 	}
-	near(t, "likely time", s.Likely(1).Seconds(), 2, 0.2)
+	near(t, "likely time", s.Typical(1).Seconds(), 2, 0.2)
 	later := 0.0
 	for range 5000 {
 		if sample().Duration() > s.Quantile(1, 0.05) {
@@ -75,7 +75,7 @@
 		}
 	}
 	near(t, "fraction over its quantile", later/5000, 0.05, 0.03)
-	if got := Measured(0); got != minServiceTime {
+	if got := MeasuredServiceTime(0); got != minServiceTime {
 		t.Errorf("a service time of 0 counts as %v", got)
 	}
 }
@@ -84,22 +84,22 @@
 	t.Parallel()
 	var a Abandonment
 	for range 30 {
-		a.ClientLeft(2 * time.Second)
+		a.ClientDisconnected(2 * time.Second)
 	}
-	if _, ok := a.Patience(); ok {
+	if _, ok := a.TimeToAbandon(); ok {
 		t.Error("known after 30 clients")
 	}
 	for range 30 {
-		a.ClientLeft(2 * time.Second)
+		a.ClientDisconnected(2 * time.Second)
 	}
-	patience, ok := a.Patience()
+	patience, ok := a.TimeToAbandon()
 	if !ok || patience != 2*time.Second {
 		t.Errorf("patience %v, known: %v", patience, ok)
 	}
 	for range 30 {
-		a.ClientStayed()
+		a.ClientWaited()
 	}
-	if _, ok := a.Patience(); ok {
+	if _, ok := a.TimeToAbandon(); ok {
 		t.Error("known after 30 clients that stayed")
 	}
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Toward moves an exponentially weighted moving average by one sample.
-func Toward[F ~float64](average, sample F, weight float64) F {
+// EWMA moves an exponentially weighted moving average by one sample.
+func EWMA[F ~float64](average, sample F, weight float64) F {
 	return average + F(weight)*(sample-average)
 }
 
@@ -25,17 +25,17 @@
 	return values[(len(values)-1)/2]
 }
 
-// Spread is the moving mean and variance of a logarithm.
-type Spread struct{ Mean, Variance float64 }
+// MeanVariance is the moving mean and variance of a logarithm.
+type MeanVariance struct{ Mean, Variance float64 }
 
 // Observe takes a sample.
-func (s *Spread) Observe(sample, weight float64) {
-	s.Variance = Toward(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
-	s.Mean = Toward(s.Mean, sample, weight)
+func (s *MeanVariance) Observe(sample, weight float64) {
+	s.Variance = EWMA(s.Variance, (sample-s.Mean)*(sample-s.Mean), weight)
+	s.Mean = EWMA(s.Mean, sample, weight)
 }
 
 // UpperQuantile is the value that a fraction of the samples exceeds, if they are normally distributed.
-func (s *Spread) UpperQuantile(exceeding float64) float64 {
+func (s *MeanVariance) UpperQuantile(exceeding float64) float64 {
 	z := math.Sqrt2 * math.Erfinv(1-2*exceeding)
 	return s.Mean + z*math.Sqrt(s.Variance)
 }
@@ -44,14 +44,14 @@
 // decay, so they are not integers.
 type Loss struct{ Lost, Outcomes float64 }
 
-// Answer counts an answer that came.
-func (l *Loss) Answer() { l.Outcomes++ }
+// RecordAnswer counts an answer that came.
+func (l *Loss) RecordAnswer() { l.Outcomes++ }
 
-// Lose counts an answer as lost, with a certainty from 0 to 1.
-func (l *Loss) Lose(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
+// RecordLoss counts an answer as lost, with a certainty from 0 to 1.
+func (l *Loss) RecordLoss(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
 
-// Recover takes back what Lose counted, as the answer came after all.
-func (l *Loss) Recover(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
+// RevertLoss takes back what Lose counted, as the answer came after all.
+func (l *Loss) RevertLoss(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
 
 // Decay multiplies both counts by a factor below 1, so that old answers count for less.
 func (l *Loss) Decay(factor float64) { l.Outcomes, l.Lost = l.Outcomes*factor, l.Lost*factor }
@@ -103,14 +103,14 @@
 	*r *= HighRatio(1 + highRatioStep*direction)
 }
 
-// SelfWeighted is a mean in which the weight of each value is the value itself, so that large values count most.
-type SelfWeighted struct{ sum, squares float64 }
+// SelfWeightedMean is a mean in which the weight of each value is the value itself, so that large values count most.
+type SelfWeightedMean struct{ sum, squares float64 }
 
 // Add takes a value.
-func (s *SelfWeighted) Add(value float64) { s.sum, s.squares = s.sum+value, s.squares+value*value }
+func (s *SelfWeightedMean) Add(value float64) { s.sum, s.squares = s.sum+value, s.squares+value*value }
 
 // Mean returns the mean; ok is false while the values sum to nothing.
-func (s *SelfWeighted) Mean() (mean float64, ok bool) {
+func (s *SelfWeightedMean) Mean() (mean float64, ok bool) {
 	if s.sum <= 0 {
 		return 0, false
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -17,11 +17,11 @@
 	average, sum := 100.0, 0.0
 	for i := range 10 {
 		sum += float64(i)
-		average = Toward(average, float64(i), SampleWeight(0.05, float64(i+1)))
+		average = EWMA(average, float64(i), SampleWeight(0.05, float64(i+1)))
 		near(t, "mean of the samples so far", average, sum/float64(i+1), 1e-12)
 	}
 	for range 200 {
-		average = Toward(average, 50, SampleWeight(0.05, 1000))
+		average = EWMA(average, 50, SampleWeight(0.05, 1000))
 	}
 	near(t, "average after many equal samples", average, 50, 0.01)
 }
@@ -43,7 +43,7 @@
 
 func TestSpreadFindsMeanAndQuantile(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	s := Spread{Variance: 1}
+	s := MeanVariance{Variance: 1}
 	for range 20000 {
 		s.Observe(0.4+0.5*rng.NormFloat64(), 0.002)
 	}
@@ -57,18 +57,18 @@
 	var l Loss
 	near(t, "rate without answers is the prior", l.Rate(0.01, 20), 0.01, 1e-12)
 	for range 80 {
-		l.Answer()
+		l.RecordAnswer()
 	}
 	for range 20 {
-		l.Lose(0.5)
+		l.RecordLoss(0.5)
 	}
 	near(t, "rate", l.Rate(0, 0), 0.1, 1e-12)
 	near(t, "rate shrunk to a prior that weighs as much", l.Rate(0.3, 100), 0.2, 1e-12)
-	l.Recover(5)
+	l.RevertLoss(5)
 	near(t, "rate after half came after all", l.Rate(0, 0), 0.05, 1e-12)
-	l.Recover(100)
+	l.RevertLoss(100)
 	near(t, "lost is never less than none", l.Lost, 0, 0)
-	l.Lose(1)
+	l.RecordLoss(1)
 	l.Decay(0.5)
 	near(t, "answers that are left", l.Outcomes, 50.5, 1e-12)
 	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
@@ -101,7 +101,7 @@
 }
 
 func TestSelfWeightedMeanIsWhatAUnitMeets(t *testing.T) {
-	var s SelfWeighted
+	var s SelfWeightedMean
 	if _, ok := s.Mean(); ok {
 		t.Error("a mean of nothing")
 	}
