--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -92,7 +92,7 @@
 		MayHaveRun:    request.mayHaveRun(),
 	}
 	if rule, broken := repeat.ViolatedRule(); broken {
-		b.violated(rule, request.session, request.RequestID)
+		b.reportViolation(rule, request.session, request.RequestID)
 		return false
 	}
 	return true
--- a/internal/broker/attempts_test.go
+++ b/internal/broker/attempts_test.go
@@ -173,7 +173,7 @@
 			tt.prepare(h)
 			id := h.broker.requests.openRequests()[0].moduleID
 			h.broker.startAttempt(h.now, control.SendAttempt{RequestID: id, Engine: "e2"})
-			h.effects = append(h.effects, h.broker.takeEffects()...)
+			h.effects = append(h.effects, h.broker.flushEffects()...)
 			if n := len(h.started()); n != tt.starts {
 				t.Errorf("%d attempts were started, want %d", n, tt.starts)
 			}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -68,13 +68,13 @@
 	b.checkTime(now)
 	switch event := event.(type) {
 	case command:
-		b.takeCommand(now, event)
+		b.handleCommand(now, event)
 	case SessionOpened:
 		b.openSession(now, event.Session)
 	case SessionAuthenticated:
 		b.authenticateSession(now, event.Session)
 	case SessionClosed:
-		delete(b.sessions.closedHere, event.Session)
+		delete(b.sessions.closedByBroker, event.Session)
 		b.endSession(now, event.Session, EndClientClosed)
 	case SessionHalfClosed:
 		b.halfCloseSession(now, event.Session)
@@ -90,7 +90,7 @@
 		b.applyFleetEvent(now, event)
 	}
 	b.resumeAnsweredSessions(now)
-	return b.takeEffects()
+	return b.flushEffects()
 }
 
 // applyFleetEvent handles an event of the fleet or of operators.
@@ -127,16 +127,16 @@
 		event.expire(b, now)
 	}
 	if b.batch.due(now) {
-		for _, action := range b.module.Handle(now, b.batch.take(now)) {
-			b.carryOut(now, action)
+		for _, action := range b.module.Handle(now, b.batch.flush(now)) {
+			b.performAction(now, action)
 		}
 	}
 	b.resumeAnsweredSessions(now)
-	return b.takeEffects()
+	return b.flushEffects()
 }
 
-// violated reports that a rule would have been, or was, broken.
-func (b *Broker) violated(rule invariant.Rule, session Session, requestID string) {
+// reportViolation reports that a rule would have been, or was, broken.
+func (b *Broker) reportViolation(rule invariant.Rule, session Session, requestID string) {
 	b.meter.InvariantViolated(rule)
 	b.emit(InvariantViolation{Rule: rule, Session: session, RequestID: requestID})
 }
@@ -144,14 +144,14 @@
 // checkTime reports a violation if now is earlier than the time of the last call.
 func (b *Broker) checkTime(now time.Duration) {
 	if now < b.lastNow {
-		b.violated(invariant.TimeIsMonotonic, 0, "")
+		b.reportViolation(invariant.TimeIsMonotonic, 0, "")
 	}
 	b.lastNow = now
 }
 
 // NextDeadline is the time at which Tick has something to do; ok is false if there is nothing.
 func (b *Broker) NextDeadline() (at time.Duration, ok bool) {
-	at, ok = b.batch.nextAt()
+	at, ok = b.batch.nextCallAt()
 	if timerAt, set := b.timers.NextAt(); set && (!ok || timerAt < at) {
 		return timerAt, true
 	}
@@ -164,7 +164,7 @@
 
 func (b *Broker) emit(effect Effect) { b.effects = append(b.effects, effect) }
 
-func (b *Broker) takeEffects() []Effect {
+func (b *Broker) flushEffects() []Effect {
 	effects := b.effects
 	b.effects = nil
 	return effects
--- a/internal/broker/clientdeadline/clientdeadline.go
+++ b/internal/broker/clientdeadline/clientdeadline.go
@@ -19,8 +19,8 @@
 	// TransitReserve is an upper bound of the transit times of a request and its answer together, including the delays
 	// within the two processes. An answer must leave at once if no more time than that is left.
 	TransitReserve = 12 * time.Millisecond
-	// maxMarginFraction is the largest fraction of a timeout that is kept as a margin.
-	maxMarginFraction = 0.15
+	// maxReserveFraction is the largest fraction of a timeout that is kept as a margin.
+	maxReserveFraction = 0.15
 	// minBurstsToSweep is the smallest number of bursts at which ended ones are removed.
 	minBurstsToSweep = 32
 	// sweepGrowth is the growth of the number of bursts after which ended ones are removed again.
@@ -39,44 +39,44 @@
 // QueuedDeadline returns the time by which the answer to a request must leave that is queued behind another one of its
 // connection. It takes no account of bursts.
 func QueuedDeadline(request Request) time.Duration {
-	deadline := request.SentAt + request.Timeout - margin(request, request.SentAt)
+	deadline := request.SentAt + request.Timeout - answerReserve(request, request.SentAt)
 	if request.EarliestSentAt > 0 {
 		deadline = min(deadline, request.EarliestSentAt+request.Timeout)
 	}
 	return deadline
 }
 
-// margin returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
+// answerReserve returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
 // at timeoutStart.
-func margin(request Request, timeoutStart time.Duration) time.Duration {
-	needed := TransitReserve
+func answerReserve(request Request, timeoutStart time.Duration) time.Duration {
+	reserve := TransitReserve
 	if request.OrderKey != "" && timeoutStart == request.SentAt {
 		// The client may have delayed it after a request of the same key to another broker.
-		needed = newConnectionKeySpacing + transitSlack
+		reserve = newConnectionKeySpacing + transitSlack
 	}
-	return min(needed, time.Duration(maxMarginFraction*float64(request.Timeout)))
+	return min(reserve, time.Duration(maxReserveFraction*float64(request.Timeout)))
 }
 
 // Estimator computes deadlines from the bursts of each order key. Its zero value is not usable; New makes one.
 type Estimator struct {
-	byKey   map[string]*burst
-	sweepAt int // number of bursts at which ended ones are removed
+	bursts         map[string]*burst
+	sweepThreshold int // number of bursts at which ended ones are removed
 }
 
 // New returns an estimator that has seen no request.
 func New() *Estimator {
-	return &Estimator{byKey: map[string]*burst{}, sweepAt: minBurstsToSweep}
+	return &Estimator{bursts: map[string]*burst{}, sweepThreshold: minBurstsToSweep}
 }
 
 // Deadline returns the time by which the answer to a request must leave, and adds the request to the burst of its order
 // key.
 func (e *Estimator) Deadline(request Request) time.Duration {
 	timeoutStart := e.timeoutStart(request)
-	kept := margin(request, timeoutStart)
+	reserve := answerReserve(request, timeoutStart)
 	if request.EarliestSentAt > 0 {
 		timeoutStart = min(timeoutStart, request.EarliestSentAt)
 	}
-	return timeoutStart + request.Timeout - kept
+	return timeoutStart + request.Timeout - reserve
 }
 
 // timeoutStart returns the earliest time at which the timeout of a request may have begun: its arrival, or the start of
@@ -85,11 +85,11 @@
 	if request.OrderKey == "" {
 		return request.SentAt
 	}
-	current := e.byKey[request.OrderKey]
+	current := e.bursts[request.OrderKey]
 	if current == nil || !current.covers(request.SentAt) {
 		e.sweep(request.SentAt)
 		current = &burst{startedAt: request.SentAt}
-		e.byKey[request.OrderKey] = current
+		e.bursts[request.OrderKey] = current
 	}
 	current.lastSentAt = max(current.lastSentAt, request.SentAt)
 	current.lastOnNewConnection = request.FirstOnConnection
@@ -98,11 +98,11 @@
 
 // sweep removes the bursts that have ended once there are many, as clients may use each order key only once.
 func (e *Estimator) sweep(now time.Duration) {
-	if len(e.byKey) < e.sweepAt {
+	if len(e.bursts) < e.sweepThreshold {
 		return
 	}
-	maps.DeleteFunc(e.byKey, func(_ string, old *burst) bool { return !old.covers(now) })
-	e.sweepAt = max(minBurstsToSweep, sweepGrowth*len(e.byKey))
+	maps.DeleteFunc(e.bursts, func(_ string, old *burst) bool { return !old.covers(now) })
+	e.sweepThreshold = max(minBurstsToSweep, sweepGrowth*len(e.bursts))
 }
 
 // burst is a run of requests of one order key, each so soon after the previous one that its client may have delayed it
--- a/internal/broker/clientdeadline/clientdeadline_test.go
+++ b/internal/broker/clientdeadline/clientdeadline_test.go
@@ -53,8 +53,8 @@
 		sentAt := startTime + time.Duration(n)*time.Second
 		estimator.timeoutStart(Request{OrderKey: fmt.Sprint(n), SentAt: sentAt})
 	}
-	if len(estimator.byKey) > minBurstsToSweep {
-		t.Fatalf("%d keys are kept", len(estimator.byKey))
+	if len(estimator.bursts) > minBurstsToSweep {
+		t.Fatalf("%d keys are kept", len(estimator.bursts))
 	}
 }
 
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -18,9 +18,9 @@
 	// maxQueuedCommands is the largest number of commands queued behind it. With one more, all are answered at
 	// once and the session is closed.
 	maxQueuedCommands = 1024
-	// queueDueRetry is the time after which a queued request that is due is checked again, while those ahead
+	// queuedDueRecheckInterval is the time after which a queued request that is due is checked again, while those ahead
 	// of it are answered.
-	queueDueRetry = 5 * time.Millisecond
+	queuedDueRecheckInterval = 5 * time.Millisecond
 )
 
 // rejectedRequest is a request that is rejected in its turn. It keeps no Request, whose strings would hold the whole
@@ -50,7 +50,7 @@
 	}
 	session.queuedCommands = append(session.queuedCommands, command)
 	if len(session.queuedCommands) > maxQueuedCommands {
-		b.answerAllQueued(now, session, EndQueueOverflow)
+		b.answerAllCommands(now, session, EndQueueOverflow)
 		b.closeSession(session.id, CloseKilled)
 		b.endSession(now, session.id, EndQueueOverflow)
 	}
@@ -75,8 +75,8 @@
 	return next
 }
 
-// answerAllQueued answers the open request of a session and all its queued commands. Queued requests are rejected.
-func (b *Broker) answerAllQueued(now time.Duration, session *session, cause EndCause) {
+// answerAllCommands answers the open request of a session and all its queued commands. Queued requests are rejected.
+func (b *Broker) answerAllCommands(now time.Duration, session *session, cause EndCause) {
 	if request := session.openRequest; request != nil {
 		b.reply(session.id, request.finalAnswer(endCauseTexts[cause]))
 		b.abandon(now, request, cause)
@@ -99,14 +99,14 @@
 // answerAfterClose answers a command of a session that was closed from this side after it had been read: its
 // answer still leaves. Commands of other unknown sessions are ignored: their connections have ended.
 func (b *Broker) answerAfterClose(now time.Duration, command command) {
-	if id := command.sender(); b.sessions.closedHere[id] {
+	if id := command.sender(); b.sessions.closedByBroker[id] {
 		b.rejectOrExecute(now, &session{id: id}, command, closedText)
 	}
 }
 
-// requestDue handles the deadline of a request that is queued behind the open one of its session. It answers the open
+// handleQueuedDeadline handles the deadline of a request that is queued behind the open one of its session. It answers the open
 // request at once, as the queued one can be answered only after it.
-func (b *Broker) requestDue(now time.Duration, session *session, requestID string) {
+func (b *Broker) handleQueuedDeadline(now time.Duration, session *session, requestID string) {
 	queued := slices.ContainsFunc(session.queuedCommands, func(waiting command) bool {
 		switch waiting := waiting.(type) {
 		case SubmitRequest:
@@ -123,5 +123,5 @@
 		b.batch.add(control.ClientDisconnected{RequestID: request.moduleID})
 		b.answer(now, request, request.finalAnswer(endCauseTexts[EndQueuedRequestDue]), EndQueuedRequestDue)
 	}
-	b.timers.Set(now+queueDueRetry, queuedRequestDue{session, requestID})
+	b.timers.Set(now+queuedDueRecheckInterval, queuedRequestDue{session, requestID})
 }
--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -12,8 +12,8 @@
 	execute(b *Broker, now time.Duration, s *session)
 }
 
-// takeCommand executes a command, or queues it while its session waits for an answer.
-func (b *Broker) takeCommand(now time.Duration, command command) {
+// handleCommand executes a command, or queues it while its session waits for an answer.
+func (b *Broker) handleCommand(now time.Duration, command command) {
 	session := b.sessions.byID[command.sender()]
 	switch {
 	case session == nil:
@@ -100,6 +100,6 @@
 	session.openRequest = nil
 	b.sessions.markIdle(now, session)
 	for session.openRequest == nil && len(session.queuedCommands) > 0 {
-		b.takeCommand(now, session.popQueued())
+		b.handleCommand(now, session.popQueued())
 	}
 }
--- a/internal/broker/endpointlist/apply.go
+++ b/internal/broker/endpointlist/apply.go
@@ -111,7 +111,7 @@
 	old, listed := a.list.byID[id]
 	moved := listed && endpoint.Addr != old.Addr
 	previous := a.list.processStarts[id]
-	restarted := listed && started.date > previous.date
+	restarted := listed && started.reported > previous.reported
 	switch {
 	case moved:
 		a.closeConnections(id, 0)
@@ -125,12 +125,12 @@
 	}
 	switch {
 	case restarted:
-		a.list.processStarts[id] = started.follows(previous)
-	case !listed || started.date != previous.date:
+		a.list.processStarts[id] = started.clampAfter(previous)
+	case !listed || started.reported != previous.reported:
 		a.list.processStarts[id] = started
 	}
 	a.list.byID[id] = endpoint
-	a.list.rememberListed(id)
+	a.list.recordListed(id)
 }
 
 func (a *applier) closeConnections(id string, dialedBefore time.Duration) {
--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -68,8 +68,8 @@
 // ids are the listed engines, sorted.
 func (l *List) ids() []string { return slices.Sorted(maps.Keys(l.byID)) }
 
-// rememberListed records that an engine was listed.
-func (l *List) rememberListed(id string) {
+// recordListed records that an engine was listed.
+func (l *List) recordListed(id string) {
 	if len(l.everListed) >= maxEverListed {
 		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
 			return !l.Listed(known) && !l.inMaintenance[known]
@@ -107,7 +107,7 @@
 // RestoreMaintenance does what StartMaintenance does, also for an engine that was never listed in this
 // process: it was in the previous one.
 func (l *List) RestoreMaintenance(id string) (started bool) {
-	l.rememberListed(id)
+	l.recordListed(id)
 	return l.StartMaintenance(id)
 }
 
--- a/internal/broker/endpointlist/processstart_test.go
+++ b/internal/broker/endpointlist/processstart_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A date is translated so that the engine counts as young as it may be by the clock before a step or since, and
+// A reported is translated so that the engine counts as young as it may be by the clock before a step or since, and
 // never as not started yet.
 func TestProcessStartAcrossClockSteps(t *testing.T) {
 	const now = 1000 * time.Hour
 	for name, tt := range map[string]struct {
-		date, wallOffset, earliest, latest time.Duration
+		reported, wallOffset, earliest, latest time.Duration
 	}{
 		"no step":                      {now - time.Second, 0, now - time.Second, now - time.Second},
 		"long ago":                     {0, time.Hour, 0, 0},
@@ -23,8 +23,8 @@
 		"stepped on by less than that": {now - 9*time.Second, 5 * time.Second, now - 14*time.Second, now - 9*time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := newProcessStart(now, tt.date, tt.wallOffset)
-			if want := (processStart{tt.date, tt.earliest, tt.latest}); got != want {
+			got := newProcessStart(now, tt.reported, tt.wallOffset)
+			if want := (processStart{tt.reported, tt.earliest, tt.latest}); got != want {
 				t.Errorf("got %v, want %v", got, want)
 			}
 		})
--- a/internal/broker/eviction/eviction.go
+++ b/internal/broker/eviction/eviction.go
@@ -25,46 +25,46 @@
 }
 
 // AddUnauthenticated adds a session that has connected and not logged in.
-func (o *Order[Session]) AddUnauthenticated(now time.Duration, place *Entry, session Session) {
-	place.move(now, &o.unauthenticated, o.unauthenticated.PushBack(session))
+func (o *Order[Session]) AddUnauthenticated(now time.Duration, entry *Entry, session Session) {
+	entry.move(now, &o.unauthenticated, o.unauthenticated.PushBack(session))
 }
 
 // MarkIdle makes a session the last of the idle ones.
-func (o *Order[Session]) MarkIdle(now time.Duration, place *Entry, session Session) {
-	place.MarkBusy()
-	place.move(now, &o.idle, o.idle.PushBack(session))
+func (o *Order[Session]) MarkIdle(now time.Duration, entry *Entry, session Session) {
+	entry.MarkBusy()
+	entry.move(now, &o.idle, o.idle.PushBack(session))
 }
 
 // MarkFirst makes a session the first of the idle ones.
-func (o *Order[Session]) MarkFirst(now time.Duration, place *Entry, session Session) {
-	place.MarkBusy()
-	place.move(now, &o.idle, o.idle.PushFront(session))
+func (o *Order[Session]) MarkFirst(now time.Duration, entry *Entry, session Session) {
+	entry.MarkBusy()
+	entry.move(now, &o.idle, o.idle.PushFront(session))
 }
 
 // Candidate is the session to evict: one that did not log in within LoginGrace, else the one idle longest, else one
 // that may be about to log in; ok is false if all are busy. placeOf returns the place of a session.
-func (o *Order[Session]) Candidate(now time.Duration, placeOf func(Session) *Entry) (session Session, ok bool) {
+func (o *Order[Session]) Candidate(now time.Duration, entryOf func(Session) *Entry) (session Session, ok bool) {
 	unauthenticated, hasUnauthenticated := first[Session](&o.unauthenticated)
 	idle, hasIdle := first[Session](&o.idle)
 	switch {
 	case !hasUnauthenticated:
 		return idle, hasIdle
-	case !hasIdle || now-placeOf(unauthenticated).since >= LoginGrace:
+	case !hasIdle || now-entryOf(unauthenticated).since >= LoginGrace:
 		return unauthenticated, true
 	}
 	return idle, true
 }
 
 // MarkBusy takes a session out of the order.
-func (p *Entry) MarkBusy() {
-	if p.queue != nil {
-		p.queue.Remove(p.element)
+func (e *Entry) MarkBusy() {
+	if e.queue != nil {
+		e.queue.Remove(e.element)
 	}
-	p.queue, p.element = nil, nil
+	e.queue, e.element = nil, nil
 }
 
-func (p *Entry) move(now time.Duration, queue *list.List, element *list.Element) {
-	p.since, p.queue, p.element = now, queue, element
+func (e *Entry) move(now time.Duration, queue *list.List, element *list.Element) {
+	e.since, e.queue, e.element = now, queue, element
 }
 
 // first is the first session of a queue; ok is false if that is empty.
--- a/internal/broker/eviction/eviction_test.go
+++ b/internal/broker/eviction/eviction_test.go
@@ -7,22 +7,22 @@
 
 type testSession struct {
 	name  string
-	place Entry
+	entry Entry
 }
 
-func placeOf(s *testSession) *Entry { return &s.place }
+func entryOf(s *testSession) *Entry { return &s.entry }
 
 func TestCandidate(t *testing.T) {
 	t.Parallel()
 	const now = time.Minute
 	connected := func(o *Order[*testSession], at time.Duration, name string) *testSession {
 		s := &testSession{name: name}
-		o.AddUnauthenticated(at, &s.place, s)
+		o.AddUnauthenticated(at, &s.entry, s)
 		return s
 	}
 	idle := func(o *Order[*testSession], at time.Duration, name string) *testSession {
 		s := connected(o, at, name)
-		o.MarkIdle(at, &s.place, s)
+		o.MarkIdle(at, &s.entry, s)
 		return s
 	}
 	for name, c := range map[string]struct {
@@ -31,7 +31,7 @@
 	}{
 		"none": {func(*Order[*testSession]) {}, ""},
 		"all busy": {func(o *Order[*testSession]) {
-			idle(o, 0, "a").place.MarkBusy()
+			idle(o, 0, "a").entry.MarkBusy()
 		}, ""},
 		"idle longest": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
@@ -40,12 +40,12 @@
 		"idle anew": {func(o *Order[*testSession]) {
 			a := idle(o, 0, "a")
 			idle(o, 1, "b")
-			o.MarkIdle(2, &a.place, a)
+			o.MarkIdle(2, &a.entry, a)
 		}, "b"},
 		"first of the idle ones": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
 			b := idle(o, 1, "b")
-			o.MarkFirst(2, &b.place, b)
+			o.MarkFirst(2, &b.entry, b)
 		}, "b"},
 		"did not log in": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
@@ -64,7 +64,7 @@
 			var o Order[*testSession]
 			c.sessions(&o)
 			got := ""
-			if candidate, ok := o.Candidate(now, placeOf); ok {
+			if candidate, ok := o.Candidate(now, entryOf); ok {
 				got = candidate.name
 			}
 			if got != c.want {
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -11,30 +11,30 @@
 // moduleBatch collects the events of the decision module until its next call.
 type moduleBatch struct {
 	minInterval time.Duration // between two calls
-	lastAt      time.Duration // of the last call
+	lastCallAt  time.Duration // of the last call
 	events      []control.Event
 }
 
 func (m *moduleBatch) add(event control.Event) { m.events = append(m.events, event) }
 
-// nextAt is the time of the next call; ok is false if there is nothing to hand over.
-func (m *moduleBatch) nextAt() (at time.Duration, ok bool) {
+// nextCallAt is the time of the next call; ok is false if there is nothing to hand over.
+func (m *moduleBatch) nextCallAt() (at time.Duration, ok bool) {
 	if len(m.events) == 0 {
 		return 0, false
 	}
-	return m.lastAt + m.minInterval, true
+	return m.lastCallAt + m.minInterval, true
 }
 
 func (m *moduleBatch) due(now time.Duration) bool {
-	at, ok := m.nextAt()
+	at, ok := m.nextCallAt()
 	return ok && now >= at
 }
 
-// take returns the events of a call that happens now. Requests are put in the order in which they were sent:
+// flush returns the events of a call that happens now. Requests are put in the order in which they were sent:
 // those of one order key must run in that order, whichever connections they were read from.
-func (m *moduleBatch) take(now time.Duration) []control.Event {
+func (m *moduleBatch) flush(now time.Duration) []control.Event {
 	events := m.events
-	m.lastAt, m.events = now, nil
+	m.lastCallAt, m.events = now, nil
 	sortRequestsBySentTime(events)
 	return events
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// carryOut carries out one action of the decision module.
-func (b *Broker) carryOut(now time.Duration, action control.Action) {
+// performAction carries out one action of the decision module.
+func (b *Broker) performAction(now time.Duration, action control.Action) {
 	switch action := action.(type) {
 	case control.SendAttempt:
 		b.startAttempt(now, action)
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -48,7 +48,7 @@
 	for number := 1; number < event.PageCount; number++ {
 		b.emit(FetchPage{attempt.id, number})
 	}
-	b.timers.Set(now+pageTimeout, pageOverdue{attempt, first.pages.Missing()})
+	b.timers.Set(now+pageTimeout, pageTimedOut{attempt, first.pages.Missing()})
 }
 
 // pageReceived handles a further page of a result.
@@ -66,15 +66,15 @@
 	}
 }
 
-// checkPages discards a result if no page was received within pageTimeout: missing is the number of pages that were
+// checkPageTimeout discards a result if no page was received within pageTimeout: missing is the number of pages that were
 // missing then.
-func (b *Broker) checkPages(now time.Duration, attempt *attempt, missing int) {
+func (b *Broker) checkPageTimeout(now time.Duration, attempt *attempt, missing int) {
 	switch {
 	case !attempt.inFlight || attempt.cancelled():
 	case attempt.result.pages.Missing() == missing:
 		b.discardResult(now, attempt, resultpages.ErrPageTimeout)
 	default:
-		b.timers.Set(now+pageTimeout, pageOverdue{attempt, attempt.result.pages.Missing()})
+		b.timers.Set(now+pageTimeout, pageTimedOut{attempt, attempt.result.pages.Missing()})
 	}
 }
 
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -16,27 +16,27 @@
 
 	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
 
-	evictionPlace eviction.Entry // busy while the session waits for an answer
+	evictionEntry eviction.Entry // busy while the session waits for an answer
 }
 
 // sessionTable holds the clients' sessions and the order in which they are evicted when their limit is reached.
 type sessionTable struct {
 	max  int
 	byID map[Session]*session
-	// closedHere are the sessions that were closed from this side and whose connections have not ended yet.
-	closedHere    map[Session]bool
-	evictionOrder eviction.Order[*session]
+	// closedByBroker are the sessions that were closed from this side and whose connections have not ended yet.
+	closedByBroker map[Session]bool
+	evictionOrder  eviction.Order[*session]
 }
 
 func newSessionTable(maxSessions int) sessionTable {
-	return sessionTable{max: maxSessions, byID: map[Session]*session{}, closedHere: map[Session]bool{}}
+	return sessionTable{max: maxSessions, byID: map[Session]*session{}, closedByBroker: map[Session]bool{}}
 }
 
 // add adds a session that has not authenticated.
 func (t *sessionTable) add(now time.Duration, id Session) {
 	session := &session{id: id}
 	t.byID[id] = session
-	t.evictionOrder.AddUnauthenticated(now, &session.evictionPlace, session)
+	t.evictionOrder.AddUnauthenticated(now, &session.evictionEntry, session)
 }
 
 func (t *sessionTable) remove(session *session) {
@@ -46,20 +46,20 @@
 
 // markIdle makes a session the last of the idle ones to evict.
 func (t *sessionTable) markIdle(now time.Duration, session *session) {
-	t.evictionOrder.MarkIdle(now, &session.evictionPlace, session)
+	t.evictionOrder.MarkIdle(now, &session.evictionEntry, session)
 }
 
 // markFirstToEvict makes a session the first of the idle ones to evict.
 func (t *sessionTable) markFirstToEvict(now time.Duration, session *session) {
-	t.evictionOrder.MarkFirst(now, &session.evictionPlace, session)
+	t.evictionOrder.MarkFirst(now, &session.evictionEntry, session)
 }
 
 // markBusy keeps a session from being evicted.
-func (s *session) markBusy() { s.evictionPlace.MarkBusy() }
+func (s *session) markBusy() { s.evictionEntry.MarkBusy() }
 
 // evictionCandidate is the session to evict; nil if all are busy.
 func (t *sessionTable) evictionCandidate(now time.Duration) *session {
-	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Entry { return &s.evictionPlace })
+	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Entry { return &s.evictionEntry })
 	if !ok {
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // closeSession closes a client's connection from this side.
 func (b *Broker) closeSession(id Session, reason CloseReason) {
-	b.sessions.closedHere[id] = true
+	b.sessions.closedByBroker[id] = true
 	b.emit(CloseSession{id, reason})
 }
 
@@ -115,6 +115,6 @@
 	if session == nil {
 		return
 	}
-	b.answerAllQueued(now, session, EndClientHalfClosed)
+	b.answerAllCommands(now, session, EndClientHalfClosed)
 	b.endSession(now, id, EndClientHalfClosed)
 }
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -15,7 +15,7 @@
 // startShutdown lets the broker finish its open requests within a time; those still open then get their final answer.
 func (b *Broker) startShutdown(now, within time.Duration) {
 	b.shutdown.started = true
-	b.timers.Set(now+within, shutdownOver{})
+	b.timers.Set(now+within, shutdownTimedOut{})
 }
 
 // sendFinalAnswers answers all open requests, shortly before the process must end. From a closed connection alone a
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -21,8 +21,8 @@
 		attempt *attempt
 		end     control.AttemptEnded
 	}
-	// pageOverdue is the timeout of the next page of a result; missing is the number of missing pages as it was set.
-	pageOverdue struct {
+	// pageTimedOut is the timeout of the next page of a result; missing is the number of missing pages as it was set.
+	pageTimedOut struct {
 		attempt *attempt
 		missing int
 	}
@@ -33,8 +33,8 @@
 		session   *session
 		requestID string
 	}
-	// shutdownOver is the end of a graceful shutdown, when open requests get their final answers.
-	shutdownOver struct{}
+	// shutdownTimedOut is the end of a graceful shutdown, when open requests get their final answers.
+	shutdownTimedOut struct{}
 )
 
 func (t moduleTimer) expire(b *Broker, _ time.Duration) {
@@ -45,14 +45,16 @@
 	b.cancelAttempt(t.attempt, control.TimedOut)
 }
 func (t attemptSettled) expire(b *Broker, now time.Duration) { b.endAttempt(now, t.attempt, t.end) }
-func (t pageOverdue) expire(b *Broker, now time.Duration)    { b.checkPages(now, t.attempt, t.missing) }
+func (t pageTimedOut) expire(b *Broker, now time.Duration) {
+	b.checkPageTimeout(now, t.attempt, t.missing)
+}
 
 func (t probeTimedOut) expire(b *Broker, now time.Duration) {
 	b.probeEnded(now, ProbeResult{ProbeID: t.probeID, Status: control.TimedOut})
 }
 
 func (t queuedRequestDue) expire(b *Broker, now time.Duration) {
-	b.requestDue(now, t.session, t.requestID)
+	b.handleQueuedDeadline(now, t.session, t.requestID)
 }
 
-func (shutdownOver) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
+func (shutdownTimedOut) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
