--- a/internal/broker/eviction/eviction.go
+++ b/internal/broker/eviction/eviction.go
@@ -1,5 +1,5 @@
-// Package eviction keeps the order in which idle sessions are closed where there are too many: clients that connect and
-// send nothing, or stay connected without requests, must not exclude others.
+// Package eviction maintains the order in which sessions are evicted when the session limit is reached, so that clients
+// that connect without logging in or hold idle connections do not lock out other clients.
 package eviction
 
 import (
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// LoginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients log in as
-// soon as they connect; the time allows for a broker that is slow to read.
+// LoginGrace is the time after which a client that has not logged in is evicted before idle sessions. Clients log in
+// immediately after they connect; the grace period allows for delays in the broker before it reads the login.
 const LoginGrace = 250 * time.Millisecond
 
-// Entry is the place of a session in the order. The zero value is that of a busy session, which is not evicted.
+// Entry is a session's entry in the eviction order. The zero value belongs to a busy session, which is not evicted.
 type Entry struct {
-	since   time.Duration // in queue
+	since   time.Duration // time at which it was added to queue
 	queue   *list.List    // nil: busy
 	element *list.Element
 }
 
-// Order is the order of eviction of sessions. The zero value is empty.
+// Order is the eviction order of sessions. The zero value is empty. It is not safe for concurrent use.
 type Order[Session any] struct {
 	unauthenticated list.List
-	idle            list.List // authenticated sessions that wait for no answer
+	idle            list.List // authenticated sessions without an open request
 }
 
-// AddUnauthenticated adds a session that has connected and not logged in.
+// AddUnauthenticated adds a session whose client has connected but not logged in.
 func (o *Order[Session]) AddUnauthenticated(now time.Duration, entry *Entry, session Session) {
 	entry.move(now, &o.unauthenticated, o.unauthenticated.PushBack(session))
 }
 
-// MarkIdle makes a session the last of the idle ones.
+// MarkIdle moves a session to the end of the idle sessions.
 func (o *Order[Session]) MarkIdle(now time.Duration, entry *Entry, session Session) {
 	entry.MarkBusy()
 	entry.move(now, &o.idle, o.idle.PushBack(session))
 }
 
-// MarkFirst makes a session the first of the idle ones.
+// MarkFirst moves a session to the front of the idle sessions.
 func (o *Order[Session]) MarkFirst(now time.Duration, entry *Entry, session Session) {
 	entry.MarkBusy()
 	entry.move(now, &o.idle, o.idle.PushFront(session))
 }
 
-// Candidate is the session to evict: one that did not log in within LoginGrace, else the one idle longest, else one
-// that may be about to log in; ok is false if all are busy. placeOf returns the place of a session.
+// Candidate returns the session to evict: one that did not log in within LoginGrace, else the first idle session, else
+// one that may still log in within LoginGrace; ok is false if all sessions are busy. entryOf returns a session's entry.
 func (o *Order[Session]) Candidate(now time.Duration, entryOf func(Session) *Entry) (session Session, ok bool) {
 	unauthenticated, hasUnauthenticated := first[Session](&o.unauthenticated)
 	idle, hasIdle := first[Session](&o.idle)
@@ -55,7 +55,7 @@
 	return idle, true
 }
 
-// MarkBusy takes a session out of the order.
+// MarkBusy removes a session from the eviction order.
 func (e *Entry) MarkBusy() {
 	if e.queue != nil {
 		e.queue.Remove(e.element)
@@ -67,7 +67,7 @@
 	e.since, e.queue, e.element = now, queue, element
 }
 
-// first is the first session of a queue; ok is false if that is empty.
+// first returns the first session of a queue; ok is false if the queue is empty.
 func first[Session any](queue *list.List) (session Session, ok bool) {
 	if queue.Len() == 0 {
 		return session, false
--- a/internal/broker/eviction/eviction_test.go
+++ b/internal/broker/eviction/eviction_test.go
@@ -12,6 +12,8 @@
 
 func entryOf(s *testSession) *Entry { return &s.entry }
 
+// A client that never logs in or stays idle must not keep others from connecting, while a client that is about to log
+// in is evicted only if no session is idle.
 func TestCandidate(t *testing.T) {
 	t.Parallel()
 	const now = time.Minute
@@ -29,33 +31,33 @@
 		sessions func(o *Order[*testSession])
 		want     string // empty: none
 	}{
-		"none": {func(*Order[*testSession]) {}, ""},
+		"no sessions": {func(*Order[*testSession]) {}, ""},
 		"all busy": {func(o *Order[*testSession]) {
 			idle(o, 0, "a").entry.MarkBusy()
 		}, ""},
-		"idle longest": {func(o *Order[*testSession]) {
+		"longest idle": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
 			idle(o, 1, "b")
 		}, "a"},
-		"idle anew": {func(o *Order[*testSession]) {
+		"idle again after a request": {func(o *Order[*testSession]) {
 			a := idle(o, 0, "a")
 			idle(o, 1, "b")
 			o.MarkIdle(2, &a.entry, a)
 		}, "b"},
-		"first of the idle ones": {func(o *Order[*testSession]) {
+		"marked first": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
 			b := idle(o, 1, "b")
 			o.MarkFirst(2, &b.entry, b)
 		}, "b"},
-		"did not log in": {func(o *Order[*testSession]) {
+		"login grace expired": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
 			connected(o, now-LoginGrace, "b")
 		}, "b"},
-		"may be about to log in": {func(o *Order[*testSession]) {
+		"within login grace, another idle": {func(o *Order[*testSession]) {
 			idle(o, 0, "a")
 			connected(o, now-LoginGrace+1, "b")
 		}, "a"},
-		"only one that may be about to log in": {func(o *Order[*testSession]) {
+		"within login grace, none idle": {func(o *Order[*testSession]) {
 			connected(o, now, "b")
 		}, "b"},
 	} {
--- a/internal/broker/resultpages/resultpages.go
+++ b/internal/broker/resultpages/resultpages.go
@@ -1,4 +1,4 @@
-// Package resultpages assembles the result of an attempt from its pages, which may come in any order.
+// Package resultpages assembles and validates the result of an attempt from its pages, which may arrive in any order.
 package resultpages
 
 import (
@@ -7,29 +7,30 @@
 	"unicode/utf8"
 )
 
-// The sizes that the protocol allows.
+// Limits of the protocol.
 const (
-	MaxResultBytes = 48000 // of a result, all its pages together
-	MaxPageBytes   = 6000
-	MaxPages       = 64 // of a result: engines fill pages, so two in a row hold over MaxPageBytes together
-	rowColumns     = 3  // of every row
+	MaxResultBytes = 48000 // total size of the pages of a result
+	MaxPageBytes   = 6000  // size of a page
+	MaxPages       = 64    // pages of a result: engines fill pages, so two successive pages exceed MaxPageBytes together
+	rowColumns     = 3     // columns of every row
 )
 
-// Errors of a result.
+// Errors that make a result invalid.
 var (
 	ErrInvalidFirstPage = errors.New("invalid first page of a result")
 	ErrInvalidPage      = errors.New("invalid page of a result")
 	ErrPageTimeout      = errors.New("timeout of a page of a result")
 )
 
-// Assembler is a result whose first page was received.
+// Assembler collects the pages of a result, beginning with the first. It is not safe for concurrent use.
 type Assembler struct {
 	pages   [][]byte // nil: not received
 	missing int      // number of pages not received
-	bytes   int      // of the pages received
+	bytes   int      // total size of the pages received
 }
 
-// New returns the assembly of a result of pageCount pages, with its first one. The error is ErrInvalidFirstPage.
+// New returns an Assembler for a result of pageCount pages whose first page was received. It returns
+// ErrInvalidFirstPage if the page count or the page is invalid.
 func New(pageCount int, first []byte) (*Assembler, error) {
 	if pageCount < 1 || pageCount > MaxPages || !valid(first) {
 		return nil, ErrInvalidFirstPage
@@ -39,7 +40,8 @@
 	return a, nil
 }
 
-// Add adds a page by its number, from 0. An equal duplicate is ignored. The error is ErrInvalidPage.
+// Add adds a page by its number, from 0, and ignores an equal duplicate. It returns ErrInvalidPage if the number or the
+// page is invalid, the page differs from an earlier one of the same number, or the result exceeds MaxResultBytes.
 func (a *Assembler) Add(number int, page []byte) error {
 	if number < 0 || number >= len(a.pages) {
 		return ErrInvalidPage
@@ -56,16 +58,16 @@
 	return nil
 }
 
-// Missing is the number of pages that were not received.
+// Missing returns the number of pages that were not received.
 func (a *Assembler) Missing() int { return a.missing }
 
 // Complete reports whether all pages were received.
 func (a *Assembler) Complete() bool { return a.missing == 0 }
 
-// Pages are the pages in their order; nil in place of those not received.
+// Pages returns the pages in order, with nil for each page that was not received.
 func (a *Assembler) Pages() [][]byte { return a.pages }
 
-// nonNil distinguishes an empty page from one that was not received.
+// nonNil returns page, or an empty slice if page is nil, as a nil page counts as not received.
 func nonNil(page []byte) []byte {
 	if page == nil {
 		return []byte{}
@@ -73,7 +75,7 @@
 	return page
 }
 
-// valid reports whether a page is text in complete rows, as engines send it.
+// valid reports whether a page is valid UTF-8 of at most MaxPageBytes and consists of complete rows.
 func valid(page []byte) bool {
 	if len(page) > MaxPageBytes || !utf8.Valid(page) {
 		return false
--- a/internal/broker/resultpages/resultpages_test.go
+++ b/internal/broker/resultpages/resultpages_test.go
@@ -8,13 +8,13 @@
 
 var row = []byte("a\tb\tc\n")
 
-// page is a page to add by its number.
+// page is a page passed to Add.
 type page struct {
 	number int
 	body   []byte
 }
 
-func TestAssembly(t *testing.T) {
+func TestAssembler(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		count    int
@@ -23,21 +23,21 @@
 		err      error
 		complete bool
 	}{
-		"one page":              {1, row, nil, nil, true},
-		"no rows":               {1, nil, nil, nil, true},
-		"any order":             {3, row, []page{{2, row}, {1, nil}}, nil, true},
-		"incomplete":            {3, row, []page{{2, row}}, nil, false},
-		"equal duplicate":       {2, row, []page{{1, row}, {1, row}, {0, row}}, nil, true},
-		"another duplicate":     {3, row, []page{{1, row}, {1, nil}}, ErrInvalidPage, false},
-		"number out of range":   {2, row, []page{{2, row}}, ErrInvalidPage, false},
-		"no pages":              {0, row, nil, ErrInvalidFirstPage, false},
-		"too many pages":        {MaxPages + 1, row, nil, ErrInvalidFirstPage, false},
-		"missing column":        {1, []byte("a\tb\n"), nil, ErrInvalidFirstPage, false},
-		"incomplete row":        {2, row, []page{{1, []byte("a\tb\tc")}}, ErrInvalidPage, false},
-		"invalid UTF-8":         {2, row, []page{{1, []byte("a\tb\t\xff\n")}}, ErrInvalidPage, false},
-		"page too long":         {1, bytes.Repeat(row, MaxPageBytes/len(row)+1), nil, ErrInvalidFirstPage, false},
-		"result of the maximum": {8, full(), pages(7, full()), nil, true},
-		"result too large":      {9, full(), pages(8, full()), ErrInvalidPage, false},
+		"one page":               {1, row, nil, nil, true},
+		"no rows":                {1, nil, nil, nil, true},
+		"any order":              {3, row, []page{{2, row}, {1, nil}}, nil, true},
+		"incomplete":             {3, row, []page{{2, row}}, nil, false},
+		"equal duplicate":        {2, row, []page{{1, row}, {1, row}, {0, row}}, nil, true},
+		"differing duplicate":    {3, row, []page{{1, row}, {1, nil}}, ErrInvalidPage, false},
+		"number out of range":    {2, row, []page{{2, row}}, ErrInvalidPage, false},
+		"no pages":               {0, row, nil, ErrInvalidFirstPage, false},
+		"too many pages":         {MaxPages + 1, row, nil, ErrInvalidFirstPage, false},
+		"missing column":         {1, []byte("a\tb\n"), nil, ErrInvalidFirstPage, false},
+		"incomplete row":         {2, row, []page{{1, []byte("a\tb\tc")}}, ErrInvalidPage, false},
+		"invalid UTF-8":          {2, row, []page{{1, []byte("a\tb\t\xff\n")}}, ErrInvalidPage, false},
+		"page too long":          {1, bytes.Repeat(row, MaxPageBytes/len(row)+1), nil, ErrInvalidFirstPage, false},
+		"result of maximum size": {8, full(), pages(7, full()), nil, true},
+		"result too large":       {9, full(), pages(8, full()), ErrInvalidPage, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -51,16 +51,16 @@
 				t.Fatalf("error %v, want %v", err, c.err)
 			}
 			if err == nil && a.Complete() != c.complete {
-				t.Errorf("%d pages are missing", a.Missing())
+				t.Errorf("complete is %v, want %v; %d pages are missing", a.Complete(), c.complete, a.Missing())
 			}
 		})
 	}
 }
 
-// full is a page of the maximal size.
+// full returns a page of the maximum size.
 func full() []byte { return bytes.Repeat(row, MaxPageBytes/len(row)) }
 
-// pages are so many pages behind the first one, all alike.
+// pages returns n pages with equal bodies that follow the first page.
 func pages(n int, body []byte) []page {
 	all := make([]page, 0, n)
 	for number := range n {
--- a/internal/broker/timerqueue/timerqueue.go
+++ b/internal/broker/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue is a priority queue of timers by their time. Timers of one time expire in the order in which they
-// were set.
+// Package timerqueue implements a priority queue of timers ordered by expiry time. Timers with equal expiry times
+// expire in the order in which they were set.
 package timerqueue
 
 import (
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Queue holds timers, each with an event that happens when it expires. The zero value is empty.
+// Queue holds timers, each with the event to handle when it expires. The zero value is an empty queue. It is not safe
+// for concurrent use.
 type Queue[Event any] struct {
 	timers      timerHeap[Event]
 	lastOrdinal uint64
@@ -19,18 +20,18 @@
 	event   Event
 }
 
-// Set adds a timer that expires at a time.
+// Set adds a timer that expires at the given time.
 func (q *Queue[Event]) Set(at time.Duration, event Event) {
 	heap.Push(&q.timers, timer[Event]{at, q.NextOrdinal(), event})
 }
 
-// NextOrdinal returns a number that no timer has, and that it has not returned before.
+// NextOrdinal returns a number that is not the ordinal of any timer and was not returned before.
 func (q *Queue[Event]) NextOrdinal() uint64 {
 	q.lastOrdinal++
 	return q.lastOrdinal
 }
 
-// NextAt is the time of the first timer; ok is false if there is none.
+// NextAt returns the expiry time of the first timer; ok is false if the queue is empty.
 func (q *Queue[Event]) NextAt() (at time.Duration, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -38,7 +39,7 @@
 	return q.timers[0].at, true
 }
 
-// PopDue removes the first timer and returns its event; ok is false if it is not due.
+// PopDue removes the first timer and returns its event; ok is false if no timer is due at now.
 func (q *Queue[Event]) PopDue(now time.Duration) (event Event, ok bool) {
 	if at, set := q.NextAt(); !set || at > now {
 		return event, false
@@ -62,7 +63,7 @@
 func (h *timerHeap[Event]) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
-	(*h)[last] = timer[Event]{} // so that what it refers to can be freed
+	(*h)[last] = timer[Event]{} // lets the garbage collector free the event
 	*h = (*h)[:last]
 	return popped
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,35 +1,36 @@
-// Package invariant holds the rules of the protocol that a broker checks on itself while it runs. A guard is given what
-// is known as an attempt starts or is repeated, and returns the rule that would be broken. The package does no I/O,
-// reads no clock and keeps no state: the caller prevents, counts and logs.
+// Package invariant defines the protocol rules that a broker verifies at run time. AttemptStart and AttemptRepeat
+// evaluate whether an attempt may start and return the rule that it would violate. The package performs no I/O, reads
+// no clock and has no state: the caller prevents, counts and logs violations.
 package invariant
 
 import "time"
 
-// Rule is a rule that must hold whatever happens.
+// Rule is a rule that must always hold.
 type Rule int
 
 // The rules.
 const (
-	// NoStartAfterEnd: no attempt starts for a request that has ended, or after the final answers.
+	// NoStartAfterEnd: no attempt starts for a request that has ended, or once final answers were sent at shutdown.
 	NoStartAfterEnd Rule = iota
-	// NoUnsafeRepeat: a request that must not run twice has one attempt that may have run at most.
+	// NoUnsafeRepeat: a non-idempotent request has at most one attempt that may have run.
 	NoUnsafeRepeat
-	// NoParallelAttempts: without hedging, a request has one attempt in flight at most.
+	// NoParallelAttempts: without hedging, a request has at most one attempt in flight.
 	NoParallelAttempts
-	// NoSendToUnready: no attempt starts at an endpoint that drains, was removed or is in maintenance.
+	// NoSendToUnready: no attempt starts at an endpoint that is draining, removed or in maintenance mode.
 	NoSendToUnready
-	// TimeoutWithinClient: the timeout passed to an engine is at most what the client has left.
+	// TimeoutWithinClient: the timeout passed to an engine exceeds the client's remaining timeout by at most
+	// TimeoutSlack.
 	TimeoutWithinClient
-	// AnswerBeforeClose: a session is not closed from this side with a request read and unanswered.
+	// AnswerBeforeClose: the broker does not close a session that has a request read but not answered.
 	AnswerBeforeClose
-	// NoReadAfterShutdown: nothing is read from a connection once this side of it was shut down.
+	// NoReadAfterShutdown: the broker reads nothing from a connection whose sending direction it has shut down.
 	NoReadAfterShutdown
-	// TimeIsMonotonic: the time of the reducer does not go back, and does not jump with the wall clock.
+	// TimeIsMonotonic: the reducer's time neither goes back nor follows steps of the wall clock.
 	TimeIsMonotonic
 	ruleCount
 )
 
-// RuleNames are the names of the rules in logs and figures, by their numbers.
+// RuleNames holds the name of each rule in logs and metrics, indexed by Rule.
 var RuleNames = [ruleCount]string{
 	NoStartAfterEnd:     "no_start_after_end",
 	NoUnsafeRepeat:      "no_unsafe_repeat",
@@ -44,17 +45,17 @@
 // String returns the name of the rule.
 func (r Rule) String() string { return RuleNames[r] }
 
-// TimeoutSlack is how much longer than the client's remaining time the timeout passed to an engine may be.
+// TimeoutSlack is the time by which the timeout passed to an engine may exceed the client's remaining timeout.
 const TimeoutSlack = 150 * time.Millisecond
 
-// AttemptStart is what is known as an attempt is about to start.
+// AttemptStart holds the state that the rules for starting an attempt depend on.
 type AttemptStart struct {
-	RequestEnded      bool // the request was answered, or its client has left
-	FinalAnswersSent  bool // all requests have their final answer, as the broker shuts down
-	EndpointInService bool // the endpoint list has the engine in service, and it is not in maintenance
+	RequestEnded      bool // the request was answered or abandoned
+	FinalAnswersSent  bool // the broker is shutting down and has answered all requests
+	EndpointInService bool // the engine is listed as ready and not in maintenance mode
 }
 
-// ViolatedRule returns the rule that the start would break.
+// ViolatedRule returns the rule that starting the attempt would violate; false if there is none.
 func (s AttemptStart) ViolatedRule() (Rule, bool) {
 	switch {
 	case s.RequestEnded || s.FinalAnswersSent:
@@ -65,15 +66,15 @@
 	return 0, false
 }
 
-// AttemptRepeat is what is known of the attempts of a request as a further one is about to start.
+// AttemptRepeat holds the state that the rules for retries and hedged requests depend on.
 type AttemptRepeat struct {
 	NonIdempotent bool // the request must not run twice
 	Hedging       bool // the deployment allows two attempts in flight
 	InFlight      bool // an earlier attempt is in flight
-	MayHaveRun    bool // an earlier attempt may have run, or may run still
+	MayHaveRun    bool // an earlier attempt may have run or may still be running
 }
 
-// ViolatedRule returns the rule that the further attempt would break.
+// ViolatedRule returns the rule that another attempt would violate; false if there is none.
 func (r AttemptRepeat) ViolatedRule() (Rule, bool) {
 	switch {
 	case r.NonIdempotent && (r.InFlight || r.MayHaveRun):
