--- a/internal/broker/clientdeadline/clientdeadline.go
+++ b/internal/broker/clientdeadline/clientdeadline.go
@@ -1,6 +1,7 @@
-// Package clientdeadline estimates when the timeout of a client's request began, and so by when the answer must leave. A
-// timeout runs from when the client decided to send the request. That can be earlier than its arrival: clients space
-// the requests of one order key, and bytes may wait in a socket before they are read.
+// Package clientdeadline estimates when a client's timeout for a request began, and computes the deadline for sending
+// the answer. The timeout begins when the client decides to send the request, which may be earlier than its arrival:
+// clients delay requests of the same order key to space them, and bytes may wait in a socket buffer before the broker
+// reads them.
 package clientdeadline
 
 import (
@@ -8,36 +9,36 @@
 	"time"
 )
 
-// Clients keep these spacings between two requests of one order key.
+// Clients space successive requests of one order key by these intervals.
 const (
 	keySpacing              = 60 * time.Millisecond
-	newConnectionKeySpacing = 250 * time.Millisecond // after a request that was the first on its connection
-	transitSlack            = 15 * time.Millisecond  // by which a spacing may be longer where the requests arrive
+	newConnectionKeySpacing = 250 * time.Millisecond // after the first request on a connection
+	transitSlack            = 15 * time.Millisecond  // by which transit may lengthen the spacing of arrivals
 )
 
 const (
-	// TransitReserve is an upper bound of the transit times of a request and its answer together, including the delays
-	// within the two processes. An answer must leave at once if no more time than that is left.
+	// TransitReserve is an upper bound of the total transit time of a request and its answer, including delays within
+	// the client and the broker. If no more time than that is left, the answer must be sent immediately.
 	TransitReserve = 12 * time.Millisecond
-	// maxReserveFraction is the largest fraction of a timeout that is kept as a margin.
+	// maxReserveFraction limits the time reserved before the end of a timeout to a fraction of the timeout.
 	maxReserveFraction = 0.15
-	// minBurstsToSweep is the smallest number of bursts at which ended ones are removed.
+	// minBurstsToSweep is the minimum number of bursts at which ended bursts are removed.
 	minBurstsToSweep = 32
-	// sweepGrowth is the growth of the number of bursts after which ended ones are removed again.
+	// sweepGrowth is the factor by which the number of bursts must grow before ended bursts are removed again.
 	sweepGrowth = 2
 )
 
-// Request is what is known of when a request was sent. Times are those of the reducer.
+// Request holds the send times and the timeout of a request. Times are those of the reducer.
 type Request struct {
 	SentAt            time.Duration // arrival of its last byte
-	EarliestSentAt    time.Duration // its earliest possible arrival, if that is before SentAt; 0: it is not
-	Timeout           time.Duration // of its client
+	EarliestSentAt    time.Duration // earliest possible arrival, if before SentAt; 0: not before SentAt
+	Timeout           time.Duration // the client's timeout
 	OrderKey          string        // empty: none
-	FirstOnConnection bool          // no request came on its connection before
+	FirstOnConnection bool          // it is the first request on its connection
 }
 
-// QueuedDeadline returns the time by which the answer to a request must leave that is queued behind another one of its
-// connection. It takes no account of bursts.
+// QueuedDeadline returns the deadline for sending the answer to a request that is queued behind another request on its
+// connection. It does not take bursts into account.
 func QueuedDeadline(request Request) time.Duration {
 	deadline := request.SentAt + request.Timeout - answerReserve(request, request.SentAt)
 	if request.EarliestSentAt > 0 {
@@ -46,29 +47,30 @@
 	return deadline
 }
 
-// answerReserve returns how long before the end of the timeout an answer must leave, if the timeout is estimated to have begun
-// at timeoutStart.
+// answerReserve returns how long before the end of the timeout the answer must be sent, given the estimated start of
+// the timeout.
 func answerReserve(request Request, timeoutStart time.Duration) time.Duration {
 	reserve := TransitReserve
 	if request.OrderKey != "" && timeoutStart == request.SentAt {
-		// The client may have delayed it after a request of the same key to another broker.
+		// The client may have delayed this request after one of the same key that it sent to another broker.
 		reserve = newConnectionKeySpacing + transitSlack
 	}
 	return min(reserve, time.Duration(maxReserveFraction*float64(request.Timeout)))
 }
 
-// Estimator computes deadlines from the bursts of each order key. Its zero value is not usable; New makes one.
+// Estimator computes deadlines from the bursts of each order key. Use New to create one. It is not safe for concurrent
+// use.
 type Estimator struct {
-	bursts         map[string]*burst
-	sweepThreshold int // number of bursts at which ended ones are removed
+	bursts         map[string]*burst // by order key
+	sweepThreshold int               // number of bursts at which ended bursts are removed
 }
 
-// New returns an estimator that has seen no request.
+// New returns an Estimator without bursts.
 func New() *Estimator {
 	return &Estimator{bursts: map[string]*burst{}, sweepThreshold: minBurstsToSweep}
 }
 
-// Deadline returns the time by which the answer to a request must leave, and adds the request to the burst of its order
+// Deadline returns the deadline for sending the answer to a request, and adds the request to the burst of its order
 // key.
 func (e *Estimator) Deadline(request Request) time.Duration {
 	timeoutStart := e.timeoutStart(request)
@@ -80,7 +82,7 @@
 }
 
 // timeoutStart returns the earliest time at which the timeout of a request may have begun: its arrival, or the start of
-// the burst of its order key, as the client may have delayed it since then.
+// the burst of its order key, as the client may have delayed the request since then.
 func (e *Estimator) timeoutStart(request Request) time.Duration {
 	if request.OrderKey == "" {
 		return request.SentAt
@@ -96,7 +98,8 @@
 	return min(current.startedAt, request.SentAt)
 }
 
-// sweep removes the bursts that have ended once there are many, as clients may use each order key only once.
+// sweep removes ended bursts once their number reaches sweepThreshold. Clients may use an order key only once, so
+// bursts would accumulate otherwise.
 func (e *Estimator) sweep(now time.Duration) {
 	if len(e.bursts) < e.sweepThreshold {
 		return
@@ -105,15 +108,15 @@
 	e.sweepThreshold = max(minBurstsToSweep, sweepGrowth*len(e.bursts))
 }
 
-// burst is a run of requests of one order key, each so soon after the previous one that its client may have delayed it
-// to keep the spacing.
+// burst is a sequence of requests of one order key, each so soon after the previous one that the client may have
+// delayed it to keep the spacing.
 type burst struct {
 	startedAt           time.Duration // arrival of its first request
-	lastSentAt          time.Duration
-	lastOnNewConnection bool // the last request was the first on its connection
+	lastSentAt          time.Duration // arrival of its last request
+	lastOnNewConnection bool          // the last request was the first on its connection
 }
 
-// covers reports whether a request that was sent at a time belongs to the burst.
+// covers reports whether a request sent at sentAt belongs to the burst.
 func (b *burst) covers(sentAt time.Duration) bool {
 	spacing := keySpacing
 	if b.lastOnNewConnection {
--- a/internal/broker/clientdeadline/clientdeadline_test.go
+++ b/internal/broker/clientdeadline/clientdeadline_test.go
@@ -11,9 +11,9 @@
 	startTime = time.Hour
 )
 
-// A client holds a request back when another of its key was written just before, but counts its wait from
-// when it meant to send it.
-func TestClientWaitStartsWithItsKeyBurst(t *testing.T) {
+// A client delays a request if it has just sent another one of the same order key, but its timeout runs from before the
+// delay. A deadline computed from the arrival would be too late.
+func TestTimeoutStartsWithKeyBurst(t *testing.T) {
 	type write struct {
 		at                time.Duration
 		firstOnConnection bool
@@ -21,11 +21,11 @@
 	}
 	for name, c := range map[string]struct {
 		writes []write
-		want   time.Duration // when the last one's wait started
+		want   time.Duration // start of the last request's timeout
 	}{
-		"alone":                  {[]write{{0, false, "k"}}, 0},
-		"long after":             {[]write{{0, false, "k"}, {200 * ms, false, "k"}}, 200 * ms},
-		"close behind":           {[]write{{0, false, "k"}, {60 * ms, false, "k"}}, 0},
+		"single request":         {[]write{{0, false, "k"}}, 0},
+		"after the burst":        {[]write{{0, false, "k"}, {200 * ms, false, "k"}}, 200 * ms},
+		"second of a burst":      {[]write{{0, false, "k"}, {60 * ms, false, "k"}}, 0},
 		"third of a burst":       {[]write{{0, false, "k"}, {60 * ms, false, "k"}, {120 * ms, false, "k"}}, 0},
 		"after a new connection": {[]write{{0, true, "k"}, {250 * ms, false, "k"}}, 0},
 		"another key":            {[]write{{0, false, "k"}, {60 * ms, false, "other"}}, 60 * ms},
@@ -40,21 +40,21 @@
 				})
 			}
 			if got != startTime+c.want {
-				t.Errorf("counted from %v, want %v", got-startTime, c.want)
+				t.Errorf("timeout starts at %v, want %v", got-startTime, c.want)
 			}
 		})
 	}
 }
 
-// Memory does not grow where order keys are always new.
-func TestKeyBurstsAreSwept(t *testing.T) {
+// Ended bursts are removed, so that memory does not grow if every request has a new order key.
+func TestEndedBurstsAreSwept(t *testing.T) {
 	estimator := New()
 	for n := range 10 * minBurstsToSweep {
 		sentAt := startTime + time.Duration(n)*time.Second
 		estimator.timeoutStart(Request{OrderKey: fmt.Sprint(n), SentAt: sentAt})
 	}
 	if len(estimator.bursts) > minBurstsToSweep {
-		t.Fatalf("%d keys are kept", len(estimator.bursts))
+		t.Fatalf("%d bursts are stored, want at most %d", len(estimator.bursts), minBurstsToSweep)
 	}
 }
 
@@ -64,13 +64,13 @@
 		request          Request
 		deadline, queued time.Duration
 	}{
-		"margin for transit":          {Request{Timeout: time.Second}, 988 * ms, 988 * ms},
-		"part of a short timeout":     {Request{Timeout: 40 * ms}, 34 * ms, 34 * ms},
+		"transit reserve":             {Request{Timeout: time.Second}, 988 * ms, 988 * ms},
+		"fraction of a short timeout": {Request{Timeout: 40 * ms}, 34 * ms, 34 * ms},
 		"order key":                   {Request{OrderKey: "k", Timeout: 2 * time.Second}, 1735 * ms, 1735 * ms},
 		"order key, short timeout":    {Request{OrderKey: "k", Timeout: 200 * ms}, 170 * ms, 170 * ms},
-		"waiting since before":        {Request{EarliestSentAt: startTime - 50*ms, Timeout: time.Second}, 938 * ms, 950 * ms},
-		"waiting since an instant":    {Request{EarliestSentAt: startTime - ms, Timeout: time.Second}, 987 * ms, 988 * ms},
-		"waiting since, it says, now": {Request{EarliestSentAt: startTime, Timeout: time.Second}, 988 * ms, 988 * ms},
+		"may be sent 50 ms earlier":   {Request{EarliestSentAt: startTime - 50*ms, Timeout: time.Second}, 938 * ms, 950 * ms},
+		"may be sent 1 ms earlier":    {Request{EarliestSentAt: startTime - ms, Timeout: time.Second}, 987 * ms, 988 * ms},
+		"earliest sent at arrival":    {Request{EarliestSentAt: startTime, Timeout: time.Second}, 988 * ms, 988 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/broker/endpointlist/apply.go
+++ b/internal/broker/endpointlist/apply.go
@@ -7,26 +7,26 @@
 	"wheatlane/internal/changelog"
 )
 
-// ConnectionChange is what a change of the list means for the connections to an engine.
+// ConnectionChange describes how the connections to an engine must change after a change of the list.
 type ConnectionChange struct {
 	Engine string
 	Kind   ConnectionChangeKind
-	// DialedBefore, with CloseConnections, is the time from which connections stay open; 0: all are closed.
+	// DialedBefore limits CloseConnections to connections dialed before this time; 0: all are closed.
 	DialedBefore time.Duration
 }
 
 // ConnectionChangeKind is the kind of a ConnectionChange.
 type ConnectionChangeKind int
 
-// The kinds of change.
+// The kinds of connection changes.
 const (
-	CloseConnections     ConnectionChangeKind = iota // the engine was removed, restarted or has moved
-	CancelUnsentAttempts                             // it drains: attempts that have not left for it must not leave
+	CloseConnections     ConnectionChangeKind = iota // the engine was removed, was restarted or has a new address
+	CancelUnsentAttempts                             // the engine drains: unsent attempts must not be sent to it
 )
 
 // Apply applies a page of the change log that was read at now, with the wall clock ahead of the reducer's time by
-// wallOffset. Changes that were applied before are skipped, so that a page may come twice. It returns an update for the
-// decision module for each change, and the changes of connections in their order.
+// wallOffset. It skips changes that were applied before, so a page may be delivered twice. It returns an update for the
+// decision module for each change applied, and the connection changes in order.
 func (l *List) Apply(
 	now time.Duration, page changelog.Page, wallOffset time.Duration,
 ) (updates []control.EndpointUpdate, connections []ConnectionChange) {
@@ -67,7 +67,7 @@
 	return update
 }
 
-// removeUnlisted removes the engines that a snapshot does not list.
+// removeUnlisted removes the engines that are not in a snapshot.
 func (a *applier) removeUnlisted(snapshot []changelog.Endpoint) {
 	listed := map[string]bool{}
 	for _, endpoint := range snapshot {
@@ -80,8 +80,8 @@
 	}
 }
 
-// removeReplaced removes the engines whose address an endpoint has taken over, and returns their ids: attempts for
-// them must not reach the new engine, and its responses must not be taken for theirs.
+// removeReplaced removes the engines whose address now belongs to the given endpoint, and returns their ids: attempts
+// for them must not reach the new engine, and its responses must not be attributed to them.
 func (a *applier) removeReplaced(endpoint changelog.Endpoint) (replaced []string) {
 	if endpoint.State == control.Removed {
 		return nil
@@ -101,7 +101,7 @@
 	delete(a.list.processStarts, id)
 }
 
-// applyEndpoint applies the listed state of one engine, whose process started at a time.
+// applyEndpoint applies the listed state and process start time of one engine.
 func (a *applier) applyEndpoint(endpoint changelog.Endpoint, started processStart) {
 	id := endpoint.ID
 	if endpoint.State == control.Removed {
@@ -116,8 +116,8 @@
 	case moved:
 		a.closeConnections(id, 0)
 	case restarted:
-		// The change log reports a restart seconds late. Attempts that were sent to the new process meanwhile would
-		// fail if their connections were closed, and those of a non-idempotent class could not be retried.
+		// The change log reports a restart seconds late. Connections dialed to the new process meanwhile stay open:
+		// closing them would fail their attempts, and those of a non-idempotent class could not be retried.
 		a.closeConnections(id, started.earliest)
 	}
 	if endpoint.State == control.Draining && !moved {
--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -1,5 +1,5 @@
-// Package endpointlist holds the engines as the change log lists them, and those in maintenance mode. It works out
-// what a change of the list means for the decision module and for the connections to engines.
+// Package endpointlist maintains the engines listed in the change log and the engines in maintenance mode. From each
+// change, it derives updates for the decision module and changes of the connections to engines.
 package endpointlist
 
 import (
@@ -11,21 +11,22 @@
 	"wheatlane/internal/changelog"
 )
 
-// maxEverListed is the number of ids of engines that were ever listed at which those neither listed nor in
-// maintenance are dropped. The ids serve to reject the maintenance of an engine that never existed.
+// maxEverListed is the maximum number of stored ids of engines that were ever listed. When it is reached, the ids of
+// engines that are neither listed nor in maintenance mode are dropped. The ids serve to reject maintenance requests for
+// engines that never existed.
 const maxEverListed = 4096
 
-// List is the endpoint list. Its zero value is not usable; New makes one.
+// List is the endpoint list. Use New to create one. It is not safe for concurrent use.
 type List struct {
 	byID          map[string]changelog.Endpoint
-	processStarts map[string]processStart // of the listed engines
-	inMaintenance map[string]bool         // ids, listed or not
+	processStarts map[string]processStart // of the listed engines, by id
+	inMaintenance map[string]bool         // ids of engines, listed or not
 	everListed    map[string]bool         // ids; old ones are dropped, see maxEverListed
 	revision      int64
-	inService     int // number of engines
+	inService     int // number of engines in service
 }
 
-// New returns a list without engines.
+// New returns an empty list.
 func New() *List {
 	return &List{
 		byID:          map[string]changelog.Endpoint{},
@@ -35,7 +36,7 @@
 	}
 }
 
-// Endpoint is the listed engine of an id; listed is false if there is none.
+// Endpoint returns the listed engine with the given id; listed is false if there is none.
 func (l *List) Endpoint(id string) (endpoint changelog.Endpoint, listed bool) {
 	endpoint, listed = l.byID[id]
 	return endpoint, listed
@@ -47,28 +48,29 @@
 	return listed
 }
 
-// EverListed reports whether an engine was ever listed. Old ids may have been dropped.
+// EverListed reports whether an engine was ever listed. It may return false for an engine removed long ago, whose id
+// was dropped.
 func (l *List) EverListed(id string) bool { return l.everListed[id] }
 
-// InService reports whether an engine is listed as ready and is not in maintenance.
+// InService reports whether an engine is listed as ready and is not in maintenance mode.
 func (l *List) InService(id string) bool {
 	endpoint, listed := l.byID[id]
 	return listed && endpoint.State == control.Ready && !l.inMaintenance[id]
 }
 
-// Len is the number of listed engines.
+// Len returns the number of listed engines.
 func (l *List) Len() int { return len(l.byID) }
 
-// InServiceCount is the number of engines in service.
+// InServiceCount returns the number of engines in service.
 func (l *List) InServiceCount() int { return l.inService }
 
-// Revision is the revision of the last change that was applied.
+// Revision returns the latest revision that was applied.
 func (l *List) Revision() int64 { return l.revision }
 
-// ids are the listed engines, sorted.
+// ids returns the ids of the listed engines, sorted.
 func (l *List) ids() []string { return slices.Sorted(maps.Keys(l.byID)) }
 
-// recordListed records that an engine was listed.
+// recordListed stores the id of a listed engine, and drops old ids at maxEverListed.
 func (l *List) recordListed(id string) {
 	if len(l.everListed) >= maxEverListed {
 		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
@@ -78,7 +80,7 @@
 	l.everListed[id] = true
 }
 
-// countInService counts the engines in service.
+// countInService updates the number of engines in service.
 func (l *List) countInService() {
 	l.inService = 0
 	for id := range l.byID {
@@ -88,13 +90,14 @@
 	}
 }
 
-// EnginesInMaintenance are the engines in maintenance mode, sorted, listed or not.
+// EnginesInMaintenance returns the ids of the engines in maintenance mode, listed or not, sorted.
 func (l *List) EnginesInMaintenance() []string { return slices.Sorted(maps.Keys(l.inMaintenance)) }
 
 // InMaintenance reports whether an engine is in maintenance mode.
 func (l *List) InMaintenance(id string) bool { return l.inMaintenance[id] }
 
-// StartMaintenance puts an engine that was ever listed into maintenance mode and reports whether that is new.
+// StartMaintenance puts an engine that was ever listed into maintenance mode. It reports false if the engine was in
+// maintenance mode before, or was never listed.
 func (l *List) StartMaintenance(id string) (started bool) {
 	if l.inMaintenance[id] || !l.everListed[id] {
 		return false
@@ -104,14 +107,13 @@
 	return true
 }
 
-// RestoreMaintenance does what StartMaintenance does, also for an engine that was never listed in this
-// process: it was in the previous one.
+// RestoreMaintenance is like StartMaintenance, but accepts an engine that was listed only in the previous process.
 func (l *List) RestoreMaintenance(id string) (started bool) {
 	l.recordListed(id)
 	return l.StartMaintenance(id)
 }
 
-// EndMaintenance ends the maintenance mode of an engine and reports whether it was in it.
+// EndMaintenance ends the maintenance mode of an engine. It reports whether the engine was in maintenance mode.
 func (l *List) EndMaintenance(id string) (ended bool) {
 	if !l.inMaintenance[id] {
 		return false
@@ -121,5 +123,5 @@
 	return true
 }
 
-// latestStart is the latest time at which the process of a listed engine may have started.
+// latestStart returns the latest time at which the process of a listed engine may have started.
 func (l *List) latestStart(id string) time.Duration { return l.processStarts[id].latest }
--- a/internal/broker/endpointlist/endpointlist_test.go
+++ b/internal/broker/endpointlist/endpointlist_test.go
@@ -21,13 +21,13 @@
 	return changelog.Endpoint{Engine: control.Engine{ID: id, State: state}, Addr: addr}
 }
 
-// page is a page with one change.
+// page returns a page of the change log with one change.
 func page(revision int64, snapshot bool, endpoints ...changelog.Endpoint) changelog.Page {
 	change := changelog.Change{Revision: revision, Snapshot: snapshot, Endpoints: endpoints}
 	return changelog.Page{Revision: revision, Changes: []changelog.Change{change}}
 }
 
-// listOf returns a list with two engines, of revision 1.
+// listOf returns a list with two engines at revision 1.
 func listOf(first, second changelog.Endpoint) *List {
 	l := New()
 	l.Apply(startTime, page(1, true, first, second), 0)
@@ -54,7 +54,7 @@
 		"restarted":          {page(2, false, restarted), []ConnectionChange{{"e1", CloseConnections, startTime}}, 2},
 		"moved":              {page(2, false, endpoint("e1", "127.0.0.1:9", control.Ready)), closeAll, 2},
 		"address taken over": {page(2, false, endpoint("e3", addr1, control.Ready)), closeAll, 2},
-		"not in a snapshot":  {page(2, true, endpoint("e2", addr2, control.Ready)), closeAll, 1},
+		"not in snapshot":    {page(2, true, endpoint("e2", addr2, control.Ready)), closeAll, 1},
 		"applied before":     {page(1, false, endpoint("e1", addr1, control.Removed)), nil, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			l := listOf(ready, endpoint("e2", addr2, control.Ready))
 			_, got := l.Apply(startTime, c.page, 0)
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Errorf("changes of connections (-want +got):\n%s", diff)
+				t.Errorf("connection changes (-want +got):\n%s", diff)
 			}
 			if l.InServiceCount() != c.inService {
 				t.Errorf("%d engines in service, want %d", l.InServiceCount(), c.inService)
@@ -71,8 +71,8 @@
 	}
 }
 
-// A restart is one by the dates of the list, whatever the wall clock did between them: connections to the process
-// before are closed, and the decision module is given a later start.
+// A restart is detected from the reported dates even if the wall clock was stepped between them: connections to the
+// previous process are closed, and the decision module receives a later start time.
 func TestRestartAcrossAClockStep(t *testing.T) {
 	t.Parallel()
 	first := endpoint("e1", addr1, control.Ready)
@@ -81,17 +81,17 @@
 	before := l.latestStart("e1")
 	l.Apply(startTime, page(2, false, first), time.Hour)
 	if got := l.latestStart("e1"); got != before {
-		t.Errorf("the same process counts as started at %v, then %v", before, got)
+		t.Errorf("start time of the unchanged process moved from %v to %v", before, got)
 	}
 	first.StartedAt += time.Second
 	updates, connections := l.Apply(startTime, page(3, false, first), -time.Hour)
 	if got := updates[0].Engines[0].StartedAt; got <= before || got != l.latestStart("e1") {
-		t.Errorf("the next process counts as started at %v, %v in the list; the one before at %v",
+		t.Errorf("start time of the restarted process: update %v, list %v; want both equal and after %v",
 			got, l.latestStart("e1"), before)
 	}
 	want := []ConnectionChange{{"e1", CloseConnections, first.StartedAt}}
 	if diff := cmp.Diff(want, connections); diff != "" {
-		t.Errorf("changes of connections (-want +got):\n%s", diff)
+		t.Errorf("connection changes (-want +got):\n%s", diff)
 	}
 }
 
@@ -99,23 +99,24 @@
 	t.Parallel()
 	l := listOf(endpoint("e1", addr1, control.Ready), endpoint("e2", addr2, control.Draining))
 	if l.StartMaintenance("e3") || l.EndMaintenance("e1") {
-		t.Error("maintenance of an engine that was never listed started, or one that had none ended")
+		t.Error("maintenance mode started for an engine that was never listed, or ended for one not in maintenance")
 	}
 	if !l.StartMaintenance("e1") || l.StartMaintenance("e1") || l.InService("e1") || l.InServiceCount() != 0 {
-		t.Error("want maintenance to start once, and the engine out of service")
+		t.Error("want maintenance mode to start once and the engine to be out of service")
 	}
 	if !l.RestoreMaintenance("e3") || !l.EverListed("e3") || l.Listed("e3") {
-		t.Error("want the maintenance of an engine that the previous process knew")
+		t.Error("want maintenance mode restored for an engine that only the previous process had listed")
 	}
 	if diff := cmp.Diff([]string{"e1", "e3"}, l.EnginesInMaintenance()); diff != "" {
-		t.Errorf("in maintenance (-want +got):\n%s", diff)
+		t.Errorf("engines in maintenance (-want +got):\n%s", diff)
 	}
 	if !l.EndMaintenance("e1") || !l.InService("e1") || l.InServiceCount() != 1 {
-		t.Error("want the engine in service once its maintenance has ended")
+		t.Error("want the engine in service after the end of its maintenance mode")
 	}
 }
 
-// The ids that are remembered are bounded, but those listed or in maintenance stay.
+// The number of stored ids is bounded, so that memory does not grow with replaced engines. Ids of engines that are
+// listed or in maintenance mode stay.
 func TestEverListedIsBounded(t *testing.T) {
 	t.Parallel()
 	l := listOf(endpoint("e1", addr1, control.Ready), endpoint("e2", addr2, control.Ready))
@@ -127,7 +128,7 @@
 		l.Apply(startTime, page(4+2*n, false, endpoint(id, id, control.Removed)), 0)
 	}
 	if len(l.everListed) > maxEverListed || !l.EverListed("e1") || !l.EverListed("e2") || l.EverListed("other-0") {
-		t.Errorf("%d ids are remembered; e1 %v, e2 %v, other-0 %v",
+		t.Errorf("%d ids are stored; e1 %v, e2 %v, other-0 %v",
 			len(l.everListed), l.EverListed("e1"), l.EverListed("e2"), l.EverListed("other-0"))
 	}
 }
