--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/invariant"
 )
 
-// settleDelay is the time after which a cancel that was sent has reached its engine.
+// settleDelay is the time that a cancel takes at most to reach its engine after it was sent.
 const settleDelay = 10 * time.Millisecond
 
 // attempt is one attempt of a request.
@@ -20,17 +20,17 @@
 	inFlight       bool
 	mayHaveRun     bool
 	answeredClient bool           // its result was sent to the client
-	cancelStatus   control.Status // the status that its cancel ends it with; OK: not cancelled
+	cancelStatus   control.Status // status with which a cancelled attempt ends; OK: not cancelled
 	result         *result        // nil before the first page
 }
 
 func (a *attempt) cancelled() bool { return a.cancelStatus != control.OK }
 
-// awaitsFirstPage reports whether an attempt is in flight, not cancelled and without any part of a result.
+// awaitsFirstPage reports whether an attempt is in flight, not cancelled and without a result page.
 func (a *attempt) awaitsFirstPage() bool { return a.inFlight && !a.cancelled() && a.result == nil }
 
-// startAttempt starts an attempt that the decision module has decided on. If mayStart forbids it, the attempt ends at
-// once as never sent.
+// startAttempt starts an attempt that the decision module requested. If mayStart forbids the attempt or no time is
+// left, the attempt ends immediately as never sent.
 func (b *Broker) startAttempt(now time.Duration, send control.SendAttempt) {
 	request := b.requests.byModuleID(send.RequestID)
 	if request == nil {
@@ -54,7 +54,7 @@
 		b.endAttempt(now, attempt, control.AttemptEnded{Status: control.NeverSent})
 		return
 	}
-	endpoint, _ := b.endpoints.Endpoint(send.Engine) // mayStart has found it
+	endpoint, _ := b.endpoints.Endpoint(send.Engine) // mayStart checked that it is in service
 	b.meter.AttemptStarted(request.Class)
 	b.trace(now, request, Transition{State: AttemptStartedState, Attempt: attempt.id.Number, Engine: endpoint.ID})
 	b.emit(StartAttempt{
@@ -73,9 +73,9 @@
 	b.timers.Set(until, attemptTimedOut{attempt})
 }
 
-// mayStart reports whether an attempt may start; all first attempts, retries and hedged requests pass it. The request
-// may have ended, or the engine have left service, since the decision module was notified last: such an attempt is only
-// prevented. A forbidden repeat is a fault of the module, and is reported as well.
+// mayStart reports whether an attempt may start. It checks all first attempts, retries and hedged requests. It prevents
+// an attempt if the request ended or the engine went out of service after the decision module's last batch. It also
+// prevents a forbidden repeat, and reports it as a violation because it is a fault of the module.
 func (b *Broker) mayStart(request *request, engine string) bool {
 	start := invariant.AttemptStart{
 		RequestEnded:      request.closed,
@@ -98,8 +98,8 @@
 	return true
 }
 
-// setAttemptOptions sets the memory grant of a request's next attempt, and the priority of it and of those in
-// flight.
+// setAttemptOptions sets the memory grant of a request's next attempt, and the priority of its next attempt and of
+// those in flight.
 func (b *Broker) setAttemptOptions(request *request, options control.SetAttemptOptions) {
 	changed := options.Priority != request.priority
 	request.grantMB, request.priority = options.GrantMB, options.Priority
@@ -113,8 +113,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt. The attempt stays in flight until the cancel was sent to its engine:
-// until then, the next request of its order key must wait.
+// cancelAttempt cancels an attempt. The attempt remains in flight until the cancel was sent to its engine; the next
+// request of its order key must wait until then.
 func (b *Broker) cancelAttempt(attempt *attempt, status control.Status) {
 	if !attempt.inFlight || attempt.cancelled() {
 		return
@@ -138,9 +138,9 @@
 	b.endAttempt(now, attempt, control.AttemptEnded{Status: status, Report: event.Report, SharedCause: event.SharedCause})
 }
 
-// endStatus returns the status for the decision module of an attempt whose end was reported. A cancelled attempt ends
-// with the status of its cancel (control.OK: it was not cancelled). Once a page was received, the attempt has run: any
-// end but a cancel is a failure then, even BUSY or VOID for a further page.
+// endStatus returns the status with which the decision module is notified of an attempt's end. A cancelled attempt ends
+// with cancelStatus (control.OK: not cancelled). Once a page was received, the attempt has run: any other end is then a
+// failure, even if the engine answered the request for another page with BUSY or VOID.
 func endStatus(reported, cancelStatus control.Status, pageReceived bool) control.Status {
 	status := reported
 	if status == control.Cancelled && cancelStatus != control.OK {
@@ -156,9 +156,9 @@
 	return status == control.Cancelled || status == control.TimedOut
 }
 
-// mustSettle reports whether an attempt that has ended counts as in flight for another settleDelay. Its cancel was
-// sent, or its connection ended, but its engine may not know that yet: the next request of its order key, or the next
-// attempt where hedging is forbidden, could reach another engine earlier.
+// mustSettle reports whether an attempt that has ended remains in flight for another settleDelay. Its cancel was sent
+// or its connection ended, but its engine may not have received that yet: the next request of its order key, or the
+// next attempt if hedging is disabled, could reach another engine earlier.
 func mustSettle(status control.Status, ordered, hedging bool) bool {
 	switch {
 	case isCancel(status):
@@ -169,7 +169,7 @@
 	return false
 }
 
-// endAttempt ends an attempt and hands its end to the decision module.
+// endAttempt ends an attempt and adds its end to the next batch of the decision module.
 func (b *Broker) endAttempt(now time.Duration, attempt *attempt, end control.AttemptEnded) {
 	attempt.inFlight = false
 	attempt.result = nil
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,12 +1,11 @@
-// Package broker is the functional core of a broker: a reducer that holds all of its state. Apply handles one
-// event, Tick runs a batch of the decision module (package control), and both return the effects to carry
-// out. It performs no I/O, reads no clock and starts no goroutine, so that the same events at the same times
-// give the same effects. Times are durations since the Unix epoch, by a clock that
-// never goes back or jumps: package internal/server/clock has it.
+// Package broker implements the functional core of a broker: a reducer that holds all of its state. Apply handles one
+// event, Tick runs a batch of the decision module (package control), and both return the effects to perform. The
+// package performs no I/O, reads no clock and starts no goroutine, so the same events at the same times produce the
+// same effects. Times are durations since the Unix epoch by a monotonic clock that ignores steps of the wall clock,
+// such as that of package internal/server/clock.
 //
-// Events and effects do not depend on a protocol: a front protocol translates its messages into
-// SubmitRequest, Ping and Kill, and a Reply into its own answer, so that a second front protocol would share
-// all decisions.
+// Events and effects do not depend on a protocol: a front protocol translates its messages into SubmitRequest, Ping and
+// Kill, and each Reply into its own answer, so that a second front protocol could use the same decisions.
 package broker
 
 import (
@@ -22,14 +21,14 @@
 // Broker is the reducer. It is not safe for concurrent use.
 type Broker struct {
 	module  *control.Controller // decides when and where attempts go
-	batch   moduleBatch         // what the module is notified of in its next call
+	batch   moduleBatch         // events for the next call of the module
 	timers  timerqueue.Queue[timerEvent]
-	effects []Effect // of the call under way
+	effects []Effect // of the current call
 	meter   Meter
 	tracer  Tracer // nil: none
 
 	sessions         sessionTable
-	answeredSessions []Session // answered in the call under way; their queued commands are executed at its end
+	answeredSessions []Session // answered in the current call; their queued commands are executed at its end
 	requests         requestTable
 	deadlines        *clientdeadline.Estimator
 	endpoints        *endpointlist.List
@@ -37,13 +36,13 @@
 	validator        *requestValidator
 	shutdown         shutdownState
 
-	lastNow time.Duration // of the last call
-	hedging bool          // two attempts of a request may be in flight at once
+	lastNow time.Duration // time of the last call
+	hedging bool          // two attempts of a request may be in flight at a time
 	view    control.View  // reused by UnavailableEngines
 }
 
-// New returns a broker that knows no engines yet and allows maxSessions sessions at a time. It returns the
-// error of the decision module if the settings are invalid. The seed determines all random choices.
+// New returns a broker with an empty endpoint list that allows maxSessions concurrent sessions. It returns the error of
+// the decision module if the settings are invalid. The seed determines all random choices.
 func New(settings control.Settings, seed uint64, maxSessions int) (*Broker, error) {
 	module, err := control.New(settings, seed)
 	if err != nil {
@@ -63,7 +62,7 @@
 	}, nil
 }
 
-// Apply handles one event and returns the effects to carry out, in their order.
+// Apply handles one event and returns the effects to perform, in order.
 func (b *Broker) Apply(now time.Duration, event Event) []Effect {
 	b.checkTime(now)
 	switch event := event.(type) {
@@ -79,7 +78,7 @@
 	case SessionHalfClosed:
 		b.halfCloseSession(now, event.Session)
 	case FirstPageReceived:
-		b.attemptServed(now, event)
+		b.firstPageReceived(now, event)
 	case PageReceived:
 		b.pageReceived(now, event)
 	case AttemptEnded:
@@ -93,7 +92,7 @@
 	return b.flushEffects()
 }
 
-// applyFleetEvent handles an event of the fleet or of operators.
+// applyFleetEvent handles events from the fleet and from operators.
 func (b *Broker) applyFleetEvent(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case GossipReceived:
@@ -115,8 +114,8 @@
 	}
 }
 
-// Tick expires the timers that are due. If Settings.MinBatchInterval has passed since the last batch, it hands the
-// events since then to the decision module. It returns the effects to carry out, in their order.
+// Tick handles the timers that are due. If Settings.MinBatchInterval has passed since the last batch, it passes the
+// events since then to the decision module. It returns the effects to perform, in order.
 func (b *Broker) Tick(now time.Duration) []Effect {
 	b.checkTime(now)
 	for {
@@ -135,13 +134,13 @@
 	return b.flushEffects()
 }
 
-// reportViolation reports that a rule would have been, or was, broken.
+// reportViolation reports that a rule was violated, or that a violation was prevented.
 func (b *Broker) reportViolation(rule invariant.Rule, session Session, requestID string) {
 	b.meter.InvariantViolated(rule)
 	b.emit(InvariantViolation{Rule: rule, Session: session, RequestID: requestID})
 }
 
-// checkTime reports a violation if now is earlier than the time of the last call.
+// checkTime reports a violation if now is earlier than the previous call's time.
 func (b *Broker) checkTime(now time.Duration) {
 	if now < b.lastNow {
 		b.reportViolation(invariant.TimeIsMonotonic, 0, "")
@@ -149,7 +148,7 @@
 	b.lastNow = now
 }
 
-// NextDeadline is the time at which Tick has something to do; ok is false if there is nothing.
+// NextDeadline returns the earliest time at which Tick has a timer or a batch to handle; ok is false if it has none.
 func (b *Broker) NextDeadline() (at time.Duration, ok bool) {
 	at, ok = b.batch.nextCallAt()
 	if timerAt, set := b.timers.NextAt(); set && (!ok || timerAt < at) {
@@ -158,8 +157,8 @@
 	return at, ok
 }
 
-// Ready reports whether the broker can serve: it is not shutting down, and an engine is in service and not in
-// maintenance.
+// Ready reports whether the broker can serve requests: it is not shutting down, and at least one engine is in service
+// and not in maintenance mode.
 func (b *Broker) Ready() bool { return !b.shutdown.started && b.endpoints.InServiceCount() > 0 }
 
 func (b *Broker) emit(effect Effect) { b.effects = append(b.effects, effect) }
--- a/internal/broker/commandqueue.go
+++ b/internal/broker/commandqueue.go
@@ -9,21 +9,21 @@
 	"wheatlane/internal/broker/clientdeadline"
 )
 
-// Clients may send commands ahead of the answer to a request. Each is answered, in order: a session must not be closed
-// with a command read and unanswered.
+// Clients may send commands before a request is answered. Each is answered in order: a session must not be closed with
+// a command read but not answered.
 const (
-	// maxQueuedRequests is the largest number of requests queued with their statements behind the open request
-	// of a session. Those beyond it will be rejected in their turn.
+	// maxQueuedRequests is the maximum number of requests queued with their statements behind a session's open request.
+	// Further requests are queued without their statements and rejected in order.
 	maxQueuedRequests = 2
-	// maxQueuedCommands is the largest number of commands queued behind it. With one more, all are answered at
-	// once and the session is closed.
+	// maxQueuedCommands is the maximum number of commands queued behind a session's open request. With one more, all
+	// commands are answered immediately and the session is closed.
 	maxQueuedCommands = 1024
-	// queuedDueRecheckInterval is the time after which a queued request that is due is checked again, while those ahead
-	// of it are answered.
+	// queuedDueRecheckInterval is the time after which a queued request past its deadline is checked again, while the
+	// requests ahead of it are answered.
 	queuedDueRecheckInterval = 5 * time.Millisecond
 )
 
-// rejectedRequest is a request that is rejected in its turn. It keeps no Request, whose strings would hold the whole
+// rejectedRequest is a queued request to be rejected in order. It has no Request, whose strings would retain the whole
 // statement in memory.
 type rejectedRequest struct {
 	session   Session
@@ -56,7 +56,7 @@
 	}
 }
 
-// queueRequest returns the command to queue for a request: beyond maxQueuedRequests one that rejects it.
+// queueRequest returns the command to queue for a request: the request, or a rejection beyond maxQueuedRequests.
 func (s *session) queueRequest(submit SubmitRequest, requestID string) command {
 	if s.queuedRequests < maxQueuedRequests {
 		s.queuedRequests++
@@ -65,7 +65,7 @@
 	return rejectedRequest{submit.Session, requestID}
 }
 
-// popQueued removes the first queued command.
+// popQueued removes and returns the first queued command.
 func (s *session) popQueued() command {
 	next := s.queuedCommands[0]
 	s.queuedCommands = s.queuedCommands[1:]
@@ -75,7 +75,7 @@
 	return next
 }
 
-// answerAllCommands answers the open request of a session and all its queued commands. Queued requests are rejected.
+// answerAllCommands answers the open request of a session and all its queued commands, of which requests are rejected.
 func (b *Broker) answerAllCommands(now time.Duration, session *session, cause EndCause) {
 	if request := session.openRequest; request != nil {
 		b.reply(session.id, request.finalAnswer(endCauseTexts[cause]))
@@ -96,16 +96,16 @@
 	command.execute(b, now, session)
 }
 
-// answerAfterClose answers a command of a session that was closed from this side after it had been read: its
-// answer still leaves. Commands of other unknown sessions are ignored: their connections have ended.
+// answerAfterClose answers a command that was read before the broker closed its session; the answer is still sent.
+// Commands of other unknown sessions are ignored, as their connections have ended.
 func (b *Broker) answerAfterClose(now time.Duration, command command) {
 	if id := command.sender(); b.sessions.closedByBroker[id] {
 		b.rejectOrExecute(now, &session{id: id}, command, closedText)
 	}
 }
 
-// handleQueuedDeadline handles the deadline of a request that is queued behind the open one of its session. It answers the open
-// request at once, as the queued one can be answered only after it.
+// handleQueuedDeadline handles the deadline of a request that is queued behind the open request of its session. It
+// answers the open request immediately, as the queued one can be answered only after it.
 func (b *Broker) handleQueuedDeadline(now time.Duration, session *session, requestID string) {
 	queued := slices.ContainsFunc(session.queuedCommands, func(waiting command) bool {
 		switch waiting := waiting.(type) {
--- a/internal/broker/commands.go
+++ b/internal/broker/commands.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// command is an event whose answer keeps the order of the commands of its session.
+// command is an event that is answered in the order of its session's commands.
 type command interface {
 	Event
-	// sender is the session that gets the reply.
+	// sender returns the session that gets the reply.
 	sender() Session
-	// execute answers the command or opens its request. It marks in the session a command after which the session is
-	// the first to be evicted.
+	// execute answers the command or opens its request. It sets session.evictFirst if the session is the first to be
+	// evicted after the command.
 	execute(b *Broker, now time.Duration, s *session)
 }
 
-// handleCommand executes a command, or queues it while its session waits for an answer.
+// handleCommand executes a command, or queues it while its session has an open request.
 func (b *Broker) handleCommand(now time.Duration, command command) {
 	session := b.sessions.byID[command.sender()]
 	switch {
@@ -31,7 +31,7 @@
 	switch {
 	case session.openRequest != nil:
 		session.markBusy()
-	case b.sessions.byID[session.id] != session: // the command has closed it
+	case b.sessions.byID[session.id] != session: // the command closed the session
 	case session.evictFirst:
 		b.sessions.markFirstToEvict(now, session)
 	default:
@@ -80,9 +80,9 @@
 	b.reply(session.id, c.Reply)
 }
 
-// resumeAnsweredSessions executes the queued commands of the sessions that were answered in the call under
-// way. This comes last in a call: a queued KILL may end a request for which the same batch of the decision
-// module has an attempt to start, and the module would wait for the end of that attempt for ever.
+// resumeAnsweredSessions executes the queued commands of the sessions answered in the current call. It must run last in
+// a call: a queued KILL may end a request for which the same batch of the decision module is about to start an attempt,
+// and the module would wait forever for the end of that attempt.
 func (b *Broker) resumeAnsweredSessions(now time.Duration) {
 	for len(b.answeredSessions) > 0 {
 		id := b.answeredSessions[0]
@@ -91,7 +91,7 @@
 	}
 }
 
-// resumeSession executes the queued commands of a session, up to the first that opens a request.
+// resumeSession executes the queued commands of a session up to the first one that opens a request.
 func (b *Broker) resumeSession(now time.Duration, id Session) {
 	session := b.sessions.byID[id]
 	if session == nil {
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/invariant"
 )
 
-// Effect is an action for the owner of the reducer. All effects are declared in this file.
+// Effect is an action that the owner of the reducer performs. All effects are declared in this file.
 type Effect interface{ effect() }
 
 // ReplyKind is the kind of a reply.
@@ -16,32 +16,32 @@
 
 // The kinds of reply.
 const (
-	ReplyResult          ReplyKind = iota // served: Pages hold the rows
+	ReplyResult          ReplyKind = iota // result of a request; Pages holds the rows
 	ReplyOK                               // success of a command without a result
-	ReplyRejected                         // not run, or idempotent: may be retried, after RetryAfter
-	ReplyFailed                           // it may have run
+	ReplyRejected                         // not run, or idempotent: the client may retry after RetryAfter
+	ReplyFailed                           // failed request that may have run
 	ReplyInterrupted                      // killed by a client
-	ReplyNotReady                         // no engine is ready, or the broker shuts down
-	ReplyInvalidFields                    // a field of the request can't be used
-	ReplyUnknownCommand                   // the front protocol does not know the command
+	ReplyNotReady                         // no engine is ready, or the broker is shutting down
+	ReplyInvalidFields                    // a field of the request is invalid
+	ReplyUnknownCommand                   // the front protocol does not support the command
 	ReplyUnknownSession                   // the session to kill does not exist
 	ReplyUnknownDatabase                  // the database does not exist
-	ReplyTooManySessions                  // the limit of sessions is reached
+	ReplyTooManySessions                  // the session limit is reached
 )
 
-// CloseReason is why the reducer closes a session.
+// CloseReason is the reason why the reducer closes a session.
 type CloseReason int
 
 // The reasons to close a session.
 const (
 	CloseKilled          CloseReason = iota // killed by a client, or too many commands queued
-	CloseEvictedIdle                        // idle while the limit of sessions was reached
-	CloseTooManySessions                    // the limit of sessions was reached, and none was idle
+	CloseEvictedIdle                        // evicted to admit another client at the session limit
+	CloseTooManySessions                    // refused at the session limit, as no session could be evicted
 )
 
 // Effects for clients.
 type (
-	// Reply answers a command of a session.
+	// Reply sends the reply to a command of a session.
 	Reply struct {
 		Session    Session
 		Kind       ReplyKind
@@ -49,9 +49,9 @@
 		Text       string
 		RetryAfter time.Duration
 	}
-	// AdmitSession admits a client: its connection is greeted and read.
+	// AdmitSession admits a client: the server greeting is sent, and the connection is read.
 	AdmitSession struct{ Session Session }
-	// CloseSession closes a client's connection after the bytes written to it were sent.
+	// CloseSession closes a client's connection once all bytes written to it were sent.
 	CloseSession struct {
 		Session Session
 		Reason  CloseReason
@@ -69,23 +69,23 @@
 		Class          string
 		IdempotencyKey string
 		Timeout        time.Duration
-		OverdueAfter   time.Duration // from the start; after it, the answer is more likely lost than late; 0: unknown
-		GrantMB        float64
+		OverdueAfter   time.Duration // time from the start after which the answer is likely lost; 0: unknown
+		GrantMB        float64       // memory grant
 		Priority       int
 		Body           string
 	}
-	// FetchPage asks the engine of an attempt for a further page of its result.
+	// FetchPage requests another page of an attempt's result from its engine.
 	FetchPage struct {
 		Attempt AttemptID
 		Page    int
 	}
 	// CancelAttempt cancels an attempt. AttemptEnded follows once the cancel was sent to the engine.
 	CancelAttempt struct{ Attempt AttemptID }
-	// CancelIfUnsent withdraws an attempt whose request is closed, if no byte of it was sent; AttemptEnded
-	// follows in that case. A partly sent attempt continues.
+	// CancelIfUnsent cancels an attempt whose request is closed, if none of its bytes were sent; AttemptEnded follows
+	// in that case. A partially sent attempt continues.
 	CancelIfUnsent struct{ Attempt AttemptID }
-	// ReleaseAttempt drops an attempt whose result is complete or discarded. With PagesLeft, the engine
-	// still holds pages of the result.
+	// ReleaseAttempt releases an attempt whose result is complete or discarded. With PagesLeft, the engine still stores
+	// pages of the result.
 	ReleaseAttempt struct {
 		Attempt   AttemptID
 		PagesLeft bool
@@ -95,15 +95,15 @@
 		Attempt  AttemptID
 		Priority int
 	}
-	// ProbeLoad asks an engine for its load. ProbeResult follows with the same ProbeID.
+	// ProbeLoad sends a load probe to an engine. ProbeResult follows with the same ProbeID.
 	ProbeLoad struct {
 		ProbeID      uint64
 		Engine, Addr string
 	}
-	// CancelUnsentAttempts ends the attempts of which nothing has left for an engine that drains or is in maintenance.
+	// CancelUnsentAttempts cancels the unsent attempts for an engine that is draining or in maintenance mode.
 	CancelUnsentAttempts struct{ Engine string }
-	// CloseEngineConnections closes connections to an engine that was removed, restarted or lost its address.
-	// With DialedBefore, later connections stay open: they are to the restarted process.
+	// CloseEngineConnections closes connections to an engine that was removed or restarted or whose address changed.
+	// If DialedBefore is not 0, connections dialed later stay open: they are to the restarted process.
 	CloseEngineConnections struct {
 		Engine       string
 		DialedBefore time.Duration
@@ -112,9 +112,9 @@
 
 // Effects for other brokers and operators.
 type (
-	// SendGossip sends load reports to another broker, by its index.
+	// SendGossip sends load reports to another broker.
 	SendGossip struct {
-		Broker  int
+		Broker  int // index of the other broker
 		Reports []control.GossipedLoad
 	}
 	// EngineEjected logs that the decision module ejected an engine.
@@ -122,14 +122,14 @@
 		Engine string
 		Reason outlier.Reason
 	}
-	// EngineRestored logs that an ejected engine gets attempts again.
+	// EngineRestored logs that an ejected engine receives attempts again.
 	EngineRestored struct{ Engine string }
-	// ResultInvalid logs that an attempt failed because of its result.
+	// ResultInvalid logs that an attempt failed because its result was invalid.
 	ResultInvalid struct {
 		Engine string
-		Err    error // one of those of package resultpages
+		Err    error // an error of package resultpages
 	}
-	// InvariantViolation logs that a rule would have been, or was, broken for a request.
+	// InvariantViolation logs that a rule was violated for a request, or that a violation was prevented.
 	InvariantViolation struct {
 		Rule      invariant.Rule
 		Session   Session
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -7,20 +7,21 @@
 	"wheatlane/internal/broker/endpointlist"
 )
 
-// EverListed reports whether an engine was ever in the endpoint list. Old ids may have been dropped.
+// EverListed reports whether an engine was ever in the endpoint list. It may return false for an engine removed long
+// ago, whose id was dropped.
 func (b *Broker) EverListed(id string) bool { return b.endpoints.EverListed(id) }
 
-// EndpointCount is the number of listed engines.
+// EndpointCount returns the number of listed engines.
 func (b *Broker) EndpointCount() int { return b.endpoints.Len() }
 
-// EnginesInMaintenance are the engines in maintenance mode, sorted.
+// EnginesInMaintenance returns the ids of the engines in maintenance mode, listed or not, sorted.
 func (b *Broker) EnginesInMaintenance() []string { return b.endpoints.EnginesInMaintenance() }
 
 // View fills view with the decision module's view of engines and classes.
 func (b *Broker) View(view *control.View) { b.module.View(view) }
 
-// UnavailableEngines is the number of listed engines that get no new attempts: they are in maintenance, not
-// in service, or ejected by the decision module.
+// UnavailableEngines returns the number of listed engines that receive no new attempts because they are in maintenance
+// mode, not ready, or ejected by the decision module.
 func (b *Broker) UnavailableEngines() int {
 	b.module.View(&b.view)
 	count := 0
@@ -33,7 +34,7 @@
 	return count
 }
 
-// applyChanges applies a page of the change log.
+// applyChanges applies a page of the change log, notifies the decision module and updates the connections to engines.
 func (b *Broker) applyChanges(now time.Duration, event EndpointChanges) {
 	updates, connections := b.endpoints.Apply(now, event.Page, event.WallOffset)
 	for _, update := range updates {
@@ -49,7 +50,7 @@
 	}
 }
 
-// restoreMaintenance sets the maintenance mode of engines that the previous process handed over.
+// restoreMaintenance starts the maintenance mode of the engines that the previous process handed over.
 func (b *Broker) restoreMaintenance(engines []string) {
 	for _, id := range engines {
 		if b.endpoints.RestoreMaintenance(id) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// maintenanceStarted notifies the decision module, and cancels the attempts that wait for a connection to the engine.
+// maintenanceStarted notifies the decision module, and cancels the unsent attempts for the engine.
 func (b *Broker) maintenanceStarted(id string) {
 	b.batch.add(control.SetMaintenance{Engine: id, Enabled: true})
 	if b.endpoints.Listed(id) {
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -8,43 +8,43 @@
 	"wheatlane/internal/changelog"
 )
 
-// Session is a client's connection, by the number that the client knows it by.
+// Session identifies a client's connection by its connection id in the front protocol.
 type Session uint32
 
-// AttemptID names one attempt of a request.
+// AttemptID identifies one attempt of a request.
 type AttemptID struct {
 	Request uint64
 	Number  int // from 0
 }
 
-// Request is a query that a client sends, with the fields of its statement.
+// Request is a query sent by a client, with the fields of its statement.
 type Request struct {
-	RequestID         string // the client's id for it
+	RequestID         string // assigned by the client
 	Class             string
 	Tenant            string
 	IdempotencyKey    string
 	OrderKey          string
-	DataSet           int           // the group of tables that it reads
+	DataSet           int           // number of the data set that it reads
 	EstimatedWork     time.Duration // the client's estimate, on one thread; 0: none
 	EstimatedMemoryMB float64       // the client's estimate; 0: none
-	SentAt            time.Duration // when the client sent it, by the best estimate
-	FirstOnConnection bool          // nothing came on its connection before
-	Timeout           time.Duration // how long the client waits from SentAt
+	SentAt            time.Duration // estimated time at which the client sent it
+	FirstOnConnection bool          // it is the first request on its connection
+	Timeout           time.Duration // the client's timeout, from SentAt
 	IsRetry           bool          // the client marked it as a retry
 	Body              string
 }
 
-// Event is something that happened. All events are declared in this file.
+// Event is an input of the reducer. All exported events are declared in this file.
 type Event interface{ event() }
 
 // Events of clients.
 type (
-	// SessionOpened reports that a client has connected. Nothing of it is read before the effect AdmitSession.
+	// SessionOpened reports that a client has connected. The connection is not read before the effect AdmitSession.
 	SessionOpened struct{ Session Session }
 	// SessionAuthenticated reports that a client has logged in and may send commands.
 	SessionAuthenticated struct{ Session Session }
-	// SubmitRequest is the command to run a request. WaitingSince is the earliest time at which it may have been sent,
-	// if that is earlier than Request.SentAt; 0: it is not. The client's timeout may run from there.
+	// SubmitRequest is the command to run a request. EarliestSentAt is the earliest time at which the request may have
+	// been sent, if before Request.SentAt, else 0. The client's timeout may have begun then.
 	SubmitRequest struct {
 		Session        Session
 		Request        Request
@@ -52,31 +52,30 @@
 	}
 	// Ping is the command to report whether the broker can serve.
 	Ping struct{ Session Session }
-	// Kill is the command to end the open and the queued requests of another session and, with
-	// CloseConnection, the session too. Requests that the session sends after SentAt are not affected.
+	// Kill is the command to end the open and queued requests of another session and, with CloseConnection, the session
+	// too. It does not affect requests that the session sends after SentAt.
 	Kill struct {
 		RequestedBy, Target Session
 		CloseConnection     bool
 		SentAt              time.Duration
 	}
-	// ImmediateReply is a command, valid or not, to which the front protocol alone determines the reply. The reply
-	// keeps the order of the session's commands. A session that is idle after it is the first to be evicted.
+	// ImmediateReply is a command, valid or not, whose reply the front protocol determines alone. The reply is sent in
+	// the order of the session's commands. A session that is idle after such a command is the first to be evicted.
 	ImmediateReply struct {
 		Session Session
 		Reply   Reply
 	}
 	// SessionClosed reports that a client's connection ended.
 	SessionClosed struct{ Session Session }
-	// SessionHalfClosed reports that a client has closed its sending direction. Such a client may have left or
-	// may still read: its requests are not run any further, but they are answered. Its connection is closed
-	// after that.
+	// SessionHalfClosed reports that a client has closed its sending direction. The client may have disconnected or may
+	// still read: its requests are stopped but answered, and the connection is closed afterwards.
 	SessionHalfClosed struct{ Session Session }
 )
 
 // Events of engines.
 type (
-	// FirstPageReceived reports that an attempt succeeded at its engine: the first page of the result, and the
-	// number of pages.
+	// FirstPageReceived reports that an engine has run an attempt, with the first page of the result and the number of
+	// pages.
 	FirstPageReceived struct {
 		Attempt   AttemptID
 		PageCount int
@@ -85,22 +84,21 @@
 		Report    loadreport.Report
 		Body      []byte
 	}
-	// PageReceived is a further page of a result.
+	// PageReceived reports another page of a result.
 	PageReceived struct {
 		Attempt AttemptID
 		Number  int // from 0
 		Body    []byte
 	}
-	// AttemptEnded reports that an attempt ended without a result. The status determines whether it may have
-	// run. With SharedCause, it ended with its connection, and the end of another attempt on that was
-	// reported before.
+	// AttemptEnded reports that an attempt ended without a result. The status determines whether it may have run. With
+	// SharedCause, it ended because its connection ended, and another attempt on that connection was reported before.
 	AttemptEnded struct {
 		Attempt     AttemptID
 		Status      control.Status
 		Report      loadreport.Report
 		SharedCause bool
 	}
-	// ProbeResult is the answer to a load probe, or its failure.
+	// ProbeResult reports the answer to a load probe, or its failure.
 	ProbeResult struct {
 		ProbeID uint64
 		Status  control.Status
@@ -110,32 +108,32 @@
 
 // Events of the fleet and of operators.
 type (
-	// GossipReceived holds load reports that another broker sent.
+	// GossipReceived holds load reports sent by another broker.
 	GossipReceived struct {
-		Broker  int // its index
+		Broker  int // index of the other broker
 		Reports []control.GossipedLoad
 	}
-	// EndpointChanges is a page of the change log. WallOffset is by how much the wall clock is ahead of the time
-	// that the reducer is given: 0 unless it was stepped.
+	// EndpointChanges is a page of the change log. WallOffset is the time by which the wall clock is ahead of the
+	// reducer's time; it is 0 unless the wall clock was stepped.
 	EndpointChanges struct {
 		Page       changelog.Page
 		WallOffset time.Duration
 	}
-	// StartMaintenance sets an engine's maintenance mode: no attempt starts there until EndMaintenance,
-	// whatever the change log reports of it meanwhile. It has no effect on an engine that was never listed.
+	// StartMaintenance starts an engine's maintenance mode: no attempt starts there until EndMaintenance, whatever the
+	// change log reports about the engine meanwhile. It has no effect on an engine that was never listed.
 	StartMaintenance struct{ Engine string }
 	// EndMaintenance ends an engine's maintenance mode.
 	EndMaintenance struct{ Engine string }
-	// RestoreMaintenance sets the maintenance mode of the engines that the previous process handed over,
-	// whether listed or not.
+	// RestoreMaintenance starts the maintenance mode of the engines that the previous process handed over, whether they
+	// are listed or not.
 	RestoreMaintenance struct{ Engines []string }
-	// UpdateSettings puts the classes and limits of reloaded settings in force. Requests under way keep the
-	// class that they were accepted with; later ones of a class that was removed are answered with ReplyInvalidFields.
+	// UpdateSettings applies the classes and limits of reloaded settings. Open requests keep the class that they were
+	// accepted with; later requests of a removed class are answered with ReplyInvalidFields.
 	UpdateSettings struct{ Settings control.Settings }
-	// Shutdown starts a graceful shutdown: after the given time, all open requests get a final answer.
+	// Shutdown starts a graceful shutdown. Requests that are still open after the grace period get a final answer.
 	Shutdown struct{ GracePeriod time.Duration }
-	// SendFinalAnswers reports that all sessions are about to be closed. Open requests get their final answer
-	// now, and later requests are rejected.
+	// SendFinalAnswers reports that all sessions are about to be closed. Open requests get a final answer now, and
+	// later requests are rejected.
 	SendFinalAnswers struct{}
 )
 
--- a/internal/broker/meter.go
+++ b/internal/broker/meter.go
@@ -7,15 +7,15 @@
 	"wheatlane/internal/invariant"
 )
 
-// Meter is notified of requests and attempts as they proceed, on the goroutine that owns the reducer. It must
-// not call the broker, and must copy strings that it keeps: they may be parts of a large statement.
+// Meter is notified of the progress of requests and attempts, on the goroutine that owns the reducer. It must not call
+// the broker, and must copy strings that it retains: they may be substrings of a large statement.
 type Meter interface {
 	// RequestAccepted is called when a request was accepted.
 	RequestAccepted(request *Request)
-	// RequestRejected is called for each reply other than ReplyResult, ReplyOK and ReplyFailed: a command got an
-	// error, or a request was rejected, before or after it was accepted.
+	// RequestRejected is called for each reply other than ReplyResult, ReplyOK and ReplyFailed: a command got an error,
+	// or a request was rejected before or after it was accepted.
 	RequestRejected(kind ReplyKind)
-	// AttemptStarted is called when an attempt of a request of a class is sent to an engine.
+	// AttemptStarted is called when an attempt is started for a request of the given class.
 	AttemptStarted(class string)
 	// RequestEnded is called when an accepted request was answered or abandoned.
 	RequestEnded(request RequestSummary)
@@ -23,7 +23,7 @@
 	AttemptEnded(attempt AttemptSummary)
 	// RequestEndCause is called with the cause of each RequestEnded.
 	RequestEndCause(cause EndCause)
-	// InvariantViolated is called when a rule would have been, or was, broken.
+	// InvariantViolated is called when a rule was violated or a violation was prevented.
 	InvariantViolated(rule invariant.Rule)
 }
 
@@ -32,18 +32,18 @@
 	Class, Tenant string
 	Kind          ReplyKind     // ReplyResult, ReplyRejected or ReplyFailed; ReplyInterrupted if Abandoned
 	Abandoned     bool          // its client disconnected or killed it
-	Duration      time.Duration // from when the client sent it
-	Objective     time.Duration // the latency objective for it; 0: none
-	QueueTime     time.Duration // from its acceptance to its first attempt, or to its end without one
-	Attempts      int
+	Duration      time.Duration // from the time at which the client sent it
+	Objective     time.Duration // latency objective of the request; 0: none
+	QueueTime     time.Duration // from acceptance to the first attempt, or to the end if there was none
+	Attempts      int           // number of attempts
 }
 
 // AttemptSummary describes an attempt that has ended.
 type AttemptSummary struct {
 	Class, Engine string
 	Status        control.Status
-	Duration      time.Duration // from its start
-	Wasted        bool          // it may have run, and no client got its answer
+	Duration      time.Duration // from the start of the attempt
+	Wasted        bool          // it may have run, but its result was not sent to a client
 }
 
 // NopMeter is a Meter that does nothing.
@@ -70,7 +70,7 @@
 // InvariantViolated does nothing.
 func (NopMeter) InvariantViolated(invariant.Rule) {}
 
-// SetMeter sets the meter that is notified from now on.
+// SetMeter sets the meter, which is notified of all later events.
 func (b *Broker) SetMeter(meter Meter) { b.meter = meter }
 
 // reportAnswered notifies the meter and the tracer that a request was answered.
@@ -93,7 +93,7 @@
 	b.trace(now, request, Transition{State: RequestEndedState, Cause: cause})
 }
 
-// summarize fills in all of a summary but the kind of end.
+// summarize returns the summary of a request, without Kind and Abandoned.
 func (b *Broker) summarize(now time.Duration, request *request) RequestSummary {
 	class := b.validator.classes[request.Class]
 	summary := RequestSummary{
@@ -105,7 +105,7 @@
 		Attempts:  len(request.attempts),
 	}
 	if class.LatencyObjective > 0 {
-		// As in the decision module, but with the client's estimate of the work.
+		// The same formula as in the decision module, but with the client's estimate of the work.
 		work := float64(request.EstimatedWork) / float64(max(1, class.Threads))
 		summary.Objective += time.Duration(class.ObjectivePerWork * work)
 	}
--- a/internal/broker/module.go
+++ b/internal/broker/module.go
@@ -8,16 +8,16 @@
 	"wheatlane/control"
 )
 
-// moduleBatch collects the events of the decision module until its next call.
+// moduleBatch collects the events for the next call of the decision module.
 type moduleBatch struct {
-	minInterval time.Duration // between two calls
+	minInterval time.Duration // minimum time between two calls
 	lastCallAt  time.Duration // of the last call
 	events      []control.Event
 }
 
 func (m *moduleBatch) add(event control.Event) { m.events = append(m.events, event) }
 
-// nextCallAt is the time of the next call; ok is false if there is nothing to hand over.
+// nextCallAt returns the time of the next call; ok is false if there are no events.
 func (m *moduleBatch) nextCallAt() (at time.Duration, ok bool) {
 	if len(m.events) == 0 {
 		return 0, false
@@ -30,8 +30,8 @@
 	return ok && now >= at
 }
 
-// flush returns the events of a call that happens now. Requests are put in the order in which they were sent:
-// those of one order key must run in that order, whichever connections they were read from.
+// flush returns the events for a call at now and removes them from the batch. It sorts requests by the time they were
+// sent: those of one order key must run in that order, whichever connections they were read from.
 func (m *moduleBatch) flush(now time.Duration) []control.Event {
 	events := m.events
 	m.lastCallAt, m.events = now, nil
@@ -39,31 +39,31 @@
 	return events
 }
 
-// requestWithSentTime is an event for the decision module that waits in a batch.
+// requestWithSentTime is a request in a batch, with the time by which it is sorted.
 type requestWithSentTime struct {
 	control.RequestReceived
 	sentAt time.Duration
 }
 
-// sortRequestsBySentTime sorts the requests among events by the time they were sent; other events keep their
-// places.
+// sortRequestsBySentTime sorts the requests among events by the time they were sent. The positions of other events do
+// not change.
 func sortRequestsBySentTime(events []control.Event) {
-	var places []int
+	var positions []int
 	var requests []requestWithSentTime
 	for i, event := range events {
 		if r, ok := event.(requestWithSentTime); ok {
-			places, requests = append(places, i), append(requests, r)
+			positions, requests = append(positions, i), append(requests, r)
 		}
 	}
 	slices.SortStableFunc(requests, func(a, b requestWithSentTime) int {
 		return cmp.Compare(a.sentAt, b.sentAt)
 	})
-	for i, place := range places {
-		events[place] = requests[i].RequestReceived
+	for i, position := range positions {
+		events[position] = requests[i].RequestReceived
 	}
 }
 
-// performAction carries out one action of the decision module.
+// performAction performs one action of the decision module.
 func (b *Broker) performAction(now time.Duration, action control.Action) {
 	switch action := action.(type) {
 	case control.SendAttempt:
@@ -95,6 +95,6 @@
 		b.emit(EngineEjected(action))
 	case control.EngineRestored:
 		b.emit(EngineRestored(action))
-	case control.WatchEndpoints: // changes come without being asked for
+	case control.WatchEndpoints: // changes arrive without a request
 	}
 }
--- a/internal/broker/probes.go
+++ b/internal/broker/probes.go
@@ -6,7 +6,6 @@
 	"wheatlane/control"
 )
 
-// loadProbeTimeout is the timeout of a load probe.
 const loadProbeTimeout = 250 * time.Millisecond
 
 // loadProbe is a load probe in flight.
@@ -15,6 +14,7 @@
 	sentAt time.Duration
 }
 
+// probeLoad sends a load probe to an engine. The probe of an unlisted engine fails immediately.
 func (b *Broker) probeLoad(now time.Duration, engine string) {
 	endpoint, listed := b.endpoints.Endpoint(engine)
 	if !listed {
@@ -27,7 +27,7 @@
 	b.timers.Set(now+loadProbeTimeout, probeTimedOut{id})
 }
 
-// probeEnded handles the result of a load probe, or its timeout; only the first of them counts.
+// probeEnded handles the result of a load probe, or its timeout. Only the first of them counts.
 func (b *Broker) probeEnded(now time.Duration, event ProbeResult) {
 	probe, ok := b.probes[event.ProbeID]
 	if !ok {
--- a/internal/broker/replies.go
+++ b/internal/broker/replies.go
@@ -17,7 +17,7 @@
 	tooManyQueuedText   = "too much was asked ahead of an answer"
 )
 
-// endCauseTexts are the texts of final answers, by their causes.
+// endCauseTexts holds the texts of final answers, indexed by EndCause.
 var endCauseTexts = [endCauseCount]string{
 	EndFinalAnswer:      shuttingDownText,
 	EndClientHalfClosed: halfClosedText,
@@ -25,7 +25,7 @@
 	EndQueuedRequestDue: noAnswerText,
 }
 
-// Errors of a request's fields. Their texts are those of the replies.
+// Errors of invalid request fields. Their texts are sent in the replies.
 var (
 	errUnknownClass          = errors.New("no such class")
 	errUnknownTenant         = errors.New("no such tenant")
@@ -34,7 +34,7 @@
 	errDuplicateRequestID    = errors.New("the id of the request is in use")
 )
 
-// reply answers a session. Every reply is counted as a rejection except a result, an OK and a failure.
+// reply sends a reply to a session and notifies the meter of any reply other than a result, an OK and a failure.
 func (b *Broker) reply(id Session, reply Reply) {
 	reply.Session = id
 	if reply.Kind != ReplyResult && reply.Kind != ReplyOK && reply.Kind != ReplyFailed {
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -15,15 +15,15 @@
 type request struct {
 	Request
 	id         uint64
-	moduleID   string // its id in the decision module
+	moduleID   string // id in the decision module
 	session    Session
 	acceptedAt time.Duration
-	deadline   time.Duration // of the final answer
+	deadline   time.Duration // deadline for sending the final answer
 	closed     bool          // it was answered or abandoned
-	grantMB    float64       // of its next attempt
-	priority   int           // of its attempts
-	class      control.Class // as it was when the request was accepted
-	attempts   []*attempt    // by their numbers
+	grantMB    float64       // memory grant of its next attempt
+	priority   int           // priority of its attempts
+	class      control.Class // as of the time when the request was accepted
+	attempts   []*attempt    // by attempt number
 }
 
 func (r *request) hasAttemptInFlight() bool {
@@ -34,8 +34,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// finalAnswer is the answer to a request that can't be finished: rejected where a retry is harmless, else
-// failed.
+// finalAnswer returns the answer to a request that cannot be completed: a rejection if a retry is safe, else a failure.
 func (r *request) finalAnswer(text string) Reply {
 	if r.class.Idempotency.AllowsRejection(r.mayHaveRun()) {
 		return Reply{Kind: ReplyRejected, Text: text}
@@ -46,16 +45,16 @@
 // requestTable holds the requests that are open or have an attempt in flight.
 type requestTable struct {
 	byID      map[uint64]*request
-	clientIDs map[string]bool // the clients' ids of the requests in byID
+	clientIDs map[string]bool // client-assigned ids of the requests in byID
 	lastID    uint64
-	open      int // requests whose clients wait for an answer
+	open      int // number of requests neither answered nor abandoned
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[uint64]*request{}, clientIDs: map[string]bool{}}
 }
 
-// add gives a request its ids and adds it as open.
+// add assigns a request its ids and adds it as open.
 func (t *requestTable) add(request *request) {
 	t.lastID++
 	request.id = t.lastID
@@ -65,7 +64,7 @@
 	t.open++
 }
 
-// byModuleID finds a request by its id in the decision module; nil if it is not in the table.
+// byModuleID returns the request with the given id in the decision module; nil if it is not in the table.
 func (t *requestTable) byModuleID(moduleID string) *request {
 	id, err := strconv.ParseUint(moduleID, 10, 64)
 	if err != nil {
@@ -74,7 +73,7 @@
 	return t.byID[id]
 }
 
-// attemptInFlight finds an attempt; nil if it is unknown or not in flight.
+// attemptInFlight returns the attempt with the given id; nil if it is unknown or not in flight.
 func (t *requestTable) attemptInFlight(id AttemptID) *attempt {
 	request := t.byID[id.Request]
 	if request == nil || id.Number >= len(request.attempts) || !request.attempts[id.Number].inFlight {
@@ -83,7 +82,7 @@
 	return request.attempts[id.Number]
 }
 
-// openRequests are the requests whose clients wait, in the order in which they were accepted.
+// openRequests returns the open requests in the order in which they were accepted.
 func (t *requestTable) openRequests() []*request {
 	open := make([]*request, 0, t.open)
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
@@ -102,10 +101,10 @@
 	}
 }
 
-// OpenRequests is the number of requests whose clients wait for an answer.
+// OpenRequests returns the number of requests whose clients wait for an answer.
 func (b *Broker) OpenRequests() int { return b.requests.open }
 
-// submit accepts a request or answers it at once.
+// submit accepts a request or answers it immediately.
 func (b *Broker) submit(now time.Duration, session *session, command SubmitRequest) {
 	request := command.Request
 	class, err := b.checkFields(request)
@@ -116,29 +115,29 @@
 	}
 	switch {
 	case request.SentAt < session.killedAt:
-		// The query and its KILL come on two connections, and the KILL may be read first.
+		// The query and its KILL arrive on two connections, and the KILL may be read first.
 		b.reply(session.id, Reply{Kind: ReplyInterrupted, Text: queryKilledText})
 	case b.shutdown.finalAnswersSent:
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: shuttingDownText})
 	case request.Timeout <= clientdeadline.TransitReserve && request.Timeout < class.LatencyObjective:
-		// There is too little time left to run it, and only an immediate answer arrives before the client gives up.
+		// There is not enough time left to run the request, and only an immediate answer reaches the client in time.
 		b.reply(session.id, Reply{Kind: ReplyRejected, Text: noTimeLeftText})
 	default:
 		b.accept(now, session, class, command)
 	}
 }
 
-// checkFields returns the class of a request, or the error of a field that can't be used.
+// checkFields returns the class of a request, or an error if a field is invalid.
 func (b *Broker) checkFields(request Request) (control.Class, error) {
 	class, err := b.validator.check(request)
 	if err == nil && b.requests.clientIDs[request.RequestID] {
-		// Engines know a request by this id alone, so that its answer could be taken for that of the other request.
+		// Engines identify a request by this id alone, so its answer could be mistaken for that of the other request.
 		err = errDuplicateRequestID
 	}
 	return class, err
 }
 
-// sendTimes is what is known of when the client sent a request.
+// sendTimes returns the request's times from which its deadline is computed.
 func (c SubmitRequest) sendTimes() clientdeadline.Request {
 	return clientdeadline.Request{
 		SentAt:            c.Request.SentAt,
@@ -149,7 +148,7 @@
 	}
 }
 
-// accept opens a request and hands it to the decision module.
+// accept opens a request and adds it to the next batch of the decision module.
 func (b *Broker) accept(now time.Duration, session *session, class control.Class, command SubmitRequest) {
 	request := &request{
 		Request:    command.Request,
@@ -176,7 +175,7 @@
 	b.batch.add(requestWithSentTime{received, request.SentAt})
 }
 
-// answer closes a request with its one final answer; it does nothing if the request is closed.
+// answer closes a request with its only answer. It does nothing if the request is closed.
 func (b *Broker) answer(now time.Duration, request *request, reply Reply, cause EndCause) {
 	if request.closed {
 		return
@@ -190,7 +189,7 @@
 	}
 }
 
-// abandon closes a request without an answer, as its client has left or killed it.
+// abandon closes a request without a final answer, because its client disconnected or the request was killed.
 func (b *Broker) abandon(now time.Duration, request *request, cause EndCause) {
 	if request.closed {
 		return
@@ -203,12 +202,12 @@
 // closeRequest closes an open request.
 func (b *Broker) closeRequest(request *request) {
 	request.closed = true
-	request.Body = "" // timers refer to the request until its deadline, and bodies may be large
+	request.Body = "" // timers reference the request until its deadline, and bodies may be large
 	b.requests.open--
 	for _, attempt := range request.attempts {
 		if attempt.awaitsFirstPage() {
-			// It may still wait for a connection or in a write buffer, and the decision module may not be
-			// allowed to cancel it.
+			// The attempt may still wait for a connection or in a write buffer, and the settings may not allow the
+			// decision module to cancel it.
 			b.emit(CancelIfUnsent{attempt.id})
 		}
 	}
--- a/internal/broker/results.go
+++ b/internal/broker/results.go
@@ -8,10 +8,10 @@
 	"wheatlane/internal/broker/resultpages"
 )
 
-// pageTimeout is the longest time between two pages of a result.
+// pageTimeout is the maximum time between two pages of a result.
 const pageTimeout = 500 * time.Millisecond
 
-// result is the part of an attempt's result that was received.
+// result is the received part of an attempt's result.
 type result struct {
 	pages    *resultpages.Assembler
 	work     time.Duration
@@ -19,7 +19,7 @@
 	report   loadreport.Report
 }
 
-// newResult returns a result with its first page.
+// newResult returns a result with its first page, or an error if the page is invalid.
 func newResult(served FirstPageReceived) (*result, error) {
 	pages, err := resultpages.New(served.PageCount, served.Body)
 	if err != nil {
@@ -28,9 +28,9 @@
 	return &result{pages: pages, work: served.Work, memoryMB: served.MemoryMB, report: served.Report}, nil
 }
 
-// attemptServed handles the first page of a result. The attempt succeeds only with the last page: if the
-// engine dies between two pages, the request is retried.
-func (b *Broker) attemptServed(now time.Duration, event FirstPageReceived) {
+// firstPageReceived handles the first page of a result. The attempt succeeds only with the last page: if the engine
+// fails between two pages, the request is retried.
+func (b *Broker) firstPageReceived(now time.Duration, event FirstPageReceived) {
 	attempt := b.requests.attemptInFlight(event.Attempt)
 	if attempt == nil || !attempt.awaitsFirstPage() {
 		return
@@ -51,7 +51,7 @@
 	b.timers.Set(now+pageTimeout, pageTimedOut{attempt, first.pages.Missing()})
 }
 
-// pageReceived handles a further page of a result.
+// pageReceived handles another page of a result.
 func (b *Broker) pageReceived(now time.Duration, event PageReceived) {
 	attempt := b.requests.attemptInFlight(event.Attempt)
 	if attempt == nil || attempt.cancelled() || attempt.result == nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkPageTimeout discards a result if no page was received within pageTimeout: missing is the number of pages that were
-// missing then.
+// checkPageTimeout discards a result if no page was received within pageTimeout; missing is the number of missing pages
+// when the timer was set.
 func (b *Broker) checkPageTimeout(now time.Duration, attempt *attempt, missing int) {
 	switch {
 	case !attempt.inFlight || attempt.cancelled():
@@ -78,7 +78,7 @@
 	}
 }
 
-// discardResult fails an attempt because of its result.
+// discardResult fails an attempt because its result is invalid or incomplete.
 func (b *Broker) discardResult(now time.Duration, attempt *attempt, err error) {
 	b.emit(ResultInvalid{attempt.engine, err})
 	b.emit(ReleaseAttempt{Attempt: attempt.id, PagesLeft: true})
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -9,21 +9,21 @@
 // session is a client's connection.
 type session struct {
 	id             Session
-	openRequest    *request      // the one that it awaits the answer to; nil: none
-	queuedCommands []command     // read since openRequest
-	queuedRequests int           // the SubmitRequests in queuedCommands
-	killedAt       time.Duration // requests sent before it are killed
+	openRequest    *request      // the request that it waits for; nil: none
+	queuedCommands []command     // read after openRequest, not yet executed
+	queuedRequests int           // number of SubmitRequests in queuedCommands
+	killedAt       time.Duration // requests sent before this time are killed
 
 	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
 
-	evictionEntry eviction.Entry // busy while the session waits for an answer
+	evictionEntry eviction.Entry // busy while the session has an open request
 }
 
-// sessionTable holds the clients' sessions and the order in which they are evicted when their limit is reached.
+// sessionTable holds the clients' sessions and the order in which they are evicted when the session limit is reached.
 type sessionTable struct {
 	max  int
 	byID map[Session]*session
-	// closedByBroker are the sessions that were closed from this side and whose connections have not ended yet.
+	// closedByBroker holds the sessions that the broker has closed and whose connections have not ended yet.
 	closedByBroker map[Session]bool
 	evictionOrder  eviction.Order[*session]
 }
@@ -44,20 +44,20 @@
 	delete(t.byID, session.id)
 }
 
-// markIdle makes a session the last of the idle ones to evict.
+// markIdle makes a session the last of the idle sessions to evict.
 func (t *sessionTable) markIdle(now time.Duration, session *session) {
 	t.evictionOrder.MarkIdle(now, &session.evictionEntry, session)
 }
 
-// markFirstToEvict makes a session the first of the idle ones to evict.
+// markFirstToEvict makes a session the first of the idle sessions to evict.
 func (t *sessionTable) markFirstToEvict(now time.Duration, session *session) {
 	t.evictionOrder.MarkFirst(now, &session.evictionEntry, session)
 }
 
-// markBusy keeps a session from being evicted.
+// markBusy removes a session from the eviction order.
 func (s *session) markBusy() { s.evictionEntry.MarkBusy() }
 
-// evictionCandidate is the session to evict; nil if all are busy.
+// evictionCandidate returns the session to evict; nil if all are busy.
 func (t *sessionTable) evictionCandidate(now time.Duration) *session {
 	candidate, ok := t.evictionOrder.Candidate(now, func(s *session) *eviction.Entry { return &s.evictionEntry })
 	if !ok {
@@ -66,10 +66,10 @@
 	return candidate
 }
 
-// SessionCount is the number of clients that are connected.
+// SessionCount returns the number of open sessions.
 func (b *Broker) SessionCount() int { return len(b.sessions.byID) }
 
-// openSession admits a client, or rejects it if the limit of sessions is reached and none can be evicted.
+// openSession admits a client, or rejects it if the session limit is reached and no session can be evicted.
 func (b *Broker) openSession(now time.Duration, id Session) {
 	if len(b.sessions.byID) >= b.sessions.max {
 		evicted := b.sessions.evictionCandidate(now)
@@ -85,7 +85,7 @@
 	b.emit(AdmitSession{id})
 }
 
-// closeSession closes a client's connection from this side.
+// closeSession closes a client's connection and records that the broker closed it.
 func (b *Broker) closeSession(id Session, reason CloseReason) {
 	b.sessions.closedByBroker[id] = true
 	b.emit(CloseSession{id, reason})
@@ -97,7 +97,7 @@
 	}
 }
 
-// endSession removes a session and abandons the request that it waits for, for a cause.
+// endSession removes a session and abandons its open request with the given cause.
 func (b *Broker) endSession(now time.Duration, id Session, cause EndCause) {
 	session := b.sessions.byID[id]
 	if session == nil {
@@ -109,7 +109,8 @@
 	b.sessions.remove(session)
 }
 
-// halfCloseSession ends a session whose client may still read: its open and its queued requests are answered.
+// halfCloseSession answers the open request and the queued commands of a session whose client may still read, and ends
+// the session.
 func (b *Broker) halfCloseSession(now time.Duration, id Session) {
 	session := b.sessions.byID[id]
 	if session == nil {
--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -6,7 +6,7 @@
 	"wheatlane/control"
 )
 
-// timerEvent is what happens when a timer expires. All are declared in this file.
+// timerEvent is an event handled when a timer expires. All timer events are declared in this file.
 type timerEvent interface {
 	expire(b *Broker, now time.Duration)
 }
@@ -16,24 +16,24 @@
 	moduleTimer struct{ token uint64 }
 	// attemptTimedOut is the timeout of an attempt.
 	attemptTimedOut struct{ attempt *attempt }
-	// attemptSettled is the end of an attempt after settleDelay (see mustSettle).
+	// attemptSettled ends an attempt after settleDelay (see mustSettle).
 	attemptSettled struct {
 		attempt *attempt
 		end     control.AttemptEnded
 	}
-	// pageTimedOut is the timeout of the next page of a result; missing is the number of missing pages as it was set.
+	// pageTimedOut is the timeout of the next page of a result; missing is the number of missing pages when it was set.
 	pageTimedOut struct {
 		attempt *attempt
 		missing int
 	}
 	// probeTimedOut is the timeout of a load probe.
 	probeTimedOut struct{ probeID uint64 }
-	// queuedRequestDue is the deadline of a request that was queued behind the open one of its session.
+	// queuedRequestDue is the deadline of a request queued behind the open request of its session.
 	queuedRequestDue struct {
 		session   *session
 		requestID string
 	}
-	// shutdownTimedOut is the end of a graceful shutdown, when open requests get their final answers.
+	// shutdownTimedOut is the end of the grace period of a shutdown, when open requests get their final answers.
 	shutdownTimedOut struct{}
 )
 
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -6,24 +6,24 @@
 	"wheatlane/control"
 )
 
-// EndCause is why a request ended.
+// EndCause is the cause of a request's end.
 type EndCause int
 
-// The causes.
+// The causes of a request's end.
 const (
 	EndServed           EndCause = iota // a complete result was sent
-	EndModuleRejected                   // the decision module rejected it
-	EndModuleFailed                     // the decision module failed it: it may have run
-	EndFinalAnswer                      // the broker shut down before it was finished
-	EndKilled                           // a client killed it
-	EndClientClosed                     // its client's connection ended
-	EndClientHalfClosed                 // its client closed its sending direction
-	EndQueueOverflow                    // its client sent too many commands ahead of the answer
-	EndQueuedRequestDue                 // the time of a request queued behind it was over
+	EndModuleRejected                   // the decision module rejected the request
+	EndModuleFailed                     // the decision module failed the request, which may have run
+	EndFinalAnswer                      // the broker shut down before the request was completed
+	EndKilled                           // a client killed the request
+	EndClientClosed                     // the client's connection ended
+	EndClientHalfClosed                 // the client closed its sending direction
+	EndQueueOverflow                    // the client sent too many commands before the answer
+	EndQueuedRequestDue                 // the deadline of a request queued behind it was reached
 	endCauseCount
 )
 
-// EndCauseNames are the names of the causes in logs and figures, by their numbers.
+// EndCauseNames holds the name of each cause in logs and metrics, indexed by EndCause.
 var EndCauseNames = [endCauseCount]string{
 	EndServed:           "served",
 	EndModuleRejected:   "module_rejected",
@@ -39,25 +39,25 @@
 // String returns the name of the cause.
 func (c EndCause) String() string { return EndCauseNames[c] }
 
-// Transition is a change of the state of a request or of one of its attempts.
+// Transition is a state change of a request or of one of its attempts.
 type Transition struct {
 	State     TransitionState
-	Request   uint64 // the broker's number of it
-	RequestID string // the client's id for it
+	Request   uint64 // number assigned by the broker
+	RequestID string // assigned by the client
 	Session   Session
 	Class     string
-	Since     time.Duration // since the request was accepted
+	Since     time.Duration // time since the request was accepted
 
-	Cause   EndCause       // of RequestEnded
-	Attempt int            // of AttemptStarted and AttemptEnded
-	Engine  string         // of these
-	Status  control.Status // of AttemptEnded
+	Cause   EndCause       // set with RequestEndedState
+	Attempt int            // attempt number, set with AttemptStartedState and AttemptEndedState
+	Engine  string         // set with AttemptStartedState and AttemptEndedState
+	Status  control.Status // set with AttemptEndedState
 }
 
-// TransitionState is the state that a transition leads to.
+// TransitionState is the state after a transition.
 type TransitionState string
 
-// The states.
+// The states after a transition.
 const (
 	RequestAcceptedState TransitionState = "request accepted"
 	RequestEndedState    TransitionState = "request ended"
@@ -68,7 +68,7 @@
 // Tracer is notified of each transition, on the goroutine that owns the reducer. It must not call the broker.
 type Tracer func(Transition)
 
-// SetTracer sets the tracer that is notified from now on; nil for none.
+// SetTracer sets the tracer, which is notified of all later transitions; nil disables tracing.
 func (b *Broker) SetTracer(t Tracer) { b.tracer = t }
 
 // trace notifies the tracer of a transition of a request.
--- a/internal/broker/validation.go
+++ b/internal/broker/validation.go
@@ -7,16 +7,16 @@
 	"wheatlane/control/idempotency"
 )
 
-// timeoutSlack is the time by which a request's timeout may exceed the timeout of its class.
+// timeoutSlack is the time by which a request's timeout may exceed the client timeout of its class.
 const timeoutSlack = time.Second
 
 // requestValidator checks the fields of requests before they are accepted.
 type requestValidator struct {
 	classes map[string]control.Class
-	// longestTimeouts holds the longest timeout that each class ever had. For a while after a reload, clients
-	// still send requests with the timeouts from before it; these are accepted.
+	// longestTimeouts holds the longest timeout that each class has had, by class name: for a while after a reload,
+	// clients still send requests with the previous timeouts, which are accepted.
 	longestTimeouts map[string]time.Duration
-	tenants         map[string]bool // empty: any tenant
+	tenants         map[string]bool // empty: any tenant is valid
 }
 
 func newRequestValidator(settings control.Settings) *requestValidator {
@@ -32,7 +32,7 @@
 	return validator
 }
 
-// setClasses puts classes in force in place of those before.
+// setClasses replaces the classes.
 func (v *requestValidator) setClasses(classes []control.Class) {
 	clear(v.classes)
 	for _, class := range classes {
@@ -41,7 +41,7 @@
 	}
 }
 
-// check returns the class of a request, or the error of a field that can't be used.
+// check returns the class of a request, or an error if a field is invalid.
 func (v *requestValidator) check(request Request) (control.Class, error) {
 	class, known := v.classes[request.Class]
 	switch {
@@ -52,13 +52,13 @@
 	case class.ClientTimeout > 0 && request.Timeout > v.longestTimeouts[request.Class]+timeoutSlack:
 		return class, errTimeoutTooLong
 	case class.Idempotency.Kind == idempotency.WithKey && request.IdempotencyKey == "":
-		// Without the key an engine could not drop a repeat, and the request could take effect twice.
+		// Without the key, an engine could not deduplicate attempts, and the request could take effect twice.
 		return class, errMissingIdempotencyKey
 	}
 	return class, nil
 }
 
-// updateSettings puts reloaded classes and limits in force.
+// updateSettings applies reloaded classes and limits.
 func (b *Broker) updateSettings(settings control.Settings) {
 	b.validator.setClasses(settings.Classes)
 	b.module.UpdateClasses(settings.Classes, settings.Limits)
