--- a/internal/broker/attempts_test.go
+++ b/internal/broker/attempts_test.go
@@ -39,7 +39,7 @@
 
 // Whatever closes a request while an attempt of it is in flight, the part that was not sent is withdrawn at
 // once, ahead of the module's next batch and also where the module may not cancel.
-func TestClosedRequestIsWithdrawn(t *testing.T) {
+func TestUnsentAttemptOfClosedRequestIsCancelled(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"killed":        func(h *harness) { h.apply(Kill{RequestedBy: 2, Target: 1}) },
 		"client left":   func(h *harness) { h.apply(SessionClosed{1}) },
@@ -69,7 +69,7 @@
 
 // Where hedging is forbidden, the next attempt of a request starts only once the cancel of the one before, or
 // the end of its connection, has certainly reached its engine.
-func TestNextAttemptWaitsForTheCancelOfThePrevious(t *testing.T) {
+func TestNextAttemptWaitsForCancelOfPrevious(t *testing.T) {
 	for name, c := range map[string]struct {
 		hedging bool
 		status  control.Status
@@ -102,7 +102,7 @@
 
 // An attempt has ended and a retry is due. Events at that moment prevent it: a client that leaves, engines
 // that drain, the final answers.
-func TestEventsThatCrossARetry(t *testing.T) {
+func TestEventsRacingWithRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		event    Event
 		attempts int
@@ -138,7 +138,7 @@
 
 // The guard of attempts prevents what the decision module must not ask for, and reports a repeat that could run a
 // request twice.
-func TestGuardOfAttempts(t *testing.T) {
+func TestInvariantsPreventAttempts(t *testing.T) {
 	end := func(h *harness, status control.Status) { // the decision module is not notified yet
 		ended := AttemptEnded{Attempt: h.onlyAttempt(), Status: status}
 		h.effects = append(h.effects, h.broker.Apply(h.now, ended)...)
--- a/internal/broker/behavior_test.go
+++ b/internal/broker/behavior_test.go
@@ -16,17 +16,17 @@
 	"wheatlane/internal/loadfields"
 )
 
-// behaviors are the deployments for which the behaviour of the reducer, with the real decision module behind
-// it, is pinned by a hash: of its effects, the calls of its meter and the answers of its query methods, over
-// seeded random sequences of events. The encoding holds no names of types or fields (see recorder). Of a log
-// line only its kind counts. Effects are compared in the order in which they were returned; none depends on
-// the order of a map.
-var behaviors = []struct {
+// behaviorTests holds the deployments for which the behavior of the reducer, together with the decision module, is
+// compared with a recorded hash. The hash covers the effects, the meter calls and the results of the query methods over
+// seeded random sequences of events. The encoding contains no names of types or fields (see recorder), and of effects
+// that only log, just the kind. Effects are hashed in the order in which they are returned, which does not depend on
+// map iteration.
+var behaviorTests = []struct {
 	name     string
 	settings func(t *testing.T) deployment
-	sessions int // that the broker allows; more clients connect
+	sessions int // session limit of the broker; more clients connect
 	engines  int
-	want     string // sha256
+	want     string // SHA-256
 }{
 	{
 		"ledger", fromFile("ledger.json"), 24, 7,
@@ -51,10 +51,11 @@
 	behaviorSteps = 6000
 )
 
+// A change to the reducer that is meant to preserve its behavior must leave all effects and metrics as recorded.
 func TestBehaviorIsUnchanged(t *testing.T) {
 	t.Parallel()
 	seen := map[string]int{}
-	for _, c := range behaviors {
+	for _, c := range behaviorTests {
 		t.Run(c.name, func(t *testing.T) {
 			sum := sha256.New()
 			for seed := range uint64(behaviorSeeds) {
@@ -69,12 +70,11 @@
 			}
 		})
 	}
-	expectAllKinds(t, seen)
+	expectAllKindsSeen(t, seen)
 }
 
-// expectAllKinds fails if a kind of effect, reply or close never came: a hash does not cover what never
-// happened.
-func expectAllKinds(t *testing.T, seen map[string]int) {
+// expectAllKindsSeen fails if a kind of effect, reply or close never occurred, as the hash would not cover it.
+func expectAllKindsSeen(t *testing.T, seen map[string]int) {
 	t.Helper()
 	t.Logf("counts: %v", seen)
 	kinds := make([]string, 0, len(seen))
@@ -89,7 +89,7 @@
 	}
 	for _, kind := range kinds {
 		if seen[kind] == 0 {
-			t.Errorf("%s never came", kind)
+			t.Errorf("%s never occurred", kind)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	loadReport loadfields.Layout
 }
 
-// fromFile reads the settings object of a deployment from testdata, as a broker does.
+// fromFile returns a function that reads the settings of a deployment from testdata, in the same way as a broker.
 func fromFile(name string) func(t *testing.T) deployment {
 	return func(t *testing.T) deployment {
 		t.Helper()
@@ -116,7 +116,7 @@
 	}
 }
 
-// smallDeployment is one broker with two small engines, where nearly everything is allowed.
+// smallDeployment returns a single broker with small engines and most features enabled.
 func smallDeployment(*testing.T) deployment {
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 2 * ms,
@@ -159,8 +159,8 @@
 	return deployment{settings, loadfields.Layout{"util", "queue"}}
 }
 
-// largeDeployment is one of sixty brokers with many engines of two kinds in three zones and six tenants,
-// where attempts can't be cancelled.
+// largeDeployment returns one of sixty brokers with engines of two kinds in three zones, six tenants and cancellation
+// disabled.
 func largeDeployment(*testing.T) deployment {
 	const tenants = 6
 	settings := control.Settings{
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/changelog"
 )
 
-// BenchmarkRequest measures the reducer with the decision module behind it, a request a time from its
-// submission to its answer, in a closed loop of clients and engines that always answer after the same time.
+// BenchmarkRequest measures the reducer and the decision module. Each iteration submits one request, in a closed loop
+// of clients and of engines with a constant service time.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ clients, engines int }{{16, 4}, {256, 64}} {
 		b.Run(fmt.Sprintf("clients=%d,engines=%d", c.clients, c.engines), func(b *testing.B) {
@@ -26,17 +26,17 @@
 }
 
 const (
-	loopArrivalsPerEngine = 200 // a second
+	loopArrivalsPerEngine = 200 // per second
 	loopServiceTime       = 15 * time.Millisecond
 )
 
-// closedLoop is a broker with clients that submit their next request once the last one is answered.
+// closedLoop drives a broker with clients that submit their next request once the previous one is answered.
 type closedLoop struct {
 	broker    *Broker
 	now       time.Duration
-	gap       time.Duration    // between two requests
-	idle      []Session        // their clients wait for no answer
-	running   []runningAttempt // by the time at which they are answered
+	gap       time.Duration    // time between two requests
+	idle      []Session        // without an open request
+	running   []runningAttempt // ordered by doneAt
 	submitted int
 	answers   map[ReplyKind]int
 }
@@ -64,17 +64,17 @@
 	for n := range endpoints {
 		endpoints[n] = endpoint(fmt.Sprint("engine-", n), fmt.Sprint("10.0.0.1:", n), control.Ready)
 	}
-	l.react(reducer.Apply(l.now, snapshot(1, endpoints...)))
+	l.handleEffects(reducer.Apply(l.now, snapshot(1, endpoints...)))
 	for n := range clients {
 		id := Session(n + 1)
-		l.react(reducer.Apply(l.now, SessionOpened{id}))
-		l.react(reducer.Apply(l.now, SessionAuthenticated{id}))
+		l.handleEffects(reducer.Apply(l.now, SessionOpened{id}))
+		l.handleEffects(reducer.Apply(l.now, SessionAuthenticated{id}))
 		l.idle = append(l.idle, id)
 	}
 	return l
 }
 
-// request submits one request, as soon as a client is idle.
+// request submits one request as soon as a client is idle.
 func (l *closedLoop) request() {
 	l.step()
 	for len(l.idle) == 0 {
@@ -83,33 +83,33 @@
 	client := l.idle[0]
 	l.idle = l.idle[1:]
 	l.submitted++
-	l.react(l.broker.Apply(l.now, SubmitRequest{Session: client, Request: Request{
+	l.handleEffects(l.broker.Apply(l.now, SubmitRequest{Session: client, Request: Request{
 		RequestID: fmt.Sprint(l.submitted), Class: "lookup", SentAt: l.now,
 		Timeout: 2 * time.Second, EstimatedWork: loopServiceTime, Body: "SELECT 1",
 	}}))
 }
 
-// step lets time pass by a gap, answers the attempts that are done and ticks the broker.
+// step advances the time by gap, answers the attempts that are done and calls Tick.
 func (l *closedLoop) step() {
 	l.now += l.gap
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
 		id := l.running[0].id
 		l.running = l.running[1:]
-		l.react(l.broker.Apply(l.now, FirstPageReceived{
+		l.handleEffects(l.broker.Apply(l.now, FirstPageReceived{
 			Attempt: id, PageCount: 1, Work: loopServiceTime, Report: loadreport.Report{Reported: true, Utilization: 0.5},
 			Body: []byte("1\t2\t3\n"),
 		}))
 	}
-	l.react(l.broker.Tick(l.now))
+	l.handleEffects(l.broker.Tick(l.now))
 }
 
-func (l *closedLoop) react(effects []Effect) {
+func (l *closedLoop) handleEffects(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case StartAttempt:
 			l.running = append(l.running, runningAttempt{e.Attempt, l.now + loopServiceTime})
 		case CancelAttempt:
-			l.react(l.broker.Apply(l.now, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled}))
+			l.handleEffects(l.broker.Apply(l.now, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled}))
 		case Reply:
 			l.answers[e.Kind]++
 			l.idle = append(l.idle, e.Session)
--- a/internal/broker/commands_test.go
+++ b/internal/broker/commands_test.go
@@ -37,7 +37,7 @@
 
 // Of many requests that come at once on a session some run, one after the other, and the others are rejected in
 // their turn, without being kept.
-func TestRequestsBeyondTheQueueAreRejectedInTheirTurn(t *testing.T) {
+func TestRequestsBeyondQueueLimitAreRejectedInOrder(t *testing.T) {
 	h := newHarness(t, engine1())
 	for n := range maxQueuedRequests + 4 {
 		h.apply(pipelined(h, n, time.Second))
@@ -77,7 +77,7 @@
 
 // A request that waits behind another one of its session is answered in its time, also if that has more time: the
 // other one gets its final answer then.
-func TestQueuedRequestIsAnsweredInItsTime(t *testing.T) {
+func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	h := newHarness(t, engine1())
 	const short = 300 * ms
 	h.apply(pipelined(h, 0, time.Minute))
@@ -94,7 +94,7 @@
 }
 
 // What was read on a session before its close from this side is answered: rejected, and never started.
-func TestRequestReadBeforeACloseIsAnswered(t *testing.T) {
+func TestCommandsReadBeforeCloseAreAnswered(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(Kill{RequestedBy: 2, Target: 1, CloseConnection: true, SentAt: h.now})
 	h.apply(pipelined(h, 0, time.Second), Ping{1})
@@ -179,7 +179,7 @@
 // A request may be answered in the batch that also starts an attempt of another one, and a KILL of that other
 // be queued behind the answer. Whenever they meet, the module is notified of the end of each attempt: one
 // without an end would take up its engine's concurrency limit for ever.
-func TestQueuedKillOfARequestStartedInTheSameBatch(t *testing.T) {
+func TestQueuedKillOfRequestStartedInSameBatch(t *testing.T) {
 	for offset := range 40 {
 		t.Run(fmt.Sprint(offset, " ms"), func(t *testing.T) {
 			h := newHarness(t, engine1())
@@ -204,7 +204,7 @@
 }
 
 // What is kept of a request that will be rejected in its turn does not hold its statement, which may be large.
-func TestRejectedRequestsHoldNoStatement(t *testing.T) {
+func TestRejectedRequestsDoNotRetainStatements(t *testing.T) {
 	const statementBytes, requests = 64 << 10, 900
 	h := newHarness(t, engine1())
 	h.apply(pipelined(h, 0, time.Minute))
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -23,10 +23,11 @@
 	addr2 = "127.0.0.1:2"
 )
 
-// row is a page of one row.
+// row is a result page with one row.
 var row = []byte("a\tb\tc\n")
 
-// testSettings allow one broker nearly everything. "lookup" is idempotent, "load" is ordered and needs a key.
+// testSettings returns settings of a single broker with most features enabled. The class "lookup" is idempotent; "load"
+// is ordered and requires an idempotency key.
 func testSettings() control.Settings {
 	return control.Settings{
 		Brokers: 1, MinBatchInterval: 5 * ms,
@@ -49,24 +50,24 @@
 	return changelog.Endpoint{Engine: control.Engine{ID: id, Kind: "std", State: state}, Addr: addr}
 }
 
-// engine1 and engine2 are two engines in service.
+// engine1 and engine2 return two engines in service.
 func engine1() changelog.Endpoint { return endpoint("e1", addr1, control.Ready) }
 func engine2() changelog.Endpoint { return endpoint("e2", addr2, control.Ready) }
 
-// delta is a page of the change log with one change.
+// delta returns a page of the change log with one change.
 func delta(revision int64, endpoints ...changelog.Endpoint) EndpointChanges {
 	change := changelog.Change{Revision: revision, Endpoints: endpoints}
 	return EndpointChanges{Page: changelog.Page{Revision: revision, Changes: []changelog.Change{change}}}
 }
 
-// snapshot is a page of the change log with a complete endpoint list.
+// snapshot returns a page of the change log with a complete endpoint list.
 func snapshot(revision int64, endpoints ...changelog.Endpoint) EndpointChanges {
 	changes := delta(revision, endpoints...)
 	changes.Page.Changes[0].Snapshot = true
 	return changes
 }
 
-// harness drives a broker through time and keeps its effects. Sessions 1 to 5 are open.
+// harness drives a broker with simulated time and collects its effects. Sessions 1 to 5 are open.
 type harness struct {
 	t       *testing.T
 	broker  *Broker
@@ -97,7 +98,7 @@
 	return h
 }
 
-// apply applies events and ticks. It returns the effects of that.
+// apply applies events, calls Tick and returns the effects of both.
 func (h *harness) apply(events ...Event) []Effect {
 	from := len(h.effects)
 	for _, event := range events {
@@ -107,7 +108,7 @@
 	return h.effects[from:]
 }
 
-// run lets time pass in steps of a millisecond. It returns the effects of that.
+// run advances the time in steps of 1 ms, calls Tick at each step and returns the effects.
 func (h *harness) run(d time.Duration) []Effect {
 	from := len(h.effects)
 	for end := h.now + d; h.now < end; {
@@ -117,7 +118,7 @@
 	return h.effects[from:]
 }
 
-// submit applies a request whose id is its session's number.
+// submit applies a request whose id is derived from its session.
 func (h *harness) submit(s Session, class, orderKey string, timeout time.Duration) []Effect {
 	return h.apply(SubmitRequest{Session: s, Request: Request{
 		RequestID: requestID(s), Class: class, OrderKey: orderKey, IdempotencyKey: "op", SentAt: h.now,
@@ -127,10 +128,10 @@
 
 func requestID(s Session) string { return fmt.Sprintf("%016x", s) }
 
-// started are the attempts so far.
+// started returns all attempts started so far.
 func (h *harness) started() []StartAttempt { return effectsOf[StartAttempt](h.effects) }
 
-// onlyAttempt is the one attempt so far.
+// onlyAttempt returns the only attempt started so far. It fails the test if there is not exactly one.
 func (h *harness) onlyAttempt() AttemptID {
 	h.t.Helper()
 	started := h.started()
@@ -140,7 +141,7 @@
 	return started[0].Attempt
 }
 
-// expectReplies compares the kinds of all replies so far.
+// expectReplies fails the test if the replies so far are not of the given kinds, in order.
 func (h *harness) expectReplies(kinds ...ReplyKind) {
 	h.t.Helper()
 	replies := effectsOf[Reply](h.effects)
@@ -153,12 +154,12 @@
 	}
 }
 
-// lastModuleEvent is the event that the decision module gets last in its next batch.
+// lastModuleEvent returns the last event in the decision module's next batch.
 func (h *harness) lastModuleEvent() control.Event {
 	return h.broker.batch.events[len(h.broker.batch.events)-1]
 }
 
-// effectsOf are the effects of one type.
+// effectsOf returns the effects of one type.
 func effectsOf[T Effect](effects []Effect) (out []T) {
 	for _, e := range effects {
 		if e, ok := e.(T); ok {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// startedOn are the engines that attempts were sent to.
+// startedOn returns the engines that attempts were sent to.
 func startedOn(effects []Effect) (engines []string) {
 	for _, start := range effectsOf[StartAttempt](effects) {
 		engines = append(engines, start.Engine)
--- a/internal/broker/maintenance_test.go
+++ b/internal/broker/maintenance_test.go
@@ -11,7 +11,7 @@
 
 // An engine in maintenance gets no attempt until that ends, whatever the change log reports meanwhile; what
 // waits for a connection to it is cancelled at once.
-func TestMaintenanceHoldsUntilEnded(t *testing.T) {
+func TestMaintenanceLastsUntilEnded(t *testing.T) {
 	h := newHarness(t, engine1())
 	effects := h.apply(StartMaintenance{"e1"})
 	if diff := cmp.Diff([]CancelUnsentAttempts{{"e1"}}, effectsOf[CancelUnsentAttempts](effects)); diff != "" {
--- a/internal/broker/rarebehavior_test.go
+++ b/internal/broker/rarebehavior_test.go
@@ -10,13 +10,13 @@
 	"wheatlane/control"
 )
 
-// transitionKind is the number of a transition of a request in the hashes.
+// transitionKind is the number in the hash for a transition.
 const transitionKind = 300
 
-// TestRareBehaviorIsUnchanged pins by a hash what TestBehaviorIsUnchanged does not reach: commands beyond a
-// session's queue, requests whose clients may have waited since before their statement came, many order keys, many
-// engines that come and go, a stepped wall clock, maintenance that ends twice, and the transitions that the
-// tracer is given.
+// TestRareBehaviorIsUnchanged compares with a recorded hash the behavior that TestBehaviorIsUnchanged does not cover:
+// overflowing command queues, requests that may have been sent before SentAt, many order keys, many engines that are
+// added and removed, steps of the wall clock, maintenance mode that is ended twice, and the transitions passed to the
+// tracer.
 func TestRareBehaviorIsUnchanged(t *testing.T) {
 	t.Parallel()
 	const (
@@ -44,7 +44,7 @@
 	}
 }
 
-// rareEvent lets one thing happen that randomEvent never draws.
+// rareEvent applies one random event of a kind that randomEvent does not generate.
 func (s *simulation) rareEvent() {
 	client := s.anyClient()
 	switch draw := s.rng.IntN(100); {
@@ -77,7 +77,7 @@
 	}
 }
 
-// overflowQueue sends more commands ahead of an answer than a session may queue.
+// overflowQueue sends more commands before an answer than a session may queue.
 func (s *simulation) overflowQueue(client Session) {
 	s.apply(SubmitRequest{Session: client, Request: s.request()})
 	for range maxQueuedRequests + 2 {
@@ -88,10 +88,10 @@
 	}
 }
 
-// replaceManyEngines lists and removes a quarter of the engines whose ids are remembered.
+// replaceManyEngines adds and removes a quarter of the engines whose ids the endpoint list stores.
 func (s *simulation) replaceManyEngines() {
-	const rememberedEngines = 4096
-	for range rememberedEngines / 4 {
+	const storedIDs = 4096
+	for range storedIDs / 4 {
 		e := s.newEngine()
 		s.apply(delta(s.nextRevision(), e.Endpoint))
 		e.State = control.Removed
@@ -99,7 +99,7 @@
 	}
 }
 
-// anyAttempt is an attempt in flight; without one the zero id.
+// anyAttempt returns the id of a random attempt in flight; the zero id if there is none.
 func (s *simulation) anyAttempt() AttemptID {
 	if len(s.attempts) == 0 {
 		return AttemptID{}
--- a/internal/broker/recorder_test.go
+++ b/internal/broker/recorder_test.go
@@ -10,7 +10,7 @@
 	"wheatlane/internal/invariant"
 )
 
-// The numbers of the kinds of effects and meter calls in the hashes.
+// Numbers in the hashes for kinds of effects and of meter calls.
 const (
 	lastEffectKind = 14
 	logLineKind    = 14
@@ -53,9 +53,9 @@
 	panic(fmt.Sprintf("effect %T has no number", e))
 }
 
-// recorder writes what happens into a hash, by numbers for kinds and neutral encodings of values. Integers
-// and booleans are 64 bits, floats their bit pattern, text and lists follow their lengths, structs are their
-// fields in order without a mark. It is also the meter of the reducer.
+// recorder writes effects and meter calls to a hash. Kinds are encoded as numbers, so that renamed types do not change
+// the hash. Integers and booleans take 64 bits, floats are their bit pattern, strings and slices are preceded by their
+// length, structs are their fields in order. recorder is also the Meter of the reducer.
 type recorder struct{ sum hash.Hash }
 
 func (r recorder) number(v uint64) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// record writes a kind and values.
+// record writes the number of a kind, and values.
 func (r recorder) record(kind int, values ...any) {
 	r.number(uint64(kind))
 	for _, v := range values {
@@ -114,8 +114,8 @@
 
 func (r recorder) AttemptEnded(s AttemptSummary) { r.record(firstMeterKind+4, s) }
 
-// RequestEndCause is not recorded: it follows from the effects.
+// RequestEndCause is not recorded: the cause follows from the effects.
 func (r recorder) RequestEndCause(EndCause) {}
 
-// InvariantViolated is not recorded: it changes nothing else.
+// InvariantViolated is not recorded: it affects no other state.
 func (r recorder) InvariantViolated(invariant.Rule) {}
--- a/internal/broker/requests_test.go
+++ b/internal/broker/requests_test.go
@@ -11,15 +11,16 @@
 	"wheatlane/internal/broker/clientdeadline"
 )
 
-// Every request gets one answer before its client gives up, whatever its attempt does, and none after a kill.
+// Every request gets exactly one answer before its client times out, whatever happens to its attempt. A client that
+// disconnected gets none.
 func TestExactlyOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		do        func(h *harness, a AttemptID)
 		replies   []ReplyKind
-		cancelled bool // the attempt
+		cancelled bool // the attempt is cancelled
 	}{
 		"silent engine": {func(*harness, AttemptID) {}, []ReplyKind{ReplyRejected}, true},
-		"answer after the end": {func(h *harness, a AttemptID) {
+		"answer after request ended": {func(h *harness, a AttemptID) {
 			h.run(2 * time.Second)
 			h.apply(firstPage(a, 1, nil))
 		}, []ReplyKind{ReplyRejected}, true},
@@ -29,8 +30,8 @@
 		"killed": {func(h *harness, _ AttemptID) {
 			h.apply(Kill{RequestedBy: 2, Target: 1})
 		}, []ReplyKind{ReplyOK, ReplyInterrupted}, true},
-		"client closed": {func(h *harness, _ AttemptID) { h.apply(SessionClosed{1}) }, nil, true},
-		"shut down": {func(h *harness, _ AttemptID) {
+		"client disconnected": {func(h *harness, _ AttemptID) { h.apply(SessionClosed{1}) }, nil, true},
+		"shutdown": {func(h *harness, _ AttemptID) {
 			h.apply(Shutdown{500 * ms})
 		}, []ReplyKind{ReplyRejected}, true},
 	} {
@@ -41,17 +42,17 @@
 			h.run(2*time.Second - 1)
 			h.expectReplies(c.replies...)
 			if open := h.broker.OpenRequests(); open != 0 {
-				t.Fatalf("%d requests are open", open)
+				t.Fatalf("%d requests are open, want 0", open)
 			}
 			if c.cancelled && len(effectsOf[CancelAttempt](h.effects)) == 0 {
-				t.Fatal("its attempt was not cancelled")
+				t.Fatal("the attempt was not cancelled")
 			}
 		})
 	}
 }
 
-// Requests of one key go to engines one at a time, in the order in which they were sent, also if they are
-// read in another.
+// Requests of one order key go to engines one at a time, in the order in which they were sent, even if they are read in
+// another order from several connections.
 func TestOrderKeySerializesAttempts(t *testing.T) {
 	h := newHarness(t, engine1(), engine2())
 	request := func(s Session, sentAt time.Duration) Event {
@@ -73,12 +74,12 @@
 	if diff := cmp.Diff([]string{"1", "2", "3"}, got); diff != "" {
 		t.Fatal(diff)
 	}
-	testNextOfKeyWaitsForCancel(t, h)
+	testNextRequestOfKeyWaitsForCancel(t, h)
 }
 
-// testNextOfKeyWaitsForCancel tests that the next request of a key starts only once the cancel of the
+// testNextRequestOfKeyWaitsForCancel verifies that the next request of an order key starts only once the cancel of the
 // previous one has reached its engine.
-func testNextOfKeyWaitsForCancel(t *testing.T, h *harness) {
+func testNextRequestOfKeyWaitsForCancel(t *testing.T, h *harness) {
 	t.Helper()
 	h.submit(4, "load", "k2", 9*time.Second)
 	h.submit(5, "load", "k2", 9*time.Second)
@@ -87,30 +88,30 @@
 	first := before[len(before)-1]
 	h.apply(SessionClosed{4})
 	if h.run(10 * ms); len(effectsOf[CancelAttempt](h.effects)) != 1 || first.RequestID != requestID(4) {
-		t.Fatal("the attempt of the client that left was not cancelled")
+		t.Fatal("the attempt of the disconnected client was not cancelled")
 	}
 	h.apply(AttemptEnded{Attempt: first.Attempt, Status: control.Cancelled})
 	if h.run(settleDelay - ms); len(h.started()) != len(before) {
-		t.Fatal("the next one was started before the cancel could have arrived")
+		t.Fatal("the next request was started before the cancel could have arrived")
 	}
 	h.run(200 * ms)
 	if started := h.started(); started[len(started)-1].RequestID != requestID(5) {
-		t.Fatal("the next one was not started")
+		t.Fatal("the next request was not started")
 	}
 }
 
-// A request with an invalid field gets an error, and its session stays open.
+// A request with an invalid field is answered with an error, and its session stays open.
 func TestInvalidRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(r *Request)
 		want   ReplyKind
 	}{
-		"valid":             {func(*Request) {}, ReplyResult},
-		"unknown class":     {func(r *Request) { r.Class = "nonsense" }, ReplyInvalidFields},
-		"unknown tenant":    {func(r *Request) { r.Tenant = "nobody" }, ReplyInvalidFields},
-		"timeout too long":  {func(r *Request) { r.Timeout = time.Hour }, ReplyInvalidFields},
-		"no key":            {func(r *Request) { r.Class, r.IdempotencyKey = "load", "" }, ReplyInvalidFields},
-		"id of an open one": {func(r *Request) { r.RequestID = "open" }, ReplyInvalidFields},
+		"valid":            {func(*Request) {}, ReplyResult},
+		"unknown class":    {func(r *Request) { r.Class = "nonsense" }, ReplyInvalidFields},
+		"unknown tenant":   {func(r *Request) { r.Tenant = "nobody" }, ReplyInvalidFields},
+		"timeout too long": {func(r *Request) { r.Timeout = time.Hour }, ReplyInvalidFields},
+		"missing key":      {func(r *Request) { r.Class, r.IdempotencyKey = "load", "" }, ReplyInvalidFields},
+		"duplicate id":     {func(r *Request) { r.RequestID = "open" }, ReplyInvalidFields},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
@@ -133,7 +134,8 @@
 				h.apply(firstPage(h.started()[1].Attempt, 1, nil))
 			}
 			h.expectReplies(c.want)
-			h.apply(firstPage(open, 1, nil), SubmitRequest{Session: 1, Request: valid}) // closed, so its id may be used again
+			// Once the first request is answered, its id may be used again.
+			h.apply(firstPage(open, 1, nil), SubmitRequest{Session: 1, Request: valid})
 			h.expectReplies(c.want, ReplyResult)
 			if n := h.broker.OpenRequests(); n != 1 {
 				t.Fatalf("%d requests are open, want 1", n)
@@ -142,9 +144,9 @@
 	}
 }
 
-// A client that leaves in the batch of its request has no attempt started.
-func TestClientLeavesInTheBatchOfItsRequest(t *testing.T) {
-	for name, leave := range map[string]Event{
+// No attempt is started if the client disconnects before the decision module's batch with its request.
+func TestClientDisconnectsInBatchOfItsRequest(t *testing.T) {
+	for name, end := range map[string]Event{
 		"closed": SessionClosed{1},
 		"killed": Kill{RequestedBy: 2, Target: 1},
 	} {
@@ -153,22 +155,22 @@
 			h.now += testSettings().MinBatchInterval
 			request := Request{RequestID: "a", Class: "lookup", SentAt: h.now, Timeout: time.Second}
 			h.broker.Apply(h.now, SubmitRequest{Session: 1, Request: request})
-			h.apply(leave)
+			h.apply(end)
 			h.run(time.Second)
 			if len(h.started()) > 0 || h.broker.OpenRequests() != 0 || len(h.broker.requests.byID) != 0 {
-				t.Fatal("an attempt was started, or the request is kept")
+				t.Fatal("an attempt was started, or the request was not removed")
 			}
 		})
 	}
 }
 
-// A request that nothing helps is answered while its client still waits: the wait began before its bytes came
-// here, and the answer takes time. One with an order key may have been held back by its client for another
-// that this broker has not seen. The margin for that is a small part of a short timeout.
+// A request whose engine hangs is answered before its client times out. The client's timeout began before the request
+// arrived, and the answer needs time for transit. A client may have delayed a request with an order key after another
+// one that this broker did not receive. The reserve for that is a limited fraction of a short timeout.
 func TestFinalAnswerArrivesInTime(t *testing.T) {
 	for _, c := range []struct {
-		class, key      string
-		timeout, margin time.Duration
+		class, key       string
+		timeout, reserve time.Duration
 	}{
 		{"lookup", "", time.Second, clientdeadline.TransitReserve},
 		{"lookup", "", 40 * ms, 6 * ms},
@@ -178,21 +180,21 @@
 		t.Run(fmt.Sprintf("%s with %v", c.class, c.timeout), func(t *testing.T) {
 			h := newHarness(t, engine1())
 			h.submit(1, c.class, c.key, c.timeout)
-			h.onlyAttempt() // its engine hangs
+			h.onlyAttempt() // the engine does not answer
 			sentAt := h.now
 			for len(effectsOf[Reply](h.effects)) == 0 && h.now < sentAt+c.timeout {
 				h.run(ms)
 			}
 			left := sentAt + c.timeout - h.now
-			if left < c.margin || left > c.margin+3*testSettings().MinBatchInterval {
-				t.Errorf("the answer was sent %v before its client gives up, want %v", left, c.margin)
+			if left < c.reserve || left > c.reserve+3*testSettings().MinBatchInterval {
+				t.Errorf("the answer was sent %v before the client's timeout, want %v", left, c.reserve)
 			}
 		})
 	}
 }
 
-// A client's last retry may have less time left than its answer takes: it is rejected at once. Where the
-// objective of its class is as short, it is accepted.
+// A client's last retry may have less time left than the answer takes. It is rejected immediately, unless the latency
+// objective of its class is as short.
 func TestRequestWithoutTimeLeft(t *testing.T) {
 	for name, c := range map[string]struct {
 		objective, timeout time.Duration
--- a/internal/broker/results_test.go
+++ b/internal/broker/results_test.go
@@ -9,12 +9,12 @@
 	"wheatlane/internal/broker/resultpages"
 )
 
-// resultCases are what an engine may send for an attempt, and what becomes of the request.
-var resultCases = map[string]struct {
-	events       func(a AttemptID) []Event
-	replies      []ReplyKind
-	attempts     int
-	releasedLeft int // attempts released with pages left at the engine
+// resultTests are what an engine may send for an attempt, and what becomes of the request.
+var resultTests = map[string]struct {
+	events            func(a AttemptID) []Event
+	replies           []ReplyKind
+	attempts          int
+	releasedWithPages int // attempts released with pages left at the engine
 }{
 	"complete in one page": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 1, row)}
@@ -77,22 +77,22 @@
 
 // A result counts only once it is complete; what spoils it before costs an attempt, not the answer.
 func TestResultAssembly(t *testing.T) {
-	for name, c := range resultCases {
+	for name, c := range resultTests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, engine1(), engine2())
 			h.submit(1, "lookup", "", 2*time.Second)
 			h.apply(c.events(h.onlyAttempt())...)
 			h.run(20 * ms)
 			h.expectReplies(c.replies...)
-			releasedLeft := 0
+			releasedWithPages := 0
 			for _, released := range effectsOf[ReleaseAttempt](h.effects) {
 				if released.PagesLeft {
-					releasedLeft++
+					releasedWithPages++
 				}
 			}
-			if attempts := len(h.started()); attempts != c.attempts || releasedLeft != c.releasedLeft {
+			if attempts := len(h.started()); attempts != c.attempts || releasedWithPages != c.releasedWithPages {
 				t.Fatalf("%d attempts and %d released with pages left, want %d and %d",
-					attempts, releasedLeft, c.attempts, c.releasedLeft)
+					attempts, releasedWithPages, c.attempts, c.releasedWithPages)
 			}
 		})
 	}
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -72,7 +72,7 @@
 
 // A request that waits for its order key at the final answers was never started: it is rejected, and is not
 // started when the one before it ends.
-func TestFinalAnswersIncludeRequestsWaitingForTheirKey(t *testing.T) {
+func TestFinalAnswersIncludeRequestsWaitingForOrderKey(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.submit(1, "load", "k", 10*time.Second)
 	h.submit(2, "load", "k", 10*time.Second)
--- a/internal/broker/simulated_clients_test.go
+++ b/internal/broker/simulated_clients_test.go
@@ -11,7 +11,7 @@
 type simulatedClient struct {
 	session  Session
 	admitted bool
-	waiting  int // commands without an answer
+	waiting  int // number of unanswered commands
 }
 
 func (s *simulation) client(id Session) *simulatedClient {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// anyClient is a session that was admitted, and mostly one that waits for nothing; 0 if none was found.
+// anyClient returns a random admitted session, usually one without unanswered commands; 0 if none was found.
 func (s *simulation) anyClient() Session {
 	for range 4 {
 		if len(s.clients) == 0 {
@@ -37,7 +37,7 @@
 	return 0
 }
 
-func (s *simulation) forgetClient(id Session) {
+func (s *simulation) removeClient(id Session) {
 	s.clients = slices.DeleteFunc(s.clients, func(c *simulatedClient) bool { return c.session == id })
 }
 
@@ -47,8 +47,8 @@
 	s.apply(SessionOpened{s.lastSession})
 }
 
-// crowd makes all clients wait for an answer and connects two more.
-func (s *simulation) crowd() {
+// exceedSessionLimit opens sessions up to the limit, makes all of them busy and connects two more clients.
+func (s *simulation) exceedSessionLimit() {
 	s.apply(UpdateSettings{s.settings.Settings})
 	for s.broker.SessionCount() < s.maxSessions {
 		s.connect()
@@ -60,7 +60,7 @@
 	s.connect()
 }
 
-// request is a valid request.
+// request returns a valid random request.
 func (s *simulation) request() Request {
 	class := s.settings.Classes[s.rng.IntN(len(s.settings.Classes))]
 	s.lastRequest++
@@ -89,7 +89,7 @@
 	return r
 }
 
-// submit sends a request, now and then with a field that can't be used or with little time.
+// submit sends a request, occasionally with an invalid field or a short timeout.
 func (s *simulation) submit(client Session) {
 	r := s.request()
 	switch s.rng.IntN(60) {
@@ -111,7 +111,7 @@
 	s.apply(SubmitRequest{Session: client, Request: r})
 }
 
-// kill kills what a session has open, or now and then a session that does not exist.
+// kill kills the requests of a session, occasionally of one that does not exist.
 func (s *simulation) kill(target Session) {
 	if s.chance(20) {
 		target += 1000
--- a/internal/broker/simulated_engines_test.go
+++ b/internal/broker/simulated_engines_test.go
@@ -17,7 +17,7 @@
 	mode engineMode
 }
 
-// engineMode is how an engine behaves for a while.
+// engineMode is the current behavior of a simulated engine.
 type engineMode int
 
 const (
@@ -33,7 +33,7 @@
 	startedAt time.Duration
 }
 
-// newEngine is another engine in service, which started long ago.
+// newEngine returns another engine in service that started long ago.
 func (s *simulation) newEngine() *simulatedEngine {
 	s.lastEngine++
 	kinds := slices.Sorted(maps.Keys(s.settings.EngineKinds))
@@ -55,7 +55,7 @@
 	return silent
 }
 
-// serve plays an engine that gets an attempt: it serves or fails it, or its answer is lost.
+// serve simulates an engine that receives an attempt: the attempt succeeds or fails, or its answer is lost.
 func (s *simulation) serve(start StartAttempt) {
 	work := s.between(3*ms, 60*ms)
 	took := s.between(2*ms, 12*ms) + work
@@ -97,22 +97,22 @@
 		ended(0, control.NeverSent)
 	case draw < 12: // lost
 	case draw < 14:
-		s.schedule(took, s.spoil(served, draw))
+		s.schedule(took, s.corrupt(served, draw))
 	default:
 		s.schedule(took, served)
-		if pages > 1 && s.chance(4) { // it dies between pages
+		if pages > 1 && s.chance(4) { // the engine fails between pages
 			ended(took+6*ms, endsBetweenPages[s.rng.IntN(len(endsBetweenPages))])
 		}
 	}
 }
 
-// endsBetweenPages are statuses that an attempt may end with after its first page.
+// endsBetweenPages holds the statuses with which an attempt may end after its first page.
 var endsBetweenPages = []control.Status{
 	control.ConnectionReset, control.AtCapacity, control.NeverSent, control.Failed,
 }
 
-// spoil makes a first page invalid.
-func (s *simulation) spoil(served FirstPageReceived, draw int) FirstPageReceived {
+// corrupt returns an invalid first page: a malformed body or a page count out of range.
+func (s *simulation) corrupt(served FirstPageReceived, draw int) FirstPageReceived {
 	if draw < 13 {
 		served.Body = s.invalidPage()
 	} else {
@@ -121,7 +121,7 @@
 	return served
 }
 
-// servePage plays an engine that is asked for a page.
+// servePage simulates an engine that receives a request for a page.
 func (s *simulation) servePage(p FetchPage) {
 	page := PageReceived{Attempt: p.Attempt, Number: p.Page, Body: s.rows(s.rng.IntN(40))}
 	after := s.between(1*ms, 15*ms)
@@ -156,12 +156,12 @@
 	s.attempts = slices.DeleteFunc(s.attempts, func(a simulatedAttempt) bool { return a.id == id })
 }
 
-// rows is a valid page of a result.
+// rows returns a valid page of n rows.
 func (s *simulation) rows(n int) []byte {
 	return []byte(strings.Repeat(fmt.Sprintf("%d\tb\tc\n", s.rng.IntN(1000)), n))
 }
 
-// invalidPage is a page that can't be used.
+// invalidPage returns a page with a random defect.
 func (s *simulation) invalidPage() []byte {
 	missingColumn, incompleteRow := []byte("a\tb\n"), []byte("a\tb\tc")
 	invalidText, tooLong := []byte("a\xff\tb\tc\n"), s.rows(1500)
--- a/internal/broker/simulated_fleet_test.go
+++ b/internal/broker/simulated_fleet_test.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/changelog"
 )
 
-// endpoints is the complete endpoint list.
+// endpoints returns the complete endpoint list.
 func (s *simulation) endpoints() []changelog.Endpoint {
 	endpoints := make([]changelog.Endpoint, 0, len(s.engines))
 	for _, e := range s.engines {
@@ -22,7 +22,7 @@
 	return s.revision
 }
 
-// publish delivers a page of the change log, now and then twice.
+// publish delivers a page of the change log, occasionally twice.
 func (s *simulation) publish(page EndpointChanges) {
 	s.apply(page)
 	if s.chance(10) {
@@ -30,12 +30,12 @@
 	}
 }
 
-// publishDelta delivers changed endpoints.
+// publishDelta delivers a page with changed endpoints.
 func (s *simulation) publishDelta(endpoints ...changelog.Endpoint) {
 	s.publish(delta(s.nextRevision(), endpoints...))
 }
 
-// changeEndpoints publishes a change of an engine.
+// changeEndpoints publishes a random change of one engine.
 func (s *simulation) changeEndpoints() {
 	i := s.rng.IntN(len(s.engines))
 	e := s.engines[i]
@@ -52,15 +52,15 @@
 	case 2: // restarted a while ago
 		e.State, e.StartedAt = control.Ready, s.now-s.between(0, 50*ms)
 		s.publishDelta(e.Endpoint)
-	case 3: // another one has taken over its address
+	case 3: // replaced by another engine at its address
 		next := s.newEngine()
 		next.Addr, next.StartedAt = e.Addr, s.now
 		s.engines[i] = next
 		s.publishDelta(next.Endpoint)
-	case 4: // it moved
+	case 4: // new address
 		e.Addr = fmt.Sprint("10.0.0.2:", 1000+s.rng.IntN(1000))
 		s.publishDelta(e.Endpoint)
-	case 5: // in a snapshot, one is missing and another is new
+	case 5: // replaced by another engine in a snapshot
 		s.engines[i] = s.newEngine()
 		s.publish(snapshot(s.nextRevision(), s.endpoints()...))
 	default:
@@ -69,7 +69,7 @@
 	}
 }
 
-// receiveGossip delivers load reports of another broker.
+// receiveGossip delivers load reports from another broker.
 func (s *simulation) receiveGossip() {
 	reports := make([]control.GossipedLoad, 1+s.rng.IntN(3))
 	for i := range reports {
@@ -83,7 +83,7 @@
 	s.apply(GossipReceived{Broker: s.rng.IntN(max(1, s.settings.Brokers)), Reports: reports})
 }
 
-// changeMaintenance starts, restores or ends maintenance.
+// changeMaintenance starts, restores or ends the maintenance mode of engines.
 func (s *simulation) changeMaintenance() {
 	id := s.engines[s.rng.IntN(len(s.engines))].ID
 	switch s.rng.IntN(5) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// reload puts settings in force that differ in one class or limit.
+// reload applies settings that differ in one class or limit.
 func (s *simulation) reload() {
 	settings := s.settings
 	settings.Classes = slices.Clone(settings.Classes)
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -12,7 +12,7 @@
 	"wheatlane/control"
 )
 
-// simulation is a broker among random clients, engines, peers and a change log.
+// simulation runs a broker with simulated clients, engines, other brokers and a change log, all driven by one seed.
 type simulation struct {
 	recorder
 	t           *testing.T
@@ -28,8 +28,8 @@
 	lastEngine  int
 	revision    int64
 	attempts    []simulatedAttempt
-	scheduled   []scheduledEvent // by time and, within one time, by the order of scheduling
-	seen        map[string]int   // counts of effects, replies and closes by their kinds
+	scheduled   []scheduledEvent // ordered by time, then by the order of scheduling
+	seen        map[string]int   // numbers of effects, replies and closes by kind
 }
 
 type scheduledEvent struct {
@@ -37,8 +37,8 @@
 	event Event
 }
 
-// newSimulation starts a broker with a number of engines and a client for each session that it allows. It
-// records into sum.
+// newSimulation starts a broker with a number of engines and a client for each session that the broker allows. It
+// records to sum.
 func newSimulation(
 	t *testing.T, settings deployment, seed uint64, maxSessions, engines int, sum hash.Hash,
 ) *simulation {
@@ -68,15 +68,15 @@
 	return s
 }
 
-// chance is true with a probability in percent.
+// chance returns true with a probability in percent.
 func (s *simulation) chance(percent int) bool { return s.rng.IntN(100) < percent }
 
-// between is a random time from low to high.
+// between returns a random duration from low to high.
 func (s *simulation) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.rng.Int64N(int64(high-low)+1))
 }
 
-// run takes a number of random steps, then shuts the broker down and waits until it is done.
+// run executes a number of random steps, shuts the broker down and fails if a request is still open afterwards.
 func (s *simulation) run(steps int) {
 	s.t.Helper()
 	for range steps {
@@ -101,7 +101,7 @@
 	}
 }
 
-// step lets time pass, delivers what is due and ticks the broker.
+// step advances the time, delivers the events that are due and calls Tick.
 func (s *simulation) step() {
 	s.now += s.between(0, 5*ms)
 	for len(s.scheduled) > 0 && s.scheduled[0].at <= s.now {
@@ -109,14 +109,14 @@
 		s.scheduled = s.scheduled[1:]
 		s.apply(event)
 	}
-	s.react(s.broker.Tick(s.now))
+	s.handleEffects(s.broker.Tick(s.now))
 	next, ok := s.broker.NextDeadline()
 	s.record(stateKind, next, ok, s.broker.OpenRequests(), s.broker.Ready(), s.broker.UnavailableEngines(),
 		s.broker.EndpointCount(), s.broker.SessionCount(), s.broker.endpoints.Revision(),
 		s.broker.EnginesInMaintenance())
 }
 
-// randomEvent lets one random thing happen.
+// randomEvent applies one random event.
 func (s *simulation) randomEvent() {
 	client := s.anyClient()
 	switch draw := s.rng.IntN(1000); {
@@ -135,7 +135,7 @@
 		s.apply(SessionClosed{client})
 	case draw < 875:
 		s.apply(SessionHalfClosed{client})
-		s.forgetClient(client)
+		s.removeClient(client)
 	case draw < 895:
 		s.receiveGossip()
 	case draw < 925:
@@ -147,7 +147,7 @@
 	case draw < 993:
 		s.reload()
 	case draw < 995:
-		s.crowd()
+		s.exceedSessionLimit()
 	default:
 		s.now += s.between(0, 300*ms)
 	}
@@ -162,9 +162,9 @@
 	case AttemptEnded:
 		s.endAttempt(ev.Attempt)
 	case SessionClosed:
-		s.forgetClient(ev.Session)
+		s.removeClient(ev.Session)
 	}
-	s.react(s.broker.Apply(s.now, event))
+	s.handleEffects(s.broker.Apply(s.now, event))
 }
 
 func (s *simulation) schedule(after time.Duration, event Event) {
@@ -173,11 +173,11 @@
 	s.scheduled = slices.Insert(s.scheduled, i, scheduledEvent{at, event})
 }
 
-// react records effects and plays their recipients.
-func (s *simulation) react(effects []Effect) {
+// handleEffects records effects and simulates the reactions of clients and engines.
+func (s *simulation) handleEffects(effects []Effect) {
 	for _, e := range effects {
 		if _, violation := e.(InvariantViolation); violation {
-			continue // not recorded: simulated clients send to sessions that are closed
+			continue // not recorded: simulated clients send commands on closed sessions
 		}
 		kind := effectKind(e)
 		s.seen[fmt.Sprint("effect ", kind)]++
@@ -186,12 +186,12 @@
 			continue
 		}
 		s.record(kind, e)
-		s.reactToClientEffect(e)
-		s.reactToEngineEffect(e)
+		s.handleClientEffect(e)
+		s.handleEngineEffect(e)
 	}
 }
 
-func (s *simulation) reactToClientEffect(e Effect) {
+func (s *simulation) handleClientEffect(e Effect) {
 	switch e := e.(type) {
 	case Reply:
 		s.seen[fmt.Sprint("reply ", int(e.Kind))]++
@@ -205,11 +205,11 @@
 		s.client(e.Session).admitted = true
 	case CloseSession:
 		s.seen[fmt.Sprint("close ", int(e.Reason))]++
-		s.forgetClient(e.Session)
+		s.removeClient(e.Session)
 	}
 }
 
-func (s *simulation) reactToEngineEffect(e Effect) {
+func (s *simulation) handleEngineEffect(e Effect) {
 	switch e := e.(type) {
 	case StartAttempt:
 		s.attempts = append(s.attempts, simulatedAttempt{e.Attempt, e.Engine, s.now})
@@ -219,7 +219,7 @@
 	case CancelAttempt:
 		if s.chance(95) {
 			s.schedule(s.between(0, 4*ms), AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
-		} else { // its answer crosses the cancel
+		} else { // the answer races with the cancel
 			s.schedule(0, FirstPageReceived{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
 			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
--- a/internal/broker/validation_test.go
+++ b/internal/broker/validation_test.go
@@ -35,7 +35,7 @@
 
 // A request that crosses a reload to shorter timeouts was written by those before, and is accepted; one with
 // a longer timeout than any that were in force is not.
-func TestRequestCrossingAReloadToShorterTimeouts(t *testing.T) {
+func TestRequestRacingWithReloadToShorterTimeouts(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].ClientTimeout = 5 * time.Second
 	for timeout, attempts := range map[time.Duration]int{
