--- a/internal/broker/attemptend_test.go
+++ b/internal/broker/attemptend_test.go
@@ -6,6 +6,7 @@
 	"wheatlane/control"
 )
 
+// The status that the decision module receives determines whether a request may be retried.
 func TestEndStatus(t *testing.T) {
 	t.Parallel()
 	const notCancelled = control.OK
@@ -16,10 +17,10 @@
 	}{
 		"as reported":                  {control.AtCapacity, notCancelled, false, control.AtCapacity},
 		"cancelled by the engine pool": {control.Cancelled, notCancelled, false, control.Cancelled},
-		"cancelled for its timeout":    {control.Cancelled, control.TimedOut, false, control.TimedOut},
+		"cancelled at its timeout":     {control.Cancelled, control.TimedOut, false, control.TimedOut},
 		"reset after its cancel":       {control.ConnectionReset, control.TimedOut, false, control.ConnectionReset},
-		"BUSY for a further page":      {control.AtCapacity, notCancelled, true, control.Failed},
-		"VOID for a further page":      {control.NeverSent, notCancelled, true, control.Failed},
+		"BUSY for another page":        {control.AtCapacity, notCancelled, true, control.Failed},
+		"VOID for another page":        {control.NeverSent, notCancelled, true, control.Failed},
 		"cancelled between pages":      {control.Cancelled, control.Cancelled, true, control.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -31,6 +32,7 @@
 	}
 }
 
+// An ended attempt remains in flight for settleDelay if another attempt could reach an engine before its cancel does.
 func TestMustSettle(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/broker/attempts_test.go
+++ b/internal/broker/attempts_test.go
@@ -9,12 +9,12 @@
 	"wheatlane/control/idempotency"
 )
 
-// An engine that refuses the connection or is at capacity proves that the query never ran, but not with a
-// status for a page of its result.
+// A refused connection or an engine at capacity proves that the query never ran, unless the status is that of a later
+// result page: the query has run then.
 func TestAttemptEndStatus(t *testing.T) {
 	for name, c := range map[string]struct {
 		status    control.Status
-		firstPage bool // it came before
+		firstPage bool // the first page was received before
 		want      control.Status
 	}{
 		"connection refused":     {control.ConnectFailed, false, control.ConnectFailed},
@@ -31,18 +31,18 @@
 			}
 			h.broker.Apply(h.now, AttemptEnded{Attempt: a, Status: c.status})
 			if got := h.lastModuleEvent().(control.AttemptEnded).Status; got != c.want {
-				t.Fatalf("the module is notified of %v, want %v", got, c.want)
+				t.Fatalf("the decision module is notified of %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Whatever closes a request while an attempt of it is in flight, the part that was not sent is withdrawn at
-// once, ahead of the module's next batch and also where the module may not cancel.
+// When a request is closed for any reason, its unsent attempt is cancelled immediately, before the decision module's
+// next batch and even if the settings do not allow the module to cancel attempts.
 func TestUnsentAttemptOfClosedRequestIsCancelled(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"killed":        func(h *harness) { h.apply(Kill{RequestedBy: 2, Target: 1}) },
-		"client left":   func(h *harness) { h.apply(SessionClosed{1}) },
+		"disconnected":  func(h *harness) { h.apply(SessionClosed{1}) },
 		"timed out":     func(h *harness) { h.run(time.Second) },
 		"final answers": func(h *harness) { h.apply(Shutdown{10 * ms}); h.run(10 * ms) },
 	} {
@@ -55,20 +55,20 @@
 				a := h.onlyAttempt()
 				end(h)
 				if got := effectsOf[CancelIfUnsent](h.effects); len(got) != 1 || got[0].Attempt != a {
-					t.Fatalf("withdrawn: %v", got)
+					t.Fatalf("cancelled if unsent: %v, want %v only", got, a)
 				}
 				h.apply(AttemptEnded{Attempt: a, Status: control.NeverSent})
 				h.run(2 * time.Second)
-				if kept := len(h.broker.requests.byID); kept != 0 || len(h.started()) != 1 {
-					t.Fatalf("%d requests are kept, %d attempts were started", kept, len(h.started()))
+				if stored := len(h.broker.requests.byID); stored != 0 || len(h.started()) != 1 {
+					t.Fatalf("%d requests are stored, want 0; %d attempts were started, want 1", stored, len(h.started()))
 				}
 			})
 		}
 	}
 }
 
-// Where hedging is forbidden, the next attempt of a request starts only once the cancel of the one before, or
-// the end of its connection, has certainly reached its engine.
+// If hedging is disabled, the next attempt of a request starts only after the cancel of the previous attempt, or the
+// end of its connection, has reached the engine. Otherwise two engines could run the request at the same time.
 func TestNextAttemptWaitsForCancelOfPrevious(t *testing.T) {
 	for name, c := range map[string]struct {
 		hedging bool
@@ -94,23 +94,23 @@
 				h.run(ms)
 			}
 			if waited := h.now-endedAt >= settleDelay; waited != c.waits {
-				t.Errorf("the next attempt started after %v", h.now-endedAt)
+				t.Errorf("the next attempt started after %v, want a delay of settleDelay: %v", h.now-endedAt, c.waits)
 			}
 		})
 	}
 }
 
-// An attempt has ended and a retry is due. Events at that moment prevent it: a client that leaves, engines
-// that drain, the final answers.
+// An event in the same batch as the end of an attempt prevents its retry if the request ends or no engine is in
+// service.
 func TestEventsRacingWithRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		event    Event
 		attempts int
 		replies  []ReplyKind
 	}{
-		"nothing":     {ProbeResult{}, 2, nil},
-		"client left": {SessionClosed{1}, 1, nil},
-		"killed":      {Kill{RequestedBy: 2, Target: 1}, 1, []ReplyKind{ReplyOK, ReplyInterrupted}},
+		"unrelated event": {ProbeResult{}, 2, nil},
+		"disconnected":    {SessionClosed{1}, 1, nil},
+		"killed":          {Kill{RequestedBy: 2, Target: 1}, 1, []ReplyKind{ReplyOK, ReplyInterrupted}},
 		"engines drain": {
 			delta(2, endpoint("e1", addr1, control.Draining), endpoint("e2", addr2, control.Draining)), 1, nil,
 		},
@@ -136,8 +136,8 @@
 	}
 }
 
-// The guard of attempts prevents what the decision module must not ask for, and reports a repeat that could run a
-// request twice.
+// mayStart prevents attempts that the decision module must not request, and reports a violation if an attempt could run
+// a non-idempotent request twice.
 func TestInvariantsPreventAttempts(t *testing.T) {
 	end := func(h *harness, status control.Status) { // the decision module is not notified yet
 		ended := AttemptEnded{Attempt: h.onlyAttempt(), Status: status}
@@ -145,17 +145,17 @@
 	}
 	for name, tt := range map[string]struct {
 		prepare func(h *harness)
-		starts  int // attempts in all
-		rule    string
+		starts  int    // total number of attempts
+		rule    string // violated rule; empty: none
 	}{
-		"a retry": {func(h *harness) {
+		"retry": {func(h *harness) {
 			end(h, control.ConnectFailed)
 		}, 2, ""},
-		"a retry of what may have run": {func(h *harness) {
+		"retry after an attempt that may have run": {func(h *harness) {
 			end(h, control.ConnectionReset)
 		}, 1, "no_unsafe_repeat"},
-		"a second attempt in flight": {func(*harness) {}, 1, "no_unsafe_repeat"},
-		"an engine in maintenance": {func(h *harness) {
+		"second attempt in flight": {func(*harness) {}, 1, "no_unsafe_repeat"},
+		"engine in maintenance": {func(h *harness) {
 			end(h, control.ConnectFailed)
 			h.broker.endpoints.StartMaintenance("e2")
 		}, 1, ""},
@@ -182,7 +182,7 @@
 				rule += v.Rule.String()
 			}
 			if rule != tt.rule {
-				t.Errorf("violations %q, want %q", rule, tt.rule)
+				t.Errorf("violated rules %q, want %q", rule, tt.rule)
 			}
 		})
 	}
--- a/internal/broker/commands_test.go
+++ b/internal/broker/commands_test.go
@@ -10,7 +10,7 @@
 	"wheatlane/control"
 )
 
-// A session's commands are answered in their order, also those that come ahead of an answer.
+// A session's commands are answered in order, even if they arrive before the answer to an open request.
 func TestSessionAnswersInOrder(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(Ping{1})
@@ -28,15 +28,14 @@
 	}
 }
 
-// pipelined is a request of session 1 by its number.
+// pipelined returns a request of session 1 with a numbered id.
 func pipelined(h *harness, number int, timeout time.Duration) SubmitRequest {
 	return SubmitRequest{Session: 1, Request: Request{
 		RequestID: fmt.Sprint("request-", number), Class: "lookup", SentAt: h.now, Timeout: timeout, Body: "SELECT 1",
 	}}
 }
 
-// Of many requests that come at once on a session some run, one after the other, and the others are rejected in
-// their turn, without being kept.
+// Requests pipelined on a session run one after the other up to the queue limit. Those beyond it are rejected in order.
 func TestRequestsBeyondQueueLimitAreRejectedInOrder(t *testing.T) {
 	h := newHarness(t, engine1())
 	for n := range maxQueuedRequests + 4 {
@@ -56,7 +55,7 @@
 	}
 }
 
-// With more commands than a session may have queued, all of them are answered before it is closed.
+// If a client queues too many commands, all of them are answered before the session is closed.
 func TestSessionWithTooManyCommandsIsAnsweredAndClosed(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(pipelined(h, 0, time.Second), pipelined(h, 1, time.Second))
@@ -65,18 +64,19 @@
 	}
 	replies, closes := effectsOf[Reply](h.effects), effectsOf[CloseSession](h.effects)
 	if len(replies) != maxQueuedCommands+2 || len(closes) != 1 || h.broker.OpenRequests() != 0 {
-		t.Errorf("%d replies, %d closes, %d requests open", len(replies), len(closes), h.broker.OpenRequests())
+		t.Errorf("%d replies, want %d; %d closes, want 1; %d open requests, want 0",
+			len(replies), maxQueuedCommands+2, len(closes), h.broker.OpenRequests())
 	}
 	if replies[0].Kind != ReplyRejected || replies[1].Kind != ReplyRejected || replies[2].Kind != ReplyOK {
-		t.Errorf("the first replies are %v", replies[:3])
+		t.Errorf("the first replies are %v, want two rejections and an OK", replies[:3])
 	}
 	if _, last := h.effects[len(h.effects)-1].(CloseSession); !last {
-		t.Errorf("the last effect is %T", h.effects[len(h.effects)-1])
+		t.Errorf("the last effect is %T, want CloseSession", h.effects[len(h.effects)-1])
 	}
 }
 
-// A request that waits behind another one of its session is answered in its time, also if that has more time: the
-// other one gets its final answer then.
+// A request queued behind another one of its session is answered before its own deadline, even if the open request has
+// a later one: the open request then gets its final answer early.
 func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	h := newHarness(t, engine1())
 	const short = 300 * ms
@@ -89,11 +89,12 @@
 	h.submit(1, "lookup", "", time.Second)
 	h.run(20 * ms)
 	if started := h.started(); started[len(started)-1].RequestID != requestID(1) {
-		t.Error("the session does not go on")
+		t.Error("the session's next request was not started")
 	}
 }
 
-// What was read on a session before its close from this side is answered: rejected, and never started.
+// Commands that were read before the broker closed the session are answered: requests are rejected and never started.
+// Without an answer, the client could not determine whether a retry is safe.
 func TestCommandsReadBeforeCloseAreAnswered(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(Kill{RequestedBy: 2, Target: 1, CloseConnection: true, SentAt: h.now})
@@ -103,11 +104,11 @@
 	h.apply(SessionClosed{1}, pipelined(h, 1, time.Second))
 	h.expectReplies(ReplyOK, ReplyRejected, ReplyOK)
 	if started := h.started(); len(started) != 0 {
-		t.Errorf("started: %v", started)
+		t.Errorf("started %v, want none", started)
 	}
 }
 
-// A half-closed session answers everything that it has read, in order.
+// All commands read on a half-closed session are answered in order.
 func TestHalfClosedSessionAnswersAllInOrder(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(pipelined(h, 0, time.Second), Ping{1})
@@ -124,11 +125,11 @@
 	h.expectReplies(ReplyNotReady)
 }
 
-// A query and its KILL come on two connections, and may be read in the other order. What was sent before the
-// KILL is answered as killed and never started; what was sent after it is a new request.
+// A query and its KILL arrive on two connections and may be read in the opposite order. A request sent before the KILL
+// is answered as killed and never started; one sent after it is accepted.
 func TestKillReadBeforeItsQuery(t *testing.T) {
 	for name, c := range map[string]struct {
-		sentAfter time.Duration // the KILL was written
+		sentAfter time.Duration // time from the KILL to the request
 		attempts  int
 		replies   []ReplyKind
 	}{
@@ -145,9 +146,9 @@
 				t.Fatalf("%d attempts, want %d", n, c.attempts)
 			}
 			if open := h.broker.OpenRequests(); open != c.attempts {
-				t.Fatalf("%d requests are open", open)
+				t.Fatalf("%d requests are open, want %d", open, c.attempts)
 			}
-			// What the client sends on a new connection is served.
+			// A request that the client sends on a new connection is started.
 			h.apply(SessionClosed{1}, SessionOpened{1}, SessionAuthenticated{1})
 			h.submit(1, "lookup", "", time.Second)
 			h.run(20 * ms)
@@ -158,8 +159,7 @@
 	}
 }
 
-// A KILL also ends the requests that the session has queued: its client has left, and none of them is
-// started.
+// A KILL also ends the queued requests of the session, so that none of them is started.
 func TestKillEndsQueuedRequests(t *testing.T) {
 	h := newHarness(t, engine1())
 	request := func(id string) Event {
@@ -172,13 +172,13 @@
 	h.run(20 * ms)
 	h.expectReplies(ReplyOK, ReplyInterrupted, ReplyInterrupted)
 	if started := h.started(); len(started) != 1 || started[0].RequestID != "a" {
-		t.Fatalf("started: %v", started)
+		t.Fatalf("started %v, want only request a", started)
 	}
 }
 
-// A request may be answered in the batch that also starts an attempt of another one, and a KILL of that other
-// be queued behind the answer. Whenever they meet, the module is notified of the end of each attempt: one
-// without an end would take up its engine's concurrency limit for ever.
+// One batch may answer a request and start an attempt of another request, while a KILL of the other request is queued
+// behind the answer. The decision module must be notified of the end of that attempt at any time offset between them;
+// otherwise the attempt would count against its engine's concurrency limit permanently.
 func TestQueuedKillOfRequestStartedInSameBatch(t *testing.T) {
 	for offset := range 40 {
 		t.Run(fmt.Sprint(offset, " ms"), func(t *testing.T) {
@@ -195,15 +195,17 @@
 			h.run(2 * time.Second)
 			var view control.View
 			h.broker.View(&view)
-			threads, kept := view.Engines[0].ThreadsInFlight, len(h.broker.requests.byID)
-			if threads != 0 || kept != 0 || h.broker.OpenRequests() != 0 {
-				t.Errorf("%d threads are in flight and %d requests are kept", threads, kept)
+			threads, stored := view.Engines[0].ThreadsInFlight, len(h.broker.requests.byID)
+			if threads != 0 || stored != 0 || h.broker.OpenRequests() != 0 {
+				t.Errorf("%d threads in flight, %d requests stored, %d open; want 0 each",
+					threads, stored, h.broker.OpenRequests())
 			}
 		})
 	}
 }
 
-// What is kept of a request that will be rejected in its turn does not hold its statement, which may be large.
+// A queued request that will be rejected does not retain its statement, which may be large: pipelined requests could
+// exhaust the broker's memory otherwise.
 func TestRejectedRequestsDoNotRetainStatements(t *testing.T) {
 	const statementBytes, requests = 64 << 10, 900
 	h := newHarness(t, engine1())
@@ -220,7 +222,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > requests*statementBytes/4 {
-		t.Errorf("%d requests of %d bytes hold %d bytes", requests, statementBytes, grown)
+		t.Errorf("%d queued requests of %d bytes retain %d bytes", requests, statementBytes, grown)
 	}
 	runtime.KeepAlive(h)
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/changelog"
 )
 
-// A draining engine gets nothing that was not sent, connections to one that was removed, has restarted or
-// lost its address are closed, and a page that comes twice counts once.
+// Unsent attempts for a draining engine are cancelled, connections to an engine that was removed or restarted or has a
+// new address are closed, and a change that was applied before has no effect.
 func TestEndpointChanges(t *testing.T) {
 	draining, restarted := endpoint("e1", addr1, control.Draining), engine1()
 	restarted.StartedAt = startTime
@@ -25,7 +25,7 @@
 		"restarted":               {delta(2, restarted), []Effect{CloseEngineConnections{"e1", startTime}}},
 		"moved":                   {delta(2, endpoint("e1", "127.0.0.1:9", control.Ready)), closeAll},
 		"address taken over":      {delta(2, endpoint("e3", addr1, control.Ready)), closeAll},
-		"missing in a snapshot":   {snapshot(2, engine2()), closeAll},
+		"missing in snapshot":     {snapshot(2, engine2()), closeAll},
 		"revision applied before": {delta(1, endpoint("e1", addr1, control.Removed)), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// An engine whose address another one has taken over is removed: attempts for it would reach the new one,
-// which may be in its slow start.
+// An engine is removed when another engine takes over its address: attempts for it would reach the new engine, which
+// may be in slow start.
 func TestAddressTakenOverByAnotherEngine(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.broker.Apply(h.now, delta(2, endpoint("e2", addr1, control.Ready)))
@@ -62,8 +62,8 @@
 	}
 }
 
-// A page of the change log may drain, remove and return one engine, and let another one take over its
-// address: all changes are applied in their order, and attempts follow the last one.
+// One page of the change log may drain, remove and re-add an engine, or assign its address to another engine. All
+// changes are applied in order, and attempts go to the engines in service after the last change.
 func TestSeveralChangesOfOneEngineInOnePage(t *testing.T) {
 	change := func(revision int64, endpoint changelog.Endpoint) changelog.Change {
 		return changelog.Change{Revision: revision, Endpoints: []changelog.Endpoint{endpoint}}
@@ -74,13 +74,13 @@
 	back.StartedAt = startTime - time.Hour
 	for name, c := range map[string]struct {
 		changes []changelog.Change
-		want    []string // the engines that a request is sent to
+		want    []string // engines that a request is sent to
 	}{
-		"draining, removed and back": {
+		"draining, removed, re-added": {
 			[]changelog.Change{change(2, draining), change(3, removed), change(4, back)},
 			[]string{"e1"},
 		},
-		"back, then draining": {
+		"removed, re-added, draining": {
 			[]changelog.Change{change(2, removed), change(3, back), change(4, draining)},
 			nil,
 		},
@@ -88,7 +88,7 @@
 			[]changelog.Change{change(2, draining), change(3, endpoint("e2", addr1, control.Ready))},
 			[]string{"e2"},
 		},
-		"taken over and back elsewhere": {
+		"address taken over, re-added elsewhere": {
 			[]changelog.Change{
 				change(2, endpoint("e2", addr1, control.Ready)),
 				change(3, endpoint("e2", addr1, control.Draining)),
--- a/internal/broker/maintenance_test.go
+++ b/internal/broker/maintenance_test.go
@@ -9,8 +9,8 @@
 	"wheatlane/control"
 )
 
-// An engine in maintenance gets no attempt until that ends, whatever the change log reports meanwhile; what
-// waits for a connection to it is cancelled at once.
+// An engine in maintenance mode receives no attempts until the mode is ended, whatever the change log reports
+// meanwhile. Its unsent attempts are cancelled immediately.
 func TestMaintenanceLastsUntilEnded(t *testing.T) {
 	h := newHarness(t, engine1())
 	effects := h.apply(StartMaintenance{"e1"})
@@ -21,10 +21,10 @@
 		t.Fatalf("ready %v, ever listed %v, %d unavailable",
 			h.broker.Ready(), h.broker.EverListed("e1"), h.broker.UnavailableEngines())
 	}
-	if effects := h.apply(StartMaintenance{"e1"}); len(effects) != 0 { // a second call changes nothing
-		t.Fatalf("got %v", effects)
+	if effects := h.apply(StartMaintenance{"e1"}); len(effects) != 0 { // maintenance mode is on already
+		t.Fatalf("second StartMaintenance: got %v, want no effects", effects)
 	}
-	// The engine restarts meanwhile, and the change log reports it in service again.
+	// The engine restarts during maintenance, and the change log reports it in service again.
 	restarted := engine1()
 	restarted.StartedAt = h.now - time.Minute
 	h.apply(delta(2, restarted))
@@ -42,13 +42,13 @@
 	}
 }
 
-// Only engines that were ever listed can be in maintenance.
+// Maintenance mode can be started only for engines that were ever listed.
 func TestMaintenanceOfUnknownEngines(t *testing.T) {
 	h := newHarness(t, engine1(), engine2())
 	h.apply(delta(2, endpoint("e2", addr2, control.Removed)))
 	for id, listed := range map[string]bool{"e1": true, "e2": true, "e3": false} {
 		if got := h.broker.EverListed(id); got != listed {
-			t.Errorf("%s: ever listed %v", id, got)
+			t.Errorf("%s: ever listed %v, want %v", id, got, listed)
 		}
 	}
 	h.apply(StartMaintenance{"e3"}, StartMaintenance{"e2"})
@@ -60,18 +60,17 @@
 	}
 }
 
-// The maintenance mode that the previous process handed over holds also for engines that are listed only
-// later.
+// Maintenance mode handed over by the previous process also applies to engines that are listed only later.
 func TestRestoredMaintenance(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.apply(RestoreMaintenance{[]string{"e1", "e2"}})
 	if h.broker.Ready() {
-		t.Fatal("ready with its one engine in maintenance")
+		t.Fatal("ready with its only engine in maintenance")
 	}
 	h.apply(delta(2, engine2()))
 	h.submit(1, "lookup", "", 400*ms)
 	if engines := startedOn(h.run(100 * ms)); len(engines) != 0 {
-		t.Fatalf("attempts at %v", engines)
+		t.Fatalf("attempts at %v during maintenance", engines)
 	}
 	h.apply(EndMaintenance{"e2"})
 	if !h.broker.Ready() {
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/control"
 )
 
-// recordingMeter keeps what it is notified of.
+// recordingMeter records the calls of its methods.
 type recordingMeter struct {
 	NopMeter
 	accepted, started int
@@ -24,7 +24,7 @@
 func (m *recordingMeter) RequestEnded(r RequestSummary) { m.requests = append(m.requests, r) }
 func (m *recordingMeter) AttemptEnded(a AttemptSummary) { m.attempts = append(m.attempts, a) }
 
-// lookupRequest is a lookup of session 1, sent at a time.
+// lookupRequest returns a request of class lookup on session 1, sent at the given time.
 func lookupRequest(sentAt time.Duration) SubmitRequest {
 	return SubmitRequest{Session: 1, Request: Request{
 		RequestID: "a", Class: "lookup", Tenant: "acme", SentAt: sentAt, Timeout: 2 * time.Second,
@@ -32,8 +32,8 @@
 	}}
 }
 
-// What becomes of requests and attempts is reported once, with the times of the client's clock. An attempt
-// counts as wasted if no client got its answer though it may have run.
+// The outcome of each request and attempt is reported once, with the request's duration from the time at which the
+// client sent it. An attempt counts as wasted if it may have run but no client got its answer.
 func TestMeter(t *testing.T) {
 	abandoned := []RequestSummary{{
 		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, Abandoned: true, Duration: 30 * ms,
@@ -60,7 +60,7 @@
 			}},
 			attempts: []AttemptSummary{{Class: "lookup", Engine: "e1", Status: control.OK, Duration: 50 * ms}},
 		}},
-		"client leaves meanwhile": {func(h *harness) {
+		"client disconnects": {func(h *harness) {
 			h.apply(lookupRequest(h.now))
 			h.now += 30 * ms
 			h.apply(SessionClosed{1})
@@ -83,7 +83,7 @@
 			accepted: 1, started: 1, rejected: []ReplyKind{ReplyInterrupted}, requests: abandoned,
 			attempts: wasted(30 * ms),
 		}},
-		"a ping is no rejection": {func(h *harness) { h.apply(Ping{1}) }, recordingMeter{}},
+		"ping": {func(h *harness) { h.apply(Ping{1}) }, recordingMeter{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, engine1())
@@ -97,7 +97,7 @@
 	}
 }
 
-// An attempt that never reached its engine, or that the engine proved not to have run, is not wasted.
+// An attempt that never reached its engine, or that the engine reported as not run, is not wasted.
 func TestNeverRunAttemptsAreNotWasted(t *testing.T) {
 	for name, c := range map[string]struct {
 		status control.Status
@@ -116,7 +116,7 @@
 			h.apply(lookupRequest(h.now))
 			h.apply(AttemptEnded{Attempt: h.onlyAttempt(), Status: c.status})
 			if len(got.attempts) == 0 || got.attempts[0].Wasted != c.wasted || got.attempts[0].Status != c.status {
-				t.Errorf("got %+v", got.attempts)
+				t.Errorf("got %+v, want status %v, wasted %v", got.attempts, c.status, c.wasted)
 			}
 		})
 	}
--- a/internal/broker/results_test.go
+++ b/internal/broker/results_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/broker/resultpages"
 )
 
-// resultTests are what an engine may send for an attempt, and what becomes of the request.
+// resultTests holds sequences of events that an engine may cause for an attempt, with their outcome.
 var resultTests = map[string]struct {
 	events            func(a AttemptID) []Event
 	replies           []ReplyKind
@@ -25,13 +25,13 @@
 	"pages in any order": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 3, row), PageReceived{a, 2, row}, PageReceived{a, 1, row}}
 	}, []ReplyKind{ReplyResult}, 1, 0},
-	"waits for its pages": {func(a AttemptID) []Event {
+	"page outstanding": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 3, row), PageReceived{a, 2, row}}
 	}, nil, 1, 0},
-	"engine dies between pages": {func(a AttemptID) []Event {
+	"connection reset between pages": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 2, row), AttemptEnded{Attempt: a, Status: control.ConnectionReset}}
 	}, nil, 2, 0},
-	"page lost": {func(a AttemptID) []Event {
+	"failure between pages": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 2, row), AttemptEnded{Attempt: a, Status: control.Failed}}
 	}, nil, 2, 0},
 	"incomplete row": {func(a AttemptID) []Event {
@@ -50,7 +50,7 @@
 			PageReceived{a, 2, row},
 		}
 	}, []ReplyKind{ReplyResult}, 1, 0},
-	"two pages of one number": {func(a AttemptID) []Event {
+	"differing pages of one number": {func(a AttemptID) []Event {
 		return []Event{firstPage(a, 3, row), PageReceived{a, 1, row}, PageReceived{a, 1, nil}}
 	}, nil, 2, 1},
 	"invalid UTF-8": {func(a AttemptID) []Event {
@@ -75,7 +75,8 @@
 	return FirstPageReceived{Attempt: a, PageCount: pageCount, Body: body}
 }
 
-// A result counts only once it is complete; what spoils it before costs an attempt, not the answer.
+// An attempt succeeds only with a complete and valid result. Otherwise the request is retried, so that the client does
+// not receive a partial result.
 func TestResultAssembly(t *testing.T) {
 	for name, c := range resultTests {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// An engine may fall silent between two pages.
+// An engine that stops responding between two pages must not block the request: it is retried after pageTimeout.
 func TestMissingPageTimesOut(t *testing.T) {
 	h := newHarness(t, engine1(), engine2())
 	h.submit(1, "load", "", 9*time.Second)
--- a/internal/broker/sessions_test.go
+++ b/internal/broker/sessions_test.go
@@ -9,19 +9,19 @@
 	"wheatlane/internal/broker/eviction"
 )
 
-// With the limit of sessions reached, the first to be evicted is one that had time to log in and did not;
-// else, of the idle ones, one whose command was invalid, then the one that is idle longest; else one that may
-// be about to log in. With all busy, a client is rejected.
+// At the session limit, sessions are evicted in this order: one that did not log in within LoginGrace; an idle one
+// whose last command was invalid; the longest idle one; one that may still log in within LoginGrace. If all sessions
+// are busy, the new client is rejected.
 func TestEvictionOrder(t *testing.T) {
 	h := newHarness(t, engine1())
-	h.broker.sessions.max = 5 // as many as are open
+	h.broker.sessions.max = 5 // the number of open sessions
 	h.submit(1, "lookup", "", time.Second)
 	h.run(eviction.LoginGrace)
 	h.apply(Ping{2}, SubmitRequest{Session: 3, Request: Request{Class: "nonsense"}}, Ping{4})
 	h.apply(SessionOpened{10}) // evicts 3
 	h.run(eviction.LoginGrace)
 	h.apply(SessionOpened{11})                           // evicts 10
-	h.apply(SessionOpened{12}, SessionAuthenticated{12}) // evicts 5, as 11 may be about to log in
+	h.apply(SessionOpened{12}, SessionAuthenticated{12}) // evicts 5, as 11 is within LoginGrace
 	for _, id := range []Session{2, 4, 12} {
 		h.submit(id, "lookup", "", time.Second)
 	}
@@ -37,10 +37,10 @@
 		t.Fatal(diff)
 	}
 	if late := h.apply(Ping{10}); len(effectsOf[Reply](late)) != 1 {
-		t.Fatalf("a session got %v for what was read before its close", late)
+		t.Fatalf("a command read before its session was evicted: got %v, want one reply", late)
 	}
 	if late := h.apply(SessionClosed{10}, Ping{10}); len(late) != 0 {
-		t.Fatalf("a session whose connection has ended got %v", late)
+		t.Fatalf("a command of a session whose connection has ended: got %v, want no effects", late)
 	}
 	rejected := []Effect{
 		Reply{Session: 14, Kind: ReplyTooManySessions, Text: "too many connections"},
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -8,7 +8,7 @@
 	"wheatlane/control/idempotency"
 )
 
-// shutdownSettings have a class for each kind of idempotency, and no retries.
+// shutdownSettings returns settings with a class for each kind of idempotency, and without retries.
 func shutdownSettings() control.Settings {
 	settings := testSettings()
 	settings.Limits.MaxAttempts = 1
@@ -26,22 +26,22 @@
 	return settings
 }
 
-// The final answer of a request depends on whether it may have run and its idempotency. Later requests are
-// rejected at once and never started.
+// The final answer to a request depends on its idempotency and on whether it may have run: a rejection would make
+// clients retry a non-idempotent request that has run. Later requests are rejected immediately and never started.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   string
-		ended   control.Status // how its attempt ended; OK: it is in flight
+		ended   control.Status // status of its ended attempt; OK: the attempt is in flight
 		started bool
 		want    ReplyKind
 	}{
 		"idempotent, in flight":               {"lookup", control.OK, true, ReplyRejected},
-		"with a key for all, in flight":       {"load", control.OK, true, ReplyRejected},
-		"with a key for a zone, in flight":    {"zone", control.OK, true, ReplyFailed},
+		"key deduplicated by all, in flight":  {"load", control.OK, true, ReplyRejected},
+		"key deduplicated in zone, in flight": {"zone", control.OK, true, ReplyFailed},
 		"non-idempotent, in flight":           {"once", control.OK, true, ReplyFailed},
 		"non-idempotent, reset":               {"once", control.ConnectionReset, true, ReplyFailed},
 		"non-idempotent, never started":       {"once", control.OK, false, ReplyRejected},
-		"non-idempotent, certainly never ran": {"once", control.NeverSent, true, ReplyRejected},
+		"non-idempotent, never sent":          {"once", control.NeverSent, true, ReplyRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := engine1()
@@ -52,9 +52,9 @@
 			h.submit(1, c.class, "", 10*time.Second)
 			h.run(10 * ms)
 			if n := len(h.started()); n > 0 != c.started {
-				t.Fatalf("%d attempts", n)
+				t.Fatalf("%d attempts were started, want any: %v", n, c.started)
 			}
-			if c.ended != control.OK { // and the module is not notified of it yet
+			if c.ended != control.OK { // before the decision module is notified
 				h.broker.Apply(h.now, AttemptEnded{Attempt: h.onlyAttempt(), Status: c.ended})
 			}
 			h.effects = h.broker.Apply(h.now, Shutdown{0})
@@ -64,14 +64,14 @@
 			h.run(time.Second)
 			h.expectReplies(c.want, ReplyRejected)
 			if len(h.started()) > 0 || h.broker.OpenRequests() != 0 {
-				t.Fatal("what came after the final answers was accepted")
+				t.Fatal("a request sent after the final answers was accepted")
 			}
 		})
 	}
 }
 
-// A request that waits for its order key at the final answers was never started: it is rejected, and is not
-// started when the one before it ends.
+// A request that waits for its order key when final answers are sent was never started: it is rejected, and is not
+// started when the previous request of the key ends.
 func TestFinalAnswersIncludeRequestsWaitingForOrderKey(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.submit(1, "load", "k", 10*time.Second)
@@ -80,10 +80,10 @@
 	first := h.onlyAttempt()
 	h.apply(Shutdown{50 * ms})
 	h.run(60 * ms)
-	h.expectReplies(ReplyRejected, ReplyRejected) // the first has a key for all engines
+	h.expectReplies(ReplyRejected, ReplyRejected) // all engines deduplicate the key of the first
 	h.apply(AttemptEnded{Attempt: first, Status: control.Cancelled})
 	h.run(time.Second)
 	if len(h.started()) != 1 || h.broker.OpenRequests() != 0 {
-		t.Fatal("the second was started after its answer")
+		t.Fatal("the second request was started after its answer")
 	}
 }
--- a/internal/broker/validation_test.go
+++ b/internal/broker/validation_test.go
@@ -7,8 +7,8 @@
 	"wheatlane/control"
 )
 
-// A class that a reload adds is served, one that it removes accepts no new request, and a request under way
-// keeps its class: it is answered when its engine answers.
+// After a reload, requests of an added class are accepted and those of a removed class are rejected. An open request
+// keeps its class and is answered when its engine answers.
 func TestUpdateSettings(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.submit(1, "lookup", "", 400*ms)
@@ -21,20 +21,20 @@
 	h.apply(UpdateSettings{settings})
 	effects := append(h.submit(2, "report", "", 2*time.Second), h.run(50*ms)...)
 	if started := effectsOf[StartAttempt](effects); len(started) != 1 || started[0].Class != "report" {
-		t.Fatalf("the new class: %+v", started)
+		t.Fatalf("attempts of the added class: got %+v, want one", started)
 	}
 	replies := effectsOf[Reply](h.submit(3, "lookup", "", 400*ms))
 	if len(replies) != 1 || replies[0].Kind != ReplyInvalidFields {
-		t.Fatalf("the removed class: %+v", replies)
+		t.Fatalf("replies for the removed class: got %+v, want ReplyInvalidFields", replies)
 	}
 	replies = effectsOf[Reply](h.apply(firstPage(first, 1, row)))
 	if len(replies) != 1 || replies[0].Session != 1 || replies[0].Kind != ReplyResult {
-		t.Fatalf("the request under way: %+v", replies)
+		t.Fatalf("replies for the open request: got %+v, want its result", replies)
 	}
 }
 
-// A request that crosses a reload to shorter timeouts was written by those before, and is accepted; one with
-// a longer timeout than any that were in force is not.
+// A client that has not noticed a reload to shorter timeouts sends a request with a previous timeout, which is
+// accepted. A timeout longer than any that the class has had is rejected.
 func TestRequestRacingWithReloadToShorterTimeouts(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].ClientTimeout = 5 * time.Second
