--- a/internal/broker/timers.go
+++ b/internal/broker/timers.go
@@ -6,7 +6,7 @@
 	"wheatlane/control"
 )
 
-// timerEvent is what happens when a timer expires. All are declared in this file.
+// timerEvent is an event handled when a timer expires. All timer events are declared in this file.
 type timerEvent interface {
 	expire(b *Broker, now time.Duration)
 }
@@ -16,25 +16,25 @@
 	moduleTimer struct{ token uint64 }
 	// attemptTimedOut is the timeout of an attempt.
 	attemptTimedOut struct{ attempt *attempt }
-	// attemptSettled is the end of an attempt after settleDelay (see mustSettle).
+	// attemptSettled ends an attempt after settleDelay (see mustSettle).
 	attemptSettled struct {
 		attempt *attempt
 		end     control.AttemptEnded
 	}
-	// pageOverdue is the timeout of the next page of a result; missing is the number of missing pages as it was set.
-	pageOverdue struct {
+	// pageTimedOut is the timeout of the next page of a result; missing is the number of missing pages when it was set.
+	pageTimedOut struct {
 		attempt *attempt
 		missing int
 	}
 	// probeTimedOut is the timeout of a load probe.
 	probeTimedOut struct{ probeID uint64 }
-	// queuedRequestDue is the deadline of a request that was queued behind the open one of its session.
+	// queuedRequestDue is the deadline of a request queued behind the open request of its session.
 	queuedRequestDue struct {
 		session   *session
 		requestID string
 	}
-	// shutdownOver is the end of a graceful shutdown, when open requests get their final answers.
-	shutdownOver struct{}
+	// shutdownTimedOut is the end of the grace period of a shutdown, when open requests get their final answers.
+	shutdownTimedOut struct{}
 )
 
 func (t moduleTimer) expire(b *Broker, _ time.Duration) {
@@ -45,14 +45,16 @@
 	b.cancelAttempt(t.attempt, control.TimedOut)
 }
 func (t attemptSettled) expire(b *Broker, now time.Duration) { b.endAttempt(now, t.attempt, t.end) }
-func (t pageOverdue) expire(b *Broker, now time.Duration)    { b.checkPages(now, t.attempt, t.missing) }
+func (t pageTimedOut) expire(b *Broker, now time.Duration) {
+	b.checkPageTimeout(now, t.attempt, t.missing)
+}
 
 func (t probeTimedOut) expire(b *Broker, now time.Duration) {
 	b.probeEnded(now, ProbeResult{ProbeID: t.probeID, Status: control.TimedOut})
 }
 
 func (t queuedRequestDue) expire(b *Broker, now time.Duration) {
-	b.requestDue(now, t.session, t.requestID)
+	b.handleQueuedDeadline(now, t.session, t.requestID)
 }
 
-func (shutdownOver) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
+func (shutdownTimedOut) expire(b *Broker, now time.Duration) { b.sendFinalAnswers(now) }
