--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -1,18 +1,18 @@
-// Package clock gives the time in the reducer's terms: the Unix time of the start of the process, advanced by the
-// monotonic clock. Deadlines, waits and windows are spans of real time, so steps of the wall clock must not show.
+// Package clock provides the reducer's time: the Unix time of the start of the process, advanced by the monotonic
+// clock. Deadlines, waits and windows are durations of real time, so steps of the wall clock must not affect them.
 package clock
 
 import "time"
 
-// start is the moment from which the reducer's time is counted, on both clocks.
+// start is the start of the process, with wall-clock and monotonic readings.
 var start = time.Now()
 
-// Now returns the present moment.
+// Now returns the current time of the reducer.
 func Now() time.Duration { return At(time.Now()) }
 
-// At returns a moment that was read with its monotonic part.
+// At converts t, which must have a monotonic clock reading, to the reducer's time.
 func At(t time.Time) time.Duration { return time.Duration(start.UnixNano()) + t.Sub(start) }
 
-// WallOffset returns how far the wall clock is ahead of Now: 0 until the wall clock is stepped. It serves to read
-// dates that other machines have written.
+// WallOffset returns how far the wall clock is ahead of Now: 0 until the wall clock is stepped. Use it to interpret
+// timestamps from other machines.
 func WallOffset() time.Duration { return time.Duration(time.Now().UnixNano()) - Now() }
--- a/internal/server/clock/clock_test.go
+++ b/internal/server/clock/clock_test.go
@@ -7,16 +7,16 @@
 	"wheatlane/internal/server/clock"
 )
 
-// Spans between moments are those of the monotonic clock, and the offset is that of the wall clock.
+// Differences between times follow the monotonic clock, and WallOffset follows the wall clock.
 func TestAt(t *testing.T) {
 	read := time.Now()
-	if span := clock.At(read.Add(time.Hour)) - clock.At(read); span != time.Hour {
-		t.Errorf("an hour later is %v later", span)
+	if difference := clock.At(read.Add(time.Hour)) - clock.At(read); difference != time.Hour {
+		t.Errorf("times one hour apart differ by %v", difference)
 	}
 	if now := clock.Now(); now < clock.At(read) {
-		t.Errorf("now is %v before a moment in the past", clock.At(read)-now)
+		t.Errorf("Now is %v before a time in the past", clock.At(read)-now)
 	}
 	if offset := clock.WallOffset(); offset.Abs() > time.Minute {
-		t.Errorf("the wall clock is %v ahead, in a test that does not step it", offset)
+		t.Errorf("WallOffset is %v although the wall clock was not stepped", offset)
 	}
 }
--- a/internal/server/meter.go
+++ b/internal/server/meter.go
@@ -45,7 +45,9 @@
 	done := make(chan struct{})
 	inspect := func() {
 		engines := s.pool.Stats().Connections
-		f(s.loop.reducer, netconn.ConnectionCounts{Clients: s.frontend.ClientCount(), Engines: engines, Ends: &s.connections.counts})
+		f(s.loop.reducer, netconn.ConnectionCounts{
+			Clients: s.frontend.ClientCount(), Engines: engines, Ends: &s.connections.counts,
+		})
 		close(done)
 	}
 	inbox := s.loop.inbox
--- a/internal/server/netlisten/netlisten.go
+++ b/internal/server/netlisten/netlisten.go
@@ -1,5 +1,5 @@
-// Package netlisten opens the sockets at which a broker listens. It tries again while the system fails to for a
-// moment, and lets a second process of the broker listen at the same address.
+// Package netlisten opens the sockets on which a broker listens. It retries while the system reports a transient
+// error, such as an address that is still in use, and lets a second process of the broker listen on the same address.
 package netlisten
 
 import (
@@ -15,22 +15,22 @@
 	"wheatlane/internal/transient"
 )
 
-// listenWithin bounds the attempts to listen.
-const listenWithin = 3 * time.Second
+// listenRetryTime bounds the attempts to listen.
+const listenRetryTime = 3 * time.Second
 
-// TCP listens for connections at an address.
+// TCP listens for connections on an address.
 func TCP(ctx context.Context, config net.ListenConfig, addr string) (listener net.Listener, err error) {
-	err = transient.Retry(ctx, listenWithin, transient.IsListen, func() (err error) {
+	err = transient.Retry(ctx, listenRetryTime, transient.IsListen, func() (err error) {
 		listener, err = config.Listen(ctx, "tcp", addr)
 		return err
 	})
 	return listener, err
 }
 
-// UDP listens for datagrams at an IPv4 address.
+// UDP listens for datagrams on an IPv4 address.
 func UDP(ctx context.Context, config net.ListenConfig, addr string) (*net.UDPConn, error) {
 	var conn net.PacketConn
-	err := transient.Retry(ctx, listenWithin, transient.IsListen, func() (err error) {
+	err := transient.Retry(ctx, listenRetryTime, transient.IsListen, func() (err error) {
 		conn, err = config.ListenPacket(ctx, "udp4", addr)
 		return err
 	})
@@ -39,14 +39,17 @@
 	}
 	udp, ok := conn.(*net.UDPConn)
 	if !ok {
-		return nil, fmt.Errorf("%T is no UDP socket", conn)
+		return nil, fmt.Errorf("listen for datagrams on %s: got a %T, want a UDP socket", addr, conn)
 	}
 	return udp, nil
 }
 
-// ReusePortConfig returns a configuration of sockets whose address a second process can use as well, so that a new version
-// takes clients beside the old one. Where the system refuses that, the address is not shared, which is logged.
-func ReusePortConfig(log *zap.Logger) net.ListenConfig { return net.ListenConfig{Control: reusePort(log)} }
+// ReusePortConfig returns a configuration of sockets whose address a second process can use as well, so that a new
+// version of the broker accepts clients beside the old one. If the system refuses SO_REUSEPORT, the address is not
+// shared, and a warning is logged.
+func ReusePortConfig(log *zap.Logger) net.ListenConfig {
+	return net.ListenConfig{Control: reusePort(log)}
+}
 
 // reusePort returns a hook that sets SO_REUSEPORT.
 func reusePort(log *zap.Logger) func(network, address string, c syscall.RawConn) error {
--- a/internal/server/netlisten/netlisten_test.go
+++ b/internal/server/netlisten/netlisten_test.go
@@ -12,33 +12,33 @@
 	"wheatlane/internal/server/netlisten"
 )
 
-// Two processes can listen at one shared address, for connections and for datagrams.
-func TestSharedAddress(t *testing.T) {
-	shared := netlisten.ReusePortConfig(zap.NewNop())
-	first, err := netlisten.TCP(t.Context(), shared, "127.0.0.1:0")
+// Two sockets with SO_REUSEPORT can listen on one address, for connections and for datagrams.
+func TestReusePortSharesAddress(t *testing.T) {
+	config := netlisten.ReusePortConfig(zap.NewNop())
+	first, err := netlisten.TCP(t.Context(), config, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeAtEnd(t, first)
-	second, err := netlisten.TCP(t.Context(), shared, first.Addr().String())
+	second, err := netlisten.TCP(t.Context(), config, first.Addr().String())
 	if err != nil {
-		t.Fatalf("the second listener: %v", err)
+		t.Fatalf("second listener on the address: %v", err)
 	}
 	closeAtEnd(t, second)
-	datagrams, err := netlisten.UDP(t.Context(), shared, "127.0.0.1:0")
+	datagrams, err := netlisten.UDP(t.Context(), config, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeAtEnd(t, datagrams)
-	more, err := netlisten.UDP(t.Context(), shared, datagrams.LocalAddr().String())
+	more, err := netlisten.UDP(t.Context(), config, datagrams.LocalAddr().String())
 	if err != nil {
-		t.Fatalf("the second socket of datagrams: %v", err)
+		t.Fatalf("second datagram socket on the address: %v", err)
 	}
 	closeAtEnd(t, more)
 }
 
-// An address that another process is about to leave is tried again until it is free.
-func TestListenWaitsForTheAddress(t *testing.T) {
+// Listening on an address that is in use is retried until the address is free.
+func TestListenRetriesWhileAddressInUse(t *testing.T) {
 	first, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,11 +53,11 @@
 		}
 		listening <- err
 	}()
-	for range 2 { // the second attempt proves that the first one failed
+	for range 2 { // the second attempt shows that the first one failed
 		select {
 		case <-attempted:
 		case <-time.After(time.Minute):
-			t.Fatal("no attempt to listen")
+			t.Fatal("no attempt to listen within a minute")
 		}
 	}
 	if err := first.Close(); err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// notifyOf returns a hook that notifies of each attempt to listen.
+// notifyOf returns a Control hook that sends on attempted at each attempt to listen.
 func notifyOf(attempted chan<- struct{}) func(network, address string, c syscall.RawConn) error {
 	return func(string, string, syscall.RawConn) error {
 		attempted <- struct{}{}
@@ -76,7 +76,7 @@
 	}
 }
 
-// closeAtEnd closes a socket as the test ends.
+// closeAtEnd closes a socket at the end of the test.
 func closeAtEnd(t *testing.T, socket io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
--- a/internal/server/processpause/processpause_test.go
+++ b/internal/server/processpause/processpause_test.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
+// A read during a process pause or shortly after it may return bytes that arrived at any time since the pause began.
 func TestDetector(t *testing.T) {
 	const begin = time.Hour
 	ms := func(n int) time.Duration { return begin + time.Duration(n)*time.Millisecond }
 	for name, tt := range map[string]struct {
-		turns            []time.Duration
+		iterations       []time.Duration
 		readAt, earliest time.Duration
 	}{
-		"no turn yet":                      {nil, ms(0), ms(0)},
-		"no standstill":                    {[]time.Duration{ms(0), ms(20), ms(40)}, ms(45), ms(45)},
-		"read before the loop's next turn": {[]time.Duration{ms(0)}, ms(1000), ms(0)},
-		"read just after it":               {[]time.Duration{ms(0), ms(1000)}, ms(1001), ms(0)},
-		"read long after it": {
+		"no iteration yet":                      {nil, ms(0), ms(0)},
+		"no pause":                              {[]time.Duration{ms(0), ms(20), ms(40)}, ms(45), ms(45)},
+		"read before the loop's next iteration": {[]time.Duration{ms(0)}, ms(1000), ms(0)},
+		"read just after the pause":             {[]time.Duration{ms(0), ms(1000)}, ms(1001), ms(0)},
+		"read long after the pause": {
 			[]time.Duration{ms(0), ms(1000), ms(1040), ms(1080), ms(1120), ms(1160)}, ms(1200), ms(1200),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d Detector
-			for _, turn := range tt.turns {
-				d.RecordIteration(turn)
+			for _, iteration := range tt.iterations {
+				d.RecordIteration(iteration)
 			}
 			if got := d.EarliestArrival(tt.readAt); got != tt.earliest {
-				t.Errorf("earliest %v, want %v", got-begin, tt.earliest-begin)
+				t.Errorf("earliest arrival %v, want %v", got-begin, tt.earliest-begin)
 			}
 		})
 	}
 }
 
-// A wake-up that is late by a standstill leaves time to read; all that come ahead of the end of that time are passed
-// over, and the first one after it runs a round.
+// A wake-up that is delayed by a process pause reserves time to read pending data. Wake-ups within that time are
+// ignored, and the first one after it runs a loop iteration.
 func TestPacer(t *testing.T) {
 	const due = time.Hour
 	p := NewPacer(due)
@@ -43,17 +44,17 @@
 		ready bool
 	}{
 		{0, true},
-		{standstillThreshold, true}, // late, but no standstill
-		{standstillThreshold + 1, false},
-		{standstillThreshold + catchUpDuration, false},
-		{standstillThreshold + catchUpDuration + 1, true},
+		{pauseThreshold, true}, // delayed, but not paused
+		{pauseThreshold + 1, false},
+		{pauseThreshold + catchUpDuration, false},
+		{pauseThreshold + catchUpDuration + 1, true},
 	} {
 		if got := p.Ready(due + step.at); got != step.ready {
-			t.Errorf("%v after it was due: ready %v, want %v", step.at, got, step.ready)
+			t.Errorf("%v after the wake-up was due: ready %v, want %v", step.at, got, step.ready)
 		}
 	}
 	p.WakeIn(due, time.Second)
 	if lag := p.Lag(due); lag != -time.Second {
-		t.Errorf("ahead of a wake-up in a second the lag is %v", lag)
+		t.Errorf("one second before the wake-up the lag is %v, want -1s", lag)
 	}
 }
