--- a/internal/server/endpointwatch/backoff.go
+++ b/internal/server/endpointwatch/backoff.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	minPollBackoff    = 20 * time.Millisecond
-	maxPollBackoff    = 500 * time.Millisecond
-	pollBackoffSpread = 0.5 // the fraction by which a pause is shorter or longer at random
-	pollBackoffGrowth = 2   // from one pause to the next
+	minPollBackoff        = 20 * time.Millisecond
+	maxPollBackoff        = 500 * time.Millisecond
+	pollBackoffJitter     = 0.5 // fraction by which a delay is randomly shortened or extended
+	pollBackoffMultiplier = 2   // from one delay to the next
 )
 
-// newPollBackoff returns the pauses between polls: they grow from minPollBackoff to maxPollBackoff without end. They
-// are spread at random, as all brokers of a fleet lose a change log at once and would poll it again in step.
+// newPollBackoff returns the backoff between polls, which grows from minPollBackoff to maxPollBackoff and never stops.
+// It is jittered because all brokers of a fleet lose a change log at the same time and would otherwise poll it again in
+// lockstep.
 func newPollBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.Multiplier = minPollBackoff, maxPollBackoff, pollBackoffGrowth
-	b.RandomizationFactor, b.MaxElapsedTime = pollBackoffSpread, 0
+	b.InitialInterval, b.MaxInterval, b.Multiplier = minPollBackoff, maxPollBackoff, pollBackoffMultiplier
+	b.RandomizationFactor, b.MaxElapsedTime = pollBackoffJitter, 0
 	b.Reset()
 	return b
 }
--- a/internal/server/endpointwatch/helpers_test.go
+++ b/internal/server/endpointwatch/helpers_test.go
@@ -15,7 +15,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// recordingSink takes pages, and passes on what it is notified of.
+// recordingSink accepts all pages and records pages and connection ends in channels.
 type recordingSink struct {
 	pages chan changelog.Page
 	ends  chan netconn.Reason
@@ -34,7 +34,7 @@
 	s.ends <- netconn.ReasonOf(err)
 }
 
-// busySink takes no page.
+// busySink accepts no page.
 type busySink struct{ *recordingSink }
 
 func (busySink) EndpointsChanged(ctx context.Context, _ changelog.Page) bool {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// startWatcher runs a watcher from a revision on until the test ends.
+// startWatcher runs a watcher that starts at a revision until the test ends.
 func startWatcher(t *testing.T, addr string, revision int64) (*Watcher, *recordingSink) {
 	t.Helper()
 	sink := newRecordingSink()
@@ -53,7 +53,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := socktest.Receive(t, ended, "the watcher's end"); !errors.Is(err, context.Canceled) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v, want context.Canceled", err)
 		}
 	})
 	return w, sink
@@ -68,17 +68,18 @@
 		revision, revision, strings.Join(endpoints, ","))
 }
 
-// httpPage is an HTTP response with a page of the change log.
+// httpPage returns an HTTP response with a page of the change log.
 func httpPage(page string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(page), page)
 }
 
-// answerOnce serves the first connection of a change log: it writes a response and keeps the connection open.
+// answerOnce serves connections one after another as a change log: it writes a response to each and keeps it open until
+// the watcher closes it.
 func answerOnce(t *testing.T, response string) (addr string) {
 	t.Helper()
 	listener := socktest.Listen(t)
 	socktest.Serve(t, listener, func(_ int, conn net.Conn) {
-		_, _ = io.WriteString(conn, response) // the broker's end of the poll is what the test looks at
+		_, _ = io.WriteString(conn, response) // the test checks the watcher's end of the poll
 		_, _ = io.Copy(io.Discard, conn)
 	})
 	return listener.Addr().String()
--- a/internal/server/endpointwatch/poll.go
+++ b/internal/server/endpointwatch/poll.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// pollTimeout is how long the change log is asked to hold a poll. It is short, so that a silent change log is soon
-	// noticed.
+	// pollTimeout is the time for which the change log is requested to hold a poll. It is short so that an unresponsive
+	// change log is detected soon.
 	pollTimeout = time.Second
-	// minHoldTime is the time before which an answer with nothing new is early.
+	// minHoldTime is the hold time below which a response without a new revision counts as early.
 	minHoldTime     = pollTimeout / 2
-	maxReceiveBytes = changelog.MaxBody + 64<<10 // a page and the header of its response
+	maxReceiveBytes = changelog.MaxBody + 64<<10 // a page and its response header
 	maxSendBytes    = 4 << 10
 )
 
-// revisionError is the error of a change log whose revisions go back, which the protocol excludes.
+// revisionError reports a revision lower than the known one. By the protocol, revisions never decrease.
 type revisionError struct{ got, known int64 }
 
 func (e *revisionError) Error() string {
-	return fmt.Sprintf("the log is at %d, after %d", e.got, e.known)
+	return fmt.Sprintf("change log revision decreased from %d to %d", e.known, e.got)
 }
 
 // connection is a connection to the change log.
 type connection struct {
-	watcher    *Watcher
-	addr       string
-	conn       *netconn.Conn
-	emptyPause *backoff.ExponentialBackOff // between polls that are answered early with nothing new
+	watcher              *Watcher
+	addr                 string
+	conn                 *netconn.Conn
+	earlyResponseBackoff *backoff.ExponentialBackOff // after early responses without a new revision
 }
 
-// poll polls on one connection until that ends, and returns why.
+// poll polls on one connection until the connection ends, and returns the reason.
 func (w *Watcher) poll(ctx context.Context, addr string) error {
 	socket, err := (&net.Dialer{Timeout: w.timeouts.current().connect}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return &netconn.EndError{Reason: netconn.ConnectFailed, Err: err}
 	}
 	c := &connection{
-		watcher: w, addr: addr, emptyPause: newPollBackoff(),
+		watcher: w, addr: addr, earlyResponseBackoff: newPollBackoff(),
 		conn: netconn.New(socket, netconn.Options{MaxReceiveBytes: maxReceiveBytes, MaxSendBytes: maxSendBytes}),
 	}
 	return c.conn.Run(ctx, c.run)
@@ -58,7 +58,7 @@
 	}
 }
 
-// pollOnce sends a poll and passes its answer on.
+// pollOnce sends a poll and passes its response to the sink.
 func (c *connection) pollOnce(ctx context.Context) error {
 	sentAt := time.Now()
 	if err := c.send(); err != nil {
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	c.watcher.timeouts.answered()
+	c.watcher.timeouts.recordResponse()
 	page, err := changelog.ParsePage(response.Body)
 	if err == nil && page.Revision < c.watcher.revision {
 		err = &revisionError{page.Revision, c.watcher.revision}
@@ -77,10 +77,10 @@
 		return &netconn.EndError{Reason: netconn.Malformed, Err: err}
 	}
 	isNew := page.Revision > c.watcher.revision
-	if err := c.pace(ctx, isNew, sentAt); err != nil {
+	if err := c.delayAfterEarlyResponse(ctx, isNew, sentAt); err != nil {
 		return err
 	}
-	// A page that the sink does not take leaves the revision as it is, so that it is polled again.
+	// A page that the sink does not accept leaves the revision unchanged, so that the page is polled again.
 	if isNew && c.watcher.sink.EndpointsChanged(ctx, page) {
 		c.watcher.revision = page.Revision
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// send queues a poll and sets the deadline of its answer.
+// send queues a poll and sets the deadline of its response.
 func (c *connection) send() error {
 	c.watcher.polls.Add(1)
 	if _, err := c.conn.Write(changelog.PollRequest(c.addr, c.watcher.revision, pollTimeout)); err != nil {
@@ -99,8 +99,8 @@
 	return c.conn.SetReadDeadline(time.Now().Add(pollTimeout + c.watcher.timeouts.current().grace))
 }
 
-// receive reads one response. Once it has begun it has a deadline of its own: an update in an answer that stops in the
-// middle counts as announced.
+// receive reads one response. Once the response has begun, it has a separate deadline: by the protocol, an update in a
+// partially sent response counts as announced.
 func (c *connection) receive() (changelog.Response, error) {
 	begun := false
 	for {
@@ -124,7 +124,8 @@
 	}
 }
 
-// receiveError returns the reason of a failed read of a response.
+// receiveError returns err, wrapped with its reason if a timeout expired. begun reports whether a part of the response
+// was received.
 func receiveError(err error, begun bool) error {
 	switch {
 	case netconn.IsTimeout(err) && begun:
@@ -135,17 +136,17 @@
 	return err
 }
 
-// pace waits after an answer that came early with nothing new. Without it, a change log that answers so would be polled
-// in a busy loop that saturates a core on both sides.
-func (c *connection) pace(ctx context.Context, isNew bool, sentAt time.Time) error {
+// delayAfterEarlyResponse waits for a backoff if the response arrived early and has no new revision. Without the delay,
+// a change log that responds in this way would be polled in a busy loop that saturates a core on both sides.
+func (c *connection) delayAfterEarlyResponse(ctx context.Context, isNew bool, sentAt time.Time) error {
 	if isNew || time.Since(sentAt) >= minHoldTime {
-		c.emptyPause.Reset()
+		c.earlyResponseBackoff.Reset()
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(c.emptyPause.NextBackOff()):
+	case <-time.After(c.earlyResponseBackoff.NextBackOff()):
 		return nil
 	}
 }
--- a/internal/server/endpointwatch/timeouts_test.go
+++ b/internal/server/endpointwatch/timeouts_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Brokers that lose the change log at once poll it again at times spread apart, not in step, and never
-// later than the longest pause and its spread allow.
-func TestPollBackoffIsSpread(t *testing.T) {
+// Brokers that lose the change log at the same time poll it again at different times, and never later than the maximum
+// backoff with its jitter. In lockstep they would overload a change log that restarts.
+func TestPollBackoffIsJittered(t *testing.T) {
 	first, second := newPollBackoff(), newPollBackoff()
 	same := 0
 	for i := range 20 {
 		a, b := first.NextBackOff(), second.NextBackOff()
-		for _, pause := range []time.Duration{a, b} {
-			shortest := time.Duration(float64(min(maxPollBackoff, minPollBackoff<<i)) * (1 - pollBackoffSpread))
-			if pause < shortest || pause > time.Duration(float64(maxPollBackoff)*(1+pollBackoffSpread)) {
-				t.Fatalf("pause %d: %v, out of its bounds", i, pause)
+		for _, delay := range []time.Duration{a, b} {
+			shortest := time.Duration(float64(min(maxPollBackoff, minPollBackoff<<i)) * (1 - pollBackoffJitter))
+			longest := time.Duration(float64(maxPollBackoff) * (1 + pollBackoffJitter))
+			if delay < shortest || delay > longest {
+				t.Fatalf("delay %d is %v, want %v to %v", i, delay, shortest, longest)
 			}
 		}
 		if a == b {
@@ -23,32 +24,32 @@
 		}
 	}
 	if same > 1 {
-		t.Fatalf("%d of 20 pauses were the same for two brokers", same)
+		t.Fatalf("%d of 20 delays are the same for two brokers", same)
 	}
 }
 
-// The timeouts grow with each one that is exceeded and shrink after a run of answers.
+// The timeouts grow with each timeout that expires and shrink after consecutive responses.
 func TestAdaptiveTimeouts(t *testing.T) {
 	var timeouts adaptiveTimeouts
 	first := timeouts.current()
-	timeouts.exceeded()
+	timeouts.recordTimeout()
 	second := timeouts.current()
-	timeouts.exceeded()
-	timeouts.exceeded()
+	timeouts.recordTimeout()
+	timeouts.recordTimeout()
 	last := timeouts.current()
 	if second.grace <= first.grace || last.grace <= second.grace || last.partial <= second.partial ||
 		last.connect < second.connect {
 		t.Errorf("timeouts %v, %v, %v do not grow", first, second, last)
 	}
-	for range answersToShorten {
-		timeouts.answered()
+	for range responsesToShorten {
+		timeouts.recordResponse()
 	}
 	if timeouts.current() != second {
-		t.Errorf("after a run of answers the timeouts are %v", timeouts.current())
+		t.Errorf("after %d responses the timeouts are %v, want %v", responsesToShorten, timeouts.current(), second)
 	}
-	timeouts.answered()
-	timeouts.exceeded()
+	timeouts.recordResponse()
+	timeouts.recordTimeout()
 	if timeouts.current() != last {
-		t.Errorf("after one more is exceeded the timeouts are %v", timeouts.current())
+		t.Errorf("after another timeout the timeouts are %v, want %v", timeouts.current(), last)
 	}
 }
--- a/internal/server/endpointwatch/watcher.go
+++ b/internal/server/endpointwatch/watcher.go
@@ -1,5 +1,5 @@
-// Package endpointwatch follows the change log: it long-polls for pages of the endpoint list from the last revision on
-// and passes them to a sink. A connection that fails is replaced; polls that fail in a row are spaced by a backoff.
+// Package endpointwatch follows the change log: it long-polls for pages of the endpoint list, starting at the last
+// revision, and passes them to a sink. A failed connection is replaced; consecutive failures are delayed by a backoff.
 package endpointwatch
 
 import (
@@ -14,18 +14,18 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// Sink is notified of what a watcher receives.
+// Sink receives the pages and the connection ends of a watcher.
 type Sink interface {
-	// EndpointsChanged passes on a page and reports whether it was taken. It may wait, until ctx ends.
+	// EndpointsChanged receives a page and reports whether it was accepted. It may block until ctx ends.
 	EndpointsChanged(ctx context.Context, page changelog.Page) bool
-	// ConnectionEnded reports the end of a connection, or that it was not established.
+	// ConnectionEnded is called when a connection has ended or could not be established.
 	ConnectionEnded(addr string, openedAt time.Time, err error)
 }
 
-// Config is where a watcher begins.
+// Config configures the start of a watcher.
 type Config struct {
-	Addr     string // of the change log
-	Revision int64  // of the endpoint list that the sink has
+	Addr     string // address of the change log
+	Revision int64  // revision of the endpoint list that the sink already has
 }
 
 // Watcher follows a change log.
@@ -34,36 +34,37 @@
 	polls atomic.Uint64
 
 	// Owned by the goroutine of Run.
-	revision int64 // of the last page that the sink took
+	revision int64 // of the last page that the sink accepted
 	timeouts adaptiveTimeouts
 
-	mu          sync.Mutex // guards what follows
-	addr        string
-	leaveTarget func() // ends the connection to the address in use
+	mu           sync.Mutex // guards the fields below
+	addr         string
+	cancelTarget func() // ends the connection to the current address
 }
 
-// New returns a watcher. It does not poll before Run.
+// New returns a watcher, which polls while Run runs.
 func New(cfg Config, sink Sink) *Watcher {
-	return &Watcher{sink: sink, revision: cfg.Revision, addr: cfg.Addr, leaveTarget: func() {}}
+	return &Watcher{sink: sink, revision: cfg.Revision, addr: cfg.Addr, cancelTarget: func() {}}
 }
 
-// Polls returns the number of polls that were sent. Any goroutine may call it.
+// Polls returns the number of polls since the start. Any goroutine may call it.
 func (w *Watcher) Polls() uint64 { return w.polls.Load() }
 
-// SetAddr sets the address of the change log. A poll at another one ends at once. Any goroutine may call it.
+// SetAddr sets the address of the change log. A poll to a different address ends immediately. Any goroutine may call
+// it.
 func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.addr != addr {
 		w.addr = addr
-		w.leaveTarget()
+		w.cancelTarget()
 	}
 }
 
-// Run polls until ctx ends. The first poll after a loss or a change of address comes at once, the next ones with
-// backoff.
+// Run polls until ctx ends. The first poll after a lost connection or a change of address is sent immediately, later
+// ones with backoff.
 func (w *Watcher) Run(ctx context.Context) error {
-	pause, retry := time.Duration(0), newPollBackoff()
+	delay, retry := time.Duration(0), newPollBackoff()
 	for ctx.Err() == nil {
 		target, addr := w.target(ctx)
 		openedAt, revisionBefore := time.Now(), w.revision
@@ -72,36 +73,36 @@
 		if addrChanged {
 			err = &netconn.EndError{Reason: netconn.AddressChanged, Err: err}
 		}
-		if isTooSlow(err) {
-			w.timeouts.exceeded()
+		if exceededTimeout(err) {
+			w.timeouts.recordTimeout()
 		}
 		w.sink.ConnectionEnded(addr, openedAt, err)
 		if addrChanged || w.revision > revisionBefore || time.Since(openedAt) > pollTimeout {
-			pause = 0
+			delay = 0
 			retry.Reset()
 		}
 		select {
 		case <-target.Done():
-			pause = 0
+			delay = 0
 			retry.Reset()
-		case <-time.After(pause):
-			pause = retry.NextBackOff()
+		case <-time.After(delay):
+			delay = retry.NextBackOff()
 		}
 	}
 	return ctx.Err()
 }
 
-// target returns the address of the change log, and a context that ends when that changes.
+// target returns the address of the change log, and a context that ends when the address changes.
 func (w *Watcher) target(ctx context.Context) (target context.Context, addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaveTarget() // the context before is not needed any more
-	target, w.leaveTarget = context.WithCancel(ctx)
+	w.cancelTarget() // releases the previous context
+	target, w.cancelTarget = context.WithCancel(ctx)
 	return target, w.addr
 }
 
-// isTooSlow reports whether a connection ended because something took longer than its timeout.
-func isTooSlow(err error) bool {
+// exceededTimeout reports whether a connection ended because one of its timeouts expired.
+func exceededTimeout(err error) bool {
 	if reason := netconn.ReasonOf(err); reason != netconn.ConnectFailed {
 		return reason == netconn.PollTimeout || reason == netconn.Stalled
 	}
