--- a/internal/server/enginepool/attempts.go
+++ b/internal/server/enginepool/attempts.go
@@ -10,7 +10,8 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// duplicateWindow is how long duplicates of a response may follow it; the protocol speaks of milliseconds.
+// duplicateWindow is the time during which duplicates of a response are expected; by the protocol they follow within
+// milliseconds.
 const duplicateWindow = 2 * time.Second
 
 // StartAttempt sends an attempt to its engine.
@@ -20,11 +21,11 @@
 		overdueAfter: max(p.config.SilenceThreshold, start.OverdueAfter),
 	}
 	p.inFlight[start.Attempt] = stream
-	p.drains.end(start.Engine) // it is in service again
+	p.drains.end(start.Engine) // the engine is in service again
 	p.assign(start.Engine, start.Addr, stream)
 }
 
-// FetchPage asks for a further page of a result.
+// FetchPage requests a further page of a result.
 func (p *Pool) FetchPage(fetch broker.FetchPage) {
 	if stream := p.inFlight[fetch.Attempt]; stream != nil && stream.conn.transport != nil {
 		p.sendCommand(stream.conn, commandFetchPage, stream.id, strconv.Itoa(fetch.Page))
@@ -38,24 +39,24 @@
 		return
 	}
 	stream.priority = set.Priority
-	if !stream.queued { // the command follows the message once the connection is established
+	if !stream.queued { // message appends the command once the connection is established
 		return
 	}
 	priority := strconv.Itoa(set.Priority)
 	stream.followUps = append(stream.followUps, p.sendCommand(stream.conn, commandSetPriority, stream.id, priority))
 }
 
-// WithdrawAttempt ends an attempt that nobody waits for, if nothing of it has left. One that has begun to
-// leave goes on: whether it may be cancelled is for the decision module to say.
+// WithdrawAttempt ends an attempt whose result is no longer needed, if none of its bytes have been sent. An attempt of
+// which bytes may have been sent continues: the decision module decides whether it may be cancelled.
 func (p *Pool) WithdrawAttempt(id broker.AttemptID) {
 	if stream := p.inFlight[id]; stream != nil && !stream.cancelling && !stream.responding && p.withdraw(stream) {
 		p.endStream(stream, streamEnd{status: control.NeverSent})
 	}
 }
 
-// CancelAttempt cancels an attempt. It ends once the command has been sent, or at once if nothing of the
-// attempt has left. The command is sent whether or not the deployment allows cancellation: an attempt that timed out
-// is in flight until then, and a retry would run beside it.
+// CancelAttempt cancels an attempt. The attempt ends once the cancel command has been sent, or immediately if none of
+// its bytes have been sent. The command is sent even if the deployment does not allow cancellation: otherwise an
+// attempt that timed out would stay in flight, and a retry would run concurrently with it.
 func (p *Pool) CancelAttempt(id broker.AttemptID) {
 	stream := p.inFlight[id]
 	if stream == nil || stream.cancelling {
@@ -76,11 +77,11 @@
 	if conn.closed {
 		return
 	}
-	conn.transport.AfterSent(func() { p.loop.Post(func() { p.cancelled(stream) }) })
+	conn.transport.AfterSent(func() { p.loop.Post(func() { p.endCancelled(stream) }) })
 }
 
-// cancelled ends an attempt whose cancellation has been sent.
-func (p *Pool) cancelled(stream *stream) {
+// endCancelled ends an attempt whose cancel command has been sent.
+func (p *Pool) endCancelled(stream *stream) {
 	if stream.done {
 		return
 	}
@@ -88,7 +89,7 @@
 	p.endStream(stream, streamEnd{status: control.Cancelled})
 }
 
-// ReleaseAttempt drops an attempt whose result is complete, or whose further pages are not wanted.
+// ReleaseAttempt removes an attempt whose result is complete or whose further pages are not needed.
 func (p *Pool) ReleaseAttempt(release broker.ReleaseAttempt) {
 	stream := p.inFlight[release.Attempt]
 	if stream == nil {
@@ -97,7 +98,7 @@
 	stream.done = true
 	delete(p.inFlight, release.Attempt)
 	if !release.PagesLeft {
-		// A duplicate must not be mistaken for the response to another request of the same id.
+		// A duplicate must not be mistaken for the response to another request with the same id.
 		p.retire(stream, duplicateWindow)
 		return
 	}
@@ -107,8 +108,8 @@
 	}
 }
 
-// Drain withdraws what waits for a connection to an engine that drains, or behind other bytes: it must not leave
-// later. The time is measured until what has begun to leave has left.
+// Drain withdraws the attempts that wait for a connection to a draining engine or behind other bytes in a send queue:
+// they must not be sent later. The duration of the drain is measured until all bytes that remain queued are sent.
 func (p *Pool) Drain(engine string) {
 	p.drains.start(engine, p.connsByEngine[engine], p.loop.Post)
 	p.cancelUnsent(engine)
@@ -120,7 +121,7 @@
 			p.close(conn, netconn.EngineGone)
 			continue
 		}
-		for _, stream := range conn.inOrder() {
+		for _, stream := range conn.streamsByStart() {
 			if !stream.done && !stream.cancelling && p.withdraw(stream) {
 				p.endStream(stream, streamEnd{status: control.NeverSent})
 			}
@@ -128,11 +129,11 @@
 	}
 }
 
-// retireUntilClientTimeout removes a stream whose response may still come from its connection. Until the last
-// client that may use its id has timed out, the id is not used again.
+// retireUntilClientTimeout removes a stream whose response may still arrive from its connection. Its id is not reused
+// until the last client that may use it has timed out.
 func (p *Pool) retireUntilClientTimeout(stream *stream) { p.retire(stream, p.config.MaxClientTimeout) }
 
-// retire removes a stream from its connection and does not use its id for a time.
+// retire removes a stream from its connection and blocks reuse of its id for a time.
 func (p *Pool) retire(stream *stream, within time.Duration) {
 	stream.conn.retireID(stream.id, time.Now().Add(within))
 	p.removeStream(stream)
--- a/internal/server/enginepool/attempts_test.go
+++ b/internal/server/enginepool/attempts_test.go
@@ -11,16 +11,16 @@
 	"wheatlane/internal/invariant"
 )
 
-// A cancelled attempt that has left ends once its cancellation has left as well. Its id is not used on the connection
-// until the last client that may know it has timed out.
-func TestCancelledAttemptEndsOnceTheCommandHasLeft(t *testing.T) {
+// A cancelled attempt that has been sent ends once its cancel command has been sent as well. Its id is not reused on
+// the connection until the last client that may use it has timed out.
+func TestCancelledAttemptEndsWhenCommandIsSent(t *testing.T) {
 	p := newIdlePool(t)
 	p.start(firstAttempt, "lookup", time.Second)
 	p.sendAll()
 	p.CancelAttempt(firstAttempt)
-	p.CancelAttempt(firstAttempt) // it is cancelled once
+	p.CancelAttempt(firstAttempt) // has no effect
 	if len(p.host.events) > 0 || len(p.host.posted) > 0 {
-		t.Fatalf("it ended at once: %v", p.host.events)
+		t.Fatalf("ended before the command was sent: %v", p.host.events)
 	}
 	p.sendAll()
 	p.host.runPosted("the end of the cancellation")
@@ -29,16 +29,17 @@
 		t.Error(diff)
 	}
 	if p.conn.accepts("1", "a", testConfig.MaxStreams) {
-		t.Error("its id can be used again at once")
+		t.Error("the id is accepted again before MaxClientTimeout")
 	}
 	p.conn.expireRetiredIDs(time.Now().Add(testConfig.MaxClientTimeout + time.Second))
 	if !p.conn.accepts("1", "a", testConfig.MaxStreams) {
-		t.Error("its id can't be used again at all")
+		t.Error("the id is not accepted again after MaxClientTimeout")
 	}
 }
 
-// A connection that was silent as long as a cancelled attempt is old is suspect.
-func TestCancelOnASilentConnection(t *testing.T) {
+// When an attempt is cancelled, its connection is suspected if both the silence of the connection and the age of the
+// attempt exceed the threshold.
+func TestCancelSuspectsSilentConnection(t *testing.T) {
 	const justLonger = SilenceThreshold + time.Millisecond
 	for name, tt := range map[string]struct {
 		silent, age time.Duration
@@ -46,7 +47,7 @@
 	}{
 		"silent, old attempt":   {justLonger, justLonger, true},
 		"silent, young attempt": {justLonger, 0, false},
-		"received lately":       {0, justLonger, false},
+		"recently received":     {0, justLonger, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
@@ -56,21 +57,21 @@
 			p.conn.lastReceived = time.Now().Add(-tt.silent)
 			p.CancelAttempt(firstAttempt)
 			if suspect := !p.conn.suspectSince.IsZero(); suspect != tt.suspect {
-				t.Errorf("suspect %v", suspect)
+				t.Errorf("suspected %v, want %v", suspect, tt.suspect)
 			}
 		})
 	}
 }
 
-// An attempt whose message leaves with a timeout that is longer than the client's by more than the rules allow is
-// reported; the system may take its time between the look at the queue and the write.
+// An attempt that is sent with a timeout that exceeds the client's remaining time by more than the rules allow is
+// reported. This can happen if the operating system delays the write after the message was taken from the queue.
 func TestLateWriteIsReported(t *testing.T) {
 	for name, tt := range map[string]struct {
 		late time.Duration
 		want []string
 	}{
-		"just in time": {invariant.TimeoutSlack - 10*time.Millisecond, nil},
-		"late":         {invariant.TimeoutSlack + 10*time.Millisecond, []string{"late write to e1"}},
+		"within the slack": {invariant.TimeoutSlack - 10*time.Millisecond, nil},
+		"late":             {invariant.TimeoutSlack + 10*time.Millisecond, []string{"late write to e1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
@@ -88,8 +89,8 @@
 	}
 }
 
-// A load probe or an attempt that waits for its connection is withdrawn with the connection as its engine drains.
-func TestDrainClosesWhatIsBeingDialled(t *testing.T) {
+// When an engine drains, a connection that is being dialed is closed, and the attempts that wait for it end.
+func TestDrainClosesConnectionBeingDialed(t *testing.T) {
 	p := newIdlePool(t)
 	p.conn.transport = nil
 	p.start(firstAttempt, "lookup", time.Second)
@@ -99,18 +100,19 @@
 		t.Error(diff)
 	}
 	if got := p.Stats().Connections; got != 0 {
-		t.Errorf("%d connections", got)
+		t.Errorf("%d connections are open, want 0", got)
 	}
 }
 
-// Of all idle connections the one that was used longest ago is closed for another one.
+// At the limit of connections, the one that has been idle longest is closed for a new one.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	p := newIdlePool(t)
 	p.config.MaxConns = 2
 	young := newEngineConn("e2", "b")
 	young.transport, young.cancel, young.lastUsed = p.transport, func(error) {}, time.Now().Add(time.Second)
 	p.connsByEngine["e2"], p.connCount = []*engineConn{young}, 2
-	if !p.mayDial("e3") || !p.conn.closed || young.closed {
-		t.Errorf("the one idle longest is closed: %v, the other: %v", p.conn.closed, young.closed)
+	if !p.ensureDialCapacity("e3") || !p.conn.closed || young.closed {
+		t.Errorf("longest idle connection closed: %v, want true; the other closed: %v, want false",
+			p.conn.closed, young.closed)
 	}
 }
--- a/internal/server/enginepool/command.go
+++ b/internal/server/enginepool/command.go
@@ -9,21 +9,21 @@
 	"wheatlane/internal/resp"
 )
 
-// command is the first part of a message to an engine. Its second part is the id that responses carry.
+// command is the first part of a message to an engine. The second part is the id that responses carry.
 type command string
 
-// The commands.
+// The commands, with their arguments.
 const (
-	commandStart       command = "want"       // start an attempt: fields, statement
-	commandFetchPage   command = "turn"       // send a further page of a result: its number
-	commandCancel      command = "never_mind" // stop an attempt
-	commandClose       command = "shut"       // send no more pages of a result
-	commandSetPriority command = "hurry"      // change the priority of an attempt: the new one
-	commandLoadProbe   command = "busy"       // respond with a load report
-	commandLiveness    command = "there"      // respond
+	commandStart       command = "want"       // starts an attempt: fields, statement
+	commandFetchPage   command = "turn"       // requests a further page of a result: page number
+	commandCancel      command = "never_mind" // cancels an attempt
+	commandClose       command = "shut"       // closes a result: no more pages are needed
+	commandSetPriority command = "hurry"      // changes the priority of an attempt: new priority
+	commandLoadProbe   command = "busy"       // requests a load report
+	commandLiveness    command = "there"      // requests any response
 )
 
-// startField is the name of a field of commandStart on the wire.
+// startField is the wire name of a field of commandStart.
 type startField string
 
 // The fields of commandStart.
@@ -36,14 +36,14 @@
 )
 
 const (
-	probeIDPrefix   = "p" // of the ids of load probes; ids of requests are hex digits
-	livenessID      = "t" // the id of all liveness probes
-	defaultPriority = 1   // that an engine assumes without fieldPriority, by its protocol
+	probeIDPrefix   = "p" // prefix of load probe ids; request ids consist of hex digits
+	livenessID      = "t" // id of all liveness probes
+	defaultPriority = 1   // assumed by engines if fieldPriority is absent, by the protocol
 
-	minTimeout = time.Millisecond // that a message can carry
+	minTimeout = time.Millisecond // resolution of fieldTimeout
 )
 
-// appendCommand appends the message of a command.
+// appendCommand appends the encoded message of a command to dst.
 func appendCommand(dst []byte, cmd command, id string, args ...string) []byte {
 	return resp.Append(dst, append([]string{string(cmd), id}, args...)...)
 }
@@ -65,5 +65,5 @@
 	return appendCommand(nil, commandStart, start.RequestID, string(fields), start.Body)
 }
 
-// probeIDOnWire returns the id of a load probe in messages.
+// probeIDOnWire returns the id that a load probe has in messages.
 func probeIDOnWire(probeID uint64) string { return probeIDPrefix + strconv.FormatUint(probeID, 10) }
--- a/internal/server/enginepool/command_test.go
+++ b/internal/server/enginepool/command_test.go
@@ -14,8 +14,8 @@
 	"wheatlane/internal/socktest"
 )
 
-// Each command to an engine, byte for byte, with each field that it can have.
-func TestTranscriptOfEngineCommands(t *testing.T) {
+// The commands to engines, with all of their fields, match the golden file byte for byte.
+func TestEngineCommandsMatchGoldenFile(t *testing.T) {
 	p := newIdlePool(t)
 	p.config.LoadProbes = true
 	attempt := func(request uint64) broker.AttemptID { return broker.AttemptID{Request: request} }
@@ -39,24 +39,24 @@
 	p.SetPriority(broker.SetPriority{Attempt: attempt(3), Priority: 0})
 	p.SetPriority(broker.SetPriority{Attempt: attempt(3), Priority: 7})
 	drained := p.run(t)
-	socktest.WaitUntil(t, "all has left, so that nothing can be withdrawn", p.transport.AllSent)
+	socktest.WaitUntil(t, "all bytes are sent, so that nothing can be withdrawn", p.transport.AllSent)
 	p.CancelAttempt(attempt(1))
 	p.SetPriority(broker.SetPriority{Attempt: attempt(1), Priority: 9}) // cancelled: nothing is sent
 	p.ReleaseAttempt(broker.ReleaseAttempt{Attempt: attempt(2), PagesLeft: true})
 	p.ReleaseAttempt(broker.ReleaseAttempt{Attempt: attempt(3)})
 	p.suspect(p.conn, time.Now())
 	p.transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown})
-	all, err := io.ReadAll(p.far)
+	all, err := io.ReadAll(p.engineSocket)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.far.Close(); err != nil {
+	if err := p.engineSocket.Close(); err != nil {
 		t.Error(err)
 	}
 	if got := netconn.ReasonOf(socktest.Receive(t, drained, "the end of the connection")); got != netconn.Shutdown {
-		t.Errorf("it ended as %s", got)
+		t.Errorf("the connection ended with reason %s, want %s", got, netconn.Shutdown)
 	}
-	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // a command a line
+	sent := strings.ReplaceAll(fmt.Sprintf("%q", all), `\r\n*`, "\\r\\n\n*") + "\n" // one command per line
 	diff, err := goldenfile.Diff(filepath.Join("testdata", "commands.golden"), sent)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/enginepool/config.go
+++ b/internal/server/enginepool/config.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	// SilenceThreshold is how long a connection with an overdue response may receive nothing before it is suspect.
+	// SilenceThreshold is the time without received bytes after which a connection with an overdue response is suspected
+	// to be dead.
 	SilenceThreshold = 500 * time.Millisecond
 
-	// idleCloseFraction is the fraction of the engines' idle timeout after which a connection is closed from this
-	// side, ahead of the engine.
+	// idleCloseFraction is the fraction of the engines' idle timeout after which the broker closes a connection, before
+	// the engine does.
 	idleCloseFraction = 0.6
-	// maxSweepInterval is the longest time between searches for idle connections, less where engines close them soon.
+	// maxSweepInterval is the maximum time between sweeps for idle connections. Engines with short idle timeouts require
+	// shorter intervals; see SweepInterval.
 	maxSweepInterval = time.Second
 
-	// maxSendDelay bounds how long bytes for an engine may wait before they leave, in the send queue or behind others
-	// that the system does not take: a send that was decided on before a drain was known must not leave after the
-	// drain's grace period.
+	// maxSendDelay is the maximum time that bytes for an engine may wait, in the send queue or because the socket is
+	// blocked: an attempt that was decided on before the drain of its engine was known must not be sent after the drain's
+	// grace period.
 	maxSendDelay = 400 * time.Millisecond
 	// drainGraceFraction is the fraction of the grace period that bytes may wait here; the rest is for the network.
 	drainGraceFraction = 0.8
 
-	defaultConnsPerEngine = 8  // connections to one engine, more where each takes few streams
-	minStreamsPerEngine   = 64 // streams that one engine can be sent at once, however few a connection takes
+	defaultConnsPerEngine = 8  // connections to one engine, unless each accepts few streams
+	minStreamsPerEngine   = 64 // concurrent streams that the connections to one engine must provide
 )
 
-// Config is what a pool knows of its deployment.
+// Config configures a pool.
 type Config struct {
 	MaxConns         int               // connections to all engines together
-	MaxStreams       int               // attempts and load probes at once on one connection
+	MaxStreams       int               // concurrent attempts and load probes on one connection
 	ConnectTimeout   time.Duration     // of a new connection
 	IdleTimeout      time.Duration     // after which engines close an idle connection
-	SweepInterval    time.Duration     // between searches for idle connections
-	DrainGrace       time.Duration     // after a drain, in which decided sends may still arrive; 0: not limited
-	SilenceThreshold time.Duration     // usually SilenceThreshold
+	SweepInterval    time.Duration     // between sweeps for idle connections
+	DrainGrace       time.Duration     // after a drain, during which attempts may still arrive; 0: not limited
+	SilenceThreshold time.Duration     // usually the constant SilenceThreshold
 	MaxClientTimeout time.Duration     // the longest client timeout that was ever in force
 	LoadProbes       bool              // engines may be probed
 	Hedging          bool              // two attempts of one request may be in flight
-	LoadReport       loadfields.Layout // of the load reports of engines
+	LoadReport       loadfields.Layout // layout of the engines' load reports
 }
 
-// SweepInterval returns how often idle connections are looked for where engines close them after a time: often
-// enough to find them between idleCloseFraction of that time and its end.
+// SweepInterval returns the time between sweeps for idle connections where engines close these after idleTimeout. It is
+// short enough to find a connection between idleCloseFraction of the timeout and its end.
 func SweepInterval(idleTimeout time.Duration) time.Duration {
 	return min(maxSweepInterval, time.Duration((1-idleCloseFraction)/2*float64(idleTimeout)))
 }
 
-// MaxSendDelay is how long after its start an attempt may leave: it waits for its connection, and then behind other
-// bytes.
+// MaxSendDelay returns the maximum time from the start of an attempt until it is sent: it waits for its connection, and
+// then behind other bytes.
 func (c *Config) MaxSendDelay() time.Duration { return c.ConnectTimeout + c.queueDelay() }
 
-// queueDelay is how long bytes for an engine may wait in the send queue.
+// queueDelay returns the maximum time that bytes for an engine may wait in the send queue.
 func (c *Config) queueDelay() time.Duration {
 	if c.DrainGrace <= 0 {
 		return maxSendDelay
@@ -60,8 +62,8 @@
 	return min(maxSendDelay, time.Duration(drainGraceFraction*float64(c.DrainGrace)))
 }
 
-// maxConnsPerEngine is how many connections one engine gets. Deployments whose connections take few streams each need
-// more, or their engines would count as unreachable.
+// maxConnsPerEngine returns the maximum number of connections to one engine. Deployments with few streams per
+// connection need more connections; otherwise their engines would count as unreachable.
 func (c *Config) maxConnsPerEngine() int {
 	return max(defaultConnsPerEngine, (minStreamsPerEngine+c.MaxStreams-1)/c.MaxStreams)
 }
--- a/internal/server/enginepool/config_test.go
+++ b/internal/server/enginepool/config_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The limit on late bytes for engines follows the drain grace of the settings.
+// The maximum delay of bytes for engines follows the drain grace period.
 func TestSendDelayFollowsDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0:                      maxSendDelay,
@@ -14,12 +14,13 @@
 		5 * time.Second:        maxSendDelay,
 	} {
 		if got := (&Config{DrainGrace: grace}).queueDelay(); got != want {
-			t.Errorf("grace %v: %v, want %v", grace, got, want)
+			t.Errorf("drain grace %v: queue delay %v, want %v", grace, got, want)
 		}
 	}
 }
 
-// Idle connections are looked for at least twice between their end here and that at their engine.
+// Between the time at which the broker closes an idle connection and the time at which its engine does, there are at
+// least two sweeps.
 func TestSweepInterval(t *testing.T) {
 	for idleTimeout, want := range map[time.Duration]time.Duration{
 		300 * time.Millisecond: 60 * time.Millisecond,
@@ -28,7 +29,7 @@
 		time.Minute:            maxSweepInterval,
 	} {
 		if got := SweepInterval(idleTimeout); got != want {
-			t.Errorf("idle timeout %v: %v, want %v", idleTimeout, got, want)
+			t.Errorf("idle timeout %v: sweep interval %v, want %v", idleTimeout, got, want)
 		}
 	}
 }
--- a/internal/server/enginepool/dependencies.go
+++ b/internal/server/enginepool/dependencies.go
@@ -9,40 +9,41 @@
 
 // Loop runs functions for a pool. Its methods may be called on any goroutine.
 type Loop interface {
-	// Post has the owner of the pool call f. It waits until that is accepted, or the owner has ended.
+	// Post schedules f to be called by the owner of the pool. It blocks until f is accepted or the owner has stopped.
 	Post(f func())
-	// Start calls run on a new goroutine, with a context that ends with the owner, or as the returned function is
+	// Start calls run on a new goroutine. The context of run ends when the owner stops or when the returned function is
 	// called with a cause.
 	Start(run func(ctx context.Context)) context.CancelCauseFunc
 }
 
-// EventSink is given the events of the reducer. A pool calls it as the owner only.
+// EventSink receives events for the reducer. Only the owner of a pool calls it.
 type EventSink interface {
-	// Apply gives the reducer an event and carries out what follows.
+	// Apply passes an event to the reducer and performs the resulting effects.
 	Apply(event broker.Event)
-	// Enqueue does so once the effects that are being carried out are done.
+	// Enqueue applies an event after the current effects have been performed.
 	Enqueue(event broker.Event)
 }
 
-// Observer is notified of what happens on connections to engines, by the owner where nothing else is said.
+// Observer is notified of events on connections to engines. Unless noted otherwise, the owner of the pool calls its
+// methods.
 type Observer interface {
-	// DuplicateResponse reports that an engine answered what nothing waits for.
+	// DuplicateResponse is called when an engine sends a response for which no stream is waiting.
 	DuplicateResponse(engine string)
-	// DrainStarted reports that an engine began to drain or was put into maintenance.
+	// DrainStarted is called when an engine begins to drain or is put into maintenance mode.
 	DrainStarted()
-	// DrainCompleted reports how long after that the last byte left for the engine.
+	// DrainCompleted is called when the last byte queued at the start of a drain has been sent, with the time since
+	// then.
 	DrainCompleted(took time.Duration)
-	// LateWrite reports that an attempt left with a timeout that had become too long.
+	// LateWrite is called when an attempt was sent with a timeout that exceeded the client's remaining time by too much.
 	LateWrite(engine string)
-	// ConnectionEnded reports the end of a connection, also of one that was never established. It is called on any
-	// goroutine.
+	// ConnectionEnded is called on any goroutine when a connection has ended or could not be established.
 	ConnectionEnded(addr string, openedAt time.Time, err error)
 }
 
-// Stats are counts of a pool.
+// Stats holds counts of a pool.
 type Stats struct {
-	Connections    int    // open ones, and those that are being established
-	Streams        int    // attempts and load probes on them
-	Dials          uint64 // connections begun
-	LivenessProbes uint64 // sent
+	Connections    int    // established or being established
+	Streams        int    // attempts and load probes on the connections
+	Dials          uint64 // connections that were begun, since the start
+	LivenessProbes uint64 // probes that were sent, since the start
 }
--- a/internal/server/enginepool/dial.go
+++ b/internal/server/enginepool/dial.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxEngineReceiveBytes = resp.MaxMessage // of responses that are not parsed yet: one complete message
-	maxEngineSendBytes    = 1 << 20         // of messages that wait to be sent
-	// localRetryTime is how long a connection is tried again that fails for a fault of this machine.
-	localRetryTime = 250 * time.Millisecond
+	maxEngineReceiveBytes = resp.MaxMessage // bytes received and not parsed yet: one complete message
+	maxEngineSendBytes    = 1 << 20         // bytes that wait to be sent
+	// localFaultRetryTime is the time during which a connection is retried that fails for a fault of this machine.
+	localFaultRetryTime = 250 * time.Millisecond
 )
 
-// dial begins to establish a connection to an engine. It outlives the event that needs it.
+// dial begins to establish a connection to an engine. The connection is kept beyond the stream for which it is dialed.
 func (p *Pool) dial(engine, addr string) *engineConn {
 	conn := newEngineConn(engine, addr)
 	p.dials++
@@ -30,7 +30,7 @@
 	return conn
 }
 
-// runConn establishes a connection and reads it until it ends or ctx does, on a goroutine of its own.
+// runConn establishes a connection and reads from it until the connection or ctx ends. It runs on a separate goroutine.
 func (p *Pool) runConn(
 	ctx context.Context, conn *engineConn, connectTimeout time.Duration, options netconn.Options,
 ) {
@@ -39,16 +39,16 @@
 	localFault := transient.IsLocal(err)
 	p.loop.Post(func() {
 		conn.localFault = localFault
-		p.disconnected(conn)
+		p.handleDisconnected(conn)
 	})
 	var closed *netconn.EndError
-	if errors.As(context.Cause(ctx), &closed) { // from this side
+	if errors.As(context.Cause(ctx), &closed) { // closed by the broker
 		err = closed
 	}
 	p.observer.ConnectionEnded(conn.addr, started, err)
 }
 
-// serveConn establishes a connection, reads it and returns why it ended.
+// serveConn establishes a connection, reads from it and returns the reason for its end.
 func (p *Pool) serveConn(
 	ctx context.Context, conn *engineConn, connectTimeout time.Duration, options netconn.Options,
 ) error {
@@ -57,11 +57,11 @@
 		return &netconn.EndError{Reason: netconn.ConnectFailed, Err: err}
 	}
 	transport := netconn.New(socket, options)
-	p.loop.Post(func() { p.connected(conn, transport) })
+	p.loop.Post(func() { p.handleConnected(conn, transport) })
 	return transport.Run(ctx, func(context.Context) error { return p.readResponses(conn, transport) })
 }
 
-// connOptions are the limits of connections to engines.
+// connOptions returns the options of connections to engines.
 func (p *Pool) connOptions() netconn.Options {
 	return netconn.Options{
 		MaxReceiveBytes: maxEngineReceiveBytes, MaxSendBytes: maxEngineSendBytes,
@@ -71,27 +71,27 @@
 	}
 }
 
-// connect establishes a connection within a time. It tries again for a while where this machine lacks descriptors,
-// ports or buffers, or has no way to the other one for a moment. That while is short, as an attempt that waits
-// for its connection for long counts as lost at its engine.
-func connect(ctx context.Context, addr string, within time.Duration) (socket net.Conn, err error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// connect establishes a connection within a timeout. It retries for up to localFaultRetryTime if this machine
+// temporarily lacks descriptors, ports, buffers or a route to the engine. This time is short, because an attempt that
+// waits long for its connection counts as lost at its engine.
+func connect(ctx context.Context, addr string, timeout time.Duration) (socket net.Conn, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err = transient.Retry(ctx, min(within, localRetryTime), transient.IsConnect, func() (err error) {
+	err = transient.Retry(ctx, min(timeout, localFaultRetryTime), transient.IsConnect, func() (err error) {
 		socket, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		return err
 	})
 	return socket, err
 }
 
-// connected sends what waited for a connection.
-func (p *Pool) connected(conn *engineConn, transport *netconn.Conn) {
+// handleConnected sends the streams that waited for the connection.
+func (p *Pool) handleConnected(conn *engineConn, transport *netconn.Conn) {
 	if conn.closed {
 		return
 	}
 	now := time.Now()
 	conn.transport, conn.lastReceived = transport, now
-	for _, stream := range conn.inOrder() {
+	for _, stream := range conn.streamsByStart() {
 		if !stream.done {
 			p.send(stream, now)
 		}
--- a/internal/server/enginepool/dial_test.go
+++ b/internal/server/enginepool/dial_test.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// startAt starts the first attempt at engine e1 of an address.
+// startAt starts the first attempt at engine e1 with the given address.
 func startAt(pool *Pool, addr string) {
 	pool.StartAttempt(broker.StartAttempt{
 		Attempt: firstAttempt, Engine: "e1", Addr: addr, RequestID: "1", Class: "lookup", Timeout: testTimeout,
@@ -21,9 +21,9 @@
 	})
 }
 
-// An attempt waits for its connection and leaves on it. A connection that is closed from this side ends with the
-// reason for that, and its attempt with it.
-func TestConnectionIsDialledAndClosed(t *testing.T) {
+// An attempt waits for its connection and is sent on it. A connection that the broker closes ends with the given
+// reason, and its attempt ends with it.
+func TestConnectionIsDialedAndClosed(t *testing.T) {
 	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
 	pool := New(testConfig, host, host, host)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = engine.Close() }) // the other end has closed it
+	t.Cleanup(func() { _ = engine.Close() }) // the pool has closed the connection
 	host.runPosted("the connection")
 	if err := engine.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
@@ -51,11 +51,11 @@
 		t.Error(diff)
 	}
 	if stats := pool.Stats(); stats != (Stats{Dials: 1}) {
-		t.Errorf("%+v", stats)
+		t.Errorf("stats are %+v, want one dial only", stats)
 	}
 }
 
-// An engine that can't be reached never got the attempt.
+// An attempt to an engine that refuses the connection ends with ConnectFailed: the engine never received it.
 func TestRefusedConnection(t *testing.T) {
 	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
@@ -75,8 +75,8 @@
 	}
 }
 
-// The end of an engine's process ends its connection as one that the peer closed.
-func TestConnectionClosedByItsEngine(t *testing.T) {
+// A connection that its engine closes ends with the reason that the peer closed it.
+func TestConnectionClosedByEngine(t *testing.T) {
 	listener, host := socktest.Listen(t), newFakeHost(t)
 	addr := listener.Addr().String()
 	pool := New(testConfig, host, host, host)
@@ -95,7 +95,7 @@
 	}
 	host.runPosted("the end of the connection")
 	if got := socktest.Receive(t, host.ended, "its report"); got.reason != netconn.PeerClosed {
-		t.Errorf("it ended as %s", got.reason)
+		t.Errorf("the connection ended with reason %s, want %s", got.reason, netconn.PeerClosed)
 	}
 	want := []broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset}}
 	if diff := cmp.Diff(want, host.events); diff != "" {
--- a/internal/server/enginepool/drain.go
+++ b/internal/server/enginepool/drain.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// drainTimer measures the drain of an engine: until the last byte that was queued for it as that began has left.
+// drainTimer measures the drain of an engine: the time until all bytes that were queued at its start have been sent.
 type drainTimer struct {
 	startedAt    time.Time
-	pendingConns int           // connections with bytes from before the drain
-	longest      time.Duration // that one of them took so far
+	pendingConns int           // connections with unsent bytes from before the drain
+	longest      time.Duration // longest time of a connection so far
 }
 
-// connDone ends the wait for one connection, which took a time, and reports whether it was the last.
+// connDone records the time that one connection took, and reports whether it was the last pending one.
 func (d *drainTimer) connDone(took time.Duration) (last bool) {
 	d.longest = max(d.longest, took)
 	d.pendingConns--
 	return d.pendingConns == 0
 }
 
-// drainTracker measures the drains of engines. The owner of the pool owns it.
+// drainTracker measures the drains of engines. It belongs to the owner of the pool.
 type drainTracker struct {
-	byEngine map[string]*drainTimer // until the engine is used again or removed
+	byEngine map[string]*drainTimer // entries exist until the engine is used again or removed
 	observer Observer
 }
 
@@ -26,8 +26,8 @@
 	return drainTracker{byEngine: map[string]*drainTimer{}, observer: observer}
 }
 
-// start begins to measure the drain of an engine with these connections, unless it drains already. notify
-// calls a function as the owner of the tracker.
+// start begins to measure the drain of an engine with these connections, unless the engine is already draining. notify
+// schedules a function to be called by the owner of the pool.
 func (t *drainTracker) start(engine string, conns []*engineConn, notify func(func())) {
 	if t.byEngine[engine] != nil {
 		return
@@ -43,7 +43,7 @@
 		conn.drain = drain
 		conn.transport.AfterSent(func() {
 			sentAt := time.Now()
-			notify(func() { t.connSent(conn, sentAt) })
+			notify(func() { t.handleConnSent(conn, sentAt) })
 		})
 	}
 	if drain.pendingConns == 0 {
@@ -51,24 +51,25 @@
 	}
 }
 
-// end ends the drain of an engine that is used again or was removed. Bytes from before it are still waited for.
+// end ends the drain of an engine that is used again or was removed. The measurement of bytes from before the drain
+// continues.
 func (t *drainTracker) end(engine string) { delete(t.byEngine, engine) }
 
-// connSent ends the wait for a connection that has sent all from before the drain of its engine.
-func (t *drainTracker) connSent(conn *engineConn, sentAt time.Time) {
+// handleConnSent completes a connection that has sent all bytes from before the drain of its engine.
+func (t *drainTracker) handleConnSent(conn *engineConn, sentAt time.Time) {
 	if conn.drain != nil {
 		t.connDone(conn, sentAt.Sub(conn.drain.startedAt))
 	}
 }
 
-// connClosed ends the wait for a connection that has closed: it sends nothing more, and its time does not count.
-func (t *drainTracker) connClosed(conn *engineConn) {
+// handleConnClosed completes a connection that has closed: it sends no more bytes, and its time does not count.
+func (t *drainTracker) handleConnClosed(conn *engineConn) {
 	if conn.drain != nil {
 		t.connDone(conn, 0)
 	}
 }
 
-// connDone ends the wait for a connection.
+// connDone completes a connection and reports the drain if the connection was the last pending one.
 func (t *drainTracker) connDone(conn *engineConn, took time.Duration) {
 	drain := conn.drain
 	conn.drain = nil
--- a/internal/server/enginepool/host_test.go
+++ b/internal/server/enginepool/host_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	testTimeout     = 20 * time.Second // a test that waits so long has failed
+	testTimeout     = 20 * time.Second // a test that waits longer fails
 	testIdleTimeout = 30 * time.Second // of connections to engines
-	testSockets     = 256              // for connections to engines
+	testSockets     = 256              // maximum number of connections to engines
 )
 
 var testConfig = Config{
@@ -25,18 +25,18 @@
 
 var firstAttempt, secondAttempt = broker.AttemptID{Request: 1}, broker.AttemptID{Request: 2}
 
-// endedConn is a connection that has ended.
+// endedConn is a reported end of a connection.
 type endedConn struct {
 	addr   string
 	reason netconn.Reason
 }
 
-// fakeHost is what a pool is run by. Posted functions are kept until the test calls them.
+// fakeHost implements Loop, EventSink and Observer for a pool. Posted functions are queued until the test calls them.
 type fakeHost struct {
 	t        *testing.T
 	posted   chan func()
 	events   []broker.Event // applied or enqueued
-	observed []string       // what the observer was notified of, on the owner's goroutine
+	observed []string       // notifications to the observer, on the owner's goroutine
 	ended    chan endedConn
 }
 
@@ -45,7 +45,7 @@
 	return &fakeHost{t: t, posted: make(chan func(), 10), ended: make(chan endedConn, 10)}
 }
 
-// runPosted calls the next function that is posted.
+// runPosted waits for the next posted function and calls it.
 func (h *fakeHost) runPosted(what string) {
 	h.t.Helper()
 	socktest.Receive(h.t, h.posted, what)()
@@ -77,21 +77,21 @@
 	h.observed = append(h.observed, fmt.Sprintf(format, args...))
 }
 
-// idlePool is a pool with one connection, to engine e1, on which nothing was sent yet.
+// idlePool is a pool with one connection, to engine e1, on which nothing has been sent yet.
 type idlePool struct {
 	*Pool
-	host      *fakeHost
-	conn      *engineConn
-	transport *netconn.Conn
-	far       *net.TCPConn     // the engine's end
-	clock     func() time.Time // of the send queue
+	host         *fakeHost
+	conn         *engineConn
+	transport    *netconn.Conn
+	engineSocket *net.TCPConn     // the engine's end
+	clock        func() time.Time // of the send queue
 }
 
 func newIdlePool(t *testing.T) *idlePool {
 	t.Helper()
 	near, far := socktest.Pair(t)
 	host := newFakeHost(t)
-	p := &idlePool{host: host, far: far, clock: time.Now}
+	p := &idlePool{host: host, engineSocket: far, clock: time.Now}
 	p.Pool = New(testConfig, host, host, host)
 	options := p.connOptions()
 	options.Now = func() time.Time { return p.clock() }
@@ -111,10 +111,11 @@
 	})
 }
 
-// sendAll has all that is queued leave.
+// sendAll marks all queued bytes as sent.
 func (p *idlePool) sendAll() { p.transport.MarkSent(len(p.transport.NextBytes())) }
 
-// run serves the connection, on which nothing is read, until the test ends, and returns its end.
+// run runs the connection without reading from it until the test ends. The returned channel receives the error that
+// ended the connection.
 func (p *idlePool) run(t *testing.T) <-chan error {
 	t.Helper()
 	ended := make(chan error, 1)
--- a/internal/server/enginepool/liveness.go
+++ b/internal/server/enginepool/liveness.go
@@ -7,22 +7,22 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// livenessTimeout is how long an engine has to answer a liveness probe.
+// livenessTimeout is the time within which an engine must respond to a liveness probe.
 const livenessTimeout = 250 * time.Millisecond
 
-// livenessVerdict is what follows for an established connection from what was received on it.
-type livenessVerdict int
+// livenessChange is the result of a liveness check of an established connection.
+type livenessChange int
 
 const (
-	livenessUnchanged livenessVerdict = iota // nothing changes
-	livenessConfirmed                        // a response came since it was suspected: it is alive
-	livenessSuspected                        // it is suspect from now on, and probed
-	livenessLost                             // it was probed and received nothing in time
+	livenessUnchanged livenessChange = iota
+	livenessConfirmed                // a response arrived since the connection was suspected: it is alive
+	livenessSuspected                // the connection is suspected from now on and must be probed
+	livenessLost                     // the connection was probed and no response arrived in time
 )
 
-// checkLiveness probes connections on which a response is overdue and nothing was received for long, and closes those
-// that stay silent. Engines whose machine vanished, and responses that stop and never continue, leave a connection open
-// and silent. Closing it has a new one dialed, or proves that the engine can't be reached.
+// checkLiveness probes connections that have an overdue response and have received nothing for long, and closes those
+// that stay silent. If an engine's machine fails, or a response stops in the middle, the connection stays open and
+// silent. After the close a new connection is dialed, which shows whether the engine is reachable.
 func (p *Pool) checkLiveness() {
 	now := time.Now()
 	for _, conns := range p.connsByEngine {
@@ -34,9 +34,9 @@
 	}
 }
 
-// checkConn looks at one established connection.
+// checkConn checks one established connection.
 func (p *Pool) checkConn(conn *engineConn, now time.Time) {
-	switch conn.liveness().judge(now, p.config.SilenceThreshold) {
+	switch conn.livenessState().evaluate(now, p.config.SilenceThreshold) {
 	case livenessUnchanged:
 	case livenessConfirmed:
 		conn.suspectSince = time.Time{}
@@ -49,17 +49,17 @@
 	}
 }
 
-// liveness is what shows whether a connection is alive.
-type liveness struct {
-	lastReceived time.Time // when something came on it last, or when it was established
-	suspectSince time.Time // since when it is suspected to be dead; zero: it is not
-	overdueAt    time.Time // when the first response owed on it is overdue; zero: none is owed
+// livenessState holds the inputs of a liveness check of a connection.
+type livenessState struct {
+	lastReceived time.Time // when the last response arrived, or when the connection was established
+	suspectSince time.Time // since when the connection is suspected to be dead; zero if it is not
+	overdueAt    time.Time // when the first pending response is overdue; zero if none is pending
 }
 
-// judge returns what follows at a time. A connection is suspected only once a response is overdue and nothing came
-// for longer than the threshold: a response that takes long is no sign of a dead engine, and probing each connection
-// with long queries in flight would cost every engine messages from every broker.
-func (l liveness) judge(now time.Time, silenceThreshold time.Duration) livenessVerdict {
+// evaluate returns the result of a liveness check at a time. A connection is suspected only if a response is overdue
+// and nothing was received for longer than the threshold: a slow response does not indicate a dead engine, and if
+// connections with long queries in flight were probed, every engine would receive probes from every broker.
+func (l livenessState) evaluate(now time.Time, silenceThreshold time.Duration) livenessChange {
 	suspected := !l.suspectSince.IsZero()
 	overdue := !l.overdueAt.IsZero() && now.After(l.overdueAt)
 	switch {
@@ -73,13 +73,14 @@
 	return livenessUnchanged
 }
 
-// liveness returns what is known of the connection.
-func (c *engineConn) liveness() liveness {
-	return liveness{lastReceived: c.lastReceived, suspectSince: c.suspectSince, overdueAt: c.firstOverdueAt()}
+// livenessState returns the inputs of a liveness check of the connection.
+func (c *engineConn) livenessState() livenessState {
+	return livenessState{lastReceived: c.lastReceived, suspectSince: c.suspectSince, overdueAt: c.firstOverdueAt()}
 }
 
-// suspect marks a connection as one that may be dead: it accepts no new streams until something is received on it. It
-// is probed where that is allowed. Where probes or hedging are not, it stays until all in flight on it has ended.
+// suspect marks a connection as possibly dead: it accepts no new streams until a response is received, and is probed if
+// liveness probes are allowed. Unless both probes and hedging are allowed, it is kept until no streams are in flight on
+// it.
 func (p *Pool) suspect(conn *engineConn, now time.Time) {
 	conn.suspectSince = now
 	if p.livenessProbesAllowed() {
@@ -88,8 +89,8 @@
 	}
 }
 
-// suspectIfSilent suspects a connection that has been silent for long as a stream is cancelled that is as
-// old: the stream may have been lost with its engine's machine.
+// suspectIfSilent suspects a connection of which a stream is cancelled if both the silence of the connection and the
+// age of the stream exceed the threshold: the stream may have been lost with its engine's machine.
 func (p *Pool) suspectIfSilent(conn *engineConn, stream *stream) {
 	now := time.Now()
 	threshold := p.config.SilenceThreshold
@@ -99,15 +100,15 @@
 	}
 }
 
-// livenessProbesAllowed reports whether engines may be probed for liveness: the protocol counts that as a load probe.
+// livenessProbesAllowed reports whether liveness probes may be sent. By the protocol they count as load probes.
 func (p *Pool) livenessProbesAllowed() bool { return p.config.LoadProbes }
 
-// mayCloseSilent reports whether a connection may be closed for its silence with attempts in flight. An
-// engine that was cut off does not notice the close and goes on: a retry would run beside the attempt,
-// which the deployment must allow.
+// mayCloseSilent reports whether a silent connection may be closed while attempts are in flight. An engine behind a
+// network partition does not detect the close and continues: a retry would run concurrently with the attempt, which the
+// deployment must allow.
 func (p *Pool) mayCloseSilent() bool { return p.livenessProbesAllowed() && p.config.Hedging }
 
-// firstOverdueAt is when the first response of those owed is overdue; zero if none is owed.
+// firstOverdueAt returns when the first pending response is overdue; zero if none is pending.
 func (c *engineConn) firstOverdueAt() time.Time {
 	var first time.Time
 	for _, stream := range c.streams {
--- a/internal/server/enginepool/pool.go
+++ b/internal/server/enginepool/pool.go
@@ -19,13 +19,13 @@
 	observer Observer
 
 	connsByEngine  map[string][]*engineConn
-	connCount      int // in connsByEngine
+	connCount      int // total of connsByEngine
 	inFlight       map[broker.AttemptID]*stream
 	drains         drainTracker
 	sweptAt        time.Time
 	dials          uint64
 	livenessProbes uint64
-	writesExpired  atomic.Bool // on any connection, since resendExpired was called last; set by the writers
+	writesExpired  atomic.Bool // a write has expired since the last resendExpired; set by the goroutines that write
 }
 
 // New returns a pool without connections.
@@ -40,10 +40,10 @@
 // Config returns the configuration in force.
 func (p *Pool) Config() Config { return p.config }
 
-// Reconfigure replaces the configuration. Connections that were begun keep their timeouts.
+// Reconfigure replaces the configuration. Existing connections keep their timeouts.
 func (p *Pool) Reconfigure(config Config) { p.config = config }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	stats := Stats{Connections: p.connCount, Dials: p.dials, LivenessProbes: p.livenessProbes}
 	for _, conns := range p.connsByEngine {
@@ -54,14 +54,14 @@
 	return stats
 }
 
-// CheckConnections sends anew what waited too long to leave, and looks for connections that are dead.
+// CheckConnections resends attempts whose messages have expired in a send queue, and detects dead connections.
 func (p *Pool) CheckConnections() {
 	p.resendExpired()
 	p.checkLiveness()
 }
 
-// CloseConnections closes the connections to an engine that were dialed before a time of the reducer, all of them if
-// it is 0.
+// CloseConnections closes the connections to an engine that were dialed before a time of the reducer, or all of them if
+// dialedBefore is 0.
 func (p *Pool) CloseConnections(engine string, dialedBefore time.Duration) {
 	p.drains.end(engine)
 	for _, conn := range slices.Clone(p.connsByEngine[engine]) {
@@ -71,13 +71,14 @@
 	}
 }
 
-// assign puts a stream on a connection with capacity or on a new one. Where neither can be had, the stream ends with
-// AtCapacity, although it is this broker that lacks connections: the engine must not be ejected as unreachable.
+// assign adds a stream to a connection with capacity or to a new connection. If neither is available, the stream ends
+// with AtCapacity, although the broker and not the engine lacks capacity: the engine must not be ejected as
+// unreachable.
 func (p *Pool) assign(engine, addr string, stream *stream) {
 	stream.startedAt = time.Now()
 	conn := p.connFor(engine, addr, stream)
 	if conn == nil {
-		if !p.mayDial(engine) {
+		if !p.ensureDialCapacity(engine) {
 			p.endStream(stream, streamEnd{status: control.AtCapacity})
 			return
 		}
@@ -89,7 +90,7 @@
 	}
 }
 
-// connFor returns a connection that accepts a stream, an established one if there is any; nil without one.
+// connFor returns a connection that accepts a stream, preferably an established one. It returns nil if there is none.
 func (p *Pool) connFor(engine, addr string, stream *stream) *engineConn {
 	var establishing *engineConn
 	for _, conn := range p.connsByEngine[engine] {
@@ -105,16 +106,17 @@
 	return establishing
 }
 
-// mayDial reports whether one more connection to an engine can be had, and evicts an idle one if it must.
-func (p *Pool) mayDial(engine string) bool {
+// ensureDialCapacity reports whether one more connection to an engine may be dialed. If the limit of all connections is
+// reached, it evicts an idle one.
+func (p *Pool) ensureDialCapacity(engine string) bool {
 	if len(p.connsByEngine[engine]) >= p.config.maxConnsPerEngine() {
 		return false
 	}
 	return p.connCount < p.config.MaxConns || p.evictIdle()
 }
 
-// evictIdle closes the connection that has been idle longest and reports whether there was one: there may
-// be more engines than connections are allowed.
+// evictIdle closes the connection that has been idle longest and reports whether an idle connection existed. Eviction
+// is needed because there may be more engines than allowed connections.
 func (p *Pool) evictIdle() bool {
 	var longest *engineConn
 	for _, conns := range p.connsByEngine {
@@ -132,23 +134,23 @@
 	return true
 }
 
-// close ends a connection from this side. All that is in flight on it ends at once, so that no response
-// that is on its way can be mistaken for one to another stream.
+// close closes a connection. All streams in flight on it end immediately, so that no response still in transit can be
+// mistaken for the response to another stream.
 func (p *Pool) close(conn *engineConn, reason netconn.Reason) {
 	if conn.closed {
 		return
 	}
 	conn.cancel(&netconn.EndError{Reason: reason})
-	p.disconnected(conn)
+	p.handleDisconnected(conn)
 }
 
-// disconnected removes a connection that has ended from the pool and ends its streams.
-func (p *Pool) disconnected(conn *engineConn) {
+// handleDisconnected removes a connection that has ended from the pool and ends its streams.
+func (p *Pool) handleDisconnected(conn *engineConn) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
-	p.drains.connClosed(conn)
+	p.drains.handleConnClosed(conn)
 	p.connCount--
 	rest := slices.DeleteFunc(p.connsByEngine[conn.engine], func(other *engineConn) bool { return other == conn })
 	if p.connsByEngine[conn.engine] = rest; len(rest) == 0 {
--- a/internal/server/enginepool/pool_test.go
+++ b/internal/server/enginepool/pool_test.go
@@ -16,19 +16,19 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// sentCommands ends a connection and returns what leaves on it, as command and request id.
+// sentCommands ends a connection and returns the commands that were sent on it, each with its request id.
 func sentCommands(t *testing.T, p *idlePool) (commands []string) {
 	t.Helper()
 	p.transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown})
 	p.run(t)
-	sent, err := io.ReadAll(p.far)
+	sent, err := io.ReadAll(p.engineSocket)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for len(sent) > 0 {
 		parts, size, err := resp.Parse(sent)
 		if err != nil || size == 0 {
-			t.Fatalf("the engine can't parse %q", sent)
+			t.Fatalf("parsing %q: size %d, error %v", sent, size, err)
 		}
 		commands = append(commands, string(parts[0])+" "+string(parts[1]))
 		sent = sent[size:]
@@ -36,8 +36,8 @@
 	return commands
 }
 
-// What waits behind other bytes on its way to an engine is withdrawn, with its later commands, when its
-// client has left, it is cancelled, or its engine drains; its neighbours leave.
+// An attempt that waits in the send queue is withdrawn, with its later commands, when its client has disconnected, when
+// it is cancelled, or when its engine drains. Other attempts in the queue are sent.
 func TestUnsentAttemptsAreWithdrawn(t *testing.T) {
 	neverSent := func(id broker.AttemptID) broker.Event {
 		return broker.AttemptEnded{Attempt: id, Status: control.NeverSent}
@@ -47,7 +47,7 @@
 		sent   []string
 		events []broker.Event
 	}{
-		"client left": {
+		"client disconnected": {
 			func(p *idlePool) { p.WithdrawAttempt(firstAttempt) },
 			[]string{"want 2"},
 			[]broker.Event{neverSent(firstAttempt)},
@@ -84,7 +84,8 @@
 	}
 }
 
-// With no idle connection to evict, an attempt never leaves, which is no evidence against its engine.
+// At the limit of connections, with no idle connection to evict, an attempt ends with AtCapacity, which does not count
+// as a fault of its engine.
 func TestNoCapacityForAnotherConnection(t *testing.T) {
 	p := newIdlePool(t)
 	p.start(firstAttempt, "lookup", time.Second)
@@ -99,13 +100,12 @@
 	}
 }
 
-// A connection is closed by the broker as a request is on its way to the goroutine that writes: what is
-// reported as never sent, and may be sent elsewhere for that, does not leave any more. What has begun to
-// leave counts as sent.
+// When the broker closes a connection while messages are queued, a message that is reported as never sent, and may
+// therefore be sent to another engine, must not be sent any more. A message whose write has begun counts as sent.
 func TestClosedConnectionSendsNothing(t *testing.T) {
 	p := newIdlePool(t)
 	p.start(firstAttempt, "once", time.Second)
-	firstBytes := len(p.transport.NextBytes()) // they are being written as the connection is closed
+	firstBytes := len(p.transport.NextBytes()) // being written when the connection is closed
 	p.start(secondAttempt, "once", time.Second)
 	p.CloseConnections("e1", 0)
 	want := []broker.Event{
@@ -115,16 +115,16 @@
 	if diff := cmp.Diff(want, p.host.events); diff != "" {
 		t.Errorf("events of the reducer: %s", diff)
 	}
-	p.transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown}) // the writer comes to it ahead of the close
+	p.transport.CloseAfterSent(&netconn.EndError{Reason: netconn.Shutdown}) // the writer runs before the close
 	p.run(t)
-	if sent, err := io.ReadAll(p.far); err != nil || len(sent) != firstBytes {
+	if sent, err := io.ReadAll(p.engineSocket); err != nil || len(sent) != firstBytes {
 		t.Errorf("the engine got %q, %v", sent, err)
 	}
 }
 
-// A message that has waited behind a blocked write for longer than its timeout may be off is made anew, with the
-// time that is left and the priority of now; one whose time is over does not leave.
-func TestExpiredMessagesAreMadeAnew(t *testing.T) {
+// A message that expired behind a blocked write is encoded again, with the remaining time and the current priority. An
+// attempt that has timed out is not sent.
+func TestExpiredMessagesAreEncodedAgain(t *testing.T) {
 	const timeout, waited = time.Second, 300 * time.Millisecond
 	p := newIdlePool(t)
 	p.config.ConnectTimeout = timeout
@@ -137,25 +137,25 @@
 	}
 	p.clock = func() time.Time { return time.Now().Add(waited) }
 	if next := p.transport.NextBytes(); strings.Contains(string(next), "want") {
-		t.Fatalf("%q leaves though it is out of date", next)
+		t.Fatalf("expired message %q is sent", next)
 	}
-	p.transport.MarkSent(0) // the system takes nothing of what is left
-	p.clock = time.Now      // what is made anew has not waited
+	p.transport.MarkSent(0) // the system accepts no bytes
+	p.clock = time.Now      // the new messages have not waited
 	p.resendExpired()
 	ended := []broker.Event{broker.AttemptEnded{Attempt: secondAttempt, Status: control.NeverSent}}
 	if diff := cmp.Diff(ended, p.host.events); diff != "" {
 		t.Errorf("events of the reducer: %s", diff)
 	}
 	if left := p.inFlight[firstAttempt].timeLeft(time.Now()); left > timeout-waited {
-		t.Errorf("%v are left of %v after %v", left, timeout, waited)
+		t.Errorf("remaining time %v, want at most %v", left, timeout-waited)
 	}
 	if diff := cmp.Diff([]string{"want 1", "hurry 1"}, sentCommands(t, p)); diff != "" {
 		t.Errorf("sent: %s", diff)
 	}
 }
 
-// A message that expired and was not made anew yet is withdrawn as one that never left, by whatever ends it.
-func TestExpiredMessageNeverLeft(t *testing.T) {
+// An attempt whose message has expired and was not encoded again yet ends as never sent.
+func TestAttemptWithExpiredMessageEndsAsNeverSent(t *testing.T) {
 	for name, end := range map[string]func(p *idlePool){
 		"cancelled": func(p *idlePool) { p.CancelAttempt(firstAttempt) },
 		"withdrawn": func(p *idlePool) { p.WithdrawAttempt(firstAttempt) },
@@ -174,7 +174,8 @@
 	}
 }
 
-// A connection is used for a fraction of the engines' idle timeout only, but for as long as something is in flight.
+// An idle connection is used for a fraction of the engines' idle timeout only. A connection with streams in flight is
+// never idle.
 func TestIdleTooLong(t *testing.T) {
 	const timeout = time.Second
 	for name, tt := range map[string]struct {
@@ -182,13 +183,13 @@
 		streams int
 		want    bool
 	}{
-		"fresh":                   {0, 0, false},
-		"within the fraction":     {590 * time.Millisecond, 0, false},
-		"beyond it":               {610 * time.Millisecond, 0, true},
-		"with something on it":    {time.Minute, 1, false},
-		"closed by its engine":    {time.Minute, 0, true},
-		"for exactly as it may":   {600 * time.Millisecond, 0, false},
-		"for one nanosecond more": {600*time.Millisecond + 1, 0, true},
+		"just used":                     {0, 0, false},
+		"below the fraction":            {590 * time.Millisecond, 0, false},
+		"above the fraction":            {610 * time.Millisecond, 0, true},
+		"with a stream in flight":       {time.Minute, 1, false},
+		"beyond the engines' timeout":   {time.Minute, 0, true},
+		"at the fraction":               {600 * time.Millisecond, 0, false},
+		"one nanosecond above fraction": {600*time.Millisecond + 1, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
@@ -204,36 +205,38 @@
 	}
 }
 
-// An attempt does not go on a connection that was idle for long, however seldom these are looked for.
+// An attempt is not sent on a connection that has been idle for too long, even if no sweep has closed the connection
+// yet.
 func TestIdleConnectionIsNotUsed(t *testing.T) {
 	for name, tt := range map[string]struct {
 		idle  time.Duration
 		dials uint64
 	}{
-		"fresh":         {0, 0},
-		"idle for long": {testIdleTimeout * 7 / 10, 1},
+		"just used":         {0, 0},
+		"idle for too long": {testIdleTimeout * 7 / 10, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
 			p.conn.lastUsed = p.conn.lastUsed.Add(-tt.idle)
 			p.start(firstAttempt, "lookup", time.Second)
 			if got := p.Stats().Dials; got != tt.dials {
-				t.Errorf("%d connections begun, want %d", got, tt.dials)
+				t.Errorf("%d dials, want %d", got, tt.dials)
 			}
 		})
 	}
 }
 
-// Only connections that were dialed before an engine's restart lead to the process that is gone.
-func TestCloseConnectionsDialledBefore(t *testing.T) {
+// When an engine has restarted, only the connections that were dialed before the restart are closed, because they lead
+// to the previous process.
+func TestCloseConnectionsDialedBefore(t *testing.T) {
 	for name, tt := range map[string]struct {
 		before func(dialed time.Duration) time.Duration
 		open   int
 	}{
-		"any":                  {func(time.Duration) time.Duration { return 0 }, 0},
-		"dialed before":        {func(dialed time.Duration) time.Duration { return dialed + 1 }, 0},
-		"dialed in the moment": {func(dialed time.Duration) time.Duration { return dialed }, 1},
-		"dialed since":         {func(dialed time.Duration) time.Duration { return dialed - 1 }, 1},
+		"no time given":           {func(time.Duration) time.Duration { return 0 }, 0},
+		"dialed before the time":  {func(dialed time.Duration) time.Duration { return dialed + 1 }, 0},
+		"dialed at the same time": {func(dialed time.Duration) time.Duration { return dialed }, 1},
+		"dialed after the time":   {func(dialed time.Duration) time.Duration { return dialed - 1 }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
--- a/internal/server/enginepool/probes.go
+++ b/internal/server/enginepool/probes.go
@@ -6,10 +6,10 @@
 	"wheatlane/internal/broker"
 )
 
-// probeExpiry is how long a load probe may stay unanswered.
+// probeExpiry is the time after which a load probe without a response is removed.
 const probeExpiry = time.Second
 
-// StartProbe asks an engine for its load.
+// StartProbe sends a load probe to an engine.
 func (p *Pool) StartProbe(probe broker.ProbeLoad) {
 	id := probeIDOnWire(probe.ProbeID)
 	p.assign(probe.Engine, probe.Addr, &stream{
@@ -17,7 +17,7 @@
 	})
 }
 
-// expireProbes removes the probes on a connection that were not answered. The reducer has its own
+// expireProbes removes the load probes of a connection that received no response in time. The reducer has a separate
 // timeout for them.
 func (p *Pool) expireProbes(conn *engineConn, now time.Time) {
 	if conn.transport == nil {
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	partialResponseTimeout = 200 * time.Millisecond // a response that has begun is complete by then
-	lateReadTimeout        = 10 * time.Millisecond  // one more read, for what came while the process stood still
+	partialResponseTimeout = 200 * time.Millisecond // from the first bytes of a response to its last
+	// lateReadTimeout is the timeout of one more read after a timeout has expired. It finds data that arrived in time
+	// during a process pause.
+	lateReadTimeout = 10 * time.Millisecond
 )
 
-// responseReader reads the responses on a connection to an engine. The goroutine that reads the connection
-// owns it.
+// responseReader reads the responses on a connection to an engine. It belongs to the goroutine that reads from the
+// connection.
 type responseReader struct {
 	transport *netconn.Conn
-	partial   bool // a response has begun, and its timeout runs
-	lateRead  bool // the timeout has passed, and the late read is under way
+	partial   bool // a response has begun, and its timeout is running
+	lateRead  bool // the timeout has expired, and the late read is in progress
 }
 
 // readResponses posts the responses of an engine to the owner of the pool until the connection ends.
@@ -32,7 +34,7 @@
 			return err
 		}
 		responses, malformed := parseResponses(transport)
-		// Complete responses count, whatever follows them or ends the connection meanwhile.
+		// Complete responses are processed even if malformed data follows or the connection ends.
 		if len(responses) > 0 {
 			p.loop.Post(func() { p.handleResponses(conn, responses) })
 		}
@@ -45,7 +47,7 @@
 	}
 }
 
-// read waits for bytes. It fails if a response that has begun is not completed in time.
+// read waits for bytes. It returns an error with reason Stalled if a response that has begun is not completed in time.
 func (r *responseReader) read() error {
 	for {
 		err := r.transport.ReadOnce()
@@ -64,9 +66,9 @@
 	}
 }
 
-// setDeadline starts the timeout of a response that has begun, anew where some were completed before it, and ends it
-// where none has begun. An engine that stops in the middle and leaves its connection open would otherwise hold all that
-// is in flight there.
+// setDeadline starts the timeout of a response that has begun, restarts it if other responses were completed before
+// that one, and removes it if no response has begun. Without the timeout, an engine that stops in the middle of a
+// response and keeps its connection open would block all streams in flight on it.
 func (r *responseReader) setDeadline(completed int) error {
 	partial := r.transport.Received.Len() > 0
 	var err error
@@ -80,7 +82,7 @@
 	return err
 }
 
-// parseResponses consumes the complete responses in the receive buffer, up to one that is malformed.
+// parseResponses consumes the complete responses in the receive buffer, up to the first malformed one.
 func parseResponses(transport *netconn.Conn) ([]resp.Response, error) {
 	var responses []resp.Response
 	for {
@@ -92,13 +94,13 @@
 		if err != nil {
 			return responses, err
 		}
-		response.Body = bytes.Clone(response.Body) // it points into the buffer
+		response.Body = bytes.Clone(response.Body) // it references the receive buffer
 		responses = append(responses, response)
 		transport.Received.Discard(size)
 	}
 }
 
-// handleResponses passes the responses that came on a connection to the reducer.
+// handleResponses passes the responses received on a connection to the reducer.
 func (p *Pool) handleResponses(conn *engineConn, responses []resp.Response) {
 	conn.lastReceived = time.Now()
 	for i := range responses {
@@ -106,7 +108,7 @@
 	}
 }
 
-// handleResponse passes one response to the reducer. Cancelled streams and retired ids are owed none.
+// handleResponse passes one response to the reducer. A response to a cancelled stream or a retired id is a duplicate.
 func (p *Pool) handleResponse(conn *engineConn, response *resp.Response) {
 	stream := conn.streams[response.RequestID]
 	if stream == nil || stream.done || stream.cancelling {
@@ -116,7 +118,7 @@
 	report := resp.Report(response.Load, p.config.LoadReport)
 	switch {
 	case stream.isProbe():
-		p.probeAnswered(stream, response, report)
+		p.endProbe(stream, response, report)
 	case response.Kind == resp.OK:
 		stream.responding = true
 		p.events.Apply(broker.AttemptServed{
@@ -126,12 +128,12 @@
 	case response.Kind == resp.Rows:
 		p.events.Apply(broker.PageReceived{Attempt: stream.attemptID, Number: response.Page, Body: response.Body})
 	default:
-		p.attemptFailed(stream, response, report)
+		p.failAttempt(stream, response, report)
 	}
 }
 
-// probeAnswered passes the answer to a load probe to the reducer.
-func (p *Pool) probeAnswered(stream *stream, response *resp.Response, report loadreport.Report) {
+// endProbe passes the response to a load probe to the reducer.
+func (p *Pool) endProbe(stream *stream, response *resp.Response, report loadreport.Report) {
 	stream.done = true
 	p.removeStream(stream)
 	status := control.OK
@@ -141,8 +143,8 @@
 	p.events.Apply(broker.ProbeResult{ProbeID: stream.probeID, Status: status, Report: report})
 }
 
-// statusOf returns what the kind of a response without a result proves of its attempt. VOID is NeverSent, as no engine
-// ran the attempt.
+// statusOf returns the status of an attempt by the kind of its response, which carries no result. VOID means NeverSent,
+// because no engine ran the attempt.
 func statusOf(kind resp.Kind) control.Status {
 	switch kind {
 	case resp.Busy:
@@ -155,9 +157,9 @@
 	return control.Failed
 }
 
-// attemptFailed passes the failure of an attempt to the reducer. A duplicate of the response must not be
-// mistaken for the response to a retry, so the id is retired.
-func (p *Pool) attemptFailed(stream *stream, response *resp.Response, report loadreport.Report) {
+// failAttempt passes the failure of an attempt to the reducer. The id is retired, because a duplicate of the response
+// must not be mistaken for the response to a retry.
+func (p *Pool) failAttempt(stream *stream, response *resp.Response, report loadreport.Report) {
 	stream.done = true
 	delete(p.inFlight, stream.attemptID)
 	p.retireUntilClientTimeout(stream)
--- a/internal/server/enginepool/responses_test.go
+++ b/internal/server/enginepool/responses_test.go
@@ -13,11 +13,11 @@
 	"wheatlane/internal/resp"
 )
 
-// Which attempts may be retried at no risk follows from what a response proves: only two words prove that
-// nothing ran.
+// Attempts may be retried without risk only if the response implies that the query never ran. This holds for two
+// response kinds only.
 func TestStatusOf(t *testing.T) {
 	for _, c := range []struct {
-		word string
+		kind string
 		want control.Status
 	}{
 		{"BUSY", control.AtCapacity},
@@ -26,8 +26,8 @@
 		{"UP", control.Failed},
 		{"DOWN", control.Failed},
 	} {
-		t.Run(c.word, func(t *testing.T) {
-			response, err := resp.ParseResponse([][]byte{[]byte("id"), []byte(c.word)})
+		t.Run(c.kind, func(t *testing.T) {
+			response, err := resp.ParseResponse([][]byte{[]byte("id"), []byte(c.kind)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,8 @@
 	}
 }
 
-// Each kind of response becomes its event. What nothing waits for becomes none, and is counted.
+// Each kind of response is translated into its event. A response for which no stream is waiting causes no event and is
+// reported as a duplicate.
 func TestEventsOfResponses(t *testing.T) {
 	const probeID = 7
 	for name, tt := range map[string]struct {
--- a/internal/server/enginepool/sending.go
+++ b/internal/server/enginepool/sending.go
@@ -9,8 +9,8 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// send queues a stream's message, as it is now, on its connection. It is the one place where attempts leave for
-// engines: one whose time is over, or that has waited for as long as it may, does not.
+// send queues a stream's message, encoded with its current state, on its connection. All attempts to engines are sent
+// here: an attempt that has timed out or has waited for MaxSendDelay is not sent.
 func (p *Pool) send(stream *stream, now time.Time) {
 	maxDelay := p.config.MaxSendDelay()
 	if !stream.isProbe() && (stream.timeLeft(now) <= 0 || now.Sub(stream.startedAt) >= maxDelay) {
@@ -20,14 +20,14 @@
 	}
 	offset, err := stream.conn.transport.WriteExpiring(stream.message(now), stream.expiresAt(now, maxDelay))
 	stream.offset, stream.queued = offset, true
-	if err != nil { // the queue is full, so nothing of it leaves
+	if err != nil { // the queue is full, so no byte of the message is sent
 		p.removeStream(stream)
 		p.endStream(stream, streamEnd{status: control.ConnectFailed})
 	}
 }
 
-// sendCommand queues a command that nothing answers, or whose answer belongs to a stream, and returns its
-// offset.
+// sendCommand queues a command that has no response, or whose response belongs to an existing stream, and returns its
+// offset in the send queue.
 func (p *Pool) sendCommand(conn *engineConn, cmd command, id string, args ...string) int64 {
 	offset, err := conn.transport.Write(appendCommand(nil, cmd, id, args...))
 	if err != nil {
@@ -36,9 +36,9 @@
 	return offset
 }
 
-// resendExpired sends the attempts anew whose messages were withdrawn because they had waited too long. It is called
-// in each round, so it looks at the connections only if there is something to find. This is no retry: no byte of such a
-// message had left, and the attempt keeps its number.
+// resendExpired resends the attempts whose messages were withdrawn because they expired in a send queue. It runs in
+// each loop iteration, so it visits the connections only if a write has expired. This is not a retry: no byte of the
+// message was sent, and the attempt keeps its number.
 func (p *Pool) resendExpired() {
 	if !p.writesExpired.Swap(false) {
 		return
@@ -58,26 +58,27 @@
 	if len(expired) == 0 {
 		return
 	}
-	for _, stream := range conn.inOrder() {
+	for _, stream := range conn.streamsByStart() {
 		if stream.done || stream.cancelling || !slices.Contains(expired, stream.offset) {
 			continue
 		}
 		for _, offset := range stream.followUps {
-			conn.transport.Withdraw(offset) // the new message has its own
+			conn.transport.Withdraw(offset) // the new message includes its own commands
 		}
 		stream.followUps, stream.queued = nil, false
 		p.send(stream, time.Now())
 	}
 }
 
-// reportLateWrites reports the attempts that left on a connection with a timeout that had become too long.
+// reportLateWrites reports the attempts that were sent on a connection with an outdated, too long timeout.
 func (p *Pool) reportLateWrites(conn *engineConn) {
 	for range conn.transport.TakeLateWrites() {
 		p.observer.LateWrite(conn.engine)
 	}
 }
 
-// withdraw cancels a stream of which no byte has left, without notifying the engine; false if one may have.
+// withdraw removes a stream of which no byte has been sent, without notifying the engine. It returns false if a byte
+// may have been sent.
 func (p *Pool) withdraw(stream *stream) bool {
 	if !stream.conn.withdraw(stream) {
 		return false
@@ -86,7 +87,8 @@
 	return true
 }
 
-// removeStream removes a stream from its connection, which closes if it only waited for that.
+// removeStream removes a stream from its connection. The connection closes if this was its last stream and it accepts
+// no new ones.
 func (p *Pool) removeStream(stream *stream) {
 	conn := stream.conn
 	delete(conn.streams, stream.id)
@@ -96,13 +98,13 @@
 	}
 }
 
-// streamEnd is how a stream ended.
+// streamEnd is the outcome of a stream.
 type streamEnd struct {
 	status      control.Status
-	sharedCause bool // it ended with its connection, and another attempt has reported that already
+	sharedCause bool // the stream ended with its connection, and another attempt has already reported that
 }
 
-// endStream notifies the reducer of the end of a stream, once.
+// endStream notifies the reducer of the end of a stream, unless the stream has already ended.
 func (p *Pool) endStream(stream *stream, end streamEnd) {
 	if stream.done {
 		return
@@ -118,23 +120,23 @@
 	})
 }
 
-// endStreams ends the streams of a connection that has closed. One attempt is enough to report a fault of
-// the engine: all of them ended for the same cause.
+// endStreams ends the streams of a connection that has closed. Only one attempt reports a fault of the engine, because
+// all of them ended for the same cause.
 func (p *Pool) endStreams(conn *engineConn) {
-	leftBytes := int64(-1)
+	submittedBytes := int64(-1)
 	var expired []int64
 	if conn.transport != nil {
-		leftBytes, expired = conn.transport.WithdrawAll(), conn.transport.TakeExpired()
+		submittedBytes, expired = conn.transport.WithdrawAll(), conn.transport.TakeExpired()
 	}
-	streams := conn.inOrder()
+	streams := conn.streamsByStart()
 	clear(conn.streams)
 	reported := false
 	for _, stream := range streams {
 		switch {
-		case stream.cancelling: // the end of its connection notifies the engine as well
+		case stream.cancelling: // the closed connection also cancels the attempt at the engine
 			p.endStream(stream, streamEnd{status: control.Cancelled})
 			continue
-		case stream.neverSent(leftBytes) || slices.Contains(expired, stream.offset): // it never ran
+		case stream.neverSent(submittedBytes) || slices.Contains(expired, stream.offset): // never ran
 			p.endStream(stream, streamEnd{conn.neverSentStatus(), reported})
 		default:
 			p.endStream(stream, streamEnd{control.ConnectionReset, reported})
--- a/internal/server/enginepool/rules_test.go
+++ b/internal/server/enginepool/streams_test.go
@@ -25,7 +25,7 @@
 		func(p *idlePool) { p.Drain("e2") },
 		[]string{drainStarted, drainCompleted},
 	},
-	"bytes on their way": {
+	"bytes being written are sent": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			next := p.transport.NextBytes()
@@ -35,7 +35,7 @@
 		},
 		[]string{drainStarted, drainCompletedLate},
 	},
-	"bytes still on their way": {
+	"bytes being written are not sent yet": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			p.transport.NextBytes()
@@ -52,7 +52,7 @@
 		},
 		[]string{drainStarted, drainCompleted},
 	},
-	"listed twice": {
+	"drained twice": {
 		func(p *idlePool) {
 			p.Drain("e1")
 			p.Drain("e1")
@@ -70,8 +70,8 @@
 	},
 }
 
-// The time of a drain is that of the last bytes from before it. What a connection that closes leaves unsent is not
-// waited for, and a drain is measured once until its engine is used again.
+// A drain lasts until the last bytes from before it are sent. Unsent bytes of a connection that closes are ignored, and
+// a drain is measured once until its engine is used again.
 func TestDrainIsMeasured(t *testing.T) {
 	for name, tt := range drainCases {
 		t.Run(name, func(t *testing.T) {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A message that does not fit into the send queue has not left. A command that does not fit ends the connection: the
-// engine would miss it.
-func TestFullSendQueueOfAnEngine(t *testing.T) {
+// An attempt whose message does not fit into the send queue ends with ConnectFailed, because nothing was sent. A
+// command that does not fit ends the connection, because the engine would not receive it.
+func TestFullSendQueueOfEngine(t *testing.T) {
 	fill := func(p *idlePool) {
 		for size := maxEngineSendBytes; size > 0; {
 			if _, err := p.transport.Write(make([]byte, size)); err != nil {
@@ -118,13 +118,13 @@
 				t.Error(diff)
 			}
 			if p.conn.closed != tt.closed {
-				t.Errorf("closed %v", p.conn.closed)
+				t.Errorf("closed %v, want %v", p.conn.closed, tt.closed)
 			}
 		})
 	}
 }
 
-// An engine with as many connections as it may have, none of which takes more, has no capacity.
+// An engine with the maximum number of connections, none of which accepts another stream, has no capacity.
 func TestConnectionsOfOneEngineAreBounded(t *testing.T) {
 	p := newIdlePool(t)
 	p.conn.closing = true
@@ -138,29 +138,29 @@
 	}
 }
 
-var endedStreams = map[string]struct {
+var connectionEndCases = map[string]struct {
 	act  func(p *idlePool)
 	want []broker.Event
 }{
-	"nothing of it has left": {
+	"attempt not sent": {
 		func(p *idlePool) { p.start(firstAttempt, "lookup", time.Second) },
 		[]broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectFailed}},
 	},
-	"nothing of it has left, for a fault of this machine": {
+	"attempt not sent because of a fault of this machine": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			p.conn.localFault = true
 		},
 		[]broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.NeverSent}},
 	},
-	"it has left": {
+	"attempt sent": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			p.sendAll()
 		},
 		[]broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.ConnectionReset}},
 	},
-	"two have left": {
+	"two attempts sent": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			p.start(secondAttempt, "lookup", time.Second)
@@ -171,7 +171,7 @@
 			broker.AttemptEnded{Attempt: secondAttempt, Status: control.ConnectionReset, SharedCause: true},
 		},
 	},
-	"it was cancelled": {
+	"attempt cancelled": {
 		func(p *idlePool) {
 			p.start(firstAttempt, "lookup", time.Second)
 			p.sendAll()
@@ -179,7 +179,7 @@
 		},
 		[]broker.Event{broker.AttemptEnded{Attempt: firstAttempt, Status: control.Cancelled}},
 	},
-	"a load probe ahead of an attempt": {
+	"load probe sent before an attempt": {
 		func(p *idlePool) {
 			p.StartProbe(broker.ProbeLoad{ProbeID: 7, Engine: "e1", Addr: "a"})
 			p.start(firstAttempt, "lookup", time.Second)
@@ -192,25 +192,25 @@
 	},
 }
 
-// What the end of a connection proves of what was on it, by how far that had come.
-func TestStreamsOfAnEndedConnection(t *testing.T) {
-	for name, tt := range endedStreams {
+// When a connection ends, the status of each of its streams depends on whether the stream had been sent.
+func TestStreamsOfEndedConnection(t *testing.T) {
+	for name, tt := range connectionEndCases {
 		t.Run(name, func(t *testing.T) {
 			p := newIdlePool(t)
 			tt.act(p)
-			p.disconnected(p.conn)
-			p.disconnected(p.conn) // it ends once
+			p.handleDisconnected(p.conn)
+			p.handleDisconnected(p.conn) // has no effect
 			if diff := cmp.Diff(tt.want, p.host.events); diff != "" {
 				t.Error(diff)
 			}
 			if p.connCount != 0 || len(p.connsByEngine) != 0 || len(p.inFlight) != 0 {
-				t.Errorf("%d connections, %d attempts", p.connCount, len(p.inFlight))
+				t.Errorf("%d connections and %d attempts remain, want none", p.connCount, len(p.inFlight))
 			}
 		})
 	}
 }
 
-// A load probe without an answer leaves its connection, and its id is not used again there for a while.
+// A load probe without a response is removed from its connection, and its id is not reused there for a time.
 func TestUnansweredProbeExpires(t *testing.T) {
 	p := newIdlePool(t)
 	p.config.MaxClientTimeout = time.Minute
@@ -218,35 +218,36 @@
 	probe := p.conn.streams["p7"]
 	p.sweepAt(time.Now())
 	if p.conn.streams["p7"] == nil {
-		t.Fatal("the probe expired at once")
+		t.Fatal("the probe expired immediately")
 	}
 	probe.startedAt = probe.startedAt.Add(-probeExpiry)
 	p.sweepAt(time.Now())
 	if len(p.conn.streams) != 0 || p.conn.accepts("p7", "a", 1) {
-		t.Errorf("%d streams, accepted %v", len(p.conn.streams), p.conn.accepts("p7", "a", 1))
+		t.Errorf("%d streams, want 0; id accepted again: %v, want false",
+			len(p.conn.streams), p.conn.accepts("p7", "a", 1))
 	}
 	if !p.conn.accepts("p8", "a", 1) {
-		t.Error("the connection takes no other probe")
+		t.Error("the connection accepts no other probe")
 	}
 }
 
-// A suspected connection is used again once something came on it.
+// A suspected connection is used again after a response was received on it.
 func TestSuspectedConnectionRecovers(t *testing.T) {
 	p := newIdlePool(t)
 	p.conn.suspectSince = time.Now().Add(-time.Millisecond)
 	if p.conn.accepts("1", "a", 1) {
-		t.Error("a suspected connection takes a stream")
+		t.Error("a suspected connection accepts a stream")
 	}
 	p.conn.lastReceived = time.Now()
 	p.checkLiveness()
 	if !p.conn.accepts("1", "a", 1) {
-		t.Error("a connection on which something came takes no stream")
+		t.Error("a connection that received a response accepts no stream")
 	}
 }
 
-// A message may leave until it is stale, or until its attempt has waited for as long as it may. A load probe may leave
-// at any time.
-func TestExpiryOfAMessage(t *testing.T) {
+// A message expires after staleAfter, or when its attempt has waited for the maximum send delay. The message of a load
+// probe never expires.
+func TestMessageExpiry(t *testing.T) {
 	const maxDelay = 300 * time.Millisecond
 	start := time.Unix(1000, 0)
 	for name, tt := range map[string]struct {
@@ -254,13 +255,13 @@
 		waited  time.Duration
 		expires time.Duration // after the start; 0: never
 	}{
-		"fresh":                     {stream{}, 0, staleAfter},
-		"made anew":                 {stream{}, 150 * time.Millisecond, 150*time.Millisecond + staleAfter},
-		"made anew, its time nigh":  {stream{}, 250 * time.Millisecond, maxDelay},
-		"load probe, at any time":   {stream{probeID: 1}, 0, 0},
-		"load probe that waits":     {stream{probeID: 1}, time.Minute, 0},
-		"its time is over":          {stream{}, time.Second, maxDelay},
-		"as long as it takes to go": {stream{}, maxDelay - staleAfter, maxDelay},
+		"new attempt":                        {stream{}, 0, staleAfter},
+		"encoded again":                      {stream{}, 150 * time.Millisecond, 150*time.Millisecond + staleAfter},
+		"encoded again, near maximum delay":  {stream{}, 250 * time.Millisecond, maxDelay},
+		"new load probe":                     {stream{probeID: 1}, 0, 0},
+		"waiting load probe":                 {stream{probeID: 1}, time.Minute, 0},
+		"after maximum delay":                {stream{}, time.Second, maxDelay},
+		"staleAfter ends with maximum delay": {stream{}, maxDelay - staleAfter, maxDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var want time.Time
@@ -269,7 +270,7 @@
 			}
 			tt.stream.startedAt = start
 			if got := tt.stream.expiresAt(start.Add(tt.waited), maxDelay); !got.Equal(want) {
-				t.Errorf("%v, want %v", got, want)
+				t.Errorf("expires at %v, want %v", got, want)
 			}
 		})
 	}
--- a/internal/server/enginepool/sweep.go
+++ b/internal/server/enginepool/sweep.go
@@ -7,8 +7,8 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// Sweep expires load probes and retired ids, and closes connections that are idle before their engines do. It does
-// nothing until the sweep interval has passed since it last did.
+// Sweep expires load probes and retired ids, and closes idle connections before their engines do. It has no effect
+// until the sweep interval has passed since the last sweep.
 func (p *Pool) Sweep() {
 	if time.Since(p.sweptAt) > p.config.SweepInterval {
 		p.sweptAt = time.Now()
@@ -26,7 +26,7 @@
 	}
 }
 
-// closeIfIdle closes a connection that is idle for too long, or that accepts no new streams and has none.
+// closeIfIdle closes a connection that has been idle for too long, or that accepts no new streams and has none.
 func (p *Pool) closeIfIdle(conn *engineConn, now time.Time) {
 	finished := conn.closing && len(conn.streams) == 0
 	if finished || conn.idleTooLong(now, p.config.IdleTimeout) {
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -267,7 +267,7 @@
 }
 
 // An engine whose answer is missing is asked whether it is alive. Load probes may come at any time and are
-// passed over; their bytes are in TestTranscriptOfEngineCommands.
+// passed over; their bytes are in TestEngineCommandsMatchGoldenFile.
 func TestTranscriptOfALivenessCheck(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
