--- a/internal/server/frontend/accept.go
+++ b/internal/server/frontend/accept.go
@@ -16,13 +16,13 @@
 
 const (
 	acceptRetryDelay  = 10 * time.Millisecond // after a failed accept
-	acceptLogInterval = time.Second           // between log lines of these
+	acceptLogInterval = time.Second           // minimum time between log lines of failed accepts
 )
 
-// accept serves the clients that connect in goroutines of a group, until ctx ends or the listener is closed after its
+// accept accepts clients and serves them in goroutines of a group, until ctx ends or the listener is closed after its
 // final reads.
 func (f *Frontend) accept(ctx context.Context, group *errgroup.Group) error {
-	stop := context.AfterFunc(ctx, func() { _ = f.listener.Close() }) // it may have been closed before
+	stop := context.AfterFunc(ctx, func() { _ = f.listener.Close() }) // may already be closed
 	defer stop()
 	finalTimeouts, loggedAt := 0, time.Time{}
 	for {
@@ -32,7 +32,7 @@
 			f.acceptClient(ctx, group, socket)
 		case netconn.IsTimeout(err) && f.inFinalReads():
 			if finalTimeouts++; finalTimeouts >= finalReads {
-				f.endAccept(ctx)
+				f.closeListener(ctx)
 				return nil
 			}
 			f.setFinalAcceptDeadline()
@@ -47,7 +47,7 @@
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
 			}
-			if f.inFinalReads() { // what waits in the system is accepted before the listener closes
+			if f.inFinalReads() { // connections in the accept queue are accepted before the listener closes
 				finalTimeouts = 0
 				f.setFinalAcceptDeadline()
 			}
@@ -55,21 +55,21 @@
 	}
 }
 
-// endAccept closes the listener, to which nothing more comes.
-func (f *Frontend) endAccept(ctx context.Context) {
-	_ = f.listener.Close() // nothing is lost by a failure: the process is about to end
+// closeListener closes the listener after its final reads.
+func (f *Frontend) closeListener(ctx context.Context) {
+	_ = f.listener.Close() // an error has no consequence: the process is about to end
 	f.loop.Post(ctx, func() { f.listenerClosed = true })
 }
 
-// acceptClient serves a client, or rejects it where there are too many connections.
+// acceptClient serves a client, or rejects it if there are too many connections.
 func (f *Frontend) acceptClient(ctx context.Context, group *errgroup.Group, socket net.Conn) {
 	openedAt := time.Now()
 	peer := socket.RemoteAddr().String()
 	select {
 	case f.slots <- struct{}{}:
 	default:
-		// It must not be left waiting in the kernel: what is written there counts as taken, and later
-		// requests of the same order key would overtake it.
+		// The connection must not wait in the kernel's accept queue: requests that the client writes there count as
+		// accepted, and later requests of the same order key would overtake them.
 		f.reject(group, socket, func() {
 			f.observer.ConnectionEnded(peer, openedAt, &netconn.EndError{Reason: netconn.TooManyConnections})
 		})
@@ -77,7 +77,7 @@
 	}
 	f.lastSession++
 	c := newClient(f, f.lastSession, socket)
-	// Posted by this goroutine, so that the loop knows of the client before it knows that the listener is closed.
+	// Posted by this goroutine, so that the loop registers the client before it is notified that the listener is closed.
 	f.loop.Post(ctx, func() {
 		f.clients[c.session] = c
 		f.events.Apply(broker.SessionOpened{Session: c.session})
@@ -93,13 +93,14 @@
 	})
 }
 
-// reject answers that there are too many connections, and closes the socket once the client has had time to read that,
-// or at once if too many are about to end so. Nothing is read from it. ended is called at its end.
+// reject sends the error for too many connections. It closes the socket after the client has had time to read the
+// error, or immediately if too many rejected connections are still open. It reads nothing from the socket. ended is
+// called after the close.
 func (f *Frontend) reject(group *errgroup.Group, socket net.Conn, ended func()) {
 	answer := mysql.AppendError(nil, mysql.GreetingSequence, mysql.CodeTooManyConnections, "too many connections")
-	_, _ = socket.Write(answer) // a new socket has capacity for it; without, its client sees the close
+	_, _ = socket.Write(answer) // fits into the buffer of a new socket; if the write fails, the client sees the close
 	end := func() {
-		_ = socket.Close() // it is rejected in any case
+		_ = socket.Close() // an error does not matter: the connection is rejected anyway
 		ended()
 	}
 	select {
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -16,7 +16,7 @@
 	"wheatlane/internal/socktest"
 )
 
-// failingListener fails some calls ahead of those that its listener answers.
+// failingListener fails a number of Accept calls before it accepts connections.
 type failingListener struct {
 	*net.TCPListener
 	failures int
@@ -30,8 +30,8 @@
 	return l.TCPListener.Accept()
 }
 
-// A listener that fails for a moment goes on to accept.
-func TestAcceptGoesOnAfterFailures(t *testing.T) {
+// Accepting continues after transient errors of the listener.
+func TestAcceptContinuesAfterFailures(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(&failingListener{socktest.Listen(t).(*net.TCPListener), 3}, host, 0)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -41,32 +41,32 @@
 	socktest.Receive(t, host.inbox, "the client")
 	cancel()
 	if err := socktest.Receive(t, ended, "the end"); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v, want context.Canceled", err)
 	}
 	if len(f.slots) > 0 {
-		t.Errorf("%d slots are taken at the end", len(f.slots))
+		t.Errorf("%d slots are in use after Serve returned", len(f.slots))
 	}
 }
 
-// The final reads of a listener that fails for a moment begin anew, and end with its close.
-func TestFinalReadsOfAFailingListener(t *testing.T) {
+// The final reads of a listener restart after a transient error, and end when the listener closes.
+func TestFinalReadsRestartAfterListenerFailure(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(&failingListener{socktest.Listen(t).(*net.TCPListener), 3}, host, 0)
 	f.BeginFinalReads()
 	if err := f.Serve(t.Context()); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 	if f.ListenerClosed() {
-		t.Error("the listener is closed before the loop knows of all its clients")
+		t.Error("ListenerClosed is true before the loop has registered all clients")
 	}
 	host.runOne(t, "the end of the final reads")
 	if !f.ListenerClosed() {
-		t.Error("the listener is not closed")
+		t.Error("ListenerClosed is false after the final reads")
 	}
 }
 
-// A client that is rejected for want of sockets gets its answer and an orderly end, though it has written
-// already and nobody has read that.
+// A client that is rejected because there are too many connections receives the error and an orderly close, although it
+// has already sent bytes that the broker does not read.
 func TestRejectionSurvivesUnreadBytes(t *testing.T) {
 	near, far := socktest.Pair(t)
 	if _, err := far.Write(append(loginPacket(), packetBytes(0, "\x03SELECT 1")...)); err != nil {
@@ -80,21 +80,21 @@
 	answer, err := io.ReadAll(far)
 	want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections")
 	if err != nil || !bytes.Equal(answer, want) {
-		t.Errorf("answered %q, want %q; ended with %v", answer, want, err)
+		t.Errorf("received %q, want %q; read error %v", answer, want, err)
 	}
 	socktest.Receive(t, ended, "the end of the connection")
-	// It was closed over bytes that nobody had read: the connection was reset, so that it takes no more.
+	// The socket was closed with unread bytes: the connection was reset, and writes fail.
 	if _, err := far.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("the connection takes bytes: %v", err)
+		t.Errorf("a write after the reset returned %v", err)
 	}
 }
 
-// With too many rejected clients that have not read their answers, the next one is closed at once.
-func TestRejectionWithoutASlotClosesAtOnce(t *testing.T) {
+// When too many rejected connections are still open, the next one is closed immediately.
+func TestRejectionWithoutSlotClosesImmediately(t *testing.T) {
 	near, _ := socktest.Pair(t)
 	ended := false
 	newTestFrontend(nil, newFakeHost(), 0).reject(&errgroup.Group{}, near, func() { ended = true })
 	if _, err := near.Write([]byte("x")); !ended || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended %v, a write gives %v", ended, err)
+		t.Errorf("ended: %v, want true; a write returned %v, want net.ErrClosed", ended, err)
 	}
 }
--- a/internal/server/frontend/arrival.go
+++ b/internal/server/frontend/arrival.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceReceived returns how long ago the kernel received the last bytes of a connection: a client's timeout runs from
-// when it sent them, not from when a busy broker reads them. Where the system refuses TCP_INFO (a filter of system
-// calls may answer ENOSYS) it returns 0, which is logged once.
+// sinceReceived returns the time since the kernel received the last bytes of a connection: a client's timeout starts
+// when the client sends its request, not when a busy broker reads it. If the system refuses TCP_INFO, as a system call
+// filter may do with ENOSYS, it returns 0 and logs that once.
 func (f *Frontend) sinceReceived(socket net.Conn) time.Duration {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
@@ -36,19 +36,19 @@
 	return since
 }
 
-// sendTime is when a client sent a message.
+// sendTime holds the times at which a client may have sent a message.
 type sendTime struct {
-	sentAt time.Duration // when its last byte came, or a later one that was read with it
-	// waitingSince is the earliest time at which it may have come, where other bytes follow it in the buffer, so
-	// that it can be older than the newest; 0: none do.
+	sentAt time.Duration // arrival of the last byte of the message, or of a later byte read together with it
+	// waitingSince is the earliest time at which the message may have arrived, if other bytes follow it in the buffer:
+	// it can then be older than the last bytes. It is 0 if no bytes follow.
 	waitingSince time.Duration
 }
 
-// immediateRead is the time within which a read returns that finds bytes in the socket.
+// immediateRead is the maximum duration of a read that finds bytes in the socket buffer.
 const immediateRead = time.Millisecond
 
-// recordArrival records when bytes were read: at once, so that they may have arrived since the read before, or after a
-// wait for them.
+// recordArrival records the time at which a read returned bytes. If the read returned immediately, the bytes may have
+// arrived at any time since the previous read.
 func (c *client) recordArrival(calledAt, returnedAt time.Duration) {
 	c.earliestArrival = c.frontend.cfg.EarliestArrival(returnedAt)
 	if returnedAt-calledAt < immediateRead {
--- a/internal/server/frontend/client.go
+++ b/internal/server/frontend/client.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	maxClientReceiveBytes = mysql.MaxPacket + mysql.HeaderLen // a complete packet
+	maxClientReceiveBytes = mysql.MaxPacket + mysql.HeaderLen // one complete packet
 	maxClientSendBytes    = 256 << 10                         // several complete results
 )
 
-// client is a client's connection. Without another note a field belongs to the goroutine that reads.
+// client is a client's connection. Unless noted otherwise, a field belongs to the goroutine that reads.
 type client struct {
 	frontend *Frontend
 	session  broker.Session
 	conn     *netconn.Conn
-	admitted chan struct{} // closed once the client may be greeted
+	admitted chan struct{} // closed when the client may be greeted
 
 	loggedIn        bool
-	readDeadline    time.Time // by which more must arrive
-	lateRead        bool      // the deadline has passed, and the late read is under way (lateReadTimeout)
-	hasSubmitted    bool      // a request came on it
+	readDeadline    time.Time // by which more bytes must arrive
+	lateRead        bool      // the deadline has passed, and the late read is in progress (lateReadTimeout)
+	hasSubmitted    bool      // a request was received
 	emptyFinalReads int       // final reads (finalReads) that found the socket empty
 
 	lastReadAt      time.Duration // when the last read returned bytes
 	earliestArrival time.Duration // of these bytes
 
 	messageBegun atomic.Bool // a part of a message was received
-	stopReading  atomic.Bool // the reader is to stop; set by the loop
+	stopReading  atomic.Bool // the reader must stop; set by the loop
 
 	// Owned by the loop.
-	closeReason *netconn.EndError // why the connection is being closed from this side; nil: it is not
-	fullyRead   bool              // the final reads are complete and all that arrived is with the reducer
+	closeReason *netconn.EndError // reason for which the broker closes the connection; nil: it does not
+	fullyRead   bool              // the final reads are complete, and all received commands are with the reducer
 }
 
 func newClient(f *Frontend, session broker.Session, socket net.Conn) *client {
@@ -53,16 +53,16 @@
 	}
 }
 
-// post hands a function to the loop.
+// post posts a function to the loop.
 func (c *client) post(ctx context.Context, f func()) { c.frontend.loop.Post(ctx, f) }
 
-// apply hands an event to the reducer.
+// apply posts an event for the reducer.
 func (c *client) apply(ctx context.Context, event broker.Event) {
 	c.post(ctx, func() { c.frontend.events.Apply(event) })
 }
 
-// read greets a client once it is admitted, logs it in and hands its commands to the reducer, until its
-// connection ends.
+// read greets a client once it is admitted, logs it in and passes its commands to the reducer until the connection
+// ends.
 func (c *client) read(ctx context.Context) error {
 	select {
 	case <-c.admitted:
@@ -93,26 +93,26 @@
 	}
 }
 
-// receive reads once and reports whether bytes arrived. The error is why the connection ends.
+// receive reads once and reports whether bytes arrived. An error ends the connection.
 func (c *client) receive(ctx context.Context) (received bool, err error) {
 	calledAt := clock.Now()
 	if err := c.conn.ReadOnce(); err != nil {
-		return false, c.readFailed(ctx, err)
+		return false, c.handleReadError(ctx, err)
 	}
 	c.recordArrival(calledAt, clock.Now())
-	if c.conn.ShutDownReason() != nil { // this side is shut down: what was read can't be answered
+	if c.conn.ShutDownReason() != nil { // the write side is shut down: no reply could be sent
 		c.post(ctx, func() { c.frontend.observer.Violated(invariant.NoReadAfterShutdown) })
 	}
 	return true, nil
 }
 
-// readFailed returns why the connection ends, or nil where the reader is to go on.
-func (c *client) readFailed(ctx context.Context, err error) error {
+// handleReadError returns the error that ends the connection, or nil if the reader must continue.
+func (c *client) handleReadError(ctx context.Context, err error) error {
 	switch {
 	case netconn.IsTimeout(err) && c.stopReading.Load():
-		return c.stoppedReading(ctx)
-	case netconn.IsTimeout(err) && time.Now().Before(c.readDeadline): // the deadline of a final read
-		return c.finalRead(ctx)
+		return c.closeAfterReplies(ctx)
+	case netconn.IsTimeout(err) && time.Now().Before(c.readDeadline): // finalReadTimeout has expired
+		return c.handleFinalReadTimeout(ctx)
 	case netconn.IsTimeout(err) && !c.lateRead:
 		c.lateRead = true
 		return c.conn.SetReadDeadline(time.Now().Add(lateReadTimeout))
@@ -121,14 +121,14 @@
 	case netconn.IsTimeout(err) && c.messageBegun.Load():
 		return &netconn.EndError{Reason: netconn.ReadTimeout, Err: err}
 	case errors.Is(err, io.EOF):
-		return c.halfClosed(ctx, err)
+		return c.handleHalfClose(ctx, err)
 	}
 	return err
 }
 
 // handlePackets handles the complete packets that were received.
 func (c *client) handlePackets(ctx context.Context) error {
-	// The process may have stood still between the read and the question.
+	// The process may have been paused between the read and the query of TCP_INFO.
 	newest := min(c.lastReadAt, clock.Now()-c.frontend.sinceReceived(c.conn.Socket()))
 	for {
 		packet, size, err := mysql.ParsePacket(c.conn.Received.Bytes())
--- a/internal/server/frontend/client_test.go
+++ b/internal/server/frontend/client_test.go
@@ -16,8 +16,8 @@
 	"wheatlane/internal/socktest"
 )
 
-// The session of a client that does not read its answers ends at once for the reducer as well: what it asks
-// while its connection ends could not be answered, and is not forwarded.
+// The session of a client that does not read its replies ends immediately for the reducer as well: requests that arrive
+// while the connection ends could not be answered and must not be forwarded.
 func TestSessionEndsWhenSendBufferIsFull(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(nil, host, 0)
@@ -26,9 +26,9 @@
 		frontend: f, session: 7, conn: netconn.New(near, netconn.Options{MaxReceiveBytes: 10, MaxSendBytes: 10}),
 	}
 	f.clients[7] = c
-	f.Reply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "more than there is capacity for"})
+	f.Reply(broker.Reply{Session: 7, Kind: broker.ReplyFailed, Text: "longer than the send queue"})
 	if c.closeReason == nil || c.closeReason.Reason != netconn.BufferFull {
-		t.Errorf("the connection ends as %v", c.closeReason)
+		t.Errorf("the connection ends with reason %v, want %s", c.closeReason, netconn.BufferFull)
 	}
 	want := []broker.Event{broker.SessionClosed{Session: 7}}
 	if diff := cmp.Diff(want, host.events); diff != "" {
@@ -36,8 +36,8 @@
 	}
 }
 
-// What came while the process stood still is read before a timeout that passed meanwhile is judged.
-func TestBytesThatCameInAStandstillAreRead(t *testing.T) {
+// Bytes that arrived during a process pause are read before a timeout that expired during the pause takes effect.
+func TestBytesReceivedDuringProcessPauseAreRead(t *testing.T) {
 	c, far := newTestClient(t, newTestFrontend(nil, newFakeHost(), 0))
 	c.readDeadline = time.Now()
 	if err := c.conn.SetReadDeadline(c.readDeadline); err != nil {
@@ -53,49 +53,49 @@
 	}
 }
 
-// An answer to a client whose connection has been shut down is a violation, as it can't leave; one to a client that has
-// gone is none.
-func TestAnswerAfterTheEndIsAViolation(t *testing.T) {
+// A reply on a connection that has been shut down violates an invariant, because it can't be sent. A reply to a client
+// that has disconnected does not.
+func TestReplyAfterShutdownIsViolation(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(nil, host, 0)
 	c, far := newTestClient(t, f)
-	_ = far.Close() // so that the end of the other side is waited for no longer
+	_ = far.Close() // so that the connection does not linger
 	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.Quit})
 	err := c.conn.Run(t.Context(), func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
 	if reason := netconn.ReasonOf(err); reason != netconn.Quit {
-		t.Fatalf("ended as %s", reason)
+		t.Fatalf("the connection ended with reason %s, want %s", reason, netconn.Quit)
 	}
 	f.clients[7] = c
 	f.Reply(broker.Reply{Session: 8, Kind: broker.ReplyOK})
 	if len(host.violations) > 0 {
-		t.Errorf("an answer to a client that has gone is a violation of %v", host.violations)
+		t.Errorf("a reply to a disconnected client violates %v", host.violations)
 	}
 	f.Reply(broker.Reply{Session: 7, Kind: broker.ReplyOK})
 	host.expectViolation(t, invariant.AnswerBeforeClose)
 }
 
-// Bytes that are read on a connection that has been shut down are a violation, as they can't be answered.
-func TestReadAfterTheEndIsAViolation(t *testing.T) {
+// Reading bytes from a connection that has been shut down violates an invariant, because they can't be answered.
+func TestReadAfterShutdownIsViolation(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(nil, host, 0)
-	socktest.WaitUntil(t, "bytes are read ahead of the close", func() bool { return readAfterTheEnd(t, f) })
+	socktest.WaitUntil(t, "bytes are read before the close", func() bool { return readAfterShutdown(t, f) })
 	host.runOne(t, "the violation")
 	host.expectViolation(t, invariant.NoReadAfterShutdown)
 }
 
-// readAfterTheEnd has a client's bytes read once its connection has been shut down. It returns false if the socket was
-// closed before.
-func readAfterTheEnd(t *testing.T, f *Frontend) (read bool) {
+// readAfterShutdown reads a client's bytes after its connection has been shut down. It returns false if the socket was
+// closed before the read.
+func readAfterShutdown(t *testing.T, f *Frontend) (read bool) {
 	t.Helper()
 	c, far := newTestClient(t, f)
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.Quit})
-	_ = c.conn.Run(t.Context(), func(ctx context.Context) error { // its error is the reason above
+	_ = c.conn.Run(t.Context(), func(ctx context.Context) error { // returns the reason above
 		for c.conn.ShutDownReason() == nil {
 			runtime.Gosched()
 		}
@@ -106,43 +106,44 @@
 	return read
 }
 
-// The first reason to close a client's connection counts, and one that was not greeted yet ends at once.
-func TestFirstReasonToCloseCounts(t *testing.T) {
+// Only the first reason to close a client's connection is recorded. A connection that was not greeted yet ends
+// immediately.
+func TestFirstCloseReasonIsRecorded(t *testing.T) {
 	c, _ := newTestClient(t, newTestFrontend(nil, newFakeHost(), 0))
 	c.close(&netconn.EndError{Reason: netconn.EvictedIdle})
 	c.close(&netconn.EndError{Reason: netconn.Shutdown})
 	err := c.conn.Run(t.Context(), c.read)
 	if reason := netconn.ReasonOf(err); reason != netconn.EvictedIdle {
-		t.Errorf("ended as %s", reason)
+		t.Errorf("the connection ended with reason %s, want %s", reason, netconn.EvictedIdle)
 	}
 }
 
-// A reader that is to stop while it sets its own deadline stops at once.
-func TestStopWhileTheReadTimeoutIsSet(t *testing.T) {
+// A reader that is stopped while it sets its own deadline stops immediately.
+func TestStopWhileReadTimeoutIsSet(t *testing.T) {
 	host := newFakeHost()
 	c, _ := newTestClient(t, newTestFrontend(nil, host, 0))
 	close(c.admitted)
 	c.close(&netconn.EndError{Reason: netconn.KilledByClient})
 	ended := make(chan error, 1)
 	go func() { ended <- c.conn.Run(t.Context(), c.read) }()
-	host.runOne(t, "the end of the reads") // without the stop it comes after loginTimeout, and for another reason
+	host.runOne(t, "the end of the reads") // without the stop, after loginTimeout and with a different reason
 	if reason := netconn.ReasonOf(socktest.Receive(t, ended, "the end")); reason != netconn.KilledByClient {
-		t.Errorf("ended as %s", reason)
+		t.Errorf("the connection ended with reason %s, want %s", reason, netconn.KilledByClient)
 	}
 }
 
-// A connection without a kernel's record of its last bytes counts as just received.
+// On a connection without TCP_INFO, the last bytes count as received now.
 func TestSinceReceivedWithoutTCP(t *testing.T) {
 	near, far := net.Pipe()
-	defer func() { _ = near.Close() }() // nothing is sent
+	defer func() { _ = near.Close() }() // no bytes are pending
 	defer func() { _ = far.Close() }()
 	if since := newTestFrontend(nil, newFakeHost(), 0).sinceReceived(near); since != 0 {
-		t.Errorf("received %v ago", since)
+		t.Errorf("received %v ago, want 0", since)
 	}
 }
 
-// The final reads of a client are complete only once a message that has begun is complete.
-func TestFinalReadsWaitForABegunMessage(t *testing.T) {
+// The final reads of a client are complete only when a partially received message is complete.
+func TestFinalReadsWaitForPartialMessage(t *testing.T) {
 	host := newFakeHost()
 	f := newTestFrontend(socktest.Listen(t), host, 0)
 	serve(t, f)
@@ -160,7 +161,7 @@
 	f.BeginFinalReads()
 	host.runUntil(t, "the listener is closed", f.ListenerClosed)
 	if f.AllRead() {
-		t.Error("all was read with a part of a message outstanding")
+		t.Error("AllRead is true although a message is incomplete")
 	}
 	if _, err := socket.Write(ping[2:]); err != nil {
 		t.Fatal(err)
@@ -176,14 +177,14 @@
 	}
 }
 
-// Each kind of reply has its form in the MySQL protocol.
+// Each kind of reply is encoded as its MySQL packet.
 func TestAppendReply(t *testing.T) {
 	for name, tt := range map[string]struct {
 		reply broker.Reply
 		want  []byte
 	}{
 		"OK": {broker.Reply{Kind: broker.ReplyOK}, mysql.AppendOK(nil, 1)},
-		"in place of the greeting": {
+		"instead of the greeting": {
 			broker.Reply{Kind: broker.ReplyTooManySessions, Text: "full"},
 			mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "full"),
 		},
@@ -191,7 +192,7 @@
 			broker.Reply{Kind: broker.ReplyRejected, Text: "late"},
 			mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late"),
 		},
-		"rejected with a time to retry": {
+		"rejected with retry delay": {
 			broker.Reply{Kind: broker.ReplyRejected, Text: "late", RetryAfter: 250 * time.Millisecond},
 			mysql.AppendError(nil, 1, mysql.CodeUserLimitReached, "late; cooldown=250"),
 		},
--- a/internal/server/frontend/close.go
+++ b/internal/server/frontend/close.go
@@ -9,9 +9,9 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// halfClosed has the last answers sent before the connection ends, as a client that writes nothing more may
-// still read.
-func (c *client) halfClosed(ctx context.Context, err error) error {
+// handleHalfClose ends the connection after the last replies have been sent, because a client that has closed its write
+// side may still read.
+func (c *client) handleHalfClose(ctx context.Context, err error) error {
 	c.post(ctx, func() {
 		c.frontend.events.Apply(broker.SessionHalfClosed{Session: c.session})
 		c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.PeerClosed})
@@ -20,30 +20,31 @@
 	return err
 }
 
-// failProtocol answers what can't be read and ends the connection, as nothing after it can be read.
+// failProtocol sends an error for a message that can't be parsed and ends the connection, because the messages after it
+// can't be parsed either.
 func (c *client) failProtocol(ctx context.Context, seq byte, code mysql.ErrorCode, err error) error {
 	if _, full := c.conn.Write(mysql.AppendError(nil, seq, code, err.Error())); full != nil {
 		return full
 	}
-	// What comes from now on stays unread: the end of the connection waits until its last answer has arrived.
+	// Bytes that arrive from now on stay unread: the connection ends once the last reply has arrived at the client.
 	c.conn.CloseAfterSent(&netconn.EndError{Reason: netconn.ReasonOf(err), Err: err})
 	<-ctx.Done()
 	return err
 }
 
-// close ends the connection from this side, once all that was read from it is answered. It runs in the loop. The first
-// reason counts.
+// close ends the connection once all commands that were read from it have been answered. It runs in the loop. Only the
+// reason of the first call counts.
 func (c *client) close(reason *netconn.EndError) {
 	if c.closeReason != nil {
 		return
 	}
 	c.closeReason = reason
-	if !c.isAdmitted() { // nothing is read from it
+	if !c.isAdmitted() { // nothing has been read
 		c.conn.CloseAfterSent(reason)
 		return
 	}
 	c.stopReading.Store(true)
-	_ = c.conn.SetReadDeadline(time.Now()) // fails only on one that has closed
+	_ = c.conn.SetReadDeadline(time.Now()) // fails only if the connection has closed
 }
 
 func (c *client) isAdmitted() bool {
@@ -55,8 +56,8 @@
 	}
 }
 
-// stoppedReading has the connection end behind all that was read from it.
-func (c *client) stoppedReading(ctx context.Context) error {
+// closeAfterReplies ends the connection once all commands that were read from it have been answered.
+func (c *client) closeAfterReplies(ctx context.Context) error {
 	c.post(ctx, func() { c.conn.CloseAfterSent(c.closeReason) })
 	<-ctx.Done()
 	return ctx.Err()
--- a/internal/server/frontend/command.go
+++ b/internal/server/frontend/command.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// handleCommand hands one command to the reducer, which answers it in its turn.
+// handleCommand passes one command to the reducer, which answers the commands of a session in order.
 func (c *client) handleCommand(ctx context.Context, packet mysql.Packet, sent sendTime) error {
 	payload := packet.Payload
 	if packet.Sequence != mysql.CommandSequence {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// parseCommand translates a command into the reducer's event. The error ends the connection.
+// parseCommand translates a command into an event of the reducer. An error ends the connection.
 func (c *client) parseCommand(
 	command mysql.Command, text string, sent sendTime,
 ) (broker.Event, error) {
@@ -50,12 +50,13 @@
 	return c.immediateReply(broker.ReplyUnknownCommand, unknown), nil
 }
 
-// immediateReply is a command that the reducer answers with a given reply, in its turn.
+// immediateReply returns the event of a command that the reducer answers with a given reply, in the order of the
+// session's commands.
 func (c *client) immediateReply(kind broker.ReplyKind, text string) broker.Event {
 	return broker.ImmediateReply{Session: c.session, Reply: broker.Reply{Kind: kind, Text: text}}
 }
 
-// parseQuery translates a statement.
+// parseQuery translates a statement into an event of the reducer.
 func (c *client) parseQuery(text string, sent sendTime) broker.Event {
 	if kill, ok := mysql.ParseKill(text); ok {
 		return broker.Kill{
--- a/internal/server/frontend/frontend.go
+++ b/internal/server/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend serves clients that speak the MySQL protocol. It accepts their connections, logs them in, turns
+// Package frontend serves clients that use the MySQL protocol. It accepts their connections, logs them in, translates
 // their commands into events of the reducer and sends them the reducer's replies. Each connection has one goroutine
-// that reads and one that writes; what they receive goes to the loop that owns the reducer.
+// that reads and one that writes; received commands are posted to the loop that owns the reducer.
 package frontend
 
 import (
@@ -20,40 +20,40 @@
 
 // Loop runs functions on the goroutine that owns the reducer.
 type Loop interface {
-	// Post hands a function over and reports whether it was taken. It may wait, until ctx ends.
+	// Post schedules a function and reports whether it was accepted. It may block until ctx ends.
 	Post(ctx context.Context, f func()) bool
 }
 
-// EventSink takes events of the reducer. Its methods are called in the loop.
+// EventSink receives events for the reducer. Its methods are called in the loop.
 type EventSink interface {
-	// Apply applies an event and carries out its effects.
+	// Apply passes an event to the reducer and performs the resulting effects.
 	Apply(event broker.Event)
-	// Enqueue has an event applied after the effects that are being carried out.
+	// Enqueue applies an event after the current effects have been performed.
 	Enqueue(event broker.Event)
 }
 
-// Observer is notified of what happens on connections.
+// Observer is notified of events on clients' connections.
 type Observer interface {
-	// ConnectionEnded reports the end of a connection, on any goroutine.
+	// ConnectionEnded is called on any goroutine when a connection has ended.
 	ConnectionEnded(peer string, openedAt time.Time, err error)
-	// Violated reports that an invariant was broken, in the loop.
+	// Violated is called in the loop when an invariant was violated.
 	Violated(rule invariant.Rule, fields ...zap.Field)
 }
 
-// Config is what a frontend needs. Its functions are called on any goroutine.
+// Config configures a frontend. Its functions may be called on any goroutine.
 type Config struct {
-	MaxConns    int            // connections of clients; those beyond are rejected
-	MaxRejected int            // rejected connections whose clients are given time to read that
-	LastSession broker.Session // the ids of sessions follow it
+	MaxConns    int            // maximum number of clients; further connections are rejected
+	MaxRejected int            // maximum number of rejected connections that stay open until the client has read the error
+	LastSession broker.Session // session ids start after it
 	Log         *zap.Logger
 	// MaxClientTimeout returns the longest timeout that a request can have.
 	MaxClientTimeout func() time.Duration
 	// EarliestArrival returns the earliest time at which bytes may have arrived that were read at readAt by a goroutine
-	// that was waiting for them. Both are times of the reducer.
+	// that was waiting for them. Both times are those of the reducer.
 	EarliestArrival func(readAt time.Duration) time.Duration
 }
 
-// Frontend serves the clients of one listener. Its methods run in the loop, but for Serve, Addr and Close.
+// Frontend serves the clients of one listener. Its methods must be called in the loop, except Serve, Addr and Close.
 type Frontend struct {
 	cfg      Config
 	listener net.Listener
@@ -63,22 +63,22 @@
 
 	// Owned by the loop.
 	clients        map[broker.Session]*client
-	listenerClosed bool // and all connections that had come to it are in clients
+	listenerClosed bool // all connections that had arrived are in clients
 	replyBuffer    []byte
 
 	// Owned by the goroutine that accepts.
 	lastSession broker.Session
 
 	// Used by several goroutines.
-	slots          chan struct{} // one is taken for each client's connection
-	rejectSlots    chan struct{} // one is taken for each rejected connection that is not closed yet
+	slots          chan struct{} // semaphore for the clients' connections
+	rejectSlots    chan struct{} // semaphore for the rejected connections that are still open
 	tcpInfoRefused atomic.Bool   // the system refused TCP_INFO, which was logged
 
-	mu         sync.Mutex // guards what follows, and the read deadlines of clients that follow from it
-	finalReads bool       // the listener and the connections are read for the last time
+	mu         sync.Mutex // guards finalReads and the read deadlines of clients that depend on it
+	finalReads bool       // the final reads of a shutdown have begun
 }
 
-// New returns a frontend. It accepts nothing before Serve.
+// New returns a frontend, which accepts clients while Serve runs.
 func New(listener net.Listener, cfg Config, loop Loop, events EventSink, observer Observer) *Frontend {
 	return &Frontend{
 		cfg: cfg, listener: listener, loop: loop, events: events, observer: observer,
@@ -92,7 +92,7 @@
 // Addr returns the address at which clients connect.
 func (f *Frontend) Addr() net.Addr { return f.listener.Addr() }
 
-// Close closes the listener. Connections stay.
+// Close closes the listener. Existing connections stay open.
 func (f *Frontend) Close() error { return f.listener.Close() }
 
 // Serve serves clients until ctx ends, or until the listener is closed after its final reads and the last connection
@@ -106,21 +106,21 @@
 // ClientCount returns the number of clients.
 func (f *Frontend) ClientCount() int { return len(f.clients) }
 
-// Admit has a client greeted.
+// Admit lets a client be greeted.
 func (f *Frontend) Admit(session broker.Session) {
 	if c := f.clients[session]; c != nil {
 		close(c.admitted)
 	}
 }
 
-// CloseSession ends a client's connection, once all that was read from it is answered.
+// CloseSession ends a client's connection once all commands that were read from it have been answered.
 func (f *Frontend) CloseSession(session broker.Session, reason broker.CloseReason) {
 	if c := f.clients[session]; c != nil {
 		c.close(&netconn.EndError{Reason: closeReasons[reason]})
 	}
 }
 
-// CloseAll ends all clients' connections, once all that was read from them is answered.
+// CloseAll ends all clients' connections once all commands that were read from them have been answered.
 func (f *Frontend) CloseAll(reason netconn.Reason) {
 	for _, c := range f.clients {
 		c.close(&netconn.EndError{Reason: reason})
--- a/internal/server/frontend/handshake.go
+++ b/internal/server/frontend/handshake.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// The login that the protocol prescribes.
+	// The login credentials that the protocol specifies.
 	loginUser     = "app"
 	loginDatabase = "main"
 
-	// The salt of a greeting is of printable characters.
+	// The salt of a greeting consists of printable characters.
 	firstPrintable  = '!'
 	printableLength = '~' - '!' + 1
 )
@@ -24,7 +24,7 @@
 func (c *client) greet() error {
 	var salt [mysql.SaltLen]byte
 	if _, err := rand.Read(salt[:]); err != nil {
-		return fmt.Errorf("salt: %w", err)
+		return fmt.Errorf("generate salt: %w", err)
 	}
 	for i := range salt {
 		salt[i] = salt[i]%printableLength + firstPrintable
@@ -33,7 +33,7 @@
 	return err
 }
 
-// login checks the answer to the greeting and passes the login on to the reducer.
+// login validates the client's response to the greeting and notifies the reducer of the login.
 func (c *client) login(ctx context.Context, packet mysql.Packet) error {
 	seq := packet.Sequence
 	if seq != mysql.LoginSequence {
--- a/internal/server/frontend/helpers_test.go
+++ b/internal/server/frontend/helpers_test.go
@@ -18,7 +18,8 @@
 
 const testTimeout = socktest.Timeout
 
-// fakeHost is the loop, the reducer and the observer of a frontend. Functions wait in its inbox until a test runs them.
+// fakeHost implements Loop, EventSink and Observer for a frontend. Posted functions are queued in its inbox until a
+// test runs them.
 type fakeHost struct {
 	inbox chan func()
 
@@ -26,7 +27,7 @@
 	events     []broker.Event
 	violations []invariant.Rule
 
-	mu   sync.Mutex // guards what follows
+	mu   sync.Mutex // guards ends
 	ends []netconn.Reason
 }
 
@@ -54,13 +55,13 @@
 	h.ends = append(h.ends, netconn.ReasonOf(err))
 }
 
-// runOne runs the next function of the inbox.
+// runOne waits for the next function in the inbox and runs it.
 func (h *fakeHost) runOne(t *testing.T, what string) {
 	t.Helper()
 	socktest.Receive(t, h.inbox, what)()
 }
 
-// runUntil runs the functions of the inbox until a condition holds.
+// runUntil runs the functions in the inbox until a condition holds.
 func (h *fakeHost) runUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	socktest.WaitUntil(t, what, func() bool {
@@ -71,7 +72,7 @@
 	})
 }
 
-// expectViolation expects that one rule was broken, once.
+// expectViolation fails the test unless exactly one violation, of the given rule, was reported.
 func (h *fakeHost) expectViolation(t *testing.T, want invariant.Rule) {
 	t.Helper()
 	if len(h.violations) != 1 || h.violations[0] != want {
@@ -79,7 +80,7 @@
 	}
 }
 
-// newTestFrontend returns a frontend for a listener, or for none, that a host runs.
+// newTestFrontend returns a frontend that uses a host. listener may be nil.
 func newTestFrontend(listener net.Listener, host *fakeHost, maxRejected int) *Frontend {
 	return New(listener, Config{
 		MaxConns: 1, MaxRejected: maxRejected, Log: zap.NewNop(),
@@ -88,7 +89,7 @@
 	}, host, host, host)
 }
 
-// newTestClient returns a client of a frontend and the client's end of its connection.
+// newTestClient returns a client of a frontend and the remote end of its connection.
 func newTestClient(t *testing.T, f *Frontend) (c *client, far *net.TCPConn) {
 	t.Helper()
 	near, far := socktest.Pair(t)
@@ -103,17 +104,17 @@
 	go func() { ended <- f.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		_ = socktest.Receive(t, ended, "the frontend's end") // that of its context, or none after the final reads
+		_ = socktest.Receive(t, ended, "the frontend's end") // the context's error, or nil after the final reads
 	})
 }
 
-// packetBytes is a packet of the MySQL protocol.
+// packetBytes returns a packet of the MySQL protocol.
 func packetBytes(seq byte, payload string) []byte {
 	n := len(payload)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
 }
 
-// loginPacket is the answer to a greeting.
+// loginPacket returns a client's response to the greeting.
 func loginPacket() []byte {
 	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00main\x00")
 }
--- a/internal/server/frontend/readtimeout.go
+++ b/internal/server/frontend/readtimeout.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// By the protocol a client is closed within 3 s that sends nothing, or begins a message and does not complete it.
+	// By the protocol, a client that connects and sends nothing, or that does not complete a message, is disconnected
+	// within 3 s.
 	loginTimeout          = 2 * time.Second
 	partialMessageTimeout = 2 * time.Second
-	// clientIdleMargin is how long a client may be idle beyond the longest client timeout; clients close sooner.
-	clientIdleMargin = time.Minute
-	// lateReadTimeout is the time of a late read: one more read after a read deadline has passed. It finds what arrived
-	// in time while the process stood still, as a read fails without looking once its deadline has passed.
+	// clientIdleSlack is added to the longest client timeout to obtain the idle timeout; clients close idle connections
+	// sooner.
+	clientIdleSlack = time.Minute
+	// lateReadTimeout is the timeout of a late read: one more read after a read deadline has passed. It finds bytes that
+	// arrived in time during a process pause, because a read whose deadline has passed fails without a look at the socket.
 	lateReadTimeout = 10 * time.Millisecond
 )
 
-// updateReadTimeout sets the time by which more must arrive. Until the login, or a message that has begun, is complete,
-// the time set first stays, however slowly more arrives.
+// updateReadTimeout sets the time by which more bytes must arrive. While the login or a partially received message is
+// incomplete, the first deadline is kept, however slowly more bytes arrive.
 func (c *client) updateReadTimeout() error {
 	partial := c.conn.Received.Len() > 0
 	if !c.loggedIn || partial && c.messageBegun.Load() {
@@ -28,12 +30,12 @@
 	if partial {
 		return c.setReadTimeout(partialMessageTimeout)
 	}
-	return c.setReadTimeout(c.frontend.cfg.MaxClientTimeout() + clientIdleMargin)
+	return c.setReadTimeout(c.frontend.cfg.MaxClientTimeout() + clientIdleSlack)
 }
 
-// setReadTimeout sets how long a client may be silent. During the final reads of a shutdown a client without a partial
-// message gets finalReadTimeout at most. The lock keeps BeginFinalReads and this from overwriting each other's
-// deadline.
+// setReadTimeout sets the time within which a client must send more bytes. During the final reads of a shutdown, a
+// client without a partial message gets at most finalReadTimeout. The lock prevents setReadTimeout and BeginFinalReads
+// from overwriting each other's deadline.
 func (c *client) setReadTimeout(within time.Duration) error {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
@@ -45,15 +47,15 @@
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return err
 	}
-	if c.stopReading.Load() { // set meanwhile
+	if c.stopReading.Load() { // may have been set concurrently
 		return c.conn.SetReadDeadline(time.Now())
 	}
 	return nil
 }
 
-// finalRead handles the end of a final read: a read of a shutdown that ended with its deadline. It counts the empty
-// ones, and lets a message that has begun keep its deadline.
-func (c *client) finalRead(ctx context.Context) error {
+// handleFinalReadTimeout handles a final read that timed out. It counts the reads that found the socket empty, and
+// restores the deadline of a partially received message.
+func (c *client) handleFinalReadTimeout(ctx context.Context) error {
 	if c.conn.Received.Len() == 0 && c.emptyFinalReads < finalReads {
 		c.emptyFinalReads++
 		if c.emptyFinalReads == finalReads {
--- a/internal/server/frontend/reply.go
+++ b/internal/server/frontend/reply.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// errorCodes are the MySQL codes of the replies that are errors.
+// errorCodes maps the kinds of error replies to MySQL error codes.
 var errorCodes = map[broker.ReplyKind]mysql.ErrorCode{
 	broker.ReplyRejected:        mysql.CodeUserLimitReached,
 	broker.ReplyFailed:          mysql.CodeUnknownError,
@@ -25,21 +25,21 @@
 	broker.ReplyUnknownDatabase: mysql.CodeUnknownDatabase,
 }
 
-// closeReasons are the reason codes for which the reducer closes sessions.
+// closeReasons maps the reducer's reasons for closing a session to reason codes of connections.
 var closeReasons = map[broker.CloseReason]netconn.Reason{
 	broker.CloseKilled:          netconn.KilledByClient,
 	broker.CloseEvictedIdle:     netconn.EvictedIdle,
 	broker.CloseTooManySessions: netconn.TooManyConnections,
 }
 
-// Reply sends a reply to its client, if that is still connected. A client that doesn't read its answers is closed, and
-// its session ends at once: what it asks from then on could not be answered.
+// Reply sends a reply to its client if the client is still connected. If the client doesn't read its replies and the
+// send queue is full, the connection is closed, and the session ends immediately: later requests could not be answered.
 func (f *Frontend) Reply(r broker.Reply) {
 	c := f.clients[r.Session]
 	if c == nil {
 		return
 	}
-	if c.conn.ShutDownReason() != nil { // this side is shut down: the answer can't leave
+	if c.conn.ShutDownReason() != nil { // the write side is shut down: the reply can't be sent
 		f.observer.Violated(invariant.AnswerBeforeClose, zap.Uint32("session", uint32(r.Session)))
 		return
 	}
@@ -50,18 +50,18 @@
 	}
 }
 
-// appendReply appends a reply as the MySQL protocol has it.
+// appendReply appends a reply, encoded for the MySQL protocol, to dst.
 func appendReply(dst []byte, r broker.Reply) []byte {
 	switch r.Kind {
 	case broker.ReplyResult:
 		return mysql.AppendResult(dst, mysql.ResponseSequence, r.Pages)
 	case broker.ReplyOK:
 		return mysql.AppendOK(dst, mysql.ResponseSequence)
-	case broker.ReplyTooManySessions: // in place of the greeting
+	case broker.ReplyTooManySessions: // sent instead of the greeting
 		return mysql.AppendError(dst, mysql.GreetingSequence, mysql.CodeTooManyConnections, r.Text)
 	case broker.ReplyRejected, broker.ReplyFailed, broker.ReplyInterrupted, broker.ReplyNotReady,
 		broker.ReplyInvalidFields, broker.ReplyUnknownCommand, broker.ReplyUnknownSession,
-		broker.ReplyUnknownDatabase: // errors, see below
+		broker.ReplyUnknownDatabase: // errors, encoded below
 	}
 	text := r.Text
 	if ms := r.RetryAfter.Milliseconds(); ms > 0 {
