--- a/internal/server/handoverstore/fileversion.go
+++ b/internal/server/handoverstore/fileversion.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// fileVersion identifies a file under a name, and what it held. The zero value is that no file has the name.
+// fileVersion identifies a version of the hand-over file. The zero value means that the file does not exist.
 type fileVersion struct {
 	inode      os.FileInfo
 	size       int64
 	modifiedAt time.Time
 }
 
-// equal reports whether two versions are of one file.
+// equal reports whether two versions are of the same, unmodified file, or both of no file.
 func (v fileVersion) equal(other fileVersion) bool {
 	if v.inode == nil || other.inode == nil {
 		return v.inode == nil && other.inode == nil
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -1,6 +1,6 @@
-// Package handoverstore keeps the file with the engines in maintenance mode in step with this process and with another
-// process of the same broker, as there is at an upgrade: what changes here is written until that works, and what the
-// other process writes is passed on.
+// Package handoverstore synchronizes the hand-over file, which lists the engines in maintenance mode, between this
+// process and another process of the same broker, as during an upgrade: changes in this process are written, with
+// retries until that succeeds, and changes by the other process are passed to an Adopter.
 package handoverstore
 
 import (
@@ -18,49 +18,49 @@
 )
 
 const (
-	// syncInterval is how often the file is checked for changes of another process, and how long after a failed write
-	// the next one comes.
+	// syncInterval is the time between checks of the file for changes by another process. A failed write is retried
+	// after the same time.
 	syncInterval = 100 * time.Millisecond
-	// restoreWithin bounds the attempts to read the file at the start.
-	restoreWithin = 2 * time.Second
-	// lastWriteWithin bounds the attempts to write the file at the end, lastWriteRetryDelay is the time between them.
-	lastWriteWithin     = 200 * time.Millisecond
-	lastWriteRetryDelay = 25 * time.Millisecond
-	// writeLogInterval is the least time between log lines of writes that fail.
+	// restoreRetryTime bounds the attempts to read the file at the start.
+	restoreRetryTime = 2 * time.Second
+	// finalWriteTimeout bounds the attempts to write the file at the end, lastWriteRetryDelay is the time between them.
+	finalWriteTimeout    = 200 * time.Millisecond
+	finalWriteRetryDelay = 25 * time.Millisecond
+	// writeLogInterval is the minimum time between log lines of failed writes.
 	writeLogInterval = time.Second
 )
 
-// Config is what a store needs.
+// Config configures a store.
 type Config struct {
-	Dir    string // of the file
-	Broker string // the name of this broker; the file of another one is not used
+	Dir    string // directory of the file
+	Broker string // name of this broker; the file of a different broker is ignored
 	Log    *zap.Logger
 }
 
 // Adopter applies changes that another process of the broker has written.
 type Adopter interface {
-	// AdoptMaintenance passes the changes on. It may wait, until ctx ends.
+	// AdoptMaintenance applies the changes. It may block until ctx ends.
 	AdoptMaintenance(ctx context.Context, changes []handover.Change)
 }
 
-// Store synchronizes the file. Restore comes first and Run after it, on one goroutine each.
+// Store synchronizes the file. Restore must be called before Run, and each on one goroutine only.
 type Store struct {
 	dir    string
 	broker string
 	log    *zap.Logger
 	wakeup chan struct{}
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	pending []handover.Change
-	waiting []chan struct{} // closed once all that is pending now is stored
+	waiting []chan struct{} // for each pending change: closed once the change is stored
 
 	// Owned by the goroutine of Run.
-	state    handover.State // as the file had it last
-	version  fileVersion    // of the file that was read or written last
-	loggedAt time.Time      // when a failed write was logged last
+	state    handover.State // last state that was read or written
+	version  fileVersion    // of the file with that state
+	loggedAt time.Time      // when a failed write was last logged
 }
 
-// New returns a store. It does not touch the file.
+// New returns a store. It does not access the file.
 func New(cfg Config) *Store {
 	return &Store{
 		dir: cfg.Dir, broker: cfg.Broker, log: cfg.Log, wakeup: make(chan struct{}, 1),
@@ -68,11 +68,11 @@
 	}
 }
 
-// Restore returns the engines that the previous process had in maintenance mode. Without a file that can be used there
-// are none, and what can be read later is adopted.
+// Restore returns the engines that the previous process had in maintenance mode. If no usable file exists, it returns
+// none; a file that becomes readable later is adopted by Run.
 func (s *Store) Restore(ctx context.Context) []string {
 	handover.RemoveStaleTempFiles(s.dir)
-	err := transient.Retry(ctx, restoreWithin, transient.IsFile, s.read)
+	err := transient.Retry(ctx, restoreRetryTime, transient.IsFile, s.read)
 	switch {
 	case errors.Is(err, handover.ErrNotFound):
 		return nil
@@ -85,7 +85,7 @@
 	return engines
 }
 
-// read reads the file and keeps its state and version.
+// read reads the file and records its state and version.
 func (s *Store) read() error {
 	version, err := s.readVersion()
 	if err != nil {
@@ -98,7 +98,7 @@
 	return err
 }
 
-// readVersion returns the version of the file; the zero value without one.
+// readVersion returns the version of the file, or the zero value if the file does not exist.
 func (s *Store) readVersion() (fileVersion, error) {
 	info, err := os.Stat(filepath.Join(s.dir, handover.FileName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -110,7 +110,8 @@
 	return fileVersion{inode: info, size: info.Size(), modifiedAt: info.ModTime()}, nil
 }
 
-// Record has a change written. The returned channel is closed once it is stored. Any goroutine may call it.
+// Record schedules a change to be written. The returned channel is closed once the change is stored. Any goroutine may
+// call Record.
 func (s *Store) Record(change handover.Change) (stored <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,17 +119,17 @@
 	s.pending, s.waiting = append(s.pending, change), append(s.waiting, done)
 	select {
 	case s.wakeup <- struct{}{}:
-	default: // it is awake already
+	default: // a wake-up is already pending
 	}
 	return done
 }
 
-// Run synchronizes the file until ctx ends, and then writes what is left.
+// Run synchronizes the file until ctx ends, and then writes the remaining changes.
 func (s *Store) Run(ctx context.Context, adopter Adopter) error {
 	for {
 		select {
 		case <-ctx.Done():
-			s.writeLast()
+			s.writeRemaining()
 			return ctx.Err()
 		case <-s.wakeup:
 		case <-time.After(syncInterval):
@@ -138,7 +139,7 @@
 	}
 }
 
-// adopt applies what another process has written since the file was read or written here.
+// adopt applies the changes that another process has written since this process last read or wrote the file.
 func (s *Store) adopt(ctx context.Context, adopter Adopter) {
 	version, err := s.readVersion()
 	if err != nil || version.inode == nil || version.equal(s.version) {
@@ -146,7 +147,7 @@
 	}
 	before := s.state
 	if s.read() != nil {
-		return // it is looked at again; a corrupt file changes nothing
+		return // retried at the next check; a corrupt file has no effect
 	}
 	changes := before.ChangesTo(s.state)
 	if len(changes) > 0 {
@@ -154,7 +155,8 @@
 	}
 }
 
-// write writes what is pending, on top of what the file has. What fails stays pending.
+// write writes the last known state of the file with the pending changes applied. If the write fails, the changes stay
+// pending.
 func (s *Store) write() {
 	s.mu.Lock()
 	pending, waiting := s.pending, s.waiting
@@ -171,7 +173,7 @@
 		return
 	}
 	s.state = next
-	if version, err := s.readVersion(); err == nil { // else it is read once more
+	if version, err := s.readVersion(); err == nil { // otherwise adopt reads the file again
 		s.version = version
 	}
 	s.mu.Lock()
@@ -182,14 +184,14 @@
 	}
 }
 
-// writeLast writes what is left at the end of the process.
-func (s *Store) writeLast() {
-	for end := time.Now().Add(lastWriteWithin); time.Now().Before(end); time.Sleep(lastWriteRetryDelay) {
+// writeRemaining writes the pending changes at the end of the process, within finalWriteTimeout.
+func (s *Store) writeRemaining() {
+	for end := time.Now().Add(finalWriteTimeout); time.Now().Before(end); time.Sleep(finalWriteRetryDelay) {
 		s.write()
 		s.mu.Lock()
-		left := len(s.pending)
+		remaining := len(s.pending)
 		s.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
