--- a/internal/server/gossiptransport/transport.go
+++ b/internal/server/gossiptransport/transport.go
@@ -1,5 +1,5 @@
-// Package gossiptransport carries load reports between the brokers of a fleet, as datagrams. They may be late or
-// lost: none is acknowledged, waited for or sent again.
+// Package gossiptransport sends load reports between the brokers of a fleet as UDP datagrams. Datagrams may be delayed
+// or lost: they are neither acknowledged nor retransmitted.
 package gossiptransport
 
 import (
@@ -17,20 +17,20 @@
 )
 
 const (
-	sendTimeout    = 5 * time.Millisecond // a datagram that can't leave at once is dropped
-	readRetryDelay = time.Second          // after an error of the socket
+	sendTimeout    = 5 * time.Millisecond // after which a datagram is dropped
+	readRetryDelay = time.Second          // after a failed read
 )
 
-// Config is what a transport needs.
+// Config configures a transport.
 type Config struct {
 	ListenAddr string
-	Brokers    []string // the addresses of all brokers of the fleet, by number
+	Brokers    []string // addresses of all brokers of the fleet, by number
 	Log        *zap.Logger
 }
 
-// Receiver is notified of load reports.
+// Receiver receives load reports.
 type Receiver interface {
-	// GossipReceived passes on the reports of another broker. It may wait, until ctx ends.
+	// GossipReceived receives the reports of the broker with the given number. It may block until ctx ends.
 	GossipReceived(ctx context.Context, broker int, reports []control.GossipedLoad)
 }
 
@@ -42,11 +42,11 @@
 	brokerByAddr map[netip.AddrPort]int
 	sendBuffer   []byte // of Send
 
-	// Each is logged once; owned by the goroutine of Run.
+	// Whether the warning of each kind was logged; each is logged once. Owned by the goroutine of Run.
 	loggedUnknownSender, loggedMalformed bool
 }
 
-// Listen opens the socket. An error names the entry of peers that is no address, or is that of the system.
+// Listen opens the socket. If a broker's address is invalid, the error names its entry in the peers setting.
 func Listen(ctx context.Context, cfg Config) (*Transport, error) {
 	t := &Transport{log: cfg.Log, brokerByAddr: map[netip.AddrPort]int{}}
 	for i, text := range cfg.Brokers {
@@ -68,20 +68,20 @@
 // Addr returns the address of the socket.
 func (t *Transport) Addr() net.Addr { return t.conn.LocalAddr() }
 
-// Send sends one datagram to a broker. One that can't be sent is dropped: the next one holds younger reports. It must
-// not be called by two goroutines at once.
+// Send sends one datagram to a broker. A datagram that can't be sent is dropped, because the next one contains more
+// recent reports. Send must not be called concurrently.
 func (t *Transport) Send(broker int, reports []control.GossipedLoad) {
 	if broker < 0 || broker >= len(t.brokers) {
 		return
 	}
 	t.sendBuffer = gossip.Append(t.sendBuffer[:0], reports)
-	_ = t.conn.SetWriteDeadline(time.Now().Add(sendTimeout))          // a closed socket fails the write as well
-	_, _ = t.conn.WriteToUDPAddrPort(t.sendBuffer, t.brokers[broker]) // dropped, see above
+	_ = t.conn.SetWriteDeadline(time.Now().Add(sendTimeout))          // fails only if closed; the write then fails too
+	_, _ = t.conn.WriteToUDPAddrPort(t.sendBuffer, t.brokers[broker]) // on an error the datagram is dropped
 }
 
 // Run receives datagrams until ctx ends, and then closes the socket.
 func (t *Transport) Run(ctx context.Context, receiver Receiver) error {
-	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() }) // nobody waits for what is not sent yet
+	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() }) // unsent datagrams may be lost
 	defer stop()
 	buf := make([]byte, gossip.MaxBytes+1)
 	for {
@@ -91,7 +91,7 @@
 		}
 		if err != nil {
 			t.log.Warn("reading gossip datagrams failed", zap.Error(err))
-			select { // a system that refuses every read must not make this loop spin
+			select { // prevents a busy loop if every read fails
 			case <-ctx.Done():
 			case <-time.After(readRetryDelay):
 			}
@@ -103,8 +103,8 @@
 	}
 }
 
-// parse returns the reports of a datagram and the broker that sent it. It returns false if the sender is no broker of
-// the fleet, or if the datagram is malformed.
+// parse returns the reports of a datagram and the number of the broker that sent it. It returns false if the sender is
+// not a broker of the fleet or the datagram is malformed.
 func (t *Transport) parse(datagram []byte, from netip.AddrPort) (broker int, reports []control.GossipedLoad, ok bool) {
 	broker, ok = t.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !ok {
--- a/internal/server/gossiptransport/transport_test.go
+++ b/internal/server/gossiptransport/transport_test.go
@@ -17,7 +17,7 @@
 	"wheatlane/internal/server/gossiptransport"
 )
 
-// received is what a receiver was notified of.
+// received is a call of GossipReceived.
 type received struct {
 	Broker  int
 	Reports []control.GossipedLoad
@@ -29,9 +29,9 @@
 	r <- received{broker, reports}
 }
 
-// Reports arrive with the number of the broker that sent them. What comes from an unknown address or is malformed is
-// dropped, and logged once.
-func TestTransport(t *testing.T) {
+// Reports are received with the number of the broker that sent them. Datagrams from unknown addresses and malformed
+// datagrams are dropped, and each kind is logged once.
+func TestReceive(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	first, second := listenUDP(t), listenUDP(t)
 	transport, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
@@ -46,7 +46,7 @@
 	go func() { ended <- transport.Run(ctx, notified) }()
 	reports := []control.GossipedLoad{{Engine: control.GossipID("e1"), Load: 0.5, Age: time.Second}}
 	datagram := gossip.Append(nil, reports)
-	for range 2 { // of one socket and in order, ahead of the datagram that counts
+	for range 2 { // the invalid datagrams arrive before the valid one
 		send(t, second, transport.Addr(), datagram)
 		send(t, first, transport.Addr(), []byte("GET / HTTP/1.1"))
 	}
@@ -56,16 +56,16 @@
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want context.Canceled", err)
 	}
 	for _, message := range []string{"gossip datagram from an unknown address", "gossip datagram malformed"} {
 		if n := logs.FilterMessage(message).Len(); n != 1 {
-			t.Errorf("%q logged %d times", message, n)
+			t.Errorf("%q logged %d times, want once", message, n)
 		}
 	}
 }
 
-// A datagram goes to the broker of its number, and none to a number that no broker has.
+// Send sends a datagram to the broker with the given number, and nothing if no broker has that number.
 func TestSend(t *testing.T) {
 	other := listenUDP(t)
 	transport, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
@@ -97,13 +97,13 @@
 	}
 }
 
-// An entry of peers that is no address is named.
+// The error for an invalid address names its entry in the peers setting.
 func TestInvalidBrokerAddress(t *testing.T) {
 	_, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
 		ListenAddr: "127.0.0.1:0", Log: zap.NewNop(), Brokers: []string{"127.0.0.1:1", "nowhere"},
 	})
 	if err == nil || err.Error()[:len("peers[1]: ")] != "peers[1]: " {
-		t.Errorf("listening with an invalid address gives %v", err)
+		t.Errorf("error %v, want prefix %q", err, "peers[1]: ")
 	}
 }
 
@@ -114,13 +114,13 @@
 	}
 }
 
-// listenUDP returns a socket on loopback that is closed as the test ends.
+// listenUDP returns a socket on loopback that is closed at the end of the test.
 func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // nothing is to be sent any more
+	t.Cleanup(func() { _ = conn.Close() }) // no datagrams are pending
 	return conn
 }
