--- a/internal/server/netconn/conn.go
+++ b/internal/server/netconn/conn.go
@@ -1,7 +1,6 @@
-// Package netconn has the buffered connection that clients, engines and the change log are served on: a receive
-// buffer, a queue of bytes to send that can be withdrawn, a close that lets the last answer arrive, and the reasons
-// why connections end. Each connection has one goroutine that reads and one that writes; both end with the context
-// of Run.
+// Package netconn provides the buffered connections to clients, engines and the change log: a receive buffer, a send
+// queue whose writes can be withdrawn, a close after which the last reply still arrives, and the reasons for which
+// connections end. Each connection has one goroutine that reads and one that writes; both end with the context of Run.
 package netconn
 
 import (
@@ -20,36 +19,36 @@
 )
 
 const (
-	// writeTimeout bounds a single write on a connection without a maximum send delay. Bytes that waited in the
-	// queue are still written: after a standstill of this process a late answer is better than none.
+	// writeTimeout bounds a single write on a connection without a maximum send delay. Bytes that waited in the queue
+	// for longer are still written: after a process pause, a late reply is better than none.
 	writeTimeout = 5 * time.Second
 	// bufferRetryDelay is the pause after a write for which the system had no buffers.
 	bufferRetryDelay = 5 * time.Millisecond
 )
 
-// Options are the limits of a connection.
+// Options configure a connection.
 type Options struct {
-	MaxReceiveBytes int           // received and not consumed yet
-	MaxSendBytes    int           // queued and not accepted by the system yet
-	MaxSendDelay    time.Duration // bytes queued for longer never leave, the connection ends; 0: any may leave
-	// LateAfter is how long after its expiry a write that still leaves counts as late.
+	MaxReceiveBytes int           // bytes received and not consumed yet
+	MaxSendBytes    int           // bytes queued and not accepted by the operating system yet
+	MaxSendDelay    time.Duration // the connection ends instead of sending bytes queued for longer; 0: no limit
+	// LateAfter is the time after its expiry from which a write that is still sent counts as late.
 	LateAfter time.Duration
-	// OnExpired is called, on the goroutine that writes and under the queue's lock, when a write has expired or
-	// left late; nil: nobody is notified.
+	// OnExpired is called, on the goroutine that writes and under the queue's lock, when a write has expired or was sent
+	// late. It may be nil.
 	OnExpired func()
 	Now       func() time.Time // the clock of the send queue; nil: time.Now
 }
 
-// Conn is a connection with a buffer for what was received and a queue of what is to be sent.
+// Conn is a connection with a receive buffer and a send queue.
 type Conn struct {
-	// Received holds what was read and not consumed. It belongs to the goroutine that reads.
+	// Received holds bytes that were read and not consumed yet. It belongs to the goroutine that reads.
 	Received *ring.Buffer
 	SendQueue
 	socket       net.Conn
-	maxSendDelay time.Duration // 0: any bytes may leave
+	maxSendDelay time.Duration // 0: no limit
 }
 
-// New returns a connection on a socket. Run owns its goroutines.
+// New returns a connection on a socket. Its goroutines run during Run.
 func New(socket net.Conn, options Options) *Conn {
 	return &Conn{
 		socket: socket, maxSendDelay: options.MaxSendDelay,
@@ -60,17 +59,18 @@
 // Socket returns the socket of the connection.
 func (c *Conn) Socket() net.Conn { return c.socket }
 
-// ReadOnce appends to Received what one read of the socket gives. A full buffer is ring.ErrFull.
+// ReadOnce appends the bytes of one read of the socket to Received. It returns ring.ErrFull if the buffer is full.
 func (c *Conn) ReadOnce() error {
 	_, err := c.Received.ReadOnce(c.socket)
 	return err
 }
 
-// SetReadDeadline sets when reads fail with an error that IsTimeout reports; the zero time removes the deadline.
+// SetReadDeadline sets the time after which reads fail with an error for which IsTimeout returns true. The zero time
+// removes the deadline.
 func (c *Conn) SetReadDeadline(deadline time.Time) error { return c.socket.SetReadDeadline(deadline) }
 
-// Run reads and writes until either ends or ctx does, closes the socket and returns why; ReasonOf gives the reason of
-// the error. read is called once, on a goroutine of its own.
+// Run reads and writes until one of these ends or ctx is done, and closes the socket. It returns the error that ended
+// the connection; ReasonOf returns its reason. read is called once, on a separate goroutine.
 func (c *Conn) Run(ctx context.Context, read func(context.Context) error) error {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, c.closeSocket)
@@ -84,7 +84,7 @@
 	g.Go(func() error { return c.writeLoop(ctx) })
 	err := g.Wait()
 	c.closeSocket()
-	if ended := c.ShutDownReason(); ended != nil { // even if the peer closed first, once it had got all
+	if ended := c.ShutDownReason(); ended != nil { // also if the peer closed first after it received all bytes
 		return ended
 	}
 	return err
@@ -92,14 +92,14 @@
 
 // closeSocket closes the socket.
 func (c *Conn) closeSocket() {
-	_ = c.socket.Close() // the reason for the end is known already, and nothing is left to be flushed
+	_ = c.socket.Close() // the reason for the end is already recorded, and nothing remains to be flushed
 }
 
-// writeLoop sends what is queued, until the connection ends.
+// writeLoop sends queued bytes until the connection ends.
 func (c *Conn) writeLoop(ctx context.Context) error {
 	conn, ok := c.socket.(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("%T has no socket", c.socket)
+		return fmt.Errorf("start writing: connection of type %T does not implement syscall.Conn", c.socket)
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -123,47 +123,48 @@
 	}
 }
 
-// mustLinger reports whether the last answer could be destroyed by the close. The place of an evicted client is
-// wanted at once: it is given time only if it has just been answered and has sent more since.
+// mustLinger reports whether the close could destroy the last reply on its way to the peer. The slot of an evicted
+// client is needed immediately: such a connection lingers only if a reply was queued recently and the client has sent
+// more bytes since.
 func (c *Conn) mustLinger(raw syscall.RawConn, reason Reason) bool {
 	if reason != EvictedIdle {
 		return true
 	}
 	unread := false
-	_ = raw.Control(func(fd uintptr) { unread = peekPeer(int(fd)) == peerUnread }) // fails on one that has closed
-	return unread && c.wroteWithin(lingerDuration)
+	_ = raw.Control(func(fd uintptr) { unread = peekPeer(int(fd)) == peerUnread }) // fails only if it has closed
+	return unread && c.queuedWithin(lingerDuration)
 }
 
-// flush writes until nothing is left. It waits for the socket outside of the calls that write, so that
-// bytes that the system does not take can still be withdrawn, and are known never to have left.
+// flush writes until the queue is empty. It waits for the socket outside of the write calls, so that bytes that the
+// operating system has not accepted can still be withdrawn and are certain to be unsent.
 func (c *Conn) flush(raw syscall.RawConn) error {
 	for {
 		deadline, ok := c.nextDeadline()
-		c.MarkSent(0) // runs due hooks: those that only waited for withdrawn bytes
+		c.MarkSent(0) // calls the hooks that only waited for withdrawn bytes
 		if !ok {
 			return nil
 		}
 		if err := c.socket.SetWriteDeadline(deadline); err != nil {
 			return err
 		}
-		failed, err := c.writeReady(raw)
+		writeErr, waitErr := c.writeReady(raw)
 		switch {
-		case transient.IsBuffer(failed) && time.Now().Before(deadline):
+		case transient.IsBuffer(writeErr) && time.Now().Before(deadline):
 			time.Sleep(bufferRetryDelay)
-		case failed != nil:
-			return failed
-		case err != nil && !IsTimeout(err):
-			return err
-		case err != nil && c.overdue():
-			return &EndError{WriteTimeout, err}
+		case writeErr != nil:
+			return writeErr
+		case waitErr != nil && !IsTimeout(waitErr):
+			return waitErr
+		case waitErr != nil && c.deadlineExceeded():
+			return &EndError{WriteTimeout, waitErr}
 		}
 	}
 }
 
-// writeReady writes until nothing is left or the write deadline passes. The first error is that of a write,
-// the second that of waiting for the socket.
-func (c *Conn) writeReady(raw syscall.RawConn) (failed, waited error) {
-	waited = raw.Write(func(fd uintptr) (done bool) {
+// writeReady writes until the queue is empty or the write deadline passes. It returns separate errors of the write
+// call and of waiting for the socket.
+func (c *Conn) writeReady(raw syscall.RawConn) (writeErr, waitErr error) {
+	waitErr = raw.Write(func(fd uintptr) (done bool) {
 		for {
 			next := c.NextBytes()
 			if len(next) == 0 {
@@ -175,15 +176,15 @@
 			case errors.Is(err, syscall.EAGAIN):
 				return false
 			case err != nil && !errors.Is(err, syscall.EINTR):
-				failed = os.NewSyscallError("write", err)
+				writeErr = os.NewSyscallError("write", err)
 				return true
 			}
 		}
 	})
-	return failed, waited
+	return writeErr, waitErr
 }
 
-// nextDeadline returns when the bytes that are next to be sent must have left; false if nothing is left.
+// nextDeadline returns the time by which the next bytes must have been sent. ok is false if the queue is empty.
 func (c *Conn) nextDeadline() (deadline time.Time, ok bool) {
 	queuedAt, ok := c.oldestWrite()
 	switch {
@@ -195,10 +196,9 @@
 	return time.Now().Add(writeTimeout), true
 }
 
-// overdue reports, after a write deadline has passed, whether the connection is to end for it. Where the
-// deadline is that of single writes, the oldest may have been withdrawn meanwhile, and those behind it have
-// more time.
-func (c *Conn) overdue() bool {
+// deadlineExceeded reports, after a write deadline has passed, whether the connection must end. With a maximum send
+// delay, the oldest write may have been withdrawn in the meantime, and the writes behind it have later deadlines.
+func (c *Conn) deadlineExceeded() bool {
 	deadline, ok := c.nextDeadline()
 	return c.maxSendDelay == 0 || ok && !time.Now().Before(deadline)
 }
--- a/internal/server/netconn/conn_test.go
+++ b/internal/server/netconn/conn_test.go
@@ -10,8 +10,9 @@
 	"wheatlane/internal/socktest"
 )
 
-// After a standstill of the process, bytes for a client are still sent; only writes to engines expire.
-func TestOnlyEngineWritesExpire(t *testing.T) {
+// After a process pause, bytes for a client are still sent. Only a connection to an engine ends if its queued bytes
+// exceed the maximum send delay.
+func TestOnlyEngineConnectionEndsAfterMaxSendDelay(t *testing.T) {
 	for name, tt := range map[string]struct {
 		maxSendDelay time.Duration
 		want         Reason
@@ -29,23 +30,23 @@
 			c.CloseAfterSent(&EndError{Reason: KilledByClient})
 			go func() {
 				_, _ = io.Copy(io.Discard, far) // until the connection ends
-				_ = far.Close()                 // so that the other end needs not wait for it
+				_ = far.Close()                 // so that the connection does not linger
 			}()
 			if got := ReasonOf(c.writeLoop(t.Context())); got != tt.want {
-				t.Errorf("ended as %s, want %s", got, tt.want)
+				t.Errorf("the write loop ended with reason %s, want %s", got, tt.want)
 			}
 		})
 	}
 }
 
 const (
-	// blockingBytes is more than the system takes of a connection whose other end reads nothing.
+	// blockingBytes is more than the operating system accepts on a connection whose peer reads nothing.
 	blockingBytes    = 8 << 20
 	socketBufferSize = 64 << 10
 )
 
-// newBlockedConn returns a connection with blockingBytes queued whose other end reads nothing, and the end
-// of its write loop.
+// newBlockedConn returns a connection with blockingBytes queued whose peer reads nothing, the peer's socket, and a
+// channel that receives the error of the write loop.
 func newBlockedConn(t *testing.T) (c *Conn, far *net.TCPConn, ended chan error) {
 	t.Helper()
 	near, far := socktest.Pair(t)
@@ -64,26 +65,26 @@
 	return c, far, ended
 }
 
-// handedBytes returns the number of bytes that may have left.
-func handedBytes(c *Conn) int64 {
+// submittedBytes returns the number of bytes that may have been sent.
+func submittedBytes(c *Conn) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handedBytes
+	return c.submittedBytes
 }
 
-// Of a write that blocks, exactly the bytes that the system took count as sent: none that has left may
-// count as never sent.
-func TestBytesTakenByTheSystemCountAsSent(t *testing.T) {
+// When a write blocks, all bytes that the operating system has accepted count as sent: a byte that the peer receives
+// must not count as never sent.
+func TestBytesAcceptedBySystemCountAsSent(t *testing.T) {
 	c, far, ended := newBlockedConn(t)
-	socktest.WaitUntil(t, "a part has left", func() bool {
-		sent := handedBytes(c)
+	socktest.WaitUntil(t, "a part is sent", func() bool {
+		sent := submittedBytes(c)
 		return sent > 0 && sent < blockingBytes
 	})
 	if err := c.socket.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := socktest.Receive(t, ended, "the end of the writes"); err == nil {
-		t.Error("the writes ended without an error")
+		t.Error("the write loop ended without an error")
 	}
 	sent := c.WithdrawAll()
 	received, err := io.Copy(io.Discard, far)
@@ -91,11 +92,11 @@
 		t.Fatal(err)
 	}
 	if received > sent || sent == 0 || sent >= blockingBytes {
-		t.Fatalf("the other end got %d bytes of %d, of which %d count as sent", received, blockingBytes, sent)
+		t.Fatalf("the peer received %d bytes of %d, of which %d count as sent", received, blockingBytes, sent)
 	}
 }
 
-// What waits behind a write that blocks can be withdrawn, and what is queued after it leaves.
+// A write that waits behind a blocked write can be withdrawn, and the writes queued after it are still sent.
 func TestWithdrawBehindBlockedWrite(t *testing.T) {
 	c, far, _ := newBlockedConn(t)
 	var offsets [3]int64
@@ -105,27 +106,27 @@
 			t.Fatal(err)
 		}
 	}
-	socktest.WaitUntil(t, "a part has left", func() bool { return handedBytes(c) > 0 })
+	socktest.WaitUntil(t, "a part is sent", func() bool { return submittedBytes(c) > 0 })
 	if c.Withdraw(0) {
-		t.Fatal("what has begun to leave was withdrawn")
+		t.Fatal("a partially sent write was withdrawn")
 	}
-	// While a write is under way all that it was given counts as sent; none is under way for long.
-	socktest.WaitUntil(t, "what waits is withdrawn", func() bool { return c.Withdraw(offsets[1]) })
+	// While a write call is in progress, all bytes submitted to it count as sent; no call is in progress for long.
+	socktest.WaitUntil(t, "the waiting write is withdrawn", func() bool { return c.Withdraw(offsets[1]) })
 	if c.Withdraw(offsets[1] + 1) {
-		t.Fatal("what was never queued was withdrawn")
+		t.Fatal("an offset at which no write begins was withdrawn")
 	}
 	sent := make(chan struct{})
 	c.AfterSent(func() { close(sent) })
 	if got := readAfter(t, far, blockingBytes, len("onesix")); got != "onesix" {
-		t.Fatalf("the other end got %q", got)
+		t.Fatalf("the peer received %q, want %q", got, "onesix")
 	}
-	socktest.Receive(t, sent, "the hook behind what was withdrawn")
+	socktest.Receive(t, sent, "the hook behind the withdrawn write")
 	if c.Withdraw(offsets[2]) {
-		t.Fatal("what has left was withdrawn")
+		t.Fatal("a sent write was withdrawn")
 	}
 }
 
-// readAfter returns n bytes that come after others on a connection.
+// readAfter returns the n bytes that follow the first skip bytes on a connection.
 func readAfter(t *testing.T, conn net.Conn, skip int64, n int) string {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -141,22 +142,22 @@
 	return string(text)
 }
 
-// Bytes of a client that nobody has read don't turn the close into a reset, which could destroy its last
-// answer; also where its place is wanted.
-func TestLastAnswerSurvivesUnreadBytes(t *testing.T) {
+// Unread bytes of a client don't turn the close into a reset before its last reply has arrived, not even when the
+// client is evicted.
+func TestLastReplySurvivesUnreadBytes(t *testing.T) {
 	for _, reason := range []Reason{Shutdown, EvictedIdle} {
-		t.Run(string(reason), func(t *testing.T) { testLastAnswer(t, reason) })
+		t.Run(string(reason), func(t *testing.T) { testLastReply(t, reason) })
 	}
 }
 
-func testLastAnswer(t *testing.T, reason Reason) {
+func testLastReply(t *testing.T, reason Reason) {
 	t.Helper()
 	near, far := socktest.Pair(t)
 	if _, err := far.Write(make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
 	c := New(near, Options{MaxReceiveBytes: 100, MaxSendBytes: 100})
-	if _, err := c.Write([]byte("last answer")); err != nil {
+	if _, err := c.Write([]byte("last reply")); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseAfterSent(&EndError{Reason: reason})
@@ -167,13 +168,13 @@
 			return ctx.Err()
 		})
 	}()
-	if got, err := io.ReadAll(far); string(got) != "last answer" || err != nil {
-		t.Fatalf("the client got %q and %v", got, err)
+	if got, err := io.ReadAll(far); string(got) != "last reply" || err != nil {
+		t.Fatalf("the client received %q, error %v", got, err)
 	}
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if got := ReasonOf(socktest.Receive(t, ended, "the end")); got != reason {
-		t.Fatalf("ended as %s", got)
+		t.Fatalf("the connection ended with reason %s, want %s", got, reason)
 	}
 }
--- a/internal/server/netconn/endcounts.go
+++ b/internal/server/netconn/endcounts.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// Side is who is at the other end of a connection.
+// Side is the kind of peer of a connection.
 type Side string
 
-// The sides.
+// The kinds of peers.
 const (
 	ClientSide    Side = "client"
 	EngineSide    Side = "engine"
@@ -17,12 +17,12 @@
 
 var allSides = [...]Side{ClientSide, EngineSide, ChangelogSide}
 
-// EndCounts counts ended connections by side and reason. All goroutines may use it.
+// EndCounts counts ended connections by side and reason. It is safe for concurrent use.
 type EndCounts struct {
 	counts [len(allSides)][len(Reasons)]atomic.Uint64
 }
 
-// Add counts a connection that ended.
+// Add counts a connection that has ended. An unknown side or reason is ignored.
 func (c *EndCounts) Add(side Side, reason Reason) {
 	i, j := slices.Index(allSides[:], side), slices.Index(Reasons[:], reason)
 	if i >= 0 && j >= 0 {
@@ -30,14 +30,14 @@
 	}
 }
 
-// ConnectionCounts are the open connections of a process and, by Ends, those that ended.
+// ConnectionCounts holds the numbers of open and of ended connections of a process.
 type ConnectionCounts struct {
 	Clients, Engines int        // open connections
-	Ends             *EndCounts // nil: none are counted
+	Ends             *EndCounts // ended connections; nil: not counted
 }
 
-// EachEndReason calls f with each reason, in the order of Reasons, and the number of connections of a side
-// that ended for it since the start.
+// EachEndReason calls f with each reason, in the order of Reasons, and the number of connections of a side that have
+// ended for that reason since the start. It does not call f if ended connections are not counted.
 func (c *ConnectionCounts) EachEndReason(side Side, f func(reason Reason, count uint64)) {
 	i := slices.Index(allSides[:], side)
 	if i < 0 || c.Ends == nil {
--- a/internal/server/netconn/expiry.go
+++ b/internal/server/netconn/expiry.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// TakeExpired returns the offsets of the writes that were withdrawn as they expired, since the last call.
+// TakeExpired returns the offsets of the writes that were withdrawn because they expired, and removes them from the
+// record. They are not returned again.
 func (q *SendQueue) TakeExpired() []int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -11,7 +12,8 @@
 	return expired
 }
 
-// withdrawExpired withdraws the writes that have expired, but for one that has begun to leave. The lock is held.
+// withdrawExpired withdraws the writes that have expired, except one that is partially sent. The caller must hold the
+// lock.
 func (q *SendQueue) withdrawExpired() {
 	var now time.Time
 	for i := range q.writes {
@@ -36,17 +38,19 @@
 	}
 }
 
-// TakeLateWrites returns how many writes began to leave after they had expired, since the last call.
+// TakeLateWrites returns the number of writes that were sent late since the last call: their first byte was sent more
+// than Options.LateAfter after their expiry.
 func (q *SendQueue) TakeLateWrites() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	late := q.lateWrites
-	q.lateWrites = 0
+	late := q.lateWriteCount
+	q.lateWriteCount = 0
 	return late
 }
 
-// countLate counts the expired writes among the next n bytes, which have left. The lock is held.
-func (q *SendQueue) countLate(n int) {
+// countLateWrites counts the late writes that begin within the next n bytes, which have been sent. The caller must hold
+// the lock.
+func (q *SendQueue) countLateWrites(n int) {
 	var now time.Time
 	for _, w := range q.writes {
 		if w.start >= q.sentBytes+int64(n) {
@@ -59,7 +63,7 @@
 			now = q.now()
 		}
 		if now.After(w.expiresAt.Add(q.lateAfter)) {
-			q.lateWrites++
+			q.lateWriteCount++
 			q.notifyExpired()
 		}
 	}
--- a/internal/server/netconn/linger.go
+++ b/internal/server/netconn/linger.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// lingerDuration is how long the other end of a connection is given to read its last answer before the close.
+// lingerDuration is the time that the peer has to read the last reply before the close.
 const lingerDuration = 200 * time.Millisecond
 
-// Linger ends this direction of a connection and waits, for a while, until the peer has ended the other one.
-// Nothing is read: a request that crosses the end must stay unread, so that its client learns that nobody took it.
-// A close over unread bytes resets the connection, which could destroy the last answer on its way, so that has to
-// arrive first.
+// Linger shuts down the write side of a connection and waits until the peer has shut down its write side, for at most
+// lingerDuration. It reads nothing: a request that races with the connection's close must stay unread, so that its
+// client is notified by the reset that it was not accepted. A close with unread bytes resets the connection, which
+// could destroy the last reply on its way, so the reply must arrive first.
 func Linger(socket net.Conn) {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
@@ -28,7 +28,7 @@
 		return
 	}
 	peer := peerOpen
-	_ = raw.Read(func(fd uintptr) (done bool) { // however it ends, the connection is closed
+	_ = raw.Read(func(fd uintptr) (done bool) { // on an error the connection is closed as well
 		peer = peekPeer(int(fd))
 		return peer != peerOpen
 	})
@@ -37,16 +37,16 @@
 	}
 }
 
-// peerState is what the other end of a connection has done.
+// peerState is the state of the peer's write side.
 type peerState int
 
 const (
-	peerOpen   peerState = iota // nothing
-	peerEnded                   // it has ended its direction, or reset the connection
-	peerUnread                  // it has sent bytes, which hide whether it has ended
+	peerOpen   peerState = iota // open, with no unread bytes
+	peerEnded                   // shut down or reset
+	peerUnread                  // there are unread bytes; whether it is shut down is not visible
 )
 
-// peekPeer looks at what has come on a socket that doesn't block, without taking it.
+// peekPeer returns the state of the peer on a non-blocking socket, without consuming bytes.
 func peekPeer(fd int) peerState {
 	var first [1]byte
 	n, _, err := syscall.Recvfrom(fd, first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -55,7 +55,7 @@
 		return peerOpen
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return peerEnded
-	case err != nil: // a system that can't peek: the whole time is waited
+	case err != nil: // the system does not support peeking: Linger waits for the full duration
 		return peerUnread
 	case n == 0:
 		return peerEnded
--- a/internal/server/netconn/reason.go
+++ b/internal/server/netconn/reason.go
@@ -14,50 +14,50 @@
 	"wheatlane/internal/ring"
 )
 
-// Reason is the code in the log line and the figures of an ended connection. Reasons lists them all.
+// Reason is the reason code in the log line and the metrics of an ended connection. Reasons lists all codes.
 type Reason string
 
-// The reasons why a connection ends.
+// The reasons for which a connection ends.
 const (
-	PeerClosed         Reason = "peer_closed"          // the peer closed it in good order
-	PeerReset          Reason = "peer_reset"           // the peer reset it
+	PeerClosed         Reason = "peer_closed"          // orderly close by the peer
+	PeerReset          Reason = "peer_reset"           // reset by the peer
 	Quit               Reason = "quit"                 // the client sent COM_QUIT
-	Idle               Reason = "idle"                 // nothing was in flight on it for too long
+	Idle               Reason = "idle"                 // nothing in flight for too long
 	LoginTimeout       Reason = "login_timeout"        // the client did not log in in time
 	ReadTimeout        Reason = "read_timeout"         // the client did not complete a message in time
 	AccessDenied       Reason = "access_denied"        // wrong user, password or database
-	Malformed          Reason = "malformed"            // a message that can't be parsed: synchronization is lost
-	TooLarge           Reason = "too_large"            // a message over its limit
-	BufferFull         Reason = "buffer_full"          // the peer does not read what it is sent
+	Malformed          Reason = "malformed"            // a message can't be parsed: synchronization is lost
+	TooLarge           Reason = "too_large"            // a message exceeds its size limit
+	BufferFull         Reason = "buffer_full"          // the peer does not read, and the send queue is full
 	WriteTimeout       Reason = "write_timeout"        // bytes were not sent by their deadline
-	KilledByClient     Reason = "killed"               // a client killed it, or it sent too many requests ahead
-	EvictedIdle        Reason = "made_room"            // it was silent or idle while there were too many
-	TooManyConnections Reason = "too_many_connections" // there were too many, and all were busy
-	ConnectFailed      Reason = "connect_failed"       // it was never established
-	EngineGone         Reason = "engine_gone"          // its engine was removed, restarted, drained or lost its address
-	Stalled            Reason = "stalled"              // a response began on it and was not completed in time
-	Retired            Reason = "retired"              // replaced: silent, or out of ids
-	PollTimeout        Reason = "silent"               // the change log did not answer in time
-	AddressChanged     Reason = "moved"                // the change log has another address now
-	HTTPStatus         Reason = "http_status"          // the change log answered with an error
+	KilledByClient     Reason = "killed"               // killed by a client, or too many pipelined requests
+	EvictedIdle        Reason = "made_room"            // silent or idle while there were too many connections
+	TooManyConnections Reason = "too_many_connections" // rejected: too many connections, all of them busy
+	ConnectFailed      Reason = "connect_failed"       // never established
+	EngineGone         Reason = "engine_gone"          // the engine was removed, restarted, drained or lost its address
+	Stalled            Reason = "stalled"              // a response began and was not completed in time
+	Retired            Reason = "retired"              // replaced because it was silent or had no ids left
+	PollTimeout        Reason = "silent"               // the change log did not respond in time
+	AddressChanged     Reason = "moved"                // the address of the change log has changed
+	HTTPStatus         Reason = "http_status"          // the change log responded with an error status
 	Shutdown           Reason = "shutdown"             // the broker shuts down
 	OtherError         Reason = "failed"               // any other error, which is in the log line
 )
 
-// Reasons are all reason codes, in the order in which the figures number them.
+// Reasons lists all reason codes. The metrics number them in this order.
 var Reasons = [...]Reason{
 	PeerClosed, PeerReset, Quit, Idle, LoginTimeout, ReadTimeout, AccessDenied, Malformed, TooLarge, BufferFull,
 	WriteTimeout, KilledByClient, EvictedIdle, TooManyConnections, ConnectFailed, EngineGone, Stalled, Retired,
 	PollTimeout, AddressChanged, HTTPStatus, Shutdown, OtherError,
 }
 
-// EndError is the error of a connection whose end has a known reason.
+// EndError is the error of a connection that ended for a known reason.
 type EndError struct {
 	Reason Reason
-	Err    error // what led to it; nil: nothing but the reason
+	Err    error // cause; may be nil
 }
 
-// Error is the reason code, and the error behind it if there is one.
+// Error returns the reason code, followed by the cause if there is one.
 func (e *EndError) Error() string {
 	if e.Err == nil {
 		return string(e.Reason)
@@ -65,10 +65,10 @@
 	return string(e.Reason) + ": " + e.Err.Error()
 }
 
-// Unwrap returns the error behind the reason.
+// Unwrap returns the cause.
 func (e *EndError) Unwrap() error { return e.Err }
 
-// reasonsOfErrors are the reasons for errors of other packages, by errors.Is in this order.
+// reasonsOfErrors maps errors of other packages to reasons. ReasonOf matches them with errors.Is in this order.
 var reasonsOfErrors = []struct {
 	err    error
 	reason Reason
@@ -91,8 +91,8 @@
 	{context.Canceled, Shutdown},
 }
 
-// ReasonOf is the reason code of the error that ended a connection: that of an EndError in its chain, or
-// else that of the first known error in it. No error means that the peer closed the connection.
+// ReasonOf returns the reason code of the error that ended a connection: the reason of an EndError in its chain, or
+// else the reason of the first match in reasonsOfErrors. A nil error means that the peer closed the connection.
 func ReasonOf(err error) Reason {
 	if err == nil {
 		return PeerClosed
@@ -109,6 +109,6 @@
 	return OtherError
 }
 
-// IsTimeout reports whether a deadline of this program has passed. A connection that the system gives up with
-// ETIMEDOUT is no such error.
+// IsTimeout reports whether err was caused by a deadline that this program has set. ETIMEDOUT, with which the operating
+// system ends a connection, is not such an error.
 func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/server/netconn/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -9,37 +9,37 @@
 	"wheatlane/internal/ring"
 )
 
-// SendQueue holds the bytes that wait to be sent on a connection, in order, and knows how many of them the
-// system has accepted. Offsets count bytes from the start of the connection. Bytes that have not been handed
-// to the system can be withdrawn; they are then never sent. All methods may be called from any goroutine.
+// SendQueue holds the bytes that wait to be sent on a connection, in order, and records how many of them the operating
+// system has accepted. Offsets count bytes from the start of the connection. Writes of which no byte has been submitted
+// to the system can be withdrawn; they are then never sent. A SendQueue is safe for concurrent use.
 type SendQueue struct {
-	mu             sync.Mutex
-	pending        *ring.Buffer
-	queuedBytes    int64 // ever written to pending
-	sentBytes      int64 // of these, accepted by the system or withdrawn
-	handedBytes    int64 // sentBytes, and what a write under way was given: these bytes may have left
-	writes         []queuedWrite
-	lastWriteAt    time.Time // of the last call of write
-	hooks          []sentHook
-	requestedEnd   *EndError     // why this side is to be shut down once pending is empty; nil: it is not
-	shutDownReason *EndError     // why this side was shut down; nil: it was not
-	lateWrites     int           // writes whose first byte left over lateAfter past their expiry, until they are taken
-	expired        []int64       // offsets of the writes that were withdrawn as they expired, until they are taken
-	lateAfter      time.Duration // from the expiry of a write
-	onExpired      func()        // called, under the lock, when expired or lateWrites changes; nil: nobody is notified
-	now            func() time.Time
-	wakeup         chan struct{}
-}
-
-// queuedWrite is the extent of one call of write in the queue.
+	mu                sync.Mutex
+	pending           *ring.Buffer
+	queuedBytes       int64 // total bytes written to pending
+	sentBytes         int64 // of queuedBytes, accepted by the operating system or withdrawn
+	submittedBytes    int64 // sentBytes plus the bytes of a write call in progress: these may have been sent
+	writes            []queuedWrite
+	lastWriteAt       time.Time // when bytes were last queued
+	hooks             []sentHook
+	requestedShutDown *EndError     // reason to shut down the write side once pending is empty; nil: not requested
+	shutDownReason    *EndError     // reason for which the write side was shut down; nil: it is open
+	lateWriteCount    int           // late writes (see TakeLateWrites) that were not taken yet
+	expired           []int64       // offsets of writes withdrawn because they expired, that were not taken yet
+	lateAfter         time.Duration // from the expiry of a write
+	onExpired         func()        // called, under the lock, when expired or lateWriteCount changes; may be nil
+	now               func() time.Time
+	wakeup            chan struct{}
+}
+
+// queuedWrite is the byte range of one call of Write in the queue.
 type queuedWrite struct {
 	start, end int64
 	queuedAt   time.Time
-	expiresAt  time.Time // its content is out of date from then on; zero: never
+	expiresAt  time.Time // from then on the content is outdated; zero: never
 	withdrawn  bool
 }
 
-// sentHook is called once all bytes before its offset have been sent.
+// sentHook is a function to be called once all bytes before an offset have been sent or withdrawn.
 type sentHook struct {
 	offset int64
 	call   func()
@@ -56,10 +56,11 @@
 	}
 }
 
-// Write queues p and returns the offset of its first byte. It never blocks: a full queue is ring.ErrFull.
+// Write queues p and returns the offset of its first byte. It never blocks, and returns ring.ErrFull if p does not fit.
 func (q *SendQueue) Write(p []byte) (int64, error) { return q.WriteExpiring(p, time.Time{}) }
 
-// WriteExpiring queues p, which is out of date from a time on.
+// WriteExpiring queues p, which is withdrawn if no byte of it has been sent by expiresAt. The zero time means that p
+// never expires. Otherwise it behaves as Write.
 func (q *SendQueue) WriteExpiring(p []byte, expiresAt time.Time) (int64, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -76,7 +77,7 @@
 	return start, nil
 }
 
-// Withdraw removes the write that begins at an offset. It returns false if a byte of it may have left.
+// Withdraw removes the write that begins at an offset. It returns false if a byte of the write may have been sent.
 func (q *SendQueue) Withdraw(offset int64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,7 +88,7 @@
 		q.expired = slices.Delete(q.expired, at, at+1)
 		return true
 	}
-	if !found || offset < q.handedBytes {
+	if !found || offset < q.submittedBytes {
 		return false
 	}
 	q.writes[i].withdrawn = true
@@ -95,19 +96,20 @@
 	return true
 }
 
-// WithdrawAll removes every write of which no byte can have left, and returns the number of bytes that may
-// have: what is beyond that offset is reported as never sent, so it must not leave while the connection
+// WithdrawAll removes every write of which no byte can have been sent, and returns the number of bytes that may have
+// been sent: writes beyond that offset are reported as never sent, so they must not be sent while the connection
 // closes.
 func (q *SendQueue) WithdrawAll() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := range q.writes {
-		q.writes[i].withdrawn = q.writes[i].withdrawn || q.writes[i].start >= q.handedBytes
+		q.writes[i].withdrawn = q.writes[i].withdrawn || q.writes[i].start >= q.submittedBytes
 	}
-	return q.handedBytes
+	return q.submittedBytes
 }
 
-// AfterSent calls a function, on the goroutine that writes, once all that is queued now has been sent.
+// AfterSent schedules a function to be called, on the goroutine that writes, once all bytes that are queued now have
+// been sent or withdrawn.
 func (q *SendQueue) AfterSent(call func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,39 +117,39 @@
 	q.wake()
 }
 
-// CloseAfterSent ends the connection once all that is queued has been sent. Only the first reason is kept.
+// CloseAfterSent ends the connection once all queued bytes have been sent. Only the reason of the first call is stored.
 func (q *SendQueue) CloseAfterSent(reason *EndError) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.requestedEnd == nil {
-		q.requestedEnd = reason
+	if q.requestedShutDown == nil {
+		q.requestedShutDown = reason
 	}
 	q.wake()
 }
 
-// wroteWithin reports whether something was queued within a time before now.
-func (q *SendQueue) wroteWithin(within time.Duration) bool {
+// queuedWithin reports whether the last write was queued less than a given time ago.
+func (q *SendQueue) queuedWithin(within time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.now().Sub(q.lastWriteAt) < within
 }
 
-// wake lets the goroutine that writes look at the queue.
+// wake wakes the goroutine that writes.
 func (q *SendQueue) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
-	default: // it is awake already
+	default: // a wake-up is already pending
 	}
 }
 
-// AllSent reports whether nothing is left to send.
+// AllSent reports whether the queue is empty.
 func (q *SendQueue) AllSent() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.pending.Len() == 0
 }
 
-// oldestWrite returns when the bytes that are next to be sent were queued; false if nothing is.
+// oldestWrite returns when the next bytes to be sent were queued. ok is false if the queue is empty.
 func (q *SendQueue) oldestWrite() (queuedAt time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -158,8 +160,8 @@
 	return q.writes[0].queuedAt, true
 }
 
-// NextBytes returns the bytes to send next, up to the first write that was withdrawn. Until MarkSent they
-// count as if they had left. Writes that have expired are withdrawn.
+// NextBytes withdraws expired writes and returns the next bytes to send, up to the first withdrawn write. Until the
+// call of MarkSent, the returned bytes count as possibly sent.
 func (q *SendQueue) NextBytes() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,24 +171,24 @@
 	if i := slices.IndexFunc(q.writes, func(w queuedWrite) bool { return w.withdrawn }); i >= 0 {
 		next = next[:min(int64(len(next)), q.writes[i].start-q.sentBytes)]
 	}
-	q.handedBytes = q.sentBytes + int64(len(next))
+	q.submittedBytes = q.sentBytes + int64(len(next))
 	return next
 }
 
-// MarkSent removes n bytes that the system has accepted, and calls the hooks that are due. With 0 bytes it runs those
-// that only waited for bytes that were withdrawn.
+// MarkSent removes n bytes that the operating system has accepted, and calls the hooks that are due. With n = 0 it
+// calls the hooks that only waited for withdrawn bytes.
 func (q *SendQueue) MarkSent(n int) {
-	for _, hook := range q.advanceSent(n) { // not under the lock: a hook may wait for the broker's loop
+	for _, hook := range q.advanceSent(n) { // without the lock: a hook may block on the broker's loop
 		hook.call()
 	}
 }
 
-// advanceSent moves on by n bytes and returns the hooks that are due.
+// advanceSent removes n bytes that were sent and returns the hooks that are due.
 func (q *SendQueue) advanceSent(n int) []sentHook {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.advance(n)
-	q.handedBytes = q.sentBytes
+	q.discard(n)
+	q.submittedBytes = q.sentBytes
 	due := 0
 	for due < len(q.hooks) && q.hooks[due].offset <= q.sentBytes {
 		due++
@@ -196,38 +198,39 @@
 	return hooks
 }
 
-// beginShutDown begins to shut this side down if its end was requested and nothing is left to send. It returns the
-// reason; nil if this side goes on.
+// beginShutDown begins to shut down the write side if this was requested and the queue is empty. It returns the reason,
+// or nil if the write side stays open.
 func (q *SendQueue) beginShutDown() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.shutDownReason = q.requestedEnd
+	q.shutDownReason = q.requestedShutDown
 	if q.pending.Len() > 0 {
-		q.shutDownReason = nil // bytes were queued meanwhile, which wakes the writer again
+		q.shutDownReason = nil // bytes were queued concurrently, which wakes the writer again
 	}
 	return q.shutDownReason
 }
 
-// ShutDownReason returns the reason for which this side was shut down: nothing more leaves. It is nil before.
+// ShutDownReason returns the reason for which the write side was shut down, after which no bytes are sent. It returns
+// nil if the write side is open.
 func (q *SendQueue) ShutDownReason() *EndError {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.shutDownReason
 }
 
-// skipWithdrawn drops the writes at the front that were withdrawn. The lock is held.
+// skipWithdrawn removes withdrawn writes from the front of the queue. The caller must hold the lock.
 func (q *SendQueue) skipWithdrawn() {
 	for len(q.writes) > 0 && q.writes[0].withdrawn {
-		q.advance(int(q.writes[0].end - q.sentBytes))
+		q.discard(int(q.writes[0].end - q.sentBytes))
 	}
 }
 
-// advance drops the first n bytes. The lock is held.
-func (q *SendQueue) advance(n int) {
+// discard removes the first n bytes from the queue. The caller must hold the lock.
+func (q *SendQueue) discard(n int) {
 	if n == 0 {
 		return
 	}
-	q.countLate(n)
+	q.countLateWrites(n)
 	q.pending.Discard(n)
 	q.sentBytes += int64(n)
 	done := 0
