--- a/internal/server/enginepool/host_test.go
+++ b/internal/server/enginepool/host_test.go
@@ -63,9 +63,9 @@
 func (h *fakeHost) Enqueue(event broker.Event) { h.events = append(h.events, event) }
 
 func (h *fakeHost) DuplicateResponse(engine string) { h.observe("duplicate response of %s", engine) }
-func (h *fakeHost) DrainStarted()                   { h.observe("started") }
+func (h *fakeHost) DrainStarted()                   { h.observe("drain started") }
 func (h *fakeHost) DrainCompleted(took time.Duration) {
-	h.observe("completed, some bytes left late: %v", took > 0)
+	h.observe("drain completed, bytes sent after its start: %v", took > 0)
 }
 func (h *fakeHost) LateWrite(engine string) { h.observe("late write to %s", engine) }
 
--- a/internal/server/enginepool/pool_test.go
+++ b/internal/server/enginepool/pool_test.go
@@ -146,8 +146,8 @@
 	if diff := cmp.Diff(ended, p.host.events); diff != "" {
 		t.Errorf("events of the reducer: %s", diff)
 	}
-	if left := p.inFlight[firstAttempt].timeLeft(time.Now()); left > timeout-waited {
-		t.Errorf("remaining time %v, want at most %v", left, timeout-waited)
+	if remaining := p.inFlight[firstAttempt].timeLeft(time.Now()); remaining > timeout-waited {
+		t.Errorf("remaining time %v, want at most %v", remaining, timeout-waited)
 	}
 	if diff := cmp.Diff([]string{"want 1", "hurry 1"}, sentCommands(t, p)); diff != "" {
 		t.Errorf("sent: %s", diff)
--- a/internal/server/enginepool/streams_test.go
+++ b/internal/server/enginepool/streams_test.go
@@ -10,8 +10,12 @@
 	"wheatlane/internal/broker"
 )
 
-const drainStarted, drainCompleted, drainCompletedLate = "started", "completed, some bytes left late: false",
-	"completed, some bytes left late: true"
+// Notifications that fakeHost records.
+const (
+	drainStarted       = "drain started"
+	drainCompleted     = "drain completed, bytes sent after its start: false"
+	drainCompletedLate = "drain completed, bytes sent after its start: true"
+)
 
 var drainCases = map[string]struct {
 	act  func(p *idlePool)
--- a/internal/server/frontend/readtimeout.go
+++ b/internal/server/frontend/readtimeout.go
@@ -14,7 +14,7 @@
 	// sooner.
 	clientIdleSlack = time.Minute
 	// lateReadTimeout is the timeout of a late read: one more read after a read deadline has passed. It finds bytes that
-	// arrived in time during a process pause, because a read whose deadline has passed fails without a look at the socket.
+	// arrived in time during a process pause, because a read whose deadline has passed fails without accessing the socket.
 	lateReadTimeout = 10 * time.Millisecond
 )
 
