--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -273,7 +273,7 @@
 }
 
 // An engine with an overdue response receives a liveness probe. Load probes may arrive at any time and are ignored;
-// TestTranscriptOfEngineCommands has their bytes.
+// TestEngineCommandsMatchGoldenFile has their bytes.
 func TestTranscriptOfLivenessProbe(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
