--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/invariant"
 )
 
-// settleDelay is the time that a cancel takes at most to reach its engine after it was sent.
+// settleDelay is the maximum time that a sent cancel takes to reach its engine.
 const settleDelay = 10 * time.Millisecond
 
 // attempt is one attempt of a request.
--- a/internal/broker/endpointlist/endpointlist.go
+++ b/internal/broker/endpointlist/endpointlist.go
@@ -73,8 +73,8 @@
 // recordListed stores the id of a listed engine, and drops old ids at maxEverListed.
 func (l *List) recordListed(id string) {
 	if len(l.everListed) >= maxEverListed {
-		maps.DeleteFunc(l.everListed, func(known string, _ bool) bool {
-			return !l.Listed(known) && !l.inMaintenance[known]
+		maps.DeleteFunc(l.everListed, func(old string, _ bool) bool {
+			return !l.Listed(old) && !l.inMaintenance[old]
 		})
 	}
 	l.everListed[id] = true
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -59,8 +59,9 @@
 		CloseConnection     bool
 		SentAt              time.Duration
 	}
-	// ImmediateReply is a command, valid or not, whose reply the front protocol determines alone. The reply is sent in
-	// the order of the session's commands. A session that is idle after such a command is the first to be evicted.
+	// ImmediateReply is a command, valid or not, whose reply the front protocol determines without the reducer. The
+	// reply is sent in the order of the session's commands. A session that is idle after such a command is the first to
+	// be evicted.
 	ImmediateReply struct {
 		Session Session
 		Reply   Reply
