--- a/internal/server/enginepool/command.go
+++ b/internal/server/enginepool/command.go
@@ -40,7 +40,7 @@
 	livenessID      = "t" // id of all liveness probes
 	defaultPriority = 1   // assumed by engines if fieldPriority is absent, by the protocol
 
-	minTimeout = time.Millisecond // resolution of fieldTimeout
+	minTimeout = time.Millisecond // minimum of fieldTimeout
 )
 
 // appendCommand appends the encoded message of a command to dst.
