--- a/control/attemptoptions/attemptoptions.go
+++ b/control/attemptoptions/attemptoptions.go
@@ -1,5 +1,5 @@
-// Package attemptoptions decides what an engine is asked to do with an attempt, beyond running it: the memory
-// to grant it, and its priority among others.
+// Package attemptoptions sets the options that an engine receives with an attempt: the memory to grant it,
+// and its priority among the attempts at the engine.
 package attemptoptions
 
 import (
@@ -8,30 +8,30 @@
 	"wheatlane/control/units"
 )
 
-// The priorities that engines apply.
+// The range of priorities that engines apply.
 const (
 	MinPriority = 1
 	MaxPriority = 3
 )
 
-// Config is which options the engines of a deployment apply.
+// Config specifies which options the engines of a deployment apply.
 type Config struct {
 	MemoryGrants     bool
 	Priorities       bool
 	MaxGrantFraction units.Fraction // of an engine's memory, for one request
 }
 
-// Options are those of one attempt.
+// Options holds the options of one attempt.
 type Options struct {
-	GrantMB  float64 // 0: the engine's own choice
+	GrantMB  float64 // 0: the engine chooses
 	Priority int
 }
 
-// Attempt is what the options of an attempt depend on.
+// Attempt holds the inputs that the options of an attempt depend on.
 type Attempt struct {
-	NeededMB          float64 // expected memory; 0: not known
+	NeededMB          float64 // expected memory; 0: unknown
 	EngineMB          float64 // memory of the engine
-	HighestValueClass bool    // its class has the most priority weight for its work
+	HighestValueClass bool    // the attempt's class has the highest priority weight per thread-second
 }
 
 // For returns the options of an attempt.
--- a/control/attemptoptions/attemptoptions_test.go
+++ b/control/attemptoptions/attemptoptions_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestOptionsFollowWhatEnginesHeed(t *testing.T) {
+func TestOptionsFollowConfig(t *testing.T) {
 	t.Parallel()
 	all := Config{MemoryGrants: true, Priorities: true, MaxGrantFraction: 0.5}
 	for name, c := range map[string]struct {
@@ -10,17 +10,17 @@
 		attempt Attempt
 		want    Options
 	}{
-		"none applied":  {Config{}, Attempt{100, 1000, true}, Options{0, MinPriority}},
-		"needed memory": {all, Attempt{99.2, 1000, false}, Options{100, MinPriority}},
-		"at most the fraction": {
+		"no option enabled": {Config{}, Attempt{100, 1000, true}, Options{0, MinPriority}},
+		"memory rounded up": {all, Attempt{99.2, 1000, false}, Options{100, MinPriority}},
+		"memory limited to fraction": {
 			all, Attempt{700, 1000, false}, Options{500, MinPriority},
 		},
-		"memory not known": {all, Attempt{0, 1000, false}, Options{0, MinPriority}},
-		"highest value":    {all, Attempt{0, 1000, true}, Options{0, MaxPriority}},
-		"without priorities": {
+		"memory unknown":      {all, Attempt{0, 1000, false}, Options{0, MinPriority}},
+		"highest-value class": {all, Attempt{0, 1000, true}, Options{0, MaxPriority}},
+		"priorities disabled": {
 			Config{MemoryGrants: true, MaxGrantFraction: 1}, Attempt{5, 9, true}, Options{5, MinPriority},
 		},
-		"without memory size": {Config{Priorities: true}, Attempt{5, 9, true}, Options{0, MaxPriority}},
+		"memory grants disabled": {Config{Priorities: true}, Attempt{5, 9, true}, Options{0, MaxPriority}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/control/concurrency/concurrency_test.go
+++ b/control/concurrency/concurrency_test.go
@@ -25,30 +25,34 @@
 		request              Request
 		want                 bool
 	}{
-		{"one of any size where there is none", 0, 0, Request{Threads: 20, UnderPressure: true}, true},
-		{"up to the limit", 4, 4, Request{Threads: 2, UnderPressure: true}, true},
-		{"not over it", 5, 4, Request{Threads: 2, UnderPressure: true}, false},
-		{"up to a multiple of it without pressure", 7, 7, Request{Threads: 2}, true},
-		{"not over the multiple", 8, 8, Request{Threads: 2}, false},
-		{"two of the widest class", 9, 9, Request{Threads: 9, WidestThreads: 9}, true},
+		{"any size while nothing is in flight", 0, 0, Request{Threads: 20, UnderPressure: true}, true},
+		{"exactly at the limit", 4, 4, Request{Threads: 2, UnderPressure: true}, true},
+		{"over the limit", 5, 4, Request{Threads: 2, UnderPressure: true}, false},
+		{"exactly at the larger limit without pressure", 7, 7, Request{Threads: 2}, true},
+		{"over the larger limit without pressure", 8, 8, Request{Threads: 2}, false},
+		{"two requests of the widest class without pressure", 9, 9, Request{Threads: 9, WidestThreads: 9}, true},
 		{
-			"a class in its own share", 12, 2,
+			"class within its own share", 12, 2,
 			Request{Threads: 1, ClassShare: 0.5, UnderPressure: true},
 			true,
 		},
 		{
-			"not beyond its share", 12, 3,
+			"class beyond its own share", 12, 3,
 			Request{Threads: 1, ClassShare: 0.5, UnderPressure: true},
 			false,
 		},
-		{"one request of each class", 12, 0, Request{Threads: 4, ClassShare: 0.1, UnderPressure: true}, true},
+		{
+			"first request of a class over its share", 12, 0,
+			Request{Threads: 4, ClassShare: 0.1, UnderPressure: true},
+			true,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			l := newLimiter()
 			l.Acquire(c.threadsInFlight)
 			if got := l.Allows(c.request, func() int { return c.classThreadsInFlight }); got != c.want {
-				t.Errorf("got %v, want %v, with a limit of %v", got, c.want, l.Limit())
+				t.Errorf("got %v, want %v, at a limit of %v", got, c.want, l.Limit())
 			}
 		})
 	}
@@ -63,12 +67,12 @@
 	}{
 		{"no signal", Signals{LoadKnown: true, SlowdownKnown: true}, false},
 		{"at capacity", Signals{AtCapacity: true}, true},
-		{"what is in flight is overdue", Signals{AgeRatio: 3.1}, true},
-		{"what is in flight is not overdue yet", Signals{AgeRatio: 3}, false},
-		{"load", Signals{LoadKnown: true, Load: 0.91}, true},
-		{"load that is not current", Signals{Load: 5}, false},
-		{"slowdown", Signals{SlowdownKnown: true, Slowdown: 0.46}, true},
-		{"slowdown by few answers", Signals{Slowdown: 3}, false},
+		{"age ratio over its threshold", Signals{AgeRatio: 3.1}, true},
+		{"age ratio at its threshold", Signals{AgeRatio: 3}, false},
+		{"load over its threshold", Signals{LoadKnown: true, Load: 0.91}, true},
+		{"outdated load", Signals{Load: 5}, false},
+		{"slowdown over its threshold", Signals{SlowdownKnown: true, Slowdown: 0.46}, true},
+		{"slowdown based on few answers", Signals{Slowdown: 3}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -80,8 +84,8 @@
 	}
 }
 
-// quiet is an interval without answers, pressure or a shortage of memory.
-func quiet() Interval {
+// idleInterval returns an interval without answers, pressure or a shortage of memory.
+func idleInterval() Interval {
 	return Interval{
 		Regular: true, Objective: time.Second, Wait: 0.2,
 		Cores: testCores, MemoryMB: math.Inf(1), BrokerShare: testShare,
@@ -89,21 +93,21 @@
 	}
 }
 
-func TestLimitIsBoundedByMemoryAndByTheLeastLimit(t *testing.T) {
+func TestLimitIsBoundedByMemoryAndMinLimit(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
 		change func(*Interval)
 		want   float64
 	}{
-		{"neither", func(*Interval) {}, 6},
+		{"no bound applies", func(*Interval) {}, 6},
 		{"memory for four threads", func(in *Interval) { in.MemoryMB = 800 }, 4},
-		{"the least limit", func(in *Interval) { in.MinLimit = 9 }, 9},
-		{"the least before memory", func(in *Interval) { in.MemoryMB, in.MinLimit = 800, 5 }, 5},
+		{"minimum limit", func(in *Interval) { in.MinLimit = 9 }, 9},
+		{"minimum limit over memory", func(in *Interval) { in.MemoryMB, in.MinLimit = 800, 5 }, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			l, in := newLimiter(), quiet()
+			l, in := newLimiter(), idleInterval()
 			c.change(&in)
 			l.CloseInterval(in)
 			if got := l.Limit(); math.Abs(got-c.want) > 1e-9 {
@@ -116,7 +120,7 @@
 func TestLimitBacksOffUnderOverloadAndRecovers(t *testing.T) {
 	t.Parallel()
 	l := newLimiter()
-	overload := quiet()
+	overload := idleInterval()
 	overload.UnderPressure, overload.Load, overload.MinLimit = true, 1.3, 0
 	l.CloseInterval(overload)
 	if got := l.Limit(); math.Abs(got-0.8*6) > 1e-9 {
@@ -129,12 +133,12 @@
 		t.Errorf("limit %v after long overload, want %v", got, 0.15*6)
 	}
 	for range 100 {
-		l.CloseInterval(quiet())
+		l.CloseInterval(idleInterval())
 	}
 	if got := l.Limit(); math.Abs(got-6) > 1e-9 {
 		t.Errorf("limit %v after the overload, want 6", got)
 	}
-	loaded := quiet()
+	loaded := idleInterval()
 	loaded.Load, loaded.Slowdown = 1.3, 2 // without pressure
 	l.CloseInterval(loaded)
 	if got := l.Limit(); math.Abs(got-6) > 1e-9 {
@@ -142,24 +146,24 @@
 	}
 }
 
-func TestPoolBacksOffAtASmallerSlowdown(t *testing.T) {
+func TestPoolBacksOffAtSmallerSlowdown(t *testing.T) {
 	t.Parallel()
-	slowed := quiet()
+	slowed := idleInterval()
 	slowed.UnderPressure, slowed.Slowdown = true, 1
 	one, pool := newLimiter(), New(PoolConfig(), testCores, testShare)
 	one.CloseInterval(slowed)
 	pool.CloseInterval(slowed)
 	if one.Limit() != 6 || pool.Limit() >= 6 {
-		t.Errorf("limits %v and %v, want that of the pool alone below 6", one.Limit(), pool.Limit())
+		t.Errorf("limits of engine %v and pool %v, want 6 and less than 6", one.Limit(), pool.Limit())
 	}
 }
 
-func TestTargetTimeLeavesTimeToWait(t *testing.T) {
+func TestTargetTimeSubtractsWait(t *testing.T) {
 	t.Parallel()
 	l := newLimiter()
 	for wait, want := range map[units.Seconds]float64{0: 1, 0.5: 0.75, 1: 0.5, 9: 0.5} {
 		if got := l.targetTime(wait, 2*time.Second); got != want {
-			t.Errorf("target %v after a wait of %v s, want %v", got, float64(wait), want)
+			t.Errorf("target %v for a wait of %v s, want %v", got, float64(wait), want)
 		}
 	}
 }
@@ -170,16 +174,16 @@
 		l := newLimiter()
 		for range 50 {
 			l.RecordAnswer(relativeTime)
-			l.CloseInterval(quiet())
+			l.CloseInterval(idleInterval())
 		}
 		return l.Limit()
 	}
 	fast, slow := final(0.2), final(2)
 	lowest, highest := testCores*testShare*1.0, testCores*testShare*1.7
 	if slow < lowest || fast > highest {
-		t.Errorf("limits %v and %v, want them from %v to %v", slow, fast, lowest, highest)
+		t.Errorf("limits %v for slow and %v for fast answers, want both in [%v, %v]", slow, fast, lowest, highest)
 	}
 	if slow >= fast {
-		t.Errorf("limit %v for slow answers, %v for fast ones", slow, fast)
+		t.Errorf("limit %v for slow answers, want less than %v, the limit for fast ones", slow, fast)
 	}
 }
--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -1,6 +1,6 @@
 // Package concurrency limits the threads that one broker has in flight at an engine, or at a pool of engines.
-// The limit follows the service times of answers: a fitted linear model gives the threads per core at which
-// they meet a target. It backs off while the engine is overloaded. Each broker keeps its share of the limit.
+// A linear model, fitted to the service times of answers, gives the threads per core at which they meet a
+// target. The limit backs off while the engine is overloaded. Each broker applies its own share of the limit.
 package concurrency
 
 import (
@@ -10,27 +10,28 @@
 	"wheatlane/internal/rls"
 )
 
-// CapacityThreadsPerCore is the capacity of an engine, and the largest limit under pressure: beyond it the
-// queries of an engine slow one another down. Without pressure the limit is larger by UnloadedMultiple.
+// CapacityThreadsPerCore is the capacity of an engine, in threads per core, and the largest limit under
+// pressure: beyond it the queries at an engine slow one another down. Without pressure the limit is larger by
+// Config.UnloadedMultiple.
 const CapacityThreadsPerCore = 1.7
 
-// Config holds the constants of a limit.
+// Config holds the parameters of a limit.
 type Config struct {
 	InitialThreadsPerCore float64        // limit at the start
 	MinThreadsPerCore     float64        // smallest limit
 	MaxThreadsPerCore     float64        // largest limit under pressure
-	MinTargetTime         float64        // smallest target of service times, in latency objectives
-	ChangePenalty         float64        // on the model's input: the larger, the slower the limit moves
+	MinTargetTime         float64        // smallest target, as a multiple of the latency objective
+	ChangePenalty         float64        // penalty on input changes; a larger one slows the limit down
 	BackoffLoad           units.Fraction // reported load beyond which the limit backs off
-	BackoffSlowdown       units.LogRatio // slowdown beyond which it backs off
-	BackoffDecrease       float64        // factor of the limit in an interval of overload
-	BackoffIncrease       float64        // factor in any other interval
-	MinBackoffFactor      units.Fraction // fraction of the limit that the backoff leaves at least
-	UnloadedMultiple      float64        // factor of the limit without pressure, as pressure shows late
-	UnloadedRequests      float64        // least limit then, in requests of the widest class
+	BackoffSlowdown       units.LogRatio // slowdown beyond which the limit backs off
+	BackoffDecrease       float64        // factor applied to the backoff in an interval of overload
+	BackoffIncrease       float64        // factor applied to the backoff in any other interval
+	MinBackoffFactor      units.Fraction // smallest fraction of the limit that the backoff leaves
+	UnloadedMultiple      float64        // factor without pressure, as pressure is detected late
+	UnloadedRequests      float64        // minimum without pressure, in requests of the widest class
 }
 
-// DefaultConfig is for a limit at one engine.
+// DefaultConfig returns the parameters of a limit at one engine.
 func DefaultConfig() Config {
 	return Config{
 		InitialThreadsPerCore: 1.5, MinThreadsPerCore: 1, MaxThreadsPerCore: CapacityThreadsPerCore,
@@ -42,25 +43,26 @@
 	}
 }
 
-// PoolConfig is for the one limit at a pool of engines, whose mean slowdown varies less than an engine's.
+// PoolConfig returns the parameters of the limit at a pool of engines, whose mean slowdown varies less than
+// the slowdown of one engine.
 func PoolConfig() Config {
 	config := DefaultConfig()
 	config.BackoffSlowdown = 0.8 // 2.2 times the service time
 	return config
 }
 
-// Limiter is a concurrency limit with the threads in flight that count against it.
+// Limiter holds a concurrency limit and the number of threads in flight that count against it.
 type Limiter struct {
-	config          *Config // a pointer, as an engine's fields are read together for each request
+	config          *Config // a pointer, which keeps the fields read for each request close in memory
 	limit           float64 // in threads
 	threadsInFlight int
 	model           *rls.Regulator
 	backoffFactor   units.Fraction
-	relativeTimeSum float64 // of this interval's answers: service times over latency objectives
-	answers         int     // in this interval
+	relativeTimeSum float64 // sum of service time over latency objective, over this interval's answers
+	answers         int     // number of answers in this interval
 }
 
-// New returns a limiter for an engine, given its cores and this broker's share of them.
+// New returns a limiter for an engine with a number of cores, of which this broker has a share.
 func New(config Config, cores float64, share units.Fraction) Limiter {
 	initial := config.InitialThreadsPerCore
 	model := rls.DefaultConfig()
@@ -71,10 +73,10 @@
 	}
 }
 
-// Limit is the number of threads that may be in flight.
+// Limit returns the number of threads that may be in flight.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// ThreadsInFlight is the number of threads in flight.
+// ThreadsInFlight returns the number of threads in flight.
 func (l *Limiter) ThreadsInFlight() int { return l.threadsInFlight }
 
 // Acquire counts threads as in flight.
@@ -83,31 +85,31 @@
 // Release counts threads as no longer in flight.
 func (l *Limiter) Release(threads int) { l.threadsInFlight -= threads }
 
-// Scale multiplies the limit until the end of the interval, as where a pool gains or loses engines.
+// Scale multiplies the limit until the end of the interval, for example when a pool gains or loses engines.
 func (l *Limiter) Scale(factor float64) { l.limit *= factor }
 
-// RecordAnswer takes the ratio of an answer's service time to the latency objective of its class.
+// RecordAnswer records the ratio of an answer's service time to the latency objective of its class.
 func (l *Limiter) RecordAnswer(relativeTime float64) {
 	l.relativeTimeSum += relativeTime
 	l.answers++
 }
 
-// Request is what the limiter is asked to allow: the next request of a class.
+// Request describes the next request of a class, for Limiter.Allows.
 type Request struct {
 	Threads       int
-	ClassShare    units.Fraction // share of the limit that its class has to itself
-	WidestThreads int            // threads of a request of the widest class
-	UnderPressure bool           // the engine has more to do than it keeps up with
+	ClassShare    units.Fraction // the class's share of the limit
+	WidestThreads int            // threads of a request of the class that runs on most threads
+	UnderPressure bool           // the engine receives more work than it completes
 }
 
-// Allows reports whether a request may be sent. One of these is enough:
+// Allows reports whether a request may be sent. One of these conditions is sufficient:
 //   - nothing is in flight;
-//   - with the request, what is in flight stays within the limit;
-//   - with the request, what its class has in flight stays within the class's share of the limit, or is this
-//     request alone, so that long requests of other classes don't keep quick ones out.
+//   - with the request, the threads in flight stay within the limit;
+//   - with the request, the threads that its class has in flight stay within the class's share of the limit,
+//     or the request is the only one of its class, so that long requests of other classes don't block it.
 //
-// Without pressure a larger limit applies. Counting the threads that the class has in flight takes time, so
-// that is left to a function, which is called last.
+// Without pressure a larger limit applies. Counting the threads that the class has in flight is expensive, so
+// classThreadsInFlight is called only if the other conditions do not hold.
 func (l *Limiter) Allows(r Request, classThreadsInFlight func() int) bool {
 	threads, limit := float64(r.Threads), l.limit
 	if !r.UnderPressure {
@@ -118,23 +120,23 @@
 		float64(classThreadsInFlight())+threads <= max(threads, float64(r.ClassShare)*limit)
 }
 
-// Interval is what a limiter decides its next limit by.
+// Interval holds the state at the end of an interval from which the limiter computes its next limit.
 type Interval struct {
-	Regular         bool           // it was as long as planned, so the model may be fitted to it
-	Objective       time.Duration  // latency objective of the tightest class
-	Wait            units.Seconds  // mean wait of its requests, which the objective has to leave time for
-	Cores           float64        // of the engine, or of the whole pool
-	MemoryMB        float64        // likewise; infinite if not known
-	BrokerShare     units.Fraction // this broker's share of them
+	Regular         bool           // the interval had its planned length, which the model needs
+	Objective       time.Duration  // shortest latency objective of any class
+	Wait            units.Seconds  // mean wait of that class's requests, part of the objective
+	Cores           float64        // cores of the engine, or of the whole pool
+	MemoryMB        float64        // memory of the engine, or of the whole pool; infinite if unknown
+	BrokerShare     units.Fraction // this broker's share of cores and memory
 	RequestThreads  float64        // mean threads of a request in service
-	RequestMemoryMB float64        // its mean memory; 0: not known
-	MinLimit        int            // in threads; 0: none
-	UnderPressure   bool           // the engine has more to do than it keeps up with
-	Load            units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
-	Slowdown        units.LogRatio // of its answers and of what is in flight
+	RequestMemoryMB float64        // mean memory of a request in service; 0: unknown
+	MinLimit        int            // in threads; 0: no minimum
+	UnderPressure   bool           // the engine receives more work than it completes
+	Load            units.Fraction // reported fraction of the engine's capacity; over 1 under overload
+	Slowdown        units.LogRatio // of answers and of attempts in flight
 }
 
-// CloseInterval sets the limit of the next interval.
+// CloseInterval ends an interval and sets the limit of the next one.
 func (l *Limiter) CloseInterval(in Interval) {
 	if l.answers > 0 && in.Regular {
 		l.model.Observe([]float64{l.relativeTimeSum / float64(l.answers)}, []bool{true})
@@ -147,19 +149,19 @@
 	l.updateBackoff(in)
 	share, factor := float64(in.BrokerShare), float64(l.backoffFactor)
 	l.limit = l.model.Input()[0] * in.Cores * share * factor
-	if in.RequestMemoryMB > 0 { // the limit is not beyond what there is memory for
+	if in.RequestMemoryMB > 0 { // the limit stays within the memory
 		l.limit = min(l.limit, in.MemoryMB*share*factor/in.RequestMemoryMB*in.RequestThreads)
 	}
 	l.limit = max(l.limit, float64(in.MinLimit))
 }
 
-// targetTime is the service time to reach, as a ratio to the latency objective.
+// targetTime returns the service time to reach, as a fraction of the latency objective.
 func (l *Limiter) targetTime(wait units.Seconds, objective time.Duration) float64 {
 	return max(l.config.MinTargetTime, 1-float64(wait/units.SecondsOf(objective)))
 }
 
-// updateBackoff lowers a limit that leaves the engine overloaded, as in a surge of retries, where this
-// broker's share is overestimated. It raises the limit again gradually.
+// updateBackoff lowers a limit that leaves the engine overloaded, for example in a surge of retries, in which
+// this broker's share is overestimated. It raises the limit again gradually.
 func (l *Limiter) updateBackoff(in Interval) {
 	overloaded := in.Load > l.config.BackoffLoad || in.Slowdown > l.config.BackoffSlowdown
 	if in.UnderPressure && overloaded {
--- a/control/concurrency/pressure.go
+++ b/control/concurrency/pressure.go
@@ -2,29 +2,29 @@
 
 import "wheatlane/control/units"
 
-// Signals are the signs of pressure at an engine, or at a pool of engines.
+// Signals holds the signals of pressure at an engine, or at a pool of engines.
 type Signals struct {
-	AtCapacity    bool           // as outlier.Health.AtCapacity
-	AgeRatio      float64        // age of what is in flight over its usual time
+	AtCapacity    bool           // see outlier.Health.AtCapacity
+	AgeRatio      float64        // median age of attempts in flight over their usual time
 	LoadKnown     bool           // Load is up to date
-	Load          units.Fraction // of the engine's capacity, as reported; over 1 if it is overloaded
-	SlowdownKnown bool           // Slowdown rests on enough answers
-	Slowdown      units.LogRatio // of its answers
+	Load          units.Fraction // reported fraction of the engine's capacity; over 1 under overload
+	SlowdownKnown bool           // Slowdown is based on enough answers
+	Slowdown      units.LogRatio // of answers
 }
 
-// PressureConfig holds the values beyond which a signal is pressure.
+// PressureConfig holds the thresholds beyond which a signal indicates pressure.
 type PressureConfig struct {
 	Slowdown units.LogRatio
 	Load     units.Fraction
 	AgeRatio float64
 }
 
-// DefaultPressureConfig returns the values that brokers use.
+// DefaultPressureConfig returns the thresholds that brokers use.
 func DefaultPressureConfig() PressureConfig {
 	return PressureConfig{Slowdown: 0.45, Load: 0.9, AgeRatio: 3} // 0.45: 1.6 times the service time
 }
 
-// UnderPressure reports whether an engine has more to do than it keeps up with: any one signal is enough.
+// UnderPressure reports whether an engine receives more work than it completes. Any one signal is sufficient.
 func (c *PressureConfig) UnderPressure(s Signals) bool {
 	return s.AtCapacity || s.AgeRatio > c.AgeRatio || s.LoadKnown && s.Load > c.Load ||
 		s.SlowdownKnown && s.Slowdown > c.Slowdown
