--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -1,6 +1,6 @@
-// Package datasetlock keeps requests that lock a data set (a group of tables) on their engine away from
-// those that the lock blocks: by what is known of held locks, and by a rank of the engines on which all
-// brokers agree.
+// Package datasetlock separates requests that lock a data set (a group of tables) on their engine from
+// requests that the lock blocks. It tracks the locks that are presumed held, and ranks the engines for each
+// data set in the same order at all brokers.
 package datasetlock
 
 import (
@@ -10,7 +10,7 @@
 	"wheatlane/control/units"
 )
 
-// Role is what a request has to do with the lock of its data set.
+// Role is the relation of a request to the lock of its data set.
 type Role int
 
 // The roles of a request.
@@ -20,7 +20,7 @@
 	Blocked         // makes no progress while another request holds the lock
 )
 
-// RoleOf returns the role of a class of request. One that holds the lock may be blocked by others as well.
+// RoleOf returns the role of a class of request. A class that both holds and waits for the lock is a Holder.
 func RoleOf(holdsLock, blockedByLock bool) Role {
 	switch {
 	case holdsLock:
@@ -31,7 +31,7 @@
 	return Unaffected
 }
 
-// Locks are the data sets that are presumed locked on an engine by requests of other brokers.
+// Locks records the data sets of an engine that are presumed locked by requests of other brokers.
 type Locks struct{ locks []lock }
 
 type lock struct {
@@ -39,12 +39,12 @@
 	expiresAt time.Duration
 }
 
-// PresumeLocked records that a data set seems to be locked until a time.
+// PresumeLocked records that a data set is presumed locked until a time.
 func (l *Locks) PresumeLocked(dataSet int, until time.Duration) {
 	l.locks = append(l.locks, lock{dataSet, until})
 }
 
-// Locked reports whether a data set is presumed locked. It drops the locks that have expired.
+// Locked reports whether a data set is presumed locked. It removes expired locks.
 func (l *Locks) Locked(dataSet int, now time.Duration) bool {
 	if len(l.locks) == 0 {
 		return false
@@ -53,21 +53,22 @@
 	return slices.ContainsFunc(l.locks, func(held lock) bool { return held.dataSet == dataSet })
 }
 
-// MarkUnlocked records that a data set is no longer locked, as a request that the lock blocks was answered.
+// MarkUnlocked records that a data set is no longer locked, because a request that the lock would have
+// blocked was answered.
 func (l *Locks) MarkUnlocked(dataSet int) {
 	l.locks = slices.DeleteFunc(l.locks, func(held lock) bool { return held.dataSet == dataSet })
 }
 
 const (
-	hashMultiplier = 31      // of a polynomial hash of text
+	hashMultiplier = 31      // multiplier of a polynomial hash of text
 	hashModulus    = 1000003 // keeps a hash small enough for products
 
-	knuthMultiplier = 2654435761 // multiplicative hashing (Knuth) spreads neighbours over all values
+	knuthMultiplier = 2654435761 // Knuth's multiplicative hashing spreads adjacent values over the range
 	rankBits        = 16
 )
 
-// RankHash is a hash of an engine's ID, for Rank. It is the same at every broker. In gossip, engines have
-// another hash, control.GossipID.
+// RankHash returns the hash of an engine's ID that Rank uses. It is the same at every broker. Gossip
+// identifies engines by another hash, control.GossipID.
 func RankHash(id string) int {
 	hash := 0
 	for _, char := range id {
@@ -76,7 +77,7 @@
 	return hash
 }
 
-// Rank is the rank, from 0 to 1, of an engine among all for a data set.
+// Rank returns the rank of an engine for a data set, from 0 (inclusive) to 1 (exclusive).
 func Rank(rankHash, dataSet int) units.Fraction {
 	hash := uint32(rankHash*hashMultiplier+dataSet) * knuthMultiplier
 	return units.Fraction(hash>>rankBits) / (1 << rankBits)
--- a/control/datasetlock/datasetlock_test.go
+++ b/control/datasetlock/datasetlock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestLockHoldsUntilItExpiresOrIsReleased(t *testing.T) {
+func TestLockIsPresumedUntilExpiryOrRelease(t *testing.T) {
 	t.Parallel()
 	var locks Locks
 	locks.PresumeLocked(7, time.Second)
@@ -16,14 +16,14 @@
 		seven, six bool
 	}{{0, true, false}, {time.Second - 1, true, false}, {time.Second, false, false}} {
 		if got := locks.Locked(7, step.now); got != step.seven {
-			t.Errorf("data set 7 at %v: %v", step.now, got)
+			t.Errorf("data set 7 at %v: locked is %v", step.now, got)
 		}
 		if got := locks.Locked(6, step.now); got != step.six {
-			t.Errorf("data set 6 at %v: %v", step.now, got)
+			t.Errorf("data set 6 at %v: locked is %v", step.now, got)
 		}
 	}
 	if !locks.Locked(8, time.Second) {
-		t.Error("data set 8 is not locked")
+		t.Error("data set 8 is not locked before its expiry")
 	}
 	if locks.MarkUnlocked(8); locks.Locked(8, time.Second) {
 		t.Error("data set 8 is locked after its release")
@@ -42,7 +42,8 @@
 	}
 }
 
-// The ranks of an engine are spread over all values, and differ from those of its neighbours.
+// Ranks must be spread over the whole range and differ between engines with similar IDs. Otherwise the
+// requests of all data sets would be sent to the same few engines.
 func TestRanksAreSpread(t *testing.T) {
 	t.Parallel()
 	const engines, dataSets, quarters = 20, 50, 4
@@ -53,7 +54,7 @@
 		for dataSet := range dataSets {
 			rank := Rank(hash, dataSet)
 			if rank < 0 || rank >= 1 {
-				t.Fatalf("rank %v", rank)
+				t.Fatalf("rank %v, want it in [0, 1)", rank)
 			}
 			counts[int(rank*quarters)]++
 			if rank == Rank(next, dataSet) {
@@ -63,15 +64,15 @@
 	}
 	for quarter, n := range counts {
 		if n < engines*dataSets/quarters/2 {
-			t.Errorf("%d of %d ranks are in quarter %d", n, engines*dataSets, quarter)
+			t.Errorf("got %d of %d ranks in quarter %d", n, engines*dataSets, quarter)
 		}
 	}
 	if same > dataSets {
-		t.Errorf("%d ranks are those of the next engine", same)
+		t.Errorf("%d ranks equal those of the next engine", same)
 	}
 }
 
-func TestHashIsTheSameAtEveryBroker(t *testing.T) {
+func TestRankHashIsDeterministic(t *testing.T) {
 	t.Parallel()
 	for id, want := range map[string]int{"": 0, "a": 97, "ab": 97*31 + 98, "engine-001": RankHash("engine-001")} {
 		if got := RankHash(id); got != want || got >= hashModulus {
--- a/control/eligibility/eligibility.go
+++ b/control/eligibility/eligibility.go
@@ -1,6 +1,6 @@
-// Package eligibility holds the rules that every attempt must pass, at the time at which it is sent: first
-// attempts, retries and hedged requests alike. Whether an engine is ejected or at capacity is no rule: the
-// controller checks that when it selects or dispatches.
+// Package eligibility holds the rules that every attempt must pass when it is sent: first attempts, retries
+// and hedged requests alike. Ejection and exhausted capacity of an engine are not among the rules: the
+// controller checks them when it selects an engine or dispatches an attempt.
 package eligibility
 
 import (
@@ -10,21 +10,22 @@
 	"wheatlane/control/idempotency"
 )
 
-// Reason is the first rule that an attempt breaks. Callers only compare it with Eligible; it is not logged.
+// Reason identifies the first rule that an attempt violates. Callers only compare it with Eligible; it is not
+// logged.
 type Reason int
 
-// The reasons, in the order in which the rules are checked: first those that hold at every engine.
+// The reasons, in the order in which the rules are checked: first the rules that do not depend on the engine.
 const (
-	Eligible             Reason = iota // no rule is broken
-	RequestClosed                      // the request has its final answer, or its client is gone
-	ResponseStarted                    // the client receives an answer already; only in the simulator
-	DeadlinePassed                     // the answer would come too late
-	MaxAttempts                        // the request has had all its attempts
-	AttemptInFlight                    // hedging is not allowed
-	OrderKeyBusy                       // another request of its key comes first, or the key cools down
+	Eligible             Reason = iota // no rule is violated
+	RequestClosed                      // the request has its final answer, or its client has disconnected
+	ResponseStarted                    // the client already receives an answer; only in the simulator
+	DeadlinePassed                     // the deadline of the request has passed
+	MaxAttempts                        // all attempts of the request are used up
+	AttemptInFlight                    // an attempt is in flight and hedging is not allowed
+	OrderKeyBusy                       // another request of the key comes first, or the key cools down
 	RetryBudgetSpent                   // the retry budget is spent
 	EngineNotReady                     // the engine is draining, removed or in maintenance
-	DuplicateEffect                    // the effect of the request could come twice
+	DuplicateEffect                    // the effect of the request could happen twice
 	SlowStartBudgetSpent               // the engine is in slow start and its budget is spent
 	PlacementForbidden                 // the class may not run in the engine's zone or on its kind
 )
@@ -40,12 +41,12 @@
 // String returns the name of the reason.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Request is what the rules need to know of a request.
+// Request holds the state of a request that the rules depend on.
 type Request struct {
 	Closed            bool
 	ResponseStarted   bool
 	TimeLeft          time.Duration // until its deadline
-	MaxAttempts       int           // the first included
+	MaxAttempts       int           // including the first
 	Attempts          []idempotency.Attempt
 	AttemptInFlight   bool
 	HedgingAllowed    bool // two attempts may be in flight at once
@@ -56,7 +57,7 @@
 	WithinRetryBudget bool     // a first attempt, or one that the retry budget allows
 }
 
-// Engine is what the rules need to know of an engine.
+// Engine holds the state of an engine that the rules depend on.
 type Engine struct {
 	Ready                 bool // listed as ready and not in maintenance
 	Location              idempotency.Location
@@ -64,7 +65,7 @@
 	WithinSlowStartBudget bool // not in slow start, or with budget left for the request
 }
 
-// Check returns the first rule that an attempt of a request at an engine breaks, or Eligible.
+// Check returns the first rule that an attempt of a request at an engine violates, or Eligible.
 func Check(request *Request, engine Engine) Reason {
 	if reason := request.Check(); reason != Eligible {
 		return reason
@@ -72,7 +73,7 @@
 	return request.CheckAt(engine)
 }
 
-// Check returns the first rule that an attempt of the request breaks at every engine, or Eligible.
+// Check returns the first rule that an attempt of the request violates at every engine, or Eligible.
 func (r *Request) Check() Reason {
 	switch {
 	case r.Closed:
@@ -93,8 +94,8 @@
 	return Eligible
 }
 
-// CheckAt returns the first rule that an attempt of the request breaks at this engine, given that it breaks
-// none that holds at every engine, or Eligible.
+// CheckAt returns the first rule that an attempt of the request violates at this engine, or Eligible. It
+// checks only the rules that depend on the engine; Request.Check checks the others.
 func (r *Request) CheckAt(engine Engine) Reason {
 	switch {
 	case !engine.Ready:
@@ -109,12 +110,12 @@
 	return Eligible
 }
 
-// Exhausted reports whether a request can have no further attempt, whatever becomes of the engines.
+// Exhausted reports whether no further attempt of the request is possible, whatever the state of the engines.
 func (r *Request) Exhausted() bool {
 	return len(r.Attempts) >= r.MaxAttempts || slices.ContainsFunc(r.Attempts, r.Idempotency.ForbidsRetry)
 }
 
-// mayRunAt reports whether the effect of the request happens once at most if it is sent to a location.
+// mayRunAt reports whether the effect of the request happens at most once if it is sent to a location.
 func (r *Request) mayRunAt(location idempotency.Location) bool {
 	for _, earlier := range r.Attempts {
 		if !r.Idempotency.AllowsRetry(earlier, location) {
@@ -124,7 +125,7 @@
 	return true
 }
 
-// allows reports whether a list that allows everything if it is empty allows a value.
+// allows reports whether a list of allowed values permits a value. An empty list permits every value.
 func allows(allowed []string, value string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, value)
 }
--- a/control/eligibility/eligibility_test.go
+++ b/control/eligibility/eligibility_test.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/idempotency"
 )
 
-// eligibleRetry is a retry that passes all rules.
+// eligibleRetry returns a request and an engine for a retry that passes all rules.
 func eligibleRetry() (Request, Engine) {
 	request := Request{
 		TimeLeft: time.Second, MaxAttempts: 2, OrderKeyAvailable: true, WithinRetryBudget: true,
@@ -46,7 +46,7 @@
 			}
 		})
 	}
-	t.Run("kind", func(t *testing.T) {
+	t.Run("forbidden kind", func(t *testing.T) {
 		t.Parallel()
 		request, engine := eligibleRetry()
 		engine.Kind = "big"
@@ -54,12 +54,12 @@
 			t.Errorf("got %q, want %q", got, PlacementForbidden)
 		}
 	})
-	t.Run("hedging", func(t *testing.T) {
+	t.Run("hedging allowed", func(t *testing.T) {
 		t.Parallel()
 		request, engine := eligibleRetry()
 		request.AttemptInFlight, request.HedgingAllowed = true, true
 		if got := Check(&request, engine); got != Eligible {
-			t.Errorf("got %q where hedging is allowed", got)
+			t.Errorf("got %q with hedging allowed, want eligible", got)
 		}
 	})
 	t.Run("any zone and kind", func(t *testing.T) {
@@ -68,7 +68,7 @@
 		request.AllowedZones, request.AllowedKinds = nil, nil
 		engine.Location.Zone, engine.Kind = "b", "big"
 		if got := Check(&request, engine); got != Eligible {
-			t.Errorf("got %q where every engine is allowed", got)
+			t.Errorf("got %q with every zone and kind allowed, want eligible", got)
 		}
 	})
 }
@@ -77,14 +77,14 @@
 	t.Parallel()
 	request, _ := eligibleRetry()
 	if request.Exhausted() {
-		t.Error("exhausted with an attempt left")
+		t.Error("got exhausted with an attempt left")
 	}
 	request.Idempotency.Kind = idempotency.NonIdempotent
 	if !request.Exhausted() {
-		t.Error("not exhausted, though its only attempt may have run and it is not idempotent")
+		t.Error("got not exhausted for a non-idempotent request whose attempt may have run")
 	}
 	request.Idempotency.Kind, request.MaxAttempts = idempotency.Idempotent, 1
 	if !request.Exhausted() {
-		t.Error("not exhausted, though it has had all its attempts")
+		t.Error("got not exhausted with all attempts used")
 	}
 }
--- a/control/idempotency/idempotency_test.go
+++ b/control/idempotency/idempotency_test.go
@@ -22,19 +22,19 @@
 		at      Location
 		want    bool
 	}{
-		"idempotent":                         {Policy{}, old, sameCell, true},
-		"non-idempotent":                     {Policy{Kind: NonIdempotent}, mayHaveRun, here, false},
-		"non-idempotent that never ran":      {Policy{Kind: NonIdempotent}, neverRan, sameCell, true},
-		"with a key":                         {withKey(ScopeAll), almostOld, sameCell, true},
-		"with a key, past the window":        {withKey(ScopeAll), old, here, false},
-		"with a key that never ran":          {withKey(ScopeZone), neverRan, sameCell, true},
-		"within the zone":                    {withKey(ScopeZone), almostOld, sameZone, true},
-		"out of the zone":                    {withKey(ScopeZone), mayHaveRun, sameCell, false},
-		"within the cell":                    {withKey(ScopeCell), almostOld, sameCell, true},
-		"out of the cell":                    {withKey(ScopeCell), mayHaveRun, sameZone, false},
-		"within the cell, past the window":   {withKey(ScopeCell), old, here, false},
-		"of a scope that does not exist":     {withKey(ScopeCell + 1), mayHaveRun, here, false},
-		"at the same engine, with the scope": {withKey(ScopeZone), mayHaveRun, here, true},
+		"idempotent":                             {Policy{}, old, sameCell, true},
+		"non-idempotent":                         {Policy{Kind: NonIdempotent}, mayHaveRun, here, false},
+		"non-idempotent, never ran":              {Policy{Kind: NonIdempotent}, neverRan, sameCell, true},
+		"with a key":                             {withKey(ScopeAll), almostOld, sameCell, true},
+		"with a key, past the window":            {withKey(ScopeAll), old, here, false},
+		"with a key, never ran":                  {withKey(ScopeZone), neverRan, sameCell, true},
+		"with a key, same zone":                  {withKey(ScopeZone), almostOld, sameZone, true},
+		"with a key, other zone":                 {withKey(ScopeZone), mayHaveRun, sameCell, false},
+		"with a key, same cell":                  {withKey(ScopeCell), almostOld, sameCell, true},
+		"with a key, other cell":                 {withKey(ScopeCell), mayHaveRun, sameZone, false},
+		"with a key, same cell, past the window": {withKey(ScopeCell), old, here, false},
+		"with a key, unknown scope":              {withKey(ScopeCell + 1), mayHaveRun, here, false},
+		"with a key, same engine":                {withKey(ScopeZone), mayHaveRun, here, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -45,7 +45,8 @@
 	}
 }
 
-// An attempt rules out all others once no engine would drop the duplicate, or none may be made.
+// An attempt must rule out all further ones if duplicates are not allowed, or once no engine would drop them:
+// otherwise the effect of the request could happen twice.
 func TestForbidsRetry(t *testing.T) {
 	t.Parallel()
 	withKey := Policy{Kind: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: time.Second}
@@ -88,10 +89,10 @@
 				t.Errorf("repeatable anywhere: %v, want %v", got, c.repeatableAnywhere)
 			}
 			if got := c.policy.AllowsRejection(true); got != c.repeatableAnywhere {
-				t.Errorf("rejection of what may have run: %v, want %v", got, c.repeatableAnywhere)
+				t.Errorf("rejection of a request that may have run: %v, want %v", got, c.repeatableAnywhere)
 			}
 			if !c.policy.AllowsRejection(false) {
-				t.Error("what never ran may not be rejected")
+				t.Error("rejection of a request that never ran is not allowed")
 			}
 		})
 	}
--- a/control/keyorder/keyorder_test.go
+++ b/control/keyorder/keyorder_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRequestsOfAKeyTakeTurns(t *testing.T) {
+func TestRequestsOfOneKeyAreSentInOrder(t *testing.T) {
 	t.Parallel()
 	queues := New[string]()
 	queue := queues.Add("key", "first")
@@ -13,60 +13,60 @@
 		t.Fatal("want one queue for each key")
 	}
 	if !queue.MaySend("first", false, 0) || queue.MaySend("second", false, 0) {
-		t.Error("want the turn of the first request alone")
+		t.Error("want only the first request to be sent")
 	}
 	queue.Remove("first")
 	if !queue.MaySend("second", false, 0) {
-		t.Error("want the turn of the second request once the first is over")
+		t.Error("want the second request to be sent once the first has ended")
 	}
 }
 
-func TestCooldownHoldsFirstAttemptsBack(t *testing.T) {
+func TestCooldownDelaysFirstAttempts(t *testing.T) {
 	t.Parallel()
 	queues := New[string]()
 	queue := queues.Add("key", "request")
 	queue.CoolDownUntil(2 * time.Second)
-	queue.CoolDownUntil(time.Second) // shorter: it changes nothing
+	queue.CoolDownUntil(time.Second) // ends earlier: no effect
 	for _, c := range []struct {
 		name      string
 		attempted bool
 		now       time.Duration
 		want      bool
 	}{
-		{"a first attempt in the cooldown", false, 2*time.Second - 1, false},
-		{"a retry in the cooldown", true, 2*time.Second - 1, true},
-		{"a first attempt after it", false, 2 * time.Second, true},
+		{"first attempt in the cooldown", false, 2*time.Second - 1, false},
+		{"retry in the cooldown", true, 2*time.Second - 1, true},
+		{"first attempt after the cooldown", false, 2 * time.Second, true},
 	} {
 		if got := queue.MaySend("request", c.attempted, c.now); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 	if left := queue.CooldownLeft(500 * time.Millisecond); left != 1500*time.Millisecond {
-		t.Errorf("cooldown left: %v", left)
+		t.Errorf("cooldown left: %v, want 1.5s", left)
 	}
 	if left := queue.CooldownLeft(time.Minute); left != 0 {
-		t.Errorf("cooldown left long after it: %v", left)
+		t.Errorf("cooldown left long after its end: %v, want 0", left)
 	}
 }
 
-func TestQueueIsReleasedWhenEmptyAndCool(t *testing.T) {
+func TestDropIfIdleRemovesEmptyQueueAfterCooldown(t *testing.T) {
 	t.Parallel()
 	queues := New[string]()
 	queue := queues.Add("key", "request")
 	queue.CoolDownUntil(time.Second)
 	queues.DropIfIdle(queue, time.Minute)
 	if len(queues.byKey) != 1 {
-		t.Fatal("a queue with a request was released")
+		t.Fatal("removed a queue with a request")
 	}
 	queue.Remove("request")
 	if queues.DropIfIdle(queue, time.Second-1); len(queues.byKey) != 1 || !queue.Empty() {
-		t.Fatal("a queue was released in its cooldown")
+		t.Fatal("removed a queue in its cooldown")
 	}
 	if queues.DropIfIdle(queue, time.Second); len(queues.byKey) != 0 {
-		t.Fatal("an empty queue was kept after its cooldown")
+		t.Fatal("retained an empty queue after its cooldown")
 	}
 	queues.Add("key", "next")
 	if queues.DropIfIdle(queue, time.Minute); len(queues.byKey) != 1 {
-		t.Fatal("the release of an old queue dropped the new one of its key")
+		t.Fatal("removing a previous queue of a key removed its current queue")
 	}
 }
