--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -13,10 +13,10 @@
 		after  time.Duration
 		want   bool
 	}{
-		"after the interval": {Config{Enabled: true, Brokers: 2}, interval, true},
-		"before":             {Config{Enabled: true, Brokers: 2}, interval - 1, false},
-		"alone":              {Config{Enabled: true, Brokers: 1}, interval, false},
-		"disabled":           {Config{Brokers: 2}, interval, false},
+		"after the interval":  {Config{Enabled: true, Brokers: 2}, interval, true},
+		"before the interval": {Config{Enabled: true, Brokers: 2}, interval - 1, false},
+		"only broker":         {Config{Enabled: true, Brokers: 1}, interval, false},
+		"gossip disabled":     {Config{Brokers: 2}, interval, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestEveryOtherBrokerIsSentTo(t *testing.T) {
+func TestSendReachesEveryOtherBroker(t *testing.T) {
 	t.Parallel()
 	const brokers, self = 5, 3
 	s := NewSchedule(Config{Enabled: true, Brokers: brokers, BrokerIndex: self})
@@ -38,10 +38,10 @@
 	}
 	for broker, n := range sent {
 		if (n == 0) != (broker == self) {
-			t.Errorf("broker %d got %d messages from broker %d", broker, n, self)
+			t.Errorf("broker %d received %d messages from broker %d", broker, n, self)
 		}
 	}
 	if s.Due(time.Second) {
-		t.Error("a message is due right after one")
+		t.Error("a message is due immediately after the previous one")
 	}
 }
--- a/control/loadreport/loadreport_test.go
+++ b/control/loadreport/loadreport_test.go
@@ -10,7 +10,7 @@
 
 func near(a, b units.Fraction) bool { return math.Abs(float64(a-b)) < 1e-9 }
 
-func TestLoadIsThatOfTheScarcestResource(t *testing.T) {
+func TestLoadIsThatOfScarcestResource(t *testing.T) {
 	t.Parallel()
 	demand, capacity := Demand{Threads: 2, MemoryMB: 100}, Capacity{Threads: 16, MemoryMB: 1000}
 	noMemory, manyThreads := Capacity{Threads: 16, MemoryMB: math.Inf(1)}, Capacity{Threads: 32, MemoryMB: 1000}
@@ -19,11 +19,11 @@
 		capacity Capacity
 		want     units.Fraction
 	}{
-		"nothing":               {Report{Reported: true}, capacity, 0},
-		"utilization":           {Report{Reported: true, Utilization: 0.9, RequestsInFlight: 1}, capacity, 0.9},
-		"memory":                {Report{Reported: true, Utilization: 0.1, RequestsInFlight: 8}, manyThreads, 0.8},
-		"threads":               {Report{Reported: true, RequestsInFlight: 4}, noMemory, 0.5},
-		"less than is possible": {Report{Reported: true, Utilization: -1, RequestsInFlight: -1}, capacity, 0},
+		"idle":            {Report{Reported: true}, capacity, 0},
+		"utilization":     {Report{Reported: true, Utilization: 0.9, RequestsInFlight: 1}, capacity, 0.9},
+		"memory":          {Report{Reported: true, Utilization: 0.1, RequestsInFlight: 8}, manyThreads, 0.8},
+		"threads":         {Report{Reported: true, RequestsInFlight: 4}, noMemory, 0.5},
+		"negative values": {Report{Reported: true, Utilization: -1, RequestsInFlight: -1}, capacity, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestReportsAreAveragedWhileTheyAreRecent(t *testing.T) {
+func TestRecentReportsAreAveraged(t *testing.T) {
 	t.Parallel()
 	var e Estimate
 	now := 100 * time.Second
@@ -44,20 +44,20 @@
 		want  units.Fraction
 	}{
 		{0, 0.8, 0.8},
-		{averagedWithin, 0.4, 0.6},
-		{averagedWithin + 1, 0.2, 0.2},
+		{averagingWindow, 0.4, 0.6},
+		{averagingWindow + 1, 0.2, 0.2},
 	} {
 		now += step.after
 		if e.Observe(step.load, now); !near(e.Load(), step.want) {
 			t.Errorf("load %v, want %v", e.Load(), step.want)
 		}
 	}
-	if e.RecentLoad(now+recentFor-1) != e.Load() || e.RecentLoad(now+recentFor) != 0 {
-		t.Errorf("the load counts for other than %v", recentFor)
+	if e.RecentLoad(now+recentWindow-1) != e.Load() || e.RecentLoad(now+recentWindow) != 0 {
+		t.Errorf("want the load to count as recent for exactly %v", recentWindow)
 	}
 }
 
-func TestReportOfAnotherBrokerCountsIfItIsYounger(t *testing.T) {
+func TestRemoteReportCountsIfYounger(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		load                  units.Fraction
@@ -65,9 +65,9 @@
 		want                  units.Fraction
 	}{
 		"younger":                   {0.9, 11 * time.Second, 0, 0.9},
-		"as old":                    {0.9, 10 * time.Second, 0, 0.4},
-		"of the process before":     {0.9, 11 * time.Second, 12 * time.Second, 0.4},
-		"less than an engine's may": {-3, 11 * time.Second, 0, 0},
+		"same age":                  {0.9, 10 * time.Second, 0, 0.4},
+		"from the previous process": {0.9, 11 * time.Second, 12 * time.Second, 0.4},
+		"negative load":             {-3, 11 * time.Second, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestOldReportsYieldToThePool(t *testing.T) {
+func TestOldReportsDecayTowardPoolLoad(t *testing.T) {
 	t.Parallel()
 	var engine, pool Estimate
 	now := 100 * time.Second
@@ -92,15 +92,15 @@
 		100 * Lifetime: 0.3,
 	} {
 		if got := engine.LoadInPool(&pool, now+age); !near(got, want) {
-			t.Errorf("after %v: %v, want %v", age, got, want)
+			t.Errorf("load after %v: got %v, want %v", age, got, want)
 		}
 	}
 	if !engine.ReportedWithin(Lifetime, now+Lifetime) || engine.ReportedWithin(Lifetime, now+Lifetime+1) {
-		t.Errorf("the report is known for other than %v", Lifetime)
+		t.Errorf("want the report to be known for exactly %v", Lifetime)
 	}
 }
 
-func TestLoadOfAPoolIsWeighedByItself(t *testing.T) {
+func TestPoolLoadIsSelfWeightedMean(t *testing.T) {
 	t.Parallel()
 	var idle, busy, pool Estimate
 	idle.Observe(0.2, 9*time.Second)
@@ -116,14 +116,14 @@
 	var withoutLoad PoolMean
 	withoutLoad.Add(&Estimate{})
 	if pool.ObserveMean(withoutLoad); pool != before {
-		t.Errorf("%+v by engines without load, was %+v", pool, before)
+		t.Errorf("got %+v from engines without load, want %+v unchanged", pool, before)
 	}
 	if pool.ObservePoolMember(before.load+1, 11*time.Second); !near(pool.load, before.load+poolReportWeight) {
-		t.Errorf("load %v after one report more, was %v", pool.load, before.load)
+		t.Errorf("load %v after one more report, was %v", pool.load, before.load)
 	}
 }
 
-func TestProbeIsFreshForAMoment(t *testing.T) {
+func TestProbeIsFreshWithinWindow(t *testing.T) {
 	t.Parallel()
 	now := 100 * time.Second
 	var never, probed, reported Estimate
@@ -134,16 +134,16 @@
 		age           time.Duration
 		probed, fresh bool
 	}{
-		"never":        {&never, 0, false, false},
-		"probed now":   {&probed, 0, true, true},
-		"before":       {&probed, probeFreshFor, false, false},
-		"reported now": {&reported, 0, false, true},
+		"never probed":  {&never, 0, false, false},
+		"probed now":    {&probed, 0, true, true},
+		"probed before": {&probed, freshWindow, false, false},
+		"reported now":  {&reported, 0, false, true},
 	} {
 		if got := c.e.RecentlyProbed(now + c.age); got != c.probed {
-			t.Errorf("%s: probed is %v", name, got)
+			t.Errorf("%s: RecentlyProbed is %v", name, got)
 		}
 		if got := c.e.Fresh(now + c.age); got != c.fresh {
-			t.Errorf("%s: fresh is %v", name, got)
+			t.Errorf("%s: Fresh is %v", name, got)
 		}
 	}
 }
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps the state of engines, by the endpoint list and by the operators, and watches the
-// endpoint list.
+// Package membership tracks the state of engines according to the endpoint list and to operators, and watches
+// the endpoint list.
 package membership
 
 // State is the state of an engine.
@@ -8,30 +8,30 @@
 // The states of an engine.
 const (
 	Ready    State = iota
-	Draining       // finishes what it has and takes nothing new
+	Draining       // completes its attempts and accepts no new ones
 	Removed
 )
 
-// Member is one engine. The zero value is not in the endpoint list.
+// Member is the membership of one engine. The zero value is that of an engine missing from the endpoint list.
 type Member struct {
 	listed        bool
-	state         State // in the endpoint list
+	state         State // according to the endpoint list
 	inMaintenance bool
 }
 
-// Update takes the engine's state in the endpoint list.
+// Update sets the engine's state according to the endpoint list.
 func (m *Member) Update(state State) { m.listed, m.state = state != Removed, state }
 
-// Unlist records that the endpoint list no longer has the engine.
+// Unlist records that the engine is no longer in the endpoint list.
 func (m *Member) Unlist() { m.listed = false }
 
-// SetMaintenance puts the engine into maintenance mode, or takes it out.
+// SetMaintenance enables or disables maintenance mode for the engine.
 func (m *Member) SetMaintenance(enabled bool) { m.inMaintenance = enabled }
 
 // Listed reports whether the engine is in the endpoint list.
 func (m *Member) Listed() bool { return m.listed }
 
-// State is the state that applies: an engine in maintenance mode is treated as draining.
+// State returns the effective state: a ready engine in maintenance mode is draining.
 func (m *Member) State() State {
 	if m.inMaintenance && m.state == Ready {
 		return Draining
@@ -39,5 +39,5 @@
 	return m.state
 }
 
-// AcceptsRequests reports whether the engine takes new requests.
+// AcceptsRequests reports whether the engine accepts new requests.
 func (m *Member) AcceptsRequests() bool { return m.listed && m.State() == Ready }
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -8,14 +8,14 @@
 func TestMember(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change        func(*Member)
-		state         State
-		listed, takes bool
+		change          func(*Member)
+		state           State
+		listed, accepts bool
 	}{
 		"ready":    {func(m *Member) { m.Update(Ready) }, Ready, true, true},
 		"draining": {func(m *Member) { m.Update(Draining) }, Draining, true, false},
 		"removed":  {func(m *Member) { m.Update(Removed) }, Removed, false, false},
-		"missing from a snapshot": {func(m *Member) {
+		"unlisted": {func(m *Member) {
 			m.Update(Ready)
 			m.Unlist()
 		}, Ready, false, false},
@@ -37,14 +37,14 @@
 			t.Parallel()
 			var m Member
 			c.change(&m)
-			if m.State() != c.state || m.Listed() != c.listed || m.AcceptsRequests() != c.takes {
-				t.Errorf("state %d, listed %v, takes requests %v", m.State(), m.Listed(), m.AcceptsRequests())
+			if m.State() != c.state || m.Listed() != c.listed || m.AcceptsRequests() != c.accepts {
+				t.Errorf("state %d, listed %v, accepts requests %v", m.State(), m.Listed(), m.AcceptsRequests())
 			}
 		})
 	}
 }
 
-func TestWatchBeginsAgainAfterADelay(t *testing.T) {
+func TestWatchBeginsAgainAfterDelay(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		maxPollInterval, delay time.Duration
@@ -57,16 +57,16 @@
 			s := NewWatch(WatchConfig{Required: true, MaxPollInterval: c.maxPollInterval})
 			now := time.Second
 			if !s.Begin(now) || s.Begin(now+time.Hour) {
-				t.Error("begun other than once")
+				t.Error("want the watch to begin exactly once")
 			}
 			s.Ended(now)
 			if s.Begin(now+c.delay-1) || !s.Begin(now+c.delay) {
-				t.Errorf("begun again other than after %v", c.delay)
+				t.Errorf("want the watch to begin again after exactly %v", c.delay)
 			}
 		})
 	}
 	none := NewWatch(WatchConfig{})
 	if none.Begin(time.Second) {
-		t.Error("begun where it is not required")
+		t.Error("a watch that is not required has begun")
 	}
 }
--- a/control/membership/watch.go
+++ b/control/membership/watch.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	maxRetryDelay     = 2 * time.Second // longest time until a watch that ended begins again
-	retriesEachPeriod = 2               // least number of retries in a poll interval
+	maxRetryDelay     = 2 * time.Second // longest delay before a watch that ended begins again
+	retriesEachPeriod = 2               // minimum number of retries in a poll interval
 )
 
-// WatchConfig is what a deployment says of its endpoint list.
+// WatchConfig specifies the watch on the endpoint list of a deployment.
 type WatchConfig struct {
-	Required        bool          // the list has to be watched
-	MaxPollInterval time.Duration // longest time between polls of the list
+	Required        bool          // the endpoint list must be watched
+	MaxPollInterval time.Duration // longest time between polls of the endpoint list
 }
 
-// Watch decides when to ask for the changes of the endpoint list. Only the simulator's host needs it: the
-// broker polls the change log without being asked.
+// Watch decides when to request the changes of the endpoint list. Only the simulator needs it: the broker
+// polls the change log independently of the decision module.
 type Watch struct {
 	config WatchConfig
 	active bool
-	nextAt time.Duration // when it may begin again
+	nextAt time.Duration // time from which the watch may begin again
 }
 
-// NewWatch returns a watch that has not begun.
+// NewWatch returns an inactive watch.
 func NewWatch(config WatchConfig) Watch { return Watch{config: config} }
 
 // Begin begins the watch if it is required and due, and reports whether it did.
