--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -7,30 +7,30 @@
 	"wheatlane/internal/estimate"
 )
 
-// atCapacityRest is how long an engine that was at capacity gets nothing new.
-const atCapacityRest = 2 * time.Second
+// atCapacityPause is the time for which an engine that was at capacity receives no new requests.
+const atCapacityPause = 2 * time.Second
 
-// Health is what is known of one engine's attempts.
+// Health holds the estimated health of one engine, based on its attempts.
 type Health struct {
 	failureRate    units.Fraction
 	loss           estimate.Loss
 	ejected        bool
-	halfOpenAt     time.Duration // when an ejected engine may get its next half-open probe
+	halfOpenAt     time.Duration // time from which an ejected engine may receive its next half-open probe
 	lastResponseAt time.Duration
-	wasAtCapacity  bool          // for an attempt
-	atCapacityAt   time.Duration // the last time that it was
+	wasAtCapacity  bool          // an attempt has ended at capacity
+	atCapacityAt   time.Duration // last time at which an attempt ended at capacity
 }
 
-// NewHealth returns the health of an engine that is known from now on. It counts as having responded now, so
-// that it is not taken for silent before it had time to.
+// NewHealth returns the health of an engine that was discovered now. The engine counts as having responded
+// now, so that it is not considered silent before it has had time to respond.
 func NewHealth(now time.Duration) Health { return Health{lastResponseAt: now} }
 
-// Reset drops what is known of an engine's earlier process.
+// Reset discards the health of an engine's previous process, after the engine has restarted.
 func (h *Health) Reset() {
 	h.ejected, h.failureRate, h.wasAtCapacity, h.loss = false, 0, false, estimate.Loss{}
 }
 
-// RecordResponse records that an engine responded, whatever it did.
+// RecordResponse records that an engine responded, whatever the response.
 func (h *Health) RecordResponse(now time.Duration) { h.lastResponseAt = now }
 
 // RespondedWithin reports whether an engine responded within a time before now.
@@ -38,41 +38,41 @@
 	return now-h.lastResponseAt < within
 }
 
-// RecordAtCapacity records that an attempt ended as AtCapacity: the engine, or this broker's connections to it,
-// had no capacity.
+// RecordAtCapacity records that an attempt ended with the outcome AtCapacity: the engine, or this broker's
+// connections to it, had no capacity.
 func (h *Health) RecordAtCapacity(now time.Duration) {
 	h.wasAtCapacity, h.atCapacityAt, h.lastResponseAt = true, now, now
 }
 
-// AtCapacity reports whether an attempt ended so less than atCapacityRest ago.
+// AtCapacity reports whether an attempt ended at capacity less than atCapacityPause ago.
 func (h *Health) AtCapacity(now time.Duration) bool {
-	return h.wasAtCapacity && now-h.atCapacityAt < atCapacityRest
+	return h.wasAtCapacity && now-h.atCapacityAt < atCapacityPause
 }
 
-// Decay lets older attempts count for less, and the failure rate fall towards 0 even without attempts, once a
-// tick of 100 ms.
+// Decay lowers the weight of earlier attempts, and lets the failure rate fall towards 0 even without
+// attempts. It must be called once a tick of 100 ms.
 func (h *Health) Decay() {
 	h.loss.Decay(answerDecay)
 	h.failureRate *= failureDecay
 }
 
-// FailureRate is the fraction of attempts that fail, averaged.
+// FailureRate returns the moving average of the fraction of attempts that fail.
 func (h *Health) FailureRate() units.Fraction { return h.failureRate }
 
-// LossRate is Detector.LossRate, given that of the fleet.
+// LossRate returns the same as Detector.LossRate, given the loss rate of the fleet.
 func (h *Health) LossRate(fleet units.Fraction) units.Fraction {
 	return units.Fraction(h.loss.Rate(float64(fleet), fleetLossAnswers))
 }
 
-// Outcomes is the number of attempts that the estimates rest on: answers, failures and losses. It decays, so
-// it is no integer.
+// Outcomes returns the number of attempts that the estimates are based on: answers, failures and losses. The
+// number decays, so it is not an integer.
 func (h *Health) Outcomes() float64 { return h.loss.Outcomes }
 
 // Ejected reports whether an engine is ejected.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// Eject ejects an engine, which gets its first half-open probe after the backoff. It reports whether that is
-// a change.
+// Eject ejects an engine, whose first half-open probe is due after the backoff. It reports whether the engine
+// was not ejected before.
 func (h *Health) Eject(now, backoff time.Duration) (changed bool) {
 	if h.ejected {
 		return false
@@ -81,18 +81,18 @@
 	return true
 }
 
-// RecordHalfOpenProbe records that a half-open probe is sent now: the next one is due after the backoff.
+// RecordHalfOpenProbe records that a half-open probe is sent now. The next one is due after the backoff.
 func (h *Health) RecordHalfOpenProbe(now, backoff time.Duration) { h.halfOpenAt = now + backoff }
 
-// HalfOpenProbe is a request that may be a half-open probe.
+// HalfOpenProbe describes a request that is a candidate for a half-open probe.
 type HalfOpenProbe struct {
-	EngineIdle     bool // nothing else is in flight at the engine
+	EngineIdle     bool // no attempt is in flight at the engine
 	FirstAttempt   bool
-	LowestPriority bool // no class has less priority weight
+	LowestPriority bool // no class has a lower priority weight
 }
 
-// MayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe: one at a time,
-// and of the requests that lose least if it fails.
+// MayProbeHalfOpen reports whether a request may be an ejected engine's next half-open probe. Only one
+// probe is in flight at a time, and it is a request whose failure costs least.
 func (h *Health) MayProbeHalfOpen(probe HalfOpenProbe, now time.Duration) bool {
 	return now >= h.halfOpenAt && probe.EngineIdle && probe.FirstAttempt && probe.LowestPriority
 }
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -1,6 +1,6 @@
-// Package outlier detects engines that fail, can't be reached or lose answers, and ejects them: an ejected
-// engine gets no requests but half-open probes, until it succeeds again. Selection ignores ejections while
-// more than half of the ready engines are ejected.
+// Package outlier detects engines that fail, are unreachable or lose answers, and ejects them: an ejected
+// engine receives only half-open probes until it succeeds again. Selection ignores ejections while more than
+// half of the ready engines are ejected.
 package outlier
 
 import (
@@ -10,35 +10,35 @@
 	"wheatlane/internal/estimate"
 )
 
-// Reason is why an engine is ejected.
+// Reason is the reason for an engine's ejection.
 type Reason int
 
 // The reasons for an ejection.
 const (
-	// Failing is a failure rate over MaxFailureRate, whatever the cause, refused connections included.
+	// Failing is a failure rate over MaxFailureRate, whatever the cause, including refused connections.
 	Failing Reason = iota + 1
-	// Unreachable is a failure rate over MaxUnreachableFailureRate but not MaxFailureRate, when the last
-	// attempt could not connect.
+	// Unreachable is a failure rate over MaxUnreachableFailureRate but not over MaxFailureRate, where the
+	// last attempt could not connect.
 	Unreachable
 	// Silent is a loss rate over MaxLossRate.
 	Silent
 )
 
-// reasonNames are the names of the reasons in logs.
+// reasonNames holds the names of the reasons in logs.
 var reasonNames = [...]string{Failing: "failing", Unreachable: "unreachable", Silent: "silent"}
 
 // String returns the name of the reason.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Config holds the limits beyond which an engine is an outlier.
+// Config holds the thresholds beyond which an engine is an outlier.
 type Config struct {
-	MaxFailureRate            units.Fraction // of attempts
-	MaxUnreachableFailureRate units.Fraction // of attempts, where the last one could not connect
-	MaxLossRate               units.Fraction // of answers
+	MaxFailureRate            units.Fraction // fraction of attempts that fail
+	MaxUnreachableFailureRate units.Fraction // the same, where the last attempt could not connect
+	MaxLossRate               units.Fraction // fraction of answers that are lost
 	MinBackoff, MaxBackoff    time.Duration  // bounds of the time between half-open probes
 }
 
-// DefaultConfig returns the limits that brokers use.
+// DefaultConfig returns the thresholds that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		MaxFailureRate: 0.6, MaxUnreachableFailureRate: 0.3, MaxLossRate: 0.5,
@@ -47,29 +47,29 @@
 }
 
 const (
-	failureWeight = 0.2  // least weight of one attempt in a failure rate
-	failureDecay  = 0.98 // fraction of a failure rate that is left after a tick of 100 ms
-	answerDecay   = 0.99 // fraction of the answers that is left after a tick
+	failureWeight = 0.2  // minimum weight of one attempt in a failure rate
+	failureDecay  = 0.98 // fraction of a failure rate that remains after a tick of 100 ms
+	answerDecay   = 0.99 // fraction of the number of answers that remains after a tick
 
-	priorLossRate    = 0.01 // fraction of answers that is expected to be lost
+	priorLossRate    = 0.01 // expected fraction of answers that are lost
 	priorLossAnswers = 20.0 // weight of priorLossRate, in answers of the fleet
 	fleetLossAnswers = 3.0  // weight of the fleet's loss rate, in answers of the engine
 
-	// backoffRequests is the number of requests received for each engine in the backoff.
+	// backoffRequests is the number of requests that this broker receives per engine within a backoff.
 	backoffRequests = 0.5
 )
 
-// Detector detects outliers among the engines of a fleet.
+// Detector detects outliers among the engines that a fleet of brokers uses.
 type Detector struct {
 	config Config
-	fleet  estimate.Loss // answers of all engines
+	fleet  estimate.Loss // answers of all engines, received and lost
 }
 
-// NewDetector returns a detector.
+// NewDetector returns a detector without observations.
 func NewDetector(config Config) Detector { return Detector{config: config} }
 
-// RecordSuccess records an attempt that succeeded, and reports whether that restores an ejected engine. The next
-// half-open probe is due after the backoff at the latest.
+// RecordSuccess records an attempt that succeeded, and reports whether it restores an ejected engine. The
+// next half-open probe is due after the backoff at the latest.
 func (d *Detector) RecordSuccess(engine *Health, now, backoff time.Duration) (restored bool) {
 	d.recordAnswer(engine, 0)
 	engine.halfOpenAt = min(engine.halfOpenAt, now+backoff)
@@ -80,8 +80,8 @@
 	return restored
 }
 
-// RecordFailure records an attempt that failed; connected is false if it could not connect. It returns the reason
-// for which the engine is to be ejected, if any.
+// RecordFailure records an attempt that failed; connected is false if it could not connect. It reports
+// whether the engine must be ejected, and the reason.
 func (d *Detector) RecordFailure(engine *Health, connected bool) (reason Reason, eject bool) {
 	d.recordAnswer(engine, 1)
 	switch {
@@ -100,40 +100,41 @@
 	engine.failureRate = estimate.EWMA(engine.failureRate, failed, weight)
 }
 
-// RecordLoss records an answer that never came: the attempt timed out, or package overdue judged it lost. The
-// certainty, from 0 to 1, is the probability that it is lost.
+// RecordLoss records a lost answer: the attempt timed out, or package overdue presumed its answer lost. The
+// certainty, from 0 to 1, is the probability that the answer is lost.
 func (d *Detector) RecordLoss(engine *Health, certainty units.Fraction) {
 	engine.loss.RecordLoss(float64(certainty))
 	d.fleet.RecordLoss(float64(certainty))
 }
 
-// RevertLoss takes Lost back, as the answer came after all.
+// RevertLoss reverts RecordLoss for an answer that arrived late.
 func (d *Detector) RevertLoss(engine *Health, certainty units.Fraction) {
 	engine.loss.RevertLoss(float64(certainty))
 	d.fleet.RevertLoss(float64(certainty))
 }
 
-// IsSilent reports whether an engine loses so many answers that it is to be ejected.
+// IsSilent reports whether an engine loses so many answers that it must be ejected.
 func (d *Detector) IsSilent(engine *Health) bool { return d.LossRate(engine) > d.config.MaxLossRate }
 
-// LossRate is the fraction of an engine's answers that never come. The fewer its answers, the closer it is to
-// that of the fleet.
+// LossRate returns the fraction of an engine's answers that are lost. The fewer answers it is based on, the
+// closer it is to the loss rate of the fleet.
 func (d *Detector) LossRate(engine *Health) units.Fraction { return engine.LossRate(d.FleetLossRate()) }
 
-// FleetLossRate is the fraction of all engines' answers that never come.
+// FleetLossRate returns the fraction of all engines' answers that are lost.
 func (d *Detector) FleetLossRate() units.Fraction {
 	return units.Fraction(d.fleet.Rate(priorLossRate, priorLossAnswers))
 }
 
-// Losses is the number of answers of all engines that count as lost, for tests. It decays, so it is no
-// integer.
+// Losses returns the number of answers of all engines that count as lost, for tests. The number decays, so it
+// is not an integer.
 func (d *Detector) Losses() float64 { return d.fleet.Lost }
 
-// DecayFleet lets older answers of the fleet count for less, once a tick of 100 ms.
+// DecayFleet lowers the weight of the fleet's earlier answers. It must be called once a tick of 100 ms.
 func (d *Detector) DecayFleet() { d.fleet.Decay(answerDecay) }
 
-// Backoff is the time between half-open probes of an engine, by the number of engines and the rate of the
-// requests that this broker receives. It is longer for a broker of many, as their probes add up.
+// Backoff returns the time between half-open probes of an engine. It grows with the number of engines, and
+// shrinks with the rate of requests that this broker receives: a broker with a small part of the fleet's
+// traffic probes less often, as the probes of all brokers add up.
 func (d *Detector) Backoff(engines int, arrivalRate units.PerSecond) time.Duration {
 	backoff := units.Duration(float64(engines) / float64(arrivalRate) * backoffRequests)
 	return min(d.config.MaxBackoff, max(d.config.MinBackoff, backoff))
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -8,7 +8,7 @@
 	"wheatlane/control/units"
 )
 
-func TestEngineIsEjectedForItsReason(t *testing.T) {
+func TestRecordFailureEjectsWithReason(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		succeeded, failed int
@@ -16,10 +16,10 @@
 		reason            Reason
 		eject             bool
 	}{
-		"most attempts fail":          {10, 6, true, Failing, true},
-		"a few attempts fail":         {10, 3, true, 0, false},
-		"the same, none connected":    {10, 3, false, Unreachable, true},
-		"one attempt did not connect": {10, 1, false, 0, false},
+		"most attempts fail":             {10, 6, true, Failing, true},
+		"a few attempts fail":            {10, 3, true, 0, false},
+		"a few attempts fail to connect": {10, 3, false, Unreachable, true},
+		"one attempt fails to connect":   {10, 1, false, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -38,14 +38,14 @@
 	}
 }
 
-func TestEjectedEngineIsRestoredOnceItFailsLittle(t *testing.T) {
+func TestEjectedEngineIsRestoredAtLowFailureRate(t *testing.T) {
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 	for range 50 {
 		d.RecordFailure(&engine, true)
 	}
 	if !engine.Eject(0, time.Second) || engine.Eject(0, time.Second) {
-		t.Error("an engine is ejected other than once")
+		t.Error("want only the first Eject to report a change")
 	}
 	successes := 0
 	for restored := false; !restored; successes++ {
@@ -64,11 +64,11 @@
 		now   time.Duration
 		want  bool
 	}{
-		"after the backoff":     {probe, time.Second, true},
-		"before":                {probe, time.Second - 1, false},
-		"another one in flight": {HalfOpenProbe{FirstAttempt: true, LowestPriority: true}, time.Second, false},
-		"a retry":               {HalfOpenProbe{EngineIdle: true, LowestPriority: true}, time.Second, false},
-		"an important request":  {HalfOpenProbe{EngineIdle: true, FirstAttempt: true}, time.Second, false},
+		"after the backoff":  {probe, time.Second, true},
+		"before the backoff": {probe, time.Second - 1, false},
+		"attempt in flight":  {HalfOpenProbe{FirstAttempt: true, LowestPriority: true}, time.Second, false},
+		"retry":              {HalfOpenProbe{EngineIdle: true, LowestPriority: true}, time.Second, false},
+		"higher priority":    {HalfOpenProbe{EngineIdle: true, FirstAttempt: true}, time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -81,30 +81,30 @@
 	}
 }
 
-func TestLossRateStartsAtThatOfTheFleet(t *testing.T) {
+func TestLossRateStartsAtFleetRate(t *testing.T) {
 	t.Parallel()
 	d, silent, other := NewDetector(DefaultConfig()), NewHealth(0), NewHealth(0)
 	if rate := d.LossRate(&other); math.Abs(float64(rate-priorLossRate)) > 1e-12 {
-		t.Errorf("without an answer: %v", rate)
+		t.Errorf("loss rate without answers: %v, want the prior", rate)
 	}
 	for range 6 {
 		d.RecordLoss(&silent, 0.9)
 	}
 	if !d.IsSilent(&silent) || d.IsSilent(&other) {
-		t.Errorf("loss rates %v and %v", d.LossRate(&silent), d.LossRate(&other))
+		t.Errorf("loss rates %v and %v, want only the first engine to be silent", d.LossRate(&silent), d.LossRate(&other))
 	}
 	if own, fleet := d.LossRate(&other), d.FleetLossRate(); math.Abs(float64(own-fleet)) > 1e-12 || own < 0.1 {
-		t.Errorf("an engine without answers: %v, the fleet: %v", own, fleet)
+		t.Errorf("loss rate of an engine without answers %v, want %v, the rate of the fleet, and at least 0.1", own, fleet)
 	}
 	for range 6 {
 		d.RevertLoss(&silent, 0.9)
 	}
 	if rate := d.LossRate(&silent); rate > priorLossRate {
-		t.Errorf("after the answers came: %v", rate)
+		t.Errorf("loss rate after late answers: %v", rate)
 	}
 }
 
-func TestBackoffGrowsWithTheFleet(t *testing.T) {
+func TestBackoffGrowsWithFleet(t *testing.T) {
 	t.Parallel()
 	d := NewDetector(DefaultConfig())
 	for _, c := range []struct {
@@ -118,34 +118,34 @@
 		{40, 0, 8 * time.Second},
 	} {
 		if got := d.Backoff(c.engines, c.arrivalRate); got != c.want {
-			t.Errorf("%d engines, %v requests a second: got %v, want %v", c.engines, c.arrivalRate, got, c.want)
+			t.Errorf("%d engines, %v requests per second: got %v, want %v", c.engines, c.arrivalRate, got, c.want)
 		}
 	}
 }
 
-func TestAtCapacityEndsAfterARestOrARestart(t *testing.T) {
+func TestAtCapacityEndsAfterPauseOrReset(t *testing.T) {
 	t.Parallel()
 	engine, now := NewHealth(0), time.Second
 	if engine.AtCapacity(now) {
-		t.Error("at capacity from the start")
+		t.Error("at capacity initially")
 	}
 	engine.RecordAtCapacity(now)
-	if !engine.AtCapacity(now+atCapacityRest-1) || engine.AtCapacity(now+atCapacityRest) {
-		t.Errorf("at capacity for other than %v", atCapacityRest)
+	if !engine.AtCapacity(now+atCapacityPause-1) || engine.AtCapacity(now+atCapacityPause) {
+		t.Errorf("want the engine to be at capacity for exactly %v", atCapacityPause)
 	}
 	engine.Reset()
 	if engine.AtCapacity(now) {
-		t.Error("at capacity after a restart")
+		t.Error("at capacity after a reset")
 	}
 }
 
-func TestDecayLeavesFewerAnswers(t *testing.T) {
+func TestDecayLowersOutcomesAndFailureRate(t *testing.T) {
 	t.Parallel()
 	d, engine := NewDetector(DefaultConfig()), NewHealth(0)
 	d.RecordFailure(&engine, true)
 	before := engine.FailureRate()
 	engine.Decay()
 	if engine.Outcomes() != answerDecay || engine.FailureRate() != before*units.Fraction(failureDecay) {
-		t.Errorf("%v answers, failure rate %v of %v", engine.Outcomes(), engine.FailureRate(), before)
+		t.Errorf("outcomes %v, failure rate %v, was %v", engine.Outcomes(), engine.FailureRate(), before)
 	}
 }
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -1,5 +1,6 @@
-// Package overdue judges an attempt in flight by its silence: it is in time, waits for a data-set lock that
-// another request holds, or is lost. An answer is waited for until it is likelier lost than late.
+// Package overdue evaluates an attempt in flight by the time for which it has been silent: its answer is
+// still pending, it waits for a data-set lock that another request holds, or its answer is lost. The broker
+// waits for an answer until the answer is more likely to be lost than late.
 package overdue
 
 import (
@@ -9,100 +10,102 @@
 	"wheatlane/control/units"
 )
 
-// MinLossWait is the shortest silence of an attempt that is presumed lost, where losses are rare. An engine
-// that answered anything within it counts as responding.
+// MinLossWait is the shortest silence after which an attempt is presumed lost, where losses are rare. An
+// engine that sent any response within it counts as responding.
 const MinLossWait = 600 * time.Millisecond
 
 const (
-	minLateQuantile  = 0.003 // least fraction of answers later than the timeout
-	maxLateQuantile  = 0.03  // largest one
-	maxOddsLossRate  = 0.9   // the odds of a loss don't grow beyond this loss rate
+	minLateQuantile  = 0.003 // minimum fraction of answers later than the timeout
+	maxLateQuantile  = 0.03  // maximum fraction of answers later than the timeout
+	maxOddsLossRate  = 0.9   // loss rate beyond which the odds of a loss no longer grow
 	blockedObjective = 0.25  // fraction of the objective after which an attempt may be blocked
-	missedProgress   = 1.75  // progress intervals without a report that are overdue
-	overloadLossRate = 0.4   // loss rate that is an overload, which more attempts would make worse
-	runawayRatio     = 4.0   // time left over the usual time of an attempt that is better started anew
-	retrySpare       = 2     // times the timeout of a half-open probe that leaves time for a retry
-	minProgress      = 0.005 // progress is taken to be at least this
+	missedProgress   = 1.75  // progress intervals without a report after which the report is overdue
+	overloadLossRate = 0.4   // loss rate that indicates an overload, which more attempts would make worse
+	runawayRatio     = 4.0   // remaining over usual time beyond which a fresh attempt is faster
+	retryTimeFactor  = 2     // timeouts of a half-open probe that must be left, to allow a retry
+	minProgress      = 0.005 // lower bound of the progress, which keeps a quotient finite
 )
 
-// LateQuantile is the fraction of answers that come later than an attempt is waited for: the odds that its
-// answer is lost, within bounds.
+// LateQuantile returns the fraction of answers that arrive after the timeout of their attempt: the odds
+// that an answer is lost, within bounds.
 func LateQuantile(lossRate units.Fraction) units.Fraction {
 	odds := lossRate / (1 - min(lossRate, maxOddsLossRate))
 	return min(maxLateQuantile, max(minLateQuantile, odds))
 }
 
-// HalfOpenTimeout is the time after which a half-open probe is cut off and retried: when it is overdue, if
-// that leaves enough time for a retry; 0: it isn't cut off.
+// HalfOpenTimeout returns the time after which a half-open probe is cancelled and retried: the time at
+// which it is overdue, if that leaves enough time for a retry, else 0 for no timeout.
 func HalfOpenTimeout(overdueAfter, timeLeft time.Duration) time.Duration {
-	if timeLeft > retrySpare*overdueAfter {
+	if timeLeft > retryTimeFactor*overdueAfter {
 		return overdueAfter
 	}
 	return 0
 }
 
-// LossConfidence is the probability that an overdue answer is lost and not only late, by the rates of both. A
-// loss counts by it: counted in full, late answers of cancelled attempts would raise the loss rate, which
-// shortens the timeouts, and more of the late answers would count as lost.
+// LossConfidence returns the probability that an overdue answer is lost and not merely late, given the
+// rates of both. It is the weight with which a loss is counted: at full weight, late answers of cancelled
+// attempts would raise the loss rate, which shortens the timeouts, so that still more late answers would
+// count as lost.
 func LossConfidence(lossRate units.Fraction) units.Fraction {
 	return lossRate / (lossRate + LateQuantile(lossRate))
 }
 
-// IsRunaway reports whether an attempt has made so little progress that a fresh one should end sooner, given
-// the time spent on it, the fraction of it that is done, and the usual time.
+// IsRunaway reports whether an attempt has made so little progress that a fresh one is expected to end
+// sooner, given the time spent on it, the fraction of its work that is done, and the usual time of an
+// attempt.
 func IsRunaway(spent units.Seconds, progress units.Fraction, usual units.Seconds) bool {
 	left := spent * units.Seconds(1-progress) / units.Seconds(max(progress, minProgress))
 	return left > runawayRatio*usual
 }
 
-// Status is what an attempt's silence means.
+// Status is the state of an attempt in flight, as inferred from its silence.
 type Status int
 
-// The verdicts.
+// The statuses of an attempt.
 const (
-	Pending  Status = iota // its answer may yet come
-	Blocked                // it waits for a data-set lock, which needs no threads
+	Pending  Status = iota // its answer is not due yet
+	Blocked                // it waits for a data-set lock, and occupies no threads meanwhile
 	Lost                   // its answer is presumed lost
-	Overload               // it is overdue, but so are too many others for a loss of its own
+	Overload               // it is overdue, but so many others are that an overload is the likely cause
 )
 
-// Attempt is what is known of an attempt in flight.
+// Attempt holds the state of an attempt in flight.
 type Attempt struct {
-	Silence          time.Duration  // since it was sent or last reported progress
-	Timeout          time.Duration  // service time that the late quantile of answers exceeds
-	ProgressInterval time.Duration  // time between two progress reports; 0: there are none
-	LossRate         units.Fraction // of its engine's answers
-	FleetLossRate    units.Fraction // of all engines' answers
-	ThreadsReleased  bool           // it was found blocked by a lock before, and gave its threads back
-	Lock             *Lock          // nil: data-set locks don't block it
+	Silence          time.Duration  // time since it was sent or last reported progress
+	Timeout          time.Duration  // service time that a fraction LateQuantile of answers exceeds
+	ProgressInterval time.Duration  // time between two progress reports; 0: no progress reports
+	LossRate         units.Fraction // fraction of its engine's answers that are lost
+	FleetLossRate    units.Fraction // fraction of all engines' answers that are lost
+	ThreadsReleased  bool           // it was found Blocked before, and its threads were released
+	Lock             *Lock          // nil: its class is not blocked by data-set locks
 }
 
-// Lock is what is known of the data-set lock that may block an attempt.
+// Lock holds the state of the data-set lock that may block an attempt.
 type Lock struct {
 	Objective      time.Duration // latency objective of the attempt's class
-	LongestHold    time.Duration // usual time of the longest hold of a lock
-	EngineResponds bool          // the engine answered something within MinLossWait
+	LongestHold    time.Duration // longest usual time for which a class holds a lock
+	EngineResponds bool          // the engine sent a response within MinLossWait
 }
 
-// Evaluate returns the verdict on an attempt and, if it is in time, when to judge it again.
-func Evaluate(attempt Attempt) (verdict Status, again time.Duration) {
+// Evaluate returns the status of an attempt and, if it is Pending, the time until it must be evaluated again.
+func Evaluate(attempt Attempt) (status Status, reevaluateAfter time.Duration) {
 	limit := attempt.Timeout
 	if interval := attempt.ProgressInterval; interval > 0 {
 		limit = min(limit, scale(interval, missedProgress))
 	}
-	var least time.Duration
+	var floor time.Duration
 	if lock := attempt.Lock; lock != nil {
-		least = scale(lock.Objective, blockedObjective)
-		if lock.EngineResponds && !attempt.ThreadsReleased && attempt.Silence >= max(limit, least) {
+		floor = scale(lock.Objective, blockedObjective)
+		if lock.EngineResponds && !attempt.ThreadsReleased && attempt.Silence >= max(limit, floor) {
 			return Blocked, 0
 		}
 		if attempt.ThreadsReleased {
 			limit += lock.LongestHold
 		}
-	} else { // the likelier a loss, the sooner it is presumed
-		least = scale(MinLossWait, math.Sqrt(minLateQuantile/float64(LateQuantile(attempt.LossRate))))
+	} else { // the more likely a loss, the sooner it is presumed
+		floor = scale(MinLossWait, math.Sqrt(minLateQuantile/float64(LateQuantile(attempt.LossRate))))
 	}
-	switch left := max(limit, least) - attempt.Silence; {
+	switch left := max(limit, floor) - attempt.Silence; {
 	case left > 0:
 		return Pending, left
 	case attempt.FleetLossRate < overloadLossRate:
@@ -112,7 +115,7 @@
 	}
 }
 
-// scale multiplies a time by a factor.
+// scale multiplies a duration by a factor.
 func scale(d time.Duration, factor float64) time.Duration {
 	return units.Duration(factor * d.Seconds())
 }
--- a/control/overdue/overdue_test.go
+++ b/control/overdue/overdue_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func TestLateQuantileFollowsTheOddsOfALoss(t *testing.T) {
+func TestLateQuantileFollowsLossOdds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ lossRate, want units.Fraction }{
 		{0, minLateQuantile},
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestHalfOpenTimeoutLeavesTimeForARetry(t *testing.T) {
+func TestHalfOpenTimeoutLeavesTimeForRetry(t *testing.T) {
 	t.Parallel()
 	if got := HalfOpenTimeout(time.Second, 2*time.Second+1); got != time.Second {
 		t.Errorf("got %v with time for a retry, want 1s", got)
@@ -37,10 +37,10 @@
 func TestLossConfidence(t *testing.T) {
 	t.Parallel()
 	if got := LossConfidence(minLateQuantile / 3); math.Abs(float64(got-0.25)) > 1e-12 {
-		t.Errorf("got %v where three are late for one that is lost, want a quarter", got)
+		t.Errorf("got %v for three late answers per lost one, want 0.25", got)
 	}
 	if got := LossConfidence(0.5); got < 0.9 {
-		t.Errorf("got %v where half of all answers are lost", got)
+		t.Errorf("got %v for half of all answers lost, want at least 0.9", got)
 	}
 }
 
@@ -55,7 +55,7 @@
 		"a fifth done":           {1, 0.2, false},
 		"less than a fifth done": {1, 0.19, true},
 		"no progress yet":        {0.015, 0, false},
-		"no progress for a time": {0.03, 0, true},
+		"no progress for longer": {0.03, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,46 +66,46 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	t.Parallel()
 	lock := &Lock{Objective: 2 * time.Second, LongestHold: time.Second, EngineResponds: true}
 	silentEngine := *lock
 	silentEngine.EngineResponds = false
 	for name, c := range map[string]struct {
 		attempt Attempt
-		verdict Status
+		status  Status
 		again   time.Duration
 	}{
-		"in time":            {Attempt{Silence: 700 * ms, Timeout: time.Second}, Pending, 300 * ms},
-		"lost":               {Attempt{Silence: time.Second, Timeout: time.Second}, Lost, 0},
-		"not lost so soon":   {Attempt{Silence: 500 * ms, Timeout: 400 * ms}, Pending, 100 * ms},
-		"sooner with losses": {Attempt{Silence: 500 * ms, Timeout: 400 * ms, LossRate: 0.1}, Lost, 0},
-		"in an overload": {
+		"pending":                         {Attempt{Silence: 700 * ms, Timeout: time.Second}, Pending, 300 * ms},
+		"lost":                            {Attempt{Silence: time.Second, Timeout: time.Second}, Lost, 0},
+		"minimum wait before a loss":      {Attempt{Silence: 500 * ms, Timeout: 400 * ms}, Pending, 100 * ms},
+		"lost sooner at a high loss rate": {Attempt{Silence: 500 * ms, Timeout: 400 * ms, LossRate: 0.1}, Lost, 0},
+		"overload": {
 			Attempt{Silence: time.Second, Timeout: time.Second, FleetLossRate: 0.4}, Overload, 0,
 		},
-		"without the progress that was due": {
+		"progress report overdue": {
 			Attempt{Silence: 1750 * ms, Timeout: time.Minute, ProgressInterval: time.Second}, Lost, 0,
 		},
-		"with progress not due yet": {
+		"progress report not due yet": {
 			Attempt{Silence: 1700 * ms, Timeout: time.Minute, ProgressInterval: time.Second}, Pending, 50 * ms,
 		},
-		"not blocked so soon": {Attempt{Silence: 400 * ms, Timeout: 300 * ms, Lock: lock}, Pending, 100 * ms},
-		"blocked":             {Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: lock}, Blocked, 0},
-		"lost with its engine": {
+		"minimum wait before blocked": {Attempt{Silence: 400 * ms, Timeout: 300 * ms, Lock: lock}, Pending, 100 * ms},
+		"blocked":                     {Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: lock}, Blocked, 0},
+		"lost at a silent engine": {
 			Attempt{Silence: 500 * ms, Timeout: 300 * ms, Lock: &silentEngine}, Lost, 0,
 		},
-		"blocked, for the time of a lock": {
+		"threads released, within the longest hold": {
 			Attempt{Silence: time.Second, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, Pending, 300 * ms,
 		},
-		"blocked for longer": {
+		"threads released, beyond the longest hold": {
 			Attempt{Silence: 1300 * ms, Timeout: 300 * ms, ThreadsReleased: true, Lock: lock}, Lost, 0,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			verdict, again := Evaluate(c.attempt)
-			if verdict != c.verdict || again != c.again {
-				t.Errorf("verdict %d, again in %v; want %d, %v", verdict, again, c.verdict, c.again)
+			status, again := Evaluate(c.attempt)
+			if status != c.status || again != c.again {
+				t.Errorf("status %d, reevaluate after %v; want %d, %v", status, again, c.status, c.again)
 			}
 		})
 	}
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-func TestRetries(t *testing.T) {
+func TestShouldRetry(t *testing.T) {
 	t.Parallel()
 	inTime := Request{TimeLeft: 20 * ms, ObjectiveLeft: 10 * ms}
 	overload := EndedAttempt{StillRuns: true, EngineUnderPressure: true}
@@ -16,13 +16,13 @@
 		ended   EndedAttempt
 		want    bool
 	}{
-		"in time":                       {inTime, EndedAttempt{EngineUnderPressure: true}, true},
-		"too close to the deadline":     {Request{TimeLeft: 20*ms - 1, ObjectiveLeft: 10 * ms}, EndedAttempt{}, false},
-		"after the objective":           {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, EndedAttempt{}, false},
-		"that earns late":               {Request{time.Second, -1, true}, EndedAttempt{}, true},
-		"on top of an overload":         {inTime, overload, false},
-		"of an engine without pressure": {inTime, EndedAttempt{StillRuns: true}, true},
-		"of an ejected engine":          {inTime, EndedAttempt{true, true, true}, true},
+		"within the objective":               {inTime, EndedAttempt{EngineUnderPressure: true}, true},
+		"too close to the deadline":          {Request{TimeLeft: 20*ms - 1, ObjectiveLeft: 10 * ms}, EndedAttempt{}, false},
+		"after the objective":                {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, EndedAttempt{}, false},
+		"late answer counts":                 {Request{time.Second, -1, true}, EndedAttempt{}, true},
+		"still running under pressure":       {inTime, overload, false},
+		"still running without pressure":     {inTime, EndedAttempt{StillRuns: true}, true},
+		"still running at an ejected engine": {inTime, EndedAttempt{true, true, true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -33,16 +33,16 @@
 	}
 }
 
-func TestHedges(t *testing.T) {
+func TestShouldHedge(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		request Request
 		want    bool
 	}{
-		"in time":             {Request{TimeLeft: 300 * ms}, true},
-		"too late to end":     {Request{TimeLeft: 300*ms - 1}, false},
-		"after the objective": {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, false},
-		"that earns late":     {Request{time.Second, -1, true}, true},
+		"exactly at the deadline": {Request{TimeLeft: 300 * ms}, true},
+		"after the deadline":      {Request{TimeLeft: 300*ms - 1}, false},
+		"after the objective":     {Request{TimeLeft: time.Second, ObjectiveLeft: -1}, false},
+		"late answer counts":      {Request{time.Second, -1, true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/control/retrybudget/retrybudget.go
+++ b/control/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget limits the retries and hedged requests of a broker to a reserve and a ratio of the
-// requests that it received within a window, so that retries can't multiply an overload.
+// Package retrybudget limits the retries and hedged requests of a broker to a reserve plus a ratio of the
+// requests that it received within a window, so that retries can't amplify an overload.
 package retrybudget
 
 import (
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Config is what a deployment allows, and how much later than decided attempts may leave the broker.
+// Config specifies the budget that a deployment allows, and the delay between a decision and its send.
 type Config struct {
-	Window           time.Duration // over which both are counted; 0: retries are not limited
+	Window           time.Duration // window of both counts; 0: retries are not limited
 	Ratio            float64       // retries allowed for each request received within the window
-	Reserve          float64       // retries allowed beside these
+	Reserve          float64       // retries allowed in addition, independent of the requests
 	MinBatchInterval time.Duration // shortest time between two decisions
 	MaxSendDelay     time.Duration // longest time from a decision until its attempt leaves the broker
 }
 
-// Budget counts requests received and retries sent, and decides by them. An attempt may leave the broker up
-// to MaxSendDelay after it was decided. So that the budget holds at every such time, requests count for
-// less than the window and retries for longer.
+// Budget counts requests received and retries sent, and limits retries by these counts. An attempt may leave
+// the broker up to MaxSendDelay after the decision to send it. For the budget to hold at the time of the send
+// as well, requests are counted for less than the window, and retries for longer.
 type Budget struct {
 	config   Config
-	requests []time.Duration // when they were received
-	retries  []time.Duration // when they were sent
+	requests []time.Duration // times at which requests were received
+	retries  []time.Duration // times at which retries were sent
 }
 
-// New returns a budget without any request.
+// New returns a budget without requests or retries.
 func New(config Config) Budget { return Budget{config: config} }
 
 // RequestReceived counts a request.
@@ -44,7 +44,7 @@
 	return float64(len(b.retries)+1) <= allowed
 }
 
-// Expire drops what has left the window, which bounds the memory.
+// Expire removes requests and retries from before the window, which bounds the memory.
 func (b *Budget) Expire(now time.Duration) {
 	windowStart := now - b.config.Window
 	oldestRetry := windowStart - b.config.MaxSendDelay
--- a/control/retrybudget/retrybudget_test.go
+++ b/control/retrybudget/retrybudget_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-func TestBudgetAllowsAReserveAndARatio(t *testing.T) {
+func TestBudgetAllowsReserveAndRatio(t *testing.T) {
 	t.Parallel()
 	budget := New(Config{Window: 10 * time.Second, Ratio: 0.1, Reserve: 2})
 	now, retries := 100*time.Second, 0
@@ -19,7 +19,7 @@
 	}
 	sendAll()
 	if retries != 2 {
-		t.Errorf("%d retries without a request, want the reserve of 2", retries)
+		t.Errorf("%d retries without requests, want the reserve of 2", retries)
 	}
 	for range 30 {
 		budget.RequestReceived(now)
@@ -31,33 +31,33 @@
 	now += 10*time.Second + 1
 	sendAll()
 	if retries != 7 {
-		t.Errorf("%d retries, want 2 more once the window has passed", retries)
+		t.Errorf("%d retries after the window, want 7", retries)
 	}
 }
 
-func TestWithoutAWindowAllRetriesAreAllowed(t *testing.T) {
+func TestAllRetriesAreAllowedWithoutWindow(t *testing.T) {
 	t.Parallel()
 	budget := New(Config{})
 	for range 100 {
 		budget.RetrySent(time.Second)
 	}
 	if !budget.Allows(time.Second) {
-		t.Error("not allowed")
+		t.Error("a retry is not allowed")
 	}
 }
 
-// A retry counts for as long as it may have left late, and a request no longer than an attempt that leaves
-// late may count it.
-func TestBudgetAllowsForSendDelay(t *testing.T) {
+// Attempts may leave the broker later than decided. If both counts covered exactly the window, the budget
+// could be exceeded at the time of the send: so retries must be counted for longer, and requests for less.
+func TestExpireAccountsForSendDelay(t *testing.T) {
 	t.Parallel()
 	const window, now = 10 * time.Second, 100 * time.Second
 	for name, c := range map[string]struct {
 		maxSendDelay, batchInterval time.Duration
 		retries, requests           int
 	}{
-		"at once":         {0, 5 * ms, 1, 2},
-		"late":            {300 * ms, 5 * ms, 2, 1},
-		"a batch between": {0, 101 * ms, 1, 1},
+		"no delay":       {0, 5 * ms, 1, 2},
+		"send delay":     {300 * ms, 5 * ms, 2, 1},
+		"batch interval": {0, 101 * ms, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -70,7 +70,7 @@
 			budget.RequestReceived(now - window + time.Second)
 			budget.Expire(now)
 			if len(budget.retries) != c.retries || len(budget.requests) != c.requests {
-				t.Errorf("%d retries and %d requests are counted, want %d and %d",
+				t.Errorf("counted %d retries and %d requests, want %d and %d",
 					len(budget.retries), len(budget.requests), c.retries, c.requests)
 			}
 		})
