--- a/control/selection/draw.go
+++ b/control/selection/draw.go
@@ -7,36 +7,36 @@
 	"wheatlane/control/units"
 )
 
-// TieBreak is what chance adds to a score where this broker has its own share of each engine: too little to
-// change more than ties.
+// TieBreak returns a random addition to a score, for a broker that has its own share of each engine. It is
+// too small to change the order of scores that are not nearly equal.
 func (c *Config) TieBreak(rng *rand.Rand) Score { return c.Jitter * Score(rng.Float64()) }
 
-// Noise is what chance adds to a score where brokers share the engines: they have the same old reports, and
-// would all choose the one idle engine. It is Gumbel noise, so that the best score is a draw of the engines
-// with chances of exp(preference + score/NoiseScale).
+// Noise returns a random addition to a score, for brokers that share a pool of engines: they have the same
+// outdated load reports, and would all choose the same idle engine. The noise has a Gumbel distribution, so
+// that an engine has the best score with a probability proportional to exp(preference + score/NoiseScale).
 func (c *Config) Noise(rng *rand.Rand, preference units.LogRatio) Score {
 	gumbel := -math.Log(rng.ExpFloat64())
 	gumbel += float64(preference)
 	return c.NoiseScale * Score(gumbel)
 }
 
-// Best keeps the candidate with the highest score, the first of equals.
+// Best selects the candidate with the highest score; of equal scores, the first one offered.
 type Best[T any] struct {
 	candidate T
 	score     Score
 	found     bool
 }
 
-// Offer takes a candidate.
+// Offer adds a candidate. It ignores scores of minus infinity and NaN.
 func (b *Best[T]) Offer(candidate T, score Score) {
-	least := Score(math.Inf(-1))
+	bestScore := Score(math.Inf(-1))
 	if b.found {
-		least = b.score
+		bestScore = b.score
 	}
-	if score > least {
+	if score > bestScore {
 		b.candidate, b.score, b.found = candidate, score, true
 	}
 }
 
-// Candidate returns the candidate with the highest score, or the zero value without one.
+// Candidate returns the candidate with the highest score, or the zero value if there is none.
 func (b *Best[T]) Candidate() T { return b.candidate }
--- a/control/selection/score.go
+++ b/control/selection/score.go
@@ -1,4 +1,4 @@
-// Package selection chooses an engine for a request by a score. A random tie-break spreads the requests of
+// Package selection chooses the engine for a request by a score. A random tie-break spreads the requests of
 // brokers that have the same information.
 package selection
 
@@ -7,23 +7,24 @@
 	"wheatlane/control/units"
 )
 
-// Score ranks engines for a request; the highest is best. It is the headroom under the concurrency limit, as
-// a fraction of the limit, less what speaks against an engine: 1 is that of an idle engine.
+// Score ranks engines for a request; the highest is best. It is the headroom under the concurrency limit,
+// as a fraction of the limit, less the penalties of the engine. An idle engine without penalties has a
+// score of 1.
 type Score float64
 
-// Config holds what is subtracted from scores, and the scale of tie-breaks.
+// Config holds the penalties and bonuses of scores, and the scale of tie-breaks.
 type Config struct {
 	FailurePenalty     Score // at a failure or loss rate of 1
-	SlowdownPenalty    Score // for each unit of the logarithm of slowdown
-	DataSetLockPenalty Score // where a lock blocks the request, so that it would be late
-	DataSetRankPenalty Score // at the far end of the ranks, for requests that locks concern
+	SlowdownPenalty    Score // for each unit of the slowdown, a logarithm
+	DataSetLockPenalty Score // where a lock would block the request and make it late
+	DataSetRankPenalty Score // at the far end of the ranks, for requests that hold or wait for locks
 	CrossZonePenalty   Score
-	HalfOpenBonus      Score // of a half-open probe that is due: it comes before everything
-	Jitter             Score // largest difference that a plain tie-break makes
-	NoiseScale         Score // difference of scores that makes an engine e times as likely
+	HalfOpenBonus      Score // for a half-open probe that is due; exceeds all other scores
+	Jitter             Score // largest value of TieBreak
+	NoiseScale         Score // score difference that makes an engine e times as likely, under Noise
 }
 
-// DefaultConfig returns the values that brokers use.
+// DefaultConfig returns the penalties and scales that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		FailurePenalty: 3, SlowdownPenalty: 0.3, DataSetLockPenalty: 1.5, DataSetRankPenalty: 0.5,
@@ -31,21 +32,21 @@
 	}
 }
 
-// Candidate is an engine for a request, with all that its score depends on.
+// Candidate holds the state of an engine that its score for a request depends on.
 type Candidate struct {
 	ThreadsInFlight   int
 	ThreadsQueued     float64
 	ConcurrencyLimit  float64        // in threads
-	SlowStartFraction units.Fraction // of its capacity that it has
+	SlowStartFraction units.Fraction // fraction of its capacity that is available in slow start
 	Slowdown          units.LogRatio
 	FailureRate       units.Fraction
 	LossRate          units.Fraction
-	ExpectedLossRate  units.Fraction   // fraction of answers whose loss is not held against it
-	Load              units.Fraction   // expected
-	OtherZone         bool             // it is in another zone than this broker
-	DataSetLocked     bool             // the data set of the request is locked there
-	DataSetRank       units.Fraction   // of the engine for the data set
-	Role              datasetlock.Role // of the request
+	ExpectedLossRate  units.Fraction   // loss rate that incurs no penalty
+	Load              units.Fraction   // expected load
+	OtherZone         bool             // the engine is in another zone than this broker
+	DataSetLocked     bool             // the data set of the request is locked at the engine
+	DataSetRank       units.Fraction   // rank of the engine for the data set
+	Role              datasetlock.Role // role of the request
 }
 
 // Score returns the score of a candidate.
@@ -62,8 +63,8 @@
 	return c.penalizeLocks(score, candidate)
 }
 
-// penalizeLocks subtracts what the data set of the request costs: holders of locks go to one end of the ranks
-// and what they block to the other, so that they seldom meet.
+// penalizeLocks subtracts the penalties that concern the data set of the request. They steer holders of locks
+// to one end of the ranks and requests blocked by locks to the other, so that they seldom share an engine.
 func (c *Config) penalizeLocks(score Score, candidate *Candidate) Score {
 	if candidate.Role != datasetlock.Unaffected && candidate.DataSetLocked {
 		score -= c.DataSetLockPenalty
--- a/control/selection/selection_test.go
+++ b/control/selection/selection_test.go
@@ -18,18 +18,18 @@
 	}{
 		"idle":      {func(*Candidate) {}, 1},
 		"half full": {func(c *Candidate) { c.ThreadsInFlight, c.ThreadsQueued = 3, 1 }, 0.5},
-		"half full of a fraction": {
+		"half full in slow start": {
 			func(c *Candidate) { c.ThreadsInFlight, c.SlowStartFraction = 2, 0.5 }, 0.5,
 		},
-		"slow":           {func(c *Candidate) { c.Slowdown = 2 }, 1 - 0.6},
-		"failing":        {func(c *Candidate) { c.FailureRate, c.LossRate = 0.1, 0.1 }, 1 - 0.6},
-		"losing as all":  {func(c *Candidate) { c.LossRate, c.ExpectedLossRate = 0.1, 0.1 }, 1},
-		"loaded":         {func(c *Candidate) { c.Load = 0.7 }, 0.3},
-		"in other zone":  {func(c *Candidate) { c.OtherZone = true }, 0.95},
-		"lock, no role":  {func(c *Candidate) { c.DataSetLocked, c.DataSetRank = true, 0.5 }, 1},
-		"lock, blocked":  {func(c *Candidate) { c.DataSetLocked, c.Role = true, datasetlock.Blocked }, 1 - 1.5 - 0.5},
-		"rank, blocked":  {func(c *Candidate) { c.DataSetRank, c.Role = 0.8, datasetlock.Blocked }, 1 - 0.1},
-		"rank, a holder": {func(c *Candidate) { c.DataSetRank, c.Role = 0.8, datasetlock.Holder }, 1 - 0.4},
+		"slow":               {func(c *Candidate) { c.Slowdown = 2 }, 1 - 0.6},
+		"failing":            {func(c *Candidate) { c.FailureRate, c.LossRate = 0.1, 0.1 }, 1 - 0.6},
+		"expected loss rate": {func(c *Candidate) { c.LossRate, c.ExpectedLossRate = 0.1, 0.1 }, 1},
+		"loaded":             {func(c *Candidate) { c.Load = 0.7 }, 0.3},
+		"other zone":         {func(c *Candidate) { c.OtherZone = true }, 0.95},
+		"lock, unaffected":   {func(c *Candidate) { c.DataSetLocked, c.DataSetRank = true, 0.5 }, 1},
+		"lock, blocked":      {func(c *Candidate) { c.DataSetLocked, c.Role = true, datasetlock.Blocked }, 1 - 1.5 - 0.5},
+		"rank, blocked":      {func(c *Candidate) { c.DataSetRank, c.Role = 0.8, datasetlock.Blocked }, 1 - 0.1},
+		"rank, holder":       {func(c *Candidate) { c.DataSetRank, c.Role = 0.8, datasetlock.Holder }, 1 - 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +42,7 @@
 	}
 }
 
-// Noise draws candidates with chances in proportion to weight * exp(score/NoiseScale).
+// Noise must draw candidates with probabilities proportional to weight * exp(score/NoiseScale).
 func TestNoiseDrawsByWeight(t *testing.T) {
 	t.Parallel()
 	config, rng := DefaultConfig(), rand.New(rand.NewPCG(1, 1))
@@ -50,7 +50,7 @@
 	candidates := []struct {
 		score  Score
 		weight float64
-		want   float64 // of 7
+		want   float64 // in sevenths
 	}{
 		{0, 1, 1},
 		{config.NoiseScale * Score(math.Log(2)), 1, 2},
@@ -66,7 +66,7 @@
 	}
 	for i, candidate := range candidates {
 		if got, want := counts[i]/draws, candidate.want/7; math.Abs(got-want) > 0.02 {
-			t.Errorf("candidate %d was drawn with a chance of %.3f, want %.3f", i, got, want)
+			t.Errorf("candidate %d was drawn with a probability of %.3f, want %.3f", i, got, want)
 		}
 	}
 }
@@ -83,16 +83,16 @@
 		drawn[best.Candidate()] = true
 	}
 	if !drawn[0] || !drawn[1] || drawn[2] {
-		t.Errorf("drawn %v, want both of the equal candidates and no other", drawn)
+		t.Errorf("drew %v, want both candidates with equal scores and no other", drawn)
 	}
 }
 
-func TestBestOfNone(t *testing.T) {
+func TestBestIgnoresInvalidScores(t *testing.T) {
 	t.Parallel()
 	var best Best[*int]
 	best.Offer(new(int), Score(math.Inf(-1)))
 	best.Offer(new(int), Score(math.NaN()))
 	if best.Candidate() != nil {
-		t.Error("a candidate without a score was taken")
+		t.Error("got a candidate with an invalid score")
 	}
 }
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -1,7 +1,7 @@
-// Package shares sets the shares that the classes of requests have of a broker's service. A linear model,
-// fitted to what each interval showed, predicts latency and throughput by the shares; an optimizer finds the
-// shares that earn most by it, and a regulator moves toward them. Section and figure numbers are those of
-// "Proteus" (Karlsson and Karamanolis, Middleware 2006).
+// Package shares sets each request class's share of a broker's service. A linear model, fitted to the
+// measurements of each interval, predicts latency and throughput from the shares; an optimizer finds the
+// shares with the highest predicted utility, and a regulator moves toward them. Section and figure numbers
+// refer to "Proteus" (Karlsson and Karamanolis, Middleware 2006).
 package shares
 
 import (
@@ -11,45 +11,45 @@
 	"wheatlane/internal/rls"
 )
 
-// Config holds the constants of the regulator and its optimizer.
+// Config holds the parameters of the regulator and its optimizer.
 type Config struct {
-	ChangePenalty float64        // of the model's input (section 3.2): the larger, the slower shares move
-	MinShare      units.Fraction // no class falls under it
-	MaxSteps      int            // the most steps in which the optimizer hands out the shares
-	Tolerance     float64        // shares and utilities that differ by less are equal
+	ChangePenalty float64        // on input changes (section 3.2); a larger one slows shares down
+	MinShare      units.Fraction // smallest share of a class, before shares are scaled to sum to 1
+	MaxSteps      int            // maximum number of steps in which the optimizer allocates the shares
+	Tolerance     float64        // shares and utilities that differ by less count as equal
 }
 
-// DefaultConfig returns the constants that brokers use.
+// DefaultConfig returns the parameters that brokers use.
 func DefaultConfig() Config {
 	return Config{ChangePenalty: 0.5, MinShare: 0.05, MaxSteps: 50, Tolerance: 1e-9}
 }
 
-// outputsPerClass is the number of outputs of the model for each class: those of Output.
+// outputsPerClass is the number of outputs of the model for each class: the fields of Output.
 const outputsPerClass = 2
 
-// Output is what the last interval with answers showed of a class, as ratios in which more is better.
+// Output holds the measurements of a class in its last interval with answers, as ratios. Higher is better.
 type Output struct {
 	InverseLatency float64 // latency objective over latency
-	Throughput     float64 // answers a second over the averaged arrival rate plus 1 a second
+	Throughput     float64 // answers per second over the average arrival rate plus 1 per second
 }
 
-// Class is what an interval showed of a class, with what its answers earn.
+// Class holds the measurements of a class in an interval, and the weights of its answers.
 type Class struct {
 	Output
-	Answers        int // in the interval
+	Answers        int // number of answers in the interval
 	ArrivalRate    units.PerSecond
-	PriorityWeight float64        // what an answer within the latency objective counts for
-	LateWeight     units.Fraction // fraction of it that a later answer counts for
+	PriorityWeight float64        // value of an answer within the latency objective
+	LateWeight     units.Fraction // fraction of PriorityWeight that a late answer is worth
 }
 
-// Regulator holds the shares.
+// Regulator holds the shares and adjusts them after each interval.
 type Regulator struct {
 	config Config
-	shares []float64 // by class index, 1 in sum
+	shares []float64 // by class index; they sum to 1
 	model  *rls.Regulator
 }
 
-// New returns a regulator that starts at these shares, 1 in sum.
+// New returns a regulator that starts at the initial shares, which must sum to 1.
 func New(config Config, initial []float64) Regulator {
 	r := Regulator{config: config, shares: initial}
 	r.resetModel()
@@ -65,11 +65,11 @@
 	return equal
 }
 
-// Share is a class's share.
+// Share returns a class's share.
 func (r *Regulator) Share(class int) units.Fraction { return units.Fraction(r.shares[class]) }
 
-// CloseInterval takes an interval's classes, by their indexes, and moves the shares. An interval that is not
-// regular, as a standstill made it longer, breaks the sequence that the model is fitted to.
+// CloseInterval adjusts the shares to the measurements of an interval, by class index. An interval that is
+// not regular, because a process pause made it longer, interrupts the sequence that the model is fitted to.
 func (r *Regulator) CloseInterval(classes []Class, regular bool) {
 	outputs, seen := make([]float64, 0, outputsPerClass*len(classes)), make([]bool, 0, len(classes))
 	answers := 0
@@ -92,7 +92,7 @@
 	r.model.SetInput(r.shares)
 }
 
-// Predict is a class's output at these shares, by the model.
+// Predict returns the output of a class that the model predicts for the given shares.
 func (r *Regulator) Predict(class int, shares []float64) Output {
 	first := outputsPerClass * class
 	return Output{
@@ -104,10 +104,11 @@
 // Coefficients returns a copy of the model's coefficients, for tests.
 func (r *Regulator) Coefficients() []float64 { return r.model.Coefficients() }
 
-// AddClass gives one more class the share that it would have among equal ones. Restart must follow.
+// AddClass adds a class with the share that it would have if all shares were equal. A call of Restart must
+// follow.
 func (r *Regulator) AddClass() { r.shares = append(r.shares, 1/float64(len(r.shares)+1)) }
 
-// Restart makes the shares 1 in sum again and starts a new model, as the old one is of fewer classes.
+// Restart scales the shares to sum to 1 and starts a new model, as the previous model has fewer classes.
 func (r *Regulator) Restart() {
 	sum := 0.0
 	for _, share := range r.shares {
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// ownShare predicts that each class's outputs equal its share.
-type ownShare struct{}
+// identityPredictor predicts that each class's outputs equal its share.
+type identityPredictor struct{}
 
-func (ownShare) Predict(class int, shares []float64) Output {
+func (identityPredictor) Predict(class int, shares []float64) Output {
 	return Output{InverseLatency: shares[class], Throughput: shares[class]}
 }
 
-func TestOptimizeGivesShareToTheClassThatGains(t *testing.T) {
+func TestOptimizePrefersClassWithHighestUtility(t *testing.T) {
 	t.Parallel()
 	light := Class{PriorityWeight: 1, ArrivalRate: 10}
 	heavy := Class{PriorityWeight: 8, LateWeight: 0.4, ArrivalRate: 10}
@@ -23,25 +23,25 @@
 	for _, c := range []struct {
 		name    string
 		classes []Class
-		most    int // index of the class that gets nearly all
+		largest int // index of the class that gets nearly all
 	}{
-		{"the class with eight times the weight", []Class{light, heavy}, 1},
-		{"the class with traffic", []Class{light, idle}, 0},
+		{"eight times the weight", []Class{light, heavy}, 1},
+		{"only class with traffic", []Class{light, idle}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got := optimize(DefaultConfig(), ownShare{}, c.classes, 100)
+			got := optimize(DefaultConfig(), identityPredictor{}, c.classes, 100)
 			if sum := got[0] + got[1]; math.Abs(sum-1) > 1e-6 {
 				t.Errorf("shares %v sum to %v", got, sum)
 			}
-			if got[c.most] < 0.8 {
-				t.Errorf("shares %v, want class %d to have most", got, c.most)
+			if got[c.largest] < 0.8 {
+				t.Errorf("shares %v, want class %d to have at least 0.8", got, c.largest)
 			}
 		})
 	}
 }
 
-// interval is one in which both classes have answers, the first better with more of the shares.
+// interval returns an interval in which both classes have answers. The outputs of the first equal the share.
 func interval(share float64) []Class {
 	return []Class{
 		{Output: Output{share, share}, Answers: 10, ArrivalRate: 10, PriorityWeight: 5},
@@ -51,7 +51,7 @@
 
 func newRegulator() Regulator { return New(DefaultConfig(), Equal(2)) }
 
-func TestSharesStayWithinTheirLimits(t *testing.T) {
+func TestSharesStayWithinBounds(t *testing.T) {
 	t.Parallel()
 	r := newRegulator()
 	before := slices.Clone(r.shares)
@@ -60,14 +60,14 @@
 		if sum := float64(r.Share(0) + r.Share(1)); math.Abs(sum-1) > 1e-9 {
 			t.Fatalf("shares sum to %v", sum)
 		}
-		for class := range r.shares { // the smallest share is scaled with the others
+		for class := range r.shares { // shares are scaled after the bound is applied
 			if share := r.Share(class); share < 0.05/(1+0.05) || share > 1 {
 				t.Fatalf("share %v of class %d", share, class)
 			}
 		}
 	}
 	if reflect.DeepEqual(before, r.shares) {
-		t.Errorf("shares %v did not move", r.shares)
+		t.Errorf("shares %v did not change", r.shares)
 	}
 }
 
@@ -83,11 +83,11 @@
 	}
 	r.CloseInterval(interval(0.2), true)
 	if reflect.DeepEqual(model, r.Coefficients()) {
-		t.Error("the interval after it did not change the model")
+		t.Error("the next regular interval did not change the model")
 	}
 }
 
-func TestIntervalWithoutAnswersLeavesTheShares(t *testing.T) {
+func TestIntervalWithoutAnswersLeavesSharesUnchanged(t *testing.T) {
 	t.Parallel()
 	r := newRegulator()
 	classes := interval(0.5)
@@ -99,13 +99,13 @@
 	}
 }
 
-func TestClassAddedGetsAnEqualShare(t *testing.T) {
+func TestAddedClassGetsEqualShare(t *testing.T) {
 	t.Parallel()
 	r := newRegulator()
 	r.AddClass()
 	r.AddClass()
 	r.Restart()
-	// 1/2, 1/2, 1/3 and 1/4, scaled to 1 in sum.
+	// 1/2, 1/2, 1/3 and 1/4, scaled to sum to 1.
 	for class, want := range []float64{6.0 / 19, 6.0 / 19, 4.0 / 19, 3.0 / 19} {
 		if got := float64(r.Share(class)); math.Abs(got-want) > 1e-9 {
 			t.Errorf("share %v of class %d, want %v", got, class, want)
