--- a/control/slowdown/slowdown_test.go
+++ b/control/slowdown/slowdown_test.go
@@ -10,7 +10,7 @@
 
 func near(a, b units.LogRatio) bool { return math.Abs(float64(a-b)) < 1e-9 }
 
-// observed returns an engine whose answers all showed one slowdown.
+// observed returns an engine with a number of answers of the same slowdown.
 func observed(s *Estimator, sample units.LogRatio, answers int) Engine {
 	var engine Engine
 	for range answers {
@@ -19,16 +19,16 @@
 	return engine
 }
 
-func TestSlowdownIsOverTheBestEngine(t *testing.T) {
+func TestSlowdownIsRelativeToBestEngine(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		reportsWork bool
 		slow, want  units.LogRatio
 	}{
-		"work is reported":                 {true, 1.2, 1.1},
-		"work is not reported":             {false, 1.2, 1.1 - workScatter},
-		"less than the scatter of work":    {false, 0.4, 0},
-		"better than the best one was yet": {true, 0.05, 0},
+		"work reported":                 {true, 1.2, 1.1},
+		"work not reported":             {false, 1.2, 1.1 - workScatter},
+		"less than the scatter of work": {false, 0.4, 0},
+		"faster than the best":          {true, 0.05, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBestSlowdownFallsAtOnceAndRisesSlowly(t *testing.T) {
+func TestBestSlowdownFallsImmediatelyAndRisesSlowly(t *testing.T) {
 	t.Parallel()
 	s := NewEstimator(Config{ReportsWork: true})
 	few, better, worse := observed(&s, 0.01, minSamples), observed(&s, 0.1, 20), observed(&s, 1.1, 20)
@@ -53,8 +53,8 @@
 		{[]*Engine{&few}, 0},
 		{[]*Engine{&worse}, 1.1},
 		{[]*Engine{&few, &worse, &better}, 0.1},
-		{[]*Engine{&worse}, 0.1 + worseBestWeight},
-		{nil, 0.1 + worseBestWeight},
+		{[]*Engine{&worse}, 0.1 + risingBestWeight},
+		{nil, 0.1 + risingBestWeight},
 	} {
 		if s.UpdateBest(step.healthy); !near(s.best, step.want) {
 			t.Fatalf("got %v, want %v", s.best, step.want)
@@ -62,13 +62,13 @@
 	}
 }
 
-func TestEngineOfAPoolStartsAtThePoolsSlowdown(t *testing.T) {
+func TestPooledEngineStartsAtPoolSlowdown(t *testing.T) {
 	t.Parallel()
 	s := NewEstimator(Config{ReportsWork: true})
 	pool, engine := observed(&s, 0.2, 20), observed(&s, 0.8, 20)
 	for answers, want := range map[float64]units.LogRatio{0: 0.2, poolAnswers: 0.5, 1e12: 0.8} {
 		if got := s.SlowdownInPool(&engine, &pool, answers); !near(got, want) {
-			t.Errorf("after %v answers: got %v, want %v", answers, got, want)
+			t.Errorf("slowdown after %v outcomes: got %v, want %v", answers, got, want)
 		}
 	}
 }
@@ -76,19 +76,19 @@
 func TestSlowdownRecoversWithoutAnswers(t *testing.T) {
 	t.Parallel()
 	s := NewEstimator(Config{ReportsWork: true, IdleAfter: time.Second})
-	engine := observed(&s, 1, 20) // the last answer is of the first second
+	engine := observed(&s, 1, 20) // its last answer arrived after 1 s
 	if s.Recover(&engine, 2*time.Second); !near(engine.logRatio, 1) {
-		t.Errorf("%v while it answers", engine.logRatio)
+		t.Errorf("slowdown %v with recent answers, want 1", engine.logRatio)
 	}
 	if s.Recover(&engine, 2*time.Second+1); !near(engine.logRatio, 1-recovery) {
-		t.Errorf("%v after a second without answers", engine.logRatio)
+		t.Errorf("slowdown %v after a second without answers", engine.logRatio)
 	}
 	if s.Reset(&engine); engine.logRatio != s.best || engine.Trusted() {
-		t.Errorf("%v after a restart", engine.logRatio)
+		t.Errorf("slowdown %v after a reset", engine.logRatio)
 	}
 }
 
-func TestAgeRatioIsAMedian(t *testing.T) {
+func TestAgeRatioIsMedian(t *testing.T) {
 	t.Parallel()
 	var engine Engine
 	now := 10 * time.Second
@@ -96,8 +96,8 @@
 		return Attempt{SentAt: now - age, ExpectedWork: 0.8, Threads: 2}.AgeRatio(now)
 	}
 	engine.SetAgeRatios([]float64{ofAge(8 * time.Second), ofAge(2 * time.Second), ofAge(time.Second)})
-	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // 2 s where 0.5 s are usual
-		t.Errorf("ratio %v, want 4", got)
+	if got := engine.AgeRatio(); math.Abs(got-4) > 1e-9 { // an age of 2 s over the usual 0.5 s
+		t.Errorf("age ratio %v, want 4", got)
 	}
 	if got, want := engine.AgeAdjusted(0.1), units.LogRatioOf(2); !near(got, want) {
 		t.Errorf("slowdown %v, want %v", got, want)
@@ -106,6 +106,6 @@
 		t.Errorf("slowdown %v, want 3", got)
 	}
 	if engine.SetAgeRatios(nil); engine.AgeRatio() != 0 {
-		t.Errorf("ratio %v with nothing in flight", engine.AgeRatio())
+		t.Errorf("age ratio %v with nothing in flight, want 0", engine.AgeRatio())
 	}
 }
--- a/control/slowstart/sendlog.go
+++ b/control/slowstart/sendlog.go
@@ -7,7 +7,7 @@
 	"wheatlane/control/units"
 )
 
-// SendLog is the work that this broker has sent an engine within an overload window.
+// SendLog records the work that this broker sent to an engine within an overload window.
 type SendLog struct{ sends []send }
 
 type send struct {
@@ -15,12 +15,12 @@
 	work   units.ThreadSeconds
 }
 
-// Add records work that is sent now.
+// Add records work sent now.
 func (l *SendLog) Add(now time.Duration, work units.ThreadSeconds) {
 	l.sends = append(l.sends, send{now, work})
 }
 
-// WorkSince is the work sent after a time, and that of one more request. It drops what was sent before.
+// WorkSince returns the work sent after a time plus the work of the next request. It removes earlier sends.
 func (l *SendLog) WorkSince(since time.Duration, next units.ThreadSeconds) units.ThreadSeconds {
 	l.sends = slices.DeleteFunc(l.sends, func(s send) bool { return s.sentAt <= since })
 	work := next
--- a/control/throttle/throttle_test.go
+++ b/control/throttle/throttle_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLinesAboutOneSubjectAreKeptApart(t *testing.T) {
+func TestThrottleAllowsOneNoticePerInterval(t *testing.T) {
 	const interval = 5 * time.Second
 	throttle := New[string](interval)
 	for _, c := range []struct {
@@ -14,11 +14,11 @@
 		at      time.Duration
 		want    bool
 	}{
-		{"the first of a subject", "ejected e1", 0, true},
-		{"of another subject", "restored e1", 0, true},
-		{"too soon again", "ejected e1", interval - 1, false},
+		{"first of a subject", "ejected e1", 0, true},
+		{"other subject", "restored e1", 0, true},
+		{"within the interval", "ejected e1", interval - 1, false},
 		{"after the interval", "ejected e1", interval, true},
-		{"too soon after that", "ejected e1", 2*interval - 1, false},
+		{"within the next interval", "ejected e1", 2*interval - 1, false},
 	} {
 		if got := throttle.Allows(c.subject, c.at); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", c.name, got, c.want)
--- a/control/units/units.go
+++ b/control/units/units.go
@@ -1,5 +1,5 @@
-// Package units holds the quantities that the decision module computes with, where a time.Duration does not
-// fit. Each has a type of its own, so that a signature says what goes in and what comes out.
+// Package units defines types for the quantities of the decision module that a time.Duration does not
+// represent. Each quantity has its own type, so that signatures state the units of parameters and results.
 package units
 
 import (
@@ -7,27 +7,26 @@
 	"time"
 )
 
-// ThreadSeconds is an amount of work: the time, in seconds, that one thread of an engine takes for it.
+// ThreadSeconds is an amount of work: the time in seconds that one thread of an engine needs for it.
 type ThreadSeconds float64
 
-// Fraction is an amount as a fraction of a whole: 0 is none of it, 1 all of it. A load may be over 1, where
-// more is asked than the whole.
+// Fraction is an amount as a fraction of a whole, from 0 to 1. A load may exceed 1, where the demand
+// exceeds the capacity.
 type Fraction float64
 
-// LogRatio is the natural logarithm of a ratio: 0 stands for equal, 0.69 for twice as much, 1.6 for five
-// times.
+// LogRatio is the natural logarithm of a ratio: 0 means equal, 0.69 a ratio of 2, and 1.6 a ratio of 5.
 type LogRatio float64
 
-// Ratio is the ratio itself.
+// Ratio returns the ratio.
 func (l LogRatio) Ratio() float64 { return math.Exp(float64(l)) }
 
-// LogRatioOf is the logarithm of a ratio.
+// LogRatioOf returns the logarithm of a ratio.
 func LogRatioOf(ratio float64) LogRatio { return LogRatio(math.Log(ratio)) }
 
-// maxSeconds bounds Duration at some days, so that no time overflows.
+// maxSeconds bounds the results of Duration, at about 11 days, so that sums of durations don't overflow.
 const maxSeconds = 1e6
 
-// Duration converts a time in seconds, of at most maxSeconds.
+// Duration converts seconds to a time.Duration of at most maxSeconds.
 func Duration(seconds float64) time.Duration {
 	return time.Duration(min(seconds, maxSeconds) * float64(time.Second))
 }
--- a/control/units/units_test.go
+++ b/control/units/units_test.go
@@ -14,7 +14,7 @@
 		want    time.Duration
 	}{
 		{"fraction of a second", 0.25, 250 * time.Millisecond},
-		{"none", 0, 0},
+		{"zero", 0, 0},
 		{"longer than the bound", 1e12, maxSeconds * time.Second},
 		{"infinite", math.Inf(1), maxSeconds * time.Second},
 	} {
@@ -27,12 +27,12 @@
 	}
 }
 
-func TestLogRatioIsTheInverseOfItsRatio(t *testing.T) {
+func TestLogRatioOfIsInverseOfRatio(t *testing.T) {
 	t.Parallel()
 	if got := LogRatioOf(1); got != 0 {
-		t.Errorf("the logarithm of 1 is %v, want 0", got)
+		t.Errorf("LogRatioOf(1) = %v, want 0", got)
 	}
 	if got := LogRatioOf(2).Ratio(); math.Abs(got-2) > 1e-12 {
-		t.Errorf("the ratio of the logarithm of 2 is %v", got)
+		t.Errorf("LogRatioOf(2).Ratio() = %v, want 2", got)
 	}
 }
