--- a/control/workload/class.go
+++ b/control/workload/class.go
@@ -6,16 +6,16 @@
 	"wheatlane/control/units"
 )
 
-// ClassSettings are the settings of a class that its estimates depend on.
+// ClassSettings holds the settings of a class that its estimates depend on.
 type ClassSettings struct {
 	LatencyObjective time.Duration
-	Threads          int            // that a request runs on
-	PriorityWeight   float64        // what an answer within the objective counts for
-	LateWeight       units.Fraction // fraction of it that a later answer counts for
+	Threads          int            // threads that a request runs on
+	PriorityWeight   float64        // value of an answer within the latency objective
+	LateWeight       units.Fraction // fraction of PriorityWeight that a late answer is worth
 	HoldsDataSetLock bool           // a request locks its data set while it runs
 }
 
-// ClassEstimates holds what is learned of one class of request.
+// ClassEstimates holds the estimates of one class of request.
 type ClassEstimates struct {
 	settings    ClassSettings
 	Cost        Cost
@@ -25,8 +25,8 @@
 	Traffic     Traffic
 }
 
-// initialWorkFraction is the fraction of the latency objective that a request is expected to take before any
-// answer.
+// initialWorkFraction is the expected service time of a request before the first answer, as a fraction of the
+// latency objective.
 const initialWorkFraction = 0.25
 
 // newClassEstimates returns the estimates of a class without answers.
@@ -39,7 +39,7 @@
 	}
 }
 
-// weightPerThreadSecond is the priority weight that an answer earns for its work.
+// weightPerThreadSecond returns the priority weight of an answer over the mean work of a request.
 func (c *ClassEstimates) weightPerThreadSecond() float64 {
 	return c.settings.PriorityWeight / float64(c.Cost.MeanWork())
 }
--- a/control/workload/cost.go
+++ b/control/workload/cost.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	costWeight         = 0.02 // weight of an answer in the means of work and memory
-	floorWeightFactor  = 0.5  // weight in the floor of service times over that in the means
-	guessAnswers       = 1    // weight of the first guess of the work, in answers
-	initialMemoryRatio = 1.25 // memory needed over the estimate, before any answer
+	costWeight         = 0.02 // minimum weight of an answer in the means of work and memory
+	floorWeightFactor  = 0.5  // weight in the floor of service times, relative to the weight in the means
+	priorAnswers       = 1    // weight of the initial work, in answers
+	initialMemoryRatio = 1.25 // needed over estimated memory, before the first answer
 )
 
 // Cost estimates the work and memory of a class's requests from their answers.
 type Cost struct {
 	meanWork     units.ThreadSeconds
-	workBias     float64            // reported over estimated work
+	workBias     float64            // mean ratio of reported to estimated work
 	meanMemoryMB float64            // 0: not reported
-	memoryRatio  estimate.HighRatio // needed over estimated memory
+	memoryRatio  estimate.HighRatio // ratio of needed to estimated memory
 	answers      int
-	floor        estimate.Floor // of the logarithm of service times, where answers don't report work
+	floor        estimate.Floor // of the logarithm of service times, without reported work
 }
 
-// NewCost returns an estimate that starts at a mean.
+// NewCost returns an estimate with an initial mean work.
 func NewCost(mean units.ThreadSeconds) Cost {
 	return Cost{meanWork: mean, workBias: 1, memoryRatio: initialMemoryRatio}
 }
 
-// MeanWork is the mean work of a request.
+// MeanWork returns the mean work of a request.
 func (c *Cost) MeanWork() units.ThreadSeconds { return c.meanWork }
 
-// ExpectedWork is the work expected of a request by its client's estimate, on one thread, or without one (0)
-// the mean.
+// ExpectedWork returns the expected work of a request, given its client's estimate as the time on one thread.
+// Without an estimate (0), it returns the mean work.
 func (c *Cost) ExpectedWork(estimated time.Duration) units.ThreadSeconds {
 	if estimated <= 0 {
 		return c.meanWork
@@ -42,10 +42,10 @@
 	return units.ThreadSeconds(estimated.Seconds() * c.workBias)
 }
 
-// MemoryMB is the memory that most requests with a client's estimate need.
+// MemoryMB returns the memory that most requests with the given client's estimate need.
 func (c *Cost) MemoryMB(estimatedMB float64) float64 { return estimatedMB * float64(c.memoryRatio) }
 
-// Answer is what an answer shows of its request's cost. What is 0 is not known.
+// Answer holds the observations of a request's cost from its answer. A value of 0 is unknown.
 type Answer struct {
 	ServiceTime       units.Seconds
 	Threads           int
@@ -56,12 +56,12 @@
 	EstimatedMemoryMB float64        // by the client
 }
 
-// Observe takes an answer and returns what it shows of its engine's slowdown: the logarithm of the service
-// time over the one expected of an engine that is not slow. The latter is the reported work spread over the
-// threads or, without a report, the class's fastest service times.
+// Observe records an answer and returns its sample of the engine's slowdown: the logarithm of the service
+// time over the service time expected of an engine that is not slow. The expected time is the reported work
+// divided by the threads or, without a report, the floor of the class's service times.
 func (c *Cost) Observe(a Answer) units.LogRatio {
 	c.answers++
-	weight := estimate.SampleWeight(costWeight, float64(c.answers+guessAnswers))
+	weight := estimate.SampleWeight(costWeight, float64(c.answers+priorAnswers))
 	took, threads := float64(a.ServiceTime), float64(a.Threads)
 	if a.Work <= 0 {
 		work := units.ThreadSeconds(took * threads / a.EngineSlowdown.Ratio())
--- a/control/workload/summary.go
+++ b/control/workload/summary.go
@@ -7,33 +7,33 @@
 	"wheatlane/control/units"
 )
 
-// Summary is what follows from the estimates of all classes together.
+// Summary holds statistics over all classes.
 type Summary struct {
 	ArrivalRate       units.PerSecond
-	MeanWork          units.ThreadSeconds // of a request, by the rates of the classes
+	MeanWork          units.ThreadSeconds // mean work of a request, weighted by the rates of the classes
 	HeaviestWork      units.ThreadSeconds // mean work of the heaviest class
-	LongestLock       time.Duration       // usual time of the longest class that locks its data set
-	HighestValueClass int                 // the class that earns most for its work
+	LongestLock       time.Duration       // longest mean time for which a class locks its data set
+	HighestValueClass int                 // index of the class with the highest weight per thread-second
 
-	// LowestWeightPerThreadSecond is the smallest priority weight that a class earns for its work.
+	// LowestWeightPerThreadSecond is the lowest priority weight per thread-second of any class.
 	LowestWeightPerThreadSecond float64
 }
 
-// summarize sums up the classes. Of those that earn the same for their work, the one that was the highest
-// before stays it.
-func summarize(classes []*ClassEstimates, minRate units.PerSecond, highestBefore int) Summary {
-	s := Summary{LowestWeightPerThreadSecond: math.Inf(1), HighestValueClass: highestBefore}
+// summarize returns the statistics over the classes. Of classes with the same weight per thread-second, it
+// prefers the previous HighestValueClass.
+func summarize(classes []*ClassEstimates, minRate units.PerSecond, previousHighest int) Summary {
+	s := Summary{LowestWeightPerThreadSecond: math.Inf(1), HighestValueClass: previousHighest}
 	work, rate, longestLock := 0.0, minRate, units.Seconds(0)
 	for i, class := range classes {
-		mean, earned := class.Cost.MeanWork(), class.weightPerThreadSecond()
+		mean, weight := class.Cost.MeanWork(), class.weightPerThreadSecond()
 		work += float64(class.Traffic.rate) * float64(mean)
 		rate += class.Traffic.rate
 		s.HeaviestWork = max(s.HeaviestWork, mean)
-		s.LowestWeightPerThreadSecond = min(s.LowestWeightPerThreadSecond, earned)
+		s.LowestWeightPerThreadSecond = min(s.LowestWeightPerThreadSecond, weight)
 		if class.settings.HoldsDataSetLock {
 			longestLock = max(longestLock, mean.OnThreads(class.settings.Threads))
 		}
-		if earned > classes[s.HighestValueClass].weightPerThreadSecond() {
+		if weight > classes[s.HighestValueClass].weightPerThreadSecond() {
 			s.HighestValueClass = i
 		}
 	}
--- a/control/workload/tenants.go
+++ b/control/workload/tenants.go
@@ -7,14 +7,14 @@
 	"wheatlane/internal/estimate"
 )
 
-// Tenant describes one customer.
+// Tenant describes a tenant.
 type Tenant struct {
 	Name  string
-	Share units.Fraction  // of the service that each class gets; 1 in sum over the named tenants
-	Quota units.PerSecond // requests within its share, over all brokers
+	Share units.Fraction  // share of each class's service; shares of the known tenants sum to 1
+	Quota units.PerSecond // rate of requests within its share, over all brokers
 }
 
-// Tenants holds the tenants with their traffic at this broker. The last one stands for all that are unknown.
+// Tenants holds the tenants and their traffic at this broker. The last tenant stands for all unknown tenants.
 type Tenants struct {
 	all    []tenant
 	byName map[string]int
@@ -22,12 +22,13 @@
 
 type tenant struct {
 	Tenant
-	arrivals int // in this interval
+	arrivals int // number of requests in this interval
 	rate     units.PerSecond
 }
 
-// newTenants adds a tenant for all unknown ones, with the smallest share of a known one. That comes on top:
-// the shares sum to a little over 1 then, which fair queues take as weights.
+// newTenants returns the known tenants and one tenant for all unknown ones, which has the smallest share of
+// any known tenant. The shares then sum to slightly over 1, which is valid as fair queues use them as
+// weights.
 func newTenants(config Config, known []Tenant) Tenants {
 	t := Tenants{byName: make(map[string]int, len(known))}
 	unknown := Tenant{Share: 1}
@@ -41,10 +42,10 @@
 	return t
 }
 
-// Len is the number of tenants, with the one that stands for the unknown.
+// Len returns the number of tenants, including the one that stands for all unknown tenants.
 func (t *Tenants) Len() int { return len(t.all) }
 
-// Index is the index of a tenant by its name.
+// Index returns the index of the tenant with a name. All unknown names have the same index.
 func (t *Tenants) Index(name string) int {
 	if i, known := t.byName[name]; known {
 		return i
@@ -52,10 +53,10 @@
 	return len(t.all) - 1
 }
 
-// Share is a tenant's share of the service that each class gets.
+// Share returns a tenant's share of each class's service.
 func (t *Tenants) Share(index int) units.Fraction { return t.all[index].Share }
 
-// Arrivals is the number of a tenant's requests in this interval.
+// Arrivals returns the number of a tenant's requests in this interval.
 func (t *Tenants) Arrivals(index int) int { return t.all[index].arrivals }
 
 func (t *Tenants) requestReceived(index int) { t.all[index].arrivals++ }
@@ -63,11 +64,11 @@
 // closeInterval updates the rates and returns the sums of the rates and of the quotas.
 func (t *Tenants) closeInterval(elapsed time.Duration, weight float64) (rate, quota units.PerSecond) {
 	for i := range t.all {
-		one := &t.all[i]
-		one.rate = estimate.EWMA(one.rate, units.Rate(one.arrivals, elapsed), weight)
-		one.arrivals = 0
-		rate += one.rate
-		quota += one.Quota
+		current := &t.all[i]
+		current.rate = estimate.EWMA(current.rate, units.Rate(current.arrivals, elapsed), weight)
+		current.arrivals = 0
+		rate += current.rate
+		quota += current.Quota
 	}
 	return rate, quota
 }
--- a/control/workload/traffic.go
+++ b/control/workload/traffic.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	minThroughputRate = units.PerSecond(1)  // added to the rate that throughput is divided by
-	maxInverseLatency = 4                   // the most that a latency under the objective counts for
+	minThroughputRate = units.PerSecond(1)  // added to the arrival rate by which throughput is divided
+	maxInverseLatency = 4                   // upper bound of Output.InverseLatency
 	minLatencySum     = units.Seconds(1e-6) // keeps a quotient finite
 )
 
-// Traffic counts a class's requests and answers by intervals.
+// Traffic counts a class's requests and answers in each interval.
 type Traffic struct {
-	arrivals   int // in this interval
+	arrivals   int // requests in this interval
 	rate       units.PerSecond
-	latencySum units.Seconds // over the answers of this interval
-	answers    int           // in this interval
+	latencySum units.Seconds // sum of the latencies of this interval's answers
+	answers    int           // answers in this interval
 	output     shares.Output // of the last interval with answers
 }
 
 // RequestReceived counts a request.
 func (t *Traffic) RequestReceived() { t.arrivals++ }
 
-// Answered counts an answer and the latency of its request.
+// Answered counts an answer and its latency.
 func (t *Traffic) Answered(latency time.Duration) {
 	t.latencySum += units.SecondsOf(latency)
 	t.answers++
--- a/control/workload/wait.go
+++ b/control/workload/wait.go
@@ -7,16 +7,16 @@
 	"wheatlane/internal/estimate"
 )
 
-// waitWeight is the weight of a request in the mean wait.
+// waitWeight is the weight of one request in the mean wait.
 const waitWeight = 0.05
 
-// Wait estimates how long requests wait at the broker before their first attempt.
+// Wait estimates the time for which requests wait at the broker before their first attempt.
 type Wait struct{ mean units.Seconds }
 
-// Observe takes one request's wait.
+// Observe records the wait of one request.
 func (w *Wait) Observe(wait time.Duration) {
 	w.mean = estimate.EWMA(w.mean, units.SecondsOf(wait), waitWeight)
 }
 
-// Mean is the mean wait.
+// Mean returns the mean wait.
 func (w *Wait) Mean() units.Seconds { return w.mean }
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -1,5 +1,6 @@
-// Package workload estimates what clients ask of one broker: what the requests of each class take, how long
-// their clients wait, the rates of classes and tenants, and the broker's share of the traffic of all brokers.
+// Package workload estimates the demand of clients at one broker: the cost of the requests of each class,
+// the time for which their clients wait, the rates of classes and tenants, and the broker's share of the
+// traffic of all brokers.
 package workload
 
 import (
@@ -10,18 +11,18 @@
 	"wheatlane/internal/estimate"
 )
 
-// Config holds the constants of the estimates. A weight is that of one sample in a moving average; with few
-// samples it is that of a mean.
+// Config holds the parameters of the estimates. A weight is the weight of one sample in a moving average;
+// while there are few samples, all samples have equal weights.
 type Config struct {
-	RateWeight        float64         // of an interval in a rate
-	ShareWeight       float64         // of an interval in the broker's share of the traffic
-	PooledShareWeight float64         // the same where engines are pooled
-	MinShare          units.Fraction  // share of a broker without traffic, in equal shares
-	MinTenantShare    units.Fraction  // share of a tenant whose settings give it none
-	MinClassRate      units.PerSecond // rate of a class without traffic, in means over the classes
+	RateWeight        float64         // weight of an interval in a rate
+	ShareWeight       float64         // weight of an interval in the broker's share of the traffic
+	PooledShareWeight float64         // the same, where engines are pooled
+	MinShare          units.Fraction  // minimum share of a broker, as a multiple of an equal share
+	MinTenantShare    units.Fraction  // minimum share of a tenant, also without a share in its settings
+	MinClassRate      units.PerSecond // minimum rate of a class in means over the classes
 }
 
-// DefaultConfig returns the constants that brokers use.
+// DefaultConfig returns the parameters that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		RateWeight: 0.3, ShareWeight: 0.2, PooledShareWeight: 0.05,
@@ -29,18 +30,18 @@
 	}
 }
 
-// Workload holds the estimates. Classes and tenants are named by their indexes.
+// Workload holds the estimates. Classes and tenants are identified by their indexes.
 type Workload struct {
 	config       Config
 	classes      []*ClassEstimates
 	tenants      Tenants
 	brokers      int
 	trafficShare units.Fraction
-	intervals    int // since the start
+	intervals    int // number of intervals since the start
 	summary      Summary
 }
 
-// New returns the estimates of one broker of a number of them, without classes.
+// New returns the estimates of one broker in a fleet with a number of brokers. It has no classes yet.
 func New(config Config, tenants []Tenant, brokers int) Workload {
 	return Workload{
 		config: config, tenants: newTenants(config, tenants), brokers: brokers,
@@ -48,38 +49,38 @@
 	}
 }
 
-// AddClass adds a class, whose index is the next one, and returns its estimates.
+// AddClass adds a class under the next index, and returns its estimates.
 func (w *Workload) AddClass(settings ClassSettings) *ClassEstimates {
 	class := newClassEstimates(settings)
 	w.classes = append(w.classes, class)
 	return class
 }
 
-// Tenants returns the tenants.
+// Tenants returns the tenants and their traffic.
 func (w *Workload) Tenants() *Tenants { return &w.tenants }
 
-// TrafficShare is the estimated share that this broker has of the traffic of all.
+// TrafficShare returns this broker's estimated share of the traffic of all brokers.
 func (w *Workload) TrafficShare() units.Fraction { return w.trafficShare }
 
-// Summary returns what follows from all classes together, as of the last interval; it is zero before the
-// first.
+// Summary returns the statistics over all classes as of the last interval. It is zero before the end of the
+// first interval.
 func (w *Workload) Summary() Summary { return w.summary }
 
-// RequestReceived counts a request.
+// RequestReceived counts a request of a class and a tenant.
 func (w *Workload) RequestReceived(class, tenant int) {
 	w.classes[class].Traffic.RequestReceived()
 	w.tenants.requestReceived(tenant)
 }
 
-// Interval is what the estimates need to know of an interval that ends.
+// Interval describes an interval that ends.
 type Interval struct {
 	Elapsed   time.Duration
-	Pooled    bool // engines are pooled
-	HoldShare bool // the share of the traffic stays, as retries distort it
+	Pooled    bool // the engines are pooled
+	HoldShare bool // the share of the traffic is not updated, as retries distort it
 }
 
-// CloseInterval updates the rates, the share of the traffic and the summary. It returns what the interval
-// showed of each class.
+// CloseInterval ends an interval: it updates the rates, the share of the traffic and the summary. It
+// returns the measurements of each class in the interval.
 func (w *Workload) CloseInterval(in Interval) []shares.Class {
 	w.intervals++
 	w.updateShare(in)
@@ -96,7 +97,8 @@
 	return measured
 }
 
-// updateShare follows the share of the traffic by the quotas that tenants use up; without quotas it stays.
+// updateShare updates the share of the traffic, estimated as the used fraction of the tenants' quotas.
+// Without quotas, the share does not change.
 func (w *Workload) updateShare(in Interval) {
 	rate, quota := w.tenants.closeInterval(in.Elapsed, w.sampleWeight(w.config.RateWeight))
 	if quota <= 0 || in.HoldShare {
@@ -111,7 +113,8 @@
 	w.trafficShare = estimate.EWMA(w.trafficShare, share, w.sampleWeight(weight))
 }
 
-// sampleWeight is the weight of this interval in an average, at first that of a mean of all intervals.
+// sampleWeight returns the weight of this interval in a moving average; at first, all intervals have equal
+// weights.
 func (w *Workload) sampleWeight(smallest float64) float64 {
 	return estimate.SampleWeight(smallest, float64(w.intervals))
 }
@@ -119,10 +122,10 @@
 // Demand is the mean demand of a request in service.
 type Demand struct {
 	Threads  float64
-	MemoryMB float64 // 0: not known
+	MemoryMB float64 // 0: unknown
 }
 
-// MeanDemand weighs the classes by their rates and their service times.
+// MeanDemand returns the mean demand, in which classes are weighted by their rates and their service times.
 func (w *Workload) MeanDemand() Demand {
 	var mean Demand
 	total := 0.0
--- a/control/workload/workload_test.go
+++ b/control/workload/workload_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// quickSettings are of a class whose requests are expected to take 0.25 thread-seconds at first.
+// quickSettings returns the settings of a class with an initial work of 0.25 thread-seconds.
 func quickSettings() ClassSettings {
 	return ClassSettings{LatencyObjective: time.Second, Threads: 1, PriorityWeight: 1}
 }
@@ -27,12 +27,12 @@
 	}
 }
 
-func TestCostStartsAtItsGuessAndLearnsFromReports(t *testing.T) {
+func TestCostConvergesToReports(t *testing.T) {
 	t.Parallel()
 	cost := newClassEstimates(longSettings()).Cost
-	near(t, "work before any answer", cost.MeanWork(), 2, 1e-9)
-	near(t, "work by the client's estimate", cost.ExpectedWork(time.Second), 1, 1e-9)
-	near(t, "memory before any answer", cost.MemoryMB(100), 125, 1e-9)
+	near(t, "initial work", cost.MeanWork(), 2, 1e-9)
+	near(t, "initial work with an estimate", cost.ExpectedWork(time.Second), 1, 1e-9)
+	near(t, "initial memory with an estimate", cost.MemoryMB(100), 125, 1e-9)
 	answer := Answer{
 		ServiceTime: 2, Threads: 2, Work: 3 * time.Second, EstimatedWork: time.Second,
 		MemoryMB: 400, EstimatedMemoryMB: 100,
@@ -42,11 +42,11 @@
 	}
 	near(t, "mean work", cost.MeanWork(), 3, 0.01)
 	near(t, "work without an estimate", cost.ExpectedWork(0), cost.MeanWork(), 0)
-	near(t, "work by an estimate of a third", cost.ExpectedWork(2*time.Second), 6, 0.01)
-	near(t, "memory by an estimate of a quarter", cost.MemoryMB(100), 400, 20)
+	near(t, "work with an estimate of a third", cost.ExpectedWork(2*time.Second), 6, 0.01)
+	near(t, "memory with an estimate of a quarter", cost.MemoryMB(100), 400, 20)
 }
 
-func TestCostWithoutReportsLearnsFromServiceTimes(t *testing.T) {
+func TestCostWithoutReportsConvergesToServiceTimes(t *testing.T) {
 	t.Parallel()
 	cost := NewCost(1)
 	usual := Answer{ServiceTime: 0.5, Threads: 2}
@@ -55,11 +55,11 @@
 	}
 	near(t, "mean work", cost.MeanWork(), 1, 0.01)
 	slowed := Answer{ServiceTime: 1, Threads: 2, EngineSlowdown: units.LogRatioOf(2)}
-	near(t, "slowdown of an answer of twice the time", cost.Observe(slowed).Ratio(), 2, 0.1)
-	near(t, "mean work after an answer of a slow engine", cost.MeanWork(), 1, 0.01)
+	near(t, "slowdown of an answer after twice the usual time", cost.Observe(slowed).Ratio(), 2, 0.1)
+	near(t, "mean work after an answer from a slow engine", cost.MeanWork(), 1, 0.01)
 }
 
-func TestServiceTimeQuantilesCoverTheAnswers(t *testing.T) {
+func TestServiceTimeQuantileMatchesSamples(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
 	s := newServiceTime()
@@ -67,44 +67,44 @@
 	for range 5000 {
 		s.Observe(sample(), 1)
 	}
-	near(t, "likely time", s.Typical(1).Seconds(), 2, 0.2)
+	near(t, "typical time", s.Typical(1).Seconds(), 2, 0.2)
 	later := 0.0
 	for range 5000 {
 		if sample().Duration() > s.Quantile(1, 0.05) {
 			later++
 		}
 	}
-	near(t, "fraction over its quantile", later/5000, 0.05, 0.03)
+	near(t, "fraction of samples over the quantile", later/5000, 0.05, 0.03)
 	if got := MeasuredServiceTime(0); got != minServiceTime {
-		t.Errorf("a service time of 0 counts as %v", got)
+		t.Errorf("MeasuredServiceTime(0) = %v, want %v", got, minServiceTime)
 	}
 }
 
-func TestPatienceIsKnownWhereMostClientsLeave(t *testing.T) {
+func TestTimeToAbandonIsKnownIfMostClientsDisconnect(t *testing.T) {
 	t.Parallel()
 	var a Abandonment
 	for range 30 {
 		a.ClientDisconnected(2 * time.Second)
 	}
 	if _, ok := a.TimeToAbandon(); ok {
-		t.Error("known after 30 clients")
+		t.Error("known after 30 clients that disconnected")
 	}
 	for range 30 {
 		a.ClientDisconnected(2 * time.Second)
 	}
-	patience, ok := a.TimeToAbandon()
-	if !ok || patience != 2*time.Second {
-		t.Errorf("patience %v, known: %v", patience, ok)
+	wait, ok := a.TimeToAbandon()
+	if !ok || wait != 2*time.Second {
+		t.Errorf("time to abandon %v, known: %v", wait, ok)
 	}
 	for range 30 {
 		a.ClientWaited()
 	}
 	if _, ok := a.TimeToAbandon(); ok {
-		t.Error("known after 30 clients that stayed")
+		t.Error("known after 30 clients that waited")
 	}
 }
 
-func TestWaitIsAMovingMean(t *testing.T) {
+func TestWaitIsMovingMean(t *testing.T) {
 	t.Parallel()
 	var w Wait
 	w.Observe(2 * time.Second)
@@ -112,10 +112,10 @@
 	for range 200 {
 		w.Observe(2 * time.Second)
 	}
-	near(t, "mean after many", w.Mean(), 2, 0.01)
+	near(t, "mean after many requests", w.Mean(), 2, 0.01)
 }
 
-func TestTenantsAreChargedByName(t *testing.T) {
+func TestRequestsCountForTenantByName(t *testing.T) {
 	t.Parallel()
 	known := []Tenant{{Name: "large", Share: 0.75}, {Name: "small", Share: 0.25}, {Name: "none"}}
 	w := New(DefaultConfig(), known, 1)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestTrafficShareFollowsTheQuotasThatAreUsed(t *testing.T) {
+func TestTrafficShareFollowsUsedQuotas(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name     string
@@ -149,16 +149,16 @@
 		interval Interval
 		want     units.Fraction
 	}{
-		{"the first interval counts in full", 50, Interval{}, 0.5},
+		{"first interval at full weight", 50, Interval{}, 0.5},
 		{"no traffic", 0, Interval{}, 0.25 / 4},
-		{"more than the quotas of all brokers", 1000, Interval{}, 1},
-		{"the share is held", 50, Interval{HoldShare: true}, 0.25},
+		{"more than all quotas", 1000, Interval{}, 1},
+		{"share held", 50, Interval{HoldShare: true}, 0.25},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := New(DefaultConfig(), []Tenant{{Share: 1, Quota: 100}}, 4)
 			w.AddClass(quickSettings())
-			near(t, "share at the start", w.TrafficShare(), 0.25, 1e-12)
+			near(t, "initial share", w.TrafficShare(), 0.25, 1e-12)
 			for range c.requests {
 				w.RequestReceived(0, 0)
 			}
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestIntervalsShowEachClass(t *testing.T) {
+func TestCloseIntervalReturnsMeasurementsOfEachClass(t *testing.T) {
 	t.Parallel()
 	w := New(DefaultConfig(), nil, 1)
 	quick := w.AddClass(quickSettings())
@@ -185,15 +185,15 @@
 	near(t, "throughput", got[0].Throughput, 0.75, 1e-9)
 	near(t, "answers of the other class", float64(got[1].Answers), 0, 0)
 	got = w.CloseInterval(Interval{Elapsed: time.Second})
-	near(t, "answers in an interval without", float64(got[0].Answers), 0, 0)
-	near(t, "output kept", got[0].InverseLatency, 2, 1e-9)
+	near(t, "answers in an interval without any", float64(got[0].Answers), 0, 0)
+	near(t, "output retained", got[0].InverseLatency, 2, 1e-9)
 }
 
 func TestSummary(t *testing.T) {
 	t.Parallel()
 	w := New(DefaultConfig(), nil, 1)
-	w.AddClass(quickSettings())        // 0.25 thread-seconds, weight 4 for each
-	long := w.AddClass(longSettings()) // 2 thread-seconds, weight 2 for each
+	w.AddClass(quickSettings())        // 0.25 thread-seconds, weight 4 per thread-second
+	long := w.AddClass(longSettings()) // 2 thread-seconds, weight 2 per thread-second
 	for range 9 {
 		w.RequestReceived(0, 0)
 	}
@@ -207,7 +207,7 @@
 	if s.LongestLock != time.Second || s.HighestValueClass != 0 {
 		t.Errorf("longest lock %v, highest value: class %d", s.LongestLock, s.HighestValueClass)
 	}
-	demand := w.MeanDemand() // in service: 2.25 of one thread, 1 of two
+	demand := w.MeanDemand() // in service: 2.25 requests on one thread, 1 on two
 	near(t, "threads", demand.Threads, (2.25+2)/3.25, 0.01)
 	near(t, "memory", demand.MemoryMB, 0, 0)
 	long.Cost = NewCost(0.5)
