--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-func TestAnAverageIsTheMeanAtFirstAndMovesThen(t *testing.T) {
+func TestEWMAStartsAsPlainMean(t *testing.T) {
 	average, sum := 100.0, 0.0
 	for i := range 10 {
 		sum += float64(i)
@@ -32,16 +32,16 @@
 		values []float64
 		want   float64
 	}{
-		{"of none", nil, 0},
-		{"of one", []float64{3}, 3},
-		{"of an even number is the lower", []float64{4, 1, 3, 2}, 2},
-		{"is not moved by one large value", []float64{1, 1e9, 2}, 2},
+		{"no values", nil, 0},
+		{"one value", []float64{3}, 3},
+		{"lower of an even number", []float64{4, 1, 3, 2}, 2},
+		{"one large value has no effect", []float64{1, 1e9, 2}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) { near(t, "median", Median(c.values), c.want, 0) })
 	}
 }
 
-func TestSpreadFindsMeanAndQuantile(t *testing.T) {
+func TestMeanVarianceEstimatesMeanAndQuantile(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	s := MeanVariance{Variance: 1}
 	for range 20000 {
@@ -49,13 +49,13 @@
 	}
 	near(t, "mean", s.Mean, 0.4, 0.05)
 	near(t, "variance", s.Variance, 0.25, 0.05)
-	near(t, "value that 1 in 40 exceeds", s.UpperQuantile(0.025), 0.4+1.96*0.5, 0.1)
-	near(t, "value that half exceed", s.UpperQuantile(0.5), s.Mean, 1e-9)
+	near(t, "value that 1 in 40 samples exceeds", s.UpperQuantile(0.025), 0.4+1.96*0.5, 0.1)
+	near(t, "value that half of the samples exceed", s.UpperQuantile(0.5), s.Mean, 1e-9)
 }
 
 func TestLossRate(t *testing.T) {
 	var l Loss
-	near(t, "rate without answers is the prior", l.Rate(0.01, 20), 0.01, 1e-12)
+	near(t, "rate without answers", l.Rate(0.01, 20), 0.01, 1e-12)
 	for range 80 {
 		l.RecordAnswer()
 	}
@@ -63,21 +63,21 @@
 		l.RecordLoss(0.5)
 	}
 	near(t, "rate", l.Rate(0, 0), 0.1, 1e-12)
-	near(t, "rate shrunk to a prior that weighs as much", l.Rate(0.3, 100), 0.2, 1e-12)
+	near(t, "rate with a prior of equal weight", l.Rate(0.3, 100), 0.2, 1e-12)
 	l.RevertLoss(5)
-	near(t, "rate after half came after all", l.Rate(0, 0), 0.05, 1e-12)
+	near(t, "rate after half of the losses are reverted", l.Rate(0, 0), 0.05, 1e-12)
 	l.RevertLoss(100)
-	near(t, "lost is never less than none", l.Lost, 0, 0)
+	near(t, "lost answers after too many are reverted", l.Lost, 0, 0)
 	l.RecordLoss(1)
 	l.Decay(0.5)
-	near(t, "answers that are left", l.Outcomes, 50.5, 1e-12)
-	near(t, "losses that are left", l.Lost, 0.5, 1e-12)
+	near(t, "outcomes after decay", l.Outcomes, 50.5, 1e-12)
+	near(t, "lost answers after decay", l.Lost, 0.5, 1e-12)
 }
 
-func TestFloorStaysNearTheLowSamples(t *testing.T) {
+func TestFloorTracksLowQuantile(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var f Floor
-	near(t, "first sample over the level", f.Observe(2, 0), -floorMinStep, 1e-12)
+	near(t, "difference of the first sample", f.Observe(2, 0), -floorMinStep, 1e-12)
 	under := 0
 	for range 20000 {
 		if f.Observe(rng.Float64(), 0) < 0 {
@@ -87,7 +87,7 @@
 	near(t, "fraction of samples under the level", float64(under)/20000, 0.25, 0.05)
 }
 
-func TestHighRatioCoversFourInFive(t *testing.T) {
+func TestHighRatioCoversQuantile(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	ratio, covered := HighRatio(1), 0
 	for i := range 20000 {
@@ -100,10 +100,10 @@
 	near(t, "fraction covered", float64(covered)/19000, 0.8, 0.05)
 }
 
-func TestSelfWeightedMeanIsWhatAUnitMeets(t *testing.T) {
+func TestSelfWeightedMean(t *testing.T) {
 	var s SelfWeightedMean
 	if _, ok := s.Mean(); ok {
-		t.Error("a mean of nothing")
+		t.Error("got a mean without values")
 	}
 	for range 6 {
 		s.Add(0)
@@ -114,9 +114,9 @@
 	mean, ok := s.Mean()
 	near(t, "mean", mean, 2, 1e-12)
 	if !ok {
-		t.Error("no mean")
+		t.Error("got no mean of values with a positive sum")
 	}
 	s.Add(4)
 	mean, _ = s.Mean()
-	near(t, "mean with a loaded one", mean, (4*4+16)/12.0, 1e-12)
+	near(t, "mean with one larger value", mean, (4*4+16)/12.0, 1e-12)
 }
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -1,33 +1,34 @@
-// Package fairqueue is a queue in start-time fair order (Goyal, Vin and Cheng, SIGCOMM 1996) on two levels: classes
-// share the service by their weights, and the tenants of a class share what the class gets. The caller gives the
-// shares with each Pop, and the classes that may be served with each Head. All work is in one unit of the caller's.
+// Package fairqueue implements start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996) on two levels: classes
+// share the service by their weights, and the tenants of a class share the service of the class. The caller passes
+// the shares to each Pop, and the classes that are eligible for service to each Head. All work is in the same unit,
+// which the caller chooses.
 package fairqueue
 
 import "slices"
 
-// Queue holds items of type T. Its zero value has no classes; use New.
+// Queue holds items of type T. Its zero value has no classes; use New. It is not safe for concurrent use.
 type Queue[T comparable] struct {
 	classes     []classFlow[T]
-	virtualTime float64 // start tag of the class served last
+	virtualTime float64 // start tag of the class that was served last
 	length      int
 	threads     float64
 	work        float64
 }
 
-// classFlow is what waits of one class.
+// classFlow is the flow of one class.
 type classFlow[T comparable] struct {
-	startTag    float64 // of its next item
-	finishTag   float64 // of its last item served
-	virtualTime float64 // start tag of the tenant served last
+	startTag    float64 // start tag of the next item
+	finishTag   float64 // finish tag of the item that was served last
+	virtualTime float64 // start tag of the tenant that was served last
 	tenants     []tenantFlow[T]
 	work        float64
 	length      int
 }
 
-// tenantFlow is what waits of one tenant within a class, in order of arrival.
+// tenantFlow is the flow of one tenant within a class, in order of arrival.
 type tenantFlow[T comparable] struct {
-	startTag  float64 // of its next item
-	finishTag float64 // of its last item served
+	startTag  float64 // start tag of the next item
+	finishTag float64 // finish tag of the item that was served last
 	work      float64
 	items     []item[T]
 }
@@ -38,14 +39,14 @@
 	threads float64
 }
 
-// New returns an empty queue for some numbers of classes and tenants.
+// New returns an empty queue for a number of classes, each with a number of tenants.
 func New[T comparable](classes, tenants int) Queue[T] {
 	q := Queue[T]{}
 	q.Grow(classes, tenants)
 	return q
 }
 
-// Grow adds classes up to a number of them; those that exist stay as they are.
+// Grow adds classes until there are the given number. It doesn't change existing classes, and never removes one.
 func (q *Queue[T]) Grow(classes, tenants int) {
 	q.classes = slices.Grow(q.classes, max(0, classes-len(q.classes)))
 	for len(q.classes) < classes {
@@ -53,25 +54,25 @@
 	}
 }
 
-// Len is the number of items that wait.
+// Len returns the number of queued items.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Threads is the sum of the threads of all items that wait.
+// Threads returns the sum of the threads of all queued items.
 func (q *Queue[T]) Threads() float64 { return q.threads }
 
-// Work is the sum of the work of all items that wait.
+// Work returns the sum of the work of all queued items.
 func (q *Queue[T]) Work() float64 { return q.work }
 
-// ClassWork is the work that waits of one class.
+// ClassWork returns the queued work of one class.
 func (q *Queue[T]) ClassWork(class int) float64 { return q.classes[class].work }
 
-// TenantWork is the work that waits of one tenant within a class.
+// TenantWork returns the queued work of one tenant within a class.
 func (q *Queue[T]) TenantWork(class, tenant int) float64 {
 	return q.classes[class].tenants[tenant].work
 }
 
-// Push adds an item at the end of its tenant's flow. Its work is what its service will count for. A flow that was
-// empty starts at the virtual time, so that it claims no service for the time it was idle.
+// Push appends an item to its tenant's flow; work is the amount of service that the item will be charged. A flow that
+// was empty starts at the virtual time, so that it gains no credit for the time when it was idle.
 func (q *Queue[T]) Push(class, tenant int, value T, work, threads float64) {
 	flow := &q.classes[class]
 	subflow := &flow.tenants[tenant]
@@ -90,8 +91,9 @@
 	q.threads += threads
 }
 
-// Head returns the item with the smallest start tag: of the class first, of the tenant within it second. Classes that
-// are not eligible are skipped; nil stands for all classes.
+// Head returns the item with the smallest start tag: it selects the class first, and then the tenant within the
+// class. It skips classes that are not eligible; with a nil function, all classes are eligible. ok is false if no
+// eligible class has an item.
 func (q *Queue[T]) Head(eligible func(class int) bool) (value T, ok bool) {
 	var first *classFlow[T]
 	for i := range q.classes {
@@ -114,7 +116,7 @@
 	return firstTenant.items[0].value, true
 }
 
-// Pop serves the first item of a tenant's flow: the tags move by its work over the shares.
+// Pop removes the first item of a tenant's flow as served: the tags advance by its work over the shares.
 func (q *Queue[T]) Pop(class, tenant int, classShare, tenantShare float64) {
 	flow := &q.classes[class]
 	subflow := &flow.tenants[tenant]
@@ -126,11 +128,11 @@
 	q.removeAt(flow, subflow, 0)
 }
 
-// Remove takes an item out without service; the tags stay. It does nothing if the item does not wait.
+// Remove removes an item without serving it, and does not change the tags. It does nothing if the item is not queued.
 func (q *Queue[T]) Remove(class, tenant int, value T) {
 	flow := &q.classes[class]
 	subflow := &flow.tenants[tenant]
-	same := func(waiting item[T]) bool { return waiting.value == value }
+	same := func(queued item[T]) bool { return queued.value == value }
 	if i := slices.IndexFunc(subflow.items, same); i >= 0 {
 		q.removeAt(flow, subflow, i)
 	}
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -13,7 +13,8 @@
 	}
 }
 
-// item numbers are class*100 + tenant*10 + a running number.
+// backlog returns a queue with items for each tenant of each class. Items are numbered class*100 + tenant*10 + n,
+// where n counts the items of the tenant.
 func backlog(classes, tenants, each int) Queue[int] {
 	q := New[int](classes, tenants)
 	for n := range each {
@@ -33,7 +34,7 @@
 	for range 16 {
 		head, ok := q.Head(nil)
 		if !ok {
-			t.Fatal("the queue ran empty")
+			t.Fatal("the queue is empty")
 		}
 		class, tenant := head/100, head/10%10
 		q.Pop(class, tenant, classShares[class], tenantShares[tenant])
@@ -46,7 +47,7 @@
 	want(t, "items by tenant, shares 3 to 1", byTenant, [2]int{9, 3})
 }
 
-func TestOneTenantsItemsAreServedInOrder(t *testing.T) {
+func TestItemsOfOneTenantAreServedInOrder(t *testing.T) {
 	q := New[string](1, 1)
 	for _, value := range []string{"first", "second", "third"} {
 		q.Push(0, 0, value, 1, 1)
@@ -61,20 +62,20 @@
 	}
 }
 
-func TestAClassThatIsNotEligibleIsPassedOver(t *testing.T) {
+func TestHeadSkipsIneligibleClass(t *testing.T) {
 	q := backlog(2, 1, 1)
 	head, ok := q.Head(func(class int) bool { return class == 1 })
 	want(t, "head", head, 100)
 	want(t, "found", ok, true)
 	_, ok = q.Head(func(int) bool { return false })
-	want(t, "found where no class is eligible", ok, false)
+	want(t, "found with no eligible class", ok, false)
 }
 
-func TestSumsFollowWhatWaits(t *testing.T) {
+func TestSumsMatchQueuedItems(t *testing.T) {
 	q := backlog(2, 2, 2)
 	q.Push(1, 0, 7, 5, 4)
 	q.Remove(1, 0, 7)
-	q.Remove(1, 0, 7) // it no longer waits
+	q.Remove(1, 0, 7) // no longer queued: no effect
 	q.Pop(0, 1, 0.5, 0.5)
 	want(t, "length", q.Len(), 7)
 	want(t, "work", q.Work(), 7)
@@ -84,7 +85,7 @@
 	want(t, "work of the other class", q.ClassWork(1), 4)
 }
 
-func TestAFlowThatStaysBackloggedKeepsItsTag(t *testing.T) {
+func TestBackloggedFlowRetainsStartTag(t *testing.T) {
 	q := backlog(2, 2, 10)
 	shares := []float64{0.75, 0.25}
 	for range 16 {
@@ -98,7 +99,7 @@
 	want(t, "start tag", q.classes[1].startTag, before)
 }
 
-func TestRemovalCostsNothingAndIdleTimeGivesNoCredit(t *testing.T) {
+func TestRemovalIsFreeAndIdleTimeGivesNoCredit(t *testing.T) {
 	q := New[int](2, 1)
 	q.Push(0, 0, 1, 1, 1)
 	before := q.classes[0].startTag
@@ -111,17 +112,17 @@
 	}
 	q.Push(1, 0, 4, 1, 1)
 	if got := q.classes[1].startTag; got != q.virtualTime || got == 0 || math.IsInf(got, 0) {
-		t.Errorf("a class that was idle starts at %v, want the virtual time %v", got, q.virtualTime)
+		t.Errorf("start tag of a class that was idle: got %v, want the virtual time %v", got, q.virtualTime)
 	}
 }
 
-func TestGrowKeepsWhatWaits(t *testing.T) {
+func TestGrowRetainsQueuedItems(t *testing.T) {
 	q := backlog(1, 1, 1)
 	q.Grow(3, 1)
 	q.Push(2, 0, 200, 1, 1)
 	want(t, "length", q.Len(), 2)
 	head, _ := q.Head(func(class int) bool { return class == 2 })
-	want(t, "head of the class that came later", head, 200)
+	want(t, "head of an added class", head, 200)
 	q.Grow(1, 1)
-	want(t, "length after a call that asks for fewer", q.Len(), 2)
+	want(t, "length after Grow with fewer classes", q.Len(), 2)
 }
--- a/internal/rls/rls.go
+++ b/internal/rls/rls.go
@@ -1,5 +1,6 @@
-// Package rls is a self-tuning regulator. It fits the linear model y(k+1) = A y(k) + B u(k) by recursive least squares
-// with exponential forgetting, and solves for the input that minimises |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2: see
+// Package rls implements a self-tuning regulator. It fits the linear model y(k+1) = A y(k) + B u(k) by recursive least
+// squares with exponential forgetting, and solves for the input that minimises
+// |y(k+1) - yref|^2 + |q (u(k) - u(k-1))|^2: see
 // "Proteus" (Karlsson and Karamanolis, Middleware 2006), sections 3.1 and 3.2.
 package rls
 
@@ -10,33 +11,33 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Config holds the constants of a regulator.
+// Config holds the parameters of a regulator.
 type Config struct {
-	OutputsPerGroup   int     // a group without an observation keeps its fit
-	Groups            int     // of outputs
+	OutputsPerGroup   int     // outputs that are observed together; a group without an observation retains its fit
+	Groups            int     // number of groups of outputs
 	InputPenalty      float64 // q, the penalty on changes of the input
-	InitialGain       float64 // first value on the diagonals of A and B
-	InitialCovariance float64 // first variance of each coefficient
-	ForgettingFactor  float64 // weight of the past after one interval, at most 1
-	MaxTrace          float64 // of a covariance: without observations, forgetting lets it grow no further
+	InitialGain       float64 // initial value on the diagonals of A and B
+	InitialCovariance float64 // initial variance of each coefficient
+	ForgettingFactor  float64 // weight of earlier observations after one interval, at most 1
+	MaxTrace          float64 // trace of a covariance matrix beyond which forgetting no longer scales it up
 }
 
-// DefaultConfig returns the constants of section 3.2; the groups and the penalty are its caller's.
+// DefaultConfig returns the parameters of section 3.2. The caller sets the groups and the penalty.
 func DefaultConfig() Config {
 	return Config{InitialGain: 0.5, InitialCovariance: 10, ForgettingFactor: 0.98, MaxTrace: 1e4}
 }
 
-// Regulator is one fit with its last output and input.
+// Regulator holds a fitted model with its last output and input. It is not safe for concurrent use.
 type Regulator struct {
 	config       Config
 	output       []float64    // y
 	input        []float64    // u
 	coefficients *mat.Dense   // [A B]
 	covariance   []*mat.Dense // of the coefficients, one for each group
-	observed     bool         // the output was observed in the interval before
+	observed     bool         // the output of the previous interval was observed
 }
 
-// New returns a regulator that starts at the input u.
+// New returns a regulator with the initial input u.
 func New(cfg Config, u []float64) *Regulator {
 	outputs, inputs := cfg.OutputsPerGroup*cfg.Groups, len(u)
 	r := &Regulator{
@@ -59,10 +60,10 @@
 	return r
 }
 
-// Input is the input of the current interval.
+// Input returns the input of the current interval.
 func (r *Regulator) Input() []float64 { return r.input }
 
-// SetInput replaces the input that the last Decide returned by the one that is applied.
+// SetInput replaces the input that the last Decide returned by the input that is actually applied.
 func (r *Regulator) SetInput(u []float64) { r.input = slices.Clone(u) }
 
 // Coefficients returns a copy of the fitted [A B], row by row.
@@ -70,7 +71,7 @@
 	return slices.Clone(r.coefficients.RawMatrix().Data)
 }
 
-// PredictOutput predicts output i at the input u.
+// PredictOutput returns the predicted output i at the input u.
 func (r *Regulator) PredictOutput(i int, u []float64) float64 {
 	coefficients := r.coefficients.RawRowView(i)
 	sum := 0.0
@@ -83,7 +84,7 @@
 	return sum
 }
 
-// Predict predicts all outputs at the input u.
+// Predict returns all predicted outputs at the input u.
 func (r *Regulator) Predict(u []float64) []float64 {
 	out := make([]float64, len(r.output))
 	for i := range out {
@@ -95,15 +96,15 @@
 // Interrupt ends the sequence of intervals: the next Observe starts a new one and fits nothing.
 func (r *Regulator) Interrupt() { r.observed = false }
 
-// Restart starts a new sequence of intervals at an output, without a fit to it.
+// Restart starts a new sequence of intervals with the output y, without fitting the model to y.
 func (r *Regulator) Restart(y []float64) { r.output, r.observed = y, true }
 
-// Observe takes the outputs of one interval and fits the groups that were seen to them.
-func (r *Regulator) Observe(y []float64, seen []bool) {
+// Observe fits the model to the outputs y of one interval, for each group that was observed.
+func (r *Regulator) Observe(y []float64, observedGroups []bool) {
 	if r.observed {
 		phi := mat.NewVecDense(len(r.output)+len(r.input), append(slices.Clone(r.output), r.input...))
 		for group := range r.covariance {
-			if seen[group] {
+			if observedGroups[group] {
 				r.fitGroup(group, phi, y)
 			}
 		}
@@ -111,8 +112,8 @@
 	r.Restart(y)
 }
 
-// fitGroup is the step of recursive least squares for one group: phi holds the outputs and inputs of the
-// interval before, y the outputs that followed.
+// fitGroup performs one step of recursive least squares for a group: phi holds the outputs and inputs of the previous
+// interval, y the outputs of this one.
 func (r *Regulator) fitGroup(group int, phi *mat.VecDense, y []float64) {
 	p := r.covariance[group]
 	var pPhi, gain mat.VecDense
@@ -133,8 +134,8 @@
 	}
 }
 
-// Decide solves (B'B + q^2) u = B'(yref - A y) + q^2 u(k-1) for the target yref, and clamps u to [low, high]. If there
-// is no solution the input stays.
+// Decide returns the next input: the solution u of (B'B + q^2) u = B'(yref - A y) + q^2 u(k-1) for the target yref,
+// clamped to [low, high]. Without a solution, the input does not change.
 func (r *Regulator) Decide(target []float64, low, high float64) []float64 {
 	outputs, inputs := len(r.output), len(r.input)
 	b := r.coefficients.Slice(0, outputs, outputs, outputs+inputs)
--- a/internal/rls/rls_test.go
+++ b/internal/rls/rls_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// y(k+1) = A y(k) + B u(k) with known A and B is found, and u then brings y to its target.
-func TestRegulatorConvergesOnAKnownSystem(t *testing.T) {
+// The regulator must fit the A and B of a known system y(k+1) = A y(k) + B u(k), and then control y to its target.
+func TestRegulatorConvergesOnKnownSystem(t *testing.T) {
 	regulator := New(Config{
 		OutputsPerGroup: 1, Groups: 1, InputPenalty: 0.1, InitialGain: 0.5, InitialCovariance: 10,
 		ForgettingFactor: 0.98, MaxTrace: 1e4,
@@ -41,8 +41,9 @@
 	}
 }
 
-// Whatever noise comes, and while a group is not seen, inputs and covariances stay within their limits.
-func TestRegulatorStaysBoundedUnderSilenceAndNoise(t *testing.T) {
+// Inputs and covariances must stay within their bounds, whatever the noise, also while a group is not observed: its
+// covariance would otherwise grow without bound by forgetting.
+func TestRegulatorStaysBoundedUnderNoiseAndMissingObservations(t *testing.T) {
 	regulator := New(Config{
 		OutputsPerGroup: 2, Groups: 2, InputPenalty: 0.5, InitialGain: 0.5, InitialCovariance: 10,
 		ForgettingFactor: 0.98, MaxTrace: 1e4,
@@ -54,20 +55,20 @@
 			regulator.Restart(y)
 		} else {
 			fit := regulator.coefficients.At(2, 2)
-			regulator.Observe(y, []bool{true, i < 50}) // the second group is no longer seen
+			regulator.Observe(y, []bool{true, i < 50}) // the second group is no longer observed
 			if i > 50 && regulator.coefficients.At(2, 2) != fit {
-				t.Fatal("a group that was not seen was updated")
+				t.Fatal("a group without an observation was updated")
 			}
 		}
 		for _, u := range regulator.Decide([]float64{1, 1, 1, 1}, 0.05, 1) {
 			if math.IsNaN(u) || u < 0.05 || u > 1 {
-				t.Fatalf("u=%v", u)
+				t.Fatalf("u=%v, want it in [0.05, 1]", u)
 			}
 		}
 	}
 	for _, p := range regulator.covariance {
 		if tr := p.At(0, 0) + p.At(1, 1); math.IsNaN(tr) || tr > regulator.config.MaxTrace {
-			t.Fatalf("covariance %v", tr)
+			t.Fatalf("first two variances sum to %v, want at most %v", tr, regulator.config.MaxTrace)
 		}
 	}
 }
