--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/control/admission"
 )
 
-func TestPressureRejectsWhatCannotMeetItsObjective(t *testing.T) {
+func TestRequestsThatMissTheirObjectiveAreRejectedUnderPressure(t *testing.T) {
 	h := newHarnessUnderPressure(t)
 	rejected := 0
 	for range 200 {
@@ -19,12 +19,13 @@
 	e := h.controller.endpoints.all[0]
 	inFlight, limit := e.concurrency.ThreadsInFlight(), e.concurrency.Limit()
 	if float64(inFlight) > limit || rejected == 0 {
-		t.Fatalf("%d threads under a limit of %.1f, %d rejected", inFlight, limit, rejected)
+		t.Fatalf("%d threads in flight, want at most the limit of %.1f; %d requests rejected, want at least 1",
+			inFlight, limit, rejected)
 	}
 }
 
-// Under pressure, a tenant that keeps within its share is not rejected for the queue of another that exceeds
-// its own.
+// Under pressure, a tenant within its share is not rejected because of the queue of a tenant that exceeds its
+// own share.
 func TestTenantWithinItsShareIsNotRejectedForAnother(t *testing.T) {
 	h := newHarnessUnderPressure(t)
 	rejected := 0
@@ -34,36 +35,36 @@
 	}
 	_, got := h.submit("quick", func(q *Request) { q.Tenant = "t1" })
 	if other := countOf[Reject](got); rejected == 0 || other > 0 {
-		t.Fatalf("%d of the one that asks too much were rejected, and %d of the other", rejected, other)
+		t.Fatalf("%d requests of the tenant over its share were rejected, want at least 1; %d of the other, want 0",
+			rejected, other)
 	}
 }
 
-// Requests of an unknown tenant are charged to no tenant of the settings, and queue behind no share but their
-// own.
-func TestUnknownTenantIsChargedToNoOther(t *testing.T) {
+// Requests of an unknown tenant are not charged to any tenant of the settings and have a share of their own.
+func TestUnknownTenantIsNotChargedToOtherTenants(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	for _, name := range []string{"nobody", "", "t0"} {
 		_, got := h.submit("quick", func(q *Request) { q.Tenant = name })
 		requireEqual(t, "sent for "+name, countOf[SendAttempt](got), 1)
 	}
 	tenants := h.controller.workload.Tenants()
-	requireEqual(t, "charged to t0", tenants.Arrivals(0), 1)
-	requireEqual(t, "charged to t1", tenants.Arrivals(1), 0)
-	requireEqual(t, "charged to the unknown", tenants.Arrivals(2), 2)
-	requireEqual(t, "share of the unknown", tenants.Share(2), 0.25)
+	requireEqual(t, "requests charged to t0", tenants.Arrivals(0), 1)
+	requireEqual(t, "requests charged to t1", tenants.Arrivals(1), 0)
+	requireEqual(t, "requests charged to unknown tenants", tenants.Arrivals(2), 2)
+	requireEqual(t, "share of unknown tenants", tenants.Share(2), 0.25)
 }
 
-// Where engines are pooled, a request that cannot meet its objective is rejected at once and without a load
-// probe.
+// Where engines are pooled, a request that cannot meet its objective is rejected immediately, without load
+// probes.
 func TestRejectedRequestIsNotProbedFor(t *testing.T) {
 	s := pooledSettings()
 	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
 	h := newPooledHarness(t, s, 60)
 	h.advance(2 * controlInterval)
 	rejected, probedFor := 0, 0
-	for range 400 { // nothing is answered: the pool's queue grows until requests cannot meet their objective
+	for range 400 { // without responses, the pool's queue grows until requests cannot meet their objective
 		id, got := h.submit("long")
-		for _, f := range actionsOf[Reject](got) { // at once: in the batch in which it arrives
+		for _, f := range actionsOf[Reject](got) { // immediately: in the batch in which it arrives
 			if f.RequestID == id {
 				rejected++
 				probedFor += min(1, countOf[ProbeLoad](got))
@@ -72,20 +73,21 @@
 		h.advance(10 * ms)
 	}
 	if rejected < 100 || probedFor > 0 {
-		t.Fatalf("of %d requests rejected at once, %d were probed for", rejected, probedFor)
+		t.Fatalf("%d requests rejected immediately, want at least 100; %d of them caused probes, want 0",
+			rejected, probedFor)
 	}
 }
 
-// workKinds is how many kinds of requests a mixedLoad has: kind n takes 0.1 s of work times two to the power of n.
+// workKinds is the number of kinds of requests of a mixedLoadHarness. Kind n has 0.1 s * 2^n of work.
 const workKinds = 6
 
 func workOf(kind int) time.Duration { return time.Duration(100<<kind) * ms }
 
-// mixedLoadHarness is a rig whose requests are light and heavy, and whose engines serve all attempts.
+// mixedLoadHarness is a harness with light and heavy requests, whose engines complete all attempts.
 type mixedLoadHarness struct {
 	*harness
-	kinds    map[string]int           // of requests, by ID
-	endAt    map[string]time.Duration // of attempts in flight, by the ID of their request
+	kinds    map[string]int           // kinds of requests by ID
+	endAt    map[string]time.Duration // end times of attempts in flight by request ID
 	rejected [workKinds]int
 }
 
@@ -117,41 +119,41 @@
 	}
 }
 
-// Short of capacity, the heaviest of requests with the same weight are rejected first, by the admission
-// price. Where the weight grows with the work there is no such price, and with headroom it falls back to its
-// minimum.
+// When capacity is short, the admission price rejects the heaviest of requests with the same weight first. It
+// does not apply where the weight scales with the work, and it falls to its minimum when there is headroom.
 func TestHeaviestRequestsAreRejectedFirst(t *testing.T) {
-	for name, byWork := range map[string]bool{"weights by class": false, "weights by work": true} {
+	for name, byWork := range map[string]bool{"weight by class": false, "weight scales with work": true} {
 		t.Run(name, func(t *testing.T) {
 			s := fleetSettings()
 			s.WeightScalesWithWork, s.Limits.LoadProbes = byWork, false
 			h := newPooledHarness(t, s, 60)
 			h.advance(2 * controlInterval)
 			load := &mixedLoadHarness{harness: h, kinds: map[string]int{}, endAt: map[string]time.Duration{}}
-			for i := range 1200 { // 10 s of work a second on two threads, for a broker with capacity for a tenth
+			for i := range 1200 { // 10 s of work per second on two threads, ten times the broker's capacity
 				load.submitKind(i * 5 % workKinds)
 			}
 			rejected := load.rejected
 			if !byWork && rejected[5] < 4*(rejected[0]+1) {
-				t.Errorf("rejected, from the lightest to the heaviest: %v", rejected)
+				t.Errorf("rejections from the lightest to the heaviest kind: %v, want over 4 times as many of the heaviest",
+					rejected)
 			}
 			heaviest := &request{class: h.controller.classes.all[0], expectedWork: 1e6}
 			if byWork && h.controller.exceedsAdmissionPrice(heaviest) {
-				t.Error("where the weight grows with the work, a request exceeded the admission price")
+				t.Error("a request exceeded the admission price though its weight scales with its work")
 			}
 			highest := h.controller.price
 			h.advance(100 * controlInterval)
 			requireEqual(t, "price with headroom", h.controller.price, admission.NewPrice())
 			if highest == admission.NewPrice() {
-				t.Errorf("the price never rose: %v", highest)
+				t.Errorf("price %v under overload, want more than the initial price", highest)
 			}
 		})
 	}
 }
 
-// Once most clients disconnect before their deadline, the objective ends when they do; it recovers once clients
-// stay.
-func TestClientPatienceIsLearned(t *testing.T) {
+// Once most clients disconnect before their deadline, the objective ends at the time at which they do. It
+// recovers once clients stay connected.
+func TestObjectiveFollowsClientDisconnects(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	objective := func() time.Duration {
 		id, _ := h.submit("quick")
@@ -160,47 +162,48 @@
 		return left
 	}
 	before := objective()
-	leave := func() {
+	disconnect := func() {
 		id, _ := h.submit("quick")
 		h.advance(200 * ms)
 		h.handle(ClientDisconnected{RequestID: id})
 		h.endAttempt(id, 0, OK)
 	}
 	for range 50 {
-		leave()
+		disconnect()
 		for range 9 {
 			if got := objective(); got < 500*ms {
-				t.Fatalf("objective in %v, though most clients stay", got)
+				t.Fatalf("objective ends in %v, want at least 500ms while most clients stay", got)
 			}
 		}
 	}
 	for range 50 {
-		leave()
+		disconnect()
 	}
 	if got := objective(); got < 150*ms || got > 250*ms {
-		t.Fatalf("objective in %v, want the 200ms that clients stay (before %v)", got, before)
+		t.Fatalf("objective ends in %v, want about 200ms, after which clients disconnect (initially %v)", got, before)
 	}
 	for range 200 {
 		objective()
 	}
 	if got := objective(); got < 500*ms {
-		t.Fatalf("objective in %v, want it as set: clients stay", got)
+		t.Fatalf("objective ends in %v, want at least 500ms once clients stay again", got)
 	}
 }
 
-// Where clients follow a time to retry after, each rejection gives one, within what the settings allow.
-func TestRejectionGivesATimeToRetryAfter(t *testing.T) {
-	for name, retryAfter := range map[string]bool{"where clients follow it": true, "where they don't": false} {
+// Where the settings enable it, each rejection includes a delay before a retry, within the configured
+// maximum.
+func TestRejectionIncludesRetryAfterWhereConfigured(t *testing.T) {
+	for name, retryAfter := range map[string]bool{"enabled": true, "disabled": false} {
 		t.Run(name, func(t *testing.T) {
 			s := baseSettings()
 			s.Limits.RetryAfter, s.Limits.MaxRetryAfter = retryAfter, 500*ms
-			h := newHarness(t, s) // without an engine
+			h := newHarness(t, s) // without engines
 			h.submit("quick")
 			rejected := actionsOf[Reject](h.advance(5 * time.Second))
 			requireEqual(t, "rejections", len(rejected), 1)
 			got := rejected[0].RetryAfter
 			if retryAfter && (got < 250*ms || got > 500*ms) || !retryAfter && got != 0 {
-				t.Errorf("retry after %v", got)
+				t.Errorf("retry after %v, want 250ms to 500ms if enabled (%v), else 0", got, retryAfter)
 			}
 		})
 	}
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -16,13 +16,13 @@
 	"wheatlane/internal/loadfields"
 )
 
-// deployment is the settings of a deployment and the layout of its engines' load reports.
+// deployment holds the settings of a deployment and the layout of its engines' load reports.
 type deployment struct {
 	control.Settings
 	loadReport loadfields.Layout
 }
 
-// siteSettings reads the settings that a broker of a deployment is given.
+// siteSettings reads the settings of a broker of a deployment from testdata.
 func siteSettings(tb testing.TB, name string) deployment {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings", name+".json"))
@@ -36,7 +36,7 @@
 	return deployment{settings.Control, settings.LoadReport}
 }
 
-// drawnSettings draws every switch that a deployment may set.
+// drawnSettings returns settings in which every option of a deployment is drawn at random.
 func drawnSettings(seed uint64) deployment {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func() bool { return rng.IntN(2) == 0 }
@@ -54,7 +54,7 @@
 			OverloadMultiple: 2, OverloadWindow: 2 * time.Second, KeyCooldown: 300 * millisecond,
 		},
 	}}
-	if flip() { // so many that engines are pooled
+	if flip() { // so many brokers that engines are pooled
 		s.Brokers = 40 + rng.IntN(300)
 	}
 	s.BrokerIndex = rng.IntN(s.Brokers)
@@ -112,10 +112,10 @@
 	name     string
 	settings func(tb testing.TB) deployment
 	engines  int
-	seeds    uint64 // so many worlds, each with its seed
+	seeds    uint64 // number of simulated clusters, each with its own seed
 	length   time.Duration
-	want     string // the hash
-	lossy    bool   // engines lose many answers and have faults often
+	want     string // recorded hash
+	lossy    bool   // engines lose many responses and have frequent faults
 }
 
 func siteDeployment(name string, change func(s *control.Settings)) func(testing.TB) deployment {
@@ -133,7 +133,7 @@
 	return func(testing.TB) deployment { return drawnSettings(seed) }
 }
 
-// withBrokers has a site's engines shared by so many brokers that they are pooled.
+// withBrokers returns a change that sets the number of brokers, so that the site's engines are pooled.
 func withBrokers(brokers int) func(*control.Settings) {
 	return func(s *control.Settings) { s.Brokers, s.BrokerIndex = brokers, brokers/3 }
 }
@@ -165,19 +165,20 @@
 			length: 60 * time.Second, want: "a32083e2c39f08245fca2485d055b7357f0bf8a3af53242003b16d5c80bd28c9",
 		},
 		{
-			name: "reykjavik, losing answers", settings: siteDeployment("reykjavik", nil), engines: 7, seeds: 2,
+			name: "reykjavik, losing responses", settings: siteDeployment("reykjavik", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "bbd412f85ab0d17d0ff480c57ea77a1c006679fc11af4017b03f1617ad801226", lossy: true,
 		},
 		{
-			name: "hobart, losing answers", settings: siteDeployment("hobart", nil), engines: 7, seeds: 2,
+			name: "hobart, losing responses", settings: siteDeployment("hobart", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "a25b8054a1727196f5cfb253291b1d5eae6c02bfa8e66b10c8c4eca269186a7a", lossy: true,
 		},
 		{
-			name: "shortline, losing answers", settings: siteDeployment("shortline", nil), engines: 7, seeds: 2,
+			name: "shortline, losing responses", settings: siteDeployment("shortline", nil), engines: 7, seeds: 2,
 			length: 60 * time.Second, want: "bff4ce9299fa9c0d2d5a054b2327363961864f0c4b358e77b466fcddb88ed5c4", lossy: true,
 		},
 		{
-			name: "a fleet of 40 at ledger, losing answers", settings: siteDeployment("ledger", withBrokers(40)), engines: 40, seeds: 2,
+			name:     "a fleet of 40 at ledger, losing responses",
+			settings: siteDeployment("ledger", withBrokers(40)), engines: 40, seeds: 2,
 			length: 60 * time.Second, want: "e58139c2da7729032c6e457f9a6c6a152f6511190d822b60f08e96af00338a64", lossy: true,
 		},
 	}
@@ -195,7 +196,7 @@
 	return cases
 }
 
-// drawnHashes are the hashes of the drawn settings, by their seed.
+// drawnHashes holds the recorded hashes of the drawn settings, by seed.
 var drawnHashes = [...]string{
 	"0960ef88e15a3a42c572a95cfeafc6fb751e42637c8d12fd74f56791ee27c14a",
 	"82e3ca594438db95501159bff699148f863828769a64ccd37afa487f1a8dffd6",
--- a/control/behavior_test.go
+++ b/control/behavior_test.go
@@ -14,16 +14,16 @@
 	"wheatlane/control"
 )
 
-// encoder hashes what the module does without any name of a type or field: kinds by the numbers given here,
-// values in the order of fields, floats bit by bit.
+// encoder hashes actions independently of the names of types and fields: kinds are encoded as the numbers of
+// kindOf, structs as the values of their fields in order, and floats by their bits.
 type encoder struct {
 	hash.Hash
-	kinds [numberOfKinds]int // actions seen of each kind
+	kinds [numberOfKinds]int // number of actions of each kind
 }
 
 const (
 	numberOfKinds = 11
-	logKind       = 10 // of all actions that are lines for the operators
+	noticeKind    = 10 // kind of all notices to the operators
 )
 
 func (e *encoder) number(v uint64) {
@@ -67,7 +67,7 @@
 	kind := kindOf(a)
 	e.kinds[kind]++
 	e.number(uint64(kind))
-	if kind != logKind { // the contents of a line are no decision; that there is one is
+	if kind != noticeKind { // that a notice is emitted is a decision, but its contents are not
 		e.value(reflect.ValueOf(a))
 	}
 }
@@ -93,12 +93,12 @@
 	case control.WatchEndpoints:
 		return 9
 	case control.EngineEjected, control.EngineRestored:
-		return logKind
+		return noticeKind
 	}
-	panic(fmt.Sprintf("no number for %T", action))
+	panic(fmt.Sprintf("no kind for an action of type %T", action))
 }
 
-// run runs a case and returns its hash and what was done how often.
+// run simulates a case and returns the hash of the decisions and the number of actions by kind.
 func (c recordedCase) run(tb testing.TB) (string, [numberOfKinds]int) {
 	tb.Helper()
 	e := &encoder{Hash: sha256.New()}
@@ -124,17 +124,17 @@
 	return fmt.Sprintf("%x", e.Sum(nil)), e.kinds
 }
 
-// TestDecisionsMatchRecordedHashes holds the decisions as they were when these hashes were written, over
-// worlds with faults, drains, restarts, lost answers, cancels, reloads, maintenance and other brokers'
-// reports. A change that is not meant to change a decision leaves them as they are; the floats behind them
-// are those of amd64, where no multiplication is fused with an addition.
+// TestDecisionsMatchRecordedHashes guards against unintended changes of decisions: it compares them with
+// recorded hashes over simulated clusters with faults, drains, restarts, lost responses, cancellations,
+// reloads, maintenance and gossip. The hashes depend on the floating-point results of amd64, where no
+// multiplication is fused with an addition.
 func TestDecisionsMatchRecordedHashes(t *testing.T) {
 	var kinds [numberOfKinds]int
 	for _, c := range recordedCases() {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			got, seen := c.run(t)
 			if got != c.want {
-				t.Errorf("hash %s, on record %s; actions by kind: %v", got, c.want, seen)
+				t.Errorf("hash %s, want %s; actions by kind: %v", got, c.want, seen)
 			}
 			for i, n := range seen {
 				kinds[i] += n
@@ -143,7 +143,7 @@
 	}
 	for kind, n := range kinds[1:] {
 		if n < 50 {
-			t.Errorf("%d actions of kind %d: too few to pin it", n, kind+1)
+			t.Errorf("%d actions of kind %d, want at least 50 for a meaningful hash", n, kind+1)
 		}
 	}
 }
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -7,9 +7,9 @@
 	"wheatlane/control"
 )
 
-// recording is what the module was given in a world in which nothing goes wrong, to be given again to fresh
-// controllers: equal settings, seeds and events give equal actions, so the loop stays closed and only the
-// module is measured.
+// recording holds the input of a controller in a simulated cluster without faults. The benchmark replays it
+// to new controllers, so that only the controller is measured: equal settings, seeds and events give equal
+// actions, so the recorded events still match the actions.
 type recording struct {
 	settings deployment
 	seed     uint64
@@ -35,8 +35,8 @@
 	return n
 }
 
-// BenchmarkRequest measures what a request costs in the module from its arrival to its answer, with its part
-// of the timers and intervals, at three quarters and at one and a half times the engines' capacity.
+// BenchmarkRequest measures the cost of a request in the controller from its arrival to its response,
+// including its share of timers and intervals, at 0.75 and 1.5 times the engines' capacity.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name    string
@@ -58,13 +58,13 @@
 			b.ResetTimer()
 			for done := 0; done < b.N; {
 				b.StopTimer()
-				module, err := control.New(r.settings.Settings, r.seed)
+				controller, err := control.New(r.settings.Settings, r.seed)
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
 				for i := 0; i < len(r.batches) && done < b.N; i++ {
-					module.Handle(r.batches[i].now, r.batches[i].events)
+					controller.Handle(r.batches[i].now, r.batches[i].events)
 					done += requestsIn(r.batches[i].events)
 				}
 			}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -21,9 +21,9 @@
 	requireEqual(t, "contains an unknown class", table.contains(Class{Name: "other"}), false)
 	table.add(changed, &w)
 	requireEqual(t, "contains the changed class", table.contains(changed), true)
-	requireEqual(t, "contains the class before the change", table.contains(quick), false)
+	requireEqual(t, "contains the previous settings of the class", table.contains(quick), false)
 	requireEqual(t, "index of the changed class", table.byName["quick"], 2)
 	requireEqual(t, "threads of the widest class", table.maxThreads, 4)
 	requireEqual(t, "lowest weight", table.lowestWeight, 1)
-	requireEqual(t, "tightest objective", table.shortestObjective.LatencyObjective, time.Second)
+	requireEqual(t, "shortest objective", table.shortestObjective.LatencyObjective, time.Second)
 }
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -12,12 +12,12 @@
 func TestNewRejectsUnusableSettings(t *testing.T) {
 	classes := []Class{{Name: "x"}}
 	for name, s := range map[string]Settings{
-		"nothing set":          {},
-		"no classes":           {Brokers: 1},
-		"no brokers":           {Classes: classes},
-		"negative index":       {Classes: classes, Brokers: 2, BrokerIndex: -1},
-		"index of no broker":   {Classes: classes, Brokers: 2, BrokerIndex: 2},
-		"less than no brokers": {Classes: classes, Brokers: -1},
+		"zero value":                 {},
+		"no classes":                 {Brokers: 1},
+		"no brokers":                 {Classes: classes},
+		"negative broker index":      {Classes: classes, Brokers: 2, BrokerIndex: -1},
+		"broker index out of range":  {Classes: classes, Brokers: 2, BrokerIndex: 2},
+		"negative number of brokers": {Classes: classes, Brokers: -1},
 	} {
 		if _, err := New(s, 1); !errors.Is(err, ErrInvalidSettings) {
 			t.Errorf("%s: got error %v, want %v", name, err, ErrInvalidSettings)
@@ -26,13 +26,13 @@
 }
 
 func TestRequestIsAnsweredOnceByItsDeadline(t *testing.T) {
-	h := newHarness(t, baseSettings()) // without engines nothing can be sent
+	h := newHarness(t, baseSettings()) // without engines, no attempt can be sent
 	id, _ := h.submit("quick")
 	got := h.advance(5 * time.Second)
 	requireEqual(t, "rejections", countOf[Reject](got), 1)
-	requireEqual(t, "request", actionsOf[Reject](got)[0].RequestID, id)
+	requireEqual(t, "rejected request", actionsOf[Reject](got)[0].RequestID, id)
 	requireEqual(t, "sends", countOf[SendAttempt](got), 0)
-	requireEqual(t, "kept", len(h.controller.requests.byID), 0)
+	requireEqual(t, "remaining requests", len(h.controller.requests.byID), 0)
 }
 
 func TestAnsweredRequestIsReleased(t *testing.T) {
@@ -41,16 +41,16 @@
 	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
 	h.endAttempt(id, 0, OK)
 	got = h.advance(4 * time.Second)
-	requireEqual(t, "answers of its own", countOf[Reject](got)+countOf[Fail](got), 0)
-	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
-	requireEqual(t, "threads", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
+	requireEqual(t, "rejections and failures", countOf[Reject](got)+countOf[Fail](got), 0)
+	requireEqual(t, "remaining requests", len(h.controller.requests.byID), 0)
+	requireEqual(t, "threads in flight", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
 }
 
 func TestAttemptOptionsOnlyWhereSupported(t *testing.T) {
 	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	_, got := h.submit("quick", mem)
-	requireEqual(t, "options where none is applied", countOf[SetAttemptOptions](got), 0)
+	requireEqual(t, "options where engines apply none", countOf[SetAttemptOptions](got), 0)
 	s := baseSettings()
 	s.MemoryGrants, s.Priorities = true, true
 	h = newHarness(t, s, readyEngine("e1"))
@@ -77,24 +77,24 @@
 		EndpointUpdate{Kind: EndpointDelta},
 	)
 	requireEqual(t, "actions", len(got), 0)
-	requireEqual(t, "empty batch", len(h.controller.Handle(h.now, nil)), 0)
+	requireEqual(t, "actions for an empty batch", len(h.controller.Handle(h.now, nil)), 0)
 	got = h.handle(RequestReceived{Request: Request{ID: "x", Class: "unknown", Deadline: h.now + time.Second}})
-	requireEqual(t, "a class nobody named", got[0], Action(Fail{RequestID: "x"}))
+	requireEqual(t, "action for an unknown class", got[0], Action(Fail{RequestID: "x"}))
 }
 
 func TestTimeNeverGoesBackwards(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
-	was := h.controller.now
+	previous := h.controller.now
 	h.now -= time.Minute
-	_, got := h.submit("quick", func(q *Request) { q.Deadline = was + time.Second })
-	requireEqual(t, "now", h.controller.now, was)
-	requireEqual(t, "sent", countOf[SendAttempt](got), 1)
+	_, got := h.submit("quick", func(q *Request) { q.Deadline = previous + time.Second })
+	requireEqual(t, "now", h.controller.now, previous)
+	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
 }
 
-// After a standstill of the process, outcomes are handled before new requests and timers: no attempt is
-// judged lost whose answer is at hand, nothing is sent for a client that has disconnected, and a request past
-// its deadline is rejected.
-func TestStandstillHandlesOutcomesFirst(t *testing.T) {
+// After a process pause, outcomes are handled before new requests and timers: no attempt whose end is in the
+// batch is presumed lost, nothing is sent for a client that has disconnected, and a request past its deadline
+// is rejected.
+func TestOutcomesAreHandledFirstAfterAProcessPause(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Hedging = true
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
@@ -120,14 +120,14 @@
 	)
 	got = h.handle(evs...)
 	sends := actionsOf[SendAttempt](got)
-	requireEqual(t, "sends", len(sends) == 1 && sends[0].RequestID == "open", true)
-	requireEqual(t, "answers presumed lost", h.controller.outliers.Losses(), 0.0)
+	requireEqual(t, "only the open request is sent", len(sends) == 1 && sends[0].RequestID == "open", true)
+	requireEqual(t, "responses presumed lost", h.controller.outliers.Losses(), 0.0)
 	answers := actionsOf[Reject](append(got, h.advance(50*ms)...))
-	requireEqual(t, "rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
+	requireEqual(t, "only the late request is rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
 }
 
-// Thousands of requests at once, a list of hundreds of engines, one engine twice in an update, then no
-// engine: each request is answered once.
+// Each request is answered once with thousands of requests in one batch, hundreds of engines, an engine twice
+// in one update, and finally no engines.
 func TestManyRequestsAtOnceAreAnsweredOnceEach(t *testing.T) {
 	h := newPooledHarness(t, pooledSettings(), 300)
 	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{readyEngine("e01"), readyEngine("e01")}})
@@ -141,20 +141,20 @@
 	}
 	h.handle(evs...)
 	h.advance(500 * ms)
-	h.handle(EndpointUpdate{Kind: EndpointSnapshot}) // none left
+	h.handle(EndpointUpdate{Kind: EndpointSnapshot}) // no engines left
 	h.advance(6 * time.Second)
 	answers := map[string]int{}
 	for _, a := range actionsOf[Reject](h.actions) {
 		answers[a.RequestID]++
 	}
-	requireEqual(t, "answered", len(answers), count)
+	requireEqual(t, "answered requests", len(answers), count)
 	for id, n := range answers {
-		requireEqual(t, id, n, 1)
+		requireEqual(t, "answers to "+id, n, 1)
 	}
 	for _, a := range actionsOf[SendAttempt](h.actions) {
 		h.endAttempt(a.RequestID, 0, TimedOut)
 	}
-	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
+	requireEqual(t, "remaining requests", len(h.controller.requests.byID), 0)
 }
 
 func BenchmarkHandle(b *testing.B) {
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -9,8 +9,9 @@
 	"wheatlane/control/shares"
 )
 
-// An overloaded engine sends no answers: the age of what is in flight keeps up the pressure.
-func TestOverloadWithoutAnswersHoldsTheLimit(t *testing.T) {
+// An overloaded engine may send no responses at all. The age of its attempts in flight then indicates
+// pressure, so that the concurrency limit holds.
+func TestLimitHoldsWithoutResponsesFromAnOverloadedEngine(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	sent := 0
 	for range 200 {
@@ -25,12 +26,12 @@
 		sent += countOf[SendAttempt](h.advance(5 * ms))
 	}
 	if sent-early > 4 {
-		t.Fatalf("%d more sent to an overloaded engine (%d before it showed)", sent-early, early)
+		t.Fatalf("%d more attempts sent to an overloaded engine, want at most 4 (%d before)", sent-early, early)
 	}
 }
 
-// Long requests fill the concurrency limit for seconds. Quick ones, whose weight is higher for their work,
-// must not wait or be rejected for it while they hold less than the limit by themselves.
+// Long requests fill the concurrency limit for seconds. Quick requests, whose weight per unit of work is
+// higher, must not wait or be rejected because of them while the quick ones alone hold less than the limit.
 func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
 	h := newHarnessUnderPressure(t)
 	for range 10 {
@@ -39,7 +40,8 @@
 	e := h.controller.endpoints.all[0]
 	headroom := e.concurrency.Limit() - float64(e.concurrency.ThreadsInFlight())
 	if headroom >= 2 || !h.controller.underPressure(e) {
-		t.Fatalf("the long ones leave %.1f threads", headroom)
+		t.Fatalf("headroom of %.1f threads, want less than 2; under pressure: %v, want true",
+			headroom, h.controller.underPressure(e))
 	}
 	quick := 0
 	for range 20 {
@@ -48,13 +50,13 @@
 	}
 	limit := e.concurrency.Limit()
 	if float64(quick) <= float64(h.controller.shares.Share(0))*limit || float64(quick) > limit {
-		t.Fatalf("%d quick requests were sent, want over their share of the limit of %.1f, and at most the limit",
+		t.Fatalf("%d quick requests were sent, want more than their share of the limit of %.1f and at most the limit",
 			quick, limit)
 	}
 }
 
-// Without pressure an engine takes a small multiple of its limit at most, so that the requests of a lost
-// engine do not overload the others before pressure shows.
+// Without pressure an engine accepts at most a small multiple of its limit, so that the requests of a lost
+// engine do not overload the others before pressure is detected.
 func TestLostEngineDoesNotOverloadTheOthers(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	e := h.controller.endpoints.all[0]
@@ -68,8 +70,8 @@
 	}
 }
 
-// Without pressure an engine takes two requests of the widest class, also where its limit holds but one.
-func TestUnloadedEngineTakesTwoOfTheWidestRequests(t *testing.T) {
+// Without pressure an engine accepts two requests of the widest class, even if its limit fits only one.
+func TestUnloadedEngineAcceptsTwoOfTheWidestRequests(t *testing.T) {
 	s := baseSettings()
 	s.Brokers, s.Classes[1].Threads = 3, 4
 	h := newHarness(t, s, readyEngine("e1"))
@@ -83,25 +85,27 @@
 	requireEqual(t, "requests sent", sent, 2)
 }
 
-// The joint load of a fleet stays under control though no broker sees another: under pressure what each has
-// in flight follows its share of all limits together, not a request for each engine.
-func TestPooledBrokerKeepsItsShareOfTheLimits(t *testing.T) {
+// Under pressure, each pooled broker limits its threads in flight to its share of all engines' limits
+// together, not to one request per engine, so that the total load of the fleet is bounded though brokers act
+// independently.
+func TestPooledBrokerStaysWithinItsShareOfTheLimits(t *testing.T) {
 	h := newPooledHarness(t, pooledSettings(), 60)
-	for range 400 { // nothing is answered
+	for range 400 { // without responses
 		h.submit("quick")
 		h.advance(20 * ms)
 		pool := h.controller.endpoints.pool
 		widest := float64(h.controller.classes.maxThreads)
 		maxThreads := concurrency.DefaultConfig().UnloadedMultiple*max(pool.concurrency.Limit(), widest) + 2
 		if float64(pool.concurrency.ThreadsInFlight()) > maxThreads {
-			t.Fatalf("%d threads in flight, over %.1f", pool.concurrency.ThreadsInFlight(), maxThreads)
+			t.Fatalf("%d threads in flight, want at most %.1f", pool.concurrency.ThreadsInFlight(), maxThreads)
 		}
 	}
 	requireEqual(t, "under pressure", h.controller.underPressure(h.controller.endpoints.pool), true)
 }
 
-// Worked example of start-time fair queueing: shares 3 to 1, equal costs, both backlogged: the first class
-// gets three of four. That a flow which stays backlogged keeps its tag is tested in internal/fairqueue.
+// A worked example of start-time fair queueing: with shares of 3 to 1, equal costs and a backlog of both
+// classes, the first class gets three of four dispatches. internal/fairqueue tests that a flow with a backlog
+// retains its tag.
 func TestFairQueueingFollowsShares(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	c, e := h.controller, h.controller.endpoints.all[0]
@@ -113,7 +117,7 @@
 			tenantIndex: i / 2 % 2, expectedWork: 1,
 		})
 	}
-	requireEqual(t, "threads of the requests that wait", e.queue.Threads(), 20+20*2)
+	requireEqual(t, "threads of queued requests", e.queue.Threads(), 20+20*2)
 	var classes, tenants [2]int
 	for range 16 {
 		head, _ := e.queue.Head(nil)
--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -13,14 +13,14 @@
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
 	id, _ := h.submit("quick")
 	got := h.endAttempt(id, 0, Failed)
-	requireEqual(t, "failures at once", countOf[Fail](got), 1)
+	requireEqual(t, "immediate failures", countOf[Fail](got), 1)
 	got = append(got, h.advance(4*time.Second)...)
 	requireEqual(t, "retries", countOf[SendAttempt](got), 0)
 	requireEqual(t, "rejections", countOf[Reject](got), 0)
 	requireEqual(t, "failures", countOf[Fail](got), 1)
 	id, _ = h.submit("quick")
 	got = h.endAttempt(id, 0, ConnectFailed)
-	requireEqual(t, "retries after proof that it never ran", countOf[SendAttempt](got), 1)
+	requireEqual(t, "retries of a request that never ran", countOf[SendAttempt](got), 1)
 }
 
 func TestIdempotentWithKeyStaysInDedupScopeAndWindow(t *testing.T) {
@@ -42,7 +42,7 @@
 			if first == "e3" {
 				requireEqual(t, "engine", again[0].Engine, "e3")
 			} else if again[0].Engine == "e3" {
-				t.Fatal("left its dedup scope")
+				t.Fatal("retried on e3, outside the dedup scope of the first attempt")
 			}
 			h.advance(1100 * ms)
 			got = append(h.endAttempt(id, 1, Failed), h.advance(3*time.Second)...)
@@ -52,27 +52,27 @@
 	}
 }
 
-// A request of which no retry is permitted is answered at once, not held until its deadline.
-func TestRequestWithoutPermittedRetryIsAnsweredAtOnce(t *testing.T) {
+// A request that may not be retried is answered immediately, not at its deadline.
+func TestRequestWithoutPermittedRetryIsAnsweredImmediately(t *testing.T) {
 	nonIdempotent := idempotency.Policy{Kind: idempotency.NonIdempotent}
 	withKey := idempotency.Policy{Kind: idempotency.WithKey, DedupWindow: time.Second}
 	withKeyForZone := withKey
 	withKeyForZone.DedupScope = idempotency.ScopeZone
 	for name, c := range map[string]struct {
 		idempotency          idempotency.Policy
-		after                time.Duration // from the first attempt to its end
+		after                time.Duration // duration of the first attempt
 		status               Status
 		failures, rejections int
 	}{
-		"non-idempotent, reset":            {nonIdempotent, 0, ConnectionReset, 1, 0},
-		"non-idempotent, timed out":        {nonIdempotent, 0, TimedOut, 1, 0},
-		"with a key, past its window":      {withKey, 1100 * ms, Failed, 0, 1},
-		"with a key for a zone, past it":   {withKeyForZone, 1100 * ms, Failed, 1, 0},
-		"with a key, too late for a retry": {withKey, 750 * ms, Failed, 0, 1},
+		"non-idempotent, connection reset":       {nonIdempotent, 0, ConnectionReset, 1, 0},
+		"non-idempotent, timed out":              {nonIdempotent, 0, TimedOut, 1, 0},
+		"key in all zones, after the window":     {withKey, 1100 * ms, Failed, 0, 1},
+		"key in one zone, after the window":      {withKeyForZone, 1100 * ms, Failed, 1, 0},
+		"key, retry may be sent past the window": {withKey, 750 * ms, Failed, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := baseSettings()
-			s.MaxSendDelay = 300 * ms // so a retry after 750 ms might leave past the window
+			s.MaxSendDelay = 300 * ms // a retry decided after 750 ms may be sent after the window
 			s.Classes[1].Idempotency = c.idempotency
 			h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
 			id, _ := h.submit("long", h.deadlineIn(20*time.Second))
@@ -86,7 +86,8 @@
 	}
 }
 
-// A limit of attempts that a reload lowers ends the requests that have reached it and wait for a retry.
+// When a reload lowers the maximum number of attempts, requests that have reached it and wait for a retry
+// end.
 func TestLoweredMaxAttemptsEndsWaitingRequests(t *testing.T) {
 	s := baseSettings()
 	h := newHarness(t, s, readyEngine("e1"))
@@ -95,7 +96,7 @@
 	draining.State = Draining
 	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{draining}})
 	got := append(h.endAttempt(id, 0, Failed), h.advance(300*ms)...)
-	requireEqual(t, "answers while there may be another engine", countOf[Reject](got)+countOf[Fail](got), 0)
+	requireEqual(t, "answers while a retry is allowed", countOf[Reject](got)+countOf[Fail](got), 0)
 	s.Limits.MaxAttempts = 1
 	h.controller.UpdateClasses(s.Classes, s.Limits)
 	requireEqual(t, "rejections", countOf[Reject](h.advance(300*ms)), 1)
@@ -107,19 +108,19 @@
 	key := func(q *Request) { q.OrderKey = "k" }
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
 	first, got := h.submit("quick", key)
-	requireEqual(t, "first", countOf[SendAttempt](got), 1)
+	requireEqual(t, "sends of the first request", countOf[SendAttempt](got), 1)
 	_, got = h.submit("quick", key)
-	requireEqual(t, "second waits", countOf[SendAttempt](got), 0)
+	requireEqual(t, "sends while the first request is open", countOf[SendAttempt](got), 0)
 	_, got = h.submit("quick", func(q *Request) { q.OrderKey = "other" })
-	requireEqual(t, "another key", countOf[SendAttempt](got), 1)
+	requireEqual(t, "sends for another key", countOf[SendAttempt](got), 1)
 	h.handle(ClientDisconnected{RequestID: first}) // its attempt is still in flight
-	requireEqual(t, "while in flight", countOf[SendAttempt](h.advance(300*ms)), 0)
+	requireEqual(t, "sends while the attempt is in flight", countOf[SendAttempt](h.advance(300*ms)), 0)
 	h.endAttempt(first, 0, TimedOut)
-	requireEqual(t, "during the cooldown", countOf[SendAttempt](h.advance(350*ms)), 0)
-	requireEqual(t, "after the cooldown", countOf[SendAttempt](h.advance(300*ms)), 1)
+	requireEqual(t, "sends during the cooldown", countOf[SendAttempt](h.advance(350*ms)), 0)
+	requireEqual(t, "sends after the cooldown", countOf[SendAttempt](h.advance(300*ms)), 1)
 }
 
-func TestPlacementHoldsOnEveryAttempt(t *testing.T) {
+func TestPlacementAppliesToEveryAttempt(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].AllowedZones, s.Classes[0].AllowedKinds = []string{"b"}, []string{"std"}
 	b := readyEngine("e2")
@@ -140,7 +141,7 @@
 	h.handle(EndpointUpdate{Kind: EndpointSnapshot, Engines: []Engine{readyEngine("e1"), other}})
 	_, got = h.submit("quick")
 	got = append(got, h.advance(4*time.Second)...)
-	requireEqual(t, "sends with no engine allowed", countOf[SendAttempt](got), 0)
+	requireEqual(t, "sends without an allowed engine", countOf[SendAttempt](got), 0)
 }
 
 func TestNoHedgingAndAtMostMaxAttempts(t *testing.T) {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,8 +7,9 @@
 	"wheatlane/control"
 )
 
-// One broker, one engine: a request is taken, sent and answered. A host calls Handle with whatever happened
-// and carries out what it returns; timers come back as control.Timer with the same token.
+// With one broker and one engine, a request is received, sent and answered. A host passes events to Handle
+// and performs the actions that it returns. When the timer of a control.SetTimer expires, the host passes a
+// control.TimerFired with its token.
 func Example() {
 	c, err := control.New(control.Settings{
 		Brokers:          1,
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// baseSettings is a small deployment: a quick and a long class, two tenants, and rules for a few engines.
+// baseSettings returns a small deployment: a quick and a long class, two tenants and rules for a few engines.
 func baseSettings() Settings {
 	return Settings{
 		Brokers: 2, Zone: "a", MinBatchInterval: 5 * ms,
@@ -34,14 +34,14 @@
 	}
 }
 
-// harness drives a controller by hand and keeps what it did; it models no engine.
+// harness drives a controller step by step and records its actions. It does not simulate engines.
 type harness struct {
 	t          *testing.T
 	controller *Controller
 	now        time.Duration
-	timers     map[uint64]time.Duration // when they are due, by their tokens
-	actions    []Action                 // all so far
-	submitted  int                      // requests so far
+	timers     map[uint64]time.Duration // due times by token
+	actions    []Action                 // all actions so far
+	submitted  int                      // number of submitted requests
 }
 
 func newHarness(t *testing.T, s Settings, engines ...Engine) *harness {
@@ -55,7 +55,7 @@
 	return h
 }
 
-// readyEngines are n engines, e00 and on.
+// readyEngines returns n engines, e00, e01 and so on.
 func readyEngines(n int) []Engine {
 	engines := make([]Engine, n)
 	for i := range engines {
@@ -66,7 +66,7 @@
 
 func readyEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "std"} }
 
-// handle gives the controller events and returns what was done.
+// handle passes events to the controller, starts its timers and returns its actions.
 func (h *harness) handle(events ...Event) []Action {
 	out := h.controller.Handle(h.now, events)
 	for _, a := range out {
@@ -78,7 +78,7 @@
 	return out
 }
 
-// advance lets time pass, fires timers as they come due, and returns what was done.
+// advance lets time pass, fires timers when they are due and returns the controller's actions.
 func (h *harness) advance(d time.Duration) []Action {
 	from := len(h.actions)
 	for end := h.now + d; h.now < end; {
@@ -98,7 +98,7 @@
 	return h.actions[from:]
 }
 
-// submit gives the controller a request of a class and returns its ID and what was done.
+// submit passes a new request of a class to the controller and returns its ID and the controller's actions.
 func (h *harness) submit(class string, change ...func(*Request)) (string, []Action) {
 	h.submitted++
 	q := Request{ID: fmt.Sprint("q", h.submitted), Class: class, Tenant: "t0", Deadline: h.now + 3*time.Second}
@@ -108,12 +108,12 @@
 	return q.ID, h.handle(RequestReceived{Request: q})
 }
 
-// deadlineIn changes the deadline of a request that is submitted now.
+// deadlineIn returns a change for submit that sets the deadline of the request.
 func (h *harness) deadlineIn(d time.Duration) func(*Request) {
 	return func(q *Request) { q.Deadline = h.now + d }
 }
 
-// actionsOf are the actions of one type.
+// actionsOf returns the actions of one type.
 func actionsOf[T Action](all []Action) []T {
 	var out []T
 	for _, a := range all {
@@ -126,7 +126,7 @@
 
 func countOf[T Action](all []Action) int { return len(actionsOf[T](all)) }
 
-// endAttempt ends an attempt; an answer closes its request.
+// endAttempt ends an attempt. Status OK closes its request.
 func (h *harness) endAttempt(id string, number int, status Status) []Action {
 	return h.handle(AttemptEnded{
 		RequestID: id, Number: number, Status: status, Duration: 100 * ms, RequestClosed: status == OK,
@@ -134,26 +134,26 @@
 	})
 }
 
-func requireEqual[T comparable](t *testing.T, what string, got, wanted T) {
+func requireEqual[T comparable](t *testing.T, name string, got, want T) {
 	t.Helper()
-	if got != wanted {
-		t.Fatalf("%s: got %v, want %v", what, got, wanted)
+	if got != want {
+		t.Fatalf("%s: got %v, want %v", name, got, want)
 	}
 }
 
-// succeed ends an attempt with the answer to its request.
+// succeed ends an attempt with the response to its request.
 func (h *harness) succeed(id string, number int, took, work time.Duration) []Action {
 	return h.handle(AttemptEnded{
 		RequestID: id, Number: number, Status: OK, RequestClosed: true, Duration: took, Work: work,
 	})
 }
 
-// utilization is a load report of an engine.
+// utilization returns a load report with that utilization.
 func utilization(fraction units.Fraction) loadreport.Report {
 	return loadreport.Report{Reported: true, Utilization: fraction}
 }
 
-// newHarnessUnderPressure is a rig whose one engine has reported far more load than its capacity.
+// newHarnessUnderPressure returns a harness whose only engine has reported a load far over its capacity.
 func newHarnessUnderPressure(t *testing.T) *harness {
 	t.Helper()
 	s := baseSettings()
@@ -166,8 +166,8 @@
 	return h
 }
 
-// pooledSettings is baseSettings with so many brokers that the share of each in an engine is less than a
-// request.
+// pooledSettings returns baseSettings with so many brokers that engines are pooled: each broker's share of an
+// engine's limit is less than one request.
 func pooledSettings() Settings {
 	s := baseSettings()
 	s.Brokers, s.Tenants[0].Quota, s.Tenants[1].Quota = 300, 900, 300
@@ -179,7 +179,7 @@
 	return newHarness(t, s, readyEngines(n)...)
 }
 
-// fleetSettings is a pooled deployment whose brokers probe and gossip.
+// fleetSettings returns a pooled deployment with load probes and gossip.
 func fleetSettings() Settings {
 	s := pooledSettings()
 	s.Limits.LoadProbes, s.Limits.Gossip, s.EnginesReportLoad = true, true, true
--- a/control/interval_test.go
+++ b/control/interval_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Answers move the shares and the limits.
-func TestSharesAndLimitFollowObservations(t *testing.T) {
+func TestSharesAndLimitFollowResponses(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 	share := h.controller.shares.Share(0)
 	limit := h.controller.endpoints.all[0].concurrency.Limit()
@@ -26,12 +25,12 @@
 	}
 	limiter := &h.controller.endpoints.all[0].concurrency
 	if share == h.controller.shares.Share(0) || limit == limiter.Limit() {
-		t.Fatalf("share %v and limit %v did not move", share, limit)
+		t.Fatalf("share %v or limit %v did not change", share, limit)
 	}
 }
 
-// An interval that a standstill made longer leaves the model of the shares as it is.
-func TestStandstillSkipsTheFit(t *testing.T) {
+// An interval that contains a process pause does not change the fitted model of the shares.
+func TestProcessPauseSkipsTheFitOfShares(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	id, _ := h.submit("quick")
 	h.endAttempt(id, 0, OK)
@@ -46,8 +45,8 @@
 	}
 }
 
-// The shares and the limit of a pool follow the answers of all its engines.
-func TestPooledBrokersRegulatorsMove(t *testing.T) {
+// The shares and the limit of a pool follow the responses of all its engines.
+func TestPoolSharesAndLimitFollowResponses(t *testing.T) {
 	h := newPooledHarness(t, pooledSettings(), 60)
 	share, limit := h.controller.shares.Share(0), h.controller.endpoints.pool.concurrency.Limit()
 	for i := range 60 {
@@ -61,12 +60,11 @@
 	}
 	limiter := &h.controller.endpoints.pool.concurrency
 	if share == h.controller.shares.Share(0) || limit == limiter.Limit() {
-		t.Fatalf("share %v and limit %v did not move", share, limit)
+		t.Fatalf("share %v or limit %v did not change", share, limit)
 	}
 }
 
-// The load of the pool is the load that its threads meet: loaded engines stay loaded, however many others stand
-// empty.
+// The load of the pool is weighted by threads, so that idle engines do not hide the load of the busy ones.
 func TestPoolLoadIsWeightedByThreads(t *testing.T) {
 	h := newPooledHarness(t, fleetSettings(), 10)
 	const engines = 10
@@ -81,16 +79,16 @@
 	h.handle(GossipReceived{Reports: reports})
 	h.advance(tickInterval + 5*ms)
 	if got := h.controller.endpoints.pool.load.Load(); got < 1.6 || got > 1.8 {
-		t.Fatalf("load %.2f, want what most threads meet, about 1.67; the plain mean is 0.78", got)
+		t.Fatalf("load %.2f, want the mean weighted by threads, about 1.67; the unweighted mean is 0.78", got)
 	}
 }
 
-// A broker with several times the mean traffic of its fleet knows its share after its first intervals.
-func TestTrafficShareIsKnownFromTheStart(t *testing.T) {
+// A broker with several times the mean traffic of its fleet estimates its share within its first intervals.
+func TestTrafficShareIsEstimatedWithinThreeSeconds(t *testing.T) {
 	s := pooledSettings()
 	h := newPooledHarness(t, s, 60)
 	equal := 1 / float64(s.Brokers)
-	for range 3 * 24 { // 24 a second: six times the equal share of a quota of 1,200 a second
+	for range 3 * 24 { // 24 per second: six times the equal share of a quota of 1,200 per second
 		id, got := h.submit("quick")
 		for _, sent := range actionsOf[SendAttempt](got) {
 			if sent.RequestID == id {
@@ -100,6 +98,6 @@
 		h.advance(time.Second / 24)
 	}
 	if share := float64(h.controller.workload.TrafficShare()) / equal; share < 4.5 || share > 7.5 {
-		t.Fatalf("after 3 s its share is %.1f equal shares, want about 6", share)
+		t.Fatalf("after 3 s the share is %.1f equal shares, want 4.5 to 7.5", share)
 	}
 }
--- a/control/mayattempt_test.go
+++ b/control/mayattempt_test.go
@@ -7,19 +7,19 @@
 	"wheatlane/control/idempotency"
 )
 
-// Every send passes mayAttempt, which holds each rule by itself, whatever its callers have ruled out already.
-func TestMayAttemptHoldsEachRule(t *testing.T) {
+// mayAttempt enforces each rule on every send, independently of the checks of its callers.
+func TestMayAttemptEnforcesEachRule(t *testing.T) {
 	for name, violate := range map[string]func(*Controller, *request, *engine){
-		"nothing is violated":        nil,
-		"the request is closed":      func(_ *Controller, r *request, _ *engine) { r.closed = true },
-		"its response has started":   func(_ *Controller, r *request, _ *engine) { r.responseStarted = true },
-		"its deadline has passed":    func(c *Controller, r *request, _ *engine) { c.now = r.Deadline },
-		"its attempts are exhausted": func(c *Controller, _ *request, _ *engine) { c.settings.Limits.MaxAttempts = 1 },
-		"the engine is not listed":   func(_ *Controller, _ *request, e *engine) { e.member.Unlist() },
-		"the engine is draining":     func(_ *Controller, _ *request, e *engine) { e.member.Update(Draining) },
-		"its zone is not allowed":    func(_ *Controller, r *request, _ *engine) { r.class.AllowedZones = []string{"b"} },
-		"its kind is not allowed":    func(_ *Controller, r *request, _ *engine) { r.class.AllowedKinds = []string{"big"} },
-		"its effect could come twice": func(_ *Controller, r *request, _ *engine) {
+		"no rule is violated":      nil,
+		"the request is closed":    func(_ *Controller, r *request, _ *engine) { r.closed = true },
+		"the response has started": func(_ *Controller, r *request, _ *engine) { r.responseStarted = true },
+		"the deadline has passed":  func(c *Controller, r *request, _ *engine) { c.now = r.Deadline },
+		"no attempts are left":     func(c *Controller, _ *request, _ *engine) { c.settings.Limits.MaxAttempts = 1 },
+		"the engine is not listed": func(_ *Controller, _ *request, e *engine) { e.member.Unlist() },
+		"the engine is draining":   func(_ *Controller, _ *request, e *engine) { e.member.Update(Draining) },
+		"the zone is not allowed":  func(_ *Controller, r *request, _ *engine) { r.class.AllowedZones = []string{"b"} },
+		"the kind is not allowed":  func(_ *Controller, r *request, _ *engine) { r.class.AllowedKinds = []string{"big"} },
+		"the request could run twice": func(_ *Controller, r *request, _ *engine) {
 			r.class.Idempotency.Kind = idempotency.NonIdempotent
 		},
 	} {
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -28,14 +28,14 @@
 	}
 }
 
-func TestEndpointListIsPolledAgainAfterAFailure(t *testing.T) {
+func TestEndpointListIsWatchedAgainAfterAFailure(t *testing.T) {
 	s := baseSettings()
 	s.WatchEndpointList = true
 	h := newHarness(t, s, readyEngine("e1"))
-	requireEqual(t, "first", countOf[WatchEndpoints](h.advance(300*ms)), 1)
-	requireEqual(t, "while it holds", countOf[WatchEndpoints](h.advance(20*time.Second)), 0)
+	requireEqual(t, "first watch", countOf[WatchEndpoints](h.advance(300*ms)), 1)
+	requireEqual(t, "watches while the first one lasts", countOf[WatchEndpoints](h.advance(20*time.Second)), 0)
 	h.handle(EndpointUpdate{Kind: EndpointWatchFailed})
-	requireEqual(t, "again", countOf[WatchEndpoints](h.advance(3*time.Second)), 1)
+	requireEqual(t, "watches after the failure", countOf[WatchEndpoints](h.advance(3*time.Second)), 1)
 }
 
 func TestRestartResetsOutlierState(t *testing.T) {
@@ -45,7 +45,7 @@
 	for range 20 {
 		h.controller.outliers.Failed(&e.health, true)
 	}
-	requireEqual(t, "failure rate before", e.health.FailureRate() > 0.9, true)
+	requireEqual(t, "high failure rate before the restart", e.health.FailureRate() > 0.9, true)
 	restarted := readyEngine("e1")
 	restarted.StartedAt = h.now
 	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{restarted}})
@@ -54,8 +54,9 @@
 	requireEqual(t, "in slow start", h.controller.slowStart.Active(e.slowStartInput(), h.now), true)
 }
 
-// The state of removed engines is dropped, so that it does not add up where engines are replaced all day.
-func TestRemovedEnginesAreForgotten(t *testing.T) {
+// The state of removed engines is dropped. Otherwise memory would grow where engines are replaced
+// continuously.
+func TestStateOfRemovedEnginesIsDropped(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e0"))
 	for i := range 20 {
 		old, fresh := readyEngine(fmt.Sprintf("e%d", i)), readyEngine(fmt.Sprintf("e%d", i+1))
@@ -66,8 +67,8 @@
 		h.advance(2 * controlInterval)
 	}
 	all, byID := h.controller.endpoints.all, h.controller.endpoints.byID
-	logged := h.controller.noticeThrottle.Len()
-	if len(all) != 1 || len(byID) != 1 || logged != 0 {
-		t.Fatalf("%d engines, %d by ID, %d log lines are remembered", len(all), len(byID), logged)
+	notices := h.controller.noticeThrottle.Len()
+	if len(all) != 1 || len(byID) != 1 || notices != 0 {
+		t.Fatalf("%d engines, %d by ID, %d throttled notices, want 1, 1 and 0", len(all), len(byID), notices)
 	}
 }
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -8,7 +8,8 @@
 	"wheatlane/control/outlier"
 )
 
-// An engine that fails fast looks idle; it must not attract the traffic, and half-open probes must return it.
+// An engine that fails fast has few attempts in flight. It must not attract traffic because of that, and
+// half-open probes must return it to service.
 func TestFastFailingEngineIsEjectedAndReturns(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
 	submit := func(requests int, failing bool) (toE1 int) {
@@ -31,16 +32,16 @@
 	}
 	const failing, healthy = true, false
 	if n := submit(200, failing); n > 20 {
-		t.Fatalf("%d of 200 requests went to a failing engine", n)
+		t.Fatalf("%d of 200 requests were sent to a failing engine, want at most 20", n)
 	}
 	h.advance(10 * time.Second) // without traffic, its failure rate decays
 	submit(400, healthy)
 	if n := submit(150, healthy); n < 20 {
-		t.Fatalf("only %d of 150 requests went to an engine that works again", n)
+		t.Fatalf("%d of 150 requests were sent to an engine that recovered, want at least 20", n)
 	}
 }
 
-func TestEjectedEnginesAreUsedWhenTheyAreMost(t *testing.T) {
+func TestEjectedEnginesAreUsedWhenMostAreEjected(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
 	h.controller.eject(h.controller.endpoints.byID["e1"], outlier.Failing)
 	h.controller.eject(h.controller.endpoints.byID["e2"], outlier.Failing)
@@ -49,15 +50,15 @@
 		_, got := h.submit("quick")
 		seen[actionsOf[SendAttempt](got)[0].Engine] = true
 	}
-	requireEqual(t, "engines tried", len(seen), 3)
+	requireEqual(t, "engines used", len(seen), 3)
 }
 
-// Attempts that end together with their connection count against the engine once: one reset is no sign of a
-// failing engine, however many attempts it ends.
+// Attempts that end together with their connection count as one failure of the engine: a single reset does
+// not indicate a failing engine, however many attempts it ends.
 func TestFailuresOfOneCauseCountOnce(t *testing.T) {
 	for name, c := range map[string]struct{ shared, ejected bool }{
-		"one cause":      {true, false},
-		"each by itself": {false, true},
+		"one shared cause": {true, false},
+		"separate causes":  {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
@@ -78,20 +79,21 @@
 				})
 			}
 			if len(sent["e1"]) < 3 || h.controller.endpoints.byID["e1"].health.Ejected() != c.ejected {
-				t.Errorf("%d were in flight, ejected is %v", len(sent["e1"]), !c.ejected)
+				t.Errorf("%d attempts in flight at e1, want at least 3; ejected: %v, want %v", len(sent["e1"]),
+					h.controller.endpoints.byID["e1"].health.Ejected(), c.ejected)
 			}
 		})
 	}
 }
 
-func TestEngineAtCapacityRests(t *testing.T) {
+func TestEngineAtCapacityGetsNoRequestsForAWhile(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"), readyEngine("e2"))
 	id, got := h.submit("quick")
 	atCapacity := actionsOf[SendAttempt](got)[0].Engine
 	got = h.endAttempt(id, 0, AtCapacity)
-	requireEqual(t, "elsewhere", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
+	requireEqual(t, "retried elsewhere", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
 	for range 5 {
 		_, got = h.submit("quick")
-		requireEqual(t, "not at capacity", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
+		requireEqual(t, "sent elsewhere", actionsOf[SendAttempt](got)[0].Engine != atCapacity, true)
 	}
 }
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -10,7 +10,7 @@
 	"wheatlane/control/workload"
 )
 
-func TestSilentEngineIsLeftAndItsAttemptsCancelled(t *testing.T) {
+func TestAttemptOnSilentEngineIsCancelledAndRetriedElsewhere(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.ProgressInterval, s.Classes[0].LateWeight = true, time.Second, 0.1
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
@@ -23,8 +23,8 @@
 		}
 		if got = h.advance(50 * ms); slices.Contains(got, Action(CancelAttempt{RequestID: id, Number: 0})) {
 			lossRate := float64(h.controller.outliers.LossRate(&h.controller.endpoints.byID[silent].health))
-			const expectedLossRate = 0.01 // of an engine of which nothing is known
-			requireEqual(t, "estimated to lose answers", lossRate > 10*expectedLossRate, true)
+			const expectedLossRate = 0.01 // of an engine without observations
+			requireEqual(t, "high loss rate", lossRate > 10*expectedLossRate, true)
 			retries := actionsOf[SendAttempt](h.endAttempt(id, 0, Cancelled))
 			requireEqual(t, "retried elsewhere", len(retries) == 1 && retries[0].Engine != silent, true)
 			return
@@ -33,7 +33,7 @@
 	t.Fatal("no attempt on the silent engine was cancelled")
 }
 
-func TestSilentEngineIsHedgedWhereAllowed(t *testing.T) {
+func TestAttemptOnSilentEngineIsHedgedWhereAllowed(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Hedging, s.Limits.MaxAttempts, s.Classes[0].LateWeight = true, 2, 0.1
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
@@ -41,7 +41,7 @@
 	first := actionsOf[SendAttempt](got)[0].Engine
 	hedged := actionsOf[SendAttempt](h.advance(2900 * ms))
 	requireEqual(t, "hedged attempts", len(hedged), 1)
-	requireEqual(t, "elsewhere", hedged[0].RequestID == id && hedged[0].Engine != first, true)
+	requireEqual(t, "hedged elsewhere", hedged[0].RequestID == id && hedged[0].Engine != first, true)
 }
 
 func TestAttemptWithLittleProgressIsCancelled(t *testing.T) {
@@ -53,12 +53,12 @@
 	progress := func(fraction float64) []Action {
 		return h.handle(AttemptProgress{RequestID: id, Kind: ProgressFraction, Value: fraction})
 	}
-	requireEqual(t, "at good progress", countOf[CancelAttempt](progress(0.6)), 0)
-	requireEqual(t, "at little progress", countOf[CancelAttempt](progress(0.01)), 1)
+	requireEqual(t, "cancellations at good progress", countOf[CancelAttempt](progress(0.6)), 0)
+	requireEqual(t, "cancellations at little progress", countOf[CancelAttempt](progress(0.01)), 1)
 }
 
-// Attempts of a disconnected client are cancelled where cancelling is supported; their threads are free once
-// they end.
+// Attempts of a disconnected client are cancelled where cancellation is supported. Their threads are released
+// when they end.
 func TestAttemptsOfADisconnectedClientAreCancelled(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
@@ -66,20 +66,21 @@
 	id, _ := h.submit("quick")
 	got := h.handle(ClientDisconnected{RequestID: id})
 	requireEqual(t, "cancelled", slices.Contains(got, Action(CancelAttempt{RequestID: id})), true)
-	requireEqual(t, "once", countOf[CancelAttempt](h.advance(5*time.Second)), 0)
+	requireEqual(t, "further cancellations", countOf[CancelAttempt](h.advance(5*time.Second)), 0)
 	h.endAttempt(id, 0, Cancelled)
-	requireEqual(t, "threads", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
-	requireEqual(t, "requests kept", len(h.controller.requests.byID), 0)
+	requireEqual(t, "threads in flight", h.controller.endpoints.all[0].concurrency.ThreadsInFlight(), 0)
+	requireEqual(t, "remaining requests", len(h.controller.requests.byID), 0)
 	s.Limits.Cancellation = false
 	h = newHarness(t, s, readyEngine("e1"))
 	id, _ = h.submit("quick")
 	got = h.handle(ClientDisconnected{RequestID: id})
-	requireEqual(t, "where it is not supported", countOf[CancelAttempt](got), 0)
+	requireEqual(t, "cancellations where they are not supported", countOf[CancelAttempt](got), 0)
 }
 
-// Answers get lost while others arrive: each lost one is hedged in time, and the loss rate is learned, so
-// that the next is hedged sooner. When most look lost it is an overload, and nothing is hedged.
-func TestLostAnswersAreHedgedInTime(t *testing.T) {
+// Some responses get lost while others arrive. Each attempt without a response is hedged in time, and sooner
+// as the estimated loss rate rises. When most responses seem lost, the engines are overloaded and nothing is
+// hedged.
+func TestLostResponsesAreHedgedInTime(t *testing.T) {
 	s := pooledSettings()
 	s.Limits.Hedging, s.Classes[0].LateWeight = true, 0.1
 	h := newPooledHarness(t, s, 60)
@@ -98,7 +99,7 @@
 		from := h.now
 		for h.now < from+2*time.Second {
 			if hedged := actionsOf[SendAttempt](h.advance(10 * ms)); len(hedged) > 0 {
-				requireEqual(t, "elsewhere", hedged[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
+				requireEqual(t, "hedged elsewhere", hedged[0].Engine != actionsOf[SendAttempt](got)[0].Engine, true)
 				waited = append(waited, h.now-from)
 				answer(id, 1)
 				break
@@ -106,22 +107,23 @@
 		}
 	}
 	if len(waited) < 8 || waited[len(waited)-1] >= waited[0] {
-		t.Fatalf("waited %v before hedged attempts", waited)
+		t.Fatalf("waited %v before hedged attempts, want at least 8 times and less at the end than at first", waited)
 	}
-	for i := range 60 { // now no answer comes
+	for i := range 60 { // from here on, no responses
 		h.controller.outliers = outlier.NewDetector(outlier.DefaultConfig())
 		recordAnswers(h.controller, &outlier.Health{}, 30+i, 10)
 		h.submit("quick")
 		for _, sent := range actionsOf[SendAttempt](h.advance(100 * ms)) {
 			if q := h.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
-				t.Fatal("a hedged attempt under overload")
+				t.Fatal("an attempt was hedged under overload")
 			}
 		}
 	}
 }
 
-// By its age an attempt is lost whether its engine answers others or not, and is retried elsewhere.
-func TestLostAnswerIsDetectedByAgeAlone(t *testing.T) {
+// An attempt is presumed lost by its age even while its engine responds to other requests, and it is
+// cancelled so that it can be retried.
+func TestLostResponseIsDetectedByAgeAlone(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
 	h := newHarness(t, s, readyEngine("e1"))
@@ -137,11 +139,11 @@
 			}
 		}
 	}
-	t.Fatal("the lost answer was not detected")
+	t.Fatal("the attempt without a response was not cancelled within 2 minutes")
 }
 
-// The age at which an attempt is lost is known after a few answers.
-func TestLostAnswerIsDetectedAfterFewAnswers(t *testing.T) {
+// A few responses are enough to estimate the age at which an attempt is presumed lost.
+func TestLostResponseIsDetectedAfterFewResponses(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation = true
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
@@ -162,22 +164,22 @@
 		}
 		h.endAttempt(other, 0, OK)
 	}
-	t.Fatal("the attempt was not cancelled in time for a retry")
+	t.Fatal("the attempt was not cancelled within 3 s, in time for a retry")
 }
 
-// recordAnswers records answers of an engine, some lost and some not.
-func recordAnswers(c *Controller, engine *outlier.Health, lost, served int) {
+// recordAnswers records lost and successful responses of an engine.
+func recordAnswers(c *Controller, engine *outlier.Health, lost, succeeded int) {
 	for range lost {
 		c.outliers.Lost(engine, 1)
 	}
-	for range served {
+	for range succeeded {
 		c.outliers.Succeeded(engine, c.now, 0)
 	}
 }
 
-// An attempt that is cancelled early counts as lost by the probability of that only: else each
-// cancelled attempt would shorten the timeouts, and so have more attempts cancelled.
-func TestLossEstimateDoesNotFeedOnItself(t *testing.T) {
+// A cancelled attempt counts as lost only by the probability that it was. Otherwise each cancellation would
+// shorten the timeouts and so cause further cancellations.
+func TestCancelledAttemptsDoNotInflateTheLossRate(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Limits.MaxAttempts = true, 4
 	s.Classes[0].LateWeight = 0.5
@@ -186,7 +188,7 @@
 		recordAnswers(h.controller, &e.health, 15, 35)
 	}
 	cancelled := 0
-	for i := range 600 { // each is answered, one in ten several times as slowly as the rest
+	for i := range 600 { // all get responses, one in ten several times as slowly as the others
 		id, _ := h.submit("quick")
 		took := time.Duration(20+i*37%61) * ms
 		if i%10 == 9 {
@@ -205,13 +207,14 @@
 			h.succeed(id, n, took, 40*ms)
 		}
 	}
-	if cancelled > 40 { // the slow tenth and not many more
-		t.Fatalf("%d of the last 300 were cancelled, and none was lost", cancelled)
+	if cancelled > 40 { // the slow tenth and a few more
+		t.Fatalf("%d of the last 300 attempts were cancelled, want at most 40, as none was lost", cancelled)
 	}
 }
 
-// An engine that has not answered yet loses no attempts by age: they may be blocked by locks.
-func TestEngineHasTimeForItsFirstAnswer(t *testing.T) {
+// Attempts at an engine that has not responded yet are not presumed lost by age, because locks may block
+// them.
+func TestNewEngineLosesNoAttemptsBeforeItsFirstResponse(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
 	h := newHarness(t, s, readyEngine("e1"))
@@ -228,9 +231,9 @@
 	requireEqual(t, "losses", h.controller.outliers.Losses(), 0)
 }
 
-// An attempt that stands behind another broker's lock on its data set is cancelled and retried elsewhere,
-// does not count as threads in flight meanwhile, and no other request of the data set goes there while the
-// lock is presumed held.
+// An attempt that is blocked by another broker's lock on its data set is cancelled and retried elsewhere. Its
+// threads do not count as in flight meanwhile, and no other request of the data set is sent to the engine
+// while the lock is presumed held.
 func TestAttemptBlockedByALockIsRetriedElsewhere(t *testing.T) {
 	s := baseSettings()
 	s.Limits.Cancellation, s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true, true
@@ -252,22 +255,22 @@
 		h.endAttempt(other, 0, OK)
 	}
 	if cancelledAfter == 0 || cancelledAfter > 400*ms {
-		t.Fatalf("cancelled after %v, which leaves no time for a retry", cancelledAfter)
+		t.Fatalf("cancelled after %v (0: never), want at most 400ms to leave time for a retry", cancelledAfter)
 	}
 	requireEqual(t, "threads in flight", h.controller.endpoints.byID[blocking].concurrency.ThreadsInFlight(), 0)
-	requireEqual(t, "losses", h.controller.outliers.Losses(), 0)
+	requireEqual(t, "responses presumed lost", h.controller.outliers.Losses(), 0)
 	retries := actionsOf[SendAttempt](h.endAttempt(id, 0, Cancelled))
 	if len(retries) != 1 || retries[0].Engine == blocking {
-		t.Fatalf("retries: %v, want one, and not at %s", retries, blocking)
+		t.Fatalf("retries: %v, want one at another engine than %s", retries, blocking)
 	}
 	for range 4 {
 		_, got := h.submit("quick", func(q *Request) { q.DataSet = 7 })
 		if sent := actionsOf[SendAttempt](got); len(sent) > 0 && sent[0].Engine == blocking {
-			t.Fatal("another request went where the data set is locked")
+			t.Fatalf("another request of the data set was sent to %s, where it is locked", blocking)
 		}
 	}
-	h.endAttempt(id, 1, OK) // elsewhere, which says nothing of the lock
-	requireEqual(t, "locked", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), true)
+	h.endAttempt(id, 1, OK) // at another engine, so the lock is still presumed held
+	requireEqual(t, "locked after success elsewhere", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), true)
 	h.advance(10 * time.Second)
-	requireEqual(t, "still locked", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), false)
+	requireEqual(t, "locked after 10 s", h.controller.endpoints.byID[blocking].dataSetLocked(h.now, 7), false)
 }
--- a/control/property_events_test.go
+++ b/control/property_events_test.go
@@ -8,7 +8,8 @@
 	"wheatlane/control/units"
 )
 
-// drawEvent feeds one random event; it returns false where an attempt was to end and none is in flight.
+// drawEvent passes one random event to the controller. It returns false if it drew the end of an attempt
+// while none is in flight.
 func (c *ruleChecker) drawEvent(step int) bool {
 	c.t.Helper()
 	switch draw := c.rng.IntN(12); {
@@ -31,7 +32,8 @@
 	return true
 }
 
-// updateEngine lists an engine, in any state; its zone and cell stay.
+// updateEngine updates an engine of the endpoint list to a random state; zone and cell of a listed engine
+// stay.
 func (c *ruleChecker) updateEngine() {
 	c.t.Helper()
 	e := Engine{
@@ -70,7 +72,7 @@
 	c.check(c.handle(RequestReceived{Request: q.Request}))
 }
 
-// endInFlight ends an attempt that is in flight, in any way; it returns false where none is.
+// endInFlight ends an attempt in flight with a random status. It returns false if it finds none.
 func (c *ruleChecker) endInFlight() bool {
 	c.t.Helper()
 	q, number := c.drawInFlight()
@@ -97,7 +99,7 @@
 	return true
 }
 
-// disconnect has the client of any request leave.
+// disconnect simulates the disconnect of the client of a random request.
 func (c *ruleChecker) disconnect() {
 	c.t.Helper()
 	if len(c.arrivals) == 0 {
@@ -110,8 +112,7 @@
 	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
 }
 
-// pauseProcess lets time pass without timers, for no longer than to the next deadline: timers due meanwhile
-// fire late.
+// pauseProcess simulates a process pause, at most until the next deadline: timers due meanwhile fire late.
 func (c *ruleChecker) pauseProcess() {
 	c.t.Helper()
 	c.check(c.advance(5 * ms))
@@ -124,14 +125,14 @@
 	c.now += max(0, length)
 }
 
-// drawInFlight draws an attempt in flight of one of the last requests; nil where it finds none.
+// drawInFlight returns a random attempt in flight of one of the latest requests, or nil if it finds none.
 func (c *ruleChecker) drawInFlight() (*trackedRequest, int) {
-	const tries, youngest = 30, 30
+	const tries, latest = 30, 30
 	for range tries {
 		if len(c.arrivals) == 0 {
 			break
 		}
-		q := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(youngest))]
+		q := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(latest))]
 		for number, a := range q.attempts {
 			if a.inFlight {
 				return q, number
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -11,12 +11,12 @@
 	"wheatlane/control/idempotency"
 )
 
-// drawSettings draws settings: every switch that a deployment may set.
+// drawSettings returns settings in which every option of a deployment is drawn at random.
 func drawSettings(r *rand.Rand) Settings {
 	s := baseSettings()
 	flip := func() bool { return r.IntN(2) == 0 }
 	s.Brokers = 1 + r.IntN(4)
-	if flip() { // so many that engines are pooled
+	if flip() { // so many brokers that engines are pooled
 		s.Brokers = 100 + r.IntN(300)
 	}
 	s.BrokerIndex = r.IntN(s.Brokers)
@@ -50,7 +50,7 @@
 	return s
 }
 
-// trackedAttempt is an attempt as it shows from outside.
+// trackedAttempt is an attempt as observed from outside the controller.
 type trackedAttempt struct {
 	engine     Engine
 	sentAt     time.Duration
@@ -58,7 +58,7 @@
 	mayHaveRun bool
 }
 
-// trackedRequest is a request as it shows from outside.
+// trackedRequest is a request as observed from outside the controller.
 type trackedRequest struct {
 	Request
 	class        Class
@@ -68,23 +68,23 @@
 	arrivalIndex int
 }
 
-// open reports whether the request waits for its answer.
+// open reports whether the request has no final response yet.
 func (q *trackedRequest) open() bool { return !q.over && q.answerCount == 0 }
 
-// inFlight reports whether one of the request's attempts is.
+// inFlight reports whether an attempt of the request is in flight.
 func (q *trackedRequest) inFlight() bool {
 	return slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.inFlight })
 }
 
-// ruleChecker feeds random legal events to a controller and checks each action against the rules that show
-// from outside.
+// ruleChecker passes random valid events to a controller and checks each action against the rules that can be
+// verified from outside.
 type ruleChecker struct {
 	*harness
 	seed        uint64
 	rng         *rand.Rand
 	settings    Settings
 	engines     map[string]Engine
-	unavailable map[string]bool // engines that are known to be draining or removed
+	unavailable map[string]bool // engines that were reported as draining or removed
 	requests    map[string]*trackedRequest
 	arrivals    []*trackedRequest // requests in the order of their arrival
 	arrivedAt   []time.Duration
@@ -118,7 +118,7 @@
 	}
 	for _, q := range c.arrivals {
 		if q.open() {
-			c.fatalf("%s was never answered", q.ID)
+			c.fatalf("request %s was never answered", q.ID)
 		}
 	}
 	return c.actions
@@ -144,11 +144,12 @@
 		case CancelAttempt:
 			q := c.requests[a.RequestID]
 			if !c.settings.Limits.Cancellation || q == nil || a.Number >= len(q.attempts) {
-				c.fatalf("a cancel that is not allowed")
+				c.fatalf("attempt %d of request %s cancelled: cancellation is not supported or the attempt is unknown",
+					a.Number, a.RequestID)
 			}
 		case ProbeLoad:
 			if !c.settings.Limits.LoadProbes {
-				c.fatalf("a probe that is not allowed")
+				c.fatalf("load probe of %s, though probes are disabled", a.Engine)
 			}
 		}
 	}
@@ -158,14 +159,14 @@
 	c.t.Helper()
 	q := c.requests[a.RequestID]
 	if q == nil || !q.open() {
-		c.fatalf("sent %s, which is over or unknown", a.RequestID)
+		c.fatalf("sent an attempt of request %s, which is closed or unknown", a.RequestID)
 	}
 	e, known := c.engines[a.Engine]
 	if !known || c.unavailable[a.Engine] {
-		c.fatalf("sent to %s, which is not ready", a.Engine)
+		c.fatalf("sent to engine %s, which is not ready", a.Engine)
 	}
 	if q.class.AllowedZones != nil && e.Zone != q.class.AllowedZones[0] {
-		c.fatalf("sent to a zone that is not allowed")
+		c.fatalf("sent to zone %s, which is not allowed", e.Zone)
 	}
 	c.checkEarlierAttempts(q, e)
 	if q.class.Ordered && q.OrderKey != "" {
@@ -177,15 +178,15 @@
 	}
 	q.attempts = append(q.attempts, &trackedAttempt{engine: e, sentAt: c.now, inFlight: true, mayHaveRun: true})
 	if len(q.attempts) > c.settings.Limits.MaxAttempts {
-		c.fatalf("too many attempts")
+		c.fatalf("%d attempts, want at most %d", len(q.attempts), c.settings.Limits.MaxAttempts)
 	}
 }
 
-// checkEarlierAttempts checks that a request may be sent to an engine after its attempts so far.
+// checkEarlierAttempts checks that the request's earlier attempts allow another one at an engine.
 func (c *ruleChecker) checkEarlierAttempts(q *trackedRequest, e Engine) {
 	c.t.Helper()
 	if q.inFlight() && !c.settings.Limits.Hedging {
-		c.fatalf("two attempts at once")
+		c.fatalf("two attempts of %s in flight, though hedging is disabled", q.ID)
 	}
 	policy := q.class.Idempotency
 	if policy.Kind == idempotency.Idempotent {
@@ -197,28 +198,28 @@
 		}
 		inWindow := c.now-a.sentAt <= policy.DedupWindow
 		if policy.Kind == idempotency.NonIdempotent || !sameScope(policy.DedupScope, a.engine, e) || !inWindow {
-			c.fatalf("an effect might happen twice")
+			c.fatalf("request %s may run twice", q.ID)
 		}
 	}
 }
 
-// sameScope reports whether two engines share what they have executed.
+// sameScope reports whether two engines detect one another's duplicates.
 func sameScope(scope idempotency.Scope, a, b Engine) bool {
 	return scope == idempotency.ScopeAll || scope == idempotency.ScopeZone && a.Zone == b.Zone ||
 		scope == idempotency.ScopeCell && a.Cell == b.Cell
 }
 
-// checkOrder checks that a request is sent after those of its order key that arrived before it, and after the
+// checkOrder checks that a request is sent after the earlier requests of its order key and after the
 // cooldown.
 func (c *ruleChecker) checkOrder(q *trackedRequest) {
 	c.t.Helper()
 	if len(q.attempts) == 0 && c.now < c.cooldownEnd[q.OrderKey] {
-		c.fatalf("sent while its key cools down")
+		c.fatalf("request %s sent during the cooldown of its order key", q.ID)
 	}
 	for _, o := range c.arrivals {
 		sameKey := o.class.Ordered && o.OrderKey == q.OrderKey
 		if sameKey && o.arrivalIndex < q.arrivalIndex && (o.open() || o.inFlight()) {
-			c.fatalf("out of order")
+			c.fatalf("request %s sent before %s of the same order key has ended", q.ID, o.ID)
 		}
 	}
 }
@@ -240,17 +241,17 @@
 	}
 	budget := rules.RetryBudgetReserve + rules.RetryBudgetRatio*float64(requests)
 	if rules.RetryBudgetWindow > 0 && float64(retries) > budget {
-		c.fatalf("over the retry budget")
+		c.fatalf("%d retries, want at most the retry budget of %.1f", retries, budget)
 	}
 }
 
-// checkAnswer checks that an answer of the controller's own is the only one of its request, and not late.
+// checkAnswer checks that a rejection or failure is the only final response to its request and not late.
 func (c *ruleChecker) checkAnswer(id string) *trackedRequest {
 	c.t.Helper()
 	q := c.requests[id]
 	q.answerCount++
 	if q.over || q.answerCount > 1 || c.now > q.Deadline {
-		c.fatalf("a second or late answer for %s", id)
+		c.fatalf("second or late answer to request %s", id)
 	}
 	return q
 }
@@ -264,7 +265,7 @@
 		return
 	}
 	if slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
-		c.fatalf("rejected %s, which may have run", q.ID)
+		c.fatalf("rejected request %s, which may have run", q.ID)
 	}
 }
 
@@ -274,11 +275,11 @@
 		a := checkRandom(t, seed)
 		sends += countOf[SendAttempt](a)
 		if seed%10 == 0 && !reflect.DeepEqual(a, checkRandom(t, seed)) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: equal events gave different actions", seed)
 		}
 	}
 	if sends < 1000 {
-		t.Fatalf("only %d sends: the test judges too little", sends)
+		t.Fatalf("%d sends, want at least 1000 for a meaningful check", sends)
 	}
 }
 
--- a/control/retrybudget_test.go
+++ b/control/retrybudget_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRetriesStayInTheirBudget(t *testing.T) {
+func TestRetriesStayWithinTheBudget(t *testing.T) {
 	s := baseSettings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 10*time.Second, 0.1, 2
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"), readyEngine("e3"))
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -7,9 +7,9 @@
 	"wheatlane/control/units"
 )
 
-// Requests that lock a data set keep away from those that the lock blocks, those of other brokers too: all
-// brokers rank the engines alike for a data set.
-func TestLockHoldersKeepAwayFromWhatTheyBlock(t *testing.T) {
+// Requests that lock a data set are sent to other engines than requests that the lock blocks, including those
+// of other brokers, because all brokers rank the engines for a data set equally.
+func TestLockHoldersAndBlockedRequestsUseDifferentEngines(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].BlockedByDataSetLock, s.Classes[1].HoldsDataSetLock = true, true
 	for dataSet := range 20 {
@@ -21,14 +21,14 @@
 			engines[class] = actionsOf[SendAttempt](got)[0].Engine
 		}
 		if engines["quick"] == engines["long"] {
-			t.Errorf("both classes of data set %d go to %s", dataSet, engines["quick"])
+			t.Errorf("both classes of data set %d were sent to %s", dataSet, engines["quick"])
 		}
 	}
 }
 
-// An engine whose load report is fresh is not probed: reports are renewed a few times a second, and each
-// probe costs the engine.
-func TestFreshLoadReportIsNotProbedAgain(t *testing.T) {
+// An engine whose load report is fresh is not probed: reports are renewed a few times per second, and each
+// probe is work for the engine.
+func TestEngineWithFreshLoadReportIsNotProbed(t *testing.T) {
 	s := baseSettings()
 	s.Limits.LoadProbes, s.EnginesReportLoad = true, true
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
@@ -50,13 +50,13 @@
 		}
 	}
 	if len(probed) != 2 || sends < 250 {
-		t.Fatalf("%d engines were probed, %d requests sent", len(probed), sends)
+		t.Fatalf("%d engines were probed, want 2; %d requests sent, want at least 250", len(probed), sends)
 	}
 }
 
-// Brokers with the same load reports choose different engines, those with less load more often. If each took
-// the engine with the most headroom, gossip would overload it.
-func TestBrokersWithTheSameReportsSpread(t *testing.T) {
+// Brokers with the same load reports choose different engines, and less loaded engines more often. If every
+// broker chose the engine with the most headroom, gossip would cause its overload.
+func TestBrokersWithTheSameReportsChooseDifferentEngines(t *testing.T) {
 	sent := map[string]int{}
 	for seed := range 300 {
 		s := fleetSettings()
@@ -81,19 +81,20 @@
 		}
 	}
 	if sent["e00"] > 150 || sent["e00"] < 2*sent["e09"] || sent["e05"] == 0 {
-		t.Fatalf("sends from 300 brokers, from the least loaded engine to the most loaded: %v", sent)
+		t.Fatalf("sends of 300 brokers by engine, from the least to the most loaded: %v, "+
+			"want e00 at most 150 and twice e09, and e05 more than 0", sent)
 	}
 }
 
-// A heavy request goes to the least loaded of its probe candidates once they have answered; its threads count
-// meanwhile, and are free again when its client disconnects first.
+// A heavy request is sent to the least loaded of its candidates after their load probes. Its threads count as
+// in flight meanwhile and are released if its client disconnects first.
 func TestHeavyRequestGoesToTheBestCandidate(t *testing.T) {
 	h := newPooledHarness(t, fleetSettings(), 60)
 	h.advance(2 * controlInterval)
 	id, got := h.submit("long")
 	probes := actionsOf[ProbeLoad](got)
 	if len(probes) < 2 || countOf[SendAttempt](got) > 0 {
-		t.Fatalf("%d engines probed, %d sends", len(probes), countOf[SendAttempt](got))
+		t.Fatalf("%d engines probed, want at least 2; %d sends, want 0", len(probes), countOf[SendAttempt](got))
 	}
 	requireEqual(t, "threads while it waits for its probes", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	for i, a := range probes {
@@ -101,12 +102,12 @@
 	}
 	sent := actionsOf[SendAttempt](h.advance(4*5*ms + 5*ms))
 	if len(sent) != 1 || sent[0].RequestID != id || sent[0].Engine != probes[len(probes)-1].Engine {
-		t.Fatalf("probed %v, sent %v", probes, sent)
+		t.Fatalf("probed %v, sent %v, want %s sent to the engine probed last", probes, sent, id)
 	}
 	requireEqual(t, "threads once it is sent", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
 	abandoned, _ := h.submit("long")
 	h.handle(ClientDisconnected{RequestID: abandoned})
 	h.advance(time.Second)
-	requireEqual(t, "threads after a client left", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
-	requireEqual(t, "requests of the class that await probes", h.controller.classes.all[1].awaitingProbes, 0)
+	requireEqual(t, "threads after a disconnect", h.controller.endpoints.pool.concurrency.ThreadsInFlight(), 2)
+	requireEqual(t, "requests that wait for probes", h.controller.classes.all[1].awaitingProbes, 0)
 }
--- a/control/simulation_clients_test.go
+++ b/control/simulation_clients_test.go
@@ -18,7 +18,7 @@
 	over     bool
 }
 
-// submit has a client send a request of a class a time from now.
+// submit schedules a request of a class, which a client sends after a delay.
 func (c *simulatedCluster) submit(class, key string, in time.Duration) {
 	i := slices.IndexFunc(c.settings.Classes, func(k control.Class) bool { return k.Name == class })
 	k := c.settings.Classes[max(0, i)]
@@ -55,7 +55,7 @@
 	}
 }
 
-// submitArrivals draws arrivals for one step by the load that is wanted of the engines.
+// submitArrivals draws the requests of one step, at the rate that puts the configured load on the engines.
 func (c *simulatedCluster) submitArrivals() {
 	cores := 0.0
 	for _, e := range c.engines {
@@ -81,12 +81,13 @@
 	}
 }
 
-// classShare is the share of a class in what clients ask: each is asked half as often as the one before.
+// classShare returns the fraction of requests that belong to a class: half that of the previous class.
 func (c *simulatedCluster) classShare(i int) float64 {
 	n := len(c.settings.Classes)
 	return math.Exp2(float64(n-1-i)) / (math.Exp2(float64(n)) - 1)
 }
 
+// classWork returns the approximate mean work of a request of a class in thread seconds.
 func (c *simulatedCluster) classWork(i int) float64 {
 	k := c.settings.Classes[i]
 	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
--- a/control/simulation_engines_test.go
+++ b/control/simulation_engines_test.go
@@ -10,15 +10,15 @@
 	"wheatlane/control/loadreport"
 )
 
-// simulatedEngine is a model of an engine: enough for the module to meet every kind of answer, no more.
+// simulatedEngine is a minimal model of an engine that produces every kind of attempt outcome.
 type simulatedEngine struct {
 	control.Engine
 	slowdown       float64 // multiple of the service time
-	failureRate    float64 // share of attempts that fail
-	lossRate       float64 // share of attempts that are never answered
-	atCapacityRate float64 // share of attempts that are not admitted
+	failureRate    float64 // fraction of attempts that fail
+	lossRate       float64 // fraction of attempts without a response
+	atCapacityRate float64 // fraction of attempts that are not admitted
 	faultEnd       time.Duration
-	background     float64 // load by other brokers
+	background     float64 // load from other brokers
 	inFlight       int
 }
 
@@ -75,7 +75,7 @@
 	c.schedule(result.Duration, result)
 }
 
-// loadReport is an engine's load by the fields that the settings name.
+// loadReport returns an engine's load report with the fields that the settings list.
 func (c *simulatedCluster) loadReport(e *simulatedEngine) loadreport.Report {
 	row := make([]float64, 0, len(c.settings.loadReport))
 	for _, field := range c.settings.loadReport {
@@ -88,7 +88,7 @@
 	return c.settings.loadReport.Report(row)
 }
 
-// startAttempt models what becomes of an attempt.
+// startAttempt simulates an attempt: it draws the outcome and schedules the events for it.
 func (c *simulatedCluster) startAttempt(a control.SendAttempt) {
 	r, e := c.requests[a.RequestID], c.engine(a.Engine)
 	attempt := &simulatedAttempt{engine: e, sent: c.now}
@@ -131,7 +131,7 @@
 	}
 }
 
-// outcome draws how an attempt ends and when, were there no limit of time.
+// outcome draws the status and the duration of an attempt, before any timeout is applied.
 func (c *simulatedCluster) outcome(r *simulatedRequest, e *simulatedEngine) (control.Status, time.Duration) {
 	quick := c.randomDuration(millisecond, 8*millisecond)
 	noise := math.Exp(0.3 * c.rng.NormFloat64())
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -13,8 +13,8 @@
 	limits  control.Limits
 }
 
-// injectFaults changes the world now and then: what is asked, how engines fare, the list of them, the
-// operator's wishes.
+// injectFaults occasionally changes the load, the clients' behavior, the state of engines, the endpoint list
+// and the maintenance modes, and sends unexpected events.
 func (c *simulatedCluster) injectFaults() {
 	if c.chance(0.0005) {
 		c.load = []float64{0.3, 0.7, 1, 1.6, 3}[c.rng.IntN(5)]
@@ -36,10 +36,10 @@
 		e.StartedAt = c.now - c.randomDuration(0, 2*time.Second)
 		c.schedule(0, control.EndpointUpdate{Kind: control.EndpointDelta, Engines: []control.Engine{e.Engine}})
 	}
-	if c.chance(0.002) { // what nobody asked for
+	if c.chance(0.002) { // unexpected events, which the controller must ignore or fail
 		stray := control.Request{ID: "stray", Class: "no such class", Deadline: c.now + time.Second}
 		c.schedule(0, control.RequestReceived{Request: stray})
-		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.over { // the same once more
+		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.over { // a duplicate
 			c.schedule(20*millisecond, control.RequestReceived{Request: r.Request})
 		}
 		c.schedule(0, control.ClientDisconnected{RequestID: "nobody's"})
@@ -74,7 +74,7 @@
 		e.State = control.EngineState(c.rng.IntN(3))
 		c.updateEndpointList(e)
 	}
-	if c.chance(0.0015) && e.State != control.Ready { // a new process takes its place
+	if c.chance(0.0015) && e.State != control.Ready { // a new process replaces it
 		e.State, e.StartedAt = control.Ready, c.now-c.randomDuration(0, 2*time.Second)
 		c.updateEndpointList(e)
 	}
@@ -89,7 +89,7 @@
 	c.schedule(c.randomDuration(0, 600*millisecond), delta)
 }
 
-// gossip has another broker send some engines' load reports.
+// gossip occasionally schedules load reports of some engines from another broker.
 func (c *simulatedCluster) gossip() {
 	if !c.settings.Limits.Gossip || !c.chance(0.02) {
 		return
@@ -104,8 +104,8 @@
 	c.schedule(0, received)
 }
 
-// reload now and then reads settings anew: a class changes, one comes or goes, more or fewer attempts are
-// allowed.
+// reload occasionally returns a reload of the settings, which changes, adds or removes a class and changes
+// the maximum number of attempts.
 func (c *simulatedCluster) reload() *classUpdate {
 	if !c.chance(0.0003) {
 		return nil
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -15,7 +15,7 @@
 	simulationStart = 100 * time.Second
 )
 
-// batch is what the module was given at one time; update, if set, comes before the events.
+// batch is the input of the controller at one time. The class update, if any, is applied before the events.
 type batch struct {
 	now    time.Duration
 	events []control.Event
@@ -28,7 +28,8 @@
 	event control.Event
 }
 
-// eventQueue is a heap of what is due, the soonest first, and what is due at one time in its order.
+// eventQueue is a heap of scheduled events, ordered by time and then by the order in which they were
+// scheduled.
 type eventQueue []scheduledEvent
 
 func (a eventQueue) Len() int      { return len(a) }
@@ -44,36 +45,38 @@
 	return last
 }
 
-// simulatedCluster is a broker's surroundings in a closed loop with the module: clients, engines, other brokers and the
-// operator. All that happens is drawn from one generator, so equal seeds give equal events for equal actions.
+// simulatedCluster simulates the environment of a broker in a closed loop with its controller: clients,
+// engines, other brokers and the operator. All random values come from one generator, so equal seeds give
+// equal events for equal actions.
 type simulatedCluster struct {
 	tb             testing.TB
 	controller     *control.Controller
 	settings       deployment
 	rng            *rand.Rand
 	now            time.Duration
-	faultless      bool // nothing goes wrong
+	faultless      bool // no faults are injected
 	observe        func(b batch, actions []control.Action)
 	pending        eventQueue
 	order          int
 	engines        []*simulatedEngine
 	requests       map[string]*simulatedRequest
-	load           float64 // fraction of the engines' capacity that clients ask for
-	disconnectRate float64 // share of clients that leave early
-	estimateRate   float64 // share of requests that come with estimates
-	faultRate      float64 // chance of an engine's fault to begin in a step
-	lossRate       float64 // share of answers that a healthy engine never gives
-	requestCount   int     // requests so far
+	load           float64 // fraction of the engines' capacity that clients request
+	disconnectRate float64 // fraction of clients that disconnect early
+	estimateRate   float64 // fraction of requests with estimates of work and memory
+	faultRate      float64 // probability per step that a fault of an engine begins
+	lossRate       float64 // fraction of responses that a healthy engine loses
+	requestCount   int     // requests submitted so far
 }
 
 func newSimulatedCluster(tb testing.TB, settings deployment, seed uint64, engines int) *simulatedCluster {
 	tb.Helper()
-	module, err := control.New(settings.Settings, seed)
+	controller, err := control.New(settings.Settings, seed)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	c := &simulatedCluster{
-		tb: tb, controller: module, settings: settings, rng: rand.New(rand.NewPCG(seed, 26)), now: simulationStart,
+		tb: tb, controller: controller, settings: settings, now: simulationStart,
+		rng:      rand.New(rand.NewPCG(seed, 26)),
 		requests: map[string]*simulatedRequest{}, observe: func(batch, []control.Action) {},
 		load: 0.7, faultRate: 0.0005, lossRate: 0.001,
 	}
@@ -95,11 +98,11 @@
 	heap.Push(&c.pending, scheduledEvent{c.now + max(0, d), c.order, event})
 }
 
-// run lets so much time pass.
+// run simulates that length of time.
 func (c *simulatedCluster) run(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.now += simulationStep
-		if !c.faultless && c.chance(0.002) { // the process stood still
+		if !c.faultless && c.chance(0.002) { // a process pause
 			c.now += c.randomDuration(0, 1500*millisecond)
 		}
 		c.submitArrivals()
@@ -136,13 +139,14 @@
 	}
 }
 
-// updateModel keeps the world's own records of an event and reports whether it comes to the module at all.
+// updateModel records an event in the simulated requests and engines. It reports whether the controller
+// receives the event.
 func (c *simulatedCluster) updateModel(event control.Event) bool {
 	switch ev := event.(type) {
 	case control.AttemptEnded:
 		r := c.requests[ev.RequestID]
 		if r == nil || ev.Number < 0 || ev.Number >= len(r.attempts) {
-			return true // of nothing that is known: the module passes it over
+			return true // an unknown attempt, which the controller ignores
 		}
 		a := r.attempts[ev.Number]
 		if a.ended {
@@ -176,7 +180,7 @@
 	case control.Reject:
 		r := c.requests[a.RequestID]
 		r.over = true
-		if !c.faultless && c.chance(0.3) { // its client comes again
+		if !c.faultless && c.chance(0.3) { // the client retries
 			c.submit(r.Class, r.OrderKey, max(a.RetryAfter, 50*millisecond))
 		}
 	case control.Fail:
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -17,18 +17,18 @@
 	}
 	s := h.controller.settings.Rules
 	const cores = 8
-	const targetUtilization = 0.85 // of the cores, at capacity
+	const targetUtilization = 0.85 // utilization of the cores at capacity
 	capacity := float64(s.SlowStartInitial) * 1.1 * targetUtilization * cores
 	budget := s.OverloadMultiple * capacity * s.OverloadWindow.Seconds() // in core seconds
 	maxSent := budget / float64(h.controller.classes.all[0].Cost.MeanWork())
 	if sent == 0 || float64(sent) > maxSent {
-		t.Fatalf("%d sent to an engine in slow start, at most %.0f by all brokers", sent, maxSent)
+		t.Fatalf("%d attempts sent to an engine in slow start, want 1 to %.0f, the limit for all brokers", sent, maxSent)
 	}
 }
 
-// Hundreds of brokers share the slow-start budget of an engine by turns: what all of them send it in any
-// window stays within the budget, each gets a turn, and the engine is used.
-func TestBrokersTakeTurnsAtASlowStartingEngine(t *testing.T) {
+// Hundreds of brokers share the slow-start budget of an engine in slots. The work that all of them send to
+// the engine in any window stays within the budget, many brokers get a slot, and the engine is used.
+func TestBrokersTakeSlotsAtAnEngineInSlowStart(t *testing.T) {
 	s := baseSettings()
 	s.Brokers = 300
 	starting := readyEngine("e1")
@@ -38,20 +38,20 @@
 		work float64
 	}
 	var all []sent
-	turns := map[int]bool{}
+	senders := map[int]bool{}
 	harnesses := make([]*harness, 0, s.Brokers)
 	for g := range s.Brokers {
 		s.BrokerIndex = g
 		harnesses = append(harnesses, newHarness(t, s, starting))
 	}
-	for range 240 { // 12 s; each broker always has a request at hand
+	for range 240 { // 12 s, in which each broker always has a request to send
 		for g, h := range harnesses {
 			for _, class := range []string{"quick", "long"} {
 				id, got := h.submit(class)
 				if countOf[SendAttempt](got) > 0 {
 					classes := h.controller.classes
 					all = append(all, sent{h.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
-					turns[g] = true
+					senders[g] = true
 					h.endAttempt(id, 0, OK)
 				}
 				h.handle(ClientDisconnected{RequestID: id})
@@ -72,14 +72,15 @@
 		initial := float64(s.Rules.SlowStartInitial)
 		capacity := 8 * (initial + (1-initial)*warmedUp)
 		if most := s.Rules.OverloadMultiple * capacity * window.Seconds(); sum > most {
-			t.Fatalf("%.1f thread-seconds from %v on, over %.1f", sum, first.at, most)
+			t.Fatalf("%.1f thread seconds sent within the window from %v, want at most %.1f", sum, first.at, most)
 		}
 	}
-	if len(all) < 20 || len(turns) < 10 {
-		t.Fatalf("%d sends from %d brokers: the starting engine is hardly used", len(all), len(turns))
+	if len(all) < 20 || len(senders) < 10 {
+		t.Fatalf("%d sends from %d brokers, want at least 20 from 10: the engine is hardly used",
+			len(all), len(senders))
 	}
 	s.BrokerIndex = s.Brokers
 	if _, err := New(s, 1); err == nil {
-		t.Fatal("a broker number out of range was taken")
+		t.Fatal("New accepted a broker index out of range")
 	}
 }
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// settingsChange removes something from settings.
+// settingsChange removes values from settings.
 type settingsChange func(s *Settings)
 
-// forEachClass removes something from each class.
+// forEachClass returns a settingsChange that applies a change to each class.
 func forEachClass(change func(k *Class)) settingsChange {
 	return func(s *Settings) {
 		for i := range s.Classes {
@@ -18,13 +18,13 @@
 	}
 }
 
-// Settings of other deployments may leave much out: what a rule or a latency objective needs, engines' sizes,
-// the number of attempts. Engines with capacity for all of it serve nearly all requests then, whether there
-// are few brokers or many, and also once an engine has just started.
-func TestSparseSettings(t *testing.T) {
+// Settings may omit the parameters of rules, latency objectives, engine sizes or the number of attempts.
+// Nearly all requests must still succeed if the engines have enough capacity, with few and with many brokers,
+// and also after an engine has just started.
+func TestRequestsAreServedWithSparseSettings(t *testing.T) {
 	for name, c := range map[string]struct {
-		took     time.Duration // by each request, where there is one broker
-		leaveOut settingsChange
+		took time.Duration // service time of each request with one broker
+		omit settingsChange
 	}{
 		"nothing":               {300 * ms, func(*Settings) {}},
 		"the rules":             {80 * ms, func(s *Settings) { s.Rules = Rules{} }},
@@ -48,14 +48,18 @@
 		"weights":           {80 * ms, forEachClass(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
 		"all but one class": {80 * ms, func(s *Settings) { s.Classes = s.Classes[:1] }},
 	} {
-		// One of many brokers has a small share of the engines' limits, so it is asked for less work.
+		// With many brokers, each has a small share of the engines' limits, so its requests are
+		// lighter.
 		for brokers, took := range map[int]time.Duration{1: c.took, 300: 30 * ms} {
-			t.Run(fmt.Sprintf("%s, %d brokers", name, brokers), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s omitted, %d brokers", name, brokers), func(t *testing.T) {
 				s := baseSettings()
 				s.Brokers = brokers
-				c.leaveOut(&s)
+				c.omit(&s)
 				const count = 1200
-				h := &servingHarness{harness: newHarness(t, s, readyEngines(3)...), took: took, endings: map[time.Duration][]Event{}}
+				h := &servingHarness{
+					harness: newHarness(t, s, readyEngines(3)...), took: took,
+					endings: map[time.Duration][]Event{},
+				}
 				for i := range count {
 					if i == count/2 {
 						starting := readyEngine("e03")
@@ -65,22 +69,22 @@
 					h.request(fmt.Sprint(i), s.Classes[i%len(s.Classes)].Name)
 				}
 				if h.served < count*9/10 {
-					t.Fatalf("%d of %d were served", h.served, count)
+					t.Fatalf("%d of %d requests succeeded, want at least 90%%", h.served, count)
 				}
 			})
 		}
 	}
 }
 
-// servingHarness is a rig whose engines serve each attempt in the same time.
+// servingHarness is a harness whose engines complete each attempt after the same time.
 type servingHarness struct {
 	*harness
 	took    time.Duration
-	endings map[time.Duration][]Event // how attempts end, by when
+	endings map[time.Duration][]Event // ends of attempts by time
 	served  int
 }
 
-// serve begins the attempts among the actions.
+// serve schedules the ends of the attempts that the actions start.
 func (h *servingHarness) serve(actions []Action) {
 	for _, a := range actionsOf[SendAttempt](actions) {
 		at := h.now + h.took
@@ -90,7 +94,7 @@
 	}
 }
 
-// request sends a request and lets time pass until the next one.
+// request submits a request and lets time pass until the next one.
 func (h *servingHarness) request(id, class string) {
 	h.serve(h.handle(RequestReceived{Request: Request{
 		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: h.took, Deadline: h.now + 2*time.Second,
