--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	clockError        = time.Second // maximum error of the start times in the endpoint list
+	clockError        = time.Second // maximum error of the clock behind the endpoint list
 	usedBudget        = 0.7         // fraction of the tolerated work that brokers send
 	trustedWarmUp     = 0.7         // fraction of the expected warm-up that the policy relies on
 	targetUtilization = 0.85        // utilization of the cores at capacity
@@ -30,7 +30,7 @@
 type Config struct {
 	InitialFraction  units.Fraction // fraction of its capacity that an engine has when it starts
 	Duration         time.Duration  // until an engine has its full capacity
-	OverloadMultiple float64        // multiple of its capacity at which an engine that warms up fails
+	OverloadMultiple float64        // multiple of its capacity beyond which a warming engine fails
 	OverloadWindow   time.Duration  // window over which the work sent is summed
 	Brokers          int            // number of brokers that share the engines
 	BrokerIndex      int            // index of this broker, from 0
