--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -40,7 +40,10 @@
 	if err != nil {
 		return nil, err
 	}
-	service := &Service{Server: srv, operatorConfig: operatorConfig, log: log, adminCallers: server.MaxAdminConnections(cfg)}
+	service := &Service{
+		Server: srv, operatorConfig: operatorConfig, log: log,
+		adminCallers: server.MaxAdminConnections(cfg),
+	}
 	if operatorConfig != nil || cfg.AdminListen != "" {
 		limits := (&operatorconfig.File{}).Cardinality()
 		if operatorConfig != nil {
