--- a/control/overdue.go
+++ b/control/overdue.go
@@ -74,7 +74,8 @@
 // other engines, and so is the attempt's own request if there is time.
 func (c *Controller) releaseBlockedAttempt(attempt *attempt) {
 	attempt.releaseThreads()
-	attempt.engine.dataSetLocks.PresumeLocked(attempt.request.DataSet, c.now+c.workload.Summary().LongestLock)
+	lockExpiry := c.now + c.workload.Summary().LongestLock
+	attempt.engine.dataSetLocks.PresumeLocked(attempt.request.DataSet, lockExpiry)
 	c.hedgeOrCancel(attempt)
 }
 
