--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -36,8 +36,8 @@
 	return deployment{settings.Control, settings.LoadReport}
 }
 
-// drawnSettings returns settings in which every option of a deployment is drawn at random.
-func drawnSettings(seed uint64) deployment {
+// randomSettings returns settings in which every option of a deployment is drawn at random.
+func randomSettings(seed uint64) deployment {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func() bool { return rng.IntN(2) == 0 }
 	s := deployment{Settings: control.Settings{
@@ -76,12 +76,12 @@
 		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetRatio, s.Rules.RetryBudgetReserve = 5*time.Second, 0.1, 2
 	}
 	for i := range 2 + rng.IntN(3) {
-		s.Classes = append(s.Classes, drawnClass(rng, fmt.Sprint("class-", i)))
+		s.Classes = append(s.Classes, randomClass(rng, fmt.Sprint("class-", i)))
 	}
 	return s
 }
 
-func drawnClass(rng *rand.Rand, name string) control.Class {
+func randomClass(rng *rand.Rand, name string) control.Class {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	k := control.Class{
 		Name: name, LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
@@ -129,8 +129,8 @@
 	}
 }
 
-func drawnDeployment(seed uint64) func(testing.TB) deployment {
-	return func(testing.TB) deployment { return drawnSettings(seed) }
+func randomDeployment(seed uint64) func(testing.TB) deployment {
+	return func(testing.TB) deployment { return randomSettings(seed) }
 }
 
 // withBrokers returns a change that sets the number of brokers, so that the site's engines are pooled.
@@ -182,22 +182,22 @@
 			length: 60 * time.Second, want: "e58139c2da7729032c6e457f9a6c6a152f6511190d822b60f08e96af00338a64", lossy: true,
 		},
 	}
-	cases = slices.Grow(cases, len(drawnHashes))
-	for seed := range uint64(len(drawnHashes)) {
+	cases = slices.Grow(cases, len(randomSettingsHashes))
+	for seed := range uint64(len(randomSettingsHashes)) {
 		engines := 4 + 2*int(seed%5)
-		if drawnSettings(seed).Brokers > 4 {
+		if randomSettings(seed).Brokers > 4 {
 			engines = 70
 		}
 		cases = append(cases, recordedCase{
-			name: fmt.Sprint("drawn settings ", seed), settings: drawnDeployment(seed), engines: engines, seeds: 1,
-			length: 60 * time.Second, want: drawnHashes[seed],
+			name: fmt.Sprint("random settings ", seed), settings: randomDeployment(seed), engines: engines, seeds: 1,
+			length: 60 * time.Second, want: randomSettingsHashes[seed],
 		})
 	}
 	return cases
 }
 
-// drawnHashes holds the recorded hashes of the drawn settings, by seed.
-var drawnHashes = [...]string{
+// randomSettingsHashes holds the recorded hashes of the random settings, by seed.
+var randomSettingsHashes = [...]string{
 	"0960ef88e15a3a42c572a95cfeafc6fb751e42637c8d12fd74f56791ee27c14a",
 	"82e3ca594438db95501159bff699148f863828769a64ccd37afa487f1a8dffd6",
 	"0f48b5769a4e7509159ddb3acf77c814b405a47afae09bbde32391db54e02a8b",
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -110,8 +110,8 @@
 	}
 	slices.SortFunc(evs, func(a, b Event) int { return int(a.(TimerFired).Token) - int(b.(TimerFired).Token) })
 	evs = append(evs,
-		RequestReceived{Request: Request{ID: "left", Class: "quick", Deadline: h.now + time.Second}},
-		ClientDisconnected{RequestID: "left"},
+		RequestReceived{Request: Request{ID: "disconnected", Class: "quick", Deadline: h.now + time.Second}},
+		ClientDisconnected{RequestID: "disconnected"},
 		AttemptEnded{
 			RequestID: id, Engine: e, Status: OK, RequestClosed: true, Duration: 100 * ms, Work: 100 * ms,
 		},
--- a/control/membership.go
+++ b/control/membership.go
@@ -87,7 +87,7 @@
 	return engine
 }
 
-// refreshEndpoints removes engines that are gone and recomputes the summary of the others.
+// refreshEndpoints removes unlisted engines without work and recomputes the summary of the others.
 func (c *Controller) refreshEndpoints() {
 	for _, id := range c.endpoints.removeUnlisted() {
 		c.noticeThrottle.Forget(noticeKey{ejected, id})
--- a/control/property_events_test.go
+++ b/control/property_events_test.go
@@ -8,9 +8,9 @@
 	"wheatlane/control/units"
 )
 
-// drawEvent passes one random event to the controller. It returns false if it drew the end of an attempt
-// while none is in flight.
-func (c *ruleChecker) drawEvent(step int) bool {
+// handleRandomEvent passes one random event to the controller. It returns false if it drew the end of an
+// attempt while none is in flight.
+func (c *ruleChecker) handleRandomEvent(step int) bool {
 	c.t.Helper()
 	switch draw := c.rng.IntN(12); {
 	case draw == 0:
@@ -20,7 +20,7 @@
 	case draw < 10:
 		return c.endInFlight()
 	case draw == 10:
-		if q, number := c.drawInFlight(); q != nil {
+		if q, number := c.randomAttemptInFlight(); q != nil {
 			kind := ProgressKind(1 + c.rng.IntN(3))
 			c.check(c.handle(AttemptProgress{
 				RequestID: q.ID, Number: number, Kind: kind, Value: c.rng.Float64(),
@@ -75,7 +75,7 @@
 // endInFlight ends an attempt in flight with a random status. It returns false if it finds none.
 func (c *ruleChecker) endInFlight() bool {
 	c.t.Helper()
-	q, number := c.drawInFlight()
+	q, number := c.randomAttemptInFlight()
 	if q == nil {
 		return false
 	}
@@ -87,7 +87,7 @@
 		c.cooldownEnd[q.OrderKey] = c.now + c.settings.Rules.KeyCooldown
 	}
 	closed := !q.open() || status == OK
-	q.over = q.over || status == OK
+	q.closed = q.closed || status == OK
 	work := time.Duration(c.rng.IntN(300)) * ms
 	report := loadreport.Report{
 		Reported: c.settings.EnginesReportLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), RequestsInFlight: 3,
@@ -107,7 +107,7 @@
 	}
 	q := c.arrivals[c.rng.IntN(len(c.arrivals))]
 	if q.answerCount == 0 {
-		q.over = true
+		q.closed = true
 	}
 	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
 }
@@ -125,8 +125,9 @@
 	c.now += max(0, length)
 }
 
-// drawInFlight returns a random attempt in flight of one of the latest requests, or nil if it finds none.
-func (c *ruleChecker) drawInFlight() (*trackedRequest, int) {
+// randomAttemptInFlight returns a random attempt in flight of one of the latest requests, or nil if it finds
+// none.
+func (c *ruleChecker) randomAttemptInFlight() (*trackedRequest, int) {
 	const tries, latest = 30, 30
 	for range tries {
 		if len(c.arrivals) == 0 {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -11,8 +11,8 @@
 	"wheatlane/control/idempotency"
 )
 
-// drawSettings returns settings in which every option of a deployment is drawn at random.
-func drawSettings(r *rand.Rand) Settings {
+// randomSettings returns settings in which every option of a deployment is drawn at random.
+func randomSettings(r *rand.Rand) Settings {
 	s := baseSettings()
 	flip := func() bool { return r.IntN(2) == 0 }
 	s.Brokers = 1 + r.IntN(4)
@@ -64,12 +64,12 @@
 	class        Class
 	attempts     []*trackedAttempt
 	answerCount  int
-	over         bool // closed, or its client has disconnected
+	closed       bool // has its final response, or its client has disconnected
 	arrivalIndex int
 }
 
 // open reports whether the request has no final response yet.
-func (q *trackedRequest) open() bool { return !q.over && q.answerCount == 0 }
+func (q *trackedRequest) open() bool { return !q.closed && q.answerCount == 0 }
 
 // inFlight reports whether an attempt of the request is in flight.
 func (q *trackedRequest) inFlight() bool {
@@ -96,14 +96,14 @@
 func checkRandom(t *testing.T, seed uint64) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
-	settings := drawSettings(rng)
+	settings := randomSettings(rng)
 	c := &ruleChecker{
 		harness: newHarness(t, settings), seed: seed, rng: rng, settings: settings,
 		engines: map[string]Engine{}, unavailable: map[string]bool{}, requests: map[string]*trackedRequest{},
 		cooldownEnd: map[string]time.Duration{},
 	}
 	for step := range 400 {
-		if !c.drawEvent(step) {
+		if !c.handleRandomEvent(step) {
 			continue
 		}
 		for range rng.IntN(20) {
@@ -250,7 +250,7 @@
 	c.t.Helper()
 	q := c.requests[id]
 	q.answerCount++
-	if q.over || q.answerCount > 1 || c.now > q.Deadline {
+	if q.closed || q.answerCount > 1 || c.now > q.Deadline {
 		c.fatalf("second or late answer to request %s", id)
 	}
 	return q
--- a/control/simulation_clients_test.go
+++ b/control/simulation_clients_test.go
@@ -15,7 +15,7 @@
 	threads  int
 	attempts []*simulatedAttempt
 	arrived  bool
-	over     bool
+	closed   bool
 }
 
 // submit schedules a request of a class, which a client sends after a delay.
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -39,7 +39,7 @@
 	if c.chance(0.002) { // unexpected events, which the controller must ignore or fail
 		stray := control.Request{ID: "stray", Class: "no such class", Deadline: c.now + time.Second}
 		c.schedule(0, control.RequestReceived{Request: stray})
-		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.over { // a duplicate
+		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.closed { // a duplicate
 			c.schedule(20*millisecond, control.RequestReceived{Request: r.Request})
 		}
 		c.schedule(0, control.ClientDisconnected{RequestID: "nobody's"})
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -154,16 +154,16 @@
 		}
 		a.ended = true
 		a.engine.inFlight--
-		r.over = r.over || ev.RequestClosed
+		r.closed = r.closed || ev.RequestClosed
 	case control.RequestReceived:
 		if r := c.requests[ev.Request.ID]; r != nil {
 			arrivedBefore := r.arrived
 			r.arrived = true
-			return !arrivedBefore || !r.over
+			return !arrivedBefore || !r.closed
 		}
 	case control.ClientDisconnected:
 		if r := c.requests[ev.RequestID]; r != nil {
-			r.over = true
+			r.closed = true
 		}
 	case control.AttemptProgress:
 		if r := c.requests[ev.RequestID]; r != nil {
@@ -179,13 +179,13 @@
 		c.startAttempt(a)
 	case control.Reject:
 		r := c.requests[a.RequestID]
-		r.over = true
+		r.closed = true
 		if !c.faultless && c.chance(0.3) { // the client retries
 			c.submit(r.Class, r.OrderKey, max(a.RetryAfter, 50*millisecond))
 		}
 	case control.Fail:
 		if r := c.requests[a.RequestID]; r != nil {
-			r.over = true
+			r.closed = true
 		}
 	case control.CancelAttempt:
 		r := c.requests[a.RequestID]
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -23,8 +23,8 @@
 // and also after an engine has just started.
 func TestRequestsAreServedWithSparseSettings(t *testing.T) {
 	for name, c := range map[string]struct {
-		took time.Duration // service time of each request with one broker
-		omit settingsChange
+		serviceTime time.Duration // service time of each request with one broker
+		omit        settingsChange
 	}{
 		"nothing":               {300 * ms, func(*Settings) {}},
 		"the rules":             {80 * ms, func(s *Settings) { s.Rules = Rules{} }},
@@ -50,14 +50,14 @@
 	} {
 		// With many brokers, each has a small share of the engines' limits, so its requests are
 		// lighter.
-		for brokers, took := range map[int]time.Duration{1: c.took, 300: 30 * ms} {
+		for brokers, serviceTime := range map[int]time.Duration{1: c.serviceTime, 300: 30 * ms} {
 			t.Run(fmt.Sprintf("%s omitted, %d brokers", name, brokers), func(t *testing.T) {
 				s := baseSettings()
 				s.Brokers = brokers
 				c.omit(&s)
 				const count = 1200
 				h := &servingHarness{
-					harness: newHarness(t, s, readyEngines(3)...), took: took,
+					harness: newHarness(t, s, readyEngines(3)...), serviceTime: serviceTime,
 					endings: map[time.Duration][]Event{},
 				}
 				for i := range count {
@@ -79,17 +79,17 @@
 // servingHarness is a harness whose engines complete each attempt after the same time.
 type servingHarness struct {
 	*harness
-	took    time.Duration
-	endings map[time.Duration][]Event // ends of attempts by time
-	served  int
+	serviceTime time.Duration
+	endings     map[time.Duration][]Event // ends of attempts by time
+	served      int
 }
 
 // serve schedules the ends of the attempts that the actions start.
 func (h *servingHarness) serve(actions []Action) {
 	for _, a := range actionsOf[SendAttempt](actions) {
-		at := h.now + h.took
+		at := h.now + h.serviceTime
 		h.endings[at] = append(h.endings[at], AttemptEnded{
-			RequestID: a.RequestID, Status: OK, Duration: h.took, RequestClosed: true, Work: h.took, MemoryMB: 100,
+			RequestID: a.RequestID, Status: OK, Duration: h.serviceTime, RequestClosed: true, Work: h.serviceTime, MemoryMB: 100,
 		})
 	}
 }
@@ -97,7 +97,7 @@
 // request submits a request and lets time pass until the next one.
 func (h *servingHarness) request(id, class string) {
 	h.serve(h.handle(RequestReceived{Request: Request{
-		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: h.took, Deadline: h.now + 2*time.Second,
+		ID: id, Class: class, EstimatedMemoryMB: 100, EstimatedWork: h.serviceTime, Deadline: h.now + 2*time.Second,
 	}}))
 	for range 4 {
 		h.serve(h.advance(5 * ms))
