--- a/control/admission.go
+++ b/control/admission.go
@@ -13,20 +13,20 @@
 
 // handleRequestReceived admits or rejects a request. A timer ensures that the request gets its one final
 // response by its deadline.
-func (c *Controller) handleRequestReceived(in Request) {
-	if c.requests.byID[in.ID] != nil {
+func (c *Controller) handleRequestReceived(received Request) {
+	if c.requests.byID[received.ID] != nil {
 		return
 	}
-	classIndex, known := c.classes.byName[in.Class]
+	classIndex, known := c.classes.byName[received.Class]
 	if !known {
-		c.emit(Fail{in.ID}) // nothing ran, but a retry would fail too
+		c.emit(Fail{received.ID}) // nothing ran, but a retry would fail too
 		return
 	}
-	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(in.Tenant)
-	request := newRequest(in, class, classIndex, tenantIndex, c.now)
+	class, tenantIndex := c.classes.all[classIndex], c.workload.Tenants().Index(received.Tenant)
+	request := newRequest(received, class, classIndex, tenantIndex, c.now)
 	c.workload.RequestReceived(classIndex, tenantIndex)
 	c.retryBudget.RequestReceived(c.now)
-	responseDueIn := in.Deadline - c.now - deadlineLeadBatches*c.settings.MinBatchInterval
+	responseDueIn := received.Deadline - c.now - deadlineLeadBatches*c.settings.MinBatchInterval
 	c.startTimer(responseDueIn, responseDue{request})
 	c.requests.add(request)
 	c.enqueue(request, nil)
@@ -34,10 +34,12 @@
 
 // objectiveDeadline returns the end of the latency objective of a request that is received now. The objective
 // ends no later than the request's deadline and the time at which clients of the class usually disconnect.
-func (k *class) objectiveDeadline(now time.Duration, in Request, work units.ThreadSeconds) time.Duration {
-	end := min(in.Deadline, now+k.objectiveOf(work))
-	if patience, known := k.Abandonment.Patience(); known {
-		end = min(end, now+patience)
+func (c *class) objectiveDeadline(
+	now time.Duration, received Request, work units.ThreadSeconds,
+) time.Duration {
+	end := min(received.Deadline, now+c.objectiveOf(work))
+	if untilDisconnect, known := c.Abandonment.Patience(); known {
+		end = min(end, now+untilDisconnect)
 	}
 	return end
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -33,7 +33,7 @@
 		_, got := h.submit("quick")
 		rejected += countOf[Reject](got)
 	}
-	_, got := h.submit("quick", func(q *Request) { q.Tenant = "t1" })
+	_, got := h.submit("quick", func(r *Request) { r.Tenant = "t1" })
 	if other := countOf[Reject](got); rejected == 0 || other > 0 {
 		t.Fatalf("%d requests of the tenant over its share were rejected, want at least 1; %d of the other, want 0",
 			rejected, other)
@@ -44,7 +44,7 @@
 func TestUnknownTenantIsNotChargedToOtherTenants(t *testing.T) {
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	for _, name := range []string{"nobody", "", "t0"} {
-		_, got := h.submit("quick", func(q *Request) { q.Tenant = name })
+		_, got := h.submit("quick", func(r *Request) { r.Tenant = name })
 		requireEqual(t, "sent for "+name, countOf[SendAttempt](got), 1)
 	}
 	tenants := h.controller.workload.Tenants()
@@ -93,8 +93,8 @@
 
 // submitKind submits a request and lets time pass until the next one.
 func (l *mixedLoadHarness) submitKind(kind int) {
-	id, got := l.submit("long", func(q *Request) {
-		q.EstimatedWork, q.Deadline = workOf(kind), l.now+20*time.Second
+	id, got := l.submit("long", func(r *Request) {
+		r.EstimatedWork, r.Deadline = workOf(kind), l.now+20*time.Second
 	})
 	l.kinds[id] = kind
 	l.record(got)
--- a/control/behavior_cases_test.go
+++ b/control/behavior_cases_test.go
@@ -83,7 +83,7 @@
 
 func randomClass(rng *rand.Rand, name string) control.Class {
 	flip := func() bool { return rng.IntN(2) == 0 }
-	k := control.Class{
+	class := control.Class{
 		Name: name, LatencyObjective: time.Duration(200+rng.IntN(1500)) * millisecond,
 		ObjectivePerWork: 2 * rng.Float64(), PriorityWeight: 1 + 10*rng.Float64(),
 		LateWeight: units.Fraction(rng.IntN(2)) * 0.4,
@@ -94,18 +94,18 @@
 		Ordered: flip(), Threads: rng.IntN(4), HoldsDataSetLock: flip(), BlockedByDataSetLock: flip(),
 	}
 	if rng.IntN(5) == 0 {
-		k.AllowedZones = []string{"b"}
+		class.AllowedZones = []string{"b"}
 	}
 	if rng.IntN(5) == 0 {
-		k.AllowedKinds = []string{"std"}
+		class.AllowedKinds = []string{"std"}
 	}
 	if flip() {
-		k.ClientTimeout = k.LatencyObjective * time.Duration(2+rng.IntN(5))
+		class.ClientTimeout = class.LatencyObjective * time.Duration(2+rng.IntN(5))
 	}
 	if rng.IntN(6) == 0 {
-		k.LatencyObjective = 0
+		class.LatencyObjective = 0
 	}
-	return k
+	return class
 }
 
 type recordedCase struct {
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -47,17 +47,17 @@
 }
 
 func TestAttemptOptionsOnlyWhereSupported(t *testing.T) {
-	mem := func(q *Request) { q.EstimatedMemoryMB = 1000 }
+	withMemory := func(r *Request) { r.EstimatedMemoryMB = 1000 }
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
-	_, got := h.submit("quick", mem)
+	_, got := h.submit("quick", withMemory)
 	requireEqual(t, "options where engines apply none", countOf[SetAttemptOptions](got), 0)
 	s := baseSettings()
 	s.MemoryGrants, s.Priorities = true, true
 	h = newHarness(t, s, readyEngine("e1"))
-	_, got = h.submit("quick", mem)
+	_, got = h.submit("quick", withMemory)
 	wantOptions := SetAttemptOptions{RequestID: "q1", GrantMB: 1250, Priority: 3}
 	requireEqual(t, "options", actionsOf[SetAttemptOptions](got)[0], wantOptions)
-	_, got = h.submit("quick", func(q *Request) { q.EstimatedMemoryMB = 1e6 })
+	_, got = h.submit("quick", func(r *Request) { r.EstimatedMemoryMB = 1e6 })
 	requireEqual(t, "largest grant", actionsOf[SetAttemptOptions](got)[0].GrantMB, math.Ceil(0.4*16384))
 }
 
@@ -86,7 +86,7 @@
 	h := newHarness(t, baseSettings(), readyEngine("e1"))
 	previous := h.controller.now
 	h.now -= time.Minute
-	_, got := h.submit("quick", func(q *Request) { q.Deadline = previous + time.Second })
+	_, got := h.submit("quick", func(r *Request) { r.Deadline = previous + time.Second })
 	requireEqual(t, "now", h.controller.now, previous)
 	requireEqual(t, "sends", countOf[SendAttempt](got), 1)
 }
@@ -101,15 +101,17 @@
 	id, got := h.submit("quick")
 	e := actionsOf[SendAttempt](got)[0].Engine
 	h.now += 2 * time.Second
-	var evs []Event
-	for tok, at := range h.timers {
+	var events []Event
+	for token, at := range h.timers {
 		if at <= h.now {
-			evs = append(evs, TimerFired{Token: tok})
-			delete(h.timers, tok)
+			events = append(events, TimerFired{Token: token})
+			delete(h.timers, token)
 		}
 	}
-	slices.SortFunc(evs, func(a, b Event) int { return int(a.(TimerFired).Token) - int(b.(TimerFired).Token) })
-	evs = append(evs,
+	slices.SortFunc(events, func(a, b Event) int {
+		return int(a.(TimerFired).Token) - int(b.(TimerFired).Token)
+	})
+	events = append(events,
 		RequestReceived{Request: Request{ID: "disconnected", Class: "quick", Deadline: h.now + time.Second}},
 		ClientDisconnected{RequestID: "disconnected"},
 		AttemptEnded{
@@ -118,7 +120,7 @@
 		RequestReceived{Request: Request{ID: "late", Class: "quick", Deadline: h.now - time.Second}},
 		RequestReceived{Request: Request{ID: "open", Class: "quick", Deadline: h.now + time.Second}},
 	)
-	got = h.handle(evs...)
+	got = h.handle(events...)
 	sends := actionsOf[SendAttempt](got)
 	requireEqual(t, "only the open request is sent", len(sends) == 1 && sends[0].RequestID == "open", true)
 	requireEqual(t, "responses presumed lost", h.controller.outliers.Losses(), 0.0)
@@ -132,14 +134,14 @@
 	h := newPooledHarness(t, pooledSettings(), 300)
 	h.handle(EndpointUpdate{Kind: EndpointDelta, Engines: []Engine{readyEngine("e01"), readyEngine("e01")}})
 	const count = 3000
-	evs := make([]Event, 0, count)
+	events := make([]Event, 0, count)
 	for i := range count {
-		evs = append(evs, RequestReceived{Request: Request{
+		events = append(events, RequestReceived{Request: Request{
 			ID: fmt.Sprint("m", i), Class: []string{"quick", "long"}[i%2],
 			Deadline: h.now + time.Duration(i%5)*time.Second,
 		}})
 	}
-	h.handle(evs...)
+	h.handle(events...)
 	h.advance(500 * ms)
 	h.handle(EndpointUpdate{Kind: EndpointSnapshot}) // no engines left
 	h.advance(6 * time.Second)
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -111,9 +111,9 @@
 	c, e := h.controller, h.controller.endpoints.all[0]
 	c.shares = shares.New(shares.DefaultConfig(), []float64{0.75, 0.25})
 	for i := range 40 {
-		k := c.classes.all[i%2]
+		class := c.classes.all[i%2]
 		e.enqueue(&request{
-			Request: Request{ID: fmt.Sprint(i)}, class: k, classIndex: i % 2,
+			Request: Request{ID: fmt.Sprint(i)}, class: class, classIndex: i % 2,
 			tenantIndex: i / 2 % 2, expectedWork: 1,
 		})
 	}
--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -105,13 +105,13 @@
 func TestOrderKeyKeepsOrderAndCooldown(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Ordered, s.Rules.KeyCooldown = true, 400*ms
-	key := func(q *Request) { q.OrderKey = "k" }
+	key := func(r *Request) { r.OrderKey = "k" }
 	h := newHarness(t, s, readyEngine("e1"), readyEngine("e2"))
 	first, got := h.submit("quick", key)
 	requireEqual(t, "sends of the first request", countOf[SendAttempt](got), 1)
 	_, got = h.submit("quick", key)
 	requireEqual(t, "sends while the first request is open", countOf[SendAttempt](got), 0)
-	_, got = h.submit("quick", func(q *Request) { q.OrderKey = "other" })
+	_, got = h.submit("quick", func(r *Request) { r.OrderKey = "other" })
 	requireEqual(t, "sends for another key", countOf[SendAttempt](got), 1)
 	h.handle(ClientDisconnected{RequestID: first}) // its attempt is still in flight
 	requireEqual(t, "sends while the attempt is in flight", countOf[SendAttempt](h.advance(300*ms)), 0)
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -101,16 +101,16 @@
 // submit passes a new request of a class to the controller and returns its ID and the controller's actions.
 func (h *harness) submit(class string, change ...func(*Request)) (string, []Action) {
 	h.submitted++
-	q := Request{ID: fmt.Sprint("q", h.submitted), Class: class, Tenant: "t0", Deadline: h.now + 3*time.Second}
+	r := Request{ID: fmt.Sprint("q", h.submitted), Class: class, Tenant: "t0", Deadline: h.now + 3*time.Second}
 	for _, f := range change {
-		f(&q)
+		f(&r)
 	}
-	return q.ID, h.handle(RequestReceived{Request: q})
+	return r.ID, h.handle(RequestReceived{Request: r})
 }
 
 // deadlineIn returns a change for submit that sets the deadline of the request.
 func (h *harness) deadlineIn(d time.Duration) func(*Request) {
-	return func(q *Request) { q.Deadline = h.now + d }
+	return func(r *Request) { r.Deadline = h.now + d }
 }
 
 // actionsOf returns the actions of one type.
--- a/control/interval_test.go
+++ b/control/interval_test.go
@@ -15,9 +15,9 @@
 		long, _ := h.submit("long", h.deadlineIn(20*time.Second))
 		h.advance(time.Duration(50+i*5) * ms)
 		for _, id := range []string{id, long} {
-			if q := h.controller.requests.byID[id]; q != nil && len(q.attempts) > 0 {
+			if r := h.controller.requests.byID[id]; r != nil && len(r.attempts) > 0 {
 				h.handle(AttemptEnded{
-					RequestID: id, Number: len(q.attempts) - 1, Status: OK, RequestClosed: true,
+					RequestID: id, Number: len(r.attempts) - 1, Status: OK, RequestClosed: true,
 					Duration: time.Duration(50+i*20) * ms, Work: 100 * ms,
 				})
 			}
--- a/control/overdue_test.go
+++ b/control/overdue_test.go
@@ -114,7 +114,7 @@
 		recordAnswers(h.controller, &outlier.Health{}, 30+i, 10)
 		h.submit("quick")
 		for _, sent := range actionsOf[SendAttempt](h.advance(100 * ms)) {
-			if q := h.controller.requests.byID[sent.RequestID]; q != nil && len(q.attempts) > 1 {
+			if r := h.controller.requests.byID[sent.RequestID]; r != nil && len(r.attempts) > 1 {
 				t.Fatal("an attempt was hedged under overload")
 			}
 		}
@@ -198,8 +198,8 @@
 		if i >= 300 {
 			cancelled += countOf[CancelAttempt](got)
 		}
-		q := h.controller.requests.byID[id]
-		if n := len(q.attempts) - 1; q.attempts[n].cancelled {
+		r := h.controller.requests.byID[id]
+		if n := len(r.attempts) - 1; r.attempts[n].cancelled {
 			h.handle(AttemptEnded{RequestID: id, Number: n, Status: Cancelled, Duration: took})
 			h.advance(took)
 			h.succeed(id, n+1, 40*ms, 40*ms)
@@ -243,11 +243,11 @@
 		h.advance(20 * ms)
 		h.endAttempt(id, 0, OK)
 	}
-	id, got := h.submit("quick", func(q *Request) { q.DataSet = 7 })
+	id, got := h.submit("quick", func(r *Request) { r.DataSet = 7 })
 	blocking := actionsOf[SendAttempt](got)[0].Engine
 	var cancelledAfter time.Duration
 	for from := h.now; cancelledAfter == 0 && h.now < from+2*time.Second; {
-		other, _ := h.submit("quick", func(q *Request) { q.DataSet = 3 })
+		other, _ := h.submit("quick", func(r *Request) { r.DataSet = 3 })
 		if got := h.advance(20 * ms); countOf[CancelAttempt](got) > 0 {
 			requireEqual(t, "cancelled", actionsOf[CancelAttempt](got)[0].RequestID, id)
 			cancelledAfter = h.now - from
@@ -264,7 +264,7 @@
 		t.Fatalf("retries: %v, want one at another engine than %s", retries, blocking)
 	}
 	for range 4 {
-		_, got := h.submit("quick", func(q *Request) { q.DataSet = 7 })
+		_, got := h.submit("quick", func(r *Request) { r.DataSet = 7 })
 		if sent := actionsOf[SendAttempt](got); len(sent) > 0 && sent[0].Engine == blocking {
 			t.Fatalf("another request of the data set was sent to %s, where it is locked", blocking)
 		}
--- a/control/property_events_test.go
+++ b/control/property_events_test.go
@@ -20,10 +20,10 @@
 	case draw < 10:
 		return c.endInFlight()
 	case draw == 10:
-		if q, number := c.randomAttemptInFlight(); q != nil {
+		if r, number := c.randomAttemptInFlight(); r != nil {
 			kind := ProgressKind(1 + c.rng.IntN(3))
 			c.check(c.handle(AttemptProgress{
-				RequestID: q.ID, Number: number, Kind: kind, Value: c.rng.Float64(),
+				RequestID: r.ID, Number: number, Kind: kind, Value: c.rng.Float64(),
 			}))
 		}
 	default:
@@ -56,7 +56,7 @@
 	c.t.Helper()
 	class := c.settings.Classes[c.rng.IntN(2)]
 	wait := time.Duration(200+c.rng.IntN(5000)) * ms
-	q := &trackedRequest{
+	r := &trackedRequest{
 		Request: Request{
 			ID: fmt.Sprint(c.seed, "-", step), Class: class.Name, Deadline: c.now + wait,
 			EstimatedMemoryMB: float64(c.rng.IntN(3)) * 200,
@@ -64,36 +64,36 @@
 		class: class, arrivalIndex: step,
 	}
 	if class.Ordered {
-		q.OrderKey = fmt.Sprint("k", c.rng.IntN(3))
+		r.OrderKey = fmt.Sprint("k", c.rng.IntN(3))
 	}
-	c.requests[q.ID] = q
-	c.arrivals = append(c.arrivals, q)
+	c.requests[r.ID] = r
+	c.arrivals = append(c.arrivals, r)
 	c.arrivedAt = append(c.arrivedAt, c.now)
-	c.check(c.handle(RequestReceived{Request: q.Request}))
+	c.check(c.handle(RequestReceived{Request: r.Request}))
 }
 
 // endInFlight ends an attempt in flight with a random status. It returns false if it finds none.
 func (c *ruleChecker) endInFlight() bool {
 	c.t.Helper()
-	q, number := c.randomAttemptInFlight()
-	if q == nil {
+	r, number := c.randomAttemptInFlight()
+	if r == nil {
 		return false
 	}
 	status := Status(c.rng.IntN(8))
-	a := q.attempts[number]
+	a := r.attempts[number]
 	a.inFlight = false
 	a.mayHaveRun = status != AtCapacity && status != ConnectFailed && status != NeverSent
 	if status == TimedOut || status == ConnectionReset || status == Cancelled {
-		c.cooldownEnd[q.OrderKey] = c.now + c.settings.Rules.KeyCooldown
+		c.cooldownEnd[r.OrderKey] = c.now + c.settings.Rules.KeyCooldown
 	}
-	closed := !q.open() || status == OK
-	q.closed = q.closed || status == OK
+	closed := !r.open() || status == OK
+	r.closed = r.closed || status == OK
 	work := time.Duration(c.rng.IntN(300)) * ms
 	report := loadreport.Report{
 		Reported: c.settings.EnginesReportLoad, Utilization: units.Fraction(c.rng.Float64() * 1.2), RequestsInFlight: 3,
 	}
 	c.check(c.handle(AttemptEnded{
-		RequestID: q.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
+		RequestID: r.ID, Number: number, Status: status, RequestClosed: closed, Duration: c.now - a.sentAt,
 		Work: work, MemoryMB: 100, Report: report,
 	}))
 	return true
@@ -105,11 +105,11 @@
 	if len(c.arrivals) == 0 {
 		return
 	}
-	q := c.arrivals[c.rng.IntN(len(c.arrivals))]
-	if q.answerCount == 0 {
-		q.closed = true
+	r := c.arrivals[c.rng.IntN(len(c.arrivals))]
+	if r.answerCount == 0 {
+		r.closed = true
 	}
-	c.check(c.handle(ClientDisconnected{RequestID: q.ID}))
+	c.check(c.handle(ClientDisconnected{RequestID: r.ID}))
 }
 
 // pauseProcess simulates a process pause, at most until the next deadline: timers due meanwhile fire late.
@@ -117,9 +117,9 @@
 	c.t.Helper()
 	c.check(c.advance(5 * ms))
 	length := 2 * time.Second
-	for _, q := range c.arrivals {
-		if q.open() {
-			length = min(length, q.Deadline-c.now-20*ms)
+	for _, r := range c.arrivals {
+		if r.open() {
+			length = min(length, r.Deadline-c.now-20*ms)
 		}
 	}
 	c.now += max(0, length)
@@ -133,10 +133,10 @@
 		if len(c.arrivals) == 0 {
 			break
 		}
-		q := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(latest))]
-		for number, a := range q.attempts {
+		r := c.arrivals[max(0, len(c.arrivals)-1-c.rng.IntN(latest))]
+		for number, a := range r.attempts {
 			if a.inFlight {
-				return q, number
+				return r, number
 			}
 		}
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -12,16 +12,16 @@
 )
 
 // randomSettings returns settings in which every option of a deployment is drawn at random.
-func randomSettings(r *rand.Rand) Settings {
+func randomSettings(rng *rand.Rand) Settings {
 	s := baseSettings()
-	flip := func() bool { return r.IntN(2) == 0 }
-	s.Brokers = 1 + r.IntN(4)
+	flip := func() bool { return rng.IntN(2) == 0 }
+	s.Brokers = 1 + rng.IntN(4)
 	if flip() { // so many brokers that engines are pooled
-		s.Brokers = 100 + r.IntN(300)
+		s.Brokers = 100 + rng.IntN(300)
 	}
-	s.BrokerIndex = r.IntN(s.Brokers)
+	s.BrokerIndex = rng.IntN(s.Brokers)
 	s.Limits = Limits{
-		MaxAttempts: 1 + r.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
+		MaxAttempts: 1 + rng.IntN(4), RetryAfter: flip(), MaxRetryAfter: time.Second, Cancellation: flip(),
 		Hedging: flip(), LoadProbes: flip(), Gossip: flip(),
 	}
 	s.MemoryGrants, s.Priorities, s.EnginesReportCost, s.WatchEndpointList = flip(), flip(), flip(), flip()
@@ -35,12 +35,12 @@
 		s.Tenants = nil
 	}
 	for i := range s.Classes {
-		k := &s.Classes[i]
-		k.Idempotency.Kind = idempotency.Kind(r.IntN(3))
-		k.Idempotency.DedupScope = idempotency.Scope(r.IntN(3))
-		k.Idempotency.DedupWindow, k.Ordered = time.Duration(1+r.IntN(4))*time.Second, flip()
-		if r.IntN(4) == 0 {
-			k.AllowedZones = []string{"b"}
+		class := &s.Classes[i]
+		class.Idempotency.Kind = idempotency.Kind(rng.IntN(3))
+		class.Idempotency.DedupScope = idempotency.Scope(rng.IntN(3))
+		class.Idempotency.DedupWindow, class.Ordered = time.Duration(1+rng.IntN(4))*time.Second, flip()
+		if rng.IntN(4) == 0 {
+			class.AllowedZones = []string{"b"}
 		}
 	}
 	if flip() {
@@ -69,11 +69,11 @@
 }
 
 // open reports whether the request has no final response yet.
-func (q *trackedRequest) open() bool { return !q.closed && q.answerCount == 0 }
+func (r *trackedRequest) open() bool { return !r.closed && r.answerCount == 0 }
 
 // inFlight reports whether an attempt of the request is in flight.
-func (q *trackedRequest) inFlight() bool {
-	return slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.inFlight })
+func (r *trackedRequest) inFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a *trackedAttempt) bool { return a.inFlight })
 }
 
 // ruleChecker passes random valid events to a controller and checks each action against the rules that can be
@@ -116,9 +116,9 @@
 	for range 1200 {
 		c.check(c.advance(5 * ms))
 	}
-	for _, q := range c.arrivals {
-		if q.open() {
-			c.fatalf("request %s was never answered", q.ID)
+	for _, r := range c.arrivals {
+		if r.open() {
+			c.fatalf("request %s was never answered", r.ID)
 		}
 	}
 	return c.actions
@@ -137,13 +137,13 @@
 		case SendAttempt:
 			c.checkSend(a)
 		case Reject:
-			q := c.checkAnswer(a.RequestID)
-			c.checkMayReject(q)
+			r := c.checkAnswer(a.RequestID)
+			c.checkMayReject(r)
 		case Fail:
 			c.checkAnswer(a.RequestID)
 		case CancelAttempt:
-			q := c.requests[a.RequestID]
-			if !c.settings.Limits.Cancellation || q == nil || a.Number >= len(q.attempts) {
+			r := c.requests[a.RequestID]
+			if !c.settings.Limits.Cancellation || r == nil || a.Number >= len(r.attempts) {
 				c.fatalf("attempt %d of request %s cancelled: cancellation is not supported or the attempt is unknown",
 					a.Number, a.RequestID)
 			}
@@ -157,48 +157,48 @@
 
 func (c *ruleChecker) checkSend(a SendAttempt) {
 	c.t.Helper()
-	q := c.requests[a.RequestID]
-	if q == nil || !q.open() {
+	r := c.requests[a.RequestID]
+	if r == nil || !r.open() {
 		c.fatalf("sent an attempt of request %s, which is closed or unknown", a.RequestID)
 	}
 	e, known := c.engines[a.Engine]
 	if !known || c.unavailable[a.Engine] {
 		c.fatalf("sent to engine %s, which is not ready", a.Engine)
 	}
-	if q.class.AllowedZones != nil && e.Zone != q.class.AllowedZones[0] {
+	if r.class.AllowedZones != nil && e.Zone != r.class.AllowedZones[0] {
 		c.fatalf("sent to zone %s, which is not allowed", e.Zone)
 	}
-	c.checkEarlierAttempts(q, e)
-	if q.class.Ordered && q.OrderKey != "" {
-		c.checkOrder(q)
+	c.checkEarlierAttempts(r, e)
+	if r.class.Ordered && r.OrderKey != "" {
+		c.checkOrder(r)
 	}
-	if len(q.attempts) > 0 {
+	if len(r.attempts) > 0 {
 		c.retriedAt = append(c.retriedAt, c.now)
 		c.checkRetryBudget()
 	}
-	q.attempts = append(q.attempts, &trackedAttempt{engine: e, sentAt: c.now, inFlight: true, mayHaveRun: true})
-	if len(q.attempts) > c.settings.Limits.MaxAttempts {
-		c.fatalf("%d attempts, want at most %d", len(q.attempts), c.settings.Limits.MaxAttempts)
+	r.attempts = append(r.attempts, &trackedAttempt{engine: e, sentAt: c.now, inFlight: true, mayHaveRun: true})
+	if len(r.attempts) > c.settings.Limits.MaxAttempts {
+		c.fatalf("%d attempts, want at most %d", len(r.attempts), c.settings.Limits.MaxAttempts)
 	}
 }
 
 // checkEarlierAttempts checks that the request's earlier attempts allow another one at an engine.
-func (c *ruleChecker) checkEarlierAttempts(q *trackedRequest, e Engine) {
+func (c *ruleChecker) checkEarlierAttempts(r *trackedRequest, e Engine) {
 	c.t.Helper()
-	if q.inFlight() && !c.settings.Limits.Hedging {
-		c.fatalf("two attempts of %s in flight, though hedging is disabled", q.ID)
+	if r.inFlight() && !c.settings.Limits.Hedging {
+		c.fatalf("two attempts of %s in flight, though hedging is disabled", r.ID)
 	}
-	policy := q.class.Idempotency
+	policy := r.class.Idempotency
 	if policy.Kind == idempotency.Idempotent {
 		return
 	}
-	for _, a := range q.attempts {
+	for _, a := range r.attempts {
 		if !a.mayHaveRun {
 			continue
 		}
 		inWindow := c.now-a.sentAt <= policy.DedupWindow
 		if policy.Kind == idempotency.NonIdempotent || !sameScope(policy.DedupScope, a.engine, e) || !inWindow {
-			c.fatalf("request %s may run twice", q.ID)
+			c.fatalf("request %s may run twice", r.ID)
 		}
 	}
 }
@@ -211,15 +211,15 @@
 
 // checkOrder checks that a request is sent after the earlier requests of its order key and after the
 // cooldown.
-func (c *ruleChecker) checkOrder(q *trackedRequest) {
+func (c *ruleChecker) checkOrder(r *trackedRequest) {
 	c.t.Helper()
-	if len(q.attempts) == 0 && c.now < c.cooldownEnd[q.OrderKey] {
-		c.fatalf("request %s sent during the cooldown of its order key", q.ID)
+	if len(r.attempts) == 0 && c.now < c.cooldownEnd[r.OrderKey] {
+		c.fatalf("request %s sent during the cooldown of its order key", r.ID)
 	}
-	for _, o := range c.arrivals {
-		sameKey := o.class.Ordered && o.OrderKey == q.OrderKey
-		if sameKey && o.arrivalIndex < q.arrivalIndex && (o.open() || o.inFlight()) {
-			c.fatalf("request %s sent before %s of the same order key has ended", q.ID, o.ID)
+	for _, other := range c.arrivals {
+		sameKey := other.class.Ordered && other.OrderKey == r.OrderKey
+		if sameKey && other.arrivalIndex < r.arrivalIndex && (other.open() || other.inFlight()) {
+			c.fatalf("request %s sent before %s of the same order key has ended", r.ID, other.ID)
 		}
 	}
 }
@@ -248,24 +248,24 @@
 // checkAnswer checks that a rejection or failure is the only final response to its request and not late.
 func (c *ruleChecker) checkAnswer(id string) *trackedRequest {
 	c.t.Helper()
-	q := c.requests[id]
-	q.answerCount++
-	if q.closed || q.answerCount > 1 || c.now > q.Deadline {
+	r := c.requests[id]
+	r.answerCount++
+	if r.closed || r.answerCount > 1 || c.now > r.Deadline {
 		c.fatalf("second or late answer to request %s", id)
 	}
-	return q
+	return r
 }
 
 // checkMayReject checks that a retry by the client of a rejected request is harmless.
-func (c *ruleChecker) checkMayReject(q *trackedRequest) {
+func (c *ruleChecker) checkMayReject(r *trackedRequest) {
 	c.t.Helper()
-	policy := q.class.Idempotency
+	policy := r.class.Idempotency
 	if policy.Kind == idempotency.Idempotent ||
 		policy.Kind == idempotency.WithKey && policy.DedupScope == idempotency.ScopeAll {
 		return
 	}
-	if slices.ContainsFunc(q.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
-		c.fatalf("rejected request %s, which may have run", q.ID)
+	if slices.ContainsFunc(r.attempts, func(a *trackedAttempt) bool { return a.mayHaveRun }) {
+		c.fatalf("rejected request %s, which may have run", r.ID)
 	}
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -31,12 +31,14 @@
 	priority          int                       // priority set last
 }
 
-func newRequest(in Request, class *class, classIndex, tenantIndex int, now time.Duration) *request {
+func newRequest(received Request, class *class, classIndex, tenantIndex int, now time.Duration) *request {
 	request := &request{
-		Request: in, class: class, classIndex: classIndex, tenantIndex: tenantIndex, receivedAt: now,
-		expectedWork: class.Cost.ExpectedWork(in.EstimatedWork), priority: attemptoptions.MinPriority,
+		Request: received, class: class, classIndex: classIndex, tenantIndex: tenantIndex,
+		receivedAt:   now,
+		expectedWork: class.Cost.ExpectedWork(received.EstimatedWork),
+		priority:     attemptoptions.MinPriority,
 	}
-	request.objectiveDeadline = class.objectiveDeadline(now, in, request.expectedWork)
+	request.objectiveDeadline = class.objectiveDeadline(now, received, request.expectedWork)
 	return request
 }
 
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -17,7 +17,7 @@
 		for brokerIndex, class := range []string{"quick", "long"} {
 			s.BrokerIndex = brokerIndex
 			h := newHarness(t, s, readyEngines(5)...)
-			_, got := h.submit(class, func(q *Request) { q.DataSet = dataSet })
+			_, got := h.submit(class, func(r *Request) { r.DataSet = dataSet })
 			engines[class] = actionsOf[SendAttempt](got)[0].Engine
 		}
 		if engines["quick"] == engines["long"] {
--- a/control/simulation_clients_test.go
+++ b/control/simulation_clients_test.go
@@ -19,27 +19,27 @@
 }
 
 // submit schedules a request of a class, which a client sends after a delay.
-func (c *simulatedCluster) submit(class, key string, in time.Duration) {
-	i := slices.IndexFunc(c.settings.Classes, func(k control.Class) bool { return k.Name == class })
-	k := c.settings.Classes[max(0, i)]
+func (c *simulatedCluster) submit(className, key string, delay time.Duration) {
+	i := slices.IndexFunc(c.settings.Classes, func(k control.Class) bool { return k.Name == className })
+	class := c.settings.Classes[max(0, i)]
 	c.requestCount++
-	wait := k.ClientTimeout
+	wait := class.ClientTimeout
 	if wait == 0 {
 		wait = c.randomDuration(200*millisecond, 6*time.Second)
 	}
-	objective := k.LatencyObjective
+	objective := class.LatencyObjective
 	if objective <= 0 {
 		objective = time.Second
 	}
-	work := 0.15 * objective.Seconds() * float64(max(1, k.Threads)) * math.Exp(0.8*c.rng.NormFloat64())
-	r := &simulatedRequest{work: time.Duration(work * float64(time.Second)), threads: max(1, k.Threads)}
+	work := 0.15 * objective.Seconds() * float64(max(1, class.Threads)) * math.Exp(0.8*c.rng.NormFloat64())
+	r := &simulatedRequest{work: time.Duration(work * float64(time.Second)), threads: max(1, class.Threads)}
 	r.Request = control.Request{
-		ID: fmt.Sprint("r", c.requestCount), Class: class, Deadline: c.now + in + wait, DataSet: c.rng.IntN(12),
+		ID: fmt.Sprint("r", c.requestCount), Class: className, Deadline: c.now + delay + wait, DataSet: c.rng.IntN(12),
 	}
 	if n := len(c.settings.Tenants); n > 0 {
 		r.Tenant = append(c.settings.Tenants, control.Tenant{Name: "unknown"})[c.rng.IntN(n+1)].Name
 	}
-	if k.Ordered {
+	if class.Ordered {
 		if r.OrderKey = key; key == "" {
 			r.OrderKey = fmt.Sprint("key", c.rng.IntN(8))
 		}
@@ -49,9 +49,9 @@
 		r.EstimatedMemoryMB = 30 + 120*r.EstimatedWork.Seconds()
 	}
 	c.requests[r.ID] = r
-	c.schedule(in, control.RequestReceived{Request: r.Request})
+	c.schedule(delay, control.RequestReceived{Request: r.Request})
 	if c.chance(c.disconnectRate) {
-		c.schedule(in+c.randomDuration(0, wait), control.ClientDisconnected{RequestID: r.ID})
+		c.schedule(delay+c.randomDuration(0, wait), control.ClientDisconnected{RequestID: r.ID})
 	}
 }
 
@@ -89,6 +89,6 @@
 
 // classWork returns the approximate mean work of a request of a class in thread seconds.
 func (c *simulatedCluster) classWork(i int) float64 {
-	k := c.settings.Classes[i]
-	return 0.2 * max(k.LatencyObjective.Seconds(), 0.1) * float64(max(1, k.Threads))
+	class := c.settings.Classes[i]
+	return 0.2 * max(class.LatencyObjective.Seconds(), 0.1) * float64(max(1, class.Threads))
 }
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -111,13 +111,13 @@
 		return nil
 	}
 	classes := slices.Clone(c.settings.Classes)
-	switch k := &classes[c.rng.IntN(len(classes))]; c.rng.IntN(4) {
+	switch class := &classes[c.rng.IntN(len(classes))]; c.rng.IntN(4) {
 	case 0:
-		k.PriorityWeight *= 1.5
+		class.PriorityWeight *= 1.5
 	case 1:
-		k.LatencyObjective += 100 * millisecond
+		class.LatencyObjective += 100 * millisecond
 	case 2:
-		added := *k
+		added := *class
 		added.Name = fmt.Sprint("added-", c.requestCount)
 		classes = append(classes, added)
 	case 3:
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -118,8 +118,8 @@
 
 func (c *simulatedCluster) handle(b batch) {
 	for len(c.pending) > 0 && c.pending[0].at <= c.now {
-		if ev := heap.Pop(&c.pending).(scheduledEvent).event; c.updateModel(ev) {
-			b.events = append(b.events, ev)
+		if event := heap.Pop(&c.pending).(scheduledEvent).event; c.updateModel(event) {
+			b.events = append(b.events, event)
 		}
 	}
 	if len(b.events) == 0 && b.update == nil {
@@ -142,32 +142,32 @@
 // updateModel records an event in the simulated requests and engines. It reports whether the controller
 // receives the event.
 func (c *simulatedCluster) updateModel(event control.Event) bool {
-	switch ev := event.(type) {
+	switch event := event.(type) {
 	case control.AttemptEnded:
-		r := c.requests[ev.RequestID]
-		if r == nil || ev.Number < 0 || ev.Number >= len(r.attempts) {
+		r := c.requests[event.RequestID]
+		if r == nil || event.Number < 0 || event.Number >= len(r.attempts) {
 			return true // an unknown attempt, which the controller ignores
 		}
-		a := r.attempts[ev.Number]
+		a := r.attempts[event.Number]
 		if a.ended {
 			return false
 		}
 		a.ended = true
 		a.engine.inFlight--
-		r.closed = r.closed || ev.RequestClosed
+		r.closed = r.closed || event.RequestClosed
 	case control.RequestReceived:
-		if r := c.requests[ev.Request.ID]; r != nil {
+		if r := c.requests[event.Request.ID]; r != nil {
 			arrivedBefore := r.arrived
 			r.arrived = true
 			return !arrivedBefore || !r.closed
 		}
 	case control.ClientDisconnected:
-		if r := c.requests[ev.RequestID]; r != nil {
+		if r := c.requests[event.RequestID]; r != nil {
 			r.closed = true
 		}
 	case control.AttemptProgress:
-		if r := c.requests[ev.RequestID]; r != nil {
-			return !r.attempts[ev.Number].ended
+		if r := c.requests[event.RequestID]; r != nil {
+			return !r.attempts[event.Number].ended
 		}
 	}
 	return true
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -40,18 +40,18 @@
 	var all []sent
 	senders := map[int]bool{}
 	harnesses := make([]*harness, 0, s.Brokers)
-	for g := range s.Brokers {
-		s.BrokerIndex = g
+	for brokerIndex := range s.Brokers {
+		s.BrokerIndex = brokerIndex
 		harnesses = append(harnesses, newHarness(t, s, starting))
 	}
 	for range 240 { // 12 s, in which each broker always has a request to send
-		for g, h := range harnesses {
+		for brokerIndex, h := range harnesses {
 			for _, class := range []string{"quick", "long"} {
 				id, got := h.submit(class)
 				if countOf[SendAttempt](got) > 0 {
 					classes := h.controller.classes
 					all = append(all, sent{h.now, float64(classes.all[classes.byName[class]].Cost.MeanWork())})
-					senders[g] = true
+					senders[brokerIndex] = true
 					h.endAttempt(id, 0, OK)
 				}
 				h.handle(ClientDisconnected{RequestID: id})
@@ -62,9 +62,9 @@
 	window := s.Rules.OverloadWindow
 	for i, first := range all {
 		sum := 0.0
-		for _, o := range all[i:] {
-			if o.at <= first.at+window {
-				sum += o.work
+		for _, later := range all[i:] {
+			if later.at <= first.at+window {
+				sum += later.work
 			}
 		}
 		warmedUp := float64(first.at-starting.StartedAt) / float64(s.Rules.SlowStartDuration)
--- a/control/sparse_test.go
+++ b/control/sparse_test.go
@@ -10,7 +10,7 @@
 type settingsChange func(s *Settings)
 
 // forEachClass returns a settingsChange that applies a change to each class.
-func forEachClass(change func(k *Class)) settingsChange {
+func forEachClass(change func(class *Class)) settingsChange {
 	return func(s *Settings) {
 		for i := range s.Classes {
 			change(&s.Classes[i])
@@ -39,13 +39,13 @@
 		"the largest grant": {80 * ms, func(s *Settings) { s.MemoryGrants, s.MaxGrantFraction = true, 0 }},
 		"attempts":          {80 * ms, func(s *Settings) { s.Limits.MaxAttempts = 0 }},
 		"tenants":           {80 * ms, func(s *Settings) { s.Tenants = nil }},
-		"objectives": {80 * ms, forEachClass(func(k *Class) {
-			k.LatencyObjective, k.ClientTimeout = 0, 2*time.Second
+		"objectives": {80 * ms, forEachClass(func(class *Class) {
+			class.LatencyObjective, class.ClientTimeout = 0, 2*time.Second
 		})},
-		"objectives and client timeouts": {80 * ms, forEachClass(func(k *Class) {
-			k.LatencyObjective, k.ObjectivePerWork = 0, 0
+		"objectives and client timeouts": {80 * ms, forEachClass(func(class *Class) {
+			class.LatencyObjective, class.ObjectivePerWork = 0, 0
 		})},
-		"weights":           {80 * ms, forEachClass(func(k *Class) { k.PriorityWeight, k.LateWeight = 0, 0 })},
+		"weights":           {80 * ms, forEachClass(func(class *Class) { class.PriorityWeight, class.LateWeight = 0, 0 })},
 		"all but one class": {80 * ms, func(s *Settings) { s.Classes = s.Classes[:1] }},
 	} {
 		// With many brokers, each has a small share of the engines' limits, so its requests are
