--- a/control/events.go
+++ b/control/events.go
@@ -123,7 +123,7 @@
 		Engine        string
 		Status        Status
 		Duration      time.Duration
-		RequestClosed bool // the client has received the final response
+		RequestClosed bool // the request has its final response
 		SharedCause   bool // the end of another attempt was already reported for the same cause
 		Work          time.Duration
 		MemoryMB      float64
--- a/control/settings.go
+++ b/control/settings.go
@@ -60,7 +60,7 @@
 // Limits holds the limits of a deployment and the optional operations that it allows.
 type Limits struct {
 	MaxAttempts   int           // attempts per request, including the first; at least 1
-	MaxRetryAfter time.Duration // longest delay that clients honour
+	MaxRetryAfter time.Duration // longest delay that clients accept
 	RetryAfter    bool          // rejections include a delay before a retry
 	Cancellation  bool          // attempts may be cancelled
 	Hedging       bool          // two attempts of a request may be in flight at once
@@ -73,7 +73,7 @@
 	MaxPollInterval    time.Duration  // longest time between polls of the endpoint list
 	SlowStartInitial   units.Fraction // fraction of its capacity that an engine has when it starts
 	SlowStartDuration  time.Duration  // time until an engine has its full capacity
-	OverloadMultiple   float64        // multiple of its capacity that overloads an engine in slow start
+	OverloadMultiple   float64        // multiple of capacity beyond which an engine in slow start fails
 	OverloadWindow     time.Duration  // window over which that is measured; 0: no slow start
 	KeyCooldown        time.Duration  // pause of an order key after an attempt that may still run
 	RetryBudgetWindow  time.Duration  // 0: no retry budget
