--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -39,7 +39,7 @@
 	if c.chance(0.002) { // unexpected events, which the controller must ignore or fail
 		stray := control.Request{ID: "stray", Class: "no such class", Deadline: c.now + time.Second}
 		c.schedule(0, control.RequestReceived{Request: stray})
-		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.over { // a duplicate
+		if r := c.requests[fmt.Sprint("r", c.requestCount)]; r != nil && !r.closed { // a duplicate
 			c.schedule(20*millisecond, control.RequestReceived{Request: r.Request})
 		}
 		c.schedule(0, control.ClientDisconnected{RequestID: "nobody's"})
@@ -111,13 +111,13 @@
 		return nil
 	}
 	classes := slices.Clone(c.settings.Classes)
-	switch k := &classes[c.rng.IntN(len(classes))]; c.rng.IntN(4) {
+	switch class := &classes[c.rng.IntN(len(classes))]; c.rng.IntN(4) {
 	case 0:
-		k.PriorityWeight *= 1.5
+		class.PriorityWeight *= 1.5
 	case 1:
-		k.LatencyObjective += 100 * millisecond
+		class.LatencyObjective += 100 * millisecond
 	case 2:
-		added := *k
+		added := *class
 		added.Name = fmt.Sprint("added-", c.requestCount)
 		classes = append(classes, added)
 	case 3:
