--- a/internal/server/netconn/conn.go
+++ b/internal/server/netconn/conn.go
@@ -149,7 +149,7 @@
 		}
 		writeErr, waitErr := c.writeReady(raw)
 		switch {
-		case transient.IsBuffer(writeErr) && time.Now().Before(deadline):
+		case transient.IsOutOfBuffers(writeErr) && time.Now().Before(deadline):
 			time.Sleep(bufferRetryDelay)
 		case writeErr != nil:
 			return writeErr
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -44,8 +44,8 @@
 // IsFile reports whether another try to read or write a file may succeed soon.
 func IsFile(err error) bool { return IsLocal(err) || isAny(err, storage) }
 
-// IsBuffer reports whether a write failed for want of buffers: nothing of it left, and the connection goes on.
-func IsBuffer(err error) bool {
+// IsOutOfBuffers reports whether a write failed for want of buffers: nothing of it left, and the connection goes on.
+func IsOutOfBuffers(err error) bool {
 	return errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
