--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -128,8 +128,8 @@
 	return quantity, err
 }
 
-// Report reads a load report. There is none if one of the fields of its layout is missing or malformed.
-func Report(load string, layout loadfields.Layout) loadreport.Report {
+// ParseReport reads a load report. There is none if one of the fields of its layout is missing or malformed.
+func ParseReport(load string, layout loadfields.Layout) loadreport.Report {
 	values := make([]float64, 0, len(layout))
 	for _, field := range layout {
 		value, ok := reportField(load, field)
--- a/internal/resp/response_test.go
+++ b/internal/resp/response_test.go
@@ -71,7 +71,7 @@
 		"queue:2;inflight:2;x1:1e300":     {},
 	} {
 		t.Run(load, func(t *testing.T) {
-			if diff := cmp.Diff(want, Report(load, layout)); diff != "" {
+			if diff := cmp.Diff(want, ParseReport(load, layout)); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/server/enginepool/responses.go
+++ b/internal/server/enginepool/responses.go
@@ -115,7 +115,7 @@
 		p.observer.DuplicateResponse(conn.engine)
 		return
 	}
-	report := resp.Report(response.Load, p.config.LoadReport)
+	report := resp.ParseReport(response.Load, p.config.LoadReport)
 	switch {
 	case stream.isProbe():
 		p.endProbe(stream, response, report)
