--- a/internal/server/enginepool/dial.go
+++ b/internal/server/enginepool/dial.go
@@ -36,7 +36,7 @@
 ) {
 	started := time.Now()
 	err := p.serveConn(ctx, conn, connectTimeout, options)
-	localFault := transient.IsLocal(err)
+	localFault := transient.IsLocalError(err)
 	p.loop.Post(func() {
 		conn.localFault = localFault
 		p.handleDisconnected(conn)
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -32,17 +32,17 @@
 	return false
 }
 
-// IsLocal reports whether a call failed for want of something on this machine. It says nothing of the other end.
-func IsLocal(err error) bool { return isAny(err, localResources) }
+// IsLocalError reports whether a call failed for want of something on this machine. It says nothing of the other end.
+func IsLocalError(err error) bool { return isAny(err, localResources) }
 
 // IsConnect reports whether another try to connect may succeed soon.
-func IsConnect(err error) bool { return IsLocal(err) || isAny(err, momentary) }
+func IsConnect(err error) bool { return IsLocalError(err) || isAny(err, momentary) }
 
 // IsListen reports whether another try to listen may succeed soon: another process may be about to end.
-func IsListen(err error) bool { return IsLocal(err) || errors.Is(err, syscall.EADDRINUSE) }
+func IsListen(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
 
 // IsFile reports whether another try to read or write a file may succeed soon.
-func IsFile(err error) bool { return IsLocal(err) || isAny(err, storage) }
+func IsFile(err error) bool { return IsLocalError(err) || isAny(err, storage) }
 
 // IsOutOfBuffers reports whether a write failed for want of buffers: nothing of it left, and the connection goes on.
 func IsOutOfBuffers(err error) bool {
