--- a/internal/server/enginepool/dial.go
+++ b/internal/server/enginepool/dial.go
@@ -77,7 +77,7 @@
 func connect(ctx context.Context, addr string, timeout time.Duration) (socket net.Conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err = transient.Retry(ctx, min(timeout, localFaultRetryTime), transient.IsConnect, func() (err error) {
+	err = transient.Retry(ctx, min(timeout, localFaultRetryTime), transient.IsConnectError, func() (err error) {
 		socket, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		return err
 	})
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -35,8 +35,8 @@
 // IsLocalError reports whether a call failed for want of something on this machine. It says nothing of the other end.
 func IsLocalError(err error) bool { return isAny(err, localResources) }
 
-// IsConnect reports whether another try to connect may succeed soon.
-func IsConnect(err error) bool { return IsLocalError(err) || isAny(err, momentary) }
+// IsConnectError reports whether another try to connect may succeed soon.
+func IsConnectError(err error) bool { return IsLocalError(err) || isAny(err, momentary) }
 
 // IsListen reports whether another try to listen may succeed soon: another process may be about to end.
 func IsListen(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
