--- a/internal/server/netlisten/netlisten.go
+++ b/internal/server/netlisten/netlisten.go
@@ -20,7 +20,7 @@
 
 // TCP listens for connections on an address.
 func TCP(ctx context.Context, config net.ListenConfig, addr string) (listener net.Listener, err error) {
-	err = transient.Retry(ctx, listenRetryTime, transient.IsListen, func() (err error) {
+	err = transient.Retry(ctx, listenRetryTime, transient.IsListenError, func() (err error) {
 		listener, err = config.Listen(ctx, "tcp", addr)
 		return err
 	})
@@ -30,7 +30,7 @@
 // UDP listens for datagrams on an IPv4 address.
 func UDP(ctx context.Context, config net.ListenConfig, addr string) (*net.UDPConn, error) {
 	var conn net.PacketConn
-	err := transient.Retry(ctx, listenRetryTime, transient.IsListen, func() (err error) {
+	err := transient.Retry(ctx, listenRetryTime, transient.IsListenError, func() (err error) {
 		conn, err = config.ListenPacket(ctx, "udp4", addr)
 		return err
 	})
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -38,8 +38,8 @@
 // IsConnectError reports whether another try to connect may succeed soon.
 func IsConnectError(err error) bool { return IsLocalError(err) || isAny(err, momentary) }
 
-// IsListen reports whether another try to listen may succeed soon: another process may be about to end.
-func IsListen(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
+// IsListenError reports whether another try to listen may succeed soon: another process may be about to end.
+func IsListenError(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
 
 // IsFile reports whether another try to read or write a file may succeed soon.
 func IsFile(err error) bool { return IsLocalError(err) || isAny(err, storage) }
