--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -136,7 +136,7 @@
 const loadWithin = 3 * time.Second
 
 func loadPlatformConfig(ctx context.Context) (cfg config.Config, err error) {
-	err = transient.Retry(ctx, loadWithin, transient.IsFile, func() (err error) {
+	err = transient.Retry(ctx, loadWithin, transient.IsFileError, func() (err error) {
 		cfg, err = config.Load(os.Getenv)
 		return err
 	})
@@ -144,7 +144,7 @@
 }
 
 func loadOperatorConfig(ctx context.Context, path string) (own *operatorconfig.File, err error) {
-	err = transient.Retry(ctx, loadWithin, transient.IsFile, func() (err error) {
+	err = transient.Retry(ctx, loadWithin, transient.IsFileError, func() (err error) {
 		own, err = operatorconfig.Load(path)
 		return err
 	})
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -72,7 +72,7 @@
 // none; a file that becomes readable later is adopted by Run.
 func (s *Store) Restore(ctx context.Context) []string {
 	handover.RemoveStaleTempFiles(s.dir)
-	err := transient.Retry(ctx, restoreRetryTime, transient.IsFile, s.read)
+	err := transient.Retry(ctx, restoreRetryTime, transient.IsFileError, s.read)
 	switch {
 	case errors.Is(err, handover.ErrNotFound):
 		return nil
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -41,8 +41,8 @@
 // IsListenError reports whether another try to listen may succeed soon: another process may be about to end.
 func IsListenError(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
 
-// IsFile reports whether another try to read or write a file may succeed soon.
-func IsFile(err error) bool { return IsLocalError(err) || isAny(err, storage) }
+// IsFileError reports whether another try to read or write a file may succeed soon.
+func IsFileError(err error) bool { return IsLocalError(err) || isAny(err, storage) }
 
 // IsOutOfBuffers reports whether a write failed for want of buffers: nothing of it left, and the connection goes on.
 func IsOutOfBuffers(err error) bool {
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -27,7 +27,7 @@
 		{fmt.Errorf("config: %w", &os.PathError{Op: "open", Path: "a", Err: syscall.EIO}), false, false, false, true},
 		{&os.PathError{Op: "open", Path: "a", Err: syscall.ENOENT}, false, false, false, false},
 	} {
-		got := [...]bool{IsLocalError(tt.err), IsConnectError(tt.err), IsListenError(tt.err), IsFile(tt.err)}
+		got := [...]bool{IsLocalError(tt.err), IsConnectError(tt.err), IsListenError(tt.err), IsFileError(tt.err)}
 		if want := [...]bool{tt.local, tt.connect, tt.listen, tt.file}; got != want {
 			t.Errorf("%v: local, connect, listen, file are %v, want %v", tt.err, got, want)
 		}
