--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -51,17 +51,17 @@
 )
 
 // decode reads what happened to an instance. The item is empty for what is ignored.
-func (r *Reader) decode(msg *message, instance int) (Item, error) {
+func (r *Reader) decode(msg *message, instance int) (Input, error) {
 	switch msg.name {
 	case messageCreate:
 		create, layout, err := decodeCreate(msg)
 		r.layouts[instance] = layout
-		return Item{Create: create}, err
+		return Input{Create: create}, err
 	case messageCrash:
-		return Item{Crash: true}, nil
+		return Input{Crash: true}, nil
 	default:
 		event, err := r.decodeEvent(msg, r.layouts[instance])
-		return Item{Event: event}, err
+		return Input{Event: event}, err
 	}
 }
 
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -20,8 +20,8 @@
 	Settings control.Settings
 }
 
-// Item is what happened to one instance. Exactly one of Create, Crash and Event is set.
-type Item struct {
+// Input is what happened to one instance. Exactly one of Create, Crash and Event is set.
+type Input struct {
 	Instance int
 	Create   *Create
 	Crash    bool // the instance ends at once and loses all its state
@@ -34,7 +34,7 @@
 // Batch is what happened at one time.
 type Batch struct {
 	Now   time.Duration // since the simulation began
-	Items []Item
+	Items []Input
 }
 
 // Reader decodes batches. Its errors name the number of the line.
@@ -93,7 +93,7 @@
 }
 
 // add appends an item, unless it was ignored.
-func (b *Batch) add(item Item) {
+func (b *Batch) add(item Input) {
 	if item.Create != nil || item.Crash || item.Event != nil {
 		b.Items = append(b.Items, item)
 	}
