--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -62,7 +62,7 @@
 func (h *host) distribute(batch wire.Batch) ([]*inbox, error) {
 	var inboxes []*inbox
 	byInstance := map[int]*inbox{}
-	for _, item := range batch.Items {
+	for _, item := range batch.Inputs {
 		box := byInstance[item.Instance]
 		if box == nil {
 			box = &inbox{instance: item.Instance}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -33,8 +33,8 @@
 
 // Batch is what happened at one time.
 type Batch struct {
-	Now   time.Duration // since the simulation began
-	Items []Input
+	Now    time.Duration // since the simulation began
+	Inputs []Input
 }
 
 // Reader decodes batches. Its errors name the number of the line.
@@ -95,7 +95,7 @@
 // add appends an item, unless it was ignored.
 func (b *Batch) add(item Input) {
 	if item.Create != nil || item.Crash || item.Event != nil {
-		b.Items = append(b.Items, item)
+		b.Inputs = append(b.Inputs, item)
 	}
 }
 
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -95,16 +95,16 @@
 	if batch.Now != 8412250000 {
 		t.Fatalf("clock %v", batch.Now)
 	}
-	if len(batch.Items) != len(everyEvent)+2 {
-		t.Fatalf("%d items", len(batch.Items))
+	if len(batch.Inputs) != len(everyEvent)+2 {
+		t.Fatalf("%d items", len(batch.Inputs))
 	}
 	for i, want := range everyEvent {
-		item := batch.Items[i+1]
+		item := batch.Inputs[i+1]
 		if diff := cmp.Diff(want, item.Event); diff != "" || item.Instance != 3 {
 			t.Errorf("event %d of instance %d: %s", i, item.Instance, diff)
 		}
 	}
-	if last := batch.Items[len(batch.Items)-1]; last.Instance != 5 || !last.Crash {
+	if last := batch.Inputs[len(batch.Inputs)-1]; last.Instance != 5 || !last.Crash {
 		t.Errorf("last %+v", last)
 	}
 }
@@ -114,9 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	create := batch.Items[0].Create
-	if create == nil || create.Seed != 1<<64-1 || batch.Items[0].Instance != 3 {
-		t.Fatalf("create %+v", batch.Items[0])
+	create := batch.Inputs[0].Create
+	if create == nil || create.Seed != 1<<64-1 || batch.Inputs[0].Instance != 3 {
+		t.Fatalf("create %+v", batch.Inputs[0])
 	}
 	settings := create.Settings
 	lookup, load := settings.Classes[0], settings.Classes[1]
@@ -196,8 +196,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := make([]control.Event, 0, len(batch.Items))
-			for _, item := range batch.Items {
+			got := make([]control.Event, 0, len(batch.Inputs))
+			for _, item := range batch.Inputs {
 				got = append(got, item.Event)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
