--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -26,7 +26,7 @@
 var (
 	ErrNotFound = errors.New("handover: no file")
 	ErrCorrupt  = errors.New("handover: corrupt file")
-	ErrStale    = errors.New("handover: file of another broker or format version")
+	ErrMismatch = errors.New("handover: file of another broker or format version")
 )
 
 // document is the JSON form of a State.
@@ -57,7 +57,7 @@
 		return State{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if stored.Version != formatVersion || stored.Broker != broker {
-		return State{}, fmt.Errorf("%w: version %d of %q", ErrStale, stored.Version, stored.Broker)
+		return State{}, fmt.Errorf("%w: version %d of %q", ErrMismatch, stored.Version, stored.Broker)
 	}
 	engines := slices.Sorted(slices.Values(stored.MaintenanceEngines))
 	return State{Broker: stored.Broker, MaintenanceEngines: slices.Compact(engines)}, nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -34,7 +34,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
-	if _, err := Read(dir, "n4"); !errors.Is(err, ErrStale) {
+	if _, err := Read(dir, "n4"); !errors.Is(err, ErrMismatch) {
 		t.Fatalf("of another broker: %v", err)
 	}
 	entries, err := os.ReadDir(dir)
@@ -56,7 +56,7 @@
 		"cut":            {valid[:len(valid)-3], ErrCorrupt},
 		"no checksum":    {valid[9:], ErrCorrupt},
 		"corrupt":        {append(append([]byte{}, valid[:len(valid)-2]...), 'X', '}'), ErrCorrupt},
-		"other version":  {withChecksum(`{"version":2,"broker":"n3","bans":[]}`), ErrStale},
+		"other version":  {withChecksum(`{"version":2,"broker":"n3","bans":[]}`), ErrMismatch},
 		"wrong checksum": {[]byte("0\nnull"), ErrCorrupt},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 		}
 		if _, err := Decode(corrupt, broker); err == nil {
 			t.Fatalf("%q accepted", corrupt)
-		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrStale) {
+		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrMismatch) {
 			t.Fatalf("%q: %v", corrupt, err)
 		}
 	})
