--- a/internal/mysql/response.go
+++ b/internal/mysql/response.go
@@ -81,8 +81,8 @@
 	return endPacket(dst, start, seq)
 }
 
-// Columns is the number of columns of every result.
-const Columns = 3
+// ColumnCount is the number of columns of every result.
+const ColumnCount = 3
 
 // The parts of a column's definition, and of a row of a page.
 const (
@@ -100,8 +100,8 @@
 // tabs. The sequence number wraps after 255, as in the protocol.
 func AppendResult(dst []byte, seq byte, pages [][]byte) []byte {
 	dst, start := beginPacket(dst)
-	dst = endPacket(append(dst, Columns), start, seq)
-	for i := range Columns {
+	dst = endPacket(append(dst, ColumnCount), start, seq)
+	for i := range ColumnCount {
 		seq++
 		dst = appendColumn(dst, seq, columnNamePrefix+strconv.Itoa(i+1))
 	}
@@ -134,7 +134,7 @@
 // appendRow adds a row; columns that it lacks are empty.
 func appendRow(dst []byte, seq byte, row []byte) []byte {
 	dst, start := beginPacket(dst)
-	for range Columns {
+	for range ColumnCount {
 		var column []byte
 		column, row, _ = bytes.Cut(row, []byte{columnSeparator})
 		dst = appendString(dst, column)
--- a/internal/mysql/response_test.go
+++ b/internal/mysql/response_test.go
@@ -47,15 +47,15 @@
 		pages[i/200*2] = append(pages[i/200*2], row+"\n"...)
 	}
 	got := payloads(t, AppendResult(nil, 1, pages))
-	if len(got) != 1+Columns+1+rowCount+1 || got[0][0] != Columns {
+	if len(got) != 1+ColumnCount+1+rowCount+1 || got[0][0] != ColumnCount {
 		t.Fatalf("%d packets", len(got))
 	}
-	for _, i := range []int{1 + Columns, len(got) - 1} {
+	for _, i := range []int{1 + ColumnCount, len(got) - 1} {
 		if !bytes.Equal(got[i], []byte{0xfe, 0, 0, autocommit, 0}) {
 			t.Fatalf("packet %d is no EOF: %v", i, got[i])
 		}
 	}
-	for i, row := range got[2+Columns : len(got)-1] {
+	for i, row := range got[2+ColumnCount : len(got)-1] {
 		if diff := cmp.Diff(rows[i], strings.Join(columnsOf(row), "\t")); diff != "" {
 			t.Fatalf("row %d: %s", i, diff)
 		}
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -152,7 +152,7 @@
 	case p[0] == 0xff:
 		return fmt.Sprint(int(p[1]) | int(p[2])<<8)
 	}
-	for range mysql.Columns + 1 {
+	for range mysql.ColumnCount + 1 {
 		c.readPacket()
 	}
 	var rows strings.Builder
