--- a/internal/handover/change.go
+++ b/internal/handover/change.go
@@ -8,8 +8,8 @@
 	Enabled bool
 }
 
-// With returns the state after changes, in their order. The engines are sorted.
-func (s State) With(changes []Change) State {
+// Apply returns the state after changes, in their order. The engines are sorted.
+func (s State) Apply(changes []Change) State {
 	engines := slices.Clone(s.MaintenanceEngines)
 	for _, change := range changes {
 		engines = slices.DeleteFunc(engines, func(id string) bool { return id == change.Engine })
--- a/internal/handover/change_test.go
+++ b/internal/handover/change_test.go
@@ -10,7 +10,7 @@
 
 func TestStateWithChanges(t *testing.T) {
 	s := State{Broker: broker, MaintenanceEngines: []string{"e1", "e3"}}
-	got := s.With([]Change{{"e2", true}, {"e3", false}, {"e1", true}, {"e9", false}, {"e2", true}})
+	got := s.Apply([]Change{{"e2", true}, {"e3", false}, {"e1", true}, {"e9", false}, {"e2", true}})
 	if diff := cmp.Diff(State{broker, []string{"e1", "e2"}}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -21,11 +21,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string])
 		from, to := State{broker, engines.Draw(t, "from")}, State{broker, engines.Draw(t, "to")}
-		reached := from.With(from.ChangesTo(to))
-		if diff := cmp.Diff(to.With(nil), reached, cmpopts.EquateEmpty()); diff != "" {
+		reached := from.Apply(from.ChangesTo(to))
+		if diff := cmp.Diff(to.Apply(nil), reached, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
-		if changes := from.ChangesTo(from.With(nil)); len(changes) != 0 {
+		if changes := from.ChangesTo(from.Apply(nil)); len(changes) != 0 {
 			t.Errorf("changes to itself: %v", changes)
 		}
 	})
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -164,7 +164,7 @@
 	if len(pending) == 0 {
 		return
 	}
-	next := s.state.With(pending)
+	next := s.state.Apply(pending)
 	if err := handover.Write(s.dir, next); err != nil {
 		if time.Since(s.loggedAt) > writeLogInterval {
 			s.loggedAt = time.Now()
