--- a/internal/handover/change.go
+++ b/internal/handover/change.go
@@ -21,8 +21,8 @@
 	return State{Broker: s.Broker, MaintenanceEngines: engines}
 }
 
-// ChangesTo returns the changes that lead from this state to the next.
-func (s State) ChangesTo(next State) []Change {
+// Diff returns the changes that lead from this state to the next.
+func (s State) Diff(next State) []Change {
 	var changes []Change
 	for _, id := range s.MaintenanceEngines {
 		if !slices.Contains(next.MaintenanceEngines, id) {
--- a/internal/handover/change_test.go
+++ b/internal/handover/change_test.go
@@ -21,11 +21,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string])
 		from, to := State{broker, engines.Draw(t, "from")}, State{broker, engines.Draw(t, "to")}
-		reached := from.Apply(from.ChangesTo(to))
+		reached := from.Apply(from.Diff(to))
 		if diff := cmp.Diff(to.Apply(nil), reached, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
-		if changes := from.ChangesTo(from.Apply(nil)); len(changes) != 0 {
+		if changes := from.Diff(from.Apply(nil)); len(changes) != 0 {
 			t.Errorf("changes to itself: %v", changes)
 		}
 	})
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -149,7 +149,7 @@
 	if s.read() != nil {
 		return // retried at the next check; a corrupt file has no effect
 	}
-	changes := before.ChangesTo(s.state)
+	changes := before.Diff(s.state)
 	if len(changes) > 0 {
 		adopter.AdoptMaintenance(ctx, changes)
 	}
