--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -11,14 +11,14 @@
 	"wheatlane/internal/loadfields"
 )
 
-// engineStates are the states of engines by their names on the wire.
+// engineStates maps names on the wire to engine states.
 var engineStates = map[string]control.EngineState{
 	"on":     control.Ready,
 	"fading": control.Draining,
 	"off":    control.Removed,
 }
 
-// attemptStatuses are the statuses of attempts and load probes by their names on the wire.
+// attemptStatuses maps names on the wire to statuses of attempts and load probes.
 var attemptStatuses = map[string]control.Status{
 	"completed":    control.OK,
 	"errored":      control.Failed,
@@ -30,27 +30,27 @@
 	"superseded":   control.NeverSent,
 }
 
-// The kinds of an endpoint update on the wire.
+// Kinds of endpoint updates on the wire.
 const (
 	updateFailed = "failed"
 	updateDelta  = "delta"
 	updateFull   = "full"
-	updateCached = "cached" // the complete list as it stood some time ago
+	updateCached = "cached" // an earlier version of the complete list
 )
 
 const (
-	noTenant = "0" // in place of the tenant of a request that belongs to none
-	yes      = "1" // value of a field that is true
+	noTenant  = "0" // tenant field of a request without a tenant
+	trueValue = "1" // value of a boolean field that is true
 )
 
-// The cost of an attempt is one whole number: its work in milliseconds times costPerMillisecond, plus its memory in
-// units of costMemoryUnitMB.
+// The cost of an attempt is encoded as one integer: the work in milliseconds times costPerMillisecond, plus the memory
+// in units of costMemoryUnitMB.
 const (
 	costPerMillisecond = 4096
 	costMemoryUnitMB   = 4
 )
 
-// decode reads what happened to an instance. The item is empty for what is ignored.
+// decode decodes one input of an instance. The input is empty if the message is ignored.
 func (r *Reader) decode(msg *message, instance int) (Input, error) {
 	switch msg.name {
 	case messageCreate:
@@ -65,7 +65,7 @@
 	}
 }
 
-// decodeCreate reads the creation of an instance, and the layout of the load reports of its engines.
+// decodeCreate decodes the creation of an instance and the layout of its engines' load reports.
 func decodeCreate(msg *message) (*Create, loadfields.Layout, error) {
 	settings, err := config.DecodeSettings([]byte(msg.text(fieldSettings)))
 	if err != nil {
@@ -74,7 +74,7 @@
 	return &Create{Seed: msg.unsigned(fieldSeed), Settings: settings.Control}, settings.LoadReport, nil
 }
 
-// decodeEvent reads an event; it is nil for what is ignored.
+// decodeEvent decodes an event. The event is nil if the message is ignored.
 func (r *Reader) decodeEvent(msg *message, layout loadfields.Layout) (control.Event, error) {
 	switch msg.name {
 	case messageEndpointUpdate:
@@ -160,7 +160,7 @@
 	}
 }
 
-// decodeGossipReceived reads a gossip datagram; it is nil for one that is not of this program.
+// decodeGossipReceived decodes a gossip datagram. The event is nil if the datagram is not valid gossip.
 func decodeGossipReceived(msg *message) (control.Event, error) {
 	datagram, err := hex.DecodeString(msg.text(fieldDatagram))
 	if err != nil {
@@ -173,7 +173,7 @@
 	return control.GossipReceived{Broker: int(msg.integer(fieldFromBroker)), Reports: reports}, nil
 }
 
-// parseGossip reads the reports of a datagram; ok is false for one of another program.
+// parseGossip decodes the reports of a datagram. ok is false if the datagram is not valid gossip.
 func parseGossip(datagram []byte) (reports []control.GossipedLoad, ok bool) {
 	reports, err := gossip.Parse(datagram)
 	return reports, err == nil
@@ -195,7 +195,7 @@
 		Engine:        msg.text(fieldEngine),
 		Status:        decodeStatus(msg),
 		Duration:      msg.duration(fieldDuration),
-		RequestClosed: msg.text(fieldRequestClosed) == yes,
+		RequestClosed: msg.text(fieldRequestClosed) == trueValue,
 		Report:        layout.Report(msg.numbers(fieldReport)),
 	}
 	if cost := msg.integer(fieldCost); cost > 0 {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// message is one line: a name and fields. Its methods read the fields and keep the first error in err.
+// message is one line of the protocol: a name followed by fields. Its methods parse the fields and store the first
+// error in err.
 type message struct {
 	line   string
 	name   string
@@ -15,13 +16,12 @@
 	err    error
 }
 
-// field is a name and its value.
 type field struct{ name, value string }
 
-// typicalFieldCount is about how many fields a message has.
+// typicalFieldCount is the initial capacity of a message's list of fields.
 const typicalFieldCount = 12
 
-// parseMessage splits a line into its name and its fields.
+// parseMessage splits a line into the message name and the fields.
 func parseMessage(line string) (*message, error) {
 	name, rest, _ := strings.Cut(line, " ")
 	msg := &message{line: line, name: name, fields: make([]field, 0, typicalFieldCount)}
@@ -40,14 +40,14 @@
 	return msg, nil
 }
 
-// fail keeps an error unless there is one already.
+// fail stores an error unless one is already stored.
 func (m *message) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf(format, args...)
 	}
 }
 
-// text returns the value of a field; empty without it.
+// text returns the value of a field, or "" if the message lacks it.
 func (m *message) text(key string) string {
 	for _, field := range m.fields {
 		if field.name == key {
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// requiredText returns the value of a field that must be there.
+// requiredText returns the value of a mandatory field.
 func (m *message) requiredText(key string) string {
 	text := m.text(key)
 	if text == "" {
@@ -66,10 +66,10 @@
 	return text
 }
 
-// integer returns the value of a field; 0 without it.
+// integer returns the value of a field, or 0 if the message lacks it.
 func (m *message) integer(key string) int64 { return m.parseInteger(key, m.text(key)) }
 
-// requiredInteger returns the value of a field that must be there.
+// requiredInteger returns the value of a mandatory field.
 func (m *message) requiredInteger(key string) int64 { return m.parseInteger(key, m.requiredText(key)) }
 
 func (m *message) parseInteger(key, text string) int64 {
@@ -83,7 +83,7 @@
 	return value
 }
 
-// unsigned returns the value of a field; 0 without it.
+// unsigned returns the value of a field, or 0 if the message lacks it.
 func (m *message) unsigned(key string) uint64 {
 	text := m.text(key)
 	if text == "" {
@@ -96,15 +96,15 @@
 	return value
 }
 
-// duration returns the value of a field in nanoseconds; 0 without it.
+// duration returns the value of a field in nanoseconds, or 0 if the message lacks it.
 func (m *message) duration(key string) time.Duration { return time.Duration(m.integer(key)) }
 
-// requiredDuration returns the value in nanoseconds of a field that must be there.
+// requiredDuration returns the value of a mandatory field in nanoseconds.
 func (m *message) requiredDuration(key string) time.Duration {
 	return time.Duration(m.requiredInteger(key))
 }
 
-// number returns the value of a field; 0 without it.
+// number returns the value of a field, or 0 if the message lacks it.
 func (m *message) number(key string) float64 {
 	text := m.text(key)
 	if text == "" {
@@ -117,13 +117,13 @@
 	return value
 }
 
-// noNumbers stands where a message has no list of numbers.
-const noNumbers = "-"
+// emptyNumberList is the value of a field that holds no numbers.
+const emptyNumberList = "-"
 
-// numbers returns the numbers of a field, which commas separate; nil without any.
+// numbers returns the comma-separated numbers of a field, or nil if it has none.
 func (m *message) numbers(key string) []float64 {
 	text := m.text(key)
-	if text == "" || text == noNumbers {
+	if text == "" || text == emptyNumberList {
 		return nil
 	}
 	numbers := make([]float64, 0, strings.Count(text, ",")+1)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -12,40 +12,41 @@
 	"wheatlane/internal/loadfields"
 )
 
-const bufferBytes = 1 << 20 // of a Reader or Writer
+const bufferBytes = 1 << 20 // buffer size of a Reader or Writer
 
-// Create is the creation of an instance.
+// Create holds the arguments for the creation of an instance.
 type Create struct {
 	Seed     uint64
 	Settings control.Settings
 }
 
-// Input is what happened to one instance. Exactly one of Create, Crash and Event is set.
+// Input is one input of an instance: its creation, its crash or an event. Exactly one of Create, Crash and Event is
+// set.
 type Input struct {
 	Instance int
 	Create   *Create
-	Crash    bool // the instance ends at once and loses all its state
+	Crash    bool // the instance ends immediately and loses all its state
 	Event    control.Event
 }
 
-// noInstance stands for the instance of a batch ahead of the first that is named.
+// noInstance is the instance number of a batch before its first SWITCH_TO message.
 const noInstance = -1
 
-// Batch is what happened at one time.
+// Batch holds the inputs of all instances at one time.
 type Batch struct {
-	Now    time.Duration // since the simulation began
+	Now    time.Duration // since the start of the simulation
 	Inputs []Input
 }
 
-// Reader decodes batches. Its errors name the number of the line.
+// Reader decodes batches. Its errors include the line number.
 type Reader struct {
 	in      *bufio.Reader
 	line    int                        // number of the last line read
-	lists   map[int64][]control.Engine // endpoint lists by their numbers
-	layouts map[int]loadfields.Layout  // of load reports, by the instances that they are for
+	lists   map[int64][]control.Engine // endpoint lists by number
+	layouts map[int]loadfields.Layout  // layouts of load reports, by instance
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{
 		in:    bufio.NewReaderSize(r, bufferBytes),
@@ -76,15 +77,15 @@
 				return batch, err
 			}
 		default:
-			item, err := r.decode(msg, instance)
+			input, err := r.decode(msg, instance)
 			if err == nil && instance < 0 {
 				err = fmt.Errorf("%s comes before any %s", msg.name, messageInstance)
 			}
 			if err != nil {
 				return batch, r.errorf("%w", err)
 			}
-			item.Instance = instance
-			batch.add(item)
+			input.Instance = instance
+			batch.add(input)
 		}
 		if msg.err != nil {
 			return batch, r.errorf("%s: %w", msg.name, msg.err)
@@ -92,14 +93,14 @@
 	}
 }
 
-// add appends an item, unless it was ignored.
-func (b *Batch) add(item Input) {
-	if item.Create != nil || item.Crash || item.Event != nil {
-		b.Inputs = append(b.Inputs, item)
+// add appends an input, unless the input is empty because its message was ignored.
+func (b *Batch) add(input Input) {
+	if input.Create != nil || input.Crash || input.Event != nil {
+		b.Inputs = append(b.Inputs, input)
 	}
 }
 
-// readClock reads the message that begins a batch.
+// readClock reads the message that begins a batch and returns the batch's time.
 func (r *Reader) readClock() (time.Duration, error) {
 	line, err := r.nextLine()
 	if err != nil {
@@ -119,12 +120,12 @@
 	return now, nil
 }
 
-// readEndpointList reads the endpoints that a list announces.
-func (r *Reader) readEndpointList(announced *message) error {
-	members := announced.requiredInteger(fieldListMembers)
-	number := announced.integer(fieldListNumber)
-	if announced.err != nil {
-		return r.errorf("%s: %w", messageEndpointList, announced.err)
+// readEndpointList reads the endpoints of a list, whose header gives their number.
+func (r *Reader) readEndpointList(header *message) error {
+	members := header.requiredInteger(fieldListMembers)
+	number := header.integer(fieldListNumber)
+	if header.err != nil {
+		return r.errorf("%s: %w", messageEndpointList, header.err)
 	}
 	var engines []control.Engine
 	for range members {
@@ -145,11 +146,11 @@
 	return nil
 }
 
-// nextLine returns the next line without its end, or io.EOF.
+// nextLine returns the next line without its line feed, or io.EOF.
 func (r *Reader) nextLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
-		return "", r.errorf("the last line has no end: %.60q", line)
+		return "", r.errorf("the last line lacks a line feed: %.60q", line)
 	}
 	if err != nil {
 		return "", err
@@ -158,7 +159,7 @@
 	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// nextInside returns the next message where one must follow.
+// nextInside returns the next message. The end of the input is an error here; place describes the enclosing structure.
 func (r *Reader) nextInside(place string) (*message, error) {
 	line, err := r.nextLine()
 	if errors.Is(err, io.EOF) {
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -31,7 +31,7 @@
  "Stats": {"Fields": ["util", "x1"], "Source": "piggyback"},
  "Tenants": [{"Name": "alpen-linie", "QuotaPerS": 71.0, "Share": 0.32}]}`
 
-// everyMessage is a batch that holds every message that comes in.
+// everyMessage is a batch that contains every incoming message.
 var everyMessage = "CLOCK SimTimeNs=8412250000\nSWITCH_TO Who=3\nCREATE RngSeed=18446744073709551615 ProfileData=" +
 	strings.ReplaceAll(settingsJSON, "\n", " ") + `
 SHEET Sheet=0 Members=2
@@ -56,7 +56,8 @@
 GO
 `
 
-// everyEvent is what everyMessage gives between the creation and the crash; the gossip is of another program.
+// everyEvent lists the events of everyMessage between the creation and the crash. Its gossip datagram is ignored, as
+// it comes from another program.
 var everyEvent = []control.Event{
 	control.EndpointUpdate{Kind: control.EndpointSnapshot, Engines: []control.Engine{
 		{ID: "10.18.74.7:11203", Zone: "room-a", Kind: "std-16", Cell: 4},
@@ -79,12 +80,12 @@
 	control.ProbeResult{Engine: "b:1", Duration: 14, Report: loadreport.Report{Reported: true, Utilization: 3}},
 	control.AttemptEnded{
 		RequestID: "rq_b", Number: 2, Engine: "b:1", Duration: 185, RequestClosed: true,
-		Work: 17 * time.Millisecond, MemoryMB: 384, // no report, as its values are not those of the settings
+		Work: 17 * time.Millisecond, MemoryMB: 384, // no report, as its values do not match the layout in the settings
 	},
 	control.TimerFired{Token: 77},
 }
 
-// readBatch reads the first batch of a text.
+// readBatch decodes the first batch of a text.
 func readBatch(text string) (Batch, error) { return NewReader(strings.NewReader(text)).Read() }
 
 func TestReadEveryEvent(t *testing.T) {
@@ -93,19 +94,19 @@
 		t.Fatal(err)
 	}
 	if batch.Now != 8412250000 {
-		t.Fatalf("clock %v", batch.Now)
+		t.Fatalf("clock is %v", batch.Now)
 	}
 	if len(batch.Inputs) != len(everyEvent)+2 {
-		t.Fatalf("%d items", len(batch.Inputs))
+		t.Fatalf("got %d inputs, want %d", len(batch.Inputs), len(everyEvent)+2)
 	}
 	for i, want := range everyEvent {
-		item := batch.Inputs[i+1]
-		if diff := cmp.Diff(want, item.Event); diff != "" || item.Instance != 3 {
-			t.Errorf("event %d of instance %d: %s", i, item.Instance, diff)
+		input := batch.Inputs[i+1]
+		if diff := cmp.Diff(want, input.Event); diff != "" || input.Instance != 3 {
+			t.Errorf("event %d of instance %d: %s", i, input.Instance, diff)
 		}
 	}
 	if last := batch.Inputs[len(batch.Inputs)-1]; last.Instance != 5 || !last.Crash {
-		t.Errorf("last %+v", last)
+		t.Errorf("last input is %+v, want the crash of instance 5", last)
 	}
 }
 
@@ -149,27 +150,27 @@
 	}
 }
 
-func TestMalformedInputIsReportedWithItsLine(t *testing.T) {
+func TestMalformedInputErrorIncludesLineNumber(t *testing.T) {
 	const begun = "CLOCK SimTimeNs=1\nSWITCH_TO Who=1\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"no clock":        {"GO\n", "line 1: expected CLOCK"},
-		"no time":         {"CLOCK\nGO\n", "SimTimeNs is missing"},
-		"time no number":  {"CLOCK SimTimeNs=x\nGO\n", "not a whole number"},
-		"no end":          {"CLOCK SimTimeNs=1\n", "GO is missing"},
-		"half a line":     {"CLOCK SimTimeNs=1\nGO", "has no end"},
+		"time missing":    {"CLOCK\nGO\n", "SimTimeNs is missing"},
+		"invalid time":    {"CLOCK SimTimeNs=x\nGO\n", "not a whole number"},
+		"unended batch":   {"CLOCK SimTimeNs=1\n", "GO is missing"},
+		"truncated line":  {"CLOCK SimTimeNs=1\nGO", "lacks a line feed"},
 		"unknown message": {"CLOCK SimTimeNs=1\nHELLO A=1\n", "line 2: unknown message"},
 		"no instance":     {"CLOCK SimTimeNs=1\nWAKE Mark=1\n", "before any SWITCH_TO"},
-		"field no value":  {begun + "WAKE Mark\n", "not a name=value pair"},
+		"no field value":  {begun + "WAKE Mark\n", "not a name=value pair"},
 		"unknown list":    {begun + "DISCOVERY Sheet=4 Kind=full\n", "no SHEET 4"},
 		"unknown status":  {begun + "ANSWER Rid=a Reason=odd\n", "unknown Reason"},
 		"no request id":   {begun + "INGRESS Profile=a DropDeadNs=1\n", "Rid is missing"},
-		"list cut off":    {"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nGO\n", "expected ROW"},
+		"truncated list":  {"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nGO\n", "expected ROW"},
 		"unknown state": {
 			"CLOCK SimTimeNs=1\nSHEET Sheet=0 Members=1\nROW Executor=a Availability=maybe\n",
 			"unknown Availability",
 		},
-		"datagram no hex":  {begun + "NEIGHBOUR_SAYS SrcPeer=1 Octets=7\n", "Octets"},
-		"settings no JSON": {begun + "CREATE RngSeed=1 ProfileData={\n", "settings"},
+		"datagram not hex":  {begun + "NEIGHBOUR_SAYS SrcPeer=1 Octets=7\n", "Octets"},
+		"settings not JSON": {begun + "CREATE RngSeed=1 ProfileData={\n", "settings"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := readBatch(c.text); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -179,17 +180,17 @@
 	}
 }
 
-// The datagrams of another program are passed over.
+// Guards against gossip of another program being delivered as an event: its datagrams are ignored.
 func TestReadGossip(t *testing.T) {
 	for name, c := range map[string]struct {
 		message string
 		want    []control.Event
 	}{
-		"of a broker": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=77010a0b0c0d3202\n", []control.Event{control.GossipReceived{
+		"from a broker": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=77010a0b0c0d3202\n", []control.Event{control.GossipReceived{
 			Broker:  4,
 			Reports: []control.GossipedLoad{{Engine: 0x0a0b0c0d, Load: 0.5, Age: 40 * time.Millisecond}},
 		}}},
-		"of another program": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=68692037\n", []control.Event{}},
+		"from another program": {"NEIGHBOUR_SAYS SrcPeer=4 Octets=68692037\n", []control.Event{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			batch, err := readBatch("CLOCK SimTimeNs=1\nSWITCH_TO Who=1\n" + c.message + "GO\n")
@@ -197,8 +198,8 @@
 				t.Fatal(err)
 			}
 			got := make([]control.Event, 0, len(batch.Inputs))
-			for _, item := range batch.Inputs {
-				got = append(got, item.Event)
+			for _, input := range batch.Inputs {
+				got = append(got, input.Event)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,8 @@
-// Package wire is the codec of the line protocol between the simulator's bench and the instances of the
-// decision module that an adapter hosts: Reader decodes batches of events, Writer encodes replies. It decides
-// nothing.
+// Package wire implements the line protocol between a simulator and the instances of the decision module that an
+// adapter hosts: Reader decodes batches of events, and Writer encodes replies. It makes no decisions.
 package wire
 
-// The names of the messages that come in.
+// Names of incoming messages.
 const (
 	messageClock              = "CLOCK"
 	messageInstance           = "SWITCH_TO"
@@ -23,7 +22,7 @@
 	messageTimerFired         = "WAKE"
 )
 
-// The names of the messages that go out.
+// Names of outgoing messages.
 const (
 	messageReplyOf           = "AS"
 	messageInternalError     = "INTERNAL_ERROR"
@@ -40,7 +39,7 @@
 	messageLog               = "NOTE_DOWN"
 )
 
-// The names of the fields of messages. Those that end in Ns hold nanoseconds, those in Mb megabytes.
+// Names of message fields. Fields whose names end in Ns are in nanoseconds, those in Mb in megabytes.
 const (
 	fieldNow             = "SimTimeNs"
 	fieldInstance        = "Who"
@@ -84,5 +83,5 @@
 	fieldWatch           = "Enable"
 )
 
-// textFields are the fields whose value extends to the end of its line, blanks included.
+// textFields is the set of fields whose value extends to the end of the line, including spaces.
 var textFields = map[string]bool{fieldSettings: true, fieldText: true}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -12,67 +12,67 @@
 	"wheatlane/internal/gossip"
 )
 
-// Writer encodes replies. A reply is what the instances of a batch did, each behind BeginInstance, and ends
-// with EndReply, which returns the first error of all that was written since the reply before.
+// Writer encodes replies. A reply lists the actions of each instance of a batch after a call of BeginInstance, and ends
+// with EndReply, which returns the first write error since the previous reply.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, bufferBytes)} }
 
-// BeginInstance names the instance whose actions follow.
+// BeginInstance writes the number of the instance whose actions follow.
 func (w *Writer) BeginInstance(instance int) {
-	w.name(messageReplyOf)
+	w.beginMessage(messageReplyOf)
 	w.integer(fieldInstance, int64(instance))
 	w.endLine()
 }
 
-// InternalError reports that an instance's decision code failed.
+// InternalError reports a failure of an instance's decision code.
 func (w *Writer) InternalError(text string) {
-	w.name(messageInternalError)
+	w.beginMessage(messageInternalError)
 	w.text(fieldText, oneLine(text))
 	w.endLine()
 }
 
 // EndReply ends the reply and flushes it.
 func (w *Writer) EndReply() error {
-	w.name(messageEndReply)
+	w.beginMessage(messageEndReply)
 	w.endLine()
 	return w.out.Flush()
 }
 
-// Action writes one action. It panics for a type that the protocol has no message for.
+// Action writes one action. It panics if the protocol has no message for the type of the action.
 func (w *Writer) Action(action control.Action) {
 	switch action := action.(type) {
 	case control.SendAttempt:
-		w.nameOfRequest(messageSendAttempt, action.RequestID)
+		w.beginRequestMessage(messageSendAttempt, action.RequestID)
 		w.text(fieldEngine, action.Engine)
-		w.positive(fieldTimeout, int64(action.Timeout))
+		w.positiveInteger(fieldTimeout, int64(action.Timeout))
 	case control.Reject:
-		w.nameOfRequest(messageReject, action.RequestID)
-		w.positive(fieldRetryAfter, int64(action.RetryAfter))
+		w.beginRequestMessage(messageReject, action.RequestID)
+		w.positiveInteger(fieldRetryAfter, int64(action.RetryAfter))
 	case control.Fail:
-		w.nameOfRequest(messageFail, action.RequestID)
+		w.beginRequestMessage(messageFail, action.RequestID)
 	case control.CancelAttempt:
-		w.nameOfRequest(messageCancelAttempt, action.RequestID)
+		w.beginRequestMessage(messageCancelAttempt, action.RequestID)
 		w.integer(fieldAttempt, int64(action.Number))
 	case control.SetAttemptOptions:
-		w.nameOfRequest(messageSetAttemptOptions, action.RequestID)
+		w.beginRequestMessage(messageSetAttemptOptions, action.RequestID)
 		w.text(fieldGrant, strconv.FormatFloat(action.GrantMB, 'f', -1, 64))
 		w.integer(fieldPriority, int64(action.Priority))
 	case control.SetTimer:
-		w.name(messageSetTimer)
+		w.beginMessage(messageSetTimer)
 		w.integer(fieldTimerAfter, int64(action.After))
 		w.text(fieldTimerToken, strconv.FormatUint(action.Token, 10))
 	case control.ProbeLoad:
-		w.name(messageProbeLoad)
+		w.beginMessage(messageProbeLoad)
 		w.text(fieldEngine, action.Engine)
 	case control.SendGossip:
-		w.name(messageSendGossip)
+		w.beginMessage(messageSendGossip)
 		w.integer(fieldToBroker, int64(action.Broker))
 		w.text(fieldDatagram, hex.EncodeToString(gossip.Append(nil, action.Reports)))
 	case control.WatchEndpoints:
-		w.name(messageWatchEndpoints)
-		w.text(fieldWatch, yes)
+		w.beginMessage(messageWatchEndpoints)
+		w.text(fieldWatch, trueValue)
 	case control.EngineEjected:
 		w.log("engine " + action.Engine + " is ejected: " + action.Reason.String())
 	case control.EngineRestored:
@@ -83,20 +83,20 @@
 	w.endLine()
 }
 
-// log writes a line for the operators.
+// log writes a log line for operators.
 func (w *Writer) log(text string) {
-	w.name(messageLog)
+	w.beginMessage(messageLog)
 	w.text(fieldText, oneLine(text))
 }
 
-// oneLine puts a text of several lines into one.
+// oneLine replaces each run of white space, line feeds included, by one space.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-func (w *Writer) name(message string) { w.write(message) }
+func (w *Writer) beginMessage(name string) { w.write(name) }
 
-// nameOfRequest begins a message about a request.
-func (w *Writer) nameOfRequest(message, requestID string) {
-	w.name(message)
+// beginRequestMessage begins a message about a request.
+func (w *Writer) beginRequestMessage(name, requestID string) {
+	w.beginMessage(name)
 	w.text(fieldRequestID, requestID)
 }
 
@@ -104,8 +104,8 @@
 
 func (w *Writer) integer(key string, value int64) { w.text(key, strconv.FormatInt(value, 10)) }
 
-// positive writes a field that is left out unless its value is over 0.
-func (w *Writer) positive(key string, value int64) {
+// positiveInteger writes a field, which is omitted unless its value is positive.
+func (w *Writer) positiveInteger(key string, value int64) {
 	if value > 0 {
 		w.integer(key, value)
 	}
@@ -115,6 +115,6 @@
 
 func (w *Writer) write(parts ...string) {
 	for _, part := range parts {
-		_, _ = w.out.WriteString(part) // the bufio.Writer keeps its first error until EndReply flushes
+		_, _ = w.out.WriteString(part) // the bufio.Writer returns its first error when EndReply flushes
 	}
 }
