--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Command is the first byte of a packet from a client that is logged in.
+// Command is the first byte of a packet from a client that has logged in.
 type Command byte
 
-// The commands that are understood.
+// Supported commands.
 const (
 	ComQuit            Command = 1
 	ComInitDB          Command = 2
@@ -17,9 +17,9 @@
 	ComResetConnection Command = 31
 )
 
-// The words of a KILL statement.
+// Keywords of a KILL statement.
 const (
-	killWord       = "KILL"
+	killKeyword    = "KILL"
 	killConnection = "CONNECTION"
 	killQuery      = "QUERY"
 )
@@ -27,13 +27,13 @@
 // Kill is a KILL statement.
 type Kill struct {
 	ConnectionID    uint32
-	CloseConnection bool // else only the query that it runs is to end
+	CloseConnection bool // if false, only the connection's query is cancelled
 }
 
-// ParseKill reads KILL QUERY n or KILL [CONNECTION] n. It returns false for any other statement.
+// ParseKill parses KILL QUERY n or KILL [CONNECTION] n. ok is false for any other statement.
 func ParseKill(text string) (kill Kill, ok bool) {
 	words := strings.Fields(strings.TrimSuffix(strings.TrimSpace(text), ";"))
-	if len(words) < 2 || len(words) > 3 || !strings.EqualFold(words[0], killWord) {
+	if len(words) < 2 || len(words) > 3 || !strings.EqualFold(words[0], killKeyword) {
 		return Kill{}, false
 	}
 	closeConnection := len(words) == 2 || strings.EqualFold(words[1], killConnection)
--- a/internal/mysql/dataset.go
+++ b/internal/mysql/dataset.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// stagingSchema is a schema that belongs to no data set.
+// stagingSchema is the schema of staging tables, which belong to no data set.
 const stagingSchema = "staging"
 
-// dataSet returns the number in the name of the schema that a statement reads or writes; 0 without one. A table
-// reference, which follows certain words, takes precedence over other qualified names, which may be those of columns.
+// dataSet returns the number in the name of the schema that a statement reads or writes, or 0 if there is none. A table
+// reference, which follows certain keywords, takes precedence over other qualified names, as these may name columns.
 func dataSet(text string) int {
-	other := 0
+	fallback := 0 // number in the first qualified name that is not a table reference
 	l := lexer{text: text}
-	table := false // a table reference may follow
+	expectTable := false // a table reference may follow
 	for token := l.next(); token != ""; {
 		name := token
 		after := l.next()
 		if after != "." {
-			table = tableMayFollow(name, table)
+			expectTable = tableMayFollow(name, expectTable)
 			token = after
 			continue
 		}
 		n, ok := schemaNumber(name)
-		if ok && table {
+		if ok && expectTable {
 			return n
 		}
-		if ok && other == 0 {
-			other = n
+		if ok && fallback == 0 {
+			fallback = n
 		}
 		for after == "." { // the rest of the qualified name
 			l.next()
@@ -35,21 +35,21 @@
 		}
 		token = after
 	}
-	return other
+	return fallback
 }
 
-// tableMayFollow reports whether a table reference may follow a token; before is what held ahead of it.
-func tableMayFollow(token string, before bool) bool {
+// tableMayFollow reports whether a table reference may follow a token; previous is the result for the token before it.
+func tableMayFollow(token string, previous bool) bool {
 	switch strings.ToUpper(token) {
 	case "FROM", "JOIN", "INTO", "UPDATE", "TABLE":
 		return true
 	case "SELECT", "WHERE", "SET", "ON", "VALUES", "GROUP", "ORDER", "HAVING", "LIMIT":
 		return false
 	}
-	return before
+	return previous
 }
 
-// schemaNumber returns the number at the end of a schema's name, behind an underscore.
+// schemaNumber returns the number after the last underscore of a schema's name.
 func schemaNumber(name string) (int, bool) {
 	name = strings.Trim(name, "`")
 	i := strings.LastIndexByte(name, '_')
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Capability flags of the protocol.
+// Capability flags of the MySQL protocol.
 const (
 	clientLongPassword         = 1
 	clientConnectWithDB        = 1 << 3
@@ -17,12 +17,12 @@
 	clientPluginAuth           = 1 << 19
 	clientPluginAuthLenencData = 1 << 21
 
-	// capabilities are those that the greeting announces.
+	// capabilities are the flags that the greeting announces.
 	capabilities = clientLongPassword | clientConnectWithDB | clientProtocol41 | clientTransactions |
 		clientSecureConnection | clientPluginAuth
 )
 
-// The parts of the greeting.
+// Parts of the greeting.
 const (
 	protocolVersion = 10
 	serverVersion   = "8.0.0-wheatlane"
@@ -30,14 +30,13 @@
 	autocommit      = 2 // status flag
 	authPlugin      = "mysql_native_password"
 
-	// SaltLen is the length of the salt of a greeting, in bytes.
+	// SaltLen is the length of a greeting's salt in bytes.
 	SaltLen         = 20
-	firstSaltLen    = 8 // the rest of the salt follows further back
+	firstSaltLen    = 8 // the rest of the salt follows later in the greeting
 	greetingPadding = 10
 )
 
-// AppendGreeting adds the greeting, which is the first packet of a connection. The salt must not hold zero
-// bytes.
+// AppendGreeting appends the greeting, which is the first packet of a connection. The salt must not contain zero bytes.
 func AppendGreeting(dst []byte, connectionID uint32, salt [SaltLen]byte) []byte {
 	dst, start := beginPacket(dst)
 	dst = append(dst, protocolVersion)
@@ -48,7 +47,7 @@
 	dst = append(dst, charsetUTF8MB4)
 	dst = binary.LittleEndian.AppendUint16(dst, autocommit)
 	dst = binary.LittleEndian.AppendUint16(dst, capabilities>>16)
-	dst = append(dst, SaltLen+1) // with the zero byte at its end
+	dst = append(dst, SaltLen+1) // includes the terminating zero byte
 	dst = append(dst, make([]byte, greetingPadding)...)
 	dst = appendZeroTerminated(dst, string(salt[firstSaltLen:]))
 	dst = appendZeroTerminated(dst, authPlugin)
@@ -60,15 +59,15 @@
 // Login is a client's response to the greeting.
 type Login struct {
 	User, Database string
-	HasPassword    bool // it sent proof of a password
+	HasPassword    bool // the client sent a password proof
 }
 
 const (
-	loginHeaderLen = 32 // flags, largest packet, character set and padding
+	loginHeaderLen = 32 // flags, maximum packet size, character set and padding
 	maxProofLen    = 250
 )
 
-// ParseLogin reads the response to the greeting. Its error is ErrHandshake, with the field at fault.
+// ParseLogin parses a client's response to the greeting. Its error wraps ErrHandshake and names the invalid field.
 func ParseLogin(payload []byte) (Login, error) {
 	if len(payload) < loginHeaderLen {
 		return Login{}, fmt.Errorf("%w: %d bytes", ErrHandshake, len(payload))
@@ -93,12 +92,12 @@
 	return login, nil
 }
 
-// cutProof splits the proof of a password from what follows it.
+// cutProof splits the password proof from the bytes that follow it.
 func cutProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
 	if flags&(clientPluginAuthLenencData|clientSecureConnection) == 0 {
 		return bytes.Cut(payload, []byte{0})
 	}
-	// A length of one byte; there are no proofs long enough for more.
+	// The length takes one byte, as no proof is longer than maxProofLen.
 	if len(payload) < 1 || payload[0] > maxProofLen || len(payload) < 1+int(payload[0]) {
 		return nil, nil, false
 	}
--- a/internal/mysql/handshake_test.go
+++ b/internal/mysql/handshake_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// loginPayload is the payload of a login with these flags and what follows its header.
+// loginPayload returns the payload of a login with the given flags and the bytes that follow its header.
 func loginPayload(flags uint32, rest string) []byte {
 	payload := binary.LittleEndian.AppendUint32(nil, flags)
 	payload = append(payload, make([]byte, loginHeaderLen-len(payload))...)
@@ -25,7 +25,7 @@
 			Login{"app", "main", false},
 			nil,
 		},
-		"without": {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x00"), Login{User: "app"}, nil},
+		"without database": {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x00"), Login{User: "app"}, nil},
 		"with plugin": {
 			loginPayload(pluginFlags, "app\x00\x00main\x00x\x00"), Login{"app", "main", false}, nil,
 		},
@@ -33,11 +33,11 @@
 		"password": {
 			loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x02pw"), Login{"app", "", true}, nil,
 		},
-		"cut password":     {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
-		"user without end": {loginPayload(clientProtocol41, "app"), Login{}, ErrHandshake},
-		"old protocol":     {loginPayload(0, "app\x00\x00"), Login{}, ErrHandshake},
-		"TLS":              {loginPayload(clientProtocol41|clientSSL, ""), Login{}, ErrHandshake},
-		"short":            {[]byte("x"), Login{}, ErrHandshake},
+		"truncated password": {loginPayload(clientProtocol41|clientSecureConnection, "app\x00\x05pw"), Login{}, ErrHandshake},
+		"unterminated user":  {loginPayload(clientProtocol41, "app"), Login{}, ErrHandshake},
+		"old protocol":       {loginPayload(0, "app\x00\x00"), Login{}, ErrHandshake},
+		"TLS":                {loginPayload(clientProtocol41|clientSSL, ""), Login{}, ErrHandshake},
+		"short payload":      {[]byte("x"), Login{}, ErrHandshake},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseLogin(c.payload)
--- a/internal/mysql/lexer.go
+++ b/internal/mysql/lexer.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// lexer splits a statement into words, punctuation and quoted names; it skips strings and comments.
+// lexer splits a statement into words, punctuation and quoted names. It skips strings and comments.
 type lexer struct {
 	text string
 	pos  int // index in text of the next byte to read
 }
 
-// next returns the next token, "" at the end.
+// next returns the next token, or "" at the end.
 func (l *lexer) next() string {
 	for l.pos < len(l.text) {
 		start, rest := l.pos, l.text[l.pos:]
@@ -46,12 +46,13 @@
 	}
 }
 
-// skipString passes over a string with its quotes. A doubled quote shows as two strings, which does no harm.
+// skipString skips a string with its quotes. A doubled quote within a string splits it into two strings, both of which
+// are skipped.
 func (l *lexer) skipString(quote byte) {
 	for l.pos++; l.pos < len(l.text); l.pos++ {
 		switch l.text[l.pos] {
 		case '\\':
-			l.pos++ // the byte behind it can't end the string
+			l.pos++ // an escaped byte cannot end the string
 		case quote:
 			l.pos++
 			return
@@ -60,10 +61,10 @@
 	l.pos = len(l.text)
 }
 
-// skipQuotedName passes over a name with its backquotes, in which a backslash is a byte like others.
+// skipQuotedName skips a name with its backquotes. A backslash has no special meaning in it.
 func (l *lexer) skipQuotedName() { l.skipPast(1, "`") }
 
-// skipPast moves behind the next delimiter that begins skip bytes from here or later, or to the end without one.
+// skipPast skips at least skip bytes, then up to and including the next delimiter, or to the end if there is none.
 func (l *lexer) skipPast(skip int, delimiter string) {
 	if i := strings.Index(l.text[l.pos+skip:], delimiter); i >= 0 {
 		l.pos += skip + i + len(delimiter)
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -1,11 +1,11 @@
-// Package mysql is the server's side of the MySQL client protocol 4.1, as far as the clients of a broker
-// speak it: packets, greeting, login, commands, statements with their fields, and responses. It works on bytes
-// and does no I/O.
+// Package mysql implements the server side of the MySQL client protocol 4.1, limited to the parts that clients of a
+// broker use: packets, greeting, login, commands, statements with their fields, and responses. It works on bytes and
+// does no I/O.
 package mysql
 
 import "errors"
 
-// Errors that cost a client its connection, as nothing after them can be read.
+// Errors that end a client's connection, as the bytes that follow cannot be parsed.
 var (
 	ErrTooLarge  = errors.New("mysql: packet too large")
 	ErrSequence  = errors.New("mysql: packets out of order")
@@ -20,23 +20,23 @@
 	HeaderLen = 4
 )
 
-// The sequence numbers of packets that begin an exchange, and of the first packet that answers them.
+// Sequence numbers of the first packets of an exchange.
 const (
 	GreetingSequence byte = 0
 	LoginSequence    byte = 1
 	CommandSequence  byte = 0
-	ResponseSequence byte = 1
+	ResponseSequence byte = 1 // first packet of the response to a command
 )
 
-// Packet is one packet of a client.
+// Packet is one packet from a client.
 type Packet struct {
 	Sequence byte
 	Payload  []byte
 }
 
-// ParsePacket reads a packet from the front of b. Its payload points into b; n is the number of bytes that
-// the packet takes, 0 while it is incomplete. A packet over the limit gives ErrTooLarge as soon as its header
-// is there, so that it never grows a buffer.
+// ParsePacket parses the packet at the start of b. The payload points into b; n is the length of the packet in bytes, 0
+// while it is incomplete. For a packet whose payload exceeds MaxPacket, it returns ErrTooLarge as soon as the header is
+// complete, so that the packet never grows a buffer.
 func ParsePacket(b []byte) (packet Packet, n int, err error) {
 	if len(b) < HeaderLen {
 		return Packet{}, 0, nil
@@ -52,7 +52,7 @@
 	return Packet{Sequence: b[3], Payload: b[HeaderLen:end]}, end, nil
 }
 
-// beginPacket leaves space for a header; endPacket fills it in once the payload has been appended.
+// beginPacket reserves space for a header; endPacket fills it in after the payload has been appended.
 func beginPacket(dst []byte) (begun []byte, start int) { return append(dst, 0, 0, 0, 0), len(dst) }
 
 func endPacket(dst []byte, start int, seq byte) []byte {
@@ -61,14 +61,14 @@
 	return dst
 }
 
-// The prefixes of length-encoded strings of 251 bytes and more.
+// Prefixes of length-encoded strings longer than maxOneByteLength.
 const (
 	maxOneByteLength = 250
 	twoByteLength    = 0xfc
 	threeByteLength  = 0xfd
 )
 
-// appendString adds a length-encoded string.
+// appendString appends a length-encoded string.
 func appendString[T string | []byte](dst []byte, text T) []byte {
 	switch n := len(text); {
 	case n <= maxOneByteLength:
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// However the input is split, the packets are the same, and a packet too large is seen from its header.
-func TestPacketsSplitAnywhere(t *testing.T) {
+// Guards against packets that are parsed differently when a read ends within them: the input is split at every byte. A
+// packet that is too large is rejected from its header alone.
+func TestParsePacketSplitAtEveryByte(t *testing.T) {
 	first := AppendOK(nil, 7)
 	input := AppendError(first, 1, CodeUserLimitReached, "no room; cooldown=250")
 	for cut := range input {
@@ -24,7 +25,7 @@
 	}
 }
 
-// completePackets is the length of the packets that are complete in b.
+// completePackets returns the total length of the complete packets in b.
 func completePackets(t *testing.T, b []byte) int {
 	t.Helper()
 	n := 0
--- a/internal/mysql/response.go
+++ b/internal/mysql/response.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// ErrorCode is the number of an error.
+// ErrorCode is a MySQL error number.
 type ErrorCode uint16
 
-// The codes of errors that clients are sent.
+// Error codes sent to clients.
 const (
 	CodeTooManyConnections ErrorCode = 1040
 	CodeHandshakeError     ErrorCode = 1043
@@ -27,10 +27,10 @@
 	CodeMalformedPacket    ErrorCode = 1835
 )
 
-// generalSQLState is the SQL state of the codes without one of their own.
+// generalSQLState is the SQL state of error codes without a specific one.
 const generalSQLState = "HY000"
 
-// sqlStates are the SQL states of the other codes.
+// sqlStates maps error codes to their specific SQL states.
 var sqlStates = map[ErrorCode]string{
 	CodeTooManyConnections: "08004",
 	CodeHandshakeError:     "08S01",
@@ -44,7 +44,7 @@
 	CodeQueryInterrupted:   "70100",
 }
 
-// The first bytes of responses, and of their parts.
+// First bytes of responses and of their parts.
 const (
 	okHeader     = 0x00
 	eofHeader    = 0xfe
@@ -52,7 +52,7 @@
 	sqlStateMark = '#'
 )
 
-// AppendError adds an ERR packet with the code's SQL state and a text for the client.
+// AppendError appends an ERR packet with an error code, its SQL state and a text for the client.
 func AppendError(dst []byte, seq byte, code ErrorCode, text string) []byte {
 	state, ok := sqlStates[code]
 	if !ok {
@@ -67,10 +67,10 @@
 	return endPacket(dst, start, seq)
 }
 
-// AppendOK adds an OK packet.
+// AppendOK appends an OK packet.
 func AppendOK(dst []byte, seq byte) []byte {
 	dst, start := beginPacket(dst)
-	// No rows affected, no last insert id; the status; no warnings.
+	// 0 affected rows, no last insert id, status flags, no warnings.
 	dst = append(dst, okHeader, 0, 0, autocommit, 0, 0, 0)
 	return endPacket(dst, start, seq)
 }
@@ -84,7 +84,7 @@
 // ColumnCount is the number of columns of every result.
 const ColumnCount = 3
 
-// The parts of a column's definition, and of a row of a page.
+// Parts of a column definition and of a row in a result page.
 const (
 	columnCatalog    = "def"
 	columnSchema     = "main"
@@ -96,8 +96,8 @@
 	columnSeparator  = '\t'
 )
 
-// AppendResult adds a text result set of complete pages: rows end with a line feed, columns stand between
-// tabs. The sequence number wraps after 255, as in the protocol.
+// AppendResult appends a text result set with the rows of complete pages. In a page, a line feed ends each row and tabs
+// separate columns. The sequence number wraps after 255, as the protocol specifies.
 func AppendResult(dst []byte, seq byte, pages [][]byte) []byte {
 	dst, start := beginPacket(dst)
 	dst = endPacket(append(dst, ColumnCount), start, seq)
@@ -118,10 +118,10 @@
 	return appendEOF(dst, seq+1)
 }
 
-// appendColumn adds the definition of a column of strings.
+// appendColumn appends the definition of a string column.
 func appendColumn(dst []byte, seq byte, name string) []byte {
 	dst, start := beginPacket(dst)
-	// Catalogue, schema, table, original table, name, original name.
+	// Catalog, schema, table, original table, name, original name.
 	for _, s := range []string{columnCatalog, columnSchema, "", "", name, name} {
 		dst = appendString(dst, s)
 	}
@@ -131,7 +131,7 @@
 	return endPacket(dst, start, seq)
 }
 
-// appendRow adds a row; columns that it lacks are empty.
+// appendRow appends a row. Missing columns are empty.
 func appendRow(dst []byte, seq byte, row []byte) []byte {
 	dst, start := beginPacket(dst)
 	for range ColumnCount {
--- a/internal/mysql/response_test.go
+++ b/internal/mysql/response_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// payloads splits what a server sent into the payloads of its packets, whose sequence numbers count from 1.
+// payloads splits b into the payloads of its packets and checks that the sequence numbers count up from 1.
 func payloads(t *testing.T, b []byte) (out [][]byte) {
 	t.Helper()
 	for want := byte(1); len(b) > 0; want++ {
@@ -21,7 +21,7 @@
 	return out
 }
 
-// columnsOf splits the payload of a row into its columns.
+// columnsOf splits the payload of a row into columns.
 func columnsOf(row []byte) (columns []string) {
 	for len(row) > 0 {
 		n, prefix := int(row[0]), 1
@@ -33,9 +33,10 @@
 	return columns
 }
 
-// A result keeps its rows unchanged and in order over its pages, and ends in EOF.
+// Guards against rows that are lost, changed or reordered where a page ends, a long column needs a longer length prefix
+// or the sequence number wraps. A result ends with EOF.
 func TestAppendResult(t *testing.T) {
-	const rowCount = 400 // so many that the sequence number wraps
+	const rowCount = 400 // enough for the sequence number to wrap
 	rows := make([]string, 0, rowCount)
 	pages := [][]byte{nil, {}, nil}
 	for i := range rowCount {
@@ -48,11 +49,11 @@
 	}
 	got := payloads(t, AppendResult(nil, 1, pages))
 	if len(got) != 1+ColumnCount+1+rowCount+1 || got[0][0] != ColumnCount {
-		t.Fatalf("%d packets", len(got))
+		t.Fatalf("got %d packets, want %d", len(got), 1+ColumnCount+1+rowCount+1)
 	}
 	for _, i := range []int{1 + ColumnCount, len(got) - 1} {
 		if !bytes.Equal(got[i], []byte{0xfe, 0, 0, autocommit, 0}) {
-			t.Fatalf("packet %d is no EOF: %v", i, got[i])
+			t.Fatalf("packet %d is not EOF: %v", i, got[i])
 		}
 	}
 	for i, row := range got[2+ColumnCount : len(got)-1] {
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Statement is a COM_QUERY with the fields of its comment read.
+// Statement is a COM_QUERY with the parsed fields of its comment.
 type Statement struct {
 	Class             string
 	RequestID         string        // 16 hex digits
-	Timeout           time.Duration // how long the client waits for the answer, from when it sent the request
+	Timeout           time.Duration // how long the client waits for the response after it sent the request
 	Tenant            string        // empty: none
 	IdempotencyKey    string        // empty: none
 	OrderKey          string        // 16 hex digits; empty: none
 	EstimatedWork     time.Duration // 0: not estimated
 	EstimatedMemoryMB float64       // 0: not estimated
-	IsRetry           bool          // marked as a client's retry
-	DataSet           int           // number of the data set that it reads or writes; 0: none
+	IsRetry           bool          // the client marked the request as a retry
+	DataSet           int           // number of the data set that the statement reads or writes; 0: none
 	Text              string        // the statement without the comment
 }
 
-// FieldError names a field that can't be used, in words for the client.
+// FieldError reports a missing or invalid field. Its text is sent to the client.
 type FieldError struct {
 	Field, Problem string
-	Cause          error // of a value that can't be used; nil: Problem is complete
+	Cause          error // why the value is invalid, not sent to the client; nil if Problem is complete
 }
 
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
-// Unwrap returns why a value can't be used.
+// Unwrap returns the cause, which may be nil.
 func (e *FieldError) Unwrap() error { return e.Cause }
 
-// The names of the fields on the wire.
+// Names of the fields on the wire.
 const (
 	fieldClass           = "service"
 	fieldRequestID       = "ref"
@@ -51,26 +51,26 @@
 )
 
 const (
-	maxTimeout        = 24 * time.Hour // no client can mean a longer wait
+	maxTimeout        = 24 * time.Hour // a longer timeout can only be a mistake of the client
 	maxIdempotencyKey = 64             // bytes
-	keyDigits         = 16             // hex digits of a request id or an order key
-	maxEstimate       = 1e9            // of work in milliseconds or memory in MB
-	maxQuotedBytes    = 40             // of what a client sent, in the error that answers it
+	hexKeyDigits      = 16             // number of hex digits in a request id or an order key
+	maxEstimate       = 1e9            // limit of estimated work in milliseconds and of memory in MB
+	maxQuotedBytes    = 40             // maximum length of client input quoted in an error
 )
 
-// The faults of a field's value.
+// Causes of invalid field values.
 var (
-	errOutOfRange = errors.New("out of range")
-	errCharacter  = errors.New("character that can't stand in a key")
-	errLength     = errors.New("wrong length")
-	errNoHex      = errors.New("not hex digits")
+	errOutOfRange       = errors.New("out of range")
+	errInvalidCharacter = errors.New("invalid character in a key")
+	errWrongLength      = errors.New("wrong length")
+	errNotHex           = errors.New("not hex digits")
 )
 
-// whitespace may precede a comment, and separate it from the statement.
+// whitespace holds the bytes that may precede a comment and separate it from the statement.
 const whitespace = " \t\r\n"
 
-// ParseStatement reads the comment with the fields of a request, and the statement behind it. Unknown fields are
-// ignored; the error is a *FieldError.
+// ParseStatement parses the comment that holds the fields of a request, and the statement that follows it. Unknown
+// fields are ignored. The error is a *FieldError.
 func ParseStatement(text string) (Statement, error) {
 	var statement Statement
 	rest, opened := strings.CutPrefix(strings.TrimLeft(text, whitespace), "/*")
@@ -95,7 +95,7 @@
 	return statement, nil
 }
 
-// setField reads the value of one field.
+// setField parses the value of one field and stores it.
 func (s *Statement) setField(name, value string) (err error) {
 	switch name {
 	case fieldClass:
@@ -120,7 +120,7 @@
 	return err
 }
 
-// checkComplete returns a *FieldError for the first field that is missing.
+// checkComplete returns a *FieldError for the first missing field.
 func (s *Statement) checkComplete() error {
 	switch {
 	case s.Class == "":
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// clip shortens what a client sent for the error that answers it.
+// clip truncates client input to maxQuotedBytes.
 func clip(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
-// parseTimeout reads a number of milliseconds.
+// parseTimeout parses an integer number of milliseconds.
 func parseTimeout(text string) (time.Duration, error) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err == nil && (ms <= 0 || ms > maxTimeout.Milliseconds()) {
@@ -147,7 +147,7 @@
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// parseWork reads a number of milliseconds and fractions of them.
+// parseWork parses a number of milliseconds, which may have a fraction.
 func parseWork(text string) (time.Duration, error) {
 	ms, err := parseEstimate(text)
 	return time.Duration(ms * float64(time.Millisecond)), err
@@ -161,25 +161,25 @@
 	return estimate, err
 }
 
-// parseIdempotencyKey accepts only characters that need no quoting in a field of an engine's request.
+// parseIdempotencyKey accepts only characters that need no quoting in a field of a request to an engine.
 func parseIdempotencyKey(text string) (string, error) {
 	for _, c := range []byte(text) {
 		if !isWordByte(c) && c != '-' || c >= 0x80 {
-			return "", errCharacter
+			return "", errInvalidCharacter
 		}
 	}
 	if text == "" || len(text) > maxIdempotencyKey {
-		return "", errLength
+		return "", errWrongLength
 	}
 	return text, nil
 }
 
 func parseHexKey(text string) (string, error) {
-	if len(text) != keyDigits {
-		return "", errLength
+	if len(text) != hexKeyDigits {
+		return "", errWrongLength
 	}
 	if strings.Trim(text, "0123456789abcdefABCDEF") != "" {
-		return "", errNoHex
+		return "", errNotHex
 	}
 	return text, nil
 }
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -12,9 +12,9 @@
 
 func TestParseStatement(t *testing.T) {
 	for name, c := range map[string]struct {
-		text       string
-		want       Statement
-		faultyName string
+		text         string
+		want         Statement
+		invalidField string
 	}{
 		"all fields": {
 			text: "/* service=load,ref=9b1f03aa5c7e2d41,allow=1500,project=acme,dup=1," +
@@ -31,29 +31,29 @@
 			text: requiredFields + ",new=1*/\n SELECT 1",
 			want: Statement{Class: "report", RequestID: "9b1f03aa5c7e2d41", Timeout: 1500 * time.Millisecond, Text: "SELECT 1"},
 		},
-		"no comment":   {text: "SELECT 1", faultyName: "service"},
-		"open comment": {text: requiredFields + " SELECT 1", faultyName: "service"},
-		"no statement": {text: requiredFields + " */ ", faultyName: "service"},
-		"no value":     {text: requiredFields + ",dup */ SELECT 1", faultyName: `"dup"`},
-		"no class":     {text: "/* ref=9b1f03aa5c7e2d41,allow=1 */ SELECT 1", faultyName: "service"},
-		"no id":        {text: "/* service=a,allow=1 */ SELECT 1", faultyName: "ref"},
-		"short id":     {text: "/* service=a,ref=9b1f,allow=1 */ SELECT 1", faultyName: "ref"},
-		"no timeout":   {text: "/* service=a,ref=9b1f03aa5c7e2d41 */ SELECT 1", faultyName: "allow"},
-		"timeout of 0": {text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=0 */ SELECT 1", faultyName: "allow"},
-		"endless timeout": {
-			text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=99999999999 */ SELECT 1", faultyName: "allow",
+		"no comment":          {text: "SELECT 1", invalidField: "service"},
+		"open comment":        {text: requiredFields + " SELECT 1", invalidField: "service"},
+		"no statement text":   {text: requiredFields + " */ ", invalidField: "service"},
+		"field without value": {text: requiredFields + ",dup */ SELECT 1", invalidField: `"dup"`},
+		"no class":            {text: "/* ref=9b1f03aa5c7e2d41,allow=1 */ SELECT 1", invalidField: "service"},
+		"no request id":       {text: "/* service=a,allow=1 */ SELECT 1", invalidField: "ref"},
+		"short request id":    {text: "/* service=a,ref=9b1f,allow=1 */ SELECT 1", invalidField: "ref"},
+		"no timeout":          {text: "/* service=a,ref=9b1f03aa5c7e2d41 */ SELECT 1", invalidField: "allow"},
+		"timeout of 0":        {text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=0 */ SELECT 1", invalidField: "allow"},
+		"timeout over the limit": {
+			text: "/* service=a,ref=9b1f03aa5c7e2d41,allow=99999999999 */ SELECT 1", invalidField: "allow",
 		},
-		"work no number":   {text: requiredFields + ",effort=NaN */ SELECT 1", faultyName: "effort"},
-		"memory below 0":   {text: requiredFields + ",ram=-1 */ SELECT 1", faultyName: "ram"},
-		"order key no hex": {text: requiredFields + ",lookup=xyz */ SELECT 1", faultyName: "lookup"},
-		// A blank would add fields to the request that an engine gets.
-		"idempotency key with a blank": {text: requiredFields + ",replay=a b */ SELECT 1", faultyName: "replay"},
+		"work not a number": {text: requiredFields + ",effort=NaN */ SELECT 1", invalidField: "effort"},
+		"negative memory":   {text: requiredFields + ",ram=-1 */ SELECT 1", invalidField: "ram"},
+		"order key not hex": {text: requiredFields + ",lookup=xyz */ SELECT 1", invalidField: "lookup"},
+		// A space would add fields to the request to an engine.
+		"idempotency key with a space": {text: requiredFields + ",replay=a b */ SELECT 1", invalidField: "replay"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.text)
-			fault, faulty := errors.AsType[*FieldError](err)
-			if faulty != (c.faultyName != "") || faulty && fault.Field != c.faultyName {
-				t.Fatalf("got %v, want %q at fault", err, c.faultyName)
+			fault, invalid := errors.AsType[*FieldError](err)
+			if invalid != (c.invalidField != "") || invalid && fault.Field != c.invalidField {
+				t.Fatalf("got %v, want an error for field %q", err, c.invalidField)
 			}
 			if diff := cmp.Diff(c.want, got); err == nil && diff != "" {
 				t.Fatal(diff)
@@ -62,11 +62,11 @@
 	}
 }
 
-// No parser panics, whatever a client sends.
+// Guards against parsers that panic on malformed input from a client.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte(requiredFields + " */ SELECT 1 FROM s_1.t"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		// Only whether they return is tested here, not what.
+		// The results do not matter: this test checks only for panics.
 		_, _, _ = ParsePacket(b)
 		_, _ = ParseLogin(b)
 		_, _ = ParseStatement(string(b))
