--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp encodes and decodes what brokers and engines send each other: RESP arrays of bulk strings, and the
-// responses and load reports in them. It works on bytes and does no I/O; of an incomplete message it takes no bytes.
+// Package resp encodes and decodes the messages between brokers and engines: RESP arrays of bulk strings, and the
+// responses and load reports that they contain. It works on bytes and does no I/O. It consumes no bytes of an
+// incomplete message.
 package resp
 
 import (
@@ -9,14 +10,14 @@
 	"strconv"
 )
 
-// Errors of a message. Each costs the connection it came on and nothing else.
+// Errors of a message. Each ends the connection that the message was received on, and affects nothing else.
 var (
 	ErrMalformed = errors.New("resp: malformed message")
 	ErrTooLarge  = errors.New("resp: message too large")
 )
 
-// MaxMessage is the length of the longest message in bytes, so that a buffer of this size always holds a
-// complete message or shows an error.
+// MaxMessage is the maximum length of a message in bytes. For a buffer of this size, Parse always returns a complete
+// message or an error.
 const MaxMessage = 96 << 10
 
 const (
@@ -29,7 +30,7 @@
 	lineEnd   = "\r\n"
 )
 
-// Append appends a message of these parts to dst.
+// Append appends a message with the given parts to dst.
 func Append(dst []byte, parts ...string) []byte {
 	dst = strconv.AppendInt(append(dst, arrayMark), int64(len(parts)), 10)
 	dst = append(dst, lineEnd...)
@@ -42,8 +43,8 @@
 	return dst
 }
 
-// Parse reads a message from the front of buf: its parts, which point into buf, and how many bytes it takes, 0 while it
-// is incomplete. Its error is ErrMalformed or ErrTooLarge.
+// Parse parses the message at the start of buf. It returns the parts, which point into buf, and the size of the message
+// in bytes, 0 while it is incomplete. Its error wraps ErrMalformed or ErrTooLarge.
 func Parse(buf []byte) (parts [][]byte, size int, err error) {
 	count, size, err := parseHeader(buf, arrayMark, maxParts)
 	if size == 0 || err != nil {
@@ -64,7 +65,7 @@
 			return nil, 0, nil
 		}
 		if string(buf[end:end+len(lineEnd)]) != lineEnd {
-			return nil, 0, fmt.Errorf("%w: a bulk string is longer than its length", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: bulk string longer than its stated length", ErrMalformed)
 		}
 		parts = append(parts, buf[begin:end])
 		size = end + len(lineEnd)
@@ -72,31 +73,31 @@
 	return parts, size, nil
 }
 
-// parseHeader reads a mark, a length of at most limit and a line end; size is how many bytes they take, 0 while
-// they are incomplete.
+// parseHeader parses a mark, a length of at most limit and a line end. size is the size of these in bytes, 0 while they
+// are incomplete.
 func parseHeader(buf []byte, mark byte, limit int) (length, size int, err error) {
 	const maxHeaderBytes = 1 + maxLengthDigits + len(lineEnd)
 	if len(buf) > 0 && buf[0] != mark {
-		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, buf[0], mark)
+		return 0, 0, fmt.Errorf("%w: got %q, want %q", ErrMalformed, buf[0], mark)
 	}
 	end := bytes.Index(buf[:min(len(buf), maxHeaderBytes)], []byte(lineEnd))
 	if end < 0 {
 		if len(buf) >= maxHeaderBytes {
-			return 0, 0, fmt.Errorf("%w: a length without end", ErrMalformed)
+			return 0, 0, fmt.Errorf("%w: length line not terminated", ErrMalformed)
 		}
 		return 0, 0, nil
 	}
 	for _, digit := range buf[1:end] {
 		if digit < '0' || digit > '9' {
-			return 0, 0, fmt.Errorf("%w: length %q", ErrMalformed, buf[1:end])
+			return 0, 0, fmt.Errorf("%w: length %q is not a number", ErrMalformed, buf[1:end])
 		}
 		length = length*10 + int(digit-'0')
 	}
 	if end == 1 {
-		return 0, 0, fmt.Errorf("%w: a length without digits", ErrMalformed)
+		return 0, 0, fmt.Errorf("%w: empty length", ErrMalformed)
 	}
 	if length > limit {
-		return 0, 0, fmt.Errorf("%w: length %d", ErrTooLarge, length)
+		return 0, 0, fmt.Errorf("%w: length %d exceeds %d", ErrTooLarge, length, limit)
 	}
 	return length, end + len(lineEnd), nil
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -14,26 +14,26 @@
 		want []string
 		err  error
 	}{
-		"answer":             {"*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n", []string{"7", "OK", "-", ""}, nil},
-		"body with ends":     {"*1\r\n$6\r\na\r\nb\r\n\r\n", []string{"a\r\nb\r\n"}, nil},
-		"no array":           {"+OK\r\n", nil, ErrMalformed},
-		"no bulk":            {"*1\r\n:1\r\n", nil, ErrMalformed},
-		"null":               {"*1\r\n$-1\r\n", nil, ErrMalformed},
-		"no digits":          {"*\r\n", nil, ErrMalformed},
-		"length without end": {"*1111111111111", nil, ErrMalformed},
-		"too many parts":     {"*9\r\n", nil, ErrTooLarge},
-		"too long":           {"*1\r\n$65537\r\n", nil, ErrTooLarge},
-		"wrong length":       {"*1\r\n$1\r\nabc\r\n", nil, ErrMalformed},
-		"too long in all":    {"*2\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n$60000\r\n", nil, ErrTooLarge},
+		"answer":              {"*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n", []string{"7", "OK", "-", ""}, nil},
+		"line ends in body":   {"*1\r\n$6\r\na\r\nb\r\n\r\n", []string{"a\r\nb\r\n"}, nil},
+		"not an array":        {"+OK\r\n", nil, ErrMalformed},
+		"not a bulk string":   {"*1\r\n:1\r\n", nil, ErrMalformed},
+		"null bulk string":    {"*1\r\n$-1\r\n", nil, ErrMalformed},
+		"empty length":        {"*\r\n", nil, ErrMalformed},
+		"unterminated length": {"*1111111111111", nil, ErrMalformed},
+		"too many parts":      {"*9\r\n", nil, ErrTooLarge},
+		"part too long":       {"*1\r\n$65537\r\n", nil, ErrTooLarge},
+		"length too short":    {"*1\r\n$1\r\nabc\r\n", nil, ErrMalformed},
+		"message too long":    {"*2\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n$60000\r\n", nil, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for cut := range min(len(c.in), 64) { // a part of it is incomplete, or an error already
+			for cut := range min(len(c.in), 64) { // a prefix is either incomplete or already invalid
 				if _, n, err := Parse([]byte(c.in[:cut])); n != 0 || err != nil && !errors.Is(err, c.err) {
 					t.Fatalf("cut at %d: %d bytes, %v", cut, n, err)
 				}
 			}
-			beginningOfNext := "*1"[:min(2, 2*len(c.want))]
-			parts, n, err := Parse([]byte(c.in + beginningOfNext))
+			startOfNext := "*1"[:min(2, 2*len(c.want))]
+			parts, n, err := Parse([]byte(c.in + startOfNext))
 			if !errors.Is(err, c.err) {
 				t.Fatalf("got %v, want %v", err, c.err)
 			}
@@ -42,7 +42,7 @@
 				t.Fatalf("%d bytes of %d\n%s", n, len(c.in), diff)
 			}
 			if encoded := Append(nil, got...); err == nil && string(encoded) != c.in {
-				t.Fatalf("encoded again: %q", encoded)
+				t.Fatalf("re-encoded as %q, want %q", encoded, c.in)
 			}
 		})
 	}
@@ -59,12 +59,12 @@
 	return out
 }
 
-// No parser panics, whatever an engine sends.
+// Guards against parsers that panic on malformed input from an engine.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if parts, _, err := Parse(b); err == nil {
-			_, _ = ParseResponse(parts) // only whether it returns is tested here
+			_, _ = ParseResponse(parts) // the result does not matter: this test checks only for panics
 		}
 	})
 }
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -10,21 +10,21 @@
 	"wheatlane/internal/loadfields"
 )
 
-// Kind is what a response means.
+// Kind is the kind of a response.
 type Kind int
 
-// The kinds of responses.
+// Kinds of responses.
 const (
 	OK   Kind = iota + 1 // executed
 	Busy                 // at capacity: the request was never executed
-	Err                  // failed: the request may have been executed; also for a page that the engine doesn't have
-	Void                 // over before it began: the request was never executed
+	Err                  // failed: the request may have been executed; also sent for a page that the engine lacks
+	Void                 // ended before execution began: the request was never executed
 	Rows                 // a page of a result
-	Up                   // responds to a probe: the engine takes requests
-	Down                 // responds to a probe: the engine takes none
+	Up                   // response to a probe: the engine accepts requests
+	Down                 // response to a probe: the engine accepts no requests
 )
 
-// kindsOnWire are the kinds by the words that stand for them.
+// kindsOnWire maps words on the wire to kinds.
 var kindsOnWire = map[string]Kind{
 	"OK":   OK,
 	"BUSY": Busy,
@@ -35,7 +35,7 @@
 	"DOWN": Down,
 }
 
-// The parts of a response. The last two may be missing.
+// Indexes of the parts of a response. The last two parts may be missing.
 const (
 	partRequestID = iota
 	partKind
@@ -43,7 +43,7 @@
 	partBody
 )
 
-// The names of the fields of a response on the wire.
+// Names of response fields on the wire.
 const (
 	fieldPageCount = "sheets"
 	fieldPage      = "sheet"
@@ -51,34 +51,35 @@
 	fieldMemory    = "room" // MB
 	fieldLoad      = "l"
 
-	noFields = "-" // stands where a response has no fields
+	noFields = "-" // the fields part of a response without fields
 )
 
-// maxQuantity is more than any work in milliseconds, memory in MB or load that an engine can report.
+// maxQuantity is the limit of reported work in milliseconds, memory in MB and load. It exceeds all that an engine can
+// report.
 const maxQuantity = 1e9
 
-// Response is a message of an engine.
+// Response is a message from an engine.
 type Response struct {
 	RequestID string
 	Kind      Kind
-	PageCount int           // pages of the result, with OK; 1 where the response names no number
-	Page      int           // number of the page, with Rows
-	Work      time.Duration // that the request took
-	MemoryMB  float64       // that the request needed
-	Load      string        // load report, to be read by Report; empty: none
+	PageCount int           // number of pages of the result, with OK; 1 if the response does not specify it
+	Page      int           // page number, with Rows
+	Work      time.Duration // work that the request took
+	MemoryMB  float64       // memory that the request needed
+	Load      string        // load report for ParseReport; empty: none
 	Body      []byte        // points into the message
 }
 
-// ParseResponse reads a response from the parts of a message. Unknown fields are ignored; its error is ErrMalformed.
+// ParseResponse parses the parts of a message as a response. Unknown fields are ignored. Its error wraps ErrMalformed.
 func ParseResponse(parts [][]byte) (Response, error) {
 	if len(parts) <= partKind || len(parts) > partBody+1 {
-		return Response{}, fmt.Errorf("%w: a response of %d parts", ErrMalformed, len(parts))
+		return Response{}, fmt.Errorf("%w: response with %d parts", ErrMalformed, len(parts))
 	}
 	response := Response{
 		RequestID: string(parts[partRequestID]), Kind: kindsOnWire[string(parts[partKind])], PageCount: 1,
 	}
 	if response.Kind == 0 {
-		return response, fmt.Errorf("%w: unknown word %.20q", ErrMalformed, parts[partKind])
+		return response, fmt.Errorf("%w: unknown kind %.20q", ErrMalformed, parts[partKind])
 	}
 	if len(parts) > partBody {
 		response.Body = parts[partBody]
@@ -89,13 +90,13 @@
 	for field := range strings.SplitSeq(string(parts[partFields]), ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok || response.setField(name, value) != nil {
-			return response, fmt.Errorf("%w: field %.40q", ErrMalformed, field)
+			return response, fmt.Errorf("%w: invalid field %.40q", ErrMalformed, field)
 		}
 	}
 	return response, nil
 }
 
-// setField reads the value of one field.
+// setField parses the value of one field and stores it.
 func (r *Response) setField(name, value string) (err error) {
 	switch name {
 	case fieldPageCount:
@@ -112,14 +113,14 @@
 	return err
 }
 
-// parseMilliseconds reads a quantity in milliseconds.
+// parseMilliseconds parses a quantity in milliseconds.
 func parseMilliseconds(value string) (time.Duration, error) {
 	ms, err := parseQuantity(value)
 	return time.Duration(ms * float64(time.Millisecond)), err
 }
 
-// parseQuantity reads a number from 0 to maxQuantity. Others, NaN among them, would spread to every average that they
-// are counted in, and stay there.
+// parseQuantity parses a number from 0 to maxQuantity. Other values, such as NaN, would permanently corrupt the
+// averages that include them.
 func parseQuantity(value string) (float64, error) {
 	quantity, err := strconv.ParseFloat(value, 64)
 	if err == nil && !(quantity >= 0 && quantity <= maxQuantity) {
@@ -128,7 +129,7 @@
 	return quantity, err
 }
 
-// ParseReport reads a load report. There is none if one of the fields of its layout is missing or malformed.
+// ParseReport parses a load report. It returns an empty report if a field of the layout is missing or malformed.
 func ParseReport(load string, layout loadfields.Layout) loadreport.Report {
 	values := make([]float64, 0, len(layout))
 	for _, field := range layout {
@@ -145,7 +146,7 @@
 	return layout.Report(values)
 }
 
-// reportField finds the value of a field in a load report.
+// reportField returns the value of a field in a load report.
 func reportField(load, field string) (value string, ok bool) {
 	for part := range strings.SplitSeq(load, ";") {
 		if name, value, _ := strings.Cut(part, ":"); name == field {
--- a/internal/resp/response_test.go
+++ b/internal/resp/response_test.go
@@ -31,15 +31,15 @@
 		"no fields": {
 			parts: []string{"7", "VOID", "-"}, want: Response{RequestID: "7", Kind: Void, PageCount: 1},
 		},
-		"short":          {parts: []string{"7", "BUSY"}, want: Response{RequestID: "7", Kind: Busy, PageCount: 1}},
-		"one part":       {parts: []string{"7"}, err: ErrMalformed},
-		"unknown word":   {parts: []string{"7", "WHAT", "-", ""}, err: ErrMalformed},
-		"field no value": {parts: []string{"7", "OK", "sheets", ""}, err: ErrMalformed},
-		"no page count":  {parts: []string{"7", "OK", "sheets=x", ""}, err: ErrMalformed},
-		// Quantities that averages would never recover from.
-		"work NaN":         {parts: []string{"7", "OK", "sheets=1,toil=NaN", ""}, err: ErrMalformed},
-		"work without end": {parts: []string{"7", "OK", "sheets=1,toil=+Inf", ""}, err: ErrMalformed},
-		"negative memory":  {parts: []string{"7", "OK", "sheets=1,room=-1", ""}, err: ErrMalformed},
+		"only kind":          {parts: []string{"7", "BUSY"}, want: Response{RequestID: "7", Kind: Busy, PageCount: 1}},
+		"one part":           {parts: []string{"7"}, err: ErrMalformed},
+		"unknown kind":       {parts: []string{"7", "WHAT", "-", ""}, err: ErrMalformed},
+		"no field value":     {parts: []string{"7", "OK", "sheets", ""}, err: ErrMalformed},
+		"invalid page count": {parts: []string{"7", "OK", "sheets=x", ""}, err: ErrMalformed},
+		// Quantities that would permanently corrupt averages.
+		"work NaN":        {parts: []string{"7", "OK", "sheets=1,toil=NaN", ""}, err: ErrMalformed},
+		"infinite work":   {parts: []string{"7", "OK", "sheets=1,toil=+Inf", ""}, err: ErrMalformed},
+		"negative memory": {parts: []string{"7", "OK", "sheets=1,room=-1", ""}, err: ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			parts := make([][]byte, 0, len(c.parts))
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	layout := loadfields.Layout{"queue", "inflight", "x1"}
 	complete := loadreport.Report{Reported: true, RequestsInFlight: 2, Utilization: 0.5}
 	for load, want := range map[string]loadreport.Report{
