--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -1,5 +1,5 @@
-// Package changelog reads the responses of the change log to long polls: HTTP/1.1, with a page in JSON, which is also
-// the form of the endpoint list in a broker's configuration. It works on bytes and does no I/O.
+// Package changelog encodes long polls to the change log and parses its responses: HTTP/1.1 with a page in JSON. The
+// endpoint list in a broker's configuration has the same JSON form. The package works on bytes and does no I/O.
 package changelog
 
 import (
@@ -16,30 +16,30 @@
 // Endpoint is an engine as the change log lists it.
 type Endpoint struct {
 	control.Engine
-	Addr string // address and port where it listens
+	Addr string // address and port that the engine listens on
 }
 
-// Change is one event of the change log.
+// Change is one event in the change log.
 type Change struct {
 	Revision  int64
-	Snapshot  bool // Endpoints is the complete list; else those that changed
+	Snapshot  bool // Endpoints is the complete list; otherwise only the changed endpoints
 	Endpoints []Endpoint
 }
 
-// Page is an excerpt of the change log: the changes up to a revision.
+// Page holds consecutive changes of the change log, up to a revision.
 type Page struct {
 	Revision int64
 	Changes  []Change
 }
 
-// The states of an engine on the wire.
+// Engine states on the wire.
 const (
 	healthInService   = "in_service"
 	healthTerminating = "terminating"
 	HealthTerminated  = "terminated"
 )
 
-// engineStates are the states of the decision module for those of the wire.
+// engineStates maps states on the wire to those of the decision module.
 var engineStates = map[string]control.EngineState{
 	healthInService:   control.Ready,
 	healthTerminating: control.Draining,
@@ -54,7 +54,7 @@
 
 type changeDocument struct {
 	Revision int64         `json:"seq"`
-	List     *listDocument `json:"fleet"` // nil: an event of another kind
+	List     *listDocument `json:"fleet"` // nil if the event is of another kind
 }
 
 type listDocument struct {
@@ -74,7 +74,7 @@
 
 var errMissing = errors.New("missing")
 
-// ParsePage reads a page. Events of unknown kinds are ignored. The error of a value is a *jsontext.KeyError.
+// ParsePage parses a page. Events of unknown kinds are ignored. The error for an invalid value is a *jsontext.KeyError.
 func ParsePage(text []byte) (Page, error) {
 	var document pageDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -101,7 +101,7 @@
 	return page, nil
 }
 
-// endpoint checks a member of the list.
+// endpoint validates a list member and converts it to an Endpoint.
 func (m endpointDocument) endpoint() (Endpoint, *jsontext.KeyError) {
 	state, ok := engineStates[m.Health]
 	if !ok {
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -11,7 +11,8 @@
 	"wheatlane/control"
 )
 
-// pageWithHealth is a page with a snapshot of one engine whose health is to be filled in, and another event.
+// pageWithHealth is the format of a page with an event of another kind and a snapshot of one engine, whose health is
+// the argument.
 const pageWithHealth = `{"seq":43,"results":[
 	{"seq":41,"fleet":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.9:6565",
 		"site":"east","class":"std","block":2,"health":"%s","share":4,"born_ms":1500}]}},
@@ -30,19 +31,19 @@
 	}
 }
 
-func TestParsePageNamesTheKeyAtFault(t *testing.T) {
+func TestParsePageErrorNamesInvalidKey(t *testing.T) {
 	for name, c := range map[string]struct{ text, key string }{
 		"unknown state": {fmt.Sprintf(pageWithHealth, "ill"), "results[0].fleet.hosts[0].health"},
 		"no id":         {`{"results":[{"fleet":{"hosts":[{"health":"in_service"}]}}]}`, "hosts[0].host"},
 		"no address": {
 			`{"results":[{"fleet":{"hosts":[{"host":"a","health":"in_service"}]}}]}`, "hosts[0].dial",
 		},
-		"another type": {`{"results":7}`, "results"},
-		"no JSON":      {`{`, "page"},
+		"wrong type": {`{"results":7}`, "results"},
+		"not JSON":   {`{`, "page"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParsePage([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("got %v, want %q named", err, c.key)
+				t.Errorf("got %v, want an error that names %q", err, c.key)
 			}
 		})
 	}
--- a/internal/changelog/http.go
+++ b/internal/changelog/http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Errors of a response. The connection that it came on ends.
+// Errors of a response. Each ends the connection that the response was received on.
 var (
 	ErrMalformed = errors.New("changelog: malformed response")
 	ErrTooLarge  = errors.New("changelog: response too large")
@@ -17,15 +17,14 @@
 )
 
 const (
-	// MaxBody is the length of the largest body accepted, in bytes; a list of thousands of engines is
-	// smaller.
+	// MaxBody is the maximum length of a response body in bytes. A list of thousands of engines is shorter.
 	MaxBody = 4 << 20
 
-	maxHead      = 16 << 10 // bytes of status line and headers
-	maxChunkLine = 1 << 10  // bytes of a line with the size of a chunk
+	maxHead      = 16 << 10 // maximum length of status line and headers in bytes
+	maxChunkLine = 1 << 10  // maximum length of a chunk size line in bytes
 )
 
-// The parts of a response.
+// Parts of a response.
 const (
 	lineEnd = "\r\n"
 	headEnd = lineEnd + lineEnd
@@ -41,7 +40,7 @@
 	connectionClose        = "close"
 )
 
-// PollRequest returns the long poll for the changes after a revision. The change log answers after wait at the latest.
+// PollRequest returns a long-poll request for the changes after a revision. The change log responds within wait.
 func PollRequest(host string, revision int64, wait time.Duration) []byte {
 	return fmt.Appendf(nil,
 		"GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
@@ -51,11 +50,11 @@
 // Response is a complete HTTP response with status 200.
 type Response struct {
 	Body  []byte
-	Close bool // the connection ends with it
+	Close bool // the connection closes after the response
 }
 
-// ParseResponse reads a response from the front of b. It returns the number of bytes that the response takes,
-// 0 while it is incomplete. Its error is ErrMalformed, ErrTooLarge or ErrStatus.
+// ParseResponse parses the response at the start of b. It returns the length of the response in bytes, 0 while it is
+// incomplete. Its error wraps ErrMalformed, ErrTooLarge or ErrStatus.
 func ParseResponse(b []byte) (Response, int, error) {
 	end := bytes.Index(b, []byte(headEnd))
 	if end > maxHead || end < 0 && len(b) > maxHead {
@@ -76,22 +75,22 @@
 	return Response{Body: body, Close: head.close}, start + n, nil
 }
 
-// noLength is the length of a response without Content-Length.
+// noLength is the body length of a response without Content-Length.
 const noLength = -1
 
-// responseHead is what the status line and the headers specify.
+// responseHead holds the properties of a response that its status line and headers specify.
 type responseHead struct {
 	length  int  // of the body in bytes, or noLength
-	chunked bool // the body is in chunks
-	close   bool // the connection ends with the response
+	chunked bool // the body has chunked transfer encoding
+	close   bool // the connection closes after the response
 }
 
-// parseHead reads the status line and the headers, without the empty line behind them.
+// parseHead parses the status line and the headers. text ends before the empty line that follows them.
 func parseHead(text string) (responseHead, error) {
 	lines := strings.Split(text, lineEnd)
 	version, status, _ := strings.Cut(lines[0], " ")
 	if !strings.HasPrefix(version, protocolPrefix) || len(status) < len(statusOK) {
-		return responseHead{}, fmt.Errorf("%w: %.40q", ErrMalformed, lines[0])
+		return responseHead{}, fmt.Errorf("%w: status line %.40q", ErrMalformed, lines[0])
 	}
 	if status[:len(statusOK)] != statusOK {
 		return responseHead{}, fmt.Errorf("%w: %.40q", ErrStatus, status)
@@ -109,7 +108,7 @@
 	return head, nil
 }
 
-// setHeader reads one header, whose name and value are in lower case.
+// setHeader parses one header. name and value are in lower case.
 func (h *responseHead) setHeader(name, value string) error {
 	switch name {
 	case headerContentLength:
@@ -129,7 +128,7 @@
 	return nil
 }
 
-// parseBody reads the body and the number of bytes that it takes; the body is nil while it is incomplete.
+// parseBody returns the body and its length on the wire in bytes. The body is nil while it is incomplete.
 func (h *responseHead) parseBody(b []byte) (body []byte, n int, err error) {
 	if h.chunked {
 		return parseChunkedBody(b)
@@ -137,11 +136,11 @@
 	return parseSizedBody(b, h.length)
 }
 
-// parseSizedBody reads a body of a length; it is nil while it is incomplete.
+// parseSizedBody parses a body of the given length. The body is nil while it is incomplete.
 func parseSizedBody(b []byte, length int) (body []byte, n int, err error) {
 	switch {
 	case length == noLength:
-		return nil, 0, fmt.Errorf("%w: no length", ErrMalformed)
+		return nil, 0, fmt.Errorf("%w: no Content-Length", ErrMalformed)
 	case length > MaxBody:
 		return nil, 0, ErrTooLarge
 	case len(b) < length:
@@ -152,7 +151,7 @@
 	return body, length, nil
 }
 
-// parseChunkedBody reads a body in chunks; it is nil while it is incomplete.
+// parseChunkedBody parses a body with chunked transfer encoding. The body is nil while it is incomplete.
 func parseChunkedBody(b []byte) (body []byte, n int, err error) {
 	body = []byte{}
 	for {
@@ -176,23 +175,24 @@
 			return nil, 0, nil
 		}
 		if string(b[end:end+len(lineEnd)]) != lineEnd {
-			return nil, 0, fmt.Errorf("%w: chunk end", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: chunk longer than its size", ErrMalformed)
 		}
 		body = append(body, b[n:end]...)
 		n = end + len(lineEnd)
 	}
 }
 
-// parseChunkLine reads the line with the size of a chunk; n, its length, is 0 while it is incomplete.
+// parseChunkLine parses the line with the size of a chunk. n is the length of the line in bytes, 0 while it is
+// incomplete.
 func parseChunkLine(b []byte) (size, n int, err error) {
 	line, _, ok := bytes.Cut(b, []byte(lineEnd))
 	if !ok {
 		if len(b) > maxChunkLine {
-			return 0, 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+			return 0, 0, fmt.Errorf("%w: chunk size line over %d bytes", ErrMalformed, maxChunkLine)
 		}
 		return 0, 0, nil
 	}
-	digits, _, _ := strings.Cut(string(line), ";") // extensions follow
+	digits, _, _ := strings.Cut(string(line), ";") // chunk extensions follow
 	parsed, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
 	if err != nil {
 		return 0, 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
@@ -200,8 +200,8 @@
 	return int(parsed), len(line) + len(lineEnd), nil
 }
 
-// trailerLength returns the length of the trailers behind the last chunk and of the empty line that ends them, 0 while
-// they are incomplete.
+// trailerLength returns the length of the trailers after the last chunk, including the empty line that ends them, or 0
+// while they are incomplete.
 func trailerLength(b []byte) int {
 	n := 0
 	for {
--- a/internal/changelog/http_test.go
+++ b/internal/changelog/http_test.go
@@ -15,28 +15,28 @@
 		want Response
 		err  error
 	}{
-		"length": {head + "Content-Length: 2\r\n\r\n{}", Response{Body: []byte("{}")}, nil},
-		"close": {
+		"content length": {head + "Content-Length: 2\r\n\r\n{}", Response{Body: []byte("{}")}, nil},
+		"connection close": {
 			head + "content-length: 2\r\nconnection: Close\r\n\r\n{}", Response{Body: []byte("{}"), Close: true}, nil,
 		},
-		"old version": {"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", Response{Body: []byte{}, Close: true}, nil},
+		"HTTP 1.0": {"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", Response{Body: []byte{}, Close: true}, nil},
 		"chunks": {
 			head + "Transfer-Encoding: chunked\r\n\r\n1;x=y\r\n{\r\n1\r\n}\r\n0\r\nT: v\r\n\r\n",
 			Response{Body: []byte("{}")},
 			nil,
 		},
-		"status":               {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Response{}, ErrStatus},
-		"not HTTP":             {"SSH-2.0-x\r\n\r\n", Response{}, ErrMalformed},
-		"no length":            {head + "\r\n", Response{}, ErrMalformed},
-		"negative length":      {head + "Content-Length: -2\r\n\r\n", Response{}, ErrMalformed},
-		"two lengths":          {head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx", Response{}, ErrMalformed},
-		"unknown coding":       {head + "Transfer-Encoding: gzip\r\n\r\n", Response{}, ErrMalformed},
-		"header without colon": {head + "nonsense\r\n\r\n", Response{}, ErrMalformed},
-		"chunk size no number": {head + "Transfer-Encoding: chunked\r\n\r\nx\r\n", Response{}, ErrMalformed},
-		"chunk end":            {head + "Transfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n", Response{}, ErrMalformed},
-		"large":                {head + "Content-Length: 99999999\r\n\r\n", Response{}, ErrTooLarge},
-		"large chunks":         {head + "Transfer-Encoding: chunked\r\n\r\nffffff\r\n", Response{}, ErrTooLarge},
-		"endless head":         {"HTTP/1.1 200 " + strings.Repeat("x", maxHead+1), Response{}, ErrTooLarge},
+		"status not 200":             {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Response{}, ErrStatus},
+		"not HTTP":                   {"SSH-2.0-x\r\n\r\n", Response{}, ErrMalformed},
+		"no length":                  {head + "\r\n", Response{}, ErrMalformed},
+		"negative length":            {head + "Content-Length: -2\r\n\r\n", Response{}, ErrMalformed},
+		"conflicting lengths":        {head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx", Response{}, ErrMalformed},
+		"unknown transfer encoding":  {head + "Transfer-Encoding: gzip\r\n\r\n", Response{}, ErrMalformed},
+		"header without colon":       {head + "nonsense\r\n\r\n", Response{}, ErrMalformed},
+		"chunk size not a number":    {head + "Transfer-Encoding: chunked\r\n\r\nx\r\n", Response{}, ErrMalformed},
+		"chunk longer than its size": {head + "Transfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n", Response{}, ErrMalformed},
+		"body too large":             {head + "Content-Length: 99999999\r\n\r\n", Response{}, ErrTooLarge},
+		"chunks too large":           {head + "Transfer-Encoding: chunked\r\n\r\nffffff\r\n", Response{}, ErrTooLarge},
+		"head too large":             {"HTTP/1.1 200 " + strings.Repeat("x", maxHead+1), Response{}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for cut := range min(len(c.in), 256) {
@@ -55,12 +55,12 @@
 	}
 }
 
-// No parser panics, whatever a change log sends.
+// Guards against parsers that panic on malformed input from a change log.
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if r, _, err := ParseResponse(b); err == nil {
-			_, _ = ParsePage(r.Body) // only whether it returns is tested here
+			_, _ = ParsePage(r.Body) // the result does not matter: this test checks only for panics
 		}
 	})
 }
