--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,10 +1,10 @@
-// Package gossip encodes and decodes the datagrams that brokers of one fleet send one another: engines' loads as the
-// sender knows them, and their ages. So a broker that sees few requests knows the load of most engines as well. The
+// Package gossip encodes and decodes the datagrams that brokers of one fleet exchange: the engine loads that the sender
+// has observed, with their ages. Gossip gives a broker that receives few requests the load of most engines too. The
 // package does no I/O and reads no clock.
 //
-// A datagram holds a header of two bytes and then reports of 6 bytes each: the hash of the engine's id (4
-// bytes, big endian), its load in hundredths, and the report's age in steps of 20 ms when the datagram is
-// sent. Values outside these ranges are clamped to them, but a report that is older than MaxAge is left out.
+// A datagram consists of a header of two bytes and reports of 6 bytes each: the hash of the engine's id (4 bytes, big
+// endian), the load in hundredths, and the age of the report, when the datagram is sent, in steps of 20 ms. Values
+// outside these ranges are clamped, but a report older than MaxAge is omitted.
 package gossip
 
 import (
@@ -17,31 +17,31 @@
 )
 
 const (
-	// MaxBytes is the length of the longest datagram that brokers may send one another.
+	// MaxBytes is the maximum length of a datagram in bytes.
 	MaxBytes = 256
-	// MaxReports is how many reports fit into one datagram.
+	// MaxReports is the maximum number of reports in a datagram.
 	MaxReports = (MaxBytes - len(header)) / reportBytes
-	// MaxAge is the greatest age that a report of a datagram can have.
+	// MaxAge is the maximum age of a report in a datagram.
 	MaxAge = math.MaxUint8 * ageStep
 
 	header      = "w\x01" // the second byte is the version of the format
 	hashBytes   = 4
-	reportBytes = hashBytes + 2 // hash, load, age
+	reportBytes = hashBytes + 2 // hash, load byte, age byte
 	loadOffset  = hashBytes
 	ageOffset   = hashBytes + 1
 
-	loadStep = 0.01                  // of the load byte
-	ageStep  = 20 * time.Millisecond // of the age byte
+	loadStep = 0.01                  // unit of the load byte
+	ageStep  = 20 * time.Millisecond // unit of the age byte
 )
 
-// Errors of Parse: why a datagram can't be decoded.
+// Errors of Parse.
 var (
 	ErrTooLong   = errors.New("gossip: datagram over 256 bytes")
 	ErrVersion   = errors.New("gossip: no datagram of a broker, or one of another version")
 	ErrTruncated = errors.New("gossip: report cut off")
 )
 
-// Append appends a datagram to buf. It holds the first MaxReports of the reports that are not older than MaxAge.
+// Append appends a datagram to buf. The datagram holds the first MaxReports reports that are not older than MaxAge.
 func Append(buf []byte, reports []control.GossipedLoad) []byte {
 	buf = append(buf, header...)
 	written := 0
@@ -50,7 +50,7 @@
 			continue
 		}
 		buf = binary.BigEndian.AppendUint32(buf, report.Engine)
-		// An age is rounded up: a report may seem older than it is, but never fresher.
+		// Ages are rounded up, so that a report may appear older than it is, but never fresher.
 		ageSteps := math.Ceil(float64(report.Age) / float64(ageStep))
 		buf = append(buf, clampToByte(report.Load/loadStep), clampToByte(ageSteps))
 		written++
@@ -82,4 +82,4 @@
 }
 
 // clampToByte rounds a value and clamps it to the range of a byte.
-func clampToByte(v float64) byte { return byte(max(0, min(math.MaxUint8, math.Round(v)))) }
+func clampToByte(value float64) byte { return byte(max(0, min(math.MaxUint8, math.Round(value)))) }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,8 +12,8 @@
 	"wheatlane/control"
 )
 
-// A datagram holds the reports that went in, rounded to its steps and clamped to its ranges, never fresher
-// than they are, and is never longer than may be.
+// Guards against reports that are lost, reordered or decoded as fresher than they are, and against datagrams over
+// MaxBytes. Loads and ages are rounded to the units of the format and clamped to its ranges.
 func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -26,7 +26,7 @@
 		}
 		datagram := Append(nil, reports)
 		if len(datagram) > MaxBytes {
-			t.Fatalf("%d bytes", len(datagram))
+			t.Fatalf("datagram has %d bytes, want at most %d", len(datagram), MaxBytes)
 		}
 		decoded, err := Parse(datagram)
 		if err != nil {
@@ -48,12 +48,12 @@
 			decoded = decoded[1:]
 		}
 		if len(decoded) > 0 {
-			t.Fatalf("%d reports more than were encoded", len(decoded))
+			t.Fatalf("%d unexpected reports", len(decoded))
 		}
 	})
 }
 
-// sameReport reports whether a decoded report is the encoded one, but for rounding and clamping.
+// sameReport reports whether a decoded report equals the encoded one, except for rounding and clamping.
 func sameReport(encoded, decoded control.GossipedLoad) bool {
 	const maxLoad, loadError = 2.55, 0.0051
 	load := min(maxLoad, max(0, encoded.Load))
@@ -62,8 +62,8 @@
 		decoded.Age >= encoded.Age && decoded.Age < encoded.Age+ageStep
 }
 
-// What is no datagram of a broker gives a named error, whatever it is.
-func TestInvalidDatagrams(t *testing.T) {
+// Guards against datagrams of other programs or versions being accepted: each kind of invalid datagram has its error.
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	valid := Append(nil, []control.GossipedLoad{{Engine: 7, Load: 0.5, Age: time.Second}})
 	for name, c := range map[string]struct {
 		datagram []byte
@@ -73,14 +73,14 @@
 		"one byte":        {valid[:1], ErrVersion},
 		"another version": {append([]byte("w\x02"), valid[2:]...), ErrVersion},
 		"another program": {[]byte("GET / HTTP/1.1"), ErrVersion},
-		"cut off":         {valid[:len(valid)-1], ErrTruncated},
+		"truncated":       {valid[:len(valid)-1], ErrTruncated},
 		"too long":        {make([]byte, MaxBytes+1), ErrTooLong},
 		"no reports":      {valid[:2], nil},
 		"valid":           {valid, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Parse(c.datagram); !errors.Is(err, c.want) || c.want == nil && err != nil {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
 	}
