--- a/internal/handover/change.go
+++ b/internal/handover/change.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Change is an engine that enters or leaves maintenance mode.
+// Change records that an engine enters or leaves maintenance mode.
 type Change struct {
 	Engine  string
-	Enabled bool
+	Enabled bool // the engine enters maintenance mode; otherwise it leaves it
 }
 
-// Apply returns the state after changes, in their order. The engines are sorted.
+// Apply returns the state after the changes are applied in order. The engines are sorted.
 func (s State) Apply(changes []Change) State {
 	engines := slices.Clone(s.MaintenanceEngines)
 	for _, change := range changes {
@@ -21,7 +21,7 @@
 	return State{Broker: s.Broker, MaintenanceEngines: engines}
 }
 
-// Diff returns the changes that lead from this state to the next.
+// Diff returns the changes that turn this state into next.
 func (s State) Diff(next State) []Change {
 	var changes []Change
 	for _, id := range s.MaintenanceEngines {
--- a/internal/handover/change_test.go
+++ b/internal/handover/change_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestStateWithChanges(t *testing.T) {
+func TestApplyChanges(t *testing.T) {
 	s := State{Broker: broker, MaintenanceEngines: []string{"e1", "e3"}}
 	got := s.Apply([]Change{{"e2", true}, {"e3", false}, {"e1", true}, {"e9", false}, {"e2", true}})
 	if diff := cmp.Diff(State{broker, []string{"e1", "e2"}}, got); diff != "" {
@@ -16,13 +16,14 @@
 	}
 }
 
-// The changes between two states lead from one to the other, and there are none between equal ones.
-func TestChangesBetweenStates(t *testing.T) {
+// Guards against a process that adopts an incomplete change of another process: applying the difference between two
+// states to the first gives the second, and equal states have no difference.
+func TestApplyingDiffGivesTargetState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string])
 		from, to := State{broker, engines.Draw(t, "from")}, State{broker, engines.Draw(t, "to")}
-		reached := from.Apply(from.Diff(to))
-		if diff := cmp.Diff(to.Apply(nil), reached, cmpopts.EquateEmpty()); diff != "" {
+		got := from.Apply(from.Diff(to))
+		if diff := cmp.Diff(to.Apply(nil), got, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
 		if changes := from.Diff(from.Apply(nil)); len(changes) != 0 {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,8 +10,9 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// A file that an earlier release left is read, and the same state is written in the same bytes.
-func TestStoredFile(t *testing.T) {
+// Guards against an incompatible change of the file format: the files of earlier releases are read, and the same state
+// is written as the same bytes.
+func TestFileFormatIsStable(t *testing.T) {
 	for _, c := range []struct {
 		file, broker string
 		engines      []string
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,7 @@
-// Package handover has the file by which a broker's process hands the engines in maintenance mode over to the next one.
-// It is written under another name and renamed, so that a reader finds either the earlier file or the complete new one.
-// A file that is corrupt, of another broker or of another format version is not used.
+// Package handover reads and writes the file by which a broker process hands the list of engines in maintenance mode
+// over to the next process. The file is written under a temporary name and renamed, so that a reader finds either the
+// previous file or the complete new one. A file that is corrupt, of another broker or of another format version is
+// rejected.
 package handover
 
 import (
@@ -13,16 +14,16 @@
 	"strings"
 )
 
-// formatVersion is the version of the file format; a reader accepts no other.
+// formatVersion is the version of the file format. Decode accepts no other version.
 const formatVersion = 1
 
-// State is what one process hands over to the next.
+// State is the state that one process hands over to the next.
 type State struct {
-	Broker             string   // the broker's name; the file of another broker is not used
+	Broker             string   // name of the broker; the file of another broker is rejected
 	MaintenanceEngines []string // ids of the engines in maintenance mode, sorted
 }
 
-// Errors of a file that is not used.
+// Errors of a file that cannot be used.
 var (
 	ErrNotFound = errors.New("handover: no file")
 	ErrCorrupt  = errors.New("handover: corrupt file")
@@ -36,16 +37,16 @@
 	MaintenanceEngines []string `json:"bans"`
 }
 
-// Encode returns the content of a file: a line with the checksum of the rest, then the state as JSON.
+// Encode returns the content of a file: a line with the checksum of the remaining bytes, then the state as JSON.
 func Encode(state State) []byte {
-	body, _ := json.Marshal(document{ // a document holds strings and a number only, which can always be encoded
+	body, _ := json.Marshal(document{ // cannot fail, as a document holds only strings and a number
 		Version: formatVersion, Broker: state.Broker, MaintenanceEngines: state.MaintenanceEngines,
 	})
 	content := strconv.AppendUint(nil, uint64(checksum(body)), 16)
 	return append(append(content, '\n'), body...)
 }
 
-// Decode reads what Encode wrote for the broker of that name. Its error is ErrCorrupt or ErrStale.
+// Decode parses content that Encode created for the named broker. Its error wraps ErrCorrupt or ErrMismatch.
 func Decode(content []byte, broker string) (State, error) {
 	firstLine, body, found := strings.Cut(string(content), "\n")
 	sum, err := strconv.ParseUint(firstLine, 16, 32)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,10 +16,10 @@
 
 const broker = "n3"
 
-func TestWriteRead(t *testing.T) {
+func TestReadReturnsWrittenState(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Read(dir, broker); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want %v", err, ErrNotFound)
 	}
 	want := State{Broker: broker, MaintenanceEngines: []string{"e1", "e7"}}
 	for range 2 { // the second write replaces the first
@@ -35,25 +35,25 @@
 		t.Fatal(diff)
 	}
 	if _, err := Read(dir, "n4"); !errors.Is(err, ErrMismatch) {
-		t.Fatalf("of another broker: %v", err)
+		t.Fatalf("file of another broker: got %v, want %v", err, ErrMismatch)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(entries) != 1 {
-		t.Fatalf("left behind: %v", entries)
+		t.Fatalf("directory holds %v, want one file", entries)
 	}
 }
 
-func TestUnusableFiles(t *testing.T) {
+func TestUnusableFilesAreRejected(t *testing.T) {
 	valid := Encode(State{Broker: broker, MaintenanceEngines: []string{"e1"}})
 	for name, c := range map[string]struct {
 		content []byte
 		want    error
 	}{
 		"empty":          {nil, ErrCorrupt},
-		"cut":            {valid[:len(valid)-3], ErrCorrupt},
+		"truncated":      {valid[:len(valid)-3], ErrCorrupt},
 		"no checksum":    {valid[9:], ErrCorrupt},
 		"corrupt":        {append(append([]byte{}, valid[:len(valid)-2]...), 'X', '}'), ErrCorrupt},
 		"other version":  {withChecksum(`{"version":2,"broker":"n3","bans":[]}`), ErrMismatch},
@@ -71,9 +71,9 @@
 	}
 }
 
-// Whatever a file holds, Decode returns a state or a named error, and never panics; a state survives a round
-// trip.
-func TestDecodeAnything(t *testing.T) {
+// Guards against a truncated or corrupt file being accepted or causing a panic: Decode returns ErrCorrupt or
+// ErrMismatch. Encoded states decode without loss.
+func TestDecodeRejectsCorruptContent(t *testing.T) {
 	identity := func(s string) string { return s }
 	engineIDs := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), identity)
 	rapid.Check(t, func(t *rapid.T) {
@@ -97,18 +97,19 @@
 	})
 }
 
-// withChecksum is a file's content with its checksum, as Encode makes it.
+// withChecksum returns the content of a file with the given body, in the format of Encode.
 func withChecksum(body string) []byte {
 	sum := crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli))
 	return []byte(strconv.FormatUint(uint64(sum), 16) + "\n" + body)
 }
 
-// What has the file's name and is no regular file keeps no broker from starting.
-func TestNoRegularFile(t *testing.T) {
-	const patience = 20 * time.Second // a test that waits so long has failed
+// Guards against a broker that does not start because the hand-over file is not a regular file: Read waits for a writer
+// when it opens a named pipe.
+func TestReadRejectsNonRegularFile(t *testing.T) {
+	const timeout = 20 * time.Second
 	for name, create := range map[string]func(path string) error{
-		"a named pipe": func(path string) error { return syscall.Mkfifo(path, 0o600) },
-		"a folder":     func(path string) error { return os.Mkdir(path, 0o700) },
+		"named pipe": func(path string) error { return syscall.Mkfifo(path, 0o600) },
+		"directory":  func(path string) error { return os.Mkdir(path, 0o700) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), FileName)
@@ -123,17 +124,17 @@
 			select {
 			case err := <-result:
 				if !errors.Is(err, ErrCorrupt) {
-					t.Errorf("got %v", err)
+					t.Errorf("got %v, want %v", err, ErrCorrupt)
 				}
-			case <-time.After(patience):
-				t.Error("Read waits for it")
+			case <-time.After(timeout):
+				t.Errorf("Read did not return within %v", timeout)
 			}
 		})
 	}
 }
 
-// The temporary file of a write that a kill ended is removed once it is old; that of a write that may be under
-// way is not.
+// Guards against temporary files that accumulate after processes are killed during a write. A recent temporary file
+// stays, as its write may be in progress.
 func TestRemoveStaleTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, State{Broker: broker}); err != nil {
@@ -141,7 +142,7 @@
 	}
 	for name, age := range map[string]time.Duration{"old": 2 * staleTempFileAge, "new": 0} {
 		path := filepath.Join(dir, FileName+"."+name)
-		if err := os.WriteFile(path, []byte("half"), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte("partial"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		at := time.Now().Add(-age)
@@ -150,12 +151,12 @@
 		}
 	}
 	RemoveStaleTempFiles(dir)
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{filepath.Join(dir, FileName), filepath.Join(dir, FileName+".new")}
-	if diff := cmp.Diff(want, left); diff != "" {
+	if diff := cmp.Diff(want, remaining); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/handover/seed_test.go
+++ b/internal/handover/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// A fixed seed gives every run the same draws, so the same verdict; -rapid.seed gives others.
+// The fixed seed gives every run the same random values, so that results are reproducible; -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
