--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring holds a bounded ring buffer of bytes. A connection has one for each direction: it starts
-// without memory, grows as bytes come, never beyond its limit, and gives its memory back when it is emptied.
+// Package ring provides a bounded ring buffer of bytes. A connection has one for each direction. A buffer starts
+// without memory, grows as bytes are added, up to its limit, and releases its memory when it becomes empty.
 package ring
 
 import (
@@ -7,43 +7,44 @@
 	"io"
 )
 
-// ErrFull says that what is to be added doesn't fit under the buffer's limit.
+// ErrFull reports that the bytes to add would exceed the buffer's limit.
 var ErrFull = errors.New("ring: buffer is full")
 
 const (
-	initialSize = 1 << 10 // bytes of the first allocation
-	maxIdleSize = 4 << 10 // an empty buffer with more bytes of memory than this gives it back
+	initialSize = 1 << 10 // size of the first allocation in bytes
+	maxIdleSize = 4 << 10 // an empty buffer with more bytes of memory than this releases it
 )
 
-// Buffer is a ring of bytes. It is not safe for concurrent use, with one exception: the slices of Segments
-// stay readable while Write appends, as appending never touches what has not been discarded.
+// Buffer is a ring buffer of bytes. It is not safe for concurrent use, with one exception: slices returned by Segments
+// may be read during a call of Write, as Write never modifies bytes that have not been discarded.
 type Buffer struct {
 	data   []byte
-	start  int // index in data of the first byte held
-	length int // number of bytes held
-	limit  int // most bytes that may be held
+	start  int // index in data of the first buffered byte
+	length int // number of buffered bytes
+	limit  int // maximum number of buffered bytes
 }
 
-// New returns an empty buffer that holds at most limit bytes.
+// New returns an empty Buffer that holds at most limit bytes.
 func New(limit int) *Buffer { return &Buffer{limit: limit} }
 
-// Len is the number of bytes held.
+// Len returns the number of buffered bytes.
 func (b *Buffer) Len() int { return b.length }
 
-// Write appends all of p, or nothing and ErrFull.
+// Write appends all of p. If p exceeds the remaining capacity, Write appends nothing and returns ErrFull.
 func (b *Buffer) Write(p []byte) (int, error) {
 	if err := b.grow(len(p)); err != nil {
 		return 0, err
 	}
-	for rest := p; len(rest) > 0; {
-		n := copy(b.free(), rest)
+	for remaining := p; len(remaining) > 0; {
+		n := copy(b.free(), remaining)
 		b.length += n
-		rest = rest[n:]
+		remaining = remaining[n:]
 	}
 	return len(p), nil
 }
 
-// ReadOnce appends what one Read of src gives. A full buffer reads nothing and returns ErrFull.
+// ReadOnce appends the bytes of a single Read from src. If the buffer is full, ReadOnce does not read and returns
+// ErrFull.
 func (b *Buffer) ReadOnce(src io.Reader) (int, error) {
 	if b.length == len(b.data) {
 		if err := b.grow(1); err != nil {
@@ -55,15 +56,15 @@
 	return n, err
 }
 
-// Bytes returns all that is held as one slice, valid until the next call that changes the buffer.
+// Bytes returns all buffered bytes as one slice, which is valid until the next call that modifies the buffer.
 func (b *Buffer) Bytes() []byte {
-	if b.start+b.length > len(b.data) { // it wraps: one slice needs the bytes in one run
+	if b.start+b.length > len(b.data) { // the bytes wrap around the end, but one slice needs them contiguous
 		b.reallocate(len(b.data))
 	}
 	return b.data[b.start : b.start+b.length]
 }
 
-// Segments returns what is held, in order, without moving it; the second is empty unless it wraps.
+// Segments returns all buffered bytes in order, without copying them. tail is empty unless the bytes wrap around.
 func (b *Buffer) Segments() (head, tail []byte) {
 	end := b.start + b.length
 	if end <= len(b.data) {
@@ -72,7 +73,7 @@
 	return b.data[b.start:], b.data[:end-len(b.data)]
 }
 
-// Discard drops the first n bytes; n is at most Len.
+// Discard removes the first n bytes. n must not exceed Len.
 func (b *Buffer) Discard(n int) {
 	b.length -= n
 	switch {
@@ -85,7 +86,7 @@
 	}
 }
 
-// free is the first run of bytes that nothing is held in.
+// free returns the first contiguous segment of unused memory.
 func (b *Buffer) free() []byte {
 	end := b.start + b.length
 	if end >= len(b.data) {
@@ -95,24 +96,24 @@
 	return b.data[end:]
 }
 
-// grow makes room for n more bytes, by doubling.
+// grow ensures capacity for n more bytes, doubling the memory as needed.
 func (b *Buffer) grow(n int) error {
-	need := b.length + n
-	if need <= len(b.data) {
+	required := b.length + n
+	if required <= len(b.data) {
 		return nil
 	}
-	if need > b.limit {
+	if required > b.limit {
 		return ErrFull
 	}
 	size := max(initialSize, len(b.data))
-	for size < need {
+	for size < required {
 		size *= 2
 	}
 	b.reallocate(min(size, b.limit))
 	return nil
 }
 
-// reallocate moves what is held to the front of size bytes of new memory.
+// reallocate copies the buffered bytes to the start of new memory of the given size.
 func (b *Buffer) reallocate(size int) {
 	data := make([]byte, size)
 	head, tail := b.Segments()
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -10,10 +10,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Any mix of writes, reads and discards gives the bytes back in order, within the limit.
-func TestBytesComeBackInOrder(t *testing.T) {
+// Guards against bytes that are lost or reordered where the buffer wraps or grows, and against growth over the limit,
+// with a random mix of writes, reads and discards.
+func TestBytesAreReturnedInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b, held, next := New(5000), []byte{}, byte(0)
+	b, buffered, next := New(5000), []byte{}, byte(0)
 	for range 3000 {
 		p := make([]byte, rng.IntN(700))
 		for i := range p {
@@ -26,19 +27,19 @@
 		} else if n, err = b.ReadOnce(bytes.NewReader(p)); len(p) == 0 {
 			err = nil
 		}
-		if err != nil && (!errors.Is(err, ErrFull) || len(held)+len(p) <= 5000) {
-			t.Fatalf("%d bytes onto %d: %v", len(p), len(held), err)
+		if err != nil && (!errors.Is(err, ErrFull) || len(buffered)+len(p) <= 5000) {
+			t.Fatalf("adding %d bytes to %d: %v", len(p), len(buffered), err)
 		}
-		held, next = append(held, p[:n]...), next+byte(n)
-		one, two := b.Segments()
-		if got := append(bytes.Clone(one), two...); !bytes.Equal(got, held) || !bytes.Equal(b.Bytes(), held) {
-			t.Fatal(cmp.Diff(held, got))
+		buffered, next = append(buffered, p[:n]...), next+byte(n)
+		head, tail := b.Segments()
+		if got := append(bytes.Clone(head), tail...); !bytes.Equal(got, buffered) || !bytes.Equal(b.Bytes(), buffered) {
+			t.Fatal(cmp.Diff(buffered, got))
 		}
-		d := rng.IntN(len(held) + 1)
+		d := rng.IntN(len(buffered) + 1)
 		b.Discard(d)
-		held = held[d:]
-		if b.Len() != len(held) || len(b.data) > 5000 {
-			t.Fatalf("holds %d of %d in %d", b.Len(), len(held), len(b.data))
+		buffered = buffered[d:]
+		if b.Len() != len(buffered) || len(b.data) > 5000 {
+			t.Fatalf("holds %d bytes, want %d, in %d bytes of memory", b.Len(), len(buffered), len(b.data))
 		}
 	}
 }
@@ -49,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if b.Discard(1 << 19); b.data != nil {
-		t.Fatalf("an empty buffer keeps %d bytes", len(b.data))
+		t.Fatalf("an empty buffer retains %d bytes of memory", len(b.data))
 	}
 }
