--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells failures of the local system that pass by themselves from those that say something of
-// another machine or of a file, and repeats calls that fail so.
+// Package transient classifies errors of the local system that may resolve without intervention, as opposed to errors
+// caused by another machine or by a file, and retries calls that fail with such errors.
 package transient
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/cenkalti/backoff/v4"
 )
 
-// localResources are the errors of a machine that lacks descriptors, ports, buffers or memory for the moment.
-var localResources = []error{
+// localErrors are the errors of a machine that temporarily lacks descriptors, ports, buffers or memory.
+var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
 }
 
-// momentary are errors that may pass but may also say something of the other end.
-var momentary = []error{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN}
+// networkErrors are errors that may be transient, but may also be caused by the remote end.
+var networkErrors = []error{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN}
 
-// storage are errors of a file system that may pass.
-var storage = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ESTALE}
+// storageErrors are errors of a file system that may be transient.
+var storageErrors = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ESTALE}
 
-func isAny(err error, list []error) bool {
+func isAnyOf(err error, list []error) bool {
 	for _, known := range list {
 		if errors.Is(err, known) {
 			return true
@@ -32,42 +32,45 @@
 	return false
 }
 
-// IsLocalError reports whether a call failed for want of something on this machine. It says nothing of the other end.
-func IsLocalError(err error) bool { return isAny(err, localResources) }
+// IsLocalError reports whether a call failed for lack of a resource on this machine. Such an error does not depend on
+// the remote end.
+func IsLocalError(err error) bool { return isAnyOf(err, localErrors) }
 
-// IsConnectError reports whether another try to connect may succeed soon.
-func IsConnectError(err error) bool { return IsLocalError(err) || isAny(err, momentary) }
+// IsConnectError reports whether another attempt to connect may succeed soon.
+func IsConnectError(err error) bool { return IsLocalError(err) || isAnyOf(err, networkErrors) }
 
-// IsListenError reports whether another try to listen may succeed soon: another process may be about to end.
+// IsListenError reports whether another attempt to listen may succeed soon. An address in use is such an error, as the
+// process that uses it may be about to end.
 func IsListenError(err error) bool { return IsLocalError(err) || errors.Is(err, syscall.EADDRINUSE) }
 
-// IsFileError reports whether another try to read or write a file may succeed soon.
-func IsFileError(err error) bool { return IsLocalError(err) || isAny(err, storage) }
+// IsFileError reports whether another attempt to read or write a file may succeed soon.
+func IsFileError(err error) bool { return IsLocalError(err) || isAnyOf(err, storageErrors) }
 
-// IsOutOfBuffers reports whether a write failed for want of buffers: nothing of it left, and the connection goes on.
+// IsOutOfBuffers reports whether a write failed for lack of buffers. No bytes of it were sent, and the connection
+// remains usable.
 func IsOutOfBuffers(err error) bool {
 	return errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// The pauses between calls of Retry.
+// Bounds of the backoff in Retry.
 const (
-	minPause = 5 * time.Millisecond
-	maxPause = 100 * time.Millisecond
+	minBackoff = 5 * time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
-// Retry calls f again, after pauses that grow, while it fails with an error that may pass, for a time at most and
-// until ctx ends. It returns the last error of f.
-func Retry(ctx context.Context, within time.Duration, mayPass func(error) bool, f func() error) error {
-	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.MaxElapsedTime = minPause, maxPause, within
-	b.Reset()
+// Retry calls f, and calls it again with exponential backoff while f fails with an error that isTransient reports as
+// transient, until timeout elapses or ctx ends. It returns the last error of f.
+func Retry(ctx context.Context, timeout time.Duration, isTransient func(error) bool, f func() error) error {
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval, policy.MaxInterval, policy.MaxElapsedTime = minBackoff, maxBackoff, timeout
+	policy.Reset()
 	var last error
-	_ = backoff.Retry(func() error { // its own error says no more than the last one of f
+	_ = backoff.Retry(func() error { // its error adds nothing to the last error of f
 		last = f()
-		if last != nil && !mayPass(last) {
+		if last != nil && !isTransient(last) {
 			return backoff.Permanent(last)
 		}
 		return last
-	}, backoff.WithContext(b, ctx))
+	}, backoff.WithContext(policy, ctx))
 	return last
 }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestClassification(t *testing.T) {
+func TestErrorsAreClassified(t *testing.T) {
 	connect := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 	}
@@ -34,32 +34,32 @@
 	}
 }
 
-// A call is repeated while its error may pass, and no longer than it may take.
-func TestRetry(t *testing.T) {
-	errPasses, errStays := errors.New("passes"), errors.New("stays")
-	mayPass := func(err error) bool { return errors.Is(err, errPasses) }
+// Guards against retries after a permanent error or the timeout, and against no retry after a transient error.
+func TestRetryStopsAtPermanentErrorOrTimeout(t *testing.T) {
+	errTransient, errPermanent := errors.New("transient"), errors.New("permanent")
+	isTransient := func(err error) bool { return errors.Is(err, errTransient) }
 	for name, tt := range map[string]struct {
-		errs  []error // of the calls, in order; the last one repeats
+		errs  []error // errors of successive calls; the last one repeats
 		calls int
 		want  error
 	}{
-		"at once":        {[]error{nil}, 1, nil},
-		"after a while":  {[]error{errPasses, errPasses, nil}, 3, nil},
-		"for good":       {[]error{errStays}, 1, errStays},
-		"changes to bad": {[]error{errPasses, errStays}, 2, errStays},
+		"immediate success":               {[]error{nil}, 1, nil},
+		"success after transient errors":  {[]error{errTransient, errTransient, nil}, 3, nil},
+		"permanent error":                 {[]error{errPermanent}, 1, errPermanent},
+		"permanent after transient error": {[]error{errTransient, errPermanent}, 2, errPermanent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := 0
-			err := Retry(t.Context(), time.Minute, mayPass, func() error {
+			err := Retry(t.Context(), time.Minute, isTransient, func() error {
 				calls++
 				return tt.errs[min(calls, len(tt.errs))-1]
 			})
 			if !errors.Is(err, tt.want) || calls != tt.calls {
-				t.Errorf("%d calls and %v, want %d and %v", calls, err, tt.calls, tt.want)
+				t.Errorf("got %d calls and error %v, want %d and %v", calls, err, tt.calls, tt.want)
 			}
 		})
 	}
-	if err := Retry(t.Context(), time.Millisecond, mayPass, func() error { return errPasses }); !mayPass(err) {
-		t.Errorf("after its time: %v", err)
+	if err := Retry(t.Context(), time.Millisecond, isTransient, func() error { return errTransient }); !isTransient(err) {
+		t.Errorf("after the timeout: got %v, want %v", err, errTransient)
 	}
 }
