--- a/internal/socktest/socktest.go
+++ b/internal/socktest/socktest.go
@@ -1,4 +1,5 @@
-// Package socktest helps tests that use sockets on loopback, and goroutines that serve them. Tests alone import it.
+// Package socktest provides helpers for tests that use sockets on loopback and goroutines that serve them. Only tests
+// import it.
 package socktest
 
 import (
@@ -8,10 +9,10 @@
 	"time"
 )
 
-// Timeout is how long a test waits for anything; a test that waits so long has failed.
+// Timeout is the time after which a test that waits for a result fails.
 const Timeout = 20 * time.Second
 
-// TestingT is what the helpers need of a test.
+// TestingT is the subset of testing.TB that the helpers use.
 type TestingT interface {
 	Helper()
 	Fatal(args ...any)
@@ -20,29 +21,29 @@
 	Context() context.Context
 }
 
-// Receive takes from a channel, or fails the test after Timeout.
-func Receive[Value any](t TestingT, from <-chan Value, what string) Value {
+// Receive receives a value from a channel, or fails the test after Timeout. what describes the value.
+func Receive[Value any](t TestingT, values <-chan Value, what string) Value {
 	t.Helper()
 	select {
-	case value := <-from:
+	case value := <-values:
 		return value
 	case <-time.After(Timeout):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("%s was not received within %v", what, Timeout)
 		panic("unreachable")
 	}
 }
 
-// WaitUntil waits for a condition, or fails the test after Timeout.
+// WaitUntil polls until condition returns true, or fails the test after Timeout. what describes the condition.
 func WaitUntil(t TestingT, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Timeout); !condition(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("never so: %s", what)
+	for deadline := time.Now().Add(Timeout); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %v: %s", Timeout, what)
 		}
 	}
 }
 
-// Listen returns a listener that is closed as the test ends.
+// Listen returns a loopback listener that is closed at the end of the test.
 func Listen(t TestingT) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -53,7 +54,7 @@
 	return listener
 }
 
-// Dial returns a connection that is closed as the test ends.
+// Dial returns a connection to addr that is closed at the end of the test.
 func Dial(t TestingT, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -64,7 +65,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// Pair returns both ends of a connection, which are closed as the test ends.
+// Pair returns both ends of a connection, which are closed at the end of the test.
 func Pair(t TestingT) (near, far *net.TCPConn) {
 	t.Helper()
 	listener := Listen(t)
@@ -78,8 +79,8 @@
 	return near, accepted.(*net.TCPConn)
 }
 
-// Serve calls serve with each connection to a listener and its number, one after the other, until the listener is
-// closed. Connections are closed as the test ends.
+// Serve accepts connections until the listener is closed. It calls serve for one connection at a time, with the number
+// of the connection, which counts from 0. Connections are closed at the end of the test.
 func Serve(t TestingT, listener net.Listener, serve func(number int, conn net.Conn)) {
 	t.Helper()
 	go func() {
--- a/internal/socktest/socktest_test.go
+++ b/internal/socktest/socktest_test.go
@@ -17,7 +17,7 @@
 	}
 	got, err := io.ReadAll(far)
 	if err != nil || string(got) != "bytes" {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("got %q, %v, want \"bytes\"", got, err)
 	}
 }
 
@@ -28,7 +28,7 @@
 	for want := range 2 {
 		Dial(t, listener.Addr().String())
 		if got := Receive(t, numbers, "a connection"); got != want {
-			t.Errorf("connection %d is number %d", want, got)
+			t.Errorf("got connection number %d, want %d", got, want)
 		}
 	}
 }
