--- a/internal/earlysignal/earlysignal.go
+++ b/internal/earlysignal/earlysignal.go
@@ -1,7 +1,7 @@
-// Package earlysignal keeps SIGHUP from ending a process in its first moments. A program that reloads at SIGHUP
-// installs its handler once its packages are initialized; a reload that comes before that would end it, by the
-// system's default. The constructor below runs as the program is loaded, ahead of the Go runtime. A SIGHUP that is
-// ignored so early loses nothing: the configuration has not been read yet.
+// Package earlysignal ignores SIGHUP while a process starts. A program that reloads its configuration on SIGHUP
+// installs its handler after package initialization; before that, SIGHUP would terminate the process, which is the
+// default action. The C constructor in this package runs when the program is loaded, before the Go runtime starts. No
+// reload is lost, as the configuration has not been read at that time.
 package earlysignal
 
 /*
@@ -13,6 +13,6 @@
 */
 import "C"
 
-// RestoreHangup has SIGHUP end the process again, for commands that do not serve. It is to be called before anything is
-// notified of SIGHUP.
+// RestoreHangup restores the default action of SIGHUP, which terminates the process, for commands that do not serve. It
+// must be called before a call of signal.Notify for SIGHUP.
 func RestoreHangup() { C.restore_hangup() }
