--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -120,7 +120,7 @@
 	return now, nil
 }
 
-// readEndpointList reads the endpoints of a list, whose header gives their number.
+// readEndpointList reads the endpoints of a list. The header specifies how many follow.
 func (r *Reader) readEndpointList(header *message) error {
 	members := header.requiredInteger(fieldListMembers)
 	number := header.integer(fieldListNumber)
