--- a/internal/handover/change.go
+++ b/internal/handover/change.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Change is an engine that enters or leaves maintenance mode.
+// Change records that an engine enters or leaves maintenance mode.
 type Change struct {
 	Engine  string
-	Enabled bool
+	Enabled bool // the engine enters maintenance mode; otherwise it leaves it
 }
 
-// With returns the state after changes, in their order. The engines are sorted.
-func (s State) With(changes []Change) State {
+// Apply returns the state after the changes are applied in order. The engines are sorted.
+func (s State) Apply(changes []Change) State {
 	engines := slices.Clone(s.MaintenanceEngines)
 	for _, change := range changes {
 		engines = slices.DeleteFunc(engines, func(id string) bool { return id == change.Engine })
@@ -21,8 +21,8 @@
 	return State{Broker: s.Broker, MaintenanceEngines: engines}
 }
 
-// ChangesTo returns the changes that lead from this state to the next.
-func (s State) ChangesTo(next State) []Change {
+// Diff returns the changes that turn this state into next.
+func (s State) Diff(next State) []Change {
 	var changes []Change
 	for _, id := range s.MaintenanceEngines {
 		if !slices.Contains(next.MaintenanceEngines, id) {
--- a/internal/server/handoverstore/store.go
+++ b/internal/server/handoverstore/store.go
@@ -72,7 +72,7 @@
 // none; a file that becomes readable later is adopted by Run.
 func (s *Store) Restore(ctx context.Context) []string {
 	handover.RemoveStaleTempFiles(s.dir)
-	err := transient.Retry(ctx, restoreRetryTime, transient.IsFile, s.read)
+	err := transient.Retry(ctx, restoreRetryTime, transient.IsFileError, s.read)
 	switch {
 	case errors.Is(err, handover.ErrNotFound):
 		return nil
@@ -149,7 +149,7 @@
 	if s.read() != nil {
 		return // retried at the next check; a corrupt file has no effect
 	}
-	changes := before.ChangesTo(s.state)
+	changes := before.Diff(s.state)
 	if len(changes) > 0 {
 		adopter.AdoptMaintenance(ctx, changes)
 	}
@@ -164,7 +164,7 @@
 	if len(pending) == 0 {
 		return
 	}
-	next := s.state.With(pending)
+	next := s.state.Apply(pending)
 	if err := handover.Write(s.dir, next); err != nil {
 		if time.Since(s.loggedAt) > writeLogInterval {
 			s.loggedAt = time.Now()
