--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -110,7 +110,7 @@
 }
 
 // parseInstance reads DIMENSION-NAME; it is empty for a figure without a dimension.
-func parseInstance(figure *metrics.Figure, instance string) (name string, other, ok bool) {
+func parseInstance(figure *metrics.Descriptor, instance string) (name string, other, ok bool) {
 	dimension, escaped, _ := strings.Cut(instance, "-")
 	switch {
 	case dimension != figure.By.String():
@@ -125,7 +125,7 @@
 }
 
 // parseLabel reads the value of a label; it is empty for a figure without one.
-func parseLabel(figure *metrics.Figure, value string) (label int, ok bool) {
+func parseLabel(figure *metrics.Descriptor, value string) (label int, ok bool) {
 	if len(figure.LabelValues) == 0 {
 		return 0, value == ""
 	}
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -64,7 +64,7 @@
 )
 
 // Catalogue has every figure that a broker reports, by its ID. It is the one place of exported names.
-var Catalogue = [figureCount]Figure{
+var Catalogue = [figureCount]Descriptor{
 	Requests: {
 		Name: "requests", Kind: Counter, By: Class,
 		Help: "requests accepted",
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -37,8 +37,8 @@
 	return [...]string{"", "class", "tenant", "engine", "data_set", "destination"}[d]
 }
 
-// Figure is an entry of the catalogue.
-type Figure struct {
+// Descriptor is an entry of the catalogue.
+type Descriptor struct {
 	Name        string // as exported
 	Kind        Kind
 	Unit        string // of a value: ms, bytes, ...; empty: a plain number
