--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -41,7 +41,7 @@
 }
 
 func pointValue(p metrics.Point) Value {
-	if metrics.Catalogue[p.Figure].Kind == metrics.Counter {
+	if metrics.Catalogue[p.ID].Kind == metrics.Counter {
 		return Value{Kind: Derive, Count: int64(p.Value)}
 	}
 	return Value{Kind: Gauge, Gauge: p.Value}
@@ -60,7 +60,7 @@
 }
 
 func newList(v *metrics.Interval, host string, s metrics.Series, values ...Value) List {
-	figure := &metrics.Catalogue[s.Figure]
+	figure := &metrics.Catalogue[s.ID]
 	l := List{
 		Host:     cardinality.Escape(host),
 		Plugin:   pluginName,
@@ -106,7 +106,7 @@
 	if !slices.EqualFunc(l.Values, dataSources(figure.Kind), matches) {
 		return "", s, nameError(&l, "data sources")
 	}
-	return broker, metrics.Series{Figure: id, Name: name, Other: other, LabelIndex: label}, nil
+	return broker, metrics.Series{ID: id, Name: name, Other: other, LabelIndex: label}, nil
 }
 
 // parseInstance reads DIMENSION-NAME; it is empty for a figure without a dimension.
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -52,7 +52,7 @@
 	}
 	for _, p := range v.Points {
 		want := Value{Kind: Gauge, Gauge: p.Value}
-		if metrics.Catalogue[p.Figure].Kind == metrics.Counter {
+		if metrics.Catalogue[p.ID].Kind == metrics.Counter {
 			want = Value{Kind: Derive, Count: int64(p.Value)}
 		}
 		if diff := cmp.Diff([]Value{want}, got[p.Series]); diff != "" {
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -184,7 +184,7 @@
 			if v.Kind != collectd.Gauge {
 				value = float64(v.Count)
 			}
-			if metrics.Catalogue[series.Figure].Kind == metrics.DistributionKind {
+			if metrics.Catalogue[series.ID].Kind == metrics.DistributionKind {
 				name.Stat = metrics.Stats[i]
 			}
 			c.reconciler.Add(name, value, timestamp)
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -30,7 +30,7 @@
 	}
 	samples := make([]Sample, 0, len(figures))
 	for _, f := range figures {
-		series := metrics.Series{Figure: f.id}
+		series := metrics.Series{ID: f.id}
 		if metrics.Catalogue[f.id].By != metrics.NoDimension {
 			series.Name = "lookup"
 		}
@@ -113,7 +113,7 @@
 
 func TestQuantilesOutOfOrderAreFound(t *testing.T) {
 	samples := slices.Clone(firstInterval)
-	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
+	series := metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}
 	for i, stat := range metrics.Stats {
 		name := graphite.Name{Broker: "n1", Series: series, Stat: stat}
 		samples = append(samples, Sample{Name: name, Value: float64(10 - i), Timestamp: 110})
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -49,7 +49,7 @@
 // add takes a sample and reports whether it came before, with the same value.
 func (g *timestampGroup) add(s Sample) (duplicate bool) {
 	series := s.Name.Series
-	if metrics.Catalogue[series.Figure].Kind != metrics.DistributionKind {
+	if metrics.Catalogue[series.ID].Kind != metrics.DistributionKind {
 		return put(g.values, series, s.Value)
 	}
 	if g.distributions[series] == nil {
@@ -124,9 +124,9 @@
 // interval returns the interval of a group and the start of its broker, or false if the group lacks what
 // tells them.
 func (g *timestampGroup) interval() (interval *Interval, startedMS int64, ok bool) {
-	started, hasStart := g.values[metrics.Series{Figure: metrics.Started}]
-	sequence, hasSequence := g.values[metrics.Series{Figure: metrics.Sequence}]
-	folded, hasFolded := g.values[metrics.Series{Figure: metrics.Folded}]
+	started, hasStart := g.values[metrics.Series{ID: metrics.Started}]
+	sequence, hasSequence := g.values[metrics.Series{ID: metrics.Sequence}]
+	folded, hasFolded := g.values[metrics.Series{ID: metrics.Folded}]
 	if !hasStart || !hasSequence || !hasFolded {
 		return nil, 0, false
 	}
--- a/internal/emulator/collector/incarnation.go
+++ b/internal/emulator/collector/incarnation.go
@@ -46,7 +46,7 @@
 	last := map[metrics.Series]float64{}
 	for _, interval := range r.Intervals {
 		for series, value := range interval.Values {
-			if series.Figure == id {
+			if series.ID == id {
 				last[series] = value
 			}
 		}
@@ -78,7 +78,7 @@
 // checkCounters checks that no counter falls, and updates their last values.
 func (r *Incarnation) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
 	for series, value := range interval.Values {
-		figure := metrics.Catalogue[series.Figure]
+		figure := metrics.Catalogue[series.ID]
 		if figure.Kind != metrics.Counter {
 			continue
 		}
@@ -95,7 +95,7 @@
 	for series, stats := range interval.Distributions {
 		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
 			f.violation("%s, start %d: the quantiles of %s of %q are out of order: %v",
-				r.Broker, r.StartedMS, metrics.Catalogue[series.Figure].Name, series.Name, stats)
+				r.Broker, r.StartedMS, metrics.Catalogue[series.ID].Name, series.Name, stats)
 		}
 	}
 }
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -73,7 +73,7 @@
 		if !ok {
 			t.Fatalf("no figure %s", l.figure)
 		}
-		s := metrics.Series{Figure: id, Name: l.name, Other: l.other}
+		s := metrics.Series{ID: id, Name: l.name, Other: l.other}
 		for i, p := range metrics.Catalogue[id].LabelValues {
 			if p == l.detail {
 				s.LabelIndex = i
@@ -102,7 +102,7 @@
 	}
 	for i, l := range storedLines {
 		s := all[i]
-		fig := metrics.Catalogue[s.Name.Series.Figure]
+		fig := metrics.Catalogue[s.Name.Series.ID]
 		detail := ""
 		if len(fig.LabelValues) > 0 {
 			detail = fig.LabelValues[s.Name.Series.LabelIndex]
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -42,7 +42,7 @@
 }
 
 func appendDotted(dst []byte, n Name) []byte {
-	figure := &metrics.Catalogue[n.Series.Figure]
+	figure := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, cardinality.Escape(n.Broker)...)
 	dst = appendPart(dst, figure.Name)
 	if figure.By != metrics.NoDimension {
@@ -58,7 +58,7 @@
 }
 
 func appendTagged(dst []byte, n Name) []byte {
-	figure := &metrics.Catalogue[n.Series.Figure]
+	figure := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, figure.Name...)
 	if n.Stat != "" {
 		dst = appendPart(dst, n.Stat)
@@ -161,10 +161,10 @@
 	if n.Broker, err = cardinality.Unescape(p.broker); err != nil {
 		return n, false
 	}
-	if n.Series.Figure, ok = metrics.Find(p.figure); !ok {
+	if n.Series.ID, ok = metrics.Find(p.figure); !ok {
 		return n, false
 	}
-	figure := &metrics.Catalogue[n.Series.Figure]
+	figure := &metrics.Catalogue[n.Series.ID]
 	if figure.By != metrics.NoDimension {
 		if part := p.next(); part == cardinality.OtherName {
 			n.Series.Other = true
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestPaths(t *testing.T) {
-	late := metrics.Series{Figure: metrics.Answers, Name: "re.port", LabelIndex: metrics.Late}
-	otherEngines := metrics.Series{Figure: metrics.EngineTime, Other: true}
-	engineNamedOther := metrics.Series{Figure: metrics.EngineTime, Name: "other"}
+	late := metrics.Series{ID: metrics.Answers, Name: "re.port", LabelIndex: metrics.Late}
+	otherEngines := metrics.Series{ID: metrics.EngineTime, Other: true}
+	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
 		form Form
 		name Name
@@ -30,7 +30,7 @@
 		},
 		{
 			Form{},
-			Name{Broker: "", Series: metrics.Series{Figure: metrics.Open}},
+			Name{Broker: "", Series: metrics.Series{ID: metrics.Open}},
 			"_.open_requests",
 		},
 		{
@@ -56,7 +56,7 @@
 func drawName(t *rapid.T) Name {
 	id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "figure"))
 	figure := &metrics.Catalogue[id]
-	n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{Figure: id}}
+	n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{ID: id}}
 	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "part")
 	if figure.By != metrics.NoDimension {
 		if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -90,16 +90,16 @@
 			r.appendPoints(interval, slot, series)
 		}
 	}
-	r.tables[figure.By].EachName(func(slot int, name string) { appendSeries(slot, Series{Figure: id, Name: name}) })
-	appendSeries(cardinality.Other, Series{Figure: id, Other: figure.By != NoDimension})
+	r.tables[figure.By].EachName(func(slot int, name string) { appendSeries(slot, Series{ID: id, Name: name}) })
+	appendSeries(cardinality.Other, Series{ID: id, Other: figure.By != NoDimension})
 }
 
 // appendPoints appends the series of a counter or gauge that are to be reported, of one name.
 func (r *Registry) appendPoints(interval *Interval, slot int, series Series) {
-	for label := range series.Figure.SeriesPerName() {
-		if r.reported(series.Figure, slot, label) {
+	for label := range series.ID.SeriesPerName() {
+		if r.reported(series.ID, slot, label) {
 			series.LabelIndex = label
-			interval.Points = append(interval.Points, Point{series, r.Value(series.Figure, slot, label)})
+			interval.Points = append(interval.Points, Point{series, r.Value(series.ID, slot, label)})
 		}
 	}
 }
@@ -116,7 +116,7 @@
 
 // appendDistribution appends a distribution that has values, and empties it.
 func (r *Registry) appendDistribution(interval *Interval, slot int, series Series) {
-	sketch := r.sketches[series.Figure][slot]
+	sketch := r.sketches[series.ID][slot]
 	if sketch == nil || sketch.Count() == 0 {
 		return
 	}
--- a/internal/metrics/fold.go
+++ b/internal/metrics/fold.go
@@ -24,10 +24,10 @@
 	eachPair(earlier, later, seriesOf, func(a, b *Point) {
 		switch {
 		case b == nil:
-			if Catalogue[a.Figure].Kind == Counter {
+			if Catalogue[a.ID].Kind == Counter {
 				out = append(out, *a)
 			}
-		case a != nil && b.Figure == Folded:
+		case a != nil && b.ID == Folded:
 			out = append(out, Point{b.Series, a.Value + b.Value})
 		default:
 			out = append(out, *b)
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -52,15 +52,15 @@
 	if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
 		t.Fatal("points out of order")
 	}
-	if got := v.Value(Series{Figure: Folded}); got != float64(v.FoldedCount) {
+	if got := v.Value(Series{ID: Folded}); got != float64(v.FoldedCount) {
 		t.Fatalf("an interval of %d reports %v", v.FoldedCount, got)
 	}
 	for _, p := range v.Points {
-		if Catalogue[p.Figure].Kind != Counter {
+		if Catalogue[p.ID].Kind != Counter {
 			continue
 		}
 		if p.Value < last[p.Series] {
-			t.Fatalf("%s of %q fell from %v to %v", Catalogue[p.Figure].Name, p.Name, last[p.Series], p.Value)
+			t.Fatalf("%s of %q fell from %v to %v", Catalogue[p.ID].Name, p.Name, last[p.Series], p.Value)
 		}
 		last[p.Series] = p.Value
 	}
@@ -84,7 +84,7 @@
 		}
 		requests := 0.0
 		for s, v := range last {
-			if s.Figure == RequestsByTenant {
+			if s.ID == RequestsByTenant {
 				requests += v
 			}
 		}
@@ -125,16 +125,16 @@
 		series Series
 		want   float64
 	}{
-		{Series{Figure: AttemptEnds, Name: "leaves"}, 5},
-		{Series{Figure: AttemptEnds, Name: "stays"}, 14},
-		{Series{Figure: ConcurrencyLimit, Name: "leaves"}, 0},
-		{Series{Figure: ConcurrencyLimit, Name: "stays"}, 4},
+		{Series{ID: AttemptEnds, Name: "leaves"}, 5},
+		{Series{ID: AttemptEnds, Name: "stays"}, 14},
+		{Series{ID: ConcurrencyLimit, Name: "leaves"}, 0},
+		{Series{ID: ConcurrencyLimit, Name: "stays"}, 4},
 	} {
 		if got := v.Value(tt.series); got != tt.want {
-			t.Errorf("%s of %s: %v, want %v", Catalogue[tt.series.Figure].Name, tt.series.Name, got, tt.want)
+			t.Errorf("%s of %s: %v, want %v", Catalogue[tt.series.ID].Name, tt.series.Name, got, tt.want)
 		}
 	}
-	if after.Value(Series{Figure: AttemptEnds, Name: "leaves"}) != 0 || v.SampleCount() != 3 {
+	if after.Value(Series{ID: AttemptEnds, Name: "leaves"}) != 0 || v.SampleCount() != 3 {
 		t.Errorf("it did not retire, or %v samples are folded", v.SampleCount())
 	}
 }
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -8,7 +8,7 @@
 
 // Series names one series of values.
 type Series struct {
-	Figure     ID
+	ID         ID
 	Name       string // by the figure's dimension; empty in one that has none
 	Other      bool   // it stands for all names that are not admitted
 	LabelIndex int    // of the value of the figure's label, in LabelValues
@@ -17,7 +17,7 @@
 // compareSeries orders series by figure, then by name with all others last, then by label.
 func compareSeries(a, b Series) int {
 	return cmp.Or(
-		cmp.Compare(a.Figure, b.Figure),
+		cmp.Compare(a.ID, b.ID),
 		compareBool(a.Other, b.Other),
 		cmp.Compare(a.Name, b.Name),
 		cmp.Compare(a.LabelIndex, b.LabelIndex),
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -16,12 +16,12 @@
 	value := 0.0
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
-		all := []metrics.Series{{Figure: id}}
+		all := []metrics.Series{{ID: id}}
 		if f.By != metrics.NoDimension {
 			all = []metrics.Series{
-				{Figure: id, Name: "fishing-fleet"},
-				{Figure: id, Name: "re.port;x=1 é"},
-				{Figure: id, Other: true},
+				{ID: id, Name: "fishing-fleet"},
+				{ID: id, Name: "re.port;x=1 é"},
+				{ID: id, Other: true},
 			}
 		}
 		for _, s := range all {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -14,7 +14,7 @@
 func night() *collector.Findings {
 	var all []collector.Sample
 	add := func(at int64, id metrics.ID, name, stat string, label int, v float64) {
-		series := metrics.Series{Figure: id, Name: name, LabelIndex: label}
+		series := metrics.Series{ID: id, Name: name, LabelIndex: label}
 		all = append(all, collector.Sample{
 			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
 		})
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -95,7 +95,7 @@
 	s := Section{Title: "Outcomes of requests", Note: "Requests a second that ended, by class."}
 	seen := map[string]bool{}
 	for series := range r.Totals(metrics.Answers) {
-		class := seriesTitle(metrics.Series{Figure: metrics.Requests, Name: series.Name, Other: series.Other})
+		class := seriesTitle(metrics.Series{ID: metrics.Requests, Name: series.Name, Other: series.Other})
 		if !seen[class] {
 			seen[class] = true
 			s.Charts = append(s.Charts, r.outcomesOf(class, series))
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -28,7 +28,7 @@
 	if s.Other {
 		name = "all others"
 	}
-	if values := metrics.Catalogue[s.Figure].LabelValues; len(values) > 0 {
+	if values := metrics.Catalogue[s.ID].LabelValues; len(values) > 0 {
 		return strings.TrimSpace(name + " " + strings.ReplaceAll(values[s.LabelIndex], "_", " "))
 	}
 	return name
@@ -88,7 +88,7 @@
 	for i, v := range r.Intervals {
 		span := r.span(i)
 		for s, x := range v.Values {
-			if s.Figure != id || keep != nil && !keep(s) {
+			if s.ID != id || keep != nil && !keep(s) {
 				continue
 			}
 			l := lines.line(s)
@@ -119,7 +119,7 @@
 	lines := lineSet{}
 	for _, v := range r.Intervals {
 		for s, x := range v.Values {
-			if s.Figure == id {
+			if s.ID == id {
 				lines.line(s).add(r.seconds(v), x)
 			}
 		}
@@ -132,7 +132,7 @@
 	out := map[metrics.Series][]Line{}
 	for _, v := range r.Intervals {
 		for s, reported := range v.Distributions {
-			if s.Figure != id {
+			if s.ID != id {
 				continue
 			}
 			if out[s] == nil {
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -32,7 +32,7 @@
 	folded, samples := false, 0.0
 	for _, v := range f.Incarnations[0].Intervals {
 		folded = folded || v.Represented > 1
-		samples += v.Distributions[metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}]["count"]
+		samples += v.Distributions[metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}]["count"]
 	}
 	if !folded {
 		t.Error("the budget held all without folding: the test shows nothing")
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -48,7 +48,7 @@
 	if len(intervals) < 2 {
 		return nil
 	}
-	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
+	series := metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}
 	return sortedKeys(intervals[len(intervals)-2].Distributions[series])
 }
 
@@ -145,7 +145,7 @@
 	for _, v := range f.Incarnations[0].Intervals {
 		tenants := map[string]bool{}
 		for s := range v.Values {
-			if s.Figure == metrics.RequestsByTenant && !s.Other {
+			if s.ID == metrics.RequestsByTenant && !s.Other {
 				tenants[s.Name] = true
 			}
 		}
