--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -63,7 +63,7 @@
 	out := &output{w: table}
 	out.println("NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
 	for _, f := range metrics.Catalogue {
-		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.By, f.Label, f.Help)
+		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.Dimension, f.Label, f.Help)
 	}
 	return errors.Join(out.err(), table.Flush())
 }
@@ -86,7 +86,7 @@
 			Name:    f.Name,
 			Kind:    f.Kind.String(),
 			Unit:    f.Unit,
-			By:      f.By.String(),
+			By:      f.Dimension.String(),
 			Detail:  f.Label,
 			Details: f.LabelValues,
 			Meaning: f.Help,
--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -69,12 +69,12 @@
 		Interval: v.Duration,
 		Values:   values,
 	}
-	if figure.By != metrics.NoDimension {
+	if figure.Dimension != metrics.NoDimension {
 		name := cardinality.OtherName
 		if !s.Other {
 			name = cardinality.Escape(s.Name)
 		}
-		l.PluginInstance = figure.By.String() + "-" + name
+		l.PluginInstance = figure.Dimension.String() + "-" + name
 	}
 	if len(figure.LabelValues) > 0 {
 		l.TypeInstance = figure.LabelValues[s.LabelIndex]
@@ -113,9 +113,9 @@
 func parseInstance(figure *metrics.Descriptor, instance string) (name string, other, ok bool) {
 	dimension, escaped, _ := strings.Cut(instance, "-")
 	switch {
-	case dimension != figure.By.String():
+	case dimension != figure.Dimension.String():
 		return "", false, false
-	case figure.By == metrics.NoDimension:
+	case figure.Dimension == metrics.NoDimension:
 		return "", false, true
 	case escaped == cardinality.OtherName:
 		return "", true, true
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -31,7 +31,7 @@
 	samples := make([]Sample, 0, len(figures))
 	for _, f := range figures {
 		series := metrics.Series{ID: f.id}
-		if metrics.Catalogue[f.id].By != metrics.NoDimension {
+		if metrics.Catalogue[f.id].Dimension != metrics.NoDimension {
 			series.Name = "lookup"
 		}
 		name := graphite.Name{Broker: broker, Series: series}
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -45,7 +45,7 @@
 	figure := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, cardinality.Escape(n.Broker)...)
 	dst = appendPart(dst, figure.Name)
-	if figure.By != metrics.NoDimension {
+	if figure.Dimension != metrics.NoDimension {
 		dst = appendPart(dst, escapedName(&n.Series))
 	}
 	if len(figure.LabelValues) > 0 {
@@ -64,8 +64,8 @@
 		dst = appendPart(dst, n.Stat)
 	}
 	dst = appendTag(dst, brokerTag, cardinality.Escape(n.Broker))
-	if figure.By != metrics.NoDimension {
-		dst = appendTag(dst, figure.By.String(), escapedName(&n.Series))
+	if figure.Dimension != metrics.NoDimension {
+		dst = appendTag(dst, figure.Dimension.String(), escapedName(&n.Series))
 	}
 	if len(figure.LabelValues) > 0 {
 		dst = appendTag(dst, figure.Label, figure.LabelValues[n.Series.LabelIndex])
@@ -165,7 +165,7 @@
 		return n, false
 	}
 	figure := &metrics.Catalogue[n.Series.ID]
-	if figure.By != metrics.NoDimension {
+	if figure.Dimension != metrics.NoDimension {
 		if part := p.next(); part == cardinality.OtherName {
 			n.Series.Other = true
 		} else if n.Series.Name, err = cardinality.Unescape(part); err != nil {
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -58,7 +58,7 @@
 	figure := &metrics.Catalogue[id]
 	n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{ID: id}}
 	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "part")
-	if figure.By != metrics.NoDimension {
+	if figure.Dimension != metrics.NoDimension {
 		if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
 			n.Series.Name = rapid.String().Draw(t, "name")
 		}
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -66,38 +66,38 @@
 // Catalogue has every figure that a broker reports, by its ID. It is the one place of exported names.
 var Catalogue = [figureCount]Descriptor{
 	Requests: {
-		Name: "requests", Kind: Counter, By: Class,
+		Name: "requests", Kind: Counter, Dimension: Class,
 		Help: "requests accepted",
 	},
 	RequestsByTenant: {
-		Name: "requests_by_tenant", Kind: Counter, By: Tenant,
+		Name: "requests_by_tenant", Kind: Counter, Dimension: Tenant,
 		Help: "requests accepted",
 	},
 	RequestsByDataSet: {
-		Name: "requests_by_data_set", Kind: Counter, By: DataSet,
+		Name: "requests_by_data_set", Kind: Counter, Dimension: DataSet,
 		Help: "requests accepted that read or write this data set",
 	},
 	Answers: {
-		Name: "answers", Kind: Counter, By: Class, Label: "outcome", LabelValues: requestOutcomes,
+		Name: "answers", Kind: Counter, Dimension: Class, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "requests that ended: served within the latency objective or after it, rejected, failed, " +
 			"or their client gone",
 	},
 	AnswersByTenant: {
-		Name: "answers_by_tenant", Kind: Counter, By: Tenant, Label: "outcome", LabelValues: requestOutcomes,
+		Name: "answers_by_tenant", Kind: Counter, Dimension: Tenant, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "the same by tenant",
 	},
 	InTimeShare: {
-		Name: "in_time_share", Kind: Gauge, By: Class,
+		Name: "in_time_share", Kind: Gauge, Dimension: Class,
 		Help: "part of the requests that ended in the interval, those whose client left apart, that " +
 			"were served within the objective",
 	},
 	ObjectiveRatio: {
-		Name: "aim_ratio", Kind: DistributionKind, By: Class,
+		Name: "aim_ratio", Kind: DistributionKind, Dimension: Class,
 		Help: "time from the client's send to the answer over the objective, of requests served; above " +
 			"1 is late",
 	},
 	AnswerTime: {
-		Name: "answer_ms", Kind: DistributionKind, Unit: "ms", By: Class,
+		Name: "answer_ms", Kind: DistributionKind, Unit: "ms", Dimension: Class,
 		Help: "time from the client's send to the answer, of requests served",
 	},
 	Rejections: {
@@ -107,37 +107,37 @@
 			"queued on it",
 	},
 	Attempts: {
-		Name: "attempts", Kind: Counter, By: Class,
+		Name: "attempts", Kind: Counter, Dimension: Class,
 		Help: "attempts sent to engines",
 	},
 	AttemptsByRequest: {
-		Name: "attempts_a_request", Kind: DistributionKind, By: Class,
+		Name: "attempts_a_request", Kind: DistributionKind, Dimension: Class,
 		Help: "attempts of each request when it ended",
 	},
 	AttemptEnds: {
-		Name: "attempt_ends", Kind: Counter, By: Engine, Label: "status", LabelValues: attemptStatuses,
+		Name: "attempt_ends", Kind: Counter, Dimension: Engine, Label: "status", LabelValues: attemptStatuses,
 		Help: "attempts that ended, by status",
 	},
 	EngineTime: {
-		Name: "engine_ms", Kind: DistributionKind, Unit: "ms", By: Engine,
+		Name: "engine_ms", Kind: DistributionKind, Unit: "ms", Dimension: Engine,
 		Help: "time from an attempt's send to its successful end",
 	},
 	ClientRetries: {
-		Name: "client_retries", Kind: Counter, By: Class,
+		Name: "client_retries", Kind: Counter, Dimension: Class,
 		Help: "requests that their client marked as a retry",
 	},
 	DuplicateResponses: {
-		Name: "second_copies", Kind: Counter, By: Engine,
+		Name: "second_copies", Kind: Counter, Dimension: Engine,
 		Help: "responses that no attempt waited for: of hedged requests, and of attempts that were " +
 			"given up",
 	},
 	Wasted: {
-		Name: "wasted_ms", Kind: Counter, Unit: "ms", By: Class,
+		Name: "wasted_ms", Kind: Counter, Unit: "ms", Dimension: Class,
 		Help: "time in flight of attempts that may have run and whose answer no client got: an upper " +
 			"bound of what engines spent on them",
 	},
 	WastedByEngine: {
-		Name: "wasted_by_engine_ms", Kind: Counter, Unit: "ms", By: Engine,
+		Name: "wasted_by_engine_ms", Kind: Counter, Unit: "ms", Dimension: Engine,
 		Help: "the same by engine",
 	},
 	Drains: {
@@ -158,28 +158,28 @@
 		Help: "the longest of these since the start",
 	},
 	QueueWait: {
-		Name: "queue_wait_ms", Kind: DistributionKind, Unit: "ms", By: Class,
+		Name: "queue_wait_ms", Kind: DistributionKind, Unit: "ms", Dimension: Class,
 		Help: "time from when a request was accepted until its first attempt was sent, or until it " +
 			"ended without one",
 	},
 	QueueWaitByTenant: {
-		Name: "queue_wait_by_tenant_ms", Kind: DistributionKind, Unit: "ms", By: Tenant,
+		Name: "queue_wait_by_tenant_ms", Kind: DistributionKind, Unit: "ms", Dimension: Tenant,
 		Help: "the same by tenant",
 	},
 	ConcurrencyLimit: {
-		Name: "bound", Kind: Gauge, Unit: "threads", By: Engine,
+		Name: "bound", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "concurrency limit: threads that this broker may have in flight at the engine",
 	},
 	Threads: {
-		Name: "threads", Kind: Gauge, Unit: "threads", By: Engine,
+		Name: "threads", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "threads in flight there",
 	},
 	Queued: {
-		Name: "queued", Kind: Gauge, By: Engine,
+		Name: "queued", Kind: Gauge, Dimension: Engine,
 		Help: "requests that wait in the engine's queue at this broker",
 	},
 	ClassShare: {
-		Name: "class_share", Kind: Gauge, By: Class,
+		Name: "class_share", Kind: Gauge, Dimension: Class,
 		Help: "weight of the class in the fair queues, as the decision module sets it",
 	},
 	Engines: {
@@ -244,28 +244,28 @@
 		Help: "how often a name was counted under 'other'",
 	},
 	Held: {
-		Name: "held_bytes", Kind: Gauge, Unit: "bytes", By: Destination,
+		Name: "held_bytes", Kind: Gauge, Unit: "bytes", Dimension: Destination,
 		Help: "memory of the intervals that wait for delivery",
 	},
 	HeldIntervals: {
-		Name: "held_intervals", Kind: Gauge, By: Destination,
+		Name: "held_intervals", Kind: Gauge, Dimension: Destination,
 		Help: "intervals that wait for delivery, each of those folded into one counted; with " +
 			"delivered_intervals and lost_intervals they make up all before this one",
 	},
 	Delivered: {
-		Name: "delivered_intervals", Kind: Counter, By: Destination,
+		Name: "delivered_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that were written, each of those folded into one counted",
 	},
 	Lost: {
-		Name: "lost_intervals", Kind: Counter, By: Destination,
+		Name: "lost_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that will never be written; their counts are part of later ones",
 	},
 	LostSamples: {
-		Name: "lost_samples", Kind: Counter, By: Destination,
+		Name: "lost_samples", Kind: Counter, Dimension: Destination,
 		Help: "samples of distributions that will never be written",
 	},
 	Breaks: {
-		Name: "delivery_breaks", Kind: Counter, By: Destination,
+		Name: "delivery_breaks", Kind: Counter, Dimension: Destination,
 		Help: "connections to the collector that broke or were not established",
 	},
 	ConfLoaded: {
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -32,7 +32,7 @@
 func (r *Registry) startInterval(monotonic time.Duration) {
 	copy(r.answersAtLastCut, r.values[Answers])
 	for i := range Catalogue {
-		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.By != NoDimension || ID(i) == Inbox {
+		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.Dimension != NoDimension || ID(i) == Inbox {
 			clear(r.gaugeSet[i])
 		}
 	}
@@ -90,8 +90,8 @@
 			r.appendPoints(interval, slot, series)
 		}
 	}
-	r.tables[figure.By].EachName(func(slot int, name string) { appendSeries(slot, Series{ID: id, Name: name}) })
-	appendSeries(cardinality.Other, Series{ID: id, Other: figure.By != NoDimension})
+	r.tables[figure.Dimension].EachName(func(slot int, name string) { appendSeries(slot, Series{ID: id, Name: name}) })
+	appendSeries(cardinality.Other, Series{ID: id, Other: figure.Dimension != NoDimension})
 }
 
 // appendPoints appends the series of a counter or gauge that are to be reported, of one name.
@@ -110,7 +110,7 @@
 	if set := r.gaugeSet[id]; set != nil {
 		return set[id.index(slot, label)]
 	}
-	single := Catalogue[id].By == NoDimension && id.SeriesPerName() == 1
+	single := Catalogue[id].Dimension == NoDimension && id.SeriesPerName() == 1
 	return single || r.Value(id, slot, label) != 0
 }
 
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -42,7 +42,7 @@
 	Name        string // as exported
 	Kind        Kind
 	Unit        string // of a value: ms, bytes, ...; empty: a plain number
-	By          Dimension
+	Dimension   Dimension
 	Label       string   // that LabelValues are of; empty: there is one series a name
 	LabelValues []string // by the LabelIndex of their series
 	Help        string
@@ -139,7 +139,7 @@
 			detail += ": " + strings.Join(figure.LabelValues, ", ")
 		}
 		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n",
-			figure.Name, figure.Kind, figure.Unit, figure.By, detail, figure.Help)
+			figure.Name, figure.Kind, figure.Unit, figure.Dimension, detail, figure.Help)
 	}
 	return table.String()
 }
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -17,7 +17,7 @@
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
 		all := []metrics.Series{{ID: id}}
-		if f.By != metrics.NoDimension {
+		if f.Dimension != metrics.NoDimension {
 			all = []metrics.Series{
 				{ID: id, Name: "fishing-fleet"},
 				{ID: id, Name: "re.port;x=1 é"},
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -68,7 +68,7 @@
 
 // makeSeries allocates the values of a figure.
 func (r *Registry) makeSeries(id ID) {
-	slots := r.tables[Catalogue[id].By].Slots()
+	slots := r.tables[Catalogue[id].Dimension].Slots()
 	switch Catalogue[id].Kind {
 	case Counter:
 		r.values[id] = make([]float64, slots*id.SeriesPerName())
@@ -85,7 +85,7 @@
 	for i := range Catalogue {
 		id := ID(i)
 		switch {
-		case Catalogue[id].By != dim:
+		case Catalogue[id].Dimension != dim:
 		case Catalogue[id].Kind == DistributionKind:
 			r.sketches[id][slot] = nil
 		default:
