--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -132,10 +132,10 @@
 		return false
 	}
 	earlier, later := q.intervals[i], q.intervals[i+1]
-	folded, err := metrics.Fold(earlier.interval, later.interval)
+	folded, err := metrics.Merge(earlier.interval, later.interval)
 	if err != nil { // a sketch can't be decoded: its samples are lost, the counters are not
 		q.lostSamples += earlier.interval.SampleCount()
-		if folded, err = metrics.Fold(earlier.interval.WithoutDistributions(), later.interval); err != nil {
+		if folded, err = metrics.Merge(earlier.interval.WithoutDistributions(), later.interval); err != nil {
 			return false
 		}
 	}
--- a/internal/metrics/fold.go
+++ b/internal/metrics/fold.go
@@ -1,9 +1,9 @@
 package metrics
 
-// Fold makes one interval of an earlier and a later one. Of each counter it has the later value, and the
+// Merge makes one interval of an earlier and a later one. Of each counter it has the later value, and the
 // earlier one where the later interval lacks it because its name has retired: a counter loses nothing. Gauges
 // are the later ones, and distributions are merged. It fails if a sketch can't be decoded.
-func Fold(earlier, later *Interval) (*Interval, error) {
+func Merge(earlier, later *Interval) (*Interval, error) {
 	distributions, err := foldDistributions(earlier.Distributions, later.Distributions)
 	if err != nil {
 		return nil, err
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -39,7 +39,7 @@
 func (r *recording) foldSome(t *rapid.T) {
 	for len(r.intervals) > 1 && rapid.IntRange(0, 4).Draw(t, "fold") > 0 {
 		i := rapid.IntRange(0, len(r.intervals)-2).Draw(t, "at")
-		v, err := Fold(r.intervals[i], r.intervals[i+1])
+		v, err := Merge(r.intervals[i], r.intervals[i+1])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 	}
 	count("stays", 1)
 	after := r.Cut(200*time.Second, 200*time.Second)
-	v, err := Fold(before, after)
+	v, err := Merge(before, after)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	earlier, later := cut(), cut()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Fold(earlier, later); err != nil {
+		if _, err := Merge(earlier, later); err != nil {
 			b.Fatal(err)
 		}
 	}
