--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -167,7 +167,7 @@
 // writeCompleted counts as delivered what was being written.
 func (m *Machine) writeCompleted(now time.Duration) {
 	written := m.queue.complete()
-	m.delivered += written.interval.FoldedCount
+	m.delivered += written.interval.MergedCount
 	m.backoff.succeeded()
 	m.replay.sent(now, written.memoryBytes)
 }
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -158,7 +158,7 @@
 	for i, it := range r.machine.queue.intervals {
 		samples += it.interval.SampleCount()
 		if i < len(r.machine.queue.intervals)-2 {
-			fewest, largest = min(fewest, it.interval.FoldedCount), max(largest, it.interval.FoldedCount)
+			fewest, largest = min(fewest, it.interval.MergedCount), max(largest, it.interval.MergedCount)
 		}
 	}
 	if largest > 4*fewest || samples != 360 {
--- a/internal/delivery/property_test.go
+++ b/internal/delivery/property_test.go
@@ -62,7 +62,7 @@
 	if m.writing == nil {
 		return false
 	}
-	m.delivered += m.writing.Interval.FoldedCount
+	m.delivered += m.writing.Interval.MergedCount
 	delete(m.sent, m.writing.Interval)
 	m.writing = nil
 	m.apply(WriteCompleted{m.conn})
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -54,7 +54,7 @@
 func (q *queue) foldedCount() uint64 {
 	var total uint64
 	for _, queued := range q.intervals {
-		total += queued.interval.FoldedCount
+		total += queued.interval.MergedCount
 	}
 	return total
 }
@@ -94,7 +94,7 @@
 }
 
 func (q *queue) countLost(interval *metrics.Interval) {
-	q.lostIntervals += interval.FoldedCount
+	q.lostIntervals += interval.MergedCount
 	q.lostSamples += interval.SampleCount()
 }
 
@@ -157,7 +157,7 @@
 		if q.unchangeable(earlier) || q.unchangeable(later) || span > maxFoldedSpan {
 			continue
 		}
-		if count := earlier.interval.FoldedCount + later.interval.FoldedCount; best < 0 || count < fewest {
+		if count := earlier.interval.MergedCount + later.interval.MergedCount; best < 0 || count < fewest {
 			best, fewest = i, count
 		}
 	}
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -60,7 +60,7 @@
 			r.actions = append(r.actions, fmt.Sprintf("connect %d", a.Conn))
 		case Write:
 			r.actions = append(r.actions,
-				fmt.Sprintf("write %d of %d from %d", a.Interval.Sequence, a.Interval.FoldedCount, a.FirstRecord))
+				fmt.Sprintf("write %d of %d from %d", a.Interval.Sequence, a.Interval.MergedCount, a.FirstRecord))
 		case Close:
 			r.actions = append(r.actions, fmt.Sprintf("close %d", a.Conn))
 		case Stopped:
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -15,7 +15,7 @@
 	r.setInTimeShares()
 	interval := &Interval{
 		Sequence:    r.sequence,
-		FoldedCount: 1,
+		MergedCount: 1,
 		EndTime:     r.timestamp(wall),
 		Duration:    monotonic - r.lastCut,
 	}
--- a/internal/metrics/fold.go
+++ b/internal/metrics/fold.go
@@ -10,7 +10,7 @@
 	}
 	return &Interval{
 		Sequence:      later.Sequence,
-		FoldedCount:   earlier.FoldedCount + later.FoldedCount,
+		MergedCount:   earlier.MergedCount + later.MergedCount,
 		EndTime:       later.EndTime,
 		Duration:      earlier.Duration + later.Duration,
 		Points:        foldPoints(earlier.Points, later.Points),
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -52,8 +52,8 @@
 	if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
 		t.Fatal("points out of order")
 	}
-	if got := v.Value(Series{ID: Folded}); got != float64(v.FoldedCount) {
-		t.Fatalf("an interval of %d reports %v", v.FoldedCount, got)
+	if got := v.Value(Series{ID: Folded}); got != float64(v.MergedCount) {
+		t.Fatalf("an interval of %d reports %v", v.MergedCount, got)
 	}
 	for _, p := range v.Points {
 		if Catalogue[p.ID].Kind != Counter {
@@ -80,7 +80,7 @@
 		last, folded, samples, duration := map[Series]float64{}, uint64(0), 0.0, time.Duration(0)
 		for _, v := range r.intervals {
 			checkInterval(t, v, last)
-			folded, samples, duration = folded+v.FoldedCount, samples+v.SampleCount(), duration+v.Duration
+			folded, samples, duration = folded+v.MergedCount, samples+v.SampleCount(), duration+v.Duration
 		}
 		requests := 0.0
 		for s, v := range last {
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -52,7 +52,7 @@
 // destinations may hold it. Points and distributions are in the order of their series.
 type Interval struct {
 	Sequence      uint64        // from 1 at the broker's start; of a folded one, that of the last
-	FoldedCount   uint64        // intervals that it is made of: 1, or more if it is folded
+	MergedCount   uint64        // intervals that it is made of: 1, or more if it is folded
 	EndTime       time.Duration // by the wall clock, since 1970
 	Duration      time.Duration // by a monotonic clock
 	Points        []Point
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -11,7 +11,7 @@
 // and all others. It lasts a duration.
 func EveryFigure(duration time.Duration) *metrics.Interval {
 	v := &metrics.Interval{
-		Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
+		Sequence: 7, MergedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
 	}
 	value := 0.0
 	for i, f := range metrics.Catalogue {
