--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -23,7 +23,7 @@
 		r.Add(metrics.RequestsByDataSet, r.Slot(metrics.DataSet, name), 0, 2)
 	}
 	r.Add(metrics.Wasted, 0, 0, 2.5)
-	return r.Cut(1_750_000_000*time.Second, 10*time.Second)
+	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
 // Each figure, under each name it can have, is read as what it was.
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -140,7 +140,7 @@
 			r.Add(metrics.AttemptEnds, slot, part, 1)
 		}
 	}
-	v := r.Cut(time.Hour, time.Second)
+	v := r.EndInterval(time.Hour, time.Second)
 	for _, l := range testLevels {
 		b.Run([]string{"plain", "sign", "encrypt"}[l], func(b *testing.B) {
 			packets := 0
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -40,7 +40,7 @@
 	class := s.registry.Slot(metrics.Class, "lookup")
 	s.registry.Add(metrics.Requests, class, 0, 1)
 	s.registry.Observe(metrics.AnswerTime, class, float64(s.made))
-	return s.registry.Cut(s.now, s.now)
+	return s.registry.EndInterval(s.now, s.now)
 }
 
 // rig drives a machine and records its actions as text.
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -17,7 +17,7 @@
 	r.Add(metrics.Answers, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "lookup"), 12.5)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "re.port;x=1"), 700)
-	return r.Cut(1_750_000_000*time.Second, 10*time.Second)
+	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
 // expectedRecords are what an interval holds, in the order of record numbers.
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -7,8 +7,8 @@
 	"wheatlane/internal/cardinality"
 )
 
-// Cut ends an interval at the times of the wall clock and of the monotonic clock, and returns its figures.
-func (r *Registry) Cut(wall, monotonic time.Duration) *Interval {
+// EndInterval ends an interval at the times of the wall clock and of the monotonic clock, and returns its figures.
+func (r *Registry) EndInterval(wall, monotonic time.Duration) *Interval {
 	r.sequence++
 	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
 	r.setNameCounts()
--- a/internal/metrics/cut_test.go
+++ b/internal/metrics/cut_test.go
@@ -15,7 +15,7 @@
 	}
 	want := []time.Duration{100 * s, 101 * s, 102 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s}
 	for i := range wall {
-		if got := r.Cut(wall[i], 0).EndTime; got != want[i] {
+		if got := r.EndInterval(wall[i], 0).EndTime; got != want[i] {
 			t.Errorf("at %v by the wall clock: reported %v, want %v", wall[i], got, want[i])
 		}
 	}
@@ -24,7 +24,7 @@
 func TestInTimeShare(t *testing.T) {
 	r := NewRegistry(smallLimits(), 0, 0)
 	add := func(outcome int, n float64) { r.Add(Answers, r.Slot(Class, "lookup"), outcome, n) }
-	share := func() float64 { return r.Cut(0, 0).Value(Series{ID: InTimeShare, Name: "lookup"}) }
+	share := func() float64 { return r.EndInterval(0, 0).Value(Series{ID: InTimeShare, Name: "lookup"}) }
 	add(InTime, 6)
 	add(Late, 2)
 	add(Rejected, 1)
@@ -55,6 +55,6 @@
 				r.Observe(AnswerTime, r.Slot(Class, name[:1]), float64(v*20))
 			}
 		}
-		r.Cut(0, 0)
+		r.EndInterval(0, 0)
 	}
 }
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -30,7 +30,7 @@
 			r.samples++
 		}
 		r.now += rapid.SampledFrom([]time.Duration{10 * time.Second, 2 * time.Minute}).Draw(t, "length")
-		r.intervals = append(r.intervals, r.registry.Cut(r.now, r.now))
+		r.intervals = append(r.intervals, r.registry.EndInterval(r.now, r.now))
 	}
 	return r
 }
@@ -109,14 +109,14 @@
 	}
 	count("stays", 3)
 	count("leaves", 5)
-	before := r.Cut(10*time.Second, 10*time.Second)
+	before := r.EndInterval(10*time.Second, 10*time.Second)
 	for i := range 10 { // past the time after which it is idle
 		count("stays", 1)
 		at := time.Duration(20+10*i) * time.Second
-		r.Cut(at, at)
+		r.EndInterval(at, at)
 	}
 	count("stays", 1)
-	after := r.Cut(200*time.Second, 200*time.Second)
+	after := r.EndInterval(200*time.Second, 200*time.Second)
 	v, err := Merge(before, after)
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 				r.Observe(QueueWaitByTenant, r.Slot(Tenant, fmt.Sprint(i)), float64(v))
 			}
 		}
-		return r.Cut(0, 0)
+		return r.EndInterval(0, 0)
 	}
 	earlier, later := cut(), cut()
 	b.ReportAllocs()
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -23,7 +23,7 @@
 	for range 10_000 { // the sketches take their memory
 		record()
 	}
-	r.Cut(0, 0)
+	r.EndInterval(0, 0)
 	for range 10_000 { // and keep it when they are emptied
 		record()
 	}
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -26,7 +26,7 @@
 			r.Add(metrics.AnswersByTenant, slot, label, float64(i+1))
 		}
 	}
-	return r.Cut(rigStart, rigInterval)
+	return r.EndInterval(rigStart, rigInterval)
 }
 
 // awaitBlocked waits until a socket has more to send and the other side reads nothing: all that was sent is
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -40,7 +40,7 @@
 	for name, stats := range destinations {
 		r.recordDestination(name, &stats)
 	}
-	return r.registry.Cut(wall, monotonic)
+	return r.registry.EndInterval(wall, monotonic)
 }
 
 // CutAlone ends an interval of a reducer that has no sockets and no destinations.
