--- a/internal/cardinality/table.go
+++ b/internal/cardinality/table.go
@@ -175,9 +175,9 @@
 	t.counts.Retired++
 }
 
-// Cut ends an interval: names that are idle retire, and heavy hitters that were not admitted take free places
+// EndInterval ends an interval: names that are idle retire, and heavy hitters that were not admitted take free places
 // and those of names that come far less often. What is counted under a slot must have been read before.
-func (t *Table) Cut(now time.Duration) {
+func (t *Table) EndInterval(now time.Duration) {
 	rarest := t.retireIdle(now)
 	for _, candidate := range t.candidates.HeavyHitters() {
 		i, known := t.slotByName[candidate.Name]
--- a/internal/cardinality/table_test.go
+++ b/internal/cardinality/table_test.go
@@ -98,7 +98,7 @@
 			gaps := []time.Duration{time.Second, 2 * time.Minute, 30 * time.Minute, 3 * time.Hour}
 			now += rapid.SampledFrom(gaps).Draw(t, "gap")
 			o.read(t, c.byName(), now)
-			c.table.Cut(now)
+			c.table.EndInterval(now)
 		}
 		if sum := c.sum(); sum != c.total {
 			t.Fatalf("counted %d of %d", sum, c.total)
@@ -118,7 +118,7 @@
 			t.Fatal("admitted though the table is full")
 		}
 	}
-	c.table.Cut(time.Second)
+	c.table.EndInterval(time.Second)
 	got := c.byName()
 	if _, there := got["late"]; !there {
 		t.Fatalf("the heavy hitter is not in: %v", got)
@@ -137,7 +137,7 @@
 				c.add(fmt.Sprint(i), cut*time.Second)
 			}
 		}
-		c.table.Cut(cut * time.Second)
+		c.table.EndInterval(cut * time.Second)
 	}
 	if counts := c.table.Counts(); counts.Admitted != 4 || counts.Retired != 0 {
 		t.Fatalf("%+v", counts)
@@ -148,7 +148,7 @@
 	c := newCounter(smallConfig())
 	c.add("a", 0)
 	c.add("a", 0)
-	c.table.Cut(2 * time.Minute)
+	c.table.EndInterval(2 * time.Minute)
 	if got := c.byName(); len(got) != 0 {
 		t.Fatalf("still there: %v", got)
 	}
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, table := range r.tables {
-		table.Cut(monotonic)
+		table.EndInterval(monotonic)
 	}
 	r.lastCut = monotonic
 }
