--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -43,8 +43,8 @@
 	return r.registry.EndInterval(wall, monotonic)
 }
 
-// CutAlone ends an interval of a reducer that has no sockets and no destinations.
-func (r *Recorder) CutAlone(now time.Duration, reducer *broker.Broker) *metrics.Interval {
+// EndReducerInterval ends an interval of a reducer that has no sockets and no destinations.
+func (r *Recorder) EndReducerInterval(now time.Duration, reducer *broker.Broker) *metrics.Interval {
 	return r.Cut(now, now, reducer, netconn.ConnectionCounts{}, nil)
 }
 
--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -51,7 +51,7 @@
 		t.record()
 	}
 	t.now += intervalLength
-	return t.recorder.CutAlone(t.now, t.broker)
+	return t.recorder.EndReducerInterval(t.now, t.broker)
 }
 
 func (t *traffic) record() {
