--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -188,7 +188,7 @@
 	}
 	var interval *metrics.Interval
 	if !r.inspector.Inspect(ctx, func(b *broker.Broker, connections netconn.ConnectionCounts) {
-		interval = r.recorder.Cut(r.clock.Wall(), r.clock.Monotonic(), b, connections, stats)
+		interval = r.recorder.EndInterval(r.clock.Wall(), r.clock.Monotonic(), b, connections, stats)
 	}) {
 		return
 	}
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// Cut ends an interval at the times of the wall clock and of the monotonic clock. Before that it reads the states
+// EndInterval ends an interval at the times of the wall clock and of the monotonic clock. Before that it reads the states
 // of the reducer, the sockets, the runtime and the destinations into gauges.
-func (r *Recorder) Cut(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
+func (r *Recorder) EndInterval(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
 	r.recordView(reducer)
@@ -45,7 +45,7 @@
 
 // EndReducerInterval ends an interval of a reducer that has no sockets and no destinations.
 func (r *Recorder) EndReducerInterval(now time.Duration, reducer *broker.Broker) *metrics.Interval {
-	return r.Cut(now, now, reducer, netconn.ConnectionCounts{}, nil)
+	return r.EndInterval(now, now, reducer, netconn.ConnectionCounts{}, nil)
 }
 
 // setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
