--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -13,7 +13,7 @@
 
 // The bytes that are sent of every figure are what they were, in each form.
 func TestSentBytes(t *testing.T) {
-	v := metricstest.EveryFigure(10 * time.Second)
+	v := metricstest.FullInterval(10 * time.Second)
 	for _, tt := range []struct {
 		name     string
 		encoder  Encoder
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -7,9 +7,9 @@
 	"wheatlane/internal/metrics"
 )
 
-// EveryFigure is an interval with every figure, each of its details, and values of their own for two names
+// FullInterval is an interval with every figure, each of its details, and values of their own for two names
 // and all others. It lasts a duration.
-func EveryFigure(duration time.Duration) *metrics.Interval {
+func FullInterval(duration time.Duration) *metrics.Interval {
 	v := &metrics.Interval{
 		Sequence: 7, MergedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
 	}
