--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -23,7 +23,7 @@
 
 func (c adminCalls) Vars(ctx context.Context, to []byte) (out []byte, err error) {
 	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ netconn.ConnectionCounts) {
-		out = c.s.recorder.RelayFigures(to, b)
+		out = c.s.recorder.AppendAdminMetrics(to, b)
 	})
 	if !inspected {
 		return nil, adminapi.ErrBusy
--- a/internal/telemetry/relay.go
+++ b/internal/telemetry/relay.go
@@ -12,11 +12,11 @@
 // labelEscaper escapes a label value of the text exposition format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// RelayFigures appends the figures of the admin endpoint, one a line, under the names that the on-call page
+// AppendAdminMetrics appends the figures of the admin endpoint, one a line, under the names that the on-call page
 // gives: requests by class and state, attempts sent, requests in flight, the engines of the endpoint list and
 // those avoided, and the configuration files accepted and rejected at SIGHUP. They come from the counts that
 // Graphite and collectd get as well. Requests of a class without series of its own count under group "other".
-func (r *Recorder) RelayFigures(to []byte, reducer *broker.Broker) []byte {
+func (r *Recorder) AppendAdminMetrics(to []byte, reducer *broker.Broker) []byte {
 	var sends float64
 	r.registry.EachName(metrics.Class, func(class int, name string) {
 		sends += r.registry.Value(metrics.Attempts, class, 0)
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/relay_test.go
@@ -37,7 +37,7 @@
 		r.RequestEnded(s)
 	}
 	r.AttemptStarted("lookup")
-	got := strings.Split(string(r.RelayFigures(nil, b)), "\n")
+	got := strings.Split(string(r.AppendAdminMetrics(nil, b)), "\n")
 	want := []string{
 		`relay_transactions_total{group="lookup",state="answered"} 2`,
 		`relay_transactions_total{group="lookup",state="deferred"} 1`,
