--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -47,8 +47,8 @@
 	group        *errgroup.Group         // the goroutines of the reporter and its destinations
 }
 
-// Limits are the bounds of the names that have series of their own, as the operator's file has them.
-func Limits(names operatorconfig.CardinalityLimits) metrics.Limits {
+// RegistryLimits are the bounds of the names that have series of their own, as the operator's file has them.
+func RegistryLimits(names operatorconfig.CardinalityLimits) metrics.Limits {
 	return metrics.Limits{
 		Classes:     names.Classes,
 		Tenants:     names.Tenants,
@@ -63,7 +63,7 @@
 func New(name string, limits operatorconfig.CardinalityLimits, inspector Inspector, clock Clock, seed uint64,
 	log *zap.Logger,
 ) (*Reporter, *Recorder) {
-	recorder := NewRecorder(Limits(limits), clock.Wall(), clock.Monotonic())
+	recorder := NewRecorder(RegistryLimits(limits), clock.Wall(), clock.Monotonic())
 	return &Reporter{
 		broker:       name,
 		clock:        clock,
