--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -82,9 +82,9 @@
 	return l
 }
 
-// Figure is what a list stands for, and its broker. It fails with ErrName if the list stands for no figure,
+// ParseSeries is what a list stands for, and its broker. It fails with ErrName if the list stands for no figure,
 // or if its values are not of the figure's type.
-func Figure(l List) (broker string, s metrics.Series, err error) {
+func ParseSeries(l List) (broker string, s metrics.Series, err error) {
 	if broker, err = cardinality.Unescape(l.Host); err != nil {
 		return "", s, nameError(&l, "host")
 	}
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			broker, s, err := Figure(lists[0])
+			broker, s, err := ParseSeries(lists[0])
 			if err != nil || broker != "n.1" {
 				t.Errorf("%+v: %q, %v", l, broker, err)
 			}
@@ -68,7 +68,7 @@
 			Type: "wheatlane_answers", TypeInstance: "late", Values: []Value{{Kind: Derive}},
 		}
 	}
-	if _, _, err := Figure(valid()); err != nil {
+	if _, _, err := ParseSeries(valid()); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*List){
@@ -85,7 +85,7 @@
 		t.Run(name, func(t *testing.T) {
 			spoiled := valid()
 			spoil(&spoiled)
-			if _, s, err := Figure(spoiled); !errors.Is(err, ErrName) {
+			if _, s, err := ParseSeries(spoiled); !errors.Is(err, ErrName) {
 				t.Errorf("read as %+v, %v", s, err)
 			}
 		})
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -172,7 +172,7 @@
 		c.reconciler.AddMalformed(err.Error())
 	}
 	for _, list := range lists {
-		broker, series, err := collectd.Figure(list)
+		broker, series, err := collectd.ParseSeries(list)
 		if err != nil {
 			c.reconciler.AddUnknown(err.Error())
 			continue
