--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -21,7 +21,7 @@
 // EachList calls f with the lists of an interval: the host is the broker, the plugin instance DIMENSION-NAME,
 // the type the figure, and the type instance its detail. It ends with the first error of f, or if a sketch
 // can't be decoded.
-func EachList(v *metrics.Interval, host string, f func(List) error) error {
+func EachList(v *metrics.Interval, host string, f func(ValueList) error) error {
 	for _, p := range v.Points {
 		if err := f(newList(v, host, p.Series, pointValue(p))); err != nil {
 			return err
@@ -59,9 +59,9 @@
 	return values, nil
 }
 
-func newList(v *metrics.Interval, host string, s metrics.Series, values ...Value) List {
+func newList(v *metrics.Interval, host string, s metrics.Series, values ...Value) ValueList {
 	figure := &metrics.Catalogue[s.ID]
-	l := List{
+	l := ValueList{
 		Host:     cardinality.Escape(host),
 		Plugin:   pluginName,
 		Type:     typePrefix + figure.Name,
@@ -84,7 +84,7 @@
 
 // ParseSeries is what a list stands for, and its broker. It fails with ErrName if the list stands for no figure,
 // or if its values are not of the figure's type.
-func ParseSeries(l List) (broker string, s metrics.Series, err error) {
+func ParseSeries(l ValueList) (broker string, s metrics.Series, err error) {
 	if broker, err = cardinality.Unescape(l.Host); err != nil {
 		return "", s, nameError(&l, "host")
 	}
@@ -133,7 +133,7 @@
 	return label, label >= 0
 }
 
-func nameError(l *List, what string) error {
+func nameError(l *ValueList, what string) error {
 	return fmt.Errorf("%w: %s of %s/%s-%s/%s-%s",
 		ErrName, what, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
 }
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -30,7 +30,7 @@
 func TestFiguresAreOneToOne(t *testing.T) {
 	v := namedInterval()
 	got := map[metrics.Series][]Value{}
-	err := EachList(v, "n.1", func(l List) error {
+	err := EachList(v, "n.1", func(l ValueList) error {
 		for _, p := range pack(t, Security{}, l) {
 			lists, err := (&Reader{}).Parse(p)
 			if err != nil {
@@ -62,8 +62,8 @@
 }
 
 func TestFigureErrors(t *testing.T) {
-	valid := func() List {
-		return List{
+	valid := func() ValueList {
+		return ValueList{
 			Host: "n1", Plugin: "wheatlane", PluginInstance: "class-lookup",
 			Type: "wheatlane_answers", TypeInstance: "late", Values: []Value{{Kind: Derive}},
 		}
@@ -71,16 +71,16 @@
 	if _, _, err := ParseSeries(valid()); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*List){
-		"host":      func(l *List) { l.Host = "n.1" },
-		"plugin":    func(l *List) { l.Plugin = "cpu" },
-		"type":      func(l *List) { l.Type = "load" },
-		"prefix":    func(l *List) { l.Type = "answers" },
-		"dimension": func(l *List) { l.PluginInstance = "tenant-lookup" },
-		"name":      func(l *List) { l.PluginInstance = "class-a.b" },
-		"detail":    func(l *List) { l.TypeInstance = "tardy" },
-		"kind":      func(l *List) { l.Values[0].Kind = Gauge },
-		"count":     func(l *List) { l.Values = append(l.Values, Value{Kind: Derive}) },
+	for name, spoil := range map[string]func(*ValueList){
+		"host":      func(l *ValueList) { l.Host = "n.1" },
+		"plugin":    func(l *ValueList) { l.Plugin = "cpu" },
+		"type":      func(l *ValueList) { l.Type = "load" },
+		"prefix":    func(l *ValueList) { l.Type = "answers" },
+		"dimension": func(l *ValueList) { l.PluginInstance = "tenant-lookup" },
+		"name":      func(l *ValueList) { l.PluginInstance = "class-a.b" },
+		"detail":    func(l *ValueList) { l.TypeInstance = "tardy" },
+		"kind":      func(l *ValueList) { l.Values[0].Kind = Gauge },
+		"count":     func(l *ValueList) { l.Values = append(l.Values, Value{Kind: Derive}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			spoiled := valid()
--- a/internal/collectd/packer.go
+++ b/internal/collectd/packer.go
@@ -12,13 +12,13 @@
 	Random   func([]byte) error // fills initial vectors of encryption
 	Emit     func(packet []byte) error
 
-	content  []byte // of the packet so far
-	previous List   // the last one in this packet
+	content  []byte    // of the packet so far
+	previous ValueList // the last one in this packet
 }
 
 // Add puts a list into the packet, which is emitted before if the list does not fit. It fails with
 // ErrTooLarge if the list fits no packet, and with what Random and Emit return.
-func (p *Packer) Add(l List) error {
+func (p *Packer) Add(l ValueList) error {
 	for _, t := range l.texts() {
 		if len(*t.text) > MaxText {
 			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxText)
@@ -47,7 +47,7 @@
 		return nil
 	}
 	packet, err := p.Security.seal(p.content, p.Random)
-	p.content, p.previous = p.content[:0], List{}
+	p.content, p.previous = p.content[:0], ValueList{}
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 }
 
 // appendList appends the parts of a list that differ from the previous one; all in an empty packet.
-func appendList(dst []byte, l, previous *List) []byte {
+func appendList(dst []byte, l, previous *ValueList) []byte {
 	first := len(dst) == 0
 	previousTexts := previous.texts()
 	for i, t := range l.texts() {
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -19,7 +19,7 @@
 }
 
 // pack returns the packets of lists. Initial vectors are the same each time.
-func pack(t fatalist, s Security, lists ...List) [][]byte {
+func pack(t fatalist, s Security, lists ...ValueList) [][]byte {
 	t.Helper()
 	var packets [][]byte
 	p := Packer{
@@ -63,7 +63,7 @@
 		"0004" + "0006" + "7500", // only what differs
 		"0006" + "000f" + "0001" + "03" + "0000000000000007",
 	}, "")
-	first := List{
+	first := ValueList{
 		Host: "n1", Plugin: "wheatlane", Type: "t", Time: 18 * time.Second, Interval: 1500 * time.Millisecond,
 		Values: []Value{{Kind: Gauge, Gauge: 1.5}, {Kind: Derive, Count: -2}},
 	}
@@ -77,15 +77,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]List{first, second}, got); diff != "" {
+	if diff := cmp.Diff([]ValueList{first, second}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
 // drawList draws any list, or one that differs from the previous in its values alone.
-func drawList(t *rapid.T, previous []List) List {
+func drawList(t *rapid.T, previous []ValueList) ValueList {
 	text := rapid.StringN(0, 20, MaxText).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
-	l := List{
+	l := ValueList{
 		Host: text.Draw(t, "host"), Plugin: text.Draw(t, "plugin"), PluginInstance: text.Draw(t, "instance"),
 		Type: text.Draw(t, "type"), TypeInstance: text.Draw(t, "type instance"),
 		Time:     time.Duration(rapid.Int64Range(0, 1<<33).Draw(t, "time")) * time.Second,
@@ -111,12 +111,12 @@
 func TestPackedListsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(t, "lists")
-		lists := make([]List, 0, count)
+		lists := make([]ValueList, 0, count)
 		for range count {
 			lists = append(lists, drawList(t, lists))
 		}
 		level := rapid.SampledFrom(testLevels).Draw(t, "level")
-		var got []List
+		var got []ValueList
 		for _, p := range pack(t, testSecurity(level), lists...) {
 			some, err := testReader(level).Parse(p)
 			if err != nil {
--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -68,15 +68,15 @@
 	Count int64   // of the others; a Counter and an Absolute are unsigned
 }
 
-// List is a list of values under one identifier.
-type List struct {
+// ValueList is a list of values under one identifier.
+type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
 	Time, Interval                                   time.Duration // Time is since 1970
 	Values                                           []Value
 }
 
 // texts are the parts of the identifier, in the order that they are written in.
-func (l *List) texts() [5]textPart {
+func (l *ValueList) texts() [5]textPart {
 	return [...]textPart{
 		{partHost, &l.Host},
 		{partPlugin, &l.Plugin},
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -14,7 +14,7 @@
 }
 
 // Parse reads a packet. What it read before an error is returned along with that.
-func (r *Reader) Parse(packet []byte) ([]List, error) {
+func (r *Reader) Parse(packet []byte) ([]ValueList, error) {
 	p := parser{reader: r}
 	err := p.parse(packet, Plain)
 	return p.lists, err
@@ -23,8 +23,8 @@
 // parser is the state of one packet.
 type parser struct {
 	reader  *Reader
-	current List // what the parts read so far make of the next list
-	lists   []List
+	current ValueList // what the parts read so far make of the next list
+	lists   []ValueList
 }
 
 // parse reads the parts of a content that came at a level.
--- a/internal/collectd/reader_test.go
+++ b/internal/collectd/reader_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	got, err := (&Reader{}).Parse(b)
-	want := []List{{
+	want := []ValueList{{
 		Host: "n1", Time: 18 * time.Second, Interval: 10 * time.Second, Values: []Value{{Kind: Counter, Count: 7}},
 	}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
@@ -66,7 +66,7 @@
 }
 
 func TestAddErrors(t *testing.T) {
-	for name, list := range map[string]List{
+	for name, list := range map[string]ValueList{
 		"a long host": {Host: strings.Repeat("x", MaxText+1)},
 		"many values": {Values: make([]Value, 200)},
 	} {
--- a/internal/collectd/security_test.go
+++ b/internal/collectd/security_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-func oneValue() List {
-	return List{
+func oneValue() ValueList {
+	return ValueList{
 		Host: "n1", Plugin: "wheatlane", Type: "t", Time: time.Hour, Values: []Value{{Kind: Derive, Count: 1}},
 	}
 }
