--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -18,10 +18,10 @@
 // ErrName is returned for a list that stands for no figure.
 var ErrName = errors.New("collectd: not a figure of wheatlane's")
 
-// EachList calls f with the lists of an interval: the host is the broker, the plugin instance DIMENSION-NAME,
+// EachValueList calls f with the lists of an interval: the host is the broker, the plugin instance DIMENSION-NAME,
 // the type the figure, and the type instance its detail. It ends with the first error of f, or if a sketch
 // can't be decoded.
-func EachList(v *metrics.Interval, host string, f func(ValueList) error) error {
+func EachValueList(v *metrics.Interval, host string, f func(ValueList) error) error {
 	for _, p := range v.Points {
 		if err := f(newList(v, host, p.Series, pointValue(p))); err != nil {
 			return err
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -30,7 +30,7 @@
 func TestFiguresAreOneToOne(t *testing.T) {
 	v := namedInterval()
 	got := map[metrics.Series][]Value{}
-	err := EachList(v, "n.1", func(l ValueList) error {
+	err := EachValueList(v, "n.1", func(l ValueList) error {
 		for _, p := range pack(t, Security{}, l) {
 			lists, err := (&Reader{}).Parse(p)
 			if err != nil {
--- a/internal/collectd/golden_test.go
+++ b/internal/collectd/golden_test.go
@@ -16,7 +16,7 @@
 	for name, level := range map[string]Level{"plain": Plain, "sign": Sign, "encrypt": Encrypt} {
 		t.Run(name, func(t *testing.T) {
 			var lists []ValueList
-			if err := EachList(metricstest.FullInterval(10*time.Second+3*time.Millisecond), "n 1", func(l ValueList) error {
+			if err := EachValueList(metricstest.FullInterval(10*time.Second+3*time.Millisecond), "n 1", func(l ValueList) error {
 				lists = append(lists, l)
 				return nil
 			}); err != nil {
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -150,7 +150,7 @@
 				Emit:     func([]byte) error { packets++; return nil },
 			}
 			for b.Loop() {
-				if err := EachList(v, "n1", p.Add); err != nil {
+				if err := EachValueList(v, "n1", p.Add); err != nil {
 					b.Fatal(err)
 				}
 				if err := p.Flush(); err != nil {
--- a/internal/telemetry/collectd_transport.go
+++ b/internal/telemetry/collectd_transport.go
@@ -53,7 +53,7 @@
 			return errors.Join(err, ctx.Err())
 		},
 	}
-	if err := collectd.EachList(interval, s.transport.host, packer.Add); err != nil {
+	if err := collectd.EachValueList(interval, s.transport.host, packer.Add); err != nil {
 		return 0, err
 	}
 	if err := packer.Flush(); err != nil {
--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -153,7 +153,7 @@
 	}
 	start := time.Now()
 	for time.Since(start) < packFor {
-		if err := collectd.EachList(interval, "n1", packer.Add); err != nil {
+		if err := collectd.EachValueList(interval, "n1", packer.Add); err != nil {
 			return 0, err
 		}
 		if err := packer.Flush(); err != nil {
