--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -209,7 +209,7 @@
 			passwords := func(name string) (string, bool) {
 				return password, name == user && user != ""
 			}
-			reader := collectd.Reader{Demand: demand, Passwords: passwords}
+			reader := collectd.Reader{MinLevel: demand, Passwords: passwords}
 			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
 				return collector.NewCollectd(flags.listen, reader, collectdSeed, r)
 			})
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -9,7 +9,7 @@
 
 // Reader reads packets as a collector does.
 type Reader struct {
-	Demand    Level                            // lower levels are rejected
+	MinLevel  Level                            // lower levels are rejected
 	Passwords func(user string) (string, bool) // of known users
 }
 
@@ -45,7 +45,7 @@
 			if err := p.parseEncrypted(payload); err != nil {
 				return err
 			}
-		case level < p.reader.Demand:
+		case level < p.reader.MinLevel:
 			return ErrSecurity
 		default:
 			if err := p.parsePart(part, payload); err != nil {
--- a/internal/collectd/security_test.go
+++ b/internal/collectd/security_test.go
@@ -13,7 +13,7 @@
 func testSecurity(l Level) Security { return Security{Level: l, User: "chart", Password: "grønt lys"} }
 
 func testReader(l Level) *Reader {
-	return &Reader{Demand: l, Passwords: func(u string) (string, bool) { return "grønt lys", u == "chart" }}
+	return &Reader{MinLevel: l, Passwords: func(u string) (string, bool) { return "grønt lys", u == "chart" }}
 }
 
 // A collector that demands a level accepts that and higher ones.
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -82,7 +82,7 @@
 func TestCollectdLossAndReordering(t *testing.T) {
 	received := collector.NewReconciler(nil)
 	passwords := func(user string) (string, bool) { return "secret", user == "chart" }
-	reader := collectd.Reader{Demand: collectd.Encrypt, Passwords: passwords}
+	reader := collectd.Reader{MinLevel: collectd.Encrypt, Passwords: passwords}
 	c, err := collector.NewCollectd("127.0.0.1:0", reader, 1, received)
 	if err != nil {
 		t.Fatal(err)
