--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -15,8 +15,8 @@
 	typePrefix = "wheatlane_"
 )
 
-// ErrName is returned for a list that stands for no figure.
-var ErrName = errors.New("collectd: not a figure of wheatlane's")
+// ErrUnknownMetric is returned for a list that stands for no figure.
+var ErrUnknownMetric = errors.New("collectd: not a figure of wheatlane's")
 
 // EachValueList calls f with the lists of an interval: the host is the broker, the plugin instance DIMENSION-NAME,
 // the type the figure, and the type instance its detail. It ends with the first error of f, or if a sketch
@@ -135,5 +135,5 @@
 
 func nameError(l *ValueList, what string) error {
 	return fmt.Errorf("%w: %s of %s/%s-%s/%s-%s",
-		ErrName, what, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
+		ErrUnknownMetric, what, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
 }
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -85,7 +85,7 @@
 		t.Run(name, func(t *testing.T) {
 			spoiled := valid()
 			spoil(&spoiled)
-			if _, s, err := ParseSeries(spoiled); !errors.Is(err, ErrName) {
+			if _, s, err := ParseSeries(spoiled); !errors.Is(err, ErrUnknownMetric) {
 				t.Errorf("read as %+v, %v", s, err)
 			}
 		})
