--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -69,7 +69,7 @@
 // parseSigned reads what follows a signature.
 func (p *parser) parseSigned(signature, content []byte) error {
 	if len(signature) <= signatureLen {
-		return fmt.Errorf("%w: a signature of %d bytes", ErrPart, len(signature))
+		return fmt.Errorf("%w: a signature of %d bytes", ErrMalformedPart, len(signature))
 	}
 	user := signature[signatureLen:]
 	s, err := p.security(string(user))
@@ -127,7 +127,7 @@
 func (p *parser) parseText(part uint16, payload []byte) error {
 	end := len(payload) - 1
 	if end < 0 || payload[end] != 0 || end > MaxText {
-		return fmt.Errorf("%w: text of type %#x", ErrPart, part)
+		return fmt.Errorf("%w: text of type %#x", ErrMalformedPart, part)
 	}
 	for _, t := range p.current.texts() {
 		if t.part == part {
@@ -139,7 +139,7 @@
 
 func (p *parser) parseTime(part uint16, payload []byte) error {
 	if len(payload) != numberLen {
-		return fmt.Errorf("%w: number of type %#x", ErrPart, part)
+		return fmt.Errorf("%w: number of type %#x", ErrMalformedPart, part)
 	}
 	v := binary.BigEndian.Uint64(payload)
 	var d time.Duration
@@ -147,7 +147,7 @@
 	case part == partTimeHR || part == partIntervalHR:
 		d = fromHighResolution(v)
 	case v > math.MaxInt64/uint64(time.Second):
-		return fmt.Errorf("%w: a time of %d s", ErrPart, v)
+		return fmt.Errorf("%w: a time of %d s", ErrMalformedPart, v)
 	default:
 		d = time.Duration(v) * time.Second
 	}
@@ -165,7 +165,7 @@
 	}
 	count := int(binary.BigEndian.Uint16(payload))
 	if count == 0 || len(payload) != countLen+valueLen*count {
-		return nil, fmt.Errorf("%w: %d values in %d bytes", ErrPart, count, len(payload))
+		return nil, fmt.Errorf("%w: %d values in %d bytes", ErrMalformedPart, count, len(payload))
 	}
 	kinds, numbers := payload[countLen:countLen+count], payload[countLen+count:]
 	values := make([]Value, count)
@@ -186,7 +186,7 @@
 	case Counter, Derive, Absolute:
 		v.Count = int64(binary.BigEndian.Uint64(number))
 	default:
-		return v, fmt.Errorf("%w: data source of type %d", ErrPart, kind)
+		return v, fmt.Errorf("%w: data source of type %d", ErrMalformedPart, kind)
 	}
 	return v, nil
 }
