--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -42,12 +42,12 @@
 
 // Errors of a packet.
 var (
-	ErrTruncated     = errors.New("collectd: a part is cut off")
-	ErrMalformedPart = errors.New("collectd: a part can't be read")
-	ErrSecurity      = errors.New("collectd: not signed or encrypted as is demanded")
-	ErrUser          = errors.New("collectd: unknown user")
-	ErrSignature     = errors.New("collectd: wrong signature")
-	ErrTooLarge      = errors.New("collectd: does not fit a packet")
+	ErrTruncated            = errors.New("collectd: a part is cut off")
+	ErrMalformedPart        = errors.New("collectd: a part can't be read")
+	ErrInsufficientSecurity = errors.New("collectd: not signed or encrypted as is demanded")
+	ErrUser                 = errors.New("collectd: unknown user")
+	ErrSignature            = errors.New("collectd: wrong signature")
+	ErrTooLarge             = errors.New("collectd: does not fit a packet")
 )
 
 // Kind is the type of a data source.
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -46,7 +46,7 @@
 				return err
 			}
 		case level < p.reader.MinLevel:
-			return ErrSecurity
+			return ErrInsufficientSecurity
 		default:
 			if err := p.parsePart(part, payload); err != nil {
 				return err
--- a/internal/collectd/security_test.go
+++ b/internal/collectd/security_test.go
@@ -25,7 +25,7 @@
 				if sent >= demanded && (err != nil || len(got) != 1) {
 					t.Error(err)
 				}
-				if sent < demanded && (!errors.Is(err, ErrSecurity) || len(got) != 0) {
+				if sent < demanded && (!errors.Is(err, ErrInsufficientSecurity) || len(got) != 0) {
 					t.Errorf("%v, %v", got, err)
 				}
 			})
