--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -45,7 +45,7 @@
 	ErrTruncated            = errors.New("collectd: a part is cut off")
 	ErrMalformedPart        = errors.New("collectd: a part can't be read")
 	ErrInsufficientSecurity = errors.New("collectd: not signed or encrypted as is demanded")
-	ErrUser                 = errors.New("collectd: unknown user")
+	ErrUnknownUser          = errors.New("collectd: unknown user")
 	ErrSignature            = errors.New("collectd: wrong signature")
 	ErrTooLarge             = errors.New("collectd: does not fit a packet")
 )
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -61,7 +61,7 @@
 func (p *parser) security(user string) (Security, error) {
 	password, ok := p.reader.Passwords(user)
 	if !ok {
-		return Security{}, fmt.Errorf("%w %.40q", ErrUser, user)
+		return Security{}, fmt.Errorf("%w %.40q", ErrUnknownUser, user)
 	}
 	return Security{Password: password}, nil
 }
--- a/internal/collectd/security_test.go
+++ b/internal/collectd/security_test.go
@@ -49,7 +49,7 @@
 				}
 			}
 			stranger := &Reader{Passwords: func(string) (string, bool) { return "", false }}
-			if _, err := stranger.Parse(packet); !errors.Is(err, ErrUser) {
+			if _, err := stranger.Parse(packet); !errors.Is(err, ErrUnknownUser) {
 				t.Errorf("an unknown user: %v", err)
 			}
 		})
