--- a/internal/collectd/packer.go
+++ b/internal/collectd/packer.go
@@ -24,7 +24,7 @@
 			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxText)
 		}
 	}
-	capacity := MaxPacket - p.Security.overhead()
+	capacity := MaxPacketBytes - p.Security.overhead()
 	before := len(p.content)
 	p.content = appendList(p.content, &l, &p.previous)
 	if len(p.content) <= capacity {
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -31,7 +31,7 @@
 			return nil
 		},
 		Emit: func(b []byte) error {
-			if len(b) > MaxPacket {
+			if len(b) > MaxPacketBytes {
 				t.Fatal("a packet of", len(b))
 			}
 			packets = append(packets, b)
--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// MaxPacket is the largest datagram, in bytes: what an Ethernet frame holds with IPv6 and UDP headers.
-const MaxPacket = 1452
+// MaxPacketBytes is the largest datagram, in bytes: what an Ethernet frame holds with IPv6 and UDP headers.
+const MaxPacketBytes = 1452
 
 // MaxText is the longest text of an identifier, in bytes.
 const MaxText = 127
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -164,7 +164,7 @@
 
 // consume parses a datagram. What precedes a malformed part counts.
 func (c *Collectd) consume(packet []byte) {
-	if len(packet) > collectd.MaxPacket {
+	if len(packet) > collectd.MaxPacketBytes {
 		c.reconciler.AddMalformed(fmt.Sprintf("a packet of %d bytes", len(packet)))
 	}
 	lists, err := c.reader.Parse(packet)
