--- a/internal/collectd/packer.go
+++ b/internal/collectd/packer.go
@@ -20,8 +20,8 @@
 // ErrTooLarge if the list fits no packet, and with what Random and Emit return.
 func (p *Packer) Add(l ValueList) error {
 	for _, t := range l.texts() {
-		if len(*t.text) > MaxText {
-			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxText)
+		if len(*t.text) > MaxTextBytes {
+			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxTextBytes)
 		}
 	}
 	capacity := MaxPacketBytes - p.Security.overhead()
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -84,7 +84,7 @@
 
 // drawList draws any list, or one that differs from the previous in its values alone.
 func drawList(t *rapid.T, previous []ValueList) ValueList {
-	text := rapid.StringN(0, 20, MaxText).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
+	text := rapid.StringN(0, 20, MaxTextBytes).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
 	l := ValueList{
 		Host: text.Draw(t, "host"), Plugin: text.Draw(t, "plugin"), PluginInstance: text.Draw(t, "instance"),
 		Type: text.Draw(t, "type"), TypeInstance: text.Draw(t, "type instance"),
--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -13,8 +13,8 @@
 // MaxPacketBytes is the largest datagram, in bytes: what an Ethernet frame holds with IPv6 and UDP headers.
 const MaxPacketBytes = 1452
 
-// MaxText is the longest text of an identifier, in bytes.
-const MaxText = 127
+// MaxTextBytes is the longest text of an identifier, in bytes.
+const MaxTextBytes = 127
 
 // The types of parts.
 const (
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -126,7 +126,7 @@
 
 func (p *parser) parseText(part uint16, payload []byte) error {
 	end := len(payload) - 1
-	if end < 0 || payload[end] != 0 || end > MaxText {
+	if end < 0 || payload[end] != 0 || end > MaxTextBytes {
 		return fmt.Errorf("%w: text of type %#x", ErrMalformedPart, part)
 	}
 	for _, t := range p.current.texts() {
--- a/internal/collectd/reader_test.go
+++ b/internal/collectd/reader_test.go
@@ -67,7 +67,7 @@
 
 func TestAddErrors(t *testing.T) {
 	for name, list := range map[string]ValueList{
-		"a long host": {Host: strings.Repeat("x", MaxText+1)},
+		"a long host": {Host: strings.Repeat("x", MaxTextBytes+1)},
 		"many values": {Values: make([]Value, 200)},
 	} {
 		t.Run(name, func(t *testing.T) {
