--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -159,7 +159,7 @@
 
 func emulateGraphiteCommand() *cobra.Command {
 	var flags collectorFlags
-	var form graphite.Form
+	var form graphite.PathFormat
 	var pickle bool
 	c := &cobra.Command{
 		Use:   "graphite",
--- a/cmd/wheatlane/telemetry_test.go
+++ b/cmd/wheatlane/telemetry_test.go
@@ -18,7 +18,7 @@
 func startCollector(t *testing.T) (*collector.Carbon, *collector.Reconciler) {
 	t.Helper()
 	received := collector.NewReconciler(nil)
-	server, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane"}, false, received)
+	server, err := collector.NewCarbon("127.0.0.1:0", graphite.PathFormat{Prefix: "wheatlane"}, false, received)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/setup.go
+++ b/internal/demo/setup.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	d.reconciler = collector.NewReconciler(d.figures.Add)
-	form := graphite.Form{Prefix: "wheatlane", Tags: true}
+	form := graphite.PathFormat{Prefix: "wheatlane", Tags: true}
 	d.carbon, err = collector.NewCarbon("127.0.0.1:0", form, false, d.reconciler)
 	return err
 }
--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -25,7 +25,7 @@
 
 // Carbon emulates a carbon server.
 type Carbon struct {
-	Form       graphite.Form
+	Form       graphite.PathFormat
 	Pickle     bool // it reads the pickle protocol, not lines
 	reconciler *Reconciler
 	addr       string
@@ -39,7 +39,7 @@
 
 // NewCarbon returns a server that listens at an address already; port 0 is any, and the one taken is kept
 // when it becomes reachable again. Connections that come before Run wait for it.
-func NewCarbon(address string, form graphite.Form, pickle bool, reconciler *Reconciler) (*Carbon, error) {
+func NewCarbon(address string, form graphite.PathFormat, pickle bool, reconciler *Reconciler) (*Carbon, error) {
 	listener, err := listenTCP(address)
 	if err != nil {
 		return nil, err
--- a/internal/emulator/collector/carbon_test.go
+++ b/internal/emulator/collector/carbon_test.go
@@ -14,7 +14,7 @@
 
 func newTestCarbon(t *testing.T, reconciler *Reconciler) *Carbon {
 	t.Helper()
-	c, err := NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, false, reconciler)
+	c, err := NewCarbon("127.0.0.1:0", graphite.PathFormat{Prefix: "w"}, false, reconciler)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/collector/recording.go
+++ b/internal/emulator/collector/recording.go
@@ -17,7 +17,7 @@
 )
 
 // recordedForm is the form of names in a recording.
-var recordedForm = graphite.Form{Tags: true}
+var recordedForm = graphite.PathFormat{Tags: true}
 
 // ErrRecording is returned for a file that is no recording, or one that breaks off in a line.
 var ErrRecording = errors.New("not a recording of figures")
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -21,7 +21,7 @@
 // Encoder encodes intervals. A record is one value of one path; records are numbered from 0 in an order that
 // an interval fixes, so that encoding can resume at any of them.
 type Encoder struct {
-	Form   Form
+	Form   PathFormat
 	Broker string
 	Pickle bool // the pickle protocol; else plaintext
 }
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -23,15 +23,15 @@
 	Stat   string // of a distribution, one of metrics.Stats; else empty
 }
 
-// Form is how names become paths.
-type Form struct {
+// PathFormat is how names become paths.
+type PathFormat struct {
 	Prefix string // of each path, its parts separated by dots; may be empty
 	Tags   bool   // those of Graphite 1.1
 }
 
 // Append appends a name's path: PREFIX.BROKER.FIGURE[.NAME][.DETAIL][.STAT], or with tags
 // PREFIX.FIGURE[.STAT];broker=BROKER[;DIMENSION=NAME][;DETAIL=...].
-func (f Form) Append(dst []byte, n Name) []byte {
+func (f PathFormat) Append(dst []byte, n Name) []byte {
 	if f.Prefix != "" {
 		dst = append(append(dst, f.Prefix...), '.')
 	}
@@ -90,7 +90,7 @@
 }
 
 // Parse reads a path that Append made. It fails with ErrName for any other.
-func (f Form) Parse(path string) (Name, error) {
+func (f PathFormat) Parse(path string) (Name, error) {
 	rest := path
 	if f.Prefix != "" {
 		var ok bool
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -14,32 +14,32 @@
 	otherEngines := metrics.Series{ID: metrics.EngineTime, Other: true}
 	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
-		form Form
+		form PathFormat
 		name Name
 		want string
 	}{
 		{
-			Form{Prefix: "sea.wheatlane"},
+			PathFormat{Prefix: "sea.wheatlane"},
 			Name{Broker: "n1", Series: late},
 			"sea.wheatlane.n1.answers.re_2eport.late",
 		},
 		{
-			Form{Prefix: "wheatlane", Tags: true},
+			PathFormat{Prefix: "wheatlane", Tags: true},
 			Name{Broker: "n1", Series: late},
 			"wheatlane.answers;broker=n1;class=re_2eport;outcome=late",
 		},
 		{
-			Form{},
+			PathFormat{},
 			Name{Broker: "", Series: metrics.Series{ID: metrics.Open}},
 			"_.open_requests",
 		},
 		{
-			Form{Tags: true},
+			PathFormat{Tags: true},
 			Name{Broker: "n 1", Series: otherEngines, Stat: "p99"},
 			"engine_ms.p99;broker=n_201;engine=other",
 		},
 		{
-			Form{},
+			PathFormat{},
 			Name{Broker: "n1", Series: engineNamedOther, Stat: "max"},
 			"n1.engine_ms._6fther.max",
 		},
@@ -73,7 +73,7 @@
 func TestPathsAreOneToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := drawName(t)
-		f := Form{
+		f := PathFormat{
 			Prefix: rapid.SampledFrom([]string{"", "a", "a.b-c_d"}).Draw(t, "prefix"),
 			Tags:   rapid.Bool().Draw(t, "tags"),
 		}
@@ -93,7 +93,7 @@
 		"wheatlane.n1.answers.loo kup.late",
 		"wheatlane.n1.engine_ms.e.p98",
 	} {
-		if n, err := (Form{Prefix: "wheatlane"}).Parse(path); !errors.Is(err, ErrName) {
+		if n, err := (PathFormat{Prefix: "wheatlane"}).Parse(path); !errors.Is(err, ErrName) {
 			t.Errorf("%q was read as %+v, %v", path, n, err)
 		}
 	}
--- a/internal/telemetry/carbon_rig_test.go
+++ b/internal/telemetry/carbon_rig_test.go
@@ -20,7 +20,7 @@
 ) {
 	t.Helper()
 	received := collector.NewReconciler(nil)
-	c, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "w"}, pickle, received)
+	c, err := collector.NewCarbon("127.0.0.1:0", graphite.PathFormat{Prefix: "w"}, pickle, received)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/measure/telemetry/endtoend.go
+++ b/measure/telemetry/endtoend.go
@@ -123,7 +123,7 @@
 	if name == deadCollector {
 		received = collector.NewReconciler(nil)
 	}
-	server, err := collector.NewCarbon("127.0.0.1:0", graphite.Form{Prefix: "wheatlane"}, false, received)
+	server, err := collector.NewCarbon("127.0.0.1:0", graphite.PathFormat{Prefix: "wheatlane"}, false, received)
 	if err != nil {
 		return err
 	}
