--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -21,7 +21,7 @@
 // Encoder encodes intervals. A record is one value of one path; records are numbered from 0 in an order that
 // an interval fixes, so that encoding can resume at any of them.
 type Encoder struct {
-	Form   PathFormat
+	Format PathFormat
 	Broker string
 	Pickle bool // the pickle protocol; else plaintext
 }
@@ -44,7 +44,7 @@
 func (e *Encoder) appendLines(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
 	next, end := from, len(dst)+maxBytes
 	err := e.eachRecord(v, from, func(n Name, value float64) bool {
-		dst = append(e.Form.Append(dst, n), ' ')
+		dst = append(e.Format.Append(dst, n), ' ')
 		dst = append(strconv.AppendFloat(dst, value, 'f', -1, 64), ' ')
 		dst = append(strconv.AppendInt(dst, timestamp(v), 10), '\n')
 		next++
@@ -59,7 +59,7 @@
 	var path []byte
 	next, size := from, 0
 	err := e.eachRecord(v, from, func(n Name, value float64) bool {
-		path = e.Form.Append(path[:0], n)
+		path = e.Format.Append(path[:0], n)
 		records = append(records, pickle.Tuple{string(path), pickle.Tuple{timestamp(v), value}})
 		size += len(path) + pickledRecordOverhead
 		next++
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -26,7 +26,7 @@
 	all := make([]Sample, 0, e.Records(v))
 	add := func(n Name, value float64) {
 		n.Broker = e.Broker
-		all = append(all, Sample{string(e.Form.Append(nil, n)), value, int64(v.EndTime / time.Second)})
+		all = append(all, Sample{string(e.Format.Append(nil, n)), value, int64(v.EndTime / time.Second)})
 	}
 	for _, p := range v.Points {
 		add(Name{Series: p.Series}, p.Value)
@@ -52,7 +52,7 @@
 	for _, pickled := range []bool{false, true} {
 		for _, tags := range []bool{false, true} {
 			t.Run(fmt.Sprintf("pickle %v, tags %v", pickled, tags), func(t *testing.T) {
-				e := &Encoder{Form: PathFormat{Prefix: "w", Tags: tags}, Broker: "n1", Pickle: pickled}
+				e := &Encoder{Format: PathFormat{Prefix: "w", Tags: tags}, Broker: "n1", Pickle: pickled}
 				want := expectedRecords(t, e, v)
 				for from := range want {
 					for _, maxBytes := range []int{1, 100, 1 << 20} {
@@ -109,7 +109,7 @@
 
 func BenchmarkAppend(b *testing.B) {
 	v := smallInterval()
-	e := &Encoder{Form: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}
+	e := &Encoder{Format: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}
 	b.ReportAllocs()
 	var out []byte
 	for b.Loop() {
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -19,12 +19,12 @@
 		encoder  Encoder
 		maxBytes int // that are asked for at a time
 	}{
-		{"lines", Encoder{Form: PathFormat{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
-		{"lines-in-parts", Encoder{Form: PathFormat{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
-		{"tags", Encoder{Form: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}, 1 << 20},
+		{"lines", Encoder{Format: PathFormat{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
+		{"lines-in-parts", Encoder{Format: PathFormat{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
+		{"tags", Encoder{Format: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}, 1 << 20},
 		{"no-prefix", Encoder{Broker: ""}, 1 << 20},
-		{"pickle", Encoder{Form: PathFormat{Prefix: "wheatlane"}, Broker: "n1", Pickle: true}, 4000},
-		{"pickle-tags", Encoder{Form: PathFormat{Tags: true}, Broker: "n1", Pickle: true}, 1 << 20},
+		{"pickle", Encoder{Format: PathFormat{Prefix: "wheatlane"}, Broker: "n1", Pickle: true}, 4000},
+		{"pickle-tags", Encoder{Format: PathFormat{Tags: true}, Broker: "n1", Pickle: true}, 1 << 20},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var all strings.Builder
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	encoder := graphite.Encoder{Form: graphite.PathFormat{Prefix: "w"}, Broker: "n1", Pickle: pickle}
+	encoder := graphite.Encoder{Format: graphite.PathFormat{Prefix: "w"}, Broker: "n1", Pickle: pickle}
 	return &carbonPeer{t, listener, carbonTransport{encoder}}
 }
 
--- a/internal/telemetry/plan.go
+++ b/internal/telemetry/plan.go
@@ -47,7 +47,7 @@
 		address:  configured.Address,
 		settings: settings,
 		transport: &carbonTransport{graphite.Encoder{
-			Form:   graphite.PathFormat{Prefix: configured.Prefix, Tags: configured.Tags},
+			Format: graphite.PathFormat{Prefix: configured.Prefix, Tags: configured.Tags},
 			Broker: broker,
 			Pickle: configured.Protocol == "pickle",
 		}},
