--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -177,7 +177,7 @@
 			c.reconciler.AddUnknown(err.Error())
 			continue
 		}
-		name := graphite.Name{Broker: broker, Series: series}
+		name := graphite.MetricName{Broker: broker, Series: series}
 		timestamp := int64(list.Time / time.Second)
 		for i, v := range list.Values {
 			value := v.Gauge
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -34,7 +34,7 @@
 		if metrics.Catalogue[f.id].Dimension != metrics.NoDimension {
 			series.Name = "lookup"
 		}
-		name := graphite.Name{Broker: broker, Series: series}
+		name := graphite.MetricName{Broker: broker, Series: series}
 		samples = append(samples, Sample{Name: name, Value: f.value, Timestamp: timestamp})
 	}
 	return samples
@@ -115,7 +115,7 @@
 	samples := slices.Clone(firstInterval)
 	series := metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}
 	for i, stat := range metrics.Stats {
-		name := graphite.Name{Broker: "n1", Series: series, Stat: stat}
+		name := graphite.MetricName{Broker: "n1", Series: series, Stat: stat}
 		samples = append(samples, Sample{Name: name, Value: float64(10 - i), Timestamp: 110})
 	}
 	f := Reconcile(samples, 0, nil, nil)
--- a/internal/emulator/collector/reconciler.go
+++ b/internal/emulator/collector/reconciler.go
@@ -18,7 +18,7 @@
 // Sample is one value as a collector received it.
 type Sample struct {
 	ArrivedAfter time.Duration // since the collector's start
-	Name         graphite.Name
+	Name         graphite.MetricName
 	Value        float64
 	Timestamp    int64 // the broker's timestamp in seconds of Unix time
 }
@@ -45,7 +45,7 @@
 }
 
 // Add keeps a sample.
-func (r *Reconciler) Add(name graphite.Name, value float64, timestamp int64) {
+func (r *Reconciler) Add(name graphite.MetricName, value float64, timestamp int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Sample{ArrivedAfter: time.Since(r.startedAt), Name: name, Value: value, Timestamp: timestamp}
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -79,7 +79,7 @@
 				s.LabelIndex = i
 			}
 		}
-		name := graphite.Name{Broker: l.broker, Series: s, Stat: l.stat}
+		name := graphite.MetricName{Broker: l.broker, Series: s, Stat: l.stat}
 		r.Add(Sample{ArrivedAfter: l.arrived, Name: name, Value: l.value, Timestamp: l.at})
 		want += l.line + "\n"
 	}
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -43,7 +43,7 @@
 
 func (e *Encoder) appendLines(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
 	next, end := from, len(dst)+maxBytes
-	err := e.eachRecord(v, from, func(n Name, value float64) bool {
+	err := e.eachRecord(v, from, func(n MetricName, value float64) bool {
 		dst = append(e.Format.Append(dst, n), ' ')
 		dst = append(strconv.AppendFloat(dst, value, 'f', -1, 64), ' ')
 		dst = append(strconv.AppendInt(dst, timestamp(v), 10), '\n')
@@ -58,7 +58,7 @@
 	var records []any
 	var path []byte
 	next, size := from, 0
-	err := e.eachRecord(v, from, func(n Name, value float64) bool {
+	err := e.eachRecord(v, from, func(n MetricName, value float64) bool {
 		path = e.Format.Append(path[:0], n)
 		records = append(records, pickle.Tuple{string(path), pickle.Tuple{timestamp(v), value}})
 		size += len(path) + pickledRecordOverhead
@@ -81,9 +81,9 @@
 func timestamp(v *metrics.Interval) int64 { return int64(v.EndTime / time.Second) }
 
 // eachRecord calls f with the records from a number on, until it returns false. Each sketch is decoded once.
-func (e *Encoder) eachRecord(v *metrics.Interval, from int, f func(Name, float64) bool) error {
+func (e *Encoder) eachRecord(v *metrics.Interval, from int, f func(MetricName, float64) bool) error {
 	for i := from; i < len(v.Points); i++ {
-		if !f(Name{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value) {
+		if !f(MetricName{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value) {
 			return nil
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 		values := summary.Values()
 		for stat := max(0, first-i*len(metrics.Stats)); stat < len(values); stat++ {
-			if !f(Name{Broker: e.Broker, Series: d.Series, Stat: metrics.Stats[stat]}, values[stat]) {
+			if !f(MetricName{Broker: e.Broker, Series: d.Series, Stat: metrics.Stats[stat]}, values[stat]) {
 				return nil
 			}
 		}
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -24,12 +24,12 @@
 func expectedRecords(t *testing.T, e *Encoder, v *metrics.Interval) []Sample {
 	t.Helper()
 	all := make([]Sample, 0, e.Records(v))
-	add := func(n Name, value float64) {
+	add := func(n MetricName, value float64) {
 		n.Broker = e.Broker
 		all = append(all, Sample{string(e.Format.Append(nil, n)), value, int64(v.EndTime / time.Second)})
 	}
 	for _, p := range v.Points {
-		add(Name{Series: p.Series}, p.Value)
+		add(MetricName{Series: p.Series}, p.Value)
 	}
 	for _, d := range v.Distributions {
 		s, err := metrics.Summarize(d.EncodedSketch)
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		for i, value := range s.Values() {
-			add(Name{Series: d.Series, Stat: metrics.Stats[i]}, value)
+			add(MetricName{Series: d.Series, Stat: metrics.Stats[i]}, value)
 		}
 	}
 	if len(all) != e.Records(v) {
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -16,8 +16,8 @@
 // brokerTag is the tag of the broker.
 const brokerTag = "broker"
 
-// Name is what a path stands for.
-type Name struct {
+// MetricName is what a path stands for.
+type MetricName struct {
 	Broker string
 	Series metrics.Series
 	Stat   string // of a distribution, one of metrics.Stats; else empty
@@ -31,7 +31,7 @@
 
 // Append appends a name's path: PREFIX.BROKER.FIGURE[.NAME][.DETAIL][.STAT], or with tags
 // PREFIX.FIGURE[.STAT];broker=BROKER[;DIMENSION=NAME][;DETAIL=...].
-func (f PathFormat) Append(dst []byte, n Name) []byte {
+func (f PathFormat) Append(dst []byte, n MetricName) []byte {
 	if f.Prefix != "" {
 		dst = append(append(dst, f.Prefix...), '.')
 	}
@@ -41,7 +41,7 @@
 	return appendDotted(dst, n)
 }
 
-func appendDotted(dst []byte, n Name) []byte {
+func appendDotted(dst []byte, n MetricName) []byte {
 	figure := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, cardinality.Escape(n.Broker)...)
 	dst = appendPart(dst, figure.Name)
@@ -57,7 +57,7 @@
 	return dst
 }
 
-func appendTagged(dst []byte, n Name) []byte {
+func appendTagged(dst []byte, n MetricName) []byte {
 	figure := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, figure.Name...)
 	if n.Stat != "" {
@@ -90,24 +90,24 @@
 }
 
 // Parse reads a path that Append made. It fails with ErrName for any other.
-func (f PathFormat) Parse(path string) (Name, error) {
+func (f PathFormat) Parse(path string) (MetricName, error) {
 	rest := path
 	if f.Prefix != "" {
 		var ok bool
 		if rest, ok = strings.CutPrefix(path, f.Prefix+"."); !ok {
-			return Name{}, fmt.Errorf("%w: %.80q", ErrName, path)
+			return MetricName{}, fmt.Errorf("%w: %.80q", ErrName, path)
 		}
 	}
 	split := splitDotted
 	if f.Tags {
 		split = splitTagged
 	}
-	n, ok := Name{}, false
+	n, ok := MetricName{}, false
 	if p, complete := split(rest); complete {
 		n, ok = p.name()
 	}
 	if !ok || string(f.Append(nil, n)) != path { // a name has one spelling
-		return Name{}, fmt.Errorf("%w: %.80q", ErrName, path)
+		return MetricName{}, fmt.Errorf("%w: %.80q", ErrName, path)
 	}
 	return n, nil
 }
@@ -156,7 +156,7 @@
 }
 
 // name is what the parts stand for; ok is false if they stand for nothing.
-func (p *pathParts) name() (n Name, ok bool) {
+func (p *pathParts) name() (n MetricName, ok bool) {
 	var err error
 	if n.Broker, err = cardinality.Unescape(p.broker); err != nil {
 		return n, false
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -15,32 +15,32 @@
 	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
 		form PathFormat
-		name Name
+		name MetricName
 		want string
 	}{
 		{
 			PathFormat{Prefix: "sea.wheatlane"},
-			Name{Broker: "n1", Series: late},
+			MetricName{Broker: "n1", Series: late},
 			"sea.wheatlane.n1.answers.re_2eport.late",
 		},
 		{
 			PathFormat{Prefix: "wheatlane", Tags: true},
-			Name{Broker: "n1", Series: late},
+			MetricName{Broker: "n1", Series: late},
 			"wheatlane.answers;broker=n1;class=re_2eport;outcome=late",
 		},
 		{
 			PathFormat{},
-			Name{Broker: "", Series: metrics.Series{ID: metrics.Open}},
+			MetricName{Broker: "", Series: metrics.Series{ID: metrics.Open}},
 			"_.open_requests",
 		},
 		{
 			PathFormat{Tags: true},
-			Name{Broker: "n 1", Series: otherEngines, Stat: "p99"},
+			MetricName{Broker: "n 1", Series: otherEngines, Stat: "p99"},
 			"engine_ms.p99;broker=n_201;engine=other",
 		},
 		{
 			PathFormat{},
-			Name{Broker: "n1", Series: engineNamedOther, Stat: "max"},
+			MetricName{Broker: "n1", Series: engineNamedOther, Stat: "max"},
 			"n1.engine_ms._6fther.max",
 		},
 	} {
@@ -53,10 +53,10 @@
 }
 
 // drawName draws the name of any series.
-func drawName(t *rapid.T) Name {
+func drawName(t *rapid.T) MetricName {
 	id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "figure"))
 	figure := &metrics.Catalogue[id]
-	n := Name{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{ID: id}}
+	n := MetricName{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{ID: id}}
 	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "part")
 	if figure.Dimension != metrics.NoDimension {
 		if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -16,7 +16,7 @@
 	add := func(at int64, id metrics.ID, name, stat string, label int, v float64) {
 		series := metrics.Series{ID: id, Name: name, LabelIndex: label}
 		all = append(all, collector.Sample{
-			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
+			Name: graphite.MetricName{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
 		})
 	}
 	for i := range 6 {
