--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// ErrName is returned for a path that Form.Append never makes.
-var ErrName = errors.New("graphite: not the name of a figure")
+// ErrInvalidPath is returned for a path that Form.Append never makes.
+var ErrInvalidPath = errors.New("graphite: not the name of a figure")
 
 // brokerTag is the tag of the broker.
 const brokerTag = "broker"
@@ -95,7 +95,7 @@
 	if f.Prefix != "" {
 		var ok bool
 		if rest, ok = strings.CutPrefix(path, f.Prefix+"."); !ok {
-			return MetricName{}, fmt.Errorf("%w: %.80q", ErrName, path)
+			return MetricName{}, fmt.Errorf("%w: %.80q", ErrInvalidPath, path)
 		}
 	}
 	split := splitDotted
@@ -107,7 +107,7 @@
 		n, ok = p.name()
 	}
 	if !ok || string(f.Append(nil, n)) != path { // a name has one spelling
-		return MetricName{}, fmt.Errorf("%w: %.80q", ErrName, path)
+		return MetricName{}, fmt.Errorf("%w: %.80q", ErrInvalidPath, path)
 	}
 	return n, nil
 }
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -93,7 +93,7 @@
 		"wheatlane.n1.answers.loo kup.late",
 		"wheatlane.n1.engine_ms.e.p98",
 	} {
-		if n, err := (PathFormat{Prefix: "wheatlane"}).Parse(path); !errors.Is(err, ErrName) {
+		if n, err := (PathFormat{Prefix: "wheatlane"}).Parse(path); !errors.Is(err, ErrInvalidPath) {
 			t.Errorf("%q was read as %+v, %v", path, n, err)
 		}
 	}
