--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -263,7 +263,7 @@
 				c.reconciler.AddUnknown(s.Path)
 				continue
 			}
-			c.reconciler.Add(name, s.Value, s.At)
+			c.reconciler.Add(name, s.Value, s.Timestamp)
 		}
 	}
 }
--- a/internal/graphite/parse.go
+++ b/internal/graphite/parse.go
@@ -26,9 +26,9 @@
 
 // Sample is one value of one path.
 type Sample struct {
-	Path  string
-	Value float64
-	At    int64 // seconds of Unix time
+	Path      string
+	Value     float64
+	Timestamp int64 // seconds of Unix time
 }
 
 // ParseLine reads a line from the front of b. It returns the number of bytes that the line takes, 0 while it
@@ -50,7 +50,7 @@
 	if s.Value, err = strconv.ParseFloat(string(fields[1]), 64); err != nil || !isFinite(s.Value) {
 		return Sample{}, 0, fmt.Errorf("%w value: %.80q", ErrMalformed, b[:end])
 	}
-	if s.At, err = strconv.ParseInt(string(fields[2]), 10, 64); err != nil {
+	if s.Timestamp, err = strconv.ParseInt(string(fields[2]), 10, 64); err != nil {
 		return Sample{}, 0, fmt.Errorf("%w time: %.80q", ErrMalformed, b[:end])
 	}
 	return s, end + 1, nil
@@ -107,7 +107,7 @@
 	if !ok || len(inner) != 2 {
 		return s, false
 	}
-	if s.At, ok = inner[0].(int64); !ok {
+	if s.Timestamp, ok = inner[0].(int64); !ok {
 		return s, false
 	}
 	switch path := outer[0].(type) {
--- a/internal/graphite/parse_test.go
+++ b/internal/graphite/parse_test.go
@@ -73,7 +73,7 @@
 		if n == 0 {
 			return
 		}
-		line := fmt.Appendf(nil, "%s %v %d\n", s.Path, s.Value, s.At)
+		line := fmt.Appendf(nil, "%s %v %d\n", s.Path, s.Value, s.Timestamp)
 		if again, _, err := ParseLine(line); err != nil || again != s {
 			t.Fatalf("%q: %+v came back as %+v, %v", b, s, again, err)
 		}
