--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -26,8 +26,8 @@
 	Pickle bool // the pickle protocol; else plaintext
 }
 
-// Records is how many records an interval has.
-func (e *Encoder) Records(v *metrics.Interval) int {
+// RecordCount is how many records an interval has.
+func (e *Encoder) RecordCount(v *metrics.Interval) int {
 	return len(v.Points) + len(v.Distributions)*len(metrics.Stats)
 }
 
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -23,7 +23,7 @@
 // expectedRecords are what an interval holds, in the order of record numbers.
 func expectedRecords(t *testing.T, e *Encoder, v *metrics.Interval) []Sample {
 	t.Helper()
-	all := make([]Sample, 0, e.Records(v))
+	all := make([]Sample, 0, e.RecordCount(v))
 	add := func(n MetricName, value float64) {
 		n.Broker = e.Broker
 		all = append(all, Sample{string(e.Format.Append(nil, n)), value, int64(v.EndTime / time.Second)})
@@ -40,8 +40,8 @@
 			add(MetricName{Series: d.Series, Stat: metrics.Stats[i]}, value)
 		}
 	}
-	if len(all) != e.Records(v) {
-		t.Fatalf("%d records of %d", len(all), e.Records(v))
+	if len(all) != e.RecordCount(v) {
+		t.Fatalf("%d records of %d", len(all), e.RecordCount(v))
 	}
 	return all
 }
@@ -72,7 +72,7 @@
 func encodeAndParse(t *testing.T, e *Encoder, v *metrics.Interval, from, maxBytes int) []Sample {
 	t.Helper()
 	var got []Sample
-	for next := from; next < e.Records(v); {
+	for next := from; next < e.RecordCount(v); {
 		out, after, err := e.Append(nil, v, next, maxBytes)
 		if err != nil || after <= next {
 			t.Fatalf("from %d to %d: %v", next, after, err)
@@ -118,5 +118,5 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(b.N*e.Records(v))/b.Elapsed().Seconds(), "records/s")
+	b.ReportMetric(float64(b.N*e.RecordCount(v))/b.Elapsed().Seconds(), "records/s")
 }
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var all strings.Builder
-			for next := 0; next < tt.encoder.Records(v); {
+			for next := 0; next < tt.encoder.RecordCount(v); {
 				var text []byte
 				var err error
 				if text, next, err = tt.encoder.Append(nil, v, next, tt.maxBytes); err != nil {
@@ -36,7 +36,7 @@
 				}
 				if tt.encoder.Pickle {
 					text = append([]byte(hex.EncodeToString(text)), '\n')
-				} else if next < tt.encoder.Records(v) {
+				} else if next < tt.encoder.RecordCount(v) {
 					text = append(text, '\n') // shows where one part ends
 				}
 				all.Write(text)
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -99,7 +99,7 @@
 	progress func(int),
 ) (int, error) {
 	s.acks.records = from
-	for next, records := from, s.encoder.Records(interval); next < records; {
+	for next, records := from, s.encoder.RecordCount(interval); next < records; {
 		data, after, err := s.encoder.Append(nil, interval, next, chunkBytes)
 		if err != nil {
 			return s.acks.records, err
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -118,7 +118,7 @@
 		b, _ := io.ReadAll(peer) // what is missing is noticed by its length
 		received <- b
 	}()
-	records := p.transport.encoder.Records(v)
+	records := p.transport.encoder.RecordCount(v)
 	if end, err := s.write(p.t.Context(), v, from, func(int) {}); err != nil || end != records {
 		p.t.Fatalf("%d of %d: %v", end, records, err)
 	}
@@ -137,13 +137,13 @@
 			peer := newCarbonPeer(t, pickle)
 			encoder := &peer.transport.encoder
 			sent, got := peer.cutOff(v)
-			if sent <= 0 || sent >= encoder.Records(v) {
-				t.Fatalf("%d records of %d are sent: the test shows nothing", sent, encoder.Records(v))
+			if sent <= 0 || sent >= encoder.RecordCount(v) {
+				t.Fatalf("%d records of %d are sent: the test shows nothing", sent, encoder.RecordCount(v))
 			}
 			rest := peer.resume(v, sent)
 			if pickle {
-				if all := append(parseFrames(t, got), parseFrames(t, rest)...); len(all) != encoder.Records(v) {
-					t.Fatalf("%d records came of %d", len(all), encoder.Records(v))
+				if all := append(parseFrames(t, got), parseFrames(t, rest)...); len(all) != encoder.RecordCount(v) {
+					t.Fatalf("%d records came of %d", len(all), encoder.RecordCount(v))
 				}
 				return
 			}
