--- a/internal/cardinality/escape.go
+++ b/internal/cardinality/escape.go
@@ -15,8 +15,8 @@
 	emptyEscaped    = "_"
 )
 
-// ErrEscape is returned for a text that Escape never makes.
-var ErrEscape = errors.New("cardinality: not an escaped name")
+// ErrInvalidEscape is returned for a text that Escape never makes.
+var ErrInvalidEscape = errors.New("cardinality: not an escaped name")
 
 // isSafe reports whether a byte means nothing to Graphite, collectd or a shell.
 func isSafe(c byte) bool {
@@ -73,7 +73,7 @@
 	for rest := escaped; rest != ""; {
 		c, size, ok := unescapeByte(rest)
 		if !ok {
-			return "", ErrEscape
+			return "", ErrInvalidEscape
 		}
 		b.WriteByte(c)
 		rest = rest[size:]
@@ -81,7 +81,7 @@
 	if name := b.String(); Escape(name) == escaped {
 		return name, nil
 	}
-	return "", ErrEscape
+	return "", ErrInvalidEscape
 }
 
 // unescapeByte decodes the first byte of a text that is not empty, and returns how many bytes that takes.
