--- a/internal/emulator/collector/incarnation.go
+++ b/internal/emulator/collector/incarnation.go
@@ -102,7 +102,7 @@
 
 // inOrder reports whether quantiles rise, as far as their accuracy tells.
 func inOrder(stats map[string]float64) bool {
-	const tolerance = 1 + 2*metrics.Accuracy
+	const tolerance = 1 + 2*metrics.RelativeAccuracy
 	return stats["min"] <= stats["p50"] && stats["p50"] <= stats["p95"] &&
 		stats["p95"] <= stats["p99"]*tolerance && stats["p99"] <= stats["max"]*tolerance
 }
--- a/internal/metrics/sketch.go
+++ b/internal/metrics/sketch.go
@@ -9,8 +9,8 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Accuracy is the maximum relative error of a quantile.
-const Accuracy = 0.01
+// RelativeAccuracy is the maximum relative error of a quantile.
+const RelativeAccuracy = 0.01
 
 const (
 	// maxBins bounds a sketch's memory; at this accuracy it spans nine decades, and lower values join the
@@ -21,7 +21,7 @@
 )
 
 var indexMapping = func() mapping.IndexMapping {
-	m, err := mapping.NewLogarithmicMapping(Accuracy)
+	m, err := mapping.NewLogarithmicMapping(RelativeAccuracy)
 	if err != nil {
 		panic(err) // the accuracy is a constant within its range
 	}
--- a/internal/metrics/sketch_test.go
+++ b/internal/metrics/sketch_test.go
@@ -48,7 +48,7 @@
 			}
 			for _, q := range []struct{ quantile, got float64 }{{0.5, s.P50}, {0.95, s.P95}, {0.99, s.P99}} {
 				want := values[int(q.quantile*float64(len(values)-1))]
-				if math.Abs(q.got-want) > Accuracy*want+1e-9 {
+				if math.Abs(q.got-want) > RelativeAccuracy*want+1e-9 {
 					t.Errorf("quantile %v is %v, reported %v", q.quantile, want, q.got)
 				}
 			}
