--- a/internal/collectd/figures.go
+++ b/internal/collectd/figures.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	values := make([]Value, 0, len(metrics.Stats))
+	values := make([]Value, 0, len(metrics.StatNames))
 	for _, x := range summary.Values() {
 		values = append(values, Value{Kind: Gauge, Gauge: x})
 	}
--- a/internal/collectd/typesdb.go
+++ b/internal/collectd/typesdb.go
@@ -30,8 +30,8 @@
 		return []dataSource{{"value", Gauge}}
 	case metrics.DistributionKind:
 	}
-	all := make([]dataSource, 0, len(metrics.Stats))
-	for _, stat := range metrics.Stats {
+	all := make([]dataSource, 0, len(metrics.StatNames))
+	for _, stat := range metrics.StatNames {
 		all = append(all, dataSource{stat, Gauge})
 	}
 	return all
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -185,7 +185,7 @@
 				value = float64(v.Count)
 			}
 			if metrics.Catalogue[series.ID].Kind == metrics.DistributionKind {
-				name.Stat = metrics.Stats[i]
+				name.Stat = metrics.StatNames[i]
 			}
 			c.reconciler.Add(name, value, timestamp)
 		}
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -114,7 +114,7 @@
 func TestQuantilesOutOfOrderAreFound(t *testing.T) {
 	samples := slices.Clone(firstInterval)
 	series := metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}
-	for i, stat := range metrics.Stats {
+	for i, stat := range metrics.StatNames {
 		name := graphite.MetricName{Broker: "n1", Series: series, Stat: stat}
 		samples = append(samples, Sample{Name: name, Value: float64(10 - i), Timestamp: 110})
 	}
--- a/internal/emulator/collector/incarnation.go
+++ b/internal/emulator/collector/incarnation.go
@@ -93,7 +93,7 @@
 // checkDistributions checks that the statistics of complete distributions are in order.
 func (r *Incarnation) checkDistributions(f *Findings, interval *Interval) {
 	for series, stats := range interval.Distributions {
-		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
+		if len(stats) == len(metrics.StatNames) && !inOrder(stats) {
 			f.violation("%s, start %d: the quantiles of %s of %q are out of order: %v",
 				r.Broker, r.StartedMS, metrics.Catalogue[series.ID].Name, series.Name, stats)
 		}
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -28,7 +28,7 @@
 
 // RecordCount is how many records an interval has.
 func (e *Encoder) RecordCount(v *metrics.Interval) int {
-	return len(v.Points) + len(v.Distributions)*len(metrics.Stats)
+	return len(v.Points) + len(v.Distributions)*len(metrics.StatNames)
 }
 
 // Append appends records from a number on until there are maxBytes more bytes, or a few above, or no record
@@ -88,15 +88,15 @@
 		}
 	}
 	first := max(0, from-len(v.Points)) // record of distributions
-	for i := first / len(metrics.Stats); i < len(v.Distributions); i++ {
+	for i := first / len(metrics.StatNames); i < len(v.Distributions); i++ {
 		d := &v.Distributions[i]
 		summary, err := metrics.Summarize(d.EncodedSketch)
 		if err != nil {
 			return err
 		}
 		values := summary.Values()
-		for stat := max(0, first-i*len(metrics.Stats)); stat < len(values); stat++ {
-			if !f(MetricName{Broker: e.Broker, Series: d.Series, Stat: metrics.Stats[stat]}, values[stat]) {
+		for stat := max(0, first-i*len(metrics.StatNames)); stat < len(values); stat++ {
+			if !f(MetricName{Broker: e.Broker, Series: d.Series, Stat: metrics.StatNames[stat]}, values[stat]) {
 				return nil
 			}
 		}
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		for i, value := range s.Values() {
-			add(MetricName{Series: d.Series, Stat: metrics.Stats[i]}, value)
+			add(MetricName{Series: d.Series, Stat: metrics.StatNames[i]}, value)
 		}
 	}
 	if len(all) != e.RecordCount(v) {
--- a/internal/graphite/name.go
+++ b/internal/graphite/name.go
@@ -178,7 +178,7 @@
 		}
 	}
 	if figure.Kind == metrics.DistributionKind {
-		if n.Stat = p.next(); !slices.Contains(metrics.Stats, n.Stat) {
+		if n.Stat = p.next(); !slices.Contains(metrics.StatNames, n.Stat) {
 			return n, false
 		}
 	}
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if figure.Kind == metrics.DistributionKind {
-		n.Stat = rapid.SampledFrom(metrics.Stats).Draw(t, "stat")
+		n.Stat = rapid.SampledFrom(metrics.StatNames).Draw(t, "stat")
 	}
 	return n
 }
--- a/internal/metrics/sketch.go
+++ b/internal/metrics/sketch.go
@@ -112,8 +112,8 @@
 	return out, nil
 }
 
-// Stats are the exported names of what a Summary has, in the order of Values.
-var Stats = []string{"count", "sum", "min", "p50", "p95", "p99", "max"}
+// StatNames are the exported names of what a Summary has, in the order of Values.
+var StatNames = []string{"count", "sum", "min", "p50", "p95", "p99", "max"}
 
 // Values are the numbers of a summary in the order of Stats.
 func (s Summary) Values() [7]float64 {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -28,7 +28,7 @@
 		add(at, metrics.Answers, "lookup", "", metrics.InTime, 100*n)
 		add(at, metrics.Answers, "route-report", "", metrics.Late, 30*n)
 		add(at, metrics.Rejections, "", "", metrics.NoCapacity, 5*n)
-		for j, stat := range metrics.Stats {
+		for j, stat := range metrics.StatNames {
 			add(at, metrics.ObjectiveRatio, "lookup", stat, 0, 0.1*float64(j))
 			add(at, metrics.ObjectiveRatio, "route-report", stat, 0, 2*float64(j))
 		}
