--- a/internal/metrics/cut_test.go
+++ b/internal/metrics/cut_test.go
@@ -29,7 +29,7 @@
 	add(Late, 2)
 	add(Rejected, 1)
 	add(Failed, 1)
-	add(ClientLeft, 90)
+	add(Abandoned, 90)
 	if got := share(); got != 0.6 {
 		t.Errorf("%v", got)
 	}
--- a/internal/metrics/figure.go
+++ b/internal/metrics/figure.go
@@ -84,7 +84,7 @@
 	Late          // served after it
 	Rejected
 	Failed
-	ClientLeft // the client stopped waiting
+	Abandoned // the client stopped waiting
 )
 
 // The label indexes of Rejections.
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -106,7 +106,7 @@
 func requestOutcome(request *broker.RequestSummary) int {
 	switch {
 	case request.Abandoned:
-		return metrics.ClientLeft
+		return metrics.Abandoned
 	case request.Kind == broker.ReplyRejected:
 		return metrics.Rejected
 	case request.Kind != broker.ReplyResult:
