--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -9,7 +9,7 @@
 	RequestsByTenant
 	RequestsByDataSet
 	Answers
-	AnswersByTenant
+	RequestOutcomesByTenant
 	InTimeShare
 	ObjectiveRatio
 	AnswerTime
@@ -82,7 +82,7 @@
 		Help: "requests that ended: served within the latency objective or after it, rejected, failed, " +
 			"or their client gone",
 	},
-	AnswersByTenant: {
+	RequestOutcomesByTenant: {
 		Name: "answers_by_tenant", Kind: Counter, Dimension: Tenant, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "the same by tenant",
 	},
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -45,7 +45,7 @@
 		r.Add(AttemptEnds, engine, 0, 1)
 		r.Observe(EngineTime, engine, float64(i%1000))
 		r.Add(Answers, class, InTime, 1)
-		r.Add(AnswersByTenant, tenant, InTime, 1)
+		r.Add(RequestOutcomesByTenant, tenant, InTime, 1)
 		r.Observe(AnswerTime, class, float64(i%1000))
 		r.Observe(ObjectiveRatio, class, float64(i%1000)/400)
 		r.Observe(AttemptsByRequest, class, 1)
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -22,8 +22,8 @@
 	r := metrics.NewRegistry(limits, 0, 0)
 	for i := range tenants {
 		slot := r.Slot(metrics.Tenant, fmt.Sprintf("a-tenant-with-a-long-name-%06d", i))
-		for label := range metrics.AnswersByTenant.SeriesPerName() {
-			r.Add(metrics.AnswersByTenant, slot, label, float64(i+1))
+		for label := range metrics.RequestOutcomesByTenant.SeriesPerName() {
+			r.Add(metrics.RequestOutcomesByTenant, slot, label, float64(i+1))
 		}
 	}
 	return r.EndInterval(rigStart, rigInterval)
