--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -18,7 +18,7 @@
 	r := metrics.NewRegistry(limits, 0, 0)
 	for _, name := range []string{"lookup", "other", strings.Repeat(".", 30), "a-b"} {
 		slot := r.Slot(metrics.Class, name)
-		r.Add(metrics.Answers, slot, metrics.Late, 3)
+		r.Add(metrics.RequestOutcomes, slot, metrics.Late, 3)
 		r.Observe(metrics.AnswerTime, slot, 12.5)
 		r.Add(metrics.RequestsByDataSet, r.Slot(metrics.DataSet, name), 0, 2)
 	}
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -14,7 +14,7 @@
 func smallInterval() *metrics.Interval {
 	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
-	r.Add(metrics.Answers, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
+	r.Add(metrics.RequestOutcomes, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "lookup"), 12.5)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "re.port;x=1"), 700)
 	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPaths(t *testing.T) {
-	late := metrics.Series{ID: metrics.Answers, Name: "re.port", LabelIndex: metrics.Late}
+	late := metrics.Series{ID: metrics.RequestOutcomes, Name: "re.port", LabelIndex: metrics.Late}
 	otherEngines := metrics.Series{ID: metrics.EngineTime, Other: true}
 	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -8,7 +8,7 @@
 	Requests ID = iota
 	RequestsByTenant
 	RequestsByDataSet
-	Answers
+	RequestOutcomes
 	RequestOutcomesByTenant
 	InTimeShare
 	ObjectiveRatio
@@ -77,7 +77,7 @@
 		Name: "requests_by_data_set", Kind: Counter, Dimension: DataSet,
 		Help: "requests accepted that read or write this data set",
 	},
-	Answers: {
+	RequestOutcomes: {
 		Name: "answers", Kind: Counter, Dimension: Class, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "requests that ended: served within the latency objective or after it, rejected, failed, " +
 			"or their client gone",
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -30,7 +30,7 @@
 
 // startInterval readies the registry for the next interval. The figures of the last one have been read.
 func (r *Registry) startInterval(monotonic time.Duration) {
-	copy(r.answersAtLastCut, r.values[Answers])
+	copy(r.answersAtLastCut, r.values[RequestOutcomes])
 	for i := range Catalogue {
 		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.Dimension != NoDimension || ID(i) == Inbox {
 			clear(r.gaugeSet[i])
@@ -71,8 +71,8 @@
 func (r *Registry) setInTimeShares() {
 	for slot := range r.tables[Class].Slots() {
 		answers := func(outcome int) float64 {
-			i := Answers.index(slot, outcome)
-			return r.values[Answers][i] - r.answersAtLastCut[i]
+			i := RequestOutcomes.index(slot, outcome)
+			return r.values[RequestOutcomes][i] - r.answersAtLastCut[i]
 		}
 		if owed := answers(InTime) + answers(Late) + answers(Rejected) + answers(Failed); owed > 0 {
 			r.Set(InTimeShare, slot, 0, answers(InTime)/owed)
--- a/internal/metrics/cut_test.go
+++ b/internal/metrics/cut_test.go
@@ -23,7 +23,7 @@
 
 func TestInTimeShare(t *testing.T) {
 	r := NewRegistry(smallLimits(), 0, 0)
-	add := func(outcome int, n float64) { r.Add(Answers, r.Slot(Class, "lookup"), outcome, n) }
+	add := func(outcome int, n float64) { r.Add(RequestOutcomes, r.Slot(Class, "lookup"), outcome, n) }
 	share := func() float64 { return r.EndInterval(0, 0).Value(Series{ID: InTimeShare, Name: "lookup"}) }
 	add(InTime, 6)
 	add(Late, 2)
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -60,7 +60,7 @@
 	for i := range Catalogue {
 		r.makeSeries(ID(i))
 	}
-	r.answersAtLastCut = make([]float64, len(r.values[Answers]))
+	r.answersAtLastCut = make([]float64, len(r.values[RequestOutcomes]))
 	r.Set(Started, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
 	r.Set(Folded, cardinality.Other, 0, 1)
 	return r
@@ -91,7 +91,7 @@
 		default:
 			first, end := slot*id.SeriesPerName(), (slot+1)*id.SeriesPerName()
 			clear(r.values[id][first:end])
-			if id == Answers {
+			if id == RequestOutcomes {
 				clear(r.answersAtLastCut[first:end])
 			}
 		}
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -16,7 +16,7 @@
 	record := func() {
 		class, tenant := r.Slot(Class, "lookup"), r.Slot(Tenant, "acme")
 		r.Add(Requests, class, 0, 1)
-		r.Add(Answers, class, Late, 1)
+		r.Add(RequestOutcomes, class, Late, 1)
 		r.Observe(AnswerTime, class, rng.Float64()*1e4+0.01)
 		r.Observe(QueueWaitByTenant, tenant, rng.Float64()*1e4+0.01)
 	}
@@ -44,7 +44,7 @@
 		r.Add(Attempts, class, 0, 1)
 		r.Add(AttemptEnds, engine, 0, 1)
 		r.Observe(EngineTime, engine, float64(i%1000))
-		r.Add(Answers, class, InTime, 1)
+		r.Add(RequestOutcomes, class, InTime, 1)
 		r.Add(RequestOutcomesByTenant, tenant, InTime, 1)
 		r.Observe(AnswerTime, class, float64(i%1000))
 		r.Observe(ObjectiveRatio, class, float64(i%1000)/400)
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -105,7 +105,7 @@
 
 // lateAndUnserved are how many requests were served late, and how many were rejected or failed.
 func lateAndUnserved(r *collector.Incarnation) (late, unserved float64) {
-	for s, n := range r.Totals(metrics.Answers) {
+	for s, n := range r.Totals(metrics.RequestOutcomes) {
 		switch s.LabelIndex {
 		case metrics.Late:
 			late += n
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -25,8 +25,8 @@
 		add(at, metrics.Sequence, "", "", 0, n+1)
 		add(at, metrics.Folded, "", "", 0, 1)
 		add(at, metrics.Requests, "lookup", "", 0, 100*n)
-		add(at, metrics.Answers, "lookup", "", metrics.InTime, 100*n)
-		add(at, metrics.Answers, "route-report", "", metrics.Late, 30*n)
+		add(at, metrics.RequestOutcomes, "lookup", "", metrics.InTime, 100*n)
+		add(at, metrics.RequestOutcomes, "route-report", "", metrics.Late, 30*n)
 		add(at, metrics.Rejections, "", "", metrics.NoCapacity, 5*n)
 		for j, stat := range metrics.StatNames {
 			add(at, metrics.ObjectiveRatio, "lookup", stat, 0, 0.1*float64(j))
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -94,7 +94,7 @@
 func (r runView) outcomes() Section {
 	s := Section{Title: "Outcomes of requests", Note: "Requests a second that ended, by class."}
 	seen := map[string]bool{}
-	for series := range r.Totals(metrics.Answers) {
+	for series := range r.Totals(metrics.RequestOutcomes) {
 		class := seriesTitle(metrics.Series{ID: metrics.Requests, Name: series.Name, Other: series.Other})
 		if !seen[class] {
 			seen[class] = true
@@ -109,7 +109,7 @@
 // not in time.
 func (r runView) outcomesOf(class string, of metrics.Series) Chart {
 	c := Chart{Title: class, Unit: "a second"}
-	c.Lines = r.rates(metrics.Answers, func(s metrics.Series) bool {
+	c.Lines = r.rates(metrics.RequestOutcomes, func(s metrics.Series) bool {
 		return s.Name == of.Name && s.Other == of.Other
 	})
 	for i := range c.Lines {
--- a/internal/telemetry/carbon_rig_test.go
+++ b/internal/telemetry/carbon_rig_test.go
@@ -82,7 +82,7 @@
 		// retired.
 		for _, id := range []metrics.ID{
 			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet,
-			metrics.Answers, metrics.RequestOutcomesByTenant,
+			metrics.RequestOutcomes, metrics.RequestOutcomesByTenant,
 		} {
 			if got := f.Incarnations[0].Total(id); got > want {
 				r.t.Fatalf("%s: %v of %v", metrics.Catalogue[id].Name, got, want)
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -89,7 +89,7 @@
 func (r *Recorder) RequestEnded(request broker.RequestSummary) {
 	class, tenant := r.registry.Slot(metrics.Class, request.Class), r.registry.Slot(metrics.Tenant, request.Tenant)
 	outcome := requestOutcome(&request)
-	r.registry.Add(metrics.Answers, class, outcome, 1)
+	r.registry.Add(metrics.RequestOutcomes, class, outcome, 1)
 	r.registry.Add(metrics.RequestOutcomesByTenant, tenant, outcome, 1)
 	if outcome == metrics.InTime || outcome == metrics.Late {
 		r.registry.Observe(metrics.AnswerTime, class, milliseconds(request.Duration))
--- a/internal/telemetry/relay.go
+++ b/internal/telemetry/relay.go
@@ -34,7 +34,7 @@
 // appendTransactions appends the ended requests of a class by state. The class without a name is that of all
 // others; it is left out while it has none.
 func (r *Recorder) appendTransactions(to []byte, class int, name string) []byte {
-	answers := func(outcome int) float64 { return r.registry.Value(metrics.Answers, class, outcome) }
+	answers := func(outcome int) float64 { return r.registry.Value(metrics.RequestOutcomes, class, outcome) }
 	answered := answers(metrics.InTime) + answers(metrics.Late)
 	deferred, errored := answers(metrics.Rejected), answers(metrics.Failed)
 	if name == "" {
