--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -15,7 +15,7 @@
 	AnswerTime
 	Rejections
 	Attempts
-	AttemptsByRequest
+	AttemptsPerRequest
 	AttemptEnds
 	EngineTime
 	ClientRetries
@@ -110,7 +110,7 @@
 		Name: "attempts", Kind: Counter, Dimension: Class,
 		Help: "attempts sent to engines",
 	},
-	AttemptsByRequest: {
+	AttemptsPerRequest: {
 		Name: "attempts_a_request", Kind: DistributionKind, Dimension: Class,
 		Help: "attempts of each request when it ended",
 	},
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -48,7 +48,7 @@
 		r.Add(RequestOutcomesByTenant, tenant, InTime, 1)
 		r.Observe(AnswerTime, class, float64(i%1000))
 		r.Observe(ObjectiveRatio, class, float64(i%1000)/400)
-		r.Observe(AttemptsByRequest, class, 1)
+		r.Observe(AttemptsPerRequest, class, 1)
 		r.Observe(QueueWait, class, float64(i%10))
 		r.Observe(QueueWaitByTenant, tenant, float64(i%10))
 	}
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -97,7 +97,7 @@
 			r.registry.Observe(metrics.ObjectiveRatio, class, float64(request.Duration)/float64(request.Objective))
 		}
 	}
-	r.registry.Observe(metrics.AttemptsByRequest, class, float64(request.Attempts))
+	r.registry.Observe(metrics.AttemptsPerRequest, class, float64(request.Attempts))
 	r.registry.Observe(metrics.QueueWait, class, milliseconds(request.QueueTime))
 	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(request.QueueTime))
 }
