--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -21,7 +21,7 @@
 	ClientRetries
 	DuplicateResponses
 	Wasted
-	WastedByEngine
+	WastedTimeByEngine
 	Drains
 	LateDrains
 	DrainTime
@@ -136,7 +136,7 @@
 		Help: "time in flight of attempts that may have run and whose answer no client got: an upper " +
 			"bound of what engines spent on them",
 	},
-	WastedByEngine: {
+	WastedTimeByEngine: {
 		Name: "wasted_by_engine_ms", Kind: Counter, Unit: "ms", Dimension: Engine,
 		Help: "the same by engine",
 	},
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -126,7 +126,7 @@
 	}
 	if attempt.Wasted {
 		r.registry.Add(metrics.Wasted, r.registry.Slot(metrics.Class, attempt.Class), 0, milliseconds(attempt.Duration))
-		r.registry.Add(metrics.WastedByEngine, engine, 0, milliseconds(attempt.Duration))
+		r.registry.Add(metrics.WastedTimeByEngine, engine, 0, milliseconds(attempt.Duration))
 	}
 }
 
