--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/figures_test.go
@@ -22,7 +22,7 @@
 		r.Observe(metrics.AnswerTime, slot, 12.5)
 		r.Add(metrics.RequestsByDataSet, r.Slot(metrics.DataSet, name), 0, 2)
 	}
-	r.Add(metrics.Wasted, 0, 0, 2.5)
+	r.Add(metrics.WastedTime, 0, 0, 2.5)
 	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -20,7 +20,7 @@
 	EngineTime
 	ClientRetries
 	DuplicateResponses
-	Wasted
+	WastedTime
 	WastedTimeByEngine
 	Drains
 	LateDrains
@@ -131,7 +131,7 @@
 		Help: "responses that no attempt waited for: of hedged requests, and of attempts that were " +
 			"given up",
 	},
-	Wasted: {
+	WastedTime: {
 		Name: "wasted_ms", Kind: Counter, Unit: "ms", Dimension: Class,
 		Help: "time in flight of attempts that may have run and whose answer no client got: an upper " +
 			"bound of what engines spent on them",
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -147,7 +147,7 @@
 func (r runView) wasted() Section {
 	return single("Wasted work",
 		"Milliseconds a second of attempts in flight whose answer no client got.",
-		Chart{Unit: "ms a second", Lines: r.rates(metrics.Wasted, nil)}, 1.0/1000)
+		Chart{Unit: "ms a second", Lines: r.rates(metrics.WastedTime, nil)}, 1.0/1000)
 }
 
 func (r runView) drains() Section {
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -125,7 +125,7 @@
 		r.registry.Observe(metrics.EngineTime, engine, milliseconds(attempt.Duration))
 	}
 	if attempt.Wasted {
-		r.registry.Add(metrics.Wasted, r.registry.Slot(metrics.Class, attempt.Class), 0, milliseconds(attempt.Duration))
+		r.registry.Add(metrics.WastedTime, r.registry.Slot(metrics.Class, attempt.Class), 0, milliseconds(attempt.Duration))
 		r.registry.Add(metrics.WastedTimeByEngine, engine, 0, milliseconds(attempt.Duration))
 	}
 }
