--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -25,7 +25,7 @@
 	Drains
 	LateDrains
 	DrainTime
-	WorstDrain
+	MaxDrainTime
 	QueueWait
 	QueueWaitByTenant
 	ConcurrencyLimit
@@ -153,7 +153,7 @@
 		Help: "time from when the broker read that an engine drains, or from the start of its maintenance, to the " +
 			"last byte of a request sent to it",
 	},
-	WorstDrain: {
+	MaxDrainTime: {
 		Name: "worst_drain_ms", Kind: Gauge, Unit: "ms",
 		Help: "the longest of these since the start",
 	},
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -153,7 +153,7 @@
 func (r runView) drains() Section {
 	return single("Drains",
 		"Time from when a drain was announced to the last byte sent to the engine. The rule allows 500 ms.",
-		Chart{Unit: "ms", Limit: drainLimitMS, Lines: r.values(metrics.WorstDrain)}, 1.0/drainLimitMS)
+		Chart{Unit: "ms", Limit: drainLimitMS, Lines: r.values(metrics.MaxDrainTime)}, 1.0/drainLimitMS)
 }
 
 func (r runView) engines() Section {
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -152,7 +152,7 @@
 func (r *Recorder) DrainCompleted(took time.Duration) {
 	r.registry.Observe(metrics.DrainTime, cardinality.Other, milliseconds(took))
 	r.worstDrain = max(r.worstDrain, took)
-	r.registry.Set(metrics.WorstDrain, cardinality.Other, 0, milliseconds(r.worstDrain))
+	r.registry.Set(metrics.MaxDrainTime, cardinality.Other, 0, milliseconds(r.worstDrain))
 	if took > maxDrainDuration {
 		r.registry.Add(metrics.LateDrains, cardinality.Other, 0, 1)
 	}
