--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -33,7 +33,7 @@
 	Queued
 	ClassShare
 	Engines
-	ClientEnds
+	ClientConnectionsEnded
 	EngineEnds
 	ChangelogEnds
 	Connections
@@ -187,7 +187,7 @@
 		Help: "engines by health, each counted once: draining, doubted (ejected), cold (in slow start), " +
 			"ready",
 	},
-	ClientEnds: {
+	ClientConnectionsEnded: {
 		Name: "client_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections of clients that ended, by reason code",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -57,7 +57,7 @@
 	r.setGauge(metrics.Connections, metrics.ClientSide, float64(connections.Clients))
 	r.setGauge(metrics.Connections, metrics.EngineSide, float64(connections.Engines))
 	for side, id := range map[netconn.Side]metrics.ID{
-		netconn.ClientSide:    metrics.ClientEnds,
+		netconn.ClientSide:    metrics.ClientConnectionsEnded,
 		netconn.EngineSide:    metrics.EngineEnds,
 		netconn.ChangelogSide: metrics.ChangelogEnds,
 	} {
