--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -34,7 +34,7 @@
 	ClassShare
 	Engines
 	ClientConnectionsEnded
-	EngineEnds
+	EngineConnectionsEnded
 	ChangelogEnds
 	Connections
 	Open
@@ -191,7 +191,7 @@
 		Name: "client_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections of clients that ended, by reason code",
 	},
-	EngineEnds: {
+	EngineConnectionsEnded: {
 		Name: "engine_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to engines that ended, by reason code",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -58,7 +58,7 @@
 	r.setGauge(metrics.Connections, metrics.EngineSide, float64(connections.Engines))
 	for side, id := range map[netconn.Side]metrics.ID{
 		netconn.ClientSide:    metrics.ClientConnectionsEnded,
-		netconn.EngineSide:    metrics.EngineEnds,
+		netconn.EngineSide:    metrics.EngineConnectionsEnded,
 		netconn.ChangelogSide: metrics.ChangelogEnds,
 	} {
 		label := 0
