--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -35,7 +35,7 @@
 	Engines
 	ClientConnectionsEnded
 	EngineConnectionsEnded
-	ChangelogEnds
+	ChangelogConnectionsEnded
 	Connections
 	Open
 	Sessions
@@ -195,7 +195,7 @@
 		Name: "engine_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to engines that ended, by reason code",
 	},
-	ChangelogEnds: {
+	ChangelogConnectionsEnded: {
 		Name: "changelog_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to the change log that ended, by reason code",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -59,7 +59,7 @@
 	for side, id := range map[netconn.Side]metrics.ID{
 		netconn.ClientSide:    metrics.ClientConnectionsEnded,
 		netconn.EngineSide:    metrics.EngineConnectionsEnded,
-		netconn.ChangelogSide: metrics.ChangelogEnds,
+		netconn.ChangelogSide: metrics.ChangelogConnectionsEnded,
 	} {
 		label := 0
 		connections.EachEndReason(side, func(_ netconn.Reason, count uint64) {
