--- a/internal/graphite/name_test.go
+++ b/internal/graphite/name_test.go
@@ -30,7 +30,7 @@
 		},
 		{
 			PathFormat{},
-			MetricName{Broker: "", Series: metrics.Series{ID: metrics.Open}},
+			MetricName{Broker: "", Series: metrics.Series{ID: metrics.OpenRequests}},
 			"_.open_requests",
 		},
 		{
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -37,7 +37,7 @@
 	EngineConnectionsEnded
 	ChangelogConnectionsEnded
 	Connections
-	Open
+	OpenRequests
 	Sessions
 	Heap
 	Memory
@@ -203,7 +203,7 @@
 		Name: "connections", Kind: Gauge, Label: "side", LabelValues: connectionSides,
 		Help: "connections that are open",
 	},
-	Open: {
+	OpenRequests: {
 		Name: "open_requests", Kind: Gauge,
 		Help: "requests accepted and not answered yet",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -33,7 +33,7 @@
 	destinations map[string]delivery.Stats,
 ) *metrics.Interval {
 	r.recordView(reducer)
-	r.setGauge(metrics.Open, 0, float64(reducer.OpenRequests()))
+	r.setGauge(metrics.OpenRequests, 0, float64(reducer.OpenRequests()))
 	r.setGauge(metrics.Sessions, 0, float64(reducer.SessionCount()))
 	r.recordConnections(&connections)
 	r.recordMemory()
