--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -39,7 +39,7 @@
 	Connections
 	OpenRequests
 	Sessions
-	Heap
+	HeapBytes
 	Memory
 	Inbox
 	RoundLag
@@ -211,7 +211,7 @@
 		Name: "sessions", Kind: Gauge,
 		Help: "clients that are connected",
 	},
-	Heap: {
+	HeapBytes: {
 		Name: "heap_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory of live objects and of those not yet collected",
 	},
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -195,7 +195,7 @@
 		return nil
 	}
 	lines[0].Name = "from the system"
-	for _, l := range r.values(metrics.Heap) {
+	for _, l := range r.values(metrics.HeapBytes) {
 		l.Name = "heap"
 		lines = append(lines, l)
 	}
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -72,7 +72,7 @@
 func (r *Recorder) recordMemory() {
 	runtimemetrics.Read(r.runtimeSamples)
 	bytes := func(place int) uint64 { return r.runtimeSamples[place].Value.Uint64() }
-	r.setGauge(metrics.Heap, 0, float64(bytes(heapObjectBytes)))
+	r.setGauge(metrics.HeapBytes, 0, float64(bytes(heapObjectBytes)))
 	r.setGauge(metrics.Memory, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
 }
 
