--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -40,7 +40,7 @@
 	OpenRequests
 	Sessions
 	HeapBytes
-	Memory
+	MemoryBytes
 	Inbox
 	RoundLag
 	NamesAdmitted
@@ -215,7 +215,7 @@
 		Name: "heap_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory of live objects and of those not yet collected",
 	},
-	Memory: {
+	MemoryBytes: {
 		Name: "memory_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory that the runtime has from the system",
 	},
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -190,7 +190,7 @@
 
 // memoryLines are in MB; none if the broker reported no memory.
 func (r runView) memoryLines() []Line {
-	lines := r.values(metrics.Memory)
+	lines := r.values(metrics.MemoryBytes)
 	if len(lines) == 0 {
 		return nil
 	}
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -73,7 +73,7 @@
 	runtimemetrics.Read(r.runtimeSamples)
 	bytes := func(place int) uint64 { return r.runtimeSamples[place].Value.Uint64() }
 	r.setGauge(metrics.HeapBytes, 0, float64(bytes(heapObjectBytes)))
-	r.setGauge(metrics.Memory, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
+	r.setGauge(metrics.MemoryBytes, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
 }
 
 func (r *Recorder) recordDestination(name string, stats *delivery.Stats) {
