--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -41,7 +41,7 @@
 	Sessions
 	HeapBytes
 	MemoryBytes
-	Inbox
+	InboxLength
 	RoundLag
 	NamesAdmitted
 	NamesJoined
@@ -219,7 +219,7 @@
 		Name: "memory_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory that the runtime has from the system",
 	},
-	Inbox: {
+	InboxLength: {
 		Name: "inbox", Kind: Gauge,
 		Help: "maximum of the events that waited for the reducer in the interval",
 	},
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -32,7 +32,7 @@
 func (r *Registry) startInterval(monotonic time.Duration) {
 	copy(r.answersAtLastCut, r.values[RequestOutcomes])
 	for i := range Catalogue {
-		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.Dimension != NoDimension || ID(i) == Inbox {
+		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.Dimension != NoDimension || ID(i) == InboxLength {
 			clear(r.gaugeSet[i])
 		}
 	}
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -165,7 +165,7 @@
 
 // InboxLength records how many events waited for the reducer.
 func (r *Recorder) InboxLength(events int) {
-	r.registry.SetMax(metrics.Inbox, cardinality.Other, 0, float64(events))
+	r.registry.SetMax(metrics.InboxLength, cardinality.Other, 0, float64(events))
 }
 
 // Reloaded counts a configuration file that was read at SIGHUP, accepted or rejected.
