--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -42,7 +42,7 @@
 	HeapBytes
 	MemoryBytes
 	InboxLength
-	RoundLag
+	LoopLag
 	NamesAdmitted
 	NamesJoined
 	NamesLeft
@@ -223,7 +223,7 @@
 		Name: "inbox", Kind: Gauge,
 		Help: "maximum of the events that waited for the reducer in the interval",
 	},
-	RoundLag: {
+	LoopLag: {
 		Name: "round_lag_ms", Kind: DistributionKind, Unit: "ms",
 		Help: "how long after it was due the reducer's goroutine started a round",
 	},
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -182,7 +182,7 @@
 	if lines := r.memoryLines(); len(lines) > 0 {
 		s.Charts = append(s.Charts, Chart{Title: "Memory", Unit: "MB", Lines: lines})
 	}
-	for _, lines := range r.quantiles(metrics.RoundLag, "p50", "p99", "max") {
+	for _, lines := range r.quantiles(metrics.LoopLag, "p50", "p99", "max") {
 		s.Charts = append(s.Charts, Chart{Title: "Lag of the reducer's rounds", Unit: "ms", Lines: lines})
 	}
 	return s
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -160,7 +160,7 @@
 
 // LoopLag records how late the reducer's goroutine came to its turn; a negative lag counts as none.
 func (r *Recorder) LoopLag(lag time.Duration) {
-	r.registry.Observe(metrics.RoundLag, cardinality.Other, milliseconds(max(0, lag)))
+	r.registry.Observe(metrics.LoopLag, cardinality.Other, milliseconds(max(0, lag)))
 }
 
 // InboxLength records how many events waited for the reducer.
