--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -43,7 +43,7 @@
 	MemoryBytes
 	InboxLength
 	LoopLag
-	NamesAdmitted
+	ActiveNames
 	NamesJoined
 	NamesLeft
 	NamesOther
@@ -227,7 +227,7 @@
 		Name: "round_lag_ms", Kind: DistributionKind, Unit: "ms",
 		Help: "how long after it was due the reducer's goroutine started a round",
 	},
-	NamesAdmitted: {
+	ActiveNames: {
 		Name: "names", Kind: Gauge, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that have series of their own",
 	},
