--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -44,7 +44,7 @@
 	InboxLength
 	LoopLag
 	ActiveNames
-	NamesJoined
+	AdmittedNames
 	NamesLeft
 	NamesOther
 	Held
@@ -231,7 +231,7 @@
 		Name: "names", Kind: Gauge, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that have series of their own",
 	},
-	NamesJoined: {
+	AdmittedNames: {
 		Name: "names_joined", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that were given series of their own",
 	},
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -61,7 +61,7 @@
 	for label, dim := range []Dimension{Class, Tenant, Engine, DataSet} { // the order of boundedDimensions
 		counts := r.tables[dim].Counts()
 		r.Set(ActiveNames, cardinality.Other, label, float64(counts.Active))
-		r.Set(NamesJoined, cardinality.Other, label, float64(counts.Admitted))
+		r.Set(AdmittedNames, cardinality.Other, label, float64(counts.Admitted))
 		r.Set(NamesLeft, cardinality.Other, label, float64(counts.Retired))
 		r.Set(NamesOther, cardinality.Other, label, float64(counts.Other))
 	}
