--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -45,7 +45,7 @@
 	LoopLag
 	ActiveNames
 	AdmittedNames
-	NamesLeft
+	RetiredNames
 	NamesOther
 	Held
 	HeldIntervals
@@ -235,7 +235,7 @@
 		Name: "names_joined", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that were given series of their own",
 	},
-	NamesLeft: {
+	RetiredNames: {
 		Name: "names_left", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that lost them again, being idle or displaced by more frequent ones",
 	},
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -62,7 +62,7 @@
 		counts := r.tables[dim].Counts()
 		r.Set(ActiveNames, cardinality.Other, label, float64(counts.Active))
 		r.Set(AdmittedNames, cardinality.Other, label, float64(counts.Admitted))
-		r.Set(NamesLeft, cardinality.Other, label, float64(counts.Retired))
+		r.Set(RetiredNames, cardinality.Other, label, float64(counts.Retired))
 		r.Set(NamesOther, cardinality.Other, label, float64(counts.Other))
 	}
 }
