--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -46,7 +46,7 @@
 	ActiveNames
 	AdmittedNames
 	RetiredNames
-	NamesOther
+	OtherNames
 	Held
 	HeldIntervals
 	Delivered
@@ -239,7 +239,7 @@
 		Name: "names_left", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that lost them again, being idle or displaced by more frequent ones",
 	},
-	NamesOther: {
+	OtherNames: {
 		Name: "names_other", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "how often a name was counted under 'other'",
 	},
--- a/internal/metrics/cut.go
+++ b/internal/metrics/cut.go
@@ -63,7 +63,7 @@
 		r.Set(ActiveNames, cardinality.Other, label, float64(counts.Active))
 		r.Set(AdmittedNames, cardinality.Other, label, float64(counts.Admitted))
 		r.Set(RetiredNames, cardinality.Other, label, float64(counts.Retired))
-		r.Set(NamesOther, cardinality.Other, label, float64(counts.Other))
+		r.Set(OtherNames, cardinality.Other, label, float64(counts.Other))
 	}
 }
 
