--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -47,7 +47,7 @@
 	AdmittedNames
 	RetiredNames
 	OtherNames
-	Held
+	HeldBytes
 	HeldIntervals
 	Delivered
 	Lost
@@ -243,7 +243,7 @@
 		Name: "names_other", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "how often a name was counted under 'other'",
 	},
-	Held: {
+	HeldBytes: {
 		Name: "held_bytes", Kind: Gauge, Unit: "bytes", Dimension: Destination,
 		Help: "memory of the intervals that wait for delivery",
 	},
