--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -49,7 +49,7 @@
 	OtherNames
 	HeldBytes
 	HeldIntervals
-	Delivered
+	DeliveredIntervals
 	Lost
 	LostSamples
 	Breaks
@@ -252,7 +252,7 @@
 		Help: "intervals that wait for delivery, each of those folded into one counted; with " +
 			"delivered_intervals and lost_intervals they make up all before this one",
 	},
-	Delivered: {
+	DeliveredIntervals: {
 		Name: "delivered_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that were written, each of those folded into one counted",
 	},
