--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -50,7 +50,7 @@
 	HeldBytes
 	HeldIntervals
 	DeliveredIntervals
-	Lost
+	LostIntervals
 	LostSamples
 	Breaks
 	ConfLoaded
@@ -256,7 +256,7 @@
 		Name: "delivered_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that were written, each of those folded into one counted",
 	},
-	Lost: {
+	LostIntervals: {
 		Name: "lost_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that will never be written; their counts are part of later ones",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -81,7 +81,7 @@
 	r.registry.Set(metrics.HeldBytes, slot, 0, float64(stats.HeldBytes))
 	r.registry.Set(metrics.HeldIntervals, slot, 0, float64(stats.WaitingIntervals))
 	r.registry.Set(metrics.DeliveredIntervals, slot, 0, float64(stats.DeliveredIntervals))
-	r.registry.Set(metrics.Lost, slot, 0, float64(stats.LostIntervals))
+	r.registry.Set(metrics.LostIntervals, slot, 0, float64(stats.LostIntervals))
 	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
 	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
 }
