--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -52,7 +52,7 @@
 	DeliveredIntervals
 	LostIntervals
 	LostSamples
-	Breaks
+	ConnectionFailures
 	ConfLoaded
 	ConfInvalid
 	Started
@@ -264,7 +264,7 @@
 		Name: "lost_samples", Kind: Counter, Dimension: Destination,
 		Help: "samples of distributions that will never be written",
 	},
-	Breaks: {
+	ConnectionFailures: {
 		Name: "delivery_breaks", Kind: Counter, Dimension: Destination,
 		Help: "connections to the collector that broke or were not established",
 	},
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/snapshot.go
@@ -83,7 +83,7 @@
 	r.registry.Set(metrics.DeliveredIntervals, slot, 0, float64(stats.DeliveredIntervals))
 	r.registry.Set(metrics.LostIntervals, slot, 0, float64(stats.LostIntervals))
 	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
-	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
+	r.registry.Set(metrics.ConnectionFailures, slot, 0, float64(stats.ConnectionFailures))
 }
 
 // recordView records what the decision module knows of engines and classes.
