--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -24,7 +24,7 @@
 		value float64
 	}{
 		{metrics.Requests, requests},
-		{metrics.Started, float64(started)},
+		{metrics.StartTime, float64(started)},
 		{metrics.Sequence, sequence},
 		{metrics.Folded, folded},
 	}
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -124,7 +124,7 @@
 // interval returns the interval of a group and the start of its broker, or false if the group lacks what
 // tells them.
 func (g *timestampGroup) interval() (interval *Interval, startedMS int64, ok bool) {
-	started, hasStart := g.values[metrics.Series{ID: metrics.Started}]
+	started, hasStart := g.values[metrics.Series{ID: metrics.StartTime}]
 	sequence, hasSequence := g.values[metrics.Series{ID: metrics.Sequence}]
 	folded, hasFolded := g.values[metrics.Series{ID: metrics.Folded}]
 	if !hasStart || !hasSequence || !hasFolded {
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -55,7 +55,7 @@
 	ConnectionFailures
 	ConfLoaded
 	ConfInvalid
-	Started
+	StartTime
 	Sequence
 	Folded
 	RequestEndCauses
@@ -276,7 +276,7 @@
 		Name: "conf_invalid", Kind: Counter,
 		Help: "configuration files rejected at SIGHUP: the settings before stay in full",
 	},
-	Started: {
+	StartTime: {
 		Name: "started_s", Kind: Gauge, Unit: "s",
 		Help: "when this broker started, in seconds of Unix time, to the millisecond: a new value is a " +
 			"restart, after which counters begin at zero",
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -61,7 +61,7 @@
 		r.makeSeries(ID(i))
 	}
 	r.answersAtLastCut = make([]float64, len(r.values[RequestOutcomes]))
-	r.Set(Started, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
+	r.Set(StartTime, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
 	r.Set(Folded, cardinality.Other, 0, 1)
 	return r
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -21,7 +21,7 @@
 	}
 	for i := range 6 {
 		at, n := int64(1000+10*i), float64(i)
-		add(at, metrics.Started, "", "", 0, 990)
+		add(at, metrics.StartTime, "", "", 0, 990)
 		add(at, metrics.Sequence, "", "", 0, n+1)
 		add(at, metrics.Folded, "", "", 0, 1)
 		add(at, metrics.Requests, "lookup", "", 0, 100*n)
