--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -26,7 +26,7 @@
 		{metrics.Requests, requests},
 		{metrics.StartTime, float64(started)},
 		{metrics.Sequence, sequence},
-		{metrics.Folded, folded},
+		{metrics.MergedIntervals, folded},
 	}
 	samples := make([]Sample, 0, len(figures))
 	for _, f := range figures {
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -126,7 +126,7 @@
 func (g *timestampGroup) interval() (interval *Interval, startedMS int64, ok bool) {
 	started, hasStart := g.values[metrics.Series{ID: metrics.StartTime}]
 	sequence, hasSequence := g.values[metrics.Series{ID: metrics.Sequence}]
-	folded, hasFolded := g.values[metrics.Series{ID: metrics.Folded}]
+	folded, hasFolded := g.values[metrics.Series{ID: metrics.MergedIntervals}]
 	if !hasStart || !hasSequence || !hasFolded {
 		return nil, 0, false
 	}
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -57,7 +57,7 @@
 	ConfInvalid
 	StartTime
 	Sequence
-	Folded
+	MergedIntervals
 	RequestEndCauses
 	InvariantViolations
 	figureCount
@@ -286,7 +286,7 @@
 		Help: "number of the interval, from 1 at each start; a gap is one that was folded into a later " +
 			"one or lost",
 	},
-	Folded: {
+	MergedIntervals: {
 		Name: "folded", Kind: Gauge,
 		Help: "intervals that this one is made of: 1, or more where they waited for the collector",
 	},
--- a/internal/metrics/fold.go
+++ b/internal/metrics/fold.go
@@ -27,7 +27,7 @@
 			if Catalogue[a.ID].Kind == Counter {
 				out = append(out, *a)
 			}
-		case a != nil && b.ID == Folded:
+		case a != nil && b.ID == MergedIntervals:
 			out = append(out, Point{b.Series, a.Value + b.Value})
 		default:
 			out = append(out, *b)
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/fold_test.go
@@ -52,7 +52,7 @@
 	if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
 		t.Fatal("points out of order")
 	}
-	if got := v.Value(Series{ID: Folded}); got != float64(v.MergedCount) {
+	if got := v.Value(Series{ID: MergedIntervals}); got != float64(v.MergedCount) {
 		t.Fatalf("an interval of %d reports %v", v.MergedCount, got)
 	}
 	for _, p := range v.Points {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -62,7 +62,7 @@
 	}
 	r.answersAtLastCut = make([]float64, len(r.values[RequestOutcomes]))
 	r.Set(StartTime, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
-	r.Set(Folded, cardinality.Other, 0, 1)
+	r.Set(MergedIntervals, cardinality.Other, 0, 1)
 	return r
 }
 
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -23,7 +23,7 @@
 		at, n := int64(1000+10*i), float64(i)
 		add(at, metrics.StartTime, "", "", 0, 990)
 		add(at, metrics.Sequence, "", "", 0, n+1)
-		add(at, metrics.Folded, "", "", 0, 1)
+		add(at, metrics.MergedIntervals, "", "", 0, 1)
 		add(at, metrics.Requests, "lookup", "", 0, 100*n)
 		add(at, metrics.RequestOutcomes, "lookup", "", metrics.InTime, 100*n)
 		add(at, metrics.RequestOutcomes, "route-report", "", metrics.Late, 30*n)
