--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -1,9 +1,9 @@
 package metrics
 
-// ID is a figure: its place in the Catalogue.
+// ID identifies a metric. It is the metric's index in the Catalogue.
 type ID int
 
-// The figures, by what they are; their exported names are in the Catalogue alone.
+// The metrics. Their exported names are in the Catalogue only.
 const (
 	Requests ID = iota
 	RequestsByTenant
@@ -60,11 +60,11 @@
 	MergedIntervals
 	RequestEndCauses
 	InvariantViolations
-	figureCount
+	metricCount
 )
 
-// Catalogue has every figure that a broker reports, by its ID. It is the one place of exported names.
-var Catalogue = [figureCount]Descriptor{
+// Catalogue describes every metric that a broker reports, indexed by ID. Exported names are defined only here.
+var Catalogue = [metricCount]Descriptor{
 	Requests: {
 		Name: "requests", Kind: Counter, Dimension: Class,
 		Help: "requests accepted",
--- a/internal/metrics/figure.go
+++ b/internal/metrics/descriptor.go
@@ -7,28 +7,28 @@
 	"wheatlane/internal/invariant"
 )
 
-// Kind is how a figure behaves.
+// Kind is the kind of a metric.
 type Kind int
 
-// The kinds of figures.
+// The kinds of metrics.
 const (
-	Counter          Kind = iota // a total since the broker's start, which never falls
-	Gauge                        // a value of the moment
-	DistributionKind             // a distribution of the values of an interval
+	Counter          Kind = iota // a total since the broker's start; never decreases
+	Gauge                        // a current value
+	DistributionKind             // the distribution of the values observed in an interval
 )
 
 func (k Kind) String() string { return [...]string{"counter", "gauge", "distribution"}[k] }
 
-// Dimension is what the series of a figure are named by.
+// Dimension is the kind of object that the series of a metric are named after.
 type Dimension int
 
-// The dimensions. Names of each are bounded by themselves.
+// The dimensions. The number of names is limited for each dimension separately.
 const (
 	NoDimension Dimension = iota // one series
-	Class                        // of requests
+	Class                        // request class
 	Tenant
 	Engine
-	DataSet // by number
+	DataSet // data-set number
 	Destination
 	dimensionCount
 )
@@ -37,19 +37,19 @@
 	return [...]string{"", "class", "tenant", "engine", "data_set", "destination"}[d]
 }
 
-// Descriptor is an entry of the catalogue.
+// Descriptor describes one metric of the Catalogue.
 type Descriptor struct {
-	Name        string // as exported
+	Name        string // exported name
 	Kind        Kind
-	Unit        string // of a value: ms, bytes, ...; empty: a plain number
+	Unit        string // ms, bytes, ...; empty for a plain number
 	Dimension   Dimension
-	Label       string   // that LabelValues are of; empty: there is one series a name
-	LabelValues []string // by the LabelIndex of their series
-	Help        string
+	Label       string   // label name; empty if there is one series for each name
+	LabelValues []string // indexed by Series.LabelIndex
+	Help        string   // meaning
 }
 
-// The label values of figures, as exported. Their order is that of the constants below, or of the type they are
-// named by.
+// The exported label values of metrics. Their order is that of the label-index constants below, or of the type that
+// supplies the index.
 var (
 	requestOutcomes = []string{"in_time", "late", "refused", "failed", "gone"}
 	rejectionCauses = []string{
@@ -62,14 +62,14 @@
 	engineHealths     = []string{"ready", "cold", "doubted", "draining"}
 	connectionSides   = []string{"client", "engine"}
 	boundedDimensions = []string{"class", "tenant", "engine", "data_set"}
-	// RequestEndCauseNames are the causes of the ends of requests, as the log has them.
+	// RequestEndCauseNames are the causes of the ends of requests, as logged.
 	RequestEndCauseNames = []string{
 		"served", "module_rejected", "module_failed", "final_answer", "killed", "client_closed",
 		"client_half_closed", "queue_overflow", "queued_request_due",
 	}
-	// InvariantNames are the rules that a broker checks on itself, as the log has them.
+	// InvariantNames are the names of the invariants that a broker checks at run time, as logged.
 	InvariantNames = invariant.RuleNames[:]
-	// EndReasons are the reason codes of ended connections, as the log has them.
+	// EndReasons are the reason codes of ended connections, as logged.
 	EndReasons = []string{
 		"peer_closed", "peer_reset", "quit", "idle", "login_timeout", "read_timeout", "access_denied",
 		"malformed", "too_large", "buffer_full", "write_timeout", "killed", "made_room",
@@ -78,13 +78,13 @@
 	}
 )
 
-// The label indexes of Answers and AnswersByTenant.
+// The label indexes of RequestOutcomes and RequestOutcomesByTenant.
 const (
-	InTime = iota // served within the latency objective, or without one
-	Late          // served after it
+	InTime = iota // served within the latency objective, or served without an objective
+	Late          // served after the latency objective
 	Rejected
 	Failed
-	Abandoned // the client stopped waiting
+	Abandoned // the client disconnected before the answer
 )
 
 // The label indexes of Rejections.
@@ -113,12 +113,12 @@
 	EngineSide
 )
 
-// SeriesPerName is how many series a figure has for each name.
+// SeriesPerName returns the number of series that a metric has for each name.
 func (id ID) SeriesPerName() int { return max(1, len(Catalogue[id].LabelValues)) }
 
-// Find is the figure of an exported name.
+// Find returns the ID of the metric with an exported name.
 func Find(name string) (ID, bool) {
-	for id := range figureCount {
+	for id := range metricCount {
 		if Catalogue[id].Name == name {
 			return id, true
 		}
@@ -126,20 +126,20 @@
 	return 0, false
 }
 
-// Markdown is the catalogue as a table, which the operators' page holds.
+// Markdown returns the catalogue as a Markdown table, which the operators' page contains.
 func Markdown() string {
 	var table strings.Builder
 	table.WriteString("| figure | kind | unit | by | detail | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	for i := range Catalogue {
-		figure := &Catalogue[i]
-		detail := figure.Label
-		if figure.Label == "reason" {
+		metric := &Catalogue[i]
+		detail := metric.Label
+		if metric.Label == "reason" {
 			detail += ": a reason code of the log"
-		} else if len(figure.LabelValues) > 0 {
-			detail += ": " + strings.Join(figure.LabelValues, ", ")
+		} else if len(metric.LabelValues) > 0 {
+			detail += ": " + strings.Join(metric.LabelValues, ", ")
 		}
 		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n",
-			figure.Name, figure.Kind, figure.Unit, figure.Dimension, detail, figure.Help)
+			metric.Name, metric.Kind, metric.Unit, metric.Dimension, detail, metric.Help)
 	}
 	return table.String()
 }
--- a/internal/metrics/cut.go
+++ b/internal/metrics/endinterval.go
@@ -7,7 +7,8 @@
 	"wheatlane/internal/cardinality"
 )
 
-// EndInterval ends an interval at the times of the wall clock and of the monotonic clock, and returns its figures.
+// EndInterval ends the current interval at the given times of the wall clock and the monotonic clock, and returns its
+// metrics. The next interval starts at the same time.
 func (r *Registry) EndInterval(wall, monotonic time.Duration) *Interval {
 	r.sequence++
 	r.Set(Sequence, cardinality.Other, 0, float64(r.sequence))
@@ -17,10 +18,10 @@
 		Sequence:    r.sequence,
 		MergedCount: 1,
 		EndTime:     r.timestamp(wall),
-		Duration:    monotonic - r.lastCut,
+		Duration:    monotonic - r.intervalStart,
 	}
 	for i := range Catalogue {
-		r.appendFigure(interval, ID(i))
+		r.appendMetric(interval, ID(i))
 	}
 	slices.SortFunc(interval.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) })
 	slices.SortFunc(interval.Distributions, func(a, b Distribution) int { return compareSeries(a.Series, b.Series) })
@@ -28,26 +29,27 @@
 	return interval
 }
 
-// startInterval readies the registry for the next interval. The figures of the last one have been read.
+// startInterval resets the per-interval state. The metrics of the previous interval must have been read.
 func (r *Registry) startInterval(monotonic time.Duration) {
-	copy(r.answersAtLastCut, r.values[RequestOutcomes])
+	copy(r.outcomesAtIntervalStart, r.values[RequestOutcomes])
 	for i := range Catalogue {
-		if figure := &Catalogue[i]; figure.Kind == Gauge && figure.Dimension != NoDimension || ID(i) == InboxLength {
+		if metric := &Catalogue[i]; metric.Kind == Gauge && metric.Dimension != NoDimension || ID(i) == InboxLength {
 			clear(r.gaugeSet[i])
 		}
 	}
 	for _, table := range r.tables {
 		table.EndInterval(monotonic)
 	}
-	r.lastCut = monotonic
+	r.intervalStart = monotonic
 }
 
-// maxTimestampLead is how far timestamps may run ahead of the wall clock before they follow it back.
+// maxTimestampLead is the maximum lead of timestamps over the wall clock. If a step back of the clock would make the
+// lead larger, timestamps follow the clock back.
 const maxTimestampLead = 5 * time.Second
 
-// timestamp is the time that an interval is reported under, in whole seconds as Graphite keeps them. Two
-// intervals within one second get two timestamps, as the later would replace the earlier; a clock that is set
-// back is followed.
+// timestamp returns the time that an interval is reported under, in whole seconds, which is Graphite's resolution. Two
+// intervals that end within one second get different timestamps: with the same timestamp, the later would replace the
+// earlier. Timestamps follow a clock that is set back.
 func (r *Registry) timestamp(wall time.Duration) time.Duration {
 	at := wall.Truncate(time.Second)
 	if lead := r.lastTimestamp - at; lead >= 0 && lead < maxTimestampLead {
@@ -67,34 +69,35 @@
 	}
 }
 
-// setInTimeShares sets the fraction of the interval's answers that came within the latency objective.
+// setInTimeShares sets, for each class, the fraction of the requests ended in the interval that were served within the
+// latency objective. Requests whose client disconnected are excluded.
 func (r *Registry) setInTimeShares() {
 	for slot := range r.tables[Class].Slots() {
-		answers := func(outcome int) float64 {
+		endedWith := func(outcome int) float64 {
 			i := RequestOutcomes.index(slot, outcome)
-			return r.values[RequestOutcomes][i] - r.answersAtLastCut[i]
+			return r.values[RequestOutcomes][i] - r.outcomesAtIntervalStart[i]
 		}
-		if owed := answers(InTime) + answers(Late) + answers(Rejected) + answers(Failed); owed > 0 {
-			r.Set(InTimeShare, slot, 0, answers(InTime)/owed)
+		if total := endedWith(InTime) + endedWith(Late) + endedWith(Rejected) + endedWith(Failed); total > 0 {
+			r.Set(InTimeShare, slot, 0, endedWith(InTime)/total)
 		}
 	}
 }
 
-// appendFigure appends all series of a figure.
-func (r *Registry) appendFigure(interval *Interval, id ID) {
-	figure := &Catalogue[id]
+// appendMetric appends all series of a metric.
+func (r *Registry) appendMetric(interval *Interval, id ID) {
+	metric := &Catalogue[id]
 	appendSeries := func(slot int, series Series) {
-		if figure.Kind == DistributionKind {
+		if metric.Kind == DistributionKind {
 			r.appendDistribution(interval, slot, series)
 		} else {
 			r.appendPoints(interval, slot, series)
 		}
 	}
-	r.tables[figure.Dimension].EachName(func(slot int, name string) { appendSeries(slot, Series{ID: id, Name: name}) })
-	appendSeries(cardinality.Other, Series{ID: id, Other: figure.Dimension != NoDimension})
+	r.tables[metric.Dimension].EachName(func(slot int, name string) { appendSeries(slot, Series{ID: id, Name: name}) })
+	appendSeries(cardinality.Other, Series{ID: id, Other: metric.Dimension != NoDimension})
 }
 
-// appendPoints appends the series of a counter or gauge that are to be reported, of one name.
+// appendPoints appends the series of a counter or gauge that are reported for one name.
 func (r *Registry) appendPoints(interval *Interval, slot int, series Series) {
 	for label := range series.ID.SeriesPerName() {
 		if r.reported(series.ID, slot, label) {
@@ -104,8 +107,9 @@
 	}
 }
 
-// reported reports whether a gauge was set, or a counter has counted. A counter of a single series is always
-// reported. Of many series, each is reported once it has counted: collectors take a new series to begin at zero.
+// reported reports whether a series belongs into an interval: a gauge if it was set, a counter if it is not zero. A
+// counter with a single series is always reported. Collectors assume that a new series starts at zero, so the series of
+// other counters are omitted until they have counted.
 func (r *Registry) reported(id ID, slot, label int) bool {
 	if set := r.gaugeSet[id]; set != nil {
 		return set[id.index(slot, label)]
@@ -114,7 +118,7 @@
 	return single || r.Value(id, slot, label) != 0
 }
 
-// appendDistribution appends a distribution that has values, and empties it.
+// appendDistribution appends a distribution unless it is empty, and clears it.
 func (r *Registry) appendDistribution(interval *Interval, slot int, series Series) {
 	sketch := r.sketches[series.ID][slot]
 	if sketch == nil || sketch.Count() == 0 {
--- a/internal/metrics/cut_test.go
+++ b/internal/metrics/endinterval_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The wall clock may be set; no two intervals have one timestamp unless it was set back far.
-func TestTimestamps(t *testing.T) {
+// Timestamps stay unique when the wall clock is set, unless it is set back by more than the maximum lead.
+func TestIntervalTimestampsAreUniqueAndFollowTheWallClock(t *testing.T) {
 	r := NewRegistry(smallLimits(), 0, 0)
 	s := time.Second
 	wall := []time.Duration{
@@ -16,12 +16,14 @@
 	want := []time.Duration{100 * s, 101 * s, 102 * s, 110 * s, 3600 * s, 10 * s, 11 * s, 90000 * s}
 	for i := range wall {
 		if got := r.EndInterval(wall[i], 0).EndTime; got != want[i] {
-			t.Errorf("at %v by the wall clock: reported %v, want %v", wall[i], got, want[i])
+			t.Errorf("interval ended at wall clock %v: got timestamp %v, want %v", wall[i], got, want[i])
 		}
 	}
 }
 
-func TestInTimeShare(t *testing.T) {
+// The share covers only the requests that ended in the interval, without those whose client disconnected. An interval
+// in which no request ended does not report the share.
+func TestInTimeShareOfRequestsEndedInTheInterval(t *testing.T) {
 	r := NewRegistry(smallLimits(), 0, 0)
 	add := func(outcome int, n float64) { r.Add(RequestOutcomes, r.Slot(Class, "lookup"), outcome, n) }
 	share := func() float64 { return r.EndInterval(0, 0).Value(Series{ID: InTimeShare, Name: "lookup"}) }
@@ -31,18 +33,18 @@
 	add(Failed, 1)
 	add(Abandoned, 90)
 	if got := share(); got != 0.6 {
-		t.Errorf("%v", got)
+		t.Errorf("in-time share with 6 of 10 requests in time: got %v, want 0.6", got)
 	}
 	add(InTime, 1)
-	if got := share(); got != 1 { // of this interval alone
-		t.Errorf("%v", got)
+	if got := share(); got != 1 { // counts this interval only
+		t.Errorf("in-time share of the second interval: got %v, want 1", got)
 	}
-	if got := share(); got != 0 { // nothing ended: it is not reported
-		t.Errorf("%v", got)
+	if got := share(); got != 0 { // no request ended: not reported
+		t.Errorf("in-time share of an interval without ended requests: got %v, want none", got)
 	}
 }
 
-func BenchmarkCut(b *testing.B) {
+func BenchmarkEndInterval(b *testing.B) {
 	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/metrics/interval.go
+++ b/internal/metrics/interval.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Series names one series of values.
+// Series identifies one series of values.
 type Series struct {
 	ID         ID
-	Name       string // by the figure's dimension; empty in one that has none
-	Other      bool   // it stands for all names that are not admitted
-	LabelIndex int    // of the value of the figure's label, in LabelValues
+	Name       string // in the metric's dimension; empty if the metric has none
+	Other      bool   // the series counts all names that are not admitted
+	LabelIndex int    // index of the label value in Descriptor.LabelValues
 }
 
-// compareSeries orders series by figure, then by name with all others last, then by label.
+// compareSeries orders series by metric, then by name with Other last, then by label.
 func compareSeries(a, b Series) int {
 	return cmp.Or(
 		cmp.Compare(a.ID, b.ID),
-		compareBool(a.Other, b.Other),
+		compareBools(a.Other, b.Other),
 		cmp.Compare(a.Name, b.Name),
 		cmp.Compare(a.LabelIndex, b.LabelIndex),
 	)
 }
 
-// compareBool puts false before true.
-func compareBool(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -35,31 +35,31 @@
 	return 1
 }
 
-// Point is the value of a counter since the start, or of a gauge at the interval's end.
+// Point is the total of a counter since the broker's start, or the value of a gauge at the interval's end.
 type Point struct {
 	Series
 	Value float64
 }
 
-// Distribution is the distribution of the values that were observed in an interval.
+// Distribution is the distribution of the values observed in an interval.
 type Distribution struct {
 	Series
-	Count         float64 // of values
-	EncodedSketch []byte  // see Summarize
+	Count         float64 // number of values
+	EncodedSketch []byte  // decoded by Summarize
 }
 
-// Interval is what a broker reports of a stretch of time. It is not changed once it is made, so that several
-// destinations may hold it. Points and distributions are in the order of their series.
+// Interval holds the metrics that a broker reports for a period of time. It is immutable, so that several destinations
+// may share it. Points and distributions are sorted by series.
 type Interval struct {
-	Sequence      uint64        // from 1 at the broker's start; of a folded one, that of the last
-	MergedCount   uint64        // intervals that it is made of: 1, or more if it is folded
-	EndTime       time.Duration // by the wall clock, since 1970
-	Duration      time.Duration // by a monotonic clock
+	Sequence      uint64        // from 1 at the broker's start; the last one if merged
+	MergedCount   uint64        // number of original intervals: 1 unless merged
+	EndTime       time.Duration // wall clock, since the Unix epoch
+	Duration      time.Duration // measured by the monotonic clock
 	Points        []Point
 	Distributions []Distribution
 }
 
-// SampleCount is how many values its distributions hold.
+// SampleCount returns the number of values in the interval's distributions.
 func (v *Interval) SampleCount() float64 {
 	total := 0.0
 	for i := range v.Distributions {
@@ -68,14 +68,15 @@
 	return total
 }
 
-// The memory of an interval, of a point, and of a distribution beside its sketch, in bytes; names are shared.
+// The memory of an interval, of a point, and of a distribution without its sketch, in bytes. Names are shared and not
+// counted.
 const (
 	intervalMemoryBytes     = 96
 	pointMemoryBytes        = 56
 	distributionMemoryBytes = 80
 )
 
-// MemoryBytes is the memory that the interval takes.
+// MemoryBytes returns the approximate memory use of the interval.
 func (v *Interval) MemoryBytes() int {
 	total := intervalMemoryBytes + pointMemoryBytes*len(v.Points) + distributionMemoryBytes*len(v.Distributions)
 	for i := range v.Distributions {
@@ -84,14 +85,14 @@
 	return total
 }
 
-// WithoutDistributions is the interval with its counters and gauges alone.
+// WithoutDistributions returns a copy of the interval that has counters and gauges only.
 func (v *Interval) WithoutDistributions() *Interval {
 	out := *v
 	out.Distributions = nil
 	return &out
 }
 
-// Value is that of a counter's or gauge's series, 0 if it is not there.
+// Value returns the value of a counter or gauge series, or 0 if the interval lacks it.
 func (v *Interval) Value(series Series) float64 {
 	compare := func(p Point, series Series) int { return compareSeries(p.Series, series) }
 	i, found := slices.BinarySearchFunc(v.Points, series, compare)
--- a/internal/metrics/fold.go
+++ b/internal/metrics/merge.go
@@ -1,10 +1,10 @@
 package metrics
 
-// Merge makes one interval of an earlier and a later one. Of each counter it has the later value, and the
-// earlier one where the later interval lacks it because its name has retired: a counter loses nothing. Gauges
-// are the later ones, and distributions are merged. It fails if a sketch can't be decoded.
+// Merge merges two consecutive intervals into one. Counters have their later value, or the earlier one if the later
+// interval lacks the series because its name has retired, so that no count is lost. Gauges have their later value, and
+// distributions are merged. Merge fails if a sketch can't be decoded.
 func Merge(earlier, later *Interval) (*Interval, error) {
-	distributions, err := foldDistributions(earlier.Distributions, later.Distributions)
+	distributions, err := mergeDistributions(earlier.Distributions, later.Distributions)
 	if err != nil {
 		return nil, err
 	}
@@ -13,15 +13,15 @@
 		MergedCount:   earlier.MergedCount + later.MergedCount,
 		EndTime:       later.EndTime,
 		Duration:      earlier.Duration + later.Duration,
-		Points:        foldPoints(earlier.Points, later.Points),
+		Points:        mergePoints(earlier.Points, later.Points),
 		Distributions: distributions,
 	}, nil
 }
 
-func foldPoints(earlier, later []Point) []Point {
+func mergePoints(earlier, later []Point) []Point {
 	out := make([]Point, 0, len(later))
 	seriesOf := func(p *Point) Series { return p.Series }
-	eachPair(earlier, later, seriesOf, func(a, b *Point) {
+	forEachSeriesPair(earlier, later, seriesOf, func(a, b *Point) {
 		switch {
 		case b == nil:
 			if Catalogue[a.ID].Kind == Counter {
@@ -36,11 +36,11 @@
 	return out
 }
 
-func foldDistributions(earlier, later []Distribution) ([]Distribution, error) {
+func mergeDistributions(earlier, later []Distribution) ([]Distribution, error) {
 	var out []Distribution
 	var firstErr error
 	seriesOf := func(d *Distribution) Series { return d.Series }
-	eachPair(earlier, later, seriesOf, func(a, b *Distribution) {
+	forEachSeriesPair(earlier, later, seriesOf, func(a, b *Distribution) {
 		switch {
 		case firstErr != nil:
 		case b == nil:
@@ -59,9 +59,9 @@
 	return out, nil
 }
 
-// eachPair calls f with the elements of two lists that are of one series, in the order of series; nil stands
-// for the one that a list lacks. Both lists are in that order.
-func eachPair[T any](earlier, later []T, seriesOf func(*T) Series, f func(earlier, later *T)) {
+// forEachSeriesPair calls f once for each series that is in either list, in the order of series, with the elements of
+// both lists. The element is nil if a list lacks the series. Both lists must be sorted by series.
+func forEachSeriesPair[T any](earlier, later []T, seriesOf func(*T) Series, f func(earlier, later *T)) {
 	for len(earlier) > 0 || len(later) > 0 {
 		var order int
 		switch {
--- a/internal/metrics/fold_test.go
+++ b/internal/metrics/merge_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// recording is what was recorded at random into a registry, and the intervals that it was cut into.
+// recording holds the totals of randomly recorded values and the intervals that report them.
 type recording struct {
 	registry  *Registry
 	now       time.Duration
@@ -18,7 +18,7 @@
 	intervals []*Interval
 }
 
-// drawRecording records requests of random tenants over some intervals.
+// drawRecording records requests of random tenants over a random number of intervals.
 func drawRecording(t *rapid.T) *recording {
 	r := &recording{registry: NewRegistry(smallLimits(), 0, 0)}
 	for range rapid.IntRange(1, 12).Draw(t, "intervals") {
@@ -35,9 +35,9 @@
 	return r
 }
 
-// foldSome folds neighbors at random.
-func (r *recording) foldSome(t *rapid.T) {
-	for len(r.intervals) > 1 && rapid.IntRange(0, 4).Draw(t, "fold") > 0 {
+// mergeSome merges random pairs of consecutive intervals.
+func (r *recording) mergeSome(t *rapid.T) {
+	for len(r.intervals) > 1 && rapid.IntRange(0, 4).Draw(t, "merge") > 0 {
 		i := rapid.IntRange(0, len(r.intervals)-2).Draw(t, "at")
 		v, err := Merge(r.intervals[i], r.intervals[i+1])
 		if err != nil {
@@ -47,40 +47,40 @@
 	}
 }
 
-// checkInterval checks an interval by itself, and that no counter fell since the last.
+// checkInterval checks that an interval is consistent, and that no counter decreased since the last interval.
 func checkInterval(t *rapid.T, v *Interval, last map[Series]float64) {
 	if !slices.IsSortedFunc(v.Points, func(a, b Point) int { return compareSeries(a.Series, b.Series) }) {
-		t.Fatal("points out of order")
+		t.Fatal("points are not sorted by series")
 	}
 	if got := v.Value(Series{ID: MergedIntervals}); got != float64(v.MergedCount) {
-		t.Fatalf("an interval of %d reports %v", v.MergedCount, got)
+		t.Fatalf("interval merged from %d reports %v", v.MergedCount, got)
 	}
 	for _, p := range v.Points {
 		if Catalogue[p.ID].Kind != Counter {
 			continue
 		}
 		if p.Value < last[p.Series] {
-			t.Fatalf("%s of %q fell from %v to %v", Catalogue[p.ID].Name, p.Name, last[p.Series], p.Value)
+			t.Fatalf("counter %s of %q decreased from %v to %v", Catalogue[p.ID].Name, p.Name, last[p.Series], p.Value)
 		}
 		last[p.Series] = p.Value
 	}
 	for _, d := range v.Distributions {
 		if s, err := Summarize(d.EncodedSketch); err != nil || s.Count != d.Count {
-			t.Fatalf("a sketch of %v counts %v, %v", d.Count, s.Count, err)
+			t.Fatalf("sketch of %v values: summary counts %v, error %v", d.Count, s.Count, err)
 		}
 	}
 }
 
-// Of what is recorded, in whatever order with whatever names, every counter comes out complete and once,
-// however the intervals are folded, and so does every value of a distribution.
-func TestFoldLosesNothing(t *testing.T) {
+// Counters and distributions sum to the recorded totals, without loss or double counting, for any sequence of names and
+// any merging of intervals.
+func TestMergeKeepsAllCountsAndSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecording(t)
-		r.foldSome(t)
-		last, folded, samples, duration := map[Series]float64{}, uint64(0), 0.0, time.Duration(0)
+		r.mergeSome(t)
+		last, merged, samples, duration := map[Series]float64{}, uint64(0), 0.0, time.Duration(0)
 		for _, v := range r.intervals {
 			checkInterval(t, v, last)
-			folded, samples, duration = folded+v.MergedCount, samples+v.SampleCount(), duration+v.Duration
+			merged, samples, duration = merged+v.MergedCount, samples+v.SampleCount(), duration+v.Duration
 		}
 		requests := 0.0
 		for s, v := range last {
@@ -89,17 +89,17 @@
 			}
 		}
 		if requests != r.requests || samples != r.samples {
-			t.Fatalf("%v of %v requests, %v of %v values", requests, r.requests, samples, r.samples)
+			t.Fatalf("got %v of %v requests, %v of %v samples", requests, r.requests, samples, r.samples)
 		}
-		if folded != r.registry.sequence || duration != r.now {
-			t.Fatalf("%d of %d intervals, %v of %v", folded, r.registry.sequence, duration, r.now)
+		if merged != r.registry.sequence || duration != r.now {
+			t.Fatalf("got %d of %d intervals, duration %v of %v", merged, r.registry.sequence, duration, r.now)
 		}
 	})
 }
 
-// An engine drains and is removed while intervals wait: of what it did nothing is lost in folding, and its
-// gauges are not reported of a time at which it was no more.
-func TestFoldOverARetiredName(t *testing.T) {
+// An engine is removed and its name retires while intervals wait for delivery. Merging must keep the engine's counts
+// and samples, but not its gauges, as the merged interval ends after the engine was removed.
+func TestMergeKeepsCountsOfARetiredName(t *testing.T) {
 	r := NewRegistry(smallLimits(), 0, 0)
 	count := func(name string, n float64) {
 		slot := r.Slot(Engine, name)
@@ -107,15 +107,15 @@
 		r.Observe(EngineTime, slot, 10)
 		r.Set(ConcurrencyLimit, slot, 0, 4)
 	}
-	count("stays", 3)
-	count("leaves", 5)
+	count("remaining", 3)
+	count("removed", 5)
 	before := r.EndInterval(10*time.Second, 10*time.Second)
-	for i := range 10 { // past the time after which it is idle
-		count("stays", 1)
+	for i := range 10 { // longer than the idle timeout
+		count("remaining", 1)
 		at := time.Duration(20+10*i) * time.Second
 		r.EndInterval(at, at)
 	}
-	count("stays", 1)
+	count("remaining", 1)
 	after := r.EndInterval(200*time.Second, 200*time.Second)
 	v, err := Merge(before, after)
 	if err != nil {
@@ -125,23 +125,23 @@
 		series Series
 		want   float64
 	}{
-		{Series{ID: AttemptEnds, Name: "leaves"}, 5},
-		{Series{ID: AttemptEnds, Name: "stays"}, 14},
-		{Series{ID: ConcurrencyLimit, Name: "leaves"}, 0},
-		{Series{ID: ConcurrencyLimit, Name: "stays"}, 4},
+		{Series{ID: AttemptEnds, Name: "removed"}, 5},
+		{Series{ID: AttemptEnds, Name: "remaining"}, 14},
+		{Series{ID: ConcurrencyLimit, Name: "removed"}, 0},
+		{Series{ID: ConcurrencyLimit, Name: "remaining"}, 4},
 	} {
 		if got := v.Value(tt.series); got != tt.want {
-			t.Errorf("%s of %s: %v, want %v", Catalogue[tt.series.ID].Name, tt.series.Name, got, tt.want)
+			t.Errorf("%s of %s: got %v, want %v", Catalogue[tt.series.ID].Name, tt.series.Name, got, tt.want)
 		}
 	}
-	if after.Value(Series{ID: AttemptEnds, Name: "leaves"}) != 0 || v.SampleCount() != 3 {
-		t.Errorf("it did not retire, or %v samples are folded", v.SampleCount())
+	if after.Value(Series{ID: AttemptEnds, Name: "removed"}) != 0 || v.SampleCount() != 3 {
+		t.Errorf("name did not retire, or merged interval has %v samples, want 3", v.SampleCount())
 	}
 }
 
-func BenchmarkFold(b *testing.B) {
+func BenchmarkMerge(b *testing.B) {
 	r := NewRegistry(Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: time.Hour}, 0, 0)
-	cut := func() *Interval {
+	recordInterval := func() *Interval {
 		for i := range 32 {
 			for v := range 50 {
 				r.Observe(EngineTime, r.Slot(Engine, fmt.Sprint(i)), float64(v*v))
@@ -150,7 +150,7 @@
 		}
 		return r.EndInterval(0, 0)
 	}
-	earlier, later := cut(), cut()
+	earlier, later := recordInterval(), recordInterval()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Merge(earlier, later); err != nil {
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -1,4 +1,4 @@
-// Package metricstest makes intervals of figures for the tests of encoders.
+// Package metricstest builds intervals for tests of encoders.
 package metricstest
 
 import (
@@ -7,8 +7,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// FullInterval is an interval with every figure, each of its details, and values of their own for two names
-// and all others. It lasts a duration.
+// FullInterval returns an interval of the given duration with every metric and each of its label values. Metrics with a
+// dimension have series for two names and for Other. Each series has a different value.
 func FullInterval(duration time.Duration) *metrics.Interval {
 	v := &metrics.Interval{
 		Sequence: 7, MergedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -6,42 +6,41 @@
 	"wheatlane/internal/cardinality"
 )
 
-// Limits bound the names that a registry keeps.
+// Limits limits the names that have series of their own.
 type Limits struct {
-	Classes, Tenants, Engines, DataSets int           // names that have series of their own, at a time
-	IdleTimeout                         time.Duration // after which an unused name retires
+	Classes, Tenants, Engines, DataSets int           // maximum number of names at a time
+	IdleTimeout                         time.Duration // an unused name retires after this time
 }
 
 const (
-	// retiredSlotRetention is how long the counts of a retired name are kept, so that they go on where they
-	// were if it comes back. A collector may take a series that was silent for longer as one that begins at
-	// zero.
+	// retiredSlotRetention is how long the counts of a retired name are retained, so that they continue if the name
+	// returns. A collector may treat a series that was absent for longer as a new one that starts at zero.
 	retiredSlotRetention = 2 * time.Hour
-	// retiredSlotsPerName is the number of slots of retired names for each name that may be admitted.
+	// retiredSlotsPerName is the number of slots for retired names, per name that may be admitted.
 	retiredSlotsPerName = 2
-	// maxDestinations have series of their own.
+	// maxDestinations is the number of destinations that have series of their own.
 	maxDestinations = 8
 
 	millisecondsPerSecond = 1000
 )
 
-// Registry records figures. It is not safe for concurrent use. Times are by a monotonic clock where no other is
-// named.
+// Registry records metrics. It is not safe for concurrent use. Times are of a monotonic clock unless stated otherwise.
 type Registry struct {
-	lastCut          time.Duration
-	lastTimestamp    time.Duration // by the wall clock
-	sequence         uint64        // of the last interval
-	tables           [dimensionCount]*cardinality.Table
-	values           [figureCount][]float64 // of counters and gauges, by slot and label
-	gaugeSet         [figureCount][]bool    // gauges that were set in this interval
-	sketches         [figureCount][]*Sketch // of distributions, by slot
-	answersAtLastCut []float64              // by slot and label
-	encodeBuffer     []byte
+	intervalStart           time.Duration
+	lastTimestamp           time.Duration // wall clock
+	sequence                uint64        // sequence number of the last interval
+	tables                  [dimensionCount]*cardinality.Table
+	values                  [metricCount][]float64 // counters and gauges, by slot and label
+	gaugeSet                [metricCount][]bool    // gauges set in this interval, by slot and label
+	sketches                [metricCount][]*Sketch // distributions, by slot
+	outcomesAtIntervalStart []float64              // values of RequestOutcomes
+	encodeBuffer            []byte
 }
 
-// NewRegistry returns an empty registry that starts at the times of the wall clock and of a monotonic clock.
+// NewRegistry returns an empty registry whose first interval starts at the given times of the wall clock and the
+// monotonic clock.
 func NewRegistry(limits Limits, wall, monotonic time.Duration) *Registry {
-	r := &Registry{lastCut: monotonic}
+	r := &Registry{intervalStart: monotonic}
 	maxNames := [dimensionCount]int{
 		Class:       limits.Classes,
 		Tenant:      limits.Tenants,
@@ -60,13 +59,13 @@
 	for i := range Catalogue {
 		r.makeSeries(ID(i))
 	}
-	r.answersAtLastCut = make([]float64, len(r.values[RequestOutcomes]))
+	r.outcomesAtIntervalStart = make([]float64, len(r.values[RequestOutcomes]))
 	r.Set(StartTime, cardinality.Other, 0, float64(wall/time.Millisecond)/millisecondsPerSecond)
 	r.Set(MergedIntervals, cardinality.Other, 0, 1)
 	return r
 }
 
-// makeSeries allocates the values of a figure.
+// makeSeries allocates the series of a metric.
 func (r *Registry) makeSeries(id ID) {
 	slots := r.tables[Catalogue[id].Dimension].Slots()
 	switch Catalogue[id].Kind {
@@ -80,7 +79,7 @@
 	}
 }
 
-// resetSlot starts the series of a slot at zero for its next name.
+// resetSlot resets the series of a slot to zero when another name gets the slot.
 func (r *Registry) resetSlot(dim Dimension, slot int) {
 	for i := range Catalogue {
 		id := ID(i)
@@ -92,33 +91,35 @@
 			first, end := slot*id.SeriesPerName(), (slot+1)*id.SeriesPerName()
 			clear(r.values[id][first:end])
 			if id == RequestOutcomes {
-				clear(r.answersAtLastCut[first:end])
+				clear(r.outcomesAtIntervalStart[first:end])
 			}
 		}
 	}
 }
 
-// Slot returns the slot that a name is counted under.
-func (r *Registry) Slot(dim Dimension, name string) int { return r.tables[dim].Slot(name, r.lastCut) }
+// Slot returns the slot that a name is counted under, which is cardinality.Other if the name is not admitted.
+func (r *Registry) Slot(dim Dimension, name string) int {
+	return r.tables[dim].Slot(name, r.intervalStart)
+}
 
-// EachName calls f for each name of a dimension that has series of its own, and for cardinality.Other with an
+// EachName calls f for each name of a dimension that has series of its own, and then for cardinality.Other with an
 // empty name.
 func (r *Registry) EachName(dim Dimension, f func(slot int, name string)) {
 	r.tables[dim].EachName(f)
 	f(cardinality.Other, "")
 }
 
-// index is the place of a series among the values of its figure.
+// index returns the index of a series in the values of its metric.
 func (id ID) index(slot, label int) int { return slot*id.SeriesPerName() + label }
 
-// Add adds to a counter. The slot is that of a name in the figure's dimension, or cardinality.Other where it
-// has none.
+// Add increases a counter. The slot belongs to a name in the metric's dimension; it is cardinality.Other if the metric
+// has no dimension.
 func (r *Registry) Add(id ID, slot, label int, increment float64) {
 	r.values[id][id.index(slot, label)] += increment
 }
 
-// Set sets a gauge, or a counter that is counted elsewhere. A gauge by name that is not set in an interval is
-// not reported in that.
+// Set sets a gauge, or a counter that is counted elsewhere. A gauge with a dimension is reported only in intervals in
+// which it was set.
 func (r *Registry) Set(id ID, slot, label int, value float64) {
 	i := id.index(slot, label)
 	r.values[id][i] = value
@@ -127,7 +128,7 @@
 	}
 }
 
-// SetMax sets a gauge to a value if that is larger than what it was set to in this interval.
+// SetMax sets a gauge to a value if the gauge has no larger value from the same interval.
 func (r *Registry) SetMax(id ID, slot, label int, value float64) {
 	if i := id.index(slot, label); value > r.values[id][i] || !r.gaugeSet[id][i] {
 		r.Set(id, slot, label, value)
@@ -137,12 +138,12 @@
 // Observe adds a value to a distribution.
 func (r *Registry) Observe(id ID, slot int, value float64) {
 	sketch := r.sketches[id][slot]
-	if sketch == nil { // once a series
+	if sketch == nil { // first value of the series
 		sketch = NewSketch()
 		r.sketches[id][slot] = sketch
 	}
 	sketch.Add(value)
 }
 
-// Value is the value of a counter or gauge as it stands.
+// Value returns the current value of a counter or gauge.
 func (r *Registry) Value(id ID, slot, label int) float64 { return r.values[id][id.index(slot, label)] }
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -20,15 +20,15 @@
 		r.Observe(AnswerTime, class, rng.Float64()*1e4+0.01)
 		r.Observe(QueueWaitByTenant, tenant, rng.Float64()*1e4+0.01)
 	}
-	for range 10_000 { // the sketches take their memory
+	for range 10_000 { // the sketches allocate their bins
 		record()
 	}
 	r.EndInterval(0, 0)
-	for range 10_000 { // and keep it when they are emptied
+	for range 10_000 { // and keep the bins when they are cleared
 		record()
 	}
 	if n := testing.AllocsPerRun(10_000, record); n != 0 {
-		t.Fatalf("%v allocations", n)
+		t.Fatalf("recording a request allocates %v times, want 0", n)
 	}
 }
 
--- a/internal/metrics/sketch.go
+++ b/internal/metrics/sketch.go
@@ -9,21 +9,21 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// RelativeAccuracy is the maximum relative error of a quantile.
+// RelativeAccuracy is the maximum relative error of a reported quantile.
 const RelativeAccuracy = 0.01
 
 const (
-	// maxBins bounds a sketch's memory; at this accuracy it spans nine decades, and lower values join the
-	// lowest bin.
+	// maxBins limits a sketch's memory. At this accuracy the bins span nine decades; lower values are counted in
+	// the lowest bin.
 	maxBins = 1024
-	// maxValue is below the largest value that the bins can index.
+	// maxValue is less than the largest value that the index mapping accepts.
 	maxValue = 1e300
 )
 
 var indexMapping = func() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(RelativeAccuracy)
 	if err != nil {
-		panic(err) // the accuracy is a constant within its range
+		panic(err) // cannot happen: the accuracy is a valid constant
 	}
 	return m
 }()
@@ -40,18 +40,18 @@
 	return &Sketch{ddsketch.NewDDSketchWithExactSummaryStatistics(indexMapping, newStore)}
 }
 
-// Add adds a value; negative and infinite ones and NaN count as 0.
+// Add adds a value. Negative values, infinities and NaN count as 0.
 func (s *Sketch) Add(value float64) {
 	if !(value >= 0) || math.IsInf(value, 0) {
 		value = 0
 	}
-	_ = s.sketch.Add(min(value, maxValue)) // the one error is of a value beyond what the bins can index
+	_ = s.sketch.Add(min(value, maxValue)) // fails only for values that the mapping can't index
 }
 
-// Count is the number of values.
+// Count returns the number of values.
 func (s *Sketch) Count() float64 { return s.sketch.GetCount() }
 
-// Clear removes all values and keeps the memory.
+// Clear removes all values and keeps the allocated memory for reuse.
 func (s *Sketch) Clear() { s.sketch.Clear() }
 
 // Encode appends the encoded sketch to dst.
@@ -60,13 +60,13 @@
 	return dst
 }
 
-// Summary is what is reported of a distribution.
+// Summary holds the reported statistics of a distribution.
 type Summary struct {
 	Count, Sum, Min, Max float64
 	P50, P95, P99        float64
 }
 
-// Summarize decodes a sketch.
+// Summarize decodes a sketch and returns its statistics, which are all 0 if the sketch is empty.
 func Summarize(encoded []byte) (Summary, error) {
 	sketch, err := decodeSketch(encoded)
 	if err != nil {
@@ -77,14 +77,14 @@
 	}
 	summary := Summary{Count: sketch.GetCount(), Sum: sketch.GetSum()}
 	if summary.Min, err = sketch.GetMinValue(); err != nil {
-		return summary, fmt.Errorf("sketch: %w", err)
+		return summary, fmt.Errorf("reading the minimum of a sketch: %w", err)
 	}
 	if summary.Max, err = sketch.GetMaxValue(); err != nil {
-		return summary, fmt.Errorf("sketch: %w", err)
+		return summary, fmt.Errorf("reading the maximum of a sketch: %w", err)
 	}
 	quantiles, err := sketch.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
 	if err != nil {
-		return summary, fmt.Errorf("sketch: %w", err)
+		return summary, fmt.Errorf("reading the quantiles of a sketch: %w", err)
 	}
 	summary.P50, summary.P95, summary.P99 = quantiles[0], quantiles[1], quantiles[2]
 	return summary, nil
@@ -93,29 +93,29 @@
 func decodeSketch(encoded []byte) (*ddsketch.DDSketchWithExactSummaryStatistics, error) {
 	sketch, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(encoded, newStore, indexMapping)
 	if err != nil {
-		return nil, fmt.Errorf("sketch: %w", err)
+		return nil, fmt.Errorf("decoding a sketch: %w", err)
 	}
 	return sketch, nil
 }
 
-// mergeSketches makes one encoded sketch of two.
+// mergeSketches merges two encoded sketches into one.
 func mergeSketches(a, b []byte) ([]byte, error) {
 	sketch, err := decodeSketch(a)
 	if err != nil {
 		return nil, err
 	}
 	if err := sketch.DecodeAndMergeWith(b); err != nil {
-		return nil, fmt.Errorf("sketch: %w", err)
+		return nil, fmt.Errorf("merging sketches: %w", err)
 	}
 	var out []byte
 	sketch.Encode(&out, true)
 	return out, nil
 }
 
-// StatNames are the exported names of what a Summary has, in the order of Values.
+// StatNames are the exported names of the statistics in a Summary, in the order of Summary.Values.
 var StatNames = []string{"count", "sum", "min", "p50", "p95", "p99", "max"}
 
-// Values are the numbers of a summary in the order of Stats.
+// Values returns the statistics in the order of Stats.
 func (s Summary) Values() [7]float64 {
 	return [7]float64{s.Count, s.Sum, s.Min, s.P50, s.P95, s.P99, s.Max}
 }
--- a/internal/metrics/sketch_test.go
+++ b/internal/metrics/sketch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// drawSketch draws values into five sketches, merges those, and returns the values in order as well.
+// drawSketch adds random values to five sketches and returns the sorted values and the merged sketch.
 func drawSketch(t *testing.T, draw func() float64) (values []float64, encoded []byte) {
 	t.Helper()
 	for range 5 {
@@ -30,8 +30,8 @@
 	return values, encoded
 }
 
-// The guarantee of the sketch, also of sketches that were merged: a quantile is off by a hundredth at most.
-func TestQuantileAccuracy(t *testing.T) {
+// Quantiles of merged sketches are within the guaranteed relative accuracy, and minimum, maximum and count are exact.
+func TestQuantileAccuracyOfMergedSketches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for name, draw := range map[string]func() float64{
 		"uniform":   func() float64 { return rng.Float64() * 1000 },
@@ -49,17 +49,17 @@
 			for _, q := range []struct{ quantile, got float64 }{{0.5, s.P50}, {0.95, s.P95}, {0.99, s.P99}} {
 				want := values[int(q.quantile*float64(len(values)-1))]
 				if math.Abs(q.got-want) > RelativeAccuracy*want+1e-9 {
-					t.Errorf("quantile %v is %v, reported %v", q.quantile, want, q.got)
+					t.Errorf("quantile %v: got %v, want %v", q.quantile, q.got, want)
 				}
 			}
 			if s.Max != values[len(values)-1] || s.Min != values[0] || s.Count != float64(len(values)) {
-				t.Errorf("%+v", s)
+				t.Errorf("minimum, maximum or count is not exact: %+v", s)
 			}
 		})
 	}
 }
 
-// Values that no clock should give must not spoil a sketch.
+// Invalid durations, such as negative ones, must not corrupt a sketch.
 func TestInvalidValuesCountAsZero(t *testing.T) {
 	s := NewSketch()
 	for _, v := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), math.MaxFloat64} {
@@ -67,6 +67,6 @@
 	}
 	got, err := Summarize(s.Encode(nil))
 	if err != nil || got.Count != 5 || got.Min != 0 || got.P50 != 0 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got %+v, error %v", got, err)
 	}
 }
