--- a/internal/delivery/event.go
+++ b/internal/delivery/event.go
@@ -6,26 +6,26 @@
 	"wheatlane/internal/metrics"
 )
 
-// Event is an input of a Machine. Conn is the number of its connection; events of connections other than the
-// present one are ignored.
+// Event is an input of a Machine. Conn is the number of the connection that the event belongs to; events of
+// connections other than the current one are ignored.
 type Event interface{ event() }
 
 type (
-	// IntervalAdded is a new interval to deliver.
+	// IntervalAdded adds an interval to deliver.
 	IntervalAdded struct{ Interval *metrics.Interval }
-	// Connected is a connection that was established.
+	// Connected reports that a connection was established.
 	Connected struct{ Conn int }
-	// Progress gives how many records of the interval being written were sent in all.
+	// Progress reports the total number of records sent of the interval being written.
 	Progress struct{ Conn, Records int }
-	// WriteCompleted is the end of a write: the interval was sent completely.
+	// WriteCompleted reports that the interval was sent completely.
 	WriteCompleted struct{ Conn int }
-	// Disconnected is a connection that has ended, or was not established. Records of the interval being
-	// written were sent in all: the next connection resumes behind them.
+	// Disconnected reports that a connection ended or was not established. Records is the total number of
+	// records sent of the interval being written; the next connection resumes after them.
 	Disconnected struct{ Conn, Records int }
-	// AddressChanged is a move of the collector to another address. An interval that was sent
-	// incompletely is sent there from its start.
+	// AddressChanged reports that the collector moved to another address. An interval that was sent partly is
+	// sent to the new address from its first record.
 	AddressChanged struct{}
-	// StopRequested asks the machine to stop within a timeout; what is not delivered by then is lost.
+	// StopRequested makes the machine stop within a timeout. Intervals not delivered by then are lost.
 	StopRequested struct{ Timeout time.Duration }
 )
 
@@ -37,21 +37,21 @@
 func (AddressChanged) event() {}
 func (StopRequested) event()  {}
 
-// Action is what a Machine decided, for its caller to carry out.
+// Action is an output of a Machine, which the caller performs.
 type Action interface{ action() }
 
 type (
-	// Connect establishes a connection. Connected or Disconnected follows.
+	// Connect opens a connection. The caller answers with Connected or Disconnected.
 	Connect struct{ Conn int }
-	// Write writes an interval from a record on. WriteCompleted or Disconnected follows.
+	// Write writes an interval, starting at FirstRecord. The caller answers with WriteCompleted or Disconnected.
 	Write struct {
 		Conn        int
 		Interval    *metrics.Interval
 		FirstRecord int
 	}
-	// Close ends a connection. Disconnected follows.
+	// Close closes a connection. The caller answers with Disconnected.
 	Close struct{ Conn int }
-	// Stopped is the last action.
+	// Stopped is the last action: the machine has stopped.
 	Stopped struct{}
 )
 
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/harness_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// intervalSource makes intervals of one request each, as a broker does.
+// intervalSource produces consecutive intervals with one request each.
 type intervalSource struct {
 	registry *metrics.Registry
 	now      time.Duration
@@ -43,17 +43,19 @@
 	return s.registry.EndInterval(s.now, s.now)
 }
 
-// rig drives a machine and records its actions as text.
-type rig struct {
+// harness drives a machine with simulated time and records its actions as text.
+type harness struct {
 	machine *Machine
 	source  *intervalSource
 	now     time.Duration
 	actions []string
 }
 
-func newRig(cfg Config) *rig { return &rig{machine: New(cfg, 1), source: newIntervalSource()} }
+func newHarness(cfg Config) *harness {
+	return &harness{machine: New(cfg, 1), source: newIntervalSource()}
+}
 
-func (r *rig) record(actions []Action) {
+func (r *harness) record(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Connect:
@@ -69,20 +71,20 @@
 	}
 }
 
-func (r *rig) apply(events ...Event) {
+func (r *harness) apply(events ...Event) {
 	for _, ev := range events {
 		r.record(r.machine.Apply(r.now, ev))
 	}
 }
 
-func (r *rig) offer(n int) {
+func (r *harness) offer(n int) {
 	for range n {
 		r.apply(IntervalAdded{r.source.next()})
 	}
 }
 
-// advance lets time pass; what is due happens at its time.
-func (r *rig) advance(d time.Duration) {
+// advance advances the time and ticks the machine at each deadline until then.
+func (r *harness) advance(d time.Duration) {
 	end := r.now + d
 	for {
 		at, ok := r.machine.NextDeadline()
@@ -93,14 +95,14 @@
 		before := len(r.actions)
 		r.record(r.machine.Tick(r.now))
 		if len(r.actions) == before {
-			break // nothing more is due at this time
+			break // no further action is due at this time
 		}
 	}
 	r.now = end
 }
 
-// expect compares the actions since the last call.
-func (r *rig) expect(t *testing.T, want ...string) {
+// expect compares the actions since the last call with want.
+func (r *harness) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if diff := cmp.Diff(want, r.actions); diff != "" {
 		t.Fatal(diff)
--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -1,7 +1,7 @@
-// Package delivery decides how intervals get to one collector: when to connect and how long to back off, what
-// to write next, what to hold and how to fold it while the collector is away, how fast to replay a backlog,
-// and what to count lost. It performs no I/O, reads no clock and starts no goroutine: events go in, actions
-// come out. Times are by a monotonic clock.
+// Package delivery decides how intervals are delivered to one collector: when to connect and how long to back off,
+// which interval to write next, which intervals to hold and merge while the collector is unavailable, how fast to
+// replay a backlog, and what to count as lost. It performs no I/O, reads no clock and starts no goroutine: events go
+// in, actions come out. Times are of a monotonic clock.
 package delivery
 
 import (
@@ -11,24 +11,25 @@
 	"wheatlane/internal/metrics"
 )
 
-// Config is how a destination is delivered to.
+// Config configures the delivery to one destination.
 type Config struct {
-	MemoryBudget   int           // bytes of intervals held, with the one being written
-	MaxWaiting     int           // intervals that may wait; 0: as many as the budget takes
-	InitialBackoff time.Duration // between connections after a failure; doubled with each further one
-	MaxBackoff     time.Duration // that it is doubled to
-	WriteTimeout   time.Duration // of a connection, without progress
-	ReplayRate     int           // bytes a second of a backlog, at full speed
+	MemoryBudget   int           // bytes of intervals held, including the one being written
+	MaxWaiting     int           // maximum number of waiting intervals; 0: limited by MemoryBudget only
+	InitialBackoff time.Duration // between connections after the first failure; doubles with each further one
+	MaxBackoff     time.Duration // upper limit of the backoff
+	WriteTimeout   time.Duration // a write without progress for this long closes the connection
+	ReplayRate     int           // bytes per second of a backlog after slow start
 }
 
-// Stats are counts of a destination, and what it holds. Of folded intervals each that was folded counts.
+// Stats holds counters of a destination and the size of its queue. A merged interval counts as the intervals that it
+// was merged from.
 type Stats struct {
 	HeldBytes          int     // bytes
-	WaitingIntervals   uint64  // held, with the one being written
+	WaitingIntervals   uint64  // held, including the one being written
 	DeliveredIntervals uint64  // written completely
 	LostIntervals      uint64  // intervals that will never be written
-	LostSamples        float64 // values of distributions that will never be written
-	ConnectionFailures uint64  // connections that broke or were not established
+	LostSamples        float64 // samples of distributions that will never be written
+	ConnectionFailures uint64  // connections that failed or were not established
 }
 
 type connectionState int
@@ -37,10 +38,10 @@
 	disconnected connectionState = iota
 	connecting
 	connected
-	closing // by a Close; Disconnected follows
+	closing // Close was emitted; Disconnected follows
 )
 
-// Machine decides for one destination. It is not safe for concurrent use.
+// Machine is the state machine of one destination. It is not safe for concurrent use.
 type Machine struct {
 	writeTimeout time.Duration
 	actions      []Action
@@ -49,18 +50,18 @@
 	failures     uint64
 
 	state        connectionState
-	conn         int // number of the present or last connection
-	moving       bool
+	conn         int  // number of the current or last connection
+	moving       bool // the connection is being closed as the collector's address changed
 	backoff      backoff
 	replay       replayPacer
-	lastProgress time.Duration // when records were last sent, or the write started
+	lastProgress time.Duration // last time that records were sent or a write started
 
 	stopping     bool
 	stopDeadline time.Duration
 	stopped      bool
 }
 
-// New returns a machine whose jitter is drawn from a seed.
+// New returns a machine whose backoff jitter is seeded with seed.
 func New(cfg Config, seed uint64) *Machine {
 	return &Machine{
 		writeTimeout: cfg.WriteTimeout,
@@ -70,11 +71,11 @@
 	}
 }
 
-// Stats are the counts as they stand.
+// Stats returns the current counts.
 func (m *Machine) Stats() Stats {
 	return Stats{
 		HeldBytes:          m.queue.heldBytes(),
-		WaitingIntervals:   m.queue.foldedCount(),
+		WaitingIntervals:   m.queue.intervalCount(),
 		DeliveredIntervals: m.delivered,
 		LostIntervals:      m.queue.lostIntervals,
 		LostSamples:        m.queue.lostSamples,
@@ -82,7 +83,7 @@
 	}
 }
 
-// NextDeadline is when Tick has something to do; ok is false if there is nothing.
+// NextDeadline returns the time at which Tick must be called next; ok is false if no action is pending.
 func (m *Machine) NextDeadline() (at time.Duration, ok bool) {
 	if m.stopped {
 		return 0, false
@@ -98,7 +99,7 @@
 	switch {
 	case m.state == disconnected && !m.queue.empty():
 		return m.backoff.retryAt, true
-	case m.state == connected && m.queue.writing != nil:
+	case m.state == connected && m.queue.inFlight != nil:
 		return m.lastProgress + m.writeTimeout, true
 	case m.state == connected && !m.queue.empty():
 		return m.replay.next, true
@@ -112,7 +113,7 @@
 	return m.takeActions()
 }
 
-// Apply takes an event and returns the actions that follow.
+// Apply processes an event and returns the resulting actions.
 func (m *Machine) Apply(now time.Duration, event Event) []Action {
 	switch ev := event.(type) {
 	case IntervalAdded:
@@ -123,11 +124,11 @@
 			m.replay.start(now)
 		}
 	case Progress:
-		if ev.Conn == m.conn && m.queue.writing != nil {
+		if ev.Conn == m.conn && m.queue.inFlight != nil {
 			m.lastProgress = now
 		}
 	case WriteCompleted:
-		if ev.Conn == m.conn && m.queue.writing != nil {
+		if ev.Conn == m.conn && m.queue.inFlight != nil {
 			m.writeCompleted(now)
 		}
 	case Disconnected:
@@ -141,7 +142,7 @@
 		m.closeConnection()
 	case StopRequested:
 		m.stopping, m.stopDeadline = true, now+ev.Timeout
-		m.backoff.reset(now) // a last attempt is made at once
+		m.backoff.reset(now) // makes a last attempt immediately
 		m.replay.next = now
 	}
 	m.advance(now)
@@ -164,7 +165,7 @@
 	m.queue.add(interval)
 }
 
-// writeCompleted counts as delivered what was being written.
+// writeCompleted counts the interval that was being written as delivered.
 func (m *Machine) writeCompleted(now time.Duration) {
 	written := m.queue.complete()
 	m.delivered += written.interval.MergedCount
@@ -172,15 +173,15 @@
 	m.replay.sent(now, written.memoryBytes)
 }
 
-// disconnected backs off, unless the connection was closed to move to another address.
+// disconnected starts the backoff, unless the connection was closed because the address changed.
 func (m *Machine) disconnected(now time.Duration, records int) {
-	moving, writing := m.moving, m.queue.writing
-	m.queue.writing, m.state, m.moving = nil, disconnected, false
+	moving, inFlight := m.moving, m.queue.inFlight
+	m.queue.inFlight, m.state, m.moving = nil, disconnected, false
 	if moving {
 		return
 	}
-	if writing != nil {
-		writing.recordsSent = max(writing.recordsSent, records)
+	if inFlight != nil {
+		inFlight.recordsSent = max(inFlight.recordsSent, records)
 	}
 	m.failures++
 	m.backoff.failed(now)
@@ -194,7 +195,7 @@
 	}
 }
 
-// advance starts what is due.
+// advance emits the actions that are due.
 func (m *Machine) advance(now time.Duration) {
 	switch {
 	case m.stopped:
@@ -204,31 +205,31 @@
 		m.conn++
 		m.state = connecting
 		m.emit(Connect{m.conn})
-	case m.state == connected && m.queue.writing != nil && now >= m.lastProgress+m.writeTimeout:
-		m.closeConnection() // the collector reads nothing
-	case m.state == connected && m.queue.writing == nil && !m.queue.empty():
+	case m.state == connected && m.queue.inFlight != nil && now >= m.lastProgress+m.writeTimeout:
+		m.closeConnection() // no progress within the write timeout
+	case m.state == connected && m.queue.inFlight == nil && !m.queue.empty():
 		m.startWrite(now)
 	}
 }
 
-// startWrite writes the newest interval if that was not tried yet, else the oldest when its time has come:
-// the present matters more than the past.
+// startWrite writes the newest interval if no write of it was started yet, as current values matter more than old ones.
+// Otherwise it writes the oldest interval once the replay rate allows it.
 func (m *Machine) startWrite(now time.Duration) {
 	next := m.queue.newest()
-	if !next.untried {
+	if !next.unattempted {
 		if now < m.replay.next && !m.stopping {
 			return
 		}
 		next = m.queue.oldest()
 	}
-	next.untried = false
-	m.queue.writing = next
+	next.unattempted = false
+	m.queue.inFlight = next
 	m.lastProgress = now
 	m.emit(Write{Conn: m.conn, Interval: next.interval, FirstRecord: next.recordsSent})
 }
 
 func (m *Machine) stop() {
-	m.queue.loseAll()
+	m.queue.dropAll()
 	m.closeConnection()
 	m.stopped = true
 	m.emit(Stopped{})
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestWritesEachIntervalAndIdles(t *testing.T) {
-	r := newRig(config())
+	r := newHarness(config())
 	r.offer(1)
 	r.expect(t, "connect 1")
 	r.apply(Connected{1})
@@ -34,25 +34,26 @@
 			at, ok := m.NextDeadline()
 			full := min(15*time.Second, 200*ms<<attempt)
 			if !ok || at-now < full/2 || at-now > full {
-				t.Fatalf("attempt %d: waits %v, want %v to %v", attempt, at-now, full/2, full)
+				t.Fatalf("attempt %d: got backoff %v, want %v to %v", attempt, at-now, full/2, full)
 			}
 			if attempt == 0 {
 				firsts = append(firsts, at)
 			}
 			now = at
 			if a := m.Tick(now); len(a) != 1 {
-				t.Fatalf("attempt %d: %v", attempt, a)
+				t.Fatalf("attempt %d: got actions %v, want one", attempt, a)
 			}
 		}
 	}
 	if slices.Sort(firsts); firsts[0] == firsts[len(firsts)-1] {
-		t.Fatal("all come back at once")
+		t.Fatal("machines with different seeds reconnect at the same time")
 	}
 }
 
-// A connection that is established and makes no progress is no success: the backoff keeps growing.
-func TestBackoffOfAConnectionWithoutProgress(t *testing.T) {
-	r := newRig(config())
+// The backoff must keep growing if a connection is established but makes no progress. Otherwise the broker would
+// reconnect with the initial backoff after each write timeout.
+func TestBackoffGrowsAfterAConnectionWithoutProgress(t *testing.T) {
+	r := newHarness(config())
 	r.offer(1)
 	r.apply(Connected{1})
 	r.actions = nil
@@ -68,14 +69,14 @@
 	r.apply(Disconnected{2, 0})
 	r.expect(t, "write 1 of 1 from 0", "close 2")
 	if at, _ := r.machine.NextDeadline(); at-r.now < 200*ms {
-		t.Fatalf("the second pause is %v", at-r.now)
+		t.Fatalf("second backoff is %v, want at least %v", at-r.now, 200*ms)
 	}
 	r.advance(400 * ms)
 	r.expect(t, "connect 3")
 }
 
-func TestProgressKeepsAConnection(t *testing.T) {
-	r := newRig(config())
+func TestProgressExtendsTheWriteTimeout(t *testing.T) {
+	r := newHarness(config())
 	r.offer(1)
 	r.apply(Connected{1})
 	r.actions = nil
@@ -86,8 +87,8 @@
 	r.expect(t)
 }
 
-func TestResumesBehindSentRecords(t *testing.T) {
-	r := newRig(config())
+func TestResumesAfterSentRecords(t *testing.T) {
+	r := newHarness(config())
 	r.offer(1)
 	r.apply(Connected{1}, Disconnected{1, 17})
 	r.advance(time.Second)
@@ -95,11 +96,11 @@
 	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 1 of 1 from 17")
 }
 
-// The number of records sent counts in the interval as it was written.
-func TestPartlySentIntervalIsNotFolded(t *testing.T) {
+// Merging a partly sent interval would change its records, and the number of records sent would no longer apply.
+func TestPartlySentIntervalIsNotMerged(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaiting = 3
-	r := newRig(cfg)
+	r := newHarness(cfg)
 	r.offer(1)
 	r.apply(Connected{1}, Disconnected{1, 5})
 	r.offer(6)
@@ -109,19 +110,19 @@
 	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
 }
 
-// The newest interval is written ahead of the backlog, which is replayed at a growing rate.
+// The newest interval is written before the backlog, which is replayed at an increasing rate.
 func TestNewestIntervalPrecedesTheBacklog(t *testing.T) {
 	cfg := config()
 	cfg.MemoryBudget, cfg.ReplayRate = 1<<20, 2<<10
-	r := newRig(cfg)
+	r := newHarness(cfg)
 	r.offer(6)
 	r.apply(Connected{1})
 	r.expect(t, "connect 1", "write 6 of 1 from 0")
 	r.apply(WriteCompleted{1})
-	r.expect(t) // some 800 bytes at 256 a second
+	r.expect(t) // waits for about 800 bytes at 256 bytes per second
 	r.advance(4 * time.Second)
 	r.expect(t, "write 1 of 1 from 0")
-	r.offer(1) // meanwhile
+	r.offer(1) // during the write
 	r.apply(WriteCompleted{1})
 	r.expect(t, "write 7 of 1 from 0")
 	r.apply(WriteCompleted{1})
@@ -129,7 +130,7 @@
 	for range 4 {
 		at, ok := r.machine.NextDeadline()
 		if !ok {
-			t.Fatal("nothing is due")
+			t.Fatal("no deadline although a backlog waits")
 		}
 		gaps = append(gaps, at-r.now)
 		r.advance(at - r.now)
@@ -137,18 +138,18 @@
 	}
 	r.expect(t, "write 2 of 1 from 0", "write 3 of 1 from 0", "write 4 of 1 from 0", "write 5 of 1 from 0")
 	if gaps[3] >= gaps[0] {
-		t.Fatalf("the pace does not grow: %v", gaps)
+		t.Fatalf("replay rate does not increase: gaps between writes are %v", gaps)
 	}
 }
 
-// An hour's outage is reported in fewer, coarser intervals of about one length, and nothing of it is lost.
-func TestLongOutageIsFolded(t *testing.T) {
+// The intervals of an outage of one hour are merged into fewer ones of about equal length, without any loss.
+func TestIntervalsOfALongOutageAreMergedEvenly(t *testing.T) {
 	cfg := config()
-	r := newRig(cfg)
+	r := newHarness(cfg)
 	for range 360 {
 		r.offer(1)
 		if held := r.machine.Stats().HeldBytes; held > cfg.MemoryBudget {
-			t.Fatalf("holds %d bytes", held)
+			t.Fatalf("queue holds %d bytes, budget is %d", held, cfg.MemoryBudget)
 		}
 	}
 	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.LostIntervals != 0 || st.LostSamples != 0 {
@@ -162,16 +163,16 @@
 		}
 	}
 	if largest > 4*fewest || samples != 360 {
-		t.Fatalf("intervals of %d to %d in one, %v samples", fewest, largest, samples)
+		t.Fatalf("intervals are merged from %d to %d, with %v samples of 360", fewest, largest, samples)
 	}
 }
 
-// What even folding can't hold is counted lost, to the last value.
-func TestLossesAreCounted(t *testing.T) {
+// Intervals and samples that don't fit the memory budget even after merging are counted as lost exactly.
+func TestIntervalsBeyondTheBudgetAreCountedLost(t *testing.T) {
 	cfg := config()
-	cfg.MemoryBudget = 4 << 10 // room for two intervals or so
-	r := newRig(cfg)
-	r.offer(2000) // five hours and more: longer than may be folded into one
+	cfg.MemoryBudget = 4 << 10 // fits about two intervals
+	r := newHarness(cfg)
+	r.offer(2000) // more than five hours, which exceeds the maximum span of a merged interval
 	st := r.machine.Stats()
 	if st.HeldBytes > cfg.MemoryBudget || st.LostIntervals == 0 || st.LostIntervals+st.WaitingIntervals != 2000 {
 		t.Fatalf("%+v", st)
@@ -181,22 +182,22 @@
 		held += it.interval.SampleCount()
 	}
 	if st.LostSamples+held != 2000 {
-		t.Fatalf("%v samples lost, %v held", st.LostSamples, held)
+		t.Fatalf("got %v samples lost and %v held, want 2000 in total", st.LostSamples, held)
 	}
 }
 
-// collectd accepts nothing older than the last: one interval waits, which has all.
-func TestMaxWaitingOfOne(t *testing.T) {
+// collectd rejects values older than the last ones. With MaxWaiting 1, the single waiting interval contains all others.
+func TestAllWaitingIntervalsAreMergedIfOneMayWait(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaiting = 1
-	r := newRig(cfg)
+	r := newHarness(cfg)
 	r.offer(5)
 	r.apply(Disconnected{1, 0})
 	r.offer(5)
 	r.advance(time.Second)
 	r.apply(Connected{2})
 	r.expect(t, "connect 1", "connect 2", "write 10 of 10 from 0")
-	r.offer(2) // while that is under way
+	r.offer(2) // during the write
 	r.apply(WriteCompleted{2})
 	r.expect(t, "write 12 of 2 from 0")
 	if st := r.machine.Stats(); st.LostIntervals != 0 {
@@ -204,13 +205,14 @@
 	}
 }
 
+// After an address change the machine connects without backoff and sends all intervals to the new address.
 func TestAddressChangeMovesTheQueue(t *testing.T) {
-	r := newRig(config())
+	r := newHarness(config())
 	r.offer(1)
 	r.apply(Connected{1}, Disconnected{1, 5})
 	r.offer(1)
 	r.actions = nil
-	r.apply(AddressChanged{}) // it does not wait for the pause
+	r.apply(AddressChanged{}) // skips the backoff
 	r.expect(t, "connect 2")
 	r.apply(Connected{2})
 	r.expect(t, "write 2 of 1 from 0")
@@ -220,43 +222,43 @@
 	r.expect(t, "connect 3")
 	r.apply(Connected{3}, WriteCompleted{3})
 	r.advance(time.Second)
-	// From the first record, as the new collector has none of it.
+	// Starts at the first record, as the new collector has received none.
 	r.expect(t, "write 1 of 1 from 0", "write 2 of 1 from 0")
 	if st := r.machine.Stats(); st.ConnectionFailures != 1 {
-		t.Fatalf("a move counts as a break: %+v", st)
+		t.Fatalf("address change counts as a connection failure: %+v", st)
 	}
 }
 
 func TestStop(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(*rig)
+		do   func(*harness)
 		want []string
 		lost uint64
 	}{
-		{"nothing waits", func(r *rig) { r.apply(StopRequested{300 * ms}) }, []string{"stopped"}, 0},
-		{"all leaves, without a pace", func(r *rig) {
+		{"empty queue stops immediately", func(r *harness) { r.apply(StopRequested{300 * ms}) }, []string{"stopped"}, 0},
+		{"backlog is written without pacing", func(r *harness) {
 			r.offer(3)
 			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1}, WriteCompleted{1}, WriteCompleted{1})
 		}, []string{
 			"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "write 2 of 1 from 0", "close 1", "stopped",
 		}, 0},
-		{"a last attempt is made at once", func(r *rig) {
+		{"last connection attempt skips the backoff", func(r *harness) {
 			r.offer(1)
 			r.apply(Disconnected{1, 0}, StopRequested{300 * ms}, Connected{2}, WriteCompleted{2})
 		}, []string{"connect 1", "connect 2", "write 1 of 1 from 0", "close 2", "stopped"}, 0},
-		{"what is left is counted", func(r *rig) {
+		{"intervals left at the deadline are counted lost", func(r *harness) {
 			r.offer(3)
 			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1})
 			r.advance(300 * ms)
 		}, []string{"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "close 1", "stopped"}, 2},
-		{"nothing is accepted after it", func(r *rig) {
+		{"interval added after the stop is counted lost", func(r *harness) {
 			r.apply(StopRequested{300 * ms})
 			r.offer(1)
 		}, []string{"stopped"}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(config())
+			r := newHarness(config())
 			c.do(r)
 			r.expect(t, c.want...)
 			if st := r.machine.Stats(); st.LostIntervals != c.lost || st.WaitingIntervals != 0 {
--- a/internal/delivery/pace.go
+++ b/internal/delivery/pace.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxDoublings  = 20 // of a backoff, which must not overflow
-	jitterDivisor = 2  // a pause is shortened by at most this fraction of it, at random
+	maxDoublings  = 20 // prevents overflow of the backoff
+	jitterDivisor = 2  // jitter shortens a pause by up to pause/jitterDivisor
 )
 
-// backoff decides when to connect again: exponential backoff with jitter, so that brokers don't all come back
-// to a collector at once.
+// backoff computes the time of the next connection: exponential backoff with jitter, so that brokers don't all
+// reconnect to a collector at the same time.
 type backoff struct {
 	initial, max time.Duration
 	rng          *rand.Rand
 
-	failures int // since an interval was last written
+	failures int // since the last written interval
 	retryAt  time.Duration
 }
 
@@ -27,31 +27,31 @@
 	b.retryAt = now + jitter + time.Duration(b.rng.Int64N(int64(jitter)+1))
 }
 
-// succeeded starts the next backoff at the initial one.
+// succeeded makes the next backoff start at the initial pause.
 func (b *backoff) succeeded() { b.failures = 0 }
 
-// reset allows a connection at once.
+// reset allows a connection immediately.
 func (b *backoff) reset(now time.Duration) { b.failures, b.retryAt = 0, now }
 
 const (
-	// A backlog is replayed from this fraction of the full rate on, which grows by a factor after each step:
-	// a collector that has just come back has other senders, too.
+	// The replay of a backlog starts at maxRate/slowStartDivisor and grows by slowStartGrowth after each
+	// slowStartStep: a collector that has just recovered receives the backlogs of other senders, too.
 	slowStartDivisor = 8
 	slowStartGrowth  = 2
 	slowStartStep    = time.Second
 )
 
-// replayPacer decides when the next interval of a backlog may be written: slow start up to a full rate. Rates
-// are in bytes a second.
+// replayPacer computes when the next interval of a backlog may be written, with slow start up to a maximum rate. Rates
+// are in bytes per second.
 type replayPacer struct {
 	maxRate float64
 
 	rate       float64
-	next       time.Duration // when the next interval may be written
-	increaseAt time.Duration // when the rate may grow
+	next       time.Duration // earliest time of the next write
+	increaseAt time.Duration // earliest time of the next rate increase
 }
 
-// start begins a slow start, with a connection.
+// start begins slow start on a new connection.
 func (p *replayPacer) start(now time.Duration) {
 	p.rate = max(1, p.maxRate/slowStartDivisor)
 	p.next, p.increaseAt = now, now+slowStartStep
--- a/internal/delivery/property_test.go
+++ b/internal/delivery/property_test.go
@@ -9,18 +9,18 @@
 	"wheatlane/internal/metrics"
 )
 
-// model is what a destination and its collector know while a machine is driven at random, and checks each
-// action against that.
+// model tracks the state of a destination and its collector while a machine receives random events, and checks each
+// action against that state.
 type model struct {
-	t   *rapid.T
-	rig *rig
-	cfg Config
+	t       *rapid.T
+	harness *harness
+	cfg     Config
 
-	conn        int // 0: there is none
+	conn        int // 0: no connection
 	established bool
 	writing     *Write
-	sent        map[*metrics.Interval]int // records that were sent, of intervals sent in part
-	delivered   uint64                    // intervals written, each of those folded into one counted
+	sent        map[*metrics.Interval]int // number of records sent of each partly sent interval
+	delivered   uint64                    // intervals written, counting a merged one as its originals
 }
 
 func (m *model) check(actions []Action) {
@@ -28,28 +28,28 @@
 		switch a := action.(type) {
 		case Connect:
 			if m.conn != 0 {
-				m.t.Fatal("two connections at once")
+				m.t.Fatal("Connect while a connection is open")
 			}
 			m.conn, m.established = a.Conn, false
 		case Write:
 			if m.writing != nil || !m.established || a.Conn != m.conn {
-				m.t.Fatalf("writes out of turn: %+v", a)
+				m.t.Fatalf("Write without an established, idle connection: %+v", a)
 			}
 			if a.FirstRecord < m.sent[a.Interval] {
-				m.t.Fatalf("record %d again, %d were sent", a.FirstRecord, m.sent[a.Interval])
+				m.t.Fatalf("Write from record %d, though %d were sent already", a.FirstRecord, m.sent[a.Interval])
 			}
 			m.writing = &a
 		}
 	}
 }
 
-func (m *model) apply(event Event) { m.check(m.rig.machine.Apply(m.rig.now, event)) }
+func (m *model) apply(event Event) { m.check(m.harness.machine.Apply(m.harness.now, event)) }
 
-func (m *model) tick() { m.check(m.rig.machine.Tick(m.rig.now)) }
+func (m *model) tick() { m.check(m.harness.machine.Tick(m.harness.now)) }
 
-// connect reports the connection that is being established as connected, if there is one.
+// connect reports the connection that is being established as connected. It returns false if there is none.
 func (m *model) connect() bool {
-	if m.conn == 0 || m.established || m.rig.machine.state != connecting {
+	if m.conn == 0 || m.established || m.harness.machine.state != connecting {
 		return false
 	}
 	m.established = true
@@ -57,7 +57,7 @@
 	return true
 }
 
-// completeWrite reports the write that is under way as completed, if there is one.
+// completeWrite reports the current write as completed. It returns false if there is none.
 func (m *model) completeWrite() bool {
 	if m.writing == nil {
 		return false
@@ -69,7 +69,7 @@
 	return true
 }
 
-// disconnect reports the connection as ended after some more records, if there is one.
+// disconnect reports that the connection, if there is one, ended after moreRecords further records.
 func (m *model) disconnect(moreRecords func() int) {
 	if m.conn == 0 {
 		return
@@ -84,79 +84,79 @@
 	m.apply(Disconnected{ended, records})
 }
 
-// step lets time pass and something happen.
+// step advances the time and applies a random event.
 func (m *model) step() {
 	pauses := []time.Duration{0, ms, 100 * ms, 10 * time.Second}
-	m.rig.now += rapid.SampledFrom(pauses).Draw(m.t, "pause")
+	m.harness.now += rapid.SampledFrom(pauses).Draw(m.t, "pause")
 	m.tick()
 	switch rapid.IntRange(0, 5).Draw(m.t, "what") {
 	case 0, 1:
-		m.apply(IntervalAdded{m.rig.source.next()})
+		m.apply(IntervalAdded{m.harness.source.next()})
 	case 2:
 		m.connect()
 	case 3:
-		if m.rig.machine.state == connected {
+		if m.harness.machine.state == connected {
 			m.completeWrite()
 		}
 	case 4:
 		m.disconnect(func() int { return rapid.IntRange(0, 5).Draw(m.t, "records") })
 	case 5:
-		m.apply(Disconnected{Conn: 999, Records: 3}) // of no connection that there is
+		m.apply(Disconnected{Conn: 999, Records: 3}) // unknown connection
 	}
 }
 
-// checkStats wants each interval delivered, lost or held, and never two of these, and no more held than may
-// be.
+// checkStats checks that each interval is counted exactly once, as delivered, lost or waiting, and that the queue is
+// within its memory budget.
 func (m *model) checkStats() {
-	stats, made := m.rig.machine.Stats(), m.rig.source.made
+	stats, made := m.harness.machine.Stats(), m.harness.source.made
 	total := stats.DeliveredIntervals + stats.LostIntervals + stats.WaitingIntervals
 	if m.delivered != stats.DeliveredIntervals || total != made {
-		m.t.Fatalf("%d made, %d written: %+v", made, m.delivered, stats)
+		m.t.Fatalf("counts don't match %d intervals made and %d written: %+v", made, m.delivered, stats)
 	}
 	if stats.HeldBytes > m.cfg.MemoryBudget {
-		m.t.Fatalf("%d bytes held, %d may be", stats.HeldBytes, m.cfg.MemoryBudget)
+		m.t.Fatalf("queue holds %d bytes, budget is %d", stats.HeldBytes, m.cfg.MemoryBudget)
 	}
 }
 
-// serve lets the collector do its part until nothing is due.
+// serve simulates a working collector until the machine has nothing left to do.
 func (m *model) serve() {
 	for range 10_000 {
 		if m.connect() {
 			continue
 		}
-		if m.conn != 0 && m.rig.machine.state == closing {
+		if m.conn != 0 && m.harness.machine.state == closing {
 			m.disconnect(func() int { return 0 })
 			continue
 		}
 		if m.completeWrite() {
 			continue
 		}
-		at, ok := m.rig.machine.NextDeadline()
+		at, ok := m.harness.machine.NextDeadline()
 		if !ok {
 			return
 		}
-		m.rig.now = max(m.rig.now, at)
+		m.harness.now = max(m.harness.now, at)
 		m.tick()
 	}
 }
 
-// Whatever a collector does: each interval is delivered once, lost or held, and never two of these; no more
-// is held than may be; records that were sent are not sent again to the same collector; and once it serves,
-// all is delivered.
+// For any behaviour of the collector: each interval is counted exactly once, as delivered, lost or waiting; the queue
+// stays within its memory budget; records are not sent twice to the same collector; and once the collector works, all
+// waiting intervals are delivered.
 func TestMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.MemoryBudget = rapid.SampledFrom([]int{3 << 10, 16 << 10, 1 << 20}).Draw(t, "budget")
 		cfg.MaxWaiting = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "max waiting")
-		m := &model{t: t, rig: newRig(cfg), cfg: cfg, sent: map[*metrics.Interval]int{}}
+		m := &model{t: t, harness: newHarness(cfg), cfg: cfg, sent: map[*metrics.Interval]int{}}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			m.step()
 			m.checkStats()
 		}
 		m.serve()
-		stats := m.rig.machine.Stats()
-		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != m.rig.source.made {
-			t.Fatalf("still waiting: %+v", stats)
+		stats := m.harness.machine.Stats()
+		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != m.harness.source.made {
+			t.Fatalf("intervals are left after the collector recovered: %+v", stats)
 		}
 	})
 }
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -7,29 +7,29 @@
 	"wheatlane/internal/metrics"
 )
 
-// maxFoldedSpan bounds what is folded into one interval. It is well under the time for which a retired name
-// keeps its slot, so that no interval has the counts of two names in one series.
-const maxFoldedSpan = time.Hour
+// maxMergedSpan is the maximum duration of a merged interval. It is well below the time for which a retired name keeps
+// its slot, so that no interval has the counts of two names in one series.
+const maxMergedSpan = time.Hour
 
-// queuedInterval is an interval that waits or is being written.
+// queuedInterval is an interval that is waiting or being written.
 type queuedInterval struct {
 	interval    *metrics.Interval
 	memoryBytes int
 	recordsSent int
-	untried     bool // it is the newest, and no write of it was started
+	unattempted bool // newest interval, with no write started
 }
 
-func newQueuedInterval(interval *metrics.Interval, untried bool) *queuedInterval {
-	return &queuedInterval{interval: interval, memoryBytes: interval.MemoryBytes(), untried: untried}
+func newQueuedInterval(interval *metrics.Interval, unattempted bool) *queuedInterval {
+	return &queuedInterval{interval: interval, memoryBytes: interval.MemoryBytes(), unattempted: unattempted}
 }
 
-// queue holds the intervals to deliver within a memory budget, oldest first, and counts what is lost.
+// queue holds the intervals to deliver, oldest first, within a memory budget, and counts lost intervals and samples.
 type queue struct {
-	memoryBudget int // bytes, with those of the interval being written
-	maxWaiting   int // intervals beside the one being written; 0: as many as the budget takes
+	memoryBudget int // bytes, including the interval being written
+	maxWaiting   int // intervals, excluding the one being written; 0: limited by memoryBudget only
 
 	intervals []*queuedInterval
-	writing   *queuedInterval // one of intervals, or nil
+	inFlight  *queuedInterval // element of intervals that is being written, or nil
 
 	lostIntervals uint64
 	lostSamples   float64
@@ -41,7 +41,7 @@
 
 func (q *queue) oldest() *queuedInterval { return q.intervals[0] }
 
-// heldBytes is the memory of all intervals.
+// heldBytes returns the memory of all intervals.
 func (q *queue) heldBytes() int {
 	total := 0
 	for _, queued := range q.intervals {
@@ -50,8 +50,8 @@
 	return total
 }
 
-// foldedCount is how many intervals the queue holds, each of those that are folded into one counted.
-func (q *queue) foldedCount() uint64 {
+// intervalCount returns the number of original intervals in the queue: a merged one counts as those it was merged from.
+func (q *queue) intervalCount() uint64 {
 	var total uint64
 	for _, queued := range q.intervals {
 		total += queued.interval.MergedCount
@@ -62,35 +62,35 @@
 // add appends a new interval.
 func (q *queue) add(interval *metrics.Interval) {
 	for _, queued := range q.intervals {
-		queued.untried = false
+		queued.unattempted = false
 	}
 	q.intervals = append(q.intervals, newQueuedInterval(interval, true))
 	q.enforceLimits()
 }
 
-// rewind has each interval sent from its first record.
+// rewind makes each interval be sent from its first record.
 func (q *queue) rewind() {
 	for _, queued := range q.intervals {
 		queued.recordsSent = 0
 	}
 }
 
-// complete removes the interval being written, which is delivered, and returns it.
+// complete removes the interval being written, which was delivered, and returns it.
 func (q *queue) complete() *queuedInterval {
-	delivered := q.writing
-	q.writing = nil
+	delivered := q.inFlight
+	q.inFlight = nil
 	if i := slices.Index(q.intervals, delivered); i >= 0 {
 		q.intervals = slices.Delete(q.intervals, i, i+1)
 	}
 	return delivered
 }
 
-// loseAll counts as lost what is left.
-func (q *queue) loseAll() {
+// dropAll removes all intervals and counts them as lost.
+func (q *queue) dropAll() {
 	for _, queued := range q.intervals {
 		q.countLost(queued.interval)
 	}
-	q.intervals, q.writing = nil, nil
+	q.intervals, q.inFlight = nil, nil
 }
 
 func (q *queue) countLost(interval *metrics.Interval) {
@@ -98,18 +98,18 @@
 	q.lostSamples += interval.SampleCount()
 }
 
-// enforceLimits folds intervals before it drops distributions, and drops those before it drops intervals.
+// enforceLimits shrinks the queue to its limits: it merges intervals first, then drops distributions, then intervals.
 func (q *queue) enforceLimits() {
 	for q.overLimits() {
-		if !q.foldNeighbors() && !q.dropDistributions() && !q.dropOldest() {
-			return // what is being written stays, also over the budget
+		if !q.mergeNeighbors() && !q.dropDistributions() && !q.dropOldest() {
+			return // the interval being written stays even if it exceeds the budget
 		}
 	}
 }
 
 func (q *queue) overLimits() bool {
 	waiting := len(q.intervals)
-	if q.writing != nil {
+	if q.inFlight != nil {
 		waiting--
 	}
 	return q.overBudget() || q.maxWaiting > 0 && waiting > q.maxWaiting
@@ -117,35 +117,35 @@
 
 func (q *queue) overBudget() bool { return q.heldBytes() > q.memoryBudget }
 
-// unchangeable reports whether records of an interval were sent, or are being sent: their numbers count in the
-// interval as it is.
-func (q *queue) unchangeable(queued *queuedInterval) bool {
-	return queued == q.writing || queued.recordsSent > 0
+// isImmutable reports whether records of an interval were sent or are being sent. Such an interval must not change, as
+// record numbers refer to its present content.
+func (q *queue) isImmutable(queued *queuedInterval) bool {
+	return queued == q.inFlight || queued.recordsSent > 0
 }
 
-// foldNeighbors folds the two neighbors that hold the fewest intervals together, the oldest such pair: the
-// resolution of an outage stays even, and coarsens as it lasts. The newest interval is folded only where no more
-// than one may wait.
-func (q *queue) foldNeighbors() bool {
-	i := q.bestFold()
+// mergeNeighbors merges the pair of neighbors that represents the fewest original intervals, and the oldest such pair
+// if several do. So the resolution of an outage is even and becomes coarser the longer it lasts. The newest interval is
+// merged only if no more than one interval may wait. It returns false if there is no pair to merge.
+func (q *queue) mergeNeighbors() bool {
+	i := q.bestMergeIndex()
 	if i < 0 {
 		return false
 	}
 	earlier, later := q.intervals[i], q.intervals[i+1]
-	folded, err := metrics.Merge(earlier.interval, later.interval)
-	if err != nil { // a sketch can't be decoded: its samples are lost, the counters are not
+	merged, err := metrics.Merge(earlier.interval, later.interval)
+	if err != nil { // a sketch can't be decoded: its samples are lost, but no counters
 		q.lostSamples += earlier.interval.SampleCount()
-		if folded, err = metrics.Merge(earlier.interval.WithoutDistributions(), later.interval); err != nil {
+		if merged, err = metrics.Merge(earlier.interval.WithoutDistributions(), later.interval); err != nil {
 			return false
 		}
 	}
-	q.intervals[i] = newQueuedInterval(folded, later.untried)
+	q.intervals[i] = newQueuedInterval(merged, later.unattempted)
 	q.intervals = slices.Delete(q.intervals, i+1, i+2)
 	return true
 }
 
-// bestFold is the place of the first of the two neighbors to fold, or -1 if there are none.
-func (q *queue) bestFold() int {
+// bestMergeIndex returns the index of the earlier of the two neighbors to merge, or -1 if there are none.
+func (q *queue) bestMergeIndex() int {
 	end := len(q.intervals) - 1
 	if q.maxWaiting == 1 {
 		end++
@@ -154,7 +154,7 @@
 	for i := 0; i+1 < end; i++ {
 		earlier, later := q.intervals[i], q.intervals[i+1]
 		span := earlier.interval.Duration + later.interval.Duration
-		if q.unchangeable(earlier) || q.unchangeable(later) || span > maxFoldedSpan {
+		if q.isImmutable(earlier) || q.isImmutable(later) || span > maxMergedSpan {
 			continue
 		}
 		if count := earlier.interval.MergedCount + later.interval.MergedCount; best < 0 || count < fewest {
@@ -164,13 +164,14 @@
 	return best
 }
 
-// dropDistributions drops those of the oldest interval that has some; the newest one's go last.
+// dropDistributions drops the distributions of the oldest interval that has any and may change. It returns false if
+// there is none, or if the queue is within its memory budget.
 func (q *queue) dropDistributions() bool {
-	if !q.overBudget() { // fewer bytes don't help against too many intervals
+	if !q.overBudget() { // dropping distributions does not reduce the number of intervals
 		return false
 	}
 	for _, queued := range q.intervals {
-		if q.unchangeable(queued) || len(queued.interval.Distributions) == 0 {
+		if q.isImmutable(queued) || len(queued.interval.Distributions) == 0 {
 			continue
 		}
 		q.lostSamples += queued.interval.SampleCount()
@@ -181,10 +182,10 @@
 	return false
 }
 
-// dropOldest drops the oldest interval that is not being written.
+// dropOldest drops the oldest interval that is not being written. It returns false if there is none.
 func (q *queue) dropOldest() bool {
 	for i, queued := range q.intervals {
-		if queued != q.writing {
+		if queued != q.inFlight {
 			q.countLost(queued.interval)
 			q.intervals = slices.Delete(q.intervals, i, i+1)
 			return true
