--- a/internal/cardinality/escape.go
+++ b/internal/cardinality/escape.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// OtherName is the exported name of all names that are not admitted.
+	// OtherName is the exported name of the series for all names that are not admitted.
 	OtherName = "other"
-	// maxEscapedBytes keeps an escaped name, and what precedes it, within the 127 bytes of a part of a
-	// collectd identifier: a longer one would be truncated there, and two might become one.
+	// maxEscapedBytes limits an escaped name so that it fits, with its prefix, into the 127 bytes of a part of a
+	// collectd identifier. collectd truncates longer parts, which could make two names equal.
 	maxEscapedBytes = 110
 	hexDigits       = "0123456789abcdef"
 	emptyEscaped    = "_"
 )
 
-// ErrInvalidEscape is returned for a text that Escape never makes.
+// ErrInvalidEscape is returned for a text that Escape does not produce.
 var ErrInvalidEscape = errors.New("cardinality: not an escaped name")
 
-// isSafe reports whether a byte means nothing to Graphite, collectd or a shell.
+// isSafe reports whether a byte has no special meaning to Graphite, collectd or a shell.
 func isSafe(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-'
 }
@@ -42,9 +42,9 @@
 	return escaped <= maxEscapedBytes
 }
 
-// Escape makes a name fit for a part of a path or a tag, one to one: letters, digits and dashes stay, an
-// underscore becomes two, and any other byte an underscore with two hex digits. The empty name is one
-// underscore, and the name "other" differs from OtherName.
+// Escape encodes a name for use in a path or a tag. The encoding is one-to-one: letters, digits and dashes are
+// unchanged, an underscore is doubled, and any other byte becomes an underscore and two hex digits. The empty name
+// becomes one underscore. The name "other" is escaped so that it differs from OtherName.
 func Escape(name string) string {
 	if name == "" {
 		return emptyEscaped
@@ -64,7 +64,7 @@
 	return b.String()
 }
 
-// Unescape is the reverse of Escape. It fails with ErrEscape for any other spelling of a name.
+// Unescape decodes a name encoded by Escape. It fails with ErrInvalidEscape for any other text.
 func Unescape(escaped string) (string, error) {
 	if escaped == emptyEscaped {
 		return "", nil
@@ -84,7 +84,7 @@
 	return "", ErrInvalidEscape
 }
 
-// unescapeByte decodes the first byte of a text that is not empty, and returns how many bytes that takes.
+// unescapeByte decodes the first byte of a text that is not empty, and returns the number of encoded bytes.
 func unescapeByte(text string) (c byte, size int, ok bool) {
 	switch {
 	case isSafe(text[0]):
--- a/internal/cardinality/escape_test.go
+++ b/internal/cardinality/escape_test.go
@@ -12,21 +12,21 @@
 	} {
 		got, err := Unescape(Escape(name))
 		if err != nil || got != name {
-			t.Errorf("%q became %q and came back %q, %v", name, Escape(name), got, err)
+			t.Errorf("%q is escaped as %q, which is unescaped as %q, error %v", name, Escape(name), got, err)
 		}
 	}
-	for _, text := range []string{"a.b", "_2", "_zz", "_61", "a_", "other "} { // _61 is another spelling of a
+	for _, text := range []string{"a.b", "_2", "_zz", "_61", "a_", "other "} { // _61 is a non-canonical form of a
 		if got, err := Unescape(text); err == nil {
-			t.Errorf("%q was read as %q", text, got)
+			t.Errorf("%q is accepted as the escaped form of %q", text, got)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		name := string(rapid.SliceOf(rapid.Byte()).Draw(t, "name"))
 		if got, err := Unescape(Escape(name)); err != nil || got != name {
-			t.Fatalf("%q came back %q, %v", name, got, err)
+			t.Fatalf("%q is unescaped as %q, error %v", name, got, err)
 		}
 		if Escape(name) == OtherName {
-			t.Fatalf("%q has the name of all others", name)
+			t.Fatalf("%q is escaped as OtherName", name)
 		}
 	})
 }
--- a/internal/cardinality/spacesaving.go
+++ b/internal/cardinality/spacesaving.go
@@ -9,20 +9,20 @@
 // maxNameBytes is the longest name that can have a slot of its own.
 const maxNameBytes = 64
 
-// SpaceSaving is a Space-Saving sketch: it counts a fixed number of names, and a name that is not among them
-// takes the place of the one counted least, along with its count. Each name that came more often than the sum
-// of all counts over the number of places is sure to be in it. Add allocates nothing.
+// SpaceSaving is a Space-Saving sketch: it counts a fixed number of names, and a name that is not among them replaces
+// the name with the lowest count and inherits that count. The sketch is guaranteed to contain each name that occurred
+// more often than the sum of all counts divided by the capacity. Add does not allocate.
 type SpaceSaving struct {
 	seed        maphash.Seed
 	entries     []entry
-	heap        []int32 // of entries by place, the least count first
+	heap        []int32 // min-heap by count of indexes into entries
 	entryByHash map[uint64]int32
 }
 
 type entry struct {
 	hash       uint64
 	count      uint64
-	overcount  uint64 // of the count, at most what was taken over from names before
+	overcount  uint64 // upper bound of the part of count inherited from replaced names
 	heapIndex  int32
 	nameLength uint8
 	name       [maxNameBytes]byte
@@ -35,31 +35,31 @@
 	copy(e.name[:], name)
 }
 
-// HeavyHitter is a name with bounds on how often it came.
+// HeavyHitter is a name with bounds on the number of its occurrences.
 type HeavyHitter struct {
 	Name     string
 	MinCount uint64
 	MaxCount uint64
 }
 
-// NewSpaceSaving returns a sketch with so many places.
-func NewSpaceSaving(places int) *SpaceSaving {
+// NewSpaceSaving returns a sketch that counts up to capacity names.
+func NewSpaceSaving(capacity int) *SpaceSaving {
 	return &SpaceSaving{
 		seed:        maphash.MakeSeed(),
-		entries:     make([]entry, 0, places),
-		heap:        make([]int32, 0, places),
-		entryByHash: make(map[uint64]int32, 2*places),
+		entries:     make([]entry, 0, capacity),
+		heap:        make([]int32, 0, capacity),
+		entryByHash: make(map[uint64]int32, 2*capacity),
 	}
 }
 
-// Add counts a name of at most 64 bytes; longer ones are ignored.
+// Add counts a name of at most 64 bytes. Longer names are ignored.
 func (s *SpaceSaving) Add(name string) {
 	if len(name) > maxNameBytes {
 		return
 	}
 	hash := maphash.String(s.seed, name)
-	// Two names of one hash would be counted as one; at 64 bits and some hundred places that does not come
-	// up.
+	// Two names with the same hash would be counted as one. With 64 bits and a few hundred entries a collision is
+	// too improbable to handle.
 	i, known := s.entryByHash[hash]
 	switch {
 	case known:
@@ -72,7 +72,7 @@
 	}
 }
 
-// insert gives a name a free place.
+// insert adds a name with a count of 1. The sketch must not be full.
 func (s *SpaceSaving) insert(name string, hash uint64) {
 	i := int32(len(s.entries))
 	s.entries = append(s.entries, entry{count: 1, heapIndex: i})
@@ -82,7 +82,7 @@
 	s.siftUp(int(i))
 }
 
-// replaceLeast gives a name the place of the one counted least.
+// replaceLeast replaces the name with the lowest count.
 func (s *SpaceSaving) replaceLeast(name string, hash uint64) {
 	i := s.heap[0]
 	e := &s.entries[i]
@@ -94,7 +94,7 @@
 	s.siftDown(0)
 }
 
-// Remove forgets a name.
+// Remove removes a name and its count.
 func (s *SpaceSaving) Remove(name string) {
 	i, ok := s.entryByHash[maphash.String(s.seed, name)]
 	if !ok {
@@ -110,9 +110,9 @@
 	s.rebuildHeap()
 }
 
-// Decay halves all counts, so that what comes often now outweighs what came often long ago.
+// Decay halves all counts, so that recent occurrences outweigh old ones. Names whose count becomes 0 are removed.
 func (s *SpaceSaving) Decay() {
-	kept := s.entries[:0]
+	remaining := s.entries[:0]
 	for i := range s.entries {
 		e := s.entries[i]
 		e.count, e.overcount = e.count/2, e.overcount/2
@@ -120,13 +120,13 @@
 			delete(s.entryByHash, e.hash)
 			continue
 		}
-		kept = append(kept, e)
+		remaining = append(remaining, e)
 	}
-	s.entries = kept
+	s.entries = remaining
 	s.rebuildHeap()
 }
 
-// HeavyHitters are the names that came, those surest to have come often first; equal ones by name.
+// HeavyHitters returns the names in the sketch in descending order of MinCount, then of MaxCount, then by name.
 func (s *SpaceSaving) HeavyHitters() []HeavyHitter {
 	all := make([]HeavyHitter, 0, len(s.entries))
 	for i := range s.entries {
--- a/internal/cardinality/table.go
+++ b/internal/cardinality/table.go
@@ -1,8 +1,7 @@
-// Package cardinality bounds the set of names that series are kept under, however many names come. A Table
-// gives each name that it admits a slot, and all others the slot Other, so that totals stay exact. Names that
-// are not admitted are counted by a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005); its heavy
-// hitters take the places of names that were idle or come far less often. The package does no I/O and reads
-// no clock.
+// Package cardinality limits the number of names that have series of their own, for any number of distinct names. A
+// Table assigns a slot to each name that it admits, and the slot Other to all other names, so that totals stay exact. A
+// Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005) counts the names that are not admitted; its heavy hitters
+// replace names that are idle or occur far less often. The package does no I/O and reads no clock.
 package cardinality
 
 import (
@@ -15,32 +14,33 @@
 // Other is the slot of all names that are not admitted.
 const Other = 0
 
-// Config bounds a table.
+// Config configures a table.
 type Config struct {
-	MaxNames         int           // names admitted at a time
-	RetiredSlots     int           // slots that are kept for retired names, should they come back
-	IdleTimeout      time.Duration // a name that did not come for so long retires
-	RetiredRetention time.Duration // a slot is kept at least so long after its name has retired
+	MaxNames         int           // maximum number of active names
+	RetiredSlots     int           // additional slots, which retain retired names
+	IdleTimeout      time.Duration // a name that does not occur for this long retires
+	RetiredRetention time.Duration // minimum time that a retired name retains its slot
 }
 
 const (
-	// displaceFactor is how much more often than an admitted name another must come to take its place: names
-	// that come about as often would else take turns, and each turn starts a series anew.
+	// displaceFactor is the factor by which a candidate must occur more often than an admitted name to replace it.
+	// Without it, names that occur about equally often would replace each other, and each replacement starts a new
+	// series.
 	displaceFactor = 2
-	// candidatesPerName is how many names are counted as candidates for each that may be admitted. The error
-	// of a count is at most the sum of all counts over the number of candidates.
+	// candidatesPerName is the number of counted candidates per name that may be admitted. The error of a count is
+	// at most the sum of all counts divided by the number of candidates.
 	candidatesPerName = 2
 )
 
-// slot is the place of one name.
+// slot holds the state of one name.
 type slot struct {
 	name         string
 	state        slotState
-	recentCount  uint64 // since the last cut
-	decayedCount uint64 // of intervals, halved with each
+	recentCount  uint64 // in the current interval
+	decayedCount uint64 // over previous intervals, halved at the end of each
 
-	lastSeen  time.Duration // of an active name
-	retiredAt time.Duration // of a retired one
+	lastSeen  time.Duration // set while active
+	retiredAt time.Duration // set while retired
 }
 
 type slotState int
@@ -51,26 +51,26 @@
 	slotRetired
 )
 
-// Counts are of the names of a table.
+// Counts holds the counts of a table.
 type Counts struct {
-	Active   int    // names that are admitted
-	Admitted uint64 // how often a name was
-	Retired  uint64 // how often a name was retired
-	Other    uint64 // how often a name went to Other
+	Active   int    // names that are currently admitted
+	Admitted uint64 // admissions of names since the start
+	Retired  uint64 // retirements of names since the start
+	Other    uint64 // occurrences of names counted under Other
 }
 
-// Table assigns slots to names. It is not safe for concurrent use. Times are by a monotonic clock.
+// Table assigns slots to names. It is not safe for concurrent use. Times are of a monotonic clock.
 type Table struct {
 	cfg        Config
-	slots      []slot // from 1; Other has no name
+	slots      []slot // index 0 is Other, which has no name
 	slotByName map[string]int
 	candidates *SpaceSaving
 	onReuse    func(slot int)
 	counts     Counts
 }
 
-// New returns an empty table. onReuse is called with each slot that passes from one name to another, so that
-// what is counted under it starts at zero.
+// New returns an empty table. It calls onReuse with each slot that is reassigned to another name, so that the caller
+// resets the counts of the slot to zero.
 func New(cfg Config, onReuse func(slot int)) *Table {
 	return &Table{
 		cfg:        cfg,
@@ -81,10 +81,10 @@
 	}
 }
 
-// Slots is the number of slots, Other included.
+// Slots returns the number of slots, including Other.
 func (t *Table) Slots() int { return len(t.slots) }
 
-// Counts are the counts as they stand.
+// Counts returns the current counts.
 func (t *Table) Counts() Counts { return t.counts }
 
 // EachName calls f with the slot and name of each admitted name, in the order of slots.
@@ -96,7 +96,8 @@
 	}
 }
 
-// Slot is where a name that came now is counted. It allocates only when it admits a name.
+// Slot records an occurrence of a name and returns the slot that it is counted under. It allocates memory only when it
+// admits a name.
 func (t *Table) Slot(name string, now time.Duration) int {
 	if i := t.activeSlot(name, now); i != Other {
 		t.slots[i].recentCount++
@@ -110,7 +111,7 @@
 	return Other
 }
 
-// activeSlot is the slot of a name that is admitted or can be, else Other.
+// activeSlot returns the slot of a name, admitting it if there is capacity, or Other if it is not admitted.
 func (t *Table) activeSlot(name string, now time.Duration) int {
 	full := t.counts.Active >= t.cfg.MaxNames
 	i, known := t.slotByName[name]
@@ -128,7 +129,8 @@
 	return Other
 }
 
-// availableSlot is a slot for a new name, or Other if each has an active name or one that retired too lately.
+// availableSlot returns a slot for a new name: a free one, or else that of the name that retired first. It returns
+// Other if all slots have active names or retired ones within the retention time.
 func (t *Table) availableSlot(now time.Duration) int {
 	best := Other
 	for i := 1; i < len(t.slots); i++ {
@@ -144,7 +146,7 @@
 	return best
 }
 
-// admit gives a new name a slot, or Other if there is none.
+// admit assigns a slot to a new name and returns it, or returns Other if none is available.
 func (t *Table) admit(name string, now time.Duration) int {
 	i := t.availableSlot(now)
 	if i == Other {
@@ -154,7 +156,7 @@
 		delete(t.slotByName, s.name)
 		t.onReuse(i)
 	}
-	name = strings.Clone(name) // so that it does not keep the text in memory that it was cut from
+	name = strings.Clone(name) // so that the table does not retain the buffer that name is part of
 	t.slots[i] = slot{name: name, state: slotActive, lastSeen: now}
 	t.slotByName[name] = i
 	t.counts.Active++
@@ -162,7 +164,7 @@
 	return i
 }
 
-// readmit gives a retired name its slot back.
+// readmit makes a retired name active again in its slot.
 func (t *Table) readmit(i int, now time.Duration) {
 	t.slots[i].state, t.slots[i].lastSeen = slotActive, now
 	t.counts.Active++
@@ -175,21 +177,21 @@
 	t.counts.Retired++
 }
 
-// EndInterval ends an interval: names that are idle retire, and heavy hitters that were not admitted take free places
-// and those of names that come far less often. What is counted under a slot must have been read before.
+// EndInterval ends an interval: idle names retire, and heavy hitters that were not admitted get free slots and those of
+// names that occur far less often. The caller must have read the counts of all slots before.
 func (t *Table) EndInterval(now time.Duration) {
-	rarest := t.retireIdle(now)
+	leastFrequent := t.retireIdle(now)
 	for _, candidate := range t.candidates.HeavyHitters() {
 		i, known := t.slotByName[candidate.Name]
 		if known && t.slots[i].state == slotActive || !known && t.availableSlot(now) == Other {
 			continue
 		}
 		if t.counts.Active >= t.cfg.MaxNames {
-			if len(rarest) == 0 || candidate.MinCount <= displaceFactor*t.slots[rarest[0]].decayedCount {
+			if len(leastFrequent) == 0 || candidate.MinCount <= displaceFactor*t.slots[leastFrequent[0]].decayedCount {
 				break
 			}
-			t.retire(rarest[0], now)
-			rarest = rarest[1:]
+			t.retire(leastFrequent[0], now)
+			leastFrequent = leastFrequent[1:]
 		}
 		if known {
 			t.readmit(i, now)
@@ -202,10 +204,9 @@
 	t.candidates.Decay()
 }
 
-// retireIdle retires idle names, and returns the slots of the others by how often they came, the rarest
-// first.
+// retireIdle retires idle names and returns the slots of the remaining ones in ascending order of their counts.
 func (t *Table) retireIdle(now time.Duration) []int {
-	var rest []int
+	var remaining []int
 	for i := 1; i < len(t.slots); i++ {
 		s := &t.slots[i]
 		if s.state != slotActive {
@@ -217,10 +218,10 @@
 			t.retire(i, now)
 			continue
 		}
-		rest = append(rest, i)
+		remaining = append(remaining, i)
 	}
-	slices.SortFunc(rest, func(a, b int) int {
+	slices.SortFunc(remaining, func(a, b int) int {
 		return cmp.Or(cmp.Compare(t.slots[a].decayedCount, t.slots[b].decayedCount), cmp.Compare(a, b))
 	})
-	return rest
+	return remaining
 }
--- a/internal/cardinality/table_test.go
+++ b/internal/cardinality/table_test.go
@@ -12,11 +12,11 @@
 	return Config{MaxNames: 4, RetiredSlots: 8, IdleTimeout: time.Minute, RetiredRetention: 2 * time.Hour}
 }
 
-// counter counts under slots as figures do.
+// counter counts occurrences of names by slot, as the metrics registry does.
 type counter struct {
 	table  *Table
 	counts []uint64
-	reused uint64 // counted under slots that passed to other names
+	reused uint64 // counts of slots before they were reassigned
 	total  uint64
 }
 
@@ -34,14 +34,14 @@
 	return slot
 }
 
-// byName are the counts of the admitted names.
+// byName returns the counts of the admitted names.
 func (c *counter) byName() map[string]uint64 {
 	all := map[string]uint64{}
 	c.table.EachName(func(slot int, name string) { all[name] = c.counts[slot] })
 	return all
 }
 
-// sum is all that was counted, under whatever slot.
+// sum returns the sum of the counts of all slots, including those before a reassignment.
 func (c *counter) sum() uint64 {
 	total := c.reused
 	for _, n := range c.counts {
@@ -50,31 +50,31 @@
 	return total
 }
 
-// observer checks the counts that are read at each cut, as a collector sees them.
+// observer checks the counts that a collector receives at the end of each interval.
 type observer struct {
 	cfg      Config
-	truth    map[string]uint64 // how often each name came
-	last     map[string]uint64 // what was last read of a name, and when
+	truth    map[string]uint64 // occurrences of each name
+	last     map[string]uint64 // last count received of each name
 	lastRead map[string]time.Duration
 }
 
 func (o *observer) read(t *rapid.T, counts map[string]uint64, now time.Duration) {
 	if len(counts) > o.cfg.MaxNames {
-		t.Fatalf("%d names, %d at most", len(counts), o.cfg.MaxNames)
+		t.Fatalf("%d names are active, limit is %d", len(counts), o.cfg.MaxNames)
 	}
 	for name, n := range counts {
 		if n < o.last[name] && now-o.lastRead[name] < o.cfg.RetiredRetention {
-			t.Fatalf("%s fell from %d to %d after %v", name, o.last[name], n, now-o.lastRead[name])
+			t.Fatalf("count of %s decreased from %d to %d after %v", name, o.last[name], n, now-o.lastRead[name])
 		}
 		if n > o.truth[name] {
-			t.Fatalf("%s came %d times, counted %d", name, o.truth[name], n)
+			t.Fatalf("%s occurred %d times, but its count is %d", name, o.truth[name], n)
 		}
 		o.last[name], o.lastRead[name] = n, now
 	}
 }
 
-// Whatever names come in whatever order, nothing is counted twice or lost, the bound holds, and no slot has
-// two names.
+// For any sequence of names, each occurrence is counted exactly once, the number of active names is within its limit,
+// and no slot has the counts of two names.
 func TestTotalsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -101,12 +101,12 @@
 			c.table.EndInterval(now)
 		}
 		if sum := c.sum(); sum != c.total {
-			t.Fatalf("counted %d of %d", sum, c.total)
+			t.Fatalf("counts sum to %d, want %d", sum, c.total)
 		}
 	})
 }
 
-func TestHeavyHitterDisplacesTheRarestName(t *testing.T) {
+func TestHeavyHitterReplacesTheLeastFrequentName(t *testing.T) {
 	c := newCounter(smallConfig())
 	for i := range 4 {
 		for range 10 * (i + 1) {
@@ -115,46 +115,46 @@
 	}
 	for range 100 {
 		if c.add("late", 0) != Other {
-			t.Fatal("admitted though the table is full")
+			t.Fatal("name was admitted within the interval although the table is full")
 		}
 	}
 	c.table.EndInterval(time.Second)
 	got := c.byName()
 	if _, there := got["late"]; !there {
-		t.Fatalf("the heavy hitter is not in: %v", got)
+		t.Fatalf("heavy hitter was not admitted: %v", got)
 	}
 	if _, there := got["early0"]; there {
-		t.Fatalf("the rarest name is still in: %v", got)
+		t.Fatalf("least frequent name is still active: %v", got)
 	}
 }
 
-// Names that come about as often don't displace each other at every interval.
-func TestEquallyFrequentNamesStay(t *testing.T) {
+// Names that occur equally often must not replace each other, as each replacement starts a new series.
+func TestEquallyFrequentNamesDoNotReplaceEachOther(t *testing.T) {
 	c := newCounter(smallConfig())
-	for cut := range time.Duration(20) {
+	for second := range time.Duration(20) {
 		for i := range 8 {
 			for range 10 {
-				c.add(fmt.Sprint(i), cut*time.Second)
+				c.add(fmt.Sprint(i), second*time.Second)
 			}
 		}
-		c.table.EndInterval(cut * time.Second)
+		c.table.EndInterval(second * time.Second)
 	}
 	if counts := c.table.Counts(); counts.Admitted != 4 || counts.Retired != 0 {
-		t.Fatalf("%+v", counts)
+		t.Fatalf("want 4 names admitted and none retired, got %+v", counts)
 	}
 }
 
-func TestIdleNameRetiresAndKeepsItsCount(t *testing.T) {
+func TestIdleNameRetiresAndResumesItsCount(t *testing.T) {
 	c := newCounter(smallConfig())
 	c.add("a", 0)
 	c.add("a", 0)
 	c.table.EndInterval(2 * time.Minute)
 	if got := c.byName(); len(got) != 0 {
-		t.Fatalf("still there: %v", got)
+		t.Fatalf("idle name is still active: %v", got)
 	}
 	c.add("a", 3*time.Minute)
 	if got := c.byName()["a"]; got != 3 {
-		t.Fatalf("came back with %d, want 3", got)
+		t.Fatalf("count after the name's return is %d, want 3", got)
 	}
 }
 
@@ -167,6 +167,6 @@
 	}
 	i := 0
 	if n := testing.AllocsPerRun(10_000, func() { table.Slot(names[i%len(names)], 0); i++ }); n != 0 {
-		t.Fatalf("%v allocations", n)
+		t.Fatalf("Slot allocates %v times, want 0", n)
 	}
 }
