--- a/internal/graphite/doc.go
+++ b/internal/graphite/doc.go
@@ -1,3 +1,3 @@
-// Package graphite writes and reads figures in the forms that carbon accepts: the plaintext protocol, with
-// the tags of Graphite 1.1 or without, and the pickle protocol. It works on bytes and does no I/O.
+// Package graphite encodes and decodes metrics in the protocols that carbon accepts: plaintext, with or without the
+// tags of Graphite 1.1, and pickle. It operates on byte slices and does no I/O.
 package graphite
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -12,28 +12,28 @@
 	"wheatlane/internal/metrics"
 )
 
-// PickleProtocol is the protocol of pickles written; carbon on Python 2 and 3 reads it.
+// PickleProtocol is the pickle protocol version that is written. Carbon supports it on Python 2 and 3.
 const PickleProtocol = 2
 
-// pickledRecordOverhead is about what a pickled record has beside its path, in bytes.
+// pickledRecordOverhead is the approximate length of a pickled record without its path, in bytes.
 const pickledRecordOverhead = 24
 
-// Encoder encodes intervals. A record is one value of one path; records are numbered from 0 in an order that
-// an interval fixes, so that encoding can resume at any of them.
+// Encoder encodes intervals. A record is one value of one path. The records of an interval are numbered from 0 in a
+// fixed order, so that encoding can resume at any record.
 type Encoder struct {
 	Format PathFormat
 	Broker string
-	Pickle bool // the pickle protocol; else plaintext
+	Pickle bool // use the pickle protocol instead of plaintext
 }
 
-// RecordCount is how many records an interval has.
+// RecordCount returns the number of records of an interval.
 func (e *Encoder) RecordCount(v *metrics.Interval) int {
 	return len(v.Points) + len(v.Distributions)*len(metrics.StatNames)
 }
 
-// Append appends records from a number on until there are maxBytes more bytes, or a few above, or no record
-// is left. It returns the number of the next record. What it appends is complete lines, or one pickled frame.
-// It fails if a sketch can't be decoded.
+// Append appends records, starting at number from, until it has appended about maxBytes or no record is left. The last
+// record may exceed maxBytes. It appends complete lines or one complete pickled frame, and returns the number of the
+// next record. It fails if a sketch can't be decoded.
 func (e *Encoder) Append(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
 	if e.Pickle {
 		return e.appendPickle(dst, v, from, maxBytes)
@@ -53,7 +53,7 @@
 	return dst, next, err
 }
 
-// appendPickle appends one frame: the length as four bytes, then a pickled list of (path, (time, value)).
+// appendPickle appends one frame: a length of four bytes, then a pickled list of (path, (time, value)).
 func (e *Encoder) appendPickle(dst []byte, v *metrics.Interval, from, maxBytes int) ([]byte, int, error) {
 	var records []any
 	var path []byte
@@ -71,23 +71,23 @@
 	var frame bytes.Buffer
 	config := pickle.EncoderConfig{Protocol: PickleProtocol}
 	if err := pickle.NewEncoderWithConfig(&frame, &config).Encode(records); err != nil {
-		return dst, next, fmt.Errorf("graphite: pickle: %w", err)
+		return dst, next, fmt.Errorf("graphite: encoding a pickle: %w", err)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(frame.Len()))
 	return append(dst, frame.Bytes()...), next, nil
 }
 
-// timestamp is the time of an interval's records in seconds of Unix time.
+// timestamp returns the Unix time of an interval's records in seconds.
 func timestamp(v *metrics.Interval) int64 { return int64(v.EndTime / time.Second) }
 
-// eachRecord calls f with the records from a number on, until it returns false. Each sketch is decoded once.
+// eachRecord calls f with each record, starting at number from, until f returns false. It decodes each sketch once.
 func (e *Encoder) eachRecord(v *metrics.Interval, from int, f func(MetricName, float64) bool) error {
 	for i := from; i < len(v.Points); i++ {
 		if !f(MetricName{Broker: e.Broker, Series: v.Points[i].Series}, v.Points[i].Value) {
 			return nil
 		}
 	}
-	first := max(0, from-len(v.Points)) // record of distributions
+	first := max(0, from-len(v.Points)) // first record among those of distributions
 	for i := first / len(metrics.StatNames); i < len(v.Distributions); i++ {
 		d := &v.Distributions[i]
 		summary, err := metrics.Summarize(d.EncodedSketch)
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -10,7 +10,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// smallInterval has a counter and two distributions by name, beside the figures of every broker.
+// smallInterval returns an interval with a counter and two distributions of request classes, and the metrics that every
+// broker reports.
 func smallInterval() *metrics.Interval {
 	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
@@ -20,7 +21,7 @@
 	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
-// expectedRecords are what an interval holds, in the order of record numbers.
+// expectedRecords returns the records of an interval in the order of their numbers.
 func expectedRecords(t *testing.T, e *Encoder, v *metrics.Interval) []Sample {
 	t.Helper()
 	all := make([]Sample, 0, e.RecordCount(v))
@@ -41,13 +42,14 @@
 		}
 	}
 	if len(all) != e.RecordCount(v) {
-		t.Fatalf("%d records of %d", len(all), e.RecordCount(v))
+		t.Fatalf("interval has %d records, RecordCount returns %d", len(all), e.RecordCount(v))
 	}
 	return all
 }
 
-// However it is cut, and wherever it resumes, an interval comes out as its records, each once and in order.
-func TestEncodingResumesAnywhere(t *testing.T) {
+// For any maximum size and any first record, encoding an interval produces the remaining records, each once and in
+// order.
+func TestEncodingResumesAtAnyRecord(t *testing.T) {
 	v := smallInterval()
 	for _, pickled := range []bool{false, true} {
 		for _, tags := range []bool{false, true} {
@@ -67,22 +69,22 @@
 	}
 }
 
-// encodeAndParse encodes an interval from a record on, in steps of maxBytes, and returns what is parsed of
-// that.
+// encodeAndParse encodes an interval, starting at a record, in steps of maxBytes, and returns the samples parsed from
+// the result.
 func encodeAndParse(t *testing.T, e *Encoder, v *metrics.Interval, from, maxBytes int) []Sample {
 	t.Helper()
 	var got []Sample
 	for next := from; next < e.RecordCount(v); {
 		out, after, err := e.Append(nil, v, next, maxBytes)
 		if err != nil || after <= next {
-			t.Fatalf("from %d to %d: %v", next, after, err)
+			t.Fatalf("Append from record %d returned next record %d, error %v", next, after, err)
 		}
 		got, next = append(got, parseByteByByte(t, e.Pickle, out)...), after
 	}
 	return got
 }
 
-// parseByteByByte reads all of b, fed a byte at a time.
+// parseByteByByte parses all of b, passing one more byte to the parser at a time.
 func parseByteByByte(t *testing.T, pickled bool, b []byte) []Sample {
 	t.Helper()
 	var all []Sample
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -11,13 +11,13 @@
 	"wheatlane/internal/metrics/metricstest"
 )
 
-// The bytes that are sent of every figure are what they were, in each form.
-func TestSentBytes(t *testing.T) {
+// The encoded bytes of every metric match the golden files in each format.
+func TestEncodedBytesMatchGoldenFiles(t *testing.T) {
 	v := metricstest.FullInterval(10 * time.Second)
 	for _, tt := range []struct {
 		name     string
 		encoder  Encoder
-		maxBytes int // that are asked for at a time
+		maxBytes int // per call of Append
 	}{
 		{"lines", Encoder{Format: PathFormat{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
 		{"lines-in-parts", Encoder{Format: PathFormat{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
@@ -37,7 +37,7 @@
 				if tt.encoder.Pickle {
 					text = append([]byte(hex.EncodeToString(text)), '\n')
 				} else if next < tt.encoder.RecordCount(v) {
-					text = append(text, '\n') // shows where one part ends
+					text = append(text, '\n') // an empty line marks the end of each call of Append
 				}
 				all.Write(text)
 			}
--- a/internal/graphite/parse.go
+++ b/internal/graphite/parse.go
@@ -11,33 +11,32 @@
 	pickle "github.com/kisielk/og-rek"
 )
 
-// Errors of what a collector reads. Each costs the connection it came on.
+// Errors in data that a collector receives. A collector closes the connection on which it received the data.
 var (
 	ErrMalformed = errors.New("graphite: malformed")
 	ErrTooLarge  = errors.New("graphite: too large")
 )
 
 const (
-	maxLineBytes  = 4 << 10
-	maxFrameBytes = 1 << 20
-	// frameHeaderBytes are those of a frame's length.
-	frameHeaderBytes = 4
+	maxLineBytes     = 4 << 10
+	maxFrameBytes    = 1 << 20
+	frameHeaderBytes = 4 // length of the frame
 )
 
-// Sample is one value of one path.
+// Sample is one value of one path at one time.
 type Sample struct {
 	Path      string
 	Value     float64
-	Timestamp int64 // seconds of Unix time
+	Timestamp int64 // Unix time in seconds
 }
 
-// ParseLine reads a line from the front of b. It returns the number of bytes that the line takes, 0 while it
-// is not complete. It fails with ErrMalformed or ErrTooLarge.
+// ParseLine parses the line at the start of b. It returns the length of the line in bytes, or 0 if the line is
+// incomplete. It fails with ErrMalformed or ErrTooLarge.
 func ParseLine(b []byte) (Sample, int, error) {
 	end := bytes.IndexByte(b, '\n')
 	switch {
 	case end < 0 && len(b) > maxLineBytes, end > maxLineBytes:
-		return Sample{}, 0, fmt.Errorf("%w: a line of over %d bytes", ErrTooLarge, maxLineBytes)
+		return Sample{}, 0, fmt.Errorf("%w: line of more than %d bytes", ErrTooLarge, maxLineBytes)
 	case end < 0:
 		return Sample{}, 0, nil
 	}
@@ -58,7 +57,8 @@
 
 func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
-// ParsePickle reads a frame from the front of b, as ParseLine does a line.
+// ParsePickle parses the frame at the start of b. It returns the length of the frame in bytes, or 0 if the frame is
+// incomplete. It fails with ErrMalformed or ErrTooLarge.
 func ParsePickle(b []byte) ([]Sample, int, error) {
 	if len(b) < frameHeaderBytes {
 		return nil, 0, nil
@@ -66,7 +66,7 @@
 	size := int(binary.BigEndian.Uint32(b))
 	switch {
 	case size > maxFrameBytes:
-		return nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrTooLarge, size)
+		return nil, 0, fmt.Errorf("%w: frame of %d bytes, limit is %d", ErrTooLarge, size, maxFrameBytes)
 	case len(b) < frameHeaderBytes+size:
 		return nil, 0, nil
 	}
@@ -84,20 +84,20 @@
 	}
 	list, ok := decoded.([]any)
 	if !ok {
-		return nil, fmt.Errorf("%w pickle: a %T is no list", ErrMalformed, decoded)
+		return nil, fmt.Errorf("%w pickle: got %T, want a list", ErrMalformed, decoded)
 	}
 	samples := make([]Sample, 0, len(list))
 	for _, record := range list {
 		s, ok := decodeSample(record)
 		if !ok {
-			return nil, fmt.Errorf("%w pickle: %.80v is no (path, (time, value))", ErrMalformed, record)
+			return nil, fmt.Errorf("%w pickle: record %.80v is not (path, (time, value))", ErrMalformed, record)
 		}
 		samples = append(samples, s)
 	}
 	return samples, nil
 }
 
-// decodeSample reads (path, (time, value)); ok is false for anything else.
+// decodeSample converts a record (path, (time, value)) to a sample; ok is false for any other record.
 func decodeSample(record any) (s Sample, ok bool) {
 	outer, ok := record.(pickle.Tuple)
 	if !ok || len(outer) != 2 {
--- a/internal/graphite/parse_test.go
+++ b/internal/graphite/parse_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(fmt.Sprintf("%.20q", tt.line), func(t *testing.T) {
 			if _, _, err := ParseLine([]byte(tt.line)); !errors.Is(err, tt.want) {
-				t.Errorf("%v, want %v", err, tt.want)
+				t.Errorf("got error %v, want %v", err, tt.want)
 			}
 		})
 	}
@@ -35,21 +35,21 @@
 
 func TestParsePickleErrors(t *testing.T) {
 	for name, frame := range map[string][]byte{
-		"too large":        {0xff, 0, 0, 0},
-		"an empty stack":   {0, 0, 0, 1, '.'},
-		"no list":          {0, 0, 0, 2, 'N', '.'},
-		"a list of no use": {0, 0, 0, 3, ']', 'K', 1},
+		"frame too large": {0xff, 0, 0, 0},
+		"empty stack":     {0, 0, 0, 1, '.'},
+		"not a list":      {0, 0, 0, 2, 'N', '.'},
+		"truncated list":  {0, 0, 0, 3, ']', 'K', 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, _, err := ParsePickle(frame); err == nil {
-				t.Errorf("%v was read", frame)
+				t.Errorf("malformed frame %v is accepted", frame)
 			}
 		})
 	}
 }
 
-// A frame as Python's pickle.dumps([("a.b", (1750000000, 1.5))], protocol=2) writes it.
-func TestParsePickleOfPython(t *testing.T) {
+// A frame written by Python's pickle.dumps([("a.b", (1750000000, 1.5))], protocol=2) is parsed.
+func TestParsePickleWrittenByPython(t *testing.T) {
 	frame := []byte("\x00\x00\x00\x29\x80\x02]q\x00X\x03\x00\x00\x00a.bq\x01J\x80\xe1Nh" +
 		"G?\xf8\x00\x00\x00\x00\x00\x00\x86q\x02\x86q\x03a.")
 	frame[3] = byte(len(frame) - 4)
@@ -75,7 +75,7 @@
 		}
 		line := fmt.Appendf(nil, "%s %v %d\n", s.Path, s.Value, s.Timestamp)
 		if again, _, err := ParseLine(line); err != nil || again != s {
-			t.Fatalf("%q: %+v came back as %+v, %v", b, s, again, err)
+			t.Fatalf("%q: sample %+v is written and parsed again as %+v, error %v", b, s, again, err)
 		}
 	})
 }
--- a/internal/graphite/name.go
+++ b/internal/graphite/path.go
@@ -10,27 +10,27 @@
 	"wheatlane/internal/metrics"
 )
 
-// ErrInvalidPath is returned for a path that Form.Append never makes.
-var ErrInvalidPath = errors.New("graphite: not the name of a figure")
+// ErrInvalidPath is returned for a path that PathFormat.Append does not produce.
+var ErrInvalidPath = errors.New("graphite: invalid metric path")
 
-// brokerTag is the tag of the broker.
+// brokerTag is the tag that contains the broker's name.
 const brokerTag = "broker"
 
-// MetricName is what a path stands for.
+// MetricName identifies the value that a path refers to.
 type MetricName struct {
 	Broker string
 	Series metrics.Series
-	Stat   string // of a distribution, one of metrics.Stats; else empty
+	Stat   string // for a distribution, one of metrics.StatNames; else empty
 }
 
-// PathFormat is how names become paths.
+// PathFormat configures how metric names are formatted as paths.
 type PathFormat struct {
-	Prefix string // of each path, its parts separated by dots; may be empty
-	Tags   bool   // those of Graphite 1.1
+	Prefix string // dot-separated prefix of each path; may be empty
+	Tags   bool   // use the tags of Graphite 1.1
 }
 
-// Append appends a name's path: PREFIX.BROKER.FIGURE[.NAME][.DETAIL][.STAT], or with tags
-// PREFIX.FIGURE[.STAT];broker=BROKER[;DIMENSION=NAME][;DETAIL=...].
+// Append appends the path of a metric name: PREFIX.BROKER.METRIC[.NAME][.LABELVALUE][.STAT], or with tags
+// PREFIX.METRIC[.STAT];broker=BROKER[;DIMENSION=NAME][;LABEL=LABELVALUE].
 func (f PathFormat) Append(dst []byte, n MetricName) []byte {
 	if f.Prefix != "" {
 		dst = append(append(dst, f.Prefix...), '.')
@@ -42,14 +42,14 @@
 }
 
 func appendDotted(dst []byte, n MetricName) []byte {
-	figure := &metrics.Catalogue[n.Series.ID]
+	metric := &metrics.Catalogue[n.Series.ID]
 	dst = append(dst, cardinality.Escape(n.Broker)...)
-	dst = appendPart(dst, figure.Name)
-	if figure.Dimension != metrics.NoDimension {
+	dst = appendPart(dst, metric.Name)
+	if metric.Dimension != metrics.NoDimension {
 		dst = appendPart(dst, escapedName(&n.Series))
 	}
-	if len(figure.LabelValues) > 0 {
-		dst = appendPart(dst, figure.LabelValues[n.Series.LabelIndex])
+	if len(metric.LabelValues) > 0 {
+		dst = appendPart(dst, metric.LabelValues[n.Series.LabelIndex])
 	}
 	if n.Stat != "" {
 		dst = appendPart(dst, n.Stat)
@@ -58,17 +58,17 @@
 }
 
 func appendTagged(dst []byte, n MetricName) []byte {
-	figure := &metrics.Catalogue[n.Series.ID]
-	dst = append(dst, figure.Name...)
+	metric := &metrics.Catalogue[n.Series.ID]
+	dst = append(dst, metric.Name...)
 	if n.Stat != "" {
 		dst = appendPart(dst, n.Stat)
 	}
 	dst = appendTag(dst, brokerTag, cardinality.Escape(n.Broker))
-	if figure.Dimension != metrics.NoDimension {
-		dst = appendTag(dst, figure.Dimension.String(), escapedName(&n.Series))
+	if metric.Dimension != metrics.NoDimension {
+		dst = appendTag(dst, metric.Dimension.String(), escapedName(&n.Series))
 	}
-	if len(figure.LabelValues) > 0 {
-		dst = appendTag(dst, figure.Label, figure.LabelValues[n.Series.LabelIndex])
+	if len(metric.LabelValues) > 0 {
+		dst = appendTag(dst, metric.Label, metric.LabelValues[n.Series.LabelIndex])
 	}
 	return dst
 }
@@ -89,12 +89,12 @@
 	return cardinality.Escape(s.Name)
 }
 
-// Parse reads a path that Append made. It fails with ErrName for any other.
+// Parse parses a path that Append produced. It fails with ErrInvalidPath for any other path.
 func (f PathFormat) Parse(path string) (MetricName, error) {
-	rest := path
+	unprefixed := path
 	if f.Prefix != "" {
 		var ok bool
-		if rest, ok = strings.CutPrefix(path, f.Prefix+"."); !ok {
+		if unprefixed, ok = strings.CutPrefix(path, f.Prefix+"."); !ok {
 			return MetricName{}, fmt.Errorf("%w: %.80q", ErrInvalidPath, path)
 		}
 	}
@@ -103,19 +103,19 @@
 		split = splitTagged
 	}
 	n, ok := MetricName{}, false
-	if p, complete := split(rest); complete {
+	if p, complete := split(unprefixed); complete {
 		n, ok = p.name()
 	}
-	if !ok || string(f.Append(nil, n)) != path { // a name has one spelling
+	if !ok || string(f.Append(nil, n)) != path { // only the canonical path is valid
 		return MetricName{}, fmt.Errorf("%w: %.80q", ErrInvalidPath, path)
 	}
 	return n, nil
 }
 
-// pathParts are the parts of a path, escaped as they are.
+// pathParts holds the parts of a path, still escaped.
 type pathParts struct {
-	broker, figure string
-	rest           []string // what follows the figure, in the order of a path without tags
+	broker, metric string
+	remaining      []string // parts after the metric, in the order of a path without tags
 }
 
 func splitDotted(path string) (pathParts, bool) {
@@ -123,64 +123,64 @@
 	if len(all) < 2 {
 		return pathParts{}, false
 	}
-	return pathParts{broker: all[0], figure: all[1], rest: all[2:]}, true
+	return pathParts{broker: all[0], metric: all[1], remaining: all[2:]}, true
 }
 
 func splitTagged(path string) (pathParts, bool) {
 	var p pathParts
-	metric, tags, _ := strings.Cut(path, ";")
-	figure, stat, _ := strings.Cut(metric, ".")
-	p.figure = figure
+	metricAndStat, tags, _ := strings.Cut(path, ";")
+	metric, stat, _ := strings.Cut(metricAndStat, ".")
+	p.metric = metric
 	for tag := range strings.SplitSeq(tags, ";") {
 		key, value, _ := strings.Cut(tag, "=")
 		if key == brokerTag {
 			p.broker = value
 			continue
 		}
-		p.rest = append(p.rest, value)
+		p.remaining = append(p.remaining, value)
 	}
 	if stat != "" {
-		p.rest = append(p.rest, stat)
+		p.remaining = append(p.remaining, stat)
 	}
 	return p, true
 }
 
-// next takes the first part off what follows the figure; it is empty when there is none.
+// next removes and returns the first remaining part, or returns "" if there is none.
 func (p *pathParts) next() string {
-	if len(p.rest) == 0 {
+	if len(p.remaining) == 0 {
 		return ""
 	}
-	part := p.rest[0]
-	p.rest = p.rest[1:]
+	part := p.remaining[0]
+	p.remaining = p.remaining[1:]
 	return part
 }
 
-// name is what the parts stand for; ok is false if they stand for nothing.
+// name returns the metric name that the parts represent; ok is false if there is none.
 func (p *pathParts) name() (n MetricName, ok bool) {
 	var err error
 	if n.Broker, err = cardinality.Unescape(p.broker); err != nil {
 		return n, false
 	}
-	if n.Series.ID, ok = metrics.Find(p.figure); !ok {
+	if n.Series.ID, ok = metrics.Find(p.metric); !ok {
 		return n, false
 	}
-	figure := &metrics.Catalogue[n.Series.ID]
-	if figure.Dimension != metrics.NoDimension {
+	metric := &metrics.Catalogue[n.Series.ID]
+	if metric.Dimension != metrics.NoDimension {
 		if part := p.next(); part == cardinality.OtherName {
 			n.Series.Other = true
 		} else if n.Series.Name, err = cardinality.Unescape(part); err != nil {
 			return n, false
 		}
 	}
-	if len(figure.LabelValues) > 0 {
-		if n.Series.LabelIndex = slices.Index(figure.LabelValues, p.next()); n.Series.LabelIndex < 0 {
+	if len(metric.LabelValues) > 0 {
+		if n.Series.LabelIndex = slices.Index(metric.LabelValues, p.next()); n.Series.LabelIndex < 0 {
 			return n, false
 		}
 	}
-	if figure.Kind == metrics.DistributionKind {
+	if metric.Kind == metrics.DistributionKind {
 		if n.Stat = p.next(); !slices.Contains(metrics.StatNames, n.Stat) {
 			return n, false
 		}
 	}
-	return n, len(p.rest) == 0
+	return n, len(p.remaining) == 0
 }
--- a/internal/graphite/name_test.go
+++ b/internal/graphite/path_test.go
@@ -9,7 +9,7 @@
 	"wheatlane/internal/metrics"
 )
 
-func TestPaths(t *testing.T) {
+func TestPathsInEachFormat(t *testing.T) {
 	late := metrics.Series{ID: metrics.RequestOutcomes, Name: "re.port", LabelIndex: metrics.Late}
 	otherEngines := metrics.Series{ID: metrics.EngineTime, Other: true}
 	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
@@ -46,30 +46,30 @@
 	} {
 		t.Run(tt.want, func(t *testing.T) {
 			if got := string(tt.form.Append(nil, tt.name)); got != tt.want {
-				t.Errorf("%+v is %s", tt.name, got)
+				t.Errorf("path of %+v: got %s, want %s", tt.name, got, tt.want)
 			}
 		})
 	}
 }
 
-// drawName draws the name of any series.
+// drawName draws the metric name of a random series.
 func drawName(t *rapid.T) MetricName {
-	id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "figure"))
-	figure := &metrics.Catalogue[id]
+	id := metrics.ID(rapid.IntRange(0, len(metrics.Catalogue)-1).Draw(t, "metric"))
+	metric := &metrics.Catalogue[id]
 	n := MetricName{Broker: rapid.String().Draw(t, "broker"), Series: metrics.Series{ID: id}}
-	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "part")
-	if figure.Dimension != metrics.NoDimension {
+	n.Series.LabelIndex = rapid.IntRange(0, id.SeriesPerName()-1).Draw(t, "label")
+	if metric.Dimension != metrics.NoDimension {
 		if n.Series.Other = rapid.Bool().Draw(t, "other"); !n.Series.Other {
 			n.Series.Name = rapid.String().Draw(t, "name")
 		}
 	}
-	if figure.Kind == metrics.DistributionKind {
+	if metric.Kind == metrics.DistributionKind {
 		n.Stat = rapid.SampledFrom(metrics.StatNames).Draw(t, "stat")
 	}
 	return n
 }
 
-// Every name comes back from its path, and a path that Append never makes is rejected.
+// Each metric name is parsed back from its path, and paths that Append does not produce are rejected.
 func TestPathsAreOneToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := drawName(t)
@@ -80,7 +80,7 @@
 		path := string(f.Append(nil, n))
 		got, err := f.Parse(path)
 		if err != nil || got != n {
-			t.Fatalf("%+v became %s and came back %+v, %v", n, path, got, err)
+			t.Fatalf("path %s of %+v is parsed as %+v, error %v", path, n, got, err)
 		}
 	})
 	for _, path := range []string{
@@ -94,7 +94,7 @@
 		"wheatlane.n1.engine_ms.e.p98",
 	} {
 		if n, err := (PathFormat{Prefix: "wheatlane"}).Parse(path); !errors.Is(err, ErrInvalidPath) {
-			t.Errorf("%q was read as %+v, %v", path, n, err)
+			t.Errorf("invalid path %q is parsed as %+v, error %v", path, n, err)
 		}
 	}
 }
