--- a/internal/collectd/golden_test.go
+++ b/internal/collectd/golden_test.go
@@ -11,8 +11,8 @@
 	"wheatlane/internal/metrics/metricstest"
 )
 
-// The datagrams that are sent of every figure are what they were, at each level of security.
-func TestSentBytes(t *testing.T) {
+// The datagrams of every metric match the golden files byte for byte at each security level.
+func TestDatagramsMatchGoldenFiles(t *testing.T) {
 	for name, level := range map[string]Level{"plain": Plain, "sign": Sign, "encrypt": Encrypt} {
 		t.Run(name, func(t *testing.T) {
 			var lists []ValueList
--- a/internal/collectd/packer.go
+++ b/internal/collectd/packer.go
@@ -6,22 +6,22 @@
 	"math"
 )
 
-// Packer fills packets with lists. Parts that are as in the list before are left out.
+// Packer packs value lists into packets. Parts that equal those of the previous list in the packet are omitted.
 type Packer struct {
 	Security Security
-	Random   func([]byte) error // fills initial vectors of encryption
+	Random   func([]byte) error // fills the initialization vectors of encryption
 	Emit     func(packet []byte) error
 
-	content  []byte    // of the packet so far
-	previous ValueList // the last one in this packet
+	content  []byte    // content of the current packet
+	previous ValueList // last list in the current packet
 }
 
-// Add puts a list into the packet, which is emitted before if the list does not fit. It fails with
-// ErrTooLarge if the list fits no packet, and with what Random and Emit return.
+// Add adds a list to the current packet. If the list does not fit, Add emits the packet first. It fails with
+// ErrTooLarge if the list does not fit any packet, and with the errors of Random and Emit.
 func (p *Packer) Add(l ValueList) error {
 	for _, t := range l.texts() {
 		if len(*t.text) > MaxTextBytes {
-			return fmt.Errorf("%w: a text of %d bytes, %d at most", ErrTooLarge, len(*t.text), MaxTextBytes)
+			return fmt.Errorf("%w: text of %d bytes, limit is %d", ErrTooLarge, len(*t.text), MaxTextBytes)
 		}
 	}
 	capacity := MaxPacketBytes - p.Security.overhead()
@@ -33,7 +33,7 @@
 	}
 	p.content = p.content[:before]
 	if before == 0 {
-		return fmt.Errorf("%w: a list of %d values", ErrTooLarge, len(l.Values))
+		return fmt.Errorf("%w: list of %d values", ErrTooLarge, len(l.Values))
 	}
 	if err := p.Flush(); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	return p.Add(l)
 }
 
-// Flush emits what is in the packet.
+// Flush emits the current packet unless it is empty.
 func (p *Packer) Flush() error {
 	if len(p.content) == 0 {
 		return nil
@@ -54,7 +54,7 @@
 	return p.Emit(packet)
 }
 
-// appendList appends the parts of a list that differ from the previous one; all in an empty packet.
+// appendList appends the parts of a list that differ from the previous list, or all parts if the packet is empty.
 func appendList(dst []byte, l, previous *ValueList) []byte {
 	first := len(dst) == 0
 	previousTexts := previous.texts()
@@ -79,7 +79,7 @@
 		dst = append(dst, byte(v.Kind))
 	}
 	for _, v := range values {
-		if v.Kind == Gauge { // the one number of the protocol that is little-endian
+		if v.Kind == Gauge { // gauges are the only little-endian numbers of the protocol
 			dst = binary.LittleEndian.AppendUint64(dst, math.Float64bits(v.Gauge))
 			continue
 		}
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -12,14 +12,14 @@
 	"wheatlane/internal/metrics"
 )
 
-// fatalist is what of a test a helper needs, and what tests of all kinds have.
-type fatalist interface {
+// failer is the part of testing.TB that *rapid.T implements as well.
+type failer interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// pack returns the packets of lists. Initial vectors are the same each time.
-func pack(t fatalist, s Security, lists ...ValueList) [][]byte {
+// pack packs lists into packets, with the same initialization vector for each packet.
+func pack(t failer, s Security, lists ...ValueList) [][]byte {
 	t.Helper()
 	var packets [][]byte
 	p := Packer{
@@ -32,7 +32,7 @@
 		},
 		Emit: func(b []byte) error {
 			if len(b) > MaxPacketBytes {
-				t.Fatal("a packet of", len(b))
+				t.Fatal("packet exceeds MaxPacketBytes: length is", len(b))
 			}
 			packets = append(packets, b)
 			return nil
@@ -49,8 +49,8 @@
 	return packets
 }
 
-// A packet by hand, after the published layout.
-func TestPacketByHand(t *testing.T) {
+// A packet written by hand according to the protocol specification is encoded and parsed.
+func TestPacketMatchesTheSpecification(t *testing.T) {
 	want := strings.Join([]string{
 		"0000" + "0007" + "6e3100", // host n1
 		"0002" + "000e" + hex.EncodeToString([]byte("wheatlane\x00")),
@@ -60,7 +60,7 @@
 		"0008" + "000c" + "0000000480000000", // 18 s
 		"0009" + "000c" + "0000000060000000", // 1.5 s
 		"0006" + "0018" + "0002" + "01" + "02" + "000000000000f83f" + "fffffffffffffffe",
-		"0004" + "0006" + "7500", // only what differs
+		"0004" + "0006" + "7500", // type u; unchanged parts are omitted
 		"0006" + "000f" + "0001" + "03" + "0000000000000007",
 	}, "")
 	first := ValueList{
@@ -71,7 +71,7 @@
 	second.Type, second.Values = "u", []Value{{Kind: Absolute, Count: 7}}
 	packets := pack(t, Security{}, first, second)
 	if len(packets) != 1 || hex.EncodeToString(packets[0]) != want {
-		t.Fatalf("%x, want %s", packets, want)
+		t.Fatalf("got packets %x, want %s", packets, want)
 	}
 	got, err := (&Reader{}).Parse(packets[0])
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// drawList draws any list, or one that differs from the previous in its values alone.
+// drawList draws a random list, or one that differs from the previous list only in its values.
 func drawList(t *rapid.T, previous []ValueList) ValueList {
 	text := rapid.StringN(0, 20, MaxTextBytes).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
 	l := ValueList{
@@ -107,7 +107,7 @@
 	return l
 }
 
-// Whatever is packed is parsed as the same, under each kind of security, in packets that a network takes.
+// Lists are parsed back from packets at each security level, and no packet exceeds the maximum length.
 func TestPackedListsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(t, "lists")
--- a/internal/collectd/protocol.go
+++ b/internal/collectd/protocol.go
@@ -1,5 +1,5 @@
-// Package collectd writes and reads the binary network protocol of collectd: parts of type, length and
-// payload in UDP datagrams, plain, signed or encrypted. It works on bytes and does no I/O.
+// Package collectd encodes and decodes the binary network protocol of collectd: UDP datagrams of parts, each with type,
+// length and payload, which are plain, signed or encrypted. It operates on byte slices and does no I/O.
 //
 // Source: https://collectd.org/wiki/index.php/Binary_protocol
 package collectd
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// MaxPacketBytes is the largest datagram, in bytes: what an Ethernet frame holds with IPv6 and UDP headers.
+// MaxPacketBytes is the maximum length of a datagram: the payload of an Ethernet frame less IPv6 and UDP headers.
 const MaxPacketBytes = 1452
 
-// MaxTextBytes is the longest text of an identifier, in bytes.
+// MaxTextBytes is the maximum length of a part of an identifier.
 const MaxTextBytes = 127
 
-// The types of parts.
+// Part types.
 const (
 	partHost           = 0x0000
 	partTime           = 0x0001
@@ -34,26 +34,26 @@
 
 // Lengths in bytes.
 const (
-	partHeaderLen = 4 // type and length, which counts the header
+	partHeaderLen = 4 // type, and length including the header
 	numberLen     = 8
-	countLen      = 2             // of values, and of a user's name
-	valueLen      = 1 + numberLen // a data source's type and its value
+	countLen      = 2             // number of values, or length of a user name
+	valueLen      = 1 + numberLen // data source type and value
 )
 
-// Errors of a packet.
+// Errors of encoding and decoding packets.
 var (
-	ErrTruncated            = errors.New("collectd: a part is cut off")
-	ErrMalformedPart        = errors.New("collectd: a part can't be read")
-	ErrInsufficientSecurity = errors.New("collectd: not signed or encrypted as is demanded")
+	ErrTruncated            = errors.New("collectd: truncated part")
+	ErrMalformedPart        = errors.New("collectd: malformed part")
+	ErrInsufficientSecurity = errors.New("collectd: packet below the required security level")
 	ErrUnknownUser          = errors.New("collectd: unknown user")
 	ErrSignature            = errors.New("collectd: wrong signature")
-	ErrTooLarge             = errors.New("collectd: does not fit a packet")
+	ErrTooLarge             = errors.New("collectd: too large for a packet")
 )
 
 // Kind is the type of a data source.
 type Kind byte
 
-// The types of data sources, as on the wire.
+// The types of data sources, with their values on the wire.
 const (
 	Counter  Kind = 0
 	Gauge    Kind = 1
@@ -61,21 +61,21 @@
 	Absolute Kind = 3
 )
 
-// Value is that of one data source.
+// Value is the value of one data source.
 type Value struct {
 	Kind  Kind
-	Gauge float64 // of a Gauge
-	Count int64   // of the others; a Counter and an Absolute are unsigned
+	Gauge float64 // value of a Gauge
+	Count int64   // value of the other kinds; Counter and Absolute are unsigned
 }
 
 // ValueList is a list of values under one identifier.
 type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
-	Time, Interval                                   time.Duration // Time is since 1970
+	Time, Interval                                   time.Duration // Time is since the Unix epoch
 	Values                                           []Value
 }
 
-// texts are the parts of the identifier, in the order that they are written in.
+// texts returns the parts of the identifier in the order in which they are written.
 func (l *ValueList) texts() [5]textPart {
 	return [...]textPart{
 		{partHost, &l.Host},
@@ -86,13 +86,13 @@
 	}
 }
 
-// textPart is a part that is a text.
+// textPart is a part with a text payload.
 type textPart struct {
 	part uint16
 	text *string
 }
 
-// Times of high resolution are in units of 2^-30 s.
+// highResolutionBits defines the unit of high-resolution times, which is 2^-30 s.
 const highResolutionBits = 30
 
 func toHighResolution(d time.Duration) uint64 {
--- a/internal/collectd/reader.go
+++ b/internal/collectd/reader.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Reader reads packets as a collector does.
+// Reader parses packets as a collector does.
 type Reader struct {
-	MinLevel  Level                            // lower levels are rejected
-	Passwords func(user string) (string, bool) // of known users
+	MinLevel  Level                            // packets of a lower level are rejected
+	Passwords func(user string) (string, bool) // returns false for unknown users
 }
 
-// Parse reads a packet. What it read before an error is returned along with that.
+// Parse parses a packet. On an error it also returns the value lists that precede the error.
 func (r *Reader) Parse(packet []byte) ([]ValueList, error) {
 	p := parser{reader: r}
 	err := p.parse(packet, Plain)
 	return p.lists, err
 }
 
-// parser is the state of one packet.
+// parser holds the state of parsing one packet.
 type parser struct {
 	reader  *Reader
-	current ValueList // what the parts read so far make of the next list
+	current ValueList // next value list, as specified by the parts parsed so far
 	lists   []ValueList
 }
 
-// parse reads the parts of a content that came at a level.
+// parse parses the parts of content that was protected at a level.
 func (p *parser) parse(content []byte, level Level) error {
 	for len(content) > 0 {
 		if len(content) < partHeaderLen {
@@ -35,7 +35,7 @@
 		}
 		part, length := binary.BigEndian.Uint16(content), int(binary.BigEndian.Uint16(content[2:]))
 		if length < partHeaderLen || length > len(content) {
-			return fmt.Errorf("%w: type %#x says %d bytes of %d", ErrTruncated, part, length, len(content))
+			return fmt.Errorf("%w: type %#x specifies %d bytes, %d are left", ErrTruncated, part, length, len(content))
 		}
 		payload, rest := content[partHeaderLen:length], content[length:]
 		switch {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// security is that of a user's packets.
+// security returns the Security that verifies and decrypts a user's packets.
 func (p *parser) security(user string) (Security, error) {
 	password, ok := p.reader.Passwords(user)
 	if !ok {
@@ -66,10 +66,10 @@
 	return Security{Password: password}, nil
 }
 
-// parseSigned reads what follows a signature.
+// parseSigned verifies a signature and parses the content that follows it.
 func (p *parser) parseSigned(signature, content []byte) error {
 	if len(signature) <= signatureLen {
-		return fmt.Errorf("%w: a signature of %d bytes", ErrMalformedPart, len(signature))
+		return fmt.Errorf("%w: signature part of %d bytes, want more than %d", ErrMalformedPart, len(signature), signatureLen)
 	}
 	user := signature[signatureLen:]
 	s, err := p.security(string(user))
@@ -83,7 +83,7 @@
 	return p.parse(content, Sign)
 }
 
-// parseEncrypted reads the content of an encrypted part.
+// parseEncrypted decrypts an encrypted part and parses its content.
 func (p *parser) parseEncrypted(payload []byte) error {
 	if len(payload) < countLen {
 		return ErrTruncated
@@ -105,7 +105,7 @@
 	return p.parse(content, Encrypt)
 }
 
-// parsePart reads one part of the next list, which that of its values completes. Unknown types are ignored.
+// parsePart parses one part of the next value list. The values part completes the list. Unknown types are ignored.
 func (p *parser) parsePart(part uint16, payload []byte) error {
 	switch part {
 	case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
@@ -127,7 +127,7 @@
 func (p *parser) parseText(part uint16, payload []byte) error {
 	end := len(payload) - 1
 	if end < 0 || payload[end] != 0 || end > MaxTextBytes {
-		return fmt.Errorf("%w: text of type %#x", ErrMalformedPart, part)
+		return fmt.Errorf("%w: text of type %#x is not terminated or too long", ErrMalformedPart, part)
 	}
 	for _, t := range p.current.texts() {
 		if t.part == part {
@@ -139,7 +139,7 @@
 
 func (p *parser) parseTime(part uint16, payload []byte) error {
 	if len(payload) != numberLen {
-		return fmt.Errorf("%w: number of type %#x", ErrMalformedPart, part)
+		return fmt.Errorf("%w: number of type %#x has %d bytes, want %d", ErrMalformedPart, part, len(payload), numberLen)
 	}
 	v := binary.BigEndian.Uint64(payload)
 	var d time.Duration
@@ -147,7 +147,7 @@
 	case part == partTimeHR || part == partIntervalHR:
 		d = fromHighResolution(v)
 	case v > math.MaxInt64/uint64(time.Second):
-		return fmt.Errorf("%w: a time of %d s", ErrMalformedPart, v)
+		return fmt.Errorf("%w: time of %d s is out of range", ErrMalformedPart, v)
 	default:
 		d = time.Duration(v) * time.Second
 	}
@@ -186,7 +186,7 @@
 	case Counter, Derive, Absolute:
 		v.Count = int64(binary.BigEndian.Uint64(number))
 	default:
-		return v, fmt.Errorf("%w: data source of type %d", ErrMalformedPart, kind)
+		return v, fmt.Errorf("%w: unknown data source type %d", ErrMalformedPart, kind)
 	}
 	return v, nil
 }
--- a/internal/collectd/reader_test.go
+++ b/internal/collectd/reader_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What older senders write: time and interval in whole seconds, and parts of unknown types.
-func TestOldTimesAndUnknownParts(t *testing.T) {
+// Packets of older senders have times in whole seconds, and packets may contain parts of unknown types.
+func TestWholeSecondTimesAndUnknownPartsAreParsed(t *testing.T) {
 	b, err := hex.DecodeString(strings.Join([]string{
 		"0000" + "0007" + "6e3100",
 		"0001" + "000c" + "0000000000000012",
@@ -37,21 +37,21 @@
 		packet string
 		want   error
 	}{
-		{"a byte", "00", ErrTruncated},
-		{"half a header", "0000", ErrTruncated},
-		{"a length below the header's", "00000003", ErrTruncated},
-		{"a length beyond the packet", "00000009" + "6e3100", ErrTruncated},
-		{"a text without its end", "00000007" + "6e3131", ErrMalformedPart},
-		{"an empty text", "00000004", ErrMalformedPart},
-		{"a short number", "00080005" + "00", ErrMalformedPart},
-		{"a time beyond ours", "0001000c" + "ffffffffffffffff", ErrMalformedPart},
-		{"half a count", "00060005" + "00", ErrTruncated},
+		{"one byte", "00", ErrTruncated},
+		{"truncated header", "0000", ErrTruncated},
+		{"length below the header's", "00000003", ErrTruncated},
+		{"length beyond the packet", "00000009" + "6e3100", ErrTruncated},
+		{"unterminated text", "00000007" + "6e3131", ErrMalformedPart},
+		{"empty text", "00000004", ErrMalformedPart},
+		{"short number", "00080005" + "00", ErrMalformedPart},
+		{"time out of range", "0001000c" + "ffffffffffffffff", ErrMalformedPart},
+		{"truncated count", "00060005" + "00", ErrTruncated},
 		{"no values", "00060006" + "0000", ErrMalformedPart},
-		{"fewer values than said", "0006000f" + "0002" + "01" + "0000000000000000", ErrMalformedPart},
-		{"an unknown data source", "0006000f" + "0001" + "09" + "0000000000000000", ErrMalformedPart},
-		{"a short signature", "02000008" + "00000000", ErrMalformedPart},
-		{"half a user's length", "02100005" + "00", ErrTruncated},
-		{"a user beyond the part", "0210000a" + "ffff" + "00000000", ErrTruncated},
+		{"fewer values than the count", "0006000f" + "0002" + "01" + "0000000000000000", ErrMalformedPart},
+		{"unknown data source type", "0006000f" + "0001" + "09" + "0000000000000000", ErrMalformedPart},
+		{"short signature", "02000008" + "00000000", ErrMalformedPart},
+		{"truncated user length", "02100005" + "00", ErrTruncated},
+		{"user beyond the part", "0210000a" + "ffff" + "00000000", ErrTruncated},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, err := hex.DecodeString(tt.packet)
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if _, err := testReader(Plain).Parse(b); !errors.Is(err, tt.want) {
-				t.Errorf("%v, want %v", err, tt.want)
+				t.Errorf("got error %v, want %v", err, tt.want)
 			}
 		})
 	}
@@ -67,34 +67,34 @@
 
 func TestAddErrors(t *testing.T) {
 	for name, list := range map[string]ValueList{
-		"a long host": {Host: strings.Repeat("x", MaxTextBytes+1)},
-		"many values": {Values: make([]Value, 200)},
+		"host too long":   {Host: strings.Repeat("x", MaxTextBytes+1)},
+		"too many values": {Values: make([]Value, 200)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := (&Packer{}).Add(list); !errors.Is(err, ErrTooLarge) {
-				t.Error(err)
+				t.Errorf("got error %v, want %v", err, ErrTooLarge)
 			}
 		})
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	const packable = 100 // values that surely fit a packet
+	const packable = 100 // number of values that always fits a packet
 	list := oneValue()
 	list.Values = append(list.Values, Value{Kind: Gauge, Gauge: 2})
 	for _, l := range testLevels {
 		f.Add(pack(f, testSecurity(l), list)[0])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		lists, _ := testReader(Plain).Parse(b) // what was read before an error counts as well
+		lists, _ := testReader(Plain).Parse(b) // lists before an error are checked as well
 		for _, l := range lists {
-			// What was read can be written, unless its time is beyond what ours can hold.
+			// Lists that were parsed can be packed, unless they are too large or time.Duration overflowed.
 			if len(l.Values) == 0 || len(l.Values) > packable || l.Time < 0 || l.Interval < 0 {
 				continue
 			}
 			again, err := (&Reader{}).Parse(pack(t, Security{}, l)[0])
 			if err != nil || len(again) != 1 || again[0].Host != l.Host || len(again[0].Values) != len(l.Values) {
-				t.Fatalf("%+v came back as %+v, %v", l, again, err)
+				t.Fatalf("%+v is packed and parsed again as %+v, error %v", l, again, err)
 			}
 		}
 	})
--- a/internal/collectd/security.go
+++ b/internal/collectd/security.go
@@ -11,14 +11,14 @@
 	"fmt"
 )
 
-// Level is how packets are protected.
+// Level is the protection of packets.
 type Level int
 
-// The levels. A collector that demands one accepts higher ones as well.
+// The levels in ascending order. A collector that requires one accepts higher ones as well.
 const (
-	Plain   Level = iota
-	Sign          // HMAC-SHA-256
-	Encrypt       // AES-256 in OFB mode, with SHA-1 over the content
+	Plain   Level = iota // not protected
+	Sign                 // HMAC-SHA-256
+	Encrypt              // AES-256 in OFB mode, with a SHA-1 checksum of the content
 )
 
 const (
@@ -27,13 +27,13 @@
 	checksumLen  = sha1.Size
 )
 
-// Security protects packets.
+// Security configures the protection of packets.
 type Security struct {
 	Level          Level
 	User, Password string
 }
 
-// overhead is how many bytes of a packet the protection takes.
+// overhead returns the number of bytes that the protection adds to a packet.
 func (s Security) overhead() int {
 	switch s.Level {
 	case Plain:
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// seal makes a packet of its content. random fills the initial vector of encryption.
+// seal returns a packet with the content, protected at the level. random fills the initialization vector of encryption.
 func (s Security) seal(content []byte, random func([]byte) error) ([]byte, error) {
 	switch s.Level {
 	case Plain:
@@ -68,7 +68,7 @@
 func (s Security) encrypt(content []byte, random func([]byte) error) ([]byte, error) {
 	var iv [ivLen]byte
 	if err := random(iv[:]); err != nil {
-		return nil, fmt.Errorf("collectd: initial vector: %w", err)
+		return nil, fmt.Errorf("collectd: generating an initialization vector: %w", err)
 	}
 	checksum := sha1.Sum(content) // the protocol prescribes it
 	packet := appendHeader(nil, partEncryption, s.overhead()-partHeaderLen+len(content))
@@ -79,7 +79,7 @@
 	return packet, s.crypt(packet[plain:], iv[:])
 }
 
-// mac is the signature of a text.
+// mac returns the signature of signed.
 func (s Security) mac(signed []byte) []byte {
 	m := hmac.New(sha256.New, []byte(s.Password))
 	m.Write(signed)
@@ -91,13 +91,13 @@
 	key := sha256.Sum256([]byte(s.Password))
 	block, err := aes.NewCipher(key[:])
 	if err != nil {
-		return fmt.Errorf("collectd: %w", err)
+		return fmt.Errorf("collectd: creating the cipher: %w", err)
 	}
 	cipher.NewOFB(block, iv).XORKeyStream(b, b) //nolint:staticcheck // the protocol prescribes it
 	return nil
 }
 
-// verify checks a signature of a text.
+// verify checks the signature of signed. It fails with ErrSignature.
 func (s Security) verify(signature, signed []byte) error {
 	if subtle.ConstantTimeCompare(s.mac(signed), signature) != 1 {
 		return ErrSignature
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// decrypt returns the content of an encrypted text.
+// decrypt returns the decrypted content. It fails with ErrSignature if the checksum of the content is wrong.
 func (s Security) decrypt(encrypted, iv []byte) ([]byte, error) {
 	plain := append([]byte(nil), encrypted...)
 	if err := s.crypt(plain, iv); err != nil {
--- a/internal/collectd/seed_test.go
+++ b/internal/collectd/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Each run draws the same cases, so that its verdict is the same; -rapid.seed draws others.
+// A fixed seed makes each run draw the same cases, so that results are reproducible. -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/collectd/figures.go
+++ b/internal/collectd/series.go
@@ -15,12 +15,12 @@
 	typePrefix = "wheatlane_"
 )
 
-// ErrUnknownMetric is returned for a list that stands for no figure.
-var ErrUnknownMetric = errors.New("collectd: not a figure of wheatlane's")
+// ErrUnknownMetric is returned for a value list that does not represent a metric of the catalogue.
+var ErrUnknownMetric = errors.New("collectd: value list of no known metric")
 
-// EachValueList calls f with the lists of an interval: the host is the broker, the plugin instance DIMENSION-NAME,
-// the type the figure, and the type instance its detail. It ends with the first error of f, or if a sketch
-// can't be decoded.
+// EachValueList calls f with the value lists of an interval. The host is the broker, the plugin instance is
+// DIMENSION-NAME, the type is the metric, and the type instance is the label value. It returns the first error of f, or
+// an error if a sketch can't be decoded.
 func EachValueList(v *metrics.Interval, host string, f func(ValueList) error) error {
 	for _, p := range v.Points {
 		if err := f(newList(v, host, p.Series, pointValue(p))); err != nil {
@@ -60,62 +60,62 @@
 }
 
 func newList(v *metrics.Interval, host string, s metrics.Series, values ...Value) ValueList {
-	figure := &metrics.Catalogue[s.ID]
+	metric := &metrics.Catalogue[s.ID]
 	l := ValueList{
 		Host:     cardinality.Escape(host),
 		Plugin:   pluginName,
-		Type:     typePrefix + figure.Name,
+		Type:     typePrefix + metric.Name,
 		Time:     v.EndTime,
 		Interval: v.Duration,
 		Values:   values,
 	}
-	if figure.Dimension != metrics.NoDimension {
+	if metric.Dimension != metrics.NoDimension {
 		name := cardinality.OtherName
 		if !s.Other {
 			name = cardinality.Escape(s.Name)
 		}
-		l.PluginInstance = figure.Dimension.String() + "-" + name
+		l.PluginInstance = metric.Dimension.String() + "-" + name
 	}
-	if len(figure.LabelValues) > 0 {
-		l.TypeInstance = figure.LabelValues[s.LabelIndex]
+	if len(metric.LabelValues) > 0 {
+		l.TypeInstance = metric.LabelValues[s.LabelIndex]
 	}
 	return l
 }
 
-// ParseSeries is what a list stands for, and its broker. It fails with ErrName if the list stands for no figure,
-// or if its values are not of the figure's type.
+// ParseSeries returns the broker and the series that a value list represents. It fails with ErrUnknownMetric if the
+// list does not represent a metric, or if its values are not of the metric's type.
 func ParseSeries(l ValueList) (broker string, s metrics.Series, err error) {
 	if broker, err = cardinality.Unescape(l.Host); err != nil {
 		return "", s, nameError(&l, "host")
 	}
-	figureName, prefixed := strings.CutPrefix(l.Type, typePrefix)
-	id, known := metrics.Find(figureName)
+	metricName, prefixed := strings.CutPrefix(l.Type, typePrefix)
+	id, known := metrics.Find(metricName)
 	if !prefixed || !known || l.Plugin != pluginName {
 		return "", s, nameError(&l, "type")
 	}
-	figure := &metrics.Catalogue[id]
-	name, other, ok := parseInstance(figure, l.PluginInstance)
+	metric := &metrics.Catalogue[id]
+	name, other, ok := parseInstance(metric, l.PluginInstance)
 	if !ok {
 		return "", s, nameError(&l, "plugin instance")
 	}
-	label, ok := parseLabel(figure, l.TypeInstance)
+	label, ok := parseLabel(metric, l.TypeInstance)
 	if !ok {
 		return "", s, nameError(&l, "type instance")
 	}
 	matches := func(v Value, source dataSource) bool { return v.Kind == source.kind }
-	if !slices.EqualFunc(l.Values, dataSources(figure.Kind), matches) {
+	if !slices.EqualFunc(l.Values, dataSources(metric.Kind), matches) {
 		return "", s, nameError(&l, "data sources")
 	}
 	return broker, metrics.Series{ID: id, Name: name, Other: other, LabelIndex: label}, nil
 }
 
-// parseInstance reads DIMENSION-NAME; it is empty for a figure without a dimension.
-func parseInstance(figure *metrics.Descriptor, instance string) (name string, other, ok bool) {
+// parseInstance parses a plugin instance DIMENSION-NAME, which is empty for a metric without a dimension.
+func parseInstance(metric *metrics.Descriptor, instance string) (name string, other, ok bool) {
 	dimension, escaped, _ := strings.Cut(instance, "-")
 	switch {
-	case dimension != figure.Dimension.String():
+	case dimension != metric.Dimension.String():
 		return "", false, false
-	case figure.Dimension == metrics.NoDimension:
+	case metric.Dimension == metrics.NoDimension:
 		return "", false, true
 	case escaped == cardinality.OtherName:
 		return "", true, true
@@ -124,16 +124,16 @@
 	return name, false, err == nil
 }
 
-// parseLabel reads the value of a label; it is empty for a figure without one.
-func parseLabel(figure *metrics.Descriptor, value string) (label int, ok bool) {
-	if len(figure.LabelValues) == 0 {
+// parseLabel returns the index of a label value, which is empty for a metric without a label.
+func parseLabel(metric *metrics.Descriptor, value string) (label int, ok bool) {
+	if len(metric.LabelValues) == 0 {
 		return 0, value == ""
 	}
-	label = slices.Index(figure.LabelValues, value)
+	label = slices.Index(metric.LabelValues, value)
 	return label, label >= 0
 }
 
-func nameError(l *ValueList, what string) error {
-	return fmt.Errorf("%w: %s of %s/%s-%s/%s-%s",
-		ErrUnknownMetric, what, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
+func nameError(l *ValueList, part string) error {
+	return fmt.Errorf("%w: invalid %s in %s/%s-%s/%s-%s",
+		ErrUnknownMetric, part, l.Host, l.Plugin, l.PluginInstance, l.Type, l.TypeInstance)
 }
--- a/internal/collectd/figures_test.go
+++ b/internal/collectd/series_test.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/metrics"
 )
 
-// namedInterval has figures under each kind of name.
+// namedInterval returns an interval with series under each kind of name: plain, reserved, long and with a dash.
 func namedInterval() *metrics.Interval {
 	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
@@ -26,8 +26,8 @@
 	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
-// Each figure, under each name it can have, is read as what it was.
-func TestFiguresAreOneToOne(t *testing.T) {
+// Each series is parsed back from its value list, under each kind of name.
+func TestSeriesAreParsedBackFromValueLists(t *testing.T) {
 	v := namedInterval()
 	got := map[metrics.Series][]Value{}
 	err := EachValueList(v, "n.1", func(l ValueList) error {
@@ -38,7 +38,7 @@
 			}
 			broker, s, err := ParseSeries(lists[0])
 			if err != nil || broker != "n.1" {
-				t.Errorf("%+v: %q, %v", l, broker, err)
+				t.Errorf("%+v is parsed with broker %q, error %v", l, broker, err)
 			}
 			got[s] = lists[0].Values
 		}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if len(got) != len(v.Points)+len(v.Distributions) {
-		t.Errorf("%d series of %d", len(got), len(v.Points)+len(v.Distributions))
+		t.Errorf("got %d series, want %d", len(got), len(v.Points)+len(v.Distributions))
 	}
 	for _, p := range v.Points {
 		want := Value{Kind: Gauge, Gauge: p.Value}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestFigureErrors(t *testing.T) {
+func TestParseSeriesErrors(t *testing.T) {
 	valid := func() ValueList {
 		return ValueList{
 			Host: "n1", Plugin: "wheatlane", PluginInstance: "class-lookup",
@@ -71,34 +71,34 @@
 	if _, _, err := ParseSeries(valid()); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*ValueList){
-		"host":      func(l *ValueList) { l.Host = "n.1" },
-		"plugin":    func(l *ValueList) { l.Plugin = "cpu" },
-		"type":      func(l *ValueList) { l.Type = "load" },
-		"prefix":    func(l *ValueList) { l.Type = "answers" },
-		"dimension": func(l *ValueList) { l.PluginInstance = "tenant-lookup" },
-		"name":      func(l *ValueList) { l.PluginInstance = "class-a.b" },
-		"detail":    func(l *ValueList) { l.TypeInstance = "tardy" },
-		"kind":      func(l *ValueList) { l.Values[0].Kind = Gauge },
-		"count":     func(l *ValueList) { l.Values = append(l.Values, Value{Kind: Derive}) },
+	for name, corrupt := range map[string]func(*ValueList){
+		"host":        func(l *ValueList) { l.Host = "n.1" },
+		"plugin":      func(l *ValueList) { l.Plugin = "cpu" },
+		"type":        func(l *ValueList) { l.Type = "load" },
+		"type prefix": func(l *ValueList) { l.Type = "answers" },
+		"dimension":   func(l *ValueList) { l.PluginInstance = "tenant-lookup" },
+		"name":        func(l *ValueList) { l.PluginInstance = "class-a.b" },
+		"label value": func(l *ValueList) { l.TypeInstance = "tardy" },
+		"kind":        func(l *ValueList) { l.Values[0].Kind = Gauge },
+		"count":       func(l *ValueList) { l.Values = append(l.Values, Value{Kind: Derive}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoiled := valid()
-			spoil(&spoiled)
-			if _, s, err := ParseSeries(spoiled); !errors.Is(err, ErrUnknownMetric) {
-				t.Errorf("read as %+v, %v", s, err)
+			list := valid()
+			corrupt(&list)
+			if _, s, err := ParseSeries(list); !errors.Is(err, ErrUnknownMetric) {
+				t.Errorf("list with wrong %s is parsed as %+v, error %v", name, s, err)
 			}
 		})
 	}
 }
 
-// The file that operators give collectd is the one that the program prints.
-func TestTypesDB(t *testing.T) {
+// deploy/types.db, which operators install in collectd, matches the output of 'wheatlane metrics types'.
+func TestDeployedTypesDBIsCurrent(t *testing.T) {
 	file, err := os.ReadFile("../../deploy/types.db")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(TypesDB(), string(file)); diff != "" {
-		t.Fatalf("deploy/types.db is not what 'wheatlane metrics types' prints: %s", diff)
+		t.Fatalf("deploy/types.db differs from the output of 'wheatlane metrics types': %s", diff)
 	}
 }
--- a/internal/collectd/typesdb.go
+++ b/internal/collectd/typesdb.go
@@ -13,7 +13,7 @@
 	kind Kind
 }
 
-// dataSourceTypes are the kinds' names in types.db.
+// dataSourceTypes are the names of the kinds in types.db.
 var dataSourceTypes = map[Kind]string{
 	Counter:  "COUNTER",
 	Gauge:    "GAUGE",
@@ -21,7 +21,7 @@
 	Absolute: "ABSOLUTE",
 }
 
-// dataSources are those of a figure's type.
+// dataSources returns the data sources of the collectd type of a metric.
 func dataSources(k metrics.Kind) []dataSource {
 	switch k {
 	case metrics.Counter:
@@ -37,14 +37,15 @@
 	return all
 }
 
-// TypesDB is the file that describes the types of the figures to collectd, one a line; see types.db(5).
+// TypesDB returns the contents of a types.db file, which defines the collectd type of each metric on one line; see
+// types.db(5).
 func TypesDB() string {
 	var b strings.Builder
 	for i := range metrics.Catalogue {
-		figure := &metrics.Catalogue[i]
-		fmt.Fprintf(&b, "%-40s", typePrefix+figure.Name)
+		metric := &metrics.Catalogue[i]
+		fmt.Fprintf(&b, "%-40s", typePrefix+metric.Name)
 		separator := " "
-		for _, source := range dataSources(figure.Kind) {
+		for _, source := range dataSources(metric.Kind) {
 			fmt.Fprintf(&b, "%s%s:%s:0:U", separator, source.name, dataSourceTypes[source.kind])
 			separator = ", "
 		}
