--- a/internal/telemetry/acks.go
+++ b/internal/telemetry/acks.go
@@ -2,45 +2,45 @@
 
 import "bytes"
 
-// sentPiece is what was encoded at once: complete records.
-type sentPiece struct {
-	offset      int64 // on the connection, of its first byte
+// sentChunk is a chunk of complete records that were encoded together.
+type sentChunk struct {
+	offset      int64 // offset of the first byte in the connection's stream
 	firstRecord int
-	nextRecord  int // the one after its last
+	nextRecord  int // record after the last one of the chunk
 	data        []byte
 }
 
-// ackTracker finds which records are acknowledged from how many bytes are.
+// ackTracker derives the number of acknowledged records from the number of acknowledged bytes.
 type ackTracker struct {
-	// A record counts once the end of its line is acknowledged; without perLine, once the end of its piece
-	// is.
+	// perLine counts a record when the end of its line is acknowledged. Otherwise a record counts when the end of
+	// its chunk is acknowledged.
 	perLine bool
-	records int         // of the interval being written, those acknowledged: the number of the next
-	end     int64       // offset of the end of the last piece
-	pending []sentPiece // those not acknowledged completely, oldest first
+	records int         // acknowledged records of the interval being written
+	end     int64       // offset of the end of the last chunk
+	pending []sentChunk // chunks not completely acknowledged, oldest first
 }
 
-// add appends a piece that is to be sent behind those before.
-func (a *ackTracker) add(piece sentPiece) {
-	piece.offset = a.end
-	a.end += int64(len(piece.data))
-	a.pending = append(a.pending, piece)
+// add appends a chunk that is sent after the previous ones.
+func (a *ackTracker) add(chunk sentChunk) {
+	chunk.offset = a.end
+	a.end += int64(len(chunk.data))
+	a.pending = append(a.pending, chunk)
 }
 
-// outstanding reports whether anything is not acknowledged yet.
+// outstanding reports whether any sent bytes are not acknowledged.
 func (a *ackTracker) outstanding() bool { return len(a.pending) > 0 }
 
-// acknowledge records that the bytes before an offset are acknowledged.
+// acknowledge records that all bytes before offset upTo are acknowledged.
 func (a *ackTracker) acknowledge(upTo int64) {
 	for a.outstanding() {
-		piece := &a.pending[0]
-		if upTo < piece.offset+int64(len(piece.data)) {
-			if acked := upTo - piece.offset; acked > 0 && a.perLine {
-				a.records = piece.firstRecord + bytes.Count(piece.data[:acked], []byte{'\n'})
+		chunk := &a.pending[0]
+		if upTo < chunk.offset+int64(len(chunk.data)) {
+			if acked := upTo - chunk.offset; acked > 0 && a.perLine {
+				a.records = chunk.firstRecord + bytes.Count(chunk.data[:acked], []byte{'\n'})
 			}
 			return
 		}
-		a.records = piece.nextRecord
+		a.records = chunk.nextRecord
 		a.pending = a.pending[1:]
 	}
 }
--- a/internal/telemetry/acks_test.go
+++ b/internal/telemetry/acks_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// Whatever offset is acknowledged, a record counts as sent only once a collector has it completely.
-func TestAckTracker(t *testing.T) {
+// For any acknowledged offset, only records that the collector has received completely count as sent.
+func TestAckTrackerCountsCompleteRecordsOnly(t *testing.T) {
 	tracker := func(perLine bool) *ackTracker {
 		a := &ackTracker{perLine: perLine, records: 10}
-		a.add(sentPiece{firstRecord: 10, nextRecord: 12, data: []byte("ab 1\ncd 2\n")})
-		a.add(sentPiece{firstRecord: 12, nextRecord: 13, data: []byte("ef 3\n")})
+		a.add(sentChunk{firstRecord: 10, nextRecord: 12, data: []byte("ab 1\ncd 2\n")})
+		a.add(sentChunk{firstRecord: 12, nextRecord: 13, data: []byte("ef 3\n")})
 		return a
 	}
 	for _, tt := range []struct {
 		acked           int64
-		lines, complete int // records that count by line, and by complete piece
+		lines, complete int // records counted by line, and by complete chunk
 	}{
 		{0, 10, 10},
 		{1, 10, 10},
@@ -31,13 +31,13 @@
 			for perLine, want := range map[bool]int{true: tt.lines, false: tt.complete} {
 				a := tracker(perLine)
 				if a.acknowledge(tt.acked); a.records != want {
-					t.Errorf("per line %v: %d records are sent, want %d", perLine, a.records, want)
+					t.Errorf("per line %v: got %d records sent, want %d", perLine, a.records, want)
 				}
 			}
 		})
 	}
 	a := tracker(true)
 	if a.acknowledge(12); len(a.pending) != 1 || a.pending[0].firstRecord != 12 {
-		t.Errorf("pending is %+v", a.pending)
+		t.Errorf("want the second chunk pending only, got %+v", a.pending)
 	}
 }
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/admin_metrics_test.go
@@ -12,9 +12,9 @@
 	"wheatlane/internal/metrics"
 )
 
-// The figures of the admin endpoint are the counts of the registry, under the on-call page's names, from
-// zero.
-func TestRelayFigures(t *testing.T) {
+// The metrics of the admin endpoint have the registry's counts and the names specified by the on-call page. Metrics
+// that are zero are included.
+func TestAdminMetrics(t *testing.T) {
 	class := control.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 5 * time.Millisecond, Classes: []control.Class{class},
--- a/internal/telemetry/carbon_rig_test.go
+++ b/internal/telemetry/carbon_harness_test.go
@@ -13,8 +13,8 @@
 	"wheatlane/internal/operatorconfig"
 )
 
-// startCarbon starts an emulated carbon server and returns its reconciler and the settings of a destination
-// for it.
+// startCarbon starts an emulated carbon server and returns it with its reconciler and the settings of a destination for
+// it.
 func startCarbon(t *testing.T, pickle bool) (*collector.Carbon, *collector.Reconciler,
 	operatorconfig.Graphite,
 ) {
@@ -46,7 +46,7 @@
 }
 
 // await waits until what a collector received satisfies a condition.
-func await(t *testing.T, received *collector.Reconciler, what string,
+func await(t *testing.T, received *collector.Reconciler, condition string,
 	ok func(*collector.Findings) bool,
 ) *collector.Findings {
 	t.Helper()
@@ -59,33 +59,33 @@
 		}
 		select {
 		case <-changed:
-			select { // the rest of a burst: reconciling for each sample costs too much
+			select { // waits for the end of a burst: reconciling after each sample is too expensive
 			case <-time.After(10 * time.Millisecond):
 			case <-timeout:
 			}
 		case <-timeout:
-			t.Fatalf("%s: not seen: %d samples, %d runs, %v", what, f.Samples, len(f.Incarnations), f.Violations)
+			t.Fatalf("timeout waiting for %s: got %d samples, %d incarnations, violations %v",
+				condition, f.Samples, len(f.Incarnations), f.Violations)
 		}
 	}
 }
 
-// awaitAllCounted waits until a collector has every request that was recorded in its counters, and checks
-// that no rule was broken.
-func (r *rig) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
+// awaitAllCounted waits until a collector's counters include every recorded request, and checks that there are no
+// violations.
+func (r *harness) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
 	r.t.Helper()
 	want := float64(r.requests["lookup"])
-	f := await(r.t, received, "every count", func(f *collector.Findings) bool {
-		if len(f.Incarnations) != 1 || f.Incarnations[0].LastSequence != r.cuts() {
+	f := await(r.t, received, "all recorded requests in the counters", func(f *collector.Findings) bool {
+		if len(f.Incarnations) != 1 || f.Incarnations[0].LastSequence != r.intervalCount() {
 			return false
 		}
-		// The newest interval comes first: an earlier one may have the last values of a name that has
-		// retired.
+		// The newest interval is delivered first. An earlier one may contain the last values of a retired name.
 		for _, id := range []metrics.ID{
 			metrics.Requests, metrics.RequestsByTenant, metrics.RequestsByDataSet,
 			metrics.RequestOutcomes, metrics.RequestOutcomesByTenant,
 		} {
 			if got := f.Incarnations[0].Total(id); got > want {
-				r.t.Fatalf("%s: %v of %v", metrics.Catalogue[id].Name, got, want)
+				r.t.Fatalf("%s: collector has %v, only %v were recorded", metrics.Catalogue[id].Name, got, want)
 			} else if got < want {
 				return false
 			}
@@ -93,17 +93,17 @@
 		return true
 	})
 	if !f.OK() {
-		r.t.Fatalf("faults %v, unknown %v, malformed %v", f.Violations, f.Unknown, f.Malformed)
+		r.t.Fatalf("collector found violations %v, unknown %v, malformed %v", f.Violations, f.Unknown, f.Malformed)
 	}
 	return f
 }
 
-// complete reports whether a collector has every interval that it knows of.
+// complete reports whether a collector has all intervals up to the last one that it received.
 func complete(f *collector.Findings) bool {
 	return len(f.Incarnations) == 1 && f.Incarnations[0].Missing() == 0 && f.Incomplete == 0
 }
 
-// completeTo reports whether a collector has every interval up to the last.
+// completeTo returns a condition that is true when a collector has all intervals up to number last.
 func completeTo(last uint64) func(*collector.Findings) bool {
 	return func(f *collector.Findings) bool { return complete(f) && f.Incarnations[0].LastSequence == last }
 }
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	chunkBytes = 4 << 10 // encoded and written at once
-	// sendBufferBytes bounds what the kernel holds for a collector that reads nothing.
+	chunkBytes = 4 << 10 // data encoded and written at a time
+	// sendBufferBytes limits the data that the kernel buffers for a collector that reads nothing.
 	sendBufferBytes = 64 << 10
-	// The interval at which acknowledgements are polled doubles from the initial one to the maximum.
+	// The interval between polls for acknowledgements doubles from the initial one up to the maximum.
 	initialAckPoll = 200 * time.Microsecond
 	maxAckPoll     = 20 * time.Millisecond
-	// writePollTimeout is when a blocked write looks at its context and at what is acknowledged.
+	// writePollTimeout is how often a blocked write checks its context and the acknowledged bytes.
 	writePollTimeout = 100 * time.Millisecond
 )
 
-// carbonTransport writes to a carbon server over TCP.
+// carbonTransport connects to a carbon server over TCP.
 type carbonTransport struct{ encoder graphite.Encoder }
 
 func (t *carbonTransport) open(ctx context.Context, address string) (session, error) {
@@ -35,13 +35,13 @@
 	}
 	s, err := newCarbonSession(conn.(*net.TCPConn), t.encoder)
 	if err != nil {
-		_ = conn.Close() // the first error is the one to report
+		_ = conn.Close() // the first error is reported
 		return nil, err
 	}
 	return s, nil
 }
 
-// carbonSession is a connection to carbon.
+// carbonSession is a TCP connection to carbon.
 type carbonSession struct {
 	encoder graphite.Encoder
 	conn    *net.TCPConn
@@ -53,7 +53,7 @@
 
 func newCarbonSession(conn *net.TCPConn, encoder graphite.Encoder) (*carbonSession, error) {
 	if err := conn.SetWriteBuffer(sendBufferBytes); err != nil {
-		return nil, fmt.Errorf("write buffer: %w", err)
+		return nil, fmt.Errorf("setting the send buffer of a carbon connection: %w", err)
 	}
 	acked, err := ackedBytes(conn)
 	if err != nil {
@@ -66,11 +66,11 @@
 		initialAcked: acked,
 		acks:         ackTracker{perLine: !encoder.Pickle},
 	}
-	go s.discardInput() // ends with the connection, and close waits for it
+	go s.discardInput() // ends with the connection; close waits for it
 	return s, nil
 }
 
-// discardInput reads until the connection ends. Carbon sends nothing; whatever comes is ignored.
+// discardInput reads and ignores all input until the connection ends. Carbon sends nothing.
 func (s *carbonSession) discardInput() {
 	defer close(s.closed)
 	var buffer [512]byte
@@ -83,18 +83,18 @@
 
 func (s *carbonSession) peerClosed() <-chan struct{} { return s.closed }
 
-// close ends the connection. Bytes that the kernel took and the collector has not acknowledged are discarded
-// by a reset: they could be sent later all the same, and the next connection starts with them.
+// close closes the connection. If bytes are not acknowledged, it resets the connection, so that the kernel discards
+// them instead of sending them later: the next connection sends them again.
 func (s *carbonSession) close() {
 	if s.acks.outstanding() {
-		_ = s.conn.SetLinger(0) // it fails on a closed connection only
+		_ = s.conn.SetLinger(0) // fails only on a closed connection
 	}
-	_ = s.conn.Close() // nothing can be done about a failure
+	_ = s.conn.Close() // an error can't be handled
 	<-s.closed
 }
 
-// write returns once the collector's machine has acknowledged the interval's last byte: bytes that the kernel
-// took and never sent would otherwise be lost with the connection.
+// write returns when the collector's host has acknowledged the last byte of the interval. Otherwise bytes that the
+// kernel has buffered but not sent would be lost if the connection ended.
 func (s *carbonSession) write(ctx context.Context, interval *metrics.Interval, from int,
 	progress func(int),
 ) (int, error) {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return s.acks.records, err
 		}
-		s.acks.add(sentPiece{firstRecord: next, nextRecord: after, data: data})
+		s.acks.add(sentChunk{firstRecord: next, nextRecord: after, data: data})
 		if err := s.send(ctx, data, progress); err != nil {
 			return s.acks.records, err
 		}
@@ -114,16 +114,16 @@
 	return s.acks.records, err
 }
 
-// send hands data to the kernel.
+// send writes data to the kernel's send buffer.
 func (s *carbonSession) send(ctx context.Context, data []byte, progress func(int)) error {
 	for len(data) > 0 {
 		if err := s.conn.SetWriteDeadline(time.Now().Add(writePollTimeout)); err != nil {
-			s.settle(progress)
+			s.updateAcks(progress)
 			return err
 		}
 		written, err := s.conn.Write(data)
 		data = data[written:]
-		s.settle(progress)
+		s.updateAcks(progress)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
@@ -134,22 +134,21 @@
 	return nil
 }
 
-// awaitAcks waits until all that was sent is acknowledged. The kernel notifies of no acknowledgement: it is
-// polled.
+// awaitAcks waits until all sent data is acknowledged. It polls, as the kernel does not notify of acknowledgements.
 func (s *carbonSession) awaitAcks(ctx context.Context, progress func(int)) error {
 	poll := time.NewTimer(initialAckPoll)
 	defer poll.Stop()
 	for interval := initialAckPoll; ; {
-		s.settle(progress)
+		s.updateAcks(progress)
 		if !s.acks.outstanding() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			s.settle(progress)
+			s.updateAcks(progress)
 			return ctx.Err()
 		case <-s.closed:
-			s.settle(progress)
+			s.updateAcks(progress)
 			return errPeerClosed
 		case <-poll.C:
 			interval = min(2*interval, maxAckPoll)
@@ -158,11 +157,11 @@
 	}
 }
 
-// settle records what is acknowledged.
-func (s *carbonSession) settle(progress func(int)) {
+// updateAcks records the acknowledged bytes and calls progress if further records are acknowledged.
+func (s *carbonSession) updateAcks(progress func(int)) {
 	acked, err := ackedBytes(s.conn)
 	if err != nil {
-		return // what is known stays as it was
+		return // keeps the last known count
 	}
 	before := s.acks.records
 	s.acks.acknowledge(acked - s.initialAcked)
@@ -171,11 +170,11 @@
 	}
 }
 
-// ackedBytes is how many bytes the other machine has acknowledged, by the kernel's TCP_INFO.
+// ackedBytes returns the number of bytes that the peer has acknowledged, from the kernel's TCP_INFO.
 func ackedBytes(conn *net.TCPConn) (acked int64, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return 0, fmt.Errorf("socket: %w", err)
+		return 0, fmt.Errorf("accessing the socket of a carbon connection: %w", err)
 	}
 	if controlErr := raw.Control(func(fd uintptr) {
 		var info *unix.TCPInfo
@@ -183,7 +182,7 @@
 			acked = int64(info.Bytes_acked)
 		}
 	}); controlErr != nil {
-		return 0, fmt.Errorf("socket: %w", controlErr)
+		return 0, fmt.Errorf("accessing the socket of a carbon connection: %w", controlErr)
 	}
 	return acked, err
 }
--- a/internal/telemetry/carbon_transport_test.go
+++ b/internal/telemetry/carbon_transport_test.go
@@ -15,7 +15,7 @@
 	"wheatlane/internal/metrics"
 )
 
-// largeInterval is one of more lines than the buffers of two sockets hold.
+// largeInterval returns an interval whose lines exceed the buffers of both sockets.
 func largeInterval() *metrics.Interval {
 	const tenants = 4000
 	limits := metrics.Limits{Classes: 1, Tenants: tenants, Engines: 1, DataSets: 1, IdleTimeout: time.Hour}
@@ -26,11 +26,11 @@
 			r.Add(metrics.RequestOutcomesByTenant, slot, label, float64(i+1))
 		}
 	}
-	return r.EndInterval(rigStart, rigInterval)
+	return r.EndInterval(testStartTime, testInterval)
 }
 
-// awaitBlocked waits until a socket has more to send and the other side reads nothing: all that was sent is
-// acknowledged.
+// awaitBlocked waits until a socket can't send as its peer does not read: the socket has unsent data, and all data sent
+// is acknowledged.
 func awaitBlocked(t *testing.T, conn *net.TCPConn) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
@@ -51,9 +51,9 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other side reads all")
+			t.Fatal("timeout waiting until the connection is blocked")
 		}
-		time.Sleep(time.Millisecond) // the kernel notifies of no change
+		time.Sleep(time.Millisecond) // the kernel does not notify of changes
 	}
 }
 
@@ -89,61 +89,61 @@
 	return s.(*carbonSession), peer
 }
 
-// cutOff writes an interval to a peer that stops reading in the middle, gives the connection up, and returns
-// how many records count as sent and what the peer has got.
-func (p *carbonPeer) cutOff(v *metrics.Interval) (records int, received []byte) {
+// abortWrite writes an interval to a peer that does not read, cancels the write when it blocks, and closes the
+// connection. It returns the number of records that count as sent, and the bytes that the peer received.
+func (p *carbonPeer) abortWrite(v *metrics.Interval) (records int, received []byte) {
 	p.t.Helper()
 	s, peer := p.connect()
 	ctx, cancel := context.WithCancel(p.t.Context())
 	sent := make(chan int, 1)
 	go func() {
-		n, _ := s.write(ctx, v, 0, func(int) {}) // it fails as it is cancelled
+		n, _ := s.write(ctx, v, 0, func(int) {}) // fails as it is cancelled
 		sent <- n
 	}()
 	awaitBlocked(p.t, s.conn)
 	cancel()
 	records = <-sent
 	s.close()
-	received, _ = io.ReadAll(peer) // it reads again, too late; the connection ends in a reset
+	received, _ = io.ReadAll(peer) // fails at the end: the connection was reset
 	_ = peer.Close()
 	return records, received
 }
 
-// resume writes the interval from a record on over another connection, and returns what came over that.
+// resume writes the interval, starting at a record, over another connection, and returns the bytes received on it.
 func (p *carbonPeer) resume(v *metrics.Interval, from int) []byte {
 	p.t.Helper()
 	s, peer := p.connect()
 	received := make(chan []byte, 1)
 	go func() {
-		b, _ := io.ReadAll(peer) // what is missing is noticed by its length
+		b, _ := io.ReadAll(peer) // the caller checks the length
 		received <- b
 	}()
 	records := p.transport.encoder.RecordCount(v)
 	if end, err := s.write(p.t.Context(), v, from, func(int) {}); err != nil || end != records {
-		p.t.Fatalf("%d of %d: %v", end, records, err)
+		p.t.Fatalf("wrote up to record %d of %d, error %v", end, records, err)
 	}
 	s.close()
-	rest := <-received
+	remaining := <-received
 	_ = peer.Close()
-	return rest
+	return remaining
 }
 
-// A collector stops reading in the middle of an interval, and the connection is given up: what it got ends in
-// a truncated line, and the next connection resumes with that line. None is duplicated and none is missing.
-func TestResumesBehindAcknowledgedRecords(t *testing.T) {
+// A collector stops reading in the middle of an interval, and the connection is closed. The received data ends with a
+// truncated line, and the next connection must resume with that line, so that no line is duplicated or missing.
+func TestResumesAfterAcknowledgedRecords(t *testing.T) {
 	v := largeInterval()
 	for _, pickle := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			peer := newCarbonPeer(t, pickle)
 			encoder := &peer.transport.encoder
-			sent, got := peer.cutOff(v)
+			sent, got := peer.abortWrite(v)
 			if sent <= 0 || sent >= encoder.RecordCount(v) {
-				t.Fatalf("%d records of %d are sent: the test shows nothing", sent, encoder.RecordCount(v))
+				t.Fatalf("%d records of %d are sent: the write was not interrupted", sent, encoder.RecordCount(v))
 			}
-			rest := peer.resume(v, sent)
+			remaining := peer.resume(v, sent)
 			if pickle {
-				if all := append(parseFrames(t, got), parseFrames(t, rest)...); len(all) != encoder.RecordCount(v) {
-					t.Fatalf("%d records came of %d", len(all), encoder.RecordCount(v))
+				if all := append(parseFrames(t, got), parseFrames(t, remaining)...); len(all) != encoder.RecordCount(v) {
+					t.Fatalf("received %d records, want %d", len(all), encoder.RecordCount(v))
 				}
 				return
 			}
@@ -151,9 +151,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got = got[:bytes.LastIndexByte(got, '\n')+1] // a truncated line is dropped, as carbon does
-			if !bytes.Equal(append(got, rest...), want) {
-				t.Fatalf("%d and %d bytes came, not the %d there are", len(got), len(rest), len(want))
+			got = got[:bytes.LastIndexByte(got, '\n')+1] // drops the truncated line, as carbon does
+			if !bytes.Equal(append(got, remaining...), want) {
+				t.Fatalf("received %d and %d bytes, which differ from the %d expected", len(got), len(remaining), len(want))
 			}
 		})
 	}
--- a/internal/telemetry/clock.go
+++ b/internal/telemetry/clock.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Clock gives the time and the ends of intervals.
+// Clock provides the time and the ticks that end intervals.
 type Clock struct {
-	Wall      func() time.Duration // since 1970
-	Monotonic func() time.Duration // since any fixed moment
-	// Ticker returns a channel that receives once an interval, and the functions that change its length
-	// and end it.
+	Wall      func() time.Duration // since the Unix epoch
+	Monotonic func() time.Duration // since an arbitrary fixed time
+	// Ticker returns a channel that delivers a tick at the end of each interval, a function that changes the
+	// length of the interval, and one that stops the ticks.
 	Ticker func(every time.Duration) (ticks <-chan time.Time, reset func(every time.Duration), stop func())
 }
 
-// SystemClock is the operating system's.
+// SystemClock returns the operating system's clock.
 func SystemClock() Clock {
 	start := time.Now()
 	return Clock{
-		// Round strips the monotonic reading: without it a time follows the wall clock when that is
-		// set.
+		// Round(0) strips the monotonic reading, so that the time follows the wall clock when it is set.
 		Wall:      func() time.Duration { return time.Duration(time.Now().Round(0).UnixNano()) },
 		Monotonic: func() time.Duration { return time.Since(start) },
 		Ticker: func(every time.Duration) (<-chan time.Time, func(time.Duration), func()) {
--- a/internal/telemetry/collectd_transport.go
+++ b/internal/telemetry/collectd_transport.go
@@ -12,12 +12,12 @@
 	"wheatlane/internal/metrics"
 )
 
-// unreachableWait is how long a write waits for the ICMP answer that nothing listens at a UDP port.
+// unreachableWait is how long a write waits for the ICMP message that reports a closed UDP port.
 const unreachableWait = 30 * time.Millisecond
 
 // collectdTransport writes to a collectd server over UDP.
 type collectdTransport struct {
-	host     string // of the values: the broker
+	host     string // host name in value lists: the broker
 	security collectd.Security
 }
 
@@ -29,8 +29,8 @@
 	return &collectdSession{transport: t, conn: conn}, nil
 }
 
-// collectdSession is a socket to collectd. Datagrams are not acknowledged: a loss on the network is not
-// noticed here, and the counters of the next interval make up for it.
+// collectdSession is a UDP socket connected to collectd. Datagrams are not acknowledged, so a loss on the network is
+// not detected; the counters of the next interval include the lost counts.
 type collectdSession struct {
 	transport *collectdTransport
 	conn      net.Conn
@@ -38,9 +38,9 @@
 
 func (s *collectdSession) peerClosed() <-chan struct{} { return nil }
 
-func (s *collectdSession) close() { _ = s.conn.Close() } // nothing is buffered in a UDP socket
+func (s *collectdSession) close() { _ = s.conn.Close() } // a UDP socket has no buffered data to lose
 
-// write sends all datagrams of the interval; there is no resuming from a record.
+// write sends all datagrams of the interval. It always starts at the first record, as datagrams can't be resumed.
 func (s *collectdSession) write(ctx context.Context, interval *metrics.Interval, _ int, _ func(int)) (int, error) {
 	packer := collectd.Packer{
 		Security: s.transport.security,
@@ -62,7 +62,7 @@
 	return 0, s.awaitUnreachable()
 }
 
-// awaitUnreachable returns the error that the socket has soon if nothing listens at the other end.
+// awaitUnreachable waits for unreachableWait and returns the error that the socket reports if the port is closed.
 func (s *collectdSession) awaitUnreachable() error {
 	if err := s.conn.SetReadDeadline(time.Now().Add(unreachableWait)); err != nil {
 		return err
--- a/internal/telemetry/plan.go
+++ b/internal/telemetry/config.go
@@ -14,35 +14,35 @@
 	maxBackoff     = 15 * time.Second
 )
 
-// plan is how a destination is configured.
-type plan struct {
+// destinationConfig configures a destination.
+type destinationConfig struct {
 	name, address string
 	delivery      delivery.Config
 	transport     transport
-	// settings are those of the file without the address. A destination whose settings change is
-	// replaced; one whose address alone changes keeps what waits.
+	// settings holds the settings from the operator's file, without the address. A destination whose settings
+	// change is replaced; one whose address alone changes keeps its waiting intervals.
 	settings any
 }
 
-// plans are the destinations that the operator's file configures; settings may be nil.
-func plans(broker string, settings *operatorconfig.Telemetry) []plan {
+// destinationConfigs returns the configurations of the destinations in the operator's file; settings may be nil.
+func destinationConfigs(broker string, settings *operatorconfig.Telemetry) []destinationConfig {
 	if settings == nil {
 		return nil
 	}
-	all := make([]plan, 0, len(settings.Graphite)+len(settings.Collectd))
+	all := make([]destinationConfig, 0, len(settings.Graphite)+len(settings.Collectd))
 	for i := range settings.Graphite {
-		all = append(all, graphitePlan(broker, settings.Graphite[i]))
+		all = append(all, graphiteConfig(broker, settings.Graphite[i]))
 	}
 	for i := range settings.Collectd {
-		all = append(all, collectdPlan(broker, settings.Collectd[i]))
+		all = append(all, collectdConfig(broker, settings.Collectd[i]))
 	}
 	return all
 }
 
-func graphitePlan(broker string, configured operatorconfig.Graphite) plan {
+func graphiteConfig(broker string, configured operatorconfig.Graphite) destinationConfig {
 	settings := configured
 	settings.Address = ""
-	return plan{
+	return destinationConfig{
 		name:     configured.Name,
 		address:  configured.Address,
 		settings: settings,
@@ -61,17 +61,17 @@
 	}
 }
 
-// securityLevels are those of the setting.
+// securityLevels maps the values of the security setting to levels.
 var securityLevels = map[string]collectd.Level{
 	"none":    collectd.Plain,
 	"sign":    collectd.Sign,
 	"encrypt": collectd.Encrypt,
 }
 
-func collectdPlan(broker string, configured operatorconfig.Collectd) plan {
+func collectdConfig(broker string, configured operatorconfig.Collectd) destinationConfig {
 	settings := configured
 	settings.Address = ""
-	return plan{
+	return destinationConfig{
 		name:     configured.Name,
 		address:  configured.Address,
 		settings: settings,
@@ -85,7 +85,7 @@
 		},
 		delivery: delivery.Config{
 			MemoryBudget:   configured.BudgetKB << 10,
-			MaxWaiting:     1, // collectd accepts nothing older than the last: what waits is folded into the newest
+			MaxWaiting:     1, // collectd rejects values older than the last: waiting intervals are merged
 			InitialBackoff: initialBackoff,
 			MaxBackoff:     maxBackoff,
 			WriteTimeout:   dialTimeout,
--- a/internal/telemetry/connection.go
+++ b/internal/telemetry/connection.go
@@ -15,32 +15,33 @@
 
 var errPeerClosed = errors.New("the collector closed the connection")
 
-// transport connects to one kind of collector.
+// transport opens connections to one kind of collector.
 type transport interface {
 	open(ctx context.Context, address string) (session, error)
 }
 
 // session is a connection to a collector.
 type session interface {
-	// write writes an interval from a record on, and calls progress with the number of records sent as
-	// that grows. On an error it returns how many records in all were sent. It fails once ctx ends.
+	// write writes an interval, starting at record from. It calls progress with the total number of records sent
+	// whenever that number increases. On an error it returns that number. It fails when ctx is done.
 	write(ctx context.Context, v *metrics.Interval, from int, progress func(records int)) (int, error)
-	// peerClosed is closed when the collector ends the connection; nil if that can't be noticed.
+	// peerClosed returns a channel that is closed when the collector closes the connection, or nil if the
+	// transport can't detect that.
 	peerClosed() <-chan struct{}
 	close()
 }
 
-// connection is the state of one connection; its goroutine owns it.
+// connection holds the state of one connection. It is owned by the connection's goroutine.
 type connection struct {
 	number      int
 	address     string
 	transport   transport
 	writes      <-chan delivery.Write
 	notify      func(delivery.Event)
-	recordsSent int // of the interval being written
+	recordsSent int // records sent of the interval being written
 }
 
-// connect starts the goroutine of a connection, which ends with ctx or by closeConnection.
+// connect starts the goroutine of a connection, which ends when ctx is done or closeConnection is called.
 func (d *destination) connect(ctx context.Context, number int) {
 	connectionCtx, cancel := context.WithCancel(ctx)
 	d.closeConnection = cancel
@@ -50,7 +51,8 @@
 		address:   d.address,
 		transport: d.transport,
 		writes:    d.writes,
-		notify:    func(event delivery.Event) { d.notify(ctx, event) }, // also of the connection's own end
+		// Uses ctx, as connectionCtx is done when Disconnected is sent.
+		notify: func(event delivery.Event) { d.notify(ctx, event) },
 	}
 	d.group.Go(func() error {
 		defer cancel()
@@ -63,7 +65,7 @@
 	})
 }
 
-// notify hands an event of a connection to the destination's goroutine.
+// notify sends an event of a connection to the destination's goroutine.
 func (d *destination) notify(ctx context.Context, event delivery.Event) {
 	select {
 	case d.connectionEvents <- event:
@@ -71,7 +73,7 @@
 	}
 }
 
-// serve connects and writes what it is given, until ctx ends or the connection breaks.
+// serve connects to the collector and performs writes until ctx is done or the connection fails.
 func (c *connection) serve(ctx context.Context) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	collector, err := c.transport.open(dialCtx, c.address)
@@ -95,10 +97,10 @@
 	}
 }
 
-func (c *connection) write(ctx context.Context, collector session, order delivery.Write) error {
-	c.recordsSent = order.FirstRecord
+func (c *connection) write(ctx context.Context, collector session, write delivery.Write) error {
+	c.recordsSent = write.FirstRecord
 	progress := func(records int) { c.notify(delivery.Progress{Conn: c.number, Records: records}) }
-	records, err := collector.write(ctx, order.Interval, order.FirstRecord, progress)
+	records, err := collector.write(ctx, write.Interval, write.FirstRecord, progress)
 	if err != nil {
 		c.recordsSent = records
 		return err
--- a/internal/telemetry/destination.go
+++ b/internal/telemetry/destination.go
@@ -11,54 +11,54 @@
 	"wheatlane/internal/delivery"
 )
 
-// eventBuffer is how many events may wait for a destination. Beyond that the reporter waits, and no request
-// does.
+// eventBuffer is the number of events that may wait for a destination. If more arrive, the reporter blocks, which does
+// not delay requests.
 const eventBuffer = 8
 
-// message is what the reporter hands to a destination.
+// message is an event that the reporter sends to a destination.
 type message struct {
 	event   delivery.Event
-	address string // the new one, of delivery.AddressChanged
+	address string // new address, for delivery.AddressChanged only
 }
 
-// destination carries out the decisions of a delivery.Machine. One goroutine owns the machine, and each
-// connection has a goroutine of its own; all end with the context that run was given.
+// destination performs the actions of a delivery.Machine. One goroutine owns the machine, and each connection has its
+// own goroutine. All of them end with the context passed to run.
 type destination struct {
-	plan  plan // as last configured; the reporter's goroutine owns it
-	stats atomic.Pointer[delivery.Stats]
-	log   *zap.Logger
+	config destinationConfig // owned by the reporter's goroutine
+	stats  atomic.Pointer[delivery.Stats]
+	log    *zap.Logger
 
 	inbox            chan message
 	connectionEvents chan delivery.Event
 
-	// The rest belongs to the goroutine of loop.
+	// The fields below are owned by the goroutine that runs loop.
 
 	machine   *delivery.Machine
 	transport transport
 	address   string
 	startedAt time.Time
 	group     *errgroup.Group
-	// The one connection that there is at a time.
+	// State of the current connection; there is at most one.
 	closeConnection context.CancelFunc
 	writes          chan delivery.Write
 }
 
-func newDestination(configured plan, seed uint64, log *zap.Logger) *destination {
+func newDestination(config destinationConfig, seed uint64, log *zap.Logger) *destination {
 	d := &destination{
-		plan:             configured,
-		log:              log.With(zap.String("destination", configured.name)),
+		config:           config,
+		log:              log.With(zap.String("destination", config.name)),
 		inbox:            make(chan message, eventBuffer),
 		connectionEvents: make(chan delivery.Event, eventBuffer),
-		machine:          delivery.New(configured.delivery, seed),
-		transport:        configured.transport,
-		address:          configured.address,
+		machine:          delivery.New(config.delivery, seed),
+		transport:        config.transport,
+		address:          config.address,
 		startedAt:        time.Now(),
 	}
 	d.stats.Store(&delivery.Stats{})
 	return d
 }
 
-// send hands a message to the destination's goroutine.
+// send sends a message to the destination's goroutine. It blocks while eventBuffer messages wait and ctx is not done.
 func (d *destination) send(ctx context.Context, msg message) {
 	select {
 	case d.inbox <- msg:
@@ -66,7 +66,7 @@
 	}
 }
 
-// run carries out what the machine decides until that has stopped.
+// run performs the machine's actions until the machine has stopped or ctx is done.
 func (d *destination) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -83,12 +83,12 @@
 		zap.Float64("lost_samples", stats.LostSamples),
 		zap.Uint64("breaks", stats.ConnectionFailures))
 	if ctx.Err() != nil {
-		return nil // its context was cancelled, or its machine has stopped
+		return nil // ctx was cancelled or the machine has stopped
 	}
 	return err
 }
 
-// now is the machine's time.
+// now returns the machine's time.
 func (d *destination) now() time.Duration { return time.Since(d.startedAt) }
 
 func (d *destination) loop(ctx context.Context) error {
@@ -126,13 +126,13 @@
 	}
 }
 
-// perform carries out an action and reports whether it was the last.
+// perform performs an action and reports whether it was the last one.
 func (d *destination) perform(ctx context.Context, action delivery.Action) (stopped bool) {
 	switch a := action.(type) {
 	case delivery.Connect:
 		d.connect(ctx, a.Conn)
 	case delivery.Write:
-		d.writes <- a // never blocks: the machine starts a write only when the one before has ended
+		d.writes <- a // never blocks: the machine starts a write only after the previous one has ended
 	case delivery.Close:
 		d.closeConnection()
 	case delivery.Stopped:
--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,5 +1,4 @@
-// Package telemetry reports to Graphite and collectd what a broker counts and measures. A Recorder records
-// the events of the reducer and the sockets; a Reporter ends an interval at a time and delivers it to each
-// destination as internal/delivery decides. No request waits for any of it: everything that can block has a
-// goroutine of its own.
+// Package telemetry reports a broker's metrics to Graphite and collectd. A Recorder records the events of the reducer
+// and the sockets. A Reporter ends intervals and delivers each to all destinations, according to the decisions of
+// internal/delivery. Requests never wait for telemetry: each operation that can block has its own goroutine.
 package telemetry
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/gauges.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// The places of the samples that newRuntimeSamples asks for.
+// The indexes of the samples that newRuntimeSamples returns.
 const (
 	heapObjectBytes = iota
 	totalBytes
@@ -27,10 +27,10 @@
 	}
 }
 
-// EndInterval ends an interval at the times of the wall clock and of the monotonic clock. Before that it reads the states
-// of the reducer, the sockets, the runtime and the destinations into gauges.
-func (r *Recorder) EndInterval(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
-	destinations map[string]delivery.Stats,
+// EndInterval ends the current interval at the given times of the wall clock and the monotonic clock, and returns its
+// metrics. First it sets the gauges that describe the reducer, the sockets, the runtime and the destinations.
+func (r *Recorder) EndInterval(wall, monotonic time.Duration, reducer *broker.Broker,
+	connections netconn.ConnectionCounts, destinations map[string]delivery.Stats,
 ) *metrics.Interval {
 	r.recordView(reducer)
 	r.setGauge(metrics.OpenRequests, 0, float64(reducer.OpenRequests()))
@@ -43,7 +43,7 @@
 	return r.registry.EndInterval(wall, monotonic)
 }
 
-// EndReducerInterval ends an interval of a reducer that has no sockets and no destinations.
+// EndReducerInterval is EndInterval for a reducer without sockets and destinations.
 func (r *Recorder) EndReducerInterval(now time.Duration, reducer *broker.Broker) *metrics.Interval {
 	return r.EndInterval(now, now, reducer, netconn.ConnectionCounts{}, nil)
 }
@@ -71,7 +71,7 @@
 
 func (r *Recorder) recordMemory() {
 	runtimemetrics.Read(r.runtimeSamples)
-	bytes := func(place int) uint64 { return r.runtimeSamples[place].Value.Uint64() }
+	bytes := func(index int) uint64 { return r.runtimeSamples[index].Value.Uint64() }
 	r.setGauge(metrics.HeapBytes, 0, float64(bytes(heapObjectBytes)))
 	r.setGauge(metrics.MemoryBytes, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
 }
@@ -86,14 +86,14 @@
 	r.registry.Set(metrics.ConnectionFailures, slot, 0, float64(stats.ConnectionFailures))
 }
 
-// recordView records what the decision module knows of engines and classes.
+// recordView records the decision module's state of engines and classes.
 func (r *Recorder) recordView(reducer *broker.Broker) {
 	reducer.View(&r.view)
 	var enginesByHealth [4]int
 	for i := range r.view.Engines {
 		engine := &r.view.Engines[i]
 		slot := r.registry.Slot(metrics.Engine, engine.ID)
-		if slot != cardinality.Other { // one value can't stand for several engines
+		if slot != cardinality.Other { // one gauge can't represent several engines
 			r.registry.Set(metrics.ConcurrencyLimit, slot, 0, engine.ConcurrencyLimit)
 			r.registry.Set(metrics.Threads, slot, 0, float64(engine.ThreadsInFlight))
 			r.registry.Set(metrics.Queued, slot, 0, float64(engine.Queued))
@@ -111,7 +111,7 @@
 	}
 }
 
-// engineHealth is the label index of metrics.Engines that an engine counts under.
+// engineHealth returns the label index of metrics.Engines for an engine.
 func engineHealth(engine *control.EngineView) int {
 	switch {
 	case engine.State == control.Draining:
--- a/internal/telemetry/rig_test.go
+++ b/internal/telemetry/harness_test.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	testTimeout    = 30 * time.Second // a test that waits so long has failed
-	rigStart       = 1_750_000_000 * time.Second
-	rigObjective   = 400 * time.Millisecond
-	rigInterval    = 10 * time.Second
-	rigWriteLimit  = 300 // ms
-	rigReplayKBps  = 1 << 16
-	carbonBudgetKB = 512
+	testTimeout        = 30 * time.Second // a test fails after waiting this long
+	testStartTime      = 1_750_000_000 * time.Second
+	testObjective      = 400 * time.Millisecond
+	testInterval       = 10 * time.Second
+	testWriteTimeoutMS = 300
+	testReplayKBps     = 1 << 16
+	testBudgetKB       = 512
 )
 
-// inspector is a reducer that is inspected as a server lets it be, and whose recorder the test feeds.
+// inspector implements Inspector for a reducer without a server, and holds the recorder that the test feeds.
 type inspector struct {
-	mu       sync.Mutex
-	broker   *broker.Broker
-	recorder *Recorder
-	cuts     uint64 // how often it was inspected: once an interval
+	mu        sync.Mutex
+	broker    *broker.Broker
+	recorder  *Recorder
+	intervals uint64 // number of inspections, which is one per interval
 }
 
 func (i *inspector) Inspect(_ context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	f(i.broker, netconn.ConnectionCounts{})
-	i.cuts++
+	i.intervals++
 	return true
 }
 
-// wallClock advances by an interval whenever it is read, and may be set.
+// wallClock is a simulated wall clock that advances by one interval whenever it is read. It can be set.
 type wallClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -52,7 +52,7 @@
 func (w *wallClock) read() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.now += rigInterval
+	w.now += testInterval
 	return w.now
 }
 
@@ -62,8 +62,8 @@
 	w.now += d
 }
 
-// rig is a reporter with what it reports.
-type rig struct {
+// harness runs a reporter with a simulated wall clock and records the requests that it must report.
+type harness struct {
 	t                 *testing.T
 	inspector         *inspector
 	wall              *wallClock
@@ -71,21 +71,22 @@
 	ticks             chan time.Time
 	draining, drained chan struct{}
 	done              chan error
-	requests          map[string]int // by class, as the test knows them
+	requests          map[string]int // recorded requests by class
 }
 
-// telemetryFile is an operator's file with destinations; settings that they leave out are filled in.
+// telemetryFile returns the telemetry settings of an operator's file with destinations. It sets defaults for settings
+// that the destinations omit.
 func telemetryFile(destinations ...any) *operatorconfig.Telemetry {
 	t := &operatorconfig.Telemetry{
-		IntervalMS:  int(rigInterval / time.Millisecond),
+		IntervalMS:  int(testInterval / time.Millisecond),
 		Cardinality: operatorconfig.CardinalityLimits{Classes: 4, Tenants: 8, Engines: 4, DataSets: 4, IdleS: 3600},
 	}
 	for _, d := range destinations {
 		switch d := d.(type) {
 		case operatorconfig.Graphite:
 			d.Prefix, d.Protocol = "w", cmp.Or(d.Protocol, "plaintext")
-			d.WriteTimeoutMS = rigWriteLimit
-			d.BudgetKB, d.ReplayKBps = cmp.Or(d.BudgetKB, carbonBudgetKB), rigReplayKBps
+			d.WriteTimeoutMS = testWriteTimeoutMS
+			d.BudgetKB, d.ReplayKBps = cmp.Or(d.BudgetKB, testBudgetKB), testReplayKBps
 			t.Graphite = append(t.Graphite, d)
 		case operatorconfig.Collectd:
 			d.BudgetKB = 256
@@ -95,23 +96,23 @@
 	return t
 }
 
-// startRig starts a reporter whose destinations have as long as they need to write what waits at their end:
-// the machine may be too busy to do within stopTimeout what a test expects done.
-func startRig(t *testing.T, f *operatorconfig.Telemetry) *rig {
+// startHarness starts a reporter with a stop timeout of testTimeout instead of stopTimeout, as writing the waiting
+// intervals at the end takes longer on a busy machine.
+func startHarness(t *testing.T, f *operatorconfig.Telemetry) *harness {
 	t.Helper()
-	return startRigAt(t, f, rigStart, testTimeout)
+	return startHarnessAt(t, f, testStartTime, testTimeout)
 }
 
-// startRigAt starts a reporter at a time of the wall clock, with a stop timeout of its own.
-func startRigAt(t *testing.T, f *operatorconfig.Telemetry, at, timeout time.Duration) *rig {
+// startHarnessAt starts a reporter at a given time of the wall clock, with a given stop timeout.
+func startHarnessAt(t *testing.T, f *operatorconfig.Telemetry, at, timeout time.Duration) *harness {
 	t.Helper()
-	class := control.Class{Name: "lookup", LatencyObjective: rigObjective, PriorityWeight: 1, Threads: 1}
+	class := control.Class{Name: "lookup", LatencyObjective: testObjective, PriorityWeight: 1, Threads: 1}
 	settings := control.Settings{Brokers: 1, MinBatchInterval: time.Millisecond, Classes: []control.Class{class}}
 	b, err := broker.New(settings, 1, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{
+	r := &harness{
 		t:         t,
 		inspector: &inspector{broker: b},
 		wall:      &wallClock{now: at},
@@ -128,7 +129,7 @@
 	}
 	r.reporter, r.inspector.recorder = New("n1", f.Cardinality, r.inspector, clock, 1, zap.NewNop())
 	if r.reporter.stopTimeout != stopTimeout {
-		t.Fatalf("a destination that ends has %v", r.reporter.stopTimeout)
+		t.Fatalf("stop timeout is %v, want %v", r.reporter.stopTimeout, stopTimeout)
 	}
 	r.reporter.stopTimeout = timeout
 	ctx, cancel := context.WithCancel(t.Context())
@@ -146,18 +147,18 @@
 }
 
 // load records n requests of a class, each ended with a result.
-func (r *rig) load(class string, n int) {
+func (r *harness) load(class string, n int) {
 	for i := range n {
 		tenant := fmt.Sprint(i % 3)
 		r.record(&broker.Request{Class: class, Tenant: tenant, DataSet: i % 5}, &broker.RequestSummary{
 			Class: class, Tenant: tenant, Kind: broker.ReplyResult,
-			Duration: time.Duration(i) * time.Millisecond, Objective: rigObjective, Attempts: 1,
+			Duration: time.Duration(i) * time.Millisecond, Objective: testObjective, Attempts: 1,
 		})
 	}
 }
 
-// record records one request from its start to its end.
-func (r *rig) record(q *broker.Request, s *broker.RequestSummary) {
+// record records the start and the end of one request.
+func (r *harness) record(q *broker.Request, s *broker.RequestSummary) {
 	r.inspector.mu.Lock()
 	defer r.inspector.mu.Unlock()
 	r.requests[q.Class]++
@@ -165,35 +166,35 @@
 	r.inspector.recorder.RequestEnded(*s)
 }
 
-// cuts is how many intervals have ended.
-func (r *rig) cuts() uint64 {
+// intervalCount returns the number of intervals that have ended.
+func (r *harness) intervalCount() uint64 {
 	r.inspector.mu.Lock()
 	defer r.inspector.mu.Unlock()
-	return r.inspector.cuts
+	return r.inspector.intervals
 }
 
-// intervals lets n intervals end under load.
-func (r *rig) intervals(n int) {
+// intervals ends n intervals, each with some requests.
+func (r *harness) intervals(n int) {
 	r.t.Helper()
 	for range n {
 		r.load("lookup", 7)
-		before := r.cuts()
+		before := r.intervalCount()
 		select {
 		case r.ticks <- time.Time{}:
 		case <-time.After(testTimeout):
-			r.t.Fatal("the reporter ends no interval")
+			r.t.Fatal("timeout waiting for the reporter to accept a tick")
 		}
-		for r.cuts() == before { // it has received the tick
+		for r.intervalCount() == before { // the reporter has received the tick
 			runtime.Gosched()
 		}
 	}
 }
 
-// held is how much memory a destination holds, in bytes. It must be one that is configured.
-func (r *rig) held(name string) int { return r.reporter.destinations[name].stats.Load().HeldBytes }
+// held returns the memory held by a configured destination, in bytes.
+func (r *harness) held(name string) int { return r.reporter.destinations[name].stats.Load().HeldBytes }
 
-// finish stops the reporter as a broker does that has answered everything.
-func (r *rig) finish() {
+// finish stops the reporter like a broker that has answered all requests.
+func (r *harness) finish() {
 	r.t.Helper()
 	close(r.drained)
 	select {
@@ -202,6 +203,6 @@
 			r.t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Fatal("the reporter does not end")
+		r.t.Fatal("timeout waiting for the reporter to end")
 	}
 }
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -9,74 +9,74 @@
 	"wheatlane/internal/metrics"
 )
 
-// A collector is away for six hundred seconds by its own clock, under load. Memory stays within the budget,
-// and after its return every counter sums to what the broker counted: nothing is missing, and of
-// distributions nothing is lost.
+// A collector is unreachable for 600 s of simulated time while the broker is under load. Memory stays within the
+// budget, and after the outage each counter of the collector equals the broker's, and no sample of a distribution is
+// lost.
 func TestBacklogOfAnOutageIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
-	g.BudgetKB = 64 // so that folding is needed
-	r := startRig(t, telemetryFile(g))
+	g.BudgetKB = 64 // too small without merging
+	r := startHarness(t, telemetryFile(g))
 	r.intervals(3)
 	await(t, received, "the first intervals", completeTo(3))
 	c.SetMode(collector.Unreachable)
 	for range 60 {
 		r.intervals(1)
 		if held := r.held("carbon"); held > 64<<10 {
-			t.Fatalf("%d bytes are held", held)
+			t.Fatalf("%d bytes are held, budget is %d", held, 64<<10)
 		}
 	}
 	c.SetMode(collector.Serve)
 	await(t, received, "the backlog", completeTo(63))
 	r.finish()
 	f := r.awaitAllCounted(received)
-	folded, samples := false, 0.0
+	merged, samples := false, 0.0
 	for _, v := range f.Incarnations[0].Intervals {
-		folded = folded || v.Represented > 1
+		merged = merged || v.Represented > 1
 		samples += v.Distributions[metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}]["count"]
 	}
-	if !folded {
-		t.Error("the budget held all without folding: the test shows nothing")
+	if !merged {
+		t.Error("the backlog fits the budget without merging: the test has no effect")
 	}
 	if samples != float64(r.requests["lookup"]) || f.Duplicated > 0 {
-		t.Errorf("distributions hold %v of %d answers, %d came twice", samples, r.requests["lookup"], f.Duplicated)
+		t.Errorf("got %v of %d samples, %d duplicates", samples, r.requests["lookup"], f.Duplicated)
 	}
 }
 
-// It accepts and never reads: the connection is given up, again and again, and memory stays within the
-// budget.
+// A collector accepts connections but never reads. Each connection is closed after the write timeout, and memory stays
+// within the budget.
 func TestMemoryIsBoundedWhileACollectorReadsNothing(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64
 	c.SetMode(collector.Silent)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	for range 100 {
 		r.intervals(1)
 		if held := r.held("carbon"); held > 64<<10 {
-			t.Fatalf("%d bytes are held", held)
+			t.Fatalf("%d bytes are held, budget is %d", held, 64<<10)
 		}
 	}
 	c.SetMode(collector.Serve)
 	r.intervals(2)
-	await(t, received, "a new interval", func(f *collector.Findings) bool {
+	await(t, received, "the newest interval", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == 102
 	})
 	r.finish()
 	r.awaitAllCounted(received)
 }
 
-// Connections are reset in the middle of lines, again and again: no line is truncated, and none comes twice.
-func TestNoLineIsDuplicatedByResets(t *testing.T) {
+// Connections are reset repeatedly in the middle of lines. The collector must receive each line completely and once.
+func TestConnectionResetsDuplicateNoLine(t *testing.T) {
 	for _, pickle := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			c, received, g := startCarbon(t, pickle)
-			r := startRig(t, telemetryFile(g))
+			r := startHarness(t, telemetryFile(g))
 			c.SetMode(collector.Truncating)
 			r.intervals(40)
 			c.SetMode(collector.Serve)
 			r.intervals(2)
 			r.finish()
 			if f := r.awaitAllCounted(received); f.Duplicated > 0 {
-				t.Fatalf("%d lines came twice", f.Duplicated)
+				t.Fatalf("%d lines were received twice", f.Duplicated)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 
 func TestBacklogOfASlowCollectorIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	c.SetMode(collector.Slow)
 	r.intervals(20)
 	c.SetMode(collector.Serve)
@@ -94,65 +94,67 @@
 	r.awaitAllCounted(received)
 }
 
-// Two destinations, one of which reads nothing: the other misses nothing, and gets each interval by itself.
+// One of two destinations does not read. The other must receive all intervals, none of them merged.
 func TestDestinationsAreIndependent(t *testing.T) {
 	c, _, unread := startCarbon(t, false)
 	c.SetMode(collector.Silent)
 	unread.Name = "unread"
 	_, received, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(unread, g))
+	r := startHarness(t, telemetryFile(unread, g))
 	r.intervals(40)
-	await(t, received, "each interval", completeTo(40))
+	await(t, received, "all intervals", completeTo(40))
 	r.finish()
 	r.awaitAllCounted(received)
-	f := await(t, received, "the last one", complete)
+	f := await(t, received, "the last interval", complete)
 	if len(f.Incarnations[0].Intervals) != int(f.Incarnations[0].LastSequence) {
-		t.Fatalf("%d intervals of %d", len(f.Incarnations[0].Intervals), f.Incarnations[0].LastSequence)
+		t.Fatalf("got %d unmerged intervals, want %d", len(f.Incarnations[0].Intervals), f.Incarnations[0].LastSequence)
 	}
 }
 
-// At the end the last interval is delivered, or counted lost, within its time.
+// When the broker stops, the last interval is delivered, or counted as lost if the collector does not read it within
+// the stop timeout.
 func TestLastIntervalIsDeliveredOrCountedLost(t *testing.T) {
 	c, received, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	r.intervals(3)
 	close(r.draining)
 	r.load("lookup", 5)
 	r.finish()
 	r.awaitAllCounted(received)
-	await(t, received, "each interval", complete)
+	await(t, received, "all intervals", complete)
 
 	c.SetMode(collector.Silent)
-	r = startRigAt(t, telemetryFile(g), rigStart, stopTimeout)
-	r.intervals(200) // more than the sockets take
+	r = startHarnessAt(t, telemetryFile(g), testStartTime, stopTimeout)
+	r.intervals(200) // more than the socket buffers hold
 	r.finish()
 	stats := r.reporter.destinations["carbon"].stats.Load()
 	ended := stats.DeliveredIntervals + stats.LostIntervals
-	if stats.WaitingIntervals != 0 || ended != r.cuts() || stats.LostIntervals == 0 {
-		t.Fatalf("%d intervals ended: %+v", r.cuts(), stats)
+	if stats.WaitingIntervals != 0 || ended != r.intervalCount() || stats.LostIntervals == 0 {
+		t.Fatalf("want all %d intervals delivered or lost, and some lost: %+v", r.intervalCount(), stats)
 	}
 }
 
-// A broker that is killed and starts again counts from zero; a collector can tell that from a counter that
-// fell.
-func TestCountersOfARestart(t *testing.T) {
+// A restarted broker counts from zero under a new start time, so that a collector can distinguish the restart from a
+// counter that decreased.
+func TestRestartIsANewIncarnation(t *testing.T) {
 	_, received, g := startCarbon(t, false)
-	first := startRig(t, telemetryFile(g))
+	first := startHarness(t, telemetryFile(g))
 	first.intervals(5)
 	first.finish()
-	second := startRigAt(t, telemetryFile(g), first.wall.read()+time.Minute, testTimeout)
+	second := startHarnessAt(t, telemetryFile(g), first.wall.read()+time.Minute, testTimeout)
 	second.intervals(3)
 	second.finish()
-	f := await(t, received, "both runs", func(f *collector.Findings) bool {
-		runs := f.Incarnations
-		return len(runs) == 2 && runs[0].LastSequence == first.cuts() && runs[1].LastSequence == second.cuts()
+	f := await(t, received, "the intervals of both incarnations", func(f *collector.Findings) bool {
+		all := f.Incarnations
+		return len(all) == 2 &&
+			all[0].LastSequence == first.intervalCount() && all[1].LastSequence == second.intervalCount()
 	})
 	if !f.OK() {
-		t.Fatalf("%+v", f)
+		t.Fatalf("collector found violations: %+v", f)
 	}
-	for i, r := range []*rig{first, second} {
+	for i, r := range []*harness{first, second} {
 		if got := f.Incarnations[i].Total(metrics.Requests); got != float64(r.requests["lookup"]) {
-			t.Errorf("run %d: %v of %d", i, got, r.requests["lookup"])
+			t.Errorf("incarnation %d: got %v requests, want %d", i, got, r.requests["lookup"])
 		}
 	}
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -12,23 +12,24 @@
 	"wheatlane/internal/metrics"
 )
 
-// maxDrainDuration is the rule: nothing is sent to an engine later than this after its drain was announced.
+// maxDrainDuration is the required limit: a broker must not send anything to an engine later than this after the
+// engine's drain was announced.
 const maxDrainDuration = 500 * time.Millisecond
 
-// cachedDataSetNames is how many data-set numbers have their text cached.
+// cachedDataSetNames is the number of data-set numbers whose text is cached.
 const cachedDataSetNames = 256
 
-// Recorder records events of the reducer and the sockets as figures; it implements server.Meter. It belongs
-// to the goroutine that owns the reducer.
+// Recorder records events of the reducer and the sockets as metrics. It implements server.Meter. It is not safe for
+// concurrent use and belongs to the goroutine that owns the reducer.
 type Recorder struct {
 	registry       *metrics.Registry
 	view           control.View
 	worstDrain     time.Duration
-	dataSetNames   []string // numbers as text, so that recording allocates none
+	dataSetNames   []string // texts of numbers, so that recording does not allocate
 	runtimeSamples []runtimemetrics.Sample
 }
 
-// NewRecorder returns a recorder whose first interval starts at the times of the wall clock and of a monotonic
+// NewRecorder returns a recorder whose first interval starts at the given times of the wall clock and the monotonic
 // clock.
 func NewRecorder(limits metrics.Limits, wall, monotonic time.Duration) *Recorder {
 	r := &Recorder{
@@ -44,7 +45,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// RequestAccepted counts a request.
+// RequestAccepted counts an accepted request.
 func (r *Recorder) RequestAccepted(request *broker.Request) {
 	class := r.registry.Slot(metrics.Class, request.Class)
 	r.registry.Add(metrics.Requests, class, 0, 1)
@@ -63,7 +64,7 @@
 	return strconv.Itoa(number)
 }
 
-// rejectionCauses are the label indexes of metrics.Rejections by the kind of the reply.
+// rejectionCauses maps the kind of a reply to the label index of metrics.Rejections.
 var rejectionCauses = [...]int{
 	broker.ReplyRejected:        metrics.NoCapacity,
 	broker.ReplyTooManySessions: metrics.TooManySessions,
@@ -85,7 +86,7 @@
 	r.registry.Add(metrics.Attempts, r.registry.Slot(metrics.Class, class), 0, 1)
 }
 
-// RequestEnded records the outcome of a request and how long it took.
+// RequestEnded records the outcome of a request, its duration, its attempts and its time in queue.
 func (r *Recorder) RequestEnded(request broker.RequestSummary) {
 	class, tenant := r.registry.Slot(metrics.Class, request.Class), r.registry.Slot(metrics.Tenant, request.Tenant)
 	outcome := requestOutcome(&request)
@@ -102,7 +103,7 @@
 	r.registry.Observe(metrics.QueueWaitByTenant, tenant, milliseconds(request.QueueTime))
 }
 
-// requestOutcome is the label index of metrics.Answers that a request counts under.
+// requestOutcome returns the label index of metrics.RequestOutcomes for a request.
 func requestOutcome(request *broker.RequestSummary) int {
 	switch {
 	case request.Abandoned:
@@ -117,7 +118,7 @@
 	return metrics.Late
 }
 
-// AttemptEnded records how an attempt ended, and its time as wasted work when no client got its answer.
+// AttemptEnded records the status of an ended attempt, and its duration as wasted time if no client got its answer.
 func (r *Recorder) AttemptEnded(attempt broker.AttemptSummary) {
 	engine := r.registry.Slot(metrics.Engine, attempt.Engine)
 	r.registry.Add(metrics.AttemptEnds, engine, int(attempt.Status), 1)
@@ -135,20 +136,20 @@
 	r.registry.Add(metrics.RequestEndCauses, cardinality.Other, int(cause), 1)
 }
 
-// InvariantViolated counts a rule that was found broken, or about to be.
+// InvariantViolated counts a violation, or a prevented violation, of an invariant.
 func (r *Recorder) InvariantViolated(rule invariant.Rule) {
 	r.registry.Add(metrics.InvariantViolations, cardinality.Other, int(rule), 1)
 }
 
-// DuplicateResponse counts a response that no attempt waited for.
+// DuplicateResponse counts a response for which no attempt was waiting.
 func (r *Recorder) DuplicateResponse(engine string) {
 	r.registry.Add(metrics.DuplicateResponses, r.registry.Slot(metrics.Engine, engine), 0, 1)
 }
 
-// DrainStarted counts a drain.
+// DrainStarted counts a drain of an engine.
 func (r *Recorder) DrainStarted() { r.registry.Add(metrics.Drains, cardinality.Other, 0, 1) }
 
-// DrainCompleted records how long a drain took.
+// DrainCompleted records the duration of a drain, and counts it as late if it exceeded maxDrainDuration.
 func (r *Recorder) DrainCompleted(took time.Duration) {
 	r.registry.Observe(metrics.DrainTime, cardinality.Other, milliseconds(took))
 	r.worstDrain = max(r.worstDrain, took)
@@ -158,17 +159,17 @@
 	}
 }
 
-// LoopLag records how late the reducer's goroutine came to its turn; a negative lag counts as none.
+// LoopLag records the delay with which an iteration of the reducer's event loop started. A negative lag counts as 0.
 func (r *Recorder) LoopLag(lag time.Duration) {
 	r.registry.Observe(metrics.LoopLag, cardinality.Other, milliseconds(max(0, lag)))
 }
 
-// InboxLength records how many events waited for the reducer.
+// InboxLength records the number of events that are waiting for the reducer.
 func (r *Recorder) InboxLength(events int) {
 	r.registry.SetMax(metrics.InboxLength, cardinality.Other, 0, float64(events))
 }
 
-// Reloaded counts a configuration file that was read at SIGHUP, accepted or rejected.
+// Reloaded counts a configuration file that was accepted or rejected at SIGHUP.
 func (r *Recorder) Reloaded(accepted bool) {
 	if accepted {
 		r.registry.Add(metrics.ConfLoaded, cardinality.Other, 0, 1)
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -7,42 +7,42 @@
 	"wheatlane/internal/emulator/collector"
 )
 
-// A reload names another address while a backlog waits: it goes there.
+// A reload changes the address of a destination while a backlog waits. The backlog is sent to the new address.
 func TestReloadMovesTheBacklog(t *testing.T) {
 	c, old, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	r.intervals(3)
-	await(t, old, "a first interval", func(f *collector.Findings) bool { return len(f.Incarnations) == 1 })
+	await(t, old, "the first interval", func(f *collector.Findings) bool { return len(f.Incarnations) == 1 })
 	c.SetMode(collector.Unreachable)
 	r.intervals(10)
 	_, received, moved := startCarbon(t, false)
 	r.reporter.Reload(t.Context(), telemetryFile(moved))
 	r.intervals(2)
-	await(t, received, "what waited", func(f *collector.Findings) bool {
+	await(t, received, "the backlog", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].Represented >= 10
 	})
 	r.finish()
 	r.awaitAllCounted(received)
 }
 
-// A reload that takes a destination away stops it, and one that adds one starts it. The first gets each
-// interval from before the reload and none from after it, however late its collector reads, and though the
-// writing takes longer than stopTimeout, as it does on a busy machine.
+// A reload stops a removed destination and starts an added one. The removed destination must receive each interval from
+// before the reload and none from after it, regardless of when its collector reads. The test allows more time than
+// stopTimeout, as writing takes longer on a busy machine.
 func TestReloadStopsAndStartsDestinations(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		mode collector.Mode // of the first collector, until it serves
+		mode collector.Mode // initial mode of the first collector
 	}{
-		{"it reads at once", collector.Serve},
-		{"it reads after the end", collector.Silent},
-		{"it comes back late", collector.Unreachable},
+		{"collector reads immediately", collector.Serve},
+		{"collector reads after the end", collector.Silent},
+		{"collector recovers after the stop timeout", collector.Unreachable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c, receivedFirst, first := startCarbon(t, false)
 			c.SetMode(tt.mode)
 			_, receivedSecond, second := startCarbon(t, true)
 			second.Name = "second"
-			r := startRig(t, telemetryFile(first))
+			r := startHarness(t, telemetryFile(first))
 			r.intervals(2)
 			stopped := r.reporter.destinations["carbon"]
 			r.reporter.Reload(t.Context(), telemetryFile(second))
@@ -55,17 +55,18 @@
 				t.Fatalf("the first destination ended with %+v", s)
 			}
 			r.awaitAllCounted(receivedSecond)
-			if tt.mode == collector.Silent { // all is acknowledged, and nothing is read yet
+			if tt.mode == collector.Silent { // everything is acknowledged, but nothing is read yet
 				if f := receivedFirst.Reconcile(); f.Samples != 0 {
-					t.Fatalf("a collector that does not read has %d samples", f.Samples)
+					t.Fatalf("collector in silent mode has %d samples", f.Samples)
 				}
 				c.SetMode(collector.Serve)
 			}
-			f := await(t, receivedFirst, "what came before the reload", func(f *collector.Findings) bool {
+			f := await(t, receivedFirst, "the intervals before the reload", func(f *collector.Findings) bool {
 				return complete(f) && f.Incarnations[0].Represented == 2
 			})
-			if f.Incarnations[0].LastSequence != 2 || receivedSecond.Reconcile().Incarnations[0].LastSequence != r.cuts() {
-				t.Fatalf("the first destination sent %+v", f.Incarnations)
+			if f.Incarnations[0].LastSequence != 2 ||
+				receivedSecond.Reconcile().Incarnations[0].LastSequence != r.intervalCount() {
+				t.Fatalf("the first destination also sent intervals after the reload: %+v", f.Incarnations)
 			}
 		})
 	}
--- a/internal/telemetry/reporter.go
+++ b/internal/telemetry/reporter.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	// intervalWithoutDestinations is the length of an interval where there is no destination.
+	// intervalWithoutDestinations is the length of an interval if no destination is configured.
 	intervalWithoutDestinations = time.Hour
-	// stopTimeout is how long a destination that ends may take to write what waits; the rest is counted
-	// lost.
+	// stopTimeout limits the time in which a stopping destination writes its waiting intervals. Intervals that
+	// remain are counted as lost.
 	stopTimeout = 300 * time.Millisecond
 )
 
-// Inspector lets a function read the reducer and the sockets on the goroutine that owns them. It returns
-// false if the function was not called, as there is no such goroutine any more; see server.Server.Inspect.
+// Inspector runs a function that reads the state of the reducer and the sockets on the goroutine that owns them.
+// Inspect returns false if it did not call the function because that goroutine has ended; see server.Server.Inspect.
 type Inspector interface {
 	Inspect(ctx context.Context, f func(*broker.Broker, netconn.ConnectionCounts)) bool
 }
 
-// Reporter ends intervals and hands them to destinations.
+// Reporter ends intervals and sends them to destinations.
 type Reporter struct {
 	broker      string
 	clock       Clock
 	recorder    *Recorder
 	inspector   Inspector
 	log         *zap.Logger
-	seed        uint64 // of the next destination's jitter, less one
+	seed        uint64 // jitter seed of the last started destination
 	cardinality operatorconfig.CardinalityLimits
 	reloads     chan *operatorconfig.Telemetry
 	stopTimeout time.Duration
 
 	destinations map[string]*destination // by name
-	group        *errgroup.Group         // the goroutines of the reporter and its destinations
+	group        *errgroup.Group         // goroutines of the reporter and its destinations
 }
 
-// RegistryLimits are the bounds of the names that have series of their own, as the operator's file has them.
+// RegistryLimits returns the limits of the names that have series of their own, as configured in the operator's file.
 func RegistryLimits(names operatorconfig.CardinalityLimits) metrics.Limits {
 	return metrics.Limits{
 		Classes:     names.Classes,
@@ -58,8 +58,8 @@
 	}
 }
 
-// New returns a reporter for the broker of a name, and the recorder whose intervals it reports. The seed is
-// that of the jitter of reconnections.
+// New returns a reporter for the named broker, and the recorder whose intervals it reports. The seed determines the
+// jitter of reconnections.
 func New(name string, limits operatorconfig.CardinalityLimits, inspector Inspector, clock Clock, seed uint64,
 	log *zap.Logger,
 ) (*Reporter, *Recorder) {
@@ -78,8 +78,9 @@
 	}, recorder
 }
 
-// Run reports until ctx ends or drained is closed, after which the last interval has a moment to be written.
-// It reports once more when draining is closed: the broker then finishes what it has accepted.
+// Run reports intervals until ctx is done or drained is closed. When draining is closed, which means that the broker
+// now finishes its accepted requests, it reports an additional interval. When drained is closed, it reports the last
+// interval, and destinations get a short time to write it.
 func (r *Reporter) Run(ctx context.Context, settings *operatorconfig.Telemetry,
 	draining, drained <-chan struct{},
 ) error {
@@ -88,7 +89,8 @@
 	return r.group.Wait()
 }
 
-// Reload applies other settings of the interval and of destinations. Destinations that stay keep what waits.
+// Reload applies new settings for the interval and the destinations. Destinations that remain keep their waiting
+// intervals.
 func (r *Reporter) Reload(ctx context.Context, settings *operatorconfig.Telemetry) {
 	select {
 	case r.reloads <- settings:
@@ -106,14 +108,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticks:
-			r.cut(ctx)
+			r.endInterval(ctx)
 		case settings := <-r.reloads:
 			reset(r.configure(ctx, settings))
 		case <-draining:
 			draining = nil
-			r.cut(ctx) // at the end there may be no time to write all of it
+			r.endInterval(ctx) // after drained there may be too little time to write everything
 		case <-drained:
-			r.cut(ctx)
+			r.endInterval(ctx)
 			for _, d := range r.sortedDestinations() {
 				r.stop(ctx, d)
 			}
@@ -122,17 +124,17 @@
 	}
 }
 
-// configure starts, moves and stops destinations as the settings have them, and returns the length of an interval.
+// configure starts, moves and stops destinations according to the settings, and returns the length of an interval.
 func (r *Reporter) configure(ctx context.Context, settings *operatorconfig.Telemetry) time.Duration {
 	configured := map[string]bool{}
-	for _, planned := range plans(r.broker, settings) {
-		configured[planned.name] = true
-		r.apply(ctx, planned)
+	for _, config := range destinationConfigs(r.broker, settings) {
+		configured[config.name] = true
+		r.apply(ctx, config)
 	}
 	for _, d := range r.sortedDestinations() {
-		if !configured[d.plan.name] {
+		if !configured[d.config.name] {
 			r.stop(ctx, d)
-			delete(r.destinations, d.plan.name)
+			delete(r.destinations, d.config.name)
 		}
 	}
 	if settings == nil {
@@ -144,26 +146,26 @@
 	return settings.Interval()
 }
 
-// apply brings one destination in line with its plan.
-func (r *Reporter) apply(ctx context.Context, planned plan) {
-	existing := r.destinations[planned.name]
+// apply starts, replaces or moves one destination so that it matches its configuration.
+func (r *Reporter) apply(ctx context.Context, config destinationConfig) {
+	existing := r.destinations[config.name]
 	switch {
 	case existing == nil:
-		r.start(ctx, planned)
-	case !reflect.DeepEqual(existing.plan.settings, planned.settings):
-		// What waits belongs to the old destination, and is written there until the stop timeout.
+		r.start(ctx, config)
+	case !reflect.DeepEqual(existing.config.settings, config.settings):
+		// The waiting intervals belong to the old destination, which writes them until the stop timeout.
 		r.stop(ctx, existing)
-		r.start(ctx, planned)
-	case existing.plan.address != planned.address:
-		existing.plan.address = planned.address
-		existing.send(ctx, message{event: delivery.AddressChanged{}, address: planned.address})
+		r.start(ctx, config)
+	case existing.config.address != config.address:
+		existing.config.address = config.address
+		existing.send(ctx, message{event: delivery.AddressChanged{}, address: config.address})
 	}
 }
 
-func (r *Reporter) start(ctx context.Context, planned plan) {
+func (r *Reporter) start(ctx context.Context, config destinationConfig) {
 	r.seed++
-	d := newDestination(planned, r.seed, r.log)
-	r.destinations[planned.name] = d
+	d := newDestination(config, r.seed, r.log)
+	r.destinations[config.name] = d
 	r.group.Go(func() error { return d.run(ctx) })
 }
 
@@ -176,12 +178,12 @@
 	for _, d := range r.destinations {
 		all = append(all, d)
 	}
-	slices.SortFunc(all, func(a, b *destination) int { return strings.Compare(a.plan.name, b.plan.name) })
+	slices.SortFunc(all, func(a, b *destination) int { return strings.Compare(a.config.name, b.config.name) })
 	return all
 }
 
-// cut ends an interval and offers it to each destination.
-func (r *Reporter) cut(ctx context.Context) {
+// endInterval ends the current interval and sends it to each destination.
+func (r *Reporter) endInterval(ctx context.Context) {
 	stats := make(map[string]delivery.Stats, len(r.destinations))
 	for name, d := range r.destinations {
 		stats[name] = *d.stats.Load()
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -21,18 +21,18 @@
 	for _, pickle := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			_, received, g := startCarbon(t, pickle)
-			r := startRig(t, telemetryFile(g))
+			r := startHarness(t, telemetryFile(g))
 			r.intervals(5)
 			r.finish()
 			r.awaitAllCounted(received)
-			// The newest interval is delivered first, and an interval's distributions last: the counters of
-			// the interval before it may be there ahead of them.
+			// The newest interval is delivered first, and the distributions of an interval last. So all
+			// counters may have arrived before the distributions of the interval before the last.
 			want := []string{"count", "max", "min", "p50", "p95", "p99", "sum"}
-			f := await(t, received, "each interval with its distributions", func(f *collector.Findings) bool {
+			f := await(t, received, "all intervals with their distributions", func(f *collector.Findings) bool {
 				return complete(f) && len(lastUnderLoad(f)) >= len(want)
 			})
 			if f.Duplicated > 0 || len(f.Incarnations[0].Intervals) < 5 {
-				t.Fatalf("%+v", f)
+				t.Fatalf("duplicates or merged intervals: %+v", f)
 			}
 			if diff := cmp.Diff(want, lastUnderLoad(f)); diff != "" {
 				t.Fatal(diff)
@@ -41,8 +41,8 @@
 	}
 }
 
-// lastUnderLoad are the sorted keys of the distribution of answer times in the interval before the last, which is the
-// last one with requests.
+// lastUnderLoad returns the sorted statistics of the answer-time distribution in the interval before the last, which is
+// the last one with requests.
 func lastUnderLoad(f *collector.Findings) []string {
 	intervals := f.Incarnations[0].Intervals
 	if len(intervals) < 2 {
@@ -61,25 +61,26 @@
 	return keys
 }
 
-// The wall clock steps back an hour and forward a day: intervals keep their pace and nothing is lost.
-func TestWallClockSteps(t *testing.T) {
+// The wall clock is set back by an hour and forward by a day. Intervals keep their length and none is lost.
+func TestWallClockStepsLoseNoInterval(t *testing.T) {
 	_, received, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	r.intervals(5)
-	r.wall.step(-time.Hour - 5*time.Second) // between the timestamps that are there
+	r.wall.step(-time.Hour - 5*time.Second) // between existing timestamps
 	r.intervals(5)
 	r.wall.step(25 * time.Hour)
 	r.intervals(5)
-	await(t, received, "each interval", completeTo(15))
+	await(t, received, "all intervals", completeTo(15))
 	r.finish()
 	r.awaitAllCounted(received)
-	if f := await(t, received, "each interval", complete); f.Incarnations[0].LastSequence != 16 {
-		t.Fatalf("%+v", f.Incarnations[0])
+	if f := await(t, received, "all intervals", complete); f.Incarnations[0].LastSequence != 16 {
+		t.Fatalf("want 16 intervals, got %+v", f.Incarnations[0])
 	}
 }
 
-// Datagrams get lost and come out of order: counters are complete all the same.
-func TestCollectdLossAndReordering(t *testing.T) {
+// Datagrams are lost and reordered, and the collector is unreachable for some time. The counters must still be complete
+// afterwards.
+func TestCollectdCountersSurviveLossAndReordering(t *testing.T) {
 	received := collector.NewReconciler(nil)
 	passwords := func(user string) (string, bool) { return "secret", user == "chart" }
 	reader := collectd.Reader{MinLevel: collectd.Encrypt, Passwords: passwords}
@@ -88,44 +89,43 @@
 		t.Fatal(err)
 	}
 	runUntilCleanup(t, c.Run)
-	r := startRig(t, telemetryFile(operatorconfig.Collectd{
+	r := startHarness(t, telemetryFile(operatorconfig.Collectd{
 		Name: "c", Address: c.Addr(), Security: "encrypt", User: "chart", Password: "secret",
 	}))
 	r.intervals(3)
-	intervalsUntil := func(what string, ok func() bool) {
+	intervalsUntil := func(failure string, ok func() bool) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !ok(); runtime.Gosched() {
 			r.intervals(1)
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
 	c.SetMode(collector.Lossy)
-	intervalsUntil("no datagram is lost", func() bool { _, lost := c.Packets(); return lost > 5 })
+	intervalsUntil("timeout waiting for lost datagrams", func() bool { _, lost := c.Packets(); return lost > 5 })
 	c.SetMode(collector.Reordering)
 	before, _ := c.Packets()
-	intervalsUntil("no datagram comes", func() bool { now, _ := c.Packets(); return now > before+20 })
+	intervalsUntil("timeout waiting for datagrams", func() bool { now, _ := c.Packets(); return now > before+20 })
 	c.SetMode(collector.Unreachable)
-	intervalsUntil("it is not noticed that nothing listens", func() bool {
+	intervalsUntil("timeout waiting for the closed port to be detected", func() bool {
 		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
 	})
 	r.intervals(10)
 	c.SetMode(collector.Serve)
 	r.intervals(1)
-	last := r.cuts()
-	await(t, received, "an interval after its return", func(f *collector.Findings) bool {
+	last := r.intervalCount()
+	await(t, received, "an interval after the outage", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == last
 	})
 	r.finish()
 	r.awaitAllCounted(received)
 }
 
-// 100,000 names in a second make no more series than the limit, cost no memory to speak of, and every request
-// is counted.
-func TestBurstOfNames(t *testing.T) {
+// A burst of 100,000 names creates no more series than the limit, needs less than 4 MB, and each request is counted.
+func TestBurstOfNamesIsBounded(t *testing.T) {
 	_, received, g := startCarbon(t, false)
-	r := startRig(t, telemetryFile(g))
+	r := startHarness(t, telemetryFile(g))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -137,7 +137,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 4<<20 {
-		t.Errorf("%d bytes for the names", grown)
+		t.Errorf("heap grew by %d bytes, limit is %d", grown, 4<<20)
 	}
 	r.intervals(2)
 	r.finish()
@@ -150,20 +150,20 @@
 			}
 		}
 		if len(tenants) > 8 {
-			t.Fatalf("%d tenants have series, 8 may", len(tenants))
+			t.Fatalf("%d tenants have series, limit is 8", len(tenants))
 		}
 	}
 }
 
-// The causes of the catalogue are those of the reducer.
-func TestRequestEndCausesAreTheBrokers(t *testing.T) {
+// The label values of the catalogue match the reducer's causes.
+func TestRequestEndCauseNamesMatchTheReducer(t *testing.T) {
 	if diff := cmp.Diff(metrics.RequestEndCauseNames, broker.EndCauseNames[:]); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// The reasons of the catalogue are those of the log.
-func TestEndReasonsAreTheServers(t *testing.T) {
+// The label values of the catalogue match the reason codes of the log.
+func TestEndReasonsMatchTheLog(t *testing.T) {
 	got := make([]string, 0, len(netconn.Reasons))
 	for _, r := range netconn.Reasons {
 		got = append(got, string(r))
