--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The counters of two intervals add up to those of both, and every counter is found by its name.
-func TestCounters(t *testing.T) {
+// Since is the inverse of Add, and each counter can be read and set by its name.
+func TestCountersAreSummedAndFoundByName(t *testing.T) {
 	first := Counters{Requests: 10, FirstAttempts: 9, LoadProbes: 4, Dials: 3, EndpointPolls: 1}
 	second := Counters{
 		Requests: 5, FirstAttempts: 5, Retries: 2, Rejections: 1, LoadProbes: 1, LivenessProbes: 2,
@@ -21,16 +21,16 @@
 	for _, name := range FieldNames {
 		n, ok := both.Count(name)
 		if !ok || !read.Set(name, n) {
-			t.Fatalf("%s is not a counter", name)
+			t.Fatalf("counter %s is not found by its name", name)
 		}
 	}
 	if diff := cmp.Diff(both, read); diff != "" {
 		t.Fatal(diff)
 	}
 	if _, ok := read.Count("handshakes"); ok || read.Set("handshakes", 1) {
-		t.Fatal("a name that is no counter was accepted")
+		t.Fatal("unknown counter name was accepted")
 	}
 	if PerRequest(both.LoadProbes, both.Requests) != 5.0/15 || PerRequest(1, 0) != 0 {
-		t.Fatal("counts per request are wrong")
+		t.Fatal("count per request is wrong")
 	}
 }
