--- a/internal/loadfields/loadfields.go
+++ b/internal/loadfields/loadfields.go
@@ -1,4 +1,5 @@
-// Package loadfields knows the fields of a load report as the settings of a deployment name them.
+// Package loadfields converts the values of an engine's load report, whose fields are named in the settings, into a
+// loadreport.Report.
 package loadfields
 
 import (
@@ -6,19 +7,19 @@
 	"wheatlane/control/units"
 )
 
-// The fields that say something of an engine's load. A deployment may name others.
+// The names of the fields that are evaluated. A deployment may configure others, which are ignored.
 const (
 	utilization      = "util"
-	firstResource    = "x0" // share in use of one resource
-	secondResource   = "x1" // the same of another one
+	firstResource    = "x0" // fraction of one resource in use
+	secondResource   = "x1" // fraction of another resource in use
 	requestsInFlight = "inflight"
 )
 
-// Layout is the names of the values of a load report, in their order. It is empty where engines report none.
+// Layout lists the field names of a load report in the order of its values. It is empty if engines report no load.
 type Layout []string
 
-// Report returns the report that some values make up; none unless there is a value for each field. Other
-// fields than those above are passed over.
+// Report converts the values of a load report. Without exactly one value for each field it returns the zero Report,
+// which is not Reported. Utilization is that of the resource with the highest one. Unknown fields are ignored.
 func (l Layout) Report(values []float64) loadreport.Report {
 	if len(values) == 0 || len(values) != len(l) {
 		return loadreport.Report{}
--- a/internal/loadfields/loadfields_test.go
+++ b/internal/loadfields/loadfields_test.go
@@ -6,7 +6,7 @@
 	"wheatlane/control/loadreport"
 )
 
-func TestReport(t *testing.T) {
+func TestReportFromValues(t *testing.T) {
 	t.Parallel()
 	none := loadreport.Report{}
 	for name, c := range map[string]struct {
@@ -14,7 +14,7 @@
 		values []float64
 		want   loadreport.Report
 	}{
-		"the busiest resource": {
+		"utilization of the busiest resource": {
 			Layout{"util", "x1", "x0"}, []float64{0.2, 0.9, 0.4}, loadreport.Report{Reported: true, Utilization: 0.9},
 		},
 		"requests in flight": {
@@ -22,12 +22,12 @@
 			[]float64{0.2, 7},
 			loadreport.Report{Reported: true, Utilization: 0.2, RequestsInFlight: 7},
 		},
-		"other fields":         {Layout{"queue", "new"}, []float64{3, 9}, loadreport.Report{Reported: true}},
-		"too few values":       {Layout{"util", "x1"}, []float64{0.2}, none},
-		"too many values":      {Layout{"util"}, []float64{0.2, 0.9}, none},
-		"no values":            {Layout{"util"}, nil, none},
-		"nothing reports load": {nil, []float64{0.2}, none},
-		"nothing at all":       {nil, nil, none},
+		"unknown fields":          {Layout{"queue", "new"}, []float64{3, 9}, loadreport.Report{Reported: true}},
+		"too few values":          {Layout{"util", "x1"}, []float64{0.2}, none},
+		"too many values":         {Layout{"util"}, []float64{0.2, 0.9}, none},
+		"no values":               {Layout{"util"}, nil, none},
+		"engines report no load":  {nil, []float64{0.2}, none},
+		"no fields and no values": {nil, nil, none},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
