--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines on a goroutine of its own, so that a reader of the log that stalls can't hold up
-// those who log. The queue is bounded: lines beyond it are dropped and counted.
+// Package asynclog writes log lines on a separate goroutine, so that a stalled reader of the log can't block the
+// callers that log. The queue is bounded: lines that don't fit are dropped and counted.
 package asynclog
 
 import (
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxQueuedBytes is how many bytes of lines wait for the reader.
+	// maxQueuedBytes limits the total length of the queued lines.
 	maxQueuedBytes = 1 << 20
-	// syncTimeout bounds the wait for the queued lines at the end of the program.
+	// syncTimeout limits the time that Sync waits for the queued lines when the program ends.
 	syncTimeout = time.Second
 )
 
 // ErrNotWritten is the error of Sync when lines are still queued after its timeout.
-var ErrNotWritten = errors.New("asynclog: lines are left that nobody has read")
+var ErrNotWritten = errors.New("asynclog: queued lines not written before the timeout")
 
-// Writer is an io.Writer of whole lines that never blocks. It may be used from several goroutines.
+// Writer is an io.Writer of whole lines that never blocks. It is safe for concurrent use.
 type Writer struct {
 	to     io.Writer
 	wakeup chan struct{}
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	queue   [][]byte
 	bytes   int
-	dropped int           // lines, since the last line that was written
+	dropped int           // lines dropped since the last report of dropped lines
 	writing bool          // a batch is being written
 	idle    chan struct{} // closed when nothing is queued or being written
 }
 
-// New returns a writer whose goroutine ends with the program.
+// New returns a writer to an underlying writer. Its goroutine runs until the program ends.
 func New(to io.Writer) *Writer {
 	w := &Writer{to: to, wakeup: make(chan struct{}, 1), idle: make(chan struct{})}
 	close(w.idle)
@@ -41,7 +41,7 @@
 	return w
 }
 
-// Write queues a line, or drops it if too much is queued. It never fails.
+// Write queues a line, or drops it if the queue is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,12 +55,12 @@
 	w.queue, w.bytes = append(w.queue, append([]byte(nil), line...)), w.bytes+len(line)
 	select {
 	case w.wakeup <- struct{}{}:
-	default: // it is awake already
+	default: // a wakeup is pending already
 	}
 	return len(line), nil
 }
 
-// Sync waits until what is queued has been written, for a while.
+// Sync waits until all queued lines have been written. It fails with ErrNotWritten after a timeout.
 func (w *Writer) Sync() error {
 	w.mu.Lock()
 	idle := w.idle
@@ -75,17 +75,17 @@
 
 func (w *Writer) run() {
 	for range w.wakeup {
-		for batch := w.take(); len(batch) > 0; batch = w.take() {
+		for batch := w.dequeue(); len(batch) > 0; batch = w.dequeue() {
 			for _, line := range batch {
-				_, _ = w.to.Write(line) // a log that can't be written has nowhere to say so
-				w.written(len(line))
+				_, _ = w.to.Write(line) // there is nowhere else to report the error
+				w.releaseBytes(len(line))
 			}
 		}
 	}
 }
 
-// take takes the queued lines to write them, with one that says how many were dropped.
-func (w *Writer) take() [][]byte {
+// dequeue removes and returns the queued lines, followed by a line that reports the number of dropped ones, if any.
+func (w *Writer) dequeue() [][]byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	batch := w.queue
@@ -104,7 +104,8 @@
 	return batch
 }
 
-func (w *Writer) written(n int) {
+// releaseBytes records that n bytes are no longer queued.
+func (w *Writer) releaseBytes(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bytes -= n
