--- a/internal/metrics/endinterval.go
+++ b/internal/metrics/endinterval.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// reported reports whether a series belongs into an interval: a gauge if it was set, a counter if it is not zero. A
+// reported reports whether a series belongs in an interval: a gauge if it was set, a counter if it is not zero. A
 // counter with a single series is always reported. Collectors assume that a new series starts at zero, so the series of
 // other counters are omitted until they have counted.
 func (r *Registry) reported(id ID, slot, label int) bool {
