--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -53,7 +53,7 @@
 	LostIntervals
 	LostSamples
 	ConnectionFailures
-	ConfLoaded
+	ConfigsAccepted
 	ConfInvalid
 	StartTime
 	Sequence
@@ -268,7 +268,7 @@
 		Name: "delivery_breaks", Kind: Counter, Dimension: Destination,
 		Help: "connections to the collector that broke or were not established",
 	},
-	ConfLoaded: {
+	ConfigsAccepted: {
 		Name: "conf_loaded", Kind: Counter,
 		Help: "configuration files accepted at SIGHUP",
 	},
--- a/internal/telemetry/admin_metrics.go
+++ b/internal/telemetry/admin_metrics.go
@@ -27,7 +27,7 @@
 	to = appendAdminMetric(to, "relay_cluster_size", float64(reducer.EndpointCount()))
 	to = appendAdminMetric(to, "relay_cluster_unhealthy", float64(reducer.UnavailableEngines()))
 	total := func(id metrics.ID) float64 { return r.registry.Value(id, cardinality.Other, 0) }
-	to = appendAdminMetric(to, "relay_conf_loaded_total", total(metrics.ConfLoaded))
+	to = appendAdminMetric(to, "relay_conf_loaded_total", total(metrics.ConfigsAccepted))
 	return appendAdminMetric(to, "relay_conf_invalid_total", total(metrics.ConfInvalid))
 }
 
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -172,7 +172,7 @@
 // Reloaded counts a configuration file that was accepted or rejected at SIGHUP.
 func (r *Recorder) Reloaded(accepted bool) {
 	if accepted {
-		r.registry.Add(metrics.ConfLoaded, cardinality.Other, 0, 1)
+		r.registry.Add(metrics.ConfigsAccepted, cardinality.Other, 0, 1)
 	} else {
 		r.registry.Add(metrics.ConfInvalid, cardinality.Other, 0, 1)
 	}
