--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -54,7 +54,7 @@
 	LostSamples
 	ConnectionFailures
 	ConfigsAccepted
-	ConfInvalid
+	ConfigsRejected
 	StartTime
 	Sequence
 	MergedIntervals
@@ -272,7 +272,7 @@
 		Name: "conf_loaded", Kind: Counter,
 		Help: "configuration files accepted at SIGHUP",
 	},
-	ConfInvalid: {
+	ConfigsRejected: {
 		Name: "conf_invalid", Kind: Counter,
 		Help: "configuration files rejected at SIGHUP: the settings before stay in full",
 	},
--- a/internal/telemetry/admin_metrics.go
+++ b/internal/telemetry/admin_metrics.go
@@ -28,7 +28,7 @@
 	to = appendAdminMetric(to, "relay_cluster_unhealthy", float64(reducer.UnavailableEngines()))
 	total := func(id metrics.ID) float64 { return r.registry.Value(id, cardinality.Other, 0) }
 	to = appendAdminMetric(to, "relay_conf_loaded_total", total(metrics.ConfigsAccepted))
-	return appendAdminMetric(to, "relay_conf_invalid_total", total(metrics.ConfInvalid))
+	return appendAdminMetric(to, "relay_conf_invalid_total", total(metrics.ConfigsRejected))
 }
 
 // appendRequestCounts appends the ended requests of a class by state. An empty name stands for all classes without
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -174,6 +174,6 @@
 	if accepted {
 		r.registry.Add(metrics.ConfigsAccepted, cardinality.Other, 0, 1)
 	} else {
-		r.registry.Add(metrics.ConfInvalid, cardinality.Other, 0, 1)
+		r.registry.Add(metrics.ConfigsRejected, cardinality.Other, 0, 1)
 	}
 }
