--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -29,7 +29,7 @@
 	QueueWait
 	QueueWaitByTenant
 	ConcurrencyLimit
-	Threads
+	ThreadsInFlight
 	Queued
 	ClassShare
 	Engines
@@ -170,7 +170,7 @@
 		Name: "bound", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "concurrency limit: threads that this broker may have in flight at the engine",
 	},
-	Threads: {
+	ThreadsInFlight: {
 		Name: "threads", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "threads in flight there",
 	},
