--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -30,7 +30,7 @@
 	QueueWaitByTenant
 	ConcurrencyLimit
 	ThreadsInFlight
-	Queued
+	QueuedRequests
 	ClassShare
 	Engines
 	ClientConnectionsEnded
@@ -174,7 +174,7 @@
 		Name: "threads", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "threads in flight there",
 	},
-	Queued: {
+	QueuedRequests: {
 		Name: "queued", Kind: Gauge, Dimension: Engine,
 		Help: "requests that wait in the engine's queue at this broker",
 	},
--- a/internal/telemetry/gauges.go
+++ b/internal/telemetry/gauges.go
@@ -96,7 +96,7 @@
 		if slot != cardinality.Other { // one gauge can't represent several engines
 			r.registry.Set(metrics.ConcurrencyLimit, slot, 0, engine.ConcurrencyLimit)
 			r.registry.Set(metrics.ThreadsInFlight, slot, 0, float64(engine.ThreadsInFlight))
-			r.registry.Set(metrics.Queued, slot, 0, float64(engine.Queued))
+			r.registry.Set(metrics.QueuedRequests, slot, 0, float64(engine.Queued))
 		}
 		enginesByHealth[engineHealth(engine)]++
 	}
