--- a/internal/delivery/machine.go
+++ b/internal/delivery/machine.go
@@ -13,12 +13,12 @@
 
 // Config configures the delivery to one destination.
 type Config struct {
-	MemoryBudget   int           // bytes of intervals held, including the one being written
-	MaxWaiting     int           // maximum number of waiting intervals; 0: limited by MemoryBudget only
-	InitialBackoff time.Duration // between connections after the first failure; doubles with each further one
-	MaxBackoff     time.Duration // upper limit of the backoff
-	WriteTimeout   time.Duration // a write without progress for this long closes the connection
-	ReplayRate     int           // bytes per second of a backlog after slow start
+	MemoryBudget        int           // bytes of intervals held, including the one being written
+	MaxWaitingIntervals int           // maximum number of waiting intervals; 0: limited by MemoryBudget only
+	InitialBackoff      time.Duration // between connections after the first failure; doubles with each further one
+	MaxBackoff          time.Duration // upper limit of the backoff
+	WriteTimeout        time.Duration // a write without progress for this long closes the connection
+	ReplayRate          int           // bytes per second of a backlog after slow start
 }
 
 // Stats holds counters of a destination and the size of its queue. A merged interval counts as the intervals that it
@@ -65,7 +65,7 @@
 func New(cfg Config, seed uint64) *Machine {
 	return &Machine{
 		writeTimeout: cfg.WriteTimeout,
-		queue:        queue{memoryBudget: cfg.MemoryBudget, maxWaiting: cfg.MaxWaiting},
+		queue:        queue{memoryBudget: cfg.MemoryBudget, maxWaiting: cfg.MaxWaitingIntervals},
 		backoff:      backoff{initial: cfg.InitialBackoff, max: cfg.MaxBackoff, rng: rand.New(rand.NewPCG(seed, 0))},
 		replay:       replayPacer{maxRate: float64(cfg.ReplayRate)},
 	}
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -99,7 +99,7 @@
 // Merging a partly sent interval would change its records, and the number of records sent would no longer apply.
 func TestPartlySentIntervalIsNotMerged(t *testing.T) {
 	cfg := config()
-	cfg.MaxWaiting = 3
+	cfg.MaxWaitingIntervals = 3
 	r := newHarness(cfg)
 	r.offer(1)
 	r.apply(Connected{1}, Disconnected{1, 5})
@@ -189,7 +189,7 @@
 // collectd rejects values older than the last ones. With MaxWaiting 1, the single waiting interval contains all others.
 func TestAllWaitingIntervalsAreMergedIfOneMayWait(t *testing.T) {
 	cfg := config()
-	cfg.MaxWaiting = 1
+	cfg.MaxWaitingIntervals = 1
 	r := newHarness(cfg)
 	r.offer(5)
 	r.apply(Disconnected{1, 0})
--- a/internal/delivery/property_test.go
+++ b/internal/delivery/property_test.go
@@ -147,7 +147,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.MemoryBudget = rapid.SampledFrom([]int{3 << 10, 16 << 10, 1 << 20}).Draw(t, "budget")
-		cfg.MaxWaiting = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "max waiting")
+		cfg.MaxWaitingIntervals = rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "max waiting")
 		m := &model{t: t, harness: newHarness(cfg), cfg: cfg, sent: map[*metrics.Interval]int{}}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			m.step()
--- a/internal/telemetry/config.go
+++ b/internal/telemetry/config.go
@@ -84,12 +84,12 @@
 			},
 		},
 		delivery: delivery.Config{
-			MemoryBudget:   configured.BudgetKB << 10,
-			MaxWaiting:     1, // collectd rejects values older than the last: waiting intervals are merged
-			InitialBackoff: initialBackoff,
-			MaxBackoff:     maxBackoff,
-			WriteTimeout:   dialTimeout,
-			ReplayRate:     configured.BudgetKB << 10,
+			MemoryBudget:        configured.BudgetKB << 10,
+			MaxWaitingIntervals: 1, // collectd rejects values older than the last: waiting intervals are merged
+			InitialBackoff:      initialBackoff,
+			MaxBackoff:          maxBackoff,
+			WriteTimeout:        dialTimeout,
+			ReplayRate:          configured.BudgetKB << 10,
 		},
 	}
 }
