--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -186,7 +186,8 @@
 	}
 }
 
-// collectd rejects values older than the last ones. With MaxWaiting 1, the single waiting interval contains all others.
+// collectd rejects values older than the last ones. With MaxWaitingIntervals 1, the single waiting interval contains
+// all others.
 func TestAllWaitingIntervalsAreMergedIfOneMayWait(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaitingIntervals = 1
