--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -159,7 +159,7 @@
 
 func emulateGraphiteCommand() *cobra.Command {
 	var flags collectorFlags
-	var form graphite.Form
+	var form graphite.PathFormat
 	var pickle bool
 	c := &cobra.Command{
 		Use:   "graphite",
@@ -209,7 +209,7 @@
 			passwords := func(name string) (string, bool) {
 				return password, name == user && user != ""
 			}
-			reader := collectd.Reader{Demand: demand, Passwords: passwords}
+			reader := collectd.Reader{MinLevel: demand, Passwords: passwords}
 			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
 				return collector.NewCollectd(flags.listen, reader, collectdSeed, r)
 			})
--- a/internal/collectd/packer_test.go
+++ b/internal/collectd/packer_test.go
@@ -12,14 +12,14 @@
 	"wheatlane/internal/metrics"
 )
 
-// fatalist is what of a test a helper needs, and what tests of all kinds have.
-type fatalist interface {
+// failer is the part of testing.TB that *rapid.T implements as well.
+type failer interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// pack returns the packets of lists. Initial vectors are the same each time.
-func pack(t fatalist, s Security, lists ...List) [][]byte {
+// pack packs lists into packets, with the same initialization vector for each packet.
+func pack(t failer, s Security, lists ...ValueList) [][]byte {
 	t.Helper()
 	var packets [][]byte
 	p := Packer{
@@ -31,8 +31,8 @@
 			return nil
 		},
 		Emit: func(b []byte) error {
-			if len(b) > MaxPacket {
-				t.Fatal("a packet of", len(b))
+			if len(b) > MaxPacketBytes {
+				t.Fatal("packet exceeds MaxPacketBytes: length is", len(b))
 			}
 			packets = append(packets, b)
 			return nil
@@ -49,8 +49,8 @@
 	return packets
 }
 
-// A packet by hand, after the published layout.
-func TestPacketByHand(t *testing.T) {
+// A packet written by hand according to the protocol specification is encoded and parsed.
+func TestPacketMatchesTheSpecification(t *testing.T) {
 	want := strings.Join([]string{
 		"0000" + "0007" + "6e3100", // host n1
 		"0002" + "000e" + hex.EncodeToString([]byte("wheatlane\x00")),
@@ -60,10 +60,10 @@
 		"0008" + "000c" + "0000000480000000", // 18 s
 		"0009" + "000c" + "0000000060000000", // 1.5 s
 		"0006" + "0018" + "0002" + "01" + "02" + "000000000000f83f" + "fffffffffffffffe",
-		"0004" + "0006" + "7500", // only what differs
+		"0004" + "0006" + "7500", // type u; unchanged parts are omitted
 		"0006" + "000f" + "0001" + "03" + "0000000000000007",
 	}, "")
-	first := List{
+	first := ValueList{
 		Host: "n1", Plugin: "wheatlane", Type: "t", Time: 18 * time.Second, Interval: 1500 * time.Millisecond,
 		Values: []Value{{Kind: Gauge, Gauge: 1.5}, {Kind: Derive, Count: -2}},
 	}
@@ -71,21 +71,21 @@
 	second.Type, second.Values = "u", []Value{{Kind: Absolute, Count: 7}}
 	packets := pack(t, Security{}, first, second)
 	if len(packets) != 1 || hex.EncodeToString(packets[0]) != want {
-		t.Fatalf("%x, want %s", packets, want)
+		t.Fatalf("got packets %x, want %s", packets, want)
 	}
 	got, err := (&Reader{}).Parse(packets[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]List{first, second}, got); diff != "" {
+	if diff := cmp.Diff([]ValueList{first, second}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// drawList draws any list, or one that differs from the previous in its values alone.
-func drawList(t *rapid.T, previous []List) List {
-	text := rapid.StringN(0, 20, MaxText).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
-	l := List{
+// drawList draws a random list, or one that differs from the previous list only in its values.
+func drawList(t *rapid.T, previous []ValueList) ValueList {
+	text := rapid.StringN(0, 20, MaxTextBytes).Filter(func(s string) bool { return !strings.Contains(s, "\x00") })
+	l := ValueList{
 		Host: text.Draw(t, "host"), Plugin: text.Draw(t, "plugin"), PluginInstance: text.Draw(t, "instance"),
 		Type: text.Draw(t, "type"), TypeInstance: text.Draw(t, "type instance"),
 		Time:     time.Duration(rapid.Int64Range(0, 1<<33).Draw(t, "time")) * time.Second,
@@ -107,16 +107,16 @@
 	return l
 }
 
-// Whatever is packed is parsed as the same, under each kind of security, in packets that a network takes.
+// Lists are parsed back from packets at each security level, and no packet exceeds the maximum length.
 func TestPackedListsAreParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(t, "lists")
-		lists := make([]List, 0, count)
+		lists := make([]ValueList, 0, count)
 		for range count {
 			lists = append(lists, drawList(t, lists))
 		}
 		level := rapid.SampledFrom(testLevels).Draw(t, "level")
-		var got []List
+		var got []ValueList
 		for _, p := range pack(t, testSecurity(level), lists...) {
 			some, err := testReader(level).Parse(p)
 			if err != nil {
@@ -140,7 +140,7 @@
 			r.Add(metrics.AttemptEnds, slot, part, 1)
 		}
 	}
-	v := r.Cut(time.Hour, time.Second)
+	v := r.EndInterval(time.Hour, time.Second)
 	for _, l := range testLevels {
 		b.Run([]string{"plain", "sign", "encrypt"}[l], func(b *testing.B) {
 			packets := 0
@@ -150,7 +150,7 @@
 				Emit:     func([]byte) error { packets++; return nil },
 			}
 			for b.Loop() {
-				if err := EachList(v, "n1", p.Add); err != nil {
+				if err := EachValueList(v, "n1", p.Add); err != nil {
 					b.Fatal(err)
 				}
 				if err := p.Flush(); err != nil {
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -164,7 +164,7 @@
 
 // consume parses a datagram. What precedes a malformed part counts.
 func (c *Collectd) consume(packet []byte) {
-	if len(packet) > collectd.MaxPacket {
+	if len(packet) > collectd.MaxPacketBytes {
 		c.reconciler.AddMalformed(fmt.Sprintf("a packet of %d bytes", len(packet)))
 	}
 	lists, err := c.reader.Parse(packet)
@@ -172,20 +172,20 @@
 		c.reconciler.AddMalformed(err.Error())
 	}
 	for _, list := range lists {
-		broker, series, err := collectd.Figure(list)
+		broker, series, err := collectd.ParseSeries(list)
 		if err != nil {
 			c.reconciler.AddUnknown(err.Error())
 			continue
 		}
-		name := graphite.Name{Broker: broker, Series: series}
+		name := graphite.MetricName{Broker: broker, Series: series}
 		timestamp := int64(list.Time / time.Second)
 		for i, v := range list.Values {
 			value := v.Gauge
 			if v.Kind != collectd.Gauge {
 				value = float64(v.Count)
 			}
-			if metrics.Catalogue[series.Figure].Kind == metrics.DistributionKind {
-				name.Stat = metrics.Stats[i]
+			if metrics.Catalogue[series.ID].Kind == metrics.DistributionKind {
+				name.Stat = metrics.StatNames[i]
 			}
 			c.reconciler.Add(name, value, timestamp)
 		}
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -24,17 +24,17 @@
 		value float64
 	}{
 		{metrics.Requests, requests},
-		{metrics.Started, float64(started)},
+		{metrics.StartTime, float64(started)},
 		{metrics.Sequence, sequence},
-		{metrics.Folded, folded},
+		{metrics.MergedIntervals, folded},
 	}
 	samples := make([]Sample, 0, len(figures))
 	for _, f := range figures {
-		series := metrics.Series{Figure: f.id}
-		if metrics.Catalogue[f.id].By != metrics.NoDimension {
+		series := metrics.Series{ID: f.id}
+		if metrics.Catalogue[f.id].Dimension != metrics.NoDimension {
 			series.Name = "lookup"
 		}
-		name := graphite.Name{Broker: broker, Series: series}
+		name := graphite.MetricName{Broker: broker, Series: series}
 		samples = append(samples, Sample{Name: name, Value: f.value, Timestamp: timestamp})
 	}
 	return samples
@@ -113,9 +113,9 @@
 
 func TestQuantilesOutOfOrderAreFound(t *testing.T) {
 	samples := slices.Clone(firstInterval)
-	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
-	for i, stat := range metrics.Stats {
-		name := graphite.Name{Broker: "n1", Series: series, Stat: stat}
+	series := metrics.Series{ID: metrics.AnswerTime, Name: "lookup"}
+	for i, stat := range metrics.StatNames {
+		name := graphite.MetricName{Broker: "n1", Series: series, Stat: stat}
 		samples = append(samples, Sample{Name: name, Value: float64(10 - i), Timestamp: 110})
 	}
 	f := Reconcile(samples, 0, nil, nil)
--- a/internal/emulator/collector/incarnation.go
+++ b/internal/emulator/collector/incarnation.go
@@ -46,7 +46,7 @@
 	last := map[metrics.Series]float64{}
 	for _, interval := range r.Intervals {
 		for series, value := range interval.Values {
-			if series.Figure == id {
+			if series.ID == id {
 				last[series] = value
 			}
 		}
@@ -78,7 +78,7 @@
 // checkCounters checks that no counter falls, and updates their last values.
 func (r *Incarnation) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
 	for series, value := range interval.Values {
-		figure := metrics.Catalogue[series.Figure]
+		figure := metrics.Catalogue[series.ID]
 		if figure.Kind != metrics.Counter {
 			continue
 		}
@@ -93,16 +93,16 @@
 // checkDistributions checks that the statistics of complete distributions are in order.
 func (r *Incarnation) checkDistributions(f *Findings, interval *Interval) {
 	for series, stats := range interval.Distributions {
-		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
+		if len(stats) == len(metrics.StatNames) && !inOrder(stats) {
 			f.violation("%s, start %d: the quantiles of %s of %q are out of order: %v",
-				r.Broker, r.StartedMS, metrics.Catalogue[series.Figure].Name, series.Name, stats)
+				r.Broker, r.StartedMS, metrics.Catalogue[series.ID].Name, series.Name, stats)
 		}
 	}
 }
 
 // inOrder reports whether quantiles rise, as far as their accuracy tells.
 func inOrder(stats map[string]float64) bool {
-	const tolerance = 1 + 2*metrics.Accuracy
+	const tolerance = 1 + 2*metrics.RelativeAccuracy
 	return stats["min"] <= stats["p50"] && stats["p50"] <= stats["p95"] &&
 		stats["p95"] <= stats["p99"]*tolerance && stats["p99"] <= stats["max"]*tolerance
 }
--- a/internal/emulator/collector/storedrecording_test.go
+++ b/internal/emulator/collector/storedrecording_test.go
@@ -73,13 +73,13 @@
 		if !ok {
 			t.Fatalf("no figure %s", l.figure)
 		}
-		s := metrics.Series{Figure: id, Name: l.name, Other: l.other}
+		s := metrics.Series{ID: id, Name: l.name, Other: l.other}
 		for i, p := range metrics.Catalogue[id].LabelValues {
 			if p == l.detail {
 				s.LabelIndex = i
 			}
 		}
-		name := graphite.Name{Broker: l.broker, Series: s, Stat: l.stat}
+		name := graphite.MetricName{Broker: l.broker, Series: s, Stat: l.stat}
 		r.Add(Sample{ArrivedAfter: l.arrived, Name: name, Value: l.value, Timestamp: l.at})
 		want += l.line + "\n"
 	}
@@ -102,7 +102,7 @@
 	}
 	for i, l := range storedLines {
 		s := all[i]
-		fig := metrics.Catalogue[s.Name.Series.Figure]
+		fig := metrics.Catalogue[s.Name.Series.ID]
 		detail := ""
 		if len(fig.LabelValues) > 0 {
 			detail = fig.LabelValues[s.Name.Series.LabelIndex]
--- a/internal/graphite/encode_test.go
+++ b/internal/graphite/encode_test.go
@@ -10,26 +10,27 @@
 	"wheatlane/internal/metrics"
 )
 
-// smallInterval has a counter and two distributions by name, beside the figures of every broker.
+// smallInterval returns an interval with a counter and two distributions of request classes, and the metrics that every
+// broker reports.
 func smallInterval() *metrics.Interval {
 	limits := metrics.Limits{Classes: 4, Tenants: 4, Engines: 4, DataSets: 4, IdleTimeout: time.Hour}
 	r := metrics.NewRegistry(limits, 0, 0)
-	r.Add(metrics.Answers, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
+	r.Add(metrics.RequestOutcomes, r.Slot(metrics.Class, "lookup"), metrics.Late, 3)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "lookup"), 12.5)
 	r.Observe(metrics.AnswerTime, r.Slot(metrics.Class, "re.port;x=1"), 700)
-	return r.Cut(1_750_000_000*time.Second, 10*time.Second)
+	return r.EndInterval(1_750_000_000*time.Second, 10*time.Second)
 }
 
-// expectedRecords are what an interval holds, in the order of record numbers.
+// expectedRecords returns the records of an interval in the order of their numbers.
 func expectedRecords(t *testing.T, e *Encoder, v *metrics.Interval) []Sample {
 	t.Helper()
-	all := make([]Sample, 0, e.Records(v))
-	add := func(n Name, value float64) {
+	all := make([]Sample, 0, e.RecordCount(v))
+	add := func(n MetricName, value float64) {
 		n.Broker = e.Broker
-		all = append(all, Sample{string(e.Form.Append(nil, n)), value, int64(v.EndTime / time.Second)})
+		all = append(all, Sample{string(e.Format.Append(nil, n)), value, int64(v.EndTime / time.Second)})
 	}
 	for _, p := range v.Points {
-		add(Name{Series: p.Series}, p.Value)
+		add(MetricName{Series: p.Series}, p.Value)
 	}
 	for _, d := range v.Distributions {
 		s, err := metrics.Summarize(d.EncodedSketch)
@@ -37,22 +38,23 @@
 			t.Fatal(err)
 		}
 		for i, value := range s.Values() {
-			add(Name{Series: d.Series, Stat: metrics.Stats[i]}, value)
+			add(MetricName{Series: d.Series, Stat: metrics.StatNames[i]}, value)
 		}
 	}
-	if len(all) != e.Records(v) {
-		t.Fatalf("%d records of %d", len(all), e.Records(v))
+	if len(all) != e.RecordCount(v) {
+		t.Fatalf("interval has %d records, RecordCount returns %d", len(all), e.RecordCount(v))
 	}
 	return all
 }
 
-// However it is cut, and wherever it resumes, an interval comes out as its records, each once and in order.
-func TestEncodingResumesAnywhere(t *testing.T) {
+// For any maximum size and any first record, encoding an interval produces the remaining records, each once and in
+// order.
+func TestEncodingResumesAtAnyRecord(t *testing.T) {
 	v := smallInterval()
 	for _, pickled := range []bool{false, true} {
 		for _, tags := range []bool{false, true} {
 			t.Run(fmt.Sprintf("pickle %v, tags %v", pickled, tags), func(t *testing.T) {
-				e := &Encoder{Form: Form{Prefix: "w", Tags: tags}, Broker: "n1", Pickle: pickled}
+				e := &Encoder{Format: PathFormat{Prefix: "w", Tags: tags}, Broker: "n1", Pickle: pickled}
 				want := expectedRecords(t, e, v)
 				for from := range want {
 					for _, maxBytes := range []int{1, 100, 1 << 20} {
@@ -67,22 +69,22 @@
 	}
 }
 
-// encodeAndParse encodes an interval from a record on, in steps of maxBytes, and returns what is parsed of
-// that.
+// encodeAndParse encodes an interval, starting at a record, in steps of maxBytes, and returns the samples parsed from
+// the result.
 func encodeAndParse(t *testing.T, e *Encoder, v *metrics.Interval, from, maxBytes int) []Sample {
 	t.Helper()
 	var got []Sample
-	for next := from; next < e.Records(v); {
+	for next := from; next < e.RecordCount(v); {
 		out, after, err := e.Append(nil, v, next, maxBytes)
 		if err != nil || after <= next {
-			t.Fatalf("from %d to %d: %v", next, after, err)
+			t.Fatalf("Append from record %d returned next record %d, error %v", next, after, err)
 		}
 		got, next = append(got, parseByteByByte(t, e.Pickle, out)...), after
 	}
 	return got
 }
 
-// parseByteByByte reads all of b, fed a byte at a time.
+// parseByteByByte parses all of b, passing one more byte to the parser at a time.
 func parseByteByByte(t *testing.T, pickled bool, b []byte) []Sample {
 	t.Helper()
 	var all []Sample
@@ -109,7 +111,7 @@
 
 func BenchmarkAppend(b *testing.B) {
 	v := smallInterval()
-	e := &Encoder{Form: Form{Prefix: "wheatlane", Tags: true}, Broker: "n1"}
+	e := &Encoder{Format: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}
 	b.ReportAllocs()
 	var out []byte
 	for b.Loop() {
@@ -118,5 +120,5 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(b.N*e.Records(v))/b.Elapsed().Seconds(), "records/s")
+	b.ReportMetric(float64(b.N*e.RecordCount(v))/b.Elapsed().Seconds(), "records/s")
 }
--- a/internal/graphite/golden_test.go
+++ b/internal/graphite/golden_test.go
@@ -11,24 +11,24 @@
 	"wheatlane/internal/metrics/metricstest"
 )
 
-// The bytes that are sent of every figure are what they were, in each form.
-func TestSentBytes(t *testing.T) {
-	v := metricstest.EveryFigure(10 * time.Second)
+// The encoded bytes of every metric match the golden files in each format.
+func TestEncodedBytesMatchGoldenFiles(t *testing.T) {
+	v := metricstest.FullInterval(10 * time.Second)
 	for _, tt := range []struct {
 		name     string
 		encoder  Encoder
-		maxBytes int // that are asked for at a time
+		maxBytes int // per call of Append
 	}{
-		{"lines", Encoder{Form: Form{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
-		{"lines-in-parts", Encoder{Form: Form{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
-		{"tags", Encoder{Form: Form{Prefix: "wheatlane", Tags: true}, Broker: "n1"}, 1 << 20},
+		{"lines", Encoder{Format: PathFormat{Prefix: "wheatlane"}, Broker: "n1"}, 1 << 20},
+		{"lines-in-parts", Encoder{Format: PathFormat{Prefix: "sea.lane"}, Broker: "n 1.é"}, 1400},
+		{"tags", Encoder{Format: PathFormat{Prefix: "wheatlane", Tags: true}, Broker: "n1"}, 1 << 20},
 		{"no-prefix", Encoder{Broker: ""}, 1 << 20},
-		{"pickle", Encoder{Form: Form{Prefix: "wheatlane"}, Broker: "n1", Pickle: true}, 4000},
-		{"pickle-tags", Encoder{Form: Form{Tags: true}, Broker: "n1", Pickle: true}, 1 << 20},
+		{"pickle", Encoder{Format: PathFormat{Prefix: "wheatlane"}, Broker: "n1", Pickle: true}, 4000},
+		{"pickle-tags", Encoder{Format: PathFormat{Tags: true}, Broker: "n1", Pickle: true}, 1 << 20},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var all strings.Builder
-			for next := 0; next < tt.encoder.Records(v); {
+			for next := 0; next < tt.encoder.RecordCount(v); {
 				var text []byte
 				var err error
 				if text, next, err = tt.encoder.Append(nil, v, next, tt.maxBytes); err != nil {
@@ -36,8 +36,8 @@
 				}
 				if tt.encoder.Pickle {
 					text = append([]byte(hex.EncodeToString(text)), '\n')
-				} else if next < tt.encoder.Records(v) {
-					text = append(text, '\n') // shows where one part ends
+				} else if next < tt.encoder.RecordCount(v) {
+					text = append(text, '\n') // an empty line marks the end of each call of Append
 				}
 				all.Write(text)
 			}
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -1,103 +1,103 @@
 package metrics
 
-// ID is a figure: its place in the Catalogue.
+// ID identifies a metric. It is the metric's index in the Catalogue.
 type ID int
 
-// The figures, by what they are; their exported names are in the Catalogue alone.
+// The metrics. Their exported names are in the Catalogue only.
 const (
 	Requests ID = iota
 	RequestsByTenant
 	RequestsByDataSet
-	Answers
-	AnswersByTenant
+	RequestOutcomes
+	RequestOutcomesByTenant
 	InTimeShare
 	ObjectiveRatio
 	AnswerTime
 	Rejections
 	Attempts
-	AttemptsByRequest
+	AttemptsPerRequest
 	AttemptEnds
 	EngineTime
 	ClientRetries
 	DuplicateResponses
-	Wasted
-	WastedByEngine
+	WastedTime
+	WastedTimeByEngine
 	Drains
 	LateDrains
 	DrainTime
-	WorstDrain
+	MaxDrainTime
 	QueueWait
 	QueueWaitByTenant
 	ConcurrencyLimit
-	Threads
-	Queued
+	ThreadsInFlight
+	QueuedRequests
 	ClassShare
 	Engines
-	ClientEnds
-	EngineEnds
-	ChangelogEnds
+	ClientConnectionsEnded
+	EngineConnectionsEnded
+	ChangelogConnectionsEnded
 	Connections
-	Open
+	OpenRequests
 	Sessions
-	Heap
-	Memory
-	Inbox
-	RoundLag
-	NamesAdmitted
-	NamesJoined
-	NamesLeft
-	NamesOther
-	Held
+	HeapBytes
+	MemoryBytes
+	InboxLength
+	LoopLag
+	ActiveNames
+	AdmittedNames
+	RetiredNames
+	OtherNames
+	HeldBytes
 	HeldIntervals
-	Delivered
-	Lost
+	DeliveredIntervals
+	LostIntervals
 	LostSamples
-	Breaks
-	ConfLoaded
-	ConfInvalid
-	Started
+	ConnectionFailures
+	ConfigsAccepted
+	ConfigsRejected
+	StartTime
 	Sequence
-	Folded
+	MergedIntervals
 	RequestEndCauses
 	InvariantViolations
-	figureCount
+	metricCount
 )
 
-// Catalogue has every figure that a broker reports, by its ID. It is the one place of exported names.
-var Catalogue = [figureCount]Figure{
+// Catalogue describes every metric that a broker reports, indexed by ID. Exported names are defined only here.
+var Catalogue = [metricCount]Descriptor{
 	Requests: {
-		Name: "requests", Kind: Counter, By: Class,
+		Name: "requests", Kind: Counter, Dimension: Class,
 		Help: "requests accepted",
 	},
 	RequestsByTenant: {
-		Name: "requests_by_tenant", Kind: Counter, By: Tenant,
+		Name: "requests_by_tenant", Kind: Counter, Dimension: Tenant,
 		Help: "requests accepted",
 	},
 	RequestsByDataSet: {
-		Name: "requests_by_data_set", Kind: Counter, By: DataSet,
+		Name: "requests_by_data_set", Kind: Counter, Dimension: DataSet,
 		Help: "requests accepted that read or write this data set",
 	},
-	Answers: {
-		Name: "answers", Kind: Counter, By: Class, Label: "outcome", LabelValues: requestOutcomes,
+	RequestOutcomes: {
+		Name: "answers", Kind: Counter, Dimension: Class, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "requests that ended: served within the latency objective or after it, rejected, failed, " +
 			"or their client gone",
 	},
-	AnswersByTenant: {
-		Name: "answers_by_tenant", Kind: Counter, By: Tenant, Label: "outcome", LabelValues: requestOutcomes,
+	RequestOutcomesByTenant: {
+		Name: "answers_by_tenant", Kind: Counter, Dimension: Tenant, Label: "outcome", LabelValues: requestOutcomes,
 		Help: "the same by tenant",
 	},
 	InTimeShare: {
-		Name: "in_time_share", Kind: Gauge, By: Class,
+		Name: "in_time_share", Kind: Gauge, Dimension: Class,
 		Help: "part of the requests that ended in the interval, those whose client left apart, that " +
 			"were served within the objective",
 	},
 	ObjectiveRatio: {
-		Name: "aim_ratio", Kind: DistributionKind, By: Class,
+		Name: "aim_ratio", Kind: DistributionKind, Dimension: Class,
 		Help: "time from the client's send to the answer over the objective, of requests served; above " +
 			"1 is late",
 	},
 	AnswerTime: {
-		Name: "answer_ms", Kind: DistributionKind, Unit: "ms", By: Class,
+		Name: "answer_ms", Kind: DistributionKind, Unit: "ms", Dimension: Class,
 		Help: "time from the client's send to the answer, of requests served",
 	},
 	Rejections: {
@@ -107,37 +107,37 @@
 			"queued on it",
 	},
 	Attempts: {
-		Name: "attempts", Kind: Counter, By: Class,
+		Name: "attempts", Kind: Counter, Dimension: Class,
 		Help: "attempts sent to engines",
 	},
-	AttemptsByRequest: {
-		Name: "attempts_a_request", Kind: DistributionKind, By: Class,
+	AttemptsPerRequest: {
+		Name: "attempts_a_request", Kind: DistributionKind, Dimension: Class,
 		Help: "attempts of each request when it ended",
 	},
 	AttemptEnds: {
-		Name: "attempt_ends", Kind: Counter, By: Engine, Label: "status", LabelValues: attemptStatuses,
+		Name: "attempt_ends", Kind: Counter, Dimension: Engine, Label: "status", LabelValues: attemptStatuses,
 		Help: "attempts that ended, by status",
 	},
 	EngineTime: {
-		Name: "engine_ms", Kind: DistributionKind, Unit: "ms", By: Engine,
+		Name: "engine_ms", Kind: DistributionKind, Unit: "ms", Dimension: Engine,
 		Help: "time from an attempt's send to its successful end",
 	},
 	ClientRetries: {
-		Name: "client_retries", Kind: Counter, By: Class,
+		Name: "client_retries", Kind: Counter, Dimension: Class,
 		Help: "requests that their client marked as a retry",
 	},
 	DuplicateResponses: {
-		Name: "second_copies", Kind: Counter, By: Engine,
+		Name: "second_copies", Kind: Counter, Dimension: Engine,
 		Help: "responses that no attempt waited for: of hedged requests, and of attempts that were " +
 			"given up",
 	},
-	Wasted: {
-		Name: "wasted_ms", Kind: Counter, Unit: "ms", By: Class,
+	WastedTime: {
+		Name: "wasted_ms", Kind: Counter, Unit: "ms", Dimension: Class,
 		Help: "time in flight of attempts that may have run and whose answer no client got: an upper " +
 			"bound of what engines spent on them",
 	},
-	WastedByEngine: {
-		Name: "wasted_by_engine_ms", Kind: Counter, Unit: "ms", By: Engine,
+	WastedTimeByEngine: {
+		Name: "wasted_by_engine_ms", Kind: Counter, Unit: "ms", Dimension: Engine,
 		Help: "the same by engine",
 	},
 	Drains: {
@@ -153,33 +153,33 @@
 		Help: "time from when the broker read that an engine drains, or from the start of its maintenance, to the " +
 			"last byte of a request sent to it",
 	},
-	WorstDrain: {
+	MaxDrainTime: {
 		Name: "worst_drain_ms", Kind: Gauge, Unit: "ms",
 		Help: "the longest of these since the start",
 	},
 	QueueWait: {
-		Name: "queue_wait_ms", Kind: DistributionKind, Unit: "ms", By: Class,
+		Name: "queue_wait_ms", Kind: DistributionKind, Unit: "ms", Dimension: Class,
 		Help: "time from when a request was accepted until its first attempt was sent, or until it " +
 			"ended without one",
 	},
 	QueueWaitByTenant: {
-		Name: "queue_wait_by_tenant_ms", Kind: DistributionKind, Unit: "ms", By: Tenant,
+		Name: "queue_wait_by_tenant_ms", Kind: DistributionKind, Unit: "ms", Dimension: Tenant,
 		Help: "the same by tenant",
 	},
 	ConcurrencyLimit: {
-		Name: "bound", Kind: Gauge, Unit: "threads", By: Engine,
+		Name: "bound", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "concurrency limit: threads that this broker may have in flight at the engine",
 	},
-	Threads: {
-		Name: "threads", Kind: Gauge, Unit: "threads", By: Engine,
+	ThreadsInFlight: {
+		Name: "threads", Kind: Gauge, Unit: "threads", Dimension: Engine,
 		Help: "threads in flight there",
 	},
-	Queued: {
-		Name: "queued", Kind: Gauge, By: Engine,
+	QueuedRequests: {
+		Name: "queued", Kind: Gauge, Dimension: Engine,
 		Help: "requests that wait in the engine's queue at this broker",
 	},
 	ClassShare: {
-		Name: "class_share", Kind: Gauge, By: Class,
+		Name: "class_share", Kind: Gauge, Dimension: Class,
 		Help: "weight of the class in the fair queues, as the decision module sets it",
 	},
 	Engines: {
@@ -187,15 +187,15 @@
 		Help: "engines by health, each counted once: draining, doubted (ejected), cold (in slow start), " +
 			"ready",
 	},
-	ClientEnds: {
+	ClientConnectionsEnded: {
 		Name: "client_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections of clients that ended, by reason code",
 	},
-	EngineEnds: {
+	EngineConnectionsEnded: {
 		Name: "engine_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to engines that ended, by reason code",
 	},
-	ChangelogEnds: {
+	ChangelogConnectionsEnded: {
 		Name: "changelog_connections_ended", Kind: Counter, Label: "reason", LabelValues: EndReasons,
 		Help: "connections to the change log that ended, by reason code",
 	},
@@ -203,7 +203,7 @@
 		Name: "connections", Kind: Gauge, Label: "side", LabelValues: connectionSides,
 		Help: "connections that are open",
 	},
-	Open: {
+	OpenRequests: {
 		Name: "open_requests", Kind: Gauge,
 		Help: "requests accepted and not answered yet",
 	},
@@ -211,72 +211,72 @@
 		Name: "sessions", Kind: Gauge,
 		Help: "clients that are connected",
 	},
-	Heap: {
+	HeapBytes: {
 		Name: "heap_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory of live objects and of those not yet collected",
 	},
-	Memory: {
+	MemoryBytes: {
 		Name: "memory_bytes", Kind: Gauge, Unit: "bytes",
 		Help: "memory that the runtime has from the system",
 	},
-	Inbox: {
+	InboxLength: {
 		Name: "inbox", Kind: Gauge,
 		Help: "maximum of the events that waited for the reducer in the interval",
 	},
-	RoundLag: {
+	LoopLag: {
 		Name: "round_lag_ms", Kind: DistributionKind, Unit: "ms",
 		Help: "how long after it was due the reducer's goroutine started a round",
 	},
-	NamesAdmitted: {
+	ActiveNames: {
 		Name: "names", Kind: Gauge, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that have series of their own",
 	},
-	NamesJoined: {
+	AdmittedNames: {
 		Name: "names_joined", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that were given series of their own",
 	},
-	NamesLeft: {
+	RetiredNames: {
 		Name: "names_left", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "names that lost them again, being idle or displaced by more frequent ones",
 	},
-	NamesOther: {
+	OtherNames: {
 		Name: "names_other", Kind: Counter, Label: "of", LabelValues: boundedDimensions,
 		Help: "how often a name was counted under 'other'",
 	},
-	Held: {
-		Name: "held_bytes", Kind: Gauge, Unit: "bytes", By: Destination,
+	HeldBytes: {
+		Name: "held_bytes", Kind: Gauge, Unit: "bytes", Dimension: Destination,
 		Help: "memory of the intervals that wait for delivery",
 	},
 	HeldIntervals: {
-		Name: "held_intervals", Kind: Gauge, By: Destination,
+		Name: "held_intervals", Kind: Gauge, Dimension: Destination,
 		Help: "intervals that wait for delivery, each of those folded into one counted; with " +
 			"delivered_intervals and lost_intervals they make up all before this one",
 	},
-	Delivered: {
-		Name: "delivered_intervals", Kind: Counter, By: Destination,
+	DeliveredIntervals: {
+		Name: "delivered_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that were written, each of those folded into one counted",
 	},
-	Lost: {
-		Name: "lost_intervals", Kind: Counter, By: Destination,
+	LostIntervals: {
+		Name: "lost_intervals", Kind: Counter, Dimension: Destination,
 		Help: "intervals that will never be written; their counts are part of later ones",
 	},
 	LostSamples: {
-		Name: "lost_samples", Kind: Counter, By: Destination,
+		Name: "lost_samples", Kind: Counter, Dimension: Destination,
 		Help: "samples of distributions that will never be written",
 	},
-	Breaks: {
-		Name: "delivery_breaks", Kind: Counter, By: Destination,
+	ConnectionFailures: {
+		Name: "delivery_breaks", Kind: Counter, Dimension: Destination,
 		Help: "connections to the collector that broke or were not established",
 	},
-	ConfLoaded: {
+	ConfigsAccepted: {
 		Name: "conf_loaded", Kind: Counter,
 		Help: "configuration files accepted at SIGHUP",
 	},
-	ConfInvalid: {
+	ConfigsRejected: {
 		Name: "conf_invalid", Kind: Counter,
 		Help: "configuration files rejected at SIGHUP: the settings before stay in full",
 	},
-	Started: {
+	StartTime: {
 		Name: "started_s", Kind: Gauge, Unit: "s",
 		Help: "when this broker started, in seconds of Unix time, to the millisecond: a new value is a " +
 			"restart, after which counters begin at zero",
@@ -286,7 +286,7 @@
 		Help: "number of the interval, from 1 at each start; a gap is one that was folded into a later " +
 			"one or lost",
 	},
-	Folded: {
+	MergedIntervals: {
 		Name: "folded", Kind: Gauge,
 		Help: "intervals that this one is made of: 1, or more where they waited for the collector",
 	},
--- a/internal/metrics/metricstest/metricstest.go
+++ b/internal/metrics/metricstest/metricstest.go
@@ -1,4 +1,4 @@
-// Package metricstest makes intervals of figures for the tests of encoders.
+// Package metricstest builds intervals for tests of encoders.
 package metricstest
 
 import (
@@ -7,21 +7,21 @@
 	"wheatlane/internal/metrics"
 )
 
-// EveryFigure is an interval with every figure, each of its details, and values of their own for two names
-// and all others. It lasts a duration.
-func EveryFigure(duration time.Duration) *metrics.Interval {
+// FullInterval returns an interval of the given duration with every metric and each of its label values. Metrics with a
+// dimension have series for two names and for Other. Each series has a different value.
+func FullInterval(duration time.Duration) *metrics.Interval {
 	v := &metrics.Interval{
-		Sequence: 7, FoldedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
+		Sequence: 7, MergedCount: 2, EndTime: 1_750_000_000 * time.Second, Duration: duration,
 	}
 	value := 0.0
 	for i, f := range metrics.Catalogue {
 		id := metrics.ID(i)
-		all := []metrics.Series{{Figure: id}}
-		if f.By != metrics.NoDimension {
+		all := []metrics.Series{{ID: id}}
+		if f.Dimension != metrics.NoDimension {
 			all = []metrics.Series{
-				{Figure: id, Name: "fishing-fleet"},
-				{Figure: id, Name: "re.port;x=1 é"},
-				{Figure: id, Other: true},
+				{ID: id, Name: "fishing-fleet"},
+				{ID: id, Name: "re.port;x=1 é"},
+				{ID: id, Other: true},
 			}
 		}
 		for _, s := range all {
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -16,19 +16,19 @@
 	record := func() {
 		class, tenant := r.Slot(Class, "lookup"), r.Slot(Tenant, "acme")
 		r.Add(Requests, class, 0, 1)
-		r.Add(Answers, class, Late, 1)
+		r.Add(RequestOutcomes, class, Late, 1)
 		r.Observe(AnswerTime, class, rng.Float64()*1e4+0.01)
 		r.Observe(QueueWaitByTenant, tenant, rng.Float64()*1e4+0.01)
 	}
-	for range 10_000 { // the sketches take their memory
+	for range 10_000 { // the sketches allocate their bins
 		record()
 	}
-	r.Cut(0, 0)
-	for range 10_000 { // and keep it when they are emptied
+	r.EndInterval(0, 0)
+	for range 10_000 { // and keep the bins when they are cleared
 		record()
 	}
 	if n := testing.AllocsPerRun(10_000, record); n != 0 {
-		t.Fatalf("%v allocations", n)
+		t.Fatalf("recording a request allocates %v times, want 0", n)
 	}
 }
 
@@ -44,11 +44,11 @@
 		r.Add(Attempts, class, 0, 1)
 		r.Add(AttemptEnds, engine, 0, 1)
 		r.Observe(EngineTime, engine, float64(i%1000))
-		r.Add(Answers, class, InTime, 1)
-		r.Add(AnswersByTenant, tenant, InTime, 1)
+		r.Add(RequestOutcomes, class, InTime, 1)
+		r.Add(RequestOutcomesByTenant, tenant, InTime, 1)
 		r.Observe(AnswerTime, class, float64(i%1000))
 		r.Observe(ObjectiveRatio, class, float64(i%1000)/400)
-		r.Observe(AttemptsByRequest, class, 1)
+		r.Observe(AttemptsPerRequest, class, 1)
 		r.Observe(QueueWait, class, float64(i%10))
 		r.Observe(QueueWaitByTenant, tenant, float64(i%10))
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -14,21 +14,21 @@
 func night() *collector.Findings {
 	var all []collector.Sample
 	add := func(at int64, id metrics.ID, name, stat string, label int, v float64) {
-		series := metrics.Series{Figure: id, Name: name, LabelIndex: label}
+		series := metrics.Series{ID: id, Name: name, LabelIndex: label}
 		all = append(all, collector.Sample{
-			Name: graphite.Name{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
+			Name: graphite.MetricName{Broker: "n1", Series: series, Stat: stat}, Value: v, Timestamp: at,
 		})
 	}
 	for i := range 6 {
 		at, n := int64(1000+10*i), float64(i)
-		add(at, metrics.Started, "", "", 0, 990)
+		add(at, metrics.StartTime, "", "", 0, 990)
 		add(at, metrics.Sequence, "", "", 0, n+1)
-		add(at, metrics.Folded, "", "", 0, 1)
+		add(at, metrics.MergedIntervals, "", "", 0, 1)
 		add(at, metrics.Requests, "lookup", "", 0, 100*n)
-		add(at, metrics.Answers, "lookup", "", metrics.InTime, 100*n)
-		add(at, metrics.Answers, "route-report", "", metrics.Late, 30*n)
+		add(at, metrics.RequestOutcomes, "lookup", "", metrics.InTime, 100*n)
+		add(at, metrics.RequestOutcomes, "route-report", "", metrics.Late, 30*n)
 		add(at, metrics.Rejections, "", "", metrics.NoCapacity, 5*n)
-		for j, stat := range metrics.Stats {
+		for j, stat := range metrics.StatNames {
 			add(at, metrics.ObjectiveRatio, "lookup", stat, 0, 0.1*float64(j))
 			add(at, metrics.ObjectiveRatio, "route-report", stat, 0, 2*float64(j))
 		}
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -94,8 +94,8 @@
 func (r runView) outcomes() Section {
 	s := Section{Title: "Outcomes of requests", Note: "Requests a second that ended, by class."}
 	seen := map[string]bool{}
-	for series := range r.Totals(metrics.Answers) {
-		class := seriesTitle(metrics.Series{Figure: metrics.Requests, Name: series.Name, Other: series.Other})
+	for series := range r.Totals(metrics.RequestOutcomes) {
+		class := seriesTitle(metrics.Series{ID: metrics.Requests, Name: series.Name, Other: series.Other})
 		if !seen[class] {
 			seen[class] = true
 			s.Charts = append(s.Charts, r.outcomesOf(class, series))
@@ -109,7 +109,7 @@
 // not in time.
 func (r runView) outcomesOf(class string, of metrics.Series) Chart {
 	c := Chart{Title: class, Unit: "a second"}
-	c.Lines = r.rates(metrics.Answers, func(s metrics.Series) bool {
+	c.Lines = r.rates(metrics.RequestOutcomes, func(s metrics.Series) bool {
 		return s.Name == of.Name && s.Other == of.Other
 	})
 	for i := range c.Lines {
@@ -147,13 +147,13 @@
 func (r runView) wasted() Section {
 	return single("Wasted work",
 		"Milliseconds a second of attempts in flight whose answer no client got.",
-		Chart{Unit: "ms a second", Lines: r.rates(metrics.Wasted, nil)}, 1.0/1000)
+		Chart{Unit: "ms a second", Lines: r.rates(metrics.WastedTime, nil)}, 1.0/1000)
 }
 
 func (r runView) drains() Section {
 	return single("Drains",
 		"Time from when a drain was announced to the last byte sent to the engine. The rule allows 500 ms.",
-		Chart{Unit: "ms", Limit: drainLimitMS, Lines: r.values(metrics.WorstDrain)}, 1.0/drainLimitMS)
+		Chart{Unit: "ms", Limit: drainLimitMS, Lines: r.values(metrics.MaxDrainTime)}, 1.0/drainLimitMS)
 }
 
 func (r runView) engines() Section {
@@ -182,7 +182,7 @@
 	if lines := r.memoryLines(); len(lines) > 0 {
 		s.Charts = append(s.Charts, Chart{Title: "Memory", Unit: "MB", Lines: lines})
 	}
-	for _, lines := range r.quantiles(metrics.RoundLag, "p50", "p99", "max") {
+	for _, lines := range r.quantiles(metrics.LoopLag, "p50", "p99", "max") {
 		s.Charts = append(s.Charts, Chart{Title: "Lag of the reducer's rounds", Unit: "ms", Lines: lines})
 	}
 	return s
@@ -190,12 +190,12 @@
 
 // memoryLines are in MB; none if the broker reported no memory.
 func (r runView) memoryLines() []Line {
-	lines := r.values(metrics.Memory)
+	lines := r.values(metrics.MemoryBytes)
 	if len(lines) == 0 {
 		return nil
 	}
 	lines[0].Name = "from the system"
-	for _, l := range r.values(metrics.Heap) {
+	for _, l := range r.values(metrics.HeapBytes) {
 		l.Name = "heap"
 		lines = append(lines, l)
 	}
--- a/internal/telemetry/relay_test.go
+++ b/internal/telemetry/admin_metrics_test.go
@@ -12,9 +12,9 @@
 	"wheatlane/internal/metrics"
 )
 
-// The figures of the admin endpoint are the counts of the registry, under the on-call page's names, from
-// zero.
-func TestRelayFigures(t *testing.T) {
+// The metrics of the admin endpoint have the registry's counts and the names specified by the on-call page. Metrics
+// that are zero are included.
+func TestAdminMetrics(t *testing.T) {
 	class := control.Class{Name: "lookup", LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}
 	settings := control.Settings{
 		Brokers: 1, MinBatchInterval: 5 * time.Millisecond, Classes: []control.Class{class},
@@ -37,7 +37,7 @@
 		r.RequestEnded(s)
 	}
 	r.AttemptStarted("lookup")
-	got := strings.Split(string(r.RelayFigures(nil, b)), "\n")
+	got := strings.Split(string(r.AppendAdminMetrics(nil, b)), "\n")
 	want := []string{
 		`relay_transactions_total{group="lookup",state="answered"} 2`,
 		`relay_transactions_total{group="lookup",state="deferred"} 1`,
--- a/internal/telemetry/snapshot.go
+++ b/internal/telemetry/gauges.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// The places of the samples that newRuntimeSamples asks for.
+// The indexes of the samples that newRuntimeSamples returns.
 const (
 	heapObjectBytes = iota
 	totalBytes
@@ -27,25 +27,25 @@
 	}
 }
 
-// Cut ends an interval at the times of the wall clock and of the monotonic clock. Before that it reads the states
-// of the reducer, the sockets, the runtime and the destinations into gauges.
-func (r *Recorder) Cut(wall, monotonic time.Duration, reducer *broker.Broker, connections netconn.ConnectionCounts,
-	destinations map[string]delivery.Stats,
+// EndInterval ends the current interval at the given times of the wall clock and the monotonic clock, and returns its
+// metrics. First it sets the gauges that describe the reducer, the sockets, the runtime and the destinations.
+func (r *Recorder) EndInterval(wall, monotonic time.Duration, reducer *broker.Broker,
+	connections netconn.ConnectionCounts, destinations map[string]delivery.Stats,
 ) *metrics.Interval {
 	r.recordView(reducer)
-	r.setGauge(metrics.Open, 0, float64(reducer.OpenRequests()))
+	r.setGauge(metrics.OpenRequests, 0, float64(reducer.OpenRequests()))
 	r.setGauge(metrics.Sessions, 0, float64(reducer.SessionCount()))
 	r.recordConnections(&connections)
 	r.recordMemory()
 	for name, stats := range destinations {
 		r.recordDestination(name, &stats)
 	}
-	return r.registry.Cut(wall, monotonic)
+	return r.registry.EndInterval(wall, monotonic)
 }
 
-// CutAlone ends an interval of a reducer that has no sockets and no destinations.
-func (r *Recorder) CutAlone(now time.Duration, reducer *broker.Broker) *metrics.Interval {
-	return r.Cut(now, now, reducer, netconn.ConnectionCounts{}, nil)
+// EndReducerInterval is EndInterval for a reducer without sockets and destinations.
+func (r *Recorder) EndReducerInterval(now time.Duration, reducer *broker.Broker) *metrics.Interval {
+	return r.EndInterval(now, now, reducer, netconn.ConnectionCounts{}, nil)
 }
 
 // setGauge sets a gauge of the broker itself, or a counter that is counted elsewhere.
@@ -57,9 +57,9 @@
 	r.setGauge(metrics.Connections, metrics.ClientSide, float64(connections.Clients))
 	r.setGauge(metrics.Connections, metrics.EngineSide, float64(connections.Engines))
 	for side, id := range map[netconn.Side]metrics.ID{
-		netconn.ClientSide:    metrics.ClientEnds,
-		netconn.EngineSide:    metrics.EngineEnds,
-		netconn.ChangelogSide: metrics.ChangelogEnds,
+		netconn.ClientSide:    metrics.ClientConnectionsEnded,
+		netconn.EngineSide:    metrics.EngineConnectionsEnded,
+		netconn.ChangelogSide: metrics.ChangelogConnectionsEnded,
 	} {
 		label := 0
 		connections.EachEndReason(side, func(_ netconn.Reason, count uint64) {
@@ -71,32 +71,32 @@
 
 func (r *Recorder) recordMemory() {
 	runtimemetrics.Read(r.runtimeSamples)
-	bytes := func(place int) uint64 { return r.runtimeSamples[place].Value.Uint64() }
-	r.setGauge(metrics.Heap, 0, float64(bytes(heapObjectBytes)))
-	r.setGauge(metrics.Memory, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
+	bytes := func(index int) uint64 { return r.runtimeSamples[index].Value.Uint64() }
+	r.setGauge(metrics.HeapBytes, 0, float64(bytes(heapObjectBytes)))
+	r.setGauge(metrics.MemoryBytes, 0, float64(bytes(totalBytes)-bytes(releasedBytes)))
 }
 
 func (r *Recorder) recordDestination(name string, stats *delivery.Stats) {
 	slot := r.registry.Slot(metrics.Destination, name)
-	r.registry.Set(metrics.Held, slot, 0, float64(stats.HeldBytes))
+	r.registry.Set(metrics.HeldBytes, slot, 0, float64(stats.HeldBytes))
 	r.registry.Set(metrics.HeldIntervals, slot, 0, float64(stats.WaitingIntervals))
-	r.registry.Set(metrics.Delivered, slot, 0, float64(stats.DeliveredIntervals))
-	r.registry.Set(metrics.Lost, slot, 0, float64(stats.LostIntervals))
+	r.registry.Set(metrics.DeliveredIntervals, slot, 0, float64(stats.DeliveredIntervals))
+	r.registry.Set(metrics.LostIntervals, slot, 0, float64(stats.LostIntervals))
 	r.registry.Set(metrics.LostSamples, slot, 0, stats.LostSamples)
-	r.registry.Set(metrics.Breaks, slot, 0, float64(stats.ConnectionFailures))
+	r.registry.Set(metrics.ConnectionFailures, slot, 0, float64(stats.ConnectionFailures))
 }
 
-// recordView records what the decision module knows of engines and classes.
+// recordView records the decision module's state of engines and classes.
 func (r *Recorder) recordView(reducer *broker.Broker) {
 	reducer.View(&r.view)
 	var enginesByHealth [4]int
 	for i := range r.view.Engines {
 		engine := &r.view.Engines[i]
 		slot := r.registry.Slot(metrics.Engine, engine.ID)
-		if slot != cardinality.Other { // one value can't stand for several engines
+		if slot != cardinality.Other { // one gauge can't represent several engines
 			r.registry.Set(metrics.ConcurrencyLimit, slot, 0, engine.ConcurrencyLimit)
-			r.registry.Set(metrics.Threads, slot, 0, float64(engine.ThreadsInFlight))
-			r.registry.Set(metrics.Queued, slot, 0, float64(engine.Queued))
+			r.registry.Set(metrics.ThreadsInFlight, slot, 0, float64(engine.ThreadsInFlight))
+			r.registry.Set(metrics.QueuedRequests, slot, 0, float64(engine.Queued))
 		}
 		enginesByHealth[engineHealth(engine)]++
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// engineHealth is the label index of metrics.Engines that an engine counts under.
+// engineHealth returns the label index of metrics.Engines for an engine.
 func engineHealth(engine *control.EngineView) int {
 	switch {
 	case engine.State == control.Draining:
