--- a/internal/check/fleet/checks.go
+++ b/internal/check/fleet/checks.go
@@ -4,7 +4,7 @@
 
 // The checks of this layer.
 var (
-	Listen = check.Check{
+	DuplicateAddress = check.Check{
 		Code:           "S101",
 		Severity:       check.Fault,
 		Requirement:    "a broker listens at an address of its own",
@@ -12,7 +12,7 @@
 		InvalidExample: `two files with "listen":"10.0.0.4:6565"`,
 		ValidExample:   `"listen":"10.0.0.5:6565"`,
 	}
-	Engines = check.Check{
+	EngineMismatch = check.Check{
 		Code:           "S102",
 		Severity:       check.Fault,
 		Requirement:    "brokers that know as many events know the same engines",
@@ -20,7 +20,7 @@
 		InvalidExample: `"seq":3 in both, and other engines`,
 		ValidExample:   `the same events`,
 	}
-	Behind = check.Check{
+	RevisionMismatch = check.Check{
 		Code:           "S103",
 		Severity:       check.Warning,
 		Requirement:    "brokers start from lists of one age",
@@ -28,7 +28,7 @@
 		InvalidExample: `"seq":3 and "seq":9`,
 		ValidExample:   `"seq":9 in both`,
 	}
-	Classes = check.Check{
+	ClassMismatch = check.Check{
 		Code:           "S104",
 		Severity:       check.Fault,
 		Requirement:    "a class means the same at each broker",
@@ -36,7 +36,7 @@
 		InvalidExample: `"Effect":"repeatable" and "Effect":"by_key"`,
 		ValidExample:   `the same in both`,
 	}
-	Tenants = check.Check{
+	TenantMismatch = check.Check{
 		Code:           "S105",
 		Severity:       check.Fault,
 		Requirement:    "a tenant's share is one share of the whole service",
@@ -44,7 +44,7 @@
 		InvalidExample: `"Share":0.59 and "Share":0.4`,
 		ValidExample:   `"Share":0.59 in both`,
 	}
-	Peers = check.Check{
+	PeerCountMismatch = check.Check{
 		Code:           "S106",
 		Severity:       check.Fault,
 		Requirement:    "brokers of a tier count the same peers",
@@ -52,7 +52,7 @@
 		InvalidExample: `"PeersTotal":3 and "PeersTotal":5`,
 		ValidExample:   `"PeersTotal":5 in both`,
 	}
-	Position = check.Check{
+	DuplicateIndex = check.Check{
 		Code:           "S107",
 		Severity:       check.Fault,
 		Requirement:    "a broker has an index of its own among its peers",
@@ -60,7 +60,7 @@
 		InvalidExample: `two with "Position":1`,
 		ValidExample:   `"Position":2`,
 	}
-	Changelog = check.Check{
+	ChangelogMismatch = check.Check{
 		Code:           "S108",
 		Severity:       check.Warning,
 		Requirement:    "brokers of a tier follow one change log",
@@ -68,7 +68,7 @@
 		InvalidExample: `"changelog":"10.2.0.1:4222" and "10.2.0.2:4222"`,
 		ValidExample:   `one of them`,
 	}
-	Name = check.Check{
+	DuplicateName = check.Check{
 		Code:           "S109",
 		Severity:       check.Warning,
 		Requirement:    "a broker has a name of its own, by which metrics and logs identify it",
@@ -79,4 +79,7 @@
 )
 
 // Table is every check of this layer.
-var Table = []check.Check{Listen, Engines, Behind, Classes, Tenants, Peers, Position, Changelog, Name}
+var Table = []check.Check{
+	DuplicateAddress, EngineMismatch, RevisionMismatch, ClassMismatch, TenantMismatch, PeerCountMismatch,
+	DuplicateIndex, ChangelogMismatch, DuplicateName,
+}
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -75,16 +75,16 @@
 		c.first = file
 	}
 	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
-		c.checkUnique(file, Listen, "listen")
+		c.checkUnique(file, DuplicateAddress, "listen")
 	}
-	c.checkUnique(file, Name, "name")
+	c.checkUnique(file, DuplicateName, "name")
 	if file.Root.At("settings", "PeersTotal").NumberOr(1) > 1 {
-		c.checkUnique(file, Position, "settings", "Position")
+		c.checkUnique(file, DuplicateIndex, "settings", "Position")
 	}
-	c.checkEqual(file, Changelog, "changelog")
-	c.checkEqual(file, Peers, "settings", "PeersTotal")
-	c.checkDefinitions(file, Classes, c.classes, classKeys, "settings", "RequestClasses")
-	c.checkDefinitions(file, Tenants, c.tenants, tenantKeys, "settings", "Tenants")
+	c.checkEqual(file, ChangelogMismatch, "changelog")
+	c.checkEqual(file, PeerCountMismatch, "settings", "PeersTotal")
+	c.checkDefinitions(file, ClassMismatch, c.classes, classKeys, "settings", "RequestClasses")
+	c.checkDefinitions(file, TenantMismatch, c.tenants, tenantKeys, "settings", "Tenants")
 	c.checkList(file)
 }
 
@@ -152,7 +152,7 @@
 		if differing := differingKeys(known.engines, engines); len(differing) > 0 {
 			c.report(
 				file,
-				Engines,
+				EngineMismatch,
 				strings.Join(differing, ", ")+" not as in "+known.file.Name,
 				"known",
 				"results",
@@ -163,7 +163,7 @@
 	c.lists[revision] = endpointList{file, engines}
 	first := c.first.Root.At("known", "seq")
 	if first != nil && describe(first) != revision {
-		c.report(file, Behind, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
+		c.report(file, RevisionMismatch, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
 	}
 }
 
