--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -11,9 +11,9 @@
 	"wheatlane/control"
 )
 
-// NeedRestart names the keys in which the next configuration differs from this one, of a running broker, and
+// KeysRequiringRestart names the keys in which the next configuration differs from this one, of a running broker, and
 // which take effect at the next start only. The seed is new with each start, so it is none of them.
-func (c Config) NeedRestart(next Config) []string {
+func (c Config) KeysRequiringRestart(next Config) []string {
 	keys := []string{}
 	for _, key := range []struct {
 		name  string
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			next, err := load(t, c.change.apply(validFile), nil)
-			if diff := cmp.Diff(c.want, running.NeedRestart(next)); err != nil || diff != "" {
+			if diff := cmp.Diff(c.want, running.KeysRequiringRestart(next)); err != nil || diff != "" {
 				t.Errorf("%v %s", err, diff)
 			}
 		})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -166,5 +166,5 @@
 	poolConfig.MaxClientTimeout = s.longestTimeout.load()
 	s.pool.Reconfigure(poolConfig)
 	s.log.Info("reloaded", zap.String("changelog", cfg.Changelog),
-		zap.Strings("need_restart", s.cfg.NeedRestart(cfg)))
+		zap.Strings("need_restart", s.cfg.KeysRequiringRestart(cfg)))
 }
