--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -188,7 +188,7 @@
 func (r *reloader) reloadPlatformConfig(ctx context.Context) {
 	cfg, err := loadPlatformConfig(ctx)
 	if err == nil {
-		err = cfg.Replaces(r.running)
+		err = cfg.ValidateReload(r.running)
 	}
 	if err != nil {
 		r.log.Error("not reloaded, the configuration before stays", zap.Error(err))
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -35,10 +35,10 @@
 	return keys
 }
 
-// Replaces checks whether a configuration that was read at SIGHUP may replace the running one: it must give
+// ValidateReload checks whether a configuration that was read at SIGHUP may replace the running one: it must give
 // every key that the running one gave, each class must have a client timeout, and a latency objective where
 // all running classes have one, and the limit of attempts must be over 0. The error names the key at fault.
-func (c Config) Replaces(running Config) error {
+func (c Config) ValidateReload(running Config) error {
 	given := map[string]bool{}
 	for _, key := range c.Keys {
 		given[key] = true
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -70,7 +70,7 @@
 				t.Fatal(err)
 			}
 			got := ""
-			if err := next.Replaces(running); err != nil {
+			if err := next.ValidateReload(running); err != nil {
 				got = err.Error()
 			}
 			if !strings.HasPrefix(got, c.want) || (got == "") != (c.want == "") {
