--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -154,7 +154,7 @@
 func logServing(log *zap.Logger, broker *service.Service, cfg config.Config) {
 	fields := []zap.Field{
 		zap.Stringer("listen", broker.Server.Addr()),
-		zap.Int64("seq", cfg.Known.Revision),
+		zap.Int64("seq", cfg.InitialEndpoints.Revision),
 	}
 	if address := broker.AdminAddr(); address != nil {
 		fields = append(fields, zap.Stringer("operator", address))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,19 +13,19 @@
 
 // Config is the configuration of a broker.
 type Config struct {
-	Name         string         // in the log
-	Listen       string         // address and port for clients
-	Changelog    string         // address and port of the change log
-	PeerListen   string         // address and port for gossip of other brokers; empty: no gossip
-	Peers        []string       // gossip address and port of every broker of the fleet, by BrokerIndex
-	AdminListen  string         // address and port of the admin endpoint; empty: none
-	HandoverPath string         // the folder through which one process hands over to the next; empty: none
-	Seed         uint64         // of random numbers
-	MemoryMB     int            // memory limit
-	Sockets      int            // limit of descriptors
-	Known        changelog.Page // endpoint list at the start
-	Settings     Settings
-	Keys         []string // paths of the keys that the file gives, sorted
+	Name             string         // in the log
+	Listen           string         // address and port for clients
+	Changelog        string         // address and port of the change log
+	PeerListen       string         // address and port for gossip of other brokers; empty: no gossip
+	Peers            []string       // gossip address and port of every broker of the fleet, by BrokerIndex
+	AdminListen      string         // address and port of the admin endpoint; empty: none
+	HandoverPath     string         // the folder through which one process hands over to the next; empty: none
+	Seed             uint64         // of random numbers
+	MemoryMB         int            // memory limit
+	Sockets          int            // limit of descriptors
+	InitialEndpoints changelog.Page // endpoint list at the start
+	Settings         Settings
+	Keys             []string // paths of the keys that the file gives, sorted
 }
 
 // The variables of the environment. Those of values take precedence over the file.
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := strings.Join(values(reflect.ValueOf(c.Known)), "\n")
+	list := strings.Join(values(reflect.ValueOf(c.InitialEndpoints)), "\n")
 	goldenfile.Compare(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -68,7 +68,7 @@
 		return cfg, err
 	}
 	if len(file.Known) > 0 {
-		if cfg.Known, err = changelog.ParsePage(file.Known); err != nil {
+		if cfg.InitialEndpoints, err = changelog.ParsePage(file.Known); err != nil {
 			return cfg, keyError("known", err)
 		}
 	}
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -85,7 +85,7 @@
 	}
 	cfg := config.Config{
 		Listen: "127.0.0.1:0", Changelog: s.changelog.addr, Sockets: o.sockets,
-		Known: known, Settings: testSettings(t, o.idleTimeout),
+		InitialEndpoints: known, Settings: testSettings(t, o.idleTimeout),
 	}
 	if o.configure != nil {
 		o.configure(&cfg)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -61,7 +61,7 @@
 	e := newFakeEngine(t)
 	s := startServer(t)
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
-	cfg.Known = parsePage(t, pageJSON(2, true, inService("e1", e)))
+	cfg.InitialEndpoints = parsePage(t, pageJSON(2, true, inService("e1", e)))
 	s.server.Reload(t.Context(), cfg)
 	inspected := s.server.Inspect(t.Context(), func(b *broker.Broker, _ netconn.ConnectionCounts) {
 		if b.EndpointCount() != 1 {
--- a/internal/server/runloop.go
+++ b/internal/server/runloop.go
@@ -15,7 +15,7 @@
 // runLoop runs the loop until ctx ends or the graceful shutdown that a receive from stop begins is complete.
 func (s *Server) runLoop(ctx context.Context, stop <-chan struct{}) error {
 	defer func() { _ = s.frontend.Close() }() // the shutdown may have closed it
-	s.loop.apply(broker.EndpointChanges{Page: s.cfg.Known, WallOffset: clock.WallOffset()})
+	s.loop.apply(broker.EndpointChanges{Page: s.cfg.InitialEndpoints, WallOffset: clock.WallOffset()})
 	s.loop.apply(broker.RestoreMaintenance{Engines: s.restoredMaintenance})
 	pacer := processpause.NewPacer(clock.Now())
 	defer pacer.Stop()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -106,7 +106,7 @@
 	engines := enginePoolAdapter{s.loop, s.connections, &s.scope}
 	s.pool = enginepool.New(poolConfig, engines, engines, engines)
 	s.endpoints = endpointwatch.New(
-		endpointwatch.Config{Addr: s.cfg.Changelog, Revision: s.cfg.Known.Revision},
+		endpointwatch.Config{Addr: s.cfg.Changelog, Revision: s.cfg.InitialEndpoints.Revision},
 		changelogAdapter{s.loop, s.connections})
 	s.loop.execute = (&effectExecutor{
 		frontend: s.frontend, pool: s.pool, gossip: s.gossip, usage: s.loop.usage, log: s.log,
@@ -156,7 +156,7 @@
 
 // applySettings applies the reloaded settings. It must be called in the loop.
 func (s *Server) applySettings(cfg config.Config) {
-	s.loop.apply(broker.EndpointChanges{Page: cfg.Known, WallOffset: clock.WallOffset()})
+	s.loop.apply(broker.EndpointChanges{Page: cfg.InitialEndpoints, WallOffset: clock.WallOffset()})
 	s.loop.apply(broker.UpdateSettings{Settings: cfg.Settings.Control})
 	s.cfg.Settings.Control.Classes = cfg.Settings.Control.Classes
 	s.cfg.Settings.Control.Limits.MaxAttempts = cfg.Settings.Control.Limits.MaxAttempts
