--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	HandoverPath     string         // the folder through which one process hands over to the next; empty: none
 	Seed             uint64         // of random numbers
 	MemoryMB         int            // memory limit
-	Sockets          int            // limit of descriptors
+	MaxDescriptors   int            // limit of descriptors
 	InitialEndpoints changelog.Page // endpoint list at the start
 	Settings         Settings
 	Keys             []string // paths of the keys that the file gives, sorted
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Revision != 3 || c.Sockets != 1024 {
+	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Revision != 3 || c.MaxDescriptors != 1024 {
 		t.Errorf("got %+v", c)
 	}
 	if s.MaxStreams != 100 || s.ConnectTimeout != 250*time.Millisecond || s.ConnIdleTimeout != 30*time.Second ||
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -53,8 +53,8 @@
 	cfg := Config{
 		Name: file.Name, Listen: file.Listen, Changelog: file.Changelog, AdminListen: file.Operator,
 		PeerListen: file.PeerListen, Peers: file.Peers,
-		MemoryMB: withDefault(file.Limits.MemoryMB, DefaultMemoryMB),
-		Sockets:  withDefault(file.Limits.Sockets, DefaultSockets),
+		MemoryMB:       withDefault(file.Limits.MemoryMB, DefaultMemoryMB),
+		MaxDescriptors: withDefault(file.Limits.Sockets, DefaultSockets),
 	}
 	cfg.applyEnvironment(getenv)
 	if err := cfg.checkAddresses(); err != nil {
@@ -111,8 +111,8 @@
 	if c.MemoryMB < minMemoryMB {
 		return keyError("limits.memory_mb", fmt.Errorf("%d is less than %d", c.MemoryMB, minMemoryMB))
 	}
-	if c.Sockets < minSockets {
-		return keyError("limits.sockets", fmt.Errorf("%d is less than %d", c.Sockets, minSockets))
+	if c.MaxDescriptors < minSockets {
+		return keyError("limits.sockets", fmt.Errorf("%d is less than %d", c.MaxDescriptors, minSockets))
 	}
 	return nil
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -25,7 +25,7 @@
 		{"peer_listen", c.PeerListen == next.PeerListen},
 		{"peers", slices.Equal(c.Peers, next.Peers)},
 		{"limits.memory_mb", c.MemoryMB == next.MemoryMB},
-		{"limits.sockets", c.Sockets == next.Sockets},
+		{"limits.sockets", c.MaxDescriptors == next.MaxDescriptors},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
 		if !key.equal {
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -84,7 +84,7 @@
 		t: t, changelog: newFakeChangelog(t), stopSignal: make(chan struct{}), ended: make(chan error, 1),
 	}
 	cfg := config.Config{
-		Listen: "127.0.0.1:0", Changelog: s.changelog.addr, Sockets: o.sockets,
+		Listen: "127.0.0.1:0", Changelog: s.changelog.addr, MaxDescriptors: o.sockets,
 		InitialEndpoints: known, Settings: testSettings(t, o.idleTimeout),
 	}
 	if o.configure != nil {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -20,7 +20,7 @@
 	socktest.Receive(t, s.changelog.polls, "a poll of the first change log")
 	before := inLoop(s, func(server *Server) time.Duration { return server.longestTimeout.load() })
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
-	cfg.Changelog, cfg.Sockets = next.addr, cfg.Sockets+1
+	cfg.Changelog, cfg.MaxDescriptors = next.addr, cfg.MaxDescriptors+1
 	cfg.Settings.MaxClientTimeout = before / 2
 	s.server.Reload(t.Context(), cfg)
 	if query := socktest.Receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
--- a/internal/server/scriptedbroker_test.go
+++ b/internal/server/scriptedbroker_test.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s, err := service.New(ctx, config.Config{
 		Name: "b1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-		Changelog: changelogAddr, Seed: 1000, Sockets: 1024, InitialEndpoints: known, Settings: settings,
+		Changelog: changelogAddr, Seed: 1000, MaxDescriptors: 1024, InitialEndpoints: known, Settings: settings,
 	}, nil, zap.NewNop())
 	if err != nil {
 		cancel()
--- a/internal/server/socketbudget.go
+++ b/internal/server/socketbudget.go
@@ -23,11 +23,11 @@
 }
 
 func newSocketBudget(cfg config.Config) socketBudget {
-	b := socketBudget{Engines: cfg.Sockets / engineSocketDivisor, Rejected: rejectedClientSockets}
+	b := socketBudget{Engines: cfg.MaxDescriptors / engineSocketDivisor, Rejected: rejectedClientSockets}
 	if cfg.AdminListen != "" {
-		b.Admin = min(maxAdminSockets, cfg.Sockets/adminSocketDivisor)
+		b.Admin = min(maxAdminSockets, cfg.MaxDescriptors/adminSocketDivisor)
 	}
-	b.Clients = cfg.Sockets - b.Engines - reservedSockets - b.Rejected - b.Admin
+	b.Clients = cfg.MaxDescriptors - b.Engines - reservedSockets - b.Rejected - b.Admin
 	b.Sessions = b.Clients - b.Clients/closingSocketDivisor
 	return b
 }
--- a/internal/server/socketbudget_test.go
+++ b/internal/server/socketbudget_test.go
@@ -13,7 +13,7 @@
 	for _, sockets := range []int{64, 512, 1024, 4096} {
 		for _, admin := range []string{"", "127.0.0.1:0"} {
 			t.Run(fmt.Sprintf("%d, admin endpoint %q", sockets, admin), func(t *testing.T) {
-				cfg := config.Config{AdminListen: admin, Sockets: sockets}
+				cfg := config.Config{AdminListen: admin, MaxDescriptors: sockets}
 				budget := newSocketBudget(cfg)
 				sum := budget.Engines + budget.Clients + budget.Rejected + budget.Admin + reservedSockets
 				if sum > sockets || budget.Sessions < 1 || budget.Sessions >= budget.Clients {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -33,7 +33,7 @@
 	}
 	return config.Config{
 		Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", HandoverPath: t.TempDir(),
-		Changelog: changelogAddr, Sockets: 1024, InitialEndpoints: known, Settings: settings,
+		Changelog: changelogAddr, MaxDescriptors: 1024, InitialEndpoints: known, Settings: settings,
 	}
 }
 
