--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -37,8 +37,8 @@
 	maxItemsKeyword  = "maxitems"
 )
 
-// Described is a struct type that describes its fields for people.
-type Described interface {
+// FieldDescriber is a struct type that describes its fields for people.
+type FieldDescriber interface {
 	// FieldDescriptions returns the descriptions of fields by their keys in a document.
 	FieldDescriptions() map[string]string
 }
@@ -85,7 +85,7 @@
 
 // applyDescriptions adds the descriptions of the fields of a type that has them.
 func applyDescriptions(s *jsonschema.Schema, t reflect.Type) {
-	described, ok := reflect.Zero(t).Interface().(Described)
+	described, ok := reflect.Zero(t).Interface().(FieldDescriber)
 	if !ok {
 		return
 	}
