--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -41,7 +41,7 @@
 		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, if any")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *operatorFile == "" {
-			*operatorFile = os.Getenv(operatorconfig.Variable)
+			*operatorFile = os.Getenv(operatorconfig.EnvPath)
 		}
 		return serve(c.Context(), *operatorFile)
 	}
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// Variable is the environment variable that names the file where no flag does.
-const Variable = "WHEATLANE_OPERATOR"
+// EnvPath is the environment variable that names the file where no flag does.
+const EnvPath = "WHEATLANE_OPERATOR"
 
 // File is the content of the operator's configuration.
 type File struct {
