--- a/cmd/wheatlane/config.go
+++ b/cmd/wheatlane/config.go
@@ -28,7 +28,7 @@
 		Short: "Print the JSON Schema of the operator's configuration",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			text, err := operatorconfig.Schema()
+			text, err := operatorconfig.SchemaText()
 			if err != nil {
 				return err
 			}
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -47,7 +47,7 @@
 
 // The schema is what it was, descriptions apart.
 func TestSchemaIsStable(t *testing.T) {
-	text, err := Schema()
+	text, err := SchemaText()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -19,8 +19,8 @@
 // JSONSchema returns the schema that files are validated against. It is shared and must not be changed.
 func JSONSchema() (*jsonschema.Schema, error) { return fileSchema() }
 
-// Schema returns the JSON Schema of the file (draft 2020-12) as indented text.
-func Schema() ([]byte, error) {
+// SchemaText returns the JSON SchemaText of the file (draft 2020-12) as indented text.
+func SchemaText() ([]byte, error) {
 	s, err := fileSchema()
 	if err != nil {
 		return nil, err
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -161,7 +161,7 @@
 
 // The defaults that the schema states are those that are applied.
 func TestSchemaStatesTheDefaults(t *testing.T) {
-	text, err := Schema()
+	text, err := SchemaText()
 	if err != nil {
 		t.Fatal(err)
 	}
