--- a/internal/check/form/form.go
+++ b/internal/check/form/form.go
@@ -70,7 +70,7 @@
 		InvalidExample: `{"name":"carbon"}`,
 		ValidExample:   `{"name":"carbon","address":"10.0.0.9:2003"}`,
 	}
-	Address = check.Check{
+	InvalidAddress = check.Check{
 		Code:           "F007",
 		Severity:       check.Fault,
 		Requirement:    "an address is an IP address with a port; names are not looked up",
@@ -90,7 +90,7 @@
 
 // Table is every check of this layer.
 var Table = []check.Check{
-	Syntax, DuplicateKey, UnknownKey, InvalidType, OutOfRange, MissingKey, Address, SimilarKey,
+	Syntax, DuplicateKey, UnknownKey, InvalidType, OutOfRange, MissingKey, InvalidAddress, SimilarKey,
 }
 
 var checkOf = map[schema.ViolationKind]check.Check{
@@ -236,7 +236,7 @@
 		}
 		if _, err := netip.ParseAddrPort(value.Text); err != nil {
 			findings = append(
-				findings, file.NewFinding(Address, fmt.Sprintf("%q", value.Text), path...),
+				findings, file.NewFinding(InvalidAddress, fmt.Sprintf("%q", value.Text), path...),
 			)
 		}
 	}
