--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -86,8 +86,8 @@
 	return OperatorFile
 }
 
-// AnyPort ends an address whose port the system chooses.
-const AnyPort = ":0"
+// AnyPortSuffix ends an address whose port the system chooses.
+const AnyPortSuffix = ":0"
 
 // position returns where a path is in a file, or the innermost value around it that exists.
 func (f *File) position(path []string) jsontext.Position {
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -74,7 +74,7 @@
 	if c.first == nil {
 		c.first = file
 	}
-	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
+	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPortSuffix) {
 		c.checkUnique(file, DuplicateAddress, "listen")
 	}
 	c.checkUnique(file, DuplicateName, "name")
--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -79,7 +79,7 @@
 		Find: func(root *jsontext.Node, report Report) {
 			listen := root.Get("listen").TextOrEmpty()
 			changelog := root.Get("changelog").TextOrEmpty()
-			if listen != "" && listen == changelog && !strings.HasSuffix(listen, check.AnyPort) {
+			if listen != "" && listen == changelog && !strings.HasSuffix(listen, check.AnyPortSuffix) {
 				report(listen, "changelog")
 			}
 		},
