--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -44,7 +44,7 @@
 			InvalidExample: `"MaxRetryAfterNs":600000000000`,
 			ValidExample:   `"MaxRetryAfterNs":500000000`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Limits", "MaxRetryAfterNs"}
 			if v := root.At(path...).NumberOr(0); v > float64(maxRetryAfter) {
 				report(formatMS(v), path...)
@@ -60,7 +60,7 @@
 			InvalidExample: `"listen":"0.0.0.0:6565"`,
 			ValidExample:   `"listen":"10.0.0.4:6565"`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			address, err := netip.ParseAddrPort(root.Get("listen").TextOrEmpty())
 			if err == nil && address.Addr().IsUnspecified() {
 				report(address.String(), "listen")
@@ -76,7 +76,7 @@
 			InvalidExample: `"listen":"10.0.0.4:6565","changelog":"10.0.0.4:6565"`,
 			ValidExample:   `"listen":"10.0.0.4:6565","changelog":"10.2.0.1:4222"`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			listen := root.Get("listen").TextOrEmpty()
 			changelog := root.Get("changelog").TextOrEmpty()
 			if listen != "" && listen == changelog && !strings.HasSuffix(listen, check.AnyPortSuffix) {
@@ -119,7 +119,7 @@
 	},
 }
 
-func findInvalidIndex(root *jsontext.Node, report Report) {
+func findInvalidIndex(root *jsontext.Node, report ReportFunc) {
 	total := root.At("settings", "PeersTotal").NumberOr(0)
 	index := root.At("settings", "Position").NumberOr(0)
 	if total > 0 && index >= total || index < 0 {
@@ -127,7 +127,7 @@
 	}
 }
 
-func findTooFewSockets(root *jsontext.Node, report Report) {
+func findTooFewSockets(root *jsontext.Node, report ReportFunc) {
 	engines := enginesInService(root)
 	sockets := root.At("limits", "sockets").NumberOr(config.DefaultSockets)
 	if float64(engines*connectionsPerEngine) > sockets*engineSocketFraction {
@@ -135,7 +135,7 @@
 	}
 }
 
-func findTooLittleMemory(root *jsontext.Node, report Report) {
+func findTooLittleMemory(root *jsontext.Node, report ReportFunc) {
 	sockets := root.At("limits", "sockets").NumberOr(config.DefaultSockets)
 	memory := root.At("limits", "memory_mb").NumberOr(config.DefaultMemoryMB)
 	required := sockets * (1 - engineSocketFraction) * sessionMemoryKB / kilobytesPerMegabyte
@@ -148,7 +148,7 @@
 	}
 }
 
-func findLongBatchInterval(root *jsontext.Node, report Report) {
+func findLongBatchInterval(root *jsontext.Node, report ReportFunc) {
 	tightest := math.Inf(1)
 	for _, class := range classes(root) {
 		if objective := class.Get("PromiseNs").NumberOr(0); objective > 0 {
--- a/internal/check/rules/engines.go
+++ b/internal/check/rules/engines.go
@@ -22,7 +22,7 @@
 			InvalidExample: `"ColdFrom":1.5`,
 			ValidExample:   `"ColdFrom":0.33`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Rules", "ColdFrom"}
 			if v := root.At(path...).NumberOr(1); v <= 0 || v > 1 {
 				report(formatNumber(v), path...)
@@ -38,7 +38,7 @@
 			InvalidExample: `"FallMultiple":4`,
 			ValidExample:   `"FallMultiple":2.5`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Rules", "FallMultiple"}
 			if v := root.At(path...).NumberOr(1); v < 1 || v > maxOverloadMultiple {
 				report(formatNumber(v), path...)
@@ -91,7 +91,7 @@
 	},
 }
 
-func findMissingSlowStartDuration(root *jsontext.Node, report Report) {
+func findMissingSlowStartDuration(root *jsontext.Node, report ReportFunc) {
 	rules := root.At("settings", "Rules")
 	initial, duration := rules.Get("ColdFrom").NumberOr(1), rules.Get("WarmAfterNs").NumberOr(0)
 	if initial > 0 && initial < 1 && duration <= 0 {
@@ -101,8 +101,8 @@
 
 // sameLength returns the Find function of a rule by which lists of the domain have as many values as another
 // list of the settings.
-func sameLength(of string, keys ...string) func(*jsontext.Node, Report) {
-	return func(root *jsontext.Node, report Report) {
+func sameLength(of string, keys ...string) func(*jsontext.Node, ReportFunc) {
+	return func(root *jsontext.Node, report ReportFunc) {
 		want := len(root.At("settings", of).Elements())
 		for _, key := range keys {
 			list := root.At("settings", "Domain", key)
@@ -113,7 +113,7 @@
 	}
 }
 
-func findTooManyThreads(root *jsontext.Node, report Report) {
+func findTooManyThreads(root *jsontext.Node, report ReportFunc) {
 	cores := 0.0
 	for _, value := range root.At("settings", "Domain", "SizeCores").Elements() {
 		cores = max(cores, value.NumberOr(0))
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/knownlist.go
@@ -104,7 +104,7 @@
 	return count
 }
 
-func findSharedEngineAddresses(root *jsontext.Node, report Report) {
+func findSharedEngineAddresses(root *jsontext.Node, report ReportFunc) {
 	for _, event := range events(root) {
 		engineAt := map[string]string{} // by address
 		for _, host := range hosts(root, event) {
@@ -120,7 +120,7 @@
 	}
 }
 
-func findUnknownEngineKinds(root *jsontext.Node, report Report) {
+func findUnknownEngineKinds(root *jsontext.Node, report ReportFunc) {
 	kinds := texts(root, "settings", "MachineTypes")
 	if len(kinds) == 0 {
 		return
@@ -132,13 +132,13 @@
 	}
 }
 
-func findMissingSnapshot(root *jsontext.Node, report Report) {
+func findMissingSnapshot(root *jsontext.Node, report ReportFunc) {
 	if all := events(root); len(all) > 0 && !all[0].At("fleet", "whole").IsTrue() {
 		report("a change of a list that is missing", all[0].pathOf("fleet", "whole")...)
 	}
 }
 
-func findUnorderedEvents(root *jsontext.Node, report Report) {
+func findUnorderedEvents(root *jsontext.Node, report ReportFunc) {
 	last := 0.0
 	for _, event := range events(root) {
 		revision := event.Get("seq").NumberOr(0)
@@ -149,7 +149,7 @@
 	}
 }
 
-func findWrongListRevision(root *jsontext.Node, report Report) {
+func findWrongListRevision(root *jsontext.Node, report ReportFunc) {
 	all := events(root)
 	if len(all) == 0 {
 		return
--- a/internal/check/rules/operator.go
+++ b/internal/check/rules/operator.go
@@ -84,7 +84,7 @@
 	},
 }
 
-func findLargeBudgets(root *jsontext.Node, report Report) {
+func findLargeBudgets(root *jsontext.Node, report ReportFunc) {
 	sumKB := 0.0
 	var lastPath []string
 	for _, list := range [][]string{graphiteList, collectdList} {
@@ -100,7 +100,7 @@
 	}
 }
 
-func findShortIdleTime(root *jsontext.Node, report Report) {
+func findShortIdleTime(root *jsontext.Node, report ReportFunc) {
 	telemetry := root.Get("telemetry")
 	idleS := telemetry.At("names", "idle_s").NumberOr(operatorconfig.DefaultIdleS)
 	intervalMS := telemetry.Get("interval_ms").NumberOr(operatorconfig.DefaultIntervalMS)
@@ -116,7 +116,7 @@
 	return security == "" || security == "none"
 }
 
-func findUnprotectedPackets(root *jsontext.Node, report Report) {
+func findUnprotectedPackets(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
 		address, err := netip.ParseAddrPort(destination.Get("address").TextOrEmpty())
 		if err == nil && !address.Addr().IsLoopback() && isUnprotected(destination) {
@@ -125,7 +125,7 @@
 	}
 }
 
-func findUnusedUsers(root *jsontext.Node, report Report) {
+func findUnusedUsers(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
 		if isUnprotected(destination) && destination.Get("user").TextOrEmpty() != "" {
 			report("a user, and no security", destination.pathOf("user")...)
--- a/internal/check/rules/requests.go
+++ b/internal/check/rules/requests.go
@@ -82,7 +82,7 @@
 			InvalidExample: `{"Name":"a","Share":0}`,
 			ValidExample:   `{"Name":"a","Share":0.4}`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			reportNotPositive(items(root, "settings", "Tenants"), "Share", report)
 		},
 	},
@@ -139,13 +139,13 @@
 			InvalidExample: `"Worth":0`,
 			ValidExample:   `"Worth":1`,
 		},
-		Find: func(root *jsontext.Node, report Report) {
+		Find: func(root *jsontext.Node, report ReportFunc) {
 			reportNotPositive(classes(root), "Worth", report)
 		},
 	},
 }
 
-func findObjectivesBeyondTimeout(root *jsontext.Node, report Report) {
+func findObjectivesBeyondTimeout(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
 		objective, timeout := class.Get("PromiseNs").NumberOr(0), class.Get("GiveUpNs").NumberOr(0)
 		if timeout > 0 && objective > timeout {
@@ -157,13 +157,13 @@
 	}
 }
 
-func findTooManyAttempts(root *jsontext.Node, report Report) {
+func findTooManyAttempts(root *jsontext.Node, report ReportFunc) {
 	if n := root.At("settings", "Limits", "MaxAttempts").NumberOr(0); n > maxAttempts {
 		report(formatNumber(n), "settings", "Limits", "MaxAttempts")
 	}
 }
 
-func findMissingDedupWindows(root *jsontext.Node, report Report) {
+func findMissingDedupWindows(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
 		if class.Get("Effect").TextOrEmpty() == "by_key" && class.Get("WindowNs").NumberOr(0) <= 0 {
 			report("no window", class.pathOf("WindowNs")...)
@@ -171,7 +171,7 @@
 	}
 }
 
-func findOrderedAndRepeatable(root *jsontext.Node, report Report) {
+func findOrderedAndRepeatable(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
 		if class.Get("ByArrival").IsTrue() && class.Get("Effect").TextOrEmpty() == "repeatable" {
 			report("ordered, and repeatable", class.pathOf("ByArrival")...)
@@ -179,7 +179,7 @@
 	}
 }
 
-func findSumOfShares(root *jsontext.Node, report Report) {
+func findSumOfShares(root *jsontext.Node, report ReportFunc) {
 	tenants := root.At("settings", "Tenants").Elements()
 	sum := 0.0
 	for _, tenant := range tenants {
@@ -191,7 +191,7 @@
 }
 
 // reportNotPositive reports the values of a key that are not over 0; a missing one is valid.
-func reportNotPositive(list []listItem, key string, report Report) {
+func reportNotPositive(list []listItem, key string, report ReportFunc) {
 	for _, item := range list {
 		if value := item.Get(key); value.NumberOr(1) <= 0 {
 			report(formatNumber(value.Number), item.pathOf(key)...)
@@ -199,7 +199,7 @@
 	}
 }
 
-func findUnknownAllowedKinds(root *jsontext.Node, report Report) {
+func findUnknownAllowedKinds(root *jsontext.Node, report ReportFunc) {
 	kinds := texts(root, "settings", "MachineTypes")
 	for _, class := range classes(root) {
 		for i, kind := range class.Get("AllowedOn").Elements() {
@@ -213,7 +213,7 @@
 	}
 }
 
-func findInvalidLateWeights(root *jsontext.Node, report Report) {
+func findInvalidLateWeights(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
 		if weight := class.Get("LateWorth").NumberOr(0); weight < 0 || weight > 1 {
 			report(formatNumber(weight), class.pathOf("LateWorth")...)
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -16,11 +16,11 @@
 	check.Check
 
 	Kind check.FileKind // the files that it applies to
-	Find func(root *jsontext.Node, report Report)
+	Find func(root *jsontext.Node, report ReportFunc)
 }
 
-// Report receives what a rule finds: what was observed, and the path of the value.
-type Report func(observed string, path ...string)
+// ReportFunc receives what a rule finds: what was observed, and the path of the value.
+type ReportFunc func(observed string, path ...string)
 
 // Table is every check of this layer, in order of the codes.
 var Table = inCodeOrder(classAndTenantRules, engineRules, brokerRules, knownListRules, operatorRules)
@@ -70,8 +70,8 @@
 
 // unique returns the Find function of a rule by which a key has another value in each item of some lists. The
 // lists are compared each by itself.
-func unique(key string, lists ...[]string) func(*jsontext.Node, Report) {
-	return func(root *jsontext.Node, report Report) {
+func unique(key string, lists ...[]string) func(*jsontext.Node, ReportFunc) {
+	return func(root *jsontext.Node, report ReportFunc) {
 		for _, list := range lists {
 			seen := map[string]bool{}
 			for _, item := range items(root, list...) {
