--- a/internal/check/faultinjection/faultinjection_test.go
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -40,7 +40,7 @@
 func TestNoFalseFindings(t *testing.T) {
 	for seed := range uint64(seeds) {
 		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
-			doc := Valid(rand.New(rand.NewPCG(seed, 0)), kind)
+			doc := ValidConfig(rand.New(rand.NewPCG(seed, 0)), kind)
 			if findings := checkFile(t, doc); len(findings) > 0 {
 				t.Fatalf("seed %d: %v", seed, findings[0])
 			}
@@ -55,7 +55,7 @@
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		fault := faults[int(seed)%len(faults)]
-		doc := Valid(rng, fault.Kind)
+		doc := ValidConfig(rng, fault.Kind)
 		key := jsontext.FormatPath(fault.Inject(rng, doc)...)
 		injected[fault.Code]++
 		findings := checkFile(t, doc)
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -26,8 +26,8 @@
 	minToSplit     = 20  // less is one tenant's share
 )
 
-// Valid generates a valid file of a kind.
-func Valid(rng *rand.Rand, kind check.FileKind) map[string]any {
+// ValidConfig generates a valid file of a kind.
+func ValidConfig(rng *rand.Rand, kind check.FileKind) map[string]any {
 	if kind == check.OperatorFile {
 		return OperatorConfig(rng)
 	}
--- a/measure/config/checker.go
+++ b/measure/config/checker.go
@@ -41,7 +41,7 @@
 			found++
 		}
 		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
-			findings, err := checkFile(faultinjection.Valid(rand.New(rand.NewPCG(seed, 2)), kind))
+			findings, err := checkFile(faultinjection.ValidConfig(rand.New(rand.NewPCG(seed, 2)), kind))
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 // isFound reports whether an injected fault is found under its code at its path.
 func isFound(fault faultinjection.Fault, seed uint64) (bool, error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	doc := faultinjection.Valid(rng, fault.Kind)
+	doc := faultinjection.ValidConfig(rng, fault.Kind)
 	key := jsontext.FormatPath(fault.Inject(rng, doc)...)
 	findings, err := checkFile(doc)
 	return slices.ContainsFunc(findings, func(f check.Finding) bool {
