--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -74,7 +74,7 @@
 	if c.first == nil {
 		c.first = file
 	}
-	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPortSuffix) {
+	if !strings.HasSuffix(file.Root.Get("listen").StringOrEmpty(), check.AnyPortSuffix) {
 		c.checkUnique(file, DuplicateAddress, "listen")
 	}
 	c.checkUnique(file, DuplicateName, "name")
@@ -115,7 +115,7 @@
 	file *check.File, violated check.Check, known map[string]definition, keys []string, path ...string,
 ) {
 	for i, value := range file.Root.At(path...).Elements() {
-		name := value.Get("Name").TextOrEmpty()
+		name := value.Get("Name").StringOrEmpty()
 		first, exists := known[name]
 		if !exists {
 			known[name] = definition{file, value}
@@ -192,15 +192,15 @@
 			clear(engines)
 		}
 		for _, host := range event.At("fleet", "hosts").Elements() {
-			id := host.Get("host").TextOrEmpty()
-			if host.Get("health").TextOrEmpty() == changelog.HealthTerminated {
+			id := host.Get("host").StringOrEmpty()
+			if host.Get("health").StringOrEmpty() == changelog.HealthTerminated {
 				delete(engines, id)
 				continue
 			}
 			engines[id] = strings.Join([]string{
-				host.Get("dial").TextOrEmpty(),
-				host.Get("health").TextOrEmpty(),
-				host.Get("class").TextOrEmpty(),
+				host.Get("dial").StringOrEmpty(),
+				host.Get("health").StringOrEmpty(),
+				host.Get("class").StringOrEmpty(),
 				describe(host.Get("born_ms")),
 			}, " ")
 		}
--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -61,7 +61,7 @@
 			ValidExample:   `"listen":"10.0.0.4:6565"`,
 		},
 		Find: func(root *jsontext.Node, report ReportFunc) {
-			address, err := netip.ParseAddrPort(root.Get("listen").TextOrEmpty())
+			address, err := netip.ParseAddrPort(root.Get("listen").StringOrEmpty())
 			if err == nil && address.Addr().IsUnspecified() {
 				report(address.String(), "listen")
 			}
@@ -77,8 +77,8 @@
 			ValidExample:   `"listen":"10.0.0.4:6565","changelog":"10.2.0.1:4222"`,
 		},
 		Find: func(root *jsontext.Node, report ReportFunc) {
-			listen := root.Get("listen").TextOrEmpty()
-			changelog := root.Get("changelog").TextOrEmpty()
+			listen := root.Get("listen").StringOrEmpty()
+			changelog := root.Get("changelog").StringOrEmpty()
 			if listen != "" && listen == changelog && !strings.HasSuffix(listen, check.AnyPortSuffix) {
 				report(listen, "changelog")
 			}
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/knownlist.go
@@ -86,14 +86,14 @@
 }
 
 func isRemoved(host *jsontext.Node) bool {
-	return host.Get("health").TextOrEmpty() == changelog.HealthTerminated
+	return host.Get("health").StringOrEmpty() == changelog.HealthTerminated
 }
 
 // enginesInService counts the engines that the known events leave in the list.
 func enginesInService(root *jsontext.Node) int {
 	inService := map[string]bool{}
 	for _, host := range allHosts(root) {
-		inService[host.Get("host").TextOrEmpty()] = !isRemoved(host.Node)
+		inService[host.Get("host").StringOrEmpty()] = !isRemoved(host.Node)
 	}
 	count := 0
 	for _, listed := range inService {
@@ -108,7 +108,7 @@
 	for _, event := range events(root) {
 		engineAt := map[string]string{} // by address
 		for _, host := range hosts(root, event) {
-			address, id := host.Get("dial").TextOrEmpty(), host.Get("host").TextOrEmpty()
+			address, id := host.Get("dial").StringOrEmpty(), host.Get("host").StringOrEmpty()
 			if isRemoved(host.Node) || address == "" {
 				continue
 			}
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, host := range allHosts(root) {
-		if kind := host.Get("class").TextOrEmpty(); !kinds[kind] {
+		if kind := host.Get("class").StringOrEmpty(); !kinds[kind] {
 			report(strconv.Quote(kind), host.pathOf("class")...)
 		}
 	}
--- a/internal/check/rules/operator.go
+++ b/internal/check/rules/operator.go
@@ -112,13 +112,13 @@
 
 // isUnprotected reports whether packets to a collectd server are neither signed nor encrypted.
 func isUnprotected(destination listItem) bool {
-	security := destination.Get("security").TextOrEmpty()
+	security := destination.Get("security").StringOrEmpty()
 	return security == "" || security == "none"
 }
 
 func findUnprotectedPackets(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
-		address, err := netip.ParseAddrPort(destination.Get("address").TextOrEmpty())
+		address, err := netip.ParseAddrPort(destination.Get("address").StringOrEmpty())
 		if err == nil && !address.Addr().IsLoopback() && isUnprotected(destination) {
 			report(address.String(), destination.pathOf("address")...)
 		}
@@ -127,7 +127,7 @@
 
 func findUnusedUsers(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
-		if isUnprotected(destination) && destination.Get("user").TextOrEmpty() != "" {
+		if isUnprotected(destination) && destination.Get("user").StringOrEmpty() != "" {
 			report("a user, and no security", destination.pathOf("user")...)
 		}
 	}
--- a/internal/check/rules/requests.go
+++ b/internal/check/rules/requests.go
@@ -165,7 +165,7 @@
 
 func findMissingDedupWindows(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
-		if class.Get("Effect").TextOrEmpty() == "by_key" && class.Get("WindowNs").NumberOr(0) <= 0 {
+		if class.Get("Effect").StringOrEmpty() == "by_key" && class.Get("WindowNs").NumberOr(0) <= 0 {
 			report("no window", class.pathOf("WindowNs")...)
 		}
 	}
@@ -173,7 +173,7 @@
 
 func findOrderedAndRepeatable(root *jsontext.Node, report ReportFunc) {
 	for _, class := range classes(root) {
-		if class.Get("ByArrival").IsTrue() && class.Get("Effect").TextOrEmpty() == "repeatable" {
+		if class.Get("ByArrival").IsTrue() && class.Get("Effect").StringOrEmpty() == "repeatable" {
 			report("ordered, and repeatable", class.pathOf("ByArrival")...)
 		}
 	}
@@ -203,9 +203,9 @@
 	kinds := texts(root, "settings", "MachineTypes")
 	for _, class := range classes(root) {
 		for i, kind := range class.Get("AllowedOn").Elements() {
-			if !kinds[kind.TextOrEmpty()] {
+			if !kinds[kind.StringOrEmpty()] {
 				report(
-					strconv.Quote(kind.TextOrEmpty()),
+					strconv.Quote(kind.StringOrEmpty()),
 					class.pathOf("AllowedOn", strconv.Itoa(i))...,
 				)
 			}
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -75,7 +75,7 @@
 		for _, list := range lists {
 			seen := map[string]bool{}
 			for _, item := range items(root, list...) {
-				value := item.Get(key).TextOrEmpty()
+				value := item.Get(key).StringOrEmpty()
 				if value == "" {
 					continue
 				}
@@ -92,7 +92,7 @@
 func texts(root *jsontext.Node, path ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, element := range root.At(path...).Elements() {
-		all[element.TextOrEmpty()] = true
+		all[element.StringOrEmpty()] = true
 	}
 	return all
 }
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -117,8 +117,8 @@
 	return n.Number
 }
 
-// TextOrEmpty returns the value of a string, and the empty string for any other value.
-func (n *Node) TextOrEmpty() string {
+// StringOrEmpty returns the value of a string, and the empty string for any other value.
+func (n *Node) StringOrEmpty() string {
 	if n == nil || n.Kind != String {
 		return ""
 	}
