--- a/cmd/wheatlane/check.go
+++ b/cmd/wheatlane/check.go
@@ -160,5 +160,5 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	return io.ReadAll(io.LimitReader(f, jsontext.MaxText+1))
+	return io.ReadAll(io.LimitReader(f, jsontext.MaxTextBytes+1))
 }
--- a/internal/jsontext/parse.go
+++ b/internal/jsontext/parse.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// MaxText is the largest text that is parsed, in bytes; a list of thousands of engines is smaller.
-	MaxText = 4 << 20
+	// MaxTextBytes is the largest text that is parsed, in bytes; a list of thousands of engines is smaller.
+	MaxTextBytes = 4 << 20
 
 	maxDepth      = 64 // nested objects and arrays; a configuration has eight
 	byteOrderMark = "\xef\xbb\xbf"
@@ -34,10 +34,10 @@
 func Parse(text []byte) (root *Node, duplicates []Member, err error) {
 	start := Position{Line: 1, Column: 1}
 	switch {
-	case len(text) > MaxText:
+	case len(text) > MaxTextBytes:
 		return nil, nil, &SyntaxError{
 			start,
-			fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxText),
+			fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxTextBytes),
 		}
 	case bytes.HasPrefix(text, []byte(byteOrderMark)):
 		return nil, nil, &SyntaxError{start, "a byte order mark stands ahead of the value"}
