--- a/cmd/wheatlane/check.go
+++ b/cmd/wheatlane/check.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 
 	"wheatlane/internal/check"
+	"wheatlane/internal/check/fileformat"
 	"wheatlane/internal/check/fleet"
-	"wheatlane/internal/check/form"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/jsontext"
 )
@@ -90,7 +90,7 @@
 	findings := []check.Finding{} // not nil, as it is printed as a JSON array
 	var parsed []*check.File
 	for _, file := range files {
-		f, found, err := form.Run(file.name, file.text)
+		f, found, err := fileformat.Run(file.name, file.text)
 		if err != nil {
 			return nil, err
 		}
@@ -107,7 +107,7 @@
 
 // allChecks returns the checks of all layers.
 func allChecks() []check.Check {
-	checks := slices.Clone(form.Table)
+	checks := slices.Clone(fileformat.Table)
 	for _, rule := range rules.Table {
 		checks = append(checks, rule.Check)
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
 // Package check holds what the layers of the configuration checker share: files with the positions of their
-// values, findings, and the entries of the table of checks. The layers are the packages form, rules and fleet
+// values, findings, and the entries of the table of checks. The layers are the packages fileformat, rules and fleet
 // in this directory.
 package check
 
--- a/internal/check/faultinjection/faultinjection_test.go
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"wheatlane/internal/check"
+	"wheatlane/internal/check/fileformat"
 	"wheatlane/internal/check/fleet"
-	"wheatlane/internal/check/form"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/jsontext"
 )
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, findings, err := form.Run("a.json", text)
+	f, findings, err := fileformat.Run("a.json", text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		"{\"telemetry\":{},\n \"telemetry\":{}}": "F002",
 		"[]":                                     "F004",
 	} {
-		_, findings, err := form.Run("a.json", []byte(text))
+		_, findings, err := fileformat.Run("a.json", []byte(text))
 		if err != nil || len(findings) != 1 || findings[0].Code != want {
 			t.Errorf("%.20q: %v, %v, want %s", text, findings, err, want)
 		}
@@ -95,7 +95,7 @@
 // The position of a finding is that of the value in the file as it is written.
 func TestPositions(t *testing.T) {
 	text := "{\n  \"telemetry\": {\n    \"interval_ms\": 5,\n    \"intervall\": 7\n  }\n}\n"
-	_, findings, err := form.Run("a.json", []byte(text))
+	_, findings, err := fileformat.Run("a.json", []byte(text))
 	if err != nil || len(findings) != 2 {
 		t.Fatal(findings, err)
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checks := slices.Clone(form.Table)
+	checks := slices.Clone(fileformat.Table)
 	for _, r := range rules.Table {
 		checks = append(checks, r.Check)
 	}
--- a/internal/check/faultinjection/formfaults.go
+++ b/internal/check/faultinjection/formatfaults.go
@@ -7,8 +7,8 @@
 	"wheatlane/internal/check"
 )
 
-// formFaults are faults of the layer of form: types, bounds, keys and addresses.
-func formFaults() []Fault {
+// formatFaults are faults of the layer fileformat: types, bounds, keys and addresses.
+func formatFaults() []Fault {
 	return slices.Concat(
 		typeFaults(), rangeFaults(), keyFaults(), destinationFaults(), missingKeyFaults(),
 	)
--- a/internal/check/faultinjection/rulefaults.go
+++ b/internal/check/faultinjection/rulefaults.go
@@ -13,7 +13,7 @@
 // Faults returns all kinds of fault. Each violates no check but its own, or is found at its own path
 // nevertheless.
 func Faults() []Fault {
-	return slices.Concat(ruleFaults(), domainListFaults(), formFaults())
+	return slices.Concat(ruleFaults(), domainListFaults(), formatFaults())
 }
 
 // ruleFaults are faults of the layer of rules.
--- a/internal/check/form/form.go
+++ b/internal/check/fileformat/fileformat.go
@@ -1,6 +1,6 @@
-// Package form is the layer of the checker for values that can't be read: text that is no JSON, keys that are
+// Package fileformat is the layer of the checker for values that can't be read: text that is no JSON, keys that are
 // duplicate or unknown, values of a wrong type or out of range. It does no I/O.
-package form
+package fileformat
 
 import (
 	"errors"
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 
 	"wheatlane/internal/check"
 	"wheatlane/internal/check/faultinjection"
-	"wheatlane/internal/check/form"
+	"wheatlane/internal/check/fileformat"
 )
 
 type object = map[string]any
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f, _, err := form.Run(fmt.Sprint(i, ".json"), text)
+		f, _, err := fileformat.Run(fmt.Sprint(i, ".json"), text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -12,7 +12,7 @@
 
 	"wheatlane/control"
 	"wheatlane/control/idempotency"
-	"wheatlane/internal/check/form"
+	"wheatlane/internal/check/fileformat"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/config"
 	"wheatlane/internal/operatorconfig"
@@ -47,7 +47,7 @@
 func TestExample(t *testing.T) {
 	broker, operator := generate(t, example(t))
 	for name, text := range map[string][]byte{"broker.json": broker, "operator.json": operator} {
-		f, findings, err := form.Run(name, text)
+		f, findings, err := fileformat.Run(name, text)
 		if err != nil || len(findings) > 0 || len(rules.Run(f)) > 0 {
 			t.Errorf("%s: %v %v %v", name, findings, rules.Run(f), err)
 		}
--- a/measure/config/checker.go
+++ b/measure/config/checker.go
@@ -8,8 +8,8 @@
 
 	"wheatlane/internal/check"
 	"wheatlane/internal/check/faultinjection"
+	"wheatlane/internal/check/fileformat"
 	"wheatlane/internal/check/fleet"
-	"wheatlane/internal/check/form"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/jsontext"
 )
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, findings, err := form.Run("a.json", text)
+	f, findings, err := fileformat.Run("a.json", text)
 	if f != nil {
 		findings = append(findings, rules.Run(f)...)
 	}
@@ -117,7 +117,7 @@
 	files := make([]*check.File, len(texts))
 	count := 0
 	for i, text := range texts {
-		f, findings, err := form.Run(fmt.Sprint(i, ".json"), text)
+		f, findings, err := fileformat.Run(fmt.Sprint(i, ".json"), text)
 		if err != nil {
 			return 0, err
 		}
