--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config is the one place where the platform's configuration is read, checked and given defaults: the
-// RELAY_* variables, the JSON file that one of them names, and the settings object in it, which the adapter
-// gets over the simulator's line protocol. Every error names the key at fault.
+// Package config reads the platform's configuration, validates it and applies defaults. The configuration
+// consists of the RELAY_* environment variables, the JSON file that RELAY_CONFIG names, and the settings object in
+// that file, which the adapter receives over the simulator's line protocol instead. Every error names the key at
+// fault.
 package config
 
 import (
@@ -11,33 +12,33 @@
 	"wheatlane/internal/changelog"
 )
 
-// Config is the configuration of a broker.
+// Config configures a broker.
 type Config struct {
-	Name             string         // in the log
+	Name             string         // of the broker in the log
 	Listen           string         // address and port for clients
 	Changelog        string         // address and port of the change log
-	PeerListen       string         // address and port for gossip of other brokers; empty: no gossip
-	Peers            []string       // gossip address and port of every broker of the fleet, by BrokerIndex
+	PeerListen       string         // address and port for gossip from other brokers; empty: no gossip
+	Peers            []string       // gossip address and port of each broker of the fleet, by BrokerIndex
 	AdminListen      string         // address and port of the admin endpoint; empty: none
-	HandoverPath     string         // the folder through which one process hands over to the next; empty: none
-	Seed             uint64         // of random numbers
-	MemoryMB         int            // memory limit
-	MaxDescriptors   int            // limit of descriptors
-	InitialEndpoints changelog.Page // endpoint list at the start
+	HandoverPath     string         // directory of the hand-over file between processes; empty: none
+	Seed             uint64         // of the random number generator
+	MemoryMB         int            // memory limit in MB
+	MaxDescriptors   int            // limit of open file descriptors
+	InitialEndpoints changelog.Page // endpoint list at startup
 	Settings         Settings
-	Keys             []string // paths of the keys that the file gives, sorted
+	Keys             []string // paths of the keys in the file, sorted
 }
 
-// The variables of the environment. Those of values take precedence over the file.
+// Environment variables. All but RELAY_CONFIG override values of the file.
 const (
-	envConfig       = "RELAY_CONFIG" // path of the file
+	envConfig       = "RELAY_CONFIG" // path of the configuration file
 	envName         = "RELAY_NAME"
 	envListen       = "RELAY_LISTEN"
 	envAdminListen  = "RELAY_OPERATOR"
 	envHandoverPath = "TMPDIR"
 )
 
-// Load reads the configuration; getenv looks up a variable of the environment.
+// Load reads the file that RELAY_CONFIG names and applies the environment variables, which getenv looks up.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -54,9 +55,9 @@
 	return cfg, nil
 }
 
-// applyEnvironment sets the values that the environment gives; they take precedence over those of the file.
+// applyEnvironment overrides values of the file with those of environment variables that are set.
 func (c *Config) applyEnvironment(getenv func(string) string) {
-	for _, v := range []struct {
+	for _, variable := range []struct {
 		name  string
 		value *string
 	}{
@@ -65,8 +66,8 @@
 		{envAdminListen, &c.AdminListen},
 		{envHandoverPath, &c.HandoverPath},
 	} {
-		if value := getenv(v.name); value != "" {
-			*v.value = value
+		if value := getenv(variable.name); value != "" {
+			*variable.value = value
 		}
 	}
 	if c.HandoverPath == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,12 +13,12 @@
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"changelog":"127.0.0.1:4222","known":{"seq":3,"results":[]},
  "settings":{"RequestClasses":[{"Name":"a","Effect":"repeatable","GiveUpNs":2000000000}]}}`
 
-// change is what is replaced in a file, once.
+// change replaces the first occurrence of a text in a file.
 type change struct{ from, to string }
 
 func (c change) apply(text string) string { return strings.Replace(text, c.from, c.to, 1) }
 
-// load reads a file with this text and these variables of the environment.
+// load loads a file with a text, under environment variables.
 func load(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -33,15 +33,15 @@
 	})
 }
 
-// The admin endpoint's address is in the file or in RELAY_OPERATOR, which goes first; without either there is
-// none.
+// The admin endpoint's address comes from RELAY_OPERATOR or else from the file. With neither, a broker has no admin
+// endpoint.
 func TestAdminListen(t *testing.T) {
 	withAddress := change{`"changelog"`, `"operator":"127.0.0.4:7000","changelog"`}.apply(validFile)
 	for name, c := range map[string]struct{ text, env, want string }{
-		"none":           {validFile, "", ""},
-		"in the file":    {withAddress, "", "127.0.0.4:7000"},
-		"in both":        {withAddress, "127.0.0.4:7001", "127.0.0.4:7001"},
-		"in environment": {validFile, "127.0.0.4:7001", "127.0.0.4:7001"},
+		"none":            {validFile, "", ""},
+		"in the file":     {withAddress, "", "127.0.0.4:7000"},
+		"in both":         {withAddress, "127.0.0.4:7001", "127.0.0.4:7001"},
+		"in the variable": {validFile, "127.0.0.4:7001", "127.0.0.4:7001"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, err := load(t, c.text, map[string]string{"RELAY_OPERATOR": c.env})
@@ -52,19 +52,22 @@
 	}
 }
 
-// Brokers gossip only where the settings allow it and the addresses are there.
+// Gossip is enabled only if the settings allow it and all addresses are configured; invalid addresses are errors.
 func TestGossipAddresses(t *testing.T) {
 	const allowed = `"PeersTotal":2,"Limits":{"Peers":true},"RequestClasses"`
 	base := change{`"RequestClasses"`, allowed}.apply(validFile)
 	for name, c := range map[string]struct{ keys, want string }{
-		"none": {"", "false"},
-		"all": {
+		"no addresses": {"", "false"},
+		"all addresses": {
 			`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],`, "true",
 		},
-		"no listen":      {`"peers":["127.0.1.1:7946","127.0.1.2:7946"],`, "false"},
-		"invalid listen": {`"peer_listen":"here","peers":["127.0.1.1:7946","127.0.1.2:7946"],`, "peer_listen:"},
-		"too few peers":  {`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946"],`, "peers: 1 addresses"},
-		"invalid peer":   {`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946","b"],`, "peers[1]:"},
+		"no listen address":      {`"peers":["127.0.1.1:7946","127.0.1.2:7946"],`, "false"},
+		"invalid listen address": {`"peer_listen":"here","peers":["127.0.1.1:7946","127.0.1.2:7946"],`, "peer_listen:"},
+		"too few peers": {
+			`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946"],`,
+			"peers: must have 2 addresses as in settings.PeersTotal, got 1",
+		},
+		"invalid peer": {`"peer_listen":"127.0.0.4:7946","peers":["127.0.1.1:7946","b"],`, "peers[1]:"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, err := load(t, change{`"changelog"`, c.keys + `"changelog"`}.apply(base), nil)
@@ -94,22 +97,22 @@
 	}
 }
 
-// Every fault ends in an error that names the key.
-func TestFaultsNameTheKey(t *testing.T) {
+// Each invalid value results in an error that names its key.
+func TestErrorsNameTheKey(t *testing.T) {
 	for key, fault := range map[string]change{
-		"listen:":                              {`127.0.0.4:6565`, `nowhere`},
-		"changelog:":                           {`127.0.0.1:4222`, ``},
-		"operator:":                            {`"changelog"`, `"operator":"desk","changelog"`},
-		"seed:":                                {`8c1f30d27a5be964`, `xyz`},
-		"limits.memory_mb:":                    {`"memory_mb":192`, `"memory_mb":1`},
-		"limits.sockets:":                      {`"sockets":1024`, `"sockets":-5`},
-		"limits.sockets: a JSON string":        {`"sockets":1024`, `"sockets":"x"`},
-		"known: ":                              {`"results":[]`, `"results":[{"fleet":{"hosts":[{"host":"a"}]}}]`},
-		"settings: missing":                    {`"settings"`, `"setting"`},
-		"settings.RequestClasses[0].Effect:":   {`repeatable`, `odd`},
-		"settings.RequestClasses[0].KeyScope:": {`"Effect"`, `"KeyScope":"odd","Effect"`},
-		"settings.Limits.MaxStreams:":          {`"RequestClasses"`, `"Limits":{"MaxStreams":-1},"RequestClasses"`},
-		"settings.RequestClasses.Name: a JSON": {`"Name":"a"`, `"Name":7`},
+		"listen:":                                {`127.0.0.4:6565`, `nowhere`},
+		"changelog:":                             {`127.0.0.1:4222`, ``},
+		"operator:":                              {`"changelog"`, `"operator":"desk","changelog"`},
+		"seed:":                                  {`8c1f30d27a5be964`, `xyz`},
+		"limits.memory_mb:":                      {`"memory_mb":192`, `"memory_mb":1`},
+		"limits.sockets:":                        {`"sockets":1024`, `"sockets":-5`},
+		"limits.sockets: unexpected JSON string": {`"sockets":1024`, `"sockets":"x"`},
+		"known: ":                                {`"results":[]`, `"results":[{"fleet":{"hosts":[{"host":"a"}]}}]`},
+		"settings: required key is missing":      {`"settings"`, `"setting"`},
+		"settings.RequestClasses[0].Effect:":     {`repeatable`, `odd`},
+		"settings.RequestClasses[0].KeyScope:":   {`"Effect"`, `"KeyScope":"odd","Effect"`},
+		"settings.Limits.MaxStreams:":            {`"RequestClasses"`, `"Limits":{"MaxStreams":-1},"RequestClasses"`},
+		"settings.RequestClasses.Name: unexpected JSON": {`"Name":"a"`, `"Name":7`},
 	} {
 		t.Run(key, func(t *testing.T) {
 			text := fault.apply(validFile)
@@ -120,11 +123,11 @@
 	}
 	_, err := Load(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("got %v without a file", err)
+		t.Errorf("got %v without RELAY_CONFIG, want an error that names it", err)
 	}
 }
 
-func TestEnginesReportTheirLoadIfSettingsNameItsFields(t *testing.T) {
+func TestEnginesReportLoadIfSettingsNameItsFields(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"Stats": {"Fields": ["queue", "x1"]}}`: 2,
 		`{"Stats": {"Fields": []}}`:              0,
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -16,8 +16,9 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// The words of each deployment that a broker reads are those that the platform's files use.
-func TestWordsOfDeployments(t *testing.T) {
+// The names that each deployment has for keys and values map to those of the platform's files as in the golden files,
+// which also record whether the schema of the broker's configuration has the key.
+func TestNamesOfDeployments(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/wire.json")
 	if err != nil || len(sites) == 0 {
 		t.Fatalf("%q, %v", sites, err)
@@ -27,7 +28,7 @@
 		t.Fatal(err)
 	}
 	known := map[string]bool{}
-	keysOf(schema.Properties["settings"], known)
+	addSchemaKeys(schema.Properties["settings"], known)
 	for _, site := range sites {
 		var wire struct {
 			Init struct {
@@ -35,10 +36,10 @@
 				Rename, Words map[string]string
 			}
 		}
-		read(t, site, &wire)
+		readJSON(t, site, &wire)
 		var out strings.Builder
 		for _, from := range slices.Sorted(maps.Keys(wire.Init.Rename)) {
-			word := pascal(wire.Init.Rename[from])
+			word := pascalCase(wire.Init.Rename[from])
 			fmt.Fprintf(&out, "%s %s read=%v as time=%v\n", from, word, known[word], known[word+wire.Init.UnitSuffix])
 		}
 		for _, from := range slices.Sorted(maps.Keys(wire.Init.Words)) {
@@ -46,12 +47,12 @@
 		}
 		name := filepath.Base(filepath.Dir(site))
 		goldenfile.Compare(t, filepath.Join("testdata", name+".words.txt"), out.String())
-		t.Run(name, func(t *testing.T) { listOfDeployment(t, filepath.Join(filepath.Dir(site), "real.json")) })
+		t.Run(name, func(t *testing.T) { testEndpointList(t, filepath.Join(filepath.Dir(site), "real.json")) })
 	}
 }
 
-// listOfDeployment reads a list of engines that is written in the words of a deployment.
-func listOfDeployment(t *testing.T, path string) {
+// testEndpointList loads an endpoint list that is written with the names of a deployment.
+func testEndpointList(t *testing.T, path string) {
 	t.Helper()
 	var words struct {
 		FeedKey string `json:"feed_key"`
@@ -62,7 +63,7 @@
 			FeedKey string `json:"feed_key"`
 		}
 	}
-	read(t, path, &words)
+	readJSON(t, path, &words)
 	type object = map[string]any
 	host := func(n int, state string) object {
 		return object{
@@ -96,7 +97,7 @@
 	goldenfile.Compare(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
 }
 
-func read(t *testing.T, path string, into any) {
+func readJSON(t *testing.T, path string, into any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,20 +108,20 @@
 	}
 }
 
-// keysOf adds the keys of a schema and of all below it.
-func keysOf(s *jsonschema.Schema, to map[string]bool) {
+// addSchemaKeys adds the keys of a schema and of all schemas below it.
+func addSchemaKeys(s *jsonschema.Schema, keys map[string]bool) {
 	if s == nil {
 		return
 	}
-	for k, p := range s.Properties {
-		to[k] = true
-		keysOf(p, to)
+	for key, property := range s.Properties {
+		keys[key] = true
+		addSchemaKeys(property, keys)
 	}
-	keysOf(s.Items, to)
+	addSchemaKeys(s.Items, keys)
 }
 
-// pascal writes the last part of rules.order_settle as OrderSettle.
-func pascal(word string) string {
+// pascalCase returns the last element of a path in Pascal case, as OrderSettle for rules.order_settle.
+func pascalCase(word string) string {
 	var b strings.Builder
 	for part := range strings.SplitSeq(word[strings.LastIndex(word, ".")+1:], "_") {
 		b.WriteString(strings.ToUpper(part[:1]) + part[1:])
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,15 +11,15 @@
 	"wheatlane/internal/jsontext"
 )
 
-// Defaults and minima of what a deployment may leave out.
+// Defaults and minimum values of the keys below limits.
 const (
 	DefaultMemoryMB = 192
-	DefaultSockets  = 1024
+	DefaultSockets  = 1024 // file descriptors
 	minMemoryMB     = 32
 	minSockets      = 64
 )
 
-// platformFile is the platform's file as it is read; fileSchema describes it.
+// platformFile decodes the platform's file; fileSchema describes it.
 type platformFile struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`
@@ -36,12 +36,13 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-var errMissing = errors.New("missing")
+// errMissing reports a key that must be present.
+var errMissing = errors.New("required key is missing")
 
-// keyError returns the error of the value at a key of the file.
+// keyError returns an error about the value of a key of the file.
 func keyError(key string, err error) error { return &jsontext.KeyError{Key: key, Err: err} }
 
-// parse reads and checks the text of a file with the environment.
+// parse decodes and validates a file, with the environment applied.
 func parse(text []byte, getenv func(string) string) (Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -82,14 +83,14 @@
 	return cfg, cfg.checkGossip()
 }
 
-// parseSeed reads a number of up to 16 hex digits; 0 without any.
+// parseSeed parses a number of up to 16 hex digits; an empty text is 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, keyError("seed", fmt.Errorf("%q is not a number of up to 16 hex digits", text))
+		return 0, keyError("seed", fmt.Errorf("must be a number of up to 16 hex digits, got %q", text))
 	}
 	return seed, nil
 }
@@ -109,15 +110,15 @@
 
 func (c *Config) checkLimits() error {
 	if c.MemoryMB < minMemoryMB {
-		return keyError("limits.memory_mb", fmt.Errorf("%d is less than %d", c.MemoryMB, minMemoryMB))
+		return keyError("limits.memory_mb", fmt.Errorf("must be at least %d, got %d", minMemoryMB, c.MemoryMB))
 	}
 	if c.MaxDescriptors < minSockets {
-		return keyError("limits.sockets", fmt.Errorf("%d is less than %d", c.MaxDescriptors, minSockets))
+		return keyError("limits.sockets", fmt.Errorf("must be at least %d, got %d", minSockets, c.MaxDescriptors))
 	}
 	return nil
 }
 
-// checkGossip checks the addresses for gossip, and turns gossip off where none are given.
+// checkGossip validates the addresses for gossip. It disables gossip if they are not configured.
 func (c *Config) checkGossip() error {
 	limits := &c.Settings.Control.Limits
 	limits.Gossip = limits.Gossip && c.PeerListen != "" && len(c.Peers) > 0
@@ -127,8 +128,10 @@
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
 		return keyError("peer_listen", err)
 	}
-	if n := c.Settings.Control.Brokers; len(c.Peers) != n {
-		return keyError("peers", fmt.Errorf("%d addresses for the %d brokers of settings.PeersTotal", len(c.Peers), n))
+	if brokers := c.Settings.Control.Brokers; len(c.Peers) != brokers {
+		return keyError(
+			"peers", fmt.Errorf("must have %d addresses as in settings.PeersTotal, got %d", brokers, len(c.Peers)),
+		)
 	}
 	for i, peer := range c.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,8 +15,8 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// values lists the values that a Go value holds, one a line, in the order of its fields and of the keys of
-// its maps. It gives no name of a type or field.
+// values lists the scalars within a Go value, in the order of its fields and of the sorted keys of its maps. It
+// includes no names of types or fields, so that a rename in Go doesn't change the golden files.
 func values(v reflect.Value) []string {
 	if kind := v.Kind(); kind == reflect.Pointer || kind == reflect.Interface {
 		if v.IsNil() {
@@ -53,15 +53,15 @@
 	return []string{scalar(v)}
 }
 
-// settingsValues lists the values of Settings. The fields of load reports stand where the decision module is
-// told whether there are any: at the place that they have in the files.
+// settingsValues lists the values of Settings. The golden files have the fields of load reports in the place of
+// EnginesReportLoad.
 func settingsValues(v reflect.Value) (all []string) {
-	module, fields := v.FieldByName("Control"), v.FieldByName("LoadReport")
-	for i := range module.NumField() {
-		if module.Type().Field(i).Name == "EnginesReportLoad" {
-			all = append(all, values(fields)...)
+	control, loadReport := v.FieldByName("Control"), v.FieldByName("LoadReport")
+	for i := range control.NumField() {
+		if control.Type().Field(i).Name == "EnginesReportLoad" {
+			all = append(all, values(loadReport)...)
 		} else {
-			all = append(all, values(module.Field(i))...)
+			all = append(all, values(control.Field(i))...)
 		}
 	}
 	for i := range v.NumField() {
@@ -72,7 +72,7 @@
 	return all
 }
 
-// scalar is a value that holds no others.
+// scalar formats a value that contains no other values.
 func scalar(v reflect.Value) string {
 	switch {
 	case v.CanInt():
@@ -87,7 +87,7 @@
 	return strconv.Quote(v.String())
 }
 
-// What files of the platform give is what it was, value by value, with the same defaults.
+// The configurations that Load returns, with defaults applied, match the golden files value by value.
 func TestParsedValues(t *testing.T) {
 	for name, path := range map[string]string{
 		"every-key":                "testdata/every-key.json",
@@ -116,8 +116,8 @@
 	}
 }
 
-// Each key of the platform's file has its own place: one that is changed or left out changes the same values
-// as it did.
+// The effect of omitting each key of the platform's file matches the golden file. The test guards against a key that
+// is decoded into the wrong field or no longer read.
 func TestEachKey(t *testing.T) {
 	text, err := os.ReadFile("testdata/every-key.json")
 	if err != nil {
@@ -137,7 +137,7 @@
 		if err != nil {
 			return []string{"rejected"}
 		}
-		c.Keys = nil // TestParsedValues covers them
+		c.Keys = nil // covered by TestParsedValues
 		return values(reflect.ValueOf(c))
 	}
 	var doc any
@@ -155,7 +155,7 @@
 	goldenfile.Compare(t, "testdata/each-key.txt", out.String())
 }
 
-// without calls f with each key of a document while the document is without it.
+// without removes each key of a document in turn, calls f with its path, and restores it.
 func without(doc any, path string, f func(key string)) {
 	switch doc := doc.(type) {
 	case map[string]any:
@@ -174,28 +174,28 @@
 	}
 }
 
-// differences are the lines that one list has and the other lacks, with the number of the line for lists of
-// one length.
-func differences(was, now []string) (all []string) {
-	if len(was) == len(now) {
-		for i := range was {
-			if was[i] != now[i] {
-				all = append(all, fmt.Sprintf("%d: %s -> %s", i, was[i], now[i]))
+// differences formats the differences between two lists: each differing line with its index if the lists have the
+// same length, otherwise the range between their common prefix and suffix. A list of one line is returned as it is.
+func differences(before, after []string) (all []string) {
+	if len(before) == len(after) {
+		for i := range before {
+			if before[i] != after[i] {
+				all = append(all, fmt.Sprintf("%d: %s -> %s", i, before[i], after[i]))
 			}
 		}
 		return all
 	}
-	if len(now) == 1 {
-		return now
+	if len(after) == 1 {
+		return after
 	}
-	first := 0
-	for first < min(len(was), len(now)) && was[first] == now[first] {
-		first++
+	prefix := 0
+	for prefix < min(len(before), len(after)) && before[prefix] == after[prefix] {
+		prefix++
 	}
-	last := 0
-	for last < min(len(was), len(now))-first && was[len(was)-1-last] == now[len(now)-1-last] {
-		last++
+	suffix := 0
+	for suffix < min(len(before), len(after))-prefix && before[len(before)-1-suffix] == after[len(after)-1-suffix] {
+		suffix++
 	}
-	return []string{fmt.Sprintf("%d: %s -> %s", first, strings.Join(was[first:len(was)-last], " "),
-		strings.Join(now[first:len(now)-last], " "))}
+	return []string{fmt.Sprintf("%d: %s -> %s", prefix, strings.Join(before[prefix:len(before)-suffix], " "),
+		strings.Join(after[prefix:len(after)-suffix], " "))}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -11,8 +11,8 @@
 	"wheatlane/control"
 )
 
-// KeysRequiringRestart names the keys in which the next configuration differs from this one, of a running broker, and
-// which take effect at the next start only. The seed is new with each start, so it is none of them.
+// KeysRequiringRestart returns the keys whose values differ between c, the configuration of a running broker, and
+// next, and which take effect at the next start only. The seed is not among them, as each start has a new one.
 func (c Config) KeysRequiringRestart(next Config) []string {
 	keys := []string{}
 	for _, key := range []struct {
@@ -35,16 +35,16 @@
 	return keys
 }
 
-// ValidateReload checks whether a configuration that was read at SIGHUP may replace the running one: it must give
-// every key that the running one gave, each class must have a client timeout, and a latency objective where
-// all running classes have one, and the limit of attempts must be over 0. The error names the key at fault.
+// ValidateReload checks that c, a configuration that was read at SIGHUP, may replace the running one. It must contain
+// every key of the running one, and a limit of attempts greater than 0. Each class must have a client timeout, and a
+// latency objective if all running classes have one. The error names the key at fault.
 func (c Config) ValidateReload(running Config) error {
-	given := map[string]bool{}
+	present := map[string]bool{}
 	for _, key := range c.Keys {
-		given[key] = true
+		present[key] = true
 	}
 	for _, key := range running.Keys {
-		if !given[key] {
+		if !present[key] {
 			return keyError(key, errMissing)
 		}
 	}
@@ -52,32 +52,31 @@
 		return err
 	}
 	if attempts := c.Settings.Control.Limits.MaxAttempts; attempts <= 0 {
-		return keyError("settings.Limits.MaxAttempts", fmt.Errorf("%d is not over 0", attempts))
+		return keyError("settings.Limits.MaxAttempts", fmt.Errorf("must be greater than 0, got %d", attempts))
 	}
 	return nil
 }
 
-// checkClasses checks classes that are to replace the running ones.
+// checkClasses validates classes that are to replace the running ones.
 func checkClasses(classes, running []control.Class) error {
 	if len(classes) == 0 {
-		return keyError("settings.RequestClasses", errors.New("none"))
+		return keyError("settings.RequestClasses", errors.New("must have at least one class, got none"))
 	}
 	lacksObjective := func(class control.Class) bool { return class.LatencyObjective <= 0 }
-	needObjective := !slices.ContainsFunc(running, lacksObjective)
+	objectiveRequired := !slices.ContainsFunc(running, lacksObjective)
 	for i, class := range classes {
 		if class.ClientTimeout <= 0 {
-			return keyError(classPath(i)+".GiveUpNs", fmt.Errorf("%d is not over 0", class.ClientTimeout))
+			return keyError(classPath(i)+".GiveUpNs", fmt.Errorf("must be greater than 0, got %d", class.ClientTimeout))
 		}
-		if class.LatencyObjective < 0 || needObjective && class.LatencyObjective == 0 {
-			return keyError(classPath(i)+".PromiseNs", fmt.Errorf("%d is not over 0", class.LatencyObjective))
+		if class.LatencyObjective < 0 || objectiveRequired && class.LatencyObjective == 0 {
+			return keyError(classPath(i)+".PromiseNs", fmt.Errorf("must be greater than 0, got %d", class.LatencyObjective))
 		}
 	}
 	return nil
 }
 
-// keyPaths are the paths of the keys of a file, down to those of the limits and of the classes, so that a key
-// that goes missing can be named. The same key of all classes is one path:
-// "settings.RequestClasses[].GiveUpNs".
+// keyPaths returns the paths of the keys in a file, down to those of the limits and of the classes, so that a reload
+// can name a key that has disappeared. A key of any class has one path for all: "settings.RequestClasses[].GiveUpNs".
 func keyPaths(text []byte) []string {
 	var file, settings map[string]json.RawMessage
 	if json.Unmarshal(text, &file) != nil || json.Unmarshal(file["settings"], &settings) != nil {
@@ -87,7 +86,7 @@
 		RequestClasses []map[string]json.RawMessage
 		Limits         map[string]json.RawMessage
 	}
-	// DecodeSettings has read the settings before: what can't be read was reported.
+	// DecodeSettings has decoded the settings before and reported values that can't be decoded.
 	_ = json.Unmarshal(file["settings"], &nested)
 	paths := map[string]bool{}
 	addKeys(paths, "", file)
@@ -99,7 +98,7 @@
 	return slices.Sorted(maps.Keys(paths))
 }
 
-// addKeys adds the keys of a JSON object to paths, behind the path of the object.
+// addKeys adds the keys of a JSON object to paths, each with the prefix.
 func addKeys(paths map[string]bool, prefix string, object map[string]json.RawMessage) {
 	for key := range object {
 		paths[prefix+key] = true
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestNeedRestart(t *testing.T) {
+func TestKeysRequiringRestart(t *testing.T) {
 	running, err := load(t, validFile, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -27,16 +27,16 @@
 		t.Run(name, func(t *testing.T) {
 			next, err := load(t, c.change.apply(validFile), nil)
 			if diff := cmp.Diff(c.want, running.KeysRequiringRestart(next)); err != nil || diff != "" {
-				t.Errorf("%v %s", err, diff)
+				t.Errorf("error %v, keys differ (-want +got): %s", err, diff)
 			}
 		})
 	}
 }
 
-// A file read at SIGHUP replaces none that gave a key more, and none at all with a timeout or limit that is
-// not over 0.
-func TestReplaces(t *testing.T) {
-	const missing, notOver0 = ": missing", ": 0 is not over 0"
+// A reload is rejected if the file lacks a key that the running configuration has, or if a client timeout or the
+// limit of attempts is not greater than 0.
+func TestValidateReload(t *testing.T) {
+	const missing, notPositive = ": required key is missing", ": must be greater than 0, got 0"
 	withAttempts := change{`"RequestClasses"`, `"Limits":{"MaxAttempts":3},"RequestClasses"`}.apply(validFile)
 	running, err := load(t, withAttempts, nil)
 	if err != nil {
@@ -44,21 +44,21 @@
 	}
 	for name, c := range map[string]struct {
 		change change
-		want   string // how the error begins; empty: none
+		want   string // prefix of the error; empty: no error
 	}{
-		"same": {change{}, ""},
-		"a class more": {
+		"no change": {change{}, ""},
+		"additional class": {
 			change{`{"Name":"a",`, `{"Name":"b","Effect":"once","GiveUpNs":3000000000},{"Name":"a",`}, "",
 		},
 		"fewer attempts": {change{`"MaxAttempts":3`, `"MaxAttempts":1`}, ""},
 		"attempts 0": {
-			change{`"MaxAttempts":3`, `"MaxAttempts":0`}, "settings.Limits.MaxAttempts" + notOver0,
+			change{`"MaxAttempts":3`, `"MaxAttempts":0`}, "settings.Limits.MaxAttempts" + notPositive,
 		},
 		"attempts missing": {change{`"MaxAttempts":3`, `"MaxStreams":3`}, "settings.Limits.MaxAttempts" + missing},
 		"client timeout 0": {
-			change{`"GiveUpNs":2000000000`, `"GiveUpNs":0`}, "settings.RequestClasses[0].GiveUpNs" + notOver0,
+			change{`"GiveUpNs":2000000000`, `"GiveUpNs":0`}, "settings.RequestClasses[0].GiveUpNs" + notPositive,
 		},
-		"endpoints missing": {change{`"known"`, `"unknown"`}, "known" + missing},
+		"endpoint list missing": {change{`"known"`, `"unknown"`}, "known" + missing},
 		"no classes": {
 			change{`[{"Name":"a","Effect":"repeatable","GiveUpNs":2000000000}]`, `[]`},
 			"settings.RequestClasses[].Effect" + missing,
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -8,7 +8,7 @@
 	"wheatlane/internal/schema"
 )
 
-// fileSchema is the platform's file as its JSON Schema describes it; platformFile is what is read of it.
+// fileSchema describes the platform's file for its JSON Schema; platformFile decodes the file.
 type fileSchema struct {
 	Name       string   `json:"name,omitempty" jsonschema:"name in the log"`
 	Listen     string   `json:"listen" jsonschema:"address and port for clients; this address only"`
@@ -24,11 +24,11 @@
 	Settings settingsObject `json:"settings"`
 }
 
-// settingsDescription is too long for a tag of its field.
+// settingsDescription describes the settings key in the schema; it is too long for a struct tag.
 const settingsDescription = "classes, tenants, engine kinds, limits and rules, as the simulator words them"
 
-// JSONSchema is the schema of the platform's file. The file holds more than a broker reads, so other keys are
-// allowed.
+// JSONSchema returns the schema of the platform's file. It allows unknown keys, as the file holds more than a broker
+// reads. The schema is shared and must not be changed.
 var JSONSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	s, err := schema.For[fileSchema]()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return s, nil
 })
 
-// relax makes every key below a schema optional and allows other keys.
+// relax makes every key below a schema optional and allows unknown keys.
 func relax(object *jsonschema.Schema) {
 	object.Required, object.AdditionalProperties = nil, nil
 	for _, property := range object.Properties {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
@@ -13,44 +12,46 @@
 	"wheatlane/internal/loadfields"
 )
 
-// Settings is the settings object of a deployment.
+// Settings holds the decoded settings object of a deployment.
 type Settings struct {
-	Control    control.Settings  // what the decision module decides by
-	LoadReport loadfields.Layout // of the load reports of engines
+	Control    control.Settings  // settings of the decision module
+	LoadReport loadfields.Layout // fields of the load reports of engines
 
-	// What only a broker on real sockets needs.
-	ConnectTimeout   time.Duration // for a connection to an engine
+	// Settings that only a broker on real sockets uses.
+	ConnectTimeout   time.Duration // of a connection to an engine
 	ConnIdleTimeout  time.Duration // after which engines close idle connections
-	MaxStreams       int           // attempts that share a connection
-	MaxClientTimeout time.Duration // the longest of all classes
-	DrainGrace       time.Duration // sends to a draining engine must leave within this; 0: not given
+	MaxStreams       int           // maximum number of attempts that share a connection
+	MaxClientTimeout time.Duration // longest client timeout of all classes
+	DrainGrace       time.Duration // time within which messages to a draining engine must be sent; 0: not configured
 }
 
-// Defaults of settings that a broker on real sockets needs and a deployment may leave out.
+// Defaults of optional settings that only a broker on real sockets uses.
 const (
 	defaultConnectTimeout  = 250 * time.Millisecond
 	defaultConnIdleTimeout = 30 * time.Second
 	defaultMaxStreams      = 100
 )
 
-// The words of the settings object that are no names of classes, zones or kinds.
+// Values of the keys Discovery and ValueBy.
 const (
 	discoveryOnRequest = "on_request"
 	valueByWork        = "work"
 )
 
-// The keys of a class that errors name.
+// Keys of a class that errors name.
 const (
 	keyIdempotency = "Effect"
 	keyDedupScope  = "KeyScope"
 )
 
+// idempotencies maps values of Effect.
 var idempotencies = map[string]idempotency.Kind{
 	"repeatable": idempotency.Idempotent,
 	"by_key":     idempotency.IdempotentWithKey,
 	"once":       idempotency.NonIdempotent,
 }
 
+// dedupScopes maps values of KeyScope.
 var dedupScopes = map[string]idempotency.Scope{
 	"":     idempotency.ScopeAll,
 	"all":  idempotency.ScopeAll,
@@ -58,8 +59,8 @@
 	"cell": idempotency.ScopeCell,
 }
 
-// settingsObject holds the keys of the settings object that are used. Its fields are named as its keys; those
-// that end in Ns hold nanoseconds.
+// settingsObject decodes the keys of the settings object that a broker uses. The fields have the names of the keys;
+// keys that end in Ns are in nanoseconds.
 type settingsObject struct {
 	PeersTotal     int
 	Position       int
@@ -89,6 +90,7 @@
 	}
 }
 
+// classObject decodes a request class.
 type classObject struct {
 	Name                string
 	PromiseNs, GiveUpNs time.Duration `limits:"min=0"`
@@ -102,8 +104,8 @@
 	AllowedOn           []string
 }
 
-// domainObject holds further attributes of classes and kinds of engines, by their positions in RequestClasses
-// and MachineTypes.
+// domainObject decodes further attributes of request classes and engine kinds. Its lists are indexed by position in
+// RequestClasses or MachineTypes.
 type domainObject struct {
 	ClassLoad      []bool
 	WidthByClass   []int
@@ -117,7 +119,7 @@
 	SaysCost       bool
 }
 
-// DecodeSettings reads and checks a settings object. Unknown keys are passed over.
+// DecodeSettings decodes and validates a settings object. It ignores unknown keys.
 func DecodeSettings(text []byte) (Settings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -148,27 +150,27 @@
 	return settings, nil
 }
 
-// checkNotNegative returns an error for the first number below 0 of those that no other check covers.
+// checkNotNegative returns an error for the first negative value among those that no other check covers.
 func (o *settingsObject) checkNotNegative() error {
 	for _, field := range []struct {
-		key      string
-		negative bool
+		key   string
+		value int64
 	}{
-		{"RoundNs", o.RoundNs < 0},
-		{"Limits.ConnectTimeoutNs", o.Limits.ConnectTimeoutNs < 0},
-		{"Limits.ConnIdleNs", o.Limits.ConnIdleNs < 0},
-		{"Limits.MaxStreams", o.Limits.MaxStreams < 0},
-		{"Limits.MaxAttempts", o.Limits.MaxAttempts < 0},
-		{"Rules.DrainGraceNs", o.Rules.DrainGraceNs < 0},
+		{"RoundNs", int64(o.RoundNs)},
+		{"Limits.ConnectTimeoutNs", int64(o.Limits.ConnectTimeoutNs)},
+		{"Limits.ConnIdleNs", int64(o.Limits.ConnIdleNs)},
+		{"Limits.MaxStreams", int64(o.Limits.MaxStreams)},
+		{"Limits.MaxAttempts", int64(o.Limits.MaxAttempts)},
+		{"Rules.DrainGraceNs", int64(o.Rules.DrainGraceNs)},
 	} {
-		if field.negative {
-			return keyError("settings."+field.key, errors.New("must not be negative"))
+		if field.value < 0 {
+			return keyError("settings."+field.key, fmt.Errorf("must not be negative, got %d", field.value))
 		}
 	}
 	return nil
 }
 
-// control is what the decision module takes of the object, but the classes.
+// control returns the settings of the decision module without the classes, which DecodeSettings adds.
 func (o *settingsObject) control() control.Settings {
 	settings := control.Settings{
 		Brokers:              o.PeersTotal,
@@ -210,26 +212,30 @@
 			Cores: elementOrZero(o.Domain.SizeCores, i), MemoryMB: elementOrZero(o.Domain.KindMemoryMb, i),
 		}
 	}
-	for _, t := range o.Tenants {
+	for _, tenant := range o.Tenants {
 		settings.Tenants = append(settings.Tenants, control.Tenant{
-			Name: t.Name, Share: units.Fraction(t.Share), Quota: units.PerSecond(t.QuotaPerS),
+			Name: tenant.Name, Share: units.Fraction(tenant.Share), Quota: units.PerSecond(tenant.QuotaPerS),
 		})
 	}
 	return settings
 }
 
-// classPath is the path of the class at a position of RequestClasses.
+// classPath returns the path of the class at a position in RequestClasses.
 func classPath(position int) string { return fmt.Sprintf("settings.RequestClasses[%d]", position) }
 
-// decode checks the class at a position of RequestClasses.
+// decode validates and converts the class at a position in RequestClasses.
 func (c *classObject) decode(domain domainObject, position int) (control.Class, *jsontext.KeyError) {
 	kind, ok := idempotencies[c.Effect]
 	if !ok {
-		return control.Class{}, &jsontext.KeyError{Key: keyIdempotency, Err: fmt.Errorf("unknown effect %q", c.Effect)}
+		return control.Class{}, &jsontext.KeyError{
+			Key: keyIdempotency, Err: fmt.Errorf("must be repeatable, by_key or once, got %q", c.Effect),
+		}
 	}
 	scope, ok := dedupScopes[c.KeyScope]
 	if !ok {
-		return control.Class{}, &jsontext.KeyError{Key: keyDedupScope, Err: fmt.Errorf("unknown scope %q", c.KeyScope)}
+		return control.Class{}, &jsontext.KeyError{
+			Key: keyDedupScope, Err: fmt.Errorf("must be all, zone or cell, got %q", c.KeyScope),
+		}
 	}
 	return control.Class{
 		Name:             c.Name,
@@ -250,7 +256,7 @@
 	}, nil
 }
 
-// elementOrZero is the element at a position, or the zero value behind the end.
+// elementOrZero returns the element at a position, or the zero value if the list is shorter.
 func elementOrZero[T any](list []T, position int) (element T) {
 	if position < len(list) {
 		element = list[position]
@@ -258,10 +264,10 @@
 	return element
 }
 
-// withDefault is the value, or the default where a deployment leaves it out.
-func withDefault[T int | time.Duration](value, standard T) T {
+// withDefault returns the value, or the default if the value is zero, as that of an omitted key is.
+func withDefault[T int | time.Duration](value, defaultValue T) T {
 	if value == 0 {
-		return standard
+		return defaultValue
 	}
 	return value
 }
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -1,5 +1,5 @@
-// Package jsontext parses JSON into a tree that keeps the position of each value, so that a checker can
-// report where a fault is. It detects what encoding/json accepts silently: duplicate keys, a byte order mark,
+// Package jsontext parses JSON into a tree that records the position of each value, so that a checker can report
+// where a fault is. It reports duplicate keys, which encoding/json accepts silently, and rejects a byte order mark and
 // text after the value.
 package jsontext
 
@@ -12,7 +12,7 @@
 // Kind is the type of a JSON value.
 type Kind int
 
-// The types of values.
+// The types of JSON values.
 const (
 	Object Kind = iota
 	Array
@@ -22,22 +22,22 @@
 	Null
 )
 
-// String returns the type with its article, as messages have it.
+// String returns the type with its article, for messages.
 func (k Kind) String() string {
-	return [...]string{"an object", "a list", "a text", "a number", "true or false", "null"}[k]
+	return [...]string{"an object", "a list", "a string", "a number", "true or false", "null"}[k]
 }
 
-// Position is a place in a text. Line and Column count from 1, columns in bytes.
+// Position is a position in a text. Line and Column count from 1; columns are in bytes.
 type Position struct{ Line, Column int }
 
 // Node is a JSON value.
 type Node struct {
 	Kind     Kind
 	Position Position
-	Text     string // of a String, and of a Number as it is written
-	Number   float64
-	Bool     bool
-	Members  []Member // of an Object, in order of the text
+	Text     string   // value of a String, or literal of a Number
+	Number   float64  // value of a Number
+	Bool     bool     // value of a Bool
+	Members  []Member // of an Object, in the order of the text
 	Items    []*Node  // of an Array
 }
 
@@ -48,7 +48,8 @@
 	Value    *Node
 }
 
-// FormatPath formats a path of keys and array indices as in telemetry.graphite[0].address.
+// FormatPath formats a path of keys and array indices, as in telemetry.graphite[0].address. The empty path is
+// "the file".
 func FormatPath(path ...string) string {
 	if len(path) == 0 {
 		return "the file"
@@ -67,7 +68,8 @@
 	return b.String()
 }
 
-// Get returns the value of a key, nil if n is no object or lacks it. n may be nil, as in all methods.
+// Get returns the value of a key, or nil if n is not an object or lacks the key. As in all methods but Any, n may be
+// nil.
 func (n *Node) Get(key string) *Node {
 	if n == nil {
 		return nil
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// At returns the value at a path of keys and array indices, nil if there is none.
+// At returns the value at a path of keys and array indices, or nil if there is none.
 func (n *Node) At(path ...string) *Node {
 	for _, key := range path {
 		if n != nil && n.Kind == Array {
@@ -92,7 +94,7 @@
 	return n
 }
 
-// item returns the item of an array at an index in decimal digits, nil if there is none.
+// item returns the item of an array at an index in decimal digits, or nil if there is none.
 func (n *Node) item(index string) *Node {
 	i, err := strconv.Atoi(index)
 	if err != nil || i < 0 || i >= len(n.Items) {
@@ -101,7 +103,7 @@
 	return n.Items[i]
 }
 
-// Elements returns the items of an array, nil for any other value.
+// Elements returns the items of an array, or nil for any other value.
 func (n *Node) Elements() []*Node {
 	if n == nil || n.Kind != Array {
 		return nil
@@ -109,7 +111,7 @@
 	return n.Items
 }
 
-// NumberOr returns the value of a number, and a default for any other value.
+// NumberOr returns the value of a number, or the default for any other value.
 func (n *Node) NumberOr(defaultValue float64) float64 {
 	if n == nil || n.Kind != Number {
 		return defaultValue
@@ -117,7 +119,7 @@
 	return n.Number
 }
 
-// StringOrEmpty returns the value of a string, and the empty string for any other value.
+// StringOrEmpty returns the value of a string, or the empty string for any other value.
 func (n *Node) StringOrEmpty() string {
 	if n == nil || n.Kind != String {
 		return ""
@@ -128,8 +130,7 @@
 // IsTrue reports whether the value is true.
 func (n *Node) IsTrue() bool { return n != nil && n.Kind == Bool && n.Bool }
 
-// Any returns the value as encoding/json decodes it, with numbers as json.Number. It is the one method that n
-// must not be nil for.
+// Any returns the value as encoding/json decodes it, with numbers as json.Number. n must not be nil.
 func (n *Node) Any() any {
 	switch n.Kind {
 	case Object:
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPositions(t *testing.T) {
+func TestParseRecordsPositions(t *testing.T) {
 	text := "{\n  \"a\": [1, {\"b\": \"x\"}],\n\t\"c\": null, \"d\":true\n}\n"
 	n, duplicates, err := Parse([]byte(text))
 	if err != nil || len(duplicates) > 0 {
@@ -35,21 +35,21 @@
 		t.Errorf("key c is at %v", n.Members[1].Position)
 	}
 	if n.At("a", "7") != nil || n.At("x", "y") != nil || n.At("c", "z") != nil {
-		t.Error("a value is found at a path that has none")
+		t.Error("At returns a value for a path that has none")
 	}
 }
 
-func TestSyntaxErrors(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{"", "1:1: the text breaks off"},
-		{"{\"a\":", "1:6: the text breaks off"},
+		{"", "1:1: JSON text is truncated"},
+		{"{\"a\":", "1:6: JSON text is truncated"},
 		{"{\n \"a\": x}", "2:7: invalid character 'x'"},
-		{"{} {}", "1:4: something follows"},
-		{"\xef\xbb\xbf{}", "1:1: a byte order mark"},
-		{strings.Repeat("[", 100_000), "more than 64 deep"},
-		{strings.Repeat(`{"a":`, 100_000), "more than 64 deep"},
-		{strings.Repeat(" ", 50<<20), "bytes, 4194304 at most"},
-		{"[1e999]", "1:2: 1e999 is beyond"},
+		{"{} {}", "1:4: unexpected text after the JSON value"},
+		{"\xef\xbb\xbf{}", "1:1: unexpected byte order mark"},
+		{strings.Repeat("[", 100_000), "nested more than 64 levels deep"},
+		{strings.Repeat(`{"a":`, 100_000), "nested more than 64 levels deep"},
+		{strings.Repeat(" ", 50<<20), "text must have at most 4194304 bytes, got 52428800"},
+		{"[1e999]", "1:2: 1e999 is out of range"},
 		{"{\"a\" 1}", "1:6: invalid character '1'"},
 	} {
 		_, _, err := Parse([]byte(c.text))
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestDuplicateKeys(t *testing.T) {
+func TestParseReturnsDuplicateKeys(t *testing.T) {
 	n, duplicates, err := Parse([]byte("{\"a\":1,\n\"b\":{\"c\":2,\"c\":3},\"a\":4}"))
 	if err != nil || len(duplicates) != 2 {
 		t.Fatalf("%+v, %v", duplicates, err)
@@ -68,11 +68,11 @@
 		t.Errorf("%+v", duplicates)
 	}
 	if first := n.Get("a").NumberOr(0); first != 1 {
-		t.Errorf("the value of a is %v", first)
+		t.Errorf("the value of a is %v, want that of its first occurrence, 1", first)
 	}
 }
 
-// Whatever the text, a tree holds what encoding/json decodes.
+// The tree of any text without duplicate keys has the value that encoding/json decodes.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"a":[1,2.5,"x",true,null,{"b":{}}]}`))
 	f.Add([]byte("[\n"))
@@ -85,7 +85,7 @@
 		d.UseNumber()
 		var want any
 		if err := d.Decode(&want); err != nil {
-			t.Fatalf("%q was parsed, but encoding/json reports %v", b, err)
+			t.Fatalf("Parse accepts %q, but encoding/json reports %v", b, err)
 		}
 		if len(duplicates) == 0 {
 			if diff := cmp.Diff(want, n.Any()); diff != "" {
--- a/internal/jsontext/keyerror_test.go
+++ b/internal/jsontext/keyerror_test.go
@@ -13,19 +13,19 @@
 	err := json.Unmarshal([]byte(`{"Limits":{"Sockets":"many"}}`), &document)
 	mismatch, ok := AsTypeMismatch(err)
 	if !ok {
-		t.Fatalf("%v is no mismatch", err)
+		t.Fatalf("%v is not reported as a type mismatch", err)
 	}
-	const want = "settings.Limits.Sockets: a JSON string does not belong here"
+	const want = "settings.Limits.Sockets: unexpected JSON string"
 	if got := mismatch.Within("settings").Error(); got != want {
 		t.Errorf("error %q, want %q", got, want)
 	}
 	if _, ok := AsTypeMismatch(errors.New("another error")); ok {
-		t.Error("another error was taken for a mismatch")
+		t.Error("another error is reported as a type mismatch")
 	}
 }
 
 func TestKeyErrorWrapsItsCause(t *testing.T) {
-	cause := errors.New("missing")
+	cause := errors.New("required key is missing")
 	if err := error((&KeyError{Key: "listen", Err: cause}).Within("file")); !errors.Is(err, cause) {
 		t.Errorf("%v does not wrap its cause", err)
 	}
--- a/internal/jsontext/parse.go
+++ b/internal/jsontext/parse.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// MaxTextBytes is the largest text that is parsed, in bytes; a list of thousands of engines is smaller.
+	// MaxTextBytes limits the length of a text that Parse accepts; a list of thousands of engines is shorter.
 	MaxTextBytes = 4 << 20
 
-	maxDepth      = 64 // nested objects and arrays; a configuration has eight
-	byteOrderMark = "\xef\xbb\xbf"
-	separators    = " \t\r\n,:" // what may stand between two tokens
+	maxDepth      = 64             // nested objects and arrays; a configuration has eight levels
+	byteOrderMark = "\xef\xbb\xbf" // of UTF-8
+	separators    = " \t\r\n,:"    // bytes that may occur between two tokens
 )
 
-// SyntaxError reports a text that is not one JSON value.
+// SyntaxError reports a text that is not exactly one JSON value, or exceeds a limit of Parse.
 type SyntaxError struct {
 	Position Position
 	Reason   string
 }
 
+// Error returns the line, the column and the reason.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("%d:%d: %s", e.Position.Line, e.Position.Column, e.Reason)
 }
 
-// Parse parses a text that holds one JSON value. It also returns the members whose key occurs earlier in the
-// same object; they are not part of the tree. An error is a *SyntaxError.
+// Parse parses a text that holds exactly one JSON value. It also returns the members whose key occurs earlier in the
+// same object; the tree does not contain them. Each error is a *SyntaxError.
 func Parse(text []byte) (root *Node, duplicates []Member, err error) {
 	start := Position{Line: 1, Column: 1}
 	switch {
 	case len(text) > MaxTextBytes:
 		return nil, nil, &SyntaxError{
 			start,
-			fmt.Sprintf("the file has %d bytes, %d at most", len(text), MaxTextBytes),
+			fmt.Sprintf("text must have at most %d bytes, got %d", MaxTextBytes, len(text)),
 		}
 	case bytes.HasPrefix(text, []byte(byteOrderMark)):
-		return nil, nil, &SyntaxError{start, "a byte order mark stands ahead of the value"}
+		return nil, nil, &SyntaxError{start, "unexpected byte order mark before the JSON value"}
 	}
 	p := &parser{text: text, decoder: json.NewDecoder(bytes.NewReader(text))}
 	p.decoder.UseNumber()
@@ -50,7 +51,7 @@
 	}
 	offset := p.nextOffset()
 	if _, err := p.decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, p.duplicates, &SyntaxError{p.position(offset), "something follows the value"}
+		return nil, p.duplicates, &SyntaxError{p.position(offset), "unexpected text after the JSON value"}
 	}
 	return root, p.duplicates, nil
 }
@@ -63,11 +64,11 @@
 	lines      lineCounter
 }
 
-// lineCounter maps offsets to positions. It scans a text once if the offsets ascend.
+// lineCounter maps offsets to positions. It scans a text only once if the offsets ascend.
 type lineCounter struct {
 	scanned   int // offset up to which lines are counted
-	line      int // line ends before scanned
-	lineStart int // offset of the last line
+	line      int // number of line ends before scanned
+	lineStart int // offset at which the last line starts
 }
 
 func (c *lineCounter) position(text []byte, offset int) Position {
@@ -94,18 +95,18 @@
 	return offset
 }
 
-// syntaxError converts an error of the decoder at a token.
+// syntaxError converts an error of the decoder about the token at an offset.
 func (p *parser) syntaxError(offset int, err error) error {
 	if syntax, ok := errors.AsType[*json.SyntaxError](err); ok {
 		return &SyntaxError{p.position(max(offset, int(syntax.Offset)-1)), syntax.Error()}
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return &SyntaxError{p.position(len(p.text)), "the text breaks off"}
+		return &SyntaxError{p.position(len(p.text)), "JSON text is truncated"}
 	}
 	return &SyntaxError{p.position(offset), err.Error()}
 }
 
-// value parses the next value, which is nested in depth objects and arrays.
+// value parses the next value, which depth objects and arrays enclose.
 func (p *parser) value(depth int) (*Node, error) {
 	offset := p.nextOffset()
 	token, err := p.decoder.Token()
@@ -131,7 +132,7 @@
 func (n *Node) setNumber(literal json.Number) (err error) {
 	n.Kind, n.Text = Number, literal.String()
 	if n.Number, err = strconv.ParseFloat(n.Text, 64); err != nil {
-		return &SyntaxError{n.Position, n.Text + " is beyond what a number can be"}
+		return &SyntaxError{n.Position, n.Text + " is out of range of a 64-bit float"}
 	}
 	return nil
 }
@@ -141,16 +142,16 @@
 	if depth >= maxDepth {
 		return &SyntaxError{
 			n.Position,
-			fmt.Sprintf("objects and lists are nested more than %d deep", maxDepth),
+			fmt.Sprintf("objects and lists are nested more than %d levels deep", maxDepth),
 		}
 	}
-	parseItems := p.array
+	parseContent := p.array
 	n.Kind = Array
 	if open == '{' {
-		parseItems = p.object
+		parseContent = p.object
 		n.Kind = Object
 	}
-	if err := parseItems(n, depth+1); err != nil {
+	if err := parseContent(n, depth+1); err != nil {
 		return err
 	}
 	offset := p.nextOffset()
@@ -168,27 +169,27 @@
 		if err != nil {
 			return p.syntaxError(offset, err)
 		}
-		m := Member{Key: fmt.Sprint(token), Position: p.position(offset)}
-		if m.Value, err = p.value(depth); err != nil {
+		member := Member{Key: fmt.Sprint(token), Position: p.position(offset)}
+		if member.Value, err = p.value(depth); err != nil {
 			return err
 		}
-		if seen[m.Key] {
-			p.duplicates = append(p.duplicates, m)
+		if seen[member.Key] {
+			p.duplicates = append(p.duplicates, member)
 			continue
 		}
-		seen[m.Key] = true
-		n.Members = append(n.Members, m)
+		seen[member.Key] = true
+		n.Members = append(n.Members, member)
 	}
 	return nil
 }
 
 func (p *parser) array(n *Node, depth int) error {
 	for p.decoder.More() {
-		v, err := p.value(depth)
+		item, err := p.value(depth)
 		if err != nil {
 			return err
 		}
-		n.Items = append(n.Items, v)
+		n.Items = append(n.Items, item)
 	}
 	return nil
 }
