--- a/internal/operatorconfig/defaults.go
+++ b/internal/operatorconfig/defaults.go
@@ -1,14 +1,14 @@
 package operatorconfig
 
-// The defaults of keys that may be omitted. The limits tags of the fields state them as well, for the schema.
+// Defaults of optional keys. The limits tags of the fields repeat them for the schema.
 const (
-	DefaultIntervalMS = 10_000
+	DefaultIntervalMS = 10_000 // milliseconds
 
 	defaultClasses  = 16
 	defaultTenants  = 32
 	defaultEngines  = 32
 	defaultDataSets = 32
-	DefaultIdleS    = 600
+	DefaultIdleS    = 600 // seconds
 
 	defaultProtocol         = "plaintext"
 	defaultPrefix           = "wheatlane"
@@ -20,7 +20,7 @@
 	defaultCollectdBudgetKB = 256
 )
 
-// setDefault sets a value that is zero.
+// setDefault sets a value to its default if it is zero.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/schema/schematest"
 )
 
-// What operators' files give is what it was, key by key in the words of the file, with the same defaults; so
-// are the passwords and the bounds on names.
+// The configurations that Load returns, with defaults applied, match the golden files, as do the passwords and the
+// cardinality limits.
 func TestParsedValues(t *testing.T) {
 	for _, c := range []struct{ name, path string }{
 		{"every-key", "testdata/every-key.json"},
@@ -26,17 +26,17 @@
 				t.Fatal(err)
 			}
 			var out bytes.Buffer
-			e := json.NewEncoder(&out)
-			e.SetIndent("", " ")
-			if err := e.Encode(f); err != nil {
+			encoder := json.NewEncoder(&out)
+			encoder.SetIndent("", " ")
+			if err := encoder.Encode(f); err != nil {
 				t.Fatal(err)
 			}
-			if err := e.Encode(f.Cardinality()); err != nil {
+			if err := encoder.Encode(f.Cardinality()); err != nil {
 				t.Fatal(err)
 			}
 			if f.Telemetry != nil {
-				for _, d := range f.Telemetry.Collectd {
-					out.WriteString("password " + d.Password + "\n")
+				for _, collectd := range f.Telemetry.Collectd {
+					out.WriteString("password " + collectd.Password + "\n")
 				}
 				out.WriteString("interval " + f.Telemetry.Interval().String() + "\n")
 			}
@@ -45,7 +45,7 @@
 	}
 }
 
-// The schema is what it was, descriptions apart.
+// The schema without its descriptions matches the golden file.
 func TestSchemaIsStable(t *testing.T) {
 	text, err := SchemaText()
 	if err != nil {
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -13,10 +13,10 @@
 	"wheatlane/internal/schema"
 )
 
-// fileSchema derives the schema when it is first needed.
+// fileSchema derives the schema on first use.
 var fileSchema = sync.OnceValues(schema.For[File])
 
-// JSONSchema returns the schema that files are validated against. It is shared and must not be changed.
+// JSONSchema returns the schema that Parse validates files against. The schema is shared and must not be changed.
 func JSONSchema() (*jsonschema.Schema, error) { return fileSchema() }
 
 // SchemaText returns the JSON SchemaText of the file (draft 2020-12) as indented text.
@@ -27,16 +27,16 @@
 	}
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("encode schema of operator's configuration: %w", err)
 	}
 	return append(text, '\n'), nil
 }
 
-// Load reads and validates a file, applies defaults, and reads the passwords that it refers to.
+// Load reads and validates a file, applies defaults, and reads the password files that it names.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("operator's file: %w", err)
+		return nil, fmt.Errorf("read operator's configuration: %w", err)
 	}
 	f, err := Parse(text)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return f, nil
 }
 
-// loadPassword reads the password file, if there is one; its path may be relative to dir.
+// loadPassword reads the password file if one is configured. Its path may be relative to dir.
 func (c *Collectd) loadPassword(dir string) error {
 	if c.PasswordFile == "" {
 		return nil
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Parse validates the text of a file and applies defaults.
+// Parse decodes and validates the text of a file and applies defaults. It doesn't read password files.
 func Parse(text []byte) (*File, error) {
 	doc, err := schema.Decode(text)
 	if err != nil {
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,15 +1,15 @@
-// Package operatorconfig reads the operator's configuration: what an installation adds to the platform's
-// configuration of a broker. The file is JSON, validated against a JSON Schema that is derived from the types
-// here, and every error names the file, the key and the reason. Without the file none of these features is
-// enabled.
+// Package operatorconfig reads the operator's configuration, which adds features of an installation to the platform's
+// configuration of a broker. Without the file, none of these features is enabled. The file is JSON and is validated
+// against a JSON Schema that is derived from the types of this package. Every error names the file, the key and the
+// reason.
 package operatorconfig
 
 import "time"
 
-// EnvPath is the environment variable that names the file where no flag does.
+// EnvPath names the environment variable with the path of the file, which applies where no flag sets one.
 const EnvPath = "WHEATLANE_OPERATOR"
 
-// File is the content of the operator's configuration.
+// File holds the operator's configuration.
 type File struct {
 	Schema     string     `json:"$schema,omitempty"`
 	Provenance string     `json:"$made,omitempty"`
@@ -25,7 +25,7 @@
 	}
 }
 
-// Telemetry configures which metrics are kept and where they are sent.
+// Telemetry configures which metrics the broker records and the destinations that it sends them to.
 type Telemetry struct {
 	IntervalMS  int               `json:"interval_ms,omitempty" limits:"min=1000,max=600000,default=10000"`
 	Cardinality CardinalityLimits `json:"names,omitzero"`
@@ -41,7 +41,7 @@
 	}
 }
 
-// CardinalityLimits bounds how many names have time series of their own at a time, by dimension.
+// CardinalityLimits limits, for each dimension, the number of names that have time series of their own at a time.
 type CardinalityLimits struct {
 	Classes  int `json:"classes,omitempty" limits:"min=1,max=256,default=16"`
 	Tenants  int `json:"tenants,omitempty" limits:"min=1,max=1024,default=32"`
@@ -57,7 +57,7 @@
 	}
 }
 
-// Graphite is a carbon server that metrics are sent to.
+// Graphite configures a carbon server that receives metrics.
 type Graphite struct {
 	Name           string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$"`
 	Address        string `json:"address"`
@@ -82,7 +82,7 @@
 	}
 }
 
-// Collectd is a collectd server with the network plugin that metrics are sent to.
+// Collectd configures a collectd server that receives metrics with its network plugin.
 type Collectd struct {
 	Name         string `json:"name" limits:"minlen=1,maxlen=32,pattern=^[A-Za-z0-9-]+$"`
 	Address      string `json:"address"`
@@ -91,7 +91,7 @@
 	PasswordFile string `json:"password_file,omitempty"`
 	BudgetKB     int    `json:"budget_kb,omitempty" limits:"min=64,max=65536,default=256"`
 
-	Password string `json:"-"` // the content of PasswordFile
+	Password string `json:"-"` // content of PasswordFile, set by Load
 }
 
 // FieldDescriptions describes the keys for the schema.
@@ -104,10 +104,10 @@
 	}
 }
 
-// Interval is the length of a reporting interval.
+// Interval returns the length of a reporting interval.
 func (t *Telemetry) Interval() time.Duration { return time.Duration(t.IntervalMS) * time.Millisecond }
 
-// Cardinality returns the limits of the file, and the default ones if it has no telemetry.
+// Cardinality returns the limits of the file, or the default limits if the file has no telemetry.
 func (f *File) Cardinality() CardinalityLimits {
 	if f.Telemetry != nil {
 		return f.Telemetry.Cardinality
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -11,70 +11,70 @@
 )
 
 const (
-	destination   = `{"name":"a","address":"127.0.0.1:2003"}`
-	graphiteStart = `{"telemetry":{"graphite":[`
-	collectdStart = `{"telemetry":{"collectd":[`
-	end           = `]}}`
+	destination    = `{"name":"a","address":"127.0.0.1:2003"}`
+	graphitePrefix = `{"telemetry":{"graphite":[`
+	collectdPrefix = `{"telemetry":{"collectd":[`
+	suffix         = `]}}`
 )
 
-// invalidFiles are files, and what the error must contain.
+// invalidFiles lists invalid files with the text that the error must contain.
 var invalidFiles = []struct{ text, want string }{
-	{`{`, "the JSON text breaks off"},
-	{`{} {}`, "something follows the JSON value"},
-	{`{"telemetry":null}`, "telemetry: null does not belong here, but an object"},
+	{`{`, "JSON text is truncated"},
+	{`{} {}`, "unexpected text after the JSON value"},
+	{`{"telemetry":null}`, "telemetry: must be an object, got null"},
 	{
 		`{"telemetry":{"graphite":{}}}`,
-		"telemetry.graphite: an object does not belong here, but a list",
+		"telemetry.graphite: must be a list, got an object",
 	},
 	{
 		`{"telemetry":{"interval_ms":1e4}}`,
-		"telemetry.interval_ms: a number does not belong here, but an integer",
+		"telemetry.interval_ms: must be an integer, got a number",
 	},
-	{`[]`, "the file: a list does not belong here, but an object"},
+	{`[]`, "the file: must be an object, got a list"},
 	{`{"telemetery":{}}`, "telemetery: unknown key"},
 	{`{"telemetry":{"interval":1}}`, "telemetry.interval: unknown key"},
 	{
 		`{"telemetry":{"interval_ms":"10s"}}`,
-		"telemetry.interval_ms: a string does not belong here, but an integer",
+		"telemetry.interval_ms: must be an integer, got a string",
 	},
 	{`{"telemetry":{"interval_ms":5}}`, "telemetry.interval_ms: 5 is less than 1000"},
 	{
 		`{"telemetry":{"names":{"tenants":100000}}}`,
 		"telemetry.names.tenants: 100000 is more than 1024",
 	},
-	{graphiteStart + `{"name":"a"}` + end, "telemetry.graphite[0].address: missing"},
+	{graphitePrefix + `{"name":"a"}` + suffix, "telemetry.graphite[0].address: required key is missing"},
 	{
-		graphiteStart + `{"name":"a.b","address":"127.0.0.1:1"}` + end,
+		graphitePrefix + `{"name":"a.b","address":"127.0.0.1:1"}` + suffix,
 		"telemetry.graphite[0].name: pattern: ",
 	},
 	{
-		graphiteStart + `{"name":"a","address":"carbon:2003"}` + end,
+		graphitePrefix + `{"name":"a","address":"carbon:2003"}` + suffix,
 		"telemetry.graphite[0].address: ",
 	},
 	{
-		graphiteStart + `{"name":"a","address":"127.0.0.1:1","prefix":"a..b"}` + end,
+		graphitePrefix + `{"name":"a","address":"127.0.0.1:1","prefix":"a..b"}` + suffix,
 		"telemetry.graphite[0].prefix: ",
 	},
 	{
-		graphiteStart + `{"name":"a","address":"127.0.0.1:1","protocol":"udp"}` + end,
+		graphitePrefix + `{"name":"a","address":"127.0.0.1:1","protocol":"udp"}` + suffix,
 		"telemetry.graphite[0].protocol: \"udp\" is none of plaintext, pickle",
 	},
 	{
-		graphiteStart + destination + "," + destination + end,
-		`telemetry.graphite[1].name: "a" is the name of telemetry.graphite[0]`,
+		graphitePrefix + destination + "," + destination + suffix,
+		`telemetry.graphite[1].name: must be unique, but "a" is the name of telemetry.graphite[0]`,
 	},
 	{
-		collectdStart + `{"name":"c","address":"127.0.0.1:1","security":"sign"}` + end,
-		"telemetry.collectd[0].user: missing",
+		collectdPrefix + `{"name":"c","address":"127.0.0.1:1","security":"sign"}` + suffix,
+		`telemetry.collectd[0].user: required with security "sign", but missing`,
 	},
 	{
-		collectdStart + `{"name":"c","address":"127.0.0.1:1","security":"sign","user":"u"}` + end,
-		"telemetry.collectd[0].password_file: missing",
+		collectdPrefix + `{"name":"c","address":"127.0.0.1:1","security":"sign","user":"u"}` + suffix,
+		`telemetry.collectd[0].password_file: required with security "sign", but missing`,
 	},
 }
 
-// Each invalid file is rejected with its key and the reason.
-func TestInvalidFiles(t *testing.T) {
+// Parse rejects each invalid file with an error that contains the key and the reason.
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for _, c := range invalidFiles {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.want)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	f, err := Parse([]byte(`{"telemetry":{
 		"interval_ms":1000,
 		"graphite":[{"name":"a","address":"127.0.0.1:2003"}],
@@ -115,12 +115,12 @@
 	}
 }
 
-// objectSchema is the part of a JSON Schema that gives the defaults of an object's keys.
+// objectSchema decodes the defaults of an object's keys from a JSON Schema.
 type objectSchema struct {
 	Properties map[string]struct{ Default any }
 }
 
-// schemaDefaults returns the defaults of an object, or of the objects of a list.
+// schemaDefaults returns the defaults that a schema states for an object, or for the objects of a list. It omits false.
 func schemaDefaults(t *testing.T, schema json.RawMessage) map[string]any {
 	t.Helper()
 	var object struct {
@@ -143,7 +143,7 @@
 	return defaults
 }
 
-// appliedDefaults returns the values of an object by their keys, except those that have no default.
+// appliedDefaults returns the values of an object by key, without the keys that have no default.
 func appliedDefaults(t *testing.T, object any) map[string]any {
 	t.Helper()
 	text, err := json.Marshal(object)
@@ -159,8 +159,8 @@
 	return values
 }
 
-// The defaults that the schema states are those that are applied.
-func TestSchemaStatesTheDefaults(t *testing.T) {
+// The defaults in the limits tags, which the schema states, equal those that Parse applies.
+func TestSchemaStatesAppliedDefaults(t *testing.T) {
 	text, err := SchemaText()
 	if err != nil {
 		t.Fatal(err)
@@ -187,12 +187,12 @@
 	} {
 		schema := doc.Properties.Telemetry.Properties[key]
 		if diff := cmp.Diff(schemaDefaults(t, schema), appliedDefaults(t, object)); diff != "" {
-			t.Errorf("%s: schema and file differ: %s", key, diff)
+			t.Errorf("%s: defaults differ (-schema +applied): %s", key, diff)
 		}
 	}
 }
 
-func TestPasswordIsReadFromItsFile(t *testing.T) {
+func TestPasswordIsReadFromPasswordFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "operator.json")
 	text := `{"telemetry":{"collectd":[{"name":"c","address":"127.0.0.1:1","security":"encrypt",
@@ -202,13 +202,13 @@
 	}
 	const key = "telemetry.collectd[0].password_file"
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), key) {
-		t.Fatalf("without the file: %v", err)
+		t.Fatalf("without the password file: %v, want an error with %s", err, key)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "secret"), []byte("a b\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f, err := Load(path)
 	if err != nil || f.Telemetry.Collectd[0].Password != "a b" {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("got %+v, %v, want the password without its line end", f, err)
 	}
 }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,8 +1,8 @@
 // Package schema derives JSON Schemas (draft 2020-12) from Go types and validates documents against them. It
 // finds all violations of a document in one pass, each with its path.
 //
-// The schemas and the meaning of their keywords are those of github.com/google/jsonschema-go. Of the
-// libraries that were compared it is the one that costs a broker of 32 MB next to nothing at its start; see
+// github.com/google/jsonschema-go defines the schemas and the meaning of their keywords. Of the libraries that were
+// compared, it is the one that adds almost nothing to the startup cost of a broker with 32 MB of memory; see
 // docs/design/telemetry.md.
 package schema
 
@@ -16,16 +16,16 @@
 	"github.com/google/jsonschema-go/jsonschema"
 )
 
-// draft is the dialect that derived schemas name.
+// draft identifies the dialect of derived schemas.
 const draft = "https://json-schema.org/draft/2020-12/schema"
 
-// The keys of the struct tags that are read.
+// Keys of struct tags.
 const (
 	nameTag   = "json"
 	limitsTag = "limits"
 )
 
-// The keywords of a limits tag.
+// Keywords of a limits tag.
 const (
 	enumKeyword      = "enum"
 	patternKeyword   = "pattern"
@@ -37,16 +37,16 @@
 	maxItemsKeyword  = "maxitems"
 )
 
-// FieldDescriber is a struct type that describes its fields for people.
+// FieldDescriber is implemented by struct types that describe their fields for the schema.
 type FieldDescriber interface {
-	// FieldDescriptions returns the descriptions of fields by their keys in a document.
+	// FieldDescriptions returns the descriptions of fields, indexed by the keys of the fields in a document.
 	FieldDescriptions() map[string]string
 }
 
-// For derives the schema of a struct type. The json tag of a field names it, and limits bounds it, as in
-// limits:"min=1,max=9,default=4", limits:"enum=a|b", limits:"minlen=1,maxlen=32,pattern=^[a-z]+$" (the
-// pattern last) and limits:"maxitems=4". A field is required unless it is marked omitempty or omitzero. It is
-// described by its jsonschema tag, or by the type if that is Described.
+// For derives the schema of a struct type. The json tag of a field sets its key, and the limits tag its bounds, as in
+// limits:"min=1,max=9,default=4", limits:"enum=a|b", limits:"minlen=1,maxlen=32,pattern=^[a-z]+$" (the pattern last)
+// and limits:"maxitems=4". A field is required unless its json tag has omitempty or omitzero. Its description is its
+// jsonschema tag, or comes from the type if that is a FieldDescriber.
 func For[T any]() (*jsonschema.Schema, error) {
 	s, err := jsonschema.For[T](nil)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-// applyLimits adds the limits of the fields of a type to its schema, and to all below it.
+// applyLimits adds the limits of the fields of a type to its schema and to all schemas below it.
 func applyLimits(s *jsonschema.Schema, t reflect.Type) error {
 	s, t = elementOf(s, t)
 	if t.Kind() != reflect.Struct {
@@ -83,21 +83,21 @@
 	return nil
 }
 
-// applyDescriptions adds the descriptions of the fields of a type that has them.
+// applyDescriptions adds the descriptions of the fields if the type is a FieldDescriber.
 func applyDescriptions(s *jsonschema.Schema, t reflect.Type) {
-	described, ok := reflect.Zero(t).Interface().(FieldDescriber)
+	describer, ok := reflect.Zero(t).Interface().(FieldDescriber)
 	if !ok {
 		return
 	}
-	for key, description := range described.FieldDescriptions() {
+	for key, description := range describer.FieldDescriptions() {
 		if property := s.Properties[key]; property != nil {
 			property.Description = description
 		}
 	}
 }
 
-// elementOf follows pointers and slices to the type of their elements. On its way it takes null out of the
-// types that the library allows for an array: here null would have no meaning.
+// elementOf follows pointers and slices to the type of their elements. It also removes null from the types that the
+// library allows for an array, because null has no meaning in these documents.
 func elementOf(s *jsonschema.Schema, t reflect.Type) (*jsonschema.Schema, reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		if t.Kind() == reflect.Slice {
@@ -109,7 +109,7 @@
 	return s, t
 }
 
-// keyOf is the key of a field in a document.
+// keyOf returns the key of a field in a document.
 func keyOf(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get(nameTag), ",")
 	if name == "" {
@@ -118,7 +118,7 @@
 	return name
 }
 
-// applyTag sets the keywords of a field's limits tag.
+// applyTag sets the keywords of a field's limits tag in the field's schema.
 func applyTag(s *jsonschema.Schema, field reflect.StructField) error {
 	tag := field.Tag.Get(limitsTag)
 	for tag != "" {
@@ -157,7 +157,7 @@
 	return applyBound(s, name, value)
 }
 
-// applyBound sets a keyword whose value is a number.
+// applyBound sets a keyword that takes a number.
 func applyBound(s *jsonschema.Schema, name, value string) error {
 	bound, err := strconv.ParseFloat(value, 64)
 	if err != nil {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// server is a type with all keywords.
+// server has a field for each keyword of the limits tag.
 type server struct {
 	Name     string   `json:"name" limits:"minlen=1,maxlen=8,pattern=^[a-z]{1,8}$"`
 	Protocol string   `json:"protocol,omitempty" limits:"enum=tcp|udp,default=tcp"`
@@ -23,7 +23,9 @@
 }
 
 // FieldDescriptions describes the keys for the schema.
-func (nested) FieldDescriptions() map[string]string { return map[string]string{"zone": "where it is"} }
+func (nested) FieldDescriptions() map[string]string {
+	return map[string]string{"zone": "location of the server"}
+}
 
 func TestForAppliesKeywordsAndDescriptions(t *testing.T) {
 	s, err := For[server]()
@@ -52,8 +54,8 @@
 		s.Properties["parent"].Properties["zone"].Description,
 		s.Properties["others"].Items.Properties["zone"].Description,
 	} {
-		if zone != "where it is" {
-			t.Errorf("zone is described as %q", zone)
+		if zone != "location of the server" {
+			t.Errorf("zone is described as %q, want the type's description", zone)
 		}
 	}
 }
@@ -67,11 +69,11 @@
 	if _, err := For[struct {
 		A int `limits:"min=one"`
 	}](); err == nil || !strings.Contains(err.Error(), `"min=one"`) {
-		t.Errorf("no number: %v", err)
+		t.Errorf("bound that is not a number: %v", err)
 	}
 }
 
-// invalidDocuments are documents with one violation each.
+// invalidDocuments lists documents with one violation each.
 var invalidDocuments = []struct {
 	name, doc string
 	kind      ViolationKind
@@ -81,25 +83,25 @@
 		"object for a string",
 		`{"name":{}}`,
 		InvalidType,
-		"name: an object does not belong here, but a string",
+		"name: must be a string, got an object",
 	},
 	{
 		"list for a string",
 		`{"name":[]}`,
 		InvalidType,
-		"name: a list does not belong here, but a string",
+		"name: must be a string, got a list",
 	},
 	{
 		"number for a string",
 		`{"name":1.5}`,
 		InvalidType,
-		"name: a number does not belong here, but a string",
+		"name: must be a string, got a number",
 	},
 	{
 		"null for an object",
 		`{"name":"a","parent":null}`,
 		InvalidType,
-		"parent: null does not belong here, but an object",
+		"parent: must be an object, got null",
 	},
 	{
 		"unknown key",
@@ -111,7 +113,7 @@
 		"missing key",
 		`{"name":"a","others":[{"zone":"n"},{}]}`,
 		MissingKey,
-		"others[1].zone: missing",
+		"others[1].zone: required key is missing",
 	},
 	{
 		"not in the enum",
@@ -121,12 +123,12 @@
 	},
 	{"too small", `{"name":"a","weight":-1}`, OutOfRange, "weight: -1 is less than 0"},
 	{"too large", `{"name":"a","weight":1e999}`, OutOfRange, "weight: 1e999 is more than 1"},
-	{"too many items", `{"name":"a","ports":[1,2,3]}`, OutOfRange, "ports: 3 items, 2 at most"},
-	{"not as the pattern", `{"name":"A"}`, OutOfRange, "name: pattern: "},
+	{"too many items", `{"name":"a","ports":[1,2,3]}`, OutOfRange, "ports: must have at most 2 items, got 3"},
+	{"pattern not matched", `{"name":"A"}`, OutOfRange, "name: pattern: "},
 }
 
-// A violation is found with its kind, path and reason.
-func TestValidate(t *testing.T) {
+// Validate reports a violation with its kind, path and reason.
+func TestValidateReportsViolation(t *testing.T) {
 	for _, c := range invalidDocuments {
 		t.Run(c.name, func(t *testing.T) {
 			violations := validate(t, c.doc)
@@ -141,10 +143,10 @@
 	}
 }
 
-// All violations of a document are found, and none in a valid one.
-func TestValidateFindsAll(t *testing.T) {
+// Validate returns all violations of an invalid document, and none for a valid one.
+func TestValidateReportsAllViolations(t *testing.T) {
 	if valid := validate(t, `{"name":"a","weight":1,"ports":[1],"parent":{"zone":"n"}}`); len(valid) > 0 {
-		t.Errorf("a valid document: %v", valid)
+		t.Errorf("violations of a valid document: %v", valid)
 	}
 	if all := validate(t, `{"protocol":1,"weight":"x"}`); len(all) != 3 {
 		t.Errorf("%v, want three violations", all)
@@ -168,7 +170,7 @@
 	return violations
 }
 
-func TestDecodeRejectsWhatIsNotOneValue(t *testing.T) {
+func TestDecodeRejectsTextThatIsNotOneValue(t *testing.T) {
 	for text, want := range map[string]error{
 		"":      ErrTruncated,
 		`{"a":`: ErrTruncated,
--- a/internal/schema/schematest/schematest_test.go
+++ b/internal/schema/schematest/schematest_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Descriptions are dropped wherever they describe a value; a key of that name stays.
+// Descriptions are removed at every level, while a property whose key is "description" is retained.
 func TestWithoutDescriptions(t *testing.T) {
 	const schema = `{"description":"text","properties":{"description":{"description":"of a key","type":"string"}},
 		"anyOf":[{"description":"in a list","type":"null"}]}`
--- a/internal/schema/validate.go
+++ b/internal/schema/validate.go
@@ -21,33 +21,33 @@
 
 // The kinds of violation.
 const (
-	InvalidType ViolationKind = iota // the value has another type than its key
-	UnknownKey                       // the object has no such key
+	InvalidType ViolationKind = iota // a value is not of the type that the schema requires
+	UnknownKey                       // an object contains a key that the schema does not define
 	MissingKey                       // a required key is missing
-	OutOfRange                       // the value is out of bounds, or none of those allowed
+	OutOfRange                       // a value is out of bounds, or not among the allowed values
 )
 
-// Violation is a place of a document that does not match the schema.
+// Violation describes a part of a document that does not match the schema.
 type Violation struct {
 	Path      []string // keys and array indices from the root
 	Kind      ViolationKind
 	Reason    string
-	KnownKeys []string // of the object that an unknown key is in, sorted
+	KnownKeys []string // keys that the schema defines beside an unknown key, sorted
 }
 
-// Key returns the path as in telemetry.graphite[0].address.
+// Key returns the formatted path, as in telemetry.graphite[0].address.
 func (v Violation) Key() string { return jsontext.FormatPath(v.Path...) }
 
-// String returns the path and the reason.
+// String returns the key and the reason.
 func (v Violation) String() string { return v.Key() + ": " + v.Reason }
 
-// The errors of Decode.
+// Errors that Decode returns.
 var (
-	ErrTruncated    = errors.New("the JSON text breaks off")
-	ErrTrailingText = errors.New("something follows the JSON value")
+	ErrTruncated    = errors.New("JSON text is truncated")
+	ErrTrailingText = errors.New("unexpected text after the JSON value")
 )
 
-// Decode decodes a document that holds exactly one JSON value, with numbers as json.Number.
+// Decode decodes a document that must hold exactly one JSON value. It decodes numbers as json.Number.
 func Decode(text []byte) (any, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -64,16 +64,18 @@
 	return v, nil
 }
 
-// Validate finds the violations of a document in the order of its sorted keys.
+// Validate returns all violations of a document, with the keys of each object in sorted order. It returns an error if
+// the schema itself is invalid.
 func Validate(s *jsonschema.Schema, doc any) ([]Violation, error) {
 	var v validator
 	v.value(s, doc, nil)
 	return v.violations, v.err
 }
 
+// validator collects the violations of a document.
 type validator struct {
 	violations []Violation
-	err        error // of schemas that can't be used
+	err        error // of invalid schemas
 }
 
 func (v *validator) report(kind ViolationKind, path []string, format string, args ...any) {
@@ -83,26 +85,19 @@
 	)
 }
 
-// value validates one value. Objects and arrays are traversed here, so that each violation has its path; the
-// library validates all other values.
+// value validates one value. It traverses objects and arrays itself, so that each violation has its path, and leaves
+// all other values to the library.
 func (v *validator) value(s *jsonschema.Schema, value any, path []string) {
 	switch value := value.(type) {
 	case map[string]any:
 		if s.Type != typeObject {
-			v.report(
-				InvalidType,
-				path,
-				"an object does not belong here, but %s",
-				withArticle(s.Type),
-			)
+			v.report(InvalidType, path, "must be %s, got an object", withArticle(s.Type))
 			return
 		}
 		v.object(s, value, path)
 	case []any:
 		if s.Type != typeArray {
-			v.report(
-				InvalidType, path, "a list does not belong here, but %s", withArticle(s.Type),
-			)
+			v.report(InvalidType, path, "must be %s, got a list", withArticle(s.Type))
 			return
 		}
 		v.array(s, value, path)
@@ -113,7 +108,7 @@
 
 func (v *validator) array(s *jsonschema.Schema, items []any, path []string) {
 	if s.MaxItems != nil && len(items) > *s.MaxItems {
-		v.report(OutOfRange, path, "%d items, %d at most", len(items), *s.MaxItems)
+		v.report(OutOfRange, path, "must have at most %d items, got %d", *s.MaxItems, len(items))
 	}
 	for i, item := range items {
 		v.value(s.Items, item, append(path, strconv.Itoa(i)))
@@ -125,7 +120,7 @@
 		keyPath := slices.Concat(path, []string{key})
 		if property := s.Properties[key]; property != nil {
 			v.value(property, object[key], keyPath)
-		} else if s.AdditionalProperties != nil { // a schema that forbids further keys
+		} else if s.AdditionalProperties != nil { // the schema forbids unknown keys
 			v.violations = append(v.violations, Violation{
 				Path:      keyPath,
 				Kind:      UnknownKey,
@@ -136,23 +131,17 @@
 	}
 	for _, key := range s.Required {
 		if _, ok := object[key]; !ok {
-			v.report(MissingKey, append(path, key), "missing")
+			v.report(MissingKey, append(path, key), "required key is missing")
 		}
 	}
 }
 
-// scalar validates a number, string, truth value or null.
+// scalar validates a number, string, boolean or null.
 func (v *validator) scalar(s *jsonschema.Schema, value any, path []string) {
 	got := typeOf(value)
 	isIntegerForNumber := got == typeInteger && s.Type == typeNumber
 	if s.Type != "" && got != s.Type && !isIntegerForNumber {
-		v.report(
-			InvalidType,
-			path,
-			"%s does not belong here, but %s",
-			withArticle(got),
-			withArticle(s.Type),
-		)
+		v.report(InvalidType, path, "must be %s, got %s", withArticle(s.Type), withArticle(got))
 		return
 	}
 	if reason := outOfRange(s, value); reason != "" {
@@ -165,14 +154,15 @@
 		return
 	}
 	if number, ok := value.(json.Number); ok {
-		value = toFloat(number) // the library would take a json.Number for a string
+		value = toFloat(number) // the library treats a json.Number as a string
 	}
 	if err := resolved.Validate(value); err != nil {
 		v.report(OutOfRange, path, "%s", withoutSchemaPath(err.Error()))
 	}
 }
 
-// outOfRange says which bound of a schema a value exceeds, empty if none.
+// outOfRange describes the bound or enumeration of a schema that a value violates. The result is empty if there is
+// none.
 func outOfRange(s *jsonschema.Schema, value any) string {
 	if len(s.Enum) > 0 && !slices.Contains(s.Enum, value) {
 		return fmt.Sprintf("%q is none of %s", value, join(s.Enum))
@@ -187,7 +177,7 @@
 	return ""
 }
 
-// withoutSchemaPath cuts the place in the schema off a message of the library.
+// withoutSchemaPath removes the path within the schema from a message of the library.
 func withoutSchemaPath(message string) string {
 	if _, reason, ok := strings.Cut(message, ": "); ok && strings.HasPrefix(message, "validating") {
 		return reason
@@ -195,13 +185,13 @@
 	return message
 }
 
-// toFloat converts a number of a decoded document; one that is too large becomes infinite.
+// toFloat converts a number of a decoded document. Numbers out of range become infinite.
 func toFloat(n json.Number) float64 {
-	f, _ := n.Float64() // the decoder has checked the syntax
+	f, _ := n.Float64() // the decoder has validated the syntax
 	return f
 }
 
-// The type names of JSON Schema.
+// Type names of JSON Schema.
 const (
 	typeObject  = "object"
 	typeArray   = "array"
@@ -212,7 +202,7 @@
 	typeNull    = "null"
 )
 
-// typeOf returns the JSON Schema type of a scalar of a decoded document.
+// typeOf returns the JSON Schema type of a scalar in a decoded document.
 func typeOf(value any) string {
 	switch value := value.(type) {
 	case nil:
@@ -230,7 +220,7 @@
 	return "value"
 }
 
-// withArticle returns a type in words.
+// withArticle returns a type's name with its article, for messages.
 func withArticle(typeName string) string {
 	switch typeName {
 	case typeArray:
@@ -245,6 +235,7 @@
 	return "a " + typeName
 }
 
+// join formats values as a list, separated by commas.
 func join(values []any) string {
 	texts := make([]string, 0, len(values))
 	for _, v := range values {
