--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -1,5 +1,5 @@
-// Package description generates the files that a broker reads from a short description of its application.
-// The same description always gives the same bytes. It does no I/O.
+// Package description generates the configuration files of a broker from a short description of its application. The
+// same description always results in the same bytes. The package does no I/O.
 package description
 
 import (
@@ -12,7 +12,7 @@
 	"wheatlane/internal/schema"
 )
 
-// Application is the description of an application: its clients, and the engines that serve them.
+// Application describes an application: its clients, and the engines that serve them.
 type Application struct {
 	Schema      string                    `json:"$schema,omitempty"`
 	Name        string                    `json:"name" limits:"minlen=1,maxlen=64"`
@@ -41,13 +41,13 @@
 	}
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant describes a customer and its share of the service.
 type Tenant struct {
 	Name  string  `json:"name" limits:"minlen=1"`
 	Share float64 `json:"share" limits:"min=0,max=1"`
 }
 
-// Class is a class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name                 string  `json:"name" limits:"minlen=1"`
 	LatencyObjectiveMS   float64 `json:"wanted_ms" limits:"min=1"`
@@ -78,23 +78,24 @@
 	}
 }
 
-// EngineKind is a type of machine that engines run on.
+// EngineKind describes a type of machine that engines run on.
 type EngineKind struct {
 	Name     string  `json:"name" limits:"minlen=1"`
 	Cores    float64 `json:"cores" limits:"min=1"`
 	MemoryMB float64 `json:"memory_mb" limits:"min=1"`
 }
 
-// Resources are those that a broker may use.
+// Resources limits the memory and the sockets that a broker may use.
 type Resources struct {
 	MemoryMB int `json:"memory_mb,omitempty" limits:"min=32,default=192"`
 	Sockets  int `json:"sockets,omitempty" limits:"min=64,default=1024"`
 }
 
-// JSONSchema returns the schema of a description. It is shared and must not be changed.
+// JSONSchema returns the schema of a description. The schema is shared and must not be changed.
 var JSONSchema = sync.OnceValues(schema.For[Application])
 
-// Parse parses and validates a description. It returns all violations of the schema.
+// Parse decodes and validates a description. It returns all violations of the schema; the Application is nil if there
+// are any.
 func Parse(text []byte) (*Application, []schema.Violation, error) {
 	doc, err := schema.Decode(text)
 	if err != nil {
@@ -110,12 +111,13 @@
 	}
 	var a Application
 	if err := json.Unmarshal(text, &a); err != nil {
-		return nil, nil, fmt.Errorf("description: %w", err)
+		return nil, nil, fmt.Errorf("decode description: %w", err)
 	}
 	return &a, nil, nil
 }
 
-// Provenance returns the text that generated files carry: the name and the content hash of their description.
+// Provenance returns the text by which a generated file identifies its source: the name and the SHA-256 hash of the
+// description.
 func Provenance(name string, text []byte) string {
 	return fmt.Sprintf(
 		"wheatlane config write %s, sha256 %x; change that and write again",
@@ -124,7 +126,7 @@
 	)
 }
 
-// OperatorFile generates the operator's configuration, nil if the description has none.
+// OperatorFile generates the operator's configuration. It returns nil if the description has no telemetry.
 func (a *Application) OperatorFile(provenance string) ([]byte, error) {
 	if a.Telemetry == nil {
 		return nil, nil
@@ -132,11 +134,11 @@
 	return marshal(operatorconfig.File{Provenance: provenance, Telemetry: a.Telemetry})
 }
 
-// marshal returns a file as indented JSON.
+// marshal encodes a file as indented JSON.
 func marshal(file any) ([]byte, error) {
 	text, err := json.MarshalIndent(file, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("description: %w", err)
+		return nil, fmt.Errorf("encode generated file: %w", err)
 	}
 	return append(text, '\n'), nil
 }
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -18,7 +18,8 @@
 	"wheatlane/internal/operatorconfig"
 )
 
-func example(t *testing.T) []byte {
+// exampleDescription returns the description in the folder deploy.
+func exampleDescription(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/app.json")
 	if err != nil {
@@ -27,7 +28,7 @@
 	return text
 }
 
-// generate returns the files of a description.
+// generate generates both files of a description.
 func generate(t *testing.T, text []byte) (broker, operator []byte) {
 	t.Helper()
 	a, violations, err := Parse(text)
@@ -43,9 +44,10 @@
 	return broker, operator
 }
 
-// The files of the example have no findings, and a broker reads them as intended.
-func TestExample(t *testing.T) {
-	broker, operator := generate(t, example(t))
+// The checker reports no findings in the files that are generated from the example, and a broker decodes the values
+// of the description from them.
+func TestFilesOfExampleAreValid(t *testing.T) {
+	broker, operator := generate(t, exampleDescription(t))
 	for name, text := range map[string][]byte{"broker.json": broker, "operator.json": operator} {
 		f, findings, err := fileformat.Run(name, text)
 		if err != nil || len(findings) > 0 || len(rules.Run(f)) > 0 {
@@ -76,7 +78,7 @@
 	}
 }
 
-// load reads a broker's configuration as the broker does.
+// load loads a broker's configuration the way a broker does.
 func load(t *testing.T, text []byte) config.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "broker.json")
@@ -95,27 +97,27 @@
 	return cfg
 }
 
-// The same description gives the same bytes; descriptions that differ have another provenance.
-func TestSameBytes(t *testing.T) {
-	text := example(t)
+// The same description results in the same bytes, and different descriptions have different provenances.
+func TestGenerationIsDeterministic(t *testing.T) {
+	text := exampleDescription(t)
 	first, _ := generate(t, text)
 	second, _ := generate(t, text)
 	if !bytes.Equal(first, second) {
-		t.Error("two results of one description differ")
+		t.Error("files of the same description differ")
 	}
 	if Provenance("app.json", text) == Provenance("app.json", append(text, ' ')) {
-		t.Error("two descriptions have the same provenance")
+		t.Error("different descriptions have the same provenance")
 	}
 }
 
-// All violations of a description are reported, each with its key.
-func TestViolations(t *testing.T) {
+// Parse returns all violations of a description, each with its key.
+func TestParseReportsAllViolations(t *testing.T) {
 	text := strings.NewReplacer(
 		`"share": 0.59`, `"share": 2`,
 		`"wanted_ms": 400`, `"wantedms": 400`,
 		`"repeat": "by_key"`, `"repeat": "often"`,
 		`"listen": "127.0.0.1:6565",`, "",
-	).Replace(string(example(t)))
+	).Replace(string(exampleDescription(t)))
 	_, violations, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/description/golden_test.go
+++ b/internal/description/golden_test.go
@@ -8,8 +8,8 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// The files that are generated from a description are what they were, byte by byte.
-func TestWrittenFiles(t *testing.T) {
+// The files that are generated from a description match the golden files byte for byte.
+func TestGeneratedFiles(t *testing.T) {
 	for _, c := range []struct{ name, path string }{
 		{"every-key", "testdata/every-key.json"},
 		{"deploy", "../../deploy/app.json"},
@@ -23,14 +23,14 @@
 			if err != nil || len(violations) > 0 {
 				t.Fatalf("%v, %v", violations, err)
 			}
-			golden(t, filepath.Join("testdata", c.name+".broker.golden"), a.BrokerFile)
-			golden(t, filepath.Join("testdata", c.name+".operator.golden"), a.OperatorFile)
+			compareGenerated(t, filepath.Join("testdata", c.name+".broker.golden"), a.BrokerFile)
+			compareGenerated(t, filepath.Join("testdata", c.name+".operator.golden"), a.OperatorFile)
 		})
 	}
 }
 
-// golden compares a generated file with a golden one.
-func golden(t *testing.T, path string, generate func(provenance string) ([]byte, error)) {
+// compareGenerated compares a generated file with a golden file.
+func compareGenerated(t *testing.T, path string, generate func(provenance string) ([]byte, error)) {
 	t.Helper()
 	got, err := generate("by hand")
 	if err != nil {
--- a/internal/description/platform.go
+++ b/internal/description/platform.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings that a description does not give.
+// Settings of generated files that a description can't change.
 const (
 	minBatchInterval  = 5 * time.Millisecond
 	maxAttempts       = 4
@@ -16,7 +16,7 @@
 	overloadWindow    = time.Second
 )
 
-// Defaults of a description.
+// Defaults of optional keys of a description.
 const (
 	defaultBrokers       = 1
 	defaultDedupWindowMS = 15000
@@ -25,14 +25,14 @@
 	defaultSockets       = 1024
 )
 
-// The words of a description for idempotency.
+// Values of the key repeat of a description.
 const (
 	repeatFree  = "free"
 	repeatByKey = "by_key"
 	repeatNever = "never"
 )
 
-// platformEffects are the platform's words for those of a description; omitted, requests are idempotent.
+// platformEffects maps values of repeat to those of Effect in the platform's file. By default, requests are idempotent.
 var platformEffects = map[string]string{
 	"":          "repeatable",
 	repeatFree:  "repeatable",
@@ -40,7 +40,7 @@
 	repeatNever: "once",
 }
 
-// The platform's file. Its keys are in alphabetical order, and so are the fields of these types.
+// These types encode the platform's file. Their fields are in the alphabetical order of the keys.
 type (
 	platformFile struct {
 		Provenance string           `json:"$made"`
@@ -72,8 +72,8 @@
 		HoldsDataSetLock     []bool    `json:"ClassLoad"`    // by class
 		MemoryMB             []float64 `json:"KindMemoryMb"` // by engine kind
 		ReportsCost          bool      `json:"SaysCost"`
-		Cores                []float64 `json:"SizeCores"` // by engine kind
-		Threads              []int     `json:"WidthByClass"`
+		Cores                []float64 `json:"SizeCores"`     // by engine kind
+		Threads              []int     `json:"WidthByClass"`  // by class
 		BlockedByDataSetLock []bool    `json:"YieldsToLoads"` // by class
 	}
 
@@ -113,7 +113,7 @@
 	}
 )
 
-// BrokerFile generates the broker's configuration, in the platform's form.
+// BrokerFile generates the broker's configuration in the platform's format.
 func (a *Application) BrokerFile(provenance string) ([]byte, error) {
 	return marshal(platformFile{
 		Provenance: provenance,
@@ -128,10 +128,10 @@
 			Brokers:          valueOr(a.Brokers, defaultBrokers),
 			BrokerIndex:      a.BrokerIndex,
 			MinBatchInterval: minBatchInterval,
-			EngineKinds:      mapAll(a.EngineKinds, func(k EngineKind) string { return k.Name }),
+			EngineKinds:      mapAll(a.EngineKinds, func(kind EngineKind) string { return kind.Name }),
 			Classes:          mapAll(a.Classes, platformClassOf),
 			Tenants: mapAll(
-				a.Tenants, func(t Tenant) platformTenant { return platformTenant(t) },
+				a.Tenants, func(tenant Tenant) platformTenant { return platformTenant(tenant) },
 			),
 			Domain: a.platformDomain(),
 			Limits: platformRequestLimits{
@@ -186,7 +186,7 @@
 	}
 }
 
-// mapAll applies a function to all elements. The result is never nil, so that it becomes a JSON array.
+// mapAll applies a function to all elements. The result is never nil, so that it is encoded as a JSON array, not null.
 func mapAll[T, U any](elements []T, f func(T) U) []U {
 	results := make([]U, 0, len(elements))
 	for _, element := range elements {
@@ -195,7 +195,7 @@
 	return results
 }
 
-// valueOr returns a value, or a default if it is zero.
+// valueOr returns a value, or the default if the value is zero.
 func valueOr[T comparable](value, defaultValue T) T {
 	var zero T
 	if value == zero {
@@ -204,5 +204,5 @@
 	return value
 }
 
-// fromMS converts milliseconds.
+// fromMS converts milliseconds to a duration.
 func fromMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
