--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -41,7 +41,7 @@
 		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, if any")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *operatorFile == "" {
-			*operatorFile = os.Getenv(operatorconfig.Variable)
+			*operatorFile = os.Getenv(operatorconfig.EnvPath)
 		}
 		return serve(c.Context(), *operatorFile)
 	}
@@ -154,7 +154,7 @@
 func logServing(log *zap.Logger, broker *service.Service, cfg config.Config) {
 	fields := []zap.Field{
 		zap.Stringer("listen", broker.Server.Addr()),
-		zap.Int64("seq", cfg.Known.Revision),
+		zap.Int64("seq", cfg.InitialEndpoints.Revision),
 	}
 	if address := broker.AdminAddr(); address != nil {
 		fields = append(fields, zap.Stringer("operator", address))
@@ -188,7 +188,7 @@
 func (r *reloader) reloadPlatformConfig(ctx context.Context) {
 	cfg, err := loadPlatformConfig(ctx)
 	if err == nil {
-		err = cfg.Replaces(r.running)
+		err = cfg.ValidateReload(r.running)
 	}
 	if err != nil {
 		r.log.Error("not reloaded, the configuration before stays", zap.Error(err))
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
 // Package check holds what the layers of the configuration checker share: files with the positions of their
-// values, findings, and the entries of the table of checks. The layers are the packages form, rules and fleet
+// values, findings, and the entries of the table of checks. The layers are the packages fileformat, rules and fleet
 // in this directory.
 package check
 
@@ -86,8 +86,8 @@
 	return OperatorFile
 }
 
-// AnyPort ends an address whose port the system chooses.
-const AnyPort = ":0"
+// AnyPortSuffix ends an address whose port the system chooses.
+const AnyPortSuffix = ":0"
 
 // position returns where a path is in a file, or the innermost value around it that exists.
 func (f *File) position(path []string) jsontext.Position {
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -74,17 +74,17 @@
 	if c.first == nil {
 		c.first = file
 	}
-	if !strings.HasSuffix(file.Root.Get("listen").TextOrEmpty(), check.AnyPort) {
-		c.checkUnique(file, Listen, "listen")
+	if !strings.HasSuffix(file.Root.Get("listen").StringOrEmpty(), check.AnyPortSuffix) {
+		c.checkUnique(file, DuplicateAddress, "listen")
 	}
-	c.checkUnique(file, Name, "name")
+	c.checkUnique(file, DuplicateName, "name")
 	if file.Root.At("settings", "PeersTotal").NumberOr(1) > 1 {
-		c.checkUnique(file, Position, "settings", "Position")
+		c.checkUnique(file, DuplicateIndex, "settings", "Position")
 	}
-	c.checkEqual(file, Changelog, "changelog")
-	c.checkEqual(file, Peers, "settings", "PeersTotal")
-	c.checkDefinitions(file, Classes, c.classes, classKeys, "settings", "RequestClasses")
-	c.checkDefinitions(file, Tenants, c.tenants, tenantKeys, "settings", "Tenants")
+	c.checkEqual(file, ChangelogMismatch, "changelog")
+	c.checkEqual(file, PeerCountMismatch, "settings", "PeersTotal")
+	c.checkDefinitions(file, ClassMismatch, c.classes, classKeys, "settings", "RequestClasses")
+	c.checkDefinitions(file, TenantMismatch, c.tenants, tenantKeys, "settings", "Tenants")
 	c.checkList(file)
 }
 
@@ -115,7 +115,7 @@
 	file *check.File, violated check.Check, known map[string]definition, keys []string, path ...string,
 ) {
 	for i, value := range file.Root.At(path...).Elements() {
-		name := value.Get("Name").TextOrEmpty()
+		name := value.Get("Name").StringOrEmpty()
 		first, exists := known[name]
 		if !exists {
 			known[name] = definition{file, value}
@@ -152,7 +152,7 @@
 		if differing := differingKeys(known.engines, engines); len(differing) > 0 {
 			c.report(
 				file,
-				Engines,
+				EngineMismatch,
 				strings.Join(differing, ", ")+" not as in "+known.file.Name,
 				"known",
 				"results",
@@ -163,7 +163,7 @@
 	c.lists[revision] = endpointList{file, engines}
 	first := c.first.Root.At("known", "seq")
 	if first != nil && describe(first) != revision {
-		c.report(file, Behind, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
+		c.report(file, RevisionMismatch, revision+", and "+describe(first)+" in "+c.first.Name, "known", "seq")
 	}
 }
 
@@ -192,15 +192,15 @@
 			clear(engines)
 		}
 		for _, host := range event.At("fleet", "hosts").Elements() {
-			id := host.Get("host").TextOrEmpty()
-			if host.Get("health").TextOrEmpty() == changelog.HealthTerminated {
+			id := host.Get("host").StringOrEmpty()
+			if host.Get("health").StringOrEmpty() == changelog.HealthTerminated {
 				delete(engines, id)
 				continue
 			}
 			engines[id] = strings.Join([]string{
-				host.Get("dial").TextOrEmpty(),
-				host.Get("health").TextOrEmpty(),
-				host.Get("class").TextOrEmpty(),
+				host.Get("dial").StringOrEmpty(),
+				host.Get("health").StringOrEmpty(),
+				host.Get("class").StringOrEmpty(),
 				describe(host.Get("born_ms")),
 			}, " ")
 		}
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/knownlist.go
@@ -86,14 +86,14 @@
 }
 
 func isRemoved(host *jsontext.Node) bool {
-	return host.Get("health").TextOrEmpty() == changelog.HealthTerminated
+	return host.Get("health").StringOrEmpty() == changelog.HealthTerminated
 }
 
 // enginesInService counts the engines that the known events leave in the list.
 func enginesInService(root *jsontext.Node) int {
 	inService := map[string]bool{}
 	for _, host := range allHosts(root) {
-		inService[host.Get("host").TextOrEmpty()] = !isRemoved(host.Node)
+		inService[host.Get("host").StringOrEmpty()] = !isRemoved(host.Node)
 	}
 	count := 0
 	for _, listed := range inService {
@@ -104,11 +104,11 @@
 	return count
 }
 
-func findSharedEngineAddresses(root *jsontext.Node, report Report) {
+func findSharedEngineAddresses(root *jsontext.Node, report ReportFunc) {
 	for _, event := range events(root) {
 		engineAt := map[string]string{} // by address
 		for _, host := range hosts(root, event) {
-			address, id := host.Get("dial").TextOrEmpty(), host.Get("host").TextOrEmpty()
+			address, id := host.Get("dial").StringOrEmpty(), host.Get("host").StringOrEmpty()
 			if isRemoved(host.Node) || address == "" {
 				continue
 			}
@@ -120,25 +120,25 @@
 	}
 }
 
-func findUnknownEngineKinds(root *jsontext.Node, report Report) {
+func findUnknownEngineKinds(root *jsontext.Node, report ReportFunc) {
 	kinds := texts(root, "settings", "MachineTypes")
 	if len(kinds) == 0 {
 		return
 	}
 	for _, host := range allHosts(root) {
-		if kind := host.Get("class").TextOrEmpty(); !kinds[kind] {
+		if kind := host.Get("class").StringOrEmpty(); !kinds[kind] {
 			report(strconv.Quote(kind), host.pathOf("class")...)
 		}
 	}
 }
 
-func findMissingSnapshot(root *jsontext.Node, report Report) {
+func findMissingSnapshot(root *jsontext.Node, report ReportFunc) {
 	if all := events(root); len(all) > 0 && !all[0].At("fleet", "whole").IsTrue() {
 		report("a change of a list that is missing", all[0].pathOf("fleet", "whole")...)
 	}
 }
 
-func findUnorderedEvents(root *jsontext.Node, report Report) {
+func findUnorderedEvents(root *jsontext.Node, report ReportFunc) {
 	last := 0.0
 	for _, event := range events(root) {
 		revision := event.Get("seq").NumberOr(0)
@@ -149,7 +149,7 @@
 	}
 }
 
-func findWrongListRevision(root *jsontext.Node, report Report) {
+func findWrongListRevision(root *jsontext.Node, report ReportFunc) {
 	all := events(root)
 	if len(all) == 0 {
 		return
--- a/internal/check/rules/operator.go
+++ b/internal/check/rules/operator.go
@@ -84,7 +84,7 @@
 	},
 }
 
-func findLargeBudgets(root *jsontext.Node, report Report) {
+func findLargeBudgets(root *jsontext.Node, report ReportFunc) {
 	sumKB := 0.0
 	var lastPath []string
 	for _, list := range [][]string{graphiteList, collectdList} {
@@ -100,7 +100,7 @@
 	}
 }
 
-func findShortIdleTime(root *jsontext.Node, report Report) {
+func findShortIdleTime(root *jsontext.Node, report ReportFunc) {
 	telemetry := root.Get("telemetry")
 	idleS := telemetry.At("names", "idle_s").NumberOr(operatorconfig.DefaultIdleS)
 	intervalMS := telemetry.Get("interval_ms").NumberOr(operatorconfig.DefaultIntervalMS)
@@ -112,22 +112,22 @@
 
 // isUnprotected reports whether packets to a collectd server are neither signed nor encrypted.
 func isUnprotected(destination listItem) bool {
-	security := destination.Get("security").TextOrEmpty()
+	security := destination.Get("security").StringOrEmpty()
 	return security == "" || security == "none"
 }
 
-func findUnprotectedPackets(root *jsontext.Node, report Report) {
+func findUnprotectedPackets(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
-		address, err := netip.ParseAddrPort(destination.Get("address").TextOrEmpty())
+		address, err := netip.ParseAddrPort(destination.Get("address").StringOrEmpty())
 		if err == nil && !address.Addr().IsLoopback() && isUnprotected(destination) {
 			report(address.String(), destination.pathOf("address")...)
 		}
 	}
 }
 
-func findUnusedUsers(root *jsontext.Node, report Report) {
+func findUnusedUsers(root *jsontext.Node, report ReportFunc) {
 	for _, destination := range items(root, collectdList...) {
-		if isUnprotected(destination) && destination.Get("user").TextOrEmpty() != "" {
+		if isUnprotected(destination) && destination.Get("user").StringOrEmpty() != "" {
 			report("a user, and no security", destination.pathOf("user")...)
 		}
 	}
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -16,11 +16,11 @@
 	check.Check
 
 	Kind check.FileKind // the files that it applies to
-	Find func(root *jsontext.Node, report Report)
+	Find func(root *jsontext.Node, report ReportFunc)
 }
 
-// Report receives what a rule finds: what was observed, and the path of the value.
-type Report func(observed string, path ...string)
+// ReportFunc receives what a rule finds: what was observed, and the path of the value.
+type ReportFunc func(observed string, path ...string)
 
 // Table is every check of this layer, in order of the codes.
 var Table = inCodeOrder(classAndTenantRules, engineRules, brokerRules, knownListRules, operatorRules)
@@ -70,12 +70,12 @@
 
 // unique returns the Find function of a rule by which a key has another value in each item of some lists. The
 // lists are compared each by itself.
-func unique(key string, lists ...[]string) func(*jsontext.Node, Report) {
-	return func(root *jsontext.Node, report Report) {
+func unique(key string, lists ...[]string) func(*jsontext.Node, ReportFunc) {
+	return func(root *jsontext.Node, report ReportFunc) {
 		for _, list := range lists {
 			seen := map[string]bool{}
 			for _, item := range items(root, list...) {
-				value := item.Get(key).TextOrEmpty()
+				value := item.Get(key).StringOrEmpty()
 				if value == "" {
 					continue
 				}
@@ -92,7 +92,7 @@
 func texts(root *jsontext.Node, path ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, element := range root.At(path...).Elements() {
-		all[element.TextOrEmpty()] = true
+		all[element.StringOrEmpty()] = true
 	}
 	return all
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -20,7 +20,7 @@
 	socktest.Receive(t, s.changelog.polls, "a poll of the first change log")
 	before := inLoop(s, func(server *Server) time.Duration { return server.longestTimeout.load() })
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
-	cfg.Changelog, cfg.Sockets = next.addr, cfg.Sockets+1
+	cfg.Changelog, cfg.MaxDescriptors = next.addr, cfg.MaxDescriptors+1
 	cfg.Settings.MaxClientTimeout = before / 2
 	s.server.Reload(t.Context(), cfg)
 	if query := socktest.Receive(t, next.polls, "a poll of the second change log"); query != "since=1&timeout=1000" {
@@ -61,7 +61,7 @@
 	e := newFakeEngine(t)
 	s := startServer(t)
 	cfg := inLoop(s, func(server *Server) config.Config { return server.cfg })
-	cfg.Known = parsePage(t, pageJSON(2, true, inService("e1", e)))
+	cfg.InitialEndpoints = parsePage(t, pageJSON(2, true, inService("e1", e)))
 	s.server.Reload(t.Context(), cfg)
 	inspected := s.server.Inspect(t.Context(), func(b *broker.Broker, _ netconn.ConnectionCounts) {
 		if b.EndpointCount() != 1 {
--- a/measure/config/checker.go
+++ b/measure/config/checker.go
@@ -8,8 +8,8 @@
 
 	"wheatlane/internal/check"
 	"wheatlane/internal/check/faultinjection"
+	"wheatlane/internal/check/fileformat"
 	"wheatlane/internal/check/fleet"
-	"wheatlane/internal/check/form"
 	"wheatlane/internal/check/rules"
 	"wheatlane/internal/jsontext"
 )
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, findings, err := form.Run("a.json", text)
+	f, findings, err := fileformat.Run("a.json", text)
 	if f != nil {
 		findings = append(findings, rules.Run(f)...)
 	}
@@ -41,7 +41,7 @@
 			found++
 		}
 		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
-			findings, err := checkFile(faultinjection.Valid(rand.New(rand.NewPCG(seed, 2)), kind))
+			findings, err := checkFile(faultinjection.ValidConfig(rand.New(rand.NewPCG(seed, 2)), kind))
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 // isFound reports whether an injected fault is found under its code at its path.
 func isFound(fault faultinjection.Fault, seed uint64) (bool, error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	doc := faultinjection.Valid(rng, fault.Kind)
+	doc := faultinjection.ValidConfig(rng, fault.Kind)
 	key := jsontext.FormatPath(fault.Inject(rng, doc)...)
 	findings, err := checkFile(doc)
 	return slices.ContainsFunc(findings, func(f check.Finding) bool {
@@ -117,7 +117,7 @@
 	files := make([]*check.File, len(texts))
 	count := 0
 	for i, text := range texts {
-		f, findings, err := form.Run(fmt.Sprint(i, ".json"), text)
+		f, findings, err := fileformat.Run(fmt.Sprint(i, ".json"), text)
 		if err != nil {
 			return 0, err
 		}
