--- a/internal/emulator/rawclient/departure.go
+++ b/internal/emulator/rawclient/departure.go
@@ -11,12 +11,12 @@
 // killCloseAfter is the time from KILL QUERY to the close, by the protocol.
 const killCloseAfter = 500 * time.Millisecond
 
-// Departure is a way in which a client leaves before its answer.
-type Departure int
+// DisconnectMethod is a way in which a client leaves before its answer.
+type DisconnectMethod int
 
 // The departures.
 const (
-	ByKill Departure = iota // KILL QUERY on another connection
+	ByKill DisconnectMethod = iota // KILL QUERY on another connection
 	ByReset
 	ByClose
 )
@@ -25,7 +25,7 @@
 const Departures = 3
 
 // String returns the name of a departure.
-func (d Departure) String() string {
+func (d DisconnectMethod) String() string {
 	switch d {
 	case ByKill:
 		return "kill"
@@ -34,12 +34,12 @@
 	case ByClose:
 		return "close"
 	}
-	return fmt.Sprintf("Departure(%d)", int(d))
+	return fmt.Sprintf("DisconnectMethod(%d)", int(d))
 }
 
 // Leave ends a client's wait for its answer. left is called once with the departure that took place: where
 // no connection for KILL QUERY can be had, the client closes its own.
-func (s *Session) Leave(ctx context.Context, address string, by Departure, left func(Departure)) {
+func (s *Session) Leave(ctx context.Context, address string, by DisconnectMethod, left func(DisconnectMethod)) {
 	switch by {
 	case ByKill:
 		killer, err := Connect(ctx, address, fmt.Sprintf("KILL QUERY %d", s.ConnectionID), func(time.Time) {})
--- a/internal/emulator/rawclient/departure_test.go
+++ b/internal/emulator/rawclient/departure_test.go
@@ -7,7 +7,7 @@
 	t.Parallel()
 	want := [Departures]string{ByKill: "kill", ByReset: "reset", ByClose: "close"}
 	for departure, name := range want {
-		if got := Departure(departure).String(); got != name {
+		if got := DisconnectMethod(departure).String(); got != name {
 			t.Errorf("departure %d is named %q, want %q", departure, got, name)
 		}
 	}
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -105,8 +105,8 @@
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		by := rawclient.Departure(c.source.IntN(rawclient.Departures))
-		session.Leave(ctx, c.address, by, func(rawclient.Departure) {
+		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.Departures))
+		session.Leave(ctx, c.address, by, func(rawclient.DisconnectMethod) {
 			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
 		})
 	default:
--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -154,8 +154,8 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.ended(req, Closed, err.Error())
 		default:
-			by := rawclient.Departure(c.source.IntN(rawclient.Departures))
-			session.Leave(ctx, req.broker, by, func(by rawclient.Departure) { c.ended(req, Left, by.String()) })
+			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.Departures))
+			session.Leave(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, Left, by.String()) })
 		}
 	})
 }
