--- a/internal/emulator/rawclient/departure.go
+++ b/internal/emulator/rawclient/departure.go
@@ -21,8 +21,8 @@
 	ByClose
 )
 
-// Departures is the number of departures.
-const Departures = 3
+// DisconnectMethodCount is the number of departures.
+const DisconnectMethodCount = 3
 
 // String returns the name of a departure.
 func (d DisconnectMethod) String() string {
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -105,7 +105,7 @@
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.Departures))
+		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
 		session.Leave(ctx, c.address, by, func(rawclient.DisconnectMethod) {
 			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
 		})
--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -154,7 +154,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.ended(req, Closed, err.Error())
 		default:
-			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.Departures))
+			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
 			session.Leave(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, Left, by.String()) })
 		}
 	})
