--- a/internal/emulator/rawclient/departure.go
+++ b/internal/emulator/rawclient/departure.go
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("DisconnectMethod(%d)", int(d))
 }
 
-// Leave ends a client's wait for its answer. left is called once with the departure that took place: where
+// Disconnect ends a client's wait for its answer. left is called once with the departure that took place: where
 // no connection for KILL QUERY can be had, the client closes its own.
-func (s *Session) Leave(ctx context.Context, address string, by DisconnectMethod, left func(DisconnectMethod)) {
+func (s *Session) Disconnect(ctx context.Context, address string, by DisconnectMethod, left func(DisconnectMethod)) {
 	switch by {
 	case ByKill:
 		killer, err := Connect(ctx, address, fmt.Sprintf("KILL QUERY %d", s.ConnectionID), func(time.Time) {})
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -106,7 +106,7 @@
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
-		session.Leave(ctx, c.address, by, func(rawclient.DisconnectMethod) {
+		session.Disconnect(ctx, c.address, by, func(rawclient.DisconnectMethod) {
 			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
 		})
 	default:
