--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -226,18 +226,18 @@
 	return int(p[1]) | int(p[2])<<8
 }
 
-// Rest is what a connection did while its client waited for nothing.
-type Rest int
+// IdleOutcome is what a connection did while its client waited for nothing.
+type IdleOutcome int
 
 // The kinds of rest.
 const (
-	StayedOpen Rest = iota
+	StayedOpen IdleOutcome = iota
 	WasEnded        // by the broker
 	BytesCame       // that nothing had asked for
 )
 
 // Rest waits for a time, or until the broker ends the connection or sends something.
-func (s *Session) Rest(within time.Duration) Rest {
+func (s *Session) Rest(within time.Duration) IdleOutcome {
 	if err := s.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return WasEnded
 	}
