--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -236,8 +236,8 @@
 	BytesCame       // that nothing had asked for
 )
 
-// Rest waits for a time, or until the broker ends the connection or sends something.
-func (s *Session) Rest(within time.Duration) IdleOutcome {
+// WatchIdle waits for a time, or until the broker ends the connection or sends something.
+func (s *Session) WatchIdle(within time.Duration) IdleOutcome {
 	if err := s.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return WasEnded
 	}
--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -58,7 +58,7 @@
 // single sends one request on a new connection, and looks for a second answer.
 func (c *clientProcess) single(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, true, func(session *rawclient.Session, req *request) {
-		if c.finish(session, req) && session.Rest(secondAnswerWait) == rawclient.BytesCame {
+		if c.finish(session, req) && session.WatchIdle(secondAnswerWait) == rawclient.BytesCame {
 			c.ended(req, SecondCame, "")
 		}
 	})
@@ -83,7 +83,7 @@
 
 // sendOnOpen sends a request on a connection that rested. If its end has come already, there is no request.
 func (c *clientProcess) sendOnOpen(ctx context.Context, session *rawclient.Session, req *request) {
-	if session.Rest(openCheckTime) != rawclient.StayedOpen || ctx.Err() != nil {
+	if session.WatchIdle(openCheckTime) != rawclient.StayedOpen || ctx.Err() != nil {
 		return
 	}
 	at := time.Now()
@@ -166,7 +166,7 @@
 	c.withFirstRequest(ctx, broker, false, func(session *rawclient.Session, first *request) {
 		stop := context.AfterFunc(ctx, session.Close)
 		defer stop()
-		if !c.finish(session, first) || session.Rest(maxCloseWait) == rawclient.BytesCame {
+		if !c.finish(session, first) || session.WatchIdle(maxCloseWait) == rawclient.BytesCame {
 			return
 		}
 		late := c.newRequest(ctx, broker, false) // the broker ended the connection, or the wait is over
