--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -232,14 +232,14 @@
 // The kinds of rest.
 const (
 	StayedOpen IdleOutcome = iota
-	WasEnded        // by the broker
+	ConnectionEnded        // by the broker
 	BytesCame       // that nothing had asked for
 )
 
 // WatchIdle waits for a time, or until the broker ends the connection or sends something.
 func (s *Session) WatchIdle(within time.Duration) IdleOutcome {
 	if err := s.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return WasEnded
+		return ConnectionEnded
 	}
 	switch _, err := s.r.ReadByte(); {
 	case err == nil:
@@ -247,5 +247,5 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return StayedOpen
 	}
-	return WasEnded
+	return ConnectionEnded
 }
