--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -233,7 +233,7 @@
 const (
 	StayedOpen IdleOutcome = iota
 	ConnectionEnded        // by the broker
-	BytesCame       // that nothing had asked for
+	UnexpectedData       // that nothing had asked for
 )
 
 // WatchIdle waits for a time, or until the broker ends the connection or sends something.
@@ -243,7 +243,7 @@
 	}
 	switch _, err := s.r.ReadByte(); {
 	case err == nil:
-		return BytesCame
+		return UnexpectedData
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return StayedOpen
 	}
--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -58,7 +58,7 @@
 // single sends one request on a new connection, and looks for a second answer.
 func (c *clientProcess) single(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, true, func(session *rawclient.Session, req *request) {
-		if c.finish(session, req) && session.WatchIdle(secondAnswerWait) == rawclient.BytesCame {
+		if c.finish(session, req) && session.WatchIdle(secondAnswerWait) == rawclient.UnexpectedData {
 			c.ended(req, SecondCame, "")
 		}
 	})
@@ -166,7 +166,7 @@
 	c.withFirstRequest(ctx, broker, false, func(session *rawclient.Session, first *request) {
 		stop := context.AfterFunc(ctx, session.Close)
 		defer stop()
-		if !c.finish(session, first) || session.WatchIdle(maxCloseWait) == rawclient.BytesCame {
+		if !c.finish(session, first) || session.WatchIdle(maxCloseWait) == rawclient.UnexpectedData {
 			return
 		}
 		late := c.newRequest(ctx, broker, false) // the broker ended the connection, or the wait is over
