--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -123,8 +123,8 @@
 	return errors.Is(err, io.EOF)
 }
 
-// SendLast sends a statement on a connection that was shut, and reads until the connection is gone.
-func (s *Session) SendLast(statement string) {
+// SendAfterShutdown sends a statement on a connection that was shut, and reads until the connection is gone.
+func (s *Session) SendAfterShutdown(statement string) {
 	_, _ = s.conn.Write(QueryPacket(statement)) // the broker may have closed it
 	_, _ = io.Copy(io.Discard, s.r)
 }
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -178,7 +178,7 @@
 	})
 	// A request that crosses a close is owed no answer.
 	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
-	session.SendLast(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
+	session.SendAfterShutdown(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
 
 // outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that
