--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -69,7 +69,7 @@
 		n.Rejected++
 	case conformance.Failed:
 		n.Failed++
-	case conformance.ClientLeft:
+	case conformance.ClientDisconnected:
 		n.ClientLeft++
 	case conformance.Unanswered:
 		n.Unanswered++
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -145,7 +145,7 @@
 		return conformance.Failed, 0
 	}
 	if timedOut {
-		return conformance.ClientLeft, 0
+		return conformance.ClientDisconnected, 0
 	}
 	return conformance.Unanswered, 0
 }
--- a/internal/emulator/conformance/checker.go
+++ b/internal/emulator/conformance/checker.go
@@ -29,7 +29,7 @@
 	Served      Outcome = "served"
 	Rejected    Outcome = "refused"
 	Failed      Outcome = "failed"
-	ClientLeft  Outcome = "left"  // the client stopped waiting
+	ClientDisconnected  Outcome = "left"  // the client stopped waiting
 	Unanswered  Outcome = "lost"  // the connection ended without an answer
 	WrongAnswer Outcome = "wrong" // served with what no engine made for it
 )
--- a/internal/emulator/conformance/checker_test.go
+++ b/internal/emulator/conformance/checker_test.go
@@ -79,13 +79,13 @@
 	}, "may run once"},
 	{"sent after its client has left", func(c *Checker) {
 		c.RequestSent(Request{ID: "x", SentAt: at(0), Timeout: time.Second})
-		c.RequestEnded("x", ClientLeft, at(100*ms))
+		c.RequestEnded("x", ClientDisconnected, at(100*ms))
 		c.AttemptReceived("e1", "x", at(401*ms))
 	}, "x of  was sent to an engine 301ms after"},
 	{"sent as its client left, or before", func(c *Checker) {
 		for ref, from := range map[string]time.Duration{"x": 399 * ms, "y": 50 * ms} {
 			c.RequestSent(Request{ID: ref, SentAt: at(0), Timeout: time.Second})
-			c.RequestEnded(ref, ClientLeft, at(100*ms))
+			c.RequestEnded(ref, ClientDisconnected, at(100*ms))
 			c.AttemptReceived("e1", ref, at(from))
 		}
 	}, ""},
--- a/internal/emulator/conformance/rules.go
+++ b/internal/emulator/conformance/rules.go
@@ -99,7 +99,7 @@
 	for _, id := range c.requestIDs() {
 		r := c.requests[id]
 		startedAt, sent := firstAttempt[id]
-		if r.Outcome != ClientLeft || sent && !startedAt.After(r.EndedAt) {
+		if r.Outcome != ClientDisconnected || sent && !startedAt.After(r.EndedAt) {
 			continue
 		}
 		report.UnsentAtDisconnect++
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -107,7 +107,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
 		session.Disconnect(ctx, c.address, by, func(rawclient.DisconnectMethod) {
-			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
+			c.checker.RequestEnded(id, conformance.ClientDisconnected, time.Now())
 		})
 	default:
 		c.checker.RequestEnded(id, conformance.Unanswered, time.Now())
@@ -177,7 +177,7 @@
 		Timeout: class.Timeout,
 	})
 	// A request that crosses a close is owed no answer.
-	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
+	c.checker.RequestEnded(id, conformance.ClientDisconnected, time.Now())
 	session.SendAfterShutdown(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
 
--- a/measure/edgecases/main.go
+++ b/measure/edgecases/main.go
@@ -90,7 +90,7 @@
 	conformance.Served,
 	conformance.Rejected,
 	conformance.Failed,
-	conformance.ClientLeft,
+	conformance.ClientDisconnected,
 	conformance.Unanswered,
 	conformance.WrongAnswer,
 }
