--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -39,7 +39,7 @@
 		all.Late += c.Late
 		all.Rejected += c.Rejected
 		all.Failed += c.Failed
-		unserved += c.ClientLeft + c.Unanswered + c.WrongAnswers
+		unserved += c.ClientDisconnected + c.Unanswered + c.WrongAnswers
 	}
 	var slowest strings.Builder
 	for _, c := range classes {
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -49,7 +49,7 @@
 
 // Counts are the outcomes of requests.
 type Counts struct {
-	Sent, InTime, Late, Rejected, Failed, ClientLeft, Unanswered, WrongAnswers, NotSent int
+	Sent, InTime, Late, Rejected, Failed, ClientDisconnected, Unanswered, WrongAnswers, NotSent int
 
 	Slowest time.Duration // of those served
 }
@@ -70,7 +70,7 @@
 	case conformance.Failed:
 		n.Failed++
 	case conformance.ClientDisconnected:
-		n.ClientLeft++
+		n.ClientDisconnected++
 	case conformance.Unanswered:
 		n.Unanswered++
 	case conformance.WrongAnswer:
