--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -64,7 +64,7 @@
 	figures    *collector.Recording
 	carbon     *collector.Carbon
 	broker     *service.Service
-	load       *client.Load
+	load       *client.LoadGenerator
 }
 
 // Run shows the broker until ctx ends or the demo's time is over, and leaves files in a folder. It returns
--- a/internal/emulator/client/connection.go
+++ b/internal/emulator/client/connection.go
@@ -21,7 +21,7 @@
 
 // query sends a statement on an idle connection or a new one and returns the rows as engines write them. It
 // calls sent just before the statement leaves.
-func (l *Load) query(ctx context.Context, statement string, sent func()) (string, error) {
+func (l *LoadGenerator) query(ctx context.Context, statement string, sent func()) (string, error) {
 	conn, err := l.idleOrNewConn(ctx)
 	if err != nil {
 		return "", err
@@ -49,7 +49,7 @@
 }
 
 // idleOrNewConn returns the connection that was used last, as others may be closed by now, or a new one.
-func (l *Load) idleOrNewConn(ctx context.Context) (driver.Conn, error) {
+func (l *LoadGenerator) idleOrNewConn(ctx context.Context) (driver.Conn, error) {
 	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
 		if r, ok := conn.(driver.SessionResetter); ok && r.ResetSession(ctx) == nil {
 			return conn, nil
@@ -67,7 +67,7 @@
 }
 
 // takeIdle takes the connection that was used last; nil if none is idle.
-func (l *Load) takeIdle() driver.Conn {
+func (l *LoadGenerator) takeIdle() driver.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.idle) == 0 {
@@ -78,13 +78,13 @@
 	return conn
 }
 
-func (l *Load) putIdle(conn driver.Conn) {
+func (l *LoadGenerator) putIdle(conn driver.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle = append(l.idle, conn)
 }
 
-func (l *Load) closeIdle() {
+func (l *LoadGenerator) closeIdle() {
 	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
 		_ = conn.Close() // nothing more comes on it
 	}
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Load sends requests.
-type Load struct {
+// LoadGenerator sends requests.
+type LoadGenerator struct {
 	cfg      Config
 	checker  *conformance.Checker // nil: none
 	keyLocks map[string]*sync.Mutex
@@ -93,8 +93,8 @@
 }
 
 // New returns a load; checker may be nil.
-func New(cfg Config, checker *conformance.Checker) *Load {
-	l := &Load{
+func New(cfg Config, checker *conformance.Checker) *LoadGenerator {
+	l := &LoadGenerator{
 		cfg: cfg, checker: checker,
 		keyLocks: map[string]*sync.Mutex{},
 		slots:    make(chan struct{}, max(1, cfg.MaxOpen)),
@@ -111,7 +111,7 @@
 }
 
 // TakeCounts returns the outcomes of each class since the last call.
-func (l *Load) TakeCounts() map[string]Counts {
+func (l *LoadGenerator) TakeCounts() map[string]Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]Counts{}
@@ -123,7 +123,7 @@
 }
 
 // Run sends requests until ctx ends, and waits for those that are open.
-func (l *Load) Run(ctx context.Context) error {
+func (l *LoadGenerator) Run(ctx context.Context) error {
 	var g errgroup.Group
 	var open sync.WaitGroup
 	for _, c := range l.cfg.Classes {
@@ -140,7 +140,7 @@
 
 // generate starts requests of a class at random times (a Poisson process), each in a goroutine of open that
 // ends with its request, until ctx ends.
-func (l *Load) generate(ctx context.Context, c *Class, open *sync.WaitGroup) {
+func (l *LoadGenerator) generate(ctx context.Context, c *Class, open *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -161,13 +161,13 @@
 }
 
 // nextGap draws the time until the next request of a class.
-func (l *Load) nextGap(c *Class) time.Duration {
+func (l *LoadGenerator) nextGap(c *Class) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.rng.ExpFloat64() / c.Rate * float64(time.Second))
 }
 
-func (l *Load) countNotSent(c *Class) {
+func (l *LoadGenerator) countNotSent(c *Class) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[c.Engine.Name].NotSent++
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -29,7 +29,7 @@
 	tenant, idempotencyKey, orderKey string
 }
 
-func (l *Load) drawRequest(c *Class) request {
+func (l *LoadGenerator) drawRequest(c *Class) request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := request{
@@ -44,7 +44,7 @@
 }
 
 // runRequest sends a request, and again after a rejection that says when.
-func (l *Load) runRequest(ctx context.Context, c *Class) {
+func (l *LoadGenerator) runRequest(ctx context.Context, c *Class) {
 	r := l.drawRequest(c)
 	if r.orderKey != "" { // one of a key at a time, as clients send them
 		l.keyLocks[r.orderKey].Lock()
@@ -64,7 +64,7 @@
 	}
 }
 
-func (l *Load) newRequestID() string {
+func (l *LoadGenerator) newRequestID() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requestCount++
@@ -92,7 +92,7 @@
 
 // attempt sends a request once and checks the answer. It runs to its own timeout also when the load is
 // stopped, so that each request that was sent has an outcome.
-func (l *Load) attempt(
+func (l *LoadGenerator) attempt(
 	ctx context.Context, c *Class, r request, isRetry bool,
 ) (outcome conformance.Outcome, retryAfter time.Duration) {
 	requestID := l.newRequestID()
@@ -119,7 +119,7 @@
 }
 
 // report passes the outcome of an attempt on to all that are interested.
-func (l *Load) report(c *Class, requestID string, outcome conformance.Outcome, took time.Duration) {
+func (l *LoadGenerator) report(c *Class, requestID string, outcome conformance.Outcome, took time.Duration) {
 	if l.checker != nil {
 		l.checker.RequestEnded(requestID, outcome, time.Now())
 	}
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -113,7 +113,7 @@
 }
 
 // newLoad returns clients that send requests of some classes.
-func (e *environment) newLoad(address string, seed uint64, classes []client.Class) *client.Load {
+func (e *environment) newLoad(address string, seed uint64, classes []client.Class) *client.LoadGenerator {
 	return client.New(client.Config{
 		Addr:     address,
 		Tenants:  cluster.Tenants,
--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -102,7 +102,7 @@
 }
 
 // newLoad returns clients that send lookups.
-func newLoad(address string) *client.Load {
+func newLoad(address string) *client.LoadGenerator {
 	return client.New(client.Config{
 		Addr:     address,
 		Tenants:  cluster.Tenants,
