--- a/internal/emulator/pacing/pacing.go
+++ b/internal/emulator/pacing/pacing.go
@@ -45,8 +45,8 @@
 	return &KeyPacer{interval: interval, nextAt: make([]time.Time, keys)}
 }
 
-// Reserve draws a key and waits until its next request may be sent, or until ctx ends.
-func (p *KeyPacer) Reserve(ctx context.Context, source *Source) (key int) {
+// WaitForRandomKey draws a key and waits until its next request may be sent, or until ctx ends.
+func (p *KeyPacer) WaitForRandomKey(ctx context.Context, source *Source) (key int) {
 	key = source.IntN(len(p.nextAt))
 	Pause(ctx, time.Until(p.reserveAt(key, time.Now())))
 	return key
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -116,7 +116,7 @@
 
 // reserveKey draws an order key and waits until its next request may be sent.
 func (c *disconnectingClients) reserveKey(ctx context.Context) string {
-	return fmt.Sprintf("%016x", c.keys.Reserve(ctx, c.source)+1)
+	return fmt.Sprintf("%016x", c.keys.WaitForRandomKey(ctx, c.source)+1)
 }
 
 // idleClients is how many clients are idle until the broker closes their connections.
--- a/measure/soak/request.go
+++ b/measure/soak/request.go
@@ -43,7 +43,7 @@
 	req := &request{class: &engineClasses[classIndex], timeout: clientTimeouts[classIndex], broker: broker}
 	req.id = fmt.Sprintf("%08x%08x", c.prefix, c.requests.Add(1))
 	if req.class.Name == "load" {
-		req.key = fmt.Sprintf("%08x%08x", c.prefix, c.keys.Reserve(ctx, c.source)+1)
+		req.key = fmt.Sprintf("%08x%08x", c.prefix, c.keys.WaitForRandomKey(ctx, c.source)+1)
 	}
 	class := client.Class{Engine: *req.class, Timeout: req.timeout}
 	req.statement = class.Statement(req.id, "fishing-fleet", "op"+req.id, req.key, c.source.IntN(dataSetCount), false)
