--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -84,8 +84,8 @@
 	return c.mode
 }
 
-// Packets returns how many datagrams came and how many of those were lost on purpose.
-func (c *Collectd) Packets() (came, lost int) {
+// DatagramCounts returns how many datagrams came and how many of those were lost on purpose.
+func (c *Collectd) DatagramCounts() (came, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.packets, c.lost
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -102,10 +102,10 @@
 		}
 	}
 	c.SetMode(collector.Lossy)
-	intervalsUntil("no datagram is lost", func() bool { _, lost := c.Packets(); return lost > 5 })
+	intervalsUntil("no datagram is lost", func() bool { _, lost := c.DatagramCounts(); return lost > 5 })
 	c.SetMode(collector.Reordering)
-	before, _ := c.Packets()
-	intervalsUntil("no datagram comes", func() bool { now, _ := c.Packets(); return now > before+20 })
+	before, _ := c.DatagramCounts()
+	intervalsUntil("no datagram comes", func() bool { now, _ := c.DatagramCounts(); return now > before+20 })
 	c.SetMode(collector.Unreachable)
 	intervalsUntil("it is not noticed that nothing listens", func() bool {
 		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
