--- a/internal/emulator/conformance/checker.go
+++ b/internal/emulator/conformance/checker.go
@@ -26,12 +26,12 @@
 
 // The outcomes.
 const (
-	Served      Outcome = "served"
-	Rejected    Outcome = "refused"
-	Failed      Outcome = "failed"
-	ClientDisconnected  Outcome = "left"  // the client stopped waiting
-	Unanswered  Outcome = "lost"  // the connection ended without an answer
-	WrongAnswer Outcome = "wrong" // served with what no engine made for it
+	Served             Outcome = "served"
+	Rejected           Outcome = "refused"
+	Failed             Outcome = "failed"
+	ClientDisconnected Outcome = "left"  // the client stopped waiting
+	Unanswered         Outcome = "lost"  // the connection ended without an answer
+	WrongAnswer        Outcome = "wrong" // served with what no engine made for it
 )
 
 // Request is what a client sent.
--- a/internal/emulator/pacing/pacing.go
+++ b/internal/emulator/pacing/pacing.go
@@ -1,5 +1,5 @@
-// Package pacing holds what emulated clients and injected faults share: a random source that goroutines draw from,
-// the spacing of requests of one order key, and pauses.
+// Package pacing holds the timing helpers of emulated clients and injected faults: a random source that goroutines
+// may share, a minimum interval between the requests of one order key, and pauses that end with a context.
 package pacing
 
 import (
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Source is a random source that goroutines may share. Equal seeds and streams give equal draws.
+// Source is a source of random numbers that is safe for concurrent use. Sources with the same seed and stream
+// return the same numbers.
 type Source struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewSource returns the random source of a seed. Streams of one seed are independent of each other.
+// NewSource returns a source with a seed. Streams of one seed are independent of each other.
 func NewSource(seed, stream uint64) *Source {
 	return &Source{rng: rand.New(rand.NewPCG(seed, stream))}
 }
@@ -27,32 +28,33 @@
 	return s.rng.IntN(n)
 }
 
-// Duration returns a random duration from 0 to just below limit.
+// Duration returns a random duration from 0 up to, but not including, limit.
 func (s *Source) Duration(limit time.Duration) time.Duration {
 	return time.Duration(s.IntN(int(limit)))
 }
 
-// KeyPacer keeps an interval between the requests of one order key.
+// KeyPacer enforces a minimum interval between the requests of one order key. It is safe for concurrent use.
 type KeyPacer struct {
 	interval time.Duration
 
 	mu     sync.Mutex
-	nextAt []time.Time // by key: the earliest time of its next request
+	nextAt []time.Time // earliest time of the next request, by key
 }
 
-// NewKeyPacer returns a pacer of keys that are numbered from 0 to keys-1.
+// NewKeyPacer returns a pacer for keys numbered from 0 to keys-1.
 func NewKeyPacer(keys int, interval time.Duration) *KeyPacer {
 	return &KeyPacer{interval: interval, nextAt: make([]time.Time, keys)}
 }
 
-// WaitForRandomKey draws a key and waits until its next request may be sent, or until ctx ends.
+// WaitForRandomKey picks a random key and waits until its next request may be sent, or until ctx is done. It returns
+// the key in both cases.
 func (p *KeyPacer) WaitForRandomKey(ctx context.Context, source *Source) (key int) {
 	key = source.IntN(len(p.nextAt))
 	Pause(ctx, time.Until(p.reserveAt(key, time.Now())))
 	return key
 }
 
-// reserveAt returns the time at which the next request of a key may be sent.
+// reserveAt reserves the next request of a key and returns the time at which it may be sent.
 func (p *KeyPacer) reserveAt(key int, now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +66,7 @@
 	return at
 }
 
-// Pause waits for a duration, or until ctx ends.
+// Pause waits for a duration, or until ctx is done.
 func Pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/emulator/pacing/pacing_test.go
+++ b/internal/emulator/pacing/pacing_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A source draws the numbers of its seed and stream in order, durations among them.
-func TestSourceDrawsAreThoseOfItsSeed(t *testing.T) {
+// A source returns the sequence of its seed and stream, also where integers and durations alternate. A soak with the
+// same seed must make the same choices.
+func TestSourceIsDeterministicForItsSeed(t *testing.T) {
 	t.Parallel()
 	const seed, stream = 7, 3
 	source, want := NewSource(seed, stream), rand.New(rand.NewPCG(seed, stream))
@@ -22,31 +23,32 @@
 	}
 }
 
-// Requests of one key keep the interval, those of other keys do not wait for each other.
-func TestKeyPacerKeepsTheInterval(t *testing.T) {
+// Requests of one key are spaced by the interval; requests of different keys do not delay each other.
+func TestKeyPacerEnforcesTheInterval(t *testing.T) {
 	t.Parallel()
 	const interval = 300 * time.Millisecond
 	pacer, start := NewKeyPacer(2, interval), time.Now()
 	for _, step := range []struct {
-		key        int
-		after      time.Duration // the start
-		wantsAfter time.Duration
+		key            int
+		requestedAfter time.Duration // since the start
+		wantAfter      time.Duration // since the start
 	}{
-		{key: 0, after: 0, wantsAfter: 0},
-		{key: 1, after: 0, wantsAfter: 0},
-		{key: 0, after: 0, wantsAfter: interval},
-		{key: 0, after: interval / 2, wantsAfter: 2 * interval},
-		{key: 1, after: 3 * interval, wantsAfter: 3 * interval},
-		{key: 1, after: 3 * interval, wantsAfter: 4 * interval},
+		{key: 0, requestedAfter: 0, wantAfter: 0},
+		{key: 1, requestedAfter: 0, wantAfter: 0},
+		{key: 0, requestedAfter: 0, wantAfter: interval},
+		{key: 0, requestedAfter: interval / 2, wantAfter: 2 * interval},
+		{key: 1, requestedAfter: 3 * interval, wantAfter: 3 * interval},
+		{key: 1, requestedAfter: 3 * interval, wantAfter: 4 * interval},
 	} {
-		if got := pacer.reserveAt(step.key, start.Add(step.after)).Sub(start); got != step.wantsAfter {
-			t.Errorf("key %d after %v: reserved after %v, want %v", step.key, step.after, got, step.wantsAfter)
+		if got := pacer.reserveAt(step.key, start.Add(step.requestedAfter)).Sub(start); got != step.wantAfter {
+			t.Errorf("key %d requested after %v: reserved after %v, want %v",
+				step.key, step.requestedAfter, got, step.wantAfter)
 		}
 	}
 }
 
-// A pause ends with its context.
-func TestPauseEndsWithItsContext(t *testing.T) {
+// Pause returns once its context is done.
+func TestPauseReturnsWhenContextIsDone(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -1,5 +1,5 @@
-// Package rawclient is a client of a broker that writes MySQL packets as a test wants them: several at once, in
-// pieces, or none, and that ends its connections in every way. It does not retry.
+// Package rawclient implements a broker's client with full control of its MySQL packets: it can send several packets
+// at once, fragmented packets or none, and end its connections in every way. It does not retry.
 package rawclient
 
 import (
@@ -19,29 +19,29 @@
 	connectTimeout = 2 * time.Second
 
 	packetHeaderBytes = 4
-	errorPacket       = 0xff // the first byte of an error packet
-	eofPacket         = 0xfe // the first byte of an EOF packet
-	maxEOFPacketBytes = 8    // a longer packet that begins so is a row
+	errorPacket       = 0xff // first byte of an error packet
+	eofPacket         = 0xfe // first byte of an EOF packet
+	maxEOFPacketBytes = 8    // a longer packet with this first byte is a row
 	queryCommand      = "\x03"
-	columns           = 3
+	columnCount       = 3 // columns of a result
 )
 
-// The error codes of requests that were rejected.
+// Error codes of rejected requests.
 const (
 	tooManyConnectionsCode = 1040
 	userLimitCode          = 1203
 	resourceLimitCode      = 1226
 )
 
-// Session is a client's connection.
+// Session is a client's connection. It is not safe for concurrent use.
 type Session struct {
 	conn         net.Conn
 	r            *bufio.Reader
-	ConnectionID uint32 // of the greeting; 0 if there was none
+	ConnectionID uint32 // from the greeting; 0 if there was none
 }
 
-// Connect connects and sends login and a first statement, if there is any, at once. sending is called before
-// they are written.
+// Connect opens a connection and sends the login and a first statement, unless that is empty, in one write. It calls
+// sending before the write.
 func Connect(ctx context.Context, address, statement string, sending func(time.Time)) (*Session, error) {
 	s, err := Dial(ctx, address)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// Dial connects and sends nothing.
+// Dial opens a connection and sends nothing.
 func Dial(ctx context.Context, address string) (*Session, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	conn, err := dialer.DialContext(context.WithoutCancel(ctx), "tcp", address)
@@ -77,8 +77,7 @@
 	return packet(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00main\x00")
 }
 
-// ReadLogin reads the greeting and the answer to the login. Where the greeting is an error packet, there is
-// no second one.
+// ReadLogin reads the greeting and the response to the login. No response follows a greeting that is an error packet.
 func (s *Session) ReadLogin() error {
 	if err := s.conn.SetReadDeadline(time.Now().Add(connectTimeout)); err != nil {
 		return err
@@ -88,7 +87,7 @@
 		return err
 	}
 	if len(greeting) > 0 && greeting[0] != errorPacket {
-		// The connection id is behind the server's version, which a zero byte ends.
+		// The connection id follows the server's version, which is terminated by a zero byte.
 		if _, rest, ok := bytes.Cut(greeting[1:], []byte{0}); ok && len(rest) >= 4 {
 			s.ConnectionID = binary.LittleEndian.Uint32(rest)
 			if _, err := s.ReadPacket(); err != nil {
@@ -105,27 +104,26 @@
 	return err
 }
 
-// Close closes the connection, which may be closed already.
+// Close closes the connection. It may be called more than once.
 func (s *Session) Close() { _ = s.conn.Close() }
 
 // Reset closes the connection with a TCP reset.
 func (s *Session) Reset() {
 	if tcp, ok := s.conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the close that follows tells the broker in any case
+		_ = tcp.SetLinger(0) // on an error, the broker still sees an orderly close
 	}
 	s.Close()
 }
 
-// WaitForShutdown waits for the end of the connection and reports whether the broker has shut it in an
-// orderly manner.
+// WaitForShutdown waits until the connection ends and reports whether the broker shut it down in an orderly way.
 func (s *Session) WaitForShutdown() bool {
 	_, err := s.r.ReadByte()
 	return errors.Is(err, io.EOF)
 }
 
-// SendAfterShutdown sends a statement on a connection that was shut, and reads until the connection is gone.
+// SendAfterShutdown sends a statement on a connection that the broker has shut down, and reads until it ends.
 func (s *Session) SendAfterShutdown(statement string) {
-	_, _ = s.conn.Write(QueryPacket(statement)) // the broker may have closed it
+	_, _ = s.conn.Write(QueryPacket(statement)) // fails if the broker has closed the connection
 	_, _ = io.Copy(io.Discard, s.r)
 }
 
@@ -134,12 +132,12 @@
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), sequence}, payload...)
 }
 
-// QueryPacket is the command for a statement.
+// QueryPacket returns the packet of a query command.
 func QueryPacket(statement string) []byte { return packet(0, queryCommand+statement) }
 
-// ReadPacketFor reads a packet within a time.
-func (s *Session) ReadPacketFor(patience time.Duration) ([]byte, error) {
-	if err := s.conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+// ReadPacketFor reads the payload of the next packet, with a timeout.
+func (s *Session) ReadPacketFor(timeout time.Duration) ([]byte, error) {
+	if err := s.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	return s.ReadPacket()
@@ -156,18 +154,18 @@
 	return payload, err
 }
 
-// Answer is the answer to a query.
+// Answer is the broker's answer to a query.
 type Answer struct {
-	Rows      string // as engines write them
-	ErrorCode int    // 0: a result
+	Rows      string // rows in the engines' format: tabs between values, a line each
+	ErrorCode int    // 0 for a result
 }
 
-// Rejected reports whether the answer says that trying again is harmless.
+// Rejected reports whether the error code is one after which the request may safely be retried.
 func (a Answer) Rejected() bool {
 	return a.ErrorCode == tooManyConnectionsCode || a.ErrorCode == userLimitCode || a.ErrorCode == resourceLimitCode
 }
 
-// ReadAnswer reads the complete answer to a query until a time.
+// ReadAnswer reads the complete answer to a query, up to a deadline.
 func (s *Session) ReadAnswer(deadline time.Time) (Answer, error) {
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return Answer{}, err
@@ -179,10 +177,10 @@
 	if code := ErrorCode(first); code != 0 {
 		return Answer{ErrorCode: code}, nil
 	}
-	if len(first) == 0 || first[0] == 0 { // an OK has no rows
+	if len(first) == 0 || first[0] == 0 { // an OK packet has no rows
 		return Answer{}, nil
 	}
-	for range columns + 1 { // the definitions of the columns, and their end
+	for range columnCount + 1 { // the column definitions and their EOF packet
 		if _, err := s.ReadPacket(); err != nil {
 			return Answer{}, err
 		}
@@ -204,7 +202,8 @@
 	}
 }
 
-// appendRow appends a row of short texts as engines write it.
+// appendRow appends a row in the engines' format. Each value must be shorter than 251 bytes, so that its length takes
+// one byte.
 func appendRow(to *strings.Builder, p []byte) {
 	for column := 0; len(p) > 0; column++ {
 		n := int(p[0])
@@ -218,7 +217,7 @@
 	to.WriteByte('\n')
 }
 
-// ErrorCode is the code of an error packet; 0 for any other packet.
+// ErrorCode returns the code of an error packet, 0 for any other packet.
 func ErrorCode(p []byte) int {
 	if len(p) < 3 || p[0] != errorPacket {
 		return 0
@@ -226,19 +225,19 @@
 	return int(p[1]) | int(p[2])<<8
 }
 
-// IdleOutcome is what a connection did while its client waited for nothing.
+// IdleOutcome is the result of watching an idle connection.
 type IdleOutcome int
 
-// The kinds of rest.
+// The outcomes of watching an idle connection.
 const (
-	StayedOpen IdleOutcome = iota
-	ConnectionEnded        // by the broker
-	UnexpectedData       // that nothing had asked for
+	StayedOpen      IdleOutcome = iota
+	ConnectionEnded             // by the broker
+	UnexpectedData              // bytes that belong to no request
 )
 
-// WatchIdle waits for a time, or until the broker ends the connection or sends something.
-func (s *Session) WatchIdle(within time.Duration) IdleOutcome {
-	if err := s.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
+// WatchIdle waits for a duration, or until the broker ends the connection or sends a byte.
+func (s *Session) WatchIdle(d time.Duration) IdleOutcome {
+	if err := s.conn.SetReadDeadline(time.Now().Add(d)); err != nil {
 		return ConnectionEnded
 	}
 	switch _, err := s.r.ReadByte(); {
