--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -16,7 +16,7 @@
 const (
 	slowReadBytes      = 256
 	slowReadInterval   = 125 * time.Millisecond
-	truncateAfterBytes = 10_000 // a connection is reset at the next byte that is inside of a line
+	truncateAfterBytes = 10_000 // beyond it, mode Truncating resets a connection at the next byte inside a line
 	maxUnreadBytes     = 2 << 20
 	readBufferBytes    = 16 << 10
 )
@@ -26,19 +26,19 @@
 // Carbon emulates a carbon server.
 type Carbon struct {
 	Form       graphite.Form
-	Pickle     bool // it reads the pickle protocol, not lines
+	Pickle     bool // reads the pickle protocol instead of the plaintext protocol
 	reconciler *Reconciler
 	addr       string
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	mode        Mode
-	modeChanged chan struct{} // closed when the mode changes
-	listener    net.Listener  // nil while it is Unreachable
+	modeChanged chan struct{} // closed at the next mode change
+	listener    net.Listener  // nil while the mode is Unreachable
 	conns       map[net.Conn]bool
 }
 
-// NewCarbon returns a server that listens at an address already; port 0 is any, and the one taken is kept
-// when it becomes reachable again. Connections that come before Run wait for it.
+// NewCarbon returns a server that already listens at an address; port 0 selects a free port, which stays the same when
+// the server becomes reachable again. Connections wait in the backlog until Run is called.
 func NewCarbon(address string, form graphite.Form, pickle bool, reconciler *Reconciler) (*Carbon, error) {
 	listener, err := listenTCP(address)
 	if err != nil {
@@ -62,11 +62,11 @@
 	return listener, nil
 }
 
-// Addr returns where the server listens.
+// Addr returns the address that the server listens at.
 func (c *Carbon) Addr() string { return c.addr }
 
-// SetMode changes the mode. Once it has returned from a change to Unreachable, nothing listens, and from one
-// that ends Truncating, no connection is truncated.
+// SetMode changes the mode. Once a change to Unreachable returns, nothing listens; once a change from Truncating
+// returns, no connection is truncated.
 func (c *Carbon) SetMode(m Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,16 +81,16 @@
 	}
 }
 
-// closeListener closes the listener; c.mu is held.
+// closeListener closes the listener. c.mu must be held.
 func (c *Carbon) closeListener() {
 	if c.listener != nil {
-		_ = c.listener.Close() // what accepts sees the end
+		_ = c.listener.Close() // Accept returns an error
 		c.listener = nil
 	}
 }
 
-// currentListener returns the listener, opened again where the mode asks for one; nil while the server is
-// Unreachable, and once ctx has ended.
+// currentListener returns the listener, which it opens again if the mode requires one. It returns nil while the mode
+// is Unreachable, and once ctx is done.
 func (c *Carbon) currentListener(ctx context.Context) (net.Listener, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +111,7 @@
 	return c.mode, c.modeChanged
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (c *Carbon) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() {
@@ -128,7 +128,7 @@
 				return err
 			}
 			if listener == nil {
-				wait(ctx, changed)
+				waitForChange(ctx, changed)
 				continue
 			}
 			c.accept(ctx, g, listener)
@@ -138,8 +138,8 @@
 	return g.Wait()
 }
 
-// wait waits for a change of the mode or the end of ctx.
-func wait(ctx context.Context, changed <-chan struct{}) {
+// waitForChange waits until the mode changes or ctx is done.
+func waitForChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-changed:
@@ -155,10 +155,10 @@
 		}
 		c.register(conn)
 		g.Go(func() error {
-			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the reader sees the end
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks the read
 			defer stop()
 			c.read(ctx, conn)
-			_ = conn.Close() // it may have been reset
+			_ = conn.Close() // may have been reset already
 			c.unregister(conn)
 			return nil
 		})
@@ -169,7 +169,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conns[conn] = true
-	if c.mode == Unreachable { // accepted as the mode changed
+	if c.mode == Unreachable { // the mode changed after Accept
 		reset(conn)
 	}
 }
@@ -180,8 +180,8 @@
 	delete(c.conns, conn)
 }
 
-// truncate resets a connection unless the mode has changed meanwhile: what comes under another mode is not
-// truncated.
+// truncate resets a connection and reports whether it did so. It does nothing if the mode has changed in the meantime,
+// as lines received in another mode must be complete.
 func (c *Carbon) truncate(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,12 +192,12 @@
 	return true
 }
 
-// readSize returns how many bytes the next read takes, after so many in all, and waits as the mode has it;
-// 0 while nothing may be read.
+// readSize returns the maximum size of the next read of a connection from which total bytes were read, 0 while nothing
+// may be read. It first waits as the mode requires.
 func readSize(ctx context.Context, mode Mode, changed <-chan struct{}, total int) int {
 	switch mode {
 	case Silent:
-		wait(ctx, changed)
+		waitForChange(ctx, changed)
 		return 0
 	case Slow:
 		select {
@@ -216,7 +216,7 @@
 	return readBufferBytes
 }
 
-// read reads a connection as the mode has it, until it ends.
+// read reads a connection at the pace of the current mode, until the connection ends.
 func (c *Carbon) read(ctx context.Context, conn net.Conn) {
 	var unread []byte
 	buf := make([]byte, readBufferBytes)
@@ -237,14 +237,14 @@
 			c.reconciler.AddMalformed(err.Error())
 			return
 		case readErr != nil:
-			return // what is left of a line is dropped, as carbon does
+			return // drops the incomplete last line, as carbon does
 		case mode == Truncating && total >= truncateAfterBytes && len(unread) > 0 && c.truncate(conn):
 			return
 		}
 	}
 }
 
-// consume takes the complete messages at the start of unread and returns the rest.
+// consume adds the samples of the complete messages at the start of unread and returns the remaining bytes.
 func (c *Carbon) consume(unread []byte) ([]byte, error) {
 	for {
 		samples, size, err := c.parse(unread)
@@ -268,7 +268,7 @@
 	}
 }
 
-// parse parses the first message; size is 0 if it is not complete.
+// parse parses the first message; size is 0 if the message is incomplete.
 func (c *Carbon) parse(unread []byte) (samples []graphite.Sample, size int, err error) {
 	if c.Pickle {
 		return graphite.ParsePickle(unread)
--- a/internal/emulator/collector/carbon_test.go
+++ b/internal/emulator/collector/carbon_test.go
@@ -21,7 +21,7 @@
 	return c
 }
 
-// connect returns the error of a connect to the server.
+// connect opens and closes a connection to the server, and returns the first error.
 func connect(t *testing.T, c *Carbon) error {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", c.Addr())
@@ -31,9 +31,9 @@
 	return conn.Close()
 }
 
-// A collector that is to be reachable is so from the start, and one that becomes unreachable is so at once:
-// a test that goes on sees no other order. No run may depend on which goroutine comes first.
-func TestReachabilityChangesAtOnce(t *testing.T) {
+// A collector is reachable as soon as NewCarbon returns and unreachable as soon as SetMode returns. If either depended
+// on the scheduling of the goroutine in Run, tests that change the mode would be flaky.
+func TestReachabilityChangesSynchronously(t *testing.T) {
 	for range 200 {
 		checkReachability(t)
 	}
@@ -43,18 +43,18 @@
 	t.Helper()
 	c := newTestCarbon(t, NewReconciler(nil))
 	if err := connect(t, c); err != nil {
-		t.Fatal("before it runs:", err)
+		t.Fatal("connect before Run:", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	if err := connect(t, c); err != nil {
-		t.Fatal("as it runs:", err)
+		t.Fatal("connect during Run:", err)
 	}
 	c.SetMode(Unreachable)
 	if err := connect(t, c); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatal("unreachable:", err)
+		t.Fatal("connect in mode Unreachable: want connection refused, got", err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -62,10 +62,10 @@
 	}
 }
 
-// modeChangingConn is a connection under which the mode changes while it is being read.
+// modeChangingConn is a connection that changes the server's mode during each read.
 type modeChangingConn struct {
 	net.Conn
-	rest       io.Reader
+	unread     io.Reader
 	changeMode func()
 	closed     bool
 }
@@ -75,7 +75,7 @@
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	return io.ReadFull(c.rest, p)
+	return io.ReadFull(c.unread, p)
 }
 
 func (c *modeChangingConn) Close() error {
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// A connection that is being read as the mode Truncating ends is not truncated any more, so what is written
-// from then on comes completely.
-func TestNothingIsTruncatedUnderAnotherMode(t *testing.T) {
+// A connection must not be truncated once the mode is no longer Truncating, even if the mode changes during a read:
+// lines written after the change must arrive complete.
+func TestTruncationStopsWhenModeChangesDuringRead(t *testing.T) {
 	const (
-		line  = "x 1 1\n" // truncateAfterBytes is inside of one
+		line  = "x 1 1\n" // truncateAfterBytes falls inside a line
 		lines = 3000
 	)
 	for mode, want := range map[Mode]int{Truncating: truncateAfterBytes / len(line), Serve: lines} {
@@ -96,11 +96,11 @@
 			c := newTestCarbon(t, reconciler)
 			c.SetMode(Truncating)
 			c.read(t.Context(), &modeChangingConn{
-				rest: strings.NewReader(strings.Repeat(line, lines)), changeMode: func() { c.SetMode(mode) },
+				unread: strings.NewReader(strings.Repeat(line, lines)), changeMode: func() { c.SetMode(mode) },
 			})
 			c.SetMode(Unreachable)
 			if got := reconciler.Reconcile().Unknown["x"]; got != want {
-				t.Errorf("%d lines came, want %d", got, want)
+				t.Errorf("received %d lines, want %d", got, want)
 			}
 		})
 	}
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	lossDivisor       = 3 // in mode Lossy one datagram of so many is lost
-	reorderWindow     = 8 // in mode Reordering so many datagrams are shuffled at a time
+	lossDivisor       = 3 // mode Lossy loses one datagram in this number
+	reorderWindow     = 8 // datagrams that mode Reordering shuffles at a time
 	modeCheckInterval = 20 * time.Millisecond
 	maxDatagramBytes  = 1 << 16
 )
@@ -27,18 +27,18 @@
 type Collectd struct {
 	reader     collectd.Reader
 	reconciler *Reconciler
-	rng        *rand.Rand // of the goroutine that runs
+	rng        *rand.Rand // used by Run's goroutine only
 	addr       string
-	held       [][]byte // datagrams to shuffle; of the goroutine that runs
+	buffered   [][]byte // datagrams to shuffle; used by Run's goroutine only
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	mode    Mode
 	packets int
 	lost    int
 }
 
-// NewCollectd returns one for an address, as NewCarbon does; it listens from Run on. Losses are drawn from
-// a seed.
+// NewCollectd returns a collectd for an address; port 0 selects a free port, which stays the same from then on. It
+// listens once Run is called. seed determines the datagrams that are lost or reordered.
 func NewCollectd(
 	address string, reader collectd.Reader, seed uint64, reconciler *Reconciler,
 ) (*Collectd, error) {
@@ -68,7 +68,7 @@
 	return conn, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address that the emulator listens at.
 func (c *Collectd) Addr() string { return c.addr }
 
 // SetMode changes the mode.
@@ -84,14 +84,14 @@
 	return c.mode
 }
 
-// DatagramCounts returns how many datagrams came and how many of those were lost on purpose.
-func (c *Collectd) DatagramCounts() (came, lost int) {
+// DatagramCounts returns the number of datagrams received, and how many of these were lost in mode Lossy.
+func (c *Collectd) DatagramCounts() (received, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.packets, c.lost
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (c *Collectd) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if c.currentMode() == Unreachable {
@@ -106,7 +106,7 @@
 			return err
 		}
 		err = c.receive(ctx, conn)
-		_ = conn.Close() // nothing was written to it
+		_ = conn.Close() // only read from
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// receive receives datagrams until the mode is Unreachable or ctx ends.
+// receive receives datagrams until the mode is Unreachable or ctx is done.
 func (c *Collectd) receive(ctx context.Context, conn *net.UDPConn) error {
 	buf := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
@@ -128,21 +128,21 @@
 		n, _, err := conn.ReadFrom(buf)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.flushHeld() // nothing more comes for now
+			c.flushBuffered() // no datagram arrived for modeCheckInterval
 		case err != nil:
 			return fmt.Errorf("collectd emulator: %w", err)
-		case !c.lose(mode):
-			c.held = append(c.held, slices.Clone(buf[:n]))
-			if mode != Reordering || len(c.held) >= reorderWindow {
-				c.flushHeld()
+		case !c.countAndDrop(mode):
+			c.buffered = append(c.buffered, slices.Clone(buf[:n]))
+			if mode != Reordering || len(c.buffered) >= reorderWindow {
+				c.flushBuffered()
 			}
 		}
 	}
 	return nil
 }
 
-// lose counts a datagram and reports whether it is to be lost.
-func (c *Collectd) lose(mode Mode) bool {
+// countAndDrop counts a datagram and reports whether it is to be dropped.
+func (c *Collectd) countAndDrop(mode Mode) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.packets++
@@ -153,16 +153,16 @@
 	return true
 }
 
-// flushHeld consumes the datagrams that are held, in a random order.
-func (c *Collectd) flushHeld() {
-	c.rng.Shuffle(len(c.held), func(i, j int) { c.held[i], c.held[j] = c.held[j], c.held[i] })
-	for _, packet := range c.held {
+// flushBuffered consumes the buffered datagrams in random order.
+func (c *Collectd) flushBuffered() {
+	c.rng.Shuffle(len(c.buffered), func(i, j int) { c.buffered[i], c.buffered[j] = c.buffered[j], c.buffered[i] })
+	for _, packet := range c.buffered {
 		c.consume(packet)
 	}
-	c.held = nil
+	c.buffered = nil
 }
 
-// consume parses a datagram. What precedes a malformed part counts.
+// consume parses a datagram and adds its samples. Samples ahead of a malformed part count.
 func (c *Collectd) consume(packet []byte) {
 	if len(packet) > collectd.MaxPacket {
 		c.reconciler.AddMalformed(fmt.Sprintf("a packet of %d bytes", len(packet)))
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -17,9 +17,10 @@
 	"wheatlane/internal/metrics"
 )
 
-// intervalSamples are the samples of an interval: its sequence number, for how many it stands, and a counter.
+// intervalSamples returns the samples of an interval: the broker's start, the sequence number, the number of merged
+// intervals and a counter of requests.
 func intervalSamples(broker string, started, timestamp int64, sequence, folded, requests float64) []Sample {
-	figures := []struct {
+	values := []struct {
 		id    metrics.ID
 		value float64
 	}{
@@ -28,19 +29,19 @@
 		{metrics.Sequence, sequence},
 		{metrics.Folded, folded},
 	}
-	samples := make([]Sample, 0, len(figures))
-	for _, f := range figures {
-		series := metrics.Series{Figure: f.id}
-		if metrics.Catalogue[f.id].By != metrics.NoDimension {
+	samples := make([]Sample, 0, len(values))
+	for _, v := range values {
+		series := metrics.Series{Figure: v.id}
+		if metrics.Catalogue[v.id].By != metrics.NoDimension {
 			series.Name = "lookup"
 		}
 		name := graphite.Name{Broker: broker, Series: series}
-		samples = append(samples, Sample{Name: name, Value: f.value, Timestamp: timestamp})
+		samples = append(samples, Sample{Name: name, Value: v.value, Timestamp: timestamp})
 	}
 	return samples
 }
 
-// interval is one of broker n1, which started at 100 s.
+// interval returns the samples of an interval of broker n1, which started at 100 s.
 func interval(timestamp int64, sequence, folded, requests float64) []Sample {
 	return intervalSamples("n1", 100, timestamp, sequence, folded, requests)
 }
@@ -54,37 +55,38 @@
 var reconcileCases = []struct {
 	name    string
 	samples []Sample
-	want    string // in the one violation
+	want    string // part of the only violation; empty for none
 	missing int64
 }{
 	{"in order", slices.Concat(firstInterval, secondInterval, thirdInterval), "", 0},
-	{"the newest first", slices.Concat(thirdInterval, firstInterval, secondInterval), "", 0},
-	{"twice", slices.Concat(firstInterval, secondInterval, secondInterval, thirdInterval), "", 0},
-	{"folded", slices.Concat(firstInterval, interval(130, 3, 2, 12)), "", 0},
-	{"a gap", slices.Concat(firstInterval, thirdInterval), "", 1},
+	{"newest interval first", slices.Concat(thirdInterval, firstInterval, secondInterval), "", 0},
+	{"duplicated interval", slices.Concat(firstInterval, secondInterval, secondInterval, thirdInterval), "", 0},
+	{"merged intervals", slices.Concat(firstInterval, interval(130, 3, 2, 12)), "", 0},
+	{"missing interval", slices.Concat(firstInterval, thirdInterval), "", 1},
 	{
-		"a restart",
+		"broker restart",
 		slices.Concat(firstInterval, secondInterval,
 			intervalSamples("n1", 125, 135, 1, 1, 0), intervalSamples("n1", 125, 145, 2, 1, 3)),
 		"", 0,
 	},
 	{"two brokers", slices.Concat(firstInterval, intervalSamples("n2", 100, 110, 1, 1, 77)), "", 0},
-	{"the clock set back", slices.Concat(firstInterval, interval(50, 2, 1, 9), interval(60, 3, 1, 10)), "", 0},
+	{"clock set back", slices.Concat(firstInterval, interval(50, 2, 1, 9), interval(60, 3, 1, 10)), "", 0},
 	{
-		"a counter that fell", slices.Concat(firstInterval, secondInterval, interval(130, 3, 1, 8)),
+		"decreasing counter", slices.Concat(firstInterval, secondInterval, interval(130, 3, 1, 8)),
 		"requests of \"lookup\" fell from 9 to 8", 0,
 	},
 	{
-		"a number under two times", slices.Concat(firstInterval, interval(115, 1, 1, 6)),
+		"sequence number with two timestamps", slices.Concat(firstInterval, interval(115, 1, 1, 6)),
 		"interval 1 came under the times", -1,
 	},
 	{
-		"more than there were", slices.Concat(firstInterval, interval(120, 2, 5, 9)),
+		"more intervals represented than numbered", slices.Concat(firstInterval, interval(120, 2, 5, 9)),
 		"more than the 2 there were", -4,
 	},
 }
 
-// Each rule finds the violation that is injected for it; what is none is not found.
+// Each rule reports its injected violation, and samples that conform to the rules cause no violation. Reordered,
+// duplicated and missing intervals, restarts and a clock set back are no violations.
 func TestReconcile(t *testing.T) {
 	for _, tt := range reconcileCases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -98,20 +100,20 @@
 			}
 		})
 	}
-	t.Run("duplicates are counted", func(t *testing.T) {
+	t.Run("counts duplicated samples", func(t *testing.T) {
 		f := Reconcile(slices.Concat(firstInterval, secondInterval, secondInterval), 0, nil, nil)
 		if f.Duplicated != 4 {
-			t.Errorf("%d came twice", f.Duplicated)
+			t.Errorf("%d samples duplicated, want 4", f.Duplicated)
 		}
 	})
-	t.Run("an interval without its number", func(t *testing.T) {
+	t.Run("interval without sequence number is incomplete", func(t *testing.T) {
 		if f := Reconcile(firstInterval[:2], 0, nil, nil); f.Incomplete != 1 || len(f.Incarnations) != 0 {
-			t.Errorf("%+v", f)
+			t.Errorf("got %+v, want 1 incomplete interval and no incarnation", f)
 		}
 	})
 }
 
-func TestQuantilesOutOfOrderAreFound(t *testing.T) {
+func TestReconcileReportsUnorderedQuantiles(t *testing.T) {
 	samples := slices.Clone(firstInterval)
 	series := metrics.Series{Figure: metrics.AnswerTime, Name: "lookup"}
 	for i, stat := range metrics.Stats {
@@ -120,11 +122,11 @@
 	}
 	f := Reconcile(samples, 0, nil, nil)
 	if len(f.Violations) != 1 || !strings.Contains(f.Violations[0], "out of order") {
-		t.Fatalf("%q", f.Violations)
+		t.Fatalf("violations %q, want one that reports quantiles out of order", f.Violations)
 	}
 }
 
-// closableBuffer is a buffer that is closed as a file is.
+// closableBuffer is a buffer with a Close method, in place of a file.
 type closableBuffer struct{ bytes.Buffer }
 
 func (*closableBuffer) Close() error { return nil }
@@ -147,21 +149,21 @@
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole := f.Bytes()
-	got, err := ReadRecording(bytes.NewReader(whole))
+	complete := f.Bytes()
+	got, err := ReadRecording(bytes.NewReader(complete))
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" || err != nil {
 		t.Fatal(err, diff)
 	}
-	// One that breaks off, as its collector was killed, is read as far as it goes.
-	got, err = ReadRecording(bytes.NewReader(whole[:len(whole)*3/4]))
-	brokeOff := errors.Is(err, ErrRecording) || errors.Is(err, io.ErrUnexpectedEOF)
-	if !brokeOff || len(got) == 0 || len(got) >= len(want) {
-		t.Fatalf("%d of %d, %v", len(got), len(want), err)
+	// The recording of a killed collector is truncated; the samples ahead of the truncation are read.
+	got, err = ReadRecording(bytes.NewReader(complete[:len(complete)*3/4]))
+	truncated := errors.Is(err, ErrRecording) || errors.Is(err, io.ErrUnexpectedEOF)
+	if !truncated || len(got) == 0 || len(got) >= len(want) {
+		t.Fatalf("truncated recording: read %d of %d samples, error %v", len(got), len(want), err)
 	}
 	if diff := cmp.Diff(want[:len(got)], got); diff != "" {
 		t.Fatal(diff)
 	}
-	// A collector that was killed has left what came up to a second before.
+	// A flushed sample is in the file although the recording was not closed.
 	f.Reset()
 	if r, err = NewRecording(&f); err != nil {
 		t.Fatal(err)
@@ -171,9 +173,9 @@
 		t.Fatal(err)
 	}
 	if got, err = ReadRecording(bytes.NewReader(f.Bytes())); len(got) != 1 || err == nil {
-		t.Fatalf("%d samples, %v", len(got), err)
+		t.Fatalf("recording not closed: read %d samples, error %v, want 1 sample and an error", len(got), err)
 	}
 	if _, err := ReadRecording(strings.NewReader("no recording")); !errors.Is(err, ErrRecording) {
-		t.Fatalf("%v", err)
+		t.Fatalf("file without the header: error %v, want %v", err, ErrRecording)
 	}
 }
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -11,17 +11,17 @@
 	"wheatlane/internal/metrics"
 )
 
-// Findings are the result of a reconciliation.
+// Findings is the result of a reconciliation.
 type Findings struct {
 	Samples, Dropped   int
-	Duplicated         int // samples that came twice
-	Incomplete         int // timestamps without a start or a sequence number: parts of intervals
-	Unknown, Malformed map[string]int
-	Incarnations       []*Incarnation // by broker and start
+	Duplicated         int            // samples received twice with the same value
+	Incomplete         int            // timestamps of a broker that lack its start, a sequence number or an interval count
+	Unknown, Malformed map[string]int // counts by name and by parse error
+	Incarnations       []*Incarnation // ordered by broker and start
 	Violations         []string
 }
 
-// OK reports whether no rule was violated.
+// OK reports whether no rule was violated and everything received could be parsed.
 func (f *Findings) OK() bool {
 	return len(f.Violations) == 0 && len(f.Unknown) == 0 && len(f.Malformed) == 0
 }
@@ -32,13 +32,13 @@
 	}
 }
 
-// intervalKey identifies an interval: brokers send all its figures with one timestamp.
+// intervalKey identifies an interval: brokers send all its metrics with one timestamp.
 type intervalKey struct {
 	broker    string
 	timestamp int64
 }
 
-// timestampGroup is what came with one timestamp of one broker.
+// timestampGroup holds the samples of one broker with one timestamp.
 type timestampGroup struct {
 	intervalKey
 	arrivedAfter  time.Duration
@@ -46,7 +46,7 @@
 	distributions map[metrics.Series]map[string]float64 // by statistic
 }
 
-// add takes a sample and reports whether it came before, with the same value.
+// add stores a sample and reports whether it was received before, with the same value.
 func (g *timestampGroup) add(s Sample) (duplicate bool) {
 	series := s.Name.Series
 	if metrics.Catalogue[series.Figure].Kind != metrics.DistributionKind {
@@ -58,21 +58,21 @@
 	return put(g.distributions[series], s.Name.Stat, s.Value)
 }
 
-// put sets a value and reports whether the same was there.
-func put[K comparable](values map[K]float64, key K, value float64) (same bool) {
-	old, there := values[key]
+// put sets the value of a key and reports whether the key already had this value.
+func put[K comparable](values map[K]float64, key K, value float64) (unchanged bool) {
+	previous, exists := values[key]
 	values[key] = value
-	return there && old == value
+	return exists && previous == value
 }
 
-// Reconcile is Reconciler.Reconcile for recorded samples.
+// Reconcile checks recorded samples against the rules that Reconciler.Reconcile describes.
 func Reconcile(samples []Sample, dropped int, unknown, malformed map[string]int) *Findings {
 	f := &Findings{
 		Samples: len(samples), Dropped: dropped, Unknown: maps.Clone(unknown), Malformed: maps.Clone(malformed),
 	}
-	f.Incarnations = f.runsOf(f.group(samples))
-	for _, r := range f.Incarnations {
-		r.check(f)
+	f.Incarnations = f.incarnationsOf(f.group(samples))
+	for _, incarnation := range f.Incarnations {
+		incarnation.check(f)
 	}
 	return f
 }
@@ -97,32 +97,32 @@
 	return groups
 }
 
-// runsOf returns the incarnations of brokers to which complete groups belong.
-func (f *Findings) runsOf(groups map[intervalKey]*timestampGroup) []*Incarnation {
-	type runKey struct {
+// incarnationsOf returns the brokers' incarnations, with the intervals of all groups that are complete.
+func (f *Findings) incarnationsOf(groups map[intervalKey]*timestampGroup) []*Incarnation {
+	type incarnationKey struct {
 		broker    string
 		startedMS int64
 	}
-	runs := map[runKey]*Incarnation{}
+	incarnations := map[incarnationKey]*Incarnation{}
 	for _, g := range groups {
 		interval, startedMS, ok := g.interval()
 		if !ok {
 			f.Incomplete++
 			continue
 		}
-		key := runKey{g.broker, startedMS}
-		if runs[key] == nil {
-			runs[key] = &Incarnation{Broker: g.broker, StartedMS: startedMS}
+		key := incarnationKey{g.broker, startedMS}
+		if incarnations[key] == nil {
+			incarnations[key] = &Incarnation{Broker: g.broker, StartedMS: startedMS}
 		}
-		runs[key].Intervals = append(runs[key].Intervals, interval)
+		incarnations[key].Intervals = append(incarnations[key].Intervals, interval)
 	}
-	return slices.SortedFunc(maps.Values(runs), func(a, b *Incarnation) int {
+	return slices.SortedFunc(maps.Values(incarnations), func(a, b *Incarnation) int {
 		return cmp.Or(cmp.Compare(a.Broker, b.Broker), cmp.Compare(a.StartedMS, b.StartedMS))
 	})
 }
 
-// interval returns the interval of a group and the start of its broker, or false if the group lacks what
-// tells them.
+// interval returns the interval of a group and the start of its broker; ok is false if the group lacks one of the
+// metrics that identify an interval.
 func (g *timestampGroup) interval() (interval *Interval, startedMS int64, ok bool) {
 	started, hasStart := g.values[metrics.Series{Figure: metrics.Started}]
 	sequence, hasSequence := g.values[metrics.Series{Figure: metrics.Sequence}]
--- a/internal/emulator/collector/incarnation.go
+++ b/internal/emulator/collector/incarnation.go
@@ -8,32 +8,33 @@
 	"wheatlane/internal/metrics"
 )
 
-// Incarnation is one life of a broker's process, from its start to its end or the next start.
+// Incarnation is one run of a broker's process, from a start to its end or the next start.
 type Incarnation struct {
 	Broker    string
-	StartedMS int64 // milliseconds of Unix time
-	// Intervals are those that came completely, by their sequence numbers. One that waited may stand for
-	// several.
+	StartedMS int64 // Unix time in milliseconds
+	// Intervals are the completely received intervals, ordered by sequence number. An interval whose delivery was
+	// delayed may be merged from several.
 	Intervals    []*Interval
-	LastSequence uint64 // the highest sequence number
-	Represented  uint64 // intervals for which those that came stand
-	Series       int    // of counters
+	LastSequence uint64 // highest sequence number
+	Represented  uint64 // number of intervals merged into Intervals
+	Series       int    // number of counter series
 }
 
-// Interval is what came of one interval.
+// Interval holds the values received for one interval.
 type Interval struct {
 	Sequence      uint64
-	Timestamp     int64                                 // seconds of Unix time, as the broker says
-	Arrived       time.Duration                         // since the collector's start, of its first sample
-	Represented   uint64                                // intervals for which it stands
+	Timestamp     int64                                 // the broker's timestamp, Unix time in seconds
+	Arrived       time.Duration                         // arrival of its first sample since the collector's start
+	Represented   uint64                                // number of intervals merged into it
 	Values        map[metrics.Series]float64            // counters and gauges
 	Distributions map[metrics.Series]map[string]float64 // distributions, by statistic
 }
 
-// Missing returns how many intervals were numbered for which none that came stands.
+// Missing returns the number of intervals up to the last sequence number that no received interval represents. It is
+// negative if the received intervals represent more than there were.
 func (r *Incarnation) Missing() int64 { return int64(r.LastSequence) - int64(r.Represented) }
 
-// Total returns a counter of the incarnation summed over its names and parts: the last value of each of its series.
+// Total returns the sum of the last values of a counter's series.
 func (r *Incarnation) Total(id metrics.ID) (sum float64) {
 	for _, v := range r.Totals(id) {
 		sum += v
@@ -41,7 +42,7 @@
 	return sum
 }
 
-// Totals returns the last values of a counter's series.
+// Totals returns the last value of each of a counter's series.
 func (r *Incarnation) Totals(id metrics.ID) map[metrics.Series]float64 {
 	last := map[metrics.Series]float64{}
 	for _, interval := range r.Intervals {
@@ -54,7 +55,7 @@
 	return last
 }
 
-// check orders the intervals and checks them against the rules.
+// check sorts the intervals by sequence number and adds their violations of the rules to the findings.
 func (r *Incarnation) check(f *Findings) {
 	slices.SortFunc(r.Intervals, func(a, b *Interval) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	counters := map[metrics.Series]float64{}
@@ -75,22 +76,22 @@
 	r.Series = len(counters)
 }
 
-// checkCounters checks that no counter falls, and updates their last values.
+// checkCounters checks that no counter decreases, and updates the last values.
 func (r *Incarnation) checkCounters(f *Findings, interval *Interval, last map[metrics.Series]float64) {
 	for series, value := range interval.Values {
-		figure := metrics.Catalogue[series.Figure]
-		if figure.Kind != metrics.Counter {
+		metric := metrics.Catalogue[series.Figure]
+		if metric.Kind != metrics.Counter {
 			continue
 		}
 		if before, known := last[series]; known && value < before {
 			f.violation("%s, start %d: %s of %q fell from %v to %v at interval %d",
-				r.Broker, r.StartedMS, figure.Name, series.Name, before, value, interval.Sequence)
+				r.Broker, r.StartedMS, metric.Name, series.Name, before, value, interval.Sequence)
 		}
 		last[series] = value
 	}
 }
 
-// checkDistributions checks that the statistics of complete distributions are in order.
+// checkDistributions checks that the quantiles of complete distributions are in ascending order.
 func (r *Incarnation) checkDistributions(f *Findings, interval *Interval) {
 	for series, stats := range interval.Distributions {
 		if len(stats) == len(metrics.Stats) && !inOrder(stats) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// inOrder reports whether quantiles rise, as far as their accuracy tells.
+// inOrder reports whether quantiles ascend, within the accuracy of their estimates.
 func inOrder(stats map[string]float64) bool {
 	const tolerance = 1 + 2*metrics.Accuracy
 	return stats["min"] <= stats["p50"] && stats["p50"] <= stats["p95"] &&
--- a/internal/emulator/collector/mode.go
+++ b/internal/emulator/collector/mode.go
@@ -2,24 +2,25 @@
 
 import "net"
 
-// Mode is how an emulated collector behaves.
+// Mode is the behaviour of an emulated collector.
 type Mode string
 
-// The modes.
+// The modes of a collector. A carbon server has all but Lossy and Reordering, a collectd has Serve, Unreachable, Lossy
+// and Reordering; other modes act like Serve.
 const (
 	Serve       Mode = "serve"
-	Unreachable Mode = "gone"    // nothing listens, and open connections are reset
-	Silent      Mode = "mute"    // connections are accepted and never read
-	Slow        Mode = "slow"    // some 2 KB a second are read
-	Truncating  Mode = "tear"    // each connection is reset in the middle of a line
-	Lossy       Mode = "lossy"   // a third of the datagrams is lost
-	Reordering  Mode = "shuffle" // datagrams come out of order
+	Unreachable Mode = "gone"    // does not listen, and resets open connections
+	Silent      Mode = "mute"    // accepts connections and never reads them
+	Slow        Mode = "slow"    // reads about 2 KB a second
+	Truncating  Mode = "tear"    // resets each connection in the middle of a line
+	Lossy       Mode = "lossy"   // loses a third of the datagrams
+	Reordering  Mode = "shuffle" // delivers datagrams out of order
 )
 
-// reset closes a connection as a killed process does.
+// reset closes a connection with a TCP reset, as a killed process does.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is merely an orderly one
+		_ = tcp.SetLinger(0) // on an error, the close is an orderly one
 	}
-	_ = conn.Close() // the peer sees the reset; nothing is left to report here
+	_ = conn.Close() // the peer observes the reset; an error here changes nothing
 }
--- a/internal/emulator/collector/reconciler.go
+++ b/internal/emulator/collector/reconciler.go
@@ -1,6 +1,6 @@
-// Package collector emulates the systems that figures are sent to: a carbon server, and a collectd with the
-// network plugin, written from their published formats. They keep what they receive in a Reconciler, which
-// checks it against the rules of the catalogue of figures, and they fail on demand as real ones do.
+// Package collector emulates the collectors that brokers send metrics to: a carbon server, and a collectd with the
+// network plugin, both implemented from their published formats. They store samples in a Reconciler, which checks
+// them against the rules of the metrics catalogue, and they can inject the faults of real collectors.
 package collector
 
 import (
@@ -11,32 +11,33 @@
 )
 
 const (
-	maxSamples    = 2 << 20 // beyond it the older half is dropped and counted
-	maxViolations = 100     // texts kept
+	maxSamples    = 2 << 20 // at this limit the older half is dropped and counted
+	maxViolations = 100     // violations reported, and distinct unknown names and parse errors counted
 )
 
-// Sample is one value as a collector received it.
+// Sample is one value that a collector received.
 type Sample struct {
 	ArrivedAfter time.Duration // since the collector's start
 	Name         graphite.Name
 	Value        float64
-	Timestamp    int64 // the broker's timestamp in seconds of Unix time
+	Timestamp    int64 // the broker's timestamp, Unix time in seconds
 }
 
-// Reconciler keeps samples. It may be used from several goroutines.
+// Reconciler stores samples and checks them. It is safe for concurrent use.
 type Reconciler struct {
 	startedAt time.Time
 	onSample  func(Sample) // nil: none
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	samples   []Sample
 	dropped   int
-	unknown   map[string]int // names that the catalogue lacks
-	malformed map[string]int // why something could not be parsed
-	changed   chan struct{}  // closed when something new comes
+	unknown   map[string]int // count by name that is not in the catalogue
+	malformed map[string]int // count by parse error
+	changed   chan struct{}  // closed at the next sample, unknown name or parse error
 }
 
-// NewReconciler returns an empty one. onSample, if there is one, is called with each sample as it comes.
+// NewReconciler returns a reconciler without samples. It calls onSample, unless that is nil, with each sample that is
+// added, while it holds its lock.
 func NewReconciler(onSample func(Sample)) *Reconciler {
 	return &Reconciler{
 		startedAt: time.Now(), onSample: onSample,
@@ -44,7 +45,7 @@
 	}
 }
 
-// Add keeps a sample.
+// Add stores a sample.
 func (r *Reconciler) Add(name graphite.Name, value float64, timestamp int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,13 +62,13 @@
 	r.notifyWaiters()
 }
 
-// notifyWaiters wakes those that wait for Changed; r.mu is held.
+// notifyWaiters wakes the goroutines that wait on Changed. r.mu must be held.
 func (r *Reconciler) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when something new comes.
+// Changed returns a channel that is closed at the next sample, unknown name or parse error.
 func (r *Reconciler) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +78,7 @@
 // AddUnknown counts a name that is not in the catalogue.
 func (r *Reconciler) AddUnknown(name string) { r.countIn(r.unknown, name) }
 
-// AddMalformed counts something that could not be parsed, by the reason.
+// AddMalformed counts input that could not be parsed, by the reason.
 func (r *Reconciler) AddMalformed(reason string) { r.countIn(r.malformed, reason) }
 
 func (r *Reconciler) countIn(counts map[string]int, text string) {
@@ -89,16 +90,16 @@
 	r.notifyWaiters()
 }
 
-// Clear forgets all samples, as a collector does that restarts without its disk.
+// Clear drops all samples, as a collector does that restarts without its disk.
 func (r *Reconciler) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.samples = nil
 }
 
-// Reconcile checks all that came against the rules of the catalogue. Each interval has its sequence number
-// and the start of its broker; counters never fall within an incarnation; no more intervals are accounted
-// for than there were.
+// Reconcile checks the stored samples against the rules of the catalogue: each interval carries its sequence number
+// and its broker's start time; counters never decrease within an incarnation; the intervals received represent no
+// more intervals than the broker numbered.
 func (r *Reconciler) Reconcile() *Findings {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/collector/recording.go
+++ b/internal/emulator/collector/recording.go
@@ -16,20 +16,20 @@
 	"wheatlane/internal/graphite"
 )
 
-// recordedForm is the form of names in a recording.
-var recordedForm = graphite.Form{Tags: true}
+// recordingForm is the form of metric names in a recording.
+var recordingForm = graphite.Form{Tags: true}
 
-// ErrRecording is returned for a file that is no recording, or one that breaks off in a line.
+// ErrRecording is returned for a file that is not a recording or ends in a truncated line.
 var ErrRecording = errors.New("not a recording of figures")
 
 // recordingHeader is the first line of a recording.
 const recordingHeader = "wheatlane figures 1"
 
-// recordedFields are those of a line: arrival, path, value and timestamp.
-const recordedFields = 4
+// lineFieldCount is the number of fields of a line: arrival, path, value and timestamp.
+const lineFieldCount = 4
 
-// Recording writes samples to a file: lines of arrival in milliseconds, path, value and time, compressed
-// with zstd. It may be used from several goroutines.
+// Recording writes samples to a file, compressed with zstd. Each line has the arrival in milliseconds, the path, the
+// value and the timestamp. It is safe for concurrent use.
 type Recording struct {
 	mu      sync.Mutex
 	file    io.WriteCloser
@@ -38,11 +38,11 @@
 	err     error
 }
 
-// flushInterval is how long samples may stay in memory; a collector that is killed leaves those before it
-// in the file.
+// flushInterval is the time that samples may stay in memory. The file of a killed collector lacks only the samples of
+// the last interval.
 const flushInterval = time.Second
 
-// NewRecording begins a recording. Close closes the file as well.
+// NewRecording starts a recording. Its Close method also closes the file.
 func NewRecording(file io.WriteCloser) (*Recording, error) {
 	encoder, err := zstd.NewWriter(file, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// Add writes a sample. The first error is kept for Close.
+// Add writes a sample. Close returns the first error of all writes.
 func (r *Recording) Add(s Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,13 +66,13 @@
 		return
 	}
 	r.line = append(strconv.AppendInt(r.line[:0], s.ArrivedAfter.Milliseconds(), 10), ' ')
-	r.line = append(recordedForm.Append(r.line, s.Name), ' ')
+	r.line = append(recordingForm.Append(r.line, s.Name), ' ')
 	r.line = append(strconv.AppendFloat(r.line, s.Value, 'g', -1, 64), ' ')
 	r.line = append(strconv.AppendInt(r.line, s.Timestamp, 10), '\n')
 	_, r.err = r.encoder.Write(r.line)
 }
 
-// Run flushes the samples to the file each flushInterval, until ctx ends.
+// Run flushes the samples to the file every flushInterval, until ctx is done.
 func (r *Recording) Run(ctx context.Context) error {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Close ends the recording and closes its file. It returns the first error of all writes.
+// Close ends the recording and closes its file. It reports the first write error along with its own.
 func (r *Recording) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// ReadRecording reads a recording. The samples before a place where it breaks off are returned along with
-// the error, as the collector may have been killed.
+// ReadRecording reads a recording. If the recording is truncated, as that of a killed collector, it returns the samples
+// before that point along with the error.
 func ReadRecording(from io.Reader) ([]Sample, error) {
 	decoder, err := zstd.NewReader(from, zstd.WithDecoderConcurrency(1))
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	var samples []Sample
 	for lines.Scan() {
-		s, err := parseRecorded(lines.Text())
+		s, err := parseLine(lines.Text())
 		if err != nil {
 			return samples, err
 		}
@@ -136,10 +136,10 @@
 	return samples, nil
 }
 
-// parseRecorded parses a line of a recording.
-func parseRecorded(line string) (s Sample, err error) {
+// parseLine parses a line of a recording.
+func parseLine(line string) (s Sample, err error) {
 	fields := strings.Split(line, " ")
-	if len(fields) != recordedFields {
+	if len(fields) != lineFieldCount {
 		return s, fmt.Errorf("%w: %.80q", ErrRecording, line)
 	}
 	arrived, err := strconv.ParseInt(fields[0], 10, 64)
@@ -147,7 +147,7 @@
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	s.ArrivedAfter = time.Duration(arrived) * time.Millisecond
-	if s.Name, err = recordedForm.Parse(fields[1]); err != nil {
+	if s.Name, err = recordingForm.Parse(fields[1]); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	if s.Value, err = strconv.ParseFloat(fields[2], 64); err != nil {
--- a/internal/emulator/collector/recording_golden_test.go
+++ b/internal/emulator/collector/recording_golden_test.go
@@ -14,13 +14,13 @@
 	"wheatlane/internal/metrics"
 )
 
-// storedLines are the lines of a recording, and what each of them says.
-var storedLines = []struct {
-	line, figure, broker, name, stat, detail string
-	other                                    bool
-	arrived                                  time.Duration
-	value                                    float64
-	at                                       int64
+// recordedLines are the lines of a recording with their parsed fields.
+var recordedLines = []struct {
+	line, metric, broker, name, stat, label string
+	other                                   bool
+	arrived                                 time.Duration
+	value                                   float64
+	timestamp                               int64
 }{
 	{"0 open_requests;broker=n1 17 1750000000", "open_requests", "n1", "", "", "", false, 0, 17, 1750000000},
 	{
@@ -44,8 +44,8 @@
 	},
 }
 
-// unpacked is the content of a recording.
-func unpacked(t *testing.T, recording []byte) string {
+// decompress returns the content of a recording.
+func decompress(t *testing.T, recording []byte) string {
 	t.Helper()
 	z, err := zstd.NewReader(bytes.NewReader(recording))
 	if err != nil {
@@ -59,8 +59,9 @@
 	return string(text)
 }
 
-// A recording that an earlier release wrote is read, and the same samples are written in the same lines.
-func TestStoredRecording(t *testing.T) {
+// The format of recordings must stay the same: a recording of an earlier release must be readable, and the same
+// samples must be written as the same lines.
+func TestRecordingMatchesGoldenFile(t *testing.T) {
 	const golden = "testdata/recording.zst"
 	var f closableBuffer
 	r, err := NewRecording(&f)
@@ -68,49 +69,49 @@
 		t.Fatal(err)
 	}
 	want := "wheatlane figures 1\n"
-	for _, l := range storedLines {
-		id, ok := metrics.Find(l.figure)
+	for _, l := range recordedLines {
+		id, ok := metrics.Find(l.metric)
 		if !ok {
-			t.Fatalf("no figure %s", l.figure)
+			t.Fatalf("the catalogue has no metric %s", l.metric)
 		}
 		s := metrics.Series{Figure: id, Name: l.name, Other: l.other}
-		for i, p := range metrics.Catalogue[id].LabelValues {
-			if p == l.detail {
+		for i, value := range metrics.Catalogue[id].LabelValues {
+			if value == l.label {
 				s.LabelIndex = i
 			}
 		}
 		name := graphite.Name{Broker: l.broker, Series: s, Stat: l.stat}
-		r.Add(Sample{ArrivedAfter: l.arrived, Name: name, Value: l.value, Timestamp: l.at})
+		r.Add(Sample{ArrivedAfter: l.arrived, Name: name, Value: l.value, Timestamp: l.timestamp})
 		want += l.line + "\n"
 	}
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, unpacked(t, f.Bytes())); diff != "" {
-		t.Errorf("written: %s", diff)
+	if diff := cmp.Diff(want, decompress(t, f.Bytes())); diff != "" {
+		t.Errorf("written recording: %s", diff)
 	}
 	stored, err := goldenfile.Content(golden, func() ([]byte, error) { return f.Bytes(), nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, unpacked(t, stored)); diff != "" {
-		t.Errorf("stored: %s", diff)
+	if diff := cmp.Diff(want, decompress(t, stored)); diff != "" {
+		t.Errorf("golden file: %s", diff)
 	}
 	all, err := ReadRecording(bytes.NewReader(stored))
-	if err != nil || len(all) != len(storedLines) {
-		t.Fatalf("read: %d samples, %v", len(all), err)
+	if err != nil || len(all) != len(recordedLines) {
+		t.Fatalf("read %d samples, want %d, error %v", len(all), len(recordedLines), err)
 	}
-	for i, l := range storedLines {
+	for i, l := range recordedLines {
 		s := all[i]
-		fig := metrics.Catalogue[s.Name.Series.Figure]
-		detail := ""
-		if len(fig.LabelValues) > 0 {
-			detail = fig.LabelValues[s.Name.Series.LabelIndex]
+		metric := metrics.Catalogue[s.Name.Series.Figure]
+		label := ""
+		if len(metric.LabelValues) > 0 {
+			label = metric.LabelValues[s.Name.Series.LabelIndex]
 		}
-		if fig.Name != l.figure || s.Name.Broker != l.broker || s.Name.Series.Name != l.name ||
-			s.Name.Stat != l.stat || detail != l.detail ||
+		if metric.Name != l.metric || s.Name.Broker != l.broker || s.Name.Series.Name != l.name ||
+			s.Name.Stat != l.stat || label != l.label ||
 			s.Name.Series.Other != l.other || s.ArrivedAfter != l.arrived ||
-			s.Value != l.value || s.Timestamp != l.at {
+			s.Value != l.value || s.Timestamp != l.timestamp {
 			t.Errorf("%s: read %+v", l.line, s)
 		}
 	}
