--- a/internal/emulator/engine/commands.go
+++ b/internal/emulator/engine/commands.go
@@ -10,7 +10,7 @@
 	"wheatlane/internal/resp"
 )
 
-// Words of the wire.
+// Commands and statuses of the engine protocol.
 const (
 	commandQuery       = "want"
 	commandCancel      = "never_mind"
@@ -20,24 +20,24 @@
 	commandLiveness    = "there"
 	commandLoad        = "busy"
 
-	wordOK    = "OK"
-	wordRows  = "ROWS"
-	wordErr   = "ERR"
-	wordBusy  = "BUSY"
-	wordAlive = "UP"
+	statusOK    = "OK"
+	statusRows  = "ROWS"
+	statusErr   = "ERR"
+	statusBusy  = "BUSY"
+	statusAlive = "UP"
 
 	noFields = "-"
 )
 
-// commandLength is the number of words of each command.
-var commandLength = map[string]int{
+// commandWordCount is the number of words of each command, its name included.
+var commandWordCount = map[string]int{
 	commandQuery: 4, commandCancel: 2, commandSetPriority: 3, commandFetchPage: 3, commandRelease: 2,
 	commandLiveness: 2, commandLoad: 2,
 }
 
 var errUnknownCommand = errors.New("engine: unknown command")
 
-// processCommands executes the complete commands at the start of buf and returns how many bytes they took.
+// processCommands executes the complete commands at the start of buf and returns the number of bytes that it consumed.
 func (s *Server) processCommands(c *brokerConn, buf []byte) (used int, err error) {
 	for {
 		parts, n, err := resp.Parse(buf[used:])
@@ -55,12 +55,12 @@
 	}
 }
 
-// execute carries out one command.
+// execute executes one command. It returns errUnknownCommand for an unknown command or a wrong number of words.
 func (s *Server) execute(c *brokerConn, words []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.notifyWorker()
-	if len(words) < 2 || len(words) != commandLength[words[0]] {
+	if len(words) < 2 || len(words) != commandWordCount[words[0]] {
 		return errUnknownCommand
 	}
 	id := words[1]
@@ -71,30 +71,30 @@
 		if s.owners[id] == c && s.model.Cancel(s.now(), id) {
 			s.endAttempt(id)
 		}
-	case commandSetPriority: // the emulated engine has no priorities
+	case commandSetPriority: // ignored: the emulated engine has no priorities
 	case commandFetchPage:
 		s.sendPage(c, id, words[2])
 	case commandRelease:
 		delete(s.results, id)
 	case commandLiveness:
-		s.send(c, id, wordAlive, noFields, "")
+		s.send(c, id, statusAlive, noFields, "")
 	case commandLoad:
-		s.send(c, id, wordAlive, s.loadReport(), "")
+		s.send(c, id, statusAlive, s.loadReport(), "")
 	}
 	return nil
 }
 
-// sendPage answers with a further page of a result; s.mu is held.
+// sendPage sends the page of a result with the given number. s.mu must be held.
 func (s *Server) sendPage(c *brokerConn, requestID, number string) {
 	pages := s.results[requestID].pages
 	if page, err := strconv.Atoi(number); err != nil || page < 0 || page >= len(pages) {
-		s.send(c, requestID, wordErr, noFields, "no such page")
+		s.send(c, requestID, statusErr, noFields, "no such page")
 	} else {
-		s.send(c, requestID, wordRows, "sheet="+number, pages[page])
+		s.send(c, requestID, statusRows, "sheet="+number, pages[page])
 	}
 }
 
-// loadReport is the answer to a load probe; s.mu is held.
+// loadReport returns the fields of the response to a load probe. s.mu must be held.
 func (s *Server) loadReport() string {
 	jobs, threads := s.model.Running()
 	queued := max(0, jobs-s.cfg.MaxQueries/2)
@@ -102,28 +102,28 @@
 	return fmt.Sprintf("l=queue:%d;x1:%.3f;x0:%.3f", queued, min(1, busy), min(1, busy/2))
 }
 
-// startQuery takes a query; s.mu is held.
+// startQuery submits a query to the model, and answers it unless it was admitted. s.mu must be held.
 func (s *Server) startQuery(c *brokerConn, id, fields, statement string) {
 	values := parseFields(fields)
 	className, key := values["sort"], values["op"]
 	s.observer.AttemptReceived(Attempt{
 		Engine: s.ID, RequestID: id, Class: className, IdempotencyKey: key, Statement: statement,
-		Timeout: millisecondsOf(values["patience"]), ReceivedAt: time.Now(),
+		Timeout: parseMilliseconds(values["patience"]), ReceivedAt: time.Now(),
 	})
 	defer func() {
-		if s.owners[id] == nil { // it is over already
+		if s.owners[id] == nil { // answered already
 			s.observer.AttemptEnded(s.ID, id, time.Now())
 		}
 	}()
 	class := s.classes[className]
 	if class == nil {
-		s.send(c, id, wordErr, noFields, "no such class")
+		s.send(c, id, statusErr, noFields, "no such class")
 		return
 	}
 	job := Job{RequestID: id, Class: class, IdempotencyKey: key, DataSet: dataSetOf(statement)}
 	switch s.model.Submit(s.now(), job) {
 	case AtCapacity:
-		s.send(c, id, wordBusy, noFields, "")
+		s.send(c, id, statusBusy, noFields, "")
 	case Duplicate:
 		s.sendResult(c, id, class, 0)
 	case Admitted:
@@ -131,8 +131,8 @@
 	}
 }
 
-// millisecondsOf reads a time in milliseconds; 0 if it is none.
-func millisecondsOf(text string) time.Duration {
+// parseMilliseconds parses a duration in milliseconds. It returns 0 for text that is not an integer.
+func parseMilliseconds(text string) time.Duration {
 	ms, err := strconv.Atoi(text)
 	if err != nil {
 		return 0
@@ -140,7 +140,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// parseFields reads NAME=VALUE pairs with commas between.
+// parseFields parses comma-separated NAME=VALUE pairs.
 func parseFields(text string) map[string]string {
 	values := map[string]string{}
 	for field := range strings.SplitSeq(text, ",") {
@@ -150,7 +150,7 @@
 	return values
 }
 
-// dataSetOf returns the number of the data set in a statement's schema, as in sales_17.orders; 0 if there
+// dataSetOf returns the number of the data set in a statement's schema, such as 17 in sales_17.orders, or 0 if there
 // is none.
 func dataSetOf(statement string) int {
 	_, after, _ := strings.Cut(statement, "_")
--- a/internal/emulator/engine/connection.go
+++ b/internal/emulator/engine/connection.go
@@ -10,21 +10,21 @@
 	"wheatlane/internal/resp"
 )
 
-// brokerConn is a broker's connection.
+// brokerConn is a connection from a broker.
 type brokerConn struct {
 	socket  net.Conn
 	answers chan []byte
 }
 
-// reset closes the connection as a killed process does.
+// reset closes the connection with a TCP reset, as a killed process does.
 func (c *brokerConn) reset() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is merely an orderly one
+		_ = tcp.SetLinger(0) // on an error, the close is an orderly one
 	}
-	_ = c.socket.Close() // the broker sees the reset; nothing is left to report here
+	_ = c.socket.Close() // the broker observes the reset; an error here changes nothing
 }
 
-// write writes the answers until ctx ends or a write fails, and closes the socket.
+// write writes queued answers until ctx is done or a write fails, then closes the socket.
 func (c *brokerConn) write(ctx context.Context) error {
 	defer func() { _ = c.socket.Close() }() // the reader may have closed it first
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// serve reads a broker's connection until it ends, and writes it in a goroutine of its own.
+// serve reads a connection until it ends, with a second goroutine that writes its answers.
 func (s *Server) serve(ctx context.Context, socket net.Conn) {
 	c := &brokerConn{socket: socket, answers: make(chan []byte, maxQueuedAnswers)}
 	ctx, cancel := context.WithCancel(ctx)
@@ -52,7 +52,7 @@
 	s.read(c)
 	cancel()
 	_ = socket.Close() // the writer may have closed it first
-	_ = writer.Wait()  // a connection that ends is no fault of an emulator
+	_ = writer.Wait()  // a write error only means that the connection has ended
 	s.unregister(c)
 }
 
@@ -61,11 +61,11 @@
 	defer s.mu.Unlock()
 	s.conns[c] = true
 	if s.crashed {
-		_ = c.socket.Close() // accepted as the engine crashed
+		_ = c.socket.Close() // the engine crashed after Accept
 	}
 }
 
-// unregister cancels all queries of a connection that ended.
+// unregister removes a connection that has ended and cancels its queries.
 func (s *Server) unregister(c *brokerConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	s.notifyWorker()
 }
 
-// read executes the commands of a connection until it ends or sends something that is none.
+// read executes the commands of a connection until it ends or sends an invalid command.
 func (s *Server) read(c *brokerConn) {
 	var unread []byte
 	buf := make([]byte, readBufferSize)
@@ -94,7 +94,7 @@
 	}
 }
 
-// send queues an answer; s.mu is held.
+// send queues an answer, unless the engine is silent. s.mu must be held.
 func (s *Server) send(c *brokerConn, parts ...string) {
 	if s.silent {
 		return
@@ -102,6 +102,6 @@
 	select {
 	case c.answers <- resp.Append(nil, parts...):
 	default:
-		_ = c.socket.Close() // the broker reads nothing
+		_ = c.socket.Close() // the queue is full because the broker does not read
 	}
 }
--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -1,6 +1,6 @@
-// Package engine emulates a query engine. Model computes how an engine runs queries and does no I/O; Server
-// speaks the engine's protocol to brokers. The cost and the result of a query are drawn from its request
-// id, so that whoever knows the id can compute both.
+// Package engine emulates a query engine. Model simulates the execution of queries and does no I/O; Server implements
+// the engine's side of the protocol with brokers. The cost and the result of a query are derived from its request id,
+// so that clients and checkers can compute both.
 package engine
 
 import (
@@ -11,71 +11,71 @@
 )
 
 const (
-	slowStartStep = 50 * time.Millisecond // an engine in slow start gets faster: it is looked at so often
-	workEpsilon   = 1e-9                  // thread-seconds; less remaining work counts as none
-	keysPerQuery  = 4                     // expired idempotency keys are purged beyond so many times MaxQueries
+	slowStartStep = 50 * time.Millisecond // interval at which the speed of an engine in slow start is updated
+	workEpsilon   = 1e-9                  // thread-seconds; a query with no more remaining work is complete
+	keysPerQuery  = 4                     // expired idempotency keys are purged beyond MaxQueries times this number
 )
 
-// Config is the size of an engine.
+// Config specifies the capacity of an engine.
 type Config struct {
 	Cores             float64
-	SaturationPoint   float64       // threads per core beyond which work is lost to switching
-	MaxQueries        int           // queries in flight; more are answered as busy
-	DedupWindow       time.Duration // a query with an idempotency key seen within it does not run again
-	SlowStartDuration time.Duration // after its start the engine reaches full speed within it
-	SlowStartInitial  float64       // fraction of full speed at the start
+	SaturationPoint   float64       // threads per core beyond which context switches reduce throughput
+	MaxQueries        int           // maximum number of queries in flight; further ones are rejected as busy
+	DedupWindow       time.Duration // a query whose idempotency key was admitted within it does not run again
+	SlowStartDuration time.Duration // time from the engine's start to full speed
+	SlowStartInitial  float64       // speed at the start, as a fraction of full speed
 }
 
-// Job is a query to run.
+// Job is a query to execute.
 type Job struct {
 	RequestID      string
 	Class          *Class
-	IdempotencyKey string // empty: none
+	IdempotencyKey string // empty for none
 	DataSet        int
 }
 
-// Admission is how an engine takes a new query.
+// Admission is the outcome of submitting a query.
 type Admission int
 
 // The outcomes of an admission.
 const (
 	Admitted   Admission = iota
-	AtCapacity           // it does not run
-	Duplicate            // its idempotency key was seen within the dedup window; it is answered at once
+	AtCapacity           // rejected
+	Duplicate            // its idempotency key was admitted within the dedup window; it does not run again
 )
 
-// Completion is a query that ended.
+// Completion is a query that has finished.
 type Completion struct {
 	RequestID string
 	Class     *Class
-	Work      time.Duration // CPU time that it took
+	Work      time.Duration // CPU time on one thread
 }
 
 type runningJob struct {
 	Job
-	order     int     // of its admission
+	order     int     // position in the order of admission
 	remaining float64 // thread-seconds
 	total     float64 // thread-seconds
-	blocked   bool    // by the lock of its data set
+	blocked   bool    // waits for the lock of its data set
 }
 
 func (j *runningJob) threads() float64 { return float64(max(1, j.Class.Threads)) }
 
-// Model is how an engine runs queries: all at once, sharing its cores (processor sharing). It reads no
-// clock and is not safe for concurrent use. Times are durations since any fixed moment.
+// Model simulates the execution of queries with processor sharing: all queries run at the same time and share the
+// cores. It reads no clock and is not safe for concurrent use. Times are durations since any fixed moment.
 type Model struct {
 	cfg            Config
 	now            time.Duration
 	startedAt      time.Duration
-	slowdown       float64 // factor on all times, 1 or more
-	submitted      int
+	slowdown       float64                  // factor by which queries take longer, at least 1
+	submitted      int                      // queries admitted
 	jobs           map[string]*runningJob   // by request id
-	keySubmittedAt map[string]time.Duration // by idempotency key
+	keySubmittedAt map[string]time.Duration // time of admission, by idempotency key
 	lockHolders    map[int]*runningJob      // by data set
 	completions    []Completion             // not yet returned by Advance
 }
 
-// NewModel returns an engine that started at a time.
+// NewModel returns an engine that was started at startedAt.
 func NewModel(cfg Config, startedAt time.Duration) *Model {
 	return &Model{
 		cfg: cfg, now: startedAt, startedAt: startedAt, slowdown: 1,
@@ -85,13 +85,13 @@
 	}
 }
 
-// SetSlowdown makes everything take factor times as long from now on.
+// SetSlowdown makes queries take factor times as long from now on. A factor below 1 counts as 1.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.runUntil(now)
 	m.slowdown = max(1, factor)
 }
 
-// Running returns how many queries are in flight and on how many threads they run.
+// Running returns the number of queries in flight and the number of threads that run them.
 func (m *Model) Running() (jobs int, threads float64) {
 	for _, j := range m.jobs {
 		if !j.blocked {
@@ -101,7 +101,7 @@
 	return len(m.jobs), threads
 }
 
-// speed returns the thread-seconds of work that a thread does in a second while so many threads run.
+// speed returns the thread-seconds of work that each of the given number of threads does in a second.
 func (m *Model) speed(threads float64) float64 {
 	if threads == 0 {
 		return 0
@@ -116,17 +116,17 @@
 	return v
 }
 
-// Submit admits a query or not.
+// Submit submits a query at a time and reports whether it is admitted.
 func (m *Model) Submit(now time.Duration, j Job) Admission {
 	m.runUntil(now)
-	if m.seenKey(j.IdempotencyKey) {
+	if m.isDuplicate(j.IdempotencyKey) {
 		return Duplicate
 	}
 	if len(m.jobs) >= m.cfg.MaxQueries || m.jobs[j.RequestID] != nil {
 		return AtCapacity
 	}
 	if j.IdempotencyKey != "" {
-		m.rememberKey(j.IdempotencyKey)
+		m.recordKey(j.IdempotencyKey)
 	}
 	m.submitted++
 	work := j.Class.Cost(j.RequestID).Seconds()
@@ -135,8 +135,8 @@
 	return Admitted
 }
 
-// seenKey reports whether a query with this idempotency key was admitted within the dedup window.
-func (m *Model) seenKey(key string) bool {
+// isDuplicate reports whether a query with the idempotency key was admitted within the dedup window.
+func (m *Model) isDuplicate(key string) bool {
 	if key == "" {
 		return false
 	}
@@ -144,7 +144,8 @@
 	return known && m.now-at < m.cfg.DedupWindow
 }
 
-func (m *Model) rememberKey(key string) {
+// recordKey records the admission of a query with an idempotency key, and purges expired keys if there are too many.
+func (m *Model) recordKey(key string) {
 	m.keySubmittedAt[key] = m.now
 	if len(m.keySubmittedAt) <= keysPerQuery*m.cfg.MaxQueries {
 		return
@@ -156,14 +157,14 @@
 	}
 }
 
-// Cancel ends a query at once; false if it is not in flight.
+// Cancel cancels a query and reports whether it was in flight.
 func (m *Model) Cancel(now time.Duration, requestID string) bool {
 	m.runUntil(now)
 	j := m.jobs[requestID]
 	if j == nil {
 		return false
 	}
-	delete(m.keySubmittedAt, j.IdempotencyKey) // it was not executed, so a retry is no duplicate
+	delete(m.keySubmittedAt, j.IdempotencyKey) // a cancelled query was not executed, so a retry is no duplicate
 	m.remove(j)
 	m.assignLocks()
 	return true
@@ -176,8 +177,8 @@
 	}
 }
 
-// inOrder returns the queries in the order of their admission.
-func (m *Model) inOrder() []*runningJob {
+// jobsByAdmission returns the queries in flight in the order of their admission.
+func (m *Model) jobsByAdmission() []*runningJob {
 	all := make([]*runningJob, 0, len(m.jobs))
 	for _, j := range m.jobs {
 		all = append(all, j)
@@ -186,10 +187,10 @@
 	return all
 }
 
-// assignLocks gives each free data-set lock to the first query that needs it and marks the queries that it
-// blocks.
+// assignLocks assigns each free data-set lock to the earliest query that needs it, and marks the queries that wait for
+// a lock as blocked.
 func (m *Model) assignLocks() {
-	all := m.inOrder()
+	all := m.jobsByAdmission()
 	for _, j := range all {
 		if j.Class.HoldsDataSetLock && m.lockHolders[j.DataSet] == nil {
 			m.lockHolders[j.DataSet] = j
@@ -202,7 +203,7 @@
 	}
 }
 
-// Next returns when to call Advance next if nothing else happens; ok is false if nothing runs.
+// Next returns the time at which Advance must be called next if nothing else happens; ok is false if no query runs.
 func (m *Model) Next() (at time.Duration, ok bool) {
 	_, threads := m.Running()
 	v := m.speed(threads)
@@ -224,14 +225,16 @@
 	return at, ok
 }
 
-// Advance lets time pass and returns the queries that ended, in order.
+// Advance advances the simulation to a time and returns the queries that finished since the last call, in the order of
+// their ends.
 func (m *Model) Advance(now time.Duration) []Completion {
 	m.runUntil(now)
-	out := m.completions
+	completions := m.completions
 	m.completions = nil
-	return out
+	return completions
 }
 
+// runUntil runs the queries up to a time, in steps of constant speed.
 func (m *Model) runUntil(now time.Duration) {
 	for m.now < now {
 		next, ok := m.Next()
@@ -243,13 +246,13 @@
 	}
 }
 
-// runFor lets the queries run at their present speed for a time.
+// runFor runs the queries at their current speed for a duration.
 func (m *Model) runFor(step time.Duration) {
 	_, threads := m.Running()
 	v := m.speed(threads)
 	m.now += step
 	ended := false
-	for _, j := range m.inOrder() {
+	for _, j := range m.jobsByAdmission() {
 		if j.blocked {
 			continue
 		}
--- a/internal/emulator/engine/model_test.go
+++ b/internal/emulator/engine/model_test.go
@@ -19,7 +19,7 @@
 	modelConfig = Config{Cores: 4, SaturationPoint: 2, MaxQueries: 16, DedupWindow: 15 * time.Second}
 )
 
-// runToCompletion runs a model until nothing is in flight and returns when each query ended.
+// runToCompletion runs a model until no query is in flight and returns the end of each query.
 func runToCompletion(t *testing.T, m *Model) map[string]time.Duration {
 	t.Helper()
 	endedAt := map[string]time.Duration{}
@@ -32,20 +32,21 @@
 			endedAt[c.RequestID] = at
 		}
 	}
-	t.Fatal("the model does not finish")
+	t.Fatal("queries still in flight after 10,000 steps")
 	return nil
 }
 
-func TestSingleQueryTakesItsOwnWork(t *testing.T) {
+func TestSingleQueryRunsForItsCost(t *testing.T) {
 	m := NewModel(modelConfig, 0)
 	m.Submit(0, Job{RequestID: "a", Class: lookupClass})
 	want := lookupClass.Cost("a")
 	if got := runToCompletion(t, m)["a"]; got < want || got > want+time.Microsecond {
-		t.Fatalf("%v, want %v", got, want)
+		t.Fatalf("ended after %v, want %v", got, want)
 	}
 }
 
-// makespan is how long n lookups take that are submitted together. It is never less than the cores allow.
+// makespan returns the time that n lookups take that are submitted together. It fails the test if that is less than
+// their work allows on all cores.
 func makespan(t *testing.T, n int, slowdown float64) time.Duration {
 	t.Helper()
 	m := NewModel(modelConfig, 0)
@@ -61,40 +62,40 @@
 		last = max(last, at)
 	}
 	if least := time.Duration(float64(work) / modelConfig.Cores); last < least {
-		t.Fatalf("%d queries of %v in all took %v", n, work, last)
+		t.Fatalf("%d queries with %v of work took %v, want at least %v", n, work, last, least)
 	}
 	return last
 }
 
-// Up to its saturation point an engine does as much as its cores can, beyond it less. A slowdown applies to
-// all.
-func TestQueriesShareCores(t *testing.T) {
+// An engine uses all its cores up to its saturation point and loses throughput beyond it. A slowdown applies to all
+// queries.
+func TestThroughputDropsBeyondSaturationAndWithSlowdown(t *testing.T) {
 	if eight, sixteen := makespan(t, 8, 1), makespan(t, 16, 1); sixteen < 2*eight {
-		t.Errorf("twice the queries took %v and %v: nothing is lost beyond saturation", eight, sixteen)
+		t.Errorf("8 queries took %v, 16 took %v: no throughput is lost beyond saturation", eight, sixteen)
 	}
 	const tolerance = time.Millisecond
 	normal, slow := makespan(t, 4, 1), makespan(t, 4, 3)
 	if slow < 3*normal-tolerance || slow > 3*normal+tolerance {
-		t.Errorf("three times as slow: %v and %v", normal, slow)
+		t.Errorf("queries took %v, %v with a slowdown of 3", normal, slow)
 	}
 }
 
-func TestLoadLocksItsDataSet(t *testing.T) {
+func TestLoadBlocksQueriesOfItsDataSet(t *testing.T) {
 	m := NewModel(modelConfig, 0)
 	m.Submit(0, Job{RequestID: "first", Class: loadClass, DataSet: 1})
 	m.Submit(0, Job{RequestID: "second", Class: loadClass, DataSet: 1})
-	m.Submit(0, Job{RequestID: "waits", Class: lookupClass, DataSet: 1})
+	m.Submit(0, Job{RequestID: "blocked", Class: lookupClass, DataSet: 1})
 	m.Submit(0, Job{RequestID: "other", Class: lookupClass, DataSet: 2})
 	endedAt := runToCompletion(t, m)
-	if endedAt["waits"] < endedAt["second"] || endedAt["second"] < endedAt["first"]+loadClass.Cost("second")/2 {
-		t.Errorf("queries of one data set ran together: %v", endedAt)
+	if endedAt["blocked"] < endedAt["second"] || endedAt["second"] < endedAt["first"]+loadClass.Cost("second")/2 {
+		t.Errorf("queries of one data set ran concurrently: %v", endedAt)
 	}
 	if endedAt["other"] > lookupClass.Cost("other")+time.Millisecond {
-		t.Errorf("another data set waited: %v", endedAt)
+		t.Errorf("a query of another data set was blocked: %v", endedAt)
 	}
 }
 
-func TestAdmission(t *testing.T) {
+func TestSubmitDetectsDuplicates(t *testing.T) {
 	keyed := func(requestID string) Job {
 		return Job{RequestID: requestID, Class: loadClass, IdempotencyKey: "k"}
 	}
@@ -106,10 +107,10 @@
 		at   time.Duration
 		want Admission
 	}{
-		{"a duplicate while it runs", keyed("b"), time.Second, Duplicate},
-		{"a duplicate after it ran", keyed("c"), 14 * time.Second, Duplicate},
-		{"after the window", keyed("d"), 16 * time.Second, Admitted},
-		{"the id of a running query", Job{RequestID: "d", Class: lookupClass}, 16 * time.Second, AtCapacity},
+		{"same key while the query runs", keyed("b"), time.Second, Duplicate},
+		{"same key after the query ended", keyed("c"), 14 * time.Second, Duplicate},
+		{"same key after the dedup window", keyed("d"), 16 * time.Second, Admitted},
+		{"request id of a running query", Job{RequestID: "d", Class: lookupClass}, 16 * time.Second, AtCapacity},
 	} {
 		if got := m.Submit(c.at, c.job); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -117,30 +118,30 @@
 	}
 }
 
-// A cancelled query was not executed, so its idempotency key is free again.
-func TestCancelFreesTheIdempotencyKey(t *testing.T) {
+// A cancelled query was not executed, so a retry with its idempotency key must not be a duplicate.
+func TestCancelReleasesTheIdempotencyKey(t *testing.T) {
 	m := NewModel(modelConfig, 0)
 	const at = 17 * time.Second
 	m.Submit(at, Job{RequestID: "e", Class: loadClass, IdempotencyKey: "cut"})
 	if !m.Cancel(at, "e") {
-		t.Error("it is not there to cancel")
+		t.Error("Cancel reports that the query is not in flight")
 	}
 	if got := m.Submit(at, Job{RequestID: "f", Class: loadClass, IdempotencyKey: "cut"}); got != Admitted {
-		t.Errorf("a retry of what was cancelled: %v", got)
+		t.Errorf("retry of a cancelled query: %v, want %v", got, Admitted)
 	}
 }
 
-func TestAdmissionAtCapacity(t *testing.T) {
+func TestSubmitRejectsQueriesAtCapacity(t *testing.T) {
 	m := NewModel(modelConfig, 0)
 	for i := range modelConfig.MaxQueries {
 		m.Submit(0, Job{RequestID: fmt.Sprint(i), Class: loadClass})
 	}
 	if got := m.Submit(0, Job{RequestID: "more", Class: lookupClass}); got != AtCapacity {
-		t.Errorf("beyond the limit of queries: %v", got)
+		t.Errorf("query beyond MaxQueries: %v, want %v", got, AtCapacity)
 	}
 }
 
-func TestSlowStart(t *testing.T) {
+func TestQueriesTakeLongerInSlowStart(t *testing.T) {
 	cfg := modelConfig
 	cfg.SlowStartDuration, cfg.SlowStartInitial = 10*time.Second, 0.25
 	m := NewModel(cfg, 0)
@@ -150,18 +151,18 @@
 	m.Advance(later)
 	m.Submit(later, Job{RequestID: "a", Class: loadClass})
 	if second := runToCompletion(t, m)["a"] - later; first < 2*second {
-		t.Fatalf("%v in slow start, %v after it", first, second)
+		t.Fatalf("query took %v in slow start and %v after it, want at least twice as long", first, second)
 	}
 }
 
-// However time is cut into steps, each query ends once, and work is neither made nor lost.
+// The steps in which time advances must not change the result: each query ends exactly once, in the same order.
 func TestAdvanceIsIndependentOfStepSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gaps := rapid.SliceOfN(rapid.IntRange(0, 300), 1, 12).Draw(t, "gaps")
-		cuts := rapid.SliceOfN(rapid.IntRange(1, 200), 1, 40).Draw(t, "cuts")
-		oneStep, manySteps := completionOrder(gaps, nil), completionOrder(gaps, cuts)
+		steps := rapid.SliceOfN(rapid.IntRange(1, 200), 1, 40).Draw(t, "steps")
+		oneStep, manySteps := completionOrder(gaps, nil), completionOrder(gaps, steps)
 		if len(oneStep) != len(gaps) {
-			t.Fatalf("%d queries, %d ends", len(gaps), len(oneStep))
+			t.Fatalf("%d of %d queries ended", len(oneStep), len(gaps))
 		}
 		if diff := cmp.Diff(oneStep, manySteps); diff != "" {
 			t.Fatal(diff)
@@ -169,22 +170,22 @@
 	})
 }
 
-// completionOrder submits a query after each gap, every third one a load, and returns their ids in the
-// order in which they ended. Time advances in the steps of cuts, over and over, or in one step a gap if
-// there are none; both in ms.
-func completionOrder(gaps, cuts []int) (order []string) {
+// completionOrder submits a query after each gap, every third one a load, and returns the request ids in the order of
+// their ends. Time advances in the given steps, which repeat, or in one step per gap if there are none. Gaps and steps
+// are in milliseconds.
+func completionOrder(gaps, steps []int) (order []string) {
 	m := NewModel(modelConfig, 0)
 	advance := func(to time.Duration) {
 		for _, c := range m.Advance(to) {
 			order = append(order, c.RequestID)
 		}
 	}
-	now, step := time.Duration(0), 0
+	now, stepCount := time.Duration(0), 0
 	for i, gap := range gaps {
 		until := now + time.Duration(gap)*time.Millisecond
-		for len(cuts) > 0 && now < until {
-			now = min(until, now+time.Duration(cuts[step%len(cuts)])*time.Millisecond)
-			step++
+		for len(steps) > 0 && now < until {
+			now = min(until, now+time.Duration(steps[stepCount%len(steps)])*time.Millisecond)
+			stepCount++
 			advance(now)
 		}
 		now = until
--- a/internal/emulator/engine/seed_test.go
+++ b/internal/emulator/engine/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Each run draws the same, so that it has the same verdict; -rapid.seed draws something else.
+// A fixed seed makes the property tests deterministic. The flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -12,64 +12,64 @@
 
 const (
 	anyLoopbackPort   = "127.0.0.1:0"
-	maxKeptResults    = 512                    // results whose further pages may still be fetched
-	maxQueuedAnswers  = 256                    // per connection; a broker that reads none loses its connection
-	writeTimeout      = 2 * time.Second        // of one answer
-	minAnswerInterval = 100 * time.Microsecond // answers that are ready together are written together
-	acceptRetryDelay  = time.Millisecond       // while the engine is down
+	maxStoredResults  = 512                    // results whose further pages can still be fetched
+	maxQueuedAnswers  = 256                    // per connection; beyond it the connection of a slow broker is closed
+	writeTimeout      = 2 * time.Second        // per answer
+	minAnswerInterval = 100 * time.Microsecond // answers to queries that finish within it are sent together
+	acceptRetryDelay  = time.Millisecond       // between attempts to accept while the engine is down
 	readBufferSize    = 16 << 10
-	memoryPerThreadMB = 16 // that a query reports
+	memoryPerThreadMB = 16 // memory that results report
 )
 
-// Attempt is a query as the engine received it.
+// Attempt is a query that an engine has received.
 type Attempt struct {
 	Engine, RequestID, Class, IdempotencyKey, Statement string
-	Timeout                                             time.Duration // that the broker gives it; 0: none
+	Timeout                                             time.Duration // set by the broker; 0 for none
 	ReceivedAt                                          time.Time
 }
 
-// Observer is notified of what an engine sees, for the conformance checker. Its methods must not call the
-// server.
+// Observer is notified of attempts at an engine, for the conformance checker. Its methods must not call the server, as
+// they are called with its lock held.
 type Observer interface {
-	// AttemptReceived says that a complete query came.
+	// AttemptReceived is called when a complete query has been received.
 	AttemptReceived(a Attempt)
-	// AttemptEnded says that a query was answered or cancelled.
+	// AttemptEnded is called when a query has been answered, cancelled or lost in a crash.
 	AttemptEnded(engine, requestID string, at time.Time)
 }
 
-// nopObserver ignores everything.
+// nopObserver ignores all notifications.
 type nopObserver struct{}
 
 func (nopObserver) AttemptReceived(Attempt)                {}
 func (nopObserver) AttemptEnded(string, string, time.Time) {}
 
-// Server emulates an engine on sockets.
+// Server emulates an engine that listens on a TCP socket. It is safe for concurrent use.
 type Server struct {
 	ID        string
 	classes   map[string]*Class
 	cfg       Config
 	observer  Observer
 	startedAt time.Time
-	wakeup    chan struct{} // the model has changed
+	wakeup    chan struct{} // signals that the model has changed
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	model       *Model
 	listener    net.Listener
 	conns       map[*brokerConn]bool
-	results     map[string]result // by request id
-	resultOrder []string          // request ids of results, oldest first
-	owners      map[string]*brokerConn
+	results     map[string]result      // by request id
+	resultOrder []string               // request ids of results, oldest first
+	owners      map[string]*brokerConn // connection of each query in flight, by request id
 	silent      bool
 	crashed     bool
 }
 
-// result is a result whose further pages may be fetched.
+// result is a result whose further pages can be fetched.
 type result struct {
 	owner *brokerConn
 	pages []string
 }
 
-// NewServer returns an engine that already listens at a loopback address. It is past its slow start.
+// NewServer returns an engine that already listens at a free port of the loopback address and is past its slow start.
 // observer may be nil.
 func NewServer(id string, classes []Class, cfg Config, observer Observer) (*Server, error) {
 	if observer == nil {
@@ -102,17 +102,17 @@
 	return nil
 }
 
-// Addr returns where the engine listens.
+// Addr returns the address that the engine listens at.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener.Addr().String()
 }
 
-// now is the model's time.
+// now returns the current time in the model.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// SetSlowdown makes everything take factor times as long from now on.
+// SetSlowdown makes queries take factor times as long from now on. A factor below 1 counts as 1.
 func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,15 +120,15 @@
 	s.notifyWorker()
 }
 
-// SetSilent makes the engine send nothing while its connections stay open, or send again. Answers of the
-// silent time are dropped.
+// SetSilent makes the engine stop or resume sending; its connections stay open. Answers that are due while it is
+// silent are dropped.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
 }
 
-// Crash ends the engine as a killed process ends: its queries are lost, and its connections are reset.
+// Crash ends the engine like a killed process: its queries are lost and its connections are reset.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 		return
 	}
 	s.crashed = true
-	_ = s.listener.Close() // a crash reports nothing
+	_ = s.listener.Close() // an error changes nothing in a crash
 	for c := range s.conns {
 		c.reset()
 	}
@@ -147,7 +147,8 @@
 	s.results, s.resultOrder, s.owners = map[string]result{}, nil, map[string]*brokerConn{}
 }
 
-// Restart starts the engine again after a crash, in slow start, at its old address or at a new one.
+// Restart starts the engine again after a crash, in slow start, at its previous address or a new one. It does nothing
+// if the engine has not crashed.
 func (s *Server) Restart(newAddress bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,15 +168,15 @@
 	return nil
 }
 
-// notifyWorker makes the worker look at the model again.
+// notifyWorker makes answerCompletions advance the model.
 func (s *Server) notifyWorker() {
 	select {
 	case s.wakeup <- struct{}{}:
-	default: // it is notified already
+	default: // a notification is pending
 	}
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -191,7 +192,7 @@
 	return g.Wait()
 }
 
-// closeSockets ends the listener and all connections; close errors change nothing, as the server ends.
+// closeSockets closes the listener and all connections. It ignores errors, as the server ends.
 func (s *Server) closeSockets() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,14 +202,14 @@
 	}
 }
 
-// accept serves each connection in a goroutine of g, until ctx ends.
+// accept serves each connection in a goroutine of g, until ctx is done.
 func (s *Server) accept(ctx context.Context, g *errgroup.Group) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		listener := s.listener
 		s.mu.Unlock()
 		socket, err := listener.Accept()
-		if err != nil { // the engine crashed and may restart
+		if err != nil { // the engine has crashed and may be restarted
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
@@ -222,7 +223,7 @@
 	}
 }
 
-// answerCompletions answers the queries that the model ends, until ctx ends.
+// answerCompletions answers queries as the model completes them, until ctx is done.
 func (s *Server) answerCompletions(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -248,7 +249,7 @@
 	}
 }
 
-// finish answers a query that ran; s.mu is held.
+// finish answers a completed query. s.mu must be held.
 func (s *Server) finish(done Completion) {
 	c := s.owners[done.RequestID]
 	s.endAttempt(done.RequestID)
@@ -257,29 +258,29 @@
 	}
 }
 
-// endAttempt forgets the owner of a query and notifies the observer; s.mu is held.
+// endAttempt removes the owner of a query and notifies the observer, unless the query has no owner. s.mu must be held.
 func (s *Server) endAttempt(requestID string) {
-	if _, there := s.owners[requestID]; !there {
+	if _, inFlight := s.owners[requestID]; !inFlight {
 		return
 	}
 	delete(s.owners, requestID)
 	s.observer.AttemptEnded(s.ID, requestID, time.Now())
 }
 
-// sendResult answers with the first page of a result and keeps the others; s.mu is held.
+// sendResult sends the first page of a result and stores the result if it has more. s.mu must be held.
 func (s *Server) sendResult(c *brokerConn, requestID string, class *Class, work time.Duration) {
 	pages := class.Result(requestID)
 	if len(pages) > 1 {
-		s.keepResult(requestID, result{c, pages})
+		s.storeResult(requestID, result{c, pages})
 	}
 	workMS := float64(work) / float64(time.Millisecond)
 	fields := fmt.Sprintf("sheets=%d,toil=%.1f,room=%d", len(pages), workMS, memoryPerThreadMB*class.Threads)
-	s.send(c, requestID, wordOK, fields, pages[0])
+	s.send(c, requestID, statusOK, fields, pages[0])
 }
 
-// keepResult keeps a result in place of the oldest; s.mu is held.
-func (s *Server) keepResult(requestID string, r result) {
-	if len(s.resultOrder) >= maxKeptResults {
+// storeResult stores a result, and evicts the oldest at maxStoredResults. s.mu must be held.
+func (s *Server) storeResult(requestID string, r result) {
+	if len(s.resultOrder) >= maxStoredResults {
 		delete(s.results, s.resultOrder[0])
 		s.resultOrder = s.resultOrder[1:]
 	}
--- a/internal/emulator/engine/server_test.go
+++ b/internal/emulator/engine/server_test.go
@@ -16,9 +16,9 @@
 	"wheatlane/internal/resp"
 )
 
-const testTimeout = 20 * time.Second // a test that waits so long has failed
+const testTimeout = 20 * time.Second // limit of each wait in a test
 
-// recordingObserver keeps the ids of the attempts that it is notified of.
+// recordingObserver records the ids of the attempts that it is notified of.
 type recordingObserver struct {
 	mu       sync.Mutex
 	received []string
@@ -42,11 +42,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.received) != received || len(o.ended) != ended {
-		t.Fatalf("received %q, ended %q", o.received, o.ended)
+		t.Fatalf("received %q, ended %q, want %d and %d", o.received, o.ended, received, ended)
 	}
 }
 
-// testBroker is the other end of a connection.
+// testBroker is the broker's end of a connection.
 type testBroker struct {
 	t      *testing.T
 	socket net.Conn
@@ -70,8 +70,7 @@
 	}
 }
 
-// next returns the next answer as "ID WORD PAGE/PAGES", without its body; "closed" at the end of the
-// connection.
+// next returns the next answer as "ID STATUS PAGE/PAGES", without its body, or "closed" at the end of the connection.
 func (b *testBroker) next() string {
 	b.t.Helper()
 	if err := b.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -106,12 +105,12 @@
 func (b *testBroker) expect(answer string) {
 	b.t.Helper()
 	if got := b.next(); got != answer {
-		b.t.Fatalf("%s, want %s", got, answer)
+		b.t.Fatalf("received %s, want %s", got, answer)
 	}
 }
 
-// ask sends a command and expects its answer.
-func (b *testBroker) ask(answer string, parts ...string) {
+// request sends a command and expects an answer.
+func (b *testBroker) request(answer string, parts ...string) {
 	b.t.Helper()
 	b.send(parts...)
 	b.expect(answer)
@@ -123,7 +122,7 @@
 	slowClass  = Class{Name: "slow", MeanWork: time.Hour, Threads: 1, MeanRows: 1}
 )
 
-// startServer runs an engine that takes two queries at a time, until the test ends.
+// startServer runs an engine with a limit of two queries in flight, until the test ends.
 func startServer(t *testing.T, observer Observer) *Server {
 	t.Helper()
 	cfg := Config{Cores: 4, SaturationPoint: 2, MaxQueries: 2, DedupWindow: time.Minute}
@@ -143,41 +142,41 @@
 	return s
 }
 
-// The server answers in the words of the protocol's page, across a crash and a restart as well.
-func TestEngineProtocol(t *testing.T) {
+// The server answers each command of the protocol as specified, also after a crash and a restart.
+func TestServerImplementsProtocol(t *testing.T) {
 	observer := &recordingObserver{}
 	s := startServer(t, observer)
 	b := dial(t, s)
 	t.Run("probes", func(t *testing.T) {
 		b.t = t
-		b.ask("t1 UP 0/1", "there", "t1")
-		b.ask("t2 UP 0/1", "busy", "t2")
+		b.request("t1 UP 0/1", "there", "t1")
+		b.request("t2 UP 0/1", "busy", "t2")
 	})
 	t.Run("queries", func(t *testing.T) {
 		b.t = t
-		b.ask("q1 OK 0/1", "want", "q1", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s")
-		b.ask("q2 OK 0/1", "want", "q2", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s") // a duplicate
-		b.ask("q3 ERR 0/1", "want", "q3", "sort=odd", "x")
+		b.request("q1 OK 0/1", "want", "q1", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s")
+		b.request("q2 OK 0/1", "want", "q2", "sort=lookup,patience=100,op=k1", "SELECT 1 FROM chart_7.s") // duplicate key
+		b.request("q3 ERR 0/1", "want", "q3", "sort=odd", "x")
 	})
 	t.Run("pages", func(t *testing.T) {
 		b.t = t
 		pages := len(wideClass.Result("q4"))
-		b.ask(fmt.Sprintf("q4 OK 0/%d", pages), "want", "q4", "sort=report", "x")
-		b.ask("q4 ROWS 1/1", "turn", "q4", "1")
-		b.ask("q4 ERR 0/1", "turn", "q4", fmt.Sprint(pages))
+		b.request(fmt.Sprintf("q4 OK 0/%d", pages), "want", "q4", "sort=report", "x")
+		b.request("q4 ROWS 1/1", "turn", "q4", "1")
+		b.request("q4 ERR 0/1", "turn", "q4", fmt.Sprint(pages))
 		b.send("shut", "q4")
-		b.ask("q4 ERR 0/1", "turn", "q4", "1")
+		b.request("q4 ERR 0/1", "turn", "q4", "1")
 	})
 	other := dial(t, s)
 	t.Run("capacity", func(t *testing.T) {
 		b.t, other.t = t, t
 		b.send("want", "q5", "sort=slow", "x")
 		b.send("want", "q6", "sort=slow", "x")
-		b.ask("q7 BUSY 0/1", "want", "q7", "sort=slow", "x")
-		b.send("never_mind", "q5") // has no answer
-		b.send("hurry", "q6", "3") // has no answer
-		b.ask("q8 OK 0/1", "want", "q8", "sort=lookup", "x")
-		other.ask("q9 OK 0/1", "want", "q9", "sort=lookup", "x")
+		b.request("q7 BUSY 0/1", "want", "q7", "sort=slow", "x")
+		b.send("never_mind", "q5") // no answer
+		b.send("hurry", "q6", "3") // no answer
+		b.request("q8 OK 0/1", "want", "q8", "sort=lookup", "x")
+		other.request("q9 OK 0/1", "want", "q9", "sort=lookup", "x")
 	})
 	t.Run("crash and restart", func(t *testing.T) {
 		testCrashAndRestart(t, s, b, other)
@@ -185,7 +184,7 @@
 	observer.expectCounts(t, 10, 10)
 }
 
-// testCrashAndRestart crashes an engine under two connections and restarts it elsewhere.
+// testCrashAndRestart crashes an engine with two connections and restarts it at another address.
 func testCrashAndRestart(t *testing.T, s *Server, b, other *testBroker) {
 	t.Helper()
 	b.t, other.t = t, t
@@ -193,14 +192,14 @@
 	b.expect("closed")
 	other.expect("closed")
 	if socket, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.Addr()); err == nil {
-		_ = socket.Close() // it should not be there
+		_ = socket.Close()
 		t.Fatal("the engine listens after its crash")
 	}
 	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
 	}
 	again := dial(t, s)
-	again.ask("q1 OK 0/1", "want", "q1", "sort=lookup,op=k1", "x") // the dedup window was lost
+	again.request("q1 OK 0/1", "want", "q1", "sort=lookup,op=k1", "x") // the crash cleared the dedup window
 	again.send("nonsense", "x")
 	again.expect("closed")
 }
