--- a/internal/emulator/changelogserver/changelog.go
+++ b/internal/emulator/changelogserver/changelog.go
@@ -1,5 +1,5 @@
-// Package changelogserver emulates the change log of the endpoint list: it numbers the changes of the list
-// and serves them over HTTP long polls, delayed, truncated or not at all as a test wants it.
+// Package changelogserver emulates the change log of the endpoint list: it numbers the changes of the list and serves
+// them to HTTP long polls. Tests can make it delay, truncate or refuse its responses.
 package changelogserver
 
 import (
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// States of an endpoint, as the change log words them.
+// Health states of an endpoint on the wire.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// Endpoint is an engine as the change log lists it.
+// Endpoint is an engine in the endpoint list.
 type Endpoint struct {
 	ID     string `json:"host"`
 	Addr   string `json:"dial"`
@@ -26,10 +26,10 @@
 	Block  int    `json:"block"`
 	Health string `json:"health"` // InService, Terminating or Terminated
 	Share  int    `json:"share"`
-	BornMS int64  `json:"born_ms"` // start of its process in milliseconds of Unix time; 0: long ago
+	BornMS int64  `json:"born_ms"` // start of its process, Unix time in milliseconds; 0 for a start long ago
 }
 
-// event is one numbered change, in the form of the wire.
+// event is one numbered change in its wire format.
 type event struct {
 	Revision int64 `json:"seq"`
 	Fleet    struct {
@@ -37,34 +37,34 @@
 		Snapshot  bool       `json:"whole"`
 		Endpoints []Endpoint `json:"hosts"`
 	} `json:"fleet"`
-	visibleAt time.Time // polls see it from then on
+	visibleAt time.Time // polls return the event from this time on
 }
 
-// Mode is how the change log behaves.
+// Mode is the behaviour of the change log.
 type Mode string
 
-// The modes.
+// The modes of the change log.
 const (
 	Serve       Mode = "serve"
-	Truncating  Mode = "break"  // each answer breaks off in the middle, and its connection ends
-	Stalling    Mode = "stall"  // each answer stops in the middle, and its connection stays open
-	Unavailable Mode = "refuse" // status 503
+	Truncating  Mode = "break"  // closes the connection in the middle of each response
+	Stalling    Mode = "stall"  // stops in the middle of each response and keeps the connection open
+	Unavailable Mode = "refuse" // responds with status 503
 )
 
-// ChangeLog is the change log. It may be used from several goroutines.
+// ChangeLog is an emulated change log. It is safe for concurrent use.
 type ChangeLog struct {
 	listener    net.Listener
 	onDelivered func(e Endpoint, at time.Time)
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	events  []event
-	changed chan struct{} // closed when an event or a mode comes
+	changed chan struct{} // closed at the next event or mode change
 	delay   time.Duration
 	mode    Mode
 }
 
-// New returns a change log that listens at an address already and whose first event is a snapshot of the
-// list. onDelivered, if there is one, is called with each endpoint of an event whenever that is delivered.
+// New returns a change log that already listens at an address and whose first event is a snapshot of the list. It calls
+// onDelivered, unless that is nil, with each endpoint of an event whenever the event is delivered.
 func New(
 	address string, endpoints []Endpoint, onDelivered func(e Endpoint, at time.Time),
 ) (*ChangeLog, error) {
@@ -81,7 +81,7 @@
 	return l, nil
 }
 
-// Addr returns where the change log listens.
+// Addr returns the address that the change log listens at.
 func (l *ChangeLog) Addr() string { return l.listener.Addr().String() }
 
 func (l *ChangeLog) appendSnapshot(endpoints []Endpoint) {
@@ -90,14 +90,14 @@
 	l.appendEvent(ev)
 }
 
-// Publish adds an event with the endpoints that have changed.
+// Publish adds an event with changed endpoints.
 func (l *ChangeLog) Publish(endpoints ...Endpoint) {
 	var ev event
 	ev.Fleet.Endpoints = slices.Clone(endpoints)
 	l.appendEvent(ev)
 }
 
-// appendEvent numbers an event and adds it. Endpoints without a state are in service.
+// appendEvent numbers an event and adds it. Endpoints without a health state are in service.
 func (l *ChangeLog) appendEvent(ev event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,20 +112,20 @@
 	l.notifyPolls()
 }
 
-// notifyPolls makes the open polls look again; l.mu is held.
+// notifyPolls makes open polls check for events again. l.mu must be held.
 func (l *ChangeLog) notifyPolls() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// SetDelay makes each later event visible so long after it is published.
+// SetDelay sets the delay from the publication of later events until they are visible to polls.
 func (l *ChangeLog) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// SetMode changes the behaviour from the next answer on.
+// SetMode changes the behaviour from the next response on.
 func (l *ChangeLog) SetMode(m Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,15 +133,15 @@
 	l.notifyPolls()
 }
 
-// view is what a poll sees.
+// view is the state of the change log for one poll.
 type view struct {
 	events  []event
-	next    time.Time       // when a further event becomes visible; zero: none is due
+	next    time.Time       // time at which a further event becomes visible; zero for none
 	changed <-chan struct{} // closed when the view is out of date
 	mode    Mode
 }
 
-// eventsAfter returns the visible events with a revision over since. A delayed event hides those behind it.
+// eventsAfter returns the visible events with a revision greater than since. A delayed event hides all later events.
 func (l *ChangeLog) eventsAfter(since int64) view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/changelogserver/changelog_test.go
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -15,7 +15,7 @@
 	"wheatlane/internal/changelog"
 )
 
-// newServer runs a change log with endpoints until the test ends.
+// newServer runs a change log with a list of endpoints until the test ends.
 func newServer(t *testing.T, endpoints ...Endpoint) *ChangeLog {
 	t.Helper()
 	l, err := New("127.0.0.1:0", endpoints, nil)
@@ -34,7 +34,7 @@
 	return l
 }
 
-// poll returns the answer to a poll, as far as it came.
+// poll returns the response to a poll, as far as it was received.
 func poll(t *testing.T, l *ChangeLog, since, timeoutMS int) (string, error) {
 	t.Helper()
 	url := fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", l.Addr(), since, timeoutMS)
@@ -47,12 +47,12 @@
 		return "", err
 	}
 	body, err := io.ReadAll(res.Body)
-	_ = res.Body.Close() // what was read counts
+	_ = res.Body.Close() // the body has been read
 	return string(body), err
 }
 
-// A broker reads the pages: first the snapshot, then what changed, by revision.
-func TestPagesParseAsBrokersReadThem(t *testing.T) {
+// The broker's parser must accept the pages: the snapshot first, then changes in the order of their revisions.
+func TestBrokerParsesServedPages(t *testing.T) {
 	l := newServer(t, Endpoint{ID: "a", Addr: "127.0.0.1:1"}, Endpoint{ID: "b", Addr: "127.0.0.1:2"})
 	known, err := l.KnownPage()
 	if err != nil {
@@ -63,11 +63,11 @@
 		t.Fatalf("%+v, %v", p, err)
 	}
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
-		t.Fatalf("nothing new: %s, %v", text, err)
+		t.Fatalf("poll without new events: %s, %v", text, err)
 	}
 	answer := make(chan string, 1)
 	go func() {
-		text, _ := poll(t, l, 1, 5000) // waits
+		text, _ := poll(t, l, 1, 5000) // waits for the next event
 		answer <- text
 	}()
 	l.Publish(Endpoint{ID: "a", Addr: "127.0.0.1:1", Health: Terminating})
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestInjectedFaults(t *testing.T) {
+func TestFaultModesAffectPolls(t *testing.T) {
 	l := newServer(t, Endpoint{ID: "a", Addr: "127.0.0.1:1"})
 	l.SetMode(Truncating)
 	if text, err := poll(t, l, 0, 10); err == nil || !strings.HasPrefix(text, `{"seq":1`) {
@@ -91,11 +91,11 @@
 	l.SetDelay(time.Hour)
 	l.Publish(Endpoint{ID: "b", Addr: "127.0.0.1:2"})
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
-		t.Errorf("visible ahead of its time: %q, %v", text, err)
+		t.Errorf("delayed event is visible: %q, %v", text, err)
 	}
 }
 
-func TestEndpointListFiles(t *testing.T) {
+func TestEndpointListFileRoundTripAndDiff(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "engines.json")
 	earlier := []Endpoint{
 		{ID: "a", Addr: "x:1", Health: InService},
--- a/internal/emulator/changelogserver/endpointlist_golden_test.go
+++ b/internal/emulator/changelogserver/endpointlist_golden_test.go
@@ -10,8 +10,9 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// A list of engines that an earlier release wrote is read, and the same list is written in the same bytes.
-func TestStoredList(t *testing.T) {
+// The format of endpoint list files must stay the same: a list of an earlier release must be readable, and the same
+// list must be written as the same bytes.
+func TestEndpointListMatchesGoldenFile(t *testing.T) {
 	const golden = "testdata/engines.json"
 	endpoints := []Endpoint{
 		{"e1", "127.0.0.1:7001", "north", "std-8core", 2, "in_service", 100, 1750000000000},
@@ -31,13 +32,13 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(stored), string(written)); diff != "" {
-		t.Errorf("written: %s", diff)
+		t.Errorf("written list: %s", diff)
 	}
 	got, err := ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(endpoints, got); diff != "" {
-		t.Errorf("read: %s", diff)
+		t.Errorf("golden file: %s", diff)
 	}
 }
--- a/internal/emulator/changelogserver/file.go
+++ b/internal/emulator/changelogserver/file.go
@@ -28,23 +28,24 @@
 	return endpoints, nil
 }
 
-// WriteFile replaces an endpoint list atomically: readers find the old or the new one complete.
+// WriteFile replaces an endpoint list atomically: readers find either the previous or the new list, complete.
 func WriteFile(path string, endpoints []Endpoint) error {
 	text, err := json.MarshalIndent(endpoints, "", "  ")
 	if err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
 	}
-	next := path + ".next"
-	if err := os.WriteFile(next, append(text, '\n'), filePermissions); err != nil {
+	temporary := path + ".next"
+	if err := os.WriteFile(temporary, append(text, '\n'), filePermissions); err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
 	}
 	return nil
 }
 
-// FollowFile publishes whatever changes in a file from a known list on, until ctx ends.
+// FollowFile publishes the changes of an endpoint list file, starting from a known list, until ctx is done. It ignores
+// a missing file.
 func (l *ChangeLog) FollowFile(ctx context.Context, path string, known []Endpoint) error {
 	ticker := time.NewTicker(fileCheckInterval)
 	defer ticker.Stop()
@@ -68,16 +69,16 @@
 	}
 }
 
-// Diff returns the endpoints of a list that differ from those of an earlier one, followed by those that
-// it lacks, as terminated.
+// Diff returns the endpoints of the current list that are new or changed, followed by those that are missing from it,
+// marked as terminated.
 func Diff(earlier, current []Endpoint) (changed []Endpoint) {
-	before, listed := map[string]Endpoint{}, map[string]bool{}
+	previous, listed := map[string]Endpoint{}, map[string]bool{}
 	for _, e := range earlier {
-		before[e.ID] = e
+		previous[e.ID] = e
 	}
 	for _, e := range current {
 		listed[e.ID] = true
-		if was, known := before[e.ID]; !known || was != e {
+		if p, known := previous[e.ID]; !known || p != e {
 			changed = append(changed, e)
 		}
 	}
--- a/internal/emulator/changelogserver/server.go
+++ b/internal/emulator/changelogserver/server.go
@@ -15,26 +15,26 @@
 
 const maxPollDuration = 5 * time.Second
 
-// page is an answer in the form of the wire.
+// page is a response in its wire format.
 type page struct {
 	Revision int64   `json:"seq"`
 	Results  []event `json:"results"`
 }
 
-// KnownPage returns the page of all events so far, as a broker's configuration holds it.
+// KnownPage returns the page of all events so far, which brokers' configurations contain as the known events.
 func (l *ChangeLog) KnownPage() (json.RawMessage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return encodePage(0, l.events)
 }
 
-// encodePage encodes the page of events that follow a revision.
+// encodePage encodes the page of the events after a revision.
 func encodePage(since int64, events []event) (json.RawMessage, error) {
 	p := page{Revision: since, Results: events}
 	if len(events) > 0 {
 		p.Revision = events[len(events)-1].Revision
 	} else {
-		p.Results = []event{} // an empty list in JSON, not null
+		p.Results = []event{} // encoded as an empty list instead of null
 	}
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return text, nil
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (l *ChangeLog) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /changes", l.handlePoll)
@@ -66,8 +66,8 @@
 	return g.Wait()
 }
 
-// handlePoll answers GET /changes?since=REVISION&timeout=MILLISECONDS once there are events or the time is
-// over.
+// handlePoll responds to GET /changes?since=REVISION&timeout=MILLISECONDS once there are events after the revision, or
+// at the timeout, which is at most maxPollDuration.
 func (l *ChangeLog) handlePoll(w http.ResponseWriter, r *http.Request) {
 	since, sinceErr := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	timeoutMS, timeoutErr := strconv.Atoi(r.URL.Query().Get("timeout"))
@@ -95,7 +95,7 @@
 	}
 }
 
-// writePage writes the page of a view as its mode has it.
+// writePage writes the page of a view, with the fault of its mode.
 func (l *ChangeLog) writePage(w http.ResponseWriter, r *http.Request, since int64, v view) {
 	if v.mode == Unavailable {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
@@ -118,13 +118,13 @@
 			}
 		}
 	}
-	_, _ = w.Write(text) // a broker that doesn't read it polls again
+	_, _ = w.Write(text) // a broker that does not receive it polls again
 }
 
-// truncate writes half of an answer and ends the request, when stalling not before its client does. It
-// never returns.
+// truncate writes half of a response and aborts it; in mode Stalling it first waits until the client ends the request.
+// It never returns.
 func truncate(w http.ResponseWriter, r *http.Request, text []byte, mode Mode) {
-	_, _ = w.Write(text[:len(text)/2]) // it is to fail in any case
+	_, _ = w.Write(text[:len(text)/2]) // the response fails in any case
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
 	}
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario reads and plays scenarios: what an emulator is to do, and when.
+// Package scenario parses and runs scenarios: lists of timed actions on emulators, such as faults.
 package scenario
 
 import (
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// Step is one action at a time.
+// Step is one timed action of a scenario.
 type Step struct {
-	At     time.Duration // since the beginning
-	Action string        // the action
-	Target int           // number of its object, from 1; 0: the action has none
+	At     time.Duration // since the start of the scenario
+	Action string
+	Target int // number of the action's target, from 1; 0 for an action without target
 }
 
+// String formats the step as progress output and errors show it.
 func (s Step) String() string {
 	if s.Target == 0 {
 		return fmt.Sprintf("%v %s", s.At, s.Action)
@@ -25,9 +26,9 @@
 	return fmt.Sprintf("%v %s %d", s.At, s.Action, s.Target)
 }
 
-// Parse reads steps written as TIME:ACTION or TIME:ACTION:NUMBER, with commas between, in the order of
-// their times. actions are the actions, and whether they take a number, which is from 1 to targets. Errors
-// quote the step.
+// Parse parses a comma-separated list of steps, each TIME:WHAT or TIME:WHAT:NUMBER, in the order of their times.
+// actions has the known actions and specifies for each whether it takes the number of a target, from 1 to targets.
+// Errors quote the step.
 func Parse(text string, actions map[string]bool, targets int) ([]Step, error) {
 	if text == "" {
 		return nil, nil
@@ -40,7 +41,7 @@
 			return nil, err
 		}
 		if len(steps) > 0 && step.At < steps[len(steps)-1].At {
-			return nil, fmt.Errorf("%q comes before the one ahead of it", part)
+			return nil, fmt.Errorf("%q is earlier than the previous step", part)
 		}
 		steps = append(steps, step)
 	}
@@ -50,32 +51,32 @@
 func parseStep(text string, actions map[string]bool, targets int) (Step, error) {
 	fields := strings.Split(text, ":")
 	if len(fields) < 2 || len(fields) > 3 {
-		return Step{}, fmt.Errorf("%q is no TIME:WHAT or TIME:WHAT:NUMBER", text)
+		return Step{}, fmt.Errorf("%q is not of the form TIME:WHAT or TIME:WHAT:NUMBER", text)
 	}
 	at, err := time.ParseDuration(fields[0])
 	if err != nil || at < 0 {
-		return Step{}, fmt.Errorf("%q begins with no time, as 1.5s is", text)
+		return Step{}, fmt.Errorf("%q must start with a time that is not negative, such as 1.5s", text)
 	}
 	step := Step{At: at, Action: fields[1]}
-	numbered, known := actions[step.Action]
+	takesTarget, known := actions[step.Action]
 	if !known {
 		names := strings.Join(slices.Sorted(maps.Keys(actions)), ", ")
 		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Action, names)
 	}
-	if numbered != (len(fields) == 3) {
+	if takesTarget != (len(fields) == 3) {
 		return Step{}, fmt.Errorf(
-			"%q: a number belongs behind what is done to one of several, and nowhere else", text)
+			"%q: actions on one of several targets require its number, and other actions take none", text)
 	}
-	if !numbered {
+	if !takesTarget {
 		return step, nil
 	}
 	if step.Target, err = strconv.Atoi(fields[2]); err != nil || step.Target < 1 || step.Target > targets {
-		return Step{}, fmt.Errorf("%q: %q is no number from 1 to %d", text, fields[2], targets)
+		return Step{}, fmt.Errorf("%q: %q is not a number from 1 to %d", text, fields[2], targets)
 	}
 	return step, nil
 }
 
-// Run calls do with each step at its time, until ctx ends. An error of do names its step.
+// Run calls do with each step at its time, until ctx is done or do fails. It returns do's error with the step.
 func Run(ctx context.Context, steps []Step, do func(Step) error) error {
 	start := time.Now()
 	for _, step := range steps {
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -10,7 +10,7 @@
 
 var testActions = map[string]bool{"slow": true, "gone": false}
 
-func TestParse(t *testing.T) {
+func TestParseReturnsStepsInOrder(t *testing.T) {
 	got, err := Parse("1s:gone,1.5s:slow:2,90s:gone", testActions, 3)
 	want := []Step{
 		{time.Second, "gone", 0},
@@ -22,28 +22,28 @@
 	}
 }
 
-func TestParseErrors(t *testing.T) {
+func TestParseRejectsInvalidSteps(t *testing.T) {
 	for text, want := range map[string]string{
-		"gone":            "is no TIME:WHAT",
-		"1s:slow:2:3":     "is no TIME:WHAT",
-		"x:gone":          "begins with no time",
-		"-1s:gone":        "begins with no time",
+		"gone":            "is not of the form TIME:WHAT",
+		"1s:slow:2:3":     "is not of the form TIME:WHAT",
+		"x:gone":          "must start with a time",
+		"-1s:gone":        "must start with a time",
 		"1s:odd":          `"odd" is none of gone, slow`,
-		"1s:slow":         "a number belongs",
-		"1s:gone:1":       "a number belongs",
-		"1s:slow:4":       "no number from 1 to 3",
-		"1s:slow:x":       "no number from 1 to 3",
-		"2s:gone,1s:gone": "comes before",
+		"1s:slow":         "require its number",
+		"1s:gone:1":       "require its number",
+		"1s:slow:4":       "is not a number from 1 to 3",
+		"1s:slow:x":       "is not a number from 1 to 3",
+		"2s:gone,1s:gone": "is earlier than the previous step",
 	} {
 		t.Run(text, func(t *testing.T) {
 			if got, err := Parse(text, testActions, 3); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, %v, want %q", got, err, want)
+				t.Errorf("parsed %v, error %v, want %q", got, err, want)
 			}
 		})
 	}
 }
 
-func TestPlayRunsStepsInOrder(t *testing.T) {
+func TestRunExecutesStepsInOrder(t *testing.T) {
 	var actions []string
 	record := func(s Step) error {
 		actions = append(actions, s.Action)
