--- a/internal/emulator/client/connection.go
+++ b/internal/emulator/client/connection.go
@@ -11,16 +11,16 @@
 	"github.com/go-sql-driver/mysql"
 )
 
-// The login that brokers expect.
+// The login that brokers accept.
 const (
 	user     = "app"
 	database = "main"
 )
 
-var errNoQueries = errors.New("client emulator: the driver's connection takes no queries")
+var errNoQueries = errors.New("client emulator: the driver's connection does not support queries")
 
-// query sends a statement on an idle connection or a new one and returns the rows as engines write them. It
-// calls sent just before the statement leaves.
+// query sends a statement on an idle connection or a new one and returns the rows in the engines' format. It calls sent
+// just before it sends the statement.
 func (l *LoadGenerator) query(ctx context.Context, statement string, sent func()) (string, error) {
 	conn, err := l.idleOrNewConn(ctx)
 	if err != nil {
@@ -29,9 +29,9 @@
 	sent()
 	rows, err := queryRows(ctx, conn, statement)
 	if _, answered := errors.AsType[*mysql.MySQLError](err); err == nil || answered {
-		l.putIdle(conn)
+		l.pushIdle(conn)
 	} else {
-		_ = conn.Close() // it failed already
+		_ = conn.Close() // the connection has failed already
 	}
 	return rows, err
 }
@@ -48,13 +48,13 @@
 	return readRows(rows)
 }
 
-// idleOrNewConn returns the connection that was used last, as others may be closed by now, or a new one.
+// idleOrNewConn returns the most recently used idle connection, as the broker may have closed older ones, or a new one.
 func (l *LoadGenerator) idleOrNewConn(ctx context.Context) (driver.Conn, error) {
-	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
+	for conn := l.popIdle(); conn != nil; conn = l.popIdle() {
 		if r, ok := conn.(driver.SessionResetter); ok && r.ResetSession(ctx) == nil {
 			return conn, nil
 		}
-		_ = conn.Close() // the broker closed it meanwhile
+		_ = conn.Close() // the broker has closed it
 	}
 	cfg := mysql.NewConfig()
 	cfg.User, cfg.Net, cfg.Addr, cfg.DBName = user, "tcp", l.cfg.Addr, database
@@ -66,8 +66,8 @@
 	return connector.Connect(ctx)
 }
 
-// takeIdle takes the connection that was used last; nil if none is idle.
-func (l *LoadGenerator) takeIdle() driver.Conn {
+// popIdle removes and returns the most recently used idle connection, nil if there is none.
+func (l *LoadGenerator) popIdle() driver.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.idle) == 0 {
@@ -78,21 +78,21 @@
 	return conn
 }
 
-func (l *LoadGenerator) putIdle(conn driver.Conn) {
+func (l *LoadGenerator) pushIdle(conn driver.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle = append(l.idle, conn)
 }
 
 func (l *LoadGenerator) closeIdle() {
-	for conn := l.takeIdle(); conn != nil; conn = l.takeIdle() {
-		_ = conn.Close() // nothing more comes on it
+	for conn := l.popIdle(); conn != nil; conn = l.popIdle() {
+		_ = conn.Close() // unused from now on
 	}
 }
 
-// readRows returns rows as engines write them: values with tabs between, a line each.
+// readRows returns rows in the engines' format: tabs between values, a line each.
 func readRows(rows driver.Rows) (string, error) {
-	defer func() { _ = rows.Close() }() // a result that breaks off fails in Next
+	defer func() { _ = rows.Close() }() // a truncated result fails in Next
 	var b strings.Builder
 	row := make([]driver.Value, len(rows.Columns()))
 	for {
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -1,10 +1,11 @@
-// Package client emulates the clients of a broker: a steady, bounded load of requests over the MySQL
-// protocol, through the driver that Go programs use, with answers checked against what engines make.
+// Package client emulates the clients of a broker: a load generator sends requests at a constant mean rate, with a
+// limit on open requests, through the MySQL driver that Go programs use, and compares the answers with the results
+// that engines generate.
 package client
 
 import (
 	"context"
-	"crypto/md5" // it makes names, not secrets
+	"crypto/md5" // for names of keys, not for security
 	"database/sql/driver"
 	"fmt"
 	"math/rand/v2"
@@ -17,44 +18,44 @@
 	"wheatlane/internal/emulator/engine"
 )
 
-// keySpacing is kept between requests of one order key, as clients keep it after a new connection.
+// keySpacing is the pause between requests of one order key, as clients make it after a new connection.
 const keySpacing = 250 * time.Millisecond
 
-// Class is a class of requests as clients send it.
+// Class specifies the requests of one class.
 type Class struct {
 	Engine           engine.Class
-	Rate             float64       // requests a second
-	LatencyObjective time.Duration // later answers are late
-	Timeout          time.Duration // the client stops waiting after it
-	OrderKeys        int           // order keys in use; 0: the class keeps no order
+	Rate             float64       // mean number of requests a second
+	LatencyObjective time.Duration // answers after it are late
+	Timeout          time.Duration // the client disconnects after it
+	OrderKeys        int           // number of order keys; 0 for a class without order
 }
 
 func (c *Class) orderKey(n int) string {
-	sum := md5.Sum(fmt.Appendf(nil, "%s %d", c.Engine.Name, n)) // it makes a name, not a secret
+	sum := md5.Sum(fmt.Appendf(nil, "%s %d", c.Engine.Name, n)) // for a name, not for security
 	return fmt.Sprintf("%x", sum[:8])
 }
 
-// Config is a load.
+// Config configures a LoadGenerator.
 type Config struct {
 	Addr     string
 	Classes  []Class
 	Tenants  []string
 	DataSets int
 	Seed     uint64
-	MaxOpen  int // requests at a time; more are not sent, and counted
-	Retries  int // of a request that was rejected, after the time that the rejection names
-	// OnRequestEnded, if there is one, is called for each attempt as it ends.
+	MaxOpen  int // maximum number of open requests; further ones are counted as not sent
+	Retries  int // maximum retries of a rejected request, each after the time that the rejection specifies
+	// OnRequestEnded is called at the end of each attempt, unless it is nil.
 	OnRequestEnded func(class string, outcome conformance.Outcome, took time.Duration)
 }
 
-// Counts are the outcomes of requests.
+// Counts has the number of attempts by outcome. An attempt is one send of a request by its client.
 type Counts struct {
 	Sent, InTime, Late, Rejected, Failed, ClientDisconnected, Unanswered, WrongAnswers, NotSent int
 
-	Slowest time.Duration // of those served
+	Slowest time.Duration // longest time to the answer of a served attempt
 }
 
-// add counts an attempt that was sent.
+// add counts an attempt.
 func (n *Counts) add(outcome conformance.Outcome, took, objective time.Duration) {
 	n.Sent++
 	switch outcome {
@@ -78,21 +79,21 @@
 	}
 }
 
-// LoadGenerator sends requests.
+// LoadGenerator sends requests to a broker. TakeCounts may be called while it runs.
 type LoadGenerator struct {
 	cfg      Config
-	checker  *conformance.Checker // nil: none
-	keyLocks map[string]*sync.Mutex
-	slots    chan struct{} // one is taken for each open request
+	checker  *conformance.Checker   // nil for none
+	keyLocks map[string]*sync.Mutex // by order key
+	slots    chan struct{}          // holds one element for each open request
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
 	idle         []driver.Conn
 	counts       map[string]*Counts // by class
 	requestCount uint64
 }
 
-// New returns a load; checker may be nil.
+// New returns a load generator. checker may be nil.
 func New(cfg Config, checker *conformance.Checker) *LoadGenerator {
 	l := &LoadGenerator{
 		cfg: cfg, checker: checker,
@@ -110,7 +111,7 @@
 	return l
 }
 
-// TakeCounts returns the outcomes of each class since the last call.
+// TakeCounts returns the counts by class since the last call, and resets them.
 func (l *LoadGenerator) TakeCounts() map[string]Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +123,7 @@
 	return out
 }
 
-// Run sends requests until ctx ends, and waits for those that are open.
+// Run sends requests until ctx is done, and then waits for the open ones.
 func (l *LoadGenerator) Run(ctx context.Context) error {
 	var g errgroup.Group
 	var open sync.WaitGroup
@@ -138,8 +139,7 @@
 	return err
 }
 
-// generate starts requests of a class at random times (a Poisson process), each in a goroutine of open that
-// ends with its request, until ctx ends.
+// generate starts requests of a class as a Poisson process until ctx is done. Each runs in a goroutine of open.
 func (l *LoadGenerator) generate(ctx context.Context, c *Class, open *sync.WaitGroup) {
 	for {
 		select {
@@ -160,7 +160,7 @@
 	}
 }
 
-// nextGap draws the time until the next request of a class.
+// nextGap returns a random time until the next request of a class.
 func (l *LoadGenerator) nextGap(c *Class) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -14,22 +14,22 @@
 	"wheatlane/internal/emulator/conformance"
 )
 
-const memoryPerThreadMB = 16 // that a request estimates
+const memoryPerThreadMB = 16 // memory estimate of a request
 
-// Codes of errors by which a broker rejects a request that may be retried.
+// Error codes of rejections after which the request may be retried.
 const (
 	codeTooManyConnections     = 1040
 	codeTooManyUserConnections = 1203
 	codeUserLimitReached       = 1226
 )
 
-// request is what the attempts of one request have in common.
+// request holds the fields that all attempts of one request share.
 type request struct {
 	dataSet                          int
 	tenant, idempotencyKey, orderKey string
 }
 
-func (l *LoadGenerator) drawRequest(c *Class) request {
+func (l *LoadGenerator) randomRequest(c *Class) request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := request{
@@ -43,10 +43,10 @@
 	return r
 }
 
-// runRequest sends a request, and again after a rejection that says when.
+// runRequest sends a request, and retries it after each rejection that specifies a time.
 func (l *LoadGenerator) runRequest(ctx context.Context, c *Class) {
-	r := l.drawRequest(c)
-	if r.orderKey != "" { // one of a key at a time, as clients send them
+	r := l.randomRequest(c)
+	if r.orderKey != "" { // clients send the requests of one key one at a time
 		l.keyLocks[r.orderKey].Lock()
 		defer l.keyLocks[r.orderKey].Unlock()
 		defer time.Sleep(keySpacing)
@@ -71,7 +71,7 @@
 	return fmt.Sprintf("%08x%08x", uint32(l.rng.Uint64()), uint32(l.requestCount))
 }
 
-// Statement returns the statement of a request, with its fields in a comment.
+// Statement returns the statement of a request, with the request's fields in a comment.
 func (c *Class) Statement(
 	requestID, tenant, idempotencyKey, orderKey string, dataSet int, isRetry bool,
 ) string {
@@ -90,8 +90,8 @@
 	return b.String()
 }
 
-// attempt sends a request once and checks the answer. It runs to its own timeout also when the load is
-// stopped, so that each request that was sent has an outcome.
+// attempt sends a request once and checks the answer. It is not cancelled with ctx but runs up to its own timeout, so
+// that each request that was sent has an outcome.
 func (l *LoadGenerator) attempt(
 	ctx context.Context, c *Class, r request, isRetry bool,
 ) (outcome conformance.Outcome, retryAfter time.Duration) {
@@ -118,7 +118,7 @@
 	return outcome, retryAfter
 }
 
-// report passes the outcome of an attempt on to all that are interested.
+// report reports the outcome of an attempt to the checker and to OnRequestEnded, and counts it.
 func (l *LoadGenerator) report(c *Class, requestID string, outcome conformance.Outcome, took time.Duration) {
 	if l.checker != nil {
 		l.checker.RequestEnded(requestID, outcome, time.Now())
@@ -131,7 +131,7 @@
 	l.counts[c.Engine.Name].add(outcome, took, c.LatencyObjective)
 }
 
-// outcomeOf returns the outcome that an error stands for, and after what time a rejected request may be
+// outcomeOf returns the outcome that corresponds to an error, and the time after which a rejected request may be
 // retried.
 func outcomeOf(err error, timedOut bool) (outcome conformance.Outcome, retryAfter time.Duration) {
 	if err == nil {
@@ -152,12 +152,12 @@
 
 var retryAfterPattern = regexp.MustCompile(`cooldown=([0-9]+)`)
 
-// retryAfterOf returns the time that a rejection names, or 0.
+// retryAfterOf returns the time after which a rejection allows a retry, or 0 if it specifies none.
 func retryAfterOf(message string) time.Duration {
 	m := retryAfterPattern.FindStringSubmatch(message)
 	if m == nil {
 		return 0
 	}
-	ms, _ := strconv.Atoi(m[1]) // digits, as matched
+	ms, _ := strconv.Atoi(m[1]) // the pattern matches digits only
 	return time.Duration(ms) * time.Millisecond
 }
--- a/internal/emulator/cluster/cluster.go
+++ b/internal/emulator/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster emulates several engines together with the change log that lists them: each fault of an
-// engine that a change log would notice is published, a little later than it happens.
+// Package cluster emulates several engines and publishes their changes to the change log. Only the changes that a real
+// change log detects are published; crashes are published with a delay.
 package cluster
 
 import (
@@ -16,7 +16,7 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// The actions on an engine, as scenarios word them.
+// The actions on an engine, by their names in scenarios.
 const (
 	actionSlow    = "slow"
 	actionNormal  = "quick" // ends actionSlow
@@ -28,7 +28,7 @@
 	actionMove    = "moved" // a restart at another address
 )
 
-// Actions are the actions on engines; all of them take the number of one.
+// Actions has the actions on engines, as scenario.Parse takes them. All require the number of an engine.
 var Actions = map[string]bool{
 	actionSlow: true, actionNormal: true, actionSilence: true, actionSpeak: true, actionDrain: true,
 	actionCrash: true, actionRestart: true, actionMove: true,
@@ -36,37 +36,37 @@
 
 const (
 	slowdownFactor      = 4
-	crashDetectionDelay = 2 * time.Second // a crash is published so long after it
+	crashDetectionDelay = 2 * time.Second // from a crash to its publication
 	firstEngineNumber   = 0xe0000001
 )
 
-// EngineKind is the kind of the engines, as settings name it.
+// EngineKind is the machine type of the engines, by its name in the settings.
 const EngineKind = "std-8core"
 
-// Classes are the classes of the chart service, as its engines run them.
+// Classes are the request classes of the chart service, with their behaviour on engines.
 var Classes = []engine.Class{
 	{Name: "lookup", MeanWork: 65 * time.Millisecond, Threads: 1, MeanRows: 4, BlockedByDataSetLock: true},
 	{Name: "route-report", MeanWork: 3 * time.Second, Threads: 4, MeanRows: 250},
 	{Name: "survey-load", MeanWork: 3800 * time.Millisecond, Threads: 2, MeanRows: 1, HoldsDataSetLock: true},
 }
 
-// EngineSize is the size of an engine of the chart service.
+// EngineSize is the capacity of an engine of the chart service.
 var EngineSize = engine.Config{
 	Cores: 8, SaturationPoint: 1.9, MaxQueries: 64, DedupWindow: 15 * time.Second,
 	SlowStartDuration: 15 * time.Second, SlowStartInitial: 0.33,
 }
 
-// Cluster is several engines.
+// Cluster is a set of emulated engines with their endpoint list.
 type Cluster struct {
 	engines []*engine.Server
 	publish func(changelogserver.Endpoint) error
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards endpoints
 	endpoints []changelogserver.Endpoint
 }
 
-// New returns n engines that are in service and past their slow start. publish is called with each endpoint
-// that changes.
+// New returns a cluster of n engines that are in service and past their slow start. It calls publish with each changed
+// endpoint.
 func New(n int, observer engine.Observer, publish func(changelogserver.Endpoint) error) (*Cluster, error) {
 	c := &Cluster{publish: publish}
 	for i := range n {
@@ -82,14 +82,14 @@
 	return c, nil
 }
 
-// Endpoints returns the endpoint list as it is now.
+// Endpoints returns a copy of the current endpoint list.
 func (c *Cluster) Endpoints() []changelogserver.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.endpoints)
 }
 
-// Run runs the engines until ctx ends.
+// Run runs the engines until ctx is done.
 func (c *Cluster) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, e := range c.engines {
@@ -107,7 +107,7 @@
 	return c.publish(endpoint)
 }
 
-// Apply carries out a step of a scenario. It returns once the change, if it is one of the endpoint list, is
+// Apply performs a step of a scenario. If the step changes the endpoint list, Apply returns once the change has been
 // published.
 func (c *Cluster) Apply(ctx context.Context, step scenario.Step) error {
 	i := step.Target - 1
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// crash ends an engine and publishes that a little later, unless ctx ends before.
+// crash crashes an engine and publishes the crash after crashDetectionDelay, unless ctx is done before.
 func (c *Cluster) crash(ctx context.Context, i int) error {
 	c.engines[i].Crash()
 	select {
@@ -142,7 +142,7 @@
 	return c.updateEndpoint(i, func(h *changelogserver.Endpoint) { h.Health = changelogserver.Terminated })
 }
 
-// restart starts an engine again, at another address if it is to move. One that only drains crashes first.
+// restart restarts an engine, at another address if move is set. It crashes an engine that still runs.
 func (c *Cluster) restart(i int, move bool) error {
 	e := c.engines[i]
 	e.Crash()
@@ -154,8 +154,8 @@
 	})
 }
 
-// StartHealthy starts n engines of the chart service's size that run classes and have no faults, and a
-// change log that lists them. Each runs in g until ctx ends.
+// StartHealthy starts n engines with EngineSize that run the given classes without faults, and a change log that lists
+// them. All run in g until ctx is done.
 func StartHealthy(
 	ctx context.Context, g *errgroup.Group, n int, classes []engine.Class,
 ) (*changelogserver.ChangeLog, []changelogserver.Endpoint, error) {
--- a/internal/emulator/cluster/config.go
+++ b/internal/emulator/cluster/config.go
@@ -7,7 +7,7 @@
 	"wheatlane/internal/emulator/changelogserver"
 )
 
-// deploymentSettings are the settings of the deployment, in the platform's form.
+// deploymentSettings are the settings of the deployment, in the platform's format.
 const deploymentSettings = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["` + EngineKind + `"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,4,2],"ClassLoad":[false,false,true],
   "YieldsToLoads":[true,false,false],"SaysCost":true},
@@ -24,16 +24,16 @@
   {"Name":"survey-load","Effect":"by_key","WindowNs":15000000000,"PromiseNs":3000000000,"AimStretch":3,
    "GiveUpNs":25000000000,"Worth":20,"LateWorth":0.3,"ByArrival":true}]}`
 
-// Tenants are the tenants of these settings.
+// Tenants are the tenants of the deployment settings.
 var Tenants = []string{"fishing-fleet", "harbour-office"}
 
-// limits are the broker's limits in a configuration.
+// limits are the resource limits in a broker's configuration.
 type limits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// configuration is a broker's configuration in the platform's form.
+// configuration is a broker's configuration in the platform's format.
 type configuration struct {
 	Changelog string          `json:"changelog"`
 	Known     json.RawMessage `json:"known"`
@@ -44,7 +44,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Configuration returns the configuration file of a broker for these engines. The broker listens at any
+// Configuration returns the configuration file of a broker that uses a change log. The broker listens at a free
 // loopback port.
 func Configuration(name string, seed uint64, changes *changelogserver.ChangeLog) ([]byte, error) {
 	known, err := changes.KnownPage()
--- a/internal/emulator/conformance/checker.go
+++ b/internal/emulator/conformance/checker.go
@@ -1,6 +1,6 @@
-// Package conformance checks what clients, engines and the change log saw against the rules of the
-// protocol. Nothing that a broker says of itself enters the result. The package does no I/O and reads no
-// clock.
+// Package conformance checks the events that clients, engines and the change log observed against the rules of the
+// protocol. Its results do not depend on anything that brokers report about themselves. The package does no I/O and
+// reads no clock.
 package conformance
 
 import (
@@ -9,55 +9,56 @@
 	"time"
 )
 
-const maxViolations = 50 // texts kept
+const maxViolations = 50 // violations reported
 
-// Rules are the limits of the rules.
+// Rules configures the rules of a Checker.
 type Rules struct {
-	DrainGrace  time.Duration // an engine gets nothing new so long after its drain was published
-	Slack       time.Duration // what sockets and clocks add to each time
-	MaxAttempts int           // of a request; 0: not checked
-	// DisconnectGrace: an engine gets nothing of a request so long after its client has left; 0: not checked.
+	DrainGrace  time.Duration // engines may receive new requests for this time after their drain was published
+	Slack       time.Duration // tolerance of times, for delays of sockets and clocks
+	MaxAttempts int           // maximum attempts of a request; 0 for no limit
+	// DisconnectGrace is the time after a client's disconnect in which its request may still be sent to a first engine;
+	// 0 for no limit.
 	DisconnectGrace time.Duration
-	NoHedging       bool // a request has at most one attempt in flight
+	NoHedging       bool // a request may have only one attempt in flight
 }
 
-// Outcome is how a request ended at its client.
+// Outcome is the outcome of a request at its client.
 type Outcome string
 
-// The outcomes.
+// The outcomes of requests.
 const (
 	Served             Outcome = "served"
 	Rejected           Outcome = "refused"
 	Failed             Outcome = "failed"
-	ClientDisconnected Outcome = "left"  // the client stopped waiting
+	ClientDisconnected Outcome = "left"  // the client disconnected
 	Unanswered         Outcome = "lost"  // the connection ended without an answer
-	WrongAnswer        Outcome = "wrong" // served with what no engine made for it
+	WrongAnswer        Outcome = "wrong" // the answer is not the engines' result for the request
 )
 
-// Request is what a client sent.
+// Request is a request that a client has sent.
 type Request struct {
 	ID, Class, OrderKey string
-	NonIdempotent       bool // it may not run twice
+	NonIdempotent       bool // must not run twice
 	SentAt              time.Time
 	Timeout             time.Duration
 	Outcome             Outcome // empty while the request is open
 	EndedAt             time.Time
 }
 
-// attempt is a request at an engine.
+// attempt is one execution of a request at an engine.
 type attempt struct {
 	requestID, engine  string
-	startedAt, endedAt time.Time // endedAt is zero while it is in flight
+	startedAt, endedAt time.Time // endedAt is zero while the attempt is in flight
 }
 
-// overlaps reports whether the attempt was in flight still when a later one started.
+// overlaps reports whether the attempt was still in flight when a later one started.
 func (a *attempt) overlaps(later *attempt) bool {
 	return a.endedAt.IsZero() || a.endedAt.After(later.startedAt)
 }
 
 type attemptKey struct{ engine, requestID string }
 
-// Checker records what happened. It may be used from several goroutines.
+// Checker records events and checks them against its rules. It is safe for concurrent use.
 type Checker struct {
 	mu            sync.Mutex
 	rules         Rules
@@ -67,7 +68,7 @@
 	drainingSince map[string]time.Time // by engine
 }
 
-// New returns a checker without records.
+// New returns a checker without recorded events.
 func New(r Rules) *Checker {
 	return &Checker{
 		rules: r, requests: map[string]*Request{},
@@ -82,7 +83,7 @@
 	c.requests[r.ID] = &r
 }
 
-// RequestEnded records how a request ended at its client.
+// RequestEnded records the outcome of a request at its client.
 func (c *Checker) RequestEnded(requestID string, outcome Outcome, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +101,7 @@
 	c.inFlight[attemptKey{engine, requestID}] = a
 }
 
-// AttemptEnded records that an engine answered a request, or that it was cancelled there.
+// AttemptEnded records that an attempt at an engine was answered or cancelled.
 func (c *Checker) AttemptEnded(engine, requestID string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// EngineDraining records that the change log published that an engine drains or is gone.
+// EngineDraining records that the change log published an engine as draining or terminated.
 func (c *Checker) EngineDraining(engine string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,20 +121,20 @@
 	}
 }
 
-// EngineInService records that an engine takes work, again or anew.
+// EngineInService records that the change log published an engine as in service.
 func (c *Checker) EngineInService(engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.drainingSince, engine)
 }
 
-// Report is what a check found.
+// Report is the result of a check.
 type Report struct {
 	Requests            int
 	Outcomes            map[Outcome]int
 	Attempts            int
-	UnsentAtDisconnect  int // requests that no engine had when their clients left
-	SentAfterDisconnect int // of these, those that an engine got after the grace
+	UnsentAtDisconnect  int // requests that no engine had received when their clients disconnected
+	SentAfterDisconnect int // of these, the requests that an engine received after the grace period
 	Violations          []string
 }
 
@@ -143,8 +144,7 @@
 	}
 }
 
-// Check checks all that happened up to now against the rules. An open request is a violation only once its
-// timeout has passed.
+// Check checks all recorded events against the rules. An open request is a violation only after its timeout.
 func (c *Checker) Check(now time.Time) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/conformance/rules.go
+++ b/internal/emulator/conformance/rules.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// requestIDs returns the ids of all requests in their order, in which violations are reported.
+// requestIDs returns the ids of all requests in ascending order, which makes the order of violations deterministic.
 func (c *Checker) requestIDs() []string { return slices.Sorted(maps.Keys(c.requests)) }
 
-// checkOutcomes checks that each request has the answer that it is owed.
+// checkOutcomes checks that each request was answered correctly, or is still within its timeout.
 func (c *Checker) checkOutcomes(report *Report, now time.Time) {
 	for _, id := range c.requestIDs() {
 		r := c.requests[id]
@@ -25,7 +25,8 @@
 	}
 }
 
-// checkAttempts checks each attempt by itself and the number of attempts of each request.
+// checkAttempts checks that each attempt belongs to a request and respects drains, and checks the number of attempts of
+// each request.
 func (c *Checker) checkAttempts(report *Report) {
 	count := map[string]int{}
 	for _, a := range c.attempts {
@@ -50,8 +51,7 @@
 	}
 }
 
-// checkKeyOrder checks that requests of one order key run one at a time, in the order in which they were
-// sent.
+// checkKeyOrder checks that requests of one order key run one at a time, in the order in which clients sent them.
 func (c *Checker) checkKeyOrder(report *Report) {
 	byKey := map[string][]*attempt{}
 	for _, a := range c.attempts {
@@ -87,8 +87,8 @@
 	}
 }
 
-// checkDisconnects checks the requests that no engine had when their clients left: none may get them after
-// the grace.
+// checkDisconnects checks that requests that no engine had received when their clients disconnected are not sent to an
+// engine after the grace period.
 func (c *Checker) checkDisconnects(report *Report) {
 	firstAttempt := map[string]time.Time{}
 	for _, a := range c.attempts {
@@ -110,7 +110,7 @@
 	}
 }
 
-// checkHedging checks that no request has two attempts in flight.
+// checkHedging checks that no request has two attempts in flight at the same time.
 func (c *Checker) checkHedging(report *Report) {
 	byRequest := map[string][]*attempt{}
 	for _, a := range c.attempts {
