--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -11,9 +11,9 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// The whole demo, as a newcomer starts it: requests of all classes are served, faults happen, no rule is
-// violated, and the report is there.
-func TestDemo(t *testing.T) {
+// Runs a complete demo: requests are served, the scenario's faults are injected, no rule is violated and the report is
+// written.
+func TestDemoWritesReportWithoutViolations(t *testing.T) {
 	dir := t.TempDir()
 	const faults = "300ms:slow:2,500ms:drain:1,600ms:collector-gone,900ms:collector-serve"
 	steps, err := scenario.Parse(faults, Actions(), 3)
@@ -29,7 +29,7 @@
 	}
 	for _, want := range []string{"--- 300ms slow 2", "served", "report: " + filepath.Join(dir, reportFile)} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not printed:\n%s", want, out.String())
+			t.Errorf("the output lacks %q:\n%s", want, out.String())
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, reportFile))
@@ -38,7 +38,7 @@
 	}
 	for _, want := range []string{"No rule was broken.", "Latency against the wanted time", "<svg", "lookup"} {
 		if !bytes.Contains(page, []byte(want)) {
-			t.Errorf("the report has no %q", want)
+			t.Errorf("the report lacks %q", want)
 		}
 	}
 }
--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -14,7 +14,7 @@
 
 const progressInterval = time.Second
 
-// printProgress prints the outcomes of requests each progressInterval, until ctx ends.
+// printProgress prints the outcomes of requests every progressInterval, until ctx is done.
 func (d *demonstration) printProgress(ctx context.Context) {
 	d.printf("%6s  %7s %6s %7s %6s %5s   %s\n",
 		"second", "in time", "late", "refused", "failed", "gone", "slowest lookup, report, load")
@@ -30,7 +30,7 @@
 	}
 }
 
-// printOutcomes prints one line of progress.
+// printOutcomes prints a line with the outcomes of all classes and the slowest request of each class.
 func (d *demonstration) printOutcomes(second int, byClass map[string]client.Counts) {
 	var all client.Counts
 	unserved := 0
@@ -49,7 +49,7 @@
 		second, all.InTime, all.Late, all.Rejected, all.Failed, unserved, slowest.String())
 }
 
-// finish writes the report and prints what the checker and the collector found. It returns an error for
+// finish writes the report and prints the results of the conformance checker and the collector. It returns an error for
 // each violation.
 func (d *demonstration) finish() error {
 	findings := d.reconciler.Reconcile()
@@ -65,9 +65,9 @@
 	d.printf("%d requests: %d served, %d refused, %d failed; %d attempts at engines\n",
 		checked.Requests, checked.Outcomes[conformance.Served], checked.Outcomes[conformance.Rejected],
 		checked.Outcomes[conformance.Failed], checked.Attempts)
-	for _, r := range findings.Incarnations {
+	for _, incarnation := range findings.Incarnations {
 		d.printf("the collector has %d intervals, which stand for %d of %d\n",
-			len(r.Intervals), r.Represented, r.LastSequence)
+			len(incarnation.Intervals), incarnation.Represented, incarnation.LastSequence)
 	}
 	d.printf("report: %s\n", d.path(reportFile))
 	violations := make([]error, 0, len(checked.Violations)+len(findings.Violations))
--- a/internal/demo/setup.go
+++ b/internal/demo/setup.go
@@ -24,24 +24,24 @@
 	"wheatlane/internal/service"
 )
 
-// The files that the demo leaves.
+// The output files of the demo.
 const (
-	configFile   = "config.json"
-	operatorFile = "operator.json"
-	figuresFile  = "figures.zst"
-	reportFile   = "report.html"
-	logFile      = "broker.log"
+	configFile    = "config.json"
+	operatorFile  = "operator.json"
+	recordingFile = "figures.zst"
+	reportFile    = "report.html"
+	logFile       = "broker.log"
 )
 
 const (
-	folderPermissions = 0o755
-	filePermissions   = 0o644
+	directoryPermissions = 0o755
+	filePermissions      = 0o644
 )
 
-// configVariable names the configuration file in the environment of a broker.
+// configVariable is the environment variable with the path of the broker's configuration file.
 const configVariable = "RELAY_CONFIG"
 
-// classes are the classes of the load. Their rates are parts of all requests, their times those of the
+// classes are the request classes of the load. Their rates are fractions of Options.Rate; their times are those of the
 // deployment.
 var classes = []client.Class{
 	{
@@ -61,15 +61,15 @@
 const (
 	dataSets        = 24
 	maxOpenRequests = 256
-	retries         = 2
+	maxRetries      = 2
 )
 
-// rules are those that the checker applies.
+// rules configures the conformance checker.
 var rules = conformance.Rules{
 	DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond, MaxAttempts: 4,
 }
 
-// engineObserver passes what engines see on to the checker.
+// engineObserver records the attempts at engines in the checker.
 type engineObserver struct{ checker *conformance.Checker }
 
 func (o engineObserver) AttemptReceived(r engine.Attempt) {
@@ -80,7 +80,7 @@
 	o.checker.AttemptEnded(engine, requestID, at)
 }
 
-// endpointPublished passes what the change log delivers on to the checker.
+// endpointPublished records a delivered change of an endpoint in the checker.
 func (d *demonstration) endpointPublished(endpoint changelogserver.Endpoint, at time.Time) {
 	if endpoint.Health == changelogserver.InService {
 		d.checker.EngineInService(endpoint.ID)
@@ -89,9 +89,9 @@
 	}
 }
 
-// emulate sets up all that a broker talks to.
-func (d *demonstration) emulate() error {
-	if err := os.MkdirAll(d.options.Dir, folderPermissions); err != nil {
+// createEmulators creates the output directory, the checker and the emulators that the broker connects to.
+func (d *demonstration) createEmulators() error {
+	if err := os.MkdirAll(d.options.Dir, directoryPermissions); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
 	d.checker = conformance.New(rules)
@@ -108,21 +108,22 @@
 	if err != nil {
 		return err
 	}
-	figures, err := d.create(figuresFile)
+	file, err := d.create(recordingFile)
 	if err != nil {
 		return err
 	}
-	if d.figures, err = collector.NewRecording(figures); err != nil {
+	if d.recording, err = collector.NewRecording(file); err != nil {
 		return err
 	}
-	d.reconciler = collector.NewReconciler(d.figures.Add)
+	d.reconciler = collector.NewReconciler(d.recording.Add)
 	form := graphite.Form{Prefix: "wheatlane", Tags: true}
 	d.carbon, err = collector.NewCarbon("127.0.0.1:0", form, false, d.reconciler)
 	return err
 }
 
-// startBroker writes the broker's files, reads them as a broker does, and sets up the broker and its load.
-func (d *demonstration) startBroker(ctx context.Context, logs io.Writer) error {
+// createBroker writes the broker's configuration files, loads them as the program does, and creates the broker and its
+// load generator.
+func (d *demonstration) createBroker(ctx context.Context, logs io.Writer) error {
 	cfg, err := d.writeConfig()
 	if err != nil {
 		return err
@@ -141,7 +142,7 @@
 	}
 	d.load = client.New(client.Config{
 		Addr: d.broker.Server.Addr().String(), Classes: scaled, Tenants: cluster.Tenants, DataSets: dataSets,
-		Seed: d.options.Seed, MaxOpen: maxOpenRequests, Retries: retries,
+		Seed: d.options.Seed, MaxOpen: maxOpenRequests, Retries: maxRetries,
 	}, d.checker)
 	return nil
 }
@@ -163,7 +164,8 @@
 	})
 }
 
-const operatorText = `{
+// operatorConfigFormat is the operator's file; its parameter is the address of the collector.
+const operatorConfigFormat = `{
   "telemetry": {
     "interval_ms": 1000,
     "graphite": [{"name": "demo", "address": %q, "tags": true}]
@@ -172,7 +174,7 @@
 `
 
 func (d *demonstration) writeOperatorConfig() (*operatorconfig.File, error) {
-	path, err := d.write(operatorFile, fmt.Appendf(nil, operatorText, d.carbon.Addr()))
+	path, err := d.write(operatorFile, fmt.Appendf(nil, operatorConfigFormat, d.carbon.Addr()))
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +183,7 @@
 
 func (d *demonstration) path(name string) string { return filepath.Join(d.options.Dir, name) }
 
-// write writes a file of the demo and returns its path.
+// write writes an output file and returns its path.
 func (d *demonstration) write(name string, text []byte) (path string, err error) {
 	if err := os.WriteFile(d.path(name), text, filePermissions); err != nil {
 		return "", fmt.Errorf("demo: %w", err)
@@ -189,7 +191,7 @@
 	return d.path(name), nil
 }
 
-// create creates a file of the demo.
+// create creates an output file.
 func (d *demonstration) create(name string) (*os.File, error) {
 	file, err := os.Create(d.path(name))
 	if err != nil {
@@ -198,7 +200,7 @@
 	return file, nil
 }
 
-// lockedWriter lets goroutines share a writer.
+// lockedWriter makes a writer safe for concurrent use.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -210,7 +212,7 @@
 	return l.w.Write(p)
 }
 
-// newLogCore writes the broker's log as the program writes it to standard error.
+// newLogCore returns a core that writes the broker's log in the program's format.
 func newLogCore(w io.Writer) zapcore.Core {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
 	return zapcore.NewCore(encoder, zapcore.AddSync(&lockedWriter{w: w}), zap.InfoLevel)
