--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -17,7 +17,7 @@
 // Line is one line of a chart.
 type Line struct {
 	Name string
-	X    []float64 // seconds since the run's start
+	X    []float64 // seconds since the start of the incarnation's first interval
 	Y    []float64
 }
 
@@ -29,14 +29,14 @@
 // Chart is a chart of lines over time.
 type Chart struct {
 	Title, Unit string
-	Limit       float64 // drawn across, if over 0
+	Limit       float64 // drawn as a horizontal line if greater than 0
 	Lines       []Line
 	SVG         template.HTML
-	Length      float64 // of the run, seconds
-	severity    float64 // what it is ordered by
+	Length      float64 // length of the time axis in seconds
+	severity    float64 // charts are sorted by descending severity
 }
 
-// The size of a chart and its parts.
+// Sizes of a chart and its parts.
 const (
 	chartWidth     = 16 * vg.Centimeter
 	chartHeight    = 6 * vg.Centimeter
@@ -46,11 +46,11 @@
 )
 
 const (
-	legendShare = 0.25 // of the values' range, left free above
-	limitMargin = 1.1  // a limit is drawn that much below the top
+	legendFraction = 0.25 // space above the lines for the legend, as a fraction of the range of values
+	limitHeadroom  = 1.1  // minimum ratio of the top of the axis, before the legend, to the limit
 )
 
-// palette is told apart by the color-blind, too (Okabe and Ito).
+// palette is distinguishable with color blindness (Okabe and Ito).
 var palette = []color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
@@ -76,8 +76,8 @@
 	if c.Limit > 0 {
 		addLimit(p, c.Limit)
 	}
-	p.Y.Max += legendShare * (p.Y.Max - p.Y.Min)
-	p.X.Min, p.X.Max = 0, max(1, c.Length) // all charts of a run have one axis
+	p.Y.Max += legendFraction * (p.Y.Max - p.Y.Min)
+	p.X.Min, p.X.Max = 0, max(1, c.Length) // all charts of an incarnation have the same time axis
 	svg, err := renderSVG(p)
 	if err != nil {
 		return "", fmt.Errorf("report: %s: %w", c.Title, err)
@@ -124,7 +124,7 @@
 	line.Color, line.Dashes = limitColor, []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(line)
 	p.Legend.Add("limit", line)
-	p.Y.Max = max(p.Y.Max, limitMargin*limit)
+	p.Y.Max = max(p.Y.Max, limitHeadroom*limit)
 }
 
 func renderSVG(p *plot.Plot) (template.HTML, error) {
@@ -136,7 +136,7 @@
 	}
 	svg := b.Bytes()
 	if start := bytes.Index(svg, []byte("<svg")); start > 0 {
-		svg = svg[start:] // an XML declaration has no place inside of a page
+		svg = svg[start:] // without the XML declaration, which is not allowed inside HTML
 	}
 	return template.HTML(svg), nil // the canvas escapes texts
 }
--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,3 +1,3 @@
-// Package report makes one page of charts of what a collector received: a single HTML file that needs nothing
-// else. What is worst comes first.
+// Package report writes an HTML page with charts of the metrics that a collector received. The page is self-contained;
+// the charts with the most severe problems come first.
 package report
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -16,27 +16,27 @@
 
 var layout = template.Must(template.New("page").Parse(pageTemplate))
 
-// pageData is what the template shows.
+// pageData is the data of the page template.
 type pageData struct {
 	Title               string
 	OK                  bool
 	Samples, Duplicated int
 	Violations          []string
 	Unknown, Malformed  map[string]int
-	Runs                []runData
+	Runs                []incarnationData
 }
 
-// runData is what the template shows of one run of a broker.
-type runData struct {
+// incarnationData is the data of the page template for one incarnation of a broker.
+type incarnationData struct {
 	Broker, Started, Length  string
-	Intervals                int    // that came
-	Represented, Last        uint64 // intervals that those stand for, and the highest number
+	Intervals                int    // number of intervals received
+	Represented, Last        uint64 // number of intervals merged into these, and the highest sequence number
 	Missing                  int64
 	Requests, Late, Unserved float64
 	Sections                 []Section
 }
 
-// Write writes the page of what a collector received.
+// Write writes the page for the findings of a collector.
 func Write(w io.Writer, title string, f *collector.Findings) error {
 	data := pageData{
 		Title:      title,
@@ -51,11 +51,11 @@
 		if len(r.Intervals) == 0 {
 			continue
 		}
-		run, err := newRunData(r)
+		incarnation, err := newIncarnationData(r)
 		if err != nil {
 			return err
 		}
-		data.Runs = append(data.Runs, run)
+		data.Runs = append(data.Runs, incarnation)
 	}
 	if err := layout.Execute(w, data); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// newRunData summarizes a run that has intervals, and renders its charts.
-func newRunData(r *collector.Incarnation) (runData, error) {
+// newIncarnationData summarizes an incarnation and renders its charts. The incarnation must have intervals.
+func newIncarnationData(r *collector.Incarnation) (incarnationData, error) {
 	first, last := timeRange(r)
 	late, unserved := lateAndUnserved(r)
-	d := runData{
+	d := incarnationData{
 		Broker:      r.Broker,
 		Started:     time.UnixMilli(r.StartedMS).UTC().Format(time.RFC3339),
 		Length:      (time.Duration(last-first) * time.Second).String(),
@@ -86,7 +86,7 @@
 			c.Length = float64(last - first)
 			svg, err := c.render()
 			if err != nil {
-				return runData{}, err
+				return incarnationData{}, err
 			}
 			c.SVG = svg
 		}
@@ -94,7 +94,7 @@
 	return d, nil
 }
 
-// timeRange is that of a run's intervals, in seconds of Unix time.
+// timeRange returns the first and the last timestamp of an incarnation's intervals, Unix time in seconds.
 func timeRange(r *collector.Incarnation) (first, last int64) {
 	first, last = r.Intervals[0].Timestamp, r.Intervals[0].Timestamp
 	for _, v := range r.Intervals {
@@ -103,7 +103,7 @@
 	return first, last
 }
 
-// lateAndUnserved are how many requests were served late, and how many were rejected or failed.
+// lateAndUnserved returns the number of requests that were served late and of those that were rejected or failed.
 func lateAndUnserved(r *collector.Incarnation) (late, unserved float64) {
 	for s, n := range r.Totals(metrics.Answers) {
 		switch s.LabelIndex {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// night is a minute of a broker in which route reports go late and requests are rejected.
-func night() *collector.Findings {
+// degradedMinute returns the findings for a minute in which a broker answers route reports late and rejects requests.
+func degradedMinute() *collector.Findings {
 	var all []collector.Sample
 	add := func(at int64, id metrics.ID, name, stat string, label int, v float64) {
 		series := metrics.Series{Figure: id, Name: name, LabelIndex: label}
@@ -36,28 +36,28 @@
 	return collector.Reconcile(all, 0, nil, nil)
 }
 
-// What is worst comes first: the class that is late ahead of the one that is not, latency ahead of what is
-// calm.
-func TestWorstFirst(t *testing.T) {
-	f := night()
+// Sections and charts are in descending order of severity: late classes ahead of classes in time, latency ahead of
+// sections without a problem.
+func TestSectionsAreSortedBySeverity(t *testing.T) {
+	f := degradedMinute()
 	sections := Sections(f.Incarnations[0], 1000)
 	first := sections[0]
 	if first.Title != "Latency against the wanted time" || first.Charts[0].Title != "route-report" {
-		t.Fatalf("first is %s, %s", first.Title, first.Charts[0].Title)
+		t.Fatalf("the first chart is %s, %s", first.Title, first.Charts[0].Title)
 	}
 	for i := 1; i < len(sections); i++ {
 		if sections[i].severity > sections[i-1].severity {
-			t.Errorf("%s comes after %s", sections[i].Title, sections[i-1].Title)
+			t.Errorf("%s comes after %s, which is less severe", sections[i].Title, sections[i-1].Title)
 		}
 	}
 }
 
-// A rate is what a counter grew by over the time that the interval represents.
-func TestRates(t *testing.T) {
-	f := night()
-	lines := runView{f.Incarnations[0], 1000}.rates(metrics.Rejections, nil)
+// A rate is the increase of a counter divided by the length of the interval.
+func TestRatesAreIncreasePerSecond(t *testing.T) {
+	f := degradedMinute()
+	lines := incarnationView{f.Incarnations[0], 1000}.rates(metrics.Rejections, nil)
 	if len(lines) != 1 || lines[0].Name != "no room" || len(lines[0].X) != 6 {
-		t.Fatalf("%+v", lines)
+		t.Fatalf("lines %+v, want one named no room with 6 points", lines)
 	}
 	for i, y := range lines[0].Y {
 		if want := 0.5; i > 0 && y != want || lines[0].X[i] != float64(10*i) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Nothing in the page is fetched from elsewhere, and texts from outside can't become markup.
-func TestPageIsSelfContained(t *testing.T) {
-	f := night()
+// The page must load no external resource, and must escape texts that it receives, such as metric names.
+func TestPageIsSelfContainedAndEscapesText(t *testing.T) {
+	f := degradedMinute()
 	f.Violations = []string{"<script>alert(1)</script>"}
 	var b bytes.Buffer
 	if err := Write(&b, "A <b>night</b>", f); err != nil {
@@ -77,7 +77,7 @@
 	page := b.String()
 	for _, bad := range []string{"<script", "src=", "<b>night", "@import", "url("} {
 		if strings.Contains(page, bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 	for _, want := range []string{"<svg", "Rules were broken", "route-report", "&lt;script&gt;"} {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestEmptyRecording(t *testing.T) {
+func TestWriteAcceptsEmptyRecording(t *testing.T) {
 	var b bytes.Buffer
 	if err := Write(&b, "Nothing", collector.Reconcile(nil, 0, nil, nil)); err != nil {
 		t.Fatal(err)
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	maxCharts    = 12  // in one section
-	drainLimitMS = 500 // the rule
+	maxCharts    = 12  // per section
+	drainLimitMS = 500 // limit of the drain rule
 	mebibyte     = 1 << 20
 )
 
-// Section is a group of charts that answer one question.
+// Section is a group of related charts.
 type Section struct {
 	Title, Note string
 	Charts      []Chart
 	severity    float64
 }
 
-// Sections are the charts of a run whose time starts at start, seconds of Unix time; those that look worst
-// come first.
+// Sections returns the non-empty sections of an incarnation, in descending order of severity. The time axes start at
+// start, Unix time in seconds.
 func Sections(r *collector.Incarnation, start int64) []Section {
-	view := runView{r, start}
+	view := incarnationView{r, start}
 	all := []Section{
 		view.latency(),
 		view.outcomes(),
@@ -51,8 +51,9 @@
 
 func byTitle(a, b Chart) int { return strings.Compare(a.Title, b.Title) }
 
-// perSeries makes a chart of each series of a distribution, ordered by its last line.
-func (r runView) perSeries(id metrics.ID, limit float64, stats ...string) []Chart {
+// perSeries returns a chart for each series of a distribution, at most maxCharts in the order of their titles, with a
+// line for each statistic. The severity of a chart is the maximum of its last line.
+func (r incarnationView) perSeries(id metrics.ID, limit float64, stats ...string) []Chart {
 	bySeries := r.quantiles(id, stats...)
 	all := make([]Chart, 0, len(bySeries))
 	for s, lines := range bySeries {
@@ -68,9 +69,9 @@
 	return all[:min(len(all), maxCharts)]
 }
 
-// single is a section of one chart without a title, or of none if that has no lines. Its severity is the
-// largest value by weight.
-func single(title, note string, c Chart, weight float64) Section {
+// singleChartSection returns a section with one chart without a title, or without charts if the chart has no lines. The
+// chart's severity is its largest value times weight.
+func singleChartSection(title, note string, c Chart, weight float64) Section {
 	s := Section{Title: title, Note: note}
 	if len(c.Lines) == 0 {
 		return s
@@ -82,7 +83,7 @@
 	return s
 }
 
-func (r runView) latency() Section {
+func (r incarnationView) latency() Section {
 	return Section{
 		Title: "Latency against the wanted time",
 		Note: "Time to the answer over the latency objective of the class. " +
@@ -91,7 +92,7 @@
 	}
 }
 
-func (r runView) outcomes() Section {
+func (r incarnationView) outcomes() Section {
 	s := Section{Title: "Outcomes of requests", Note: "Requests a second that ended, by class."}
 	seen := map[string]bool{}
 	for series := range r.Totals(metrics.Answers) {
@@ -105,9 +106,9 @@
 	return s
 }
 
-// outcomesOf is the chart of one class, that of a series of it. Its severity is the largest rate of what is
-// not in time.
-func (r runView) outcomesOf(class string, of metrics.Series) Chart {
+// outcomesOf returns the chart of the class that a series belongs to. The chart's severity is the largest rate of
+// requests that were not answered in time.
+func (r incarnationView) outcomesOf(class string, of metrics.Series) Chart {
 	c := Chart{Title: class, Unit: "a second"}
 	c.Lines = r.rates(metrics.Answers, func(s metrics.Series) bool {
 		return s.Name == of.Name && s.Other == of.Other
@@ -122,13 +123,13 @@
 	return c
 }
 
-func (r runView) rejections() Section {
-	return single("Rejections by cause",
+func (r incarnationView) rejections() Section {
+	return singleChartSection("Rejections by cause",
 		"What was rejected, a second. no room is a rejection by the decision module.",
 		Chart{Unit: "a second", Lines: r.rates(metrics.Rejections, nil)}, 1)
 }
 
-func (r runView) retries() Section {
+func (r incarnationView) retries() Section {
 	lines := r.rates(metrics.Attempts, nil)
 	for i := range lines {
 		lines[i].Name = "attempts: " + lines[i].Name
@@ -139,29 +140,30 @@
 			lines = append(lines, l)
 		}
 	}
-	return single("Attempts and retries",
+	return singleChartSection("Attempts and retries",
 		"Attempts sent, requests that clients marked as retries, and responses that no attempt waited for.",
 		Chart{Unit: "a second", Lines: lines}, 0)
 }
 
-func (r runView) wasted() Section {
-	return single("Wasted work",
+func (r incarnationView) wasted() Section {
+	return singleChartSection("Wasted work",
 		"Milliseconds a second of attempts in flight whose answer no client got.",
 		Chart{Unit: "ms a second", Lines: r.rates(metrics.Wasted, nil)}, 1.0/1000)
 }
 
-func (r runView) drains() Section {
-	return single("Drains",
+func (r incarnationView) drains() Section {
+	return singleChartSection("Drains",
 		"Time from when a drain was announced to the last byte sent to the engine. The rule allows 500 ms.",
 		Chart{Unit: "ms", Limit: drainLimitMS, Lines: r.values(metrics.WorstDrain)}, 1.0/drainLimitMS)
 }
 
-func (r runView) engines() Section {
-	return single("Engines by health", "", Chart{Unit: "engines", Lines: r.values(metrics.Engines)}, 0)
+func (r incarnationView) engines() Section {
+	return singleChartSection("Engines by health", "", Chart{Unit: "engines", Lines: r.values(metrics.Engines)}, 0)
 }
 
-// deliveries shows how late intervals came, and how many were folded into one.
-func (r runView) deliveries() Section {
+// deliveries charts the delay of each interval's delivery and the number of intervals merged into it. Delays are
+// relative to the shortest one, as arrivals are recorded relative to the collector's start.
+func (r incarnationView) deliveries() Section {
 	delay, folded := Line{Name: "late by, s"}, Line{Name: "intervals in one"}
 	delayOf := func(v *collector.Interval) float64 { return v.Arrived.Seconds() - float64(v.Timestamp) }
 	shortest := math.Inf(1)
@@ -174,10 +176,10 @@
 	}
 	note := fmt.Sprintf("How long after the quickest each interval came, and how many are folded into one. "+
 		"%d of %d intervals are accounted for.", r.Represented, r.LastSequence)
-	return single("Delivery", note, Chart{Lines: []Line{delay, folded}}, 0.01)
+	return singleChartSection("Delivery", note, Chart{Lines: []Line{delay, folded}}, 0.01)
 }
 
-func (r runView) broker() Section {
+func (r incarnationView) broker() Section {
 	s := Section{Title: "The broker itself"}
 	if lines := r.memoryLines(); len(lines) > 0 {
 		s.Charts = append(s.Charts, Chart{Title: "Memory", Unit: "MB", Lines: lines})
@@ -188,8 +190,8 @@
 	return s
 }
 
-// memoryLines are in MB; none if the broker reported no memory.
-func (r runView) memoryLines() []Line {
+// memoryLines returns the lines of the broker's memory in MB, none if it reported no memory.
+func (r incarnationView) memoryLines() []Line {
 	lines := r.values(metrics.Memory)
 	if len(lines) == 0 {
 		return nil
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -10,19 +10,21 @@
 	"wheatlane/internal/metrics"
 )
 
-// maxLines are in one chart; the others are smaller and would hide these.
+// maxLines is the maximum number of lines in a chart. Further lines have smaller values and would hide the others.
 const maxLines = 8
 
-// runView is a run with the time that its charts start at.
-type runView struct {
+// incarnationView is an incarnation with the time at which its charts start.
+type incarnationView struct {
 	*collector.Incarnation
-	start int64 // seconds of Unix time
+	start int64 // Unix time in seconds
 }
 
-// seconds is the time of an interval in the charts.
-func (r runView) seconds(v *collector.Interval) float64 { return float64(v.Timestamp - r.start) }
+// seconds returns the position of an interval on the time axis, in seconds.
+func (r incarnationView) seconds(v *collector.Interval) float64 {
+	return float64(v.Timestamp - r.start)
+}
 
-// seriesTitle names a series beside its figure.
+// seriesTitle returns the title of a series in charts of its metric: its name and label value.
 func seriesTitle(s metrics.Series) string {
 	name := s.Name
 	if s.Other {
@@ -34,10 +36,10 @@
 	return name
 }
 
-// lineSet collects lines by series.
+// lineSet holds the lines of a chart by series.
 type lineSet map[metrics.Series]*Line
 
-// line is that of a series; it is made when it is first asked for.
+// line returns the line of a series, which it creates if necessary.
 func (ls lineSet) line(s metrics.Series) *Line {
 	if ls[s] == nil {
 		ls[s] = &Line{Name: seriesTitle(s)}
@@ -45,7 +47,8 @@
 	return ls[s]
 }
 
-// largest are the lines with the largest sums that have points, at most maxLines; equal ones by their names.
+// largest returns the lines with points among the maxLines lines with the largest sums, in descending order of sums and
+// then by title.
 func (ls lineSet) largest() []Line {
 	order := make([]metrics.Series, 0, len(ls))
 	for s := range ls {
@@ -71,7 +74,7 @@
 	return total
 }
 
-// maxOf is the largest value, 0 if there is none above.
+// maxOf returns the largest value, or 0 if no value is greater.
 func maxOf(values []float64) float64 {
 	largest := 0.0
 	for _, v := range values {
@@ -80,15 +83,15 @@
 	return largest
 }
 
-// rates are the lines of a counter's series, in counts a second; keep chooses among them, nil keeps all. What
-// a folded interval reports is spread over all that it represents.
-func (r runView) rates(id metrics.ID, keep func(metrics.Series) bool) []Line {
+// rates returns the lines of a counter's series as rates per second, for the series that include accepts; nil accepts
+// all. The increase in a merged interval is distributed evenly over the intervals that it represents.
+func (r incarnationView) rates(id metrics.ID, include func(metrics.Series) bool) []Line {
 	lines := lineSet{}
 	last := map[metrics.Series]float64{}
 	for i, v := range r.Intervals {
 		span := r.span(i)
 		for s, x := range v.Values {
-			if s.Figure != id || keep != nil && !keep(s) {
+			if s.Figure != id || include != nil && !include(s) {
 				continue
 			}
 			l := lines.line(s)
@@ -101,9 +104,9 @@
 	return lines.largest()
 }
 
-// span is the length of interval i in seconds, 0 if it is not known. The first is taken to be as long as the
-// next.
-func (r runView) span(i int) float64 {
+// span returns the length of interval i in seconds, 0 if it is unknown. The first interval of a broker counts as long
+// as the second.
+func (r incarnationView) span(i int) float64 {
 	v := r.Intervals[i]
 	switch {
 	case i > 0:
@@ -114,8 +117,8 @@
 	return 0
 }
 
-// values are the lines of a gauge's series.
-func (r runView) values(id metrics.ID) []Line {
+// values returns the lines of a gauge's series.
+func (r incarnationView) values(id metrics.ID) []Line {
 	lines := lineSet{}
 	for _, v := range r.Intervals {
 		for s, x := range v.Values {
@@ -127,8 +130,8 @@
 	return lines.largest()
 }
 
-// quantiles are the lines of a distribution by series, one for each stat.
-func (r runView) quantiles(id metrics.ID, stats ...string) map[metrics.Series][]Line {
+// quantiles returns the lines of a distribution by series, one line for each of stats.
+func (r incarnationView) quantiles(id metrics.ID, stats ...string) map[metrics.Series][]Line {
 	out := map[metrics.Series][]Line{}
 	for _, v := range r.Intervals {
 		for s, reported := range v.Distributions {
