--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -103,10 +103,10 @@
 		}
 	}
 	c.SetMode(collector.Lossy)
-	intervalsUntil("timeout waiting for lost datagrams", func() bool { _, lost := c.Packets(); return lost > 5 })
+	intervalsUntil("no datagram is lost", func() bool { _, lost := c.DatagramCounts(); return lost > 5 })
 	c.SetMode(collector.Reordering)
-	before, _ := c.Packets()
-	intervalsUntil("timeout waiting for datagrams", func() bool { now, _ := c.Packets(); return now > before+20 })
+	before, _ := c.DatagramCounts()
+	intervalsUntil("no datagram comes", func() bool { now, _ := c.DatagramCounts(); return now > before+20 })
 	c.SetMode(collector.Unreachable)
 	intervalsUntil("timeout waiting for the closed port to be detected", func() bool {
 		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -105,9 +105,9 @@
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		by := rawclient.Departure(c.source.IntN(rawclient.Departures))
-		session.Leave(ctx, c.address, by, func(rawclient.Departure) {
-			c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
+		by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
+		session.Disconnect(ctx, c.address, by, func(rawclient.DisconnectMethod) {
+			c.checker.RequestEnded(id, conformance.ClientDisconnected, time.Now())
 		})
 	default:
 		c.checker.RequestEnded(id, conformance.Unanswered, time.Now())
@@ -116,7 +116,7 @@
 
 // reserveKey draws an order key and waits until its next request may be sent.
 func (c *disconnectingClients) reserveKey(ctx context.Context) string {
-	return fmt.Sprintf("%016x", c.keys.Reserve(ctx, c.source)+1)
+	return fmt.Sprintf("%016x", c.keys.WaitForRandomKey(ctx, c.source)+1)
 }
 
 // idleClients is how many clients are idle until the broker closes their connections.
@@ -177,8 +177,8 @@
 		Timeout: class.Timeout,
 	})
 	// A request that crosses a close is owed no answer.
-	c.checker.RequestEnded(id, conformance.ClientLeft, time.Now())
-	session.SendLast(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
+	c.checker.RequestEnded(id, conformance.ClientDisconnected, time.Now())
+	session.SendAfterShutdown(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
 
 // outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that
