--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -23,9 +23,9 @@
 	// ErrTooLarge reports a record or snapshot of more than MaxRecord bytes.
 	ErrTooLarge = errors.New("durable: record too large")
 
-	// ErrFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact
+	// ErrWriteFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact
 	// that succeeds repairs the store.
-	ErrFailed = errors.New("durable: a write failed before")
+	ErrWriteFailed = errors.New("durable: a write failed before")
 )
 
 // The names of files in a store's directory.
@@ -160,7 +160,7 @@
 // Append adds a record. Once it returns nil, the record is durable.
 func (s *Store) Append(record []byte) error {
 	if s.failed {
-		return ErrFailed
+		return ErrWriteFailed
 	}
 	if err := checkSize(record); err != nil {
 		return err
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -145,7 +145,7 @@
 		t.Fatal("a snapshot was confirmed on a full disk")
 	}
 	d.full = false
-	if err := s.Append([]byte("x")); !errors.Is(err, ErrFailed) {
+	if err := s.Append([]byte("x")); !errors.Is(err, ErrWriteFailed) {
 		t.Fatalf("append after a failed write: %v", err)
 	}
 	if err := s.Compact([]byte(fmt.Sprint(confirmed))); err != nil {
