--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -30,7 +30,7 @@
 	}
 	switch v := binary.BigEndian.Uint32(file[len(magic):]); {
 	case v > formatVersion:
-		return nil, "", fmt.Errorf("%w: %d, this is %d", ErrNewer, v, formatVersion)
+		return nil, "", fmt.Errorf("%w: %d, this is %d", ErrNewerVersion, v, formatVersion)
 	case v < 1:
 		return nil, "its format version is invalid", nil
 	}
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -17,8 +17,8 @@
 
 // Errors of a store.
 var (
-	// ErrNewer reports a store that was written in a later format version.
-	ErrNewer = errors.New("durable: written by a newer version")
+	// ErrNewerVersion reports a store that was written in a later format version.
+	ErrNewerVersion = errors.New("durable: written by a newer version")
 
 	// ErrTooLarge reports a record or snapshot of more than MaxRecord bytes.
 	ErrTooLarge = errors.New("durable: record too large")
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -110,7 +110,7 @@
 		}
 		file.data[bit/8] ^= 1 << (bit % 8)
 		_, st, err := Open(d)
-		if errors.Is(err, ErrNewer) {
+		if errors.Is(err, ErrNewerVersion) {
 			continue // the bit is in the version
 		}
 		if err != nil {
@@ -186,7 +186,7 @@
 	file := d.files[generationName(s.generation)]
 	file.data[headerBytes-1] = formatVersion + 1
 	before := slices.Clone(file.data)
-	if _, _, err := Open(d); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(d); !errors.Is(err, ErrNewerVersion) {
 		t.Fatalf("%v", err)
 	}
 	if !slices.Equal(d.files[generationName(s.generation)].data, before) {
