--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -17,8 +17,8 @@
 	maxResyncBytes  = 64 << 10 // how far a valid record is searched for behind a damaged one
 )
 
-// MaxRecord is the largest record or snapshot, in bytes.
-const MaxRecord = 16 << 20
+// MaxRecordBytes is the largest record or snapshot, in bytes.
+const MaxRecordBytes = 16 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -60,7 +60,7 @@
 		return nil, false
 	}
 	n := int(binary.BigEndian.Uint32(b))
-	if n > MaxRecord || n > len(b)-recordHeadBytes {
+	if n > MaxRecordBytes || n > len(b)-recordHeadBytes {
 		return nil, false
 	}
 	record := b[recordHeadBytes : recordHeadBytes+n]
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -20,7 +20,7 @@
 	// ErrNewerVersion reports a store that was written in a later format version.
 	ErrNewerVersion = errors.New("durable: written by a newer version")
 
-	// ErrTooLarge reports a record or snapshot of more than MaxRecord bytes.
+	// ErrTooLarge reports a record or snapshot of more than MaxRecordBytes bytes.
 	ErrTooLarge = errors.New("durable: record too large")
 
 	// ErrWriteFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact
@@ -183,8 +183,8 @@
 }
 
 func checkSize(record []byte) error {
-	if len(record) > MaxRecord {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MaxRecord)
+	if len(record) > MaxRecordBytes {
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MaxRecordBytes)
 	}
 	return nil
 }
