--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -103,8 +103,8 @@
 			if string(st.Snapshot) != storedSnapshot || !equalRecords {
 				t.Errorf("read: %q, %q", st.Snapshot, st.Records)
 			}
-			if (st.Lost != "") != c.lost {
-				t.Errorf("lost: %q", st.Lost)
+			if (st.Damage != "") != c.lost {
+				t.Errorf("lost: %q", st.Damage)
 			}
 			if diff := cmp.Diff(c.files, files); diff != "" {
 				t.Errorf("files: %s", diff)
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -64,9 +64,9 @@
 type State struct {
 	Snapshot []byte   // nil in a new store
 	Records  [][]byte // appended since the snapshot
-	// Lost describes what could not be read, empty if nothing. A record that was being written during a
+	// Damage describes what could not be read, empty if nothing. A record that was being written during a
 	// crash was never confirmed and is not lost.
-	Lost string
+	Damage string
 }
 
 // Store is an open store. It is not safe for concurrent use.
@@ -153,7 +153,7 @@
 			break
 		}
 	}
-	state.Lost = strings.Join(lost, "; ")
+	state.Damage = strings.Join(lost, "; ")
 	return state, nil
 }
 
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -65,14 +65,14 @@
 				t.Fatalf("seed %d, operation %d: %v", seed, operation, err)
 			}
 			got := history(st)
-			if got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Lost != "" {
+			if got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Damage != "" {
 				t.Fatalf(
 					"seed %d, operation %d: found %s, confirmed were %v; lost %q",
 					seed,
 					operation,
 					got,
 					confirmed,
-					st.Lost,
+					st.Damage,
 				)
 			}
 		}
@@ -123,8 +123,8 @@
 		if !isProperPrefix(got, confirmed) {
 			t.Fatalf("bit %d: found %s of %v", bit, got, confirmed)
 		}
-		if _, aside := d.files["damaged-"+generationName(s.generation)]; st.Lost != "" && !aside {
-			t.Fatalf("bit %d: %s, but no file was set aside", bit, st.Lost)
+		if _, aside := d.files["damaged-"+generationName(s.generation)]; st.Damage != "" && !aside {
+			t.Fatalf("bit %d: %s, but no file was set aside", bit, st.Damage)
 		}
 	}
 }
@@ -171,8 +171,8 @@
 	file := d.files[generationName(s.generation)]
 	file.data = append(file.data, make([]byte, 4096)...)
 	_, st, err := Open(d)
-	if err != nil || history(st) != fmt.Sprint(confirmed) || st.Lost != "" {
-		t.Fatalf("%s of %v, lost %q, %v", history(st), confirmed, st.Lost, err)
+	if err != nil || history(st) != fmt.Sprint(confirmed) || st.Damage != "" {
+		t.Fatalf("%s of %v, lost %q, %v", history(st), confirmed, st.Damage, err)
 	}
 }
 
