--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -9,8 +9,8 @@
 	"unicode/utf8"
 )
 
-// MaxLine is the length of the longest call in bytes, its line feed included.
-const MaxLine = 256
+// MaxLineBytes is the length of the longest call in bytes, its line feed included.
+const MaxLineBytes = 256
 
 // Verb names a call, as it stands on the wire.
 type Verb string
@@ -43,8 +43,8 @@
 func Parse(line []byte) (Call, error) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	switch {
-	case len(line) >= MaxLine:
-		return Call{}, fmt.Errorf("%w: over %d bytes", ErrTooLong, MaxLine-1)
+	case len(line) >= MaxLineBytes:
+		return Call{}, fmt.Errorf("%w: over %d bytes", ErrTooLong, MaxLineBytes-1)
 	case !utf8.Valid(line):
 		return Call{}, ErrNotUTF8
 	}
--- a/internal/adminapi/call_test.go
+++ b/internal/adminapi/call_test.go
@@ -28,7 +28,7 @@
 		"check with an argument":  {"check now", Call{}, ErrExtra},
 		"vars with an argument":   {"vars all", Call{}, ErrExtra},
 		"bytes that are no UTF-8": {"set-down \xff\xfe", Call{}, ErrNotUTF8},
-		"too long":                {strings.Repeat("x", MaxLine), Call{}, ErrTooLong},
+		"too long":                {strings.Repeat("x", MaxLineBytes), Call{}, ErrTooLong},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Parse([]byte(c.line))
--- a/internal/adminapi/errors.go
+++ b/internal/adminapi/errors.go
@@ -13,7 +13,7 @@
 // Errors of calls. Each is a reason of the NAK that answers the call.
 const (
 	ErrEmpty     = reasonError("empty")            // the line holds no words
-	ErrTooLong   = reasonError("too_long")         // the line is longer than MaxLine
+	ErrTooLong   = reasonError("too_long")         // the line is longer than MaxLineBytes
 	ErrNotUTF8   = reasonError("not_utf8")         // the line is no UTF-8
 	ErrUnknown   = reasonError("unknown_call")     // no call has this name
 	ErrMissingID = reasonError("missing_argument") // the call needs an engine's id
--- a/internal/adminapi/line_test.go
+++ b/internal/adminapi/line_test.go
@@ -10,7 +10,7 @@
 // However the bytes of a connection are split, the line and its error are the same, and nothing panics.
 func TestLineSplitsAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := rapid.SliceOfN(rapid.SampledFrom([]byte("ab \n\r\xffset-downcheck")), 0, 2*MaxLine).Draw(t, "text")
+		text := rapid.SliceOfN(rapid.SampledFrom([]byte("ab \n\r\xffset-downcheck")), 0, 2*MaxLineBytes).Draw(t, "text")
 		wantLine, wantComplete, wantErr := feedAll([][]byte{text})
 		var parts [][]byte
 		for rest := text; len(rest) > 0; {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -156,7 +156,7 @@
 func readLine(ctx context.Context, conn net.Conn) ([]byte, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // of a closed connection: the read fails
 	var gathered lineBuffer
-	buf := make([]byte, MaxLine)
+	buf := make([]byte, MaxLineBytes)
 	for {
 		n, readErr := conn.Read(buf)
 		line, complete, err := gathered.feed(buf[:n])
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -138,7 +138,7 @@
 		{"check with an argument", "check 1\n", "NAK extra_argument check takes no argument\n"},
 		{"vars with an argument", "vars 1\n", "NAK extra_argument vars takes no argument\n"},
 		{"no UTF-8", "set-up \xff\n", "NAK not_utf8\n"},
-		{"too long", strings.Repeat("v", 4*MaxLine), "NAK too_long no line feed in 256 bytes\n"},
+		{"too long", strings.Repeat("v", 4*MaxLineBytes), "NAK too_long no line feed in 256 bytes\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if diff := cmp.Diff(c.want, call(t, addr, c.send)); diff != "" {
