--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -39,7 +39,7 @@
 
 // Parse reads one line, without its line feed; a carriage return at its end is passed over. Words are
 // separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknown, ErrMissingID or
-// ErrExtra.
+// ErrExtraArgument.
 func Parse(line []byte) (Call, error) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	switch {
@@ -60,11 +60,11 @@
 	case needsID && len(arguments) == 0:
 		return Call{}, fmt.Errorf("%w: %s takes an engine's id", ErrMissingID, verb)
 	case needsID && len(arguments) > 1:
-		return Call{}, fmt.Errorf("%w: %s takes one id", ErrExtra, verb)
+		return Call{}, fmt.Errorf("%w: %s takes one id", ErrExtraArgument, verb)
 	case needsID:
 		return Call{Verb: verb, ID: string(arguments[0])}, nil
 	case len(arguments) > 0:
-		return Call{}, fmt.Errorf("%w: %s takes no argument", ErrExtra, verb)
+		return Call{}, fmt.Errorf("%w: %s takes no argument", ErrExtraArgument, verb)
 	}
 	return Call{Verb: verb}, nil
 }
--- a/internal/adminapi/call_test.go
+++ b/internal/adminapi/call_test.go
@@ -24,9 +24,9 @@
 		"upper case":              {"CHECK", Call{}, ErrUnknown},
 		"set-down without id":     {"set-down", Call{}, ErrMissingID},
 		"set-up without id":       {"set-up ", Call{}, ErrMissingID},
-		"set-down with two ids":   {"set-down a b", Call{}, ErrExtra},
-		"check with an argument":  {"check now", Call{}, ErrExtra},
-		"vars with an argument":   {"vars all", Call{}, ErrExtra},
+		"set-down with two ids":   {"set-down a b", Call{}, ErrExtraArgument},
+		"check with an argument":  {"check now", Call{}, ErrExtraArgument},
+		"vars with an argument":   {"vars all", Call{}, ErrExtraArgument},
 		"bytes that are no UTF-8": {"set-down \xff\xfe", Call{}, ErrNotUTF8},
 		"too long":                {strings.Repeat("x", MaxLineBytes), Call{}, ErrTooLong},
 	} {
--- a/internal/adminapi/errors.go
+++ b/internal/adminapi/errors.go
@@ -12,14 +12,14 @@
 
 // Errors of calls. Each is a reason of the NAK that answers the call.
 const (
-	ErrEmpty     = reasonError("empty")            // the line holds no words
-	ErrTooLong   = reasonError("too_long")         // the line is longer than MaxLineBytes
-	ErrNotUTF8   = reasonError("not_utf8")         // the line is no UTF-8
-	ErrUnknown   = reasonError("unknown_call")     // no call has this name
-	ErrMissingID = reasonError("missing_argument") // the call needs an engine's id
-	ErrExtra     = reasonError("extra_argument")   // the call takes fewer arguments
-	ErrNotListed = reasonError("not_listed")       // the engine was never in the endpoint list
-	ErrBusy      = reasonError("busy")             // the broker could not carry the call out in time
+	ErrEmpty         = reasonError("empty")            // the line holds no words
+	ErrTooLong       = reasonError("too_long")         // the line is longer than MaxLineBytes
+	ErrNotUTF8       = reasonError("not_utf8")         // the line is no UTF-8
+	ErrUnknown       = reasonError("unknown_call")     // no call has this name
+	ErrMissingID     = reasonError("missing_argument") // the call needs an engine's id
+	ErrExtraArgument = reasonError("extra_argument")   // the call takes fewer arguments
+	ErrNotListed     = reasonError("not_listed")       // the engine was never in the endpoint list
+	ErrBusy          = reasonError("busy")             // the broker could not carry the call out in time
 )
 
 // reasonFailed is the reason code of all other errors.
