--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -38,7 +38,7 @@
 }
 
 // Parse reads one line, without its line feed; a carriage return at its end is passed over. Words are
-// separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknown, ErrMissingID or
+// separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknownCall, ErrMissingID or
 // ErrExtraArgument.
 func Parse(line []byte) (Call, error) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
@@ -56,7 +56,7 @@
 	needsID, known := takesID[verb]
 	switch {
 	case !known:
-		return Call{}, fmt.Errorf("%w: %q", ErrUnknown, truncate(words[0]))
+		return Call{}, fmt.Errorf("%w: %q", ErrUnknownCall, truncate(words[0]))
 	case needsID && len(arguments) == 0:
 		return Call{}, fmt.Errorf("%w: %s takes an engine's id", ErrMissingID, verb)
 	case needsID && len(arguments) > 1:
--- a/internal/adminapi/errors.go
+++ b/internal/adminapi/errors.go
@@ -15,7 +15,7 @@
 	ErrEmpty         = reasonError("empty")            // the line holds no words
 	ErrTooLong       = reasonError("too_long")         // the line is longer than MaxLineBytes
 	ErrNotUTF8       = reasonError("not_utf8")         // the line is no UTF-8
-	ErrUnknown       = reasonError("unknown_call")     // no call has this name
+	ErrUnknownCall   = reasonError("unknown_call")     // no call has this name
 	ErrMissingID     = reasonError("missing_argument") // the call needs an engine's id
 	ErrExtraArgument = reasonError("extra_argument")   // the call takes fewer arguments
 	ErrNotListed     = reasonError("not_listed")       // the engine was never in the endpoint list
