--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -49,16 +49,16 @@
 	endAnswered       endReason = "answered"             // a reply was written
 	endPeerClosed     endReason = "peer_closed"          // the caller closed before a complete line
 	endReadTimeout    endReason = "read_timeout"         // no complete line in time
-	endTooManyCallers endReason = "too_many_connections" // MaxCallers were served already
+	endTooManyCallers endReason = "too_many_connections" // MaxConnections were served already
 	endWriteFailed    endReason = "write_timeout"        // the reply could not be written
 	endShutdown       endReason = "shutdown"             // the broker stops
 )
 
 // Server answers calls at a listener.
 type Server struct {
-	Broker     Broker
-	Log        *zap.Logger
-	MaxCallers int // served at once; one more is closed at once
+	Broker         Broker
+	Log            *zap.Logger
+	MaxConnections int // served at once; one more is closed at once
 }
 
 // Serve answers until ctx ends; it closes ln then.
@@ -77,7 +77,7 @@
 
 // acceptCallers serves each caller in a goroutine of the group, until ctx ends or the listener is closed.
 func (s *Server) acceptCallers(ctx context.Context, ln net.Listener, group *errgroup.Group) {
-	slots := make(chan struct{}, s.MaxCallers)
+	slots := make(chan struct{}, s.MaxConnections)
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	done := make(chan error)
-	go func() { done <- (&Server{Broker: b, Log: zap.NewNop(), MaxCallers: testCallers}).Serve(ctx, ln) }()
+	go func() { done <- (&Server{Broker: b, Log: zap.NewNop(), MaxConnections: testCallers}).Serve(ctx, ln) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -85,7 +85,7 @@
 		group.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
 	}
 	if s.adminListener != nil {
-		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxCallers: s.adminCallers}
+		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxConnections: s.adminCallers}
 		group.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
 	}
 	return group.Wait()
