--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -206,7 +206,7 @@
 		}
 		maxRatio := MaxBadRatio(before, baselineZ, c.cfg.Tolerance, load)
 		test.Observe(counts, maxRatio)
-		if test.Evidence() >= threshold {
+		if test.EValue() >= threshold {
 			return fmt.Sprintf("%s: %.1f%% of requests bad, %.1f%% in the baseline, %.1f%% allowed",
 				class, 100*counts.BadRatio(), 100*before.BadRatio(), 100*maxRatio), true
 		}
--- a/internal/rollout/sequential.go
+++ b/internal/rollout/sequential.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// Evidence is the e-value against the hypothesis that the ratio is within the threshold: the mean capital of
+// EValue is the e-value against the hypothesis that the ratio is within the threshold: the mean capital of
 // the bets.
-func (t *SequentialTest) Evidence() float64 {
+func (t *SequentialTest) EValue() float64 {
 	sum := 0.0
 	for _, logCapital := range t.logCapital {
 		sum += math.Exp(min(logCapital, maxLogEvidence))
