--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -79,8 +79,8 @@
 	return c.stable
 }
 
-// Apply processes one event at a time of a monotonic clock and returns the actions to take.
-func (c *Controller) Apply(now time.Duration, ev Event) []Action {
+// Handle processes one event at a time of a monotonic clock and returns the actions to take.
+func (c *Controller) Handle(now time.Duration, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Proposed:
 		c.propose(now, ev.Version)
--- a/internal/rollout/invariants_test.go
+++ b/internal/rollout/invariants_test.go
@@ -44,7 +44,7 @@
 
 func (h *host) applyEvent(t *rapid.T, ev Event) {
 	before := h.active
-	for _, a := range h.controller.Apply(h.now, ev) {
+	for _, a := range h.controller.Handle(h.now, ev) {
 		switch a := a.(type) {
 		case Apply:
 			if h.now < h.backoffs[a.Version] && a.Version != h.controller.Stable() {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -25,7 +25,7 @@
 }
 
 func (s *simulation) apply(ev Event) {
-	for _, a := range s.controller.Apply(s.now, ev) {
+	for _, a := range s.controller.Handle(s.now, ev) {
 		switch a := a.(type) {
 		case Apply:
 			s.actions = append(s.actions, "apply "+string(a.Version))
--- a/measure/config/rollout.go
+++ b/measure/config/rollout.go
@@ -62,7 +62,7 @@
 	c, now := rollout.New(rollout.DefaultConfig(), "before"), time.Duration(0)
 	observe := func(badRatio float64) {
 		now += observationInterval
-		c.Apply(
+		c.Handle(
 			now,
 			rollout.Observed{Classes: drawRequests(rng, badRatio), Duration: observationInterval},
 		)
@@ -70,7 +70,7 @@
 	for range baselineIntervals {
 		observe(baselineBadRatio)
 	}
-	c.Apply(now, rollout.Proposed{Version: "after"})
+	c.Handle(now, rollout.Proposed{Version: "after"})
 	start := now
 	for c.Canary() != "" {
 		observe(baselineBadRatio + harm)
