--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -192,7 +192,7 @@
 	}
 	if err != nil {
 		r.log.Error("not reloaded, the configuration before stays", zap.Error(err))
-		r.broker.RejectReload(ctx)
+		r.broker.CountRejectedReload(ctx)
 		return
 	}
 	r.broker.Reload(ctx, cfg)
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -149,7 +149,7 @@
 	o.call("set-down e1\n", "check\n", "vars\n", "set-down e9\n", "set-up e9\n")
 	c.send(queryPacket(request("lookup", 4, 300*time.Millisecond, "")))
 	c.result()
-	s.service.RejectReload(t.Context())
+	s.service.CountRejectedReload(t.Context())
 	o.call("set-up e1\r\n")
 	o.waitFor("relay_cluster_unhealthy 0\n")
 	o.call("vars\n", "check\nvars\n", "restart\n", "set-down\n", "check 1\n", "set-up \xff\n", "\n",
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -97,8 +97,8 @@
 	s.countReload(ctx, true)
 }
 
-// RejectReload counts a configuration file that was rejected at SIGHUP.
-func (s *Service) RejectReload(ctx context.Context) { s.countReload(ctx, false) }
+// CountRejectedReload counts a configuration file that was rejected at SIGHUP.
+func (s *Service) CountRejectedReload(ctx context.Context) { s.countReload(ctx, false) }
 
 // countReload counts a configuration file that was read at SIGHUP, where there are figures.
 func (s *Service) countReload(ctx context.Context, accepted bool) {
