--- a/internal/durable/disk.go
+++ b/internal/durable/disk.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	dirMode  = 0o700 // only the owner may read a store
+	dirMode  = 0o700 // only the owner may access a store
 	fileMode = 0o600
 )
 
-// Disk is a directory of the file system.
+// Disk implements Dir on a directory of the file system.
 type Disk struct{ path string }
 
-// NewDisk returns the directory at a path and creates it if it does not exist.
+// NewDisk returns the directory at path, which it creates if it does not exist.
 func NewDisk(path string) (*Disk, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
@@ -41,23 +41,23 @@
 // Read returns the content of a file.
 func (d *Disk) Read(name string) ([]byte, error) { return os.ReadFile(d.join(name)) }
 
-// Create makes an empty file; an existing one is truncated.
+// Create creates an empty file; an existing one is truncated.
 func (d *Disk) Create(name string) (File, error) {
 	return os.OpenFile(d.join(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 }
 
-// Append opens an existing file to write at its end.
+// Append opens an existing file for writing at its end.
 func (d *Disk) Append(name string) (File, error) {
 	return os.OpenFile(d.join(name), os.O_APPEND|os.O_WRONLY, fileMode)
 }
 
-// Rename renames a file; an existing one of the new name is replaced.
+// Rename renames a file; an existing file of the new name is replaced.
 func (d *Disk) Rename(from, to string) error { return os.Rename(d.join(from), d.join(to)) }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error { return os.Remove(d.join(name)) }
 
-// Sync makes the names of the files durable.
+// Sync makes creations, renames and removals of files durable.
 func (d *Disk) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/internal/durable/faultydir_test.go
+++ b/internal/durable/faultydir_test.go
@@ -9,12 +9,13 @@
 
 var errCrash = errors.New("simulated crash")
 
-// faultyDir is a directory in memory that loses unsynced data when it crashes: of the bytes written since a
-// file's last sync all, some or none remain, and so of the names that changed since the directory was synced.
+// faultyDir is an in-memory directory that loses unsynced data in a simulated crash: of the bytes written since a
+// file's last sync all, some or none survive; the name changes since the last sync of the directory survive all
+// or not at all.
 type faultyDir struct {
-	files      map[string]*fileContent // as a process sees them
-	synced     map[string]*fileContent // the names as the disk has them
-	untilCrash int                     // operations until the crash; negative: none is planned
+	files      map[string]*fileContent // by name, as the process sees them
+	synced     map[string]*fileContent // by name, as synced to disk
+	untilCrash int                     // operations until the crash; negative: no crash
 	full       bool                    // writes fail as on a full disk
 	rng        *rand.Rand
 	crashed    bool
@@ -31,7 +32,7 @@
 	}
 }
 
-// step counts an operation; the one at which the crash is planned fails, and so do all after it.
+// step counts an operation and returns errCrash from the operation of the simulated crash on.
 func (d *faultyDir) step() error {
 	if d.untilCrash == 0 || d.crashed {
 		d.crashed = true
@@ -41,10 +42,10 @@
 	return nil
 }
 
-// restart continues after a crash with what is on the disk.
+// restart simulates the restart after a crash: the files are those that survived on disk.
 func (d *faultyDir) restart() {
 	names := d.synced
-	if d.rng.IntN(2) == 0 { // the names may have been written nevertheless
+	if d.rng.IntN(2) == 0 { // unsynced names may have reached the disk too
 		names = d.files
 	}
 	next := map[string]*fileContent{}
@@ -56,12 +57,12 @@
 	d.untilCrash, d.crashed, d.full = -1, false, false
 }
 
-// survivingData is what a crash leaves of a file.
+// survivingData returns the bytes of a file that survive a crash.
 func (d *faultyDir) survivingData(c *fileContent) []byte {
 	data := slices.Clone(c.synced)
 	if unsynced := len(c.data) - len(c.synced); unsynced > 0 {
 		data = append(data, c.data[len(c.synced):len(c.synced)+d.rng.IntN(unsynced+1)]...)
-		if d.rng.IntN(3) == 0 && len(data) > len(c.synced) { // blocks may be written in any order
+		if d.rng.IntN(3) == 0 && len(data) > len(c.synced) { // a block ahead of others may be unwritten
 			data[len(c.synced)+d.rng.IntN(len(data)-len(c.synced))] ^= 0xff
 		}
 	}
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -19,7 +19,7 @@
 
 var storedRecords = [][]byte{[]byte("first"), {}, {0, 1, 2, 0xff}, bytes.Repeat([]byte("long "), 100)}
 
-// writeStored writes a store with a snapshot and records and returns its one file.
+// writeStored writes a store with storedSnapshot and storedRecords and returns the content of its only file.
 func writeStored(t *testing.T, folder string) []byte {
 	t.Helper()
 	dir, err := NewDisk(folder)
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Append([]byte("gone with the snapshot")); err != nil {
+	if err := s.Append([]byte("replaced by the snapshot")); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Compact([]byte(storedSnapshot)); err != nil {
@@ -44,14 +44,14 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(filepath.Join(folder, storedFile))
+	file, err := os.ReadFile(filepath.Join(folder, storedFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return file
 }
 
-// goldenStore returns the golden file, which an earlier release wrote.
+// goldenStore returns the golden file, which was written by an earlier release.
 func goldenStore(t *testing.T) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", storedFile)
@@ -62,23 +62,23 @@
 	return stored
 }
 
-// The same history is written in the same bytes as in an earlier release.
-func TestStoredBytes(t *testing.T) {
+// The file format must not change between releases: the same history is written as the same bytes.
+func TestWrittenFileMatchesGoldenFile(t *testing.T) {
 	stored, written := goldenStore(t), writeStored(t, t.TempDir())
 	if !bytes.Equal(stored, written) {
 		t.Errorf("written: %x, want %x", written, stored)
 	}
 }
 
-// A store that an earlier release wrote is read, also when it is truncated or damaged.
-func TestStoredFile(t *testing.T) {
+// A store of an earlier release is read correctly, also when its file is truncated or damaged.
+func TestOpenReadsStoreOfEarlierRelease(t *testing.T) {
 	stored := goldenStore(t)
 	const continued = "log-0000000000000003"
 	for _, c := range []struct {
 		name    string
 		file    []byte
 		records [][]byte
-		lost    bool
+		damaged bool
 		files   []string
 	}{
 		{"complete", stored, storedRecords, false, []string{continued}},
@@ -90,7 +90,7 @@
 			[]string{continued},
 		},
 		{
-			"damaged ahead of a valid record",
+			"damaged record before a valid one",
 			flipped(stored, 9+4+8+len(storedSnapshot)+8),
 			nil,
 			true,
@@ -101,10 +101,10 @@
 			st, files := openStored(t, c.file)
 			equalRecords := slices.EqualFunc(c.records, st.Records, bytes.Equal)
 			if string(st.Snapshot) != storedSnapshot || !equalRecords {
-				t.Errorf("read: %q, %q", st.Snapshot, st.Records)
+				t.Errorf("snapshot %q, records %q", st.Snapshot, st.Records)
 			}
-			if (st.Damage != "") != c.lost {
-				t.Errorf("lost: %q", st.Damage)
+			if (st.Damage != "") != c.damaged {
+				t.Errorf("damage %q, want any: %v", st.Damage, c.damaged)
 			}
 			if diff := cmp.Diff(c.files, files); diff != "" {
 				t.Errorf("files: %s", diff)
@@ -113,7 +113,7 @@
 	}
 }
 
-// openStored opens a store with one file and returns its state and the files afterwards.
+// openStored opens a store that consists of one file and returns its state and the names of the files afterwards.
 func openStored(t *testing.T, file []byte) (State, []string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -138,9 +138,9 @@
 	return st, files
 }
 
-// flipped returns a copy of a file with one byte changed.
-func flipped(text []byte, i int) []byte {
-	out := bytes.Clone(text)
+// flipped returns a copy of a file with all bits of the byte at index i inverted.
+func flipped(file []byte, i int) []byte {
+	out := bytes.Clone(file)
 	out[i] ^= 0xff
 	return out
 }
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -6,42 +6,42 @@
 	"hash/crc32"
 )
 
-// The layout of a generation file: a header of magic and format version, then records, each with its length
-// and checksum ahead of it. Numbers are big-endian.
+// The layout of a generation file: a header of magic and format version, then records, each preceded by its
+// length and checksum. Numbers are big-endian.
 const (
 	magic         = "wlanlog1"
 	formatVersion = 1
 
-	headerBytes     = len(magic) + 4
-	recordHeadBytes = 8        // length and checksum
-	maxResyncBytes  = 64 << 10 // how far a valid record is searched for behind a damaged one
+	headerBytes       = len(magic) + 4
+	recordHeaderBytes = 8        // length and checksum
+	maxResyncBytes    = 64 << 10 // range after a damaged record that is searched for a valid one
 )
 
-// MaxRecordBytes is the largest record or snapshot, in bytes.
+// MaxRecordBytes is the maximum size of a record or snapshot.
 const MaxRecordBytes = 16 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// decodeGeneration reads the records of a generation file. damage says what is wrong with the file, empty if
-// nothing is; a truncated last record is no damage, as it was never confirmed.
+// decodeGeneration returns the records of a generation file. damage describes corruption of the file and is empty
+// if there is none; a truncated last record does not count, as it was never confirmed.
 func decodeGeneration(file []byte) (records [][]byte, damage string, err error) {
 	if len(file) < headerBytes || string(file[:len(magic)]) != magic {
-		return nil, "it has no header of a store", nil
+		return nil, "the file header is missing or corrupt", nil
 	}
 	switch v := binary.BigEndian.Uint32(file[len(magic):]); {
 	case v > formatVersion:
-		return nil, "", fmt.Errorf("%w: %d, this is %d", ErrNewerVersion, v, formatVersion)
+		return nil, "", fmt.Errorf("%w: format version %d, supported up to %d", ErrNewerVersion, v, formatVersion)
 	case v < 1:
-		return nil, "its format version is invalid", nil
+		return nil, fmt.Sprintf("the format version %d is invalid", v), nil
 	}
 	for offset := headerBytes; offset < len(file); {
 		record, ok := decodeRecord(file[offset:])
 		if !ok {
-			// A write that a crash interrupted is at the end of the file; a record behind it was
-			// confirmed.
+			// Only the last write can have been interrupted by a crash. A valid record after this one shows
+			// that this one was confirmed and is damaged.
 			if containsRecord(file[offset+1:]) {
 				damage = fmt.Sprintf(
-					"record %d is damaged; %d bytes are not read",
+					"record %d is damaged; %d bytes were skipped",
 					len(records),
 					len(file)-offset,
 				)
@@ -49,25 +49,25 @@
 			return records, damage, nil
 		}
 		records = append(records, record)
-		offset += recordHeadBytes + len(record)
+		offset += recordHeaderBytes + len(record)
 	}
 	return records, "", nil
 }
 
-// decodeRecord reads the record at the start of b, if a complete and valid one is there.
+// decodeRecord returns the record at the start of b, and reports whether it is complete and valid.
 func decodeRecord(b []byte) ([]byte, bool) {
-	if len(b) < recordHeadBytes {
+	if len(b) < recordHeaderBytes {
 		return nil, false
 	}
 	n := int(binary.BigEndian.Uint32(b))
-	if n > MaxRecordBytes || n > len(b)-recordHeadBytes {
+	if n > MaxRecordBytes || n > len(b)-recordHeaderBytes {
 		return nil, false
 	}
-	record := b[recordHeadBytes : recordHeadBytes+n]
+	record := b[recordHeaderBytes : recordHeaderBytes+n]
 	return record, checksum(b[:4], record) == binary.BigEndian.Uint32(b[4:])
 }
 
-// containsRecord reports whether a valid record begins anywhere within the first maxResyncBytes of b.
+// containsRecord reports whether a valid record starts within the first maxResyncBytes of b.
 func containsRecord(b []byte) bool {
 	for i := range min(len(b), maxResyncBytes) {
 		if _, ok := decodeRecord(b[i:]); ok {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// checksum covers a record and its length: zeros, which a file system may leave behind, would otherwise be
-// valid empty records.
+// checksum returns the CRC-32C of a record and its encoded length. It covers the length because trailing zeros,
+// which a file system may leave after a crash, would otherwise be valid empty records.
 func checksum(length, record []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,10 +1,11 @@
-// Package durable keeps a short history on a disk through crashes: a write-ahead log of records, and a
-// snapshot that stands for the records before it. A record that Append has confirmed survives a crash at any
-// moment; damage is reported and set aside, and never guessed at.
+// Package durable implements a crash-safe store of a short history: a write-ahead log of records, and a
+// snapshot that replaces the records before it. A record that Append has confirmed survives a crash at any
+// moment. Damage is reported, and the damaged file is retained under another name; lost data is never
+// reconstructed by guessing.
 //
 // A generation is a file log-N. It begins with the magic and the format version, followed by records of
-// length, CRC-32C and content, the first of which is the snapshot. A new generation is written under a
-// temporary name, synced, and renamed; only then is the previous one removed.
+// length, CRC-32C and content, the first of which is the snapshot. A new generation is written to a
+// temporary file, synced, and renamed; only then is the previous one removed.
 package durable
 
 import (
@@ -15,20 +16,20 @@
 	"strings"
 )
 
-// Errors of a store.
+// Errors of a Store, to be tested with errors.Is.
 var (
-	// ErrNewerVersion reports a store that was written in a later format version.
+	// ErrNewerVersion reports a store that was written in a newer format version than this package supports.
 	ErrNewerVersion = errors.New("durable: written by a newer version")
 
 	// ErrTooLarge reports a record or snapshot of more than MaxRecordBytes bytes.
 	ErrTooLarge = errors.New("durable: record too large")
 
-	// ErrWriteFailed reports that an earlier write failed, so that the end of the file is unknown. A Compact
-	// that succeeds repairs the store.
-	ErrWriteFailed = errors.New("durable: a write failed before")
+	// ErrWriteFailed reports that an earlier write failed, so that the state of the end of the file is
+	// unknown. A successful Compact repairs the store.
+	ErrWriteFailed = errors.New("durable: an earlier write failed")
 )
 
-// The names of files in a store's directory.
+// Prefixes of the file names in a store's directory.
 const (
 	generationPrefix = "log-"
 	temporaryPrefix  = "draft-"
@@ -42,21 +43,21 @@
 	Close() error
 }
 
-// Dir is a directory that a store has for itself.
+// Dir is a directory that a single store uses exclusively.
 type Dir interface {
 	// List returns the names of the files.
 	List() ([]string, error)
 	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Create makes an empty file; an existing one is truncated.
+	// Create creates an empty file; an existing one is truncated.
 	Create(name string) (File, error)
-	// Append opens an existing file to write at its end.
+	// Append opens an existing file for writing at its end.
 	Append(name string) (File, error)
-	// Rename renames a file; an existing one of the new name is replaced.
+	// Rename renames a file; an existing file of the new name is replaced.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// Sync makes the names of the files durable.
+	// Sync makes creations, renames and removals of files durable.
 	Sync() error
 }
 
@@ -64,8 +65,8 @@
 type State struct {
 	Snapshot []byte   // nil in a new store
 	Records  [][]byte // appended since the snapshot
-	// Damage describes what could not be read, empty if nothing. A record that was being written during a
-	// crash was never confirmed and is not lost.
+	// Damage describes the data that could not be read; it is empty if there is none. A record whose write was
+	// interrupted by a crash was never confirmed and doesn't count as damage.
 	Damage string
 }
 
@@ -74,13 +75,13 @@
 	dir        Dir
 	generation uint64
 	file       File
-	failed     bool // what is at the end of file is unknown
+	failed     bool // a write failed: the state of the end of file is unknown
 }
 
-// generationName returns the file name of a generation.
+// generationName returns the file name of generation n.
 func generationName(n uint64) string { return fmt.Sprintf("%s%016d", generationPrefix, n) }
 
-// parseGenerationName returns the number of a generation file.
+// parseGenerationName returns the generation number in a file name, and reports whether there is one.
 func parseGenerationName(name string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, generationPrefix)
 	if !ok {
@@ -90,7 +91,8 @@
 	return n, err == nil
 }
 
-// Open reads the content of a directory and prepares it for more records.
+// Open reads the content of a directory and starts a new generation with it, to which records can be appended.
+// If only the start of the generation fails, Open returns the State along with the error.
 func Open(dir Dir) (*Store, State, error) {
 	generations, err := listGenerations(dir)
 	if err != nil {
@@ -104,15 +106,15 @@
 	if err != nil {
 		return nil, State{}, err
 	}
-	// The end of the old file may be truncated, so nothing is appended there: the records move to a new
-	// generation.
+	// The last record of the old file may be truncated, so nothing is appended there: the records are copied
+	// to a new generation.
 	if err := s.startGeneration(state.Snapshot, state.Records); err != nil {
 		return nil, state, err
 	}
 	return s, state, nil
 }
 
-// listGenerations returns the numbers of the generation files, ascending.
+// listGenerations returns the numbers of the generation files in ascending order.
 func listGenerations(dir Dir) ([]uint64, error) {
 	names, err := dir.List()
 	if err != nil {
@@ -128,7 +130,8 @@
 	return generations, nil
 }
 
-// recover reads the latest generation that has any record, and sets damaged files aside.
+// recover reads the latest generation that has a readable record, and renames damaged files so that they are
+// retained.
 func (s *Store) recover(generations []uint64) (State, error) {
 	var state State
 	var lost []string
@@ -157,7 +160,8 @@
 	return state, nil
 }
 
-// Append adds a record. Once it returns nil, the record is durable.
+// Append adds a record, which is durable once Append has returned nil. After a failed write it returns
+// ErrWriteFailed until Compact has succeeded.
 func (s *Store) Append(record []byte) error {
 	if s.failed {
 		return ErrWriteFailed
@@ -165,8 +169,8 @@
 	if err := checkSize(record); err != nil {
 		return err
 	}
-	// After a failed sync the state of the file is unknown, and a second sync may succeed without
-	// writing.
+	// After a failed sync the state of the file is unknown, and a retried sync may succeed without having
+	// written the data.
 	if err := writeAndSync(s.file, appendRecord(nil, record)); err != nil {
 		s.failed = true
 		return fmt.Errorf("durable: %w", err)
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// Compact replaces all content by a snapshot. If it fails, all that was confirmed before is still there.
+// Compact replaces all content by a snapshot. If it fails, everything that was confirmed before remains durable.
 func (s *Store) Compact(snapshot []byte) error {
 	if err := checkSize(snapshot); err != nil {
 		return err
@@ -184,7 +188,7 @@
 
 func checkSize(record []byte) error {
 	if len(record) > MaxRecordBytes {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(record), MaxRecordBytes)
+		return fmt.Errorf("%w: got %d bytes, at most %d are allowed", ErrTooLarge, len(record), MaxRecordBytes)
 	}
 	return nil
 }
@@ -196,7 +200,7 @@
 	return f.Sync()
 }
 
-// startGeneration writes a new generation and continues there.
+// startGeneration writes a new generation, appends further records to it, and removes the previous one.
 func (s *Store) startGeneration(snapshot []byte, records [][]byte) error {
 	previous, next := s.generation, s.generation+1
 	if err := s.writeGeneration(next, encodeGeneration(snapshot, records)); err != nil {
@@ -207,14 +211,14 @@
 		return fmt.Errorf("durable: %w", err)
 	}
 	if s.file != nil {
-		_ = s.file.Close() // all its content was synced
+		_ = s.file.Close() // the new generation has replaced it
 	}
 	s.file, s.generation, s.failed = file, next, false
 	s.removeObsolete(previous)
 	return nil
 }
 
-// writeGeneration makes a complete generation file appear at once.
+// writeGeneration creates a generation file atomically.
 func (s *Store) writeGeneration(n uint64, content []byte) error {
 	temporary := temporaryPrefix + generationName(n)
 	f, err := s.dir.Create(temporary)
@@ -230,8 +234,8 @@
 	return s.dir.Sync()
 }
 
-// removeObsolete removes the generations up to the given one and temporary files, except that of the current
-// generation.
+// removeObsolete removes the generations up to upTo, and all temporary files but that of the current generation.
+// Errors are ignored: a remaining file is removed at the next call.
 func (s *Store) removeObsolete(upTo uint64) {
 	names, err := s.dir.List()
 	if err != nil {
@@ -242,10 +246,10 @@
 		n, isGeneration := parseGenerationName(name)
 		isTemporary := strings.HasPrefix(name, temporaryPrefix)
 		if isGeneration && n <= upTo || isTemporary && name != current {
-			_ = s.dir.Remove(name) // a file that remains does no harm
+			_ = s.dir.Remove(name)
 		}
 	}
 }
 
-// Close closes the store. All that was confirmed is durable already.
+// Close closes the store. It writes nothing, as every confirmed record is durable already.
 func (s *Store) Close() error { return s.file.Close() }
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// write appends and compacts until an operation fails. It returns what was confirmed, and what would have
-// been with the operation that failed.
+// write appends and compacts until an operation fails. It returns the confirmed records, and those that would have
+// been confirmed if the failed operation had succeeded.
 func write(s *Store, from []string, operations int) (confirmed, attempted []string) {
 	confirmed = from
 	for i := range operations {
@@ -29,7 +29,7 @@
 	return confirmed, confirmed
 }
 
-// history is all records of a state, in the form of the snapshots that write makes.
+// history returns all records of a state in the format of the snapshots that write creates.
 func history(st State) string {
 	var all string
 	if len(st.Snapshot) > 0 {
@@ -44,9 +44,9 @@
 	return "[" + all + "]"
 }
 
-// A crash at each single operation, and another one while the store is opened again: all that was confirmed
-// is there, and nothing that was never written.
-func TestCrashAtEveryOperation(t *testing.T) {
+// A crash at any operation, followed by another one while the store is reopened, neither loses a confirmed record
+// nor yields one that was never written.
+func TestConfirmedRecordsSurviveCrashAtAnyOperation(t *testing.T) {
 	for seed := range uint64(20) {
 		for operation := 0; ; operation++ {
 			d := newFaultyDir(seed)
@@ -57,7 +57,7 @@
 			d.untilCrash = operation
 			confirmed, attempted := write(s, nil, 20)
 			if !d.crashed {
-				break // all operations have had their crash
+				break // a crash was simulated at every operation
 			}
 			crashWhileOpening(d, int(seed)%6)
 			_, st, err := Open(d)
@@ -67,7 +67,7 @@
 			got := history(st)
 			if got != fmt.Sprint(confirmed) && got != fmt.Sprint(attempted) || st.Damage != "" {
 				t.Fatalf(
-					"seed %d, operation %d: found %s, confirmed were %v; lost %q",
+					"seed %d, operation %d: found %s, want %v; damage %q",
 					seed,
 					operation,
 					got,
@@ -79,8 +79,8 @@
 	}
 }
 
-// crashWhileOpening restarts and opens a store, with a crash after a number of operations if it takes that
-// many.
+// crashWhileOpening restarts the directory and opens a store, with a crash after the given number of operations if
+// opening takes that many.
 func crashWhileOpening(d *faultyDir, operations int) {
 	d.restart()
 	d.untilCrash = operations
@@ -90,13 +90,13 @@
 	}
 	d.untilCrash = -1
 	if err == nil {
-		_ = s.Close() // it does not fail
+		_ = s.Close() // a faultyFile's Close never fails
 	}
 }
 
-// A flipped bit is detected wherever it is: the records before it are there, and damage is reported and set
-// aside.
-func TestBitFlip(t *testing.T) {
+// A flipped bit is detected at any position: the records before it are read, and a file that is reported as damaged
+// is retained under another name.
+func TestBitFlipIsDetected(t *testing.T) {
 	for bit := range 8 * 100 {
 		d := newFaultyDir(1)
 		s, _, err := Open(d)
@@ -111,7 +111,7 @@
 		file.data[bit/8] ^= 1 << (bit % 8)
 		_, st, err := Open(d)
 		if errors.Is(err, ErrNewerVersion) {
-			continue // the bit is in the version
+			continue // the bit is in the format version
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -121,16 +121,17 @@
 			t.Fatalf("bit %d: not detected", bit)
 		}
 		if !isProperPrefix(got, confirmed) {
-			t.Fatalf("bit %d: found %s of %v", bit, got, confirmed)
+			t.Fatalf("bit %d: found %s, want a proper prefix of %v", bit, got, confirmed)
 		}
-		if _, aside := d.files["damaged-"+generationName(s.generation)]; st.Damage != "" && !aside {
-			t.Fatalf("bit %d: %s, but no file was set aside", bit, st.Damage)
+		if _, retained := d.files["damaged-"+generationName(s.generation)]; st.Damage != "" && !retained {
+			t.Fatalf("bit %d: damage %q, but the damaged file was not retained", bit, st.Damage)
 		}
 	}
 }
 
-// On a full disk operations fail; what was confirmed stays, and once there is space the store continues.
-func TestFullDisk(t *testing.T) {
+// Operations on a full disk fail without losing confirmed records, and the store can be written again once there is
+// space and a Compact has succeeded.
+func TestStoreRecoversFromFullDisk(t *testing.T) {
 	d := newFaultyDir(3)
 	s, _, err := Open(d)
 	if err != nil {
@@ -146,13 +147,13 @@
 	}
 	d.full = false
 	if err := s.Append([]byte("x")); !errors.Is(err, ErrWriteFailed) {
-		t.Fatalf("append after a failed write: %v", err)
+		t.Fatalf("append after a failed write: got %v, want ErrWriteFailed", err)
 	}
 	if err := s.Compact([]byte(fmt.Sprint(confirmed))); err != nil {
 		t.Fatal(err)
 	}
 	if confirmed, _ = write(s, confirmed, 3); len(confirmed) != 7 {
-		t.Fatal("the store does not continue")
+		t.Fatalf("%d records confirmed once there is space, want 7", len(confirmed))
 	}
 	_, st, err := Open(d)
 	if diff := cmp.Diff(fmt.Sprint(confirmed), history(st)); diff != "" || err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// Zeros behind the last record, as some file systems leave them, are no records.
-func TestTrailingZeros(t *testing.T) {
+// Zeros after the last record, which some file systems leave after a crash, are neither records nor damage.
+func TestTrailingZerosAreIgnored(t *testing.T) {
 	d := newFaultyDir(1)
 	s, _, err := Open(d)
 	if err != nil {
@@ -172,12 +173,12 @@
 	file.data = append(file.data, make([]byte, 4096)...)
 	_, st, err := Open(d)
 	if err != nil || history(st) != fmt.Sprint(confirmed) || st.Damage != "" {
-		t.Fatalf("%s of %v, lost %q, %v", history(st), confirmed, st.Damage, err)
+		t.Fatalf("found %s, want %v; damage %q, error %v", history(st), confirmed, st.Damage, err)
 	}
 }
 
-// A store of a newer format version is left unchanged.
-func TestNewerVersion(t *testing.T) {
+// Open must not modify a store of a newer format version, for example after a downgrade.
+func TestNewerVersionIsLeftUnchanged(t *testing.T) {
 	d := newFaultyDir(1)
 	s, _, err := Open(d)
 	if err != nil {
@@ -187,15 +188,15 @@
 	file.data[headerBytes-1] = formatVersion + 1
 	before := slices.Clone(file.data)
 	if _, _, err := Open(d); !errors.Is(err, ErrNewerVersion) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want ErrNewerVersion", err)
 	}
 	if !slices.Equal(d.files[generationName(s.generation)].data, before) {
 		t.Fatal("the file was changed")
 	}
 }
 
-// The same on a real disk, without faults.
-func TestDisk(t *testing.T) {
+// A store on a real file system, without faults, retains all records over restarts in a single file.
+func TestStoreOnDiskRetainsRecords(t *testing.T) {
 	d, err := NewDisk(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +205,7 @@
 	for range 3 {
 		s, st, err := Open(d)
 		if err != nil || history(st) != fmt.Sprint(confirmed) {
-			t.Fatalf("%s of %v, %v", history(st), confirmed, err)
+			t.Fatalf("found %s, want %v; error %v", history(st), confirmed, err)
 		}
 		confirmed, _ = write(s, confirmed, 10)
 		if err := s.Close(); err != nil {
@@ -213,11 +214,11 @@
 	}
 	files, err := d.List()
 	if err != nil || len(files) != 1 {
-		t.Fatalf("files %q remain, %v", files, err)
+		t.Fatalf("got files %q, error %v; want one file", files, err)
 	}
 }
 
-// isProperPrefix reports whether a history is that of the first records, but not of all.
+// isProperPrefix reports whether a history holds the first records, but not all of them.
 func isProperPrefix(got string, records []string) bool {
 	for n := range records {
 		if got == fmt.Sprint(records[:n]) {
