--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// baselineZ is the confidence of the baseline's upper bound in standard deviations: exceeded in one
-	// of 700 cases.
+	// baselineZ is the confidence of the baseline's upper bound in standard deviations: a normal
+	// distribution exceeds it with a probability of about 1/700.
 	baselineZ = 3
 
-	// baselineDecay is the weight that earlier observations keep at each new one: some twenty of them
-	// count.
+	// baselineDecay is the factor by which each new observation reduces the weight of the earlier ones; the
+	// effective number of observations is about 20.
 	baselineDecay = 0.95
 
-	// maxBackoffDoublings bounds how often RollbackBackoff is doubled.
+	// maxBackoffDoublings is the maximum number of doublings of RollbackBackoff.
 	maxBackoffDoublings = 10
 )
 
-// Controller decides for one broker. It is not safe for concurrent use.
+// Controller decides about the configurations of one broker. It is not safe for concurrent use.
 type Controller struct {
 	cfg     Config
 	actions []Action
 
 	stable     Version // the last version that was promoted
-	rolledBack Version // the last canary that ended; used if stable can't be applied any more
-	pending    Version // proposed while a canary runs; empty: none
+	rolledBack Version // the last canary that ended; the fallback if stable can't be applied any more
+	pending    Version // deferred until the running canary ends; empty: none
 
 	canary   canary
 	baseline baseline
 	backoffs map[Version]backoff
-	starts   []time.Duration // of the canaries within CanaryWindow
+	starts   []time.Duration // start times of the canaries within CanaryWindow
 }
 
-// canary is the state of a running canary; without a version none runs.
+// canary is the state of the running canary; its version is empty if none runs.
 type canary struct {
 	version   Version
 	startedAt time.Duration
-	requests  float64
+	requests  float64                    // completed since its start
 	tests     map[string]*SequentialTest // by class
 }
 
-// baseline is what was observed of the stable version lately.
+// baseline holds the exponentially weighted observations of the stable version.
 type baseline struct {
-	classes map[string]Counts
-	rate    float64 // completed requests a second, exponentially weighted
+	classes map[string]Counts // by class
+	rate    float64           // completed requests per second
 }
 
-// backoff is the record of a version that was rolled back.
+// backoff is the retry state of a version that was rolled back.
 type backoff struct {
-	until     time.Duration
+	until     time.Duration // earliest time of a retry
 	rollbacks int
 }
 
-// New returns a controller whose active and stable configuration is the given one.
+// New returns a Controller whose active and stable configuration is stable.
 func New(cfg Config, stable Version) *Controller {
 	return &Controller{
 		cfg:      cfg,
@@ -79,7 +79,7 @@
 	return c.stable
 }
 
-// Handle processes one event at a time of a monotonic clock and returns the actions to take.
+// Handle processes an event and returns the actions to perform, in order. now is the time of a monotonic clock.
 func (c *Controller) Handle(now time.Duration, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Proposed:
@@ -100,11 +100,12 @@
 	)
 }
 
-// propose starts a canary of a version, unless one runs or the version or the rate of canaries forbids it.
+// propose starts a canary of a version, unless the version is active or in backoff, another canary runs, or the rate
+// limit of canaries is reached.
 func (c *Controller) propose(now time.Duration, v Version) {
 	switch {
 	case v == c.Active():
-		c.pending = "" // a version that was proposed in between is superseded
+		c.pending = "" // superseded by the active version
 	case c.canary.version != "" && v == c.stable:
 		c.pending = ""
 		c.endCanary(now, Withdrawn, "the stable version was proposed again")
@@ -128,7 +129,7 @@
 	}
 }
 
-// startAllowed reports whether the rate of canaries allows another one.
+// startAllowed reports whether the rate limit allows another canary.
 func (c *Controller) startAllowed(now time.Duration) bool {
 	expired := func(at time.Duration) bool { return now-at >= c.cfg.CanaryWindow }
 	c.starts = slices.DeleteFunc(c.starts, expired)
@@ -141,7 +142,7 @@
 	c.actions = append(c.actions, Apply{v})
 }
 
-// observe updates the baseline, or judges the canary if one runs.
+// observe updates the baseline, or evaluates the canary if one runs.
 func (c *Controller) observe(now time.Duration, ev Observed) {
 	total := 0.0
 	for _, counts := range ev.Classes {
@@ -156,7 +157,7 @@
 		return
 	}
 	c.canary.requests += total
-	if reason, harmful := c.judge(ev.Classes, c.baseline.load(rate)); harmful {
+	if reason, harmful := c.evaluate(ev.Classes, c.baseline.relativeLoad(rate)); harmful {
 		c.rollBack(now, reason)
 		return
 	}
@@ -176,27 +177,27 @@
 		sum.Add(counts)
 		b.classes[class] = sum
 	}
-	if b.rate == 0 { // the first observation is the whole estimate
+	if b.rate == 0 { // the first observation initializes the estimate
 		b.rate = rate
 	}
 	b.rate = baselineDecay*b.rate + (1-baselineDecay)*rate
 }
 
-// load is a request rate over that of the baseline, 1 if that is not known.
-func (b *baseline) load(rate float64) float64 {
+// relativeLoad returns rate relative to the request rate of the baseline, or 1 if that is unknown.
+func (b *baseline) relativeLoad(rate float64) float64 {
 	if b.rate > 0 {
 		return rate / b.rate
 	}
 	return 1
 }
 
-// judge tests each class of the canary against the baseline and reports the first one that is harmed.
-func (c *Controller) judge(classes map[string]Counts, load float64) (reason string, harmful bool) {
-	// Bonferroni correction: the classes share the probability of a false rollback.
+// evaluate tests each class of the canary against the baseline and reports the first class that is harmed.
+func (c *Controller) evaluate(classes map[string]Counts, load float64) (reason string, harmful bool) {
+	// A Bonferroni correction divides the probability of a false rollback among the classes.
 	threshold := float64(max(1, len(c.baseline.classes))) / c.cfg.SignificanceLevel
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		counts, before := classes[class], c.baseline.classes[class]
-		if before.Total == 0 {
+		counts, stable := classes[class], c.baseline.classes[class]
+		if stable.Total == 0 {
 			continue // a new class has no baseline
 		}
 		test := c.canary.tests[class]
@@ -204,11 +205,11 @@
 			test = &SequentialTest{}
 			c.canary.tests[class] = test
 		}
-		maxRatio := MaxBadRatio(before, baselineZ, c.cfg.Tolerance, load)
+		maxRatio := MaxBadRatio(stable, baselineZ, c.cfg.Tolerance, load)
 		test.Observe(counts, maxRatio)
 		if test.EValue() >= threshold {
 			return fmt.Sprintf("%s: %.1f%% of requests bad, %.1f%% in the baseline, %.1f%% allowed",
-				class, 100*counts.BadRatio(), 100*before.BadRatio(), 100*maxRatio), true
+				class, 100*counts.BadRatio(), 100*stable.BadRatio(), 100*maxRatio), true
 		}
 	}
 	return "", false
@@ -235,11 +236,11 @@
 func (c *Controller) promote(now time.Duration, outcome Outcome, reason string) {
 	c.decide(c.canary.version, outcome, "%s", reason)
 	c.stable, c.canary = c.canary.version, canary{}
-	c.baseline = baseline{classes: map[string]Counts{}} // it is learned anew
+	c.baseline = baseline{classes: map[string]Counts{}} // that of the previous version is invalid
 	c.proposePending(now)
 }
 
-// rollBack ends the canary and keeps its version from being retried for a while.
+// rollBack ends the canary and starts the backoff of its version.
 func (c *Controller) rollBack(now time.Duration, reason string) {
 	b := c.backoffs[c.canary.version]
 	b.until = now + c.cfg.RollbackBackoff<<min(b.rollbacks, maxBackoffDoublings)
@@ -248,7 +249,7 @@
 	c.endCanary(now, RolledBack, reason)
 }
 
-// endCanary activates the stable version again.
+// endCanary ends the canary without promotion and reactivates the stable version.
 func (c *Controller) endCanary(now time.Duration, outcome Outcome, reason string) {
 	c.decide(c.canary.version, outcome, "%s", reason)
 	c.rolledBack, c.canary = c.canary.version, canary{}
@@ -256,7 +257,7 @@
 	c.proposePending(now)
 }
 
-// proposePending proposes the version that waited for the canary to end.
+// proposePending proposes the version that was deferred until the end of the canary, if any.
 func (c *Controller) proposePending(now time.Duration) {
 	if v := c.pending; v != "" {
 		c.pending = ""
@@ -264,8 +265,8 @@
 	}
 }
 
-// applyFailed handles a version that could not be activated. If that was the stable one, the canary that
-// ended before it remains active, as a broker needs a configuration, and becomes the stable one.
+// applyFailed handles a version that could not be activated. If the stable version can't be reactivated, the canary
+// that ended remains active, because a broker needs a configuration, and becomes the stable version.
 func (c *Controller) applyFailed(now time.Duration, ev ApplyFailed) {
 	switch {
 	case ev.Version == c.canary.version && c.canary.version != "":
--- a/internal/rollout/invariants_test.go
+++ b/internal/rollout/invariants_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens: the active version is the stable one or the canary, each Apply says which, and no version
-// is tried during its backoff.
-func TestInvariants(t *testing.T) {
+// For random events, the active version is the stable one or the canary, each change of it is an Apply action, and no
+// version is tried during its backoff.
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MaxCanaries = 100
@@ -22,10 +22,10 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			ev := drawEvent(t)
 			host.now += observationInterval
-			host.applyEvent(t, ev)
+			host.handleEvent(t, ev)
 			if host.active != host.controller.Active() {
 				t.Fatalf(
-					"the active version is %s, should be %s",
+					"the active version is %s, want %s",
 					host.active,
 					host.controller.Active(),
 				)
@@ -34,15 +34,15 @@
 	})
 }
 
-// host carries out the actions of a controller.
+// host performs the actions of a controller.
 type host struct {
 	*simulation
 
 	active   Version
-	backoffs map[Version]time.Duration // until when a version must not be tried
+	backoffs map[Version]time.Duration // end of the first backoff of a version
 }
 
-func (h *host) applyEvent(t *rapid.T, ev Event) {
+func (h *host) handleEvent(t *rapid.T, ev Event) {
 	before := h.active
 	for _, a := range h.controller.Handle(h.now, ev) {
 		switch a := a.(type) {
@@ -62,7 +62,7 @@
 		}
 	}
 	if failed, ok := ev.(ApplyFailed); ok && failed.Version == before {
-		h.active = h.controller.Active() // the host keeps the version before
+		h.active = h.controller.Active() // the previous version remains active
 	}
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,7 @@
-// Package rollout decides what becomes of a new configuration by a canary release: whether it is tried, how
-// long, by which sequential test it is promoted or rolled back, and what happens to another one that arrives
-// meanwhile. It does no I/O, reads no clock and starts no goroutine: events go in, actions come out.
+// Package rollout implements canary releases of configurations: it decides whether a new configuration becomes a
+// canary, evaluates it with a sequential test, promotes it or rolls it back, and defers or rejects configurations
+// that are proposed meanwhile. It does no I/O, reads no clock and starts no goroutine: events go in, actions come
+// out.
 package rollout
 
 import "time"
@@ -10,25 +11,26 @@
 
 // Config holds the parameters of a Controller.
 type Config struct {
-	// CanaryDuration is how long a canary runs if nothing speaks against it.
+	// CanaryDuration is the time after which a harmless canary with enough traffic is promoted.
 	CanaryDuration time.Duration
-	// MaxCanaryDuration is how long it runs at most while there is too little traffic to decide.
+	// MaxCanaryDuration is the time after which a canary is promoted despite too little traffic to decide.
 	MaxCanaryDuration time.Duration
 	// MinRequests is the number of completed requests that suffice to decide.
 	MinRequests float64
-	// SignificanceLevel bounds the probability that a harmless canary is rolled back.
+	// SignificanceLevel is the upper bound of the probability that a harmless canary is rolled back.
 	SignificanceLevel float64
-	// Tolerance is the additional bad ratio that a canary may have over the baseline.
+	// Tolerance is the allowed increase of the bad ratio over the baseline, as a fraction of requests.
 	Tolerance float64
-	// RollbackBackoff is how long a version that was rolled back is not retried; doubled each time.
+	// RollbackBackoff is the time for which a version isn't retried after its first rollback; it doubles with
+	// each further one.
 	RollbackBackoff time.Duration
-	// CanaryWindow is the window over which canaries are counted.
+	// CanaryWindow is the window of the limit MaxCanaries.
 	CanaryWindow time.Duration
 	// MaxCanaries is the number of canaries that may start within CanaryWindow.
 	MaxCanaries int
 }
 
-// DefaultConfig returns the parameters of a sidecar without settings of its own.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		CanaryDuration:    2 * time.Minute,
@@ -49,14 +51,14 @@
 	// Proposed reports a new configuration that has passed the checker.
 	Proposed struct{ Version Version }
 
-	// Observed reports the requests that completed under the active configuration since the last such
+	// Observed reports the requests that completed under the active configuration since the previous Observed
 	// event.
 	Observed struct {
 		Classes  map[string]Counts // by request class
-		Duration time.Duration
+		Duration time.Duration     // since the previous Observed event
 	}
 
-	// ApplyFailed reports that a configuration could not be activated, and that the one before is still
+	// ApplyFailed reports that a configuration could not be activated, and that the previous one is still
 	// active.
 	ApplyFailed struct {
 		Version Version
@@ -72,10 +74,10 @@
 type Action interface{ action() }
 
 type (
-	// Apply activates a configuration; requests in flight keep the class that they were admitted under.
+	// Apply activates a configuration; requests in flight retain the class that they were admitted with.
 	Apply struct{ Version Version }
 
-	// Decision reports what was decided, for the log and for the status.
+	// Decision reports a decision for the log and the status.
 	Decision struct {
 		Version Version
 		Outcome Outcome
@@ -86,16 +88,16 @@
 func (Apply) action()    {}
 func (Decision) action() {}
 
-// Outcome is what was decided about a configuration.
+// Outcome is the outcome of a decision about a configuration.
 type Outcome string
 
-// The outcomes, as logs have them.
+// The outcomes, with their values in logs.
 const (
 	CanaryStarted    Outcome = "tried"
 	Promoted         Outcome = "kept"
-	PromotedUnproven Outcome = "kept_unproven" // there was too little traffic to decide
+	PromotedUnproven Outcome = "kept_unproven" // promoted with too little traffic to decide
 	RolledBack       Outcome = "rolled_back"
-	Rejected         Outcome = "refused" // it does not become a canary
-	Deferred         Outcome = "waits"   // until the running canary is decided
-	Withdrawn        Outcome = "withdrawn"
+	Rejected         Outcome = "refused"   // not accepted as a canary, or can't be applied
+	Deferred         Outcome = "waits"     // until the running canary has ended
+	Withdrawn        Outcome = "withdrawn" // the stable version was proposed while the canary ran
 )
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,19 +12,20 @@
 
 const observationInterval = 5 * time.Second
 
-// simulation drives a controller through time, with traffic drawn from a seed.
+// simulation drives a controller with a simulated clock and pseudorandom traffic.
 type simulation struct {
 	controller *Controller
 	rng        *rand.Rand
 	now        time.Duration
-	actions    []string // since the last call of wantActions
+	actions    []string // since the previous call of wantActions
 }
 
 func newSimulation(cfg Config, seed uint64) *simulation {
 	return &simulation{controller: New(cfg, "v1"), rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-func (s *simulation) apply(ev Event) {
+// handle passes an event to the controller and records its actions.
+func (s *simulation) handle(ev Event) {
 	for _, a := range s.controller.Handle(s.now, ev) {
 		switch a := a.(type) {
 		case Apply:
@@ -35,7 +36,7 @@
 	}
 }
 
-// traffic lets a number of intervals pass with a rate of requests a second, of which a fraction is bad.
+// traffic simulates intervals with rate requests per second, each of which is bad with probability badRatio.
 func (s *simulation) traffic(intervals int, rate, badRatio float64) {
 	for range intervals {
 		s.now += observationInterval
@@ -43,11 +44,11 @@
 		for class, fraction := range map[string]float64{"lookup": 0.8, "report": 0.2} {
 			classes[class] = s.draw(int(rate*fraction*observationInterval.Seconds()), badRatio)
 		}
-		s.apply(Observed{Classes: classes, Duration: observationInterval})
+		s.handle(Observed{Classes: classes, Duration: observationInterval})
 	}
 }
 
-// draw returns n requests, each of which is bad with a probability.
+// draw returns n requests, each of which is bad with probability badRatio.
 func (s *simulation) draw(n int, badRatio float64) Counts {
 	counts := Counts{Total: float64(n)}
 	for range n {
@@ -66,7 +67,7 @@
 	s.actions = nil
 }
 
-// canaryCases are what happens after version v2 was proposed, and the actions that follow.
+// canaryCases are the events after the proposal of version v2, and the actions of the controller since then.
 var canaryCases = []struct {
 	name string
 	run  func(*simulation)
@@ -94,33 +95,33 @@
 	},
 	{
 		"withdrawn",
-		func(s *simulation) { s.apply(Proposed{"v1"}) },
+		func(s *simulation) { s.handle(Proposed{"v1"}) },
 		[]string{"v2 tried", "apply v2", "v2 withdrawn", "apply v1"},
 	},
 	{
 		"a second proposal is deferred, and a third replaces it",
 		func(s *simulation) {
-			s.apply(Proposed{"v3"})
-			s.apply(Proposed{"v4"})
+			s.handle(Proposed{"v3"})
+			s.handle(Proposed{"v4"})
 			s.traffic(24, 100, 0.02)
 		},
 		[]string{"v2 tried", "apply v2", "v3 waits", "v4 waits", "v2 kept", "v4 tried", "apply v4"},
 	},
 	{
-		"the same proposal again changes nothing",
-		func(s *simulation) { s.apply(Proposed{"v2"}) },
+		"a repeated proposal changes nothing",
+		func(s *simulation) { s.handle(Proposed{"v2"}) },
 		[]string{"v2 tried", "apply v2"},
 	},
 	{
 		"a harmful version is proposed again",
 		func(s *simulation) {
 			s.traffic(24, 100, 0.3)
-			s.apply(Proposed{"v2"})
+			s.handle(Proposed{"v2"})
 			s.now += time.Hour
-			s.apply(Proposed{"v2"})
+			s.handle(Proposed{"v2"})
 			s.traffic(24, 100, 0.3)
 			s.now += time.Hour
-			s.apply(Proposed{"v2"})
+			s.handle(Proposed{"v2"})
 		},
 		[]string{
 			"v2 tried", "apply v2", "v2 rolled_back", "apply v1", "v2 refused",
@@ -129,14 +130,14 @@
 	},
 	{
 		"the canary can't be applied",
-		func(s *simulation) { s.apply(ApplyFailed{"v2", "no disk"}) },
+		func(s *simulation) { s.handle(ApplyFailed{"v2", "no disk"}) },
 		[]string{"v2 tried", "apply v2", "v2 refused"},
 	},
 	{
-		"the target of a rollback has become invalid",
+		"the stable version can't be reactivated after a rollback",
 		func(s *simulation) {
 			s.traffic(24, 100, 0.3)
-			s.apply(ApplyFailed{"v1", "its folder is gone"})
+			s.handle(ApplyFailed{"v1", "its folder is gone"})
 			if s.controller.Active() != "v2" {
 				s.actions = append(s.actions, "active is "+string(s.controller.Active()))
 			}
@@ -150,20 +151,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimulation(DefaultConfig(), 1)
 			s.traffic(60, 100, 0.02)
-			s.apply(Proposed{"v2"})
+			s.handle(Proposed{"v2"})
 			c.run(s)
 			s.wantActions(t, c.want...)
 		})
 	}
 }
 
-// Proposals of ever new versions are rejected beyond the rate limit.
+// A source that proposes one new version after another must not keep the broker in canaries: proposals beyond the
+// rate limit are rejected until the window has passed.
 func TestCanaryRateIsLimited(t *testing.T) {
 	s := newSimulation(DefaultConfig(), 1)
 	s.traffic(60, 100, 0.02)
 	for i := range 8 {
-		s.apply(Proposed{Version(fmt.Sprint("a", i))})
-		s.apply(Proposed{"v1"})
+		s.handle(Proposed{Version(fmt.Sprint("a", i))})
+		s.handle(Proposed{"v1"})
 	}
 	rejected := 0
 	for _, action := range s.actions {
@@ -176,15 +178,15 @@
 	}
 	s.actions = nil
 	s.now += DefaultConfig().CanaryWindow
-	s.apply(Proposed{"a9"})
+	s.handle(Proposed{"a9"})
 	s.wantActions(t, "a9 tried", "apply a9")
 }
 
-// runCanary runs one canary to its end and returns whether it was rolled back, and after how long.
+// runCanary runs one canary to its end. It reports whether the canary was rolled back, and its duration.
 func runCanary(seed uint64, badRatio float64) (rolledBack bool, after time.Duration) {
 	s := newSimulation(DefaultConfig(), seed)
 	s.traffic(30, 50, 0.05)
-	s.apply(Proposed{"v2"})
+	s.handle(Proposed{"v2"})
 	startedAt := s.now
 	for s.controller.Canary() != "" {
 		s.traffic(1, 50, badRatio)
@@ -192,8 +194,8 @@
 	return s.controller.Stable() == "v1", s.now - startedAt
 }
 
-// Harmless canaries are rolled back no more often than the significance level allows; harm is detected,
-// larger harm earlier.
+// Harmless canaries are rolled back no more often than the significance level allows. Harmful canaries are
+// detected, larger harm earlier.
 func TestFalseRollbackRateAndPower(t *testing.T) {
 	const harmless = 300
 	falseRollbacks := 0
@@ -204,7 +206,7 @@
 	}
 	if allowed := DefaultConfig().SignificanceLevel * harmless; float64(falseRollbacks) > allowed {
 		t.Errorf(
-			"%d of %d harmless canaries were rolled back, %v are allowed",
+			"%d of %d harmless canaries were rolled back, want at most %v",
 			falseRollbacks,
 			harmless,
 			allowed,
@@ -222,7 +224,7 @@
 		mean := sum / 50
 		if detected < 48 || mean >= previousMean {
 			t.Errorf(
-				"harm of %v: %d of 50 detected, after %v, smaller harm after %v",
+				"harm of %v: %d of 50 detected, after %v on average; smaller harm after %v",
 				harm,
 				detected,
 				mean,
--- a/internal/rollout/sequential.go
+++ b/internal/rollout/sequential.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Counts are the requests of a class that completed within some time.
+// Counts holds the numbers of requests of a class that completed within a period.
 type Counts struct {
-	Total float64 // requests that completed, except those whose client disconnected
-	Bad   float64 // those of them that were rejected, late or failed
+	Total float64 // completed requests, without those whose client disconnected
+	Bad   float64 // requests of Total that were rejected, late or failed
 }
 
 // Add adds other to c.
@@ -14,7 +14,7 @@
 	c.Bad += other.Bad
 }
 
-// BadRatio is the fraction of bad requests, 0 if there are none at all.
+// BadRatio returns the fraction of bad requests, 0 if there are no requests.
 func (c Counts) BadRatio() float64 {
 	if c.Total <= 0 {
 		return 0
@@ -22,24 +22,24 @@
 	return c.Bad / c.Total
 }
 
-// betFractions are the bets that a test mixes, as fractions of the largest possible one: small bets detect
-// small harm late, and large bets detect large harm early.
+// betFractions are the bets that a test averages, as fractions of the largest possible bet: small bets detect small
+// harm late, and large bets detect large harm early.
 var betFractions = [...]float64{0.02, 0.05, 0.1, 0.2, 0.4, 0.7}
 
 const (
-	minNullRatio   = 1e-6 // ratios under test stay this far from 0 and 1
-	maxLogEvidence = 700  // e^700 is beyond any threshold in use and still a finite float64
+	minNullRatio  = 1e-6 // minimum distance of tested ratios from 0 and 1
+	maxLogCapital = 700  // e^700 exceeds any threshold in use and is still a finite float64
 )
 
-// SequentialTest is an anytime-valid test of whether the bad ratio of a class exceeds a threshold. It may be
-// evaluated as often as needed: if the ratio is at or below the threshold, the probability that Evidence ever
+// SequentialTest is an anytime-valid test of the hypothesis that the bad ratio of a class does not exceed a
+// threshold. It may be evaluated as often as needed: if the hypothesis is true, the probability that EValue ever
 // reaches 1/alpha is at most alpha (Ville 1939; testing by betting, Shafer 2021). The zero value has no
 // observations.
 type SequentialTest struct {
 	logCapital [len(betFractions)]float64 // natural logarithm of the capital of each bet
 }
 
-// Observe adds the requests that completed since the last call, with the threshold that applies to them.
+// Observe adds the requests that completed since the previous call, and the threshold that applies to them.
 func (t *SequentialTest) Observe(counts Counts, threshold float64) {
 	threshold = min(max(threshold, minNullRatio), 1-minNullRatio)
 	good := max(0, counts.Total-counts.Bad)
@@ -50,22 +50,23 @@
 	}
 }
 
-// EValue is the e-value against the hypothesis that the ratio is within the threshold: the mean capital of
-// the bets.
+// EValue returns the e-value against the hypothesis that the ratio is within the threshold, which is the mean capital
+// of the bets.
 func (t *SequentialTest) EValue() float64 {
 	sum := 0.0
 	for _, logCapital := range t.logCapital {
-		sum += math.Exp(min(logCapital, maxLogEvidence))
+		sum += math.Exp(min(logCapital, maxLogCapital))
 	}
 	return sum / float64(len(betFractions))
 }
 
-// loadTolerance is the additional bad ratio that a canary may have for each doubling of the load.
+// loadTolerance is the allowed increase of the bad ratio when the request rate is twice that of the baseline; it
+// grows linearly with the rate.
 const loadTolerance = 0.2
 
-// MaxBadRatio is the bad ratio that a canary may have: the upper bound of the Wilson score interval of the
-// baseline at z standard deviations, and a tolerance. The tolerance grows with load, the request rate over
-// that of the baseline, where load is above 1: higher load alone must not count as harm.
+// MaxBadRatio returns the bad ratio that a canary may have: the upper bound of the Wilson score interval of the
+// baseline at z standard deviations, plus tolerance. load is the request rate relative to that of the baseline; a
+// load above 1 increases the allowed ratio, because the harm of a higher load must not be attributed to the canary.
 func MaxBadRatio(baseline Counts, z, tolerance, load float64) float64 {
 	upper := 1.0
 	if n := baseline.Total; n > 0 {
