--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -9,8 +9,8 @@
 	"unicode/utf8"
 )
 
-// MaxLine is the length of the longest call in bytes, its line feed included.
-const MaxLine = 256
+// MaxLineBytes is the length of the longest call in bytes, its line feed included.
+const MaxLineBytes = 256
 
 // Verb names a call, as it stands on the wire.
 type Verb string
@@ -38,13 +38,13 @@
 }
 
 // Parse reads one line, without its line feed; a carriage return at its end is passed over. Words are
-// separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknown, ErrMissingID or
-// ErrExtra.
+// separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknownCall, ErrMissingID or
+// ErrExtraArgument.
 func Parse(line []byte) (Call, error) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	switch {
-	case len(line) >= MaxLine:
-		return Call{}, fmt.Errorf("%w: over %d bytes", ErrTooLong, MaxLine-1)
+	case len(line) >= MaxLineBytes:
+		return Call{}, fmt.Errorf("%w: over %d bytes", ErrTooLong, MaxLineBytes-1)
 	case !utf8.Valid(line):
 		return Call{}, ErrNotUTF8
 	}
@@ -56,15 +56,15 @@
 	needsID, known := takesID[verb]
 	switch {
 	case !known:
-		return Call{}, fmt.Errorf("%w: %q", ErrUnknown, truncate(words[0]))
+		return Call{}, fmt.Errorf("%w: %q", ErrUnknownCall, truncate(words[0]))
 	case needsID && len(arguments) == 0:
 		return Call{}, fmt.Errorf("%w: %s takes an engine's id", ErrMissingID, verb)
 	case needsID && len(arguments) > 1:
-		return Call{}, fmt.Errorf("%w: %s takes one id", ErrExtra, verb)
+		return Call{}, fmt.Errorf("%w: %s takes one id", ErrExtraArgument, verb)
 	case needsID:
 		return Call{Verb: verb, ID: string(arguments[0])}, nil
 	case len(arguments) > 0:
-		return Call{}, fmt.Errorf("%w: %s takes no argument", ErrExtra, verb)
+		return Call{}, fmt.Errorf("%w: %s takes no argument", ErrExtraArgument, verb)
 	}
 	return Call{Verb: verb}, nil
 }
--- a/internal/adminapi/call_test.go
+++ b/internal/adminapi/call_test.go
@@ -20,15 +20,15 @@
 		"set-up, tab":             {"set-up\te-17", Call{Verb: VerbEndMaintenance, ID: "e-17"}, nil},
 		"empty":                   {"", Call{}, ErrEmpty},
 		"blanks":                  {"   ", Call{}, ErrEmpty},
-		"unknown":                 {"status", Call{}, ErrUnknown},
-		"upper case":              {"CHECK", Call{}, ErrUnknown},
+		"unknown":                 {"status", Call{}, ErrUnknownCall},
+		"upper case":              {"CHECK", Call{}, ErrUnknownCall},
 		"set-down without id":     {"set-down", Call{}, ErrMissingID},
 		"set-up without id":       {"set-up ", Call{}, ErrMissingID},
-		"set-down with two ids":   {"set-down a b", Call{}, ErrExtra},
-		"check with an argument":  {"check now", Call{}, ErrExtra},
-		"vars with an argument":   {"vars all", Call{}, ErrExtra},
+		"set-down with two ids":   {"set-down a b", Call{}, ErrExtraArgument},
+		"check with an argument":  {"check now", Call{}, ErrExtraArgument},
+		"vars with an argument":   {"vars all", Call{}, ErrExtraArgument},
 		"bytes that are no UTF-8": {"set-down \xff\xfe", Call{}, ErrNotUTF8},
-		"too long":                {strings.Repeat("x", MaxLine), Call{}, ErrTooLong},
+		"too long":                {strings.Repeat("x", MaxLineBytes), Call{}, ErrTooLong},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Parse([]byte(c.line))
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -85,7 +85,7 @@
 		group.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
 	}
 	if s.adminListener != nil {
-		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxCallers: s.adminCallers}
+		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxConnections: s.adminCallers}
 		group.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
 	}
 	return group.Wait()
@@ -97,8 +97,8 @@
 	s.countReload(ctx, true)
 }
 
-// RejectReload counts a configuration file that was rejected at SIGHUP.
-func (s *Service) RejectReload(ctx context.Context) { s.countReload(ctx, false) }
+// CountRejectedReload counts a configuration file that was rejected at SIGHUP.
+func (s *Service) CountRejectedReload(ctx context.Context) { s.countReload(ctx, false) }
 
 // countReload counts a configuration file that was read at SIGHUP, where there are figures.
 func (s *Service) countReload(ctx context.Context, accepted bool) {
