--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,6 +1,5 @@
-// Package check holds what the layers of the configuration checker share: files with the positions of their
-// values, findings, and the entries of the table of checks. The layers are the packages fileformat, rules and fleet
-// in this directory.
+// Package check defines the types that the layers of the configuration checker share: parsed files, findings, and
+// the entries of the table of checks. The layers are the packages fileformat, rules and fleet in this directory.
 package check
 
 import (
@@ -12,43 +11,43 @@
 	"wheatlane/internal/jsontext"
 )
 
-// Severity is how severe a finding is.
+// Severity classifies findings.
 type Severity string
 
 // The severities.
 const (
-	Fault   Severity = "fault"   // the broker would not start with it, or would break a rule
-	Warning Severity = "warning" // it is allowed, and probably not intended
+	Fault   Severity = "fault"   // with the value, the broker would not start or would violate a requirement
+	Warning Severity = "warning" // the value is valid, but probably not intended
 )
 
-// Check is an entry of the table of checks, from which the table's documentation is generated.
+// Check describes a check. Its documentation is generated from it.
 type Check struct {
 	Code           string   `json:"code"` // stable: a letter for the layer and a number
 	Severity       Severity `json:"severity"`
-	Requirement    string   `json:"rule"`    // what must hold
-	Remedy         string   `json:"instead"` // what to write
-	InvalidExample string   `json:"-"`       // as it stands in a file
-	ValidExample   string   `json:"-"`
+	Requirement    string   `json:"rule"`    // condition that valid files meet
+	Remedy         string   `json:"instead"` // correction of an invalid value
+	InvalidExample string   `json:"-"`       // excerpt of an invalid file
+	ValidExample   string   `json:"-"`       // the same excerpt, corrected
 }
 
-// Finding is a place in a file that a check rejects.
+// Finding reports a position in a file at which a check fails.
 type Finding struct {
 	Check
 
 	File     string `json:"file"`
-	Line     int    `json:"line"`
-	Column   int    `json:"column"`
-	Key      string `json:"key"`
-	Observed string `json:"seen"`
+	Line     int    `json:"line"`   // from 1
+	Column   int    `json:"column"` // in bytes from 1
+	Key      string `json:"key"`    // path of the value
+	Observed string `json:"seen"`   // value that the check rejects
 }
 
-// String returns a finding as one line for people.
+// String formats a finding as one line of text.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s %s: %s: %s; %s. Instead: %s",
 		f.File, f.Line, f.Column, f.Severity, f.Code, f.Key, f.Observed, f.Requirement, f.Remedy)
 }
 
-// Sort orders findings by file, position and code.
+// Sort sorts findings by file, position and code.
 func Sort(findings []Finding) {
 	slices.SortStableFunc(findings, func(a, b Finding) int {
 		return cmp.Or(
@@ -60,23 +59,23 @@
 	})
 }
 
-// FileKind is the purpose of a file.
+// FileKind distinguishes the configuration files of a broker.
 type FileKind int
 
 // The kinds of file.
 const (
-	PlatformFile FileKind = iota // the broker's configuration, in the platform's form
+	PlatformFile FileKind = iota // the broker's configuration, in the platform's format
 	OperatorFile                 // the operator's configuration
 )
 
-// File is a file that was parsed.
+// File is a parsed file.
 type File struct {
-	Name string
+	Name string // path of the file, for findings
 	Kind FileKind
 	Root *jsontext.Node
 }
 
-// DetectKind determines the kind of a file by its content: only the platform's has any of these keys.
+// DetectKind determines the kind of a file by its keys: only the platform's file has any of those listed here.
 func DetectKind(root *jsontext.Node) FileKind {
 	for _, key := range []string{"settings", "changelog", "listen", "limits", "known"} {
 		if root.Get(key) != nil {
@@ -86,10 +85,10 @@
 	return OperatorFile
 }
 
-// AnyPortSuffix ends an address whose port the system chooses.
+// AnyPortSuffix is the end of an address whose port the operating system chooses.
 const AnyPortSuffix = ":0"
 
-// position returns where a path is in a file, or the innermost value around it that exists.
+// position returns the position of the value at a path, or of the innermost existing value that encloses it.
 func (f *File) position(path []string) jsontext.Position {
 	for length := len(path); length > 0; length-- {
 		if value := f.Root.At(path[:length]...); value != nil {
@@ -99,7 +98,7 @@
 	return f.Root.Position
 }
 
-// NewFinding returns the finding of a check at a path of the file.
+// NewFinding returns a finding of a check about the value at a path of the file, which need not exist.
 func (f *File) NewFinding(check Check, observed string, path ...string) Finding {
 	position := f.position(path)
 	return Finding{
@@ -112,7 +111,7 @@
 	}
 }
 
-// Markdown returns the table of checks with their examples, as the operators' page has it.
+// Markdown formats checks as the table of the operators' page, with their examples.
 func Markdown(checks []Check) string {
 	escape := strings.NewReplacer("|", `\|`).Replace
 	var table strings.Builder
--- a/internal/check/diff/diff.go
+++ b/internal/check/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff compares two configurations by their meaning: the order of keys and of named items, and the
-// notation of numbers make no difference.
+// Package diff compares the meaning of two configurations. It ignores the order of keys and of named items, and the
+// notation of numbers.
 package diff
 
 import (
@@ -11,12 +11,12 @@
 
 // Change is a difference between two configurations.
 type Change struct {
-	Key string // named items of lists by their names, as in settings.RequestClasses["lookup"].Worth
-	Old string // the value in words; empty: the first configuration has none
-	New string // the same of the second configuration
+	Key string // path, with list items identified by name as in settings.RequestClasses["lookup"].Worth
+	Old string // formatted value in the first configuration; empty: none
+	New string // formatted value in the second configuration; empty: none
 }
 
-// String returns a change as a line that begins with +, - or ~.
+// String formats a change as a line that begins with + for an addition, - for a removal, or ~ for a changed value.
 func (c Change) String() string {
 	switch {
 	case c.Old == "":
@@ -27,15 +27,16 @@
 	return "~ " + c.Key + ": " + c.Old + " -> " + c.New
 }
 
-// nameKeys are the keys that identify an item of a list; the first that an item has counts.
+// nameKeys lists keys that identify an item of a list, in order of precedence.
 var nameKeys = []string{"Name", "name", "host", "seq"}
 
-// ignoredKeys have no influence on a broker.
+// ignoredKeys lists keys that have no effect on a broker.
 var ignoredKeys = map[string]bool{"$schema": true, "$made": true}
 
-// Diff returns the changes from one configuration to another, in the order of the first, with additions last.
+// Diff returns the changes from configuration a to b, in the order of a. Within an object or list, additions come last.
 func Diff(a, b *jsontext.Node) []Change { return compare("", a, b) }
 
+// compare compares the values of a key; nil stands for a missing value.
 func compare(key string, a, b *jsontext.Node) []Change {
 	switch {
 	case a == nil && b == nil:
@@ -67,11 +68,11 @@
 	return changes
 }
 
-// compareArrays compares items by their names if all have one that is unique, and by index otherwise.
+// compareArrays compares items by name if each has a unique name, and by index otherwise.
 func compareArrays(key string, a, b []*jsontext.Node) []Change {
-	oldItems, okA := indexByName(a)
-	newItems, okB := indexByName(b)
-	if !okA || !okB {
+	oldItems, oldNamed := indexByName(a)
+	newItems, newNamed := indexByName(b)
+	if !oldNamed || !newNamed {
 		return compareByIndex(key, a, b)
 	}
 	var changes []Change
@@ -105,13 +106,13 @@
 	return changes
 }
 
-// namedItems is a list whose items have unique names.
+// namedItems indexes a list whose items have unique names.
 type namedItems struct {
 	byName map[string]*jsontext.Node
 	names  []string // in order of the list
 }
 
-// indexByName indexes items by their names; it reports whether each has one, and no two the same.
+// indexByName indexes items by name and reports whether each has a unique name.
 func indexByName(items []*jsontext.Node) (namedItems, bool) {
 	index := namedItems{byName: map[string]*jsontext.Node{}}
 	for _, item := range items {
@@ -125,7 +126,7 @@
 	return index, true
 }
 
-// nameOf returns the key by which an item is identified and its value in words, empty if there is none.
+// nameOf returns the key that identifies an item and its formatted value. Both are empty if the item has no such key.
 func nameOf(item *jsontext.Node) (key, name string) {
 	for _, key := range nameKeys {
 		if value := item.Get(key); value != nil {
@@ -144,7 +145,7 @@
 
 func itemKey(list, item string) string { return list + "[" + item + "]" }
 
-// describe returns a value in words, empty if there is none. Numbers are normalized.
+// describe formats a value with its number normalized. The result for a missing value is empty.
 func describe(node *jsontext.Node) string {
 	if node == nil {
 		return ""
--- a/internal/check/diff/diff_test.go
+++ b/internal/check/diff/diff_test.go
@@ -26,9 +26,9 @@
 		want       []string
 	}{
 		{"notation and order", `{"a":1,"b":2}`, `{"b":2.0,"a":1e0}`, nil},
-		{"ignored key", `{"$made":"x","a":1}`, `{"a":1}`, nil},
-		{"another value", `{"a":1}`, `{"a":2}`, []string{"~ a: 1 -> 2"}},
-		{"another type", `{"a":1}`, `{"a":"1"}`, []string{`~ a: 1 -> "1"`}},
+		{"ignored key removed", `{"$made":"x","a":1}`, `{"a":1}`, nil},
+		{"changed value", `{"a":1}`, `{"a":2}`, []string{"~ a: 1 -> 2"}},
+		{"changed type", `{"a":1}`, `{"a":"1"}`, []string{`~ a: 1 -> "1"`}},
 		{
 			"keys removed and added",
 			`{"a":{"b":true}}`,
@@ -36,30 +36,30 @@
 			[]string{"- a.b: true", "+ a.c: null"},
 		},
 		{
-			"named items in another order",
+			"named items in another order, one changed",
 			`{"l":[{"Name":"x","v":1},{"Name":"y","v":2}]}`,
 			`{"l":[{"Name":"y","v":3},{"Name":"x","v":1}]}`,
 			[]string{`~ l["y"].v: 2 -> 3`},
 		},
 		{
-			"another named item",
+			"named item replaced",
 			`{"l":[{"Name":"x"}]}`,
 			`{"l":[{"Name":"z"}]}`,
 			[]string{`- l["x"]: {Name: "x", ...}`, `+ l["z"]: {Name: "z", ...}`},
 		},
 		{
-			"items without names",
+			"items without names are compared by index",
 			`{"l":[1,2]}`,
 			`{"l":[1,3,4]}`,
 			[]string{"~ l[1]: 2 -> 3", "+ l[2]: 4"},
 		},
 		{
-			"duplicate names",
+			"items with duplicate names are compared by index",
 			`{"l":[{"Name":"x"},{"Name":"x"}]}`,
 			`{"l":[{"Name":"x"}]}`,
 			[]string{`- l[1]: {Name: "x", ...}`},
 		},
-		{"another type of the root", `[]`, `{}`, []string{"~ : a list of 0 -> an object of 0 keys"}},
+		{"changed type of the root", `[]`, `{}`, []string{"~ : a list of 0 -> an object of 0 keys"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got []string
@@ -73,7 +73,7 @@
 	}
 }
 
-// compactConfig returns a generated configuration in another form than Marshal does, with a change.
+// compactConfig returns a generated configuration with a change, encoded without the indentation of Marshal.
 func compactConfig(t *testing.T, seed uint64, change func(doc map[string]any)) []byte {
 	t.Helper()
 	doc := faultinjection.PlatformConfig(rand.New(rand.NewPCG(seed, 0)))
@@ -85,8 +85,8 @@
 	return text
 }
 
-// A configuration equals itself in whatever form; a change shows at its key.
-func TestGeneratedConfigurations(t *testing.T) {
+// Diff reports no changes between two encodings of a generated configuration, and a single change at its key.
+func TestDiffOfGeneratedConfigurations(t *testing.T) {
 	for seed := range uint64(200) {
 		text, err := faultinjection.Marshal(
 			faultinjection.PlatformConfig(rand.New(rand.NewPCG(seed, 0))),
--- a/internal/check/faultinjection/faultinjection_test.go
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/jsontext"
 )
 
-// checkFile returns the findings of the layers that look at one file.
+// checkFile returns the findings of the layers that check a single file.
 func checkFile(t *testing.T, doc map[string]any) []check.Finding {
 	t.Helper()
 	text, err := Marshal(doc)
@@ -32,12 +32,12 @@
 }
 
 const (
-	seeds         = 2000
+	seeds         = 2000 // generated configurations of each test
 	minFaultKinds = 60
 )
 
-// Valid files have no findings.
-func TestNoFalseFindings(t *testing.T) {
+// The checker has no findings in generated valid configurations.
+func TestValidConfigsHaveNoFindings(t *testing.T) {
 	for seed := range uint64(seeds) {
 		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
 			doc := ValidConfig(rand.New(rand.NewPCG(seed, 0)), kind)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Every injected fault is found under its code at its path.
+// The checker finds every injected fault with its code at its path, and each rule has a fault that violates it.
 func TestEveryFaultIsFound(t *testing.T) {
 	faults := Faults()
 	injected := map[string]int{} // by code
@@ -61,21 +61,21 @@
 		findings := checkFile(t, doc)
 		isExpected := func(f check.Finding) bool { return f.Code == fault.Code && f.Key == key }
 		if !slices.ContainsFunc(findings, isExpected) {
-			t.Errorf("seed %d: %s at %s is not found, but %v", seed, fault.Code, key, findings)
+			t.Errorf("seed %d: %s at %s is not found; findings: %v", seed, fault.Code, key, findings)
 		}
 	}
 	for _, r := range rules.Table {
 		if injected[r.Code] == 0 {
-			t.Errorf("%s is never injected", r.Code)
+			t.Errorf("no fault is injected for %s", r.Code)
 		}
 	}
 	if len(faults) < minFaultKinds {
-		t.Errorf("%d kinds of fault, %d at least", len(faults), minFaultKinds)
+		t.Errorf("got %d kinds of fault, want at least %d", len(faults), minFaultKinds)
 	}
 }
 
-// Faults of the text itself, which can't be injected into a value.
-func TestFaultsOfTheText(t *testing.T) {
+// The checker finds faults of the text itself, which can't be injected into a decoded configuration.
+func TestInvalidTextIsFound(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                       "F001",
 		"{":                                      "F001",
@@ -92,8 +92,8 @@
 	}
 }
 
-// The position of a finding is that of the value in the file as it is written.
-func TestPositions(t *testing.T) {
+// A finding has the position of its value in the text of the file.
+func TestFindingsHavePositions(t *testing.T) {
 	text := "{\n  \"telemetry\": {\n    \"interval_ms\": 5,\n    \"intervall\": 7\n  }\n}\n"
 	_, findings, err := fileformat.Run("a.json", []byte(text))
 	if err != nil || len(findings) != 2 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// The operators' page has the table of checks as the program prints it.
+// The operators' page contains the table of checks that 'wheatlane config checks' prints.
 func TestPageOfChecks(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/checks.md")
 	if err != nil {
--- a/internal/check/faultinjection/formatfaults.go
+++ b/internal/check/faultinjection/formatfaults.go
@@ -7,14 +7,14 @@
 	"wheatlane/internal/check"
 )
 
-// formatFaults are faults of the layer fileformat: types, bounds, keys and addresses.
+// formatFaults returns the faults that package fileformat finds: types, bounds, keys and addresses.
 func formatFaults() []Fault {
 	return slices.Concat(
 		typeFaults(), rangeFaults(), keyFaults(), destinationFaults(), missingKeyFaults(),
 	)
 }
 
-// typeFaults are values of a wrong type.
+// typeFaults returns faults that set values of a wrong type.
 func typeFaults() []Fault {
 	var faults []Fault
 	wrongValues := []any{"text", true, object{"a": 1}, []any{}}
@@ -50,7 +50,7 @@
 	)
 }
 
-// rangeFaults are values out of bounds.
+// rangeFaults returns faults that set values out of bounds.
 func rangeFaults() []Fault {
 	return []Fault{
 		set("F005", 8, "limits", "memory_mb"),
@@ -65,7 +65,7 @@
 	}
 }
 
-// keyFaults are unknown keys, keys that are similar to known ones, and values that are no address.
+// keyFaults returns faults that add unknown keys or keys similar to known ones, or that set invalid addresses.
 func keyFaults() []Fault {
 	return []Fault{
 		setInOperator("F003", 1, "telemetry", "names", "tenantz"),
@@ -81,7 +81,7 @@
 	}
 }
 
-// destinationFaults are faults in the destinations of metrics.
+// destinationFaults returns faults in the destinations of metrics.
 func destinationFaults() []Fault {
 	return slices.Concat(
 		faultsOfDestinations("telemetry", "graphite"),
@@ -103,7 +103,7 @@
 	}
 }
 
-// missingKeyFaults are required keys that are missing.
+// missingKeyFaults returns faults that delete required keys.
 func missingKeyFaults() []Fault {
 	withoutKey := func(key string) Fault {
 		return Fault{"F006", check.PlatformFile, func(_ *rand.Rand, doc map[string]any) []string {
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -1,5 +1,5 @@
-// Package faultinjection generates valid configurations and injects faults into them, all drawn from a seed,
-// to test the checker with. It does no I/O.
+// Package faultinjection generates valid configurations and injects faults into them for tests of the checker. A seeded
+// generator of random numbers determines all results. The package does no I/O.
 package faultinjection
 
 import (
@@ -12,21 +12,21 @@
 	"wheatlane/internal/check"
 )
 
-// object is a JSON object as encoding/json has it.
+// object is a JSON object as encoding/json decodes it.
 type object = map[string]any
 
-// classNames are the names of generated request classes.
+// classNames lists the names of generated request classes.
 var classNames = []string{"lookup", "route-report", "survey-load", "tide-table", "archive"}
 
 const (
 	maxTenants     = 5
-	percent        = 100 // shares and weights are drawn in percent
-	minTenantShare = 5   // in percent, as are those that follow
-	minSharesLeft  = 5   // what a drawn share leaves to later tenants
-	minToSplit     = 20  // less is one tenant's share
+	percent        = 100 // random shares and weights are whole percentages
+	minTenantShare = 5   // percent
+	minSharesLeft  = 5   // percent that a random share leaves to later tenants
+	minToSplit     = 20  // percent; a smaller remainder is the share of a single tenant
 )
 
-// ValidConfig generates a valid file of a kind.
+// ValidConfig generates a valid configuration of a kind.
 func ValidConfig(rng *rand.Rand, kind check.FileKind) map[string]any {
 	if kind == check.OperatorFile {
 		return OperatorConfig(rng)
@@ -34,10 +34,10 @@
 	return PlatformConfig(rng)
 }
 
-// oneIn draws true with a probability of 1/n.
+// oneIn returns true with a probability of 1/n.
 func oneIn(rng *rand.Rand, n int) bool { return rng.IntN(n) == 0 }
 
-// PlatformConfig generates a valid file of the platform's.
+// PlatformConfig generates a valid configuration in the platform's format.
 func PlatformConfig(rng *rand.Rand) map[string]any {
 	kinds := engineKinds(rng)
 	cores, memory := make([]any, len(kinds)), make([]any, len(kinds))
@@ -94,7 +94,7 @@
 	return kinds
 }
 
-// requestClasses generates classes, and what the domain lists by class.
+// requestClasses generates request classes and the lists of the domain that are indexed by class.
 func requestClasses(rng *rand.Rand, kinds []any) (classes []any, domain object) {
 	count := 1 + rng.IntN(len(classNames))
 	classes = make([]any, count)
@@ -130,7 +130,7 @@
 	return class
 }
 
-// tenantShares generates tenants whose shares sum to 1.
+// tenantShares generates tenants with shares that sum to 1.
 func tenantShares(rng *rand.Rand) []any {
 	var shares []int
 	left := percent
@@ -153,7 +153,7 @@
 	return tenants
 }
 
-// knownEvents generates events of the change log, of which the first is a complete list of engines.
+// knownEvents generates events of the change log. The first one is a snapshot of the endpoint list.
 func knownEvents(rng *rand.Rand, kinds []any) []any {
 	hosts := make([]any, 1+rng.IntN(10))
 	for i := range hosts {
@@ -208,11 +208,11 @@
 	}}
 }
 
-// Marshal returns a file as it is written.
+// Marshal encodes a configuration as indented JSON.
 func Marshal(doc map[string]any) ([]byte, error) {
 	text, err := json.MarshalIndent(doc, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("fault injection: %w", err)
+		return nil, fmt.Errorf("encode generated configuration: %w", err)
 	}
 	return append(text, '\n'), nil
 }
--- a/internal/check/faultinjection/rulefaults.go
+++ b/internal/check/faultinjection/rulefaults.go
@@ -10,13 +10,13 @@
 	"wheatlane/internal/check"
 )
 
-// Faults returns all kinds of fault. Each violates no check but its own, or is found at its own path
-// nevertheless.
+// Faults returns all kinds of fault. A fault may violate further checks, but the check of its Code finds it at the path
+// that Inject returns.
 func Faults() []Fault {
 	return slices.Concat(ruleFaults(), domainListFaults(), formatFaults())
 }
 
-// ruleFaults are faults of the layer of rules.
+// ruleFaults returns the faults that package rules finds.
 func ruleFaults() []Fault {
 	return []Fault{
 		{"R101", check.PlatformFile, injectObjectiveBeyondTimeout},
@@ -129,7 +129,7 @@
 	return setAt(doc, 65536, "telemetry", "collectd", strconv.Itoa(last), "budget_kb")
 }
 
-// domainListFaults are faults in what the domain lists by class.
+// domainListFaults returns faults in the lists of the domain that are indexed by class.
 func domainListFaults() []Fault {
 	var faults []Fault
 	for _, key := range classLists {
--- a/internal/check/fileformat/fileformat.go
+++ b/internal/check/fileformat/fileformat.go
@@ -1,5 +1,5 @@
-// Package fileformat is the layer of the checker for values that can't be read: text that is no JSON, keys that are
-// duplicate or unknown, values of a wrong type or out of range. It does no I/O.
+// Package fileformat is the layer of the checker that finds text and values that a broker can't decode: text that is
+// not JSON, duplicate and unknown keys, and values of a wrong type or out of range. It does no I/O.
 package fileformat
 
 import (
@@ -88,11 +88,12 @@
 	}
 )
 
-// Table is every check of this layer.
+// Table lists all checks of this layer.
 var Table = []check.Check{
 	Syntax, DuplicateKey, UnknownKey, InvalidType, OutOfRange, MissingKey, InvalidAddress, SimilarKey,
 }
 
+// checkOf maps the kinds of schema violation to checks.
 var checkOf = map[schema.ViolationKind]check.Check{
 	schema.InvalidType: InvalidType,
 	schema.UnknownKey:  UnknownKey,
@@ -100,7 +101,7 @@
 	schema.OutOfRange:  OutOfRange,
 }
 
-// Run parses a file and checks its form. The file is nil if it can't be parsed at all.
+// Run parses a file and returns the findings of this layer. The file is nil if its text is not JSON.
 func Run(name string, text []byte) (*check.File, []check.Finding, error) {
 	root, duplicates, err := jsontext.Parse(text)
 	if syntaxError, ok := errors.AsType[*jsontext.SyntaxError](err); ok {
@@ -128,7 +129,7 @@
 	return file, append(findings, invalidAddresses(file)...), nil
 }
 
-// schemaOf returns the schema that files of a kind are checked against.
+// schemaOf returns the schema for files of a kind.
 func schemaOf(kind check.FileKind) (*jsonschema.Schema, error) {
 	if kind == check.PlatformFile {
 		return config.JSONSchema()
@@ -162,8 +163,8 @@
 	return findings
 }
 
-// violationFinding converts a violation of the schema; for an unknown key the remedy is the similar one that
-// is known.
+// violationFinding converts a violation of the schema to a finding. For an unknown key, the remedy is the known key
+// that is similar to it, if any.
 func violationFinding(file *check.File, violation schema.Violation) check.Finding {
 	violated := checkOf[violation.Kind]
 	if violation.Kind == schema.UnknownKey {
@@ -175,26 +176,25 @@
 }
 
 const (
-	maxEditDistance = 2 // up to this Levenshtein distance two keys are similar
-	// shortKeyDivisor is the fraction of the letters of a short key that may differ at most.
-	shortKeyDivisor = 2
+	maxEditDistance = 2 // Levenshtein distance up to which two keys are similar
+	shortKeyDivisor = 2 // of a short key, at most 1/shortKeyDivisor of the letters may differ
 )
 
-// closestName returns the known key with the least Levenshtein distance to a key, empty if none is similar.
-// In short keys at most half of the letters may differ.
+// closestName returns the known key with the smallest Levenshtein distance to a key, ignoring case. It returns the
+// empty string if none is similar: at most two letters may differ, and in short keys at most half of the letters.
 func closestName(key string, known []string) string {
-	similar, least := "", maxEditDistance+1
+	closest, minDistance := "", maxEditDistance+1
 	for _, candidate := range known {
 		distance := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(candidate))
-		if distance < least && distance <= len(candidate)/shortKeyDivisor {
-			similar, least = candidate, distance
+		if distance < minDistance && distance <= len(candidate)/shortKeyDivisor {
+			closest, minDistance = candidate, distance
 		}
 	}
-	return similar
+	return closest
 }
 
-// similarKeys finds keys of the platform's file that are not read, but similar to one that is and that is
-// absent.
+// similarKeys finds keys of the platform's file that a broker ignores, but that are similar to a known key that is
+// absent: probably misspelled keys.
 func similarKeys(file *check.File, object *jsonschema.Schema, node *jsontext.Node, path []string) []check.Finding {
 	absent := make([]string, 0, len(object.Properties))
 	for key := range object.Properties {
@@ -223,10 +223,10 @@
 	return findings
 }
 
-// extend returns a copy of a path with further keys.
+// extend returns a copy of a path with keys appended.
 func extend(path []string, keys ...string) []string { return slices.Concat(path, keys) }
 
-// invalidAddresses finds strings that are no IP address with a port where one is required.
+// invalidAddresses finds strings at the paths of addresses that are not an IP address with a port.
 func invalidAddresses(file *check.File) []check.Finding {
 	var findings []check.Finding
 	for _, path := range addressPaths(file) {
@@ -243,7 +243,7 @@
 	return findings
 }
 
-// addressPaths returns the paths of a file at which addresses are required.
+// addressPaths returns the paths of a file whose values must be addresses.
 func addressPaths(file *check.File) [][]string {
 	if file.Kind == check.PlatformFile {
 		return [][]string{{"listen"}, {"changelog"}}
--- a/internal/check/fleet/checks.go
+++ b/internal/check/fleet/checks.go
@@ -78,7 +78,7 @@
 	}
 )
 
-// Table is every check of this layer.
+// Table lists all checks of this layer.
 var Table = []check.Check{
 	DuplicateAddress, EngineMismatch, RevisionMismatch, ClassMismatch, TenantMismatch, PeerCountMismatch,
 	DuplicateIndex, ChangelogMismatch, DuplicateName,
--- a/internal/check/fleet/fleet.go
+++ b/internal/check/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is the layer of the checker that compares the files of several brokers, each of which is
-// valid by itself, and finds where they contradict each other. It works on trees of values and does no I/O.
+// Package fleet is the layer of the checker that compares the files of several brokers and finds contradictions between
+// files that are valid individually. It works on parsed files and does no I/O.
 package fleet
 
 import (
@@ -14,8 +14,8 @@
 	"wheatlane/internal/jsontext"
 )
 
-// Run compares the platform's files among those given. A contradiction is reported in the later file, against
-// the first one that it contradicts. Each file is visited once, however many there are.
+// Run compares the platform's files and ignores all others. It reports a contradiction in the later file, with the name
+// of the first file that it contradicts. It visits each file once, so that its time grows linearly with their number.
 func Run(files []*check.File) []check.Finding {
 	c := comparison{
 		owners:  map[uniqueValue]*check.File{},
@@ -31,35 +31,35 @@
 	return c.findings
 }
 
-// comparison is what the files visited so far stated first.
+// comparison holds the first occurrence of each value among the files that were visited so far.
 type comparison struct {
 	findings []check.Finding
-	first    *check.File
-	owners   map[uniqueValue]*check.File
-	classes  map[string]definition   // by name
-	tenants  map[string]definition   // by name
-	lists    map[string]endpointList // by revision
+	first    *check.File                 // first of the platform's files
+	owners   map[uniqueValue]*check.File // first file with a value
+	classes  map[string]definition       // by name
+	tenants  map[string]definition       // by name
+	lists    map[string]endpointList     // by revision
 }
 
-// uniqueValue is a value that only one file may have.
+// uniqueValue identifies a value that only one file may have.
 type uniqueValue struct {
 	code  string // of the check
 	value string
 }
 
-// definition is what a file states of a class or tenant.
+// definition is the first definition of a class or tenant.
 type definition struct {
 	file  *check.File
 	value *jsontext.Node
 }
 
-// endpointList is the engines that a file starts with, by their ids.
+// endpointList holds the engines in the initial endpoint list of a file.
 type endpointList struct {
 	file    *check.File
-	engines map[string]string
+	engines map[string]string // attributes by engine ID
 }
 
-// classKeys are the keys that define the meaning of a class, and tenantKeys those of a tenant.
+// Keys whose values must be equal in all definitions of a class or tenant.
 var (
 	classKeys  = []string{"Effect", "PromiseNs", "GiveUpNs", "ByArrival", "WindowNs", "Worth", "KeyScope"}
 	tenantKeys = []string{"Share"}
@@ -69,7 +69,7 @@
 	c.findings = append(c.findings, file.NewFinding(violated, observed, path...))
 }
 
-// compare compares a file with those before it.
+// compare compares a file with the files that were visited before.
 func (c *comparison) compare(file *check.File) {
 	if c.first == nil {
 		c.first = file
@@ -88,7 +88,7 @@
 	c.checkList(file)
 }
 
-// checkUnique reports a value that a file before has as well.
+// checkUnique reports a value that an earlier file has too.
 func (c *comparison) checkUnique(file *check.File, violated check.Check, path ...string) {
 	value := file.Root.At(path...)
 	if value == nil {
@@ -110,19 +110,20 @@
 	}
 }
 
-// checkDefinitions compares the named items of a list with their first definitions.
+// checkDefinitions compares the named items of the list at a path with the first definitions of their names, which it
+// records in definitions.
 func (c *comparison) checkDefinitions(
-	file *check.File, violated check.Check, known map[string]definition, keys []string, path ...string,
+	file *check.File, violated check.Check, definitions map[string]definition, keys []string, path ...string,
 ) {
 	for i, value := range file.Root.At(path...).Elements() {
 		name := value.Get("Name").StringOrEmpty()
-		first, exists := known[name]
+		first, exists := definitions[name]
 		if !exists {
-			known[name] = definition{file, value}
+			definitions[name] = definition{file, value}
 			continue
 		}
 		if first.file == file {
-			continue // a duplicate within a file is found by the layer of rules
+			continue // package rules reports duplicates within a file
 		}
 		for _, key := range keys {
 			want, got := describe(first.value.Get(key)), describe(value.Get(key))
@@ -130,33 +131,24 @@
 				observed := fmt.Sprintf(
 					"%s of %q is %s, and %s in %s", key, name, got, want, first.file.Name,
 				)
-				c.report(
-					file,
-					violated,
-					observed,
-					slices.Concat(path, []string{strconv.Itoa(i), key})...,
-				)
+				c.report(file, violated, observed, slices.Concat(path, []string{strconv.Itoa(i), key})...)
 			}
 		}
 	}
 }
 
-// checkList compares the endpoint list that a file starts with to the first one of the same revision.
+// checkList compares the initial endpoint list of a file with the first list of the same revision. If it is the first
+// list of its revision, checkList reports a revision that differs from that of the first file.
 func (c *comparison) checkList(file *check.File) {
 	value := file.Root.At("known", "seq")
 	if value == nil {
 		return
 	}
 	revision, engines := describe(value), enginesOf(file.Root)
-	if known, exists := c.lists[revision]; exists {
-		if differing := differingKeys(known.engines, engines); len(differing) > 0 {
-			c.report(
-				file,
-				EngineMismatch,
-				strings.Join(differing, ", ")+" not as in "+known.file.Name,
-				"known",
-				"results",
-			)
+	if list, exists := c.lists[revision]; exists {
+		if differing := differingKeys(list.engines, engines); len(differing) > 0 {
+			observed := strings.Join(differing, ", ") + " not as in " + list.file.Name
+			c.report(file, EngineMismatch, observed, "known", "results")
 		}
 		return
 	}
@@ -167,7 +159,8 @@
 	}
 }
 
-// differingKeys returns the keys whose values differ, those of a first.
+// differingKeys returns the keys whose values differ between two maps: first those of a, then those that only b has,
+// each sorted.
 func differingKeys(a, b map[string]string) []string {
 	var differing []string
 	for _, key := range slices.Sorted(maps.Keys(a)) {
@@ -183,8 +176,7 @@
 	return differing
 }
 
-// enginesOf returns the engines that the known events leave in the list, each with what was stated of it
-// last.
+// enginesOf returns the engines that are listed after the initial events of a file, each with its latest attributes.
 func enginesOf(root *jsontext.Node) map[string]string {
 	engines := map[string]string{}
 	for _, event := range root.At("known", "results").Elements() {
@@ -208,7 +200,7 @@
 	return engines
 }
 
-// describe returns a value in words, "nothing" if there is none.
+// describe formats a value for a finding; a missing value is "nothing".
 func describe(node *jsontext.Node) string {
 	if node == nil {
 		return "nothing"
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -12,9 +12,10 @@
 
 type object = map[string]any
 
+// seeds is the number of generated pairs of files for each case.
 const seeds = 50
 
-// generatePair generates the files of two brokers, which are consistent but for a change of the second.
+// generatePair generates consistent files of two brokers and applies a change to the second one.
 func generatePair(t *testing.T, seed uint64, change func(doc object)) []*check.File {
 	t.Helper()
 	files := make([]*check.File, 2)
@@ -53,15 +54,15 @@
 
 func firstHost(doc object) object { return firstEndpointList(doc)["hosts"].([]any)[0].(object) }
 
-// Each contradiction is found under its code, in the later file, at its path; consistent files have no
-// findings.
-func TestContradictions(t *testing.T) {
+// Run reports each contradiction with the code of its check, in the later file, at the path of the value. It reports
+// nothing for consistent files.
+func TestRunReportsContradictions(t *testing.T) {
 	for _, c := range []struct {
 		name, code, key string
 		change          func(doc object)
 	}{
-		{"none", "", "", func(object) {}},
-		{"same address", "S101", "listen", func(doc object) { doc["listen"] = "10.0.0.1:6565" }},
+		{"consistent files", "", "", func(object) {}},
+		{"same listen address", "S101", "listen", func(doc object) { doc["listen"] = "10.0.0.1:6565" }},
 		{"another address of an engine", "S102", "known.results", func(doc object) {
 			firstHost(doc)["dial"] = "10.9.9.9:1"
 		}},
@@ -71,8 +72,8 @@
 				"host": "s-more", "dial": "10.9.9.9:1", "class": "std-8core", "health": "in_service",
 			})
 		}},
-		{"another revision", "S103", "known.seq", func(doc object) { knownList(doc)["seq"] = 99 }},
-		{"another weight", "S104", "settings.RequestClasses[0].Worth", func(doc object) {
+		{"another revision of the list", "S103", "known.seq", func(doc object) { knownList(doc)["seq"] = 99 }},
+		{"another priority weight", "S104", "settings.RequestClasses[0].Worth", func(doc object) {
 			firstClass(doc)["Worth"] = 77
 		}},
 		{
@@ -81,14 +82,14 @@
 			"settings.RequestClasses[0].PromiseNs",
 			func(doc object) { firstClass(doc)["PromiseNs"] = 1 },
 		},
-		{"another share", "S105", "settings.Tenants[0].Share", func(doc object) {
+		{"another share of a tenant", "S105", "settings.Tenants[0].Share", func(doc object) {
 			firstTenant(doc)["Share"] = 0.001
 		}},
-		{"another number of peers", "S106", "settings.PeersTotal", func(doc object) {
+		{"another number of brokers", "S106", "settings.PeersTotal", func(doc object) {
 			settingsOf(doc)["PeersTotal"] = 3
 		}},
 		{
-			"same index",
+			"same broker index",
 			"S107",
 			"settings.Position",
 			func(doc object) { settingsOf(doc)["Position"] = 0 },
@@ -99,7 +100,7 @@
 			"changelog",
 			func(doc object) { doc["changelog"] = "10.2.0.9:4222" },
 		},
-		{"same name", "S109", "name", func(doc object) { doc["name"] = "n0" }},
+		{"same broker name", "S109", "name", func(doc object) { doc["name"] = "n0" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// isOnly reports whether there is one finding, of a check at a key of the second file.
+// isOnly reports whether the only finding has a code and a key in the second file.
 func isOnly(findings []check.Finding, code, key string) bool {
 	if len(findings) != 1 {
 		return false
--- a/internal/check/rules/broker.go
+++ b/internal/check/rules/broker.go
@@ -14,15 +14,15 @@
 
 const (
 	connectionsPerEngine = 8
-	engineSocketFraction = 1.0 / 4 // of the descriptors, at most this fraction is for engines
-	sessionMemoryKB      = 64      // that a request may hold
+	engineSocketFraction = 1.0 / 4 // maximum fraction of the descriptors for connections to engines
+	sessionMemoryKB      = 64      // maximum memory of a session's open request
 	kilobytesPerMegabyte = 1024
-	heapFraction         = 0.6 // of the memory, before the runtime collects harder
-	batchIntervalDivisor = 10  // the batch interval may be this fraction of the tightest latency objective
+	heapFraction         = 0.6 // of the memory limit; above it, the garbage collector runs more often
+	batchIntervalDivisor = 10  // the batch interval is at most 1/batchIntervalDivisor of the tightest latency objective
 	maxRetryAfter        = time.Minute
 )
 
-// brokerRules are the rules for a broker's own addresses, limits and index.
+// brokerRules lists the rules for a broker's own addresses, limits and index.
 var brokerRules = []Rule{
 	{
 		Check: check.Check{
@@ -46,8 +46,8 @@
 		},
 		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Limits", "MaxRetryAfterNs"}
-			if v := root.At(path...).NumberOr(0); v > float64(maxRetryAfter) {
-				report(formatMS(v), path...)
+			if delay := root.At(path...).NumberOr(0); delay > float64(maxRetryAfter) {
+				report(formatMS(delay), path...)
 			}
 		},
 	},
@@ -140,11 +140,8 @@
 	memory := root.At("limits", "memory_mb").NumberOr(config.DefaultMemoryMB)
 	required := sockets * (1 - engineSocketFraction) * sessionMemoryKB / kilobytesPerMegabyte
 	if required > heapFraction*memory {
-		report(
-			fmt.Sprintf("%s MB, and requests may hold %.0f", formatNumber(memory), required),
-			"limits",
-			"memory_mb",
-		)
+		observed := fmt.Sprintf("%s MB, and requests may hold %.0f", formatNumber(memory), required)
+		report(observed, "limits", "memory_mb")
 	}
 }
 
@@ -157,10 +154,6 @@
 	}
 	interval := root.At("settings", "RoundNs").NumberOr(0)
 	if interval > tightest/batchIntervalDivisor {
-		report(
-			formatMS(interval)+", the tightest objective is "+formatMS(tightest),
-			"settings",
-			"RoundNs",
-		)
+		report(formatMS(interval)+", the tightest objective is "+formatMS(tightest), "settings", "RoundNs")
 	}
 }
--- a/internal/check/rules/knownlist.go
+++ b/internal/check/rules/endpointlist.go
@@ -8,8 +8,8 @@
 	"wheatlane/internal/jsontext"
 )
 
-// knownListRules are the rules for the endpoint list that a broker starts with.
-var knownListRules = []Rule{
+// endpointListRules lists the rules for the endpoint list that a broker starts with.
+var endpointListRules = []Rule{
 	{
 		Check: check.Check{
 			Code:           "R125",
@@ -67,37 +67,38 @@
 	},
 }
 
-// events returns the known events of a platform's file.
+// events returns the events in a platform's file that result in the initial endpoint list.
 func events(root *jsontext.Node) []listItem { return items(root, "known", "results") }
 
-// hosts returns the engines of an event.
+// hosts returns the engines in an event.
 func hosts(root *jsontext.Node, event listItem) []listItem {
 	return items(root, event.pathOf("fleet", "hosts")...)
 }
 
-// allHosts returns the engines of all known events.
+// allHosts returns the engines in all events, in order. It returns an engine once for each event that has it.
 func allHosts(root *jsontext.Node) []listItem {
-	known := events(root)
-	all := make([]listItem, 0, len(known))
-	for _, event := range known {
+	initial := events(root)
+	all := make([]listItem, 0, len(initial))
+	for _, event := range initial {
 		all = append(all, hosts(root, event)...)
 	}
 	return all
 }
 
+// isRemoved reports whether an event removes an engine from the list.
 func isRemoved(host *jsontext.Node) bool {
 	return host.Get("health").StringOrEmpty() == changelog.HealthTerminated
 }
 
-// enginesInService counts the engines that the known events leave in the list.
+// enginesInService counts the engines that are listed after all events.
 func enginesInService(root *jsontext.Node) int {
-	inService := map[string]bool{}
+	listed := map[string]bool{} // by engine ID
 	for _, host := range allHosts(root) {
-		inService[host.Get("host").StringOrEmpty()] = !isRemoved(host.Node)
+		listed[host.Get("host").StringOrEmpty()] = !isRemoved(host.Node)
 	}
 	count := 0
-	for _, listed := range inService {
-		if listed {
+	for _, isListed := range listed {
+		if isListed {
 			count++
 		}
 	}
--- a/internal/check/rules/engines.go
+++ b/internal/check/rules/engines.go
@@ -8,10 +8,10 @@
 	"wheatlane/internal/jsontext"
 )
 
-// maxOverloadMultiple is the multiple of its capacity at which an engine in slow start fails, by the brief.
+// maxOverloadMultiple is the multiple of its capacity at which an engine in slow start fails, by the specification.
 const maxOverloadMultiple = 2.5
 
-// engineRules are the rules for engines and for what is listed by class or by kind of engine.
+// engineRules lists the rules for engines and for lists that are indexed by class or by kind of engine.
 var engineRules = []Rule{
 	{
 		Check: check.Check{
@@ -24,8 +24,8 @@
 		},
 		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Rules", "ColdFrom"}
-			if v := root.At(path...).NumberOr(1); v <= 0 || v > 1 {
-				report(formatNumber(v), path...)
+			if fraction := root.At(path...).NumberOr(1); fraction <= 0 || fraction > 1 {
+				report(formatNumber(fraction), path...)
 			}
 		},
 	},
@@ -40,8 +40,8 @@
 		},
 		Find: func(root *jsontext.Node, report ReportFunc) {
 			path := []string{"settings", "Rules", "FallMultiple"}
-			if v := root.At(path...).NumberOr(1); v < 1 || v > maxOverloadMultiple {
-				report(formatNumber(v), path...)
+			if multiple := root.At(path...).NumberOr(1); multiple < 1 || multiple > maxOverloadMultiple {
+				report(formatNumber(multiple), path...)
 			}
 		},
 	},
@@ -99,12 +99,12 @@
 	}
 }
 
-// sameLength returns the Find function of a rule by which lists of the domain have as many values as another
-// list of the settings.
-func sameLength(of string, keys ...string) func(*jsontext.Node, ReportFunc) {
+// sameLength returns the Find function of a rule that requires lists of the domain to be as long as a list of the
+// settings.
+func sameLength(settingsKey string, domainKeys ...string) func(*jsontext.Node, ReportFunc) {
 	return func(root *jsontext.Node, report ReportFunc) {
-		want := len(root.At("settings", of).Elements())
-		for _, key := range keys {
+		want := len(root.At("settings", settingsKey).Elements())
+		for _, key := range domainKeys {
 			list := root.At("settings", "Domain", key)
 			if got := len(list.Elements()); list != nil && got != want {
 				report(fmt.Sprintf("%d values for %d", got, want), "settings", "Domain", key)
--- a/internal/check/rules/operator.go
+++ b/internal/check/rules/operator.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	backlogFraction  = 1.0 / 8 // of the default memory, at most this fraction is for metrics that wait
-	minIdleIntervals = 2       // a name keeps its series for so many intervals at least
+	backlogFraction  = 1.0 / 8 // maximum fraction of the default memory limit for buffered metrics
+	minIdleIntervals = 2       // minimum time without an observation before a name loses its series, in intervals
 )
 
+// Paths of the lists of destinations.
 var (
 	graphiteList = []string{"telemetry", "graphite"}
 	collectdList = []string{"telemetry", "collectd"}
 )
 
-// operatorRules are the rules for the operator's configuration.
+// operatorRules lists the rules for the operator's configuration.
 var operatorRules = []Rule{
 	{
 		Kind: check.OperatorFile,
--- a/internal/check/rules/requests.go
+++ b/internal/check/rules/requests.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxAttempts  = 4     // the brief allows at most 4 attempts for a request
-	shareEpsilon = 0.005 // shares are written with two digits
-	shareDigits  = 1000  // a sum of shares is reported to three digits
+	maxAttempts    = 4     // for a request, by the specification
+	shareTolerance = 0.005 // of the sum of shares, which configurations specify with two decimals
+	shareRounding  = 1000  // findings report a sum of shares with three decimals
 )
 
-// classAndTenantRules are the rules for request classes and tenants.
+// classAndTenantRules lists the rules for request classes and tenants.
 var classAndTenantRules = []Rule{
 	{
 		Check: check.Check{
@@ -149,17 +149,14 @@
 	for _, class := range classes(root) {
 		objective, timeout := class.Get("PromiseNs").NumberOr(0), class.Get("GiveUpNs").NumberOr(0)
 		if timeout > 0 && objective > timeout {
-			report(
-				formatMS(objective)+", the client timeout is "+formatMS(timeout),
-				class.pathOf("PromiseNs")...,
-			)
+			report(formatMS(objective)+", the client timeout is "+formatMS(timeout), class.pathOf("PromiseNs")...)
 		}
 	}
 }
 
 func findTooManyAttempts(root *jsontext.Node, report ReportFunc) {
-	if n := root.At("settings", "Limits", "MaxAttempts").NumberOr(0); n > maxAttempts {
-		report(formatNumber(n), "settings", "Limits", "MaxAttempts")
+	if attempts := root.At("settings", "Limits", "MaxAttempts").NumberOr(0); attempts > maxAttempts {
+		report(formatNumber(attempts), "settings", "Limits", "MaxAttempts")
 	}
 }
 
@@ -185,12 +182,12 @@
 	for _, tenant := range tenants {
 		sum += tenant.Get("Share").NumberOr(0)
 	}
-	if len(tenants) > 0 && math.Abs(sum-1) > shareEpsilon {
-		report("they sum to "+formatNumber(math.Round(sum*shareDigits)/shareDigits), "settings", "Tenants")
+	if len(tenants) > 0 && math.Abs(sum-1) > shareTolerance {
+		report("they sum to "+formatNumber(math.Round(sum*shareRounding)/shareRounding), "settings", "Tenants")
 	}
 }
 
-// reportNotPositive reports the values of a key that are not over 0; a missing one is valid.
+// reportNotPositive reports the values of a key that are not greater than 0. A missing value is valid.
 func reportNotPositive(list []listItem, key string, report ReportFunc) {
 	for _, item := range list {
 		if value := item.Get(key); value.NumberOr(1) <= 0 {
@@ -204,10 +201,7 @@
 	for _, class := range classes(root) {
 		for i, kind := range class.Get("AllowedOn").Elements() {
 			if !kinds[kind.StringOrEmpty()] {
-				report(
-					strconv.Quote(kind.StringOrEmpty()),
-					class.pathOf("AllowedOn", strconv.Itoa(i))...,
-				)
+				report(strconv.Quote(kind.StringOrEmpty()), class.pathOf("AllowedOn", strconv.Itoa(i))...)
 			}
 		}
 	}
--- a/internal/check/rules/rules.go
+++ b/internal/check/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules is the layer of the checker for values that are valid each by itself, but break a rule of the
-// protocol, of the deployment, or of good sense. It works on trees of values and does no I/O.
+// Package rules is the layer of the checker for values that are valid individually, but violate a rule of the protocol
+// or of the deployment, or are probably not intended. It works on parsed files and does no I/O.
 package rules
 
 import (
@@ -15,15 +15,15 @@
 type Rule struct {
 	check.Check
 
-	Kind check.FileKind // the files that it applies to
+	Kind check.FileKind // of the files that the rule applies to
 	Find func(root *jsontext.Node, report ReportFunc)
 }
 
-// ReportFunc receives what a rule finds: what was observed, and the path of the value.
+// ReportFunc records a violation of a rule: the observed value and its path.
 type ReportFunc func(observed string, path ...string)
 
-// Table is every check of this layer, in order of the codes.
-var Table = inCodeOrder(classAndTenantRules, engineRules, brokerRules, knownListRules, operatorRules)
+// Table lists all checks of this layer in the order of their codes.
+var Table = inCodeOrder(classAndTenantRules, engineRules, brokerRules, endpointListRules, operatorRules)
 
 func inCodeOrder(groups ...[]Rule) []Rule {
 	return slices.SortedFunc(slices.Values(slices.Concat(groups...)), func(a, b Rule) int {
@@ -49,13 +49,13 @@
 type listItem struct {
 	*jsontext.Node
 
-	path []string
+	path []string // from the root of the file
 }
 
-// pathOf returns the path of a value below an item.
+// pathOf returns the path of the value at keys within the item.
 func (i listItem) pathOf(keys ...string) []string { return slices.Concat(i.path, keys) }
 
-// items returns the items of the list at a path, none if there is no list.
+// items returns the items of the list at a path. The result is empty if there is no list.
 func items(root *jsontext.Node, path ...string) []listItem {
 	elements := root.At(path...).Elements()
 	all := make([]listItem, len(elements))
@@ -68,8 +68,8 @@
 // classes returns the request classes of a platform's file.
 func classes(root *jsontext.Node) []listItem { return items(root, "settings", "RequestClasses") }
 
-// unique returns the Find function of a rule by which a key has another value in each item of some lists. The
-// lists are compared each by itself.
+// unique returns the Find function of a rule that requires a key to have a different value in each item of a list. It
+// checks each of the lists separately.
 func unique(key string, lists ...[]string) func(*jsontext.Node, ReportFunc) {
 	return func(root *jsontext.Node, report ReportFunc) {
 		for _, list := range lists {
@@ -88,7 +88,7 @@
 	}
 }
 
-// texts returns the strings of the list at a path.
+// texts returns the set of strings in the list at a path.
 func texts(root *jsontext.Node, path ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, element := range root.At(path...).Elements() {
