--- a/internal/description/platform.go
+++ b/internal/description/platform.go
@@ -154,6 +154,7 @@
 	})
 }
 
+// platformClassOf converts a class to the platform's format.
 func platformClassOf(c Class) platformClass {
 	class := platformClass{
 		Name:             c.Name,
@@ -172,16 +173,16 @@
 	return class
 }
 
-// platformDomain returns what the platform lists by class and by engine kind.
+// platformDomain returns the lists of the platform's file that are indexed by class or by engine kind.
 func (a *Application) platformDomain() platformDomain {
 	return platformDomain{
 		Threads: mapAll(
-			a.Classes, func(c Class) int { return valueOr(c.Threads, defaultThreads) },
+			a.Classes, func(class Class) int { return valueOr(class.Threads, defaultThreads) },
 		),
-		HoldsDataSetLock:     mapAll(a.Classes, func(c Class) bool { return c.HoldsDataSetLock }),
-		BlockedByDataSetLock: mapAll(a.Classes, func(c Class) bool { return c.BlockedByDataSetLock }),
-		Cores:                mapAll(a.EngineKinds, func(k EngineKind) float64 { return k.Cores }),
-		MemoryMB:             mapAll(a.EngineKinds, func(k EngineKind) float64 { return k.MemoryMB }),
+		HoldsDataSetLock:     mapAll(a.Classes, func(class Class) bool { return class.HoldsDataSetLock }),
+		BlockedByDataSetLock: mapAll(a.Classes, func(class Class) bool { return class.BlockedByDataSetLock }),
+		Cores:                mapAll(a.EngineKinds, func(kind EngineKind) float64 { return kind.Cores }),
+		MemoryMB:             mapAll(a.EngineKinds, func(kind EngineKind) float64 { return kind.MemoryMB }),
 		ReportsCost:          true,
 	}
 }
