--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -37,7 +37,7 @@
 	actionCollectorServe  = "collector-serve"
 )
 
-// Actions returns the actions of demo scenarios, as scenario.Parse takes them: those on engines, which require the
+// Actions returns the actions of demo scenarios, as scenario.Parse accepts them: those on engines, which require the
 // number of an engine, and those on the collector.
 func Actions() map[string]bool {
 	actions := map[string]bool{
--- a/internal/emulator/changelogserver/changelog_test.go
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -60,7 +60,7 @@
 	}
 	p, err := changelog.ParsePage(known)
 	if err != nil || p.Revision != 1 || !p.Changes[0].Snapshot || len(p.Changes[0].Endpoints) != 2 {
-		t.Fatalf("%+v, %v", p, err)
+		t.Fatalf("page %+v, error %v, want a snapshot of 2 endpoints", p, err)
 	}
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
 		t.Fatalf("poll without new events: %s, %v", text, err)
@@ -73,7 +73,7 @@
 	l.Publish(Endpoint{ID: "a", Addr: "127.0.0.1:1", Health: Terminating})
 	p, err = changelog.ParsePage([]byte(<-answer))
 	if err != nil || p.Revision != 2 || p.Changes[0].Snapshot || p.Changes[0].Endpoints[0].ID != "a" {
-		t.Fatalf("%+v, %v", p, err)
+		t.Fatalf("page %+v, error %v, want a change of endpoint a", p, err)
 	}
 }
 
--- a/internal/emulator/cluster/cluster.go
+++ b/internal/emulator/cluster/cluster.go
@@ -28,7 +28,7 @@
 	actionMove    = "moved" // a restart at another address
 )
 
-// Actions has the actions on engines, as scenario.Parse takes them. All require the number of an engine.
+// Actions has the actions on engines, as scenario.Parse accepts them. All require the number of an engine.
 var Actions = map[string]bool{
 	actionSlow: true, actionNormal: true, actionSilence: true, actionSpeak: true, actionDrain: true,
 	actionCrash: true, actionRestart: true, actionMove: true,
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -27,7 +27,7 @@
 }
 
 // Parse parses a comma-separated list of steps, each TIME:WHAT or TIME:WHAT:NUMBER, in the order of their times.
-// actions has the known actions and specifies for each whether it takes the number of a target, from 1 to targets.
+// actions has the known actions and specifies for each whether it requires the number of a target, from 1 to targets.
 // Errors quote the step.
 func Parse(text string, actions map[string]bool, targets int) ([]Step, error) {
 	if text == "" {
