--- a/internal/emulator/collector/recording.go
+++ b/internal/emulator/collector/recording.go
@@ -20,7 +20,7 @@
 var recordingForm = graphite.Form{Tags: true}
 
 // ErrRecording is returned for a file that is not a recording or ends in a truncated line.
-var ErrRecording = errors.New("invalid or truncated recording of metrics")
+var ErrRecording = errors.New("not a recording of metrics, or a truncated one")
 
 // recordingHeader is the first line of a recording.
 const recordingHeader = "wheatlane figures 1"
