--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -1,6 +1,6 @@
-// Package adminapi is the broker's admin endpoint, a second address for on-call staff: a caller sends one
-// line on a connection and is answered by one line that starts with ACK or NAK, for vars by the figures and a
-// line "--" behind it. Parse reads a call without I/O; Server holds the listener.
+// Package adminapi implements the broker's admin endpoint, a separate address for operators. A caller sends one line
+// on a connection and receives one line that starts with ACK or NAK; in the reply to vars, the metrics and a line
+// "--" follow it. Parse parses a call without I/O; Server accepts connections and answers calls.
 package adminapi
 
 import (
@@ -9,37 +9,36 @@
 	"unicode/utf8"
 )
 
-// MaxLineBytes is the length of the longest call in bytes, its line feed included.
+// MaxLineBytes is the maximum length of a call, including its line feed.
 const MaxLineBytes = 256
 
-// Verb names a call, as it stands on the wire.
+// Verb is the name of a call on the wire.
 type Verb string
 
 // The calls.
 const (
-	VerbCheck            Verb = "check"    // whether this process is ready to serve
-	VerbVars             Verb = "vars"     // the figures, then a line "--"
-	VerbStartMaintenance Verb = "set-down" // put an engine, by its id, into maintenance mode
-	VerbEndMaintenance   Verb = "set-up"   // end an engine's maintenance mode
+	VerbCheck            Verb = "check"    // reports whether this process is ready to serve
+	VerbVars             Verb = "vars"     // returns the metrics
+	VerbStartMaintenance Verb = "set-down" // puts an engine, given by its id, into maintenance mode
+	VerbEndMaintenance   Verb = "set-up"   // ends the maintenance mode of an engine
 )
 
-// takesID holds for each call whether it names an engine.
-var takesID = map[Verb]bool{
+// requiresID maps each call to whether it requires an engine's id.
+var requiresID = map[Verb]bool{
 	VerbCheck:            false,
 	VerbVars:             false,
 	VerbStartMaintenance: true,
 	VerbEndMaintenance:   true,
 }
 
-// Call is one call, read and checked.
+// Call is a valid call.
 type Call struct {
 	Verb Verb
-	ID   string // the engine's; empty where the call names none
+	ID   string // the engine's id; empty if the call requires none
 }
 
-// Parse reads one line, without its line feed; a carriage return at its end is passed over. Words are
-// separated by blanks and tabs. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknownCall, ErrMissingID or
-// ErrExtraArgument.
+// Parse parses a line, given without its line feed; a carriage return at its end is ignored. Words are separated by
+// white space. The error wraps ErrTooLong, ErrNotUTF8, ErrEmpty, ErrUnknownCall, ErrMissingID or ErrExtraArgument.
 func Parse(line []byte) (Call, error) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	switch {
@@ -53,7 +52,7 @@
 		return Call{}, ErrEmpty
 	}
 	verb, arguments := Verb(words[0]), words[1:]
-	needsID, known := takesID[verb]
+	needsID, known := requiresID[verb]
 	switch {
 	case !known:
 		return Call{}, fmt.Errorf("%w: %q", ErrUnknownCall, truncate(words[0]))
@@ -69,8 +68,8 @@
 	return Call{Verb: verb}, nil
 }
 
-// truncate keeps the echo of what was sent short.
+// truncate returns the start of a received word, so that replies that quote it stay short.
 func truncate(word []byte) []byte {
-	const maxEcho = 32
-	return word[:min(len(word), maxEcho)]
+	const maxQuotedBytes = 32
+	return word[:min(len(word), maxQuotedBytes)]
 }
--- a/internal/adminapi/line.go
+++ b/internal/adminapi/line.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// lineBuffer gathers the bytes of a connection into its first line, however they are split.
+// lineBuffer assembles the first line of a connection from reads of any size.
 type lineBuffer struct {
 	buf  []byte
-	done bool
+	done bool // the line is complete or too long
 }
 
-// feed takes more bytes. It returns the line, without its line feed, once it is complete, and ErrTooLong once
-// MaxLineBytes bytes came without one. After either, it takes nothing more.
+// feed adds received bytes. It returns the line, without its line feed, once it is complete, and an error that wraps
+// ErrTooLong once MaxLineBytes have been received without a line feed. After either, further bytes are ignored.
 func (l *lineBuffer) feed(data []byte) (line []byte, complete bool, err error) {
 	if l.done {
 		return nil, false, nil
--- a/internal/adminapi/line_test.go
+++ b/internal/adminapi/line_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// However the bytes of a connection are split, the line and its error are the same, and nothing panics.
-func TestLineSplitsAnywhere(t *testing.T) {
+// TCP may deliver a line in any fragments: the line and the error don't depend on the fragmentation, and Parse doesn't
+// panic on the line.
+func TestLineIsIndependentOfFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.SampledFrom([]byte("ab \n\r\xffset-downcheck")), 0, 2*MaxLineBytes).Draw(t, "text")
 		wantLine, wantComplete, wantErr := feedAll([][]byte{text})
@@ -19,16 +20,16 @@
 		}
 		line, complete, err := feedAll(parts)
 		if string(line) != string(wantLine) || complete != wantComplete || !errors.Is(err, wantErr) {
-			t.Fatalf("split %q: %q %v %v, in one: %q %v %v",
+			t.Fatalf("fragments %q: got %q, %v, %v; unfragmented: %q, %v, %v",
 				parts, line, complete, err, wantLine, wantComplete, wantErr)
 		}
 		if complete {
-			_, _ = Parse(line) // only that it does not panic is tested here
+			_, _ = Parse(line) // tests only that Parse does not panic
 		}
 	})
 }
 
-// feedAll feeds a buffer with parts until it has its line or an error.
+// feedAll feeds parts to a buffer until it returns a line or an error.
 func feedAll(parts [][]byte) (line []byte, complete bool, err error) {
 	var l lineBuffer
 	for _, part := range parts {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -15,68 +15,70 @@
 )
 
 const (
-	// readTimeout is how long a caller has for its line. One that sends nothing delays nobody else: each caller
-	// has a goroutine of its own.
+	// readTimeout bounds the wait for a caller's line. A silent caller delays no others, as each connection is
+	// served by its own goroutine.
 	readTimeout = 5 * time.Second
-	// answerTimeout is how long the broker has to carry out a call; the deployment page owes a reply within 1
-	// s.
-	answerTimeout = 800 * time.Millisecond
+	// executeTimeout bounds the execution of a call; the deployment page promises a reply within 1 s.
+	executeTimeout = 800 * time.Millisecond
 	// writeTimeout bounds the write of a reply.
 	writeTimeout = time.Second
-	// lingerTimeout and lingerBytes bound what is read and dropped after a reply, before the close.
+	// lingerTimeout and lingerBytes bound the reads after a reply, whose data is discarded, before the close.
 	lingerTimeout = 250 * time.Millisecond
 	lingerBytes   = 64 << 10
-	// acceptPause is how long the listener rests after a failed accept.
-	acceptPause = 50 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Broker carries out the calls. Each method is bounded by ctx.
+// Broker executes calls. Each method returns by the end of ctx, and is safe for concurrent use.
 type Broker interface {
 	// Ready reports whether the process is ready to serve.
 	Ready(ctx context.Context) (bool, error)
-	// Vars appends the figures, one a line in the text exposition format.
-	Vars(ctx context.Context, to []byte) ([]byte, error)
-	// StartMaintenance puts an engine into maintenance mode; ErrNotListed for an id never listed.
+	// Vars appends the metrics to buf, one per line in the text exposition format.
+	Vars(ctx context.Context, buf []byte) ([]byte, error)
+	// StartMaintenance puts an engine into maintenance mode. It returns ErrNotListed for an engine that was never in
+	// the endpoint list.
 	StartMaintenance(ctx context.Context, id string) error
-	// EndMaintenance ends an engine's maintenance mode; ErrNotListed for an id never listed.
+	// EndMaintenance ends the maintenance mode of an engine. It returns ErrNotListed for an engine that was never in
+	// the endpoint list.
 	EndMaintenance(ctx context.Context, id string) error
 }
 
-// endReason is the reason code in the log line of a connection that ended, beside those of internal/server.
+// endReason is the reason code in the log line of an ended connection, in addition to those of internal/server.
 type endReason string
 
 const (
-	endAnswered       endReason = "answered"             // a reply was written
-	endPeerClosed     endReason = "peer_closed"          // the caller closed before a complete line
-	endReadTimeout    endReason = "read_timeout"         // no complete line in time
-	endTooManyCallers endReason = "too_many_connections" // MaxConnections were served already
-	endWriteFailed    endReason = "write_timeout"        // the reply could not be written
-	endShutdown       endReason = "shutdown"             // the broker stops
+	endAnswered           endReason = "answered"             // a reply was written
+	endPeerClosed         endReason = "peer_closed"          // the caller closed before a complete line
+	endReadTimeout        endReason = "read_timeout"         // no complete line within readTimeout
+	endTooManyConnections endReason = "too_many_connections" // MaxConnections was reached
+	endWriteFailed        endReason = "write_timeout"        // the reply could not be written
+	endShutdown           endReason = "shutdown"             // the broker is stopping
 )
 
-// Server answers calls at a listener.
+// Server answers calls on the connections of a listener.
 type Server struct {
 	Broker         Broker
 	Log            *zap.Logger
-	MaxConnections int // served at once; one more is closed at once
+	MaxConnections int // served concurrently; further ones are closed immediately
 }
 
-// Serve answers until ctx ends; it closes ln then.
+// Serve accepts connections and answers calls until ctx ends, closes ln, and returns once all connections have
+// ended.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() {
-		_ = ln.Close() // it ends the accept that waits; there is nothing to do about its error
+		_ = ln.Close() // ends a pending accept; an error can't be handled here
 	})
 	defer stop()
 	group.Go(func() error {
-		s.acceptCallers(ctx, ln, group)
+		s.acceptConnections(ctx, ln, group)
 		return nil
 	})
 	return group.Wait()
 }
 
-// acceptCallers serves each caller in a goroutine of the group, until ctx ends or the listener is closed.
-func (s *Server) acceptCallers(ctx context.Context, ln net.Listener, group *errgroup.Group) {
+// acceptConnections serves each connection in its own goroutine of the group, until ctx ends or ln is closed.
+func (s *Server) acceptConnections(ctx context.Context, ln net.Listener, group *errgroup.Group) {
 	slots := make(chan struct{}, s.MaxConnections)
 	for {
 		conn, err := ln.Accept()
@@ -87,32 +89,33 @@
 			s.Log.Warn("admin accept failed", zap.Error(err))
 			select {
 			case <-ctx.Done():
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
-		accepted := time.Now()
+		acceptedAt := time.Now()
 		select {
 		case slots <- struct{}{}:
 			group.Go(func() error {
 				defer func() { <-slots }()
 				reason, err := s.serve(ctx, conn)
-				s.logEnd(conn, accepted, reason, err)
+				s.logEnd(conn, acceptedAt, reason, err)
 				return nil
 			})
 		default:
-			_ = conn.Close() // nothing was read or written: there is nothing to lose
-			s.logEnd(conn, accepted, endTooManyCallers, nil)
+			_ = conn.Close() // no data is lost, as nothing was read or written
+			s.logEnd(conn, acceptedAt, endTooManyConnections, nil)
 		}
 	}
 }
 
-func (s *Server) logEnd(conn net.Conn, accepted time.Time, reason endReason, err error) {
+// logEnd logs the end of a connection.
+func (s *Server) logEnd(conn net.Conn, acceptedAt time.Time, reason endReason, err error) {
 	fields := []zap.Field{
 		zap.String("side", "operator"),
 		zap.String("peer", conn.RemoteAddr().String()),
 		zap.String("reason", string(reason)),
-		zap.Duration("lasted", time.Since(accepted)),
+		zap.Duration("lasted", time.Since(acceptedAt)),
 	}
 	if err != nil {
 		fields = append(fields, zap.Error(err))
@@ -120,18 +123,18 @@
 	s.Log.Info("connection ended", fields...)
 }
 
-// serve reads one call and answers it.
+// serve reads one call, answers it, and closes the connection.
 func (s *Server) serve(ctx context.Context, conn net.Conn) (endReason, error) {
 	defer func() {
-		_ = conn.Close() // the reply was read or lost by now
+		_ = conn.Close() // an error changes nothing: the reply was received or lost before
 	}()
 	stop := context.AfterFunc(ctx, func() {
-		_ = conn.SetDeadline(time.Now()) // of a closed connection: nothing waits for it
+		_ = conn.SetDeadline(time.Now()) // fails only on a closed connection, which nothing waits for
 	})
 	defer stop()
 	line, err := readLine(ctx, conn)
 	if readErr, ok := errors.AsType[*readError](err); ok {
-		return endOfRead(ctx, readErr.err)
+		return readEndReason(ctx, readErr.err)
 	}
 	var call Call
 	if err == nil {
@@ -140,26 +143,26 @@
 	if err != nil {
 		return reply(conn, negativeReply(err), err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, executeTimeout)
 	defer cancel()
-	return reply(conn, s.answer(ctx, call), nil)
+	return reply(conn, s.execute(ctx, call), nil)
 }
 
-// readError is a failure of a connection before a complete line.
+// readError reports that a connection failed before a complete line was received.
 type readError struct{ err error }
 
 func (e *readError) Error() string { return fmt.Sprintf("read a call: %v", e.err) }
 
 func (e *readError) Unwrap() error { return e.err }
 
-// readLine reads the first line of a connection. Its error is a *readError or ErrTooLong.
+// readLine reads the first line of a connection. Its error is a *readError or wraps ErrTooLong.
 func readLine(ctx context.Context, conn net.Conn) ([]byte, error) {
-	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // of a closed connection: the read fails
-	var gathered lineBuffer
+	_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // on an error, the read fails too
+	var received lineBuffer
 	buf := make([]byte, MaxLineBytes)
 	for {
 		n, readErr := conn.Read(buf)
-		line, complete, err := gathered.feed(buf[:n])
+		line, complete, err := received.feed(buf[:n])
 		if err != nil || complete {
 			return line, err
 		}
@@ -172,8 +175,9 @@
 	}
 }
 
-// endOfRead is why a connection ended before a complete line, with the error where that adds to the reason.
-func endOfRead(ctx context.Context, err error) (endReason, error) {
+// readEndReason returns the reason why a connection ended before a complete line, and the error if it adds
+// information to the reason.
+func readEndReason(ctx context.Context, err error) (endReason, error) {
 	select {
 	case <-ctx.Done():
 		return endShutdown, nil
@@ -188,14 +192,14 @@
 	return endPeerClosed, err
 }
 
-// reply writes a reply; cause is the error that it answers, or nil.
+// reply writes a reply and returns the reason and the error to log; cause is the error that the reply reports, or nil.
 func reply(conn net.Conn, text []byte, cause error) (endReason, error) {
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // of a closed connection: the write fails
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on an error, the write fails too
 	if _, err := conn.Write(text); err != nil {
 		return endWriteFailed, err
 	}
-	// What the caller sent beyond its line would make the close a reset, and the reply could be lost with it.
-	// An error means that the caller has closed already.
+	// Closing a connection with unread data resets it, and the reset can discard the reply before the caller has
+	// read it. So data after the line is read first. An error means that the caller has already closed.
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 		_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -204,8 +208,8 @@
 	return endAnswered, cause
 }
 
-// answer carries a call out and words its reply.
-func (s *Server) answer(ctx context.Context, call Call) []byte {
+// execute executes a call and returns the reply.
+func (s *Server) execute(ctx context.Context, call Call) []byte {
 	var err error
 	switch call.Verb {
 	case VerbCheck:
@@ -229,7 +233,7 @@
 	return positiveReply(call)
 }
 
-// positiveReply repeats a call that was carried out.
+// positiveReply returns the ACK that confirms an executed call.
 func positiveReply(call Call) []byte {
 	text := "ACK " + string(call.Verb)
 	if call.ID != "" {
@@ -238,7 +242,7 @@
 	return []byte(text + "\n")
 }
 
-// negativeReply is the reason code of an error, then its detail if it has one.
+// negativeReply returns the NAK with the reason code of an error, followed by its details if it has any.
 func negativeReply(err error) []byte {
 	reason := Reason(err)
 	text := "NAK " + reason
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -14,23 +14,23 @@
 	"go.uber.org/zap"
 )
 
-const patience = 20 * time.Second // a test that waits so long has failed
+const testTimeout = 20 * time.Second // a test that waits longer fails
 
-// testCallers are served at once.
-const testCallers = 32
+// testConnections is the connection limit of the server under test.
+const testConnections = 32
 
-// fakeBroker is a broker that knows engines by their ids.
+// fakeBroker is a Broker with a static list of engines.
 type fakeBroker struct {
 	mu          sync.Mutex
-	listed      map[string]bool
-	maintenance map[string]bool
+	listed      map[string]bool // by engine id
+	maintenance map[string]bool // by engine id
 	ready       bool
-	busy        bool // Vars waits for its context to end
+	busy        bool // Vars blocks until its context ends
 }
 
 func (b *fakeBroker) Ready(context.Context) (bool, error) { return b.ready, nil }
 
-func (b *fakeBroker) Vars(ctx context.Context, to []byte) ([]byte, error) {
+func (b *fakeBroker) Vars(ctx context.Context, buf []byte) ([]byte, error) {
 	if b.busy {
 		<-ctx.Done()
 		return nil, ErrBusy
@@ -41,7 +41,7 @@
 	if len(b.maintenance) > 0 {
 		unhealthy = "1"
 	}
-	return append(to, "relay_current 3\nrelay_cluster_unhealthy "+unhealthy+"\n"...), nil
+	return append(buf, "relay_current 3\nrelay_cluster_unhealthy "+unhealthy+"\n"...), nil
 }
 
 func (b *fakeBroker) StartMaintenance(_ context.Context, id string) error {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// serve starts a server for the broker until the test ends and returns its address.
+// serve runs a server for the broker until the test ends and returns its address.
 func serve(t *testing.T, b Broker) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -73,7 +73,9 @@
 		t.Fatal(err)
 	}
 	done := make(chan error)
-	go func() { done <- (&Server{Broker: b, Log: zap.NewNop(), MaxConnections: testCallers}).Serve(ctx, ln) }()
+	go func() {
+		done <- (&Server{Broker: b, Log: zap.NewNop(), MaxConnections: testConnections}).Serve(ctx, ln)
+	}()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
@@ -83,7 +85,7 @@
 	return ln.Addr().String()
 }
 
-// dial connects to a server for as long as the test lasts.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -91,9 +93,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = conn.Close() // the test has read what it wanted
+		_ = conn.Close() // the test has read the reply
 	})
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn.(*net.TCPConn)
@@ -106,7 +108,7 @@
 	}
 }
 
-// call sends a text on a connection of its own and reads until the broker closes it.
+// call sends a text on a new connection and returns the reply, which ends when the server closes the connection.
 func call(t *testing.T, addr, text string) string {
 	t.Helper()
 	conn := dial(t, addr)
@@ -118,8 +120,9 @@
 	return string(answer)
 }
 
-// Calls see the maintenance mode that those ahead of them have left.
-func TestCalls(t *testing.T) {
+// Each call has the reply of the admin protocol. The cases run in order, as maintenance mode carries over from one
+// case to the next.
+func TestReplies(t *testing.T) {
 	listed := map[string]bool{"e1": true}
 	addr := serve(t, &fakeBroker{listed: listed, maintenance: map[string]bool{}, ready: true})
 	for _, c := range []struct{ name, send, want string }{
@@ -132,12 +135,12 @@
 		{"set-up", "set-up e1\n", "ACK set-up e1\n"},
 		{"set-up again", "set-up e1\n", "ACK set-up e1\n"},
 		{"set-up unknown", "set-up e9\n", "NAK not_listed\n"},
-		{"two lines", "check\nvars\n", "ACK check\n"}, // one line a connection
+		{"two lines", "check\nvars\n", "ACK check\n"}, // only the first line of a connection is answered
 		{"unknown call", "restart\n", `NAK unknown_call "restart"` + "\n"},
-		{"no id", "set-down\n", "NAK missing_argument set-down takes an engine's id\n"},
+		{"missing id", "set-down\n", "NAK missing_argument set-down takes an engine's id\n"},
 		{"check with an argument", "check 1\n", "NAK extra_argument check takes no argument\n"},
 		{"vars with an argument", "vars 1\n", "NAK extra_argument vars takes no argument\n"},
-		{"no UTF-8", "set-up \xff\n", "NAK not_utf8\n"},
+		{"invalid UTF-8", "set-up \xff\n", "NAK not_utf8\n"},
 		{"too long", strings.Repeat("v", 4*MaxLineBytes), "NAK too_long no line feed in 256 bytes\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,29 +151,29 @@
 	}
 }
 
-// A caller that closes after half a line gets no answer.
-func TestHalfALine(t *testing.T) {
+// A caller that closes before its line is complete gets no reply.
+func TestIncompleteLineIsNotAnswered(t *testing.T) {
 	conn := dial(t, serve(t, &fakeBroker{ready: true}))
 	send(t, conn, "che")
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	if answer, err := io.ReadAll(conn); err != nil || len(answer) > 0 {
-		t.Fatalf("got %q, %v", answer, err)
+		t.Fatalf("got reply %q, error %v; want neither", answer, err)
 	}
 }
 
-func TestNotReady(t *testing.T) {
+func TestCheckIsRejectedWhenNotReady(t *testing.T) {
 	addr := serve(t, &fakeBroker{})
 	if got := call(t, addr, "check\n"); got != "NAK not_ready\n" {
 		t.Fatalf("got %q", got)
 	}
 }
 
-// Callers that send nothing, or half a line, delay nobody: the broker answers the others meanwhile.
-func TestSlowCallersDelayNobody(t *testing.T) {
+// Callers that send nothing or an incomplete line must not delay the replies to other callers.
+func TestSlowCallersDelayNoOthers(t *testing.T) {
 	addr := serve(t, &fakeBroker{listed: map[string]bool{}, maintenance: map[string]bool{}, ready: true})
-	slow := make([]net.Conn, testCallers/2)
+	slow := make([]net.Conn, testConnections/2)
 	for i := range slow {
 		slow[i] = dial(t, addr)
 		if i%2 == 0 {
@@ -182,15 +185,16 @@
 			t.Fatalf("got %q", got)
 		}
 	}
-	// Each slow one is still open, and gets its answer once its line is complete.
+	// A slow connection is still open and is answered once its line is complete.
 	send(t, slow[0], "wn x\n")
 	if line, err := bufio.NewReader(slow[0]).ReadString('\n'); err != nil || line != "NAK not_listed\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
 }
 
-// A call that the broker can't carry out in time is answered all the same, well within the second owed.
-func TestBusyBrokerIsAnswered(t *testing.T) {
+// A call that the broker can't execute in time is answered with the reason busy. The deployment page promises a reply
+// within 1 s.
+func TestBusyBrokerIsReported(t *testing.T) {
 	addr := serve(t, &fakeBroker{busy: true})
 	if got := call(t, addr, "vars\n"); got != "NAK busy\n" {
 		t.Fatalf("got %q", got)
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -1,5 +1,5 @@
-// Package goldenfile compares what a test got with a file that holds what it is to get. Tests alone import it: it
-// registers their flag -update, with which the files are written anew.
+// Package goldenfile compares the output of tests with golden files, which hold the expected output. Only tests
+// import it: it registers the flag -update, which rewrites the golden files.
 package goldenfile
 
 import (
@@ -12,14 +12,15 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestingT is what Compare needs of a test.
+// TestingT is the subset of testing.TB that Compare uses.
 type TestingT interface {
 	Helper()
 	Fatal(args ...any)
 	Errorf(format string, args ...any)
 }
 
-// Compare fails a test if got differs from the content of a file. With -update it writes the file first.
+// Compare reports an error to t if got differs from the content of the file at path. With -update it writes got to
+// the file first.
 func Compare(t TestingT, path, got string) {
 	t.Helper()
 	diff, err := Diff(path, got)
@@ -31,7 +32,8 @@
 	}
 }
 
-// Diff returns how got differs from the content of a file; "" if it does not. With -update it writes the file first.
+// Diff returns the difference between the content of the file at path and got, empty if they are equal. With -update
+// it writes got to the file first.
 func Diff(path, got string) (string, error) {
 	want, err := Content(path, func() ([]byte, error) { return []byte(got), nil })
 	if err != nil {
@@ -40,20 +42,21 @@
 	return cmp.Diff(string(want), got), nil
 }
 
-// Content returns the content of a file. With -update it writes what generate returns to the file first.
+// Content returns the content of the file at path. With -update it writes the result of generate to the file first;
+// otherwise generate is not called.
 func Content(path string, generate func() ([]byte, error)) ([]byte, error) {
 	if *update {
 		generated, err := generate()
 		if err != nil {
-			return nil, fmt.Errorf("generate the golden file %s: %w", path, err)
+			return nil, fmt.Errorf("generate golden file %s: %w", path, err)
 		}
 		if err := os.WriteFile(path, generated, 0o600); err != nil {
-			return nil, fmt.Errorf("update a golden file: %w", err)
+			return nil, fmt.Errorf("update golden file: %w", err)
 		}
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("read a golden file: %w", err)
+		return nil, fmt.Errorf("read golden file: %w", err)
 	}
 	return content, nil
 }
--- a/internal/goldenfile/goldenfile_test.go
+++ b/internal/goldenfile/goldenfile_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-func TestDiffComparesWithTheFile(t *testing.T) {
+func TestDiffComparesWithFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "golden")
 	if _, err := Diff(path, "text"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a file: error %v, want that there is none", err)
+		t.Errorf("without a file: got error %v, want fs.ErrNotExist", err)
 	}
 	if err := os.WriteFile(path, []byte("text"), 0o600); err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if (diff != "") != c.differs {
-			t.Errorf("%q: diff %q", c.got, diff)
+			t.Errorf("%q: got diff %q, want any: %v", c.got, diff, c.differs)
 		}
 	}
 }
--- a/internal/rollout/invariants_test.go
+++ b/internal/rollout/invariants_test.go
@@ -39,7 +39,7 @@
 	*simulation
 
 	active   Version
-	backoffs map[Version]time.Duration // end of the first backoff of a version
+	backoffs map[Version]time.Duration // end of the shortest possible backoff of a version
 }
 
 func (h *host) handleEvent(t *rapid.T, ev Event) {
