--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -113,11 +113,11 @@
 	t.Helper()
 	conn := dial(t, addr)
 	send(t, conn, text)
-	answer, err := io.ReadAll(conn)
+	reply, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(reply)
 }
 
 // Each call has the reply of the admin protocol. The cases run in order, as maintenance mode carries over from one
@@ -158,8 +158,8 @@
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if answer, err := io.ReadAll(conn); err != nil || len(answer) > 0 {
-		t.Fatalf("got reply %q, error %v; want neither", answer, err)
+	if reply, err := io.ReadAll(conn); err != nil || len(reply) > 0 {
+		t.Fatalf("got reply %q, error %v; want neither", reply, err)
 	}
 }
 
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -10,9 +10,10 @@
 	"wheatlane/internal/server/netconn"
 )
 
-// adminCalls carries out the calls at the admin endpoint, on the reducer's goroutine.
+// adminCalls implements adminapi.Broker by executing calls on the reducer's goroutine.
 type adminCalls struct{ s *Service }
 
+// Ready reports whether the broker is ready to serve.
 func (c adminCalls) Ready(ctx context.Context) (ready bool, err error) {
 	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ netconn.ConnectionCounts) { ready = b.Ready() })
 	if !inspected {
@@ -21,9 +22,10 @@
 	return ready, nil
 }
 
-func (c adminCalls) Vars(ctx context.Context, to []byte) (out []byte, err error) {
+// Vars appends the metrics of the admin endpoint to buf.
+func (c adminCalls) Vars(ctx context.Context, buf []byte) (out []byte, err error) {
 	inspected := c.s.Server.Inspect(ctx, func(b *broker.Broker, _ netconn.ConnectionCounts) {
-		out = c.s.recorder.RelayFigures(to, b)
+		out = c.s.recorder.RelayFigures(buf, b)
 	})
 	if !inspected {
 		return nil, adminapi.ErrBusy
@@ -31,16 +33,18 @@
 	return out, nil
 }
 
+// StartMaintenance puts an engine into maintenance mode.
 func (c adminCalls) StartMaintenance(ctx context.Context, id string) error {
 	return maintenanceError(c.s.Server.StartMaintenance(ctx, id))
 }
 
+// EndMaintenance ends the maintenance mode of an engine.
 func (c adminCalls) EndMaintenance(ctx context.Context, id string) error {
 	return maintenanceError(c.s.Server.EndMaintenance(ctx, id))
 }
 
-// maintenanceError translates an error of the server into one of the admin endpoint: what was not applied in
-// time is ErrBusy.
+// maintenanceError converts an error of the server into one of the admin endpoint. It is adminapi.ErrBusy for a change
+// that was not applied in time.
 func maintenanceError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service assembles a broker of its parts: the server of clients, the admin endpoint and, where the
-// operator's configuration asks for it, telemetry.
+// Package service assembles a broker from its components: the server for clients, the admin endpoint and, if an
+// operator's configuration enables it, telemetry.
 package service
 
 import (
@@ -21,18 +21,18 @@
 	"wheatlane/internal/telemetry"
 )
 
-// Service is a broker that listens already. Run ends all that it started.
+// Service is a broker whose listeners are open. Run serves until it ends, and closes them.
 type Service struct {
-	Server         *server.Server
-	reporter       *telemetry.Reporter  // nil: neither an operator's configuration nor an admin endpoint
-	recorder       *telemetry.Recorder  // nil as reporter
-	operatorConfig *operatorconfig.File // nil: none
-	adminListener  net.Listener         // nil: there is no admin endpoint
-	adminCallers   int                  // that are served at once
-	log            *zap.Logger
+	Server              *server.Server
+	reporter            *telemetry.Reporter  // nil: neither an operator's configuration nor an admin endpoint
+	recorder            *telemetry.Recorder  // nil if reporter is
+	operatorConfig      *operatorconfig.File // nil: none
+	adminListener       net.Listener         // nil: no admin endpoint
+	maxAdminConnections int                  // served concurrently
+	log                 *zap.Logger
 }
 
-// New returns a service. operatorConfig is the operator's configuration, or nil.
+// New opens the listeners of a broker. operatorConfig is the operator's configuration, or nil.
 func New(
 	ctx context.Context, cfg config.Config, operatorConfig *operatorconfig.File, log *zap.Logger,
 ) (*Service, error) {
@@ -42,7 +42,7 @@
 	}
 	service := &Service{
 		Server: srv, operatorConfig: operatorConfig, log: log,
-		adminCallers: server.MaxAdminConnections(cfg),
+		maxAdminConnections: server.MaxAdminConnections(cfg),
 	}
 	if operatorConfig != nil || cfg.AdminListen != "" {
 		limits := (&operatorconfig.File{}).Cardinality()
@@ -61,7 +61,7 @@
 	return service, nil
 }
 
-// AdminAddr is the address of the admin endpoint, or nil without one.
+// AdminAddr returns the address of the admin endpoint, or nil if there is none.
 func (s *Service) AdminAddr() net.Addr {
 	if s.adminListener == nil {
 		return nil
@@ -69,8 +69,8 @@
 	return s.adminListener.Addr()
 }
 
-// Run serves until ctx ends or, after a value on stop, until all accepted requests are answered and the last
-// figures have been sent. The admin endpoint answers until the server has finished.
+// Run serves until ctx ends or, once stop is closed, until all accepted requests are answered and the last metrics
+// are sent. The admin endpoint answers until the server has finished.
 func (s *Service) Run(ctx context.Context, stop <-chan struct{}) error {
 	group, ctx := errgroup.WithContext(ctx)
 	finished := make(chan struct{}) // closed when the server has finished
@@ -85,30 +85,30 @@
 		group.Go(func() error { return s.reporter.Run(ctx, s.operatorConfig.Telemetry, stop, finished) })
 	}
 	if s.adminListener != nil {
-		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxConnections: s.adminCallers}
+		admin := &adminapi.Server{Broker: adminCalls{s}, Log: s.log, MaxConnections: s.maxAdminConnections}
 		group.Go(func() error { return admin.Serve(adminCtx, s.adminListener) })
 	}
 	return group.Wait()
 }
 
-// Reload applies a new configuration.
+// Reload applies a new configuration and counts the reload.
 func (s *Service) Reload(ctx context.Context, cfg config.Config) {
 	s.Server.Reload(ctx, cfg)
 	s.countReload(ctx, true)
 }
 
-// CountRejectedReload counts a configuration file that was rejected at SIGHUP.
+// CountRejectedReload counts a configuration file that was rejected at a reload.
 func (s *Service) CountRejectedReload(ctx context.Context) { s.countReload(ctx, false) }
 
-// countReload counts a configuration file that was read at SIGHUP, where there are figures.
+// countReload counts a configuration file that was read at a reload, if there are metrics.
 func (s *Service) countReload(ctx context.Context, accepted bool) {
 	if s.recorder != nil {
 		s.Server.Inspect(ctx, func(*broker.Broker, netconn.ConnectionCounts) { s.recorder.Reloaded(accepted) })
 	}
 }
 
-// ReloadOperatorConfig applies a new operator's configuration. A service that was started without one goes on
-// without.
+// ReloadOperatorConfig applies a new operator's configuration. It has no effect if the service was started without
+// one.
 func (s *Service) ReloadOperatorConfig(ctx context.Context, next *operatorconfig.File) {
 	if s.operatorConfig != nil {
 		s.reporter.Reload(ctx, next.Telemetry)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -16,9 +16,9 @@
 	"wheatlane/internal/config"
 )
 
-const patience = 20 * time.Second // a test that waits so long has failed
+const testTimeout = 20 * time.Second // a test that waits longer fails
 
-// adminConfig is the configuration of a broker with an admin endpoint and one engine.
+// adminConfig returns the configuration of a broker with an admin endpoint and one engine.
 func adminConfig(t *testing.T, changelogAddr string) config.Config {
 	t.Helper()
 	settings, err := config.DecodeSettings([]byte(`{"PeersTotal":1,"Limits":{"MaxAttempts":2},"RequestClasses":[
@@ -37,11 +37,11 @@
 	}
 }
 
-// The calls at the admin endpoint go through the reducer of a broker on real sockets, from its start to its
-// end.
-func TestAdminEndpoint(t *testing.T) {
-	waitForEnd := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	changeLog := httptest.NewServer(http.HandlerFunc(waitForEnd))
+// A broker on real sockets executes the calls of its admin endpoint, each with the effects of the previous ones, and
+// ends without an error.
+func TestAdminEndpointCalls(t *testing.T) {
+	blockUntilClosed := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	changeLog := httptest.NewServer(http.HandlerFunc(blockUntilClosed))
 	defer changeLog.Close()
 	defer changeLog.CloseClientConnections()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -60,12 +60,12 @@
 		{"set-down of an unknown engine", "set-down e9", "NAK not_listed\n"},
 		{"vars in maintenance", "vars", "relay_cluster_size 1\nrelay_cluster_unhealthy 1\n"},
 		{"set-up", "set-up e1", "ACK set-up e1\n"},
-		{"vars after it", "vars", "relay_cluster_unhealthy 0\n"},
+		{"vars after maintenance", "vars", "relay_cluster_unhealthy 0\n"},
 		{"ready again", "check", "ACK check\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := call(t, addr, c.send); !strings.Contains(got, c.want) {
-				t.Errorf("got %q, want %q in it", got, c.want)
+				t.Errorf("got %q, want it to contain %q", got, c.want)
 			}
 		})
 	}
@@ -75,12 +75,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the broker did not end")
+	case <-time.After(testTimeout):
+		t.Fatalf("the broker did not end within %v", testTimeout)
 	}
 }
 
-// call sends a line to the admin endpoint and returns the answer.
+// call sends a line to the admin endpoint and returns the reply.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -88,17 +88,17 @@
 		t.Fatal(err)
 	}
 	defer func() {
-		_ = conn.Close() // the answer has been read
+		_ = conn.Close() // the reply has been read
 	}()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(conn)
+	reply, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(reply)
 }
