--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -10,7 +10,7 @@
 	"wheatlane/internal/wire"
 )
 
-// run answers each batch of the input with a reply, until the input ends between batches.
+// run replies to each batch of the input, until the input ends between two batches.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	h := host{controllers: map[int]*control.Controller{}}
@@ -31,9 +31,9 @@
 	}
 }
 
-// host owns the instances.
+// host owns the instances of the decision module.
 type host struct {
-	controllers map[int]*control.Controller
+	controllers map[int]*control.Controller // by instance number
 }
 
 // inbox holds the events of a batch for one instance.
@@ -42,8 +42,8 @@
 	events   []control.Event
 }
 
-// handle gives each instance its events of a batch, in the order in which the batch names the instances
-// first, and writes their actions.
+// handle passes the events of a batch to their instances and writes the resulting actions. The instances are in the
+// order of their first mention in the batch.
 func (h *host) handle(batch wire.Batch, writer *wire.Writer) error {
 	inboxes, err := h.distribute(batch)
 	if err != nil {
@@ -52,13 +52,13 @@
 	for _, box := range inboxes {
 		if controller := h.controllers[box.instance]; controller != nil {
 			writer.BeginInstance(box.instance)
-			act(controller, writer, batch.Now, box.events)
+			handleEvents(controller, writer, batch.Now, box.events)
 		}
 	}
 	return nil
 }
 
-// distribute creates and ends instances and sorts the events of a batch by the instance that they are for.
+// distribute creates and ends instances, and groups the events of a batch by instance.
 func (h *host) distribute(batch wire.Batch) ([]*inbox, error) {
 	var inboxes []*inbox
 	byInstance := map[int]*inbox{}
@@ -70,7 +70,7 @@
 			inboxes = append(inboxes, box)
 		}
 		switch {
-		case item.Crash: // what it had not yet acted on is lost with it
+		case item.Crash: // events that the instance has not handled are lost
 			box.events = nil
 			delete(h.controllers, item.Instance)
 		case item.Create != nil:
@@ -89,11 +89,12 @@
 	return inboxes, nil
 }
 
-// act has an instance act on its events. A panic of its code becomes an internal error in the reply.
-func act(controller *control.Controller, writer *wire.Writer, now time.Duration, events []control.Event) {
+// handleEvents passes events to an instance and writes its actions. A panic of the instance is reported as an internal
+// error in the reply.
+func handleEvents(controller *control.Controller, writer *wire.Writer, now time.Duration, events []control.Event) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			writer.InternalError(fmt.Sprint(fault))
+		if reason := recover(); reason != nil {
+			writer.InternalError(fmt.Sprint(reason))
 		}
 	}()
 	for _, action := range controller.Handle(now, events) {
--- a/cmd/adapter/host_test.go
+++ b/cmd/adapter/host_test.go
@@ -9,13 +9,14 @@
 	"wheatlane/internal/wire"
 )
 
-// create makes an instance with one class, q.
+// create is the message that creates an instance with the single class q.
 const create = `CREATE RngSeed=1 ProfileData={"PeersTotal": 1, "RoundNs": 5000000, "MachineTypes": ["std"], ` +
 	`"Domain": {"SizeCores": [8], "KindMemoryMb": [1000], "WidthByClass": [1]}, "Limits": {"MaxAttempts": 2}, ` +
 	`"RequestClasses": [{"Name": "q", "Effect": "repeatable", "PromiseNs": 600000000, "Worth": 1}]}` + "\n"
 
-// The adapter over pipes: a reply is flushed after every batch, and it ends when its input ends.
-func TestConversationOverPipes(t *testing.T) {
+// The simulator waits for the reply to a batch before it sends the next one: each reply is flushed, and the adapter
+// ends with its input.
+func TestRepliesOverPipes(t *testing.T) {
 	inR, inW := io.Pipe()
 	outR, outW := io.Pipe()
 	done := make(chan error, 1)
@@ -48,11 +49,11 @@
 	if !strings.Contains(strings.Join(got, "\n"), "DELIVER Rid=r1 Executor=e:1") {
 		t.Fatalf("reply to a request: %v", got)
 	}
-	// Killed and started again within one batch: the request before is forgotten.
+	// An instance that crashes and is recreated within one batch does not handle the request before the crash.
 	got = exchange("CLOCK SimTimeNs=4\nSWITCH_TO Who=7\nINGRESS Rid=r2 Profile=q DropDeadNs=3000000000\nCRASH_NOW\n" +
 		create + "DISCOVERY Sheet=0 Kind=cached\nGO\n")
 	if strings.Contains(strings.Join(got, "\n"), "r2") {
-		t.Fatalf("acted for a request from before its crash: %v", got)
+		t.Fatalf("handled a request from before the crash: %v", got)
 	}
 	if err := inW.Close(); err != nil {
 		t.Fatal(err)
@@ -62,19 +63,19 @@
 	}
 }
 
-func TestInvalidInputEndsInAnError(t *testing.T) {
-	const begun = "CLOCK SimTimeNs=1\n"
+func TestInvalidInputIsReportedAsError(t *testing.T) {
+	const header = "CLOCK SimTimeNs=1\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown instance": {begun + "SWITCH_TO Who=9\nWAKE Mark=1\nGO\n", "instance 9"},
+		"unknown instance": {header + "SWITCH_TO Who=9\nWAKE Mark=1\nGO\n", "instance 9"},
 		"no classes": {
-			begun + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes",
+			header + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes",
 		},
-		"unknown message": {begun + "NONSENSE\n", "unknown message"},
+		"unknown message": {header + "NONSENSE\n", "unknown message"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := run(strings.NewReader(c.text), io.Discard)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want %q", err, c.want)
+				t.Errorf("got error %v, want it to contain %q", err, c.want)
 			}
 		})
 	}
@@ -83,7 +84,7 @@
 func TestPanicBecomesInternalError(t *testing.T) {
 	var out strings.Builder
 	writer := wire.NewWriter(&out)
-	act(nil, writer, 1, nil)
+	handleEvents(nil, writer, 1, nil)
 	if err := writer.EndReply(); err != nil || !strings.HasPrefix(out.String(), "INTERNAL_ERROR What=") {
 		t.Fatalf("got %q, %v", out.String(), err)
 	}
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module behind the simulator's line protocol on standard
-// input and output. It decides nothing itself.
+// Command adapter runs instances of the decision module behind the simulator's line protocol on standard input and
+// output. All decisions are made by the module.
 package main
 
 import (
