--- a/cmd/wheatlane/check.go
+++ b/cmd/wheatlane/check.go
@@ -18,10 +18,10 @@
 	"wheatlane/internal/jsontext"
 )
 
-// errFindings reports that there are findings; they have been printed.
+// errFindings reports that there are findings. They have been printed before.
 var errFindings = errors.New("there are findings")
 
-// The formats of findings.
+// The output formats of findings.
 const (
 	formatText = "text"
 	formatJSON = "json"
@@ -48,13 +48,13 @@
 	return c
 }
 
-// configFile is a file that was read, but not parsed.
+// configFile is a configuration file that is not parsed.
 type configFile struct {
 	name string
 	text []byte
 }
 
-// runCheck checks files, and those of directories, and prints the findings.
+// runCheck checks files, and the files in directories, prints the findings, and returns errFindings if there are any.
 func runCheck(c *cobra.Command, paths []string, format string) error {
 	files, err := readConfigFiles(paths)
 	if err != nil {
@@ -85,9 +85,9 @@
 	return out.err()
 }
 
-// checkFiles runs all layers of the checker: on each file by itself, and on all together.
+// checkFiles runs all layers of the checker: the format and the rules on each file, and the fleet's on all files.
 func checkFiles(files []configFile) ([]check.Finding, error) {
-	findings := []check.Finding{} // not nil, as it is printed as a JSON array
+	findings := []check.Finding{} // not nil, so that it is encoded as a JSON array
 	var parsed []*check.File
 	for _, file := range files {
 		f, found, err := form.Run(file.name, file.text)
@@ -153,12 +153,12 @@
 	return names, nil
 }
 
-// readConfigFile reads a file up to one byte beyond the size that the parser accepts.
+// readConfigFile reads a file, at most one byte more than the size limit of the parser, which then rejects it.
 func readConfigFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // no data is lost, as the file was only read
 	return io.ReadAll(io.LimitReader(f, jsontext.MaxText+1))
 }
--- a/cmd/wheatlane/demo.go
+++ b/cmd/wheatlane/demo.go
@@ -14,10 +14,10 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// What the demo can show on one machine.
+// The limits of a demo, which runs all its servers and clients on one machine.
 const (
 	maxDemoEngines = 32
-	maxDemoRate    = 500 // requests a second
+	maxDemoRate    = 500 // requests per second
 )
 
 func demoCommand() *cobra.Command {
--- a/cmd/wheatlane/diff.go
+++ b/cmd/wheatlane/diff.go
@@ -10,7 +10,7 @@
 	"wheatlane/internal/jsontext"
 )
 
-// errDiffer reports that two files differ; the changes have been printed.
+// errDiffer reports that two files differ. The differences have been printed before.
 var errDiffer = errors.New("they differ")
 
 func configDiffCommand() *cobra.Command {
@@ -22,6 +22,7 @@
 	}
 }
 
+// runDiff prints the differences between two files by their meaning, and returns errDiffer if there are any.
 func runDiff(c *cobra.Command, oldName, newName string) error {
 	oldRoot, err := parseConfigFile(oldName)
 	if err != nil {
--- a/cmd/wheatlane/emulate.go
+++ b/cmd/wheatlane/emulate.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// emulateCommand groups the emulators. `standin` is accepted in its place.
+// emulateCommand returns the group of the emulators. Its alias is 'standin'.
 func emulateCommand() *cobra.Command {
 	group := commandGroup(
 		"emulate",
@@ -27,19 +27,18 @@
 	return group
 }
 
-// maxEmulation is how long an emulator runs unless a flag says otherwise.
-const maxEmulation = time.Hour
+// defaultEmulationDuration is the duration of an emulator that no flag specifies.
+const defaultEmulationDuration = time.Hour
 
-// emulation is what runs beside each other while an emulator does: its servers, and the scenario of its
-// faults.
+// emulation runs the servers of an emulator and the scenario of their faults concurrently.
 type emulation struct {
-	duration time.Duration // the longest time that it runs
+	duration time.Duration // maximum run time
 	steps    []scenario.Step
 	apply    func(context.Context, scenario.Step) error
 	servers  []func(context.Context) error
 }
 
-// run runs until a signal, the end of the duration, or an error. Steps are printed as they are applied.
+// run runs until a signal, the end of the duration, or an error. It prints each step when it is applied.
 func (e *emulation) run(c *cobra.Command) error {
 	ctx, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -17,10 +17,10 @@
 	"wheatlane/internal/graphite"
 )
 
-// clearAction makes an emulated collector lose all samples, as one that restarts without its disk.
+// clearAction deletes all samples of an emulated collector, like a restart without its disk.
 const clearAction = "empty"
 
-// collectorActions are the actions of a collector's scenario. None of them names a target.
+// collectorActions are the actions in the scenario of a collector. None of them has a target.
 var collectorActions = map[string]bool{
 	string(collector.Serve):       false,
 	string(collector.Unreachable): false,
@@ -32,10 +32,10 @@
 	clearAction:                   false,
 }
 
-// errViolations reports that a broker has sent what violates the catalogue of metrics.
+// errViolations reports that a broker has sent data that violates the catalogue of metrics.
 var errViolations = errors.New("violations in what was received")
 
-// collectorFlags are the flags that all emulated collectors have.
+// collectorFlags are the common flags of emulated collectors.
 type collectorFlags struct {
 	listen   string
 	record   string
@@ -43,12 +43,13 @@
 	duration time.Duration
 }
 
+// register adds the flags to c. listen is the default address.
 func (f *collectorFlags) register(c *cobra.Command, listen string) {
 	c.Flags().StringVar(&f.listen, "listen", listen, "address and port")
 	c.Flags().StringVar(&f.record, "record", "", "file to record samples to, for 'wheatlane report'")
 	c.Flags().StringVar(&f.faults, "faults", "", "scenario of faults, as in 30s:gone,90s:serve; "+
 		"modes: serve, gone, mute, slow, tear (Graphite), lossy, shuffle (collectd), empty")
-	c.Flags().DurationVar(&f.duration, "for", maxEmulation, "end after this time")
+	c.Flags().DurationVar(&f.duration, "for", defaultEmulationDuration, "end after this time")
 }
 
 // emulatedCollector is a carbon or collectd server.
@@ -58,8 +59,8 @@
 	Run(ctx context.Context) error
 }
 
-// run runs a collector, which start creates, until a signal or the end of its duration, and prints what it
-// received.
+// run runs the collector that start creates until a signal or the end of its duration, and prints a summary of the
+// received samples.
 func (f *collectorFlags) run(
 	c *cobra.Command, start func(*collector.Reconciler) (emulatedCollector, error),
 ) error {
@@ -97,10 +98,10 @@
 	return printReceived(out, reconciler.Reconcile())
 }
 
-// optionalRecording is a recording, or none.
+// optionalRecording is a recording, or nil if samples are not recorded.
 type optionalRecording struct{ *collector.Recording }
 
-// openRecording creates the file to record to, if a flag names one.
+// openRecording creates the recording that the flag specifies, if any.
 func (f *collectorFlags) openRecording() (optionalRecording, error) {
 	if f.record == "" {
 		return optionalRecording{}, nil
@@ -133,7 +134,8 @@
 	return r.Close()
 }
 
-// printReceived prints what a collector received; the error holds the violations of the catalogue.
+// printReceived prints a summary of the samples that a collector received. It returns errViolations with the
+// violations of the catalogue, if any.
 func printReceived(out *output, f *collector.Findings) error {
 	out.printf(
 		"%d samples, %d duplicates, %d incomplete intervals\n", f.Samples, f.Duplicated, f.Incomplete,
@@ -178,10 +180,10 @@
 	return c
 }
 
-// collectdSeed is the seed of the losses and of the order of datagrams.
+// collectdSeed is the seed of the simulated loss and reordering of datagrams.
 const collectdSeed = 1
 
-// securityLevels are the values of the flag security.
+// securityLevels are the levels by the value of the flag security.
 var securityLevels = map[string]collectd.Level{
 	"none":    collectd.Plain,
 	"sign":    collectd.Sign,
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/emulator/scenario"
 )
 
-// defaultListFile is where the emulated engines are listed for the emulated change log.
+// defaultListFile is the default name of the file in which emulated engines are listed for the emulated change log.
 const defaultListFile = "engines.json"
 
 // engineFlags are the flags of emulated engines.
@@ -36,7 +36,7 @@
 	c.Flags().StringVar(&flags.faults, "faults", "",
 		"scenario of faults by engine, as in 30s:slow:2,60s:quick:2; "+
 			"slow, quick, silent, speak, drain, crash, back, moved")
-	c.Flags().DurationVar(&flags.duration, "for", maxEmulation, "end after this time")
+	c.Flags().DurationVar(&flags.duration, "for", defaultEmulationDuration, "end after this time")
 	return c
 }
 
@@ -66,7 +66,7 @@
 	return errors.Join(out.err(), e.run(c))
 }
 
-// changelogActions are the actions of a change log's scenario. None of them names a target.
+// changelogActions are the actions in the scenario of a change log. None of them has a target.
 var changelogActions = map[string]bool{
 	string(changelogserver.Serve):       false,
 	string(changelogserver.Truncating):  false,
@@ -98,7 +98,7 @@
 	c.Flags().StringVar(&flags.faults, "faults", "",
 		"scenario of faults, as in 30s:stall,60s:serve; serve, break, stall, refuse")
 	c.Flags().DurationVar(&flags.delay, "late", 0, "delay of each change")
-	c.Flags().DurationVar(&flags.duration, "for", maxEmulation, "end after this time")
+	c.Flags().DurationVar(&flags.duration, "for", defaultEmulationDuration, "end after this time")
 	return c
 }
 
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -16,14 +16,14 @@
 	"wheatlane/internal/operatorconfig"
 )
 
-// schemaSource is a kind of file with its schema.
+// schemaSource is a type of file with its schema.
 type schemaSource struct {
-	file      string // in words
+	file      string // name of the type in output
 	schema    func() (*jsonschema.Schema, error)
-	variables map[string]string // environment variables that take precedence over keys
+	variables map[string]string // environment variables that take precedence over a key, by key
 }
 
-// schemaSources are the kinds of file that the program reads.
+// schemaSources are the types of file that the program reads.
 var schemaSources = []schemaSource{
 	{file: "an operator's file", schema: operatorconfig.JSONSchema},
 	{
@@ -49,6 +49,8 @@
 	return c
 }
 
+// runExplain prints the meaning of a key in each type of file that has it and, unless file is empty, its values in
+// that file.
 func runExplain(c *cobra.Command, key, file string) error {
 	out := stdout(c)
 	path := strings.Split(key, ".")
@@ -90,7 +92,7 @@
 	out.println()
 }
 
-// printValues prints the values that a file gives a key, with their places.
+// printValues prints the values of a key in a file with their positions.
 func printValues(c *cobra.Command, out *output, file string, path []string) error {
 	text, err := readConfigFile(file)
 	if err != nil {
@@ -110,7 +112,8 @@
 	return nil
 }
 
-// schemaAt returns the schema at a path, which passes over the indices of lists; nil if there is none.
+// schemaAt returns the schema of the key at path, nil if there is none. A path has no list indices: it continues in
+// the schema of the items.
 func schemaAt(s *jsonschema.Schema, path []string) *jsonschema.Schema {
 	for _, key := range path {
 		for s != nil && s.Items != nil {
@@ -124,7 +127,7 @@
 	return s
 }
 
-// valuesAt returns the values at a path, which passes over the indices of lists.
+// valuesAt returns the values of the key at path. A path has no list indices: it continues in each item.
 func valuesAt(n *jsontext.Node, path []string) []*jsontext.Node {
 	switch {
 	case n == nil:
@@ -141,7 +144,7 @@
 	return valuesAt(n.Get(path[0]), path[1:])
 }
 
-// printSchema prints the meaning, type, default and bounds of a value.
+// printSchema prints the meaning, type, default and bounds of a key.
 func printSchema(out *output, s *jsonschema.Schema) {
 	line := func(label, text string) {
 		if text != "" {
--- a/cmd/wheatlane/main.go
+++ b/cmd/wheatlane/main.go
@@ -1,5 +1,6 @@
-// Command wheatlane is a broker: it takes queries from clients, lets the decision module choose when and on
-// which engine each runs, and answers. Without an argument it serves; its other commands are for operators.
+// Command wheatlane is a broker: it accepts queries from clients, runs each on the engine and at the time that the
+// decision module selects, and returns the results. Without an argument it serves; its other commands are for
+// operators.
 package main
 
 import (
@@ -16,12 +17,12 @@
 // The exit codes.
 const (
 	exitFailed = 1 // the command failed
-	exitUsage  = 2 // the command line, or a file that it names, can't be read
+	exitUsage  = 2 // the command line is invalid, or a file that it names can't be read
 )
 
 func main() {
 	root := rootCommand()
-	if command, _, err := root.Find(os.Args[1:]); err == nil && command.Annotations[serves] == "" {
+	if command, _, err := root.Find(os.Args[1:]); err == nil && command.Annotations[servesAnnotation] == "" {
 		earlysignal.RestoreHangup()
 	}
 	err := root.Execute()
@@ -38,16 +39,17 @@
 
 // usageError reports invalid usage of a command.
 type usageError struct {
-	command string // with the commands that it is part of
+	command string // the full path of the command
 	err     error
 }
 
+// newUsageError returns a usageError of the command c with the cause err.
 func newUsageError(c *cobra.Command, err error) error { return &usageError{c.CommandPath(), err} }
 
 func (e *usageError) Error() string { return e.err.Error() }
 func (e *usageError) Unwrap() error { return e.err }
 
-// checkArgs turns the errors of a check of arguments into usage errors.
+// checkArgs converts the errors of an argument check into usage errors.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -71,20 +73,20 @@
 		SilenceUsage:  true,
 	}
 	c.SetFlagErrorFunc(newUsageError)
-	runServe(c)
+	makeServing(c)
 	serve := &cobra.Command{
 		Use:   "serve",
 		Short: "Serve clients until SIGTERM",
 		Args:  checkArgs(cobra.NoArgs),
 	}
-	runServe(serve)
+	makeServing(serve)
 	c.AddCommand(
 		serve, metricsCommand(), configCommand(), emulateCommand(), reportCommand(), demoCommand(),
 	)
 	return c
 }
 
-// commandGroup returns a command that only has subcommands.
+// commandGroup returns a command that can only be run with one of its subcommands.
 func commandGroup(use, short string, subcommands ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{
 		Use:   use,
@@ -98,7 +100,7 @@
 	return c
 }
 
-// version returns the module version, the revision and the Go version of the build.
+// version returns the module version, the source revision and the Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -68,7 +68,7 @@
 	return errors.Join(out.err(), table.Flush())
 }
 
-// catalogueEntry is a metric as 'metrics list --json' prints it.
+// catalogueEntry is a metric in the output of 'metrics list --json'.
 type catalogueEntry struct {
 	Name    string   `json:"name"`
 	Kind    string   `json:"kind"`
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -46,8 +46,8 @@
 	return out.err()
 }
 
-// readRecordings reads a recording, or those of a directory in order of their names. A truncated one is read
-// as far as possible and reported on standard error: its collector may have been killed.
+// readRecordings reads a recording, or those of a directory in the order of their names. A recording is truncated if
+// its collector was killed: its complete samples are used, and a warning is printed to standard error.
 func readRecordings(c *cobra.Command, path string) ([]collector.Sample, error) {
 	names, err := recordingNames(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return samples, warnings.err()
 }
 
-// recordingNames returns a file itself, or the recordings of a directory.
+// recordingNames returns the path of a file itself, or the recordings in a directory in the order of their names.
 func recordingNames(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -88,13 +88,13 @@
 	return names, nil
 }
 
-// readRecording returns the samples before an error along with it.
+// readRecording reads a recording. With an error it also returns the samples that precede the error.
 func readRecording(name string) ([]collector.Sample, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // no data is lost, as the file was only read
 	samples, err := collector.ReadRecording(f)
 	if err != nil {
 		return samples, fmt.Errorf("%s: %w", name, err)
--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	// heapFraction is the fraction of the memory limit from which the runtime collects harder; the rest
-	// is for what it does not count: kernel buffers and the program itself.
+	// heapFraction is the Go runtime's memory limit as a fraction of the configured limit. The rest is reserved
+	// for memory that the runtime does not count: kernel buffers and the program itself.
 	heapFraction = 0.6
 
 	bytesPerMegabyte = 1 << 20
 )
 
-// serves is the annotation of the commands that serve: SIGHUP reloads their configuration and never ends them.
-const serves = "serves"
+// servesAnnotation marks the commands that serve: SIGHUP reloads their configuration and never ends them.
+const servesAnnotation = "serves"
 
-// runServe makes a command serve.
-func runServe(c *cobra.Command) {
-	c.Annotations = map[string]string{serves: "true"}
+// makeServing makes c a command that serves.
+func makeServing(c *cobra.Command) {
+	c.Annotations = map[string]string{servesAnnotation: "true"}
 	operatorFile := c.Flags().String("operator", "",
 		"the operator's configuration; without it WHEATLANE_OPERATOR names the file, if any")
 	c.RunE = func(c *cobra.Command, _ []string) error {
@@ -47,11 +47,12 @@
 	}
 }
 
-// logLevelVariable names the least level of the log: debug adds a line for each transition of a request.
+// logLevelVariable is the environment variable with the minimum level of the log. The level debug adds a line for
+// each state transition of a request.
 const logLevelVariable = "WHEATLANE_LOG_LEVEL"
 
-// newLog returns the log of a program that serves: JSON lines on standard error, which wait for its reader on a
-// goroutine of their own.
+// newLog returns the log of a serving program: JSON lines on standard error. They are written by a separate goroutine,
+// so that a slow reader of the log does not block the program.
 func newLog() (*zap.Logger, error) {
 	cfg := zap.NewProductionConfig()
 	if text := os.Getenv(logLevelVariable); text != "" {
@@ -61,7 +62,7 @@
 		}
 		cfg.Level = level
 	}
-	cfg.Sampling = nil // every ended connection has its line
+	cfg.Sampling = nil // no line may be dropped: each ended connection logs one
 	cfg.DisableCaller = true
 	lines := zapcore.AddSync(asynclog.New(os.Stderr))
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(cfg.EncoderConfig), lines, cfg.Level)
@@ -75,27 +76,27 @@
 // serve runs a broker until SIGTERM or SIGINT. operatorFile is empty if there is no operator's configuration.
 func serve(ctx context.Context, operatorFile string) error {
 	hangup := handleSignals()
-	cfg, own, err := loadFiles(ctx, operatorFile)
+	cfg, operatorConfig, err := loadFiles(ctx, operatorFile)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // the processes of a broker run on one core
+	runtime.GOMAXPROCS(1) // all processes of a broker share one core
 	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * bytesPerMegabyte))
 	log, err := newLog()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // what nobody has read by then is lost
+	defer func() { _ = log.Sync() }() // lines that can't be written are lost
 	log = log.With(zap.String("broker", cfg.Name))
 
 	stop, cancelStop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancelStop()
-	broker, err := service.New(ctx, cfg, own, log)
+	broker, err := service.New(ctx, cfg, operatorConfig, log)
 	if err != nil {
 		return err
 	}
 	logServing(log, broker, cfg)
-	// The broker finishes its requests after a signal, so its context is not that of the signal.
+	// After a signal the broker finishes its requests, so the signal must not cancel its context.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// handleSignals keeps SIGHUP and SIGPIPE from ending the process, and returns the SIGHUPs. SIGPIPE arises
-// once nobody reads the log on standard error any more.
+// handleSignals prevents SIGHUP and SIGPIPE from ending the process, and returns a channel that receives SIGHUPs.
+// SIGPIPE is raised when the log is written to standard error and its reader has closed the pipe.
 func handleSignals() <-chan os.Signal {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -127,30 +128,31 @@
 	if err != nil || operatorFile == "" {
 		return cfg, nil, err
 	}
-	own, err := loadOperatorConfig(ctx, operatorFile)
-	return cfg, own, err
+	operatorConfig, err := loadOperatorConfig(ctx, operatorFile)
+	return cfg, operatorConfig, err
 }
 
-// loadWithin bounds the tries to read a file that the system fails to open or read for a moment. A file that is not
-// read at SIGHUP would leave the broker at an address where no change log is any more.
-const loadWithin = 3 * time.Second
+// loadRetryTime bounds the retries of opening and reading a file after a transient error. Without retries, a failed
+// reload at SIGHUP could leave the broker with an address that no longer has a change log.
+const loadRetryTime = 3 * time.Second
 
 func loadPlatformConfig(ctx context.Context) (cfg config.Config, err error) {
-	err = transient.Retry(ctx, loadWithin, transient.IsFile, func() (err error) {
+	err = transient.Retry(ctx, loadRetryTime, transient.IsFile, func() (err error) {
 		cfg, err = config.Load(os.Getenv)
 		return err
 	})
 	return cfg, err
 }
 
-func loadOperatorConfig(ctx context.Context, path string) (own *operatorconfig.File, err error) {
-	err = transient.Retry(ctx, loadWithin, transient.IsFile, func() (err error) {
-		own, err = operatorconfig.Load(path)
+func loadOperatorConfig(ctx context.Context, path string) (operatorConfig *operatorconfig.File, err error) {
+	err = transient.Retry(ctx, loadRetryTime, transient.IsFile, func() (err error) {
+		operatorConfig, err = operatorconfig.Load(path)
 		return err
 	})
-	return own, err
+	return operatorConfig, err
 }
 
+// logServing logs that the broker serves, with its addresses and the revision of the initial endpoint list.
 func logServing(log *zap.Logger, broker *service.Service, cfg config.Config) {
 	fields := []zap.Field{
 		zap.Stringer("listen", broker.Server.Addr()),
@@ -162,12 +164,12 @@
 	log.Info("serving", fields...)
 }
 
-// reloader loads both files again at each SIGHUP. An invalid one is ignored, and does not keep the other one
-// from being reloaded.
+// reloader reloads both files at each SIGHUP. An invalid file is ignored and does not prevent the reload of the other
+// one.
 type reloader struct {
 	broker       *service.Service
-	running      config.Config // the platform's configuration that is in use
-	operatorFile string        // empty: there is none
+	running      config.Config // the platform's configuration in use
+	operatorFile string        // empty: none
 	log          *zap.Logger
 }
 
@@ -200,11 +202,11 @@
 }
 
 func (r *reloader) reloadOperatorConfig(ctx context.Context) {
-	own, err := loadOperatorConfig(ctx, r.operatorFile)
+	operatorConfig, err := loadOperatorConfig(ctx, r.operatorFile)
 	if err != nil {
 		r.log.Error("not reloaded, the operator's file before stays", zap.Error(err))
 		return
 	}
-	r.broker.ReloadOperatorConfig(ctx, own)
+	r.broker.ReloadOperatorConfig(ctx, operatorConfig)
 	r.log.Info("operator's file reloaded", zap.String("file", r.operatorFile))
 }
--- a/cmd/wheatlane/write.go
+++ b/cmd/wheatlane/write.go
@@ -12,7 +12,7 @@
 	"wheatlane/internal/description"
 )
 
-// The files that are generated into a directory.
+// The names of the generated files.
 const (
 	brokerFileName   = "broker.json"
 	operatorFileName = "operator.json"
@@ -35,8 +35,8 @@
 	return c
 }
 
-// runWrite generates a broker's files and prints the findings in them; with a fault among these nothing is
-// written.
+// runWrite generates a broker's files, checks them, and prints the findings. It writes nothing if a finding is a
+// fault.
 func runWrite(c *cobra.Command, descriptionName, directory string) error {
 	files, err := generateFiles(c, descriptionName, directory)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return out.err()
 }
 
-// generateFiles returns the files of a description. Violations of the description's schema are printed.
+// generateFiles generates the files from a description, without writing them. It prints violations of the
+// description's schema, and returns an error if there are any.
 func generateFiles(c *cobra.Command, descriptionName, directory string) ([]configFile, error) {
 	text, err := os.ReadFile(descriptionName)
 	if err != nil {
@@ -105,8 +106,8 @@
 	return files, nil
 }
 
-// replaceFile writes a file under a temporary name and renames it, so that a reader finds the old or the new
-// file, each complete.
+// replaceFile replaces a file atomically, by the rename of a temporary file: a reader gets the complete old or new
+// content.
 func replaceFile(file configFile) error {
 	temporary := file.name + ".next"
 	if err := os.WriteFile(temporary, file.text, fileMode); err != nil {
