--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -155,7 +155,7 @@
 			c.ended(req, Closed, err.Error())
 		default:
 			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
-			session.Disconnect(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, Left, by.String()) })
+			session.Disconnect(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, ClientDisconnected, by.String()) })
 		}
 	})
 }
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -133,7 +133,7 @@
 	}
 	v.outcomes[record.ended.Outcome]++
 	switch record.ended.Outcome {
-	case Served, Rejected, Failed, Left, NotSent:
+	case Served, Rejected, Failed, ClientDisconnected, NotSent:
 		return
 	case WrongRows, SecondCame:
 	case NoAnswer, Closed:
@@ -188,7 +188,7 @@
 	if delayed {
 		return
 	}
-	if record.ended != nil && record.ended.Outcome == Left {
+	if record.ended != nil && record.ended.Outcome == ClientDisconnected {
 		if late := attempt.At.Sub(record.ended.At); late > maxStartAfterEnd+clockSlack {
 			v.find("%s of %s at %s began %v after its client had left (%s)", record.sent.Request, record.sent.Class,
 				attempt.Engine, late.Round(time.Millisecond), record.ended.Detail)
--- a/measure/soak/judge_test.go
+++ b/measure/soak/judge_test.go
@@ -62,7 +62,7 @@
 			h.engineDelays["e1"] = []span{{at(-ms), at(50 * ms)}}
 		}, ""},
 		"started after its client had left": {func(h *history) {
-			h.events[2] = Event{Kind: RequestEnded, At: at(-100 * ms), Request: "r1", Outcome: Left}
+			h.events[2] = Event{Kind: RequestEnded, At: at(-100 * ms), Request: "r1", Outcome: ClientDisconnected}
 		}, "began 200ms after its client had left"},
 		"sent to a draining engine": {func(h *history) {
 			h.drains["e1"] = []span{{at(-500 * ms), at(time.Minute)}}
--- a/measure/soak/request.go
+++ b/measure/soak/request.go
@@ -73,7 +73,7 @@
 	switch {
 	case req.sentAt.IsZero():
 	case errors.Is(err, os.ErrDeadlineExceeded): // the client waits no longer for its login
-		c.ended(req, Left, "at login")
+		c.ended(req, ClientDisconnected, "at login")
 	default:
 		c.ended(req, Closed, "at login: "+err.Error())
 	}
@@ -103,9 +103,9 @@
 		c.ended(req, outcome, detail)
 		return true
 	case errors.Is(err, net.ErrClosed): // by this process, whose time is over
-		c.ended(req, Left, "end of the run")
+		c.ended(req, ClientDisconnected, "end of the run")
 	case crossed(err):
-		c.ended(req, Left, "crossed")
+		c.ended(req, ClientDisconnected, "crossed")
 	default:
 		c.ended(req, outcomeOfError(err), err.Error())
 	}
