--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -152,7 +152,7 @@
 			outcome, detail := outcomeOfAnswer(req, answer)
 			c.ended(req, outcome, detail)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.ended(req, Closed, err.Error())
+			c.ended(req, ConnectionClosed, err.Error())
 		default:
 			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
 			session.Disconnect(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, ClientDisconnected, by.String()) })
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -136,7 +136,7 @@
 	case Served, Rejected, Failed, ClientDisconnected, NotSent:
 		return
 	case WrongRows, SecondCame:
-	case NoAnswer, Closed:
+	case NoAnswer, ConnectionClosed:
 		if h.answerNotOwed(record) {
 			v.exempt++
 			return
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, s := range h.brokerBreaks[broker] {
-		if record.ended.Outcome == Closed && s.touches(record.ended.At, record.ended.At, 0) {
+		if record.ended.Outcome == ConnectionClosed && s.touches(record.ended.At, record.ended.At, 0) {
 			return true
 		}
 	}
--- a/measure/soak/judge_test.go
+++ b/measure/soak/judge_test.go
@@ -32,18 +32,18 @@
 	}{
 		"served": {func(*history) {}, ""},
 		"closed without an answer": {
-			func(h *history) { h.events[2].Outcome = Closed }, "closed",
+			func(h *history) { h.events[2].Outcome = ConnectionClosed }, "closed",
 		},
 		"closed by a kill": {func(h *history) {
-			h.events[2].Outcome = Closed
+			h.events[2].Outcome = ConnectionClosed
 			h.brokerKills["b1"] = []span{{at(290 * ms), at(310 * ms)}}
 		}, ""},
 		"sent to a broker that was told to end": {func(h *history) {
-			h.events[2].Outcome = Closed
+			h.events[2].Outcome = ConnectionClosed
 			h.brokerTerms["b1"] = []time.Time{at(-300 * ms)}
 		}, ""},
 		"sent just before a broker was told to end": {func(h *history) {
-			h.events[2].Outcome = Closed
+			h.events[2].Outcome = ConnectionClosed
 			h.brokerTerms["b1"] = []time.Time{at(50 * ms)}
 		}, "closed"},
 		"no answer":       {func(h *history) { h.events[2].Outcome = NoAnswer }, "no_answer"},
--- a/measure/soak/request.go
+++ b/measure/soak/request.go
@@ -75,7 +75,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded): // the client waits no longer for its login
 		c.ended(req, ClientDisconnected, "at login")
 	default:
-		c.ended(req, Closed, "at login: "+err.Error())
+		c.ended(req, ConnectionClosed, "at login: "+err.Error())
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return NoAnswer
 	}
-	return Closed
+	return ConnectionClosed
 }
 
 func outcomeOfAnswer(req *request, answer rawclient.Answer) (outcome Outcome, detail string) {
