--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -59,7 +59,7 @@
 func (c *clientProcess) single(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, true, func(session *rawclient.Session, req *request) {
 		if c.finish(session, req) && session.WatchIdle(secondAnswerWait) == rawclient.UnexpectedData {
-			c.ended(req, SecondCame, "")
+			c.ended(req, DuplicateAnswer, "")
 		}
 	})
 }
--- a/measure/soak/event.go
+++ b/measure/soak/event.go
@@ -31,7 +31,7 @@
 	NoAnswer           Outcome = "no_answer"   // none came until half a second after the client's time
 	ConnectionClosed   Outcome = "closed"      // the connection ended without a complete answer
 	WrongRows          Outcome = "wrong_rows"  // served with what no engine made for it
-	SecondCame         Outcome = "second_came" // a second answer followed the first
+	DuplicateAnswer    Outcome = "second_came" // a second answer followed the first
 	NotSent            Outcome = "not_sent"    // it could not be written
 )
 
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -110,7 +110,7 @@
 			of(event.Request).sent = event
 		case RequestEnded:
 			record := of(event.Request)
-			if record.ended == nil || event.Outcome == SecondCame {
+			if record.ended == nil || event.Outcome == DuplicateAnswer {
 				record.ended = event
 			}
 		case AttemptReceived:
@@ -135,7 +135,7 @@
 	switch record.ended.Outcome {
 	case Served, Rejected, Failed, ClientDisconnected, NotSent:
 		return
-	case WrongRows, SecondCame:
+	case WrongRows, DuplicateAnswer:
 	case NoAnswer, ConnectionClosed:
 		if h.answerNotOwed(record) {
 			v.exempt++
--- a/measure/soak/judge_test.go
+++ b/measure/soak/judge_test.go
@@ -48,7 +48,7 @@
 		}, "closed"},
 		"no answer":       {func(h *history) { h.events[2].Outcome = NoAnswer }, "no_answer"},
 		"wrong rows":      {func(h *history) { h.events[2].Outcome = WrongRows }, "wrong_rows"},
-		"a second answer": {func(h *history) { h.events[2].Outcome = SecondCame }, "second_came"},
+		"a second answer": {func(h *history) { h.events[2].Outcome = DuplicateAnswer }, "second_came"},
 		"run twice": {func(h *history) {
 			second := h.events[1]
 			second.Engine = "e2"
