--- a/measure/soak/behavior.go
+++ b/measure/soak/behavior.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	secondAnswerWait  = 30 * time.Millisecond
-	maxPipelined      = 6 // requests
-	maxPieces         = 4
-	maxPieceDelay     = 60 * time.Millisecond
-	maxRest           = 2500 * time.Millisecond
-	maxCloseWait      = 4 * maxRest // for the broker to end a connection at rest
-	openCheckTime     = time.Millisecond
-	requestsOfSession = 4
+	duplicateAnswerWait = 30 * time.Millisecond
+	maxPipelined        = 6 // requests
+	maxFragments        = 4
+	maxFragmentDelay    = 60 * time.Millisecond
+	maxIdle             = 2500 * time.Millisecond
+	maxCloseWait        = 4 * maxIdle // for the broker to close an idle connection
+	openCheckTime       = time.Millisecond
+	requestsPerSession  = 4
 )
 
-// behavior is what a session of a client does with a broker.
+// behavior is the behavior of one client session towards a broker.
 type behavior func(c *clientProcess, ctx context.Context, broker string)
 
-// behaviors are what sessions of a client may do; each is drawn as often as it is listed.
+// behaviors lists the behaviors that sessions are drawn from. A repeated entry is drawn more often.
 var behaviors = []behavior{
-	(*clientProcess).single, (*clientProcess).single, (*clientProcess).single,
-	(*clientProcess).rest, (*clientProcess).rest,
-	(*clientProcess).pipeline, (*clientProcess).inPieces, (*clientProcess).leave, (*clientProcess).leave,
-	(*clientProcess).sendAtClose, (*clientProcess).breakOff,
+	(*clientProcess).singleRequest, (*clientProcess).singleRequest, (*clientProcess).singleRequest,
+	(*clientProcess).idleBetweenRequests, (*clientProcess).idleBetweenRequests,
+	(*clientProcess).pipeline, (*clientProcess).sendFragmented,
+	(*clientProcess).disconnectEarly, (*clientProcess).disconnectEarly,
+	(*clientProcess).sendAtClose, (*clientProcess).abortRequest,
 }
 
-// withFirstRequest draws a request, sends it on a new connection and calls use, unless that did not work.
+// withFirstRequest draws a request, sends it on a new connection and calls behave. It does not call behave if
+// connecting or sending fails.
 func (c *clientProcess) withFirstRequest(
 	ctx context.Context, broker string, ordered bool, behave func(*rawclient.Session, *request),
 ) {
 	first := c.newRequest(ctx, broker, ordered)
-	session := c.open(ctx, first)
+	session := c.connectAndSend(ctx, first)
 	if session == nil {
 		return
 	}
@@ -45,7 +47,7 @@
 	behave(session, first)
 }
 
-// withLogin logs in on a new connection and calls use, unless that did not work.
+// withLogin logs in on a new connection and calls behave. It does not call behave if connecting or the login fails.
 func (c *clientProcess) withLogin(ctx context.Context, broker string, behave func(*rawclient.Session)) {
 	session, err := rawclient.Connect(ctx, broker, "", func(time.Time) {})
 	if err != nil {
@@ -55,34 +57,35 @@
 	behave(session)
 }
 
-// single sends one request on a new connection, and looks for a second answer.
-func (c *clientProcess) single(ctx context.Context, broker string) {
+// singleRequest sends one request on a new connection, and checks for a duplicate answer.
+func (c *clientProcess) singleRequest(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, true, func(session *rawclient.Session, req *request) {
-		if c.finish(session, req) && session.WatchIdle(secondAnswerWait) == rawclient.UnexpectedData {
-			c.ended(req, DuplicateAnswer, "")
+		if c.receiveAnswer(session, req) && session.WatchIdle(duplicateAnswerWait) == rawclient.UnexpectedData {
+			c.reportEnded(req, DuplicateAnswer, "")
 		}
 	})
 }
 
-// rest sends some requests on one connection with rests between them, in which the broker may close it.
-func (c *clientProcess) rest(ctx context.Context, broker string) {
+// idleBetweenRequests sends several requests on one connection that is idle between them. The broker may close an idle
+// connection.
+func (c *clientProcess) idleBetweenRequests(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, false, func(session *rawclient.Session, first *request) {
-		if !c.finish(session, first) {
+		if !c.receiveAnswer(session, first) {
 			return
 		}
-		for range requestsOfSession - 1 {
-			pacing.Pause(ctx, c.source.Duration(maxRest))
+		for range requestsPerSession - 1 {
+			pacing.Pause(ctx, c.source.Duration(maxIdle))
 			req := c.newRequest(ctx, broker, false)
-			c.sendOnOpen(ctx, session, req)
-			if req.sentAt.IsZero() || !c.finishCrossing(session, req) {
+			c.sendIfOpen(ctx, session, req)
+			if req.sentAt.IsZero() || !c.receiveAnswerOrClose(session, req) {
 				return
 			}
 		}
 	})
 }
 
-// sendOnOpen sends a request on a connection that rested. If its end has come already, there is no request.
-func (c *clientProcess) sendOnOpen(ctx context.Context, session *rawclient.Session, req *request) {
+// sendIfOpen sends a request on a connection that was idle. It sends and reports nothing if the connection has ended.
+func (c *clientProcess) sendIfOpen(ctx context.Context, session *rawclient.Session, req *request) {
 	if session.WatchIdle(openCheckTime) != rawclient.StayedOpen || ctx.Err() != nil {
 		return
 	}
@@ -90,10 +93,10 @@
 	if err := session.Write(rawclient.QueryPacket(req.statement)); err != nil {
 		return
 	}
-	c.sent(req, at)
+	c.reportSent(req, at)
 }
 
-// pipeline sends several requests at once on a new connection, and reads their answers in order.
+// pipeline sends several requests in one write on a new connection, and reads their answers in order.
 func (c *clientProcess) pipeline(ctx context.Context, broker string) {
 	first := c.newRequest(ctx, broker, false)
 	all := make([]*request, 0, maxPipelined)
@@ -110,20 +113,20 @@
 			return
 		}
 		for _, req := range all {
-			c.sent(req, at)
+			c.reportSent(req, at)
 		}
-		for _, req := range all { // those behind one that was lost are lost as well
-			c.finish(session, req)
+		for _, req := range all { // after one lost answer all later ones are lost too
+			c.receiveAnswer(session, req)
 		}
 	})
 }
 
-// inPieces writes a request in pieces with pauses between them.
-func (c *clientProcess) inPieces(ctx context.Context, broker string) {
+// sendFragmented writes a request in fragments with pauses between them.
+func (c *clientProcess) sendFragmented(ctx context.Context, broker string) {
 	req := c.newRequest(ctx, broker, false)
 	c.withLogin(ctx, broker, func(session *rawclient.Session) {
 		text := rawclient.QueryPacket(req.statement)
-		for range c.source.IntN(maxPieces) {
+		for range c.source.IntN(maxFragments) {
 			n := 1 + c.source.IntN(len(text)-1)
 			if session.Write(text[:n]) != nil {
 				return
@@ -131,61 +134,64 @@
 			if text = text[n:]; len(text) < 2 {
 				break
 			}
-			pacing.Pause(ctx, c.source.Duration(maxPieceDelay))
+			pacing.Pause(ctx, c.source.Duration(maxFragmentDelay))
 		}
 		at := time.Now()
 		if session.Write(text) != nil {
 			return
 		}
-		c.sent(req, at)
-		c.finish(session, req)
+		c.reportSent(req, at)
+		c.receiveAnswer(session, req)
 	})
 }
 
-// leave sends a request and leaves before its answer, by KILL QUERY, a close or a reset.
-func (c *clientProcess) leave(ctx context.Context, broker string) {
+// disconnectEarly sends a request and, after a random part of its timeout, cancels it or disconnects: by KILL QUERY, a
+// close or a reset.
+func (c *clientProcess) disconnectEarly(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, true, func(session *rawclient.Session, req *request) {
 		wait := c.source.Duration(req.timeout)
 		answer, err := session.ReadAnswer(time.Now().Add(wait))
 		switch {
 		case err == nil:
 			outcome, detail := outcomeOfAnswer(req, answer)
-			c.ended(req, outcome, detail)
+			c.reportEnded(req, outcome, detail)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.ended(req, ConnectionClosed, err.Error())
+			c.reportEnded(req, ConnectionClosed, err.Error())
 		default:
 			by := rawclient.DisconnectMethod(c.source.IntN(rawclient.DisconnectMethodCount))
-			session.Disconnect(ctx, req.broker, by, func(by rawclient.DisconnectMethod) { c.ended(req, ClientDisconnected, by.String()) })
+			session.Disconnect(ctx, req.broker, by, func(by rawclient.DisconnectMethod) {
+				c.reportEnded(req, ClientDisconnected, by.String())
+			})
 		}
 	})
 }
 
-// sendAtClose rests after an answer until the broker ends the connection, for a while, and writes a request in
-// that moment. Such a request is owed nothing on this connection, but must not be run.
+// sendAtClose stays idle after an answer until the broker closes the connection, or for maxCloseWait, and then writes a
+// request. The broker owes such a request no answer on this connection, but must not run it.
 func (c *clientProcess) sendAtClose(ctx context.Context, broker string) {
 	c.withFirstRequest(ctx, broker, false, func(session *rawclient.Session, first *request) {
 		stop := context.AfterFunc(ctx, session.Close)
 		defer stop()
-		if !c.finish(session, first) || session.WatchIdle(maxCloseWait) == rawclient.UnexpectedData {
+		if !c.receiveAnswer(session, first) || session.WatchIdle(maxCloseWait) == rawclient.UnexpectedData {
 			return
 		}
-		late := c.newRequest(ctx, broker, false) // the broker ended the connection, or the wait is over
+		late := c.newRequest(ctx, broker, false) // the broker closed the connection, or the wait timed out
 		if session.Write(rawclient.QueryPacket(late.statement)) == nil {
-			c.sent(late, time.Now())
-			c.finishCrossing(session, late)
+			c.reportSent(late, time.Now())
+			c.receiveAnswerOrClose(session, late)
 		}
 	})
 }
 
-// breakOff sends a fragment of a request, and goes.
-func (c *clientProcess) breakOff(ctx context.Context, broker string) {
+// abortRequest sends the first fragment of a request and disconnects after a pause.
+func (c *clientProcess) abortRequest(ctx context.Context, broker string) {
 	req := c.newRequest(ctx, broker, false)
 	c.withLogin(ctx, broker, func(session *rawclient.Session) {
 		text := rawclient.QueryPacket(req.statement)
 		if session.Write(text[:c.source.IntN(len(text))]) != nil {
 			return
 		}
-		pacing.Pause(ctx, c.source.Duration(maxRest))
+		pacing.Pause(ctx, c.source.Duration(maxIdle))
 		if c.source.IntN(2) == 0 {
 			session.Reset()
 		}
--- a/measure/soak/broker.go
+++ b/measure/soak/broker.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	readyTimeout = 10 * time.Second // a broker that does not serve by then has failed
-	// killAfterTerm is when the protocol allows SIGKILL after SIGTERM: the longest deadline, counted as 3 s where
-	// it is longer, and 0.7 s more.
+	readyTimeout = 10 * time.Second // a broker that does not serve within it has failed
+	// killAfterTerm is the time after SIGTERM at which the protocol allows SIGKILL: the longest deadline, capped at
+	// 3 s, plus 0.7 s.
 	killAfterTerm = 3700 * time.Millisecond
 	filePerm      = 0o600
 )
 
-// settingsTemplate are the settings of a run; the verbs are the client timeout of lookup, whether hedging is
-// allowed and the number of brokers.
+// settingsTemplate is the settings object of a run. The verbs are the client timeout of lookup in nanoseconds, whether
+// hedging is allowed, and the number of brokers.
 const settingsTemplate = `{"PeersTotal":%[3]d,"RoundNs":5000000,"MachineTypes":["std-8core"],
  "Domain":{"SizeCores":[4],"KindMemoryMb":[8192],"WidthByClass":[1,2,1],"ClassLoad":[false,false,false],
   "SaysCost":true},
@@ -43,28 +43,29 @@
   {"Name":"load","Effect":"by_key","WindowNs":15000000000,"PromiseNs":2000000000,"AimStretch":3,
    "GiveUpNs":3000000000,"Worth":5,"LateWorth":0.3,"ByArrival":true}]}`
 
-// brokerSlot is a broker of the fleet, by its address. Its processes follow one another, or overlap at an upgrade.
+// brokerSlot is one broker of the fleet, at a fixed address. Its processes run one after the other, or overlap during
+// an upgrade.
 type brokerSlot struct {
 	name, listen, dir string
-	operators         [2]string // processes take them in turn, as two of them may overlap
+	operators         [2]string // admin endpoints; processes alternate between them, as two may overlap
 	program           string
 	changelogProxies  [2]*proxy
 	changes           *changelogserver.ChangeLog
 	hedging           bool
 	fleetSize         int
-	environment       func(b *brokerSlot) []string // of the next process: its faults
-	onLine            func(b *brokerSlot, line []byte)
-	log               *os.File
+	environment       func(b *brokerSlot) []string     // returns the environment (faults) of the next process
+	onLine            func(b *brokerSlot, line []byte) // called for each line of output
+	log               *os.File                         // nil: not logged
 
-	mu      sync.Mutex // guards what follows
-	run     *process
+	mu      sync.Mutex // guards the fields below
+	newest  *process
 	reloads int
 	starts  int
 }
 
 func (b *brokerSlot) configPath() string { return filepath.Join(b.dir, "config.json") }
 
-// freeAddress is a loopback address that nobody listens at.
+// freeAddress returns a loopback address at which no process listens.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,8 +74,8 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// writeConfig writes the configuration as it is for the number of reloads so far: the address of the change log
-// and the timeout of the first class change in turn.
+// writeConfig writes the configuration for the current number of reloads. Each reload switches between two addresses of
+// the change log and between two timeouts of the first class.
 func (b *brokerSlot) writeConfig() error {
 	known, err := b.changes.KnownPage()
 	if err != nil {
@@ -124,7 +125,7 @@
 		return err
 	}
 	b.mu.Lock()
-	b.run = p
+	b.newest = p
 	b.mu.Unlock()
 	select {
 	case <-serving:
@@ -136,22 +137,24 @@
 	}
 }
 
-// current is the process that was started last.
+// current returns the process that was started last.
 func (b *brokerSlot) current() *process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.run
+	return b.newest
 }
 
 const (
-	callTimeout = time.Second
-	callRetry   = 50 * time.Millisecond
-	callWithin  = 8 * time.Second // a broker that is started again answers by then
+	callTimeout       = time.Second
+	callRetryInterval = 50 * time.Millisecond
+	callRetryTimeout  = 8 * time.Second // a restarted broker answers within it
 )
 
-// callUntil makes a call at the admin endpoint until it is acknowledged.
-func (b *brokerSlot) callUntil(ctx context.Context, line string) error {
-	for end := time.Now().Add(callWithin); time.Now().Before(end) && ctx.Err() == nil; pacing.Pause(ctx, callRetry) {
+// callUntilAcknowledged repeats a call at the admin endpoint until the broker acknowledges it. It returns an error
+// after callRetryTimeout, or once ctx has ended.
+func (b *brokerSlot) callUntilAcknowledged(ctx context.Context, line string) error {
+	end := time.Now().Add(callRetryTimeout)
+	for ; time.Now().Before(end) && ctx.Err() == nil; pacing.Pause(ctx, callRetryInterval) {
 		if b.call(ctx, line) {
 			return nil
 		}
@@ -159,7 +162,7 @@
 	return fmt.Errorf("%s did not acknowledge %q", b.name, line)
 }
 
-// call makes one call and reports whether it was acknowledged.
+// call makes one call at the admin endpoint and reports whether the broker acknowledged it.
 func (b *brokerSlot) call(ctx context.Context, line string) bool {
 	b.mu.Lock()
 	operator := b.operators[b.starts%2]
@@ -168,16 +171,17 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }()               // the answer was read
-	_ = conn.SetDeadline(time.Now().Add(callTimeout)) // a call that can't be bounded fails as well
+	defer func() { _ = conn.Close() }()               // the answer has been read
+	_ = conn.SetDeadline(time.Now().Add(callTimeout)) // if this fails, the write fails too
 	if _, err := fmt.Fprintln(conn, line); err != nil {
 		return false
 	}
-	answer, _ := io.ReadAll(conn) // what came counts
+	answer, _ := io.ReadAll(conn) // a partial answer counts too
 	return strings.HasPrefix(string(answer), "ACK")
 }
 
-// terminate ends a process as a planned restart does. The error names the rule that the process broke.
+// terminate ends a process as a planned restart does: by SIGTERM, and SIGKILL after killAfterTerm. It returns an error
+// if SIGKILL was necessary or the process ended with an error.
 func (b *brokerSlot) terminate(p *process) error {
 	p.signal(syscall.SIGTERM)
 	if !p.waitFor(killAfterTerm) {
@@ -190,11 +194,11 @@
 	return nil
 }
 
-// reload writes a new configuration and sends SIGHUP.
+// reload writes a new configuration and sends SIGHUP to the newest process.
 func (b *brokerSlot) reload() error {
 	b.mu.Lock()
 	b.reloads++
-	p := b.run
+	p := b.newest
 	b.mu.Unlock()
 	if err := b.writeConfig(); err != nil {
 		return err
--- a/measure/soak/brokerfaults.go
+++ b/measure/soak/brokerfaults.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	maxKillPause    = time.Second // from a kill to the next start
-	minBrokerStop   = 20 * time.Millisecond
-	brokerStopRange = 600 * time.Millisecond
-	longStopOdds    = 4 // one in so many stops of a broker is long
-	longStopExtra   = 2500 * time.Millisecond
-	reloadsInARow   = 10
-	reloadInterval  = 15 * time.Millisecond
+	maxRestartDelay  = time.Second // from SIGKILL to the next start
+	minBrokerPause   = 20 * time.Millisecond
+	brokerPauseRange = 600 * time.Millisecond
+	longPauseOdds    = 4 // one in so many pauses of a broker is long
+	longPauseExtra   = 2500 * time.Millisecond
+	repeatedReloads  = 10
+	reloadInterval   = 15 * time.Millisecond
 )
 
-// restartBroker restarts a broker by SIGTERM.
+// restartBroker terminates a broker by SIGTERM and starts it again.
 func (s *soak) restartBroker(ctx context.Context, broker *brokerSlot) error {
-	s.noteTerm(broker)
+	s.recordTerm(broker)
 	if err := broker.terminate(broker.current()); err != nil {
 		return err
 	}
 	return broker.start(context.WithoutCancel(ctx))
 }
 
-// upgradeBroker starts a second process beside the first, which ends once the other one serves.
+// upgradeBroker starts a second process beside the current one and terminates the previous process once the second one
+// serves.
 func (s *soak) upgradeBroker(ctx context.Context, broker *brokerSlot) error {
-	before := broker.current()
+	previous := broker.current()
 	if err := broker.start(context.WithoutCancel(ctx)); err != nil {
 		return err
 	}
-	s.noteTerm(broker)
-	return broker.terminate(before)
+	s.recordTerm(broker)
+	return broker.terminate(previous)
 }
 
-// killBroker kills a broker and starts it again.
+// killBroker kills a broker by SIGKILL and starts it again after a pause.
 func (s *soak) killBroker(ctx context.Context, broker *brokerSlot) error {
 	killedAt := time.Now()
 	broker.current().kill()
-	pacing.Pause(ctx, s.drawDuration(maxKillPause))
+	pacing.Pause(ctx, s.drawDuration(maxRestartDelay))
 	err := broker.start(context.WithoutCancel(ctx))
-	s.note(func(h *history) {
+	s.updateHistory(func(h *history) {
 		h.brokerKills[broker.listen] = append(h.brokerKills[broker.listen], span{killedAt, time.Now()})
 	})
 	return err
 }
 
-// reloadBrokers sends all brokers a new configuration.
+// reloadBrokers reloads all brokers with a new configuration.
 func (s *soak) reloadBrokers(context.Context) error {
 	for _, broker := range s.brokers {
 		if err := broker.reload(); err != nil {
@@ -59,10 +60,10 @@
 	return nil
 }
 
-// reloadInARow sends a broker several new configurations in quick succession.
-func (s *soak) reloadInARow(ctx context.Context) error {
+// reloadRepeatedly reloads a broker several times in quick succession.
+func (s *soak) reloadRepeatedly(ctx context.Context) error {
 	broker := s.brokers[s.draw(len(s.brokers))]
-	for range reloadsInARow {
+	for range repeatedReloads {
 		if err := broker.reload(); err != nil {
 			return err
 		}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// hangUpAndTerminate sends a broker SIGHUP and SIGTERM in one moment, and starts it again.
+// hangUpAndTerminate sends a broker SIGHUP, immediately followed by SIGTERM, and starts it again.
 func (s *soak) hangUpAndTerminate(ctx context.Context, broker *brokerSlot) error {
 	if err := broker.reload(); err != nil {
 		return err
@@ -79,17 +80,17 @@
 	return s.restartBroker(ctx, broker)
 }
 
-// stopBroker has a broker stand still for a while.
+// stopBroker pauses a broker by SIGSTOP and SIGCONT.
 func (s *soak) stopBroker(ctx context.Context, broker *brokerSlot) error {
 	p, from := broker.current(), time.Now()
 	p.signal(syscall.SIGSTOP)
-	length := minBrokerStop + s.drawDuration(brokerStopRange)
-	if s.draw(longStopOdds) == 0 {
-		length += longStopExtra
+	duration := minBrokerPause + s.drawDuration(brokerPauseRange)
+	if s.draw(longPauseOdds) == 0 {
+		duration += longPauseExtra
 	}
-	pacing.Pause(ctx, length)
+	pacing.Pause(ctx, duration)
 	p.signal(syscall.SIGCONT)
-	s.note(func(h *history) {
+	s.updateHistory(func(h *history) {
 		h.brokerStops[broker.listen] = append(h.brokerStops[broker.listen], span{from, time.Now()})
 	})
 	return nil
--- a/measure/soak/clientprocess.go
+++ b/measure/soak/clientprocess.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	maxSessions    = 48                     // of one client process, at a time
+	maxSessions    = 48                     // concurrent sessions of one client process
 	keyInterval    = 300 * time.Millisecond // between requests of one order key
 	keysPerProcess = 3
 	clientStream   = 3 // of the seed's random numbers
 )
 
-// clientProcess is one process of clients.
+// clientProcess runs the client sessions of one process.
 type clientProcess struct {
 	brokers []string
-	prefix  uint32 // of request ids
+	prefix  uint32 // of the request ids
 	events  *eventWriter
 
 	source   *pacing.Source
@@ -29,7 +29,7 @@
 	requests atomic.Uint32
 }
 
-// runClients sends requests to brokers at a rate of sessions a second until ctx ends.
+// runClients starts client sessions at random brokers, at a mean rate in sessions a second, until ctx ends.
 func runClients(ctx context.Context, brokers []string, seed uint64, rate float64) error {
 	c := &clientProcess{
 		brokers: brokers,
--- a/measure/soak/clock_test.go
+++ b/measure/soak/clock_test.go
@@ -14,8 +14,8 @@
 	requestsAfter = 5
 )
 
-// A broker whose wall clock is stepped goes on answering: deadlines, batches and timers are spans of real time.
-// Each step is made by a shim of the standard library, in the program itself.
+// Guards against deadlines, batches or timers that depend on the wall clock: a broker whose wall clock steps must
+// continue to answer. A shim of the standard library in the program makes the step.
 func TestRequestsAreAnsweredAcrossClockSteps(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
@@ -43,13 +43,13 @@
 	log.expectNone(t, "invariant violated")
 }
 
-// A shim that does not fit the installed library is an error, not a program without faults.
-func TestPatchThatDoesNotFit(t *testing.T) {
+// A shim that does not match the installed library must fail the build, rather than result in a program without faults.
+func TestPatchFailsWithoutMatchingLine(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a.go"), []byte("package a\n"), filePerm); err != nil {
 		t.Fatal(err)
 	}
-	p := patch{file: "a.go", edits: []edit{{behind: "func A() {", insert: "	return"}}}
+	p := patch{file: "a.go", edits: []edit{{after: "func A() {", insert: "	return"}}}
 	if _, err := p.apply(dir); err == nil || !strings.Contains(err.Error(), "does not fit") {
 		t.Fatalf("apply: %v", err)
 	}
--- a/measure/soak/engineprocess.go
+++ b/measure/soak/engineprocess.go
@@ -8,21 +8,21 @@
 	"wheatlane/internal/emulator/engine"
 )
 
-// The classes of requests of a soak run. Their work is small: the run looks for broken rules, not for speed.
+// engineClasses are the request classes of a soak run. Their work is small: a run checks rules, not performance.
 var engineClasses = []engine.Class{
 	{Name: "lookup", MeanWork: 30 * time.Millisecond, Threads: 1, MeanRows: 4},
 	{Name: "report", MeanWork: 200 * time.Millisecond, Threads: 2, MeanRows: 300},
 	{Name: "load", MeanWork: 100 * time.Millisecond, Threads: 1, MeanRows: 1},
 }
 
-// engineSize is the size of an engine of a soak run. It takes any number of queries: an answer that it is at
-// capacity would allow a repeat that the judge takes for a breach.
-var engineSize = engine.Config{
+// engineConfig configures the engines of a soak run. MaxQueries is high enough that no engine is ever at capacity: a
+// broker may retry a request that an engine rejected at capacity, which the verifier would report as a violation.
+var engineConfig = engine.Config{
 	Cores: 4, SaturationPoint: 1.9, MaxQueries: 4096, DedupWindow: 15 * time.Second,
 	SlowStartDuration: 8 * time.Second, SlowStartInitial: 0.33,
 }
 
-// engineReporter reports what an engine sees.
+// engineReporter reports the attempts at an engine.
 type engineReporter struct{ events *eventWriter }
 
 // AttemptReceived reports an attempt.
@@ -38,10 +38,10 @@
 	r.events.write(Event{Kind: AttemptEnded, At: at, Engine: engineID, Request: requestID})
 }
 
-// runEngine serves as one engine until its process is ended.
+// runEngine emulates one engine until ctx ends.
 func runEngine(ctx context.Context, id string) error {
 	events := newEventWriter(os.Stdout)
-	server, err := engine.NewServer(id, engineClasses, engineSize, engineReporter{events})
+	server, err := engine.NewServer(id, engineClasses, engineConfig, engineReporter{events})
 	if err != nil {
 		return err
 	}
--- a/measure/soak/faults.go
+++ b/measure/soak/faults.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	maxFaultOffset    = 150 * time.Millisecond // between the faults of one moment
-	faultsPerMoment   = 4
-	minMomentPause    = 400 * time.Millisecond
-	maxMomentPause    = 1500 * time.Millisecond
-	maxChangelogFault = 3 * time.Second
-	maxChangelogDelay = 2 * time.Second
-	faultStream       = 29 // of the seed's random numbers
+	maxFaultOffset            = 150 * time.Millisecond // between the faults of one burst
+	maxFaultsPerBurst         = 4
+	minBurstPause             = 400 * time.Millisecond
+	maxBurstPause             = 1500 * time.Millisecond
+	maxChangelogFaultDuration = 3 * time.Second
+	maxChangelogDelay         = 2 * time.Second
+	faultStream               = 29 // of the seed's random numbers
 )
 
-// fault is something that goes wrong for a while. It returns once it is over.
+// fault is a kind of fault. Its run injects the fault and returns once it has ended.
 type fault struct {
 	name string
 	run  faultFunc
@@ -28,14 +28,14 @@
 
 type faultFunc func(s *soak, ctx context.Context) error
 
-// faults are what the moments of a run are drawn from.
+// faults lists the faults that a run draws from. A repeated entry is drawn more often.
 var faults = []fault{
 	{"restart", onBroker((*soak).restartBroker)},
 	{"restart", onBroker((*soak).restartBroker)},
 	{"upgrade", onBroker((*soak).upgradeBroker)},
 	{"kill", onBroker((*soak).killBroker)},
 	{"reload", (*soak).reloadBrokers},
-	{"reloads", (*soak).reloadInARow},
+	{"reloads", (*soak).reloadRepeatedly},
 	{"hangup-term", onBroker((*soak).hangUpAndTerminate)},
 	{"stop-broker", onBroker((*soak).stopBroker)},
 	{"stop-engine", onEngine((*soak).stopEngine)},
@@ -45,19 +45,19 @@
 	{"drain", onEngine((*soak).drainEngine)},
 	{"reset-links", (*soak).resetLinks},
 	{"hold", onEngine((*soak).holdBytes)},
-	{"hold-last", (*soak).holdLastByte},
+	{"hold-last", (*soak).delayLastByte},
 	{"refuse", onEngine((*soak).refuseConnects)},
 	{"late-connects", onEngine((*soak).delayConnects)},
 	{"late-connects", onEngine((*soak).delayConnects)},
-	{"changelog", onChangelog((*soak).disturbChangelog)},
-	{"maintenance", onEngine((*soak).maintainEngine)},
+	{"changelog", onChangelog((*soak).injectChangelogFault)},
+	{"maintenance", onEngine((*soak).putInMaintenance)},
 }
 
-// runFaults runs moments until ctx ends: each overlaps some faults, drawn by the seed.
+// runFaults injects bursts of faults until ctx ends. The faults of a burst overlap; the seed determines them.
 func (s *soak) runFaults(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for ctx.Err() == nil {
-		for range 1 + s.draw(faultsPerMoment) {
+		for range 1 + s.draw(maxFaultsPerBurst) {
 			drawn, offset := faults[s.draw(len(faults))], s.drawDuration(maxFaultOffset)
 			group.Go(func() error {
 				pacing.Pause(ctx, offset)
@@ -65,12 +65,12 @@
 				return nil
 			})
 		}
-		pacing.Pause(ctx, minMomentPause+s.drawDuration(maxMomentPause-minMomentPause))
+		pacing.Pause(ctx, minBurstPause+s.drawDuration(maxBurstPause-minBurstPause))
 	}
 	return group.Wait()
 }
 
-// runFault runs one fault, unless the run is over. What fails after its end is no finding.
+// runFault runs one fault, unless ctx has ended. An error after the end of ctx is not a finding.
 func (s *soak) runFault(ctx context.Context, drawn fault) {
 	if ctx.Err() != nil {
 		return
@@ -78,35 +78,35 @@
 	s.logFault(drawn.name)
 	err := drawn.run(s, ctx)
 	if err != nil && ctx.Err() == nil {
-		s.find("%s: %v", drawn.name, err)
+		s.addFinding("%s: %v", drawn.name, err)
 	}
 }
 
-// onBroker makes a fault of one that befalls a broker, which is drawn.
+// onBroker returns a fault that runs on a random broker, unless another fault has reserved that broker.
 func onBroker(run func(s *soak, ctx context.Context, broker *brokerSlot) error) faultFunc {
 	return func(s *soak, ctx context.Context) error {
 		broker := s.brokers[s.draw(len(s.brokers))]
-		return s.holding(broker.name, func() error { return run(s, ctx, broker) })
+		return s.withReservation(broker.name, func() error { return run(s, ctx, broker) })
 	}
 }
 
-// onEngine makes a fault of one that befalls an engine, which is drawn.
+// onEngine returns a fault that runs on a random engine, unless another fault has reserved that engine.
 func onEngine(run func(s *soak, ctx context.Context, engine *engineProcess) error) faultFunc {
 	return func(s *soak, ctx context.Context) error {
 		engine := s.engines[s.draw(len(s.engines))]
-		return s.holding(engine.id, func() error { return run(s, ctx, engine) })
+		return s.withReservation(engine.id, func() error { return run(s, ctx, engine) })
 	}
 }
 
-// onChangelog makes a fault of one that befalls the change log.
+// onChangelog returns a fault that runs on the change log, unless another fault has reserved it.
 func onChangelog(run func(s *soak, ctx context.Context) error) faultFunc {
 	return func(s *soak, ctx context.Context) error {
-		return s.holding("changelog", func() error { return run(s, ctx) })
+		return s.withReservation("changelog", func() error { return run(s, ctx) })
 	}
 }
 
-// disturbChangelog has the change log break off, stall, refuse or be late for a while.
-func (s *soak) disturbChangelog(ctx context.Context) error {
+// injectChangelogFault makes the change log truncate, stall, refuse or delay its replies for a while.
+func (s *soak) injectChangelogFault(ctx context.Context) error {
 	modes := []changelogserver.Mode{
 		changelogserver.Truncating, changelogserver.Stalling, changelogserver.Unavailable, changelogserver.Serve,
 	}
@@ -115,10 +115,10 @@
 		s.changes.SetDelay(s.drawDuration(maxChangelogDelay))
 	}
 	s.changes.SetMode(mode)
-	pacing.Pause(ctx, s.drawDuration(maxChangelogFault))
+	pacing.Pause(ctx, s.drawDuration(maxChangelogFaultDuration))
 	s.changes.SetMode(changelogserver.Serve)
 	s.changes.SetDelay(0)
-	s.note(func(h *history) {
+	s.updateHistory(func(h *history) {
 		h.changelogFaults = append(h.changelogFaults, span{from, time.Now().Add(maxChangelogDelay)})
 	})
 	return nil
--- a/measure/soak/lifecycle.go
+++ b/measure/soak/lifecycle.go
@@ -13,7 +13,7 @@
 	"wheatlane/internal/emulator/changelogserver"
 )
 
-// startAll starts engines, change log, brokers and clients.
+// startAll starts the engines, the change log, the brokers and the clients, in this order.
 func (s *soak) startAll(program, dir string) error {
 	var err error
 	endpoints := make([]changelogserver.Endpoint, 0, s.options.engines)
@@ -40,7 +40,7 @@
 	return s.startClients()
 }
 
-// startEngine starts a process of an engine, which ends with the run.
+// startEngine starts a process for an engine. The process ends with the run at the latest.
 func (s *soak) startEngine(engine *engineProcess) error { return engine.start(s.processes, s.report) }
 
 func (s *soak) newProxy() (*proxy, error) {
@@ -65,7 +65,7 @@
 	for i := range s.options.brokers {
 		broker := &brokerSlot{
 			name: fmt.Sprint("b", i), program: program, changelogProxies: changelogProxies, changes: s.changes,
-			hedging: s.hedging, fleetSize: s.options.brokers, environment: s.brokerEnvironment, onLine: s.brokerLine,
+			hedging: s.hedging, fleetSize: s.options.brokers, environment: s.brokerEnvironment, onLine: s.processBrokerLine,
 		}
 		if err := s.prepareBroker(s.processes, broker, dir); err != nil {
 			return err
@@ -76,7 +76,7 @@
 	return group.Wait()
 }
 
-// prepareBroker gives a broker its addresses, its folder and its log.
+// prepareBroker assigns a broker its addresses and creates its folder and its log file.
 func (s *soak) prepareBroker(ctx context.Context, broker *brokerSlot, dir string) error {
 	var err error
 	if broker.listen, err = freeAddress(ctx); err != nil {
@@ -104,7 +104,7 @@
 		addresses = append(addresses, broker.listen)
 	}
 	for i := range s.options.clients {
-		started, err := startHelper(s.processes, s.report, "clients", strings.Join(addresses, ","),
+		started, err := startRole(s.processes, s.report, "clients", strings.Join(addresses, ","),
 			fmt.Sprint(s.options.seed*100+uint64(i)), fmt.Sprint(s.options.rate))
 		if err != nil {
 			return err
@@ -114,16 +114,16 @@
 	return nil
 }
 
-const clientEndTime = 6 * time.Second // clients wait for their open requests when asked to end
+const clientExitTimeout = 6 * time.Second // after SIGTERM clients wait for their open requests
 
-// endRun ends the clients and then the brokers, in order.
+// endRun ends the run by SIGTERM to the clients and, once they have ended, to the brokers.
 func (s *soak) endRun() {
 	for _, p := range s.clients {
 		p.signal(terminate)
 	}
 	for _, p := range s.clients {
-		if !p.waitFor(clientEndTime) {
-			s.find("a client process did not end")
+		if !p.waitFor(clientExitTimeout) {
+			s.addFinding("a client process did not end")
 		}
 	}
 	var group errgroup.Group
@@ -136,11 +136,11 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		s.find("at the end of the run: %v", err)
+		s.addFinding("at the end of the run: %v", err)
 	}
 }
 
-// endAll ends what still runs.
+// endAll kills all remaining processes and closes the proxies.
 func (s *soak) endAll() {
 	for _, broker := range s.brokers {
 		if p := broker.current(); p != nil {
--- a/measure/soak/main.go
+++ b/measure/soak/main.go
@@ -1,8 +1,8 @@
-// Command soak runs brokers, engines and clients as real processes on loopback, with a proxy ahead of each engine
-// and of the change log, and overlaps up to four faults in time: signals, cuts, late connections, restarts,
-// reloads, drains, maintenance, a faulty change log, clients that misbehave, system calls that fail and wall
-// clocks that step. Everything is drawn from a seed. What happened is judged by the rules of the protocol, from
-// what clients and engines saw, and by the invariants that brokers check on themselves.
+// Command soak runs brokers, engines and clients as real processes on loopback, with a proxy in front of each engine
+// and of the change log. It injects up to four overlapping faults: signals, lost connections, delayed connections,
+// restarts, reloads, drains, maintenance, a faulty change log, misbehaving clients, failing system calls and wall
+// clock steps. All random choices derive from a seed. A verifier checks the events that clients and engines report
+// against the rules of the protocol; the brokers check their own invariants.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	}
 }
 
-// dispatch runs the role that the arguments name; without one it runs seeds.
+// dispatch runs the role that the arguments specify. Without a role it runs seeds.
 func dispatch(ctx context.Context, args []string) error {
 	switch {
 	case len(args) == 2 && args[0] == "engine":
@@ -60,11 +60,11 @@
 	flags.BoolVar(&o.shims, "shims", true, "system calls of brokers fail, and their wall clocks step")
 	flags.StringVar(&o.logs, "logs", "", "folder for the brokers' logs")
 	flags.BoolVar(&o.verbose, "v", false, "print all findings and faults")
-	_ = flags.Parse(args) // it exits on an error
+	_ = flags.Parse(args) // exits on error
 	return o
 }
 
-// runSeeds plays the seeds and prints their verdicts.
+// runSeeds runs the seeds and prints their verdicts. It returns errFindings if any seed had findings.
 func runSeeds(ctx context.Context, o options) (err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -78,11 +78,11 @@
 	failed := 0
 	for range o.seeds {
 		folder := filepath.Join(dir, fmt.Sprint(o.seed))
-		found, played, err := run(ctx, program, folder, o)
+		found, finished, err := run(ctx, program, folder, o)
 		if err != nil {
 			return err
 		}
-		if played.print(&found) {
+		if finished.print(&found) {
 			failed++
 		}
 		o.seed++
@@ -94,14 +94,14 @@
 	return nil
 }
 
-const printedFindings = 12 // of a seed, without -v
+const maxPrintedFindings = 12 // for each seed, without -v
 
-// print prints a verdict and reports whether anything was found.
+// print prints the verdict and reports whether the run had findings or invariant violations.
 func (s *soak) print(found *verdict) bool {
 	fmt.Printf("seed %d: %d requests, %d attempts, outcomes %v, exempt %d, findings %d, violations %v\n",
 		s.options.seed, found.requests, found.attempts, found.outcomes, found.exempt, len(found.findings), s.violations)
 	for i, finding := range found.findings {
-		if i >= printedFindings && !s.options.verbose {
+		if i >= maxPrintedFindings && !s.options.verbose {
 			fmt.Printf("  and %d more\n", len(found.findings)-i)
 			break
 		}
--- a/measure/soak/overlay.go
+++ b/measure/soak/overlay.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	_ "embed" // the files that are added to the standard library
+	_ "embed" // for the shim files
 	"encoding/json"
 	"fmt"
 	"os"
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// The files that are added to packages of the standard library.
+// The shim files, which the build adds to packages of the standard library.
 var (
 	//go:embed shim/syscall.go.txt
 	syscallShim string
@@ -19,19 +19,21 @@
 	timeShim string
 )
 
-// edit puts text behind the first line that begins with another one.
-type edit struct{ behind, insert string }
+// edit inserts text after the first line that equals after.
+type edit struct{ after, insert string }
 
-// patch is what a shim changes in a file of the standard library.
+// patch is a list of edits to one file of the standard library.
 type patch struct {
-	file  string // below the folder of sources
+	file  string // relative to the folder of library sources
 	edits []edit
 }
 
+// transferEdit fails or shortens the transfer of a read or write. The verbs are the fault names for sockets and files.
 const transferEdit = `	if p, err = injectTransfer(faultKind(fd, "%s", "file%s"), p); err != nil {
 		return -1, err
 	}`
 
+// callEdit fails a system call. The verbs are the fault name of the call and its result values ahead of the error.
 const callEdit = `	if errno, failed := injectFault("%s"); failed {
 		return %serrno
 	}`
@@ -60,8 +62,8 @@
 func faultPointer(ts *Timespec) unsafe.Pointer { return unsafe.Pointer(ts) }
 `
 
-// buildShimmed builds the program of a package with the shims and returns its path. The changed files are made of
-// the installed library, in a folder of the run, and are not kept.
+// buildShimmed builds the program of a package with the shims and returns its path. It derives the patched files from
+// the installed standard library and writes them to dir.
 func buildShimmed(ctx context.Context, dir, pkg string) (program string, err error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
@@ -106,7 +108,7 @@
 	return program, nil
 }
 
-// apply returns the text of the file with the edits.
+// apply returns the text of the file with the edits. It fails if the file lacks the line of an edit.
 func (p *patch) apply(sources string) (string, error) {
 	content, err := os.ReadFile(filepath.Join(sources, p.file))
 	if err != nil {
@@ -114,9 +116,9 @@
 	}
 	text := string(content)
 	for _, e := range p.edits {
-		line := "\n" + e.behind + "\n"
+		line := "\n" + e.after + "\n"
 		if !strings.Contains(text, line) {
-			return "", fmt.Errorf("%s has no line %q: the shim does not fit this library", p.file, e.behind)
+			return "", fmt.Errorf("%s has no line %q: the shim does not fit this library", p.file, e.after)
 		}
 		text = strings.Replace(text, line, line+e.insert+"\n", 1)
 	}
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -13,15 +13,16 @@
 	"time"
 )
 
-// process is a process of a run. Only processes that the run has started are signalled, by their ids.
+// process is a process that the run has started. Signals go to processes of the run only, by their ids.
 type process struct {
 	cmd     *exec.Cmd
-	drained sync.WaitGroup // the readers of its output
-	ended   chan struct{}  // closed once it has ended
-	err     error          // how it ended; set before ended is closed
+	readers sync.WaitGroup // readers of its output
+	ended   chan struct{}  // closed once the process has ended
+	err     error          // result of Wait; set before ended is closed
 }
 
-// startProcess starts a program. Each line of its standard output and error is given to a function.
+// startProcess starts a program. It calls onOutput for each line of the standard output and onError for each line of
+// the standard error.
 func startProcess(
 	ctx context.Context, env []string, onOutput, onError func(line []byte), program string, args ...string,
 ) (*process, error) {
@@ -39,10 +40,10 @@
 		return nil, fmt.Errorf("start %s: %w", program, err)
 	}
 	p := &process{cmd: cmd, ended: make(chan struct{})}
-	p.drained.Go(func() { readLines(stdout, onOutput) })
-	p.drained.Go(func() { readLines(stderr, onError) })
+	p.readers.Go(func() { readLines(stdout, onOutput) })
+	p.readers.Go(func() { readLines(stderr, onError) })
 	go func() {
-		p.drained.Wait()
+		p.readers.Wait()
 		p.err = cmd.Wait()
 		close(p.ended)
 	}()
@@ -57,41 +58,42 @@
 	for lines.Scan() {
 		f(lines.Bytes())
 	}
-	_, _ = io.Copy(io.Discard, r) // a longer line must not block the process
+	_, _ = io.Copy(io.Discard, r) // keep reading after a line over the limit, so that the process does not block
 }
 
-// signal sends a signal; a process that has ended gets none.
+// signal sends a signal. It does nothing if the process has ended.
 func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-// waitFor waits for the end for a while and reports whether it came.
-func (p *process) waitFor(within time.Duration) bool {
+// waitFor waits for the process to end and reports whether it ended within the timeout.
+func (p *process) waitFor(timeout time.Duration) bool {
 	select {
 	case <-p.ended:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// kill ends the process at once and waits for that.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// engineProcess is a process that emulates one engine behind a proxy.
+// engineProcess is one engine behind a proxy, emulated by one process at a time.
 type engineProcess struct {
 	id    string
 	proxy *proxy
 
-	mu  sync.Mutex
-	run *process
+	mu     sync.Mutex // guards newest
+	newest *process
 }
 
-// start starts the engine, and its proxy leads to it once it serves.
+// start starts a process for the engine, waits until it listens, and makes it the target of the proxy. The process
+// reports its later events to report.
 func (e *engineProcess) start(ctx context.Context, report func(Event)) error {
 	listening := make(chan string, 1)
-	p, err := startHelper(ctx, func(ev Event) {
+	p, err := startRole(ctx, func(ev Event) {
 		if ev.Kind == EngineListening {
 			listening <- ev.Addr
 			return
@@ -109,26 +111,26 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.run = p
+	e.newest = p
 	return nil
 }
 
-// current is the process of the engine.
+// current returns the process that was started last.
 func (e *engineProcess) current() *process {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.run
+	return e.newest
 }
 
-// startHelper starts this program in another role and reads the events that it reports.
-func startHelper(ctx context.Context, report func(Event), args ...string) (*process, error) {
+// startRole starts this program in another role, given by args, and calls report for each event of the process.
+func startRole(ctx context.Context, report func(Event), args ...string) (*process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	onOutput := func(line []byte) {
 		var ev Event
-		if json.Unmarshal(line, &ev) == nil { // a kill may cut the last line
+		if json.Unmarshal(line, &ev) == nil { // SIGKILL may truncate the last line
 			report(ev)
 		}
 	}
--- a/measure/soak/proxy.go
+++ b/measure/soak/proxy.go
@@ -13,62 +13,63 @@
 )
 
 const (
-	proxyBacklog    = 4 // connections that the system completes ahead of accept
+	proxyBacklog    = 4 // connections that the kernel completes before accept
 	proxyBufferSize = 16 << 10
 	proxyDialTime   = time.Second
-	gatePollTime    = 5 * time.Millisecond
-	fillTimeout     = 20 * time.Millisecond // of a connection that only takes a place
+	pollInterval    = 5 * time.Millisecond
+	fillTimeout     = 20 * time.Millisecond // for a connection that only fills the accept queue
 )
 
-// direction is a way through a proxy.
+// direction is a direction of data through a proxy.
 type direction int
 
-// The directions.
+// The directions; the server behind a proxy is an engine or the change log.
 const (
-	toEngine direction = iota
+	toServer direction = iota
 	toBroker
 )
 
-// proxy is a TCP proxy that lies between brokers and an engine or the change log, and disturbs what passes.
+// proxy is a TCP proxy between brokers and an engine or the change log. It injects network faults.
 type proxy struct {
-	// ctx bounds the dials behind the proxy. It is that of the run: the faults that reopen the listener end sooner.
+	// ctx bounds the dials to the target. It is the context of the run, as the contexts of the faults that reopen
+	// the listener end earlier.
 	ctx  context.Context
 	addr string
 
-	mu       sync.Mutex // guards what follows
-	listener net.Listener
-	target   string
-	links    map[*link]bool
-	held     [2]bool // by direction: bytes wait
-	holdLast bool    // the last byte of what comes from the engine waits a while
-	late     bool    // connections wait to be accepted
-	closed   bool
+	mu           sync.Mutex // guards the fields below
+	listener     net.Listener
+	target       string
+	links        map[*link]bool
+	held         [2]bool // by direction: bytes are held
+	delayLast    bool    // the last byte of each read from the server is delayed
+	acceptPaused bool    // new connections are not accepted
+	closed       bool
 }
 
-// dial connects to a loopback address within a time.
+// dial connects to a loopback address within a timeout.
 func dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", addr)
 }
 
 // link is one connection through the proxy.
-type link struct{ near, far net.Conn }
+type link struct{ brokerConn, serverConn net.Conn }
 
 func (l *link) close() {
-	_ = l.near.Close() // either may be closed already
-	_ = l.far.Close()
+	_ = l.brokerConn.Close() // either may be closed already
+	_ = l.serverConn.Close()
 }
 
-// reset closes both ends by a reset.
+// reset closes both connections by a TCP reset.
 func (l *link) reset() {
-	for _, conn := range []net.Conn{l.near, l.far} {
+	for _, conn := range []net.Conn{l.brokerConn, l.serverConn} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the close that follows shows in any case
+			_ = tcp.SetLinger(0) // if this fails, the connection is closed without a reset
 		}
 	}
 	l.close()
 }
 
-// newProxy returns a proxy that listens at a loopback port and leads nowhere yet.
+// newProxy returns a proxy that listens at a loopback port. It has no target yet.
 func newProxy(ctx context.Context) (*proxy, error) {
 	p := &proxy{ctx: ctx, links: map[*link]bool{}}
 	if err := p.listen(0); err != nil {
@@ -78,7 +79,7 @@
 	return p, nil
 }
 
-// listen listens with a short backlog, so that connections can be kept from coming up.
+// listen listens with a short backlog, so that delayConnects can fill the accept queue.
 func (p *proxy) listen(port int) error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -107,52 +108,52 @@
 
 func (p *proxy) accept(listener net.Listener) {
 	for {
-		for p.isLate() {
-			time.Sleep(gatePollTime)
+		for p.isAcceptPaused() {
+			time.Sleep(pollInterval)
 		}
-		near, err := listener.Accept()
+		brokerConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(brokerConn)
 	}
 }
 
-func (p *proxy) isLate() bool {
+func (p *proxy) isAcceptPaused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.late && !p.closed
+	return p.acceptPaused && !p.closed
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(brokerConn net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	far, err := dial(p.ctx, target, proxyDialTime)
+	serverConn, err := dial(p.ctx, target, proxyDialTime)
 	if err != nil {
-		(&link{near, near}).reset()
+		(&link{brokerConn, brokerConn}).reset()
 		return
 	}
-	l := &link{near, far}
+	l := &link{brokerConn, serverConn}
 	p.mu.Lock()
 	p.links[l] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(l, near, far, toEngine) })
-	both.Go(func() { p.carry(l, far, near, toBroker) })
+	both.Go(func() { p.forward(l, brokerConn, serverConn, toServer) })
+	both.Go(func() { p.forward(l, serverConn, brokerConn, toBroker) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
 }
 
-// carry passes bytes on in one direction until that ends, which ends the link.
-func (p *proxy) carry(l *link, from, to net.Conn, d direction) {
+// forward forwards bytes in one direction until that direction ends, and then closes the link.
+func (p *proxy) forward(l *link, from, to net.Conn, d direction) {
 	defer l.close()
 	buf := make([]byte, proxyBufferSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(l, to, buf[:n], d) {
+		if n > 0 && !p.write(l, to, buf[:n], d) {
 			return
 		}
 		if err != nil {
@@ -164,21 +165,21 @@
 	}
 }
 
-const holdLastTime = 150 * time.Millisecond
+const lastByteDelay = 150 * time.Millisecond
 
-// pass writes bytes once nothing holds them; false if the link has ended.
-func (p *proxy) pass(l *link, to net.Conn, data []byte, d direction) bool {
+// write writes data once no fault holds the direction. It reports whether the write succeeded.
+func (p *proxy) write(l *link, to net.Conn, data []byte, d direction) bool {
 	for p.isHeld(l, d) {
-		time.Sleep(gatePollTime)
+		time.Sleep(pollInterval)
 	}
 	p.mu.Lock()
-	holdLast := p.holdLast && d == toBroker && len(data) > 1
+	delayLast := p.delayLast && d == toBroker && len(data) > 1
 	p.mu.Unlock()
-	if holdLast {
+	if delayLast {
 		if _, err := to.Write(data[:len(data)-1]); err != nil {
 			return false
 		}
-		time.Sleep(holdLastTime)
+		time.Sleep(lastByteDelay)
 		data = data[len(data)-1:]
 	}
 	_, err := io.Writer(to).Write(data)
@@ -197,21 +198,21 @@
 	p.target = addr
 }
 
-// hold keeps all bytes of a direction back, or lets them go on.
-func (p *proxy) hold(d direction, held bool) {
+// setHeld holds all bytes of a direction, or releases them.
+func (p *proxy) setHeld(d direction, held bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.held[d] = held
 }
 
-// setHoldLast keeps the last byte of each message of the engine back for a while.
-func (p *proxy) setHoldLast(hold bool) {
+// setDelayLast sets whether the last byte of each message from the server is delayed by lastByteDelay.
+func (p *proxy) setDelayLast(delay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holdLast = hold
+	p.delayLast = delay
 }
 
-// resetLinks resets all connections.
+// resetLinks resets all connections through the proxy.
 func (p *proxy) resetLinks() {
 	p.mu.Lock()
 	links := make([]*link, 0, len(p.links))
@@ -224,21 +225,22 @@
 	}
 }
 
-// refuse closes the listener and all connections until the returned function is called.
+// refuse closes the listener and resets all connections. New connections are refused until the returned function is
+// called.
 func (p *proxy) refuse() (end func() error) {
 	p.mu.Lock()
-	_ = p.listener.Close() // it is open, and nothing is lost
+	_ = p.listener.Close() // the listener is open; there is no error to handle
 	port := p.listener.Addr().(*net.TCPAddr).Port
 	p.mu.Unlock()
 	p.resetLinks()
 	return func() error { return p.listen(port) }
 }
 
-// delayConnects keeps new connections from coming up until the returned function is called: the queue of the
-// listener is filled, so that the system drops what asks for one. It is asked again after a second.
+// delayConnects delays new connections until the returned function is called: it fills the accept queue, so that the
+// kernel drops the SYN of a new connection. TCP sends the SYN again after 1 s.
 func (p *proxy) delayConnects() (end func()) {
 	p.mu.Lock()
-	p.late = true
+	p.acceptPaused = true
 	p.mu.Unlock()
 	var fillers []net.Conn
 	for range proxyBacklog + 2 {
@@ -250,15 +252,15 @@
 	}
 	return func() {
 		for _, conn := range fillers {
-			_ = conn.Close() // it only took a place
+			_ = conn.Close() // it only filled the queue
 		}
 		p.mu.Lock()
-		p.late = false
+		p.acceptPaused = false
 		p.mu.Unlock()
 	}
 }
 
-// close ends the proxy.
+// close closes the listener and resets all connections.
 func (p *proxy) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/measure/soak/request.go
+++ b/measure/soak/request.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	lateAnswerWindow = 500 * time.Millisecond // an answer may come so long after the client's timeout
-	crossingWindow   = 50 * time.Millisecond  // a request that crosses a close within it is sent again
+	lateAnswerWindow = 500 * time.Millisecond // for an answer, after the client's timeout
+	closeRaceWindow  = 50 * time.Millisecond  // a request sent so shortly before a close counts as racing with it
 	dataSetCount     = 24
 )
 
-// clientTimeouts are how long clients wait, by the class of engineClasses.
+// clientTimeouts are the timeouts of clients, in the order of engineClasses.
 var clientTimeouts = []time.Duration{1200 * time.Millisecond, 2500 * time.Millisecond, 3 * time.Second}
 
-// request is one request of a client.
+// request is one request of a client to a broker.
 type request struct {
 	id        string
 	class     *engine.Class
 	timeout   time.Duration
 	broker    string
-	key       string
+	key       string // order key
 	statement string
-	sentAt    time.Time
+	sentAt    time.Time // zero until sent
 }
 
-// newRequest draws a request. One of an ordered class waits for the turn of its key.
+// newRequest draws a request. A request with an order key waits until the next request of that key may be sent. Without
+// ordered, no class with an order key is drawn.
 func (c *clientProcess) newRequest(ctx context.Context, broker string, ordered bool) *request {
 	classIndex := c.source.IntN(len(engineClasses))
 	if engineClasses[classIndex].Name == "load" && !ordered {
@@ -50,7 +51,8 @@
 	return req
 }
 
-func (c *clientProcess) sent(req *request, at time.Time) {
+// reportSent reports that a request was sent.
+func (c *clientProcess) reportSent(req *request, at time.Time) {
 	req.sentAt = at
 	c.events.write(Event{
 		Kind: RequestSent, At: at, Broker: req.broker, Request: req.id, Class: req.class.Name, Key: req.key,
@@ -58,56 +60,57 @@
 	})
 }
 
-func (c *clientProcess) ended(req *request, outcome Outcome, detail string) {
+// reportEnded reports the outcome of a request.
+func (c *clientProcess) reportEnded(req *request, outcome Outcome, detail string) {
 	c.events.write(Event{
 		Kind: RequestEnded, At: time.Now(), Broker: req.broker, Request: req.id, Outcome: outcome, Detail: detail,
 	})
 }
 
-// open connects, logs in and sends a first request. It returns nil if that did not work.
-func (c *clientProcess) open(ctx context.Context, req *request) *rawclient.Session {
-	session, err := rawclient.Connect(ctx, req.broker, req.statement, func(at time.Time) { c.sent(req, at) })
+// connectAndSend connects, logs in and sends a first request. It returns nil if any of these fails.
+func (c *clientProcess) connectAndSend(ctx context.Context, req *request) *rawclient.Session {
+	session, err := rawclient.Connect(ctx, req.broker, req.statement, func(at time.Time) { c.reportSent(req, at) })
 	if err == nil {
 		return session
 	}
 	switch {
 	case req.sentAt.IsZero():
-	case errors.Is(err, os.ErrDeadlineExceeded): // the client waits no longer for its login
-		c.ended(req, ClientDisconnected, "at login")
+	case errors.Is(err, os.ErrDeadlineExceeded): // the login timed out at the client
+		c.reportEnded(req, ClientDisconnected, "at login")
 	default:
-		c.ended(req, ConnectionClosed, "at login: "+err.Error())
+		c.reportEnded(req, ConnectionClosed, "at login: "+err.Error())
 	}
 	return nil
 }
 
-// finish reads the answer to a request and reports it. It reports whether the session can go on.
-func (c *clientProcess) finish(session *rawclient.Session, req *request) bool {
+// receiveAnswer reads the answer to a request and reports the outcome. It returns whether the session can continue.
+func (c *clientProcess) receiveAnswer(session *rawclient.Session, req *request) bool {
 	return c.readAnswer(session, req, func(error) bool { return false })
 }
 
-// finishCrossing reads what comes for a request that may have crossed the close of its connection. It reports
-// whether the session can go on.
-func (c *clientProcess) finishCrossing(session *rawclient.Session, req *request) bool {
+// receiveAnswerOrClose is receiveAnswer for a request that may race with the broker's close of the connection. The
+// broker owes no answer to such a request.
+func (c *clientProcess) receiveAnswerOrClose(session *rawclient.Session, req *request) bool {
 	return c.readAnswer(session, req, func(err error) bool {
-		return time.Since(req.sentAt) <= crossingWindow && !errors.Is(err, os.ErrDeadlineExceeded)
+		return time.Since(req.sentAt) <= closeRaceWindow && !errors.Is(err, os.ErrDeadlineExceeded)
 	})
 }
 
-// readAnswer reads the answer to a request and reports it; crossed reports whether an error means that the
-// request crossed the close of its connection.
-func (c *clientProcess) readAnswer(session *rawclient.Session, req *request, crossed func(error) bool) bool {
+// readAnswer reads the answer to a request and reports the outcome; racedClose reports whether an error means that the
+// request raced with the close of its connection.
+func (c *clientProcess) readAnswer(session *rawclient.Session, req *request, racedClose func(error) bool) bool {
 	answer, err := session.ReadAnswer(req.sentAt.Add(req.timeout + lateAnswerWindow))
 	switch {
 	case err == nil:
 		outcome, detail := outcomeOfAnswer(req, answer)
-		c.ended(req, outcome, detail)
+		c.reportEnded(req, outcome, detail)
 		return true
-	case errors.Is(err, net.ErrClosed): // by this process, whose time is over
-		c.ended(req, ClientDisconnected, "end of the run")
-	case crossed(err):
-		c.ended(req, ClientDisconnected, "crossed")
+	case errors.Is(err, net.ErrClosed): // closed by this process at the end of the run
+		c.reportEnded(req, ClientDisconnected, "end of the run")
+	case racedClose(err):
+		c.reportEnded(req, ClientDisconnected, "crossed")
 	default:
-		c.ended(req, outcomeOfError(err), err.Error())
+		c.reportEnded(req, outcomeOfError(err), err.Error())
 	}
 	return false
 }
--- a/measure/soak/shim_test.go
+++ b/measure/soak/shim_test.go
@@ -20,7 +20,7 @@
 	"wheatlane/internal/emulator/rawclient"
 )
 
-// shimmedProgram is the program with the shims, which the tests of this package share.
+// shimmedProgram is the path of the program with the shims, which the tests of this package share.
 var shimmedProgram string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
@@ -42,7 +42,7 @@
 	return code
 }
 
-// brokerLog is what a broker has logged.
+// brokerLog collects the log lines of a broker. It is safe for concurrent use.
 type brokerLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -54,23 +54,23 @@
 	l.lines = append(l.lines, line)
 }
 
-// expectNone fails for each line with a text.
+// expectNone fails the test for each line that contains a text.
 func (l *brokerLog) expectNone(t *testing.T, text string) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.lines {
 		if strings.Contains(line, text) {
-			t.Errorf("the broker logs %s", line)
+			t.Errorf("unexpected log line %s", line)
 		}
 	}
 }
 
-// waitFor waits for a line with a text.
+// waitFor waits for a line that contains a text.
 func (l *brokerLog) waitFor(t *testing.T, text string) {
 	t.Helper()
-	const patience = 20 * time.Second // a line that takes so long never comes
-	for end := time.Now().Add(patience); time.Now().Before(end); runtime.Gosched() {
+	const timeout = 20 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); runtime.Gosched() {
 		l.mu.Lock()
 		found := slices.ContainsFunc(l.lines, func(line string) bool { return strings.Contains(line, text) })
 		l.mu.Unlock()
@@ -78,13 +78,14 @@
 			return
 		}
 	}
-	t.Fatalf("the broker never logs %q", text)
+	t.Fatalf("no log line contains %q after %v", text, timeout)
 }
 
-// startTestBroker starts one engine, a change log and one broker with faults, until the test ends.
+// startTestBroker starts one engine, a change log and one broker with the faults of the environment. They run until the
+// test ends.
 func startTestBroker(t *testing.T, environment ...string) (*brokerSlot, *brokerLog) {
 	t.Helper()
-	e, err := engine.NewServer("e-00", engineClasses, engineSize, nil)
+	e, err := engine.NewServer("e-00", engineClasses, engineConfig, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,9 +118,9 @@
 	return b, log
 }
 
-// askBroker sends a request and waits for a complete answer.
-func askBroker(ctx context.Context, address, class string, number int) error {
-	const patience = 20 * time.Second // an answer that takes so long never comes
+// sendRequest sends a request on a new connection and waits for a complete answer.
+func sendRequest(ctx context.Context, address, class string, number int) error {
+	const timeout = 20 * time.Second
 	statement := fmt.Sprintf(
 		"/* service=%s,ref=%016x,allow=1200,project=fishing-fleet,replay=op%d */ SELECT a FROM s_1.t",
 		class, number+1, number,
@@ -129,20 +130,20 @@
 		return err
 	}
 	defer s.Close()
-	_, err = s.ReadAnswer(time.Now().Add(patience))
+	_, err = s.ReadAnswer(time.Now().Add(timeout))
 	return err
 }
 
-// expectAnswer expects a whole answer, whatever it is.
+// expectAnswer fails the test unless a request receives a complete answer, a result or an error.
 func expectAnswer(t *testing.T, address string, number int) {
 	t.Helper()
-	if err := askBroker(t.Context(), address, "lookup", number); err != nil {
+	if err := sendRequest(t.Context(), address, "lookup", number); err != nil {
 		t.Fatalf("request %d: %v", number, err)
 	}
 }
 
-// faultsOf is the environment in which calls fail from and to a time after the start.
-func faultsOf(errno syscall.Errno, from, to time.Duration, calls ...string) string {
+// faultEnvironment returns the environment variable that makes calls fail between two times after the start.
+func faultEnvironment(errno syscall.Errno, from, to time.Duration, calls ...string) string {
 	text := faultsVariable + "=1"
 	for _, call := range calls {
 		text += fmt.Sprintf(";%s@%d-%d=%d:1000", call, from.Milliseconds(), to.Milliseconds(), errno)
@@ -150,24 +151,24 @@
 	return text
 }
 
-// A broker starts though the system has no descriptors for the first moment: neither for its files nor for its
-// sockets.
-func TestStartWithoutDescriptorsForAMoment(t *testing.T) {
+// The system has no descriptors left when a broker starts, neither for files nor for sockets. The broker must retry
+// until descriptors are available.
+func TestBrokerStartsDespiteTemporaryLackOfDescriptors(t *testing.T) {
 	t.Parallel()
-	b, _ := startTestBroker(t, faultsOf(syscall.ENFILE, 0, 700*time.Millisecond, "open", "socket"))
+	b, _ := startTestBroker(t, faultEnvironment(syscall.ENFILE, 0, 700*time.Millisecond, "open", "socket"))
 	expectAnswer(t, b.listen, 1)
 }
 
-// Connections that can't be made for want of ports or buffers say nothing of the engines: none is ejected, and each
-// request has its answer.
-func TestLocalFaultsAreNotCountedAgainstEngines(t *testing.T) {
+// A connect that fails for lack of local ports is no failure of the engine: no engine is ejected, and each request is
+// answered.
+func TestLocalConnectErrorsDoNotEjectEngines(t *testing.T) {
 	t.Parallel()
 	const requests = 24
-	b, log := startTestBroker(t, faultsOf(syscall.EADDRNOTAVAIL, 0, time.Hour, "connect"))
+	b, log := startTestBroker(t, faultEnvironment(syscall.EADDRNOTAVAIL, 0, time.Hour, "connect"))
 	var g errgroup.Group
 	for n := range requests {
 		g.Go(func() error {
-			return askBroker(t.Context(), b.listen, "lookup", n)
+			return sendRequest(t.Context(), b.listen, "lookup", n)
 		})
 	}
 	if err := g.Wait(); err != nil {
@@ -176,42 +177,43 @@
 	log.expectNone(t, "engine ejected")
 }
 
-// A client whose connection the system has taken before SIGTERM is served, though the broker can't accept it for a
-// while, until after the time in which new requests are taken.
-func TestAcceptFailsAcrossShutdown(t *testing.T) {
+// The kernel completes a client's connection before SIGTERM, but accept fails until after the time in which the broker
+// accepts new requests. The broker must still serve the client.
+func TestConnectionQueuedBeforeShutdownIsServed(t *testing.T) {
 	t.Parallel()
-	b, log := startTestBroker(t, faultsOf(syscall.ENFILE, 0, 1900*time.Millisecond, "accept"))
+	b, log := startTestBroker(t, faultEnvironment(syscall.ENFILE, 0, 1900*time.Millisecond, "accept"))
 	answered := make(chan error, 1)
 	go func() {
-		answered <- askBroker(t.Context(), b.listen, "load", 1)
+		answered <- sendRequest(t.Context(), b.listen, "load", 1)
 	}()
 	log.waitFor(t, "accept failed")
 	if err := b.terminate(b.current()); err != nil {
 		t.Error(err)
 	}
 	if err := <-answered; err != nil {
-		t.Errorf("the request was not answered: %v", err)
+		t.Errorf("request not answered: %v", err)
 	}
 	log.expectNone(t, "invariant violated")
 }
 
-// A read that the system ends with ETIMEDOUT is the end of the connection, not a deadline of this program.
-func TestBrokenConnectionIsNoDeadline(t *testing.T) {
+// A read that fails with ETIMEDOUT means that the connection is broken. If the broker mistakes the error for an expired
+// read deadline, the request gets no answer and its connection stays open.
+func TestReadErrorETIMEDOUTClosesConnection(t *testing.T) {
 	t.Parallel()
-	b, _ := startTestBroker(t, faultsOf(syscall.ETIMEDOUT, time.Second, 1300*time.Millisecond, "read"))
+	b, _ := startTestBroker(t, faultEnvironment(syscall.ETIMEDOUT, time.Second, 1300*time.Millisecond, "read"))
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
-		err := askBroker(t.Context(), b.listen, "lookup", int(time.Now().UnixNano()>>20))
+		err := sendRequest(t.Context(), b.listen, "lookup", int(time.Now().UnixNano()>>20))
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a request has no answer and its connection no end")
+			t.Fatal("no answer to a request, and its connection was not closed")
 		}
 	}
 	expectAnswer(t, b.listen, 1)
 }
 
-// Writes for which the system has no buffers are repeated: no connection ends for them.
-func TestWritesWithoutBuffersForAMoment(t *testing.T) {
+// A write that fails for lack of buffers (ENOBUFS) must be retried; it must not end the connection.
+func TestWritesAreRetriedAfterLackOfBuffers(t *testing.T) {
 	t.Parallel()
-	b, _ := startTestBroker(t, faultsOf(syscall.ENOBUFS, 0, time.Second, "write"))
+	b, _ := startTestBroker(t, faultEnvironment(syscall.ENOBUFS, 0, time.Second, "write"))
 	for n := range 3 {
 		expectAnswer(t, b.listen, n)
 	}
--- a/measure/soak/systemfaults.go
+++ b/measure/soak/systemfaults.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The environment variables of the shims.
+// The environment variables that the shims read.
 const (
 	faultsVariable     = "WHEATLANE_FAULTS"
 	clockStepsVariable = "WHEATLANE_CLOCK_STEPS"
 )
 
-// systemFault is a call that fails for a while as Linux documents.
+// systemFault is a system call that fails for a while with an error that Linux documents for it.
 type systemFault struct {
-	call     string
+	call     string        // name that the shim uses
 	errno    syscall.Errno // 0: a short transfer
-	perMille int
+	perMille int           // share of calls that fail
 }
 
-// systemFaults are what the faults of a broker's process are drawn from.
+// systemFaults lists the faults that each broker process draws from.
 var systemFaults = []systemFault{
 	{"accept", syscall.ENFILE, 1000},
 	{"accept", syscall.ENOBUFS, 500},
@@ -51,19 +51,20 @@
 
 const (
 	systemFaultsPerProcess = 6
-	systemFaultHorizon     = 12 * time.Second // of a process, in which its faults begin
-	maxSystemFault         = 1500 * time.Millisecond
+	systemFaultHorizon     = 12 * time.Second // since the start of a process, in which its faults begin
+	maxSystemFaultDuration = 1500 * time.Millisecond
 	maxShimSeed            = 1 << 30
 	clockStepOdds          = 2 // one in so many processes has a clock step
 	minClockStepDelay      = time.Second
 )
 
-// breaksConnection reports whether the fault ends a connection for good, so that no answer can leave on it.
+// breaksConnection reports whether the fault ends a connection, so that the broker can send no more answers on it.
 func (f systemFault) breaksConnection() bool {
 	return f.errno == syscall.ETIMEDOUT || f.errno == syscall.EHOSTUNREACH
 }
 
-// brokerEnvironment draws the faults of system calls and the clock steps of a broker's next process.
+// brokerEnvironment draws the system call faults and the clock steps of a broker's next process, and returns them as
+// environment variables.
 func (s *soak) brokerEnvironment(broker *brokerSlot) []string {
 	if !s.options.shims {
 		return nil
@@ -72,12 +73,14 @@
 	for range systemFaultsPerProcess {
 		drawn := systemFaults[s.draw(len(systemFaults))]
 		from := s.drawDuration(systemFaultHorizon)
-		to := from + s.drawDuration(maxSystemFault)
+		to := from + s.drawDuration(maxSystemFaultDuration)
 		text += fmt.Sprintf(";%s@%d-%d=%d:%d",
 			drawn.call, from.Milliseconds(), to.Milliseconds(), drawn.errno, drawn.perMille)
 		if drawn.breaksConnection() {
 			breaks := span{time.Now().Add(from), time.Now().Add(to + settleTime)}
-			s.note(func(h *history) { h.brokerBreaks[broker.listen] = append(h.brokerBreaks[broker.listen], breaks) })
+			s.updateHistory(func(h *history) {
+				h.connectionBreaks[broker.listen] = append(h.connectionBreaks[broker.listen], breaks)
+			})
 		}
 	}
 	steps := ""
