--- a/measure/edgecases/clients.go
+++ b/measure/edgecases/clients.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	maxClients   = 60                      // at a time
-	maxPatience  = 1500 * time.Millisecond // a client waits up to this before it leaves
+	maxClients   = 60                      // concurrent clients
+	maxWait      = 1500 * time.Millisecond // upper bound of the time until a client disconnects
 	meanInterval = 20 * time.Millisecond   // between clients
-	keyInterval  = 260 * time.Millisecond  // between requests of one key, as clients keep it
+	keyInterval  = 260 * time.Millisecond  // minimum interval that clients keep between requests of one order key
 	keyCount     = 4
 	dataSetCount = 24
 	clientStream = 2 // of the seed's random numbers
 )
 
-// disconnectingClients are clients that leave before their answers, and some that are idle until the broker
+// disconnectingClients runs clients that disconnect before their answers, and clients that are idle until the broker
 // closes their connections.
 type disconnectingClients struct {
 	address string
@@ -55,7 +55,7 @@
 	return c
 }
 
-// newRequestID returns an id that no other request has.
+// newRequestID returns a unique request id.
 func (c *disconnectingClients) newRequestID() string {
 	return fmt.Sprintf("cccc%012x", c.requests.Add(1))
 }
@@ -66,7 +66,7 @@
 	g.SetLimit(maxClients)
 	for ctx.Err() == nil {
 		g.Go(func() error {
-			c.sendAndLeave(ctx)
+			c.sendAndDisconnect(ctx)
 			return nil
 		})
 		pacing.Pause(ctx, c.source.Duration(2*meanInterval))
@@ -74,9 +74,9 @@
 	return g.Wait()
 }
 
-// sendAndLeave sends one request and leaves after a while if no answer came. Errors are the broker's right:
-// it may be shutting down.
-func (c *disconnectingClients) sendAndLeave(ctx context.Context) {
+// sendAndDisconnect sends one request and disconnects if no answer arrives within a random time. Connection errors are
+// not violations, as the broker may be shutting down.
+func (c *disconnectingClients) sendAndDisconnect(ctx context.Context) {
 	class := c.classes[[]int{0, 0, 1, 2, 2, 2}[c.source.IntN(6)]]
 	key := ""
 	if class.Engine.HoldsDataSetLock {
@@ -100,7 +100,7 @@
 		return // the broker accepts no more connections
 	}
 	defer session.Close()
-	answer, err := session.ReadPacketFor(c.source.Duration(maxPatience))
+	answer, err := session.ReadPacketFor(c.source.Duration(maxWait))
 	switch {
 	case err == nil:
 		c.checker.RequestEnded(id, outcomeOf(answer), time.Now())
@@ -119,11 +119,12 @@
 	return fmt.Sprintf("%016x", c.keys.WaitForRandomKey(ctx, c.source)+1)
 }
 
-// idleClients is how many clients are idle until the broker closes their connections.
+// idleClients is the number of clients that are idle until the broker closes their connections.
 const idleClients = 20
 
-// startIdle connects clients that get one answer and are idle from then on. Once its connection is shut, each
-// sends a request, whose id is given to sentLate first. The returned function waits for them.
+// startIdle connects clients that receive one answer and are idle afterwards. Once the broker has shut down its
+// connection, each client passes the id of a new request to sentLate and sends the request. The returned function waits
+// for the clients.
 func (c *disconnectingClients) startIdle(
 	ctx context.Context, sentLate func(requestID string),
 ) (wait func() error) {
@@ -135,7 +136,7 @@
 			session, err := c.connectIdle(ctx)
 			ready.Done()
 			if err != nil {
-				return fmt.Errorf("an idle client: %w", err)
+				return fmt.Errorf("connect idle client: %w", err)
 			}
 			defer session.Close()
 			stop := context.AfterFunc(ctx, session.Close)
@@ -148,8 +149,8 @@
 	return g.Wait
 }
 
-// connectIdle connects a client and waits for its first answer. The statement has no fields: it is answered
-// at once, and nothing is forwarded.
+// connectIdle connects a client and waits for its first answer. The statement has no request fields, so that the broker
+// answers it immediately and forwards nothing.
 func (c *disconnectingClients) connectIdle(ctx context.Context) (*rawclient.Session, error) {
 	session, err := rawclient.Connect(ctx, c.address, "PING", func(time.Time) {})
 	if err != nil {
@@ -162,10 +163,10 @@
 	return session, nil
 }
 
-// sendAfterShutdown waits for the broker to shut a connection, and sends a request on it.
+// sendAfterShutdown waits until the broker shuts down a connection, and then sends a request on it.
 func (c *disconnectingClients) sendAfterShutdown(session *rawclient.Session, sentLate func(requestID string)) {
 	if !session.WaitForShutdown() {
-		return // it was reset, or closed at the end of the run
+		return // the connection was reset, or closed at the end of the run
 	}
 	class := c.classes[0]
 	id := c.newRequestID()
@@ -176,13 +177,13 @@
 		SentAt:  time.Now(),
 		Timeout: class.Timeout,
 	})
-	// A request that crosses a close is owed no answer.
+	// The broker owes no answer to a request that races with the close of its connection.
 	c.checker.RequestEnded(id, conformance.ClientDisconnected, time.Now())
 	session.SendAfterShutdown(class.Statement(id, cluster.Tenants[0], "op"+id, "", 0, false))
 }
 
-// outcomeOf classifies the first packet of an answer. Rows are not compared with those of the engines; that
-// other clients do.
+// outcomeOf returns the outcome for the first packet of an answer. It does not compare rows with those of the engines;
+// the clients of the load do.
 func outcomeOf(answer []byte) conformance.Outcome {
 	code := rawclient.ErrorCode(answer)
 	switch {
--- a/measure/edgecases/main.go
+++ b/measure/edgecases/main.go
@@ -1,8 +1,7 @@
-// Command edgecases counts, over a run on loopback with faults, what the operators' terms on edge cases
-// limit: requests that are forwarded although their clients disconnected while they were queued, requests
-// that are forwarded although they were sent after a planned restart had shut their connection, and
-// violations of any other rule. Clients leave by KILL QUERY, a close or a reset. Each line that it prints is
-// a name, a value and a unit.
+// Command edgecases runs a broker on loopback under load and faults and counts edge cases that the operators limit:
+// queued requests that the broker forwards although their clients have disconnected, requests that it forwards although
+// they were sent after a planned restart had shut down their connection, and violations of any other rule. Clients
+// disconnect by KILL QUERY, a close or a reset. Each printed line is a name, a value and a unit.
 package main
 
 import (
@@ -18,13 +17,13 @@
 	"wheatlane/internal/emulator/engine"
 )
 
-// options are those of a run.
+// options configures a run.
 type options struct {
 	seed         uint64
 	duration     time.Duration // until the planned restart
-	hedging      bool
-	cancellation bool
-	busy         bool // long requests are in flight at the planned restart
+	hedging      bool          // the deployment allows hedged requests
+	cancellation bool          // the deployment allows brokers to cancel attempts
+	busy         bool          // long requests are in flight at the planned restart
 }
 
 func main() {
@@ -46,14 +45,14 @@
 	}
 }
 
-// engineObserver reports to the checker what engines observe, and counts the requests that were sent after
-// the shutdown.
+// engineObserver reports the attempts at engines to the checker, and counts the requests that were sent after the
+// shutdown. It is safe for concurrent use.
 type engineObserver struct {
 	checker *conformance.Checker
 
 	mu        sync.Mutex
 	late      map[string]bool // requests that were sent after the shutdown
-	forwarded int             // attempts of these
+	forwarded int             // attempts of the late requests
 }
 
 // AttemptReceived records an attempt that an engine has received.
@@ -97,7 +96,7 @@
 
 func printCount(name string, n int) { fmt.Printf("%s %d requests\n", name, n) }
 
-// printVerdict prints what was counted; the error holds all violations.
+// printVerdict prints the counts. The returned error joins all violations.
 func printVerdict(v conformance.Report, observer *engineObserver) error {
 	printCount("asked", v.Requests)
 	for _, outcome := range outcomes {
@@ -110,8 +109,8 @@
 	printCount("sent_on_after_the_shutdown", forwarded)
 	fmt.Printf("breaches %d\n", len(v.Violations))
 	var violations []error
-	for _, breach := range v.Violations {
-		violations = append(violations, errors.New(breach))
+	for _, violation := range v.Violations {
+		violations = append(violations, errors.New(violation))
 	}
 	if v.UnsentAtDisconnect == 0 || sent == 0 {
 		violations = append(violations, errors.New("no client left while its request was queued, "+
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -22,18 +22,18 @@
 const (
 	engineCount     = 3
 	faults          = "2s:slow:1,4s:silent:2,6s:speak:2,7s:drain:3,9s:crash:1,12s:back:1,14s:quick:1"
-	disconnectGrace = 300 * time.Millisecond // the operators' term
+	disconnectGrace = 300 * time.Millisecond // limit by the operators
 	drainGrace      = 500 * time.Millisecond
 	clockSlack      = 50 * time.Millisecond
 	maxAttempts     = 4
 
-	// lateLoad is how long requests are sent after SIGTERM, by the protocol.
+	// lateLoad is how long clients may send requests after SIGTERM, as the protocol specifies.
 	lateLoad = 300 * time.Millisecond
-	// quietSeed is added to the seed of the load without long requests.
-	quietSeed = 1000
+	// quietSeedOffset is added to the seed for the load without long requests.
+	quietSeedOffset = 1000
 )
 
-// classes are the requests that clients send.
+// classes are the request classes that clients send.
 var classes = []client.Class{
 	{
 		Engine:           cluster.Classes[0],
@@ -51,8 +51,7 @@
 	},
 }
 
-// environment is what a broker runs in: emulated engines and a change log, and the checker that observes
-// them.
+// environment holds the emulated engines and change log that a broker runs against, and the checker that observes them.
 type environment struct {
 	checker   *conformance.Checker
 	observer  *engineObserver
@@ -80,12 +79,12 @@
 	if err != nil {
 		return nil, err
 	}
-	e.changelog, err = changelogserver.New("127.0.0.1:0", e.engines.Endpoints(), e.listed)
+	e.changelog, err = changelogserver.New("127.0.0.1:0", e.engines.Endpoints(), e.observeEndpoint)
 	return e, err
 }
 
-// listed notifies the checker of what the change log has reported of an engine.
-func (e *environment) listed(h changelogserver.Endpoint, at time.Time) {
+// observeEndpoint notifies the checker of an engine's state that the change log has reported to the broker.
+func (e *environment) observeEndpoint(h changelogserver.Endpoint, at time.Time) {
 	if h.Health == "in_service" {
 		e.checker.EngineInService(h.ID)
 	} else {
@@ -93,7 +92,7 @@
 	}
 }
 
-// run emulates engines and change log until ctx ends.
+// run runs the engines and the change log until ctx ends.
 func (e *environment) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return e.engines.Run(ctx) })
@@ -101,7 +100,7 @@
 	return ignoreCanceled(g.Wait())
 }
 
-// runFaults applies the scenario of faults.
+// runFaults runs the scenario of faults.
 func (e *environment) runFaults(ctx context.Context) error {
 	steps, err := scenario.Parse(faults, cluster.Actions, engineCount)
 	if err != nil {
@@ -132,7 +131,8 @@
 	return err
 }
 
-// measure runs a broker under load and faults, restarts it, and prints the checker's verdict.
+// measure runs a broker under load and faults, shuts it down as for a planned restart, and prints the verdict of the
+// checker.
 func measure(ctx context.Context, o options) (err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -153,7 +153,7 @@
 	emulators.Go(func() error { return env.run(ctx) })
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
-	go func() { ended <- broker.Run(ctx, stop) }() // ends with stop, or ctx
+	go func() { ended <- broker.Run(ctx, stop) }() // ends after stop, or with ctx
 
 	address := broker.Server.Addr().String()
 	clients := newDisconnectingClients(address, o.seed, env.checker)
@@ -166,7 +166,7 @@
 	if !o.busy {
 		err = load.end()
 		load = startLoad(ctx, func(ctx context.Context, g *errgroup.Group) {
-			quiet := env.newLoad(address, o.seed+quietSeed, classes[:1])
+			quiet := env.newLoad(address, o.seed+quietSeedOffset, classes[:1])
 			g.Go(func() error { return quiet.Run(ctx) })
 		})
 	}
@@ -181,7 +181,7 @@
 	return printVerdict(env.checker.Check(time.Now()), env.observer)
 }
 
-// loadPhase is clients and faults that end together.
+// loadPhase is a group of clients and faults that end together.
 type loadPhase struct {
 	cancel context.CancelFunc
 	group  *errgroup.Group
@@ -194,13 +194,13 @@
 	return loadPhase{cancel, g}
 }
 
-// end ends the phase and waits for its requests.
+// end stops the phase and waits until its requests have ended.
 func (p loadPhase) end() error {
 	p.cancel()
 	return p.group.Wait()
 }
 
-// newBroker returns a broker whose deployment allows hedging and cancellation, or does not.
+// newBroker returns a broker with the options for hedging and cancellation.
 func newBroker(
 	ctx context.Context, dir string, changelog *changelogserver.ChangeLog, o options,
 ) (*service.Service, error) {
