--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	intervalLength     = 10 * time.Second
-	intervalsAnHour    = 360
-	intervalsAMinute   = 6
-	requestsAnInterval = 1000 // requests of an interval: 100 a second
+	intervalLength      = 10 * time.Second
+	intervalsPerHour    = 360
+	intervalsPerMinute  = 6
+	requestsPerInterval = 1000 // 100 requests a second
 )
 
-// traffic records random requests with as many names as have series.
+// traffic records random requests, with more names of tenants and data sets than have series of their own.
 type traffic struct {
 	rng      *rand.Rand
 	recorder *telemetry.Recorder
@@ -45,9 +45,9 @@
 	}, nil
 }
 
-// nextInterval records the requests of an interval and returns its metrics.
+// nextInterval records the requests of one interval and returns the metrics of the interval.
 func (t *traffic) nextInterval() *metrics.Interval {
-	for range requestsAnInterval {
+	for range requestsPerInterval {
 		t.record()
 	}
 	t.now += intervalLength
@@ -79,7 +79,7 @@
 	})
 }
 
-// measureBacklog measures what is held for a collector that is unreachable for an hour.
+// measureBacklog measures the size and the losses of the backlog for a collector that is unreachable for an hour.
 func measureBacklog() error {
 	const (
 		budget     = 512 << 10
@@ -97,13 +97,13 @@
 		ReplayRate:     1,
 	}, 1)
 	fullAt, slowest := 0, time.Duration(0)
-	for i := range intervalsAnHour {
+	for i := range intervalsPerHour {
 		interval := t.nextInterval()
 		start := time.Now()
 		m.Apply(0, delivery.IntervalAdded{Interval: interval})
 		slowest = max(slowest, time.Since(start))
 		held := m.Stats().HeldBytes
-		if i == intervalsAMinute-1 {
+		if i == intervalsPerMinute-1 {
 			printResult("backlog_first_minute", float64(held)/bytesPerKilobyte, "KB")
 		}
 		if fullAt == 0 && held > nearlyFull {
@@ -111,14 +111,14 @@
 		}
 	}
 	stats := m.Stats()
-	printResult("backlog_unfolded_for", float64(fullAt)/intervalsAMinute, "minutes of 512 KB")
+	printResult("backlog_unfolded_for", float64(fullAt)/intervalsPerMinute, "minutes of 512 KB")
 	printResult("backlog_after_an_hour", float64(stats.HeldBytes)/bytesPerKilobyte, "KB")
 	printResult("lost_after_an_hour", float64(stats.LostIntervals)+stats.LostSamples, "intervals and values")
 	printResult("longest_fold", float64(slowest.Microseconds()), "us")
 	return nil
 }
 
-// measurePackets measures how many packets a second are made for collectd.
+// measurePackets measures how many packets for collectd are encoded per second, at each security level.
 func measurePackets() error {
 	t, err := newTraffic(5, 6)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// packetRate packs an interval again and again and returns the packets a second.
+// packetRate encodes an interval repeatedly and returns the number of packets per second.
 func packetRate(interval *metrics.Interval, level collectd.Level) (float64, error) {
 	const packFor = 300 * time.Millisecond
 	packets := 0
--- a/measure/telemetry/endtoend.go
+++ b/measure/telemetry/endtoend.go
@@ -20,13 +20,13 @@
 
 const (
 	engineCount    = 4
-	outageRounds   = 5 // of load while the collector is unreachable
+	outageRounds   = 5 // rounds of load while the collector is unreachable
 	reconnectLimit = 20 * time.Second
 	pollInterval   = 50 * time.Millisecond
 )
 
-// The brokers that are compared: two without metrics, whose ratio shows the noise, one with, and one whose
-// collector accepts connections and never reads.
+// The names of the brokers that are compared: two without metrics, whose ratio shows the noise, one with metrics, and
+// one whose collector accepts connections but never reads.
 const (
 	withoutMetrics = "off"
 	controlBroker  = "control"
@@ -34,17 +34,17 @@
 	deadCollector  = "dead"
 )
 
-// comparison is several brokers beside the same engines.
+// comparison compares several brokers that use the same engines.
 type comparison struct {
 	options    processOptions
 	brokers    []*brokerProcess
 	collectors map[string]*collector.Carbon // by broker
-	received   *collector.Reconciler        // by the collector of the broker with metrics
+	received   *collector.Reconciler        // metrics received from the broker with metrics
 }
 
-// measureEndToEnd sends lookups to four brokers at once, so that other activity of the machine is the same
-// for all. Then the collector of the one with metrics is unreachable for a while, and its counts are compared
-// with those of the client.
+// measureEndToEnd sends lookups to four brokers concurrently, so that other activity of the machine affects all of them
+// equally. Then it makes the collector of the broker with metrics unreachable for a while, and compares the counts of
+// the collector with those of the client.
 func measureEndToEnd(ctx context.Context, program string, rounds int) (err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -83,7 +83,7 @@
 		}
 	}
 	loads, loadCtx := errgroup.WithContext(ctx)
-	for i, b := range c.brokers { // with arrivals of their own: in step they would meet at the engines
+	for i, b := range c.brokers { // a seed for each load: synchronous arrivals would collide at the engines
 		loads.Go(func() error { return b.load(loadCtx, uint64(i), rounds+1) })
 	}
 	if err := loads.Wait(); err != nil {
@@ -100,7 +100,7 @@
 	return filepath.Join(c.options.directory, name+"-operator.json")
 }
 
-// start starts a broker, and its collector if it has one.
+// start starts a broker, and a collector for it if it has one.
 func (c *comparison) start(ctx context.Context, emulators *errgroup.Group, name string) error {
 	options := c.options
 	if name == withMetrics || name == deadCollector {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// startCollector starts the collector of a broker and writes the operator's configuration for it.
+// startCollector starts the collector for a broker and writes the operator's configuration of the broker.
 func (c *comparison) startCollector(ctx context.Context, emulators *errgroup.Group, name string) error {
 	received := c.received
 	if name == deadCollector {
@@ -138,8 +138,8 @@
 	return os.WriteFile(c.operatorFile(name), []byte(text), 0o600)
 }
 
-// printLatencies prints the latency of each broker, and its ratio to that of the first broker in the same
-// round: the median over the rounds, the least and the most.
+// printLatencies prints the median over the rounds of each broker's latency. For all brokers but the first it also
+// prints the median, minimum and maximum of the ratio to the latency of the first broker in the same round.
 func printLatencies(brokers []*brokerProcess) {
 	for _, quantile := range []struct {
 		name string
@@ -167,7 +167,7 @@
 	}
 }
 
-// quantileMS returns a quantile of sorted durations in milliseconds, 0 if there are none.
+// quantileMS returns a quantile of sorted durations in milliseconds, or 0 without durations.
 func quantileMS(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -175,7 +175,8 @@
 	return float64(sorted[int(q*float64(len(sorted)-1))]) / float64(time.Millisecond)
 }
 
-// measureOutage makes a broker's collector unreachable under load and compares the counts in the end.
+// measureOutage makes a broker's collector unreachable under load, makes it reachable again, and prints how many
+// requests and intervals it lacks.
 func (c *comparison) measureOutage(ctx context.Context, b *brokerProcess) error {
 	server := c.collectors[withMetrics]
 	server.SetMode(collector.Unreachable)
@@ -193,26 +194,26 @@
 			return nil
 		}
 		if expired {
-			return fmt.Errorf("the collector has %d runs", len(findings.Incarnations))
+			return fmt.Errorf("collector received %d incarnations of the broker, want 1", len(findings.Incarnations))
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// isComplete reports whether a collector has all intervals and requests of a run.
-func isComplete(run *collector.Incarnation, sent int) bool {
-	return run.Missing() == 0 && run.Total(metrics.Requests) >= float64(sent)
+// isComplete reports whether a collector has received all intervals and requests of an incarnation.
+func isComplete(incarnation *collector.Incarnation, sent int) bool {
+	return incarnation.Missing() == 0 && incarnation.Total(metrics.Requests) >= float64(sent)
 }
 
-func printOutage(run *collector.Incarnation, sent int) {
+func printOutage(incarnation *collector.Incarnation, sent int) {
 	printResult("requests_counted_by_the_client", float64(sent), "requests")
-	lost := float64(sent) - run.Total(metrics.Requests)
+	lost := float64(sent) - incarnation.Total(metrics.Requests)
 	printResult("requests_lost_by_the_collector_after_an_outage", lost, "requests")
-	printResult("intervals_missing_after_an_outage", float64(run.Missing()), "intervals")
+	printResult("intervals_missing_after_an_outage", float64(incarnation.Missing()), "intervals")
 }
 
-// measureManyNames sends requests of ever new tenants to brokers of 32 MB, with metrics and without, and
-// prints their memory.
+// measureManyNames sends requests of many different tenants to brokers with a memory limit of 32 MB, with and without
+// metrics, and prints the memory that they use.
 func (c *comparison) measureManyNames(ctx context.Context) error {
 	const count = 100_000
 	names := make([]string, count)
@@ -232,7 +233,7 @@
 	return nil
 }
 
-// limitMemory changes a configuration to 32 MB, and allows any tenant.
+// limitMemory sets the memory limit in a configuration to 32 MB, and allows any tenant.
 func limitMemory(file map[string]any) {
 	if limits, ok := file["limits"].(map[string]any); ok {
 		limits["memory_mb"] = 32
--- a/measure/telemetry/main.go
+++ b/measure/telemetry/main.go
@@ -1,5 +1,5 @@
-// Command telemetry measures what metrics cost and whether they hold what they promise. Each line that it
-// prints is a name, a value and a unit. See docs/measurements/telemetry.md.
+// Command telemetry measures the cost of metrics, the accuracy of quantiles, the memory limits, and the losses after an
+// outage of a collector. Each printed line is a name, a value and a unit. See docs/measurements/telemetry.md.
 package main
 
 import (
@@ -35,7 +35,7 @@
 	fmt.Printf("%s %.4g %s\n", name, value, unit)
 }
 
-// limits are the default ones of the operator's configuration.
+// limits are the default limits of the operator's configuration.
 var limits = metrics.Limits{Classes: 16, Tenants: 32, Engines: 32, DataSets: 32, IdleTimeout: 10 * time.Minute}
 
 const bytesPerKilobyte = 1024
--- a/measure/telemetry/process.go
+++ b/measure/telemetry/process.go
@@ -22,19 +22,20 @@
 )
 
 const (
-	requestRate = 500             // a second
-	roundLength = 2 * time.Second // of load
-	maxOpen     = 256             // requests at a time
+	requestRate = 500             // requests per second
+	roundLength = 2 * time.Second // length of a round of load
+	maxOpen     = 256             // concurrent requests
 )
 
-// classes are those of the engines. A lookup takes so little work there that its time in the broker shows.
+// classes are the classes of the engines. A lookup is so little work for an engine that the broker accounts for a
+// visible part of its latency.
 var classes = func() []engine.Class {
 	all := slices.Clone(cluster.Classes)
 	all[0].MeanWork = 500 * time.Microsecond
 	return all
 }()
 
-// brokerProcess is a run of the program with the load that it has had.
+// brokerProcess is a process of the broker, with the results of the load that it has served.
 type brokerProcess struct {
 	name    string
 	cmd     *exec.Cmd
@@ -42,20 +43,20 @@
 	drained chan struct{} // closed at the end of its log
 
 	mu        sync.Mutex
-	durations [][]time.Duration // of the requests served, by round, sorted
-	sent      int
+	durations [][]time.Duration // of the served requests, by round, sorted
+	sent      int               // requests that have ended, with any outcome
 }
 
-// processOptions are those of a broker process.
+// processOptions configures a broker process.
 type processOptions struct {
 	program      string
 	directory    string // for its files
 	changelog    *changelogserver.ChangeLog
 	operatorFile string               // empty: none
-	changeConfig func(map[string]any) // nil: the configuration is that of the cluster
+	changeConfig func(map[string]any) // nil: the configuration of the cluster, unchanged
 }
 
-// startBroker starts the program beside the engines and waits until it serves.
+// startBroker starts a broker process and waits until it serves.
 func startBroker(ctx context.Context, name string, o processOptions) (*brokerProcess, error) {
 	path, err := writeConfig(name, o)
 	if err != nil {
@@ -79,11 +80,11 @@
 	}
 	lines := bufio.NewScanner(log)
 	for b.address == "" && lines.Scan() {
-		if _, rest, ok := strings.Cut(lines.Text(), `"listen":"`); ok {
-			b.address, _, _ = strings.Cut(rest, `"`)
+		if _, remainder, ok := strings.Cut(lines.Text(), `"listen":"`); ok {
+			b.address, _, _ = strings.Cut(remainder, `"`)
 		}
 	}
-	go func() { // ends with the log, which ends with the program
+	go func() { // ends with the log, when the process ends
 		defer close(b.drained)
 		for lines.Scan() {
 			continue
@@ -91,7 +92,7 @@
 	}()
 	if b.address == "" {
 		b.kill()
-		return nil, fmt.Errorf("%s does not serve", name)
+		return nil, fmt.Errorf("broker %s ended its log without a listen address", name)
 	}
 	return b, nil
 }
@@ -116,20 +117,20 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// terminate sends SIGTERM and waits for the end of the program.
+// terminate sends SIGTERM and waits until the process has ended.
 func (b *brokerProcess) terminate() { b.end(syscall.SIGTERM) }
 
-// kill ends the program at once.
+// kill sends SIGKILL and waits until the process has ended.
 func (b *brokerProcess) kill() { b.end(syscall.SIGKILL) }
 
 func (b *brokerProcess) end(sig syscall.Signal) {
-	_ = b.cmd.Process.Signal(sig) // one that has ended needs no signal
+	_ = b.cmd.Process.Signal(sig) // fails only if the process has ended
 	<-b.drained
-	_ = b.cmd.Wait() // a signal is no failure here
+	_ = b.cmd.Wait() // an end by the signal is no failure
 }
 
-// load sends lookups for a number of rounds. The durations of the first round, in which connections are
-// established, are not kept.
+// load sends lookups for a number of rounds. It discards the durations of the first round, in which connections are
+// established.
 func (b *brokerProcess) load(ctx context.Context, seed uint64, rounds int) error {
 	start, durations := time.Now(), make([][]time.Duration, rounds)
 	load := client.New(client.Config{
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// lookups are the classes of clients that send lookups only, at a rate a second.
+// lookups returns the classes of clients that send only lookups, at a rate in requests per second.
 func lookups(rate float64) []client.Class {
 	return []client.Class{{
 		Engine:           classes[0],
@@ -171,7 +172,7 @@
 	}}
 }
 
-// memoryMB is the anonymous memory of the process.
+// memoryMB returns the anonymous resident memory of the process in MB.
 func (b *brokerProcess) memoryMB() (float64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.cmd.Process.Pid))
 	if err != nil {
@@ -184,5 +185,5 @@
 			return kilobytes / bytesPerKilobyte, err
 		}
 	}
-	return 0, fmt.Errorf("%s: /proc gives no memory", b.name)
+	return 0, fmt.Errorf("broker %s: no RssAnon in /proc/%d/status", b.name, b.cmd.Process.Pid)
 }
--- a/measure/telemetry/recording.go
+++ b/measure/telemetry/recording.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	warmUpRequests = 2000            // after which a sketch has all its memory
+	warmUpRequests = 2000            // until sketches have allocated all their memory
 	recordingTime  = 1 * time.Second // for each meter
-	recordingBatch = 1000            // requests between two looks at the clock
+	recordingBatch = 1000            // requests between two readings of the clock
 )
 
-// measureRecording measures what a request costs with and without a recorder of metrics.
+// measureRecording measures the time and the allocations of recording a request, with and without metrics.
 func measureRecording() error {
 	for _, m := range []struct {
 		name  string
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// recordRequests returns the time and the heap allocations of a request.
+// recordRequests returns the mean time and heap allocations of recording a request.
 func recordRequests(meter broker.Meter) (perRequest time.Duration, allocations uint64) {
 	r := &broker.Request{Class: "lookup", Tenant: "fishing-fleet", DataSet: 17}
 	for i := range warmUpRequests {
@@ -52,7 +52,7 @@
 	return elapsed / time.Duration(requests), (after.Mallocs - before.Mallocs) / uint64(requests)
 }
 
-// recordRequest records a request that is served at its first attempt.
+// recordRequest records a request that its first attempt serves.
 func recordRequest(meter broker.Meter, r *broker.Request, i int) {
 	duration := time.Duration(i%500) * time.Millisecond
 	meter.RequestAccepted(r)
--- a/measure/telemetry/sketches.go
+++ b/measure/telemetry/sketches.go
@@ -12,8 +12,8 @@
 	"wheatlane/internal/metrics"
 )
 
-// measureQuantiles measures the largest relative error of a quantile, over a uniform distribution, a
-// log-normal and a Pareto one.
+// measureQuantiles measures the largest relative error of a quantile over a uniform, a log-normal and a Pareto
+// distribution.
 func measureQuantiles() error {
 	const values = 100_000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -87,7 +87,7 @@
 	printResult(prefix+"_memory", max(0, liveHeap()-before)/bytesPerKilobyte, "KB")
 }
 
-// liveHeap is the memory of live objects, in bytes.
+// liveHeap runs the garbage collector and returns the memory of live objects in bytes.
 func liveHeap() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
