--- a/measure/config/checker.go
+++ b/measure/config/checker.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/jsontext"
 )
 
-// checkFile returns the findings of the layers that look at one file.
+// checkFile returns the findings of those layers of the checker that check a single file.
 func checkFile(doc map[string]any) ([]check.Finding, error) {
 	text, err := faultinjection.Marshal(doc)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return findings, err
 }
 
-// measureFaults measures how many injected faults are found, and how many findings there are in valid files.
+// measureFaults measures how many injected faults the checker finds, and how many findings it reports for valid files.
 func measureFaults() error {
 	const seeds = 2000
 	faults := faultinjection.Faults()
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// isFound reports whether an injected fault is found under its code at its path.
+// isFound injects a fault into a valid configuration and reports whether the checker finds it, with the code and the
+// path of the fault.
 func isFound(fault faultinjection.Fault, seed uint64) (bool, error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	doc := faultinjection.ValidConfig(rng, fault.Kind)
@@ -67,7 +68,7 @@
 	}), err
 }
 
-// measureCheckTimes measures how long the files of a fleet take.
+// measureCheckTimes measures how long it takes to check the files of a fleet.
 func measureCheckTimes() error {
 	for _, n := range []int{10, 100, 1000} {
 		texts, err := fleetTexts(n)
@@ -81,7 +82,7 @@
 		}
 		printResult(fmt.Sprintf("check_%d_files", n), milliseconds(time.Since(start)), "ms")
 		if findings > 0 {
-			return fmt.Errorf("%d findings in %d valid files", findings, n)
+			return fmt.Errorf("checker reported %d findings in %d valid files", findings, n)
 		}
 	}
 	return nil
@@ -89,18 +90,18 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// fleetTexts generates the files of the brokers of a fleet.
+// fleetTexts generates the configuration files of a fleet of n brokers.
 func fleetTexts(n int) ([][]byte, error) {
-	const brokersPerNet = 250
+	const brokersPerSubnet = 250
 	texts := make([][]byte, n)
 	for i := range texts {
 		doc := faultinjection.PlatformConfig(rand.New(rand.NewPCG(1, 0)))
 		doc["name"], doc["listen"] = fmt.Sprint("n", i), fmt.Sprintf(
-			"10.%d.%d.1:6565", i/brokersPerNet, i%brokersPerNet,
+			"10.%d.%d.1:6565", i/brokersPerSubnet, i%brokersPerSubnet,
 		)
 		settings, ok := doc["settings"].(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("no settings in %v", doc)
+			return nil, fmt.Errorf("generated configuration without a settings object: %v", doc)
 		}
 		settings["PeersTotal"], settings["Position"] = n, i
 		text, err := faultinjection.Marshal(doc)
@@ -112,7 +113,7 @@
 	return texts, nil
 }
 
-// countFindings runs all layers of the checker.
+// countFindings runs all layers of the checker and returns the number of findings.
 func countFindings(texts [][]byte) (int, error) {
 	files := make([]*check.File, len(texts))
 	count := 0
--- a/measure/config/main.go
+++ b/measure/config/main.go
@@ -1,5 +1,5 @@
-// Command config measures the checker of configurations, the store, and the decisions of a rollout. Each line
-// that it prints is a name, a value and a unit. See docs/measurements/config.md.
+// Command config measures the configuration checker, the durable store, and the decisions of a rollout. Each printed
+// line is a name, a value and a unit. See docs/measurements/config.md.
 package main
 
 import (
--- a/measure/config/rollout.go
+++ b/measure/config/rollout.go
@@ -14,14 +14,13 @@
 	baselineIntervals   = 30
 	baselineBadRatio    = 0.05
 	harmlessCanaries    = 1000
-	harmfulCanaries     = 200 // by degree of harm
+	harmfulCanaries     = 200 // for each degree of harm
 )
 
-// requestsPerInterval is the traffic by class: 50 requests a second.
+// requestsPerInterval is the number of requests per interval by class, together 50 per second.
 var requestsPerInterval = map[string]int{"lookup": 200, "route-report": 35, "survey-load": 15}
 
-// measureRollout measures how often harmless canaries are rolled back, and how often and how soon harmful
-// ones are.
+// measureRollout measures how often harmless canaries are rolled back, and how often and how soon harmful ones are.
 func measureRollout() error {
 	falseRollbacks := 0
 	for seed := range uint64(harmlessCanaries) {
@@ -39,12 +38,12 @@
 	return nil
 }
 
-// measureHarm measures canaries that add a fraction of bad requests.
+// measureHarm measures how often and how soon canaries that add a fraction of bad requests are rolled back.
 func measureHarm(harm float64) {
-	var seconds []float64 // until the rollback
+	var seconds []float64 // from the proposal to the rollback
 	for seed := range uint64(harmfulCanaries) {
-		if rolledBack, after := runCanary(seed, harm); rolledBack {
-			seconds = append(seconds, after.Seconds())
+		if rolledBack, duration := runCanary(seed, harm); rolledBack {
+			seconds = append(seconds, duration.Seconds())
 		}
 	}
 	name := fmt.Sprintf("harm_of_%.0f_percent_found", 100*harm)
@@ -55,9 +54,9 @@
 	}
 }
 
-// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It reports whether
-// the canary was rolled back, and how long it ran.
-func runCanary(seed uint64, harm float64) (rolledBack bool, after time.Duration) {
+// runCanary runs a canary that adds a fraction of bad requests to those of the baseline. It reports whether the canary
+// was rolled back, and how long it ran.
+func runCanary(seed uint64, harm float64) (rolledBack bool, duration time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	c, now := rollout.New(rollout.DefaultConfig(), "before"), time.Duration(0)
 	observe := func(badRatio float64) {
@@ -78,7 +77,7 @@
 	return c.Stable() == "before", now - start
 }
 
-// drawRequests draws the requests of an interval, each of which is bad with a probability.
+// drawRequests draws the requests of an interval. Each is bad with probability badRatio.
 func drawRequests(rng *rand.Rand, badRatio float64) map[string]rollout.Counts {
 	classes := map[string]rollout.Counts{}
 	for class, n := range requestsPerInterval {
--- a/measure/config/store.go
+++ b/measure/config/store.go
@@ -12,15 +12,15 @@
 
 const (
 	recordBytes    = 200
-	comparedAt     = 1000 // records at which appending is compared with rewriting all
+	comparedAt     = 1000 // records in the store when appending is compared with rewriting
 	compareFor     = time.Second
-	temporaryFiles = "measure"
+	tempDirPattern = "measure"
 )
 
-// measureStore measures a store in the directory for temporary files: how long it takes to open it, and how
-// many records it appends a second, against rewriting all of them each time.
+// measureStore measures how long it takes to open a store in the directory for temporary files, and compares how often
+// per second it appends a record with how often it rewrites all records.
 func measureStore() (err error) {
-	dir, err := os.MkdirTemp("", temporaryFiles)
+	dir, err := os.MkdirTemp("", tempDirPattern)
 	if err != nil {
 		return err
 	}
@@ -33,6 +33,7 @@
 	return nil
 }
 
+// measureStoreOf measures a store of n records.
 func measureStoreOf(n int, path string) error {
 	disk, err := durable.NewDisk(path)
 	if err != nil {
@@ -48,7 +49,7 @@
 		return err
 	}
 	if len(state.Records) != n {
-		return fmt.Errorf("%d records of %d", len(state.Records), n)
+		return fmt.Errorf("recovered %d of %d records", len(state.Records), n)
 	}
 	printResult(fmt.Sprintf("recovery_of_%d_records", n), milliseconds(time.Since(start)), "ms")
 	if n == comparedAt {
@@ -57,7 +58,7 @@
 	return errors.Join(err, s.Close())
 }
 
-// compareWrites measures appending a record and rewriting all.
+// compareWrites measures the rates of appending a record and of rewriting all n records.
 func compareWrites(s *durable.Store, record []byte, n int) error {
 	all := make([]byte, n*len(record))
 	return errors.Join(
@@ -66,7 +67,7 @@
 	)
 }
 
-// measureWrites measures how often a second an operation succeeds.
+// measureWrites measures how many times per second an operation succeeds.
 func measureWrites(name string, operation func() error) error {
 	start, count := time.Now(), 0
 	for ; time.Since(start) < compareFor; count++ {
@@ -78,10 +79,10 @@
 	return nil
 }
 
-// unsyncedDisk is a disk that does not sync appended records: to sync a hundred thousand would take minutes.
+// unsyncedDisk is a disk that does not sync appended records, as syncing a hundred thousand of them would take minutes.
 type unsyncedDisk struct{ *durable.Disk }
 
-// Append opens an existing file, whose Sync does nothing.
+// Append opens an existing file for appending. Sync of the file does nothing.
 func (d unsyncedDisk) Append(name string) (durable.File, error) {
 	f, err := d.Disk.Append(name)
 	return unsyncedFile{f}, err
@@ -92,7 +93,7 @@
 // Sync does nothing.
 func (unsyncedFile) Sync() error { return nil }
 
-// fill appends records without syncing each.
+// fill creates a store with n records, without syncing each of them.
 func fill(disk *durable.Disk, record []byte, n int) error {
 	s, _, err := durable.Open(unsyncedDisk{disk})
 	if err != nil {
