--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -1,6 +1,6 @@
-// Command operator measures how long the admin endpoint takes to reply while the broker serves 500 lookups a
-// second and slow callers hold connections open with nothing or half a line: a reply is due within 1 s. Each
-// line that it prints is a name, a value and a unit.
+// Command operator measures how long the admin endpoint takes to reply while the broker serves 500 lookups per second
+// and slow callers hold connections open after sending nothing or part of a line. A reply is due within 1 s. Each
+// printed line is a name, a value and a unit.
 package main
 
 import (
@@ -26,8 +26,8 @@
 
 const (
 	engineCount  = 4
-	lookupRate   = 500 // requests a second
-	slowCallers  = 16  // connections with nothing or half a line
+	lookupRate   = 500 // requests per second
+	slowCallers  = 16  // connections that send nothing or part of a line
 	replyDue     = time.Second
 	callInterval = 20 * time.Millisecond
 )
@@ -45,7 +45,7 @@
 	fmt.Printf("%s %.4g %s\n", name, value, unit)
 }
 
-// measure runs engines, a broker, its load and the callers in this process.
+// measure runs engines, a broker, load and callers in this process, and prints the results.
 func measure(ctx context.Context, calls int) (err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -87,7 +87,7 @@
 	return ignoreCanceled(g.Wait())
 }
 
-// newBroker returns a broker with an admin endpoint, whose files are in a directory.
+// newBroker returns a broker with an admin endpoint. Its files are in dir.
 func newBroker(ctx context.Context, dir string, configText []byte) (*service.Service, error) {
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, configText, 0o600); err != nil {
@@ -101,7 +101,7 @@
 	return service.New(ctx, cfg, nil, zap.NewNop())
 }
 
-// newLoad returns clients that send lookups.
+// newLoad returns a load generator that sends lookups.
 func newLoad(address string) *client.LoadGenerator {
 	return client.New(client.Config{
 		Addr:     address,
@@ -125,13 +125,13 @@
 	return err
 }
 
-// replies are what became of calls.
+// replies holds the results of calls.
 type replies struct {
-	durations []time.Duration
-	wrong     int
+	durations []time.Duration // until the complete reply
+	wrong     int             // calls without a positive and complete reply
 }
 
-// callInTurn calls each command in turn, for an engine where it takes one.
+// callInTurn calls the commands in turn. Commands with an engine argument act on engine.
 func callInTurn(ctx context.Context, address, engine string, calls int) replies {
 	commands := []string{"check", "vars", "set-down " + engine, "set-up " + engine}
 	r := replies{durations: make([]time.Duration, 0, calls)}
