--- a/measure/fleet/main.go
+++ b/measure/fleet/main.go
@@ -1,8 +1,7 @@
-// Command fleet counts what a fleet of brokers spent of the resources that they share, from their logs: the
-// lines `fleet usage` that each broker writes every 5 s and at its end, summed over all logs of a directory,
-// one file a broker. Logs of earlier versions, whose line was `costs`, are read too. Each line that it prints
-// is a name, a value and a unit: the counts of the day, and each over the accepted requests, as the settings
-// price them.
+// Command fleet sums the usage of shared resources by a fleet of brokers from their logs. Each broker writes a line
+// `fleet usage` every 5 s and at its end; the command adds up these lines over all logs of a directory, which has one
+// file for each broker. It also reads logs of earlier versions, whose line was `costs`. Each printed line is a name, a
+// value and a unit: first the counts of the day, then each count per accepted request, as the settings price them.
 package main
 
 import (
@@ -18,10 +17,10 @@
 	"wheatlane/internal/usage"
 )
 
-// maxLineBytes is the longest line of a log that is read; a log with a longer one is read up to it.
+// maxLineBytes is the length limit of a log line. A log with a longer line is read up to that line.
 const maxLineBytes = 1 << 20
 
-// earlierMessage is the message of the log line in earlier versions.
+// earlierMessage is the message of the usage line in earlier versions.
 const earlierMessage = "costs"
 
 // earlierFieldNames are the names of the counters in that line, in the order of usage.FieldNames.
@@ -48,20 +47,20 @@
 		count, _ := total.Count(name)
 		fmt.Printf("%s %d count\n", name, count)
 	}
-	for _, name := range usage.FieldNames[1:] { // the first is the requests themselves
+	for _, name := range usage.FieldNames[1:] { // the first name is the requests themselves
 		count, _ := total.Count(name)
 		fmt.Printf("%s_per_request %.3f ratio\n", name, usage.PerRequest(count, total.Requests))
 	}
 }
 
-// sumDirectory adds up all logs of a directory; brokers is the number of logs with any counters.
+// sumDirectory adds up all logs of a directory. It returns the total and the number of logs that have counters.
 func sumDirectory(dir string) (total usage.Counters, brokers int, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return total, 0, err
 	}
 	if len(paths) == 0 {
-		return total, 0, fmt.Errorf("%s: no .log files", dir)
+		return total, 0, fmt.Errorf("no .log files in directory %s", dir)
 	}
 	for _, path := range paths {
 		counters, lines, err := sumFile(path)
@@ -81,11 +80,11 @@
 	if err != nil {
 		return total, 0, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file is open for reading only
 	return sumLog(f)
 }
 
-// sumLog adds up the counters of one log; lines is the number of log lines that have them.
+// sumLog adds up the counters of one log. It returns the total and the number of lines that have counters.
 func sumLog(log io.Reader) (total usage.Counters, lines int, err error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -101,8 +100,8 @@
 	return total, lines, nil
 }
 
-// parseLine returns the counters of a log line that has them. A line may have a time ahead of its JSON, as
-// the bench writes them.
+// parseLine returns the counters of a log line, and whether the line has counters. The bench writes a time before the
+// JSON of each line.
 func parseLine(line []byte) (counters usage.Counters, ok bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
--- a/measure/fleet/main_test.go
+++ b/measure/fleet/main_test.go
@@ -9,7 +9,9 @@
 	"wheatlane/internal/usage"
 )
 
-func TestLinesOfThisAndOfEarlierVersionsAddUp(t *testing.T) {
+// The fleet command must keep reading logs of earlier versions, whose usage line has another message and other field
+// names, and skip all other lines.
+func TestSumLogAddsCurrentAndEarlierVersions(t *testing.T) {
 	t.Parallel()
 	log := strings.Join([]string{
 		`12.5 {"msg":"fleet usage","requests":10,"first_attempts":9,"retries":2,"rejections":1,"load_probes":4,` +
