--- a/measure/standing.sh
+++ b/measure/standing.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Plays the standing test: standing.sh SITE SEED... with MASS naming the bench and WHY the note of the journal. Every play
-# is made; it fails if one of them ends without a passed gate, and says which.
+# Runs the standing test. Usage: standing.sh SITE SEED...
+# MASS is the path of the bench, WHY is the note for its journal. All days are run, also after a failure. The script
+# fails if any day ends without a passed gate, and lists the failed days.
 set -uo pipefail
 site=$1
 shift
 failed=()
-play() { # its name, and what the bench is told
+run_day() { # arguments: name of the day, arguments for the bench...
   local name=$1 out
   shift
   out=$(mktemp)
@@ -15,9 +16,9 @@
   fi
   rm -f "$out"
 }
-play quick --quick
+run_day quick --quick
 for seed in "$@"; do
-  play "brink $seed" --panel brink --seed "$seed"
+  run_day "brink $seed" --panel brink --seed "$seed"
 done
 if [ ${#failed[@]} -gt 0 ]; then
   printf 'standing: FAILED on %s:' "$site"
