--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -22,7 +22,7 @@
 const (
 	engineCount     = 3
 	faults          = "2s:slow:1,4s:silent:2,6s:speak:2,7s:drain:3,9s:crash:1,12s:back:1,14s:quick:1"
-	disconnectGrace = 300 * time.Millisecond // limit by the operators
+	disconnectGrace = 300 * time.Millisecond // limit that the operators set
 	drainGrace      = 500 * time.Millisecond
 	clockSlack      = 50 * time.Millisecond
 	maxAttempts     = 4
