--- a/cmd/wheatlane/cli_test.go
+++ b/cmd/wheatlane/cli_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// commandLines are command lines, their exit codes, and what must be on standard output, or on standard error
-// if the exit code is not 0. DIR stands for a directory of the test, BAD for an invalid configuration in it.
+// commandLines are command lines with their exit codes and a text that they must print, to standard output if the exit
+// code is 0 and to standard error otherwise. DIR is replaced by a temporary directory, BAD by an invalid configuration
+// in it.
 var commandLines = []struct {
 	args     string
 	exitCode int
@@ -56,15 +57,16 @@
 	{"demo --engines 0", 2, "1 to 32 engines"},
 }
 
-// Invalid usage ends with 2 and a hint, a failure with 1, and success with 0 and nothing on standard error.
-func TestExitCodes(t *testing.T) {
+// Scripts depend on the exit codes: invalid usage exits with 2, a failure with 1, and success with 0 and without output
+// on standard error.
+func TestExitCodesAndOutput(t *testing.T) {
 	dir := t.TempDir()
 	invalid := filepath.Join(dir, "bad.json")
 	if err := os.WriteFile(invalid, []byte(`{"telemetry":{"interval":1}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	placeholders := strings.NewReplacer("DIR", dir, "BAD", invalid)
-	for _, c := range commandLines { // in their order, as some use the files that earlier ones wrote
+	for _, c := range commandLines { // the order matters: some read files that earlier ones wrote
 		t.Run(c.args, func(t *testing.T) {
 			exitCode, stdout, stderr := execute(t, strings.Fields(placeholders.Replace(c.args)))
 			if exitCode != c.exitCode {
@@ -74,13 +76,13 @@
 				stdout, stderr = stderr, ""
 			}
 			if !strings.Contains(stdout, c.output) || stderr != "" {
-				t.Errorf("%q is not in %q; %q", c.output, stdout, stderr)
+				t.Errorf("got output %q, want it to contain %q; got %q on standard error", stdout, c.output, stderr)
 			}
 		})
 	}
 }
 
-// execute runs the program with arguments.
+// execute runs the program with arguments and returns its exit code and output.
 func execute(t *testing.T, args []string) (exitCode int, stdout, stderr string) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -32,8 +32,8 @@
 	return out.String()
 }
 
-// facts are what a schema says of a value beside its description.
-func facts(s *jsonschema.Schema) (all []string) {
+// properties returns the type, default, bounds, values, pattern and keys that a schema specifies, as texts.
+func properties(s *jsonschema.Schema) (all []string) {
 	add := func(text string) {
 		if text != "" {
 			all = append(all, text)
@@ -59,64 +59,64 @@
 	return all
 }
 
-// keysOf calls f with each key of a schema, lists passed over.
-func keysOf(s *jsonschema.Schema, path string, f func(key string, s *jsonschema.Schema)) {
+// forEachKey calls f for each key of a schema. A key has no list indices: it continues in the schema of the items.
+func forEachKey(s *jsonschema.Schema, path string, f func(key string, s *jsonschema.Schema)) {
 	for s.Items != nil {
 		s = s.Items
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.Properties)) {
 		key := strings.TrimPrefix(path+"."+k, ".")
 		f(key, s.Properties[k])
-		keysOf(s.Properties[k], key, f)
+		forEachKey(s.Properties[k], key, f)
 	}
 }
 
-// Each key of each file has the type, default, bounds and values that it had, and 'config explain' prints
-// them, each after a label and a colon.
+// The type, default, bounds and values of each key match the golden files, and 'config explain' prints each of them
+// after a label and a colon.
 func TestEveryKeyIsExplained(t *testing.T) {
 	for _, file := range []struct {
-		name string
-		make func() (*jsonschema.Schema, error)
+		name   string
+		schema func() (*jsonschema.Schema, error)
 	}{
 		{"operator", operatorconfig.JSONSchema},
 		{"broker", config.JSONSchema},
 		{"description", description.JSONSchema},
 	} {
-		s, err := file.make()
+		s, err := file.schema()
 		if err != nil {
 			t.Fatal(err)
 		}
 		var all strings.Builder
-		keysOf(s, "", func(key string, at *jsonschema.Schema) {
-			fmt.Fprintf(&all, "%s | %s\n", key, strings.Join(facts(at), " | "))
+		forEachKey(s, "", func(key string, keySchema *jsonschema.Schema) {
+			fmt.Fprintf(&all, "%s | %s\n", key, strings.Join(properties(keySchema), " | "))
 			got := runCommand(t, "config", "explain", key)
-			for _, fact := range facts(at) {
-				if !strings.Contains(got, ": "+fact+"\n") {
-					t.Errorf("%s: %q is not in %s", key, fact, got)
+			for _, property := range properties(keySchema) {
+				if !strings.Contains(got, ": "+property+"\n") {
+					t.Errorf("%s: got %s, want it to contain %q", key, got, property)
 				}
 			}
-			if at.Description != "" && !strings.Contains(got, at.Description) {
-				t.Errorf("%s: %q is not in %s", key, at.Description, got)
+			if keySchema.Description != "" && !strings.Contains(got, keySchema.Description) {
+				t.Errorf("%s: got %s, want it to contain %q", key, got, keySchema.Description)
 			}
 		})
 		goldenfile.Compare(t, "testdata/keys-of-"+file.name+".txt", all.String())
 	}
 }
 
-// Where the value of a key comes from: each place in a file with its line, column and value.
-func TestOriginsOfValues(t *testing.T) {
+// 'config explain --file' prints the line, column and value of each occurrence of a key, as in the golden files.
+func TestPositionsOfValuesMatchGoldenFiles(t *testing.T) {
 	for name, path := range map[string]string{
 		"broker":      "../../internal/config/testdata/every-key.json",
 		"operator":    "../../deploy/operator.json",
 		"description": "../../deploy/app.json",
 	} {
-		goldenfile.Compare(t, "testdata/origins-in-"+name+".txt", origins(t, path))
+		goldenfile.Compare(t, "testdata/origins-in-"+name+".txt", valuePositions(t, path))
 	}
 }
 
-// origins returns the places that 'config explain' gives for the keys of a file that hold a value of their
-// own.
-func origins(t *testing.T, path string) string {
+// valuePositions returns the positions that 'config explain' prints for the keys of a file whose values are neither
+// objects nor lists.
+func valuePositions(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,15 +132,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		keysOf(s, "", func(key string, at *jsonschema.Schema) {
+		forEachKey(s, "", func(key string, keySchema *jsonschema.Schema) {
 			first, _, _ := strings.Cut(key, ".")
-			if doc.Get(first) == nil || len(at.Properties) > 0 || at.Items != nil {
+			if doc.Get(first) == nil || len(keySchema.Properties) > 0 || keySchema.Items != nil {
 				return
 			}
 			text := runCommand(t, "config", "explain", key, "--file", path)
 			for line := range strings.SplitSeq(text, "\n") {
-				if place, ok := strings.CutPrefix(line, path+":"); ok {
-					fmt.Fprintf(&all, "%s | %s\n", key, place)
+				if position, ok := strings.CutPrefix(line, path+":"); ok {
+					fmt.Fprintf(&all, "%s | %s\n", key, position)
 				}
 			}
 		})
@@ -148,8 +148,8 @@
 	return all.String()
 }
 
-// A variable of the environment that takes precedence over a key is named with its value.
-func TestOriginsInTheEnvironment(t *testing.T) {
+// 'config explain' prints an environment variable that takes precedence over a key, and its value.
+func TestEnvironmentVariablesAreExplained(t *testing.T) {
 	t.Setenv("RELAY_NAME", "n \"9\"")
 	t.Setenv("RELAY_LISTEN", "")
 	for key, want := range map[string][]string{
@@ -159,14 +159,14 @@
 		got := runCommand(t, "config", "explain", key)
 		for _, text := range want {
 			if !strings.Contains(got, text) {
-				t.Errorf("%s: %q is not in %s", key, text, got)
+				t.Errorf("%s: got %s, want it to contain %q", key, got, text)
 			}
 		}
 	}
 }
 
-// 'config schema' prints what it did, descriptions apart.
-func TestPrintedSchema(t *testing.T) {
+// The schema that 'config schema' prints matches the golden file, except for descriptions.
+func TestPrintedSchemaMatchesGoldenFile(t *testing.T) {
 	text, err := schematest.WithoutDescriptions([]byte(runCommand(t, "config", "schema")))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wheatlane/process_test.go
+++ b/cmd/wheatlane/process_test.go
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// runMainVariable makes the test's own binary run the program.
+// runMainVariable is the environment variable that makes the test binary run the program.
 const runMainVariable = "WHEATLANE_TEST_MAIN"
 
-// TestMain lets the test's own binary be the program.
+// TestMain runs the program instead of the tests if the environment requests it, so that tests can start the test
+// binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("RELAY_CONFIG") != "" || os.Getenv(runMainVariable) != "" {
 		main()
@@ -27,25 +28,25 @@
 }
 
 const (
-	timeout = 20 * time.Second // a test that waits this long has failed
+	testTimeout = 20 * time.Second // a test that waits longer fails
 
-	noChangelog = "127.0.0.1:1" // an address where nothing listens
+	noChangelog = "127.0.0.1:1" // an address without a listener
 
 	validSettings = `{"PeersTotal":1,"Limits":{"MaxAttempts":2},` +
 		`"RequestClasses":[{"Name":"a","Effect":"repeatable","GiveUpNs":1000000000}]}`
 )
 
-// process is a run of the program.
+// process is a process that runs the program.
 type process struct {
 	*exec.Cmd
 
 	configPath string
-	pipe       io.ReadCloser // its standard error
-	log        *bufio.Scanner
-	listen     string // the address for clients, once it serves
+	stderr     io.ReadCloser
+	log        *bufio.Scanner // reads stderr
+	listen     string         // the address for clients, set by startServing
 }
 
-// newProcess prepares a run of the program whose configuration has these settings.
+// newProcess prepares a process whose configuration has the given settings, without starting it.
 func newProcess(t *testing.T, settings string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -53,7 +54,7 @@
 	return newProcessWithConfig(t, path)
 }
 
-// newProcessWithConfig prepares a run of the program with a configuration file.
+// newProcessWithConfig prepares a process with a configuration file, without starting it.
 func newProcessWithConfig(t *testing.T, path string) *process {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -74,20 +75,20 @@
 	)
 }
 
-// start starts the program and opens its log.
+// start starts the process and opens its log.
 func (p *process) start(t *testing.T) {
 	t.Helper()
 	var err error
-	if p.pipe, err = p.StderrPipe(); err != nil {
+	if p.stderr, err = p.StderrPipe(); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p.log = bufio.NewScanner(p.pipe)
+	p.log = bufio.NewScanner(p.stderr)
 }
 
-// startServing starts the program and waits until it serves.
+// startServing starts the process and waits until it serves.
 func (p *process) startServing(t *testing.T) {
 	t.Helper()
 	p.start(t)
@@ -96,7 +97,7 @@
 	p.listen, _, _ = strings.Cut(rest, `"`)
 }
 
-// waitForLine reads the log up to a line that contains a text.
+// waitForLine reads the log up to a line that contains text, and returns that line.
 func (p *process) waitForLine(t *testing.T, text string) string {
 	t.Helper()
 	for p.log.Scan() {
@@ -104,7 +105,7 @@
 			return p.log.Text()
 		}
 	}
-	t.Fatalf("the log ended without %q", text)
+	t.Fatalf("the log ended without a line that contains %q", text)
 	return ""
 }
 
@@ -131,7 +132,7 @@
 	}
 }
 
-// drainLog reads the log to its end, which comes with that of the program.
+// drainLog reads the log to its end, which is the end of the process.
 func (p *process) drainLog() {
 	if p.log == nil {
 		return
@@ -141,16 +142,16 @@
 	}
 }
 
-// kill ends the program without a chance to clean up.
+// kill ends the process with SIGKILL.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	if err := p.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.Wait() // its error is the signal
+	_ = p.Wait() // the error reports the signal
 }
 
-// dial connects to an address for the duration of the test.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -158,6 +159,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has closed it
 	return conn
 }
--- a/cmd/wheatlane/reload_test.go
+++ b/cmd/wheatlane/reload_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// recordingChangelog is a change log with one list of revision 7, which records the polls.
+// recordingChangelog is a change log with an empty endpoint list of revision 7. It records the polls.
 type recordingChangelog struct {
 	address string
-	polls   <-chan string // the revision that each poll gives
+	polls   <-chan string // the revision in each poll
 }
 
 func newRecordingChangelog(t *testing.T) recordingChangelog {
@@ -23,7 +23,7 @@
 		polls <- since
 		if since == "0" {
 			const list = `{"seq":7,"results":[{"seq":7,"fleet":{"whole":true,"hosts":[]}}]}`
-			_, _ = io.WriteString(w, list) // the broker notices what is missing
+			_, _ = io.WriteString(w, list) // after a failed write, the broker does not poll since 7
 			return
 		}
 		<-r.Context().Done()
@@ -35,7 +35,7 @@
 	return recordingChangelog{server.Listener.Addr().String(), polls}
 }
 
-// wantPoll waits for the next poll.
+// wantPoll waits for the next poll, which must be since the given revision.
 func (c recordingChangelog) wantPoll(t *testing.T, since string) {
 	t.Helper()
 	select {
@@ -43,30 +43,30 @@
 		if got != since {
 			t.Fatalf("polled since %s, want %s", got, since)
 		}
-	case <-time.After(timeout):
-		t.Fatalf("not polled since %s", since)
+	case <-time.After(testTimeout):
+		t.Fatalf("not polled within %v, want a poll since %s", testTimeout, since)
 	}
 }
 
-// wantNoPoll checks that there was no poll.
+// wantNoPoll checks that there was no further poll.
 func (c recordingChangelog) wantNoPoll(t *testing.T) {
 	t.Helper()
 	select {
 	case got := <-c.polls:
-		t.Fatalf("polled since %s", got)
+		t.Fatalf("polled since %s, want no poll", got)
 	default:
 	}
 }
 
-// At SIGHUP the program reads its configuration again: an invalid one is logged with its key and changes
-// nothing, and a new address of the change log is polled from the last revision of the old one.
-func TestReload(t *testing.T) {
+// At SIGHUP the program reloads its configuration: an invalid one is logged with its key and ignored, and a change log
+// at a new address is polled from the last revision of the previous one.
+func TestReloadAtHangup(t *testing.T) {
 	first, second, third := newRecordingChangelog(t), newRecordingChangelog(t), newRecordingChangelog(t)
 	p := newProcess(t, validSettings)
 	writeConfig(t, p.configPath, first.address, validSettings)
 	p.start(t)
-	// A line that never comes ends the log, and with it the wait for that line.
-	watchdog := time.AfterFunc(3*timeout, func() { _ = p.Process.Kill() })
+	// If an expected line is never logged, the end of the process ends the log and the wait for that line.
+	watchdog := time.AfterFunc(3*testTimeout, func() { _ = p.Process.Kill() })
 	defer watchdog.Stop()
 	first.wantPoll(t, "0")
 	first.wantPoll(t, "7")
--- a/cmd/wheatlane/serve_test.go
+++ b/cmd/wheatlane/serve_test.go
@@ -23,19 +23,19 @@
 	}
 }
 
-const protocolVersion = 10 // the first byte of a greeting, behind the packet's header
+const protocolVersion = 10 // the first byte of a greeting's payload
 
-// readGreeting reads the beginning of the greeting of a broker.
+// readGreeting reads the start of a broker's greeting.
 func readGreeting(t *testing.T, conn net.Conn) {
 	t.Helper()
 	head := make([]byte, 5)
 	if _, err := conn.Read(head); err != nil || head[4] != protocolVersion {
-		t.Fatalf("greeting %v, %v", head, err)
+		t.Fatalf("got greeting %v, error %v; want protocol version %d", head, err, protocolVersion)
 	}
 }
 
-// The program listens by the time it logs that it serves, greets a client, and ends with 0 after SIGTERM.
-func TestServesAndShutsDown(t *testing.T) {
+// The program listens when it logs that it serves, greets a client, and exits with 0 after SIGTERM.
+func TestServesUntilTermination(t *testing.T) {
 	p := newProcess(t, validSettings)
 	p.startServing(t)
 	readGreeting(t, dial(t, p.listen))
@@ -44,8 +44,8 @@
 
 // requester is a client that has sent one request.
 type requester struct {
-	conn net.Conn
-	r    *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 const (
@@ -53,8 +53,8 @@
 	resourceLimitCode = 1226 // the error code of a request that was rejected
 )
 
-// sendRequest logs in on a connection and sends a request. There is no engine, so the request waits; a ping
-// ahead of it, which is answered as not ready, tells when the request has been read.
+// sendRequest logs in on a connection and sends a request, which is queued, as there is no engine. A ping is sent ahead
+// of it: its reply, an error as the broker is not ready, shows that the request has been read.
 func sendRequest(t *testing.T, conn net.Conn) *requester {
 	t.Helper()
 	const request = "/* service=a,ref=00000000000000a1,allow=1000 */ SELECT a FROM s_1.t"
@@ -68,7 +68,7 @@
 	c.nextPacket(t) // the greeting
 	c.nextPacket(t) // the OK of the login
 	if p := c.nextPacket(t); p[0] != errorPacket {
-		t.Fatalf("the answer to the ping is %q", p)
+		t.Fatalf("got reply %q to the ping, want an error packet", p)
 	}
 	return c
 }
@@ -80,50 +80,50 @@
 // nextPacket reads the payload of the next packet from the broker.
 func (c *requester) nextPacket(t *testing.T) string {
 	t.Helper()
-	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	head := make([]byte, 4)
-	if _, err := io.ReadFull(c.r, head); err != nil {
+	if _, err := io.ReadFull(c.reader, head); err != nil {
 		t.Fatal(err)
 	}
 	payload := make([]byte, int(head[0])|int(head[1])<<8)
-	if _, err := io.ReadFull(c.r, payload); err != nil {
+	if _, err := io.ReadFull(c.reader, payload); err != nil {
 		t.Fatal(err)
 	}
 	return string(payload)
 }
 
-// wantRejection reads the answer to the request.
+// wantRejection reads the reply to the request, which must be a rejection.
 func (c *requester) wantRejection(t *testing.T) {
 	t.Helper()
 	p := c.nextPacket(t)
 	if p[0] != errorPacket || int(p[1])|int(p[2])<<8 != resourceLimitCode {
-		t.Fatalf("the answer to the request is %q", p)
+		t.Fatalf("got reply %q to the request, want error code %d", p, resourceLimitCode)
 	}
 }
 
-// wantEnd waits for the end of the connection.
+// wantEnd waits for the end of the connection, without further data.
 func (c *requester) wantEnd(t *testing.T) {
 	t.Helper()
-	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the connection ended with %v", err)
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Fatalf("the connection ended with error %v, want EOF", err)
 	}
 }
 
-// wantReset waits until a broker that was killed has lost the connection.
+// wantReset waits for the end of the connection to a killed broker.
 func (c *requester) wantReset(t *testing.T) {
 	t.Helper()
-	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Fatalf("the killed broker's connection: %v", err)
+		t.Fatalf("read from the killed broker: got error %v, want the end of the connection", err)
 	}
 }
 
-// A broker is killed with a request in flight and restarted at its address; its client reconnects at once,
-// sends the same request, and gets its one answer from what the new process knows.
+// A broker is killed while a request is queued, and restarted at the same address. A client that reconnects immediately
+// and repeats the request gets exactly one reply, from the state of the new process.
 func TestClientReconnectsToKilledBroker(t *testing.T) {
 	killed := newProcess(t, validSettings)
 	killed.startServing(t)
@@ -134,15 +134,15 @@
 	restarted.Env = append(restarted.Env, "RELAY_LISTEN="+killed.listen)
 	restarted.startServing(t)
 	if restarted.listen != killed.listen {
-		t.Fatalf("it listens at %s, want %s", restarted.listen, killed.listen)
+		t.Fatalf("the restarted broker listens at %s, want %s", restarted.listen, killed.listen)
 	}
 	sendRequest(t, dial(t, restarted.listen)).wantRejection(t)
 	restarted.stop(t)
 }
 
-// A second SIGTERM and a SIGHUP during the shutdown change nothing: accepted requests are answered, and the
-// program ends with 0.
-func TestSignalsDuringShutdown(t *testing.T) {
+// A SIGTERM or SIGHUP during the shutdown must not abort it: accepted requests are answered, and the program exits with
+// 0.
+func TestSignalsDuringShutdownAreIgnored(t *testing.T) {
 	p := newProcess(t, validSettings)
 	p.startServing(t)
 	client := sendRequest(t, dial(t, p.listen))
@@ -158,14 +158,14 @@
 	p.waitForExit(t)
 }
 
-// The program continues to serve when nobody reads its log any more.
-func TestServesWithoutAReaderOfItsLog(t *testing.T) {
+// The program continues to serve after the reader of its log has closed the pipe, which makes writes raise SIGPIPE.
+func TestServesAfterLogReaderHasClosed(t *testing.T) {
 	p := newProcess(t, validSettings)
 	p.startServing(t)
-	if err := p.pipe.Close(); err != nil {
+	if err := p.stderr.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // each connection leaves a line in the log
+	for range 3 { // each connection logs a line
 		conn := dial(t, p.listen)
 		readGreeting(t, conn)
 		if err := conn.Close(); err != nil {
@@ -175,9 +175,10 @@
 	p.stop(t)
 }
 
-// The program continues to serve when the reader of its log stalls: the pipe between them is full then.
-func TestServesWithAStalledReaderOfItsLog(t *testing.T) {
-	const connections = 1000 // whose lines are more than a pipe takes, and more than the broker has slots for
+// The program continues to serve while the reader of its log is stalled, so that the pipe is full and writes to it
+// block.
+func TestServesWithStalledLogReader(t *testing.T) {
+	const connections = 1000 // their log lines exceed the capacity of a pipe, and their number the broker's limit
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.Replace(configText(noChangelog, validSettings), `"listen"`, `"limits":{"sockets":64},"listen"`, 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -187,7 +188,7 @@
 	p.startServing(t)
 	for range connections {
 		conn := dial(t, p.listen)
-		if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := conn.Read(make([]byte, 1)); err != nil { // a greeting, or a rejection
@@ -200,7 +201,7 @@
 	p.stop(t)
 }
 
-// startReadingPipe starts the program with a named pipe for its configuration, and returns the pipe once the
+// startReadingPipe starts the program with a named pipe as its configuration file, and returns the pipe once the
 // program waits for its content.
 func startReadingPipe(t *testing.T) (*process, *os.File) {
 	t.Helper()
@@ -210,12 +211,12 @@
 	}
 	p := newProcessWithConfig(t, path)
 	p.start(t)
-	// If the program never opens the pipe, both ends of it are opened here, so that the test does not
-	// block.
-	watchdog := time.AfterFunc(timeout, func() {
-		_ = p.Process.Kill() // it may have ended
-		if both, err := os.OpenFile(path, os.O_RDWR, 0); err == nil {
-			_ = both.Close() // the test's end is open now
+	// If the program never opens the pipe, the open below would block forever. So the watchdog opens both ends after
+	// the timeout.
+	watchdog := time.AfterFunc(testTimeout, func() {
+		_ = p.Process.Kill() // fails if the process has ended
+		if bothEnds, err := os.OpenFile(path, os.O_RDWR, 0); err == nil {
+			_ = bothEnds.Close() // the open below has succeeded
 		}
 	})
 	t.Cleanup(func() { watchdog.Stop() })
@@ -223,12 +224,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = pipe.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = pipe.Close() }) // fails if the test has closed it
 	return p, pipe
 }
 
-// A SIGHUP before the program serves, while it reads its configuration, is handled once it does.
-func TestHangupBeforeServing(t *testing.T) {
+// A SIGHUP while the program reads its configuration must be neither fatal nor lost: the program reloads its
+// configuration once it serves.
+func TestHangupBeforeServingReloads(t *testing.T) {
 	p, pipe := startReadingPipe(t)
 	p.signal(t, syscall.SIGHUP)
 	if _, err := pipe.WriteString(configText(noChangelog, validSettings)); err != nil {
@@ -243,22 +245,22 @@
 	p.stop(t)
 }
 
-// A SIGTERM before the program serves ends it, without a line in its log.
-func TestTerminationBeforeServing(t *testing.T) {
+// A SIGTERM before the program serves ends it immediately, without a log line.
+func TestTerminationBeforeServingEndsProcess(t *testing.T) {
 	p, _ := startReadingPipe(t)
 	p.signal(t, syscall.SIGTERM)
 	for p.log.Scan() {
-		t.Errorf("it logs %s", p.log.Text())
+		t.Errorf("got log line %s, want none", p.log.Text())
 	}
-	_ = p.Wait() // its error is the signal
+	_ = p.Wait() // the error reports the signal
 	status, ok := p.ProcessState.Sys().(syscall.WaitStatus)
 	if !ok || status.Signal() != syscall.SIGTERM {
-		t.Errorf("it ended with %v", p.ProcessState)
+		t.Errorf("the process ended with %v, want SIGTERM", p.ProcessState)
 	}
 }
 
-// A SIGHUP does not end the program in its first moments, before it has had time to ask for its signals.
-func TestHangupAsTheProgramIsLoaded(t *testing.T) {
+// A SIGHUP must not end the program during its startup, before main has registered for signals.
+func TestHangupDuringStartupIsNotFatal(t *testing.T) {
 	for range 2 {
 		p := newProcess(t, validSettings)
 		p.start(t)
@@ -273,7 +275,7 @@
 func waitForDisposition(t *testing.T, pid int) {
 	t.Helper()
 	const hangupBit = 1 << (int(syscall.SIGHUP) - 1)
-	for end := time.Now().Add(timeout); time.Now().Before(end); runtime.Gosched() {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); runtime.Gosched() {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 		if err != nil {
 			t.Fatal(err)
@@ -288,5 +290,5 @@
 			}
 		}
 	}
-	t.Fatal("the program never asks for SIGHUP")
+	t.Fatalf("the process does not ignore or catch SIGHUP after %v", testTimeout)
 }
--- a/cmd/wheatlane/telemetry_test.go
+++ b/cmd/wheatlane/telemetry_test.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/graphite"
 )
 
-// startCollector starts a carbon server that keeps what it receives, for the duration of the test.
+// startCollector runs a carbon server, and a reconciler of the samples that it receives, until the end of the test.
 func startCollector(t *testing.T) (*collector.Carbon, *collector.Reconciler) {
 	t.Helper()
 	received := collector.NewReconciler(nil)
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It ends in a cleanup; t.Context would end before the cleanups.
+	// The server ends in a cleanup: t.Context would end before other cleanups.
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Run(ctx) }()
@@ -35,10 +35,10 @@
 	return server, received
 }
 
-// waitForFindings waits until a collector has received what is wanted.
-func waitForFindings(t *testing.T, r *collector.Reconciler, what string, ok func(*collector.Findings) bool) {
+// waitForFindings waits until the findings of a collector satisfy ok; description names the expected data.
+func waitForFindings(t *testing.T, r *collector.Reconciler, description string, ok func(*collector.Findings) bool) {
 	t.Helper()
-	expired := time.After(timeout)
+	expired := time.After(testTimeout)
 	for {
 		changed := r.Changed()
 		if ok(r.Reconcile()) {
@@ -47,20 +47,20 @@
 		select {
 		case <-changed:
 		case <-expired:
-			t.Fatalf("%s was not received", what)
+			t.Fatalf("%s was not received within %v", description, testTimeout)
 		}
 	}
 }
 
-// operatorText is an operator's configuration with a carbon server.
+// operatorText returns an operator's configuration that sends metrics to a carbon server.
 func operatorText(server *collector.Carbon) string {
 	return fmt.Sprintf(
 		`{"telemetry":{"interval_ms":1000,"graphite":[{"name":"g","address":%q}]}}`, server.Addr(),
 	)
 }
 
-// newReportingProcess prepares a run of the program with an operator's configuration, and returns a function
-// that replaces it.
+// newReportingProcess prepares a process with an operator's configuration, and returns a function that replaces the
+// configuration.
 func newReportingProcess(t *testing.T, operatorText string) (p *process, replace func(text string)) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.json")
@@ -76,19 +76,20 @@
 	return p, replace
 }
 
-func isOneRunOfN1(f *collector.Findings) bool {
+// isSingleIncarnationOfN1 reports whether all samples are from one incarnation of the broker n1.
+func isSingleIncarnationOfN1(f *collector.Findings) bool {
 	return len(f.Incarnations) == 1 && f.Incarnations[0].Broker == "n1"
 }
 
-// The program reports to a collector; at SIGHUP an invalid operator's configuration changes nothing, and a
-// valid one moves the reports to another collector; at SIGTERM the last interval is sent.
-func TestReportsToACollector(t *testing.T) {
+// The program sends metrics to a collector. At SIGHUP an invalid operator's configuration is ignored, and a valid one
+// redirects the metrics to another collector; at SIGTERM the last interval is sent.
+func TestMetricsAreSentToCollector(t *testing.T) {
 	firstServer, firstReceived := startCollector(t)
 	secondServer, secondReceived := startCollector(t)
 	p, replace := newReportingProcess(t, operatorText(firstServer))
 	p.start(t)
 	p.waitForLine(t, `"serving"`)
-	waitForFindings(t, firstReceived, "a first interval", isOneRunOfN1)
+	waitForFindings(t, firstReceived, "a first interval", isSingleIncarnationOfN1)
 	for _, step := range []struct{ text, logged string }{
 		{`{"telemetry":{"interval_ms":1}}`, "telemetry.interval_ms: 1 is less than 1000"},
 		{operatorText(secondServer), "operator's file reloaded"},
@@ -97,29 +98,29 @@
 		p.signal(t, syscall.SIGHUP)
 		p.waitForLine(t, step.logged)
 	}
-	waitForFindings(t, secondReceived, "an interval at the second collector", isOneRunOfN1)
+	waitForFindings(t, secondReceived, "an interval at the second collector", isSingleIncarnationOfN1)
 	p.signal(t, syscall.SIGTERM)
-	ended := p.waitForLine(t, "destination ended")
+	endLine := p.waitForLine(t, "destination ended")
 	p.waitForLine(t, `"stopped"`)
 	p.waitForExit(t)
-	if !strings.Contains(ended, `"lost":0`) {
-		t.Errorf("at the end: %s", ended)
+	if !strings.Contains(endLine, `"lost":0`) {
+		t.Errorf("intervals were lost: %s", endLine)
 	}
 	waitForFindings(t, secondReceived, "the last interval", func(f *collector.Findings) bool {
-		return isOneRunOfN1(f) && strings.Contains(
-			ended, fmt.Sprintf(`"delivered":%d,`, f.Incarnations[0].LastSequence),
+		return isSingleIncarnationOfN1(f) && strings.Contains(
+			endLine, fmt.Sprintf(`"delivered":%d,`, f.Incarnations[0].LastSequence),
 		)
 	})
 	for _, received := range []*collector.Reconciler{firstReceived, secondReceived} {
 		if f := received.Reconcile(); !f.OK() {
-			t.Errorf("%v %v %v", f.Violations, f.Unknown, f.Malformed)
+			t.Errorf("violations %v, unknown metrics %v, malformed samples %v", f.Violations, f.Unknown, f.Malformed)
 		}
 	}
 }
 
-// A broker that is killed and restarted counts from zero, which a collector can tell from a counter that
-// decreases.
-func TestKilledAndRestarted(t *testing.T) {
+// A broker that is killed and restarted counts from zero. A collector must distinguish that from a counter that
+// decreases, by the incarnation.
+func TestRestartIsReportedAsNewIncarnation(t *testing.T) {
 	server, received := startCollector(t)
 	for incarnation := range 2 {
 		p, _ := newReportingProcess(t, operatorText(server))
@@ -132,6 +133,6 @@
 		p.kill(t)
 	}
 	if f := received.Reconcile(); !f.OK() || f.Incarnations[0].StartedMS >= f.Incarnations[1].StartedMS {
-		t.Fatalf("%+v", f)
+		t.Fatalf("got %+v, want two incarnations in ascending order without violations", f)
 	}
 }
