--- a/control/workload/summary.go
+++ b/control/workload/summary.go
@@ -19,11 +19,11 @@
 	LowestWeightPerThreadSecond float64
 }
 
-// summarize returns the statistics over the classes. Of classes with the same weight per thread-second, it
-// prefers the previous HighestValueClass.
-func summarize(classes []*ClassEstimates, minRate units.PerSecond, previousHighest int) Summary {
+// summarize returns the statistics over the classes. priorRate is added to the sum of their rates. Of classes
+// with the same weight per thread-second, it prefers the previous HighestValueClass.
+func summarize(classes []*ClassEstimates, priorRate units.PerSecond, previousHighest int) Summary {
 	s := Summary{LowestWeightPerThreadSecond: math.Inf(1), HighestValueClass: previousHighest}
-	work, rate, longestLock := 0.0, minRate, units.Seconds(0)
+	work, rate, longestLock := 0.0, priorRate, units.Seconds(0)
 	for i, class := range classes {
 		mean, weight := class.Cost.MeanWork(), class.weightPerThreadSecond()
 		work += float64(class.Traffic.rate) * float64(mean)
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -14,19 +14,20 @@
 // Config holds the parameters of the estimates. A weight is the weight of one sample in a moving average;
 // while there are few samples, all samples have equal weights.
 type Config struct {
-	RateWeight        float64         // weight of an interval in a rate
-	ShareWeight       float64         // weight of an interval in the broker's share of the traffic
-	PooledShareWeight float64         // the same, where engines are pooled
-	MinShare          units.Fraction  // minimum share of a broker, as a multiple of an equal share
-	MinTenantShare    units.Fraction  // minimum share of a tenant, also without a share in its settings
-	MinClassRate      units.PerSecond // minimum rate of a class in means over the classes
+	RateWeight        float64        // weight of an interval in a rate
+	ShareWeight       float64        // weight of an interval in the broker's share of the traffic
+	PooledShareWeight float64        // the same, where engines are pooled
+	MinShare          units.Fraction // minimum share of a broker, as a multiple of an equal share
+	MinTenantShare    units.Fraction // minimum share of a tenant, also without a share in its settings
+	// PriorClassRate is added to the rates in means over the classes, so that classes without traffic count.
+	PriorClassRate units.PerSecond
 }
 
 // DefaultConfig returns the parameters that brokers use.
 func DefaultConfig() Config {
 	return Config{
 		RateWeight: 0.3, ShareWeight: 0.2, PooledShareWeight: 0.05,
-		MinShare: 0.25, MinTenantShare: 1e-3, MinClassRate: 0.01,
+		MinShare: 0.25, MinTenantShare: 1e-3, PriorClassRate: 0.01,
 	}
 }
 
@@ -93,7 +94,7 @@
 			PriorityWeight: class.settings.PriorityWeight, LateWeight: class.settings.LateWeight,
 		})
 	}
-	w.summary = summarize(w.classes, w.config.MinClassRate, w.summary.HighestValueClass)
+	w.summary = summarize(w.classes, w.config.PriorClassRate, w.summary.HighestValueClass)
 	return measured
 }
 
@@ -130,7 +131,7 @@
 	var mean Demand
 	total := 0.0
 	for _, class := range w.classes {
-		threads, rate := float64(class.settings.Threads), class.Traffic.rate+w.config.MinClassRate
+		threads, rate := float64(class.settings.Threads), class.Traffic.rate+w.config.PriorClassRate
 		inService := float64(rate) * float64(class.Cost.MeanWork()) / threads
 		mean.Threads += inService * threads
 		mean.MemoryMB += inService * class.Cost.meanMemoryMB
