--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -13,7 +13,7 @@
 
 // slowStartInput returns the engine state that slow start depends on.
 func (e *engine) slowStartInput() slowstart.Engine {
-	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstSlot: e.idHash}
+	return slowstart.Engine{StartedAt: e.StartedAt, Cores: e.cores, FirstBroker: e.idHash}
 }
 
 // slowStartDemand returns the state of the traffic that slow start depends on.
--- a/control/slowstart/slowstart.go
+++ b/control/slowstart/slowstart.go
@@ -39,9 +39,9 @@
 
 // Engine holds the engine state that slow start depends on.
 type Engine struct {
-	StartedAt time.Duration // 0: the engine started long ago
-	Cores     float64
-	FirstSlot int // index, modulo the number of brokers, of the first broker of the first slot
+	StartedAt   time.Duration // 0: the engine started long ago
+	Cores       float64
+	FirstBroker int // broker, by its index modulo the number of brokers, with which the first slot begins
 }
 
 // Demand is the demand that this broker sees.
@@ -132,7 +132,7 @@
 func (p *Policy) hasSlot(engine Engine, slot slot, now time.Duration) bool {
 	brokers := p.config.Brokers
 	previousSlots := int((now - engine.StartedAt) / p.config.OverloadWindow)
-	first := (engine.FirstSlot + previousSlots*slot.brokers) % brokers
+	first := (engine.FirstBroker + previousSlots*slot.brokers) % brokers
 	offset := (p.config.BrokerIndex + brokers - first) % brokers
 	return offset < slot.brokers
 }
