--- a/control/concurrency/limiter.go
+++ b/control/concurrency/limiter.go
@@ -21,7 +21,7 @@
 	MinThreadsPerCore     float64        // smallest limit
 	MaxThreadsPerCore     float64        // largest limit under pressure
 	MinTargetTime         float64        // smallest target, as a multiple of the latency objective
-	ChangePenalty         float64        // penalty on input changes; a larger one slows the limit down
+	ChangePenalty         float64        // penalty on changes of the limit, which slows them down
 	BackoffLoad           units.Fraction // reported load beyond which the limit backs off
 	BackoffSlowdown       units.LogRatio // slowdown beyond which the limit backs off
 	BackoffDecrease       float64        // factor applied to the backoff in an interval of overload
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -128,7 +128,7 @@
 	requireEqual(t, "only the late request is rejected", len(answers) == 1 && answers[0].RequestID == "late", true)
 }
 
-// Each request is answered once with thousands of requests in one batch, hundreds of engines, an engine twice
+// Each request gets one final response with thousands of requests in one batch, hundreds of engines, an engine twice
 // in one update, and finally no engines.
 func TestManyRequestsAtOnceAreAnsweredOnceEach(t *testing.T) {
 	h := newPooledHarness(t, pooledSettings(), 300)
--- a/control/dispatch.go
+++ b/control/dispatch.go
@@ -40,7 +40,7 @@
 }
 
 // withinConcurrencyLimit reports whether a class's next request may be sent to an engine. The class with the
-// highest priority weight per unit of work may use the whole limit.
+// highest priority weight per thread-second may use the whole limit.
 func (c *Controller) withinConcurrencyLimit(engine *engine, classIndex int) bool {
 	share := c.shares.Share(classIndex)
 	if classIndex == c.workload.Summary().HighestValueClass {
--- a/control/dispatch_test.go
+++ b/control/dispatch_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Long requests fill the concurrency limit for seconds. Quick requests, whose weight per unit of work is
+// Long requests fill the concurrency limit for seconds. Quick requests, whose weight per thread-second is
 // higher, must not wait or be rejected because of them while the quick ones alone hold less than the limit.
 func TestLongRequestsLeaveCapacityToQuickOnes(t *testing.T) {
 	h := newHarnessUnderPressure(t)
--- a/control/eligibility_test.go
+++ b/control/eligibility_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A request that may not be retried is answered immediately, not at its deadline.
+// A request that may not be retried gets its final response immediately, not at its deadline.
 func TestRequestWithoutPermittedRetryIsAnsweredImmediately(t *testing.T) {
 	nonIdempotent := idempotency.Policy{Kind: idempotency.NonIdempotent}
 	withKey := idempotency.Policy{Kind: idempotency.IdempotentWithKey, DedupWindow: time.Second}
--- a/control/events.go
+++ b/control/events.go
@@ -26,7 +26,7 @@
 // The states of an engine.
 const (
 	Ready    = membership.Ready
-	Draining = membership.Draining // finishes its attempts and accepts no new ones
+	Draining = membership.Draining // completes its attempts and accepts no new ones
 	Removed  = membership.Removed
 )
 
--- a/control/membership/watch.go
+++ b/control/membership/watch.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	maxRetryDelay     = 2 * time.Second // longest delay before a watch that ended begins again
-	retriesEachPeriod = 2               // minimum number of retries in a poll interval
+	maxRetryDelay          = 2 * time.Second // longest delay before a watch that ended begins again
+	retriesPerPollInterval = 2               // minimum number of retries in a poll interval
 )
 
 // WatchConfig specifies the watch on the endpoint list of a deployment.
@@ -36,5 +36,5 @@
 // Ended records that the watch failed or ended. It may begin again after a delay.
 func (w *Watch) Ended(now time.Duration) {
 	w.active = false
-	w.nextAt = now + min(maxRetryDelay, w.config.MaxPollInterval/retriesEachPeriod)
+	w.nextAt = now + min(maxRetryDelay, w.config.MaxPollInterval/retriesPerPollInterval)
 }
--- a/control/outlier/health.go
+++ b/control/outlier/health.go
@@ -49,7 +49,7 @@
 	return h.wasAtCapacity && now-h.atCapacityAt < atCapacityPause
 }
 
-// Decay lowers the weight of earlier attempts, and lets the failure rate fall towards 0 even without
+// Decay lowers the weight of earlier attempts, and lets the failure rate fall toward 0 even without
 // attempts. It must be called once a tick of 100 ms.
 func (h *Health) Decay() {
 	h.loss.Decay(answerDecay)
@@ -59,7 +59,7 @@
 // FailureRate returns the moving average of the fraction of attempts that fail.
 func (h *Health) FailureRate() units.Fraction { return h.failureRate }
 
-// LossRate returns the same as Detector.LossRate, given the loss rate of the fleet.
+// LossRate is like Detector.LossRate, given the loss rate of the fleet.
 func (h *Health) LossRate(fleet units.Fraction) units.Fraction {
 	return units.Fraction(h.loss.Rate(float64(fleet), fleetLossAnswers))
 }
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -101,16 +101,16 @@
 }
 
 // RecordLoss records a lost answer: the attempt timed out, or package overdue presumed its answer lost. The
-// certainty, from 0 to 1, is the probability that the answer is lost.
-func (d *Detector) RecordLoss(engine *Health, certainty units.Fraction) {
-	engine.loss.RecordLoss(float64(certainty))
-	d.fleet.RecordLoss(float64(certainty))
+// confidence is the probability that the answer is lost.
+func (d *Detector) RecordLoss(engine *Health, confidence units.Fraction) {
+	engine.loss.RecordLoss(float64(confidence))
+	d.fleet.RecordLoss(float64(confidence))
 }
 
 // RevertLoss reverts RecordLoss for an answer that arrived late.
-func (d *Detector) RevertLoss(engine *Health, certainty units.Fraction) {
-	engine.loss.RevertLoss(float64(certainty))
-	d.fleet.RevertLoss(float64(certainty))
+func (d *Detector) RevertLoss(engine *Health, confidence units.Fraction) {
+	engine.loss.RevertLoss(float64(confidence))
+	d.fleet.RevertLoss(float64(confidence))
 }
 
 // IsSilent reports whether an engine loses so many answers that it must be ejected.
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -11,8 +11,8 @@
 	switch status {
 	case NeverSent, Cancelled:
 	case TimedOut:
-		// A timeout raises the loss rate but does not eject the engine: presumeLost decides that by
-		// the rate.
+		// A timeout raises the loss rate but does not eject the engine: presumeLost decides on the
+		// ejection by that rate.
 		if !c.underPressure(engine.queueOwner) {
 			c.outliers.RecordLoss(&engine.health, 1)
 		}
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -14,21 +14,21 @@
 }
 
 // evaluateOverdue evaluates an attempt that takes longer than nearly all responses. It evaluates the attempt
-// again later if it is in time, but not if it is lost, blocked or overdue because of an overload.
+// again later while its response is pending, but not if it is lost, blocked or overdue because of an overload.
 func (c *Controller) evaluateOverdue(attempt *attempt) {
 	if !attempt.inFlight || attempt.request.closed || attempt.cancelled || attempt.presumedLost {
 		return
 	}
 	state := c.overdueStateOf(attempt)
-	verdict, recheckAfter := overdue.Evaluate(state)
-	if verdict == overdue.Blocked {
+	status, reevaluateAfter := overdue.Evaluate(state)
+	if status == overdue.Blocked {
 		c.releaseBlockedAttempt(attempt)
 		state.ThreadsReleased = attempt.threadsReleased
-		verdict, recheckAfter = overdue.Evaluate(state)
+		status, reevaluateAfter = overdue.Evaluate(state)
 	}
-	switch verdict {
+	switch status {
 	case overdue.Pending:
-		c.startTimer(recheckAfter, attemptOverdue{attempt})
+		c.startTimer(reevaluateAfter, attemptOverdue{attempt})
 	case overdue.Lost:
 		c.presumeLost(attempt)
 	case overdue.Blocked, overdue.Overload:
--- a/control/overdue/overdue.go
+++ b/control/overdue/overdue.go
@@ -1,6 +1,6 @@
 // Package overdue evaluates an attempt in flight by the time for which it has been silent: its answer is
-// still pending, it waits for a data-set lock that another request holds, or its answer is lost. The broker
-// waits for an answer until the answer is more likely to be lost than late.
+// still pending, it waits for a data-set lock that another request holds, or its answer is lost. An answer
+// is presumed lost once that is more likely than that it is late.
 package overdue
 
 import (
@@ -22,7 +22,7 @@
 	missedProgress   = 1.75  // progress intervals without a report after which the report is overdue
 	overloadLossRate = 0.4   // loss rate that indicates an overload, which more attempts would make worse
 	runawayRatio     = 4.0   // remaining over usual time beyond which a fresh attempt is faster
-	retryTimeFactor  = 2     // timeouts of a half-open probe that must be left, to allow a retry
+	retryTimeFactor  = 2     // time left to retry a half-open probe, as a multiple of its timeout
 	minProgress      = 0.005 // lower bound of the progress, which keeps a quotient finite
 )
 
--- a/control/settings.go
+++ b/control/settings.go
@@ -48,10 +48,10 @@
 	return class.LatencyObjective + units.Duration(perThread)
 }
 
-// Tenant describes one customer with a share of the service.
+// Tenant configures one tenant, a customer with a share of the service.
 type Tenant = workload.Tenant
 
-// EngineKind describes one kind of engine.
+// EngineKind configures one kind of engine.
 type EngineKind struct {
 	Cores    float64 // 0: unknown, taken as 1
 	MemoryMB float64 // 0: unknown, so not limiting
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -13,7 +13,7 @@
 
 // Config holds the parameters of the regulator and its optimizer.
 type Config struct {
-	ChangePenalty float64        // on input changes (section 3.2); a larger one slows shares down
+	ChangePenalty float64        // penalty on changes of shares (section 3.2), which slows them down
 	MinShare      units.Fraction // smallest share of a class, before shares are scaled to sum to 1
 	MaxSteps      int            // maximum number of steps in which the optimizer allocates the shares
 	Tolerance     float64        // shares and utilities that differ by less count as equal
@@ -30,7 +30,7 @@
 // Output holds the measurements of a class in its last interval with answers, as ratios. Higher is better.
 type Output struct {
 	InverseLatency float64 // latency objective over latency
-	Throughput     float64 // answers per second over the average arrival rate plus 1 per second
+	Throughput     float64 // answers per second over the mean arrival rate plus 1 per second
 }
 
 // Class holds the measurements of a class in an interval, and the weights of its answers.
--- a/control/slowdown/age.go
+++ b/control/slowdown/age.go
@@ -10,7 +10,7 @@
 const (
 	usualAgeRatio = 2 // age ratio up to which an engine counts as not slow
 
-	minUsualTime units.Seconds = 0.1 // added to the usual time of every attempt
+	usualTimeOffset units.Seconds = 0.1 // added to the usual time of every attempt
 )
 
 // Attempt is an attempt in flight.
@@ -22,7 +22,7 @@
 
 // AgeRatio returns the age of the attempt over the time that it usually takes on an engine that is not slow.
 func (a Attempt) AgeRatio(now time.Duration) float64 {
-	usualTime := a.ExpectedWork.OnThreads(a.Threads) + minUsualTime
+	usualTime := a.ExpectedWork.OnThreads(a.Threads) + usualTimeOffset
 	return float64(units.SecondsOf(now-a.SentAt) / usualTime)
 }
 
--- a/control/slowdown/slowdown.go
+++ b/control/slowdown/slowdown.go
@@ -21,7 +21,7 @@
 	unknownWorkDivisor = 3.0  // divides the weight of an answer that does not report its work
 	poolAnswers        = 3.0  // weight of the pool's slowdown, in outcomes of an engine
 	recovery           = 0.02 // fraction by which a slowdown falls in a tick of 100 ms without an answer
-	risingBestWeight   = 0.02 // weight of an interval in the best slowdown while that rises
+	risingBestWeight   = 0.02 // weight of an interval in the best slowdown while it rises
 	minSamples         = 10   // a slowdown is trusted if it is based on more answers than this
 
 	workScatter units.LogRatio = 0.5 // slowdown explained by the scatter of unreported work
@@ -53,8 +53,8 @@
 // Slowdown returns an engine's slowdown relative to the best engine, estimated from its answers.
 func (s *Estimator) Slowdown(engine *Engine) units.LogRatio { return s.relativeToBest(engine.logRatio) }
 
-// SlowdownInPool returns the same for an engine of a pool. The fewer outcomes (outlier.Health.Outcomes) the
-// engine has, the larger the weight of the whole pool's answers.
+// SlowdownInPool returns the slowdown of an engine of a pool, relative to the best engine. The fewer outcomes
+// (outlier.Health.Outcomes) the engine has, the larger the weight of the whole pool's answers.
 func (s *Estimator) SlowdownInPool(engine, pool *Engine, outcomes float64) units.LogRatio {
 	own := (engine.logRatio - pool.logRatio) * units.LogRatio(outcomes) /
 		units.LogRatio(outcomes+poolAnswers)
--- a/control/timers.go
+++ b/control/timers.go
@@ -17,15 +17,15 @@
 type timer interface{ expire(c *Controller) }
 
 type (
-	// responseDue ends a request that has not been answered shortly before its deadline.
+	// responseDue ends a request that has no final response shortly before its deadline.
 	responseDue struct{ request *request }
 	// attemptOverdue evaluates an attempt that is still in flight after its timeout.
 	attemptOverdue struct{ attempt *attempt }
-	// lostAttemptStopped releases the threads of an attempt that is presumed lost and should no longer
-	// run.
+	// lostAttemptStopped releases the threads of an attempt that is presumed lost and has probably
+	// stopped.
 	lostAttemptStopped struct{ attempt *attempt }
 	// endedAttemptStopped releases the threads of an attempt that timed out, could not be cancelled and
-	// should no longer run.
+	// has probably stopped.
 	endedAttemptStopped struct{ attempt *attempt }
 	// orderKeyIdle drops an order key without requests after its cooldown.
 	orderKeyIdle struct{ queue *keyorder.Queue[*request] }
--- a/control/workload/abandonment.go
+++ b/control/workload/abandonment.go
@@ -16,12 +16,12 @@
 // Abandonment estimates the fraction of clients that disconnect before their deadline, and how long they
 // wait.
 type Abandonment struct {
-	rate  units.Fraction
-	after units.Seconds
+	rate  units.Fraction // fraction of clients that disconnect
+	after units.Seconds  // mean time after which these disconnect
 }
 
-// ClientDisconnected records a client that disconnected after a time. While the abandonment rate is low, the
-// latest client has the largest weight.
+// ClientDisconnected records a client that disconnected after a time. The lower the abandonment rate, the
+// larger the weight of this client's time.
 func (a *Abandonment) ClientDisconnected(after time.Duration) {
 	a.rate = estimate.EWMA(a.rate, 1, abandonWeight)
 	weight := min(1, likelyAbandonRate/max(a.rate, minAbandonRate))
@@ -31,7 +31,7 @@
 // ClientWaited records a client that waited for its answer.
 func (a *Abandonment) ClientWaited() { a.rate = estimate.EWMA(a.rate, 0, abandonWeight) }
 
-// TimeToAbandon returns the time for which clients wait; ok is false if most of them wait until their
+// TimeToAbandon returns the time after which clients disconnect; ok is false if most of them wait until their
 // deadline.
 func (a *Abandonment) TimeToAbandon() (wait time.Duration, ok bool) {
 	return a.after.Duration(), a.rate > likelyAbandonRate
--- a/control/workload/tenants.go
+++ b/control/workload/tenants.go
@@ -7,7 +7,7 @@
 	"wheatlane/internal/estimate"
 )
 
-// Tenant describes a tenant.
+// Tenant configures one tenant.
 type Tenant struct {
 	Name  string
 	Share units.Fraction  // share of each class's service; shares of the known tenants sum to 1
--- a/control/workload/traffic.go
+++ b/control/workload/traffic.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	minThroughputRate = units.PerSecond(1)  // added to the arrival rate by which throughput is divided
+	priorArrivalRate  = units.PerSecond(1)  // added to the arrival rate by which throughput is divided
 	maxInverseLatency = 4                   // upper bound of Output.InverseLatency
 	minLatencySum     = units.Seconds(1e-6) // keeps a quotient finite
 )
@@ -44,7 +44,7 @@
 		t.output = shares.Output{
 			InverseLatency: min(maxInverseLatency, inverse),
 			Throughput: float64(answers) / elapsed.Seconds() /
-				float64(t.rate+minThroughputRate),
+				float64(t.rate+priorArrivalRate),
 		}
 	}
 	t.answers, t.latencySum = 0, 0
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -48,16 +48,16 @@
 // RecordAnswer counts a received answer.
 func (l *Loss) RecordAnswer() { l.Outcomes++ }
 
-// RecordLoss counts an answer as lost, weighted with a certainty from 0 to 1.
-func (l *Loss) RecordLoss(certainty float64) { l.Lost, l.Outcomes = l.Lost+certainty, l.Outcomes+1 }
+// RecordLoss counts an answer as lost, weighted with a confidence from 0 to 1.
+func (l *Loss) RecordLoss(confidence float64) { l.Lost, l.Outcomes = l.Lost+confidence, l.Outcomes+1 }
 
 // RevertLoss reverts a call of RecordLoss, for an answer that arrived late.
-func (l *Loss) RevertLoss(certainty float64) { l.Lost = max(0, l.Lost-certainty) }
+func (l *Loss) RevertLoss(confidence float64) { l.Lost = max(0, l.Lost-confidence) }
 
 // Decay multiplies both counts by a factor below 1, which lowers the weight of earlier answers.
 func (l *Loss) Decay(factor float64) { l.Outcomes, l.Lost = l.Outcomes*factor, l.Lost*factor }
 
-// Rate returns the fraction of lost answers, shrunk towards a prior fraction with a weight in answers.
+// Rate returns the fraction of lost answers, shrunk toward a prior fraction with a weight in answers.
 func (l *Loss) Rate(prior, priorAnswers float64) float64 {
 	return (l.Lost + prior*priorAnswers) / (l.Outcomes + priorAnswers)
 }
