--- a/internal/broker/attempts.go
+++ b/internal/broker/attempts.go
@@ -19,7 +19,7 @@
 	startedAt      time.Duration
 	inFlight       bool
 	mayHaveRun     bool
-	answeredClient bool           // its result was sent to the client
+	answeredClient bool           // the client got its result
 	cancelStatus   control.Status // status with which a cancelled attempt ends; OK: not cancelled
 	result         *result        // nil before the first page
 }
@@ -140,7 +140,7 @@
 
 // endStatus returns the status with which the decision module is notified of an attempt's end. A cancelled attempt ends
 // with cancelStatus (control.OK: not cancelled). Once a page was received, the attempt has run: any other end is then a
-// failure, even if the engine answered the request for another page with BUSY or VOID.
+// failure, even if the engine responded to the request for another page with BUSY or VOID.
 func endStatus(reported, cancelStatus control.Status, pageReceived bool) control.Status {
 	status := reported
 	if status == control.Cancelled && cancelStatus != control.OK {
@@ -157,7 +157,7 @@
 }
 
 // mustSettle reports whether an attempt that has ended remains in flight for another settleDelay. Its cancel was sent
-// or its connection ended, but its engine may not have received that yet: the next request of its order key, or the
+// or its connection ended, but its engine may not have been notified yet: the next request of its order key, or the
 // next attempt if hedging is disabled, could reach another engine earlier.
 func mustSettle(status control.Status, ordered, hedging bool) bool {
 	switch {
--- a/internal/broker/benchmark_test.go
+++ b/internal/broker/benchmark_test.go
@@ -89,7 +89,7 @@
 	}}))
 }
 
-// step advances the time by gap, answers the attempts that are done and calls Tick.
+// step advances the time by gap, responds to the attempts that are done and calls Tick.
 func (l *closedLoop) step() {
 	l.now += l.gap
 	for len(l.running) > 0 && l.running[0].doneAt <= l.now {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -5,7 +5,7 @@
 // such as that of package internal/server/clock.
 //
 // Events and effects do not depend on a protocol: a front protocol translates its messages into SubmitRequest, Ping and
-// Kill, and each Reply into its own answer, so that a second front protocol could use the same decisions.
+// Kill, and each Reply into a message of its own, so that a second front protocol could use the same decisions.
 package broker
 
 import (
--- a/internal/broker/effects.go
+++ b/internal/broker/effects.go
@@ -69,7 +69,7 @@
 		Class          string
 		IdempotencyKey string
 		Timeout        time.Duration
-		OverdueAfter   time.Duration // time from the start after which the answer is likely lost; 0: unknown
+		OverdueAfter   time.Duration // time from the start after which the response is likely lost; 0: unknown
 		GrantMB        float64       // memory grant
 		Priority       int
 		Body           string
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -68,7 +68,7 @@
 	}
 	// SessionClosed reports that a client's connection ended.
 	SessionClosed struct{ Session Session }
-	// SessionHalfClosed reports that a client has closed its sending direction. The client may have disconnected or may
+	// SessionHalfClosed reports that a client has shut down its write side. The client may have disconnected or may
 	// still read: its requests are stopped but answered, and the connection is closed afterwards.
 	SessionHalfClosed struct{ Session Session }
 )
@@ -99,7 +99,7 @@
 		Report      loadreport.Report
 		SharedCause bool
 	}
-	// ProbeResult reports the answer to a load probe, or its failure.
+	// ProbeResult reports the response to a load probe, or its failure.
 	ProbeResult struct {
 		ProbeID uint64
 		Status  control.Status
--- a/internal/broker/meter_test.go
+++ b/internal/broker/meter_test.go
@@ -33,7 +33,7 @@
 }
 
 // The outcome of each request and attempt is reported once, with the request's duration from the time at which the
-// client sent it. An attempt counts as wasted if it may have run but no client got its answer.
+// client sent it. An attempt counts as wasted if it may have run but no client got its result.
 func TestMeter(t *testing.T) {
 	abandoned := []RequestSummary{{
 		Class: "lookup", Tenant: "acme", Kind: ReplyInterrupted, Abandoned: true, Duration: 30 * ms,
--- a/internal/broker/requests.go
+++ b/internal/broker/requests.go
@@ -131,7 +131,7 @@
 func (b *Broker) checkFields(request Request) (control.Class, error) {
 	class, err := b.validator.check(request)
 	if err == nil && b.requests.clientIDs[request.RequestID] {
-		// Engines identify a request by this id alone, so its answer could be mistaken for that of the other request.
+		// Engines identify a request by this id alone, so its response could be mistaken for that of the other request.
 		err = errDuplicateRequestID
 	}
 	return class, err
--- a/internal/broker/requests_test.go
+++ b/internal/broker/requests_test.go
@@ -180,7 +180,7 @@
 		t.Run(fmt.Sprintf("%s with %v", c.class, c.timeout), func(t *testing.T) {
 			h := newHarness(t, engine1())
 			h.submit(1, c.class, c.key, c.timeout)
-			h.onlyAttempt() // the engine does not answer
+			h.onlyAttempt() // the engine does not respond
 			sentAt := h.now
 			for len(effectsOf[Reply](h.effects)) == 0 && h.now < sentAt+c.timeout {
 				h.run(ms)
--- a/internal/broker/sessions.go
+++ b/internal/broker/sessions.go
@@ -11,7 +11,7 @@
 	id             Session
 	openRequest    *request      // the request that it waits for; nil: none
 	queuedCommands []command     // read after openRequest, not yet executed
-	queuedRequests int           // number of SubmitRequests in queuedCommands
+	queuedRequests int           // number of SubmitRequest commands in queuedCommands
 	killedAt       time.Duration // requests sent before this time are killed
 
 	evictFirst bool // the last command was an ImmediateReply, or a request with invalid fields
--- a/internal/broker/simulated_engines_test.go
+++ b/internal/broker/simulated_engines_test.go
@@ -55,7 +55,7 @@
 	return silent
 }
 
-// serve simulates an engine that receives an attempt: the attempt succeeds or fails, or its answer is lost.
+// serve simulates an engine that receives an attempt: the attempt succeeds or fails, or its response is lost.
 func (s *simulation) serve(start StartAttempt) {
 	work := s.between(3*ms, 60*ms)
 	took := s.between(2*ms, 12*ms) + work
--- a/internal/broker/simulation_test.go
+++ b/internal/broker/simulation_test.go
@@ -219,7 +219,7 @@
 	case CancelAttempt:
 		if s.chance(95) {
 			s.schedule(s.between(0, 4*ms), AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
-		} else { // the answer races with the cancel
+		} else { // the response races with the cancel
 			s.schedule(0, FirstPageReceived{Attempt: e.Attempt, PageCount: 1, Work: 5 * ms, Body: s.rows(1)})
 			s.schedule(3*ms, AttemptEnded{Attempt: e.Attempt, Status: control.Cancelled})
 		}
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -17,7 +17,7 @@
 	EndFinalAnswer                      // the broker shut down before the request was completed
 	EndKilled                           // a client killed the request
 	EndClientClosed                     // the client's connection ended
-	EndClientHalfClosed                 // the client closed its sending direction
+	EndClientHalfClosed                 // the client shut down its write side
 	EndQueueOverflow                    // the client sent too many commands before the answer
 	EndQueuedRequestDue                 // the deadline of a request queued behind it was reached
 	endCauseCount
--- a/internal/broker/validation_test.go
+++ b/internal/broker/validation_test.go
@@ -8,7 +8,7 @@
 )
 
 // After a reload, requests of an added class are accepted and those of a removed class are rejected. An open request
-// keeps its class and is answered when its engine answers.
+// keeps its class and is answered when its engine responds.
 func TestUpdateSettings(t *testing.T) {
 	h := newHarness(t, engine1())
 	h.submit(1, "lookup", "", 400*ms)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -23,7 +23,7 @@
 	TimeoutWithinClient
 	// AnswerBeforeClose: the broker does not close a session that has a request read but not answered.
 	AnswerBeforeClose
-	// NoReadAfterShutdown: the broker reads nothing from a connection whose sending direction it has shut down.
+	// NoReadAfterShutdown: the broker reads nothing from a connection whose write side it has shut down.
 	NoReadAfterShutdown
 	// TimeIsMonotonic: the reducer's time neither goes back nor follows steps of the wall clock.
 	TimeIsMonotonic
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Each guard returns the violated rule, or none if all rules hold.
-func TestGuards(t *testing.T) {
+// ViolatedRule returns the violated rule, or none if all rules hold.
+func TestViolatedRule(t *testing.T) {
 	type guard interface{ ViolatedRule() (Rule, bool) }
 	const none = Rule(-1)
 	for name, tt := range map[string]struct {
