--- a/internal/server/adapters.go
+++ b/internal/server/adapters.go
@@ -21,8 +21,8 @@
 type gossipAdapter struct{ loop *eventLoop }
 
 // GossipReceived implements gossiptransport.Receiver.
-func (h gossipAdapter) GossipReceived(ctx context.Context, number int, reports []control.GossipedLoad) {
-	h.loop.post(ctx, func() { h.loop.apply(broker.GossipReceived{Broker: number, Reports: reports}) })
+func (h gossipAdapter) GossipReceived(ctx context.Context, index int, reports []control.GossipedLoad) {
+	h.loop.post(ctx, func() { h.loop.apply(broker.GossipReceived{Broker: index, Reports: reports}) })
 }
 
 // changelogAdapter forwards pages of the change log to the reducer.
--- a/internal/server/endpointwatch/backoff.go
+++ b/internal/server/endpointwatch/backoff.go
@@ -14,8 +14,8 @@
 )
 
 // newPollBackoff returns the backoff between polls, which grows from minPollBackoff to maxPollBackoff and never stops.
-// It is jittered because all brokers of a fleet lose a change log at the same time and would otherwise poll it again in
-// lockstep.
+// It is jittered because a failing change log ends the connections of all brokers at the same time, and they would
+// otherwise poll it again in lockstep.
 func newPollBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.Multiplier = minPollBackoff, maxPollBackoff, pollBackoffMultiplier
--- a/internal/server/endpointwatch/watcher.go
+++ b/internal/server/endpointwatch/watcher.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Run polls until ctx ends. The first poll after a lost connection or a change of address is sent immediately, later
-// ones with backoff.
+// Run polls until ctx ends. The first poll after the end of a connection or a change of address is sent
+// immediately, later ones with backoff.
 func (w *Watcher) Run(ctx context.Context) error {
 	delay, retry := time.Duration(0), newPollBackoff()
 	for ctx.Err() == nil {
--- a/internal/server/enginepool/config.go
+++ b/internal/server/enginepool/config.go
@@ -22,7 +22,8 @@
 	// blocked: an attempt that was decided on before the drain of its engine was known must not be sent after the drain's
 	// grace period.
 	maxSendDelay = 400 * time.Millisecond
-	// drainGraceFraction is the fraction of the grace period that bytes may wait here; the rest is for the network.
+	// drainGraceFraction is the fraction of the grace period that bytes may wait in the broker; the remainder is for
+	// the network.
 	drainGraceFraction = 0.8
 
 	defaultConnsPerEngine = 8  // connections to one engine, unless each accepts few streams
--- a/internal/server/enginepool/dial.go
+++ b/internal/server/enginepool/dial.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	maxEngineReceiveBytes = resp.MaxMessage // bytes received and not parsed yet: one complete message
-	maxEngineSendBytes    = 1 << 20         // bytes that wait to be sent
-	// localFaultRetryTime is the time during which a connection is retried that fails for a fault of this machine.
+	maxEngineReceiveBytes = resp.MaxMessage // received and not parsed yet: one complete message
+	maxEngineSendBytes    = 1 << 20         // queued to be sent
+	// localFaultRetryTime is the time during which a dial that fails for a fault of this machine is retried.
 	localFaultRetryTime = 250 * time.Millisecond
 )
 
-// dial begins to establish a connection to an engine. The connection is kept beyond the stream for which it is dialed.
+// dial begins to establish a connection to an engine. The connection stays open after the stream for which it is dialed
+// has ended.
 func (p *Pool) dial(engine, addr string) *engineConn {
 	conn := newEngineConn(engine, addr)
 	p.dials++
--- a/internal/server/enginepool/drain.go
+++ b/internal/server/enginepool/drain.go
@@ -9,7 +9,7 @@
 	longest      time.Duration // longest time of a connection so far
 }
 
-// connDone records the time that one connection took, and reports whether it was the last pending one.
+// connDone records the time that one connection took, and reports whether no other connection is pending.
 func (d *drainTimer) connDone(took time.Duration) (last bool) {
 	d.longest = max(d.longest, took)
 	d.pendingConns--
@@ -18,7 +18,7 @@
 
 // drainTracker measures the drains of engines. It belongs to the owner of the pool.
 type drainTracker struct {
-	byEngine map[string]*drainTimer // entries exist until the engine is used again or removed
+	byEngine map[string]*drainTimer // until the engine is used again or removed
 	observer Observer
 }
 
@@ -26,9 +26,9 @@
 	return drainTracker{byEngine: map[string]*drainTimer{}, observer: observer}
 }
 
-// start begins to measure the drain of an engine with these connections, unless the engine is already draining. notify
+// start begins to measure the drain of an engine with these connections, unless the engine is already draining. post
 // schedules a function to be called by the owner of the pool.
-func (t *drainTracker) start(engine string, conns []*engineConn, notify func(func())) {
+func (t *drainTracker) start(engine string, conns []*engineConn, post func(func())) {
 	if t.byEngine[engine] != nil {
 		return
 	}
@@ -43,7 +43,7 @@
 		conn.drain = drain
 		conn.transport.AfterSent(func() {
 			sentAt := time.Now()
-			notify(func() { t.handleConnSent(conn, sentAt) })
+			post(func() { t.handleConnSent(conn, sentAt) })
 		})
 	}
 	if drain.pendingConns == 0 {
@@ -51,25 +51,26 @@
 	}
 }
 
-// end ends the drain of an engine that is used again or was removed. The measurement of bytes from before the drain
-// continues.
+// end ends the drain of an engine that is used again or was removed, so that its next drain is measured as well. A
+// measurement in progress continues: connections with unsent bytes from before the drain still refer to it.
 func (t *drainTracker) end(engine string) { delete(t.byEngine, engine) }
 
-// handleConnSent completes a connection that has sent all bytes from before the drain of its engine.
+// handleConnSent records that a connection has sent all bytes from before the drain of its engine.
 func (t *drainTracker) handleConnSent(conn *engineConn, sentAt time.Time) {
 	if conn.drain != nil {
 		t.connDone(conn, sentAt.Sub(conn.drain.startedAt))
 	}
 }
 
-// handleConnClosed completes a connection that has closed: it sends no more bytes, and its time does not count.
+// handleConnClosed records that a connection has closed: it sends no more bytes, and its time does not count.
 func (t *drainTracker) handleConnClosed(conn *engineConn) {
 	if conn.drain != nil {
 		t.connDone(conn, 0)
 	}
 }
 
-// connDone completes a connection and reports the drain if the connection was the last pending one.
+// connDone ends the measurement of a connection, and reports the duration of the drain if no other connection is
+// pending.
 func (t *drainTracker) connDone(conn *engineConn, took time.Duration) {
 	drain := conn.drain
 	conn.drain = nil
--- a/internal/server/enginepool/liveness.go
+++ b/internal/server/enginepool/liveness.go
@@ -79,8 +79,8 @@
 }
 
 // suspect marks a connection as possibly dead: it accepts no new streams until a response is received, and is probed if
-// liveness probes are allowed. Unless both probes and hedging are allowed, it is kept until no streams are in flight on
-// it.
+// liveness probes are allowed. Unless both probes and hedging are allowed, it stays open until no streams are in flight
+// on it.
 func (p *Pool) suspect(conn *engineConn, now time.Time) {
 	conn.suspectSince = now
 	if p.livenessProbesAllowed() {
--- a/internal/server/enginepool/stream.go
+++ b/internal/server/enginepool/stream.go
@@ -9,7 +9,7 @@
 
 // staleAfter is the time for which a message with a timeout may wait in the send queue. After that it is encoded again
 // with the remaining time. The timeout may exceed the client's remaining time by invariant.TimeoutSlack, of which the
-// rest is for the network.
+// remainder is for the network.
 const staleAfter = 100 * time.Millisecond
 
 // stream is an attempt or a load probe on its connection.
--- a/internal/server/frontend/accept.go
+++ b/internal/server/frontend/accept.go
@@ -97,8 +97,8 @@
 // error, or immediately if too many rejected connections are still open. It reads nothing from the socket. ended is
 // called after the close.
 func (f *Frontend) reject(group *errgroup.Group, socket net.Conn, ended func()) {
-	answer := mysql.AppendError(nil, mysql.GreetingSequence, mysql.CodeTooManyConnections, "too many connections")
-	_, _ = socket.Write(answer) // fits into the buffer of a new socket; if the write fails, the client sees the close
+	rejection := mysql.AppendError(nil, mysql.GreetingSequence, mysql.CodeTooManyConnections, "too many connections")
+	_, _ = socket.Write(rejection) // fits into the buffer of a new socket; if it fails, the client detects the close
 	end := func() {
 		_ = socket.Close() // an error does not matter: the connection is rejected anyway
 		ended()
--- a/internal/server/frontend/readtimeout.go
+++ b/internal/server/frontend/readtimeout.go
@@ -19,7 +19,7 @@
 )
 
 // updateReadTimeout sets the time by which more bytes must arrive. While the login or a partially received message is
-// incomplete, the first deadline is kept, however slowly more bytes arrive.
+// incomplete, the first deadline does not change, however slowly more bytes arrive.
 func (c *client) updateReadTimeout() error {
 	partial := c.conn.Received.Len() > 0
 	if !c.loggedIn || partial && c.messageBegun.Load() {
--- a/internal/server/gossiptransport/transport.go
+++ b/internal/server/gossiptransport/transport.go
@@ -24,13 +24,13 @@
 // Config configures a transport.
 type Config struct {
 	ListenAddr string
-	Brokers    []string // addresses of all brokers of the fleet, by number
+	Brokers    []string // addresses of all brokers of the fleet, by index
 	Log        *zap.Logger
 }
 
 // Receiver receives load reports.
 type Receiver interface {
-	// GossipReceived receives the reports of the broker with the given number. It may block until ctx ends.
+	// GossipReceived receives the reports of the broker with the given index. It may block until ctx ends.
 	GossipReceived(ctx context.Context, broker int, reports []control.GossipedLoad)
 }
 
@@ -38,7 +38,7 @@
 type Transport struct {
 	conn         *net.UDPConn
 	log          *zap.Logger
-	brokers      []netip.AddrPort // by number
+	brokers      []netip.AddrPort // by index
 	brokerByAddr map[netip.AddrPort]int
 	sendBuffer   []byte // of Send
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// parse returns the reports of a datagram and the number of the broker that sent it. It returns false if the sender is
+// parse returns the reports of a datagram and the index of the broker that sent it. It returns false if the sender is
 // not a broker of the fleet or the datagram is malformed.
 func (t *Transport) parse(datagram []byte, from netip.AddrPort) (broker int, reports []control.GossipedLoad, ok bool) {
 	broker, ok = t.brokerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
--- a/internal/server/netconn/sendqueue.go
+++ b/internal/server/netconn/sendqueue.go
@@ -9,9 +9,9 @@
 	"wheatlane/internal/ring"
 )
 
-// SendQueue holds the bytes that wait to be sent on a connection, in order, and records how many of them the operating
-// system has accepted. Offsets count bytes from the start of the connection. Writes of which no byte has been submitted
-// to the system can be withdrawn; they are then never sent. A SendQueue is safe for concurrent use.
+// SendQueue holds the bytes that are queued to be sent on a connection, in order, and records how many of them the
+// operating system has accepted. Offsets count bytes from the start of the connection. Writes of which no byte has been
+// submitted to the system can be withdrawn; they are then never sent. A SendQueue is safe for concurrent use.
 type SendQueue struct {
 	mu                sync.Mutex
 	pending           *ring.Buffer
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -26,9 +26,9 @@
 //  1. Requests that arrive within shutdownAcceptWindow after SIGTERM are served as usual.
 //  2. Final reads: connections in the kernel's accept queue are accepted and served, the listener closes, and each
 //     client socket is read until it is empty, so that no request remains in the kernel or on its way to the reducer.
-//  3. Once all requests are answered and the answers are sent, the sessions close. The reader of each stops first, so
+//  3. Once all requests are answered and the replies are sent, the sessions close. The reader of each stops first, so
 //     that every request that was read is answered. The broker then shuts down the write side of the connection and
-//     waits for the client to close the other, as closing a socket with unread bytes could discard the last answers.
+//     waits for the client to close the other, as closing a socket with unread bytes could discard the last replies.
 //
 // In any step, the reducer sends the final answers to open requests once answerWithin has elapsed
 // (broker.Shutdown.GracePeriod).
@@ -51,8 +51,7 @@
 }
 
 // newGracefulShutdown returns the shutdown requested at requestedAt. The final answers are sent before SIGKILL, whose
-// time follows from the client timeouts of the current classes, not from those before a reload, which may have been
-// longer.
+// time follows from the client timeouts of the current classes: those before a reload may have been longer.
 func newGracefulShutdown(requestedAt time.Time, classes []control.Class) gracefulShutdown {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -74,7 +73,7 @@
 type shutdownProgress struct {
 	openRequests int
 	clients      int
-	allRead      bool // the final reads are complete, and all answers to clients are sent
+	allRead      bool // the final reads are complete, and all replies to clients are sent
 }
 
 // next returns the next step of a requested shutdown and records it as taken. The caller calls it until it returns
