--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -31,52 +31,52 @@
 	e.expectCancel(t, attempt)
 }
 
-// invalidInput is a client's input after the greeting, with the expected answers and end of the connection.
+// invalidInput is a client's input after the greeting, with the expected replies and end of the connection.
 type invalidInput struct {
 	login   []byte
 	command []byte         // nil if the login ends the connection
-	quit    bool           // the client quits after the answer
-	answers []string       // expected after the greeting
+	quit    bool           // the client quits after the reply
+	replies []string       // expected after the greeting
 	reason  netconn.Reason // expected reason for the end of the connection
 }
 
 var invalidInputs = map[string]invalidInput{
 	"wrong user": {
-		login: loginPacket("root"), answers: []string{"1045", "closed"}, reason: netconn.AccessDenied,
+		login: loginPacket("root"), replies: []string{"1045", "closed"}, reason: netconn.AccessDenied,
 	},
 	"malformed login": {
-		login: packetBytes(1, "hello"), answers: []string{"1043", "closed"}, reason: netconn.Malformed,
+		login: packetBytes(1, "hello"), replies: []string{"1043", "closed"}, reason: netconn.Malformed,
 	},
 	"login to an unknown database": {
 		login:   packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+"app\x00\x00other\x00"),
-		answers: []string{"1049", "closed"}, reason: netconn.AccessDenied,
+		replies: []string{"1049", "closed"}, reason: netconn.AccessDenied,
 	},
 	"login with wrong sequence number": {
-		login: packetBytes(3, "hello"), answers: []string{"1156", "closed"}, reason: netconn.Malformed,
+		login: packetBytes(3, "hello"), replies: []string{"1156", "closed"}, reason: netconn.Malformed,
 	},
 	"oversized packet": {
 		login: loginPacket("app"), command: []byte("\x00\x00\xff\x00\x03SELECT"),
-		answers: []string{"ok", "1153", "closed"}, reason: netconn.TooLarge,
+		replies: []string{"ok", "1153", "closed"}, reason: netconn.TooLarge,
 	},
 	"command with wrong sequence number": {
 		login: loginPacket("app"), command: packetBytes(9, mysqlPing),
-		answers: []string{"ok", "1156", "closed"}, reason: netconn.Malformed,
+		replies: []string{"ok", "1156", "closed"}, reason: netconn.Malformed,
 	},
 	"empty packet": {
 		login: loginPacket("app"), command: packetBytes(0, ""),
-		answers: []string{"ok", "1835", "closed"}, reason: netconn.Malformed,
+		replies: []string{"ok", "1835", "closed"}, reason: netconn.Malformed,
 	},
 	"unknown command": {
 		login: loginPacket("app"), command: packetBytes(0, "\x1d"), quit: true,
-		answers: []string{"ok", "1047", "closed"}, reason: netconn.Quit,
+		replies: []string{"ok", "1047", "closed"}, reason: netconn.Quit,
 	},
 	"unknown database": {
 		login: loginPacket("app"), command: packetBytes(0, "\x02x"), quit: true,
-		answers: []string{"ok", "1049", "closed"}, reason: netconn.Quit,
+		replies: []string{"ok", "1049", "closed"}, reason: netconn.Quit,
 	},
 	"statement without fields": {
 		login: loginPacket("app"), command: queryPacket("SELECT 1"), quit: true,
-		answers: []string{"ok", "1210", "closed"}, reason: netconn.Quit,
+		replies: []string{"ok", "1210", "closed"}, reason: netconn.Quit,
 	},
 }
 
@@ -92,16 +92,16 @@
 			c.t = t
 			c.readPacket() // the greeting
 			c.send(tt.login)
-			answers := []string{c.readAnswer()}
+			replies := []string{c.readReply()}
 			if tt.command != nil {
 				c.send(tt.command)
-				answers = append(answers, c.readAnswer())
+				replies = append(replies, c.readReply())
 			}
 			if tt.quit {
 				c.send(packetBytes(0, mysqlQuit))
 			}
-			answers = append(answers, c.readAnswer())
-			if diff := cmp.Diff(tt.answers, answers); diff != "" {
+			replies = append(replies, c.readReply())
+			if diff := cmp.Diff(tt.replies, replies); diff != "" {
 				t.Fatal(diff)
 			}
 			peer := c.localAddr()
@@ -207,12 +207,12 @@
 	}
 }
 
-// halfClose describes the requests of a client that shuts down its write side, with the expected answers.
+// halfClose describes the requests of a client that shuts down its write side, with the expected replies.
 type halfClose struct {
 	class    string // of its requests
 	requests int
 	inFlight bool // the first request has an attempt in flight
-	answers  []string
+	replies  []string
 }
 
 // A client that shuts down its write side may still read, but can't be distinguished from a disconnected one. Its
@@ -252,7 +252,7 @@
 		}
 	}
 	c.closeWrite()
-	c.expect(tt.answers...)
+	c.expect(tt.replies...)
 	if tt.inFlight {
 		e.expect(t, commandCancel)
 	}
--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -55,7 +55,7 @@
 }
 
 // A request that races with the close of an idle connection stays unread.
-func TestRequestThatCrossesTheEndStaysUnread(t *testing.T) {
+func TestRequestRacingWithCloseStaysUnread(t *testing.T) {
 	s := startServer(t)
 	c := s.connect()
 	c.send(packetBytes(0, mysqlPing))
@@ -70,7 +70,7 @@
 	}
 }
 
-// A shutdown waits for the rest of a request that was received in part.
+// A shutdown waits for the remainder of a partially received request.
 func TestShutdownWaitsForPartialRequest(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
--- a/internal/server/endpointwatch/timeouts_test.go
+++ b/internal/server/endpointwatch/timeouts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Brokers that lose the change log at the same time poll it again at different times, and never later than the maximum
-// backoff with its jitter. In lockstep they would overload a change log that restarts.
+// Brokers whose polls fail at the same time poll the change log again at different times, and never later than the
+// maximum backoff with its jitter. In lockstep they would overload a change log that restarts.
 func TestPollBackoffIsJittered(t *testing.T) {
 	first, second := newPollBackoff(), newPollBackoff()
 	same := 0
--- a/internal/server/enginepool_test.go
+++ b/internal/server/enginepool_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// isConnecting reports whether the kernel has sent a SYN to an address and has no answer yet.
+// isConnecting reports whether the kernel has sent a SYN to an address and has no response yet.
 func isConnecting(t *testing.T, addr string) bool {
 	t.Helper()
 	const synSent = "02" // in column st of the table
--- a/internal/server/fakeengine_test.go
+++ b/internal/server/fakeengine_test.go
@@ -43,7 +43,7 @@
 func (m engineMessage) body() string   { return m.words[3] }
 
 // write writes raw bytes. It ignores errors, as the connection may have ended; the test detects that elsewhere.
-func (m engineMessage) write(answer []byte) { _, _ = m.conn.Write(answer) }
+func (m engineMessage) write(raw []byte) { _, _ = m.conn.Write(raw) }
 
 func (m engineMessage) reply(parts ...string) { m.write(resp.Append(nil, parts...)) }
 
--- a/internal/server/frontend/accept_test.go
+++ b/internal/server/frontend/accept_test.go
@@ -77,10 +77,10 @@
 	if err := far.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(far)
+	received, err := io.ReadAll(far)
 	want := mysql.AppendError(nil, 0, mysql.CodeTooManyConnections, "too many connections")
-	if err != nil || !bytes.Equal(answer, want) {
-		t.Errorf("received %q, want %q; read error %v", answer, want, err)
+	if err != nil || !bytes.Equal(received, want) {
+		t.Errorf("received %q, want %q; read error %v", received, want, err)
 	}
 	socktest.Receive(t, ended, "the end of the connection")
 	// The socket was closed with unread bytes: the connection was reset, and writes fail.
--- a/internal/server/gossiptransport/transport_test.go
+++ b/internal/server/gossiptransport/transport_test.go
@@ -29,7 +29,7 @@
 	r <- received{broker, reports}
 }
 
-// Reports are received with the number of the broker that sent them. Datagrams from unknown addresses and malformed
+// Reports are received with the index of the broker that sent them. Datagrams from unknown addresses and malformed
 // datagrams are dropped, and each kind is logged once.
 func TestReceive(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Send sends a datagram to the broker with the given number, and nothing if no broker has that number.
+// Send sends a datagram to the broker with the given index, and nothing if no broker has that index.
 func TestSend(t *testing.T) {
 	other := listenUDP(t)
 	transport, err := gossiptransport.Listen(t.Context(), gossiptransport.Config{
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -24,7 +24,7 @@
 	testSockets     = 1024
 )
 
-// settingsJSON is the format of the tests' settings. Its verb is for ConnIdleNs.
+// settingsJSON is the format of the tests' settings. Its verb is for the key ConnIdleNs.
 const settingsJSON = `{"PeersTotal":1,"RoundNs":5000000,"MachineTypes":["std"],
  "Domain":{"SizeCores":[8],"KindMemoryMb":[16384],"WidthByClass":[1,2,1],"ClassLoad":[false,true,false]},
  "Limits":{"Cancel":true,"MaxAttempts":2,"MaxRetryAfterNs":500000000,"RetryAfter":true,"ParallelTries":true,
@@ -65,7 +65,7 @@
 	configure   func(*config.Config)
 }
 
-// startServer starts a broker that knows the given endpoints and runs until the test ends.
+// startServer starts a broker whose endpoint list has the given entries, and which runs until the test ends.
 func startServer(t *testing.T, endpoints ...string) *testServer {
 	t.Helper()
 	return startServerWith(t, serverOptions{}, endpoints...)
@@ -127,7 +127,7 @@
 	}
 }
 
-// publish answers the next poll with a page, and waits until the broker polls from the page's revision.
+// publish responds to the next poll with a page, and waits until the broker polls from the page's revision.
 func (s *testServer) publish(page string, revision int) {
 	s.t.Helper()
 	select {
@@ -185,5 +185,5 @@
 	s.t.Helper()
 	got := make(chan T, 1)
 	s.server.loop.inbox <- func() { got <- f(s.server) }
-	return socktest.Receive(s.t, got, "the loop's answer")
+	return socktest.Receive(s.t, got, "the result of the call in the loop")
 }
--- a/internal/server/leak_test.go
+++ b/internal/server/leak_test.go
@@ -124,8 +124,8 @@
 	return goroutines, descriptors
 }
 
-// After a faulty engine response or an abrupt client disconnect, the request is answered once unless its client is
-// gone, the next request is served, and no goroutine or descriptor leaks.
+// After a faulty engine response or an abrupt client disconnect, the request is answered once unless its client has
+// disconnected, the next request is served, and no goroutine or descriptor leaks.
 func TestFaultsLeakNoGoroutineOrDescriptor(t *testing.T) {
 	e := newFakeEngine(t)
 	l := &leakTest{t: t, server: startServer(t, inService("e1", e)), engine: e}
--- a/internal/server/responses_test.go
+++ b/internal/server/responses_test.go
@@ -50,7 +50,7 @@
 	retry.replyRows(testRow)
 	retry.replyRows(testRow)
 	c.expect(testRows)
-	c.ping() // no second answer precedes it
+	c.ping() // no second reply precedes it
 	if first.conn == retry.conn {
 		t.Fatal("the retry uses the connection of the first attempt")
 	}
--- a/internal/server/scriptedchangelog_test.go
+++ b/internal/server/scriptedchangelog_test.go
@@ -12,17 +12,17 @@
 	"wheatlane/internal/socktest"
 )
 
-// scriptedChangelog is a change log that answers each request by a script. It answers on the goroutine that read the
-// request, as a poll ends after pollTimeout and pollGrace without an answer.
+// scriptedChangelog is a change log that responds to each request by a script. It responds on the goroutine that read
+// the request, as a poll ends after endpointwatch's pollTimeout and pollGrace without a response.
 type scriptedChangelog struct {
 	t        *testing.T
 	addr     string
-	respond  func(request string) string // returns "" for no answer
+	respond  func(request string) string // returns "" for no response
 	requests chan changelogRequest
 }
 
-// changelogRequest is a request with its answer.
-type changelogRequest struct{ raw, answer string }
+// changelogRequest is a request with its response.
+type changelogRequest struct{ raw, response string }
 
 // newScriptedChangelog starts a change log. Calls of respond never overlap.
 func newScriptedChangelog(t *testing.T, respond func(request string) string) *scriptedChangelog {
@@ -44,13 +44,13 @@
 	return l
 }
 
-// silentChangelog starts a change log that never answers and returns its address.
+// silentChangelog starts a change log that never responds and returns its address.
 func silentChangelog(t *testing.T) string {
 	t.Helper()
 	return newScriptedChangelog(t, func(string) string { return "" }).addr
 }
 
-// serve reads requests and answers them until the connection ends.
+// serve reads requests and responds to them until the connection ends.
 func (l *scriptedChangelog) serve(nc net.Conn, mu *sync.Mutex) {
 	defer func() { _ = nc.Close() }() // the broker may have closed it first
 	in := bufio.NewReader(nc)
@@ -62,30 +62,30 @@
 		}
 		raw.WriteString(line)
 		if line == "\r\n" {
-			l.answer(nc, raw.String(), mu)
+			l.handle(nc, raw.String(), mu)
 			raw.Reset()
 		}
 	}
 }
 
-func (l *scriptedChangelog) answer(nc net.Conn, request string, mu *sync.Mutex) {
+func (l *scriptedChangelog) handle(nc net.Conn, request string, mu *sync.Mutex) {
 	mu.Lock()
 	defer mu.Unlock()
-	answer := l.respond(request)
-	_, _ = io.WriteString(nc, answer) // the poll may have timed out; the broker then polls again
+	response := l.respond(request)
+	_, _ = io.WriteString(nc, response) // the poll may have timed out; the broker then polls again
 	select {
-	case l.requests <- changelogRequest{request, answer}:
+	case l.requests <- changelogRequest{request, response}:
 	default: // no test reads that many
 	}
 }
 
-// record records the next request and its answer.
+// record records the next request and its response.
 func (l *scriptedChangelog) record(tr *transcript) {
 	tr.t.Helper()
 	r := socktest.Receive(tr.t, l.requests, "a request to the change log")
 	tr.line("change log < %q", strings.ReplaceAll(r.raw, l.addr, "127.0.0.1:#"))
-	if r.answer != "" {
-		tr.line("change log > %q", r.answer)
+	if r.response != "" {
+		tr.line("change log > %q", r.response)
 	}
 }
 
--- a/internal/server/scriptedclient_test.go
+++ b/internal/server/scriptedclient_test.go
@@ -20,7 +20,8 @@
 	session uint32
 }
 
-// dialClient connects and sends the login immediately, as the broker waits no longer than loginTimeout for it.
+// dialClient connects and sends the login immediately, as the broker waits no longer than frontend's loginTimeout for
+// it.
 func dialClient(tr *transcript, name, addr, login string) *scriptedClient {
 	tr.t.Helper()
 	nc, err := (&net.Dialer{}).DialContext(tr.t.Context(), "tcp", addr)
@@ -124,7 +125,7 @@
 	return string(masked)
 }
 
-// result reads and records an answer: a single packet, or all packets of a result.
+// result reads and records a reply: a single packet, or all packets of a result.
 func (c *scriptedClient) result() {
 	c.tr.t.Helper()
 	first := c.packet()
--- a/internal/server/scriptedengine_test.go
+++ b/internal/server/scriptedengine_test.go
@@ -22,7 +22,7 @@
 	return patienceField.ReplaceAllString(string(resp.Append(nil, m.parts...)), "$$#\r\nsort=$1,patience=#")
 }
 
-// scriptedEngine is an engine that records the broker's messages and its own answers, which the test sends.
+// scriptedEngine is an engine that records the broker's messages and its own responses, which the test sends.
 type scriptedEngine struct {
 	tr       *transcript
 	name     string
@@ -101,40 +101,40 @@
 	return len(e.conns)
 }
 
-// answerTo returns the encoding of an answer to a message.
-func answerTo(m message, parts ...string) []byte {
+// responseTo returns the encoding of a response to a message.
+func responseTo(m message, parts ...string) []byte {
 	return resp.Append(nil, append([]string{m.parts[1]}, parts...)...)
 }
 
-// answer sends an answer on the connection of the message.
-func (e *scriptedEngine) answer(m message, parts ...string) {
+// respond sends a response on the connection of the message.
+func (e *scriptedEngine) respond(m message, parts ...string) {
 	e.tr.t.Helper()
-	e.answerTogether(m, answerTo(m, parts...))
+	e.respondTogether(m, responseTo(m, parts...))
 }
 
-// answerTogether sends answers in one write, so that they arrive together.
-func (e *scriptedEngine) answerTogether(m message, answers ...[]byte) {
+// respondTogether sends responses in one write, so that they arrive together.
+func (e *scriptedEngine) respondTogether(m message, responses ...[]byte) {
 	e.tr.t.Helper()
-	for _, raw := range answers {
-		e.recordAnswer(m, raw)
+	for _, raw := range responses {
+		e.recordResponse(m, raw)
 	}
-	if _, err := m.conn.Write(slices.Concat(answers...)); err != nil {
+	if _, err := m.conn.Write(slices.Concat(responses...)); err != nil {
 		e.tr.t.Fatal(err)
 	}
 }
 
-// answerNextThen answers the next message with OK as soon as it is received, followed by the answer to an earlier
-// message of the connection in the same write. The returned channel receives the message.
-func (e *scriptedEngine) answerNextThen(earlier []byte) <-chan message {
-	answered := make(chan message, 1)
+// respondToNextThen responds to the next message with OK as soon as it is received, followed by the response to an
+// earlier message of the connection in the same write. The returned channel receives the message.
+func (e *scriptedEngine) respondToNextThen(earlier []byte) <-chan message {
+	received := make(chan message, 1)
 	go func() {
 		m := <-e.messages
-		_, _ = m.conn.Write(append(answerTo(m, "OK", "-", ""), earlier...)) // if this fails, the client's read fails, too
-		answered <- m
+		_, _ = m.conn.Write(append(responseTo(m, "OK", "-", ""), earlier...)) // if this fails, the client's read fails, too
+		received <- m
 	}()
-	return answered
+	return received
 }
 
-func (e *scriptedEngine) recordAnswer(m message, raw []byte) {
+func (e *scriptedEngine) recordResponse(m message, raw []byte) {
 	e.tr.line("%s connection %d > %q", e.name, e.number(m.conn), raw)
 }
--- a/internal/server/serving_test.go
+++ b/internal/server/serving_test.go
@@ -36,7 +36,7 @@
 	c.ping()
 }
 
-// Rule 1: a request that no engine answers is rejected before the client's timeout.
+// Rule 1: a request to which no engine responds is rejected before the client's timeout.
 func TestSilentEngineLeadsToRejectionInTime(t *testing.T) {
 	e := newFakeEngine(t)
 	s := startServer(t, inService("e1", e))
--- a/internal/server/testclient_test.go
+++ b/internal/server/testclient_test.go
@@ -42,7 +42,7 @@
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
 }
 
-// loginPacket returns the login of a user, which answers the greeting.
+// loginPacket returns the login of a user, which follows the greeting.
 func loginPacket(user string) []byte {
 	return packetBytes(1, "\x08\x82\x00\x00"+strings.Repeat("\x00", 28)+user+"\x00\x00main\x00")
 }
@@ -140,9 +140,9 @@
 	}
 }
 
-// readAnswer reads an answer. It returns "ok", an error code, or "rows " and the values of a result; "closed" at the
+// readReply reads a reply. It returns "ok", an error code, or "rows " and the values of a result; "closed" at the
 // end of the connection.
-func (c *testClient) readAnswer() string {
+func (c *testClient) readReply() string {
 	c.t.Helper()
 	switch p := c.readPacket(); {
 	case p == "":
@@ -172,16 +172,16 @@
 	}
 }
 
-func (c *testClient) expect(answers ...string) {
+func (c *testClient) expect(replies ...string) {
 	c.t.Helper()
-	for _, want := range answers {
-		if got := c.readAnswer(); got != want {
+	for _, want := range replies {
+		if got := c.readReply(); got != want {
 			c.t.Fatalf("client received %s, want %s", got, want)
 		}
 	}
 }
 
-// ping sends a ping and expects its answer next, so no other answer can precede it.
+// ping sends a ping and expects its reply next, so no other reply can precede it.
 func (c *testClient) ping() {
 	c.t.Helper()
 	c.send(packetBytes(0, mysqlPing))
--- a/internal/server/transcript_attempts_test.go
+++ b/internal/server/transcript_attempts_test.go
@@ -51,7 +51,7 @@
 	tr.line("# KILL QUERY, with pages left")
 	client, m := cs.request(2, unreachedTimeout)
 	loop := server.PauseLoop(t, s.service.Server) // both events precede the page timeout
-	e.answer(m, "OK", "sheets=2", "1\t2\t3\n")
+	e.respond(m, "OK", "sheets=2", "1\t2\t3\n")
 	loop.WaitForEvents(1)
 	cs.killer.send(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session)))
 	loop.WaitForEvents(2)
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		if c.retry {
-			e.answer(e.receive("want"), "OK", "-", "")
+			e.respond(e.receive("want"), "OK", "-", "")
 		}
 		client.result()
 		s.cancel()
@@ -134,7 +134,7 @@
 	tr := &transcript{t: t}
 	e, other := newScriptedEngine(tr, "engine"), newScriptedEngine(tr, "other engine")
 	var published atomic.Bool
-	log := newScriptedChangelog(t, func(request string) string { // answers each poll from revision 1 with revision 2
+	log := newScriptedChangelog(t, func(request string) string { // responds to each poll from revision 1 with revision 2
 		if !published.Load() || strings.Contains(request, "since=2&") {
 			return ""
 		}
@@ -145,7 +145,7 @@
 	client.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
 	e.receive("want")
 	published.Store(true)
-	other.answer(other.receive("want"), "OK", "-", "")
+	other.respond(other.receive("want"), "OK", "-", "")
 	client.result()
 	s.cancel()
 	s.finish(netconn.ClientSide, netconn.EngineSide)
--- a/internal/server/transcript_fleet_test.go
+++ b/internal/server/transcript_fleet_test.go
@@ -34,7 +34,7 @@
 // recordChangeLogSession runs and records a session with the change log.
 func recordChangeLogSession(tr *transcript) {
 	tr.t.Helper()
-	answers := []string{
+	responses := []string{
 		httpOK(endpointPage(2, false, endpointEntry("e1", "127.0.0.1:1", "terminating")), ""),
 		httpOK(endpointPage(7, true, endpointEntry("e2", "127.0.0.1:2", "in_service")), "Connection: close\r\n"),
 		"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -43,21 +43,21 @@
 		httpOK(endpointPage(3, false), ""), // lower revision
 		httpOK(`{"seq":7,"results":[]}`, ""),
 	}
-	requests, answered := len(answers)+1, make(chan struct{})
-	l := newScriptedChangelog(tr.t, func(string) (answer string) {
-		if len(answers) > 0 {
-			answer, answers = answers[0], answers[1:]
-			return answer
+	requests, allReceived := len(responses)+1, make(chan struct{})
+	l := newScriptedChangelog(tr.t, func(string) (response string) {
+		if len(responses) > 0 {
+			response, responses = responses[0], responses[1:]
+			return response
 		}
 		select {
-		case <-answered: // repeated after a timeout
+		case <-allReceived: // repeated after a timeout
 		default:
-			close(answered)
+			close(allReceived)
 		}
 		return ""
 	})
 	s := startScripted(tr, defaultFeatures, l.addr, endpointEntry("e1", "127.0.0.1:1", "in_service"))
-	socktest.Receive(tr.t, answered, "the last request to the change log")
+	socktest.Receive(tr.t, allReceived, "the last request to the change log")
 	s.cancel()
 	for range requests {
 		l.record(tr)
@@ -131,7 +131,7 @@
 
 	o.call("check\n", "vars\n")
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
-	e.answer(e.receive("want"), "OK", "-", "")
+	e.respond(e.receive("want"), "OK", "-", "")
 	c.result()
 	c.send(queryPacket(request("once", 2, unreachedTimeout, "")))
 	e.receive("want")
@@ -143,7 +143,7 @@
 	c.send(queryPacket(request("load", 3, unreachedTimeout, ",replay=op3")))
 	open := e.receive("want")
 	o.call("vars\n")
-	e.answer(open, "OK", "-", "")
+	e.respond(open, "OK", "-", "")
 	c.result()
 
 	o.call("set-down e1\n", "check\n", "vars\n", "set-down e9\n", "set-up e9\n")
@@ -156,7 +156,7 @@
 		strings.Repeat("x", 5000))
 
 	c.send(queryPacket(request("once", 5, unreachedTimeout, "")))
-	e.answer(e.receive("want"), "ERR", "-", "")
+	e.respond(e.receive("want"), "ERR", "-", "")
 	c.result()
 	o.record("vars\n", unhealthyMetric.ReplaceAllString(o.send("vars\n"), "relay_cluster_unhealthy #"))
 	tr.check("operator")
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -28,30 +28,32 @@
 // recorded in the order of the script.
 //
 // The script or the process may pause between two steps. These timers of the broker could expire during the pause:
-//   - The latency objective and the client timeout of a class (too late for a retry, final answer), and the time of
+//   - The latency objective and the client timeout of a class (too late for a retry, final answer), and the timeout of
 //     a half-open probe of an ejected engine: startWithLongTimeouts raises both class settings to unreachedTimeout, so
 //     that each timer is longer than a test. Retired stream ids stay retired for as long.
-//   - silenceThreshold and livenessTimeout (500 ms and 250 ms, after which the connection is replaced), the idle close
-//     of engine connections (at 60 % of their idle timeout) and their connect timeout: DisableConnectionTimeouts
-//     disables them. They stay enabled in TestTranscriptOfLivenessProbe, which tests them. That test accepts the
-//     messages on the request's connection in any order, and its script has no step in between.
-//   - pageTimeout (500 ms): an engine sends further pages together with the first one, or the loop is paused until the
-//     next event has arrived as well, see PauseLoop.
-//   - partialResponseTimeout, partialPageTimeout, partialMessageTimeout: each message is sent in one write. One session
-//     with an engine tests partialResponseTimeout.
-//   - loginTimeout (2 s): clients send their login as they connect.
-//   - The timeout of a change log poll (1.4 s): the change log answers on the goroutine that reads the request. A
-//     change log that publishes also answers the following poll. The session with the change log is repeated if the
-//     broker counted a poll without an answer, as that adds requests to the session.
-//   - loadProbeTimeout: load probes are enabled only in the liveness session, which ignores them.
-//   - The steps of a shutdown (listeners close after 1 s, final answers are sent after 3.45 s): they are fixed by the
-//     protocol. Between the signal and the last answers the script only sends one request; the engine answers
+//   - enginepool.SilenceThreshold (500 ms) and livenessTimeout (250 ms), after which a connection to an engine is
+//     replaced, the idle close of these connections (idleCloseFraction of their idle timeout) and their connect
+//     timeout: DisableConnectionTimeouts raises the threshold, so that no liveness probe is sent, and both timeouts.
+//     They have their usual values in TestTranscriptOfLivenessProbe, which tests them. That test accepts the messages
+//     on the request's connection in any order, and its script has no step in between.
+//   - pageTimeout of the reducer (500 ms): an engine sends further pages together with the first one, or the loop is
+//     paused until the next event has arrived as well, see PauseLoop.
+//   - partialResponseTimeout, partialPageTimeout and partialMessageTimeout of the connections to engines, to the change
+//     log and to clients: each message is sent in one write. One session with an engine tests partialResponseTimeout.
+//   - loginTimeout of clients (2 s): they send their login as they connect.
+//   - The timeout of a change log poll (pollTimeout plus pollGrace, 1.4 s): the change log responds on the goroutine
+//     that reads the request. A change log that publishes also responds to the following poll. The session with the
+//     change log is repeated if the broker counted a poll without a response, as that adds requests to the session.
+//   - loadProbeTimeout of the reducer: load probes are enabled only in the liveness session, which does not record
+//     them.
+//   - The steps of a shutdown (the listener closes after 1 s, final answers are sent after 3.45 s): they are fixed by
+//     the protocol. Between the signal and the last answers the script only sends one request; the engine responds
 //     automatically, and the answers to the clients are buffered in their sockets.
 //   - Client timeouts that a script waits for (300 ms and 3 s): the answer does not depend on the delay. In the session
-//     on cancelled requests the broker has 3 s to forward the request first.
-//   - Timers that only a pause within the broker can reach, not a pause of a script: maxEngineSendDelay (400 ms from
-//     queueing a message to its write), lingerDuration (200 ms) and finalReadTimeout. No setting raises them, and the
-//     tests don't either.
+//     with cancelled requests the broker has 3 s to forward the request first.
+//   - Timers that only a pause within the broker can reach, not a pause of a script: maxSendDelay of package enginepool
+//     (400 ms from queueing a message to its write), lingerDuration of package netconn (200 ms) and finalReadTimeout of
+//     package frontend (20 ms). No setting raises them, and the tests don't either.
 
 const stepTimeout = 20 * time.Second // limit of one step of a script, after which the test fails
 
@@ -79,7 +81,7 @@
 
 	clientTimeout = 15 * time.Second // of requests whose timeout is not under test
 
-	maxChangelogSessions = 20 // limit of repetitions after a poll without an answer
+	maxChangelogSessions = 20 // limit of repetitions after a poll without a response
 )
 
 // unreachedTimeout is the latency objective and client timeout that startWithLongTimeouts sets for classes, and the
@@ -101,8 +103,8 @@
 	return s
 }
 
-// A client sends one command after the other: a ping, requests whose results are a result of three pages, a retry and a
-// failure, and quit.
+// A client sends one command after the other: a ping, a request with a result of three pages, one that is retried, one
+// that fails, and quit.
 func TestTranscriptOfServedRequests(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
@@ -117,26 +119,26 @@
 
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1")))
 	m := e.receive("want")
-	e.answerTogether(m, // further pages arrive before their timeout can expire
-		answerTo(m, "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n"),
-		answerTo(m, "ROWS", "sheet=2", "7\t8\t9\n"),
-		answerTo(m, "ROWS", "sheet=1", "4\t\t6\n"))
+	e.respondTogether(m, // further pages arrive before their timeout can expire
+		responseTo(m, "OK", "sheets=3,toil=5,room=1", "1\t2\t3\n"),
+		responseTo(m, "ROWS", "sheet=2", "7\t8\t9\n"),
+		responseTo(m, "ROWS", "sheet=1", "4\t\t6\n"))
 	e.receive("turn")
 	e.receive("turn")
 	c.result()
 
 	c.send(queryPacket(request("lookup", 2, unreachedTimeout, ",dup=1"))) // client retry, BUSY at first
-	e.answer(e.receive("want"), "BUSY", "-", "")
-	e.answer(e.receive("want"), "OK", "-", "")
+	e.respond(e.receive("want"), "BUSY", "-", "")
+	e.respond(e.receive("want"), "OK", "-", "")
 	c.result()
 
 	c.send(queryPacket(request("load", 3, unreachedTimeout, ",replay=op3,lookup=7f3a9c21e0b4d655")))
-	e.answer(e.receive("want"), "ERR", "-", "")
-	e.answer(e.receive("want"), "OK", "sheets=1", "x\ty\tz\n")
+	e.respond(e.receive("want"), "ERR", "-", "")
+	e.respond(e.receive("want"), "OK", "sheets=1", "x\ty\tz\n")
 	c.result()
 
 	c.send(queryPacket(request("once", 4, unreachedTimeout, "")))
-	e.answer(e.receive("want"), "ERR", "-", "")
+	e.respond(e.receive("want"), "ERR", "-", "")
 	c.result()
 	c.send(packetOf(0, comQuit))
 	c.packet()
@@ -154,7 +156,7 @@
 		endpointEntry("e1", e.addr, "in_service"))
 	c := loginClient(tr, "client", s.clientAddr)
 	c.send(queryPacket(request("lookup", 1, unreachedTimeout, ",replay=op1,ram=512")))
-	e.answer(e.receive("want"), "OK", "-", "")
+	e.respond(e.receive("want"), "OK", "-", "")
 	c.result()
 	tr.check("grants")
 }
@@ -232,14 +234,14 @@
 	a.send(queryPacket(request("lookup", 1, unreachedTimeout, "")))
 	first := e.receive("want")
 	tr.line("# stop")
-	answered := e.answerNextThen(answerTo(first, "OK", "-", ""))
+	received := e.respondToNextThen(responseTo(first, "OK", "-", ""))
 	close(s.stop)
 	b.send(queryPacket(request("lookup", 2, unreachedTimeout, "")))
-	second := socktest.Receive(t, answered, "want at engine")
+	second := socktest.Receive(t, received, "want at engine")
 	e.record(second, "want")
-	e.recordAnswer(second, answerTo(second, "OK", "-", ""))
+	e.recordResponse(second, responseTo(second, "OK", "-", ""))
 	b.result()
-	e.recordAnswer(first, answerTo(first, "OK", "-", ""))
+	e.recordResponse(first, responseTo(first, "OK", "-", ""))
 	a.result()
 	a.packet()
 	b.packet()
@@ -248,15 +250,16 @@
 }
 
 // receiveCommands receives messages until all given commands have arrived on one connection, and returns the messages
-// by command. It answers load probes. The cancellation (never_mind) and the liveness probe (there) are due at the same
-// time and may arrive in either order. A retry follows on another connection if the answer to the probe is overdue.
+// by command. It responds to load probes. The cancellation (never_mind) and the liveness probe (there) are due at the
+// same time and may arrive in either order. A retry follows on another connection if the response to the liveness probe
+// is overdue.
 func receiveCommands(e *scriptedEngine, commands []string) map[string]message {
 	e.tr.t.Helper()
 	byConn := map[net.Conn]map[string]message{}
 	for {
 		m := socktest.Receive(e.tr.t, e.messages, strings.Join(commands, ", "))
 		if m.parts[0] == "busy" {
-			_, _ = m.conn.Write(answerTo(m, "UP", "-", "")) // the probe may have timed out and closed its connection
+			_, _ = m.conn.Write(responseTo(m, "UP", "-", "")) // the probe may have timed out and closed its connection
 			continue
 		}
 		if !slices.Contains(commands, m.parts[0]) {
@@ -272,8 +275,8 @@
 	}
 }
 
-// An engine with an overdue response receives a liveness probe. Load probes may arrive at any time and are ignored;
-// TestEngineCommandsMatchGoldenFile has their bytes.
+// An engine with an overdue response receives a liveness probe. Load probes may arrive at any time and are not
+// recorded; TestEngineCommandsMatchGoldenFile of package enginepool covers their bytes.
 func TestTranscriptOfLivenessProbe(t *testing.T) {
 	tr := &transcript{t: t}
 	e := newScriptedEngine(tr, "engine")
