--- a/internal/server/clientclose_test.go
+++ b/internal/server/clientclose_test.go
@@ -55,7 +55,7 @@
 }
 
 // A request that races with the close of an idle connection stays unread.
-func TestRequestRacingWithCloseStaysUnread(t *testing.T) {
+func TestRequestThatCrossesTheEndStaysUnread(t *testing.T) {
 	s := startServer(t)
 	c := s.connect()
 	c.send(packetBytes(0, mysqlPing))
