--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -11,9 +11,9 @@
 
 const (
 	minPrice   = 1.0 / 16 // admits requests of up to 16 times the usual work for their priority weight
-	maxPrice   = 1.0
-	priceRise  = 1.3  // growth of the price with each request that finds no capacity
-	priceDecay = 0.95 // fraction of the price that remains after an interval
+	maxPrice   = 1.0      // admits requests of up to the usual work for their priority weight
+	priceRise  = 1.3      // growth of the price with each request that finds no capacity
+	priceDecay = 0.95     // fraction of the price that remains after an interval
 )
 
 // Price is the minimum priority weight per thread-second of an admitted request, as a multiple of the lowest
--- a/control/controller.go
+++ b/control/controller.go
@@ -83,10 +83,10 @@
 // range.
 func New(settings Settings, seed uint64) (*Controller, error) {
 	if len(settings.Classes) == 0 {
-		return nil, fmt.Errorf("%w: no classes of request", ErrInvalidSettings)
+		return nil, fmt.Errorf("%w: no request classes", ErrInvalidSettings)
 	}
 	if settings.BrokerIndex < 0 || settings.BrokerIndex >= settings.Brokers {
-		return nil, fmt.Errorf("%w: broker index %d of %d brokers",
+		return nil, fmt.Errorf("%w: broker index %d is out of range for %d brokers",
 			ErrInvalidSettings, settings.BrokerIndex, settings.Brokers)
 	}
 	settings.Limits.MaxAttempts = max(1, settings.Limits.MaxAttempts)
--- a/control/datasetlock/datasetlock.go
+++ b/control/datasetlock/datasetlock.go
@@ -64,7 +64,7 @@
 	hashModulus    = 1000003 // keeps a hash small enough for products
 
 	knuthMultiplier = 2654435761 // Knuth's multiplicative hashing spreads adjacent values over the range
-	rankBits        = 16
+	rankBits        = 16         // high-order bits of the product that form a rank
 )
 
 // RankHash returns the hash of an engine's ID that Rank uses. It is the same at every broker. Gossip
