--- a/cmd/adapter/host_test.go
+++ b/cmd/adapter/host_test.go
@@ -68,7 +68,7 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown instance": {header + "SWITCH_TO Who=9\nWAKE Mark=1\nGO\n", "instance 9"},
 		"no classes": {
-			header + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no classes",
+			header + "SWITCH_TO Who=9\nCREATE RngSeed=1 ProfileData={\"PeersTotal\":1}\nGO\n", "no request classes",
 		},
 		"unknown message": {header + "NONSENSE\n", "unknown message"},
 	} {
