--- a/cmd/adapter/host_test.go
+++ b/cmd/adapter/host_test.go
@@ -37,17 +37,17 @@
 		return nil
 	}
 	if got := exchange("CLOCK SimTimeNs=1\nGO\n"); len(got) != 0 {
-		t.Fatalf("reply to an empty batch: %v", got)
+		t.Fatalf("reply to an empty batch: got %v, want no lines", got)
 	}
 	got := exchange("CLOCK SimTimeNs=2\nSHEET Sheet=0 Members=1\nROW Executor=e:1 FamilyType=std Availability=on\n" +
 		"SWITCH_TO Who=7\n" + create + "DISCOVERY Sheet=0 Kind=cached\n" +
 		"SWITCH_TO Who=4\n" + create + "DISCOVERY Sheet=0 Kind=cached\nGO\n")
 	if len(got) != 4 || got[0] != "AS Who=7" || got[2] != "AS Who=4" {
-		t.Fatalf("reply to two creates: %v", got)
+		t.Fatalf("reply to two creates: got %v, want 2 lines of instance 7, then 2 of instance 4", got)
 	}
 	got = exchange("CLOCK SimTimeNs=3\nSWITCH_TO Who=7\nINGRESS Rid=r1 Profile=q DropDeadNs=3000000000\nGO\n")
 	if !strings.Contains(strings.Join(got, "\n"), "DELIVER Rid=r1 Executor=e:1") {
-		t.Fatalf("reply to a request: %v", got)
+		t.Fatalf("reply to a request: got %v, want a delivery of r1 to e:1", got)
 	}
 	// An instance that crashes and is recreated within one batch does not handle the request before the crash.
 	got = exchange("CLOCK SimTimeNs=4\nSWITCH_TO Who=7\nINGRESS Rid=r2 Profile=q DropDeadNs=3000000000\nCRASH_NOW\n" +
@@ -86,6 +86,6 @@
 	writer := wire.NewWriter(&out)
 	handleEvents(nil, writer, 1, nil)
 	if err := writer.EndReply(); err != nil || !strings.HasPrefix(out.String(), "INTERNAL_ERROR What=") {
-		t.Fatalf("got %q, %v", out.String(), err)
+		t.Fatalf("got reply %q, error %v; want INTERNAL_ERROR", out.String(), err)
 	}
 }
--- a/cmd/wheatlane/golden_test.go
+++ b/cmd/wheatlane/golden_test.go
@@ -27,7 +27,7 @@
 	c.SetArgs(args)
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil {
-		t.Fatalf("%q: %v", args, err)
+		t.Fatalf("command %q failed: %v", args, err)
 	}
 	return out.String()
 }
--- a/internal/adminapi/line_test.go
+++ b/internal/adminapi/line_test.go
@@ -14,9 +14,9 @@
 		text := rapid.SliceOfN(rapid.SampledFrom([]byte("ab \n\r\xffset-downcheck")), 0, 2*MaxLineBytes).Draw(t, "text")
 		wantLine, wantComplete, wantErr := feedAll([][]byte{text})
 		var parts [][]byte
-		for rest := text; len(rest) > 0; {
-			cut := rapid.IntRange(1, len(rest)).Draw(t, "cut")
-			parts, rest = append(parts, rest[:cut]), rest[cut:]
+		for remaining := text; len(remaining) > 0; {
+			size := rapid.IntRange(1, len(remaining)).Draw(t, "size")
+			parts, remaining = append(parts, remaining[:size]), remaining[size:]
 		}
 		line, complete, err := feedAll(parts)
 		if string(line) != string(wantLine) || complete != wantComplete || !errors.Is(err, wantErr) {
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -166,7 +166,7 @@
 func TestCheckIsRejectedWhenNotReady(t *testing.T) {
 	addr := serve(t, &fakeBroker{})
 	if got := call(t, addr, "check\n"); got != "NAK not_ready\n" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("got %q, want NAK not_ready", got)
 	}
 }
 
@@ -182,13 +182,13 @@
 	}
 	for range 3 {
 		if got := call(t, addr, "check\n"); got != "ACK check\n" {
-			t.Fatalf("got %q", got)
+			t.Fatalf("got %q, want ACK check", got)
 		}
 	}
 	// A slow connection is still open and is answered once its line is complete.
 	send(t, slow[0], "wn x\n")
 	if line, err := bufio.NewReader(slow[0]).ReadString('\n'); err != nil || line != "NAK not_listed\n" {
-		t.Fatalf("got %q, %v", line, err)
+		t.Fatalf("got line %q, error %v; want NAK not_listed", line, err)
 	}
 }
 
@@ -197,6 +197,6 @@
 func TestBusyBrokerIsReported(t *testing.T) {
 	addr := serve(t, &fakeBroker{busy: true})
 	if got := call(t, addr, "vars\n"); got != "NAK busy\n" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("got %q, want NAK busy", got)
 	}
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -25,7 +25,7 @@
 	}
 	var out bytes.Buffer
 	if err := Run(t.Context(), &lockedWriter{w: &out}, options); err != nil {
-		t.Fatalf("%v\n%s", err, out.String())
+		t.Fatalf("the demo failed: %v\n%s", err, out.String())
 	}
 	for _, want := range []string{"--- 300ms slow 2", "served", "report: " + filepath.Join(dir, reportFile)} {
 		if !strings.Contains(out.String(), want) {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -66,7 +66,7 @@
 func TestWrittenFileMatchesGoldenFile(t *testing.T) {
 	stored, written := goldenStore(t), writeStored(t, t.TempDir())
 	if !bytes.Equal(stored, written) {
-		t.Errorf("written: %x, want %x", written, stored)
+		t.Errorf("written: got %x, want %x", written, stored)
 	}
 }
 
@@ -101,7 +101,7 @@
 			st, files := openStored(t, c.file)
 			equalRecords := slices.EqualFunc(c.records, st.Records, bytes.Equal)
 			if string(st.Snapshot) != storedSnapshot || !equalRecords {
-				t.Errorf("snapshot %q, records %q", st.Snapshot, st.Records)
+				t.Errorf("got snapshot %q, records %q; want %q, %q", st.Snapshot, st.Records, storedSnapshot, c.records)
 			}
 			if (st.Damage != "") != c.damaged {
 				t.Errorf("damage %q, want any: %v", st.Damage, c.damaged)
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -157,7 +157,7 @@
 	}
 	_, st, err := Open(d)
 	if diff := cmp.Diff(fmt.Sprint(confirmed), history(st)); diff != "" || err != nil {
-		t.Fatal(diff, err)
+		t.Fatalf("history after the repair differs (-want +got), error %v:\n%s", err, diff)
 	}
 }
 
--- a/internal/emulator/changelogserver/changelog_test.go
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("page %+v, error %v, want a snapshot of 2 endpoints", p, err)
 	}
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
-		t.Fatalf("poll without new events: %s, %v", text, err)
+		t.Fatalf("poll without new events: got %s, error %v; want an empty page", text, err)
 	}
 	answer := make(chan string, 1)
 	go func() {
@@ -81,17 +81,17 @@
 	l := newServer(t, Endpoint{ID: "a", Addr: "127.0.0.1:1"})
 	l.SetMode(Truncating)
 	if text, err := poll(t, l, 0, 10); err == nil || !strings.HasPrefix(text, `{"seq":1`) {
-		t.Errorf("truncated: %q, %v", text, err)
+		t.Errorf("truncated: got %q, error %v; want the start of a page and an error", text, err)
 	}
 	l.SetMode(Unavailable)
 	if text, err := poll(t, l, 0, 10); err != nil || !strings.Contains(text, "not now") {
-		t.Errorf("unavailable: %q, %v", text, err)
+		t.Errorf("unavailable: got %q, error %v; want the text \"not now\"", text, err)
 	}
 	l.SetMode(Serve)
 	l.SetDelay(time.Hour)
 	l.Publish(Endpoint{ID: "b", Addr: "127.0.0.1:2"})
 	if text, err := poll(t, l, 1, 10); err != nil || text != `{"seq":1,"results":[]}` {
-		t.Errorf("delayed event is visible: %q, %v", text, err)
+		t.Errorf("delayed event: got %q, error %v; want an empty page", text, err)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	current, err := ReadFile(path)
 	if diff := cmp.Diff(earlier, current); diff != "" || err != nil {
-		t.Fatal(diff, err)
+		t.Fatalf("list read from the file differs (-want +got), error %v:\n%s", err, diff)
 	}
 	current[0].Health = Terminating
 	current = append(current[:1], current[2], Endpoint{ID: "d", Addr: "x:4", Health: InService})
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -152,7 +152,7 @@
 	complete := f.Bytes()
 	got, err := ReadRecording(bytes.NewReader(complete))
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" || err != nil {
-		t.Fatal(err, diff)
+		t.Fatalf("samples read differ (-want +got), error %v:\n%s", err, diff)
 	}
 	// The recording of a killed collector is truncated; the samples ahead of the truncation are read.
 	got, err = ReadRecording(bytes.NewReader(complete[:len(complete)*3/4]))
@@ -161,7 +161,7 @@
 		t.Fatalf("truncated recording: read %d of %d samples, error %v", len(got), len(want), err)
 	}
 	if diff := cmp.Diff(want[:len(got)], got); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("samples ahead of the truncation differ (-want +got):\n%s", diff)
 	}
 	// A flushed sample is in the file although the recording was not closed.
 	f.Reset()
--- a/internal/emulator/collector/recording_golden_test.go
+++ b/internal/emulator/collector/recording_golden_test.go
@@ -112,7 +112,7 @@
 			s.Name.Stat != l.stat || label != l.label ||
 			s.Name.Series.Other != l.other || s.ArrivedAfter != l.arrived ||
 			s.Value != l.value || s.Timestamp != l.timestamp {
-			t.Errorf("%s: read %+v", l.line, s)
+			t.Errorf("%s: got %+v, want %+v", l.line, s, l)
 		}
 	}
 }
--- a/internal/emulator/engine/model_test.go
+++ b/internal/emulator/engine/model_test.go
@@ -71,12 +71,12 @@
 // queries.
 func TestThroughputDropsBeyondSaturationAndWithSlowdown(t *testing.T) {
 	if eight, sixteen := makespan(t, 8, 1), makespan(t, 16, 1); sixteen < 2*eight {
-		t.Errorf("8 queries took %v, 16 took %v: no throughput is lost beyond saturation", eight, sixteen)
+		t.Errorf("8 queries took %v, 16 took %v, want at least twice as long", eight, sixteen)
 	}
 	const tolerance = time.Millisecond
 	normal, slow := makespan(t, 4, 1), makespan(t, 4, 3)
 	if slow < 3*normal-tolerance || slow > 3*normal+tolerance {
-		t.Errorf("queries took %v, %v with a slowdown of 3", normal, slow)
+		t.Errorf("queries took %v, and %v with a slowdown of 3, want 3 times as long", normal, slow)
 	}
 }
 
@@ -113,7 +113,7 @@
 		{"request id of a running query", Job{RequestID: "d", Class: lookupClass}, 16 * time.Second, AtCapacity},
 	} {
 		if got := m.Submit(c.at, c.job); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -122,12 +122,12 @@
 func TestCancelReleasesTheIdempotencyKey(t *testing.T) {
 	m := NewModel(modelConfig, 0)
 	const at = 17 * time.Second
-	m.Submit(at, Job{RequestID: "e", Class: loadClass, IdempotencyKey: "cut"})
+	m.Submit(at, Job{RequestID: "e", Class: loadClass, IdempotencyKey: "retried"})
 	if !m.Cancel(at, "e") {
 		t.Error("Cancel reports that the query is not in flight")
 	}
-	if got := m.Submit(at, Job{RequestID: "f", Class: loadClass, IdempotencyKey: "cut"}); got != Admitted {
-		t.Errorf("retry of a cancelled query: %v, want %v", got, Admitted)
+	if got := m.Submit(at, Job{RequestID: "f", Class: loadClass, IdempotencyKey: "retried"}); got != Admitted {
+		t.Errorf("retry of a cancelled query: got %v, want %v", got, Admitted)
 	}
 }
 
@@ -137,7 +137,7 @@
 		m.Submit(0, Job{RequestID: fmt.Sprint(i), Class: loadClass})
 	}
 	if got := m.Submit(0, Job{RequestID: "more", Class: lookupClass}); got != AtCapacity {
-		t.Errorf("query beyond MaxQueries: %v, want %v", got, AtCapacity)
+		t.Errorf("query beyond MaxQueries: got %v, want %v", got, AtCapacity)
 	}
 }
 
@@ -162,10 +162,10 @@
 		steps := rapid.SliceOfN(rapid.IntRange(1, 200), 1, 40).Draw(t, "steps")
 		oneStep, manySteps := completionOrder(gaps, nil), completionOrder(gaps, steps)
 		if len(oneStep) != len(gaps) {
-			t.Fatalf("%d of %d queries ended", len(oneStep), len(gaps))
+			t.Fatalf("%d queries ended, want %d", len(oneStep), len(gaps))
 		}
 		if diff := cmp.Diff(oneStep, manySteps); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("order of ends differs between one step and many (-one +many):\n%s", diff)
 		}
 	})
 }
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -18,7 +18,7 @@
 		{90 * time.Second, "gone", 0},
 	}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
-		t.Fatal(diff, err)
+		t.Fatalf("steps differ (-want +got), error %v:\n%s", err, diff)
 	}
 }
 
@@ -53,6 +53,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"gone", "slow"}, actions); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("executed actions differ (-want +got):\n%s", diff)
 	}
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -43,7 +43,7 @@
 	sections := Sections(f.Incarnations[0], 1000)
 	first := sections[0]
 	if first.Title != "Latency against the wanted time" || first.Charts[0].Title != "route-report" {
-		t.Fatalf("the first chart is %s, %s", first.Title, first.Charts[0].Title)
+		t.Fatalf("the first chart is %s, %s; want the latency of route-report", first.Title, first.Charts[0].Title)
 	}
 	for i := 1; i < len(sections); i++ {
 		if sections[i].severity > sections[i-1].severity {
@@ -61,7 +61,7 @@
 	}
 	for i, y := range lines[0].Y {
 		if want := 0.5; i > 0 && y != want || lines[0].X[i] != float64(10*i) {
-			t.Errorf("at %v: %v, want %v", lines[0].X[i], y, want)
+			t.Errorf("at %v: got %v, want %v", lines[0].X[i], y, want)
 		}
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -62,7 +62,7 @@
 func (s *simulation) wantActions(t *testing.T, want ...string) {
 	t.Helper()
 	if diff := cmp.Diff(want, s.actions); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("actions differ (-want +got):\n%s", diff)
 	}
 	s.actions = nil
 }
@@ -174,7 +174,7 @@
 		}
 	}
 	if rejected != 8-DefaultConfig().MaxCanaries {
-		t.Fatalf("%d rejected: %q", rejected, s.actions)
+		t.Fatalf("%d canaries rejected, want %d: %q", rejected, 8-DefaultConfig().MaxCanaries, s.actions)
 	}
 	s.actions = nil
 	s.now += DefaultConfig().CanaryWindow
--- a/measure/soak/clock_test.go
+++ b/measure/soak/clock_test.go
@@ -51,6 +51,6 @@
 	}
 	p := patch{file: "a.go", edits: []edit{{after: "func A() {", insert: "	return"}}}
 	if _, err := p.apply(dir); err == nil || !strings.Contains(err.Error(), "does not fit") {
-		t.Fatalf("apply: %v", err)
+		t.Fatalf("apply: got error %v, want it to contain \"does not fit\"", err)
 	}
 }
