--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -62,28 +62,28 @@
 func (h *host) distribute(batch wire.Batch) ([]*inbox, error) {
 	var inboxes []*inbox
 	byInstance := map[int]*inbox{}
-	for _, item := range batch.Inputs {
-		box := byInstance[item.Instance]
+	for _, input := range batch.Inputs {
+		box := byInstance[input.Instance]
 		if box == nil {
-			box = &inbox{instance: item.Instance}
-			byInstance[item.Instance] = box
+			box = &inbox{instance: input.Instance}
+			byInstance[input.Instance] = box
 			inboxes = append(inboxes, box)
 		}
 		switch {
-		case item.Crash: // events that the instance has not handled are lost
+		case input.Crash: // events that the instance has not handled are lost
 			box.events = nil
-			delete(h.controllers, item.Instance)
-		case item.Create != nil:
-			controller, err := control.New(item.Create.Settings, item.Create.Seed)
+			delete(h.controllers, input.Instance)
+		case input.Create != nil:
+			controller, err := control.New(input.Create.Settings, input.Create.Seed)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: settings: %w", item.Instance, err)
+				return nil, fmt.Errorf("instance %d: settings: %w", input.Instance, err)
 			}
 			box.events = nil
-			h.controllers[item.Instance] = controller
-		case h.controllers[item.Instance] == nil:
-			return nil, fmt.Errorf("at %v: an event for instance %d, which does not exist", batch.Now, item.Instance)
+			h.controllers[input.Instance] = controller
+		case h.controllers[input.Instance] == nil:
+			return nil, fmt.Errorf("at %v: an event for instance %d, which does not exist", batch.Now, input.Instance)
 		default:
-			box.events = append(box.events, item.Event)
+			box.events = append(box.events, input.Event)
 		}
 	}
 	return inboxes, nil
--- a/cmd/wheatlane/emulate_collectors.go
+++ b/cmd/wheatlane/emulate_collectors.go
@@ -20,7 +20,7 @@
 // clearAction deletes all samples of an emulated collector, like a restart without its disk.
 const clearAction = "empty"
 
-// collectorActions are the actions in the scenario of a collector. None of them has a target.
+// collectorActions contains the actions in the scenario of a collector. None of them has a target.
 var collectorActions = map[string]bool{
 	string(collector.Serve):       false,
 	string(collector.Unreachable): false,
@@ -35,7 +35,7 @@
 // errViolations reports that a broker has sent data that violates the catalogue of metrics.
 var errViolations = errors.New("violations in what was received")
 
-// collectorFlags are the common flags of emulated collectors.
+// collectorFlags holds the common flags of emulated collectors.
 type collectorFlags struct {
 	listen   string
 	record   string
@@ -108,7 +108,7 @@
 	}
 	file, err := os.Create(f.record)
 	if err != nil {
-		return optionalRecording{}, fmt.Errorf("recording: %w", err)
+		return optionalRecording{}, fmt.Errorf("create recording: %w", err)
 	}
 	recording, err := collector.NewRecording(file)
 	return optionalRecording{recording}, err
@@ -161,7 +161,7 @@
 
 func emulateGraphiteCommand() *cobra.Command {
 	var flags collectorFlags
-	var form graphite.PathFormat
+	var format graphite.PathFormat
 	var pickle bool
 	c := &cobra.Command{
 		Use:   "graphite",
@@ -169,21 +169,21 @@
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
-				return collector.NewCarbon(flags.listen, form, pickle, r)
+				return collector.NewCarbon(flags.listen, format, pickle, r)
 			})
 		},
 	}
 	flags.register(c, "127.0.0.1:2003")
 	c.Flags().BoolVar(&pickle, "pickle", false, "expect the pickle protocol instead of lines")
-	c.Flags().BoolVar(&form.Tags, "tags", false, "expect tags in paths")
-	c.Flags().StringVar(&form.Prefix, "prefix", "wheatlane", "expect this prefix of paths")
+	c.Flags().BoolVar(&format.Tags, "tags", false, "expect tags in paths")
+	c.Flags().StringVar(&format.Prefix, "prefix", "wheatlane", "expect this prefix of paths")
 	return c
 }
 
 // collectdSeed is the seed of the simulated loss and reordering of datagrams.
 const collectdSeed = 1
 
-// securityLevels are the levels by the value of the flag security.
+// securityLevels maps the values of the flag security to levels.
 var securityLevels = map[string]collectd.Level{
 	"none":    collectd.Plain,
 	"sign":    collectd.Sign,
@@ -198,7 +198,7 @@
 		Short: "A collectd server with the network plugin that checks what it receives",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			demand, ok := securityLevels[level]
+			minLevel, ok := securityLevels[level]
 			if !ok {
 				return newUsageError(
 					c, fmt.Errorf("security: %q is none of none, sign, encrypt", level),
@@ -211,7 +211,7 @@
 			passwords := func(name string) (string, bool) {
 				return password, name == user && user != ""
 			}
-			reader := collectd.Reader{MinLevel: demand, Passwords: passwords}
+			reader := collectd.Reader{MinLevel: minLevel, Passwords: passwords}
 			return flags.run(c, func(r *collector.Reconciler) (emulatedCollector, error) {
 				return collector.NewCollectd(flags.listen, reader, collectdSeed, r)
 			})
@@ -231,7 +231,7 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return "", fmt.Errorf("password: %w", err)
+		return "", fmt.Errorf("read password file: %w", err)
 	}
 	return strings.TrimRight(string(text), "\r\n"), nil
 }
--- a/cmd/wheatlane/emulate_engines.go
+++ b/cmd/wheatlane/emulate_engines.go
@@ -15,7 +15,7 @@
 // defaultListFile is the default name of the file in which emulated engines are listed for the emulated change log.
 const defaultListFile = "engines.json"
 
-// engineFlags are the flags of emulated engines.
+// engineFlags holds the flags of emulated engines.
 type engineFlags struct {
 	count    int
 	list     string
@@ -66,7 +66,7 @@
 	return errors.Join(out.err(), e.run(c))
 }
 
-// changelogActions are the actions in the scenario of a change log. None of them has a target.
+// changelogActions contains the actions in the scenario of a change log. None of them has a target.
 var changelogActions = map[string]bool{
 	string(changelogserver.Serve):       false,
 	string(changelogserver.Truncating):  false,
@@ -74,7 +74,7 @@
 	string(changelogserver.Unavailable): false,
 }
 
-// changelogFlags are the flags of an emulated change log.
+// changelogFlags holds the flags of an emulated change log.
 type changelogFlags struct {
 	list     string
 	listen   string
@@ -107,18 +107,18 @@
 	if err != nil {
 		return newUsageError(c, err)
 	}
-	hosts, err := changelogserver.ReadFile(f.list)
+	endpoints, err := changelogserver.ReadFile(f.list)
 	if err != nil {
 		return err
 	}
-	changelog, err := changelogserver.New(f.listen, hosts, nil)
+	changelog, err := changelogserver.New(f.listen, endpoints, nil)
 	if err != nil {
 		return err
 	}
 	changelog.SetDelay(f.delay)
 	out := stdout(c)
-	out.printf("listening on %s, %d engines\n", changelog.Addr(), len(hosts))
-	followList := func(ctx context.Context) error { return changelog.FollowFile(ctx, f.list, hosts) }
+	out.printf("listening on %s, %d engines\n", changelog.Addr(), len(endpoints))
+	followList := func(ctx context.Context) error { return changelog.FollowFile(ctx, f.list, endpoints) }
 	e := emulation{
 		duration: f.duration,
 		steps:    steps,
--- a/cmd/wheatlane/explain.go
+++ b/cmd/wheatlane/explain.go
@@ -16,14 +16,14 @@
 	"wheatlane/internal/operatorconfig"
 )
 
-// schemaSource is a type of file with its schema.
+// schemaSource describes a type of file and its schema.
 type schemaSource struct {
 	file      string // name of the type in output
 	schema    func() (*jsonschema.Schema, error)
 	variables map[string]string // environment variables that take precedence over a key, by key
 }
 
-// schemaSources are the types of file that the program reads.
+// schemaSources lists the types of file whose keys can be explained.
 var schemaSources = []schemaSource{
 	{file: "an operator's file", schema: operatorconfig.JSONSchema},
 	{
--- a/cmd/wheatlane/metrics.go
+++ b/cmd/wheatlane/metrics.go
@@ -62,8 +62,9 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	out := &output{w: table}
 	out.println("NAME\tKIND\tUNIT\tBY\tDETAIL\tMEANING")
-	for _, f := range metrics.Catalogue {
-		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Kind, f.Unit, f.Dimension, f.Label, f.Help)
+	for _, metric := range metrics.Catalogue {
+		out.printf("%s\t%s\t%s\t%s\t%s\t%s\n",
+			metric.Name, metric.Kind, metric.Unit, metric.Dimension, metric.Label, metric.Help)
 	}
 	return errors.Join(out.err(), table.Flush())
 }
@@ -81,15 +82,15 @@
 
 func printCatalogueJSON(w io.Writer) error {
 	entries := make([]catalogueEntry, 0, len(metrics.Catalogue))
-	for _, f := range metrics.Catalogue {
+	for _, metric := range metrics.Catalogue {
 		entries = append(entries, catalogueEntry{
-			Name:    f.Name,
-			Kind:    f.Kind.String(),
-			Unit:    f.Unit,
-			By:      f.Dimension.String(),
-			Detail:  f.Label,
-			Details: f.LabelValues,
-			Meaning: f.Help,
+			Name:    metric.Name,
+			Kind:    metric.Kind.String(),
+			Unit:    metric.Unit,
+			By:      metric.Dimension.String(),
+			Detail:  metric.Label,
+			Details: metric.LabelValues,
+			Meaning: metric.Help,
 		})
 	}
 	encoder := json.NewEncoder(w)
--- a/cmd/wheatlane/report.go
+++ b/cmd/wheatlane/report.go
@@ -35,7 +35,7 @@
 	}
 	f, err := os.Create(outputFile)
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("create report: %w", err)
 	}
 	findings := collector.Reconcile(samples, 0, nil, nil)
 	if err := errors.Join(report.Write(f, title, findings), f.Close()); err != nil {
@@ -51,7 +51,7 @@
 func readRecordings(c *cobra.Command, path string) ([]collector.Sample, error) {
 	names, err := recordingNames(path)
 	if err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("find recordings: %w", err)
 	}
 	warnings := output{w: c.ErrOrStderr()}
 	var samples []collector.Sample
@@ -92,7 +92,7 @@
 func readRecording(name string) ([]collector.Sample, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("read recording: %w", err)
 	}
 	defer func() { _ = f.Close() }() // no data is lost, as the file was only read
 	samples, err := collector.ReadRecording(f)
--- a/cmd/wheatlane/serve.go
+++ b/cmd/wheatlane/serve.go
@@ -68,7 +68,7 @@
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(cfg.EncoderConfig), lines, cfg.Level)
 	log, err := cfg.Build(zap.WrapCore(func(zapcore.Core) zapcore.Core { return core }))
 	if err != nil {
-		return nil, fmt.Errorf("log: %w", err)
+		return nil, fmt.Errorf("create log: %w", err)
 	}
 	return log, nil
 }
--- a/internal/adminapi/errors.go
+++ b/internal/adminapi/errors.go
@@ -25,7 +25,8 @@
 // reasonFailed is the reason code of all other errors.
 const reasonFailed = "failed"
 
-// Reason returns the reason code for an error of Parse or of a Broker. That of an exceeded deadline is ErrBusy.
+// Reason returns the reason code for an error of Parse or of a Broker. The reason code of an exceeded deadline is
+// ErrBusy.
 func Reason(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return ErrBusy.Error()
--- a/internal/demo/setup.go
+++ b/internal/demo/setup.go
@@ -92,7 +92,7 @@
 // createEmulators creates the output directory, the checker and the emulators that the broker connects to.
 func (d *demonstration) createEmulators() error {
 	if err := os.MkdirAll(d.options.Dir, directoryPermissions); err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: create output directory: %w", err)
 	}
 	d.checker = conformance.New(rules)
 	var err error
@@ -116,8 +116,8 @@
 		return err
 	}
 	d.reconciler = collector.NewReconciler(d.recording.Add)
-	form := graphite.PathFormat{Prefix: "wheatlane", Tags: true}
-	d.carbon, err = collector.NewCarbon("127.0.0.1:0", form, false, d.reconciler)
+	format := graphite.PathFormat{Prefix: "wheatlane", Tags: true}
+	d.carbon, err = collector.NewCarbon("127.0.0.1:0", format, false, d.reconciler)
 	return err
 }
 
@@ -186,7 +186,7 @@
 // write writes an output file and returns its path.
 func (d *demonstration) write(name string, text []byte) (path string, err error) {
 	if err := os.WriteFile(d.path(name), text, filePermissions); err != nil {
-		return "", fmt.Errorf("demo: %w", err)
+		return "", fmt.Errorf("demo: write output file: %w", err)
 	}
 	return d.path(name), nil
 }
@@ -195,7 +195,7 @@
 func (d *demonstration) create(name string) (*os.File, error) {
 	file, err := os.Create(d.path(name))
 	if err != nil {
-		return nil, fmt.Errorf("demo: %w", err)
+		return nil, fmt.Errorf("demo: create output file: %w", err)
 	}
 	return file, nil
 }
--- a/internal/durable/disk.go
+++ b/internal/durable/disk.go
@@ -18,7 +18,7 @@
 // NewDisk returns the directory at path, which it creates if it does not exist.
 func NewDisk(path string) (*Disk, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
-		return nil, fmt.Errorf("durable: %w", err)
+		return nil, fmt.Errorf("durable: create directory: %w", err)
 	}
 	return &Disk{path}, nil
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -118,7 +118,7 @@
 func listGenerations(dir Dir) ([]uint64, error) {
 	names, err := dir.List()
 	if err != nil {
-		return nil, fmt.Errorf("durable: %w", err)
+		return nil, fmt.Errorf("durable: list files: %w", err)
 	}
 	var generations []uint64
 	for _, name := range names {
@@ -139,7 +139,7 @@
 		name := generationName(n)
 		file, err := s.dir.Read(name)
 		if err != nil {
-			return State{}, fmt.Errorf("durable: %w", err)
+			return State{}, fmt.Errorf("durable: read generation: %w", err)
 		}
 		records, damage, err := decodeGeneration(file)
 		if err != nil {
@@ -148,7 +148,7 @@
 		if damage != "" {
 			lost = append(lost, name+": "+damage)
 			if err := s.dir.Rename(name, damagedPrefix+name); err != nil {
-				return State{}, fmt.Errorf("durable: %w", err)
+				return State{}, fmt.Errorf("durable: rename damaged generation: %w", err)
 			}
 		}
 		if len(records) > 0 {
@@ -173,7 +173,7 @@
 	// written the data.
 	if err := writeAndSync(s.file, appendRecord(nil, record)); err != nil {
 		s.failed = true
-		return fmt.Errorf("durable: %w", err)
+		return fmt.Errorf("durable: append record: %w", err)
 	}
 	return nil
 }
@@ -204,11 +204,11 @@
 func (s *Store) startGeneration(snapshot []byte, records [][]byte) error {
 	previous, next := s.generation, s.generation+1
 	if err := s.writeGeneration(next, encodeGeneration(snapshot, records)); err != nil {
-		return fmt.Errorf("durable: %w", err)
+		return fmt.Errorf("durable: write generation: %w", err)
 	}
 	file, err := s.dir.Append(generationName(next))
 	if err != nil {
-		return fmt.Errorf("durable: %w", err)
+		return fmt.Errorf("durable: open generation for appending: %w", err)
 	}
 	if s.file != nil {
 		_ = s.file.Close() // the new generation has replaced it
--- a/internal/emulator/changelogserver/changelog.go
+++ b/internal/emulator/changelogserver/changelog.go
@@ -70,7 +70,7 @@
 ) (*ChangeLog, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("change log emulator: %w", err)
+		return nil, fmt.Errorf("change log emulator: resolve address: %w", err)
 	}
 	listener, err := net.ListenTCP("tcp", addr)
 	if err != nil {
--- a/internal/emulator/changelogserver/file.go
+++ b/internal/emulator/changelogserver/file.go
@@ -19,11 +19,11 @@
 func ReadFile(path string) ([]Endpoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("endpoint list: %w", err)
+		return nil, fmt.Errorf("read endpoint list: %w", err)
 	}
 	var endpoints []Endpoint
 	if err := json.Unmarshal(text, &endpoints); err != nil {
-		return nil, fmt.Errorf("endpoint list: %s: %w", path, err)
+		return nil, fmt.Errorf("decode endpoint list %s: %w", path, err)
 	}
 	return endpoints, nil
 }
@@ -32,14 +32,14 @@
 func WriteFile(path string, endpoints []Endpoint) error {
 	text, err := json.MarshalIndent(endpoints, "", "  ")
 	if err != nil {
-		return fmt.Errorf("endpoint list: %w", err)
+		return fmt.Errorf("encode endpoint list: %w", err)
 	}
 	temporary := path + ".next"
 	if err := os.WriteFile(temporary, append(text, '\n'), filePermissions); err != nil {
-		return fmt.Errorf("endpoint list: %w", err)
+		return fmt.Errorf("write endpoint list: %w", err)
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		return fmt.Errorf("endpoint list: %w", err)
+		return fmt.Errorf("replace endpoint list: %w", err)
 	}
 	return nil
 }
--- a/internal/emulator/changelogserver/server.go
+++ b/internal/emulator/changelogserver/server.go
@@ -38,7 +38,7 @@
 	}
 	text, err := json.Marshal(p)
 	if err != nil {
-		return nil, fmt.Errorf("change log emulator: %w", err)
+		return nil, fmt.Errorf("change log emulator: encode page: %w", err)
 	}
 	return text, nil
 }
@@ -55,7 +55,7 @@
 	}
 	g.Go(func() error {
 		if err := s.Serve(l.listener); !errors.Is(err, http.ErrServerClosed) {
-			return fmt.Errorf("change log emulator: %w", err)
+			return fmt.Errorf("change log emulator: serve: %w", err)
 		}
 		return nil
 	})
--- a/internal/emulator/client/connection.go
+++ b/internal/emulator/client/connection.go
@@ -61,7 +61,7 @@
 	cfg.Logger = &mysql.NopLogger{}
 	connector, err := mysql.NewConnector(cfg)
 	if err != nil {
-		return nil, fmt.Errorf("connect: %w", err)
+		return nil, fmt.Errorf("create connector: %w", err)
 	}
 	return connector.Connect(ctx)
 }
--- a/internal/emulator/client/load.go
+++ b/internal/emulator/client/load.go
@@ -48,7 +48,7 @@
 	OnRequestEnded func(class string, outcome conformance.Outcome, took time.Duration)
 }
 
-// Counts has the number of attempts by outcome. An attempt is one send of a request by its client.
+// Counts holds the number of attempts by outcome. An attempt is one send of a request by its client.
 type Counts struct {
 	Sent, InTime, Late, Rejected, Failed, ClientDisconnected, Unanswered, WrongAnswers, NotSent int
 
--- a/internal/emulator/cluster/cluster.go
+++ b/internal/emulator/cluster/cluster.go
@@ -28,7 +28,7 @@
 	actionMove    = "moved" // a restart at another address
 )
 
-// Actions has the actions on engines, as scenario.Parse accepts them. All require the number of an engine.
+// Actions contains the actions on engines, as scenario.Parse accepts them. All require the number of an engine.
 var Actions = map[string]bool{
 	actionSlow: true, actionNormal: true, actionSilence: true, actionSpeak: true, actionDrain: true,
 	actionCrash: true, actionRestart: true, actionMove: true,
@@ -122,7 +122,9 @@
 	case actionSpeak:
 		e.SetSilent(false)
 	case actionDrain:
-		return c.updateEndpoint(i, func(h *changelogserver.Endpoint) { h.Health = changelogserver.Terminating })
+		return c.updateEndpoint(i, func(endpoint *changelogserver.Endpoint) {
+			endpoint.Health = changelogserver.Terminating
+		})
 	case actionCrash:
 		return c.crash(ctx, i)
 	case actionRestart, actionMove:
@@ -139,7 +141,9 @@
 		return nil
 	case <-time.After(crashDetectionDelay):
 	}
-	return c.updateEndpoint(i, func(h *changelogserver.Endpoint) { h.Health = changelogserver.Terminated })
+	return c.updateEndpoint(i, func(endpoint *changelogserver.Endpoint) {
+		endpoint.Health = changelogserver.Terminated
+	})
 }
 
 // restart restarts an engine, at another address if move is set. It crashes an engine that still runs.
@@ -149,8 +153,8 @@
 	if err := e.Restart(move); err != nil {
 		return err
 	}
-	return c.updateEndpoint(i, func(h *changelogserver.Endpoint) {
-		h.Health, h.Addr, h.BornMS = changelogserver.InService, e.Addr(), time.Now().UnixMilli()
+	return c.updateEndpoint(i, func(endpoint *changelogserver.Endpoint) {
+		endpoint.Health, endpoint.Addr, endpoint.BornMS = changelogserver.InService, e.Addr(), time.Now().UnixMilli()
 	})
 }
 
--- a/internal/emulator/cluster/config.go
+++ b/internal/emulator/cluster/config.go
@@ -27,7 +27,7 @@
 // Tenants are the tenants of the deployment settings.
 var Tenants = []string{"fishing-fleet", "harbour-office"}
 
-// limits are the resource limits in a broker's configuration.
+// limits holds the resource limits in a broker's configuration.
 type limits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
@@ -61,7 +61,7 @@
 		Settings:  json.RawMessage(deploymentSettings),
 	}, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("encode configuration: %w", err)
 	}
 	return append(text, '\n'), nil
 }
--- a/internal/emulator/collector/carbon.go
+++ b/internal/emulator/collector/carbon.go
@@ -39,13 +39,13 @@
 
 // NewCarbon returns a server that already listens at an address; port 0 selects a free port, which stays the same when
 // the server becomes reachable again. Connections wait in the backlog until Run is called.
-func NewCarbon(address string, form graphite.PathFormat, pickle bool, reconciler *Reconciler) (*Carbon, error) {
+func NewCarbon(address string, format graphite.PathFormat, pickle bool, reconciler *Reconciler) (*Carbon, error) {
 	listener, err := listenTCP(address)
 	if err != nil {
 		return nil, err
 	}
 	return &Carbon{
-		Form: form, Pickle: pickle, reconciler: reconciler, addr: listener.Addr().String(),
+		Form: format, Pickle: pickle, reconciler: reconciler, addr: listener.Addr().String(),
 		mode: Serve, modeChanged: make(chan struct{}), listener: listener, conns: map[net.Conn]bool{},
 	}, nil
 }
@@ -53,7 +53,7 @@
 func listenTCP(address string) (net.Listener, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("carbon emulator: %w", err)
+		return nil, fmt.Errorf("carbon emulator: resolve address: %w", err)
 	}
 	listener, err := net.ListenTCP("tcp", addr)
 	if err != nil {
@@ -230,8 +230,8 @@
 		n, readErr := conn.Read(buf[:size])
 		total += n
 		unread = append(unread, buf[:n]...)
-		rest, err := c.consume(unread)
-		unread = append(unread[:0], rest...)
+		remaining, err := c.consume(unread)
+		unread = append(unread[:0], remaining...)
 		switch {
 		case err != nil:
 			c.reconciler.AddMalformed(err.Error())
--- a/internal/emulator/collector/collectd.go
+++ b/internal/emulator/collector/collectd.go
@@ -51,7 +51,7 @@
 		addr: conn.LocalAddr().String(),
 	}
 	if err := conn.Close(); err != nil {
-		return nil, fmt.Errorf("collectd emulator: %w", err)
+		return nil, fmt.Errorf("collectd emulator: close probe socket: %w", err)
 	}
 	return c, nil
 }
@@ -59,7 +59,7 @@
 func listenUDP(address string) (*net.UDPConn, error) {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, fmt.Errorf("collectd emulator: %w", err)
+		return nil, fmt.Errorf("collectd emulator: resolve address: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
@@ -123,14 +123,14 @@
 			return nil
 		}
 		if err := conn.SetReadDeadline(time.Now().Add(modeCheckInterval)); err != nil {
-			return fmt.Errorf("collectd emulator: %w", err)
+			return fmt.Errorf("collectd emulator: set read deadline: %w", err)
 		}
 		n, _, err := conn.ReadFrom(buf)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.flushBuffered() // no datagram arrived for modeCheckInterval
 		case err != nil:
-			return fmt.Errorf("collectd emulator: %w", err)
+			return fmt.Errorf("collectd emulator: receive datagram: %w", err)
 		case !c.countAndDrop(mode):
 			c.buffered = append(c.buffered, slices.Clone(buf[:n]))
 			if mode != Reordering || len(c.buffered) >= reorderWindow {
--- a/internal/emulator/collector/findings.go
+++ b/internal/emulator/collector/findings.go
@@ -126,12 +126,12 @@
 func (g *timestampGroup) interval() (interval *Interval, startedMS int64, ok bool) {
 	started, hasStart := g.values[metrics.Series{ID: metrics.StartTime}]
 	sequence, hasSequence := g.values[metrics.Series{ID: metrics.Sequence}]
-	folded, hasFolded := g.values[metrics.Series{ID: metrics.MergedIntervals}]
-	if !hasStart || !hasSequence || !hasFolded {
+	merged, hasMerged := g.values[metrics.Series{ID: metrics.MergedIntervals}]
+	if !hasStart || !hasSequence || !hasMerged {
 		return nil, 0, false
 	}
 	interval = &Interval{
-		Sequence: uint64(sequence), Timestamp: g.timestamp, Arrived: g.arrivedAfter, Represented: uint64(folded),
+		Sequence: uint64(sequence), Timestamp: g.timestamp, Arrived: g.arrivedAfter, Represented: uint64(merged),
 		Values: g.values, Distributions: g.distributions,
 	}
 	return interval, int64(math.Round(started * 1000)), true
--- a/internal/emulator/collector/recording.go
+++ b/internal/emulator/collector/recording.go
@@ -16,8 +16,8 @@
 	"wheatlane/internal/graphite"
 )
 
-// recordingForm is the form of metric names in a recording.
-var recordingForm = graphite.PathFormat{Tags: true}
+// recordingFormat is the format of metric names in a recording.
+var recordingFormat = graphite.PathFormat{Tags: true}
 
 // ErrRecording is returned for a file that is not a recording or ends in a truncated line.
 var ErrRecording = errors.New("not a recording of metrics, or a truncated one")
@@ -46,14 +46,14 @@
 func NewRecording(file io.WriteCloser) (*Recording, error) {
 	encoder, err := zstd.NewWriter(file, zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("create recording encoder: %w", err)
 	}
 	r := &Recording{file: file, encoder: encoder}
 	if _, err := fmt.Fprintln(encoder, recordingHeader); err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("write header of recording: %w", err)
 	}
 	if err := encoder.Flush(); err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("flush header of recording: %w", err)
 	}
 	return r, nil
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	r.line = append(strconv.AppendInt(r.line[:0], s.ArrivedAfter.Milliseconds(), 10), ' ')
-	r.line = append(recordingForm.Append(r.line, s.Name), ' ')
+	r.line = append(recordingFormat.Append(r.line, s.Name), ' ')
 	r.line = append(strconv.AppendFloat(r.line, s.Value, 'g', -1, 64), ' ')
 	r.line = append(strconv.AppendInt(r.line, s.Timestamp, 10), '\n')
 	_, r.err = r.encoder.Write(r.line)
@@ -95,7 +95,7 @@
 		r.err = r.encoder.Flush()
 	}
 	if r.err != nil {
-		return fmt.Errorf("recording: %w", r.err)
+		return fmt.Errorf("write recording: %w", r.err)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := errors.Join(r.err, r.encoder.Close(), r.file.Close()); err != nil {
-		return fmt.Errorf("recording: %w", err)
+		return fmt.Errorf("close recording: %w", err)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	s.ArrivedAfter = time.Duration(arrived) * time.Millisecond
-	if s.Name, err = recordingForm.Parse(fields[1]); err != nil {
+	if s.Name, err = recordingFormat.Parse(fields[1]); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrRecording, err)
 	}
 	if s.Value, err = strconv.ParseFloat(fields[2], 64); err != nil {
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -92,7 +92,7 @@
 func (s *Server) listen(address string) error {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
-		return fmt.Errorf("engine emulator: %w", err)
+		return fmt.Errorf("engine emulator: resolve address: %w", err)
 	}
 	listener, err := net.ListenTCP("tcp", addr)
 	if err != nil {
--- a/internal/emulator/rawclient/session.go
+++ b/internal/emulator/rawclient/session.go
@@ -88,8 +88,8 @@
 	}
 	if len(greeting) > 0 && greeting[0] != errorPacket {
 		// The connection id follows the server's version, which is terminated by a zero byte.
-		if _, rest, ok := bytes.Cut(greeting[1:], []byte{0}); ok && len(rest) >= 4 {
-			s.ConnectionID = binary.LittleEndian.Uint32(rest)
+		if _, fields, ok := bytes.Cut(greeting[1:], []byte{0}); ok && len(fields) >= 4 {
+			s.ConnectionID = binary.LittleEndian.Uint32(fields)
 			if _, err := s.ReadPacket(); err != nil {
 				return err
 			}
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -58,16 +58,16 @@
 		return Step{}, fmt.Errorf("%q must start with a time that is not negative, such as 1.5s", text)
 	}
 	step := Step{At: at, Action: fields[1]}
-	takesTarget, known := actions[step.Action]
+	requiresTarget, known := actions[step.Action]
 	if !known {
 		names := strings.Join(slices.Sorted(maps.Keys(actions)), ", ")
 		return Step{}, fmt.Errorf("%q: %q is none of %s", text, step.Action, names)
 	}
-	if takesTarget != (len(fields) == 3) {
+	if requiresTarget != (len(fields) == 3) {
 		return Step{}, fmt.Errorf(
 			"%q: actions on one of several targets require its number, and other actions take none", text)
 	}
-	if !takesTarget {
+	if !requiresTarget {
 		return step, nil
 	}
 	if step.Target, err = strconv.Atoi(fields[2]); err != nil || step.Target < 1 || step.Target > targets {
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -69,7 +69,7 @@
 	p := newPlot(c.Unit)
 	for i := range c.Lines {
 		if err := addLine(p, &c.Lines[i], palette[i%len(palette)]); err != nil {
-			return "", fmt.Errorf("report: %s: %w", c.Title, err)
+			return "", fmt.Errorf("report: draw chart %q: %w", c.Title, err)
 		}
 	}
 	p.Y.Min = min(0, p.Y.Min)
@@ -80,7 +80,7 @@
 	p.X.Min, p.X.Max = 0, max(1, c.Length) // all charts of an incarnation have the same time axis
 	svg, err := renderSVG(p)
 	if err != nil {
-		return "", fmt.Errorf("report: %s: %w", c.Title, err)
+		return "", fmt.Errorf("report: draw chart %q: %w", c.Title, err)
 	}
 	return svg, nil
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -58,7 +58,7 @@
 		data.Runs = append(data.Runs, incarnation)
 	}
 	if err := layout.Execute(w, data); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("report: execute page template: %w", err)
 	}
 	return nil
 }
--- a/internal/report/sections.go
+++ b/internal/report/sections.go
@@ -164,7 +164,7 @@
 // deliveries charts the delay of each interval's delivery and the number of intervals merged into it. Delays are
 // relative to the shortest one, as arrivals are recorded relative to the collector's start.
 func (r incarnationView) deliveries() Section {
-	delay, folded := Line{Name: "late by, s"}, Line{Name: "intervals in one"}
+	delay, merged := Line{Name: "late by, s"}, Line{Name: "intervals in one"}
 	delayOf := func(v *collector.Interval) float64 { return v.Arrived.Seconds() - float64(v.Timestamp) }
 	shortest := math.Inf(1)
 	for _, v := range r.Intervals {
@@ -172,11 +172,11 @@
 	}
 	for _, v := range r.Intervals {
 		delay.add(r.seconds(v), delayOf(v)-shortest)
-		folded.add(r.seconds(v), float64(v.Represented))
+		merged.add(r.seconds(v), float64(v.Represented))
 	}
 	note := fmt.Sprintf("How long after the quickest each interval came, and how many are folded into one. "+
 		"%d of %d intervals are accounted for.", r.Represented, r.LastSequence)
-	return singleChartSection("Delivery", note, Chart{Lines: []Line{delay, folded}}, 0.01)
+	return singleChartSection("Delivery", note, Chart{Lines: []Line{delay, merged}}, 0.01)
 }
 
 func (r incarnationView) broker() Section {
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -236,7 +236,7 @@
 func (c *Controller) promote(now time.Duration, outcome Outcome, reason string) {
 	c.decide(c.canary.version, outcome, "%s", reason)
 	c.stable, c.canary = c.canary.version, canary{}
-	c.baseline = baseline{classes: map[string]Counts{}} // that of the previous version is invalid
+	c.baseline = baseline{classes: map[string]Counts{}} // the baseline of the previous version no longer applies
 	c.proposePending(now)
 }
 
--- a/measure/soak/overlay.go
+++ b/measure/soak/overlay.go
@@ -67,7 +67,7 @@
 func buildShimmed(ctx context.Context, dir, pkg string) (program string, err error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
-		return "", fmt.Errorf("go env: %w", err)
+		return "", fmt.Errorf("run go env GOROOT: %w", err)
 	}
 	sources := filepath.Join(strings.TrimSpace(string(out)), "src")
 	replace := map[string]string{}
--- a/measure/soak/proxy.go
+++ b/measure/soak/proxy.go
@@ -93,7 +93,7 @@
 		syscall.Listen(fd, proxyBacklog),
 	)
 	if err != nil {
-		return fmt.Errorf("proxy: %w", err)
+		return fmt.Errorf("proxy: listen: %w", err)
 	}
 	listener, err := net.FileListener(file)
 	if err != nil {
--- a/measure/soak/verifier.go
+++ b/measure/soak/verifier.go
@@ -197,10 +197,10 @@
 				attempt.Engine, late.Round(time.Millisecond), record.ended.Detail)
 		}
 	}
-	left := record.sent.At.Add(record.sent.Timeout).Sub(attempt.At)
-	if over := attempt.Timeout - left; over > timeoutSlack+clockSlack {
+	remaining := record.sent.At.Add(record.sent.Timeout).Sub(attempt.At)
+	if over := attempt.Timeout - remaining; over > timeoutSlack+clockSlack {
 		v.addFinding("%s of %s at %s: timeout of %v with %v left to the client",
-			record.sent.Request, record.sent.Class, attempt.Engine, attempt.Timeout, left.Round(time.Millisecond))
+			record.sent.Request, record.sent.Class, attempt.Engine, attempt.Timeout, remaining.Round(time.Millisecond))
 	}
 	h.verifyAvailability(v, record, attempt)
 }
--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -102,11 +102,11 @@
 		start := time.Now()
 		m.Apply(0, delivery.IntervalAdded{Interval: interval})
 		slowest = max(slowest, time.Since(start))
-		held := m.Stats().HeldBytes
+		backlogBytes := m.Stats().HeldBytes
 		if i == intervalsPerMinute-1 {
-			printResult("backlog_first_minute", float64(held)/bytesPerKilobyte, "KB")
+			printResult("backlog_first_minute", float64(backlogBytes)/bytesPerKilobyte, "KB")
 		}
-		if fullAt == 0 && held > nearlyFull {
+		if fullAt == 0 && backlogBytes > nearlyFull {
 			fullAt = i
 		}
 	}
