--- a/cmd/wheatlane/cli_test.go
+++ b/cmd/wheatlane/cli_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// commandLines are command lines with their exit codes and a text that they must print, to standard output if the exit
-// code is 0 and to standard error otherwise. DIR is replaced by a temporary directory, BAD by an invalid configuration
-// in it.
+// commandLines lists command lines with their exit codes and a text that they must print: to standard output if the
+// exit code is 0, otherwise to standard error. DIR is replaced by a temporary directory, BAD by an invalid
+// configuration in it.
 var commandLines = []struct {
 	args     string
 	exitCode int
--- a/cmd/wheatlane/process_test.go
+++ b/cmd/wheatlane/process_test.go
@@ -93,8 +93,8 @@
 	t.Helper()
 	p.start(t)
 	const field = `"listen":"`
-	_, rest, _ := strings.Cut(p.waitForLine(t, field), field)
-	p.listen, _, _ = strings.Cut(rest, `"`)
+	_, afterField, _ := strings.Cut(p.waitForLine(t, field), field)
+	p.listen, _, _ = strings.Cut(afterField, `"`)
 }
 
 // waitForLine reads the log up to a line that contains text, and returns that line.
--- a/cmd/wheatlane/serve_test.go
+++ b/cmd/wheatlane/serve_test.go
@@ -19,7 +19,7 @@
 func TestInvalidConfigurationNamesItsKey(t *testing.T) {
 	out, err := newProcess(t, `{"RequestClasses":[{"Name":"a","Effect":"odd"}]}`).CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "settings.RequestClasses[0].Effect") {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("got error %v, want a failure that names settings.RequestClasses[0].Effect:\n%s", err, out)
 	}
 }
 
--- a/internal/adminapi/call_test.go
+++ b/internal/adminapi/call_test.go
@@ -36,7 +36,7 @@
 				t.Errorf("error %v, want %v", err, c.err)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("call differs (-want +got):\n%s", diff)
 			}
 			if err != nil && Reason(err) != c.err.Error() {
 				t.Errorf("reason %q, want %q", Reason(err), c.err)
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -145,7 +145,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if diff := cmp.Diff(c.want, call(t, addr, c.send)); diff != "" {
-				t.Error(diff)
+				t.Errorf("reply differs (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -107,7 +107,7 @@
 				t.Errorf("damage %q, want any: %v", st.Damage, c.damaged)
 			}
 			if diff := cmp.Diff(c.files, files); diff != "" {
-				t.Errorf("files: %s", diff)
+				t.Errorf("files differ (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/emulator/changelogserver/changelog_test.go
+++ b/internal/emulator/changelogserver/changelog_test.go
@@ -117,6 +117,6 @@
 		{ID: "b", Addr: "x:2", Health: Terminated},
 	}
 	if diff := cmp.Diff(want, Diff(earlier, current)); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("changed endpoints differ (-want +got):\n%s", diff)
 	}
 }
--- a/internal/emulator/changelogserver/endpointlist_golden_test.go
+++ b/internal/emulator/changelogserver/endpointlist_golden_test.go
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(stored), string(written)); diff != "" {
-		t.Errorf("written list: %s", diff)
+		t.Errorf("written list differs from the golden file:\n%s", diff)
 	}
 	got, err := ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(endpoints, got); diff != "" {
-		t.Errorf("golden file: %s", diff)
+		t.Errorf("list read from the golden file differs (-want +got):\n%s", diff)
 	}
 }
--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -19,7 +19,7 @@
 
 // intervalSamples returns the samples of an interval: the broker's start, the sequence number, the number of merged
 // intervals and a counter of requests.
-func intervalSamples(broker string, started, timestamp int64, sequence, folded, requests float64) []Sample {
+func intervalSamples(broker string, started, timestamp int64, sequence, merged, requests float64) []Sample {
 	values := []struct {
 		id    metrics.ID
 		value float64
@@ -27,7 +27,7 @@
 		{metrics.Requests, requests},
 		{metrics.StartTime, float64(started)},
 		{metrics.Sequence, sequence},
-		{metrics.MergedIntervals, folded},
+		{metrics.MergedIntervals, merged},
 	}
 	samples := make([]Sample, 0, len(values))
 	for _, v := range values {
@@ -42,8 +42,8 @@
 }
 
 // interval returns the samples of an interval of broker n1, which started at 100 s.
-func interval(timestamp int64, sequence, folded, requests float64) []Sample {
-	return intervalSamples("n1", 100, timestamp, sequence, folded, requests)
+func interval(timestamp int64, sequence, merged, requests float64) []Sample {
+	return intervalSamples("n1", 100, timestamp, sequence, merged, requests)
 }
 
 var (
--- a/internal/emulator/collector/recording_golden_test.go
+++ b/internal/emulator/collector/recording_golden_test.go
@@ -14,7 +14,7 @@
 	"wheatlane/internal/metrics"
 )
 
-// recordedLines are the lines of a recording with their parsed fields.
+// recordedLines holds the lines of a recording with their parsed fields.
 var recordedLines = []struct {
 	line, metric, broker, name, stat, label string
 	other                                   bool
@@ -88,14 +88,14 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, decompress(t, f.Bytes())); diff != "" {
-		t.Errorf("written recording: %s", diff)
+		t.Errorf("written recording differs (-want +got):\n%s", diff)
 	}
 	stored, err := goldenfile.Content(golden, func() ([]byte, error) { return f.Bytes(), nil })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, decompress(t, stored)); diff != "" {
-		t.Errorf("golden file: %s", diff)
+		t.Errorf("golden file differs (-want +got):\n%s", diff)
 	}
 	all, err := ReadRecording(bytes.NewReader(stored))
 	if err != nil || len(all) != len(recordedLines) {
--- a/measure/edgecases/run.go
+++ b/measure/edgecases/run.go
@@ -72,8 +72,8 @@
 		observer: &engineObserver{checker: checker, late: map[string]bool{}},
 	}
 	var err error
-	e.engines, err = cluster.New(engineCount, e.observer, func(h changelogserver.Endpoint) error {
-		e.changelog.Publish(h)
+	e.engines, err = cluster.New(engineCount, e.observer, func(endpoint changelogserver.Endpoint) error {
+		e.changelog.Publish(endpoint)
 		return nil
 	})
 	if err != nil {
@@ -84,11 +84,11 @@
 }
 
 // observeEndpoint notifies the checker of an engine's state that the change log has reported to the broker.
-func (e *environment) observeEndpoint(h changelogserver.Endpoint, at time.Time) {
-	if h.Health == "in_service" {
-		e.checker.EngineInService(h.ID)
+func (e *environment) observeEndpoint(endpoint changelogserver.Endpoint, at time.Time) {
+	if endpoint.Health == "in_service" {
+		e.checker.EngineInService(endpoint.ID)
 	} else {
-		e.checker.EngineDraining(h.ID, at)
+		e.checker.EngineDraining(endpoint.ID, at)
 	}
 }
 
--- a/measure/fleet/main_test.go
+++ b/measure/fleet/main_test.go
@@ -33,6 +33,6 @@
 		Dials: 55, EndpointPolls: 66, GossipSent: 77,
 	}
 	if diff := cmp.Diff(want, total); diff != "" {
-		t.Error(diff)
+		t.Errorf("total differs (-want +got):\n%s", diff)
 	}
 }
--- a/measure/operator/main.go
+++ b/measure/operator/main.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	changelog, hosts, err := cluster.StartHealthy(ctx, g, engineCount, cluster.Classes)
+	changelog, endpoints, err := cluster.StartHealthy(ctx, g, engineCount, cluster.Classes)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	for i := range slowCallers {
 		g.Go(func() error { return callSlowly(loadCtx, address, []string{"", "set-do"}[i%2]) })
 	}
-	replies := callInTurn(ctx, address, hosts[0].ID, calls)
+	replies := callInTurn(ctx, address, endpoints[0].ID, calls)
 	endLoad()
 	close(stop)
 	replies.print()
--- a/measure/soak/broker.go
+++ b/measure/soak/broker.go
@@ -47,7 +47,7 @@
 // an upgrade.
 type brokerSlot struct {
 	name, listen, dir string
-	operators         [2]string // admin endpoints; processes alternate between them, as two may overlap
+	adminAddresses    [2]string // of admin endpoints; processes alternate between them, as two may overlap
 	program           string
 	changelogProxies  [2]*proxy
 	changes           *changelogserver.ChangeLog
@@ -111,9 +111,9 @@
 	var once sync.Once
 	b.mu.Lock()
 	b.starts++
-	operator := b.operators[b.starts%2]
+	adminAddress := b.adminAddresses[b.starts%2]
 	b.mu.Unlock()
-	env := append(b.environment(b), "RELAY_CONFIG="+b.configPath(), "TMPDIR="+b.dir, "RELAY_OPERATOR="+operator)
+	env := append(b.environment(b), "RELAY_CONFIG="+b.configPath(), "TMPDIR="+b.dir, "RELAY_OPERATOR="+adminAddress)
 	onLine := func(line []byte) {
 		if strings.Contains(string(line), `"msg":"serving"`) {
 			once.Do(func() { close(serving) })
@@ -165,9 +165,9 @@
 // call makes one call at the admin endpoint and reports whether the broker acknowledged it.
 func (b *brokerSlot) call(ctx context.Context, line string) bool {
 	b.mu.Lock()
-	operator := b.operators[b.starts%2]
+	adminAddress := b.adminAddresses[b.starts%2]
 	b.mu.Unlock()
-	conn, err := dial(ctx, operator, callTimeout)
+	conn, err := dial(ctx, adminAddress, callTimeout)
 	if err != nil {
 		return false
 	}
--- a/measure/soak/lifecycle.go
+++ b/measure/soak/lifecycle.go
@@ -82,8 +82,8 @@
 	if broker.listen, err = freeAddress(ctx); err != nil {
 		return err
 	}
-	for i := range broker.operators {
-		if broker.operators[i], err = freeAddress(ctx); err != nil {
+	for i := range broker.adminAddresses {
+		if broker.adminAddresses[i], err = freeAddress(ctx); err != nil {
 			return err
 		}
 	}
--- a/measure/telemetry/delivery.go
+++ b/measure/telemetry/delivery.go
@@ -82,15 +82,15 @@
 // measureBacklog measures the size and the losses of the backlog for a collector that is unreachable for an hour.
 func measureBacklog() error {
 	const (
-		budget     = 512 << 10
-		nearlyFull = 500 << 10
+		budgetBytes     = 512 << 10
+		nearlyFullBytes = 500 << 10
 	)
 	t, err := newTraffic(3, 4)
 	if err != nil {
 		return err
 	}
 	m := delivery.New(delivery.Config{
-		MemoryBudget:   budget,
+		MemoryBudget:   budgetBytes,
 		InitialBackoff: time.Second,
 		MaxBackoff:     time.Second,
 		WriteTimeout:   time.Second,
@@ -106,7 +106,7 @@
 		if i == intervalsPerMinute-1 {
 			printResult("backlog_first_minute", float64(backlogBytes)/bytesPerKilobyte, "KB")
 		}
-		if fullAt == 0 && backlogBytes > nearlyFull {
+		if fullAt == 0 && backlogBytes > nearlyFullBytes {
 			fullAt = i
 		}
 	}
