--- a/internal/emulator/collector/collector_test.go
+++ b/internal/emulator/collector/collector_test.go
@@ -19,7 +19,7 @@
 
 // intervalSamples returns the samples of an interval: the broker's start, the sequence number, the number of merged
 // intervals and a counter of requests.
-func intervalSamples(broker string, started, timestamp int64, sequence, folded, requests float64) []Sample {
+func intervalSamples(broker string, started, timestamp int64, sequence, merged, requests float64) []Sample {
 	values := []struct {
 		id    metrics.ID
 		value float64
@@ -27,7 +27,7 @@
 		{metrics.Requests, requests},
 		{metrics.StartTime, float64(started)},
 		{metrics.Sequence, sequence},
-		{metrics.MergedIntervals, folded},
+		{metrics.MergedIntervals, merged},
 	}
 	samples := make([]Sample, 0, len(values))
 	for _, v := range values {
@@ -42,8 +42,8 @@
 }
 
 // interval returns the samples of an interval of broker n1, which started at 100 s.
-func interval(timestamp int64, sequence, folded, requests float64) []Sample {
-	return intervalSamples("n1", 100, timestamp, sequence, folded, requests)
+func interval(timestamp int64, sequence, merged, requests float64) []Sample {
+	return intervalSamples("n1", 100, timestamp, sequence, merged, requests)
 }
 
 var (
@@ -152,7 +152,7 @@
 	complete := f.Bytes()
 	got, err := ReadRecording(bytes.NewReader(complete))
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" || err != nil {
-		t.Fatal(err, diff)
+		t.Fatalf("samples read differ (-want +got), error %v:\n%s", err, diff)
 	}
 	// The recording of a killed collector is truncated; the samples ahead of the truncation are read.
 	got, err = ReadRecording(bytes.NewReader(complete[:len(complete)*3/4]))
@@ -161,7 +161,7 @@
 		t.Fatalf("truncated recording: read %d of %d samples, error %v", len(got), len(want), err)
 	}
 	if diff := cmp.Diff(want[:len(got)], got); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("samples ahead of the truncation differ (-want +got):\n%s", diff)
 	}
 	// A flushed sample is in the file although the recording was not closed.
 	f.Reset()
