--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -72,7 +72,8 @@
 	StartedMS float64 `json:"born_ms"` // since the change log's epoch
 }
 
-var errMissing = errors.New("missing")
+// errMissing reports a key that must be present.
+var errMissing = errors.New("required key is missing")
 
 // ParsePage parses a page. Events of unknown kinds are ignored. The error for an invalid value is a *jsontext.KeyError.
 func ParsePage(text []byte) (Page, error) {
@@ -81,7 +82,7 @@
 		if mismatch, ok := jsontext.AsTypeMismatch(err); ok {
 			return Page{}, mismatch
 		}
-		return Page{}, fmt.Errorf("page: %w", err)
+		return Page{}, fmt.Errorf("decode change log page: %w", err)
 	}
 	page := Page{Revision: document.Revision}
 	for i, listed := range document.Changes {
--- a/internal/collectd/security.go
+++ b/internal/collectd/security.go
@@ -68,7 +68,7 @@
 func (s Security) encrypt(content []byte, random func([]byte) error) ([]byte, error) {
 	var iv [ivLen]byte
 	if err := random(iv[:]); err != nil {
-		return nil, fmt.Errorf("collectd: generating an initialization vector: %w", err)
+		return nil, fmt.Errorf("collectd: generate initialization vector: %w", err)
 	}
 	checksum := sha1.Sum(content) // the protocol prescribes it
 	packet := appendHeader(nil, partEncryption, s.overhead()-partHeaderLen+len(content))
@@ -91,7 +91,7 @@
 	key := sha256.Sum256([]byte(s.Password))
 	block, err := aes.NewCipher(key[:])
 	if err != nil {
-		return fmt.Errorf("collectd: creating the cipher: %w", err)
+		return fmt.Errorf("collectd: create cipher: %w", err)
 	}
 	cipher.NewOFB(block, iv).XORKeyStream(b, b) //nolint:staticcheck // the protocol prescribes it
 	return nil
--- a/internal/graphite/encode.go
+++ b/internal/graphite/encode.go
@@ -71,7 +71,7 @@
 	var frame bytes.Buffer
 	config := pickle.EncoderConfig{Protocol: PickleProtocol}
 	if err := pickle.NewEncoderWithConfig(&frame, &config).Encode(records); err != nil {
-		return dst, next, fmt.Errorf("graphite: encoding a pickle: %w", err)
+		return dst, next, fmt.Errorf("graphite: encode pickle: %w", err)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(frame.Len()))
 	return append(dst, frame.Bytes()...), next, nil
--- a/internal/metrics/sketch.go
+++ b/internal/metrics/sketch.go
@@ -77,14 +77,14 @@
 	}
 	summary := Summary{Count: sketch.GetCount(), Sum: sketch.GetSum()}
 	if summary.Min, err = sketch.GetMinValue(); err != nil {
-		return summary, fmt.Errorf("reading the minimum of a sketch: %w", err)
+		return summary, fmt.Errorf("read minimum of sketch: %w", err)
 	}
 	if summary.Max, err = sketch.GetMaxValue(); err != nil {
-		return summary, fmt.Errorf("reading the maximum of a sketch: %w", err)
+		return summary, fmt.Errorf("read maximum of sketch: %w", err)
 	}
 	quantiles, err := sketch.GetValuesAtQuantiles([]float64{0.5, 0.95, 0.99})
 	if err != nil {
-		return summary, fmt.Errorf("reading the quantiles of a sketch: %w", err)
+		return summary, fmt.Errorf("read quantiles of sketch: %w", err)
 	}
 	summary.P50, summary.P95, summary.P99 = quantiles[0], quantiles[1], quantiles[2]
 	return summary, nil
@@ -93,7 +93,7 @@
 func decodeSketch(encoded []byte) (*ddsketch.DDSketchWithExactSummaryStatistics, error) {
 	sketch, err := ddsketch.DecodeDDSketchWithExactSummaryStatistics(encoded, newStore, indexMapping)
 	if err != nil {
-		return nil, fmt.Errorf("decoding a sketch: %w", err)
+		return nil, fmt.Errorf("decode sketch: %w", err)
 	}
 	return sketch, nil
 }
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	if err := sketch.DecodeAndMergeWith(b); err != nil {
-		return nil, fmt.Errorf("merging sketches: %w", err)
+		return nil, fmt.Errorf("merge sketches: %w", err)
 	}
 	var out []byte
 	sketch.Encode(&out, true)
@@ -115,7 +115,7 @@
 // StatNames are the exported names of the statistics in a Summary, in the order of Summary.Values.
 var StatNames = []string{"count", "sum", "min", "p50", "p95", "p99", "max"}
 
-// Values returns the statistics in the order of Stats.
+// Values returns the statistics in the order of StatNames.
 func (s Summary) Values() [7]float64 {
 	return [7]float64{s.Count, s.Sum, s.Min, s.P50, s.P95, s.P99, s.Max}
 }
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -19,7 +19,7 @@
 // JSONSchema returns the schema that Parse validates files against. The schema is shared and must not be changed.
 func JSONSchema() (*jsonschema.Schema, error) { return fileSchema() }
 
-// SchemaText returns the JSON SchemaText of the file (draft 2020-12) as indented text.
+// SchemaText returns the JSON Schema of the file (draft 2020-12) as indented text.
 func SchemaText() ([]byte, error) {
 	s, err := fileSchema()
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("read password file: %w", err)
 	}
 	c.Password = strings.TrimRight(string(text), "\r\n")
 	if c.Password == "" {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -50,7 +50,7 @@
 func For[T any]() (*jsonschema.Schema, error) {
 	s, err := jsonschema.For[T](nil)
 	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("derive schema: %w", err)
 	}
 	if err := applyLimits(s, reflect.TypeFor[T]()); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 			return err
 		}
 		if err := applyTag(property, field); err != nil {
-			return fmt.Errorf("schema: %s.%s: %w", t, field.Name, err)
+			return fmt.Errorf("derive schema of %s.%s: %w", t, field.Name, err)
 		}
 	}
 	return nil
@@ -130,7 +130,7 @@
 		}
 		name, value, _ := strings.Cut(keyword, "=")
 		if err := applyKeyword(s, field.Type, name, value); err != nil {
-			return fmt.Errorf("limits: %q: %w", keyword, err)
+			return fmt.Errorf("limits tag, keyword %q: %w", keyword, err)
 		}
 	}
 	return nil
--- a/internal/schema/validate.go
+++ b/internal/schema/validate.go
@@ -150,7 +150,7 @@
 	}
 	resolved, err := s.Resolve(nil)
 	if err != nil {
-		v.err = errors.Join(v.err, fmt.Errorf("schema: %w", err))
+		v.err = errors.Join(v.err, fmt.Errorf("resolve schema: %w", err))
 		return
 	}
 	if number, ok := value.(json.Number); ok {
--- a/internal/telemetry/carbon_transport.go
+++ b/internal/telemetry/carbon_transport.go
@@ -53,7 +53,7 @@
 
 func newCarbonSession(conn *net.TCPConn, encoder graphite.Encoder) (*carbonSession, error) {
 	if err := conn.SetWriteBuffer(sendBufferBytes); err != nil {
-		return nil, fmt.Errorf("setting the send buffer of a carbon connection: %w", err)
+		return nil, fmt.Errorf("set send buffer of carbon connection: %w", err)
 	}
 	acked, err := ackedBytes(conn)
 	if err != nil {
@@ -174,7 +174,7 @@
 func ackedBytes(conn *net.TCPConn) (acked int64, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return 0, fmt.Errorf("accessing the socket of a carbon connection: %w", err)
+		return 0, fmt.Errorf("access socket of carbon connection: %w", err)
 	}
 	if controlErr := raw.Control(func(fd uintptr) {
 		var info *unix.TCPInfo
@@ -182,7 +182,7 @@
 			acked = int64(info.Bytes_acked)
 		}
 	}); controlErr != nil {
-		return 0, fmt.Errorf("accessing the socket of a carbon connection: %w", controlErr)
+		return 0, fmt.Errorf("access socket of carbon connection: %w", controlErr)
 	}
 	return acked, err
 }
