--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	queue   [][]byte
-	bytes   int
+	bytes   int           // total length of the lines that are queued or being written
 	dropped int           // lines dropped since the last report of dropped lines
 	writing bool          // a batch is being written
 	idle    chan struct{} // closed when nothing is queued or being written
--- a/internal/check/faultinjection/generate.go
+++ b/internal/check/faultinjection/generate.go
@@ -21,8 +21,8 @@
 const (
 	maxTenants     = 5
 	percent        = 100 // random shares and weights are whole percentages
-	minTenantShare = 5   // percent
-	minSharesLeft  = 5   // percent that a random share leaves to later tenants
+	minTenantShare = 5   // minimum share of a tenant, in percent
+	minLaterShare  = 5   // minimum total share of later tenants, in percent
 	minToSplit     = 20  // percent; a smaller remainder is the share of a single tenant
 )
 
@@ -133,19 +133,19 @@
 // tenantShares generates tenants with shares that sum to 1.
 func tenantShares(rng *rand.Rand) []any {
 	var shares []int
-	left := percent
+	remaining := percent
 	for i := range 1 + rng.IntN(maxTenants) {
-		share := left
-		if i < maxTenants-1 && left > minToSplit {
-			share = minTenantShare + rng.IntN(left-minTenantShare-minSharesLeft)
+		share := remaining
+		if i < maxTenants-1 && remaining > minToSplit {
+			share = minTenantShare + rng.IntN(remaining-minTenantShare-minLaterShare)
 		}
 		shares = append(shares, share)
-		left -= share
-		if left == 0 {
+		remaining -= share
+		if remaining == 0 {
 			break
 		}
 	}
-	shares[len(shares)-1] += left
+	shares[len(shares)-1] += remaining
 	tenants := make([]any, len(shares))
 	for i, share := range shares {
 		tenants[i] = object{"Name": fmt.Sprint("tenant-", i), "Share": float64(share) / percent}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -256,15 +256,15 @@
 	}, nil
 }
 
-// elementOrZero returns the element at a position, or the zero value if the list is shorter.
-func elementOrZero[T any](list []T, position int) (element T) {
-	if position < len(list) {
-		element = list[position]
+// elementOrZero returns the element at a position, or the zero value if there are fewer elements.
+func elementOrZero[T any](elements []T, position int) (element T) {
+	if position < len(elements) {
+		element = elements[position]
 	}
 	return element
 }
 
-// withDefault returns the value, or the default if the value is zero, as that of an omitted key is.
+// withDefault returns the value, or the default if the value is zero, which is the value of an omitted key.
 func withDefault[T int | time.Duration](value, defaultValue T) T {
 	if value == 0 {
 		return defaultValue
--- a/internal/delivery/pace.go
+++ b/internal/delivery/pace.go
@@ -7,7 +7,7 @@
 
 const (
 	maxDoublings  = 20 // prevents overflow of the backoff
-	jitterDivisor = 2  // jitter shortens a pause by up to pause/jitterDivisor
+	jitterDivisor = 2  // jitter shortens a delay by up to delay/jitterDivisor
 )
 
 // backoff computes the time of the next connection: exponential backoff with jitter, so that brokers don't all
@@ -21,13 +21,13 @@
 }
 
 func (b *backoff) failed(now time.Duration) {
-	pause := min(b.max, b.initial<<min(b.failures, maxDoublings))
+	delay := min(b.max, b.initial<<min(b.failures, maxDoublings))
 	b.failures++
-	jitter := pause / jitterDivisor
+	jitter := delay / jitterDivisor
 	b.retryAt = now + jitter + time.Duration(b.rng.Int64N(int64(jitter)+1))
 }
 
-// succeeded makes the next backoff start at the initial pause.
+// succeeded resets the next delay to the initial one.
 func (b *backoff) succeeded() { b.failures = 0 }
 
 // reset allows a connection immediately.
--- a/internal/description/platform.go
+++ b/internal/description/platform.go
@@ -10,9 +10,9 @@
 	connectTimeout    = 250 * time.Millisecond
 	connIdleTimeout   = 30 * time.Second
 	maxStreams        = 100
-	slowStartInitial  = 0.33
+	slowStartInitial  = 0.33 // fraction of its capacity that an engine has when it starts
 	slowStartDuration = 15 * time.Second
-	overloadMultiple  = 2.5
+	overloadMultiple  = 2.5 // multiple of its capacity at which an engine in slow start fails
 	overloadWindow    = time.Second
 )
 
@@ -22,7 +22,7 @@
 	defaultDedupWindowMS = 15000
 	defaultThreads       = 1
 	defaultMemoryMB      = 192
-	defaultSockets       = 1024
+	defaultSockets       = 1024 // file descriptors
 )
 
 // Values of the key repeat of a description.
--- a/internal/graphite/parse.go
+++ b/internal/graphite/parse.go
@@ -82,12 +82,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w pickle: %w", ErrMalformed, err)
 	}
-	list, ok := decoded.([]any)
+	records, ok := decoded.([]any)
 	if !ok {
 		return nil, fmt.Errorf("%w pickle: got %T, want a list", ErrMalformed, decoded)
 	}
-	samples := make([]Sample, 0, len(list))
-	for _, record := range list {
+	samples := make([]Sample, 0, len(records))
+	for _, record := range records {
 		s, ok := decodeSample(record)
 		if !ok {
 			return nil, fmt.Errorf("%w pickle: record %.80v is not (path, (time, value))", ErrMalformed, record)
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -80,7 +80,7 @@
 	if !ok {
 		return Login{}, fmt.Errorf("%w: user", ErrHandshake)
 	}
-	proof, rest, ok := cutProof(rest, flags)
+	proof, rest, ok := splitProof(rest, flags)
 	if !ok {
 		return Login{User: string(user)}, fmt.Errorf("%w: password", ErrHandshake)
 	}
@@ -92,8 +92,8 @@
 	return login, nil
 }
 
-// cutProof splits the password proof from the bytes that follow it.
-func cutProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
+// splitProof splits the password proof from the bytes that follow it.
+func splitProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
 	if flags&(clientPluginAuthLenencData|clientSecureConnection) == 0 {
 		return bytes.Cut(payload, []byte{0})
 	}
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -23,9 +23,9 @@
 // storageErrors are errors of a file system that may be transient.
 var storageErrors = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ESTALE}
 
-func isAnyOf(err error, list []error) bool {
-	for _, known := range list {
-		if errors.Is(err, known) {
+func isAnyOf(err error, targets []error) bool {
+	for _, target := range targets {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
