--- a/internal/delivery/harness_test.go
+++ b/internal/delivery/harness_test.go
@@ -26,7 +26,7 @@
 type intervalSource struct {
 	registry *metrics.Registry
 	now      time.Duration
-	made     uint64
+	produced uint64
 }
 
 func newIntervalSource() *intervalSource {
@@ -36,10 +36,10 @@
 
 func (s *intervalSource) next() *metrics.Interval {
 	s.now += 10 * time.Second
-	s.made++
+	s.produced++
 	class := s.registry.Slot(metrics.Class, "lookup")
 	s.registry.Add(metrics.Requests, class, 0, 1)
-	s.registry.Observe(metrics.AnswerTime, class, float64(s.made))
+	s.registry.Observe(metrics.AnswerTime, class, float64(s.produced))
 	return s.registry.EndInterval(s.now, s.now)
 }
 
@@ -55,57 +55,57 @@
 	return &harness{machine: New(cfg, 1), source: newIntervalSource()}
 }
 
-func (r *harness) record(actions []Action) {
+func (h *harness) record(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Connect:
-			r.actions = append(r.actions, fmt.Sprintf("connect %d", a.Conn))
+			h.actions = append(h.actions, fmt.Sprintf("connect %d", a.Conn))
 		case Write:
-			r.actions = append(r.actions,
+			h.actions = append(h.actions,
 				fmt.Sprintf("write %d of %d from %d", a.Interval.Sequence, a.Interval.MergedCount, a.FirstRecord))
 		case Close:
-			r.actions = append(r.actions, fmt.Sprintf("close %d", a.Conn))
+			h.actions = append(h.actions, fmt.Sprintf("close %d", a.Conn))
 		case Stopped:
-			r.actions = append(r.actions, "stopped")
+			h.actions = append(h.actions, "stopped")
 		}
 	}
 }
 
-func (r *harness) apply(events ...Event) {
+func (h *harness) apply(events ...Event) {
 	for _, ev := range events {
-		r.record(r.machine.Apply(r.now, ev))
+		h.record(h.machine.Apply(h.now, ev))
 	}
 }
 
-func (r *harness) offer(n int) {
+func (h *harness) offer(n int) {
 	for range n {
-		r.apply(IntervalAdded{r.source.next()})
+		h.apply(IntervalAdded{h.source.next()})
 	}
 }
 
 // advance advances the time and ticks the machine at each deadline until then.
-func (r *harness) advance(d time.Duration) {
-	end := r.now + d
+func (h *harness) advance(d time.Duration) {
+	end := h.now + d
 	for {
-		at, ok := r.machine.NextDeadline()
+		at, ok := h.machine.NextDeadline()
 		if !ok || at > end {
 			break
 		}
-		r.now = max(r.now, at)
-		before := len(r.actions)
-		r.record(r.machine.Tick(r.now))
-		if len(r.actions) == before {
+		h.now = max(h.now, at)
+		before := len(h.actions)
+		h.record(h.machine.Tick(h.now))
+		if len(h.actions) == before {
 			break // no further action is due at this time
 		}
 	}
-	r.now = end
+	h.now = end
 }
 
 // expect compares the actions since the last call with want.
-func (r *harness) expect(t *testing.T, want ...string) {
+func (h *harness) expect(t *testing.T, want ...string) {
 	t.Helper()
-	if diff := cmp.Diff(want, r.actions); diff != "" {
+	if diff := cmp.Diff(want, h.actions); diff != "" {
 		t.Fatal(diff)
 	}
-	r.actions = nil
+	h.actions = nil
 }
--- a/internal/delivery/machine_test.go
+++ b/internal/delivery/machine_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestWritesEachIntervalAndIdles(t *testing.T) {
-	r := newHarness(config())
-	r.offer(1)
-	r.expect(t, "connect 1")
-	r.apply(Connected{1})
-	r.expect(t, "write 1 of 1 from 0")
-	r.apply(WriteCompleted{1})
-	r.advance(time.Hour)
-	r.expect(t)
-	r.offer(1)
-	r.expect(t, "write 2 of 1 from 0")
-	if st := r.machine.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.LostIntervals != 0 {
-		t.Fatalf("%+v", st)
+	h := newHarness(config())
+	h.offer(1)
+	h.expect(t, "connect 1")
+	h.apply(Connected{1})
+	h.expect(t, "write 1 of 1 from 0")
+	h.apply(WriteCompleted{1})
+	h.advance(time.Hour)
+	h.expect(t)
+	h.offer(1)
+	h.expect(t, "write 2 of 1 from 0")
+	if st := h.machine.Stats(); st.DeliveredIntervals != 1 || st.WaitingIntervals != 1 || st.LostIntervals != 0 {
+		t.Fatalf("got %+v, want 1 interval delivered, 1 waiting, none lost", st)
 	}
 }
 
@@ -53,90 +53,90 @@
 // The backoff must keep growing if a connection is established but makes no progress. Otherwise the broker would
 // reconnect with the initial backoff after each write timeout.
 func TestBackoffGrowsAfterAConnectionWithoutProgress(t *testing.T) {
-	r := newHarness(config())
-	r.offer(1)
-	r.apply(Connected{1})
-	r.actions = nil
-	r.advance(5*time.Second - 1)
-	r.expect(t)
-	r.advance(1)
-	r.expect(t, "close 1")
-	r.apply(Disconnected{1, 0})
-	r.advance(time.Second)
-	r.expect(t, "connect 2")
-	r.apply(Connected{2})
-	r.advance(5 * time.Second)
-	r.apply(Disconnected{2, 0})
-	r.expect(t, "write 1 of 1 from 0", "close 2")
-	if at, _ := r.machine.NextDeadline(); at-r.now < 200*ms {
-		t.Fatalf("second backoff is %v, want at least %v", at-r.now, 200*ms)
+	h := newHarness(config())
+	h.offer(1)
+	h.apply(Connected{1})
+	h.actions = nil
+	h.advance(5*time.Second - 1)
+	h.expect(t)
+	h.advance(1)
+	h.expect(t, "close 1")
+	h.apply(Disconnected{1, 0})
+	h.advance(time.Second)
+	h.expect(t, "connect 2")
+	h.apply(Connected{2})
+	h.advance(5 * time.Second)
+	h.apply(Disconnected{2, 0})
+	h.expect(t, "write 1 of 1 from 0", "close 2")
+	if at, _ := h.machine.NextDeadline(); at-h.now < 200*ms {
+		t.Fatalf("second backoff is %v, want at least %v", at-h.now, 200*ms)
 	}
-	r.advance(400 * ms)
-	r.expect(t, "connect 3")
+	h.advance(400 * ms)
+	h.expect(t, "connect 3")
 }
 
 func TestProgressExtendsTheWriteTimeout(t *testing.T) {
-	r := newHarness(config())
-	r.offer(1)
-	r.apply(Connected{1})
-	r.actions = nil
+	h := newHarness(config())
+	h.offer(1)
+	h.apply(Connected{1})
+	h.actions = nil
 	for i := range 10 {
-		r.advance(4 * time.Second)
-		r.apply(Progress{1, i})
+		h.advance(4 * time.Second)
+		h.apply(Progress{1, i})
 	}
-	r.expect(t)
+	h.expect(t)
 }
 
 func TestResumesAfterSentRecords(t *testing.T) {
-	r := newHarness(config())
-	r.offer(1)
-	r.apply(Connected{1}, Disconnected{1, 17})
-	r.advance(time.Second)
-	r.apply(Connected{2})
-	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 1 of 1 from 17")
+	h := newHarness(config())
+	h.offer(1)
+	h.apply(Connected{1}, Disconnected{1, 17})
+	h.advance(time.Second)
+	h.apply(Connected{2})
+	h.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 1 of 1 from 17")
 }
 
 // Merging a partly sent interval would change its records, and the number of records sent would no longer apply.
 func TestPartlySentIntervalIsNotMerged(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaitingIntervals = 3
-	r := newHarness(cfg)
-	r.offer(1)
-	r.apply(Connected{1}, Disconnected{1, 5})
-	r.offer(6)
-	r.advance(time.Second)
-	r.apply(Connected{2}, WriteCompleted{2})
-	r.advance(time.Second)
-	r.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
+	h := newHarness(cfg)
+	h.offer(1)
+	h.apply(Connected{1}, Disconnected{1, 5})
+	h.offer(6)
+	h.advance(time.Second)
+	h.apply(Connected{2}, WriteCompleted{2})
+	h.advance(time.Second)
+	h.expect(t, "connect 1", "write 1 of 1 from 0", "connect 2", "write 7 of 1 from 0", "write 1 of 1 from 5")
 }
 
 // The newest interval is written before the backlog, which is replayed at an increasing rate.
 func TestNewestIntervalPrecedesTheBacklog(t *testing.T) {
 	cfg := config()
 	cfg.MemoryBudget, cfg.ReplayRate = 1<<20, 2<<10
-	r := newHarness(cfg)
-	r.offer(6)
-	r.apply(Connected{1})
-	r.expect(t, "connect 1", "write 6 of 1 from 0")
-	r.apply(WriteCompleted{1})
-	r.expect(t) // waits for about 800 bytes at 256 bytes per second
-	r.advance(4 * time.Second)
-	r.expect(t, "write 1 of 1 from 0")
-	r.offer(1) // during the write
-	r.apply(WriteCompleted{1})
-	r.expect(t, "write 7 of 1 from 0")
-	r.apply(WriteCompleted{1})
+	h := newHarness(cfg)
+	h.offer(6)
+	h.apply(Connected{1})
+	h.expect(t, "connect 1", "write 6 of 1 from 0")
+	h.apply(WriteCompleted{1})
+	h.expect(t) // waits for about 800 bytes at 256 bytes per second
+	h.advance(4 * time.Second)
+	h.expect(t, "write 1 of 1 from 0")
+	h.offer(1) // during the write
+	h.apply(WriteCompleted{1})
+	h.expect(t, "write 7 of 1 from 0")
+	h.apply(WriteCompleted{1})
 	gaps := make([]time.Duration, 0, 4)
 	for range 4 {
-		at, ok := r.machine.NextDeadline()
+		at, ok := h.machine.NextDeadline()
 		if !ok {
 			t.Fatal("no deadline although a backlog waits")
 		}
-		gaps = append(gaps, at-r.now)
-		r.advance(at - r.now)
-		r.apply(WriteCompleted{1})
+		gaps = append(gaps, at-h.now)
+		h.advance(at - h.now)
+		h.apply(WriteCompleted{1})
 	}
-	r.expect(t, "write 2 of 1 from 0", "write 3 of 1 from 0", "write 4 of 1 from 0", "write 5 of 1 from 0")
+	h.expect(t, "write 2 of 1 from 0", "write 3 of 1 from 0", "write 4 of 1 from 0", "write 5 of 1 from 0")
 	if gaps[3] >= gaps[0] {
 		t.Fatalf("replay rate does not increase: gaps between writes are %v", gaps)
 	}
@@ -145,20 +145,20 @@
 // The intervals of an outage of one hour are merged into fewer ones of about equal length, without any loss.
 func TestIntervalsOfALongOutageAreMergedEvenly(t *testing.T) {
 	cfg := config()
-	r := newHarness(cfg)
+	h := newHarness(cfg)
 	for range 360 {
-		r.offer(1)
-		if held := r.machine.Stats().HeldBytes; held > cfg.MemoryBudget {
+		h.offer(1)
+		if held := h.machine.Stats().HeldBytes; held > cfg.MemoryBudget {
 			t.Fatalf("queue holds %d bytes, budget is %d", held, cfg.MemoryBudget)
 		}
 	}
-	if st := r.machine.Stats(); st.WaitingIntervals != 360 || st.LostIntervals != 0 || st.LostSamples != 0 {
-		t.Fatalf("%+v", st)
+	if st := h.machine.Stats(); st.WaitingIntervals != 360 || st.LostIntervals != 0 || st.LostSamples != 0 {
+		t.Fatalf("got %+v, want 360 intervals waiting, nothing lost", st)
 	}
 	fewest, largest, samples := uint64(1000), uint64(0), 0.0
-	for i, it := range r.machine.queue.intervals {
+	for i, it := range h.machine.queue.intervals {
 		samples += it.interval.SampleCount()
-		if i < len(r.machine.queue.intervals)-2 {
+		if i < len(h.machine.queue.intervals)-2 {
 			fewest, largest = min(fewest, it.interval.MergedCount), max(largest, it.interval.MergedCount)
 		}
 	}
@@ -171,18 +171,18 @@
 func TestIntervalsBeyondTheBudgetAreCountedLost(t *testing.T) {
 	cfg := config()
 	cfg.MemoryBudget = 4 << 10 // fits about two intervals
-	r := newHarness(cfg)
-	r.offer(2000) // more than five hours, which exceeds the maximum span of a merged interval
-	st := r.machine.Stats()
+	h := newHarness(cfg)
+	h.offer(2000) // more than five hours, which exceeds the maximum span of a merged interval
+	st := h.machine.Stats()
 	if st.HeldBytes > cfg.MemoryBudget || st.LostIntervals == 0 || st.LostIntervals+st.WaitingIntervals != 2000 {
-		t.Fatalf("%+v", st)
+		t.Fatalf("got %+v, want 2000 intervals waiting or lost, at least one lost, within %d bytes", st, cfg.MemoryBudget)
 	}
-	held := 0.0
-	for _, it := range r.machine.queue.intervals {
-		held += it.interval.SampleCount()
+	waiting := 0.0
+	for _, it := range h.machine.queue.intervals {
+		waiting += it.interval.SampleCount()
 	}
-	if st.LostSamples+held != 2000 {
-		t.Fatalf("got %v samples lost and %v held, want 2000 in total", st.LostSamples, held)
+	if st.LostSamples+waiting != 2000 {
+		t.Fatalf("got %v samples lost and %v waiting, want 2000 in total", st.LostSamples, waiting)
 	}
 }
 
@@ -191,41 +191,41 @@
 func TestAllWaitingIntervalsAreMergedIfOneMayWait(t *testing.T) {
 	cfg := config()
 	cfg.MaxWaitingIntervals = 1
-	r := newHarness(cfg)
-	r.offer(5)
-	r.apply(Disconnected{1, 0})
-	r.offer(5)
-	r.advance(time.Second)
-	r.apply(Connected{2})
-	r.expect(t, "connect 1", "connect 2", "write 10 of 10 from 0")
-	r.offer(2) // during the write
-	r.apply(WriteCompleted{2})
-	r.expect(t, "write 12 of 2 from 0")
-	if st := r.machine.Stats(); st.LostIntervals != 0 {
-		t.Fatalf("%+v", st)
+	h := newHarness(cfg)
+	h.offer(5)
+	h.apply(Disconnected{1, 0})
+	h.offer(5)
+	h.advance(time.Second)
+	h.apply(Connected{2})
+	h.expect(t, "connect 1", "connect 2", "write 10 of 10 from 0")
+	h.offer(2) // during the write
+	h.apply(WriteCompleted{2})
+	h.expect(t, "write 12 of 2 from 0")
+	if st := h.machine.Stats(); st.LostIntervals != 0 {
+		t.Fatalf("got %+v, want no lost interval", st)
 	}
 }
 
 // After an address change the machine connects without backoff and sends all intervals to the new address.
 func TestAddressChangeMovesTheQueue(t *testing.T) {
-	r := newHarness(config())
-	r.offer(1)
-	r.apply(Connected{1}, Disconnected{1, 5})
-	r.offer(1)
-	r.actions = nil
-	r.apply(AddressChanged{}) // skips the backoff
-	r.expect(t, "connect 2")
-	r.apply(Connected{2})
-	r.expect(t, "write 2 of 1 from 0")
-	r.apply(AddressChanged{})
-	r.expect(t, "close 2")
-	r.apply(Disconnected{2, 9})
-	r.expect(t, "connect 3")
-	r.apply(Connected{3}, WriteCompleted{3})
-	r.advance(time.Second)
+	h := newHarness(config())
+	h.offer(1)
+	h.apply(Connected{1}, Disconnected{1, 5})
+	h.offer(1)
+	h.actions = nil
+	h.apply(AddressChanged{}) // skips the backoff
+	h.expect(t, "connect 2")
+	h.apply(Connected{2})
+	h.expect(t, "write 2 of 1 from 0")
+	h.apply(AddressChanged{})
+	h.expect(t, "close 2")
+	h.apply(Disconnected{2, 9})
+	h.expect(t, "connect 3")
+	h.apply(Connected{3}, WriteCompleted{3})
+	h.advance(time.Second)
 	// Starts at the first record, as the new collector has received none.
-	r.expect(t, "write 1 of 1 from 0", "write 2 of 1 from 0")
-	if st := r.machine.Stats(); st.ConnectionFailures != 1 {
+	h.expect(t, "write 1 of 1 from 0", "write 2 of 1 from 0")
+	if st := h.machine.Stats(); st.ConnectionFailures != 1 {
 		t.Fatalf("address change counts as a connection failure: %+v", st)
 	}
 }
@@ -237,33 +237,33 @@
 		want []string
 		lost uint64
 	}{
-		{"empty queue stops immediately", func(r *harness) { r.apply(StopRequested{300 * ms}) }, []string{"stopped"}, 0},
-		{"backlog is written without pacing", func(r *harness) {
-			r.offer(3)
-			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1}, WriteCompleted{1}, WriteCompleted{1})
+		{"empty queue stops immediately", func(h *harness) { h.apply(StopRequested{300 * ms}) }, []string{"stopped"}, 0},
+		{"backlog is written without pacing", func(h *harness) {
+			h.offer(3)
+			h.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1}, WriteCompleted{1}, WriteCompleted{1})
 		}, []string{
 			"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "write 2 of 1 from 0", "close 1", "stopped",
 		}, 0},
-		{"last connection attempt skips the backoff", func(r *harness) {
-			r.offer(1)
-			r.apply(Disconnected{1, 0}, StopRequested{300 * ms}, Connected{2}, WriteCompleted{2})
+		{"last connection attempt skips the backoff", func(h *harness) {
+			h.offer(1)
+			h.apply(Disconnected{1, 0}, StopRequested{300 * ms}, Connected{2}, WriteCompleted{2})
 		}, []string{"connect 1", "connect 2", "write 1 of 1 from 0", "close 2", "stopped"}, 0},
-		{"intervals left at the deadline are counted lost", func(r *harness) {
-			r.offer(3)
-			r.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1})
-			r.advance(300 * ms)
+		{"intervals left at the deadline are counted lost", func(h *harness) {
+			h.offer(3)
+			h.apply(Connected{1}, StopRequested{300 * ms}, WriteCompleted{1})
+			h.advance(300 * ms)
 		}, []string{"connect 1", "write 3 of 1 from 0", "write 1 of 1 from 0", "close 1", "stopped"}, 2},
-		{"interval added after the stop is counted lost", func(r *harness) {
-			r.apply(StopRequested{300 * ms})
-			r.offer(1)
+		{"interval added after the stop is counted lost", func(h *harness) {
+			h.apply(StopRequested{300 * ms})
+			h.offer(1)
 		}, []string{"stopped"}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newHarness(config())
-			c.do(r)
-			r.expect(t, c.want...)
-			if st := r.machine.Stats(); st.LostIntervals != c.lost || st.WaitingIntervals != 0 {
-				t.Fatalf("%+v", st)
+			h := newHarness(config())
+			c.do(h)
+			h.expect(t, c.want...)
+			if st := h.machine.Stats(); st.LostIntervals != c.lost || st.WaitingIntervals != 0 {
+				t.Fatalf("got %+v, want %d intervals lost, none waiting", st, c.lost)
 			}
 		})
 	}
--- a/internal/delivery/property_test.go
+++ b/internal/delivery/property_test.go
@@ -89,7 +89,7 @@
 	pauses := []time.Duration{0, ms, 100 * ms, 10 * time.Second}
 	m.harness.now += rapid.SampledFrom(pauses).Draw(m.t, "pause")
 	m.tick()
-	switch rapid.IntRange(0, 5).Draw(m.t, "what") {
+	switch rapid.IntRange(0, 5).Draw(m.t, "event") {
 	case 0, 1:
 		m.apply(IntervalAdded{m.harness.source.next()})
 	case 2:
@@ -108,17 +108,17 @@
 // checkStats checks that each interval is counted exactly once, as delivered, lost or waiting, and that the queue is
 // within its memory budget.
 func (m *model) checkStats() {
-	stats, made := m.harness.machine.Stats(), m.harness.source.made
+	stats, produced := m.harness.machine.Stats(), m.harness.source.produced
 	total := stats.DeliveredIntervals + stats.LostIntervals + stats.WaitingIntervals
-	if m.delivered != stats.DeliveredIntervals || total != made {
-		m.t.Fatalf("counts don't match %d intervals made and %d written: %+v", made, m.delivered, stats)
+	if m.delivered != stats.DeliveredIntervals || total != produced {
+		m.t.Fatalf("counts don't match %d intervals produced and %d written: %+v", produced, m.delivered, stats)
 	}
 	if stats.HeldBytes > m.cfg.MemoryBudget {
 		m.t.Fatalf("queue holds %d bytes, budget is %d", stats.HeldBytes, m.cfg.MemoryBudget)
 	}
 }
 
-// serve simulates a working collector until the machine has nothing left to do.
+// serve simulates a working collector until no deadline of the machine remains.
 func (m *model) serve() {
 	for range 10_000 {
 		if m.connect() {
@@ -155,8 +155,8 @@
 		}
 		m.serve()
 		stats := m.harness.machine.Stats()
-		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != m.harness.source.made {
-			t.Fatalf("intervals are left after the collector recovered: %+v", stats)
+		if stats.WaitingIntervals != 0 || stats.DeliveredIntervals+stats.LostIntervals != m.harness.source.produced {
+			t.Fatalf("intervals still wait after the collector recovered: %+v", stats)
 		}
 	})
 }
--- a/internal/telemetry/acks_test.go
+++ b/internal/telemetry/acks_test.go
@@ -38,6 +38,6 @@
 	}
 	a := tracker(true)
 	if a.acknowledge(12); len(a.pending) != 1 || a.pending[0].firstRecord != 12 {
-		t.Errorf("want the second chunk pending only, got %+v", a.pending)
+		t.Errorf("got %+v, want only the second chunk pending", a.pending)
 	}
 }
--- a/internal/telemetry/carbon_harness_test.go
+++ b/internal/telemetry/carbon_harness_test.go
@@ -72,11 +72,11 @@
 
 // awaitAllCounted waits until a collector's counters include every recorded request, and checks that there are no
 // violations.
-func (r *harness) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
-	r.t.Helper()
-	want := float64(r.requests["lookup"])
-	f := await(r.t, received, "all recorded requests in the counters", func(f *collector.Findings) bool {
-		if len(f.Incarnations) != 1 || f.Incarnations[0].LastSequence != r.intervalCount() {
+func (h *harness) awaitAllCounted(received *collector.Reconciler) *collector.Findings {
+	h.t.Helper()
+	want := float64(h.requests["lookup"])
+	f := await(h.t, received, "all recorded requests in the counters", func(f *collector.Findings) bool {
+		if len(f.Incarnations) != 1 || f.Incarnations[0].LastSequence != h.intervalCount() {
 			return false
 		}
 		// The newest interval is delivered first. An earlier one may contain the last values of a retired name.
@@ -85,7 +85,7 @@
 			metrics.RequestOutcomes, metrics.RequestOutcomesByTenant,
 		} {
 			if got := f.Incarnations[0].Total(id); got > want {
-				r.t.Fatalf("%s: collector has %v, only %v were recorded", metrics.Catalogue[id].Name, got, want)
+				h.t.Fatalf("%s: collector has %v, only %v were recorded", metrics.Catalogue[id].Name, got, want)
 			} else if got < want {
 				return false
 			}
@@ -93,7 +93,7 @@
 		return true
 	})
 	if !f.OK() {
-		r.t.Fatalf("collector found violations %v, unknown %v, malformed %v", f.Violations, f.Unknown, f.Malformed)
+		h.t.Fatalf("collector found violations %v, unknown %v, malformed %v", f.Violations, f.Unknown, f.Malformed)
 	}
 	return f
 }
--- a/internal/telemetry/harness_test.go
+++ b/internal/telemetry/harness_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{
+	h := &harness{
 		t:         t,
 		inspector: &inspector{broker: b},
 		wall:      &wallClock{now: at},
@@ -123,34 +123,34 @@
 		requests:  map[string]int{},
 	}
 	clock := SystemClock()
-	clock.Wall = r.wall.read
+	clock.Wall = h.wall.read
 	clock.Ticker = func(time.Duration) (<-chan time.Time, func(time.Duration), func()) {
-		return r.ticks, func(time.Duration) {}, func() {}
+		return h.ticks, func(time.Duration) {}, func() {}
 	}
-	r.reporter, r.inspector.recorder = New("n1", f.Cardinality, r.inspector, clock, 1, zap.NewNop())
-	if r.reporter.stopTimeout != stopTimeout {
-		t.Fatalf("stop timeout is %v, want %v", r.reporter.stopTimeout, stopTimeout)
+	h.reporter, h.inspector.recorder = New("n1", f.Cardinality, h.inspector, clock, 1, zap.NewNop())
+	if h.reporter.stopTimeout != stopTimeout {
+		t.Fatalf("stop timeout is %v, want %v", h.reporter.stopTimeout, stopTimeout)
 	}
-	r.reporter.stopTimeout = timeout
+	h.reporter.stopTimeout = timeout
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
-		if err := <-r.done; err != nil {
+		if err := <-h.done; err != nil {
 			t.Error(err)
 		}
 	})
 	go func() {
-		r.done <- r.reporter.Run(ctx, f, r.draining, r.drained)
-		close(r.done)
+		h.done <- h.reporter.Run(ctx, f, h.draining, h.drained)
+		close(h.done)
 	}()
-	return r
+	return h
 }
 
 // load records n requests of a class, each ended with a result.
-func (r *harness) load(class string, n int) {
+func (h *harness) load(class string, n int) {
 	for i := range n {
 		tenant := fmt.Sprint(i % 3)
-		r.record(&broker.Request{Class: class, Tenant: tenant, DataSet: i % 5}, &broker.RequestSummary{
+		h.record(&broker.Request{Class: class, Tenant: tenant, DataSet: i % 5}, &broker.RequestSummary{
 			Class: class, Tenant: tenant, Kind: broker.ReplyResult,
 			Duration: time.Duration(i) * time.Millisecond, Objective: testObjective, Attempts: 1,
 		})
@@ -158,51 +158,51 @@
 }
 
 // record records the start and the end of one request.
-func (r *harness) record(q *broker.Request, s *broker.RequestSummary) {
-	r.inspector.mu.Lock()
-	defer r.inspector.mu.Unlock()
-	r.requests[q.Class]++
-	r.inspector.recorder.RequestAccepted(q)
-	r.inspector.recorder.RequestEnded(*s)
+func (h *harness) record(q *broker.Request, s *broker.RequestSummary) {
+	h.inspector.mu.Lock()
+	defer h.inspector.mu.Unlock()
+	h.requests[q.Class]++
+	h.inspector.recorder.RequestAccepted(q)
+	h.inspector.recorder.RequestEnded(*s)
 }
 
 // intervalCount returns the number of intervals that have ended.
-func (r *harness) intervalCount() uint64 {
-	r.inspector.mu.Lock()
-	defer r.inspector.mu.Unlock()
-	return r.inspector.intervals
+func (h *harness) intervalCount() uint64 {
+	h.inspector.mu.Lock()
+	defer h.inspector.mu.Unlock()
+	return h.inspector.intervals
 }
 
 // intervals ends n intervals, each with some requests.
-func (r *harness) intervals(n int) {
-	r.t.Helper()
+func (h *harness) intervals(n int) {
+	h.t.Helper()
 	for range n {
-		r.load("lookup", 7)
-		before := r.intervalCount()
+		h.load("lookup", 7)
+		before := h.intervalCount()
 		select {
-		case r.ticks <- time.Time{}:
+		case h.ticks <- time.Time{}:
 		case <-time.After(testTimeout):
-			r.t.Fatal("timeout waiting for the reporter to accept a tick")
+			h.t.Fatal("timeout waiting for the reporter to accept a tick")
 		}
-		for r.intervalCount() == before { // the reporter has received the tick
+		for h.intervalCount() == before { // the reporter has received the tick
 			runtime.Gosched()
 		}
 	}
 }
 
 // held returns the memory held by a configured destination, in bytes.
-func (r *harness) held(name string) int { return r.reporter.destinations[name].stats.Load().HeldBytes }
+func (h *harness) held(name string) int { return h.reporter.destinations[name].stats.Load().HeldBytes }
 
 // finish stops the reporter like a broker that has answered all requests.
-func (r *harness) finish() {
-	r.t.Helper()
-	close(r.drained)
+func (h *harness) finish() {
+	h.t.Helper()
+	close(h.drained)
 	select {
-	case err := <-r.done:
+	case err := <-h.done:
 		if err != nil {
-			r.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Fatal("timeout waiting for the reporter to end")
+		h.t.Fatal("timeout waiting for the reporter to end")
 	}
 }
--- a/internal/telemetry/outage_test.go
+++ b/internal/telemetry/outage_test.go
@@ -15,20 +15,20 @@
 func TestBacklogOfAnOutageIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64 // too small without merging
-	r := startHarness(t, telemetryFile(g))
-	r.intervals(3)
+	h := startHarness(t, telemetryFile(g))
+	h.intervals(3)
 	await(t, received, "the first intervals", completeTo(3))
 	c.SetMode(collector.Unreachable)
 	for range 60 {
-		r.intervals(1)
-		if held := r.held("carbon"); held > 64<<10 {
+		h.intervals(1)
+		if held := h.held("carbon"); held > 64<<10 {
 			t.Fatalf("%d bytes are held, budget is %d", held, 64<<10)
 		}
 	}
 	c.SetMode(collector.Serve)
 	await(t, received, "the backlog", completeTo(63))
-	r.finish()
-	f := r.awaitAllCounted(received)
+	h.finish()
+	f := h.awaitAllCounted(received)
 	merged, samples := false, 0.0
 	for _, v := range f.Incarnations[0].Intervals {
 		merged = merged || v.Represented > 1
@@ -37,8 +37,9 @@
 	if !merged {
 		t.Error("the backlog fits the budget without merging: the test has no effect")
 	}
-	if samples != float64(r.requests["lookup"]) || f.Duplicated > 0 {
-		t.Errorf("got %v of %d samples, %d duplicates", samples, r.requests["lookup"], f.Duplicated)
+	if samples != float64(h.requests["lookup"]) || f.Duplicated > 0 {
+		t.Errorf("got %v samples, %d duplicate lines, want %d samples, no duplicate lines",
+			samples, f.Duplicated, h.requests["lookup"])
 	}
 }
 
@@ -48,20 +49,20 @@
 	c, received, g := startCarbon(t, false)
 	g.BudgetKB = 64
 	c.SetMode(collector.Silent)
-	r := startHarness(t, telemetryFile(g))
+	h := startHarness(t, telemetryFile(g))
 	for range 100 {
-		r.intervals(1)
-		if held := r.held("carbon"); held > 64<<10 {
+		h.intervals(1)
+		if held := h.held("carbon"); held > 64<<10 {
 			t.Fatalf("%d bytes are held, budget is %d", held, 64<<10)
 		}
 	}
 	c.SetMode(collector.Serve)
-	r.intervals(2)
+	h.intervals(2)
 	await(t, received, "the newest interval", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == 102
 	})
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 }
 
 // Connections are reset repeatedly in the middle of lines. The collector must receive each line completely and once.
@@ -69,13 +70,13 @@
 	for _, pickle := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			c, received, g := startCarbon(t, pickle)
-			r := startHarness(t, telemetryFile(g))
+			h := startHarness(t, telemetryFile(g))
 			c.SetMode(collector.Truncating)
-			r.intervals(40)
+			h.intervals(40)
 			c.SetMode(collector.Serve)
-			r.intervals(2)
-			r.finish()
-			if f := r.awaitAllCounted(received); f.Duplicated > 0 {
+			h.intervals(2)
+			h.finish()
+			if f := h.awaitAllCounted(received); f.Duplicated > 0 {
 				t.Fatalf("%d lines were received twice", f.Duplicated)
 			}
 		})
@@ -84,14 +85,14 @@
 
 func TestBacklogOfASlowCollectorIsDelivered(t *testing.T) {
 	c, received, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(g))
+	h := startHarness(t, telemetryFile(g))
 	c.SetMode(collector.Slow)
-	r.intervals(20)
+	h.intervals(20)
 	c.SetMode(collector.Serve)
-	r.intervals(2)
+	h.intervals(2)
 	await(t, received, "the backlog", completeTo(22))
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 }
 
 // One of two destinations does not read. The other must receive all intervals, none of them merged.
@@ -100,11 +101,11 @@
 	c.SetMode(collector.Silent)
 	unread.Name = "unread"
 	_, received, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(unread, g))
-	r.intervals(40)
+	h := startHarness(t, telemetryFile(unread, g))
+	h.intervals(40)
 	await(t, received, "all intervals", completeTo(40))
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 	f := await(t, received, "the last interval", complete)
 	if len(f.Incarnations[0].Intervals) != int(f.Incarnations[0].LastSequence) {
 		t.Fatalf("got %d unmerged intervals, want %d", len(f.Incarnations[0].Intervals), f.Incarnations[0].LastSequence)
@@ -115,22 +116,22 @@
 // the stop timeout.
 func TestLastIntervalIsDeliveredOrCountedLost(t *testing.T) {
 	c, received, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(g))
-	r.intervals(3)
-	close(r.draining)
-	r.load("lookup", 5)
-	r.finish()
-	r.awaitAllCounted(received)
+	h := startHarness(t, telemetryFile(g))
+	h.intervals(3)
+	close(h.draining)
+	h.load("lookup", 5)
+	h.finish()
+	h.awaitAllCounted(received)
 	await(t, received, "all intervals", complete)
 
 	c.SetMode(collector.Silent)
-	r = startHarnessAt(t, telemetryFile(g), testStartTime, stopTimeout)
-	r.intervals(200) // more than the socket buffers hold
-	r.finish()
-	stats := r.reporter.destinations["carbon"].stats.Load()
+	h = startHarnessAt(t, telemetryFile(g), testStartTime, stopTimeout)
+	h.intervals(200) // more than the socket buffers hold
+	h.finish()
+	stats := h.reporter.destinations["carbon"].stats.Load()
 	ended := stats.DeliveredIntervals + stats.LostIntervals
-	if stats.WaitingIntervals != 0 || ended != r.intervalCount() || stats.LostIntervals == 0 {
-		t.Fatalf("want all %d intervals delivered or lost, and some lost: %+v", r.intervalCount(), stats)
+	if stats.WaitingIntervals != 0 || ended != h.intervalCount() || stats.LostIntervals == 0 {
+		t.Fatalf("want all %d intervals delivered or lost, and some lost: %+v", h.intervalCount(), stats)
 	}
 }
 
@@ -152,9 +153,9 @@
 	if !f.OK() {
 		t.Fatalf("collector found violations: %+v", f)
 	}
-	for i, r := range []*harness{first, second} {
-		if got := f.Incarnations[i].Total(metrics.Requests); got != float64(r.requests["lookup"]) {
-			t.Errorf("incarnation %d: got %v requests, want %d", i, got, r.requests["lookup"])
+	for i, h := range []*harness{first, second} {
+		if got := f.Incarnations[i].Total(metrics.Requests); got != float64(h.requests["lookup"]) {
+			t.Errorf("incarnation %d: got %v requests, want %d", i, got, h.requests["lookup"])
 		}
 	}
 }
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -10,19 +10,19 @@
 // A reload changes the address of a destination while a backlog waits. The backlog is sent to the new address.
 func TestReloadMovesTheBacklog(t *testing.T) {
 	c, old, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(g))
-	r.intervals(3)
+	h := startHarness(t, telemetryFile(g))
+	h.intervals(3)
 	await(t, old, "the first interval", func(f *collector.Findings) bool { return len(f.Incarnations) == 1 })
 	c.SetMode(collector.Unreachable)
-	r.intervals(10)
+	h.intervals(10)
 	_, received, moved := startCarbon(t, false)
-	r.reporter.Reload(t.Context(), telemetryFile(moved))
-	r.intervals(2)
+	h.reporter.Reload(t.Context(), telemetryFile(moved))
+	h.intervals(2)
 	await(t, received, "the backlog", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].Represented >= 10
 	})
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 }
 
 // A reload stops a removed destination and starts an added one. The removed destination must receive each interval from
@@ -42,19 +42,19 @@
 			c.SetMode(tt.mode)
 			_, receivedSecond, second := startCarbon(t, true)
 			second.Name = "second"
-			r := startHarness(t, telemetryFile(first))
-			r.intervals(2)
-			stopped := r.reporter.destinations["carbon"]
-			r.reporter.Reload(t.Context(), telemetryFile(second))
-			r.intervals(3)
+			h := startHarness(t, telemetryFile(first))
+			h.intervals(2)
+			stopped := h.reporter.destinations["carbon"]
+			h.reporter.Reload(t.Context(), telemetryFile(second))
+			h.intervals(3)
 			if tt.mode == collector.Unreachable {
 				defer time.AfterFunc(2*stopTimeout, func() { c.SetMode(collector.Serve) }).Stop()
 			}
-			r.finish()
+			h.finish()
 			if s := stopped.stats.Load(); s.DeliveredIntervals != 2 || s.LostIntervals != 0 || s.WaitingIntervals != 0 {
 				t.Fatalf("the first destination ended with %+v", s)
 			}
-			r.awaitAllCounted(receivedSecond)
+			h.awaitAllCounted(receivedSecond)
 			if tt.mode == collector.Silent { // everything is acknowledged, but nothing is read yet
 				if f := receivedFirst.Reconcile(); f.Samples != 0 {
 					t.Fatalf("collector in silent mode has %d samples", f.Samples)
@@ -65,7 +65,7 @@
 				return complete(f) && f.Incarnations[0].Represented == 2
 			})
 			if f.Incarnations[0].LastSequence != 2 ||
-				receivedSecond.Reconcile().Incarnations[0].LastSequence != r.intervalCount() {
+				receivedSecond.Reconcile().Incarnations[0].LastSequence != h.intervalCount() {
 				t.Fatalf("the first destination also sent intervals after the reload: %+v", f.Incarnations)
 			}
 		})
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -21,10 +21,10 @@
 	for _, pickle := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pickle %v", pickle), func(t *testing.T) {
 			_, received, g := startCarbon(t, pickle)
-			r := startHarness(t, telemetryFile(g))
-			r.intervals(5)
-			r.finish()
-			r.awaitAllCounted(received)
+			h := startHarness(t, telemetryFile(g))
+			h.intervals(5)
+			h.finish()
+			h.awaitAllCounted(received)
 			// The newest interval is delivered first, and the distributions of an interval last. So all
 			// counters may have arrived before the distributions of the interval before the last.
 			want := []string{"count", "max", "min", "p50", "p95", "p99", "sum"}
@@ -64,17 +64,17 @@
 // The wall clock is set back by an hour and forward by a day. Intervals keep their length and none is lost.
 func TestWallClockStepsLoseNoInterval(t *testing.T) {
 	_, received, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(g))
-	r.intervals(5)
-	r.wall.step(-time.Hour - 5*time.Second) // between existing timestamps
-	r.intervals(5)
-	r.wall.step(25 * time.Hour)
-	r.intervals(5)
+	h := startHarness(t, telemetryFile(g))
+	h.intervals(5)
+	h.wall.step(-time.Hour - 5*time.Second) // between existing timestamps
+	h.intervals(5)
+	h.wall.step(25 * time.Hour)
+	h.intervals(5)
 	await(t, received, "all intervals", completeTo(15))
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 	if f := await(t, received, "all intervals", complete); f.Incarnations[0].LastSequence != 16 {
-		t.Fatalf("want 16 intervals, got %+v", f.Incarnations[0])
+		t.Fatalf("got %+v, want 16 intervals", f.Incarnations[0])
 	}
 }
 
@@ -89,14 +89,14 @@
 		t.Fatal(err)
 	}
 	runUntilCleanup(t, c.Run)
-	r := startHarness(t, telemetryFile(operatorconfig.Collectd{
+	h := startHarness(t, telemetryFile(operatorconfig.Collectd{
 		Name: "c", Address: c.Addr(), Security: "encrypt", User: "chart", Password: "secret",
 	}))
-	r.intervals(3)
+	h.intervals(3)
 	intervalsUntil := func(failure string, ok func() bool) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !ok(); runtime.Gosched() {
-			r.intervals(1)
+			h.intervals(1)
 			if time.Now().After(end) {
 				t.Fatal(failure)
 			}
@@ -106,32 +106,32 @@
 	intervalsUntil("no datagram is lost", func() bool { _, lost := c.DatagramCounts(); return lost > 5 })
 	c.SetMode(collector.Reordering)
 	before, _ := c.DatagramCounts()
-	intervalsUntil("no datagram comes", func() bool { now, _ := c.DatagramCounts(); return now > before+20 })
+	intervalsUntil("no datagram is received", func() bool { now, _ := c.DatagramCounts(); return now > before+20 })
 	c.SetMode(collector.Unreachable)
 	intervalsUntil("timeout waiting for the closed port to be detected", func() bool {
-		return r.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
+		return h.reporter.destinations["c"].stats.Load().ConnectionFailures > 0
 	})
-	r.intervals(10)
+	h.intervals(10)
 	c.SetMode(collector.Serve)
-	r.intervals(1)
-	last := r.intervalCount()
+	h.intervals(1)
+	last := h.intervalCount()
 	await(t, received, "an interval after the outage", func(f *collector.Findings) bool {
 		return len(f.Incarnations) == 1 && f.Incarnations[0].LastSequence == last
 	})
-	r.finish()
-	r.awaitAllCounted(received)
+	h.finish()
+	h.awaitAllCounted(received)
 }
 
 // A burst of 100,000 names creates no more series than the limit, needs less than 4 MB, and each request is counted.
 func TestBurstOfNamesIsBounded(t *testing.T) {
 	_, received, g := startCarbon(t, false)
-	r := startHarness(t, telemetryFile(g))
+	h := startHarness(t, telemetryFile(g))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 100_000 {
 		tenant := fmt.Sprintf("tenant;%d.x", i)
-		r.record(&broker.Request{Class: "lookup", Tenant: tenant, DataSet: i},
+		h.record(&broker.Request{Class: "lookup", Tenant: tenant, DataSet: i},
 			&broker.RequestSummary{Class: "lookup", Tenant: tenant, Kind: broker.ReplyRejected})
 	}
 	runtime.GC()
@@ -139,9 +139,9 @@
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 4<<20 {
 		t.Errorf("heap grew by %d bytes, limit is %d", grown, 4<<20)
 	}
-	r.intervals(2)
-	r.finish()
-	f := r.awaitAllCounted(received)
+	h.intervals(2)
+	h.finish()
+	f := h.awaitAllCounted(received)
 	for _, v := range f.Incarnations[0].Intervals {
 		tenants := map[string]bool{}
 		for s := range v.Values {
@@ -165,8 +165,8 @@
 // The label values of the catalogue match the reason codes of the log.
 func TestEndReasonsMatchTheLog(t *testing.T) {
 	got := make([]string, 0, len(netconn.Reasons))
-	for _, r := range netconn.Reasons {
-		got = append(got, string(r))
+	for _, reason := range netconn.Reasons {
+		got = append(got, string(reason))
 	}
 	if diff := cmp.Diff(metrics.EndReasons, got); diff != "" {
 		t.Fatal(diff)
