--- a/internal/cardinality/table_test.go
+++ b/internal/cardinality/table_test.go
@@ -89,7 +89,7 @@
 		}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			if rapid.IntRange(0, 9).Draw(t, "cut") > 0 {
+			if rapid.IntRange(0, 9).Draw(t, "occurrence") > 0 {
 				name := fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "name"))
 				o.truth[name]++
 				c.add(name, now)
@@ -120,10 +120,10 @@
 	}
 	c.table.EndInterval(time.Second)
 	got := c.byName()
-	if _, there := got["late"]; !there {
+	if _, admitted := got["late"]; !admitted {
 		t.Fatalf("heavy hitter was not admitted: %v", got)
 	}
-	if _, there := got["early0"]; there {
+	if _, active := got["early0"]; active {
 		t.Fatalf("least frequent name is still active: %v", got)
 	}
 }
@@ -140,7 +140,7 @@
 		c.table.EndInterval(second * time.Second)
 	}
 	if counts := c.table.Counts(); counts.Admitted != 4 || counts.Retired != 0 {
-		t.Fatalf("want 4 names admitted and none retired, got %+v", counts)
+		t.Fatalf("got %+v, want 4 names admitted and none retired", counts)
 	}
 }
 
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -27,7 +27,7 @@
 	}}}
 	got, err := ParsePage(fmt.Appendf(nil, pageWithHealth, "terminating"))
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Fatal(err, diff)
+		t.Fatalf("error %v, page (-want +got):\n%s", err, diff)
 	}
 }
 
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParsePage([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("got %v, want an error that names %q", err, c.key)
+				t.Errorf("got error %v, want one that names %q", err, c.key)
 			}
 		})
 	}
--- a/internal/changelog/http_test.go
+++ b/internal/changelog/http_test.go
@@ -39,14 +39,14 @@
 		"head too large":             {"HTTP/1.1 200 " + strings.Repeat("x", maxHead+1), Response{}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for cut := range min(len(c.in), 256) {
-				if _, n, err := ParseResponse([]byte(c.in[:cut])); n != 0 || err != nil && !errors.Is(err, c.err) {
-					t.Fatalf("cut at %d: %d bytes, %v", cut, n, err)
+			for prefixLen := range min(len(c.in), 256) {
+				if _, n, err := ParseResponse([]byte(c.in[:prefixLen])); n != 0 || err != nil && !errors.Is(err, c.err) {
+					t.Fatalf("prefix of %d bytes: got %d bytes, error %v, want 0 bytes, error nil or %v", prefixLen, n, err, c.err)
 				}
 			}
 			got, n, err := ParseResponse([]byte(c.in))
 			if !errors.Is(err, c.err) || err == nil && n != len(c.in) {
-				t.Fatalf("%d bytes of %d, %v", n, len(c.in), err)
+				t.Fatalf("got %d bytes, error %v, want %d bytes, error %v", n, err, len(c.in), c.err)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Fatal(diff)
--- a/internal/check/faultinjection/faultinjection_test.go
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -87,7 +87,7 @@
 	} {
 		_, findings, err := fileformat.Run("a.json", []byte(text))
 		if err != nil || len(findings) != 1 || findings[0].Code != want {
-			t.Errorf("%.20q: %v, %v, want %s", text, findings, err, want)
+			t.Errorf("%.20q: got findings %v, error %v, want %s", text, findings, err, want)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	text := "{\n  \"telemetry\": {\n    \"interval_ms\": 5,\n    \"intervall\": 7\n  }\n}\n"
 	_, findings, err := fileformat.Run("a.json", []byte(text))
 	if err != nil || len(findings) != 2 {
-		t.Fatal(findings, err)
+		t.Fatalf("got findings %+v, error %v, want two findings", findings, err)
 	}
 	if f := findings[0]; f.Line != 3 || f.Column != 20 || f.Key != "telemetry.interval_ms" {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want telemetry.interval_ms at line 3, column 20", f)
 	}
 	if f := findings[1]; f.Line != 4 || f.Column != 18 || f.Code != "F003" {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want F003 at line 4, column 18", f)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -89,11 +89,11 @@
 	}
 	s := c.Settings
 	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Revision != 3 || c.MaxDescriptors != 1024 {
-		t.Errorf("got %+v", c)
+		t.Errorf("got %+v, want name n4, seed 8c1f30d27a5be964, revision 3 and 1024 descriptors", c)
 	}
 	if s.MaxStreams != 100 || s.ConnectTimeout != 250*time.Millisecond || s.ConnIdleTimeout != 30*time.Second ||
 		s.MaxClientTimeout != 2*time.Second {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want 100 streams and timeouts of 250ms, 30s and 2s", s)
 	}
 }
 
@@ -117,13 +117,13 @@
 		t.Run(key, func(t *testing.T) {
 			text := fault.apply(validFile)
 			if _, err := load(t, text, nil); text == validFile || err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("got %v, want %q", err, key)
+				t.Errorf("got error %v, want one that names %q", err, key)
 			}
 		})
 	}
 	_, err := Load(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("got %v without RELAY_CONFIG, want an error that names it", err)
+		t.Errorf("RELAY_CONFIG not set: got error %v, want one that names it", err)
 	}
 }
 
@@ -138,7 +138,8 @@
 			t.Fatalf("%s: %v", text, err)
 		}
 		if settings.Control.EnginesReportLoad != (want > 0) || len(settings.LoadReport) != want {
-			t.Errorf("%s: %v, fields %q", text, settings.Control.EnginesReportLoad, settings.LoadReport)
+			t.Errorf("%s: load reported %v, fields %q, want %d fields",
+				text, settings.Control.EnginesReportLoad, settings.LoadReport, want)
 		}
 	}
 }
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -16,19 +16,19 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// The names that each deployment has for keys and values map to those of the platform's files as in the golden files,
-// which also record whether the schema of the broker's configuration has the key.
+// The mapping from each deployment's names to the platform's keys and values matches the golden files, which also
+// record whether the schema of the broker's configuration contains each key.
 func TestNamesOfDeployments(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/wire.json")
 	if err != nil || len(sites) == 0 {
-		t.Fatalf("%q, %v", sites, err)
+		t.Fatalf("got deployments %q, error %v, want at least one", sites, err)
 	}
 	schema, err := JSONSchema()
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]bool{}
-	addSchemaKeys(schema.Properties["settings"], known)
+	schemaKeys := map[string]bool{}
+	addSchemaKeys(schema.Properties["settings"], schemaKeys)
 	for _, site := range sites {
 		var wire struct {
 			Init struct {
@@ -39,8 +39,8 @@
 		readJSON(t, site, &wire)
 		var out strings.Builder
 		for _, from := range slices.Sorted(maps.Keys(wire.Init.Rename)) {
-			word := pascalCase(wire.Init.Rename[from])
-			fmt.Fprintf(&out, "%s %s read=%v as time=%v\n", from, word, known[word], known[word+wire.Init.UnitSuffix])
+			key := pascalCase(wire.Init.Rename[from])
+			fmt.Fprintf(&out, "%s %s read=%v as time=%v\n", from, key, schemaKeys[key], schemaKeys[key+wire.Init.UnitSuffix])
 		}
 		for _, from := range slices.Sorted(maps.Keys(wire.Init.Words)) {
 			fmt.Fprintf(&out, "word %s %s\n", from, wire.Init.Words[from])
@@ -51,10 +51,10 @@
 	}
 }
 
-// testEndpointList loads an endpoint list that is written with the names of a deployment.
+// testEndpointList loads an endpoint list whose keys and values have a deployment's names.
 func testEndpointList(t *testing.T, path string) {
 	t.Helper()
-	var words struct {
+	var names struct {
 		FeedKey string `json:"feed_key"`
 		F       map[string]string
 		States  map[string]string
@@ -63,22 +63,22 @@
 			FeedKey string `json:"feed_key"`
 		}
 	}
-	readJSON(t, path, &words)
+	readJSON(t, path, &names)
 	type object = map[string]any
 	host := func(n int, state string) object {
 		return object{
-			words.F["id"]: fmt.Sprintf("e%d", n), words.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n),
-			words.F["zone"]: "north", words.F["kind"]: "std", words.F["cell"]: 40 + n,
-			words.F["state"]: words.States[state], words.F["started"]: 1000 * n,
+			names.F["id"]: fmt.Sprintf("e%d", n), names.F["addr"]: fmt.Sprintf("10.1.0.%d:6565", n),
+			names.F["zone"]: "north", names.F["kind"]: "std", names.F["cell"]: 40 + n,
+			names.F["state"]: names.States[state], names.F["started"]: 1000 * n,
 		}
 	}
-	event := object{words.F["version"]: 5, words.Route.E[4]: object{
-		words.F["full"]: true,
-		words.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")},
+	event := object{names.F["version"]: 5, names.Route.E[4]: object{
+		names.F["full"]: true,
+		names.F["list"]: []object{host(1, "ready"), host(2, "draining"), host(3, "gone")},
 	}}
 	doc := object{
-		"listen": "10.0.0.4:6565", words.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
-		"known": object{words.F["version"]: 9, words.Route.E[3]: []object{event}},
+		"listen": "10.0.0.4:6565", names.Route.FeedKey: "10.2.0.1:4222", "settings": object{},
+		"known": object{names.F["version"]: 9, names.Route.E[3]: []object{event}},
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
@@ -93,8 +93,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := strings.Join(values(reflect.ValueOf(c.InitialEndpoints)), "\n")
-	goldenfile.Compare(t, "testdata/deployment.list.values", list+"\n"+c.Changelog+"\n")
+	endpoints := strings.Join(values(reflect.ValueOf(c.InitialEndpoints)), "\n")
+	goldenfile.Compare(t, "testdata/deployment.list.values", endpoints+"\n"+c.Changelog+"\n")
 }
 
 func readJSON(t *testing.T, path string, into any) {
@@ -120,10 +120,10 @@
 	addSchemaKeys(s.Items, keys)
 }
 
-// pascalCase returns the last element of a path in Pascal case, as OrderSettle for rules.order_settle.
-func pascalCase(word string) string {
+// pascalCase returns the last element of a path in Pascal case: "OrderSettle" for "rules.order_settle".
+func pascalCase(path string) string {
 	var b strings.Builder
-	for part := range strings.SplitSeq(word[strings.LastIndex(word, ".")+1:], "_") {
+	for part := range strings.SplitSeq(path[strings.LastIndex(path, ".")+1:], "_") {
 		b.WriteString(strings.ToUpper(part[:1]) + part[1:])
 	}
 	return b.String()
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	a, violations, err := Parse(text)
 	if err != nil || len(violations) > 0 {
-		t.Fatal(violations, err)
+		t.Fatalf("got violations %v, error %v, want none", violations, err)
 	}
 	if broker, err = a.BrokerFile(Provenance("app.json", text)); err != nil {
 		t.Fatal(err)
@@ -51,12 +51,12 @@
 	for name, text := range map[string][]byte{"broker.json": broker, "operator.json": operator} {
 		f, findings, err := fileformat.Run(name, text)
 		if err != nil || len(findings) > 0 || len(rules.Run(f)) > 0 {
-			t.Errorf("%s: %v %v %v", name, findings, rules.Run(f), err)
+			t.Errorf("%s: got findings %v and %v, error %v, want none", name, findings, rules.Run(f), err)
 		}
 	}
 	cfg := load(t, broker)
 	if cfg.Name != "chart-app" || cfg.MemoryMB != 192 || cfg.Settings.MaxClientTimeout != 25*time.Second {
-		t.Errorf("%+v", cfg)
+		t.Errorf("got %+v, want name chart-app, 192 MB and a maximum client timeout of 25s", cfg)
 	}
 	want := control.Class{
 		Name:             "survey-load",
@@ -74,7 +74,7 @@
 	}
 	f, err := operatorconfig.Parse(operator)
 	if err != nil || f.Telemetry.Graphite[0].Address != "127.0.0.1:2003" {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got %+v, error %v, want Graphite address 127.0.0.1:2003", f, err)
 	}
 }
 
--- a/internal/description/golden_test.go
+++ b/internal/description/golden_test.go
@@ -21,7 +21,7 @@
 			}
 			a, violations, err := Parse(text)
 			if err != nil || len(violations) > 0 {
-				t.Fatalf("%v, %v", violations, err)
+				t.Fatalf("got violations %v, error %v, want none", violations, err)
 			}
 			compareGenerated(t, filepath.Join("testdata", c.name+".broker.golden"), a.BrokerFile)
 			compareGenerated(t, filepath.Join("testdata", c.name+".operator.golden"), a.OperatorFile)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -80,13 +80,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Parse(c.datagram); !errors.Is(err, c.want) || c.want == nil && err != nil {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
 	got, err := Parse(valid)
 	want := []control.GossipedLoad{{Engine: 7, Load: 0.5, Age: time.Second}}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Error(err, diff)
+		t.Errorf("error %v, reports (-want +got):\n%s", err, diff)
 	}
 }
--- a/internal/graphite/parse_test.go
+++ b/internal/graphite/parse_test.go
@@ -55,7 +55,7 @@
 	frame[3] = byte(len(frame) - 4)
 	got, n, err := ParsePickle(frame)
 	if err != nil || n != len(frame) {
-		t.Fatal(n, err)
+		t.Fatalf("got length %d, error %v, want length %d", n, err, len(frame))
 	}
 	if diff := cmp.Diff([]Sample{{"a.b", 1.5, 1_750_000_000}}, got); diff != "" {
 		t.Fatal(diff)
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, n, err := ParseLine(b)
 		if n > len(b) || err != nil && n != 0 {
-			t.Fatal(n, err)
+			t.Fatalf("got length %d, error %v, want at most %d, and 0 with an error", n, err, len(b))
 		}
 		if n == 0 {
 			return
@@ -90,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		all, n, err := ParsePickle(b)
 		if n > len(b) || err != nil && (n != 0 || len(all) != 0) {
-			t.Fatal(n, err)
+			t.Fatalf("got %d samples, length %d, error %v, want length 0 and no samples with an error", len(all), n, err)
 		}
 	})
 }
--- a/internal/graphite/path_test.go
+++ b/internal/graphite/path_test.go
@@ -14,9 +14,9 @@
 	otherEngines := metrics.Series{ID: metrics.EngineTime, Other: true}
 	engineNamedOther := metrics.Series{ID: metrics.EngineTime, Name: "other"}
 	for _, tt := range []struct {
-		form PathFormat
-		name MetricName
-		want string
+		format PathFormat
+		name   MetricName
+		want   string
 	}{
 		{
 			PathFormat{Prefix: "sea.wheatlane"},
@@ -45,7 +45,7 @@
 		},
 	} {
 		t.Run(tt.want, func(t *testing.T) {
-			if got := string(tt.form.Append(nil, tt.name)); got != tt.want {
+			if got := string(tt.format.Append(nil, tt.name)); got != tt.want {
 				t.Errorf("path of %+v: got %s, want %s", tt.name, got, tt.want)
 			}
 		})
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 func TestReadReturnsWrittenState(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Read(dir, broker); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("got %v, want %v", err, ErrNotFound)
+		t.Fatalf("got error %v, want %v", err, ErrNotFound)
 	}
 	want := State{Broker: broker, MaintenanceEngines: []string{"e1", "e7"}}
 	for range 2 { // the second write replaces the first
@@ -65,7 +65,7 @@
 				t.Fatal(err)
 			}
 			if _, err := Read(filepath.Dir(path), broker); !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
@@ -81,18 +81,18 @@
 		content := Encode(State{Broker: broker, MaintenanceEngines: engines})
 		got, err := Decode(content, broker)
 		if err != nil || len(got.MaintenanceEngines) != len(engines) {
-			t.Fatalf("%q: %v, %v", content, got, err)
+			t.Fatalf("%q: got %v, error %v, want %d engines", content, got, err, len(engines))
 		}
-		cut := rapid.IntRange(0, len(content)).Draw(t, "cut")
-		flip := rapid.IntRange(0, max(0, cut-1)).Draw(t, "flip")
-		corrupt := append([]byte{}, content[:cut]...)
-		if cut > 0 {
+		prefixLen := rapid.IntRange(0, len(content)).Draw(t, "prefixLen")
+		flip := rapid.IntRange(0, max(0, prefixLen-1)).Draw(t, "flip")
+		corrupt := append([]byte{}, content[:prefixLen]...)
+		if prefixLen > 0 {
 			corrupt[flip] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
 		if _, err := Decode(corrupt, broker); err == nil {
-			t.Fatalf("%q accepted", corrupt)
+			t.Fatalf("corrupt content %q is accepted", corrupt)
 		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrMismatch) {
-			t.Fatalf("%q: %v", corrupt, err)
+			t.Fatalf("%q: got error %v, want %v or %v", corrupt, err, ErrCorrupt, ErrMismatch)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 			select {
 			case err := <-result:
 				if !errors.Is(err, ErrCorrupt) {
-					t.Errorf("got %v, want %v", err, ErrCorrupt)
+					t.Errorf("got error %v, want %v", err, ErrCorrupt)
 				}
 			case <-time.After(timeout):
 				t.Errorf("Read did not return within %v", timeout)
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -13,7 +13,7 @@
 	text := "{\n  \"a\": [1, {\"b\": \"x\"}],\n\t\"c\": null, \"d\":true\n}\n"
 	n, duplicates, err := Parse([]byte(text))
 	if err != nil || len(duplicates) > 0 {
-		t.Fatal(err, duplicates)
+		t.Fatalf("got error %v, duplicates %+v, want none", err, duplicates)
 	}
 	for _, c := range []struct {
 		path string
@@ -28,7 +28,7 @@
 		{"d", Position{3, 17}},
 	} {
 		if got := n.At(strings.Fields(c.path)...); got == nil || got.Position != c.want {
-			t.Errorf("%s: %+v, want %v", c.path, got, c.want)
+			t.Errorf("%s: got %+v, want position %v", c.path, got, c.want)
 		}
 	}
 	if n.Members[1].Position != (Position{3, 2}) {
@@ -62,10 +62,10 @@
 func TestParseReturnsDuplicateKeys(t *testing.T) {
 	n, duplicates, err := Parse([]byte("{\"a\":1,\n\"b\":{\"c\":2,\"c\":3},\"a\":4}"))
 	if err != nil || len(duplicates) != 2 {
-		t.Fatalf("%+v, %v", duplicates, err)
+		t.Fatalf("got duplicates %+v, error %v, want two duplicates", duplicates, err)
 	}
 	if duplicates[0].Key != "c" || duplicates[1].Position != (Position{2, 19}) {
-		t.Errorf("%+v", duplicates)
+		t.Errorf("got duplicates %+v, want the first with key c, the second at line 2, column 19", duplicates)
 	}
 	if first := n.Get("a").NumberOr(0); first != 1 {
 		t.Errorf("the value of a is %v, want that of its first occurrence, 1", first)
--- a/internal/metrics/merge_test.go
+++ b/internal/metrics/merge_test.go
@@ -89,10 +89,10 @@
 			}
 		}
 		if requests != r.requests || samples != r.samples {
-			t.Fatalf("got %v of %v requests, %v of %v samples", requests, r.requests, samples, r.samples)
+			t.Fatalf("got %v requests, %v samples, want %v requests, %v samples", requests, samples, r.requests, r.samples)
 		}
 		if merged != r.registry.sequence || duration != r.now {
-			t.Fatalf("got %d of %d intervals, duration %v of %v", merged, r.registry.sequence, duration, r.now)
+			t.Fatalf("got %d intervals of %v, want %d intervals of %v", merged, duration, r.registry.sequence, r.now)
 		}
 	})
 }
@@ -135,7 +135,8 @@
 		}
 	}
 	if after.Value(Series{ID: AttemptEnds, Name: "removed"}) != 0 || v.SampleCount() != 3 {
-		t.Errorf("name did not retire, or merged interval has %v samples, want 3", v.SampleCount())
+		t.Errorf("got count %v of the retired name, %v samples of the merged interval, want 0 and 3",
+			after.Value(Series{ID: AttemptEnds, Name: "removed"}), v.SampleCount())
 	}
 }
 
--- a/internal/mysql/command_test.go
+++ b/internal/mysql/command_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if kill, ok := ParseKill(text); kill != want.kill || ok != want.ok {
-				t.Errorf("got %+v, %v", kill, ok)
+				t.Errorf("got %+v, %v, want %+v, %v", kill, ok, want.kill, want.ok)
 			}
 		})
 	}
--- a/internal/mysql/handshake_test.go
+++ b/internal/mysql/handshake_test.go
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseLogin(c.payload)
 			if !errors.Is(err, c.err) || err == nil && got != c.want {
-				t.Errorf("got %+v, %v, want %+v, %v", got, err, c.want, c.err)
+				t.Errorf("got %+v, error %v, want %+v, error %v", got, err, c.want, c.err)
 			}
 		})
 	}
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -10,18 +10,19 @@
 func TestParsePacketSplitAtEveryByte(t *testing.T) {
 	first := AppendOK(nil, 7)
 	input := AppendError(first, 1, CodeUserLimitReached, "no room; cooldown=250")
-	for cut := range input {
-		n := completePackets(t, input[:cut])
+	for prefixLen := range input {
+		n := completePackets(t, input[:prefixLen])
 		rest := input[n:]
 		if n > 0 {
 			rest = input[len(first):]
 		}
 		if packet, size, err := ParsePacket(rest); err != nil || size == 0 || n > 0 && packet.Sequence != 1 {
-			t.Fatalf("cut at %d: sequence %d, %d bytes, %v", cut, packet.Sequence, size, err)
+			t.Fatalf("prefix of %d bytes: next packet has sequence %d, %d bytes, error %v",
+				prefixLen, packet.Sequence, size, err)
 		}
 	}
 	if _, _, err := ParsePacket([]byte{1, 0, 1, 0}); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("got %v for a packet of 65,537 bytes", err)
+		t.Fatalf("payload of 65,537 bytes: got error %v, want %v", err, ErrTooLarge)
 	}
 }
 
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -53,7 +53,7 @@
 			got, err := ParseStatement(c.text)
 			fault, invalid := errors.AsType[*FieldError](err)
 			if invalid != (c.invalidField != "") || invalid && fault.Field != c.invalidField {
-				t.Fatalf("got %v, want an error for field %q", err, c.invalidField)
+				t.Fatalf("got error %v, want one for field %q", err, c.invalidField)
 			}
 			if diff := cmp.Diff(c.want, got); err == nil && diff != "" {
 				t.Fatal(diff)
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -77,7 +77,7 @@
 func TestParseRejectsInvalidFiles(t *testing.T) {
 	for _, c := range invalidFiles {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.text, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %q", c.text, err, c.want)
 		}
 	}
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -27,15 +27,15 @@
 		"message too long":    {"*2\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n$60000\r\n", nil, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for cut := range min(len(c.in), 64) { // a prefix is either incomplete or already invalid
-				if _, n, err := Parse([]byte(c.in[:cut])); n != 0 || err != nil && !errors.Is(err, c.err) {
-					t.Fatalf("cut at %d: %d bytes, %v", cut, n, err)
+			for prefixLen := range min(len(c.in), 64) { // a prefix is either incomplete or already invalid
+				if _, n, err := Parse([]byte(c.in[:prefixLen])); n != 0 || err != nil && !errors.Is(err, c.err) {
+					t.Fatalf("prefix of %d bytes: got %d bytes, error %v, want 0 bytes, error nil or %v", prefixLen, n, err, c.err)
 				}
 			}
 			startOfNext := "*1"[:min(2, 2*len(c.want))]
 			parts, n, err := Parse([]byte(c.in + startOfNext))
 			if !errors.Is(err, c.err) {
-				t.Fatalf("got %v, want %v", err, c.err)
+				t.Fatalf("got error %v, want %v", err, c.err)
 			}
 			got := asStrings(parts)
 			if diff := cmp.Diff(c.want, got); diff != "" || err == nil && n != len(c.in) {
--- a/internal/resp/response_test.go
+++ b/internal/resp/response_test.go
@@ -48,7 +48,7 @@
 			}
 			got, err := ParseResponse(parts)
 			if !errors.Is(err, c.err) {
-				t.Fatalf("got %v, want %v", err, c.err)
+				t.Fatalf("got error %v, want %v", err, c.err)
 			}
 			if diff := cmp.Diff(c.want, got); err == nil && diff != "" {
 				t.Error(diff)
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -38,17 +38,17 @@
 	name, protocol := s.Properties["name"], s.Properties["protocol"]
 	weight, ports := s.Properties["weight"], s.Properties["ports"]
 	if *name.MinLength != 1 || *name.MaxLength != 8 || name.Pattern != "^[a-z]{1,8}$" {
-		t.Errorf("name: %v", name)
+		t.Errorf("name: got %v, want a length of 1 to 8 and the pattern ^[a-z]{1,8}$", name)
 	}
 	diff := cmp.Diff([]any{"tcp", "udp"}, protocol.Enum)
 	if diff != "" || string(protocol.Default) != `"tcp"` {
 		t.Errorf("protocol: %s, default %s", diff, protocol.Default)
 	}
 	if *weight.Minimum != 0 || *weight.Maximum != 1 || string(weight.Default) != "0.5" {
-		t.Errorf("weight: %v", weight)
+		t.Errorf("weight: got %v, want 0 to 1 with default 0.5", weight)
 	}
 	if *ports.MaxItems != 2 || ports.Type != typeArray {
-		t.Errorf("ports: %v", ports)
+		t.Errorf("ports: got %v, want an array of at most 2 items", ports)
 	}
 	for _, zone := range []string{
 		s.Properties["parent"].Properties["zone"].Description,
@@ -133,11 +133,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			violations := validate(t, c.doc)
 			if len(violations) != 1 {
-				t.Fatalf("%v, want %s", violations, c.want)
+				t.Fatalf("got violations %v, want one: %s", violations, c.want)
 			}
 			v := violations[0]
 			if v.Kind != c.kind || !strings.HasPrefix(v.String(), c.want) {
-				t.Errorf("%v, want %s", v, c.want)
+				t.Errorf("got kind %v, %v, want kind %v, %s", v.Kind, v, c.kind, c.want)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 		t.Errorf("violations of a valid document: %v", valid)
 	}
 	if all := validate(t, `{"protocol":1,"weight":"x"}`); len(all) != 3 {
-		t.Errorf("%v, want three violations", all)
+		t.Errorf("got %v, want three violations", all)
 	}
 }
 
@@ -177,7 +177,7 @@
 		"{} {}": ErrTrailingText,
 	} {
 		if _, err := Decode([]byte(text)); !errors.Is(err, want) {
-			t.Errorf("%q: %v, want %v", text, err, want)
+			t.Errorf("%q: got error %v, want %v", text, err, want)
 		}
 	}
 }
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -29,7 +29,7 @@
 	} {
 		got := [...]bool{IsLocalError(tt.err), IsConnectError(tt.err), IsListenError(tt.err), IsFileError(tt.err)}
 		if want := [...]bool{tt.local, tt.connect, tt.listen, tt.file}; got != want {
-			t.Errorf("%v: local, connect, listen, file are %v, want %v", tt.err, got, want)
+			t.Errorf("%v: local, connect, listen, file: got %v, want %v", tt.err, got, want)
 		}
 	}
 }
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -174,7 +174,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := readBatch(c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want %q", err, c.want)
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
@@ -210,6 +210,6 @@
 
 func TestReadEndOfInput(t *testing.T) {
 	if _, err := readBatch(""); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v", err)
+		t.Errorf("empty input: got error %v, want %v", err, io.EOF)
 	}
 }
