--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -32,8 +32,8 @@
 
 	// SaltLen is the length of a greeting's salt in bytes.
 	SaltLen         = 20
-	firstSaltLen    = 8 // the rest of the salt follows later in the greeting
-	greetingPadding = 10
+	firstSaltLen    = 8  // bytes; the rest of the salt follows later in the greeting
+	greetingPadding = 10 // bytes
 )
 
 // AppendGreeting appends the greeting, which is the first packet of a connection. The salt must not contain zero bytes.
@@ -63,8 +63,8 @@
 }
 
 const (
-	loginHeaderLen = 32 // flags, maximum packet size, character set and padding
-	maxProofLen    = 250
+	loginHeaderLen = 32  // bytes: flags, maximum packet size, character set and padding
+	maxProofLen    = 250 // bytes
 )
 
 // ParseLogin parses a client's response to the greeting. Its error wraps ErrHandshake and names the invalid field.
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -63,7 +63,7 @@
 
 // Prefixes of length-encoded strings longer than maxOneByteLength.
 const (
-	maxOneByteLength = 250
+	maxOneByteLength = 250 // bytes
 	twoByteLength    = 0xfc
 	threeByteLength  = 0xfd
 )
