--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -27,11 +27,11 @@
 	const lines = 2 * maxQueuedBytes / 1024
 	for range lines {
 		if n, err := w.Write(line); n != len(line) || err != nil {
-			t.Fatalf("write returned %d, %v", n, err)
+			t.Fatalf("write: got %d bytes, error %v, want %d bytes", n, err, len(line))
 		}
 	}
 	if err := w.Sync(); !errors.Is(err, ErrNotWritten) {
-		t.Errorf("sync with a stalled reader: %v", err)
+		t.Errorf("sync with a stalled reader: got error %v, want %v", err, ErrNotWritten)
 	}
 	close(b.released)
 	for w.Sync() != nil { // may time out on a slow machine
--- a/internal/changelog/http_test.go
+++ b/internal/changelog/http_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against parsers that panic on malformed input from a change log.
+// FuzzParseResponse guards against parsers that panic on malformed input from a change log.
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/check/diff/diff_test.go
+++ b/internal/check/diff/diff_test.go
@@ -96,14 +96,14 @@
 		}
 		same := compactConfig(t, seed, func(map[string]any) {})
 		if changes := Diff(parse(t, text), parse(t, same)); len(changes) > 0 {
-			t.Fatalf("seed %d: %v", seed, changes)
+			t.Fatalf("seed %d: got %v, want no changes", seed, changes)
 		}
 		changed := compactConfig(
 			t, seed, func(doc map[string]any) { doc["listen"] = "10.99.0.1:6565" },
 		)
 		changes := Diff(parse(t, text), parse(t, changed))
 		if len(changes) != 1 || changes[0].Key != "listen" {
-			t.Fatalf("seed %d: %v", seed, changes)
+			t.Fatalf("seed %d: got %v, want one change of listen", seed, changes)
 		}
 	}
 }
--- a/internal/check/faultinjection/faultinjection_test.go
+++ b/internal/check/faultinjection/faultinjection_test.go
@@ -42,7 +42,7 @@
 		for _, kind := range []check.FileKind{check.PlatformFile, check.OperatorFile} {
 			doc := ValidConfig(rand.New(rand.NewPCG(seed, 0)), kind)
 			if findings := checkFile(t, doc); len(findings) > 0 {
-				t.Fatalf("seed %d: %v", seed, findings[0])
+				t.Fatalf("seed %d: got %v, want no findings", seed, findings[0])
 			}
 		}
 	}
--- a/internal/check/fleet/fleet_test.go
+++ b/internal/check/fleet/fleet_test.go
@@ -106,10 +106,10 @@
 			for seed := range uint64(seeds) {
 				findings := Run(generatePair(t, seed, c.change))
 				if c.code == "" && len(findings) > 0 {
-					t.Fatalf("seed %d: %v", seed, findings)
+					t.Fatalf("seed %d: got %v, want no findings", seed, findings)
 				}
 				if c.code != "" && !isOnly(findings, c.code, c.key) {
-					t.Fatalf("seed %d: %v, want %s at %s", seed, findings, c.code, c.key)
+					t.Fatalf("seed %d: got %v, want %s at %s", seed, findings, c.code, c.key)
 				}
 			}
 		})
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,8 +12,8 @@
 	"wheatlane/control"
 )
 
-// Guards against reports that are lost, reordered or decoded as fresher than they are, and against datagrams over
-// MaxBytes. Loads and ages are rounded to the units of the format and clamped to its ranges.
+// TestReportsRoundTrip guards against reports that are lost, reordered or decoded as fresher than they are, and
+// against datagrams over MaxBytes. Loads and ages are rounded to the units of the format and clamped to its ranges.
 func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -38,7 +38,7 @@
 			}
 			if len(decoded) == 0 {
 				if len(datagram) < MaxBytes-reportBytes {
-					t.Fatal("a report is missing")
+					t.Fatalf("got a datagram of %d bytes that lacks report %+v, want it to be included", len(datagram), report)
 				}
 				return
 			}
@@ -48,7 +48,7 @@
 			decoded = decoded[1:]
 		}
 		if len(decoded) > 0 {
-			t.Fatalf("%d unexpected reports", len(decoded))
+			t.Fatalf("got %d unexpected reports, want none", len(decoded))
 		}
 	})
 }
@@ -62,7 +62,8 @@
 		decoded.Age >= encoded.Age && decoded.Age < encoded.Age+ageStep
 }
 
-// Guards against datagrams of other programs or versions being accepted: each kind of invalid datagram has its error.
+// TestInvalidDatagramsAreRejected guards against datagrams of other programs or versions being accepted: each kind
+// of invalid datagram has its error.
 func TestInvalidDatagramsAreRejected(t *testing.T) {
 	valid := Append(nil, []control.GossipedLoad{{Engine: 7, Load: 0.5, Age: time.Second}})
 	for name, c := range map[string]struct {
--- a/internal/handover/change_test.go
+++ b/internal/handover/change_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Guards against a process that adopts an incomplete change of another process: applying the difference between two
-// states to the first gives the second, and equal states have no difference.
+// TestApplyingDiffGivesTargetState guards against a process that adopts an incomplete change of another process:
+// applying the difference between two states to the first gives the second, and equal states have no difference.
 func TestApplyingDiffGivesTargetState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string])
@@ -27,7 +27,7 @@
 			t.Error(diff)
 		}
 		if changes := from.Diff(from.Apply(nil)); len(changes) != 0 {
-			t.Errorf("changes to itself: %v", changes)
+			t.Errorf("equal states: got changes %v, want none", changes)
 		}
 	})
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,8 +10,8 @@
 	"wheatlane/internal/goldenfile"
 )
 
-// Guards against an incompatible change of the file format: the files of earlier releases are read, and the same state
-// is written as the same bytes.
+// TestFileFormatIsStable guards against an incompatible change of the file format: the files of earlier releases are
+// read, and the same state is written as the same bytes.
 func TestFileFormatIsStable(t *testing.T) {
 	for _, c := range []struct {
 		file, broker string
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(string(stored), string(written)); diff != "" {
-				t.Errorf("written: %s", diff)
+				t.Errorf("written file (-want +got):\n%s", diff)
 			}
 			dir := t.TempDir()
 			if err := os.WriteFile(filepath.Join(dir, "wheatlane-handover"), stored, 0o600); err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Guards against a truncated or corrupt file being accepted or causing a panic: Decode returns ErrCorrupt or
-// ErrMismatch. Encoded states decode without loss.
+// TestDecodeRejectsCorruptContent guards against a truncated or corrupt file being accepted or causing a panic:
+// Decode returns ErrCorrupt or ErrMismatch. Encoded states decode without loss.
 func TestDecodeRejectsCorruptContent(t *testing.T) {
 	identity := func(s string) string { return s }
 	engineIDs := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), identity)
@@ -103,8 +103,8 @@
 	return []byte(strconv.FormatUint(uint64(sum), 16) + "\n" + body)
 }
 
-// Guards against a broker that does not start because the hand-over file is not a regular file: Read waits for a writer
-// when it opens a named pipe.
+// TestReadRejectsNonRegularFile guards against a broker that does not start because the hand-over file is not a
+// regular file: opening a named pipe would wait for a writer.
 func TestReadRejectsNonRegularFile(t *testing.T) {
 	const timeout = 20 * time.Second
 	for name, create := range map[string]func(path string) error{
@@ -133,8 +133,8 @@
 	}
 }
 
-// Guards against temporary files that accumulate after processes are killed during a write. A recent temporary file
-// stays, as its write may be in progress.
+// TestRemoveStaleTempFiles guards against temporary files that accumulate after processes are killed during a write.
+// A recent temporary file stays, as its write may be in progress.
 func TestRemoveStaleTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, State{Broker: broker}); err != nil {
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if n.Members[1].Position != (Position{3, 2}) {
-		t.Errorf("key c is at %v", n.Members[1].Position)
+		t.Errorf("key c: got position %v, want line 3, column 2", n.Members[1].Position)
 	}
 	if n.At("a", "7") != nil || n.At("x", "y") != nil || n.At("c", "z") != nil {
 		t.Error("At returns a value for a path that has none")
--- a/internal/mysql/fielderror_test.go
+++ b/internal/mysql/fielderror_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against a FieldError that loses the cause of an invalid value, or exposes the cause to the client.
+// TestFieldErrorWrapsItsCause guards against a FieldError that loses the cause of an invalid value, or exposes the
+// cause to the client.
 func TestFieldErrorWrapsItsCause(t *testing.T) {
 	for field, cause := range map[string]error{
 		"allow=0":                 errOutOfRange,
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against packets that are parsed differently when a read ends within them: the input is split at every byte. A
-// packet that is too large is rejected from its header alone.
+// TestParsePacketSplitAtEveryByte guards against packets that are parsed differently when a read ends within them:
+// the input is split at every byte. A packet that is too large is rejected from its header alone.
 func TestParsePacketSplitAtEveryByte(t *testing.T) {
 	first := AppendOK(nil, 7)
 	input := AppendError(first, 1, CodeUserLimitReached, "no room; cooldown=250")
--- a/internal/mysql/response_test.go
+++ b/internal/mysql/response_test.go
@@ -33,8 +33,8 @@
 	return columns
 }
 
-// Guards against rows that are lost, changed or reordered where a page ends, a long column needs a longer length prefix
-// or the sequence number wraps. A result ends with EOF.
+// TestAppendResult guards against rows that are lost, changed or reordered where a page ends, a long column needs a
+// longer length prefix or the sequence number wraps. A result ends with EOF.
 func TestAppendResult(t *testing.T) {
 	const rowCount = 400 // enough for the sequence number to wrap
 	rows := make([]string, 0, rowCount)
--- a/internal/mysql/statement_test.go
+++ b/internal/mysql/statement_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against parsers that panic on malformed input from a client.
+// FuzzParsers guards against parsers that panic on malformed input from a client.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte(requiredFields + " */ SELECT 1 FROM s_1.t"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -39,7 +39,7 @@
 			}
 			got := asStrings(parts)
 			if diff := cmp.Diff(c.want, got); diff != "" || err == nil && n != len(c.in) {
-				t.Fatalf("%d bytes of %d\n%s", n, len(c.in), diff)
+				t.Fatalf("got %d bytes, want %d; parts (-want +got):\n%s", n, len(c.in), diff)
 			}
 			if encoded := Append(nil, got...); err == nil && string(encoded) != c.in {
 				t.Fatalf("re-encoded as %q, want %q", encoded, c.in)
@@ -59,7 +59,7 @@
 	return out
 }
 
-// Guards against parsers that panic on malformed input from an engine.
+// FuzzParse guards against parsers that panic on malformed input from an engine.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against bytes that are lost or reordered where the buffer wraps or grows, and against growth over the limit,
-// with a random mix of writes, reads and discards.
+// TestBytesAreReturnedInOrder guards against bytes that are lost or reordered where the buffer wraps or grows, and
+// against growth over the limit, with a random mix of writes, reads and discards.
 func TestBytesAreReturnedInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b, buffered, next := New(5000), []byte{}, byte(0)
@@ -28,7 +28,7 @@
 			err = nil
 		}
 		if err != nil && (!errors.Is(err, ErrFull) || len(buffered)+len(p) <= 5000) {
-			t.Fatalf("adding %d bytes to %d: %v", len(p), len(buffered), err)
+			t.Fatalf("adding %d bytes to %d: got error %v, want nil, or ErrFull above the limit", len(p), len(buffered), err)
 		}
 		buffered, next = append(buffered, p[:n]...), next+byte(n)
 		head, tail := b.Segments()
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -64,12 +64,12 @@
 	if _, err := For[struct {
 		A int `limits:"least=1"`
 	}](); err == nil || !strings.Contains(err.Error(), `unknown keyword "least"`) {
-		t.Errorf("unknown keyword: %v", err)
+		t.Errorf("unknown keyword: got error %v, want one that names it", err)
 	}
 	if _, err := For[struct {
 		A int `limits:"min=one"`
 	}](); err == nil || !strings.Contains(err.Error(), `"min=one"`) {
-		t.Errorf("bound that is not a number: %v", err)
+		t.Errorf("bound that is not a number: got error %v, want one that names it", err)
 	}
 }
 
@@ -146,7 +146,7 @@
 // Validate returns all violations of an invalid document, and none for a valid one.
 func TestValidateReportsAllViolations(t *testing.T) {
 	if valid := validate(t, `{"name":"a","weight":1,"ports":[1],"parent":{"zone":"n"}}`); len(valid) > 0 {
-		t.Errorf("violations of a valid document: %v", valid)
+		t.Errorf("valid document: got violations %v, want none", valid)
 	}
 	if all := validate(t, `{"protocol":1,"weight":"x"}`); len(all) != 3 {
 		t.Errorf("got %v, want three violations", all)
--- a/internal/telemetry/reload_test.go
+++ b/internal/telemetry/reload_test.go
@@ -52,12 +52,12 @@
 			}
 			h.finish()
 			if s := stopped.stats.Load(); s.DeliveredIntervals != 2 || s.LostIntervals != 0 || s.WaitingIntervals != 0 {
-				t.Fatalf("the first destination ended with %+v", s)
+				t.Fatalf("the first destination: got %+v, want 2 intervals delivered, none lost or waiting", s)
 			}
 			h.awaitAllCounted(receivedSecond)
 			if tt.mode == collector.Silent { // everything is acknowledged, but nothing is read yet
 				if f := receivedFirst.Reconcile(); f.Samples != 0 {
-					t.Fatalf("collector in silent mode has %d samples", f.Samples)
+					t.Fatalf("collector in silent mode: got %d samples, want 0", f.Samples)
 				}
 				c.SetMode(collector.Serve)
 			}
--- a/internal/telemetry/reporter_test.go
+++ b/internal/telemetry/reporter_test.go
@@ -32,7 +32,7 @@
 				return complete(f) && len(lastUnderLoad(f)) >= len(want)
 			})
 			if f.Duplicated > 0 || len(f.Incarnations[0].Intervals) < 5 {
-				t.Fatalf("duplicates or merged intervals: %+v", f)
+				t.Fatalf("got %+v, want at least 5 intervals without duplicates", f)
 			}
 			if diff := cmp.Diff(want, lastUnderLoad(f)); diff != "" {
 				t.Fatal(diff)
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Guards against retries after a permanent error or the timeout, and against no retry after a transient error.
+// TestRetryStopsAtPermanentErrorOrTimeout guards against retries after a permanent error or the timeout, and against
+// no retry after a transient error.
 func TestRetryStopsAtPermanentErrorOrTimeout(t *testing.T) {
 	errTransient, errPermanent := errors.New("transient"), errors.New("permanent")
 	isTransient := func(err error) bool { return errors.Is(err, errTransient) }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -31,6 +31,7 @@
 		t.Fatal("unknown counter name was accepted")
 	}
 	if PerRequest(both.LoadProbes, both.Requests) != 5.0/15 || PerRequest(1, 0) != 0 {
-		t.Fatal("count per request is wrong")
+		t.Fatalf("got %v and %v counts per request, want %v and 0",
+			PerRequest(both.LoadProbes, both.Requests), PerRequest(1, 0), 5.0/15)
 	}
 }
--- a/internal/wire/reader_test.go
+++ b/internal/wire/reader_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if batch.Now != 8412250000 {
-		t.Fatalf("clock is %v", batch.Now)
+		t.Fatalf("got clock %v, want 8.41225s", batch.Now)
 	}
 	if len(batch.Inputs) != len(everyEvent)+2 {
 		t.Fatalf("got %d inputs, want %d", len(batch.Inputs), len(everyEvent)+2)
@@ -117,21 +117,21 @@
 	}
 	create := batch.Inputs[0].Create
 	if create == nil || create.Seed != 1<<64-1 || batch.Inputs[0].Instance != 3 {
-		t.Fatalf("create %+v", batch.Inputs[0])
+		t.Fatalf("got input %+v, want the creation of instance 3 with the largest seed", batch.Inputs[0])
 	}
 	settings := create.Settings
 	lookup, load := settings.Classes[0], settings.Classes[1]
 	if lookup.LatencyObjective != 600*time.Millisecond || !lookup.Ordered ||
 		lookup.AllowedZones[0] != "room-a" || !lookup.BlockedByDataSetLock {
-		t.Errorf("lookup %+v", lookup)
+		t.Errorf("got class lookup %+v, want objective 600ms, ordered, allowed in room-a, blocked by data-set locks", lookup)
 	}
 	if load.Idempotency.Kind != idempotency.IdempotentWithKey || load.Idempotency.DedupScope != idempotency.ScopeCell ||
 		load.Threads != 4 || !load.HoldsDataSetLock || load.AllowedKinds[0] != "std-16" {
-		t.Errorf("load %+v", load)
+		t.Errorf("got class load %+v, want key with scope cell, 4 threads, a data-set lock, allowed on std-16", load)
 	}
 	if kind := settings.EngineKinds["std-16"]; !settings.WatchEndpointList ||
 		kind != (control.EngineKind{Cores: 16, MemoryMB: 32768}) {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("got settings %+v, want a watched endpoint list and std-16 with 16 cores, 32768 MB", settings)
 	}
 	wantRules := control.Rules{
 		MaxPollInterval: 10 * time.Second, SlowStartInitial: 0.39, SlowStartDuration: 14 * time.Second,
@@ -180,7 +180,7 @@
 	}
 }
 
-// Guards against gossip of another program being delivered as an event: its datagrams are ignored.
+// TestReadGossip guards against gossip of another program being delivered as an event: its datagrams are ignored.
 func TestReadGossip(t *testing.T) {
 	for name, c := range map[string]struct {
 		message string
