--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 func TestReadReturnsWrittenState(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Read(dir, broker); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("got %v, want %v", err, ErrNotFound)
+		t.Fatalf("got error %v, want %v", err, ErrNotFound)
 	}
 	want := State{Broker: broker, MaintenanceEngines: []string{"e1", "e7"}}
 	for range 2 { // the second write replaces the first
@@ -65,14 +65,14 @@
 				t.Fatal(err)
 			}
 			if _, err := Read(filepath.Dir(path), broker); !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// Guards against a truncated or corrupt file being accepted or causing a panic: Decode returns ErrCorrupt or
-// ErrMismatch. Encoded states decode without loss.
+// TestDecodeRejectsCorruptContent guards against a truncated or corrupt file being accepted or causing a panic:
+// Decode returns ErrCorrupt or ErrMismatch. Encoded states decode without loss.
 func TestDecodeRejectsCorruptContent(t *testing.T) {
 	identity := func(s string) string { return s }
 	engineIDs := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), identity)
@@ -81,18 +81,18 @@
 		content := Encode(State{Broker: broker, MaintenanceEngines: engines})
 		got, err := Decode(content, broker)
 		if err != nil || len(got.MaintenanceEngines) != len(engines) {
-			t.Fatalf("%q: %v, %v", content, got, err)
+			t.Fatalf("%q: got %v, error %v, want %d engines", content, got, err, len(engines))
 		}
-		cut := rapid.IntRange(0, len(content)).Draw(t, "cut")
-		flip := rapid.IntRange(0, max(0, cut-1)).Draw(t, "flip")
-		corrupt := append([]byte{}, content[:cut]...)
-		if cut > 0 {
+		prefixLen := rapid.IntRange(0, len(content)).Draw(t, "prefixLen")
+		flip := rapid.IntRange(0, max(0, prefixLen-1)).Draw(t, "flip")
+		corrupt := append([]byte{}, content[:prefixLen]...)
+		if prefixLen > 0 {
 			corrupt[flip] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
 		if _, err := Decode(corrupt, broker); err == nil {
-			t.Fatalf("%q accepted", corrupt)
+			t.Fatalf("corrupt content %q is accepted", corrupt)
 		} else if !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrMismatch) {
-			t.Fatalf("%q: %v", corrupt, err)
+			t.Fatalf("%q: got error %v, want %v or %v", corrupt, err, ErrCorrupt, ErrMismatch)
 		}
 	})
 }
@@ -103,8 +103,8 @@
 	return []byte(strconv.FormatUint(uint64(sum), 16) + "\n" + body)
 }
 
-// Guards against a broker that does not start because the hand-over file is not a regular file: Read waits for a writer
-// when it opens a named pipe.
+// TestReadRejectsNonRegularFile guards against a broker that does not start because the hand-over file is not a
+// regular file: opening a named pipe would wait for a writer.
 func TestReadRejectsNonRegularFile(t *testing.T) {
 	const timeout = 20 * time.Second
 	for name, create := range map[string]func(path string) error{
@@ -124,7 +124,7 @@
 			select {
 			case err := <-result:
 				if !errors.Is(err, ErrCorrupt) {
-					t.Errorf("got %v, want %v", err, ErrCorrupt)
+					t.Errorf("got error %v, want %v", err, ErrCorrupt)
 				}
 			case <-time.After(timeout):
 				t.Errorf("Read did not return within %v", timeout)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Guards against temporary files that accumulate after processes are killed during a write. A recent temporary file
-// stays, as its write may be in progress.
+// TestRemoveStaleTempFiles guards against temporary files that accumulate after processes are killed during a write.
+// A recent temporary file stays, as its write may be in progress.
 func TestRemoveStaleTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, State{Broker: broker}); err != nil {
--- a/internal/mysql/handshake.go
+++ b/internal/mysql/handshake.go
@@ -32,8 +32,8 @@
 
 	// SaltLen is the length of a greeting's salt in bytes.
 	SaltLen         = 20
-	firstSaltLen    = 8 // the rest of the salt follows later in the greeting
-	greetingPadding = 10
+	firstSaltLen    = 8  // bytes; the rest of the salt follows later in the greeting
+	greetingPadding = 10 // bytes
 )
 
 // AppendGreeting appends the greeting, which is the first packet of a connection. The salt must not contain zero bytes.
@@ -63,8 +63,8 @@
 }
 
 const (
-	loginHeaderLen = 32 // flags, maximum packet size, character set and padding
-	maxProofLen    = 250
+	loginHeaderLen = 32  // bytes: flags, maximum packet size, character set and padding
+	maxProofLen    = 250 // bytes
 )
 
 // ParseLogin parses a client's response to the greeting. Its error wraps ErrHandshake and names the invalid field.
@@ -80,7 +80,7 @@
 	if !ok {
 		return Login{}, fmt.Errorf("%w: user", ErrHandshake)
 	}
-	proof, rest, ok := cutProof(rest, flags)
+	proof, rest, ok := splitProof(rest, flags)
 	if !ok {
 		return Login{User: string(user)}, fmt.Errorf("%w: password", ErrHandshake)
 	}
@@ -92,8 +92,8 @@
 	return login, nil
 }
 
-// cutProof splits the password proof from the bytes that follow it.
-func cutProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
+// splitProof splits the password proof from the bytes that follow it.
+func splitProof(payload []byte, flags uint32) (proof, rest []byte, ok bool) {
 	if flags&(clientPluginAuthLenencData|clientSecureConnection) == 0 {
 		return bytes.Cut(payload, []byte{0})
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -27,19 +27,19 @@
 		"message too long":    {"*2\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n$60000\r\n", nil, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for cut := range min(len(c.in), 64) { // a prefix is either incomplete or already invalid
-				if _, n, err := Parse([]byte(c.in[:cut])); n != 0 || err != nil && !errors.Is(err, c.err) {
-					t.Fatalf("cut at %d: %d bytes, %v", cut, n, err)
+			for prefixLen := range min(len(c.in), 64) { // a prefix is either incomplete or already invalid
+				if _, n, err := Parse([]byte(c.in[:prefixLen])); n != 0 || err != nil && !errors.Is(err, c.err) {
+					t.Fatalf("prefix of %d bytes: got %d bytes, error %v, want 0 bytes, error nil or %v", prefixLen, n, err, c.err)
 				}
 			}
 			startOfNext := "*1"[:min(2, 2*len(c.want))]
 			parts, n, err := Parse([]byte(c.in + startOfNext))
 			if !errors.Is(err, c.err) {
-				t.Fatalf("got %v, want %v", err, c.err)
+				t.Fatalf("got error %v, want %v", err, c.err)
 			}
 			got := asStrings(parts)
 			if diff := cmp.Diff(c.want, got); diff != "" || err == nil && n != len(c.in) {
-				t.Fatalf("%d bytes of %d\n%s", n, len(c.in), diff)
+				t.Fatalf("got %d bytes, want %d; parts (-want +got):\n%s", n, len(c.in), diff)
 			}
 			if encoded := Append(nil, got...); err == nil && string(encoded) != c.in {
 				t.Fatalf("re-encoded as %q, want %q", encoded, c.in)
@@ -59,7 +59,7 @@
 	return out
 }
 
-// Guards against parsers that panic on malformed input from an engine.
+// FuzzParse guards against parsers that panic on malformed input from an engine.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n"))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -29,12 +29,13 @@
 	} {
 		got := [...]bool{IsLocalError(tt.err), IsConnectError(tt.err), IsListenError(tt.err), IsFileError(tt.err)}
 		if want := [...]bool{tt.local, tt.connect, tt.listen, tt.file}; got != want {
-			t.Errorf("%v: local, connect, listen, file are %v, want %v", tt.err, got, want)
+			t.Errorf("%v: local, connect, listen, file: got %v, want %v", tt.err, got, want)
 		}
 	}
 }
 
-// Guards against retries after a permanent error or the timeout, and against no retry after a transient error.
+// TestRetryStopsAtPermanentErrorOrTimeout guards against retries after a permanent error or the timeout, and against
+// no retry after a transient error.
 func TestRetryStopsAtPermanentErrorOrTimeout(t *testing.T) {
 	errTransient, errPermanent := errors.New("transient"), errors.New("permanent")
 	isTransient := func(err error) bool { return errors.Is(err, errTransient) }
