--- a/control/overdue.go
+++ b/control/overdue.go
@@ -14,7 +14,7 @@
 }
 
 // evaluateOverdue evaluates an attempt that takes longer than nearly all responses. It evaluates the attempt
-// again later while its response is pending, but not if it is lost, blocked or overdue because of an overload.
+// again later while its response is pending, but not if it is lost, blocked or overdue because of overload.
 func (c *Controller) evaluateOverdue(attempt *attempt) {
 	if !attempt.inFlight || attempt.request.closed || attempt.cancelled || attempt.presumedLost {
 		return
