--- a/control/selection.go
+++ b/control/selection.go
@@ -61,8 +61,8 @@
 	withinBudget := c.slowStart.Allows(
 		engine.slowStartInput(), &engine.sentInSlowStart, s.slowStartDemand, s.meanWork, c.now)
 	return s.ruleInput.CheckAt(eligibility.Engine{
-		// A draining engine gets no new attempts. The grace period of a drain applies only to attempts
-		// that were decided before the drain (enginepool.Config.DrainGrace).
+		// A draining engine gets no new attempts. The grace period of a drain applies only to
+		// attempts that were decided before the drain (enginepool.Config.DrainGrace).
 		Ready:                 engine.member.AcceptsRequests(),
 		Location:              engine.location(),
 		Kind:                  engine.Kind,
--- a/control/workload/workload.go
+++ b/control/workload/workload.go
@@ -19,7 +19,8 @@
 	PooledShareWeight float64        // the same, where engines are pooled
 	MinShare          units.Fraction // minimum share of a broker, as a multiple of an equal share
 	MinTenantShare    units.Fraction // minimum share of a tenant, also without a share in its settings
-	// PriorClassRate is added to the rates in means over the classes, so that classes without traffic count.
+	// PriorClassRate is added to the rates in means over the classes, so that classes without traffic
+	// count.
 	PriorClassRate units.PerSecond
 }
 
